--- /dev/null
+++ b/commons/golden_test.go
@@ -0,0 +1,202 @@
+package commons
+
+import (
+	"encoding/base64"
+	"flag"
+	"math"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// The files in testdata pin the wire form of datagrams between dispatchers. Dispatchers of different builds talk to
+// each other during an upgrade, so the files may change only together with the version of the format.
+var update = flag.Bool("update", false, "write the golden files from the program's output before comparing")
+
+type goldenCase struct {
+	name     string
+	siblings int
+	message  Message
+	texts    []Message // what the texts decode to, one each; nil: one text that decodes to the message itself
+}
+
+func setOf(siblings int, numbers ...int) Set {
+	s := NewSet(siblings)
+	for _, i := range numbers {
+		s.Add(i)
+	}
+	return s
+}
+
+func upTo[T any](n int, item func(i int) T) (out []T) {
+	for i := range n {
+		out = append(out, item(i))
+	}
+	return out
+}
+
+func goldenCases() []goldenCase {
+	const largest = 4095 << 15 / 64.0 // the largest figure that the format holds
+	nan := math.NaN()
+	marks := []Mark{{Worker: 7, Good: 15, Pace: 255}, {Worker: 1 << 15, Bad: 9, Pace: 8}}
+	counts := []Count{{1, 5, true, false}, {2, 0, false, true}, {65535, 63, true, true}, {0, 1, false, false}}
+	pairs := []Pair{{1 << 30, 9}, {math.MaxUint32, 65535}, {0, 0}}
+	manyCounts := upTo(70, func(i int) Count { return Count{Worker: uint16(i * 900), N: i % 64, Heard: i%2 == 0} })
+	manyPairs := upTo(40, func(i int) Pair { return Pair{Func: uint32(i) << 24, Worker: uint16(i)} })
+	figures := upTo(15, func(i int) float64 { return float64(i) * 12.5 })
+	quoted := upTo(15, func(i int) float64 { return []float64{0, nan, 1.5}[i%3] })
+	sums, zeros := []float64{100, 7.5}, []float64{0, 0}
+	whole := Digest{Tick: 513, Sums: sums, Gone: zeros, Moved: zeros, Covered: allOf(3), Missing: NewSet(3)}
+	short := whole
+	short.Short = true
+	wide := Digest{Tick: 1, Sums: figures, Gone: figures, Moved: figures, Covered: allOf(300), Missing: setOf(300, 0)}
+	wide.Covered[0] = 0xfe
+	row := Row{Incarnation: 200, Seq: 255, Figures: []float64{12.5, 0.25}}
+	manyMarks := upTo(14, func(i int) Mark { return Mark{Worker: uint16(i), Good: 20, Bad: 16, Pace: 1} })
+	mostMarks := upTo(12, func(i int) Mark { return Mark{Worker: uint16(i), Good: 15, Bad: 15, Pace: 1} })
+
+	return []goldenCase{
+		{name: "sync-request", siblings: 3, message: Message{Hello: true, GoesOn: true}},
+		{name: "holders", siblings: 3, message: Message{GoesOn: true, Pairs: pairs}},
+		{name: "report", siblings: 3, message: Message{Calls: 7, Row: row, Marks: marks, Counts: counts, Pairs: pairs}},
+		{name: "report-fresh", siblings: 3, message: Message{Calls: 1, Row: Row{Figures: sums, Fresh: true}}},
+		{name: "report-prev", siblings: 3, message: Message{Row: Row{Seq: 1, Figures: []float64{0, 1, 25, 2, 3},
+			Prev: []float64{0, nan, 50, nan, nan}}, Counts: counts[:1]}},
+		{name: "report-in-three-texts", siblings: 3,
+			message: Message{Calls: 2, Row: row, Counts: manyCounts, Pairs: manyPairs},
+			texts: []Message{{Calls: 2, Row: row, Counts: manyCounts[:60]},
+				{GoesOn: true, Counts: manyCounts[60:], Pairs: manyPairs[:26]}, {GoesOn: true, Pairs: manyPairs[26:]}}},
+		{name: "digest-complete", siblings: 3,
+			message: Message{Hub: true, Sum: whole, Marks: marks, Counts: counts, Pairs: pairs}},
+		{name: "digest-missing", siblings: 12, message: Message{Hub: true, Counts: counts,
+			Sum: Digest{Tick: 65535, Sums: sums, Gone: []float64{40, 0}, Moved: []float64{8, 0},
+				Covered: setOf(12, 0, 3, 11), Missing: setOf(12, 1, 8)}}},
+		{name: "digest-uncovered", siblings: 9, message: Message{Hub: true,
+			Sum: Digest{Sums: sums, Gone: zeros, Moved: zeros, Covered: setOf(9, 8), Missing: NewSet(9)}}},
+		{name: "digest-short", siblings: 3,
+			message: Message{Hub: true, Sum: whole, Marks: marks, Counts: counts, Pairs: pairs}.Short(3, 40),
+			texts:   []Message{{Hub: true, Sum: short, Marks: marks, Counts: counts[:1]}}},
+		{name: "digest-in-two-texts", siblings: 3, message: Message{Hub: true, Sum: whole, Counts: manyCounts},
+			texts: []Message{{Hub: true, Sum: whole, Counts: manyCounts[:60]},
+				{Hub: true, GoesOn: true, Counts: manyCounts[60:]}}},
+		{name: "digest-of-300-dispatchers", siblings: 300, message: Message{Hub: true, Sum: wide, Marks: mostMarks},
+			texts: []Message{{Hub: true, Sum: wide, Marks: mostMarks[:4]}}},
+		{name: "report-of-15-figures-and-12-marks", siblings: 3,
+			message: Message{Calls: 255, Row: Row{Figures: figures, Prev: quoted}, Marks: mostMarks}},
+		{name: "report-beyond-bounds", siblings: 3, message: Message{Calls: 300, Marks: manyMarks,
+			Row: Row{Figures: append(slices.Clone(figures), 1)}, Counts: []Count{{Worker: 1, N: 64}}},
+			texts: []Message{{Calls: 255, Marks: mostMarks, Row: Row{Figures: figures},
+				Counts: []Count{{Worker: 1, N: 63}}}}},
+		{name: "report-of-extreme-figures", siblings: 3,
+			message: Message{Row: Row{Figures: []float64{0, -1, nan, 1 / 64., 4095 / 64., 64, largest, 1e9, 0.001}}},
+			texts:   []Message{{Row: Row{Figures: []float64{0, 0, 0, 1 / 64., 4095 / 64., 64, largest, largest, 0}}}}},
+	}
+}
+
+// decoded is what the texts of a case decode to.
+func (c goldenCase) decoded() []Message {
+	if c.texts == nil {
+		return []Message{c.message}
+	}
+	return c.texts
+}
+
+func (c goldenCase) path() string { return filepath.Join("testdata", c.name+".golden") }
+
+// golden returns the texts recorded for a case; lines that begin with # are comments.
+func (c goldenCase) golden(t *testing.T) []string {
+	t.Helper()
+	data, err := os.ReadFile(c.path())
+	require.NoError(t, err)
+	lines := strings.Split(strings.TrimSuffix(string(data), "\n"), "\n")
+	return slices.DeleteFunc(lines, func(line string) bool { return strings.HasPrefix(line, "#") })
+}
+
+// comparable replaces NaN, which differs from itself, by a figure that no text holds.
+func comparable(m Message) Message {
+	m.Row.Prev = slices.Clone(m.Row.Prev)
+	for i, x := range m.Row.Prev {
+		if math.IsNaN(x) {
+			m.Row.Prev[i] = -1
+		}
+	}
+	return m
+}
+
+func eachGoldenCase(t *testing.T, run func(t *testing.T, c goldenCase)) {
+	for _, c := range goldenCases() {
+		t.Run(c.name, func(t *testing.T) { run(t, c) })
+	}
+}
+
+func TestDatagramsMatchGoldenFiles(t *testing.T) {
+	var paths []string
+	eachGoldenCase(t, func(t *testing.T, c goldenCase) {
+		paths = append(paths, c.path())
+		texts := c.message.Texts(c.siblings)
+		if *update {
+			text := "# " + c.name + "\n" + strings.Join(texts, "\n") + "\n"
+			require.NoError(t, os.WriteFile(c.path(), []byte(text), 0o644))
+		}
+		assert.Equal(t, c.golden(t), texts)
+	})
+	if !t.Failed() {
+		files, err := filepath.Glob("testdata/*.golden")
+		require.NoError(t, err)
+		assert.ElementsMatch(t, paths, files, "each golden file belongs to a case")
+	}
+}
+
+func TestGoldenDatagramsDecodeToExpectedValues(t *testing.T) {
+	eachGoldenCase(t, func(t *testing.T, c goldenCase) {
+		want := c.decoded()
+		texts := c.golden(t)
+		require.Len(t, texts, len(want))
+		for i, text := range texts {
+			got, ok := Read(text, c.siblings)
+			require.True(t, ok, text)
+			assert.Equal(t, comparable(want[i]), comparable(got))
+		}
+	})
+}
+
+func TestGoldenDatagramsAreUnchangedByDecodingAndEncoding(t *testing.T) {
+	eachGoldenCase(t, func(t *testing.T, c goldenCase) {
+		for _, text := range c.golden(t) {
+			m, ok := Read(text, c.siblings)
+			require.True(t, ok, text)
+			assert.Equal(t, []string{text}, m.Texts(c.siblings))
+		}
+	})
+}
+
+// The header is version and number of figures, flags, and number of counts, a byte each.
+func TestGoldenDatagramsWithChangedHeaderDecodeDifferently(t *testing.T) {
+	eachGoldenCase(t, func(t *testing.T, c goldenCase) {
+		for i, text := range c.golden(t) {
+			raw, err := base64.RawStdEncoding.DecodeString(text)
+			require.NoError(t, err)
+			want := comparable(c.decoded()[i])
+			differs := func(changed []byte, how string, at int) {
+				m, ok := Read(base64.RawStdEncoding.EncodeToString(changed), c.siblings)
+				if ok && assert.ObjectsAreEqual(want, comparable(m)) {
+					t.Errorf("text %d decodes to the same value with header byte %d %s", i, at, how)
+				}
+			}
+			for at := range 3 {
+				for change := 1; change < 256; change++ {
+					changed := slices.Clone(raw)
+					changed[at] ^= byte(change)
+					differs(changed, "changed", at)
+				}
+				differs(slices.Delete(slices.Clone(raw), at, at+1), "removed", at)
+				differs(raw[:at], "and all after it cut off", at)
+			}
+		}
+	})
+}
--- /dev/null
+++ b/decide/golden_test.go
@@ -0,0 +1,117 @@
+package decide
+
+import (
+	"flag"
+	"fmt"
+	"os"
+	"strconv"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"oakthread/commons"
+)
+
+var update = flag.Bool("update", false, "write the golden file from the program's output before comparing")
+
+const peerDatagramsFile = "testdata/peer-datagrams.golden"
+
+func peerSettings(number int) Settings {
+	s := settings(Safe, ScopeAll)
+	s.Number, s.Siblings, s.Peers, s.TenantRate = number, 3, true, []float64{50}
+	return s
+}
+
+// peerDatagrams runs dispatcher 0 of three for 12 seconds of simulated time, six terms, and returns what it told, a line
+// of destination and text each, and when. Calls fail at worker 2, some are never answered, and the other two
+// dispatchers send it reports, digests and a request for its holders.
+func peerDatagrams(t *testing.T) (lines []string, times []int64) {
+	t.Helper()
+	s := peerSettings(0)
+	d, f := start(t, s, 6)
+	for i := range 600 {
+		now, id := int64(i)*20*ms, fmt.Sprint(i)
+		d.Request(now, call(id, now, FuncID(i%5)))
+		if i%40 != 39 {
+			answer := ok(id, f.last[id])
+			if answer.Worker == 2 {
+				d.Outcome(now+4*ms, Outcome{ID: id, Worker: 2, Result: Error})
+				answer.Attempt, answer.Worker = 1, f.last[id]
+			}
+			d.Outcome(now+5*ms, answer)
+		}
+		if i%50 == 25 {
+			for from := 1; from < s.Siblings; from++ {
+				report := commons.Message{Calls: 20, Marks: []commons.Mark{{Worker: 2, Bad: 3}},
+					Row:    commons.Row{Incarnation: 1, Seq: uint8(i / 50), Figures: []float64{12.5, 20, 3}, Fresh: i < 100},
+					Counts: []commons.Count{{Worker: 4, N: from, Heard: true}, {Worker: 5, Silent: true}},
+					Pairs:  []commons.Pair{{Func: uint32(100 + from), Worker: 6}}}
+				d.Peer(now+6*ms, from, report.Texts(s.Siblings)[0])
+			}
+		}
+		if i%100 == 60 {
+			d.Peer(now+7*ms, 1, digest(d, now+7*ms, []float64{60, 60, 5}, commons.Count{Worker: 1, N: 3, Heard: true}))
+		}
+		if i == 300 {
+			d.Peer(now+8*ms, 2, commons.Message{Hello: true, GoesOn: true}.Texts(s.Siblings)[0])
+		}
+		d.Timer(now+10*ms, f.ref)
+		for n := len(lines); n < len(f.told); n++ {
+			lines, times = append(lines, fmt.Sprint(f.toldTo[n], " ", f.told[n])), append(times, now+10*ms)
+		}
+	}
+	return lines, times
+}
+
+func goldenPeerDatagrams(t *testing.T) []string {
+	t.Helper()
+	data, err := os.ReadFile(peerDatagramsFile)
+	require.NoError(t, err)
+	return strings.Split(strings.TrimSuffix(string(data), "\n"), "\n")
+}
+
+func TestPeerDatagramsMatchGoldenFile(t *testing.T) {
+	lines, _ := peerDatagrams(t)
+	if *update {
+		require.NoError(t, os.WriteFile(peerDatagramsFile, []byte(strings.Join(lines, "\n")+"\n"), 0o644))
+	}
+	assert.Equal(t, goldenPeerDatagrams(t), lines)
+}
+
+func TestGoldenPeerDatagramsAreAcceptedByAnotherDispatcher(t *testing.T) {
+	_, times := peerDatagrams(t)
+	lines := goldenPeerDatagrams(t)
+	require.Len(t, lines, len(times))
+	s := peerSettings(1)
+	d, _ := start(t, s, 6)
+	kinds := map[string]int{}
+	for i, line := range lines {
+		to, text, found := strings.Cut(line, " ")
+		require.True(t, found, line)
+		number, err := strconv.Atoi(to)
+		require.NoError(t, err)
+		m, readable := commons.Read(text, s.Siblings)
+		require.True(t, readable, line)
+		switch {
+		case m.Hello:
+			kinds["sync request"]++
+		case m.GoesOn:
+			kinds["holders"]++
+		case m.Hub:
+			kinds["digest"]++
+			assert.Equal(t, -1, number, "a digest goes to all")
+		case m.Row.Prev != nil:
+			kinds["report with Prev"]++
+		default:
+			kinds["report"]++
+		}
+		assert.True(t, d.Peer(times[i], 0, text), line)
+	}
+	for _, kind := range []string{"sync request", "holders", "digest", "report with Prev", "report"} {
+		assert.Positive(t, kinds[kind], kind)
+	}
+	assert.Zero(t, d.shared.Dropped, "rows and digests not taken")
+	assert.False(t, d.Shared().Never, "a digest was taken")
+}
