--- /dev/null
+++ b/internal/console/golden_test.go
@@ -0,0 +1,175 @@
+package console
+
+// This file holds the console's answers and its file of bans against those of an earlier build.
+
+import (
+	"context"
+	"flag"
+	"fmt"
+	"io"
+	"log/slog"
+	"math"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"oakthread"
+	"oakthread/decide"
+)
+
+var updateGolden = flag.Bool("update", false, "write the text golden files")
+
+// golden compares text with a file of testdata.
+func golden(t *testing.T, name, text string) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *updateGolden {
+		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
+	}
+	want, err := os.ReadFile(path)
+	require.NoError(t, err)
+	assert.Equal(t, string(want), text)
+}
+
+// goldenIDs knows three executors of the list, and one that the list does not hold.
+func goldenIDs(s string) decide.WorkerID {
+	return map[string]decide.WorkerID{"s-1": 1, "s-2": 2, "s-last": math.MaxUint32, "s-9": 9}[s]
+}
+
+// goldenCore is what the console asks, with a distinct value in every field.
+type goldenCore struct {
+	fake
+	unready, stale bool
+}
+
+func (g *goldenCore) sources() Sources {
+	src := g.fake.sources()
+	src.CoreReady = func() bool { return !g.unready }
+	src.Figures = func(context.Context) Figures {
+		if g.stale {
+			return Figures{Pending: 15, Reloads: 16, Fails: 17, Stale: true}
+		}
+		return Figures{Attempts: 11, Pending: 12, Reloads: 13, Fails: 14, Ejected: []decide.WorkerID{2}}
+	}
+	src.Tally = func(fn func(string, int64, int64, int64)) { fn("path-check", 4, 5, 6); fn("path-book", 1, 2, 3) }
+	src.Verdicts = func(context.Context) ([]Verdict, bool) {
+		return []Verdict{
+			{Executor: math.MaxUint32, Zone: 1, Verdict: "left out", Evidence: "3 of 4 observers were not served",
+				Served: 2.5, Failed: 0.75, Pace: 1.125, Observers: [2]int{5, 6}, WordAgeMS: 7, TrialInMS: 8, Unreached: true},
+			{Executor: 9, Verdict: "well", WordAgeMS: -1},
+		}, !g.busy
+	}
+	return src
+}
+
+func goldenRoster() oakthread.Roster {
+	return oakthread.Roster{Kind: decide.RosterFull, Members: []oakthread.Member{{ID: 1, State: decide.On},
+		{ID: 2, State: decide.On}, {ID: math.MaxUint32, State: decide.On}}}
+}
+
+// Every call of the operators gets the status, content type and body that it got from an earlier build.
+func TestAnswersAreTheSame(t *testing.T) {
+	var core goldenCore
+	c := New(core.sources(), "", goldenIDs, slog.New(slog.DiscardHandler))
+	c.Listed(goldenRoster())
+	h := c.Handler()
+	var b strings.Builder
+	for _, x := range []struct {
+		state  string
+		set    func()
+		method string
+		paths  string
+	}{
+		{"the core has no list", func() { core.unready = true }, "GET", "ready"},
+		{"the core has a list", func() { core.unready = false }, "GET", "ready counters verdicts"},
+		{"the core is busy", func() { core.stale, core.busy = true, true }, "GET", "ready counters verdicts"},
+		{"the core answers again", func() { core.stale, core.busy = false, false }, "POST",
+			"executors/s-1/offline executors/s-1/offline executors/s-last/offline executors/s-2/online"},
+		{"two executors are offline", nil, "GET", "ready counters"},
+		{"two executors are offline", nil, "POST", "executors/s-1/online executors/s-last/online"},
+		{"none is offline", nil, "GET", "counters"},
+		{"ids that are not known", nil, "POST", "executors/s-9/offline executors/s-9/online executors/%22/offline"},
+		{"in service", nil, "POST", "out-of-service out-of-service"},
+		{"out of service", nil, "GET", "ready counters"},
+		{"out of service", nil, "POST", "in-service"},
+		{"in service", nil, "GET", "ready"},
+		{"wrong method", nil, "POST", "ready counters verdicts"},
+		{"wrong method", nil, "GET", "executors/s-1/offline executors/s-1/online out-of-service in-service"},
+		{"wrong method", nil, "DELETE", "ready executors/s-1/offline"},
+		{"unknown path", nil, "GET", "nothing executors executors/s-1 ready/ ../control ../"},
+		{"unknown path", nil, "POST", "executors//offline executors/s-1/else"},
+	} {
+		if x.set != nil {
+			x.set()
+		}
+		for _, p := range strings.Fields(x.paths) {
+			path := "/control/" + p
+			if up, ok := strings.CutPrefix(p, ".."); ok {
+				path = up
+			}
+			w := httptest.NewRecorder()
+			h.ServeHTTP(w, httptest.NewRequest(x.method, path, http.NoBody))
+			r := w.Result()
+			body, err := io.ReadAll(r.Body)
+			require.NoError(t, err)
+			fmt.Fprintf(&b, "# %s\n%s %s\n%d, %s, %d bytes\n%s\n", x.state, x.method, path, r.StatusCode,
+				r.Header.Get("Content-Type"), len(body), body)
+		}
+	}
+	golden(t, "answers.golden", b.String())
+}
+
+// The file of bans is written byte for byte as by an earlier build, with bans and without.
+func TestBansFileIsWrittenTheSame(t *testing.T) {
+	var core goldenCore
+	path := filepath.Join(t.TempDir(), "bans.json")
+	c := New(core.sources(), path, goldenIDs, slog.New(slog.DiscardHandler))
+	c.Listed(goldenRoster())
+	assert.NoFileExists(t, path, "before any call")
+	for _, x := range []struct{ calls, golden string }{
+		{"s-last/offline s-1/offline", "bans.json"},
+		{"s-1/online s-last/online", "no-bans.json"},
+	} {
+		for _, p := range strings.Fields(x.calls) {
+			code, _ := call(t, c.Handler(), "POST", "/control/executors/"+p)
+			require.Equal(t, 200, code, p)
+		}
+		raw, err := os.ReadFile(path)
+		require.NoError(t, err)
+		golden(t, x.golden, string(raw))
+	}
+}
+
+// A new console has the bans in force that the file of an earlier build holds.
+func TestBansFileIsReadable(t *testing.T) {
+	for name, want := range map[string][]decide.WorkerID{"bans.json": {1, math.MaxUint32}, "no-bans.json": nil} {
+		var core goldenCore
+		c := New(core.sources(), filepath.Join("testdata", name), goldenIDs, slog.New(slog.DiscardHandler))
+		c.Listed(goldenRoster())
+		var drained []decide.WorkerID
+		for _, m := range core.told[0].Members {
+			if m.State == decide.Draining {
+				drained = append(drained, m.ID)
+			}
+		}
+		assert.Equal(t, want, drained, name)
+	}
+}
+
+// The next version looks for the bans under the name that an earlier build gave.
+func TestBansFileNameIsTheSame(t *testing.T) {
+	for listen, want := range map[string]string{
+		"127.0.0.1:9090": "oakthread-bans-127.0.0.1_9090.json",
+		"[::1]:9090":     "oakthread-bans-__1_9090.json",
+		":9090":          "oakthread-bans-_9090.json",
+		"/run/oak.sock":  "oakthread-bans-_run_oak.sock.json",
+	} {
+		assert.Equal(t, filepath.Join("dir", want), BanFile("dir", listen))
+	}
+}
--- /dev/null
+++ b/internal/kept/golden_test.go
@@ -0,0 +1,135 @@
+package kept
+
+// This file holds the kept list's stored form against a file that an earlier build of the program wrote.
+
+import (
+	"errors"
+	"flag"
+	"fmt"
+	"io/fs"
+	"math"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"go.etcd.io/bbolt"
+
+	"oakthread/decide"
+	"oakthread/roster"
+)
+
+var updateGolden = flag.Bool("update", false, "write the text golden files, and the database where there is none")
+
+const (
+	goldenList  = "testdata/list.db"
+	goldenOwner = "dispatcher-7"
+)
+
+// storedList is what testdata/list.db holds: boxes in every state, events of every kind, no value twice in a record.
+func storedList() roster.Kept {
+	at := func(n int) time.Time { return t0.Add(time.Duration(n) * (time.Hour + time.Nanosecond)) }
+	return roster.Kept{Epoch: "epoch-3", Cursor: 1 << 40, Confirmed: at(1), Saved: at(2),
+		Boxes: []roster.Box{
+			{ID: 1, Addr: "127.0.0.1:7001", Zone: 6, Kind: 3, Cell: 4, State: decide.On, Weight: 5.5, Start: at(-9),
+				Told: at(-8), Proved: at(-7), Pace: 6.25},
+			{ID: 12, Addr: "127.0.0.1:7002", Zone: 13, Kind: 14, Cell: 15, State: decide.Draining, Weight: 16.5,
+				Start: at(-19), Told: at(-18), Proved: at(-17), Pace: 17.25},
+			{ID: 23, Addr: "[::1]:7003", Zone: 24, Kind: 25, Cell: 26, State: decide.Off, Weight: 27.5, Start: at(-29),
+				Told: at(-28), Proved: at(-27), Pace: 28.25},
+			{ID: 34, Addr: "box.example:7004", State: decide.On}, // all that may be left out
+			{ID: math.MaxUint32, Addr: "127.0.0.1:7005", Zone: -1, Kind: -2, Cell: -3, State: decide.On, Weight: 0.1,
+				Start: time.Unix(0, 1), Told: at(-38), Proved: at(-37), Pace: 1e9},
+		},
+		History: roster.History{Watched: 90*time.Hour + 1, Leaves: 3.5, Returns: 1.25, Events: []roster.Event{
+			{At: at(-6), Worker: 1, What: roster.Joined},
+			{At: at(-5), Worker: 12, What: roster.Left},
+			{At: at(-4), Worker: 23, What: roster.Restarted},
+			{At: at(-3), Worker: math.MaxUint32, What: roster.Drained},
+		}}}
+}
+
+// copyOf puts a file of testdata where it may be changed.
+func copyOf(t *testing.T, path string) string {
+	t.Helper()
+	raw, err := os.ReadFile(path)
+	require.NoError(t, err)
+	to := filepath.Join(t.TempDir(), filepath.Base(path))
+	require.NoError(t, os.WriteFile(to, raw, 0o600))
+	return to
+}
+
+// records are all records of a database that is closed, one a line: bucket, key and value in hex.
+func records(t *testing.T, path string) string {
+	t.Helper()
+	var b strings.Builder
+	raw(t, path, func(tx *bbolt.Tx) error {
+		return tx.ForEach(func(name []byte, bucket *bbolt.Bucket) error {
+			return bucket.ForEach(func(k, v []byte) error {
+				fmt.Fprintf(&b, "%s %x %x\n", name, k, v)
+				return nil
+			})
+		})
+	})
+	return b.String()
+}
+
+// storedRecords are the records that the committed file has.
+func storedRecords(t *testing.T) string {
+	t.Helper()
+	path := filepath.Join("testdata", "records.golden")
+	if *updateGolden {
+		require.NoError(t, os.WriteFile(path, []byte(records(t, copyOf(t, goldenList))), 0o600))
+	}
+	want, err := os.ReadFile(path)
+	require.NoError(t, err)
+	return string(want)
+}
+
+// writeList writes the list to a file, new or not.
+func writeList(t *testing.T, path string) {
+	t.Helper()
+	s, _, err := Open(path, goldenOwner)
+	require.NoError(t, err)
+	require.NoError(t, s.Write(storedList()))
+	require.NoError(t, s.Close())
+}
+
+// With -update it makes the database where there is none; one that is there always stays.
+func TestStoredListIsThere(t *testing.T) {
+	if _, err := os.Stat(goldenList); *updateGolden && errors.Is(err, fs.ErrNotExist) {
+		writeList(t, goldenList)
+	}
+	assert.FileExists(t, goldenList)
+}
+
+// A file of an earlier build is read, with every field of every record.
+func TestStoredListIsReadable(t *testing.T) {
+	want := Found{Kept: storedList(), Owner: goldenOwner, Schema: 2}
+	path := copyOf(t, goldenList)
+	f, err := Read(path, goldenOwner)
+	require.NoError(t, err)
+	assert.Equal(t, want, f, "read")
+	s, f, err := Open(path, goldenOwner)
+	require.NoError(t, err)
+	assert.Equal(t, want, f, "opened")
+	require.NoError(t, s.Close())
+	wrong, err := Check(path)
+	require.NoError(t, err)
+	assert.Empty(t, wrong)
+}
+
+// The same list makes the same records, byte for byte: in a new file, and written again over that of an earlier build.
+func TestStoredListIsWrittenTheSame(t *testing.T) {
+	want := storedRecords(t)
+	path := copyOf(t, goldenList)
+	assert.Equal(t, want, records(t, path), "as committed")
+	writeList(t, path)
+	assert.Equal(t, want, records(t, path), "written again")
+	path = filepath.Join(t.TempDir(), "list.db")
+	writeList(t, path)
+	assert.Equal(t, want, records(t, path), "in a new file")
+}
