--- a/Makefile
+++ b/Makefile
@@ -4,7 +4,7 @@
 	mkdir -p bin && CGO_ENABLED=1 go build -ldflags=-linkmode=external -o bin/ ./cmd/...
 
 test:
-	go run ./internal/knownred -race -count=1
+	go run ./internal/knownfailures -race -count=1
 
 lint:
 	@bad=$$(gofmt -l .); if [ -n "$$bad" ]; then echo "gofmt: $$bad"; exit 1; fi
@@ -12,11 +12,11 @@
 
 # ROUTER_CONFIG names the dispatcher's configuration file.
 run: build
-	exec bin/oakthread
+	exec bin/dispatcher
 
 # A stand-in discovery, a dozen boxes and a dispatcher on loopback, for some seconds.
 demo: build
-	@exec bin/oaklab demo
+	@exec bin/testbed demo
 
 # Two deployments unlike the platform's own, laid from the operators' site files by the recipes in deploy/sites, for the
 # bench. KIT names the operators' kit; nothing of it is kept in the repository.
@@ -31,15 +31,15 @@
 
 # The laboratory's experiments, the short ones; not part of the test command.
 lab: build
-	bin/oaklab run kept-list --quick
-	bin/oaklab run kept-size --quick
-	bin/oaklab run fleet --quick
-	bin/oaklab run comeback --quick
-	bin/oaklab run mesh --quick
-	bin/oaklab run verdicts --quick
-	bin/oaklab run turns --quick
-	bin/oaklab run capacity --quick
+	bin/testbed run kept-list --quick
+	bin/testbed run kept-size --quick
+	bin/testbed run fleet --quick
+	bin/testbed run comeback --quick
+	bin/testbed run mesh --quick
+	bin/testbed run verdicts --quick
+	bin/testbed run turns --quick
+	bin/testbed run capacity --quick
 
 # The records of the kept list, after a change of kept.proto; needs protoc and protoc-gen-go.
 proto:
-	cd internal/kept/keptpb && protoc --go_out=. --go_opt=paths=source_relative kept.proto
+	cd internal/endpointcache/keptpb && protoc --go_out=. --go_opt=paths=source_relative kept.proto
--- a/service/desk.go
+++ b/admin/desk.go
@@ -4,7 +4,7 @@
 //
 // It owns no socket, clock, file or goroutine, and never chooses an executor for a call: that stays in decide. A ban
 // only tells the core that an executor drains, which decide already obeys for sends, retries and orders.
-package service
+package admin
 
 import (
 	"maps"
@@ -12,13 +12,13 @@
 	"time"
 
 	"oakthread"
-	"oakthread/decide"
+	"oakthread/balancer"
 )
 
 // Desk is the operators' side of one dispatcher. Its zero value is in service, with no executor listed or banned.
 type Desk struct {
-	listed map[decide.WorkerID]oakthread.Member // as the list tells it, before any ban
-	banned map[decide.WorkerID]bool
+	listed map[balancer.WorkerID]oakthread.Member // as the list tells it, before any ban
+	banned map[balancer.WorkerID]bool
 	out    bool
 }
 
@@ -26,14 +26,14 @@
 // says of it.
 func (d *Desk) Listed(r oakthread.Roster) oakthread.Roster {
 	if d.listed == nil {
-		d.listed = map[decide.WorkerID]oakthread.Member{}
+		d.listed = map[balancer.WorkerID]oakthread.Member{}
 	}
-	if r.Kind == decide.RosterFull || r.Kind == decide.RosterCached {
+	if r.Kind == balancer.RosterFull || r.Kind == balancer.RosterCached {
 		clear(d.listed)
 	}
 	told := oakthread.Roster{Kind: r.Kind, Members: make([]oakthread.Member, 0, len(r.Members))}
 	for _, m := range r.Members {
-		if m.State == decide.Off {
+		if m.State == balancer.Off {
 			delete(d.listed, m.ID)
 		} else {
 			d.listed[m.ID] = m
@@ -45,15 +45,15 @@
 
 // seen is a member as the core is to see it.
 func (d *Desk) seen(m oakthread.Member) oakthread.Member {
-	if d.banned[m.ID] && m.State == decide.On {
-		m.State = decide.Draining
+	if d.banned[m.ID] && m.State == balancer.On {
+		m.State = balancer.Draining
 	}
 	return m
 }
 
 // Offline bans an executor until Online. ok is false for an id that is neither listed nor banned: nothing changes.
 // A second Offline changes nothing. news is what the core is to hear; it is empty where the executor is not listed.
-func (d *Desk) Offline(id decide.WorkerID) (news oakthread.Roster, ok bool) {
+func (d *Desk) Offline(id balancer.WorkerID) (news oakthread.Roster, ok bool) {
 	if _, listed := d.listed[id]; !listed && !d.banned[id] {
 		return news, false
 	}
@@ -63,14 +63,14 @@
 // Online lifts a ban, however many Offline calls came before. The executor was restarted meanwhile: the core hears
 // it as started at now, so that nothing is believed loaded there. ok is false for an id that is neither listed nor
 // banned.
-func (d *Desk) Online(id decide.WorkerID, now time.Time) (news oakthread.Roster, ok bool) {
+func (d *Desk) Online(id balancer.WorkerID, now time.Time) (news oakthread.Roster, ok bool) {
 	m, listed := d.listed[id]
 	if !listed && !d.banned[id] {
 		return news, false
 	}
 	was := d.banned[id]
 	delete(d.banned, id)
-	news.Kind = decide.RosterDelta
+	news.Kind = balancer.RosterDelta
 	if listed && was {
 		m.Start = now
 		d.listed[id] = m
@@ -81,8 +81,8 @@
 
 // Keep makes the bans those kept by another process, such as the version before an upgrade or the one beside it:
 // kept ids are banned, and bans that it called back are lifted, as Online at now.
-func (d *Desk) Keep(kept []decide.WorkerID, now time.Time) (news oakthread.Roster) {
-	news.Kind = decide.RosterDelta
+func (d *Desk) Keep(kept []balancer.WorkerID, now time.Time) (news oakthread.Roster) {
+	news.Kind = balancer.RosterDelta
 	for _, id := range kept {
 		if !d.banned[id] {
 			news.Members = append(news.Members, d.ban(id).Members...)
@@ -98,12 +98,12 @@
 }
 
 // ban puts a ban in force; news tells the core of a listed executor.
-func (d *Desk) ban(id decide.WorkerID) (news oakthread.Roster) {
+func (d *Desk) ban(id balancer.WorkerID) (news oakthread.Roster) {
 	if d.banned == nil {
-		d.banned = map[decide.WorkerID]bool{}
+		d.banned = map[balancer.WorkerID]bool{}
 	}
 	d.banned[id] = true
-	news.Kind = decide.RosterDelta
+	news.Kind = balancer.RosterDelta
 	if m, ok := d.listed[id]; ok {
 		news.Members = []oakthread.Member{d.seen(m)}
 	}
@@ -111,16 +111,16 @@
 }
 
 // Banned lists the bans in force, in order of id.
-func (d *Desk) Banned() []decide.WorkerID {
+func (d *Desk) Banned() []balancer.WorkerID {
 	return slices.Sorted(maps.Keys(d.banned))
 }
 
 // Members counts the listed executors, and those of them that are avoided: banned, draining by the list, or among
 // ejected, those that the module avoids by its own choice.
-func (d *Desk) Members(ejected []decide.WorkerID) (listed, unavailable int) {
+func (d *Desk) Members(ejected []balancer.WorkerID) (listed, unavailable int) {
 	for id, m := range d.listed {
 		listed++
-		if d.banned[id] || m.State != decide.On || slices.Contains(ejected, id) {
+		if d.banned[id] || m.State != balancer.On || slices.Contains(ejected, id) {
 			unavailable++
 		}
 	}
--- a/service/desk_test.go
+++ b/admin/desk_test.go
@@ -1,4 +1,4 @@
-package service
+package admin
 
 import (
 	"testing"
@@ -8,13 +8,13 @@
 	"github.com/stretchr/testify/require"
 
 	"oakthread"
-	"oakthread/decide"
+	"oakthread/balancer"
 )
 
-func list(ids ...decide.WorkerID) oakthread.Roster {
-	r := oakthread.Roster{Kind: decide.RosterFull}
+func list(ids ...balancer.WorkerID) oakthread.Roster {
+	r := oakthread.Roster{Kind: balancer.RosterFull}
 	for _, id := range ids {
-		r.Members = append(r.Members, oakthread.Member{ID: id, Addr: "127.0.0.1:1", State: decide.On})
+		r.Members = append(r.Members, oakthread.Member{ID: id, Addr: "127.0.0.1:1", State: balancer.On})
 	}
 	return r
 }
@@ -26,14 +26,14 @@
 	news, ok := d.Offline(1)
 	require.True(t, ok)
 	require.Len(t, news.Members, 1)
-	assert.Equal(t, decide.Draining, news.Members[0].State)
+	assert.Equal(t, balancer.Draining, news.Members[0].State)
 	told := d.Listed(list(1, 2)) // the list says Ready again
-	assert.Equal(t, decide.Draining, told.Members[0].State)
-	assert.Equal(t, decide.On, told.Members[1].State)
+	assert.Equal(t, balancer.Draining, told.Members[0].State)
+	assert.Equal(t, balancer.On, told.Members[1].State)
 	listed, unavailable := d.Members(nil)
 	assert.Equal(t, 2, listed)
 	assert.Equal(t, 1, unavailable)
-	_, unavailable = d.Members([]decide.WorkerID{1, 2}) // ejected by the module too: each counted once
+	_, unavailable = d.Members([]balancer.WorkerID{1, 2}) // ejected by the module too: each counted once
 	assert.Equal(t, 2, unavailable)
 }
 
@@ -49,10 +49,10 @@
 	news, ok := d.Online(1, at)
 	require.True(t, ok)
 	require.Len(t, news.Members, 1)
-	assert.Equal(t, decide.On, news.Members[0].State)
+	assert.Equal(t, balancer.On, news.Members[0].State)
 	assert.True(t, news.Members[0].Start.Equal(at))
 	assert.Empty(t, d.Banned())
-	assert.Equal(t, decide.On, d.Listed(list(1)).Members[0].State)
+	assert.Equal(t, balancer.On, d.Listed(list(1)).Members[0].State)
 }
 
 // Ids that nobody has get a no, and nothing changes.
@@ -69,13 +69,13 @@
 // A ban kept by the version before binds the new one before its list comes, and after the executor has left it.
 func TestRestoredBanBindsBeforeTheList(t *testing.T) {
 	var d Desk
-	d.Keep([]decide.WorkerID{2}, time.Unix(1, 0))
+	d.Keep([]balancer.WorkerID{2}, time.Unix(1, 0))
 	told := d.Listed(list(1, 2))
-	assert.Equal(t, decide.Draining, told.Members[1].State)
-	d.Listed(oakthread.Roster{Kind: decide.RosterDelta, Members: []oakthread.Member{{ID: 2, State: decide.Off}}})
+	assert.Equal(t, balancer.Draining, told.Members[1].State)
+	d.Listed(oakthread.Roster{Kind: balancer.RosterDelta, Members: []oakthread.Member{{ID: 2, State: balancer.Off}}})
 	_, ok := d.Offline(2) // no longer listed, still banned: a yes
 	assert.True(t, ok)
-	assert.Equal(t, []decide.WorkerID{2}, d.Banned())
+	assert.Equal(t, []balancer.WorkerID{2}, d.Banned())
 	d.Keep(nil, time.Unix(2, 0)) // called back at the other process
 	assert.Empty(t, d.Banned())
 }
--- a/commons/set.go
+++ b/aggregate/set.go
@@ -1,4 +1,4 @@
-package commons
+package aggregate
 
 import "math/bits"
 
--- a/commons/table.go
+++ b/aggregate/table.go
@@ -10,7 +10,7 @@
 //
 // Times are nanoseconds of the caller's clock, as in decide; terms are numbered by that clock, and one who is off by more
 // than two terms is not heeded.
-package commons
+package aggregate
 
 import (
 	"math"
--- a/decide/admission.go
+++ b/balancer/admission.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // This file owns which new calls are refused at once. What is in flight over what is answered is the time
 // that a new call will take (Little's law): it shows a queue as it forms, before any answer is late. Calls
--- a/decide/api.go
+++ b/balancer/api.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // WorkerID names a worker; FuncID a function. Times are nanoseconds of the host's clock.
 type (
--- a/decide/beliefs.go
+++ b/balancer/beliefs.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // This file owns the table of holders: which workers are believed to hold copies of a function, or about
 // to.
--- a/decide/choose.go
+++ b/balancer/choose.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // This file owns the choice of a worker. The lightest holder with free lanes within ε of the lightest
 // worker; else the lightest holder within ε; else the lightest worker. The middle of the loads stands for
--- a/decide/coldstart.go
+++ b/balancer/coldstart.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // This file owns the budget of a worker that has just started. All dispatchers together may send a started
 // worker the stated multiple of what it can do. Each draws for itself, slot by slot, a whole number of calls
--- a/decide/decide.go
+++ b/balancer/decide.go
@@ -1,7 +1,7 @@
-// Package decide chooses a worker for each call of a function platform: Load/Affinity with ε, after Bunt et
+// Package balancer chooses a worker for each call of a function platform: Load/Affinity with ε, after Bunt et
 // al. (PAPER 4.2), and what that rule needs where workers fail. The interface (settings, events, actions) is
 // in api.go. A Dispatcher is one single-threaded state machine: no clock, no goroutine, no I/O, no globals.
-package decide
+package balancer
 
 import (
 	"math"
--- a/decide/decide_test.go
+++ b/balancer/decide_test.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 import (
 	"container/heap"
@@ -9,8 +9,8 @@
 	"strings"
 	"testing"
 
-	"oakthread/commons"
-	"oakthread/verdict"
+	"oakthread/aggregate"
+	"oakthread/outlier"
 )
 
 const ms = int64(1e6)
@@ -597,9 +597,9 @@
 }
 
 // digest is what a hub tells that has heard of all.
-func digest(d *Dispatcher, now int64, sums []float64, counts ...commons.Count) string {
-	m := commons.Message{Hub: true, Counts: counts, Sum: commons.Digest{Tick: uint16(now / d.set.Quantum), Sums: sums,
-		Covered: commons.NewSet(d.set.Siblings)}}
+func digest(d *Dispatcher, now int64, sums []float64, counts ...aggregate.Count) string {
+	m := aggregate.Message{Hub: true, Counts: counts, Sum: aggregate.Digest{Tick: uint16(now / d.set.Quantum), Sums: sums,
+		Covered: aggregate.NewSet(d.set.Siblings)}}
 	for i := range d.set.Siblings {
 		m.Sum.Covered.Add(i)
 	}
@@ -830,9 +830,9 @@
 
 func benchRound(b *testing.B, s Settings, workers int) {
 	d, _ := start(b, s, workers)
-	report := commons.Message{Row: commons.Row{Incarnation: 1, Figures: []float64{10, 2}}}
+	report := aggregate.Message{Row: aggregate.Row{Incarnation: 1, Figures: []float64{10, 2}}}
 	for _, w := range d.list {
-		report.Counts = append(report.Counts, commons.Count{Worker: tag(w.Worker), N: 3, Heard: true})
+		report.Counts = append(report.Counts, aggregate.Count{Worker: tag(w.Worker), N: 3, Heard: true})
 	}
 	for i := range b.N {
 		now := int64(i) * d.minAim / beats
@@ -847,7 +847,7 @@
 			}
 			b.StartTimer()
 		}
-		m := commons.Message{Hub: true}
+		m := aggregate.Message{Hub: true}
 		d.gather(now, &m)
 		if len(m.Texts(s.Siblings)) == 0 || len(m.Counts) != workers {
 			b.Fatal("the digest lacks workers")
@@ -1078,7 +1078,7 @@
 	s.Siblings, s.Peers = 3, true
 	d, _ := start(t, s, 4)
 	calm := d.wait(5000 * ms)
-	d.Peer(5000*ms, 1, digest(d, 5000*ms, []float64{40, 80}, commons.Count{Worker: 1, N: 9, Heard: true}, commons.Count{Worker: 2, N: 3, Silent: true}))
+	d.Peer(5000*ms, 1, digest(d, 5000*ms, []float64{40, 80}, aggregate.Count{Worker: 1, N: 9, Heard: true}, aggregate.Count{Worker: 2, N: 3, Silent: true}))
 	if w := d.wait(5001 * ms); w < 2*calm {
 		t.Errorf("expected wait %.0f ms with 80 calls in queue and 40 answers a second, %.0f ms before", w/1e6, calm/1e6)
 	}
@@ -1115,8 +1115,8 @@
 			continue
 		}
 		for from := 1; from < 300; from++ { // each took some three calls
-			row := commons.Message{Calls: 3, Row: commons.Row{Incarnation: 1, Seq: uint8(at / term), Figures: []float64{7, 1}, Fresh: true},
-				Counts: []commons.Count{{Worker: uint16(1 + from%118), N: 1, Heard: true}, {Worker: 118, N: 1, Silent: true}}}
+			row := aggregate.Message{Calls: 3, Row: aggregate.Row{Incarnation: 1, Seq: uint8(at / term), Figures: []float64{7, 1}, Fresh: true},
+				Counts: []aggregate.Count{{Worker: uint16(1 + from%118), N: 1, Heard: true}, {Worker: 118, N: 1, Silent: true}}}
 			d.Peer(at, from, row.Texts(300)[0])
 		}
 		told := len(f.told)
@@ -1129,7 +1129,7 @@
 		if len(f.told) == told {
 			t.Fatalf("told nothing, with %.1f earned", d.pool.left)
 		}
-		m, ok := commons.Read(f.told[told], 300)
+		m, ok := aggregate.Read(f.told[told], 300)
 		if !ok || m.Sum.Sums[0] < 299*7-1 || len(m.Counts) != 1 || m.Counts[0].Worker != 118 || !d.told(at, d.workers[118]) {
 			t.Fatalf("told %+v", m)
 		}
@@ -1150,10 +1150,10 @@
 		s.Siblings, s.Number, s.Peers = 80, i, true
 		d, f := start(t, s, workers)
 		hear(d, 0)
-		var counts []commons.Count
+		var counts []aggregate.Count
 		for w := range lost {
-			counts = append(counts, commons.Count{Worker: uint16(w + 1), Silent: true})
-			d.blame(0, d.workers[WorkerID(w+1)], verdict.Dead) // its ejection will have run out
+			counts = append(counts, aggregate.Count{Worker: uint16(w + 1), Silent: true})
+			d.blame(0, d.workers[WorkerID(w+1)], outlier.Dead) // its ejection will have run out
 		}
 		now := 20000 * ms
 		d.Peer(now, (i+1)%80, digest(d, now, []float64{0, 0}, counts...))
@@ -1168,7 +1168,7 @@
 			}
 		}
 		later := now + d.minAim/beats
-		d.Peer(later, (i+1)%80, digest(d, later, []float64{0, 0}, commons.Count{Worker: 1, N: 1, Silent: true, Heard: true}))
+		d.Peer(later, (i+1)%80, digest(d, later, []float64{0, 0}, aggregate.Count{Worker: 1, N: 1, Silent: true, Heard: true}))
 		d.workers[1].open = nil
 		d.Request(later+ms, call("back", later+ms, 99))
 		if f.last["back"] == 1 {
@@ -1253,13 +1253,13 @@
 	s.Siblings, s.Peers = 50, true
 	d, f := start(t, s, 10)
 	hear(d, 0)
-	var counts []commons.Count
+	var counts []aggregate.Count
 	for i := 1; i <= 10; i++ {
 		n := 4
 		if i <= 4 {
 			n = 50
 		}
-		counts = append(counts, commons.Count{Worker: uint16(i), N: n, Heard: true})
+		counts = append(counts, aggregate.Count{Worker: uint16(i), N: n, Heard: true})
 	}
 	d.Peer(ms, 1, digest(d, ms, []float64{0, 0}, counts...))
 	for k := range 40 {
@@ -1693,7 +1693,7 @@
 	d, _ := start(t, s, 4)
 	now := 1000000 * ms
 	before := d.load(now, d.workers[1])
-	d.takeWords(now, []commons.Mark{{Worker: 1, Good: 3, Pace: 16}, {Worker: 2, Good: 3, Pace: 16}})
+	d.takeWords(now, []aggregate.Mark{{Worker: 1, Good: 3, Pace: 16}, {Worker: 2, Good: 3, Pace: 16}})
 	if l := d.load(now, d.workers[1]); l < 3*before {
 		t.Errorf("load %.1f with calls told to take four times as long, %.1f before", l, before)
 	}
--- a/decide/golden_test.go
+++ b/balancer/golden_test.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 import (
 	"flag"
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"oakthread/commons"
+	"oakthread/aggregate"
 )
 
 var update = flag.Bool("update", false, "write the golden file from the program's output before comparing")
@@ -44,18 +44,18 @@
 		}
 		if i%50 == 25 {
 			for from := 1; from < s.Siblings; from++ {
-				report := commons.Message{Calls: 20, Marks: []commons.Mark{{Worker: 2, Bad: 3}},
-					Row:    commons.Row{Incarnation: 1, Seq: uint8(i / 50), Figures: []float64{12.5, 20, 3}, Fresh: i < 100},
-					Counts: []commons.Count{{Worker: 4, N: from, Heard: true}, {Worker: 5, Silent: true}},
-					Pairs:  []commons.Pair{{Func: uint32(100 + from), Worker: 6}}}
+				report := aggregate.Message{Calls: 20, Marks: []aggregate.Mark{{Worker: 2, Bad: 3}},
+					Row:    aggregate.Row{Incarnation: 1, Seq: uint8(i / 50), Figures: []float64{12.5, 20, 3}, Fresh: i < 100},
+					Counts: []aggregate.Count{{Worker: 4, N: from, Heard: true}, {Worker: 5, Silent: true}},
+					Pairs:  []aggregate.Pair{{Func: uint32(100 + from), Worker: 6}}}
 				d.Peer(now+6*ms, from, report.Texts(s.Siblings)[0])
 			}
 		}
 		if i%100 == 60 {
-			d.Peer(now+7*ms, 1, digest(d, now+7*ms, []float64{60, 60, 5}, commons.Count{Worker: 1, N: 3, Heard: true}))
+			d.Peer(now+7*ms, 1, digest(d, now+7*ms, []float64{60, 60, 5}, aggregate.Count{Worker: 1, N: 3, Heard: true}))
 		}
 		if i == 300 {
-			d.Peer(now+8*ms, 2, commons.Message{Hello: true, GoesOn: true}.Texts(s.Siblings)[0])
+			d.Peer(now+8*ms, 2, aggregate.Message{Hello: true, GoesOn: true}.Texts(s.Siblings)[0])
 		}
 		d.Timer(now+10*ms, f.ref)
 		for n := len(lines); n < len(f.told); n++ {
@@ -92,7 +92,7 @@
 		require.True(t, found, line)
 		number, err := strconv.Atoi(to)
 		require.NoError(t, err)
-		m, readable := commons.Read(text, s.Siblings)
+		m, readable := aggregate.Read(text, s.Siblings)
 		require.True(t, readable, line)
 		switch {
 		case m.Hello:
--- a/decide/health.go
+++ b/balancer/health.go
@@ -1,11 +1,11 @@
-package decide
+package balancer
 
 // This file owns what is learned of a worker from its answers, and whether it is avoided.
 
 import (
 	"math"
 
-	"oakthread/verdict"
+	"oakthread/outlier"
 )
 
 // learn learns from an outcome: latency, holder beliefs, and the worker's faults.
@@ -57,13 +57,13 @@
 		} else if o.Result == Miss {
 			h.until = 0
 		} else if o.Result == Error && h.fn.served {
-			d.blame(now, w, verdict.Failure)
+			d.blame(now, w, outlier.Failure)
 		} else if o.Result == Error { // it may be a function that no worker knows
-			d.blame(now, w, verdict.Hint)
+			d.blame(now, w, outlier.Hint)
 		}
 	case Timeout, Cancelled:
 		if a.due < now && w.lastAnswer < a.sent && (o.Result == Timeout || !a.req.done) {
-			d.blame(now, w, verdict.Failure)
+			d.blame(now, w, outlier.Failure)
 		}
 	case ConnectFailed, Reset:
 		d.cut(now, a.sent, w, o.Result)
@@ -74,7 +74,7 @@
 // cut everywhere, and all workers would be out in turn.
 func (d *Dispatcher) cut(now, sent int64, w *worker, res Result) {
 	if res == Reset {
-		d.blame(now, w, verdict.Hint)
+		d.blame(now, w, outlier.Hint)
 	}
 	if res == Reset || !w.listed {
 		return
@@ -89,7 +89,7 @@
 	d.changed(now, w, d.judge.Answered(now, &w.health, w.Zone))
 }
 
-func (d *Dispatcher) blame(now int64, w *worker, weight verdict.Weight) {
+func (d *Dispatcher) blame(now int64, w *worker, weight outlier.Weight) {
 	d.changed(now, w, d.judge.Failed(now, &w.health, weight))
 }
 
@@ -152,7 +152,7 @@
 	Zone   int
 	Pace   float64 // time of its calls in the mean of all
 	Silent bool    // others found it silent, and nobody had an answer
-	verdict.State
+	outlier.State
 }
 
 // Verdicts lists what is held of each listed worker, in the order of the list. It changes nothing that is decided.
--- a/decide/load.go
+++ b/balancer/load.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // This file owns how heavy each worker counts: calls in flight, reports, pace, and failed calls that stay
 // for a while.
@@ -7,7 +7,7 @@
 	"math"
 	"slices"
 
-	"oakthread/verdict"
+	"oakthread/outlier"
 )
 
 // load is our requests in flight plus one, with those of other dispatchers where reports or peers tell them,
@@ -67,7 +67,7 @@
 }
 
 // tau is for how long what was learned holds, more or less: as long as the longest ejection.
-func (d *Dispatcher) tau() float64 { return float64(verdict.Longest * d.minAim) }
+func (d *Dispatcher) tau() float64 { return float64(outlier.Longest * d.minAim) }
 
 func (d *Dispatcher) fade(now int64) float64 { return math.Exp(-float64(now-d.answersAt) / d.tau()) }
 
--- a/decide/loadorders.go
+++ b/balancer/loadorders.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // This file owns orders to load and to unload, within the ration.
 
--- a/decide/long_test.go
+++ b/balancer/long_test.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 import (
 	"cmp"
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"oakthread/commons"
+	"oakthread/aggregate"
 )
 
 // This file owns the tests of choices in lists too long to be walked: what they look at, that they leave out nobody whom a rule
@@ -279,15 +279,15 @@
 			case 7:
 				d.Roster(now, RosterFull, roster(rapid.SampledFrom([]int{n, n / 2, 1}).Draw(t, "whole")))
 			case 8:
-				m := commons.Message{Row: commons.Row{Incarnation: 1, Seq: uint8(seq + 1), Figures: []float64{1, 1}}, Calls: 9}
+				m := aggregate.Message{Row: aggregate.Row{Incarnation: 1, Seq: uint8(seq + 1), Figures: []float64{1, 1}}, Calls: 9}
 				seq++
 				for range rapid.IntRange(0, 3).Draw(t, "counts") {
-					m.Counts = append(m.Counts, commons.Count{Worker: tag(few("counted")), N: 2, Silent: rapid.Bool().Draw(t, "silent"), Heard: true})
+					m.Counts = append(m.Counts, aggregate.Count{Worker: tag(few("counted")), N: 2, Silent: rapid.Bool().Draw(t, "silent"), Heard: true})
 				}
-				m.Marks = []commons.Mark{{Worker: tag(few("marked")), Bad: 3}}
+				m.Marks = []aggregate.Mark{{Worker: tag(few("marked")), Bad: 3}}
 				d.Peer(now, rapid.IntRange(2, 6).Draw(t, "from"), m.Texts(20)[0])
 			case 9:
-				d.Peer(now, 3, digest(d, now, []float64{5, 1}, commons.Count{Worker: tag(few("told")), N: 1, Silent: true}))
+				d.Peer(now, 3, digest(d, now, []float64{5, 1}, aggregate.Count{Worker: tag(few("told")), N: 1, Silent: true}))
 			}
 			take()
 			sameRounds(t, d, now)
@@ -324,11 +324,11 @@
 	}
 	require.Equal(t, n, d.queued(now))
 	for _, hub := range []bool{false, true} {
-		said := func(walk int) (m commons.Message) {
+		said := func(walk int) (m aggregate.Message) {
 			d.set.Walk, m.Hub = walk, hub
 			d.gather(now, &m)
-			slices.SortFunc(m.Counts, func(a, b commons.Count) int { return cmp.Compare(a.Worker, b.Worker) })
-			slices.SortFunc(m.Marks, func(a, b commons.Mark) int { return cmp.Compare(a.Worker, b.Worker) })
+			slices.SortFunc(m.Counts, func(a, b aggregate.Count) int { return cmp.Compare(a.Worker, b.Worker) })
+			slices.SortFunc(m.Marks, func(a, b aggregate.Mark) int { return cmp.Compare(a.Worker, b.Worker) })
 			m.Pairs = nil
 			return m
 		}
@@ -373,9 +373,9 @@
 			at   int64
 			busy []uint16
 		}{{10_000 * ms, []uint16{1, 2, 3, 200}}, {11_000 * ms, []uint16{2, 201}}} {
-			var counts []commons.Count
+			var counts []aggregate.Count
 			for _, w := range told.busy {
-				counts = append(counts, commons.Count{Worker: w, N: int(w%7) + 1})
+				counts = append(counts, aggregate.Count{Worker: w, N: int(w%7) + 1})
 			}
 			require.True(t, d.Peer(told.at, 3, digest(d, told.at, []float64{5, 1}, counts...)))
 		}
--- a/decide/maintenance.go
+++ b/balancer/maintenance.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // This file owns time: timers, the regular round, a standstill of the process, and the sweep that bounds
 // memory.
@@ -7,7 +7,7 @@
 	"fmt"
 	"slices"
 
-	"oakthread/verdict"
+	"oakthread/outlier"
 )
 
 // awake finds that we stood still: our bell is late by more than a housekeeping round. Nothing is overdue for
@@ -33,7 +33,7 @@
 		d.sweep(now)
 	}
 	d.beatAt = 0
-	if now-d.busyAt < 2*verdict.Longest*d.minAim || d.set.AskRoster {
+	if now-d.busyAt < 2*outlier.Longest*d.minAim || d.set.AskRoster {
 		d.tick(now)
 	}
 }
--- a/decide/peers.go
+++ b/balancer/peers.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // This file owns messages between dispatchers: what is told, when, and what is made of what others tell.
 
@@ -6,8 +6,8 @@
 	"math"
 	"slices"
 
-	"oakthread/commons"
-	"oakthread/verdict"
+	"oakthread/aggregate"
+	"oakthread/outlier"
 )
 
 // tell shares what dispatchers know, where that is allowed. One of them, another every few aims, is the hub:
@@ -20,11 +20,11 @@
 	}
 	for ; d.greeted < min(helloPeers, d.set.Siblings-1); d.greeted++ { // after a start: for beliefs
 		to := (d.set.Number + 1 + d.rng.IntN(d.set.Siblings-1)) % d.set.Siblings
-		d.host.Tell(to, commons.Message{Hello: true, GoesOn: true}.Texts(0)[0])
+		d.host.Tell(to, aggregate.Message{Hello: true, GoesOn: true}.Texts(0)[0])
 	}
 	term := hubAims * d.minAim
 	hub := d.roll.Collector(now)
-	m := commons.Message{Hub: hub == d.set.Number, Calls: d.calls}
+	m := aggregate.Message{Hub: hub == d.set.Number, Calls: d.calls}
 	purse, to, receivers := &d.words, hub, 1
 	if m.Hub {
 		purse, to, receivers = &d.pool, -1, d.set.Siblings-1
@@ -114,15 +114,15 @@
 func (d *Dispatcher) Peer(now int64, from int, data string) bool {
 	d.tick(now)
 	defer d.arm()
-	m, ok := commons.Read(data, d.set.Siblings)
+	m, ok := aggregate.Read(data, d.set.Siblings)
 	if !ok || from < 0 || from >= d.set.Siblings || from == d.set.Number {
 		return false
 	}
 	if m.Hello { // a restarted dispatcher asks: tell it all that we believe
-		out := commons.Message{GoesOn: true}
+		out := aggregate.Message{GoesOn: true}
 		for _, w := range d.list {
 			for _, h := range d.held(now, w, forever) {
-				out.Pairs = append(out.Pairs, commons.Pair{Func: funcTag(h.fn.id), Worker: tag(w.Worker)})
+				out.Pairs = append(out.Pairs, aggregate.Pair{Func: funcTag(h.fn.id), Worker: tag(w.Worker)})
 			}
 		}
 		for _, x := range out.Texts(d.set.Siblings) {
@@ -147,7 +147,7 @@
 }
 
 // hear takes a new holder from a message; the hub passes on what it did not know.
-func (d *Dispatcher) hear(now int64, p commons.Pair, pass bool) {
+func (d *Dispatcher) hear(now int64, p aggregate.Pair, pass bool) {
 	w := d.tags[p.Worker]
 	if w == nil || !w.listed {
 		return
@@ -170,7 +170,7 @@
 
 // learnDigest takes the sums over all dispatchers: what a first part leaves out is idle, but of a short one. Calls at a
 // worker are told of those that the sums cover; the others are taken to have as many there, by their answers.
-func (d *Dispatcher) learnDigest(now int64, from int, m commons.Message) {
+func (d *Dispatcher) learnDigest(now int64, from int, m aggregate.Message) {
 	if !m.GoesOn {
 		if !d.shared.Told(now, from, m.Sum) {
 			return
@@ -210,11 +210,11 @@
 }
 
 // takeWords takes what a digest tells of workers whose calls fail or take long.
-func (d *Dispatcher) takeWords(now int64, marks []commons.Mark) {
+func (d *Dispatcher) takeWords(now int64, marks []aggregate.Mark) {
 	if len(marks) == 0 {
 		return
 	}
-	told, of, all := []verdict.Told(nil), []*worker(nil), 0.0
+	told, of, all := []outlier.Told(nil), []*worker(nil), 0.0
 	for _, w := range d.list {
 		all += max(w.Weight, 0.1)
 	}
@@ -223,9 +223,9 @@
 		if w == nil || !w.listed {
 			continue
 		}
-		word := verdict.Word(verdict.Mark{Good: m.Good, Bad: m.Bad, Pace: m.Pace})
+		word := outlier.Word(outlier.Mark{Good: m.Good, Bad: m.Bad, Pace: m.Pace})
 		d.touch(now, w)
-		told, of = append(told, verdict.Told{Box: &w.health, Weight: max(w.Weight, 0.1), Word: word}), append(of, w)
+		told, of = append(told, outlier.Told{Box: &w.health, Weight: max(w.Weight, 0.1), Word: word}), append(of, w)
 		if word.Pace > 0 {
 			w.told, w.toldAt = min(word.Slow(), paceMax), now
 		}
@@ -236,7 +236,7 @@
 }
 
 // gather fills a report with what this dispatcher has and, for a digest, with what others reported lately.
-func (d *Dispatcher) gather(now int64, m *commons.Message) {
+func (d *Dispatcher) gather(now int64, m *aggregate.Message) {
 	if m.Hub {
 		m.Sum = d.shared.Sum(now)
 		d.tallyReports(now)
@@ -251,10 +251,10 @@
 			heard++
 		}
 	}
-	sure := !verdict.Doubts(heard, silent)
+	sure := !outlier.Doubts(heard, silent)
 	for _, w := range all {
 		quiet := d.quiet(now, w)
-		c := commons.Count{Worker: tag(w.Worker), N: len(w.open), Silent: sure && (quiet || d.out(w)),
+		c := aggregate.Count{Worker: tag(w.Worker), N: len(w.open), Silent: sure && (quiet || d.out(w)),
 			Heard: now-w.lastAnswer < d.minAim} // a worker is found silent over about as long
 		if quiet { // what is stuck on its way is no load there
 			c.N = 0
@@ -264,24 +264,24 @@
 			mark, says = d.pooled(now, w, &c, mark, says)
 		}
 		if says {
-			m.Marks = append(m.Marks, commons.Mark{Worker: tag(w.Worker), Good: mark.Good, Bad: mark.Bad, Pace: mark.Pace})
+			m.Marks = append(m.Marks, aggregate.Mark{Worker: tag(w.Worker), Good: mark.Good, Bad: mark.Bad, Pace: mark.Pace})
 		}
 		if c.N > 0 || c.Silent || c.Heard {
 			if m.Counts == nil {
-				m.Counts = make([]commons.Count, 0, max(d.counted, 8)) // about as many as last time
+				m.Counts = make([]aggregate.Count, 0, max(d.counted, 8)) // about as many as last time
 			}
 			m.Counts = append(m.Counts, c)
 		}
 	}
 	d.counted = len(m.Counts)
-	slices.SortStableFunc(m.Marks, func(a, b commons.Mark) int { return int(b.Bad) - int(a.Bad) }) // there is room for a dozen
+	slices.SortStableFunc(m.Marks, func(a, b aggregate.Mark) int { return int(b.Bad) - int(a.Bad) }) // there is room for a dozen
 	most := helloPeers + len(m.Counts)/pairPart
 	for _, h := range d.news {
 		if len(m.Pairs) < most && (h.until > now || h.inflight > 0) {
-			m.Pairs = append(m.Pairs, commons.Pair{Func: funcTag(h.fn.id), Worker: tag(h.w.Worker)})
+			m.Pairs = append(m.Pairs, aggregate.Pair{Func: funcTag(h.fn.id), Worker: tag(h.w.Worker)})
 		}
 	}
 }
 
 // Shared is what is known of the sums over all dispatchers, as of the last round; it changes nothing.
-func (d *Dispatcher) Shared() commons.View { return d.view }
+func (d *Dispatcher) Shared() aggregate.View { return d.view }
--- a/decide/ration_test.go
+++ b/balancer/ration_test.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 import (
 	"fmt"
--- a/decide/reports.go
+++ b/balancer/reports.go
@@ -1,10 +1,10 @@
-package decide
+package balancer
 
 import (
 	"slices"
 
-	"oakthread/commons"
-	"oakthread/verdict"
+	"oakthread/aggregate"
+	"oakthread/outlier"
 )
 
 // This file owns what others report of workers to us as the hub, and its sums by worker. Reports lie by who made them, so that reading
@@ -44,7 +44,7 @@
 	w    *worker
 	at   int64
 	text int
-	mark verdict.Mark
+	mark outlier.Mark
 }
 
 // tally is what others told of one worker: sums of the counts that are no older than the shortest aim, and scratch.
@@ -54,7 +54,7 @@
 
 	text, index   int // a text that is being read, and where in its report the worker's count is
 	round, from   int // of gathering, and one more than the dispatcher whose marks are looked at
-	marks         []verdict.Mark
+	marks         []outlier.Mark
 	heardByMarked int // of those heard, the ones that told a mark as well
 }
 
@@ -83,7 +83,7 @@
 }
 
 // takeReport takes what a report tells of workers, in place of what its sender told before; a later text of it adds to that.
-func (d *Dispatcher) takeReport(now int64, from int, m commons.Message) {
+func (d *Dispatcher) takeReport(now int64, from int, m aggregate.Message) {
 	rs := &d.reports
 	if rs.by == nil {
 		rs.by = make([]*peerReport, d.set.Siblings)
@@ -103,7 +103,7 @@
 	for _, x := range m.Marks {
 		if w := d.tags[x.Worker]; w != nil {
 			d.touch(now, w)
-			r.marks = append(r.marks, peerMark{w, now, rs.texts, verdict.Mark{Good: x.Good, Bad: x.Bad, Pace: x.Pace}})
+			r.marks = append(r.marks, peerMark{w, now, rs.texts, outlier.Mark{Good: x.Good, Bad: x.Bad, Pace: x.Pace}})
 		}
 	}
 	for i := range r.counts { // of the texts before
@@ -223,7 +223,7 @@
 }
 
 // pooled adds to what we have at w what others reported, and makes a word of all marks, each observer one. It is asked once in a round.
-func (d *Dispatcher) pooled(now int64, w *worker, c *commons.Count, own verdict.Mark, says bool) (verdict.Mark, bool) {
+func (d *Dispatcher) pooled(now int64, w *worker, c *aggregate.Count, own outlier.Mark, says bool) (outlier.Mark, bool) {
 	t := w.tally.fresh(d.reports.round)
 	silent, heard := t.silent, t.heard-t.heardByMarked
 	if c.Silent {
@@ -236,11 +236,11 @@
 	}
 	c.N += t.n
 	c.Heard = c.Heard || t.heard > 0
-	c.Silent = verdict.Silent(silent, d.set.Siblings)
+	c.Silent = outlier.Silent(silent, d.set.Siblings)
 	stands := d.judge.Bound(now, &w.health)
 	if stands { // an answer may be of before: what has served since is told by marks
 		heard = 0
 	}
-	word := verdict.Pool(t.marks, heard)
-	return verdict.Mark(word), word.Says(stands)
+	word := outlier.Pool(t.marks, heard)
+	return outlier.Mark(word), word.Says(stands)
 }
--- a/decide/reports_test.go
+++ b/balancer/reports_test.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"oakthread/commons"
-	"oakthread/verdict"
+	"oakthread/aggregate"
+	"oakthread/outlier"
 )
 
 // This file owns the tests of how reports of others are held and added up: that a digest says what one would that is made anew from
@@ -39,7 +39,7 @@
 type plainMark struct {
 	from int
 	at   int64
-	mark verdict.Mark
+	mark outlier.Mark
 }
 
 func (p *plainReports) of(w *worker) *plainTold {
@@ -77,7 +77,7 @@
 }
 
 // read takes a text of a report that the dispatcher heeds; active: what it listed as such before.
-func (p *plainReports) read(now int64, from int, m commons.Message, active []*worker) {
+func (p *plainReports) read(now int64, from int, m aggregate.Message, active []*worker) {
 	d := p.d
 	if !m.GoesOn {
 		for _, w := range active {
@@ -89,7 +89,7 @@
 	for _, x := range m.Marks {
 		if w := d.tags[x.Worker]; w != nil {
 			t := p.of(w)
-			t.marks = append(t.marks, plainMark{from, now, verdict.Mark{Good: x.Good, Bad: x.Bad, Pace: x.Pace}})
+			t.marks = append(t.marks, plainMark{from, now, outlier.Mark{Good: x.Good, Bad: x.Bad, Pace: x.Pace}})
 		}
 	}
 	for _, c := range m.Counts {
@@ -102,9 +102,9 @@
 }
 
 // pooled is the definition of what a digest says of w.
-func (p *plainReports) pooled(now int64, w *worker, c *commons.Count, own verdict.Mark, says bool) (verdict.Mark, bool) {
+func (p *plainReports) pooled(now int64, w *worker, c *aggregate.Count, own outlier.Mark, says bool) (outlier.Mark, bool) {
 	d, t := p.d, p.of(w)
-	silent, heard, marks := 0, 0, []verdict.Mark(nil)
+	silent, heard, marks := 0, 0, []outlier.Mark(nil)
 	if c.Silent {
 		silent++
 	}
@@ -131,13 +131,13 @@
 			heard++
 		}
 	}
-	c.Silent = verdict.Silent(silent, d.set.Siblings)
+	c.Silent = outlier.Silent(silent, d.set.Siblings)
 	stands := d.judge.Bound(now, &w.health)
 	if stands {
 		heard = 0
 	}
-	word := verdict.Pool(marks, heard)
-	return verdict.Mark(word), word.Says(stands)
+	word := outlier.Pool(marks, heard)
+	return outlier.Mark(word), word.Says(stands)
 }
 
 // What a digest says of each executor is what the plain model says, over any events: reports in several texts, lost, doubled, late
@@ -174,7 +174,7 @@
 		}
 		read := func(l letter) {
 			event(func() { d.tick(now) })
-			m, ok := commons.Read(l.text, s.Siblings)
+			m, ok := aggregate.Read(l.text, s.Siblings)
 			require.True(t, ok)
 			before, active := d.shared.Dropped, slices.Clone(d.active())
 			event(func() {
@@ -193,13 +193,13 @@
 				if rapid.IntRange(0, 9).Draw(t, "restarted") == 0 {
 					seqs[who], incs[who] = 1, incs[who]+1
 				}
-				m := commons.Message{Calls: 9, Row: commons.Row{Incarnation: incs[who], Seq: seqs[who], Figures: []float64{1, 1}}}
+				m := aggregate.Message{Calls: 9, Row: aggregate.Row{Incarnation: incs[who], Seq: seqs[who], Figures: []float64{1, 1}}}
 				for range rapid.SampledFrom([]int{0, 1, 3, 8, 70}).Draw(t, "counts") {
-					m.Counts = append(m.Counts, commons.Count{Worker: tag(few("counted")), N: rapid.IntRange(0, 3).Draw(t, "calls"),
+					m.Counts = append(m.Counts, aggregate.Count{Worker: tag(few("counted")), N: rapid.IntRange(0, 3).Draw(t, "calls"),
 						Silent: rapid.Bool().Draw(t, "silent"), Heard: rapid.Bool().Draw(t, "heard")})
 				}
 				for range rapid.IntRange(0, 3).Draw(t, "marks") {
-					m.Marks = append(m.Marks, commons.Mark{Worker: tag(few("marked")), Good: uint8(rapid.IntRange(0, 2).Draw(t, "good")),
+					m.Marks = append(m.Marks, aggregate.Mark{Worker: tag(few("marked")), Good: uint8(rapid.IntRange(0, 2).Draw(t, "good")),
 						Bad: uint8(rapid.IntRange(0, 2).Draw(t, "bad")), Pace: uint8(rapid.SampledFrom([]int{0, 9}).Draw(t, "pace"))})
 				}
 				for _, text := range m.Texts(s.Siblings) {
@@ -239,11 +239,11 @@
 				event(func() { d.tick(now) })
 				event(func() { d.Roster(now, RosterFull, roster(rapid.SampledFrom([]int{n, n / 2, 1}).Draw(t, "whole"))) })
 			case 11:
-				m := commons.Message{Hub: true, Marks: []commons.Mark{{Worker: tag(few("judged")), Bad: 9}}, Sum: commons.Digest{
+				m := aggregate.Message{Hub: true, Marks: []aggregate.Mark{{Worker: tag(few("judged")), Bad: 9}}, Sum: aggregate.Digest{
 					Tick: uint16(now / d.set.Quantum), Sums: []float64{9, 9}, Gone: []float64{0, 0}, Moved: []float64{0, 0},
-					Covered: commons.NewSet(s.Siblings), Missing: commons.NewSet(s.Siblings)}}
+					Covered: aggregate.NewSet(s.Siblings), Missing: aggregate.NewSet(s.Siblings)}}
 				for range rapid.IntRange(0, 3).Draw(t, "told") {
-					m.Counts = append(m.Counts, commons.Count{Worker: tag(few("told of")), N: 2, Silent: rapid.Bool().Draw(t, "mute")})
+					m.Counts = append(m.Counts, aggregate.Count{Worker: tag(few("told of")), N: 2, Silent: rapid.Bool().Draw(t, "mute")})
 				}
 				event(func() { d.tick(now) })
 				event(func() { d.Peer(now, from(), m.Texts(s.Siblings)[0]) })
@@ -260,8 +260,8 @@
 	d := p.d
 	d.tallyReports(now)
 	for i, w := range d.active() {
-		c := commons.Count{Worker: tag(w.Worker), N: i % 2, Silent: i%3 == 0, Heard: i%2 == 0}
-		want, own, says := c, verdict.Mark{Bad: uint8(i % 4)}, i%4 > 0
+		c := aggregate.Count{Worker: tag(w.Worker), N: i % 2, Silent: i%3 == 0, Heard: i%2 == 0}
+		want, own, says := c, outlier.Mark{Bad: uint8(i % 4)}, i%4 > 0
 		wantMark, wantSays := p.pooled(now, w, &want, own, says)
 		mark, tells := d.pooled(now, w, &c, own, says)
 		if c != want || mark != wantMark || tells != wantSays {
@@ -278,10 +278,10 @@
 		s.Siblings, s.Peers = 1900, true
 		d, _ := start(t, s, n)
 		report := func(now int64, from int, seq uint8, workers ...int) string {
-			m := commons.Message{Row: commons.Row{Incarnation: 1, Seq: seq, Figures: []float64{1, 1}},
-				Marks: []commons.Mark{{Worker: uint16(workers[0]), Bad: 3}}}
+			m := aggregate.Message{Row: aggregate.Row{Incarnation: 1, Seq: seq, Figures: []float64{1, 1}},
+				Marks: []aggregate.Mark{{Worker: uint16(workers[0]), Bad: 3}}}
 			for _, w := range workers {
-				m.Counts = append(m.Counts, commons.Count{Worker: uint16(w), N: 1, Heard: true})
+				m.Counts = append(m.Counts, aggregate.Count{Worker: uint16(w), N: 1, Heard: true})
 			}
 			return m.Texts(s.Siblings)[0]
 		}
--- a/decide/requests.go
+++ b/balancer/requests.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // This file owns the life of a request in hand: arrival, attempts, the one final answer.
 
--- a/decide/retry.go
+++ b/balancer/retry.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // This file owns further attempts: which calls are overdue, and whether a call may be sent again or
 // refused.
--- a/decide/scale_test.go
+++ b/balancer/scale_test.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"sort"
 	"testing"
 
-	"oakthread/commons"
+	"oakthread/aggregate"
 )
 
 // This file owns what a choice costs at the size planned. It must never test a behaviour, nor read a clock of its own.
@@ -194,7 +194,7 @@
 			b.Run(fmt.Sprintf("gathered/%d_siblings_%d_workers", siblings, workers), func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
-					m := commons.Message{Hub: true}
+					m := aggregate.Message{Hub: true}
 					x.d.gather(x.now, &m)
 				}
 			})
@@ -211,7 +211,7 @@
 					for i := range siblings - 1 {
 						x.read(b)
 						if i%max(1, (siblings-1)/10) == 0 {
-							x.d.gather(x.now, &commons.Message{Hub: true})
+							x.d.gather(x.now, &aggregate.Message{Hub: true})
 						}
 					}
 				}
@@ -236,12 +236,12 @@
 	rng := rand.New(rand.NewPCG(uint64(siblings), uint64(workers)))
 	for round := range x.texts {
 		for range siblings {
-			m := commons.Message{Calls: 100, Row: commons.Row{Incarnation: 1, Seq: uint8(round * 85), Figures: []float64{200, 3}}}
+			m := aggregate.Message{Calls: 100, Row: aggregate.Row{Incarnation: 1, Seq: uint8(round * 85), Figures: []float64{200, 3}}}
 			for range min(workers, 30) {
-				m.Counts = append(m.Counts, commons.Count{Worker: tag(WorkerID(1 + rng.IntN(workers))), N: 1 + rng.IntN(3), Heard: true})
+				m.Counts = append(m.Counts, aggregate.Count{Worker: tag(WorkerID(1 + rng.IntN(workers))), N: 1 + rng.IntN(3), Heard: true})
 			}
 			for range 3 {
-				m.Pairs = append(m.Pairs, commons.Pair{Func: uint32(1 + rng.IntN(scaleFuncs)), Worker: tag(WorkerID(1 + rng.IntN(workers)))})
+				m.Pairs = append(m.Pairs, aggregate.Pair{Func: uint32(1 + rng.IntN(scaleFuncs)), Worker: tag(WorkerID(1 + rng.IntN(workers)))})
 			}
 			x.texts[round] = append(x.texts[round], m.Texts(siblings))
 		}
--- a/decide/state.go
+++ b/balancer/state.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // This file holds the state of the Dispatcher and its making. Nothing here decides.
 
@@ -8,10 +8,10 @@
 	"math"
 	"math/rand/v2"
 
-	"oakthread/commons"
+	"oakthread/aggregate"
+	"oakthread/leader"
+	"oakthread/outlier"
 	"oakthread/ring"
-	"oakthread/turns"
-	"oakthread/verdict"
 )
 
 const (
@@ -28,7 +28,7 @@
 	rng            *rand.Rand
 	now            int64
 	minAim         int64
-	judge          *verdict.Judge
+	judge          *outlier.Judge
 	safe           bool // some class is safe to repeat: such calls make the trials
 	reqs           map[string]*request
 	workers        map[WorkerID]*worker
@@ -73,14 +73,14 @@
 	young          []*worker // listed ones that are cold, or were
 	warm           int       // listed workers that are not cold
 	sweptAt        int64
-	stoodAt        int64          // when we last found that we had stood still
-	lost           float64        // share of answers that never come, from workers that answer others
-	shared         *commons.Table // what each has of the figures below, and their sums
-	view           commons.View   // as of the last round
-	reports        reports        // what the others told us as the hub
-	counted        int            // counts in the last report gathered
-	roll           *turns.Roll    // who is there, and whose turn it is
-	sorted         []float64      // scratch for a middle
+	stoodAt        int64            // when we last found that we had stood still
+	lost           float64          // share of answers that never come, from workers that answer others
+	shared         *aggregate.Table // what each has of the figures below, and their sums
+	view           aggregate.View   // as of the last round
+	reports        reports          // what the others told us as the hub
+	counted        int              // counts in the last report gathered
+	roll           *leader.Roll     // who is there, and whose turn it is
+	sorted         []float64        // scratch for a middle
 	digestAt       int64
 	wholeAt        int64 // when the last whole digest came in a long list
 	logAt          int64
@@ -117,17 +117,17 @@
 // check rejects settings that have no safe reading.
 func (s *Settings) check(host Host) error {
 	if host == nil {
-		return fmt.Errorf("decide: host is nil")
+		return fmt.Errorf("balancer: host is nil")
 	}
 	if len(s.Classes) == 0 {
-		return fmt.Errorf("decide: Classes is empty")
+		return fmt.Errorf("balancer: Classes is empty")
 	}
 	for i, c := range s.Classes {
 		if c.Aim <= 0 {
-			return fmt.Errorf("decide: Classes[%d].Aim must be above 0", i)
+			return fmt.Errorf("balancer: Classes[%d].Aim must be above 0", i)
 		}
 		if c.Window < 0 || c.GiveUp < 0 || math.IsNaN(c.Worth) {
-			return fmt.Errorf("decide: Classes[%d]: Window, GiveUp or Worth cannot be read", i)
+			return fmt.Errorf("balancer: Classes[%d]: Window, GiveUp or Worth cannot be read", i)
 		}
 	}
 	for _, f := range []struct {
@@ -136,7 +136,7 @@
 	}{{"KeepAlive", s.KeepAlive}, {"Cold", s.Cold}, {"Fall", s.Fall}, {"DrainGrace", s.DrainGrace},
 		{"LoadWindow", s.LoadWindow}} {
 		if f.v < 0 {
-			return fmt.Errorf("decide: %s is negative", f.name)
+			return fmt.Errorf("balancer: %s is negative", f.name)
 		}
 	}
 	return nil
@@ -166,9 +166,9 @@
 	for range s.TenantRate {
 		d.tenants = append(d.tenants, tenant{})
 	}
-	d.judge = verdict.New(d.minAim, d.many() > 1)
-	d.roll = turns.New(s.Number, d.set.Siblings, hubAims*d.minAim)
-	d.shared = commons.New(now, commons.Settings{Number: s.Number, Siblings: d.set.Siblings, Figures: d.kept() + 2, Passing: 1,
+	d.judge = outlier.New(d.minAim, d.many() > 1)
+	d.roll = leader.New(s.Number, d.set.Siblings, hubAims*d.minAim)
+	d.shared = aggregate.New(now, aggregate.Settings{Number: s.Number, Siblings: d.set.Siblings, Figures: d.kept() + 2, Passing: 1,
 		Term: hubAims * d.minAim, Tick: d.set.Quantum, Forget: forgetTaus * int64(d.tau())})
 	d.loads = stat{usualLoad * float64(d.minAim), usualLoad / 2 * float64(d.minAim)}
 	return d, nil
@@ -181,7 +181,7 @@
 	d.tick(now)
 	for i, c := range cs {
 		if c.Aim <= 0 || c.Window < 0 || c.GiveUp < 0 || math.IsNaN(c.Worth) {
-			return 0, fmt.Errorf("decide: added class %d: Aim must be above 0, and Window, GiveUp and Worth be read", i)
+			return 0, fmt.Errorf("balancer: added class %d: Aim must be above 0, and Window, GiveUp and Worth be read", i)
 		}
 	}
 	first := len(d.set.Classes)
--- a/decide/workers.go
+++ b/balancer/workers.go
@@ -1,11 +1,11 @@
-package decide
+package balancer
 
 // This file owns the list of workers.
 
 import (
 	"slices"
 
-	"oakthread/verdict"
+	"oakthread/outlier"
 )
 
 // ask keeps a roster that must be asked for within AskWithin, again after failures at a bounded rate.
@@ -36,7 +36,7 @@
 	paceAt     int64
 	told       float64 // the same as others tell it: it weighs, and is never told on
 	toldAt     int64
-	health     verdict.Box
+	health     outlier.Box
 
 	coldSlot  int64 // the draw of the cold budget in force, and what is left of it
 	coldLeft  int
--- a/clock_test.go
+++ b/clock_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"oakthread/decide"
+	"oakthread/balancer"
 	"oakthread/internal/fault/wallclock"
 )
 
@@ -23,7 +23,7 @@
 
 func (w slowWorkers) Send(ctx context.Context, a Attempt) Reply {
 	if !a.Begin() {
-		return Reply{Result: decide.Moot}
+		return Reply{Result: balancer.Moot}
 	}
 	wait := time.After(w.takes)
 	if w.silent {
@@ -31,15 +31,15 @@
 	}
 	select {
 	case <-wait:
-		return Reply{Result: decide.OK, Warmth: decide.WarmHit, Body: []byte(a.Request.ID)}
+		return Reply{Result: balancer.OK, Warmth: balancer.WarmHit, Body: []byte(a.Request.ID)}
 	case <-ctx.Done():
-		return Reply{Result: decide.Timeout}
+		return Reply{Result: balancer.Timeout}
 	}
 }
-func (w slowWorkers) Probe(context.Context, Member) Reply { return Reply{Result: decide.OK} }
-func (w slowWorkers) Load(context.Context, Order) Reply   { return Reply{Result: decide.OK, Copies: 1} }
+func (w slowWorkers) Probe(context.Context, Member) Reply { return Reply{Result: balancer.OK} }
+func (w slowWorkers) Load(context.Context, Order) Reply   { return Reply{Result: balancer.OK, Copies: 1} }
 func (w slowWorkers) Drop(context.Context, Order)         {}
-func (w slowWorkers) Forget(decide.WorkerID)              {}
+func (w slowWorkers) Forget(balancer.WorkerID)            {}
 
 // A step of the wall clock, either way and with calls in hand, changes nothing: calls are served as before, and one that a
 // worker never answers ends at its deadline.
@@ -52,15 +52,15 @@
 	for _, by := range []time.Duration{-time.Hour, -5 * time.Second, 5 * time.Second, time.Hour} {
 		t.Run(by.String(), func(t *testing.T) {
 			t.Cleanup(func() { require.NoError(t, wallclock.Set(0)) })
-			classes := []decide.Class{{Aim: int64(400 * time.Millisecond), GiveUp: int64(patience), Worth: 1, Effect: decide.Unsafe}}
-			served, err := New(Config{Workers: slowWorkers{takes: takes}, Settings: decide.Settings{Classes: classes, MaxAttempts: 3, Quantum: int64(4 * time.Millisecond)}})
+			classes := []balancer.Class{{Aim: int64(400 * time.Millisecond), GiveUp: int64(patience), Worth: 1, Effect: balancer.Unsafe}}
+			served, err := New(Config{Workers: slowWorkers{takes: takes}, Settings: balancer.Settings{Classes: classes, MaxAttempts: 3, Quantum: int64(4 * time.Millisecond)}})
 			require.NoError(t, err)
 			defer served.Close()
-			silent, err := New(Config{Workers: slowWorkers{silent: true}, Settings: decide.Settings{Classes: classes, MaxAttempts: 3, Quantum: int64(4 * time.Millisecond)}})
+			silent, err := New(Config{Workers: slowWorkers{silent: true}, Settings: balancer.Settings{Classes: classes, MaxAttempts: 3, Quantum: int64(4 * time.Millisecond)}})
 			require.NoError(t, err)
 			defer silent.Close()
 			for _, c := range []*Core{served, silent} {
-				c.Roster(Roster{Kind: decide.RosterFull, Members: []Member{{ID: 1, Addr: "127.0.0.1:1", State: decide.On, Weight: 1}}})
+				c.Roster(Roster{Kind: balancer.RosterFull, Members: []Member{{ID: 1, Addr: "127.0.0.1:1", State: balancer.On, Weight: 1}}})
 			}
 			ask := func(c *Core, id string) (Answer, time.Duration) {
 				begun := time.Now()
--- a/cmd/oakthread/fleet_test.go
+++ b/cmd/dispatcher/fleet_test.go
@@ -99,7 +99,7 @@
 
 // Tenants keep their shares while parts of the fleet do not hear each other: b and c, who ask for less than theirs, lose
 // little by a flood of a's at other dispatchers, and a gains little by what the fleet cannot know. Six processes and two
-// boxes in seconds are coarse: the bounds only catch a collapse, oaklab run mesh has the narrow ones.
+// boxes in seconds are coarse: the bounds only catch a collapse, testbed run mesh has the narrow ones.
 func TestSharesWhileDeaf(t *testing.T) {
 	three := make(chan bool, 3) // at a time: the machine is to keep up
 	for i, fault := range []string{lab.MeshHalves, lab.MeshDeaf, lab.MeshUnheard, lab.MeshNobody, lab.MeshStopped, lab.MeshKilled, lab.MeshFlap,
--- a/cmd/oakthread/main.go
+++ b/cmd/dispatcher/main.go
@@ -1,4 +1,4 @@
-// Command oakthread is the dispatcher as a daemon. It wires the parts together and decides nothing.
+// Command dispatcher runs the dispatcher as a daemon; package cli has its command line.
 package main
 
 import (
--- a/cmd/oakthread/main_test.go
+++ b/cmd/dispatcher/main_test.go
@@ -27,7 +27,7 @@
 	"github.com/stretchr/testify/require"
 
 	"oakthread/internal/cli"
-	"oakthread/internal/kept"
+	"oakthread/internal/endpointcache"
 	"oakthread/internal/lab"
 )
 
@@ -309,7 +309,7 @@
 	}
 	assert.Equal(t, 200, ask("/call/7f3a9c21e0b4d655/trigger"))
 	end()
-	found, err := kept.Read(filepath.Join(dir, "state", "list.db"), "n0")
+	found, err := endpointcache.Read(filepath.Join(dir, "state", "list.db"), "n0")
 	require.NoError(t, err)
 	assert.Equal(t, "e2", found.Kept.Epoch)
 	var ids []int
--- a/cmd/adapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command adapter hosts one Dispatcher an instance on the simulator's wire. It translates and decides nothing.
+// Command simadapter hosts one Dispatcher an instance on the simulator's wire. It translates and decides nothing.
 package main
 
 import (
@@ -8,24 +8,24 @@
 	"os"
 	"strconv"
 
-	"oakthread/decide"
+	"oakthread/balancer"
 	"oakthread/internal/wire"
 )
 
 func main() {
 	if err := serve(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "adapter:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
 
 type instance struct {
-	d   *decide.Dispatcher
+	d   *balancer.Dispatcher
 	who string
 	out *wire.Writer
 }
 
-func (h *instance) Send(id string, w decide.WorkerID, until int64) {
+func (h *instance) Send(id string, w balancer.WorkerID, until int64) {
 	h.out.Open("pass_on", h.who).Str("xid", id).Int("runner", int64(w))
 	if until > 0 {
 		h.out.Int("try_until_ns", until)
@@ -39,13 +39,13 @@
 	h.out.Open("shed", h.who).Str("xid", id).Int("wait_ns", wait).End()
 }
 func (h *instance) Fail(id string) { h.out.Open("lose", h.who).Str("xid", id).End() }
-func (h *instance) Load(w decide.WorkerID, f decide.FuncID, n int) {
+func (h *instance) Load(w balancer.WorkerID, f balancer.FuncID, n int) {
 	h.out.Open("keep_loaded", h.who).Fn(uint64(f)).Int("how_many", int64(n)).Int("runner", int64(w)).End()
 }
-func (h *instance) Drop(w decide.WorkerID, f decide.FuncID) {
+func (h *instance) Drop(w balancer.WorkerID, f balancer.FuncID) {
 	h.out.Open("unmount", h.who).Fn(uint64(f)).Int("runner", int64(w)).End()
 }
-func (h *instance) Probe(w decide.WorkerID) {
+func (h *instance) Probe(w balancer.WorkerID) {
 	h.out.Open("probe", h.who).Int("runner", int64(w)).End()
 }
 func (h *instance) Tell(to int, data string) {
@@ -71,23 +71,23 @@
 }
 func (h *instance) Log(text string) { h.out.Open("emit", h.who).Str("text", text).End() }
 
-var results = map[string]decide.Result{"delivered": decide.OK, "app_error": decide.Error, "shed": decide.Full,
-	"expired": decide.Timeout, "dial_failed": decide.ConnectFailed, "dropped": decide.Reset,
-	"revoked": decide.Cancelled, "unused": decide.Moot, "empty": decide.Miss}
+var results = map[string]balancer.Result{"delivered": balancer.OK, "app_error": balancer.Error, "shed": balancer.Full,
+	"expired": balancer.Timeout, "dial_failed": balancer.ConnectFailed, "dropped": balancer.Reset,
+	"revoked": balancer.Cancelled, "unused": balancer.Moot, "empty": balancer.Miss}
 
 // result reads an outcome's name; one not known here proves nothing, like an error.
-func result(s string) decide.Result {
+func result(s string) balancer.Result {
 	if r, ok := results[s]; ok {
 		return r
 	}
-	return decide.Error
+	return balancer.Error
 }
 
 func serve(in io.Reader, out io.Writer) error {
 	rd := bufio.NewReaderSize(in, 1<<20)
 	var reply wire.Writer
 	all := map[string]*instance{}
-	lists := map[int][]decide.Entry{}
+	lists := map[int][]balancer.Entry{}
 	now, line := int64(0), 0
 	find := func(who string) (*instance, error) {
 		if h := all[who]; h != nil {
@@ -129,19 +129,19 @@
 			}
 			reply.Buf = reply.Buf[:0]
 		case *wire.DefineList:
-			es := make([]decide.Entry, 0, len(e.Entries))
+			es := make([]balancer.Entry, 0, len(e.Entries))
 			for i, x := range e.Entries {
 				if x.Runner == nil {
 					return fmt.Errorf("line %d: define_list: entries[%d]: field runner is missing", line, i)
 				}
-				st := decide.Off
+				st := balancer.Off
 				switch x.Readiness {
 				case "on":
-					st = decide.On
+					st = balancer.On
 				case "fading":
-					st = decide.Draining
+					st = balancer.Draining
 				}
-				es = append(es, decide.Entry{Worker: decide.WorkerID(*x.Runner), Zone: x.Hall, Kind: x.HW,
+				es = append(es, balancer.Entry{Worker: balancer.WorkerID(*x.Runner), Zone: x.Hall, Kind: x.HW,
 					Cell: x.Block, State: st, Weight: x.Nominal, Start: x.UpSince})
 			}
 			lists[e.Bank] = es
@@ -151,7 +151,7 @@
 				return fmt.Errorf("line %d: boot: field setup: %w", line, err)
 			}
 			h = &instance{who: e.Who, out: &reply}
-			if h.d, err = decide.New(now, s.Decide(), e.Seed, h); err != nil {
+			if h.d, err = balancer.New(now, s.Decide(), e.Seed, h); err != nil {
 				return fmt.Errorf("line %d: boot: field setup: %w", line, err)
 			}
 			all[e.Who] = h
@@ -161,17 +161,17 @@
 			if h, err = find(e.Who); err != nil {
 				return err
 			}
-			kinds := map[string]decide.RosterKind{"delta": decide.RosterDelta, "full": decide.RosterFull,
-				"cached": decide.RosterCached, "failed": decide.RosterFailed}
+			kinds := map[string]balancer.RosterKind{"delta": balancer.RosterDelta, "full": balancer.RosterFull,
+				"cached": balancer.RosterCached, "failed": balancer.RosterFailed}
 			k, known := kinds[e.Kind]
 			if !known {
 				return fmt.Errorf("line %d: sync: field kind: unknown %q", line, e.Kind)
 			}
 			es, ok := lists[e.Bank]
-			if !ok && k != decide.RosterFailed {
+			if !ok && k != balancer.RosterFailed {
 				return fmt.Errorf("line %d: sync: field bank: unknown list %d", line, e.Bank)
 			}
-			if k == decide.RosterFailed {
+			if k == balancer.RosterFailed {
 				es = nil
 			}
 			h.d.Roster(now, k, es)
@@ -183,7 +183,7 @@
 			if err != nil && e.Fn != "" {
 				return fmt.Errorf("line %d: demand: field target_fn: %q is not a function id", line, e.Fn)
 			}
-			h.d.Request(now, decide.Request{ID: e.ID, Class: e.Kind, Tenant: e.Group, Func: decide.FuncID(f),
+			h.d.Request(now, balancer.Request{ID: e.ID, Class: e.Kind, Tenant: e.Group, Func: balancer.FuncID(f),
 				Deadline: e.ValidUntil, MemoryMB: e.MemoryMB, Lanes: int(e.Lanes),
 				LoadTime: int64(e.LoadMS * 1e6), Repeat: e.Repeat})
 		case *wire.Bell:
@@ -200,15 +200,15 @@
 			if h, err = find(e.Who); err != nil {
 				return err
 			}
-			o := decide.Outcome{ID: e.ID, Attempt: e.Trial, Worker: decide.WorkerID(e.Runner), RTT: e.RTT,
+			o := balancer.Outcome{ID: e.ID, Attempt: e.Trial, Worker: balancer.WorkerID(e.Runner), RTT: e.RTT,
 				Finished: e.Finished, Report: e.Load, Result: result(e.How), Crowd: e.Info >> 3,
-				Warmth: decide.Warmth(e.Info & 7)}
+				Warmth: balancer.Warmth(e.Info & 7)}
 			h.d.Outcome(now, o)
 		case *wire.Pong:
 			if h, err = find(e.Who); err != nil {
 				return err
 			}
-			h.d.Probed(now, decide.WorkerID(e.Runner), result(e.How), e.RTT, e.Load)
+			h.d.Probed(now, balancer.WorkerID(e.Runner), result(e.How), e.RTT, e.Load)
 		case *wire.NoteFrom:
 			if h, err = find(e.Who); err != nil {
 				return err
@@ -222,7 +222,7 @@
 			if err != nil {
 				return fmt.Errorf("line %d: warmed: field target_fn: %q is not a function id", line, e.Fn)
 			}
-			h.d.Loaded(now, decide.WorkerID(e.Runner), decide.FuncID(f), e.HowMany, result(e.How))
+			h.d.Loaded(now, balancer.WorkerID(e.Runner), balancer.FuncID(f), e.HowMany, result(e.How))
 		case *wire.Vanished:
 			if h, err = find(e.Who); err != nil {
 				return err
--- a/cmd/oaklab/main.go
+++ b/cmd/testbed/main.go
@@ -1,4 +1,4 @@
-// Command oaklab is the project's laboratory. It wires experiments to the command line and decides nothing.
+// Command testbed runs the experiments of internal/lab from the command line.
 package main
 
 import (
@@ -17,11 +17,11 @@
 	"github.com/spf13/cobra"
 
 	"oakthread/internal/cli"
+	"oakthread/internal/config"
 	"oakthread/internal/daemon"
 	"oakthread/internal/fault"
 	"oakthread/internal/lab"
-	"oakthread/internal/ledger"
-	"oakthread/internal/opfile"
+	"oakthread/internal/loganalysis"
 )
 
 var errBroken = errors.New("not all bounds hold")
@@ -33,7 +33,7 @@
 	root.SetContext(ctx)
 	err := root.ExecuteContext(ctx)
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "oaklab:", err)
+		fmt.Fprintln(os.Stderr, "testbed:", err)
 	}
 	if errors.Is(err, lab.ErrDimension) {
 		os.Exit(2) // as for all that cannot be read
@@ -42,7 +42,7 @@
 }
 
 func command() *cobra.Command {
-	root := cli.Group("oaklab", "The laboratory: experiments on loopback that set our ways beside baselines")
+	root := cli.Group("testbed", "The laboratory: experiments on loopback that set our ways beside baselines")
 	root.SilenceErrors, root.SilenceUsage = true, true
 	root.CompletionOptions.HiddenDefaultCmd = true
 	run := cli.Group("run", "Run an experiment; ends 0 only if all its bounds hold")
@@ -103,7 +103,7 @@
 		Args: cli.Args(cobra.MinimumNArgs(1))}
 	keep := c.Flags().Duration("keep", 8*time.Second, "time that an idle copy stays loaded")
 	c.RunE = func(c *cobra.Command, logs []string) error {
-		var l ledger.Ledger
+		var l loganalysis.Ledger
 		for _, path := range logs {
 			f, err := os.Open(path)
 			if err != nil {
@@ -131,7 +131,7 @@
 		signal.Notify(hup, syscall.SIGHUP)
 		o := daemon.Options{Getenv: os.Getenv, Hup: hup, Fresh: *fresh}
 		if *file != "" {
-			f, err := opfile.Read(*file)
+			f, err := config.Read(*file)
 			if err != nil {
 				return err
 			}
--- a/cmd/oaklab/soak.go
+++ b/cmd/testbed/soak.go
@@ -40,7 +40,7 @@
 			o.Replay, o.Processes, o.Seeds = &s, s.Processes, 1
 		}
 		if o.Dir == "" {
-			if o.Dir, err = os.MkdirTemp("", "oaklab-soak-*"); err != nil {
+			if o.Dir, err = os.MkdirTemp("", "testbed-soak-*"); err != nil {
 				return err
 			}
 		}
--- a/core.go
+++ b/core.go
@@ -14,17 +14,17 @@
 	"sync/atomic"
 	"time"
 
-	"oakthread/commons"
-	"oakthread/decide"
+	"oakthread/aggregate"
+	"oakthread/balancer"
+	"oakthread/internal/monotime"
 	"oakthread/internal/mutant"
-	"oakthread/internal/steady"
 	"oakthread/internal/violation"
 	"oakthread/rules"
 )
 
 // Config is what a Core is made of. Workers is needed; the rest has a zero value that works.
 type Config struct {
-	Settings decide.Settings
+	Settings balancer.Settings
 	Seed     uint64
 	MaxOpen  int // requests in hand at a time; 0: 4096
 	Workers  Workers
@@ -55,8 +55,8 @@
 	TurnedAway                                          int64 // refused by the cap on open requests
 	HeldOff                                             int64 // refused by Config.Admit
 	Attempts, Orders, OrdersHeld                        int64
-	Unread                                              int64                 // messages of peers that cannot be read
-	Ends                                                [decide.Results]int64 // of attempts, by decide.Result
+	Unread                                              int64                   // messages of peers that cannot be read
+	Ends                                                [balancer.Results]int64 // of attempts, by decide.Result
 }
 
 // Core dispatches requests. Its methods may be called from many goroutines.
@@ -72,14 +72,14 @@
 	cancel  context.CancelFunc
 
 	// Owned by the loop.
-	d       *decide.Dispatcher
+	d       *balancer.Dispatcher
 	last    int64
 	later   []func()
 	open    map[string]*call
 	flights map[flightKey]*flight
 	orders  int // given so far
-	members map[decide.WorkerID]member
-	called  map[decide.FuncID]calledKey
+	members map[balancer.WorkerID]member
+	called  map[balancer.FuncID]calledKey
 	ration  ration
 	swept   time.Time
 	n       Counters
@@ -114,7 +114,7 @@
 // be called off, where the settings allow that; until then it is revoked when its caller leaves, its request is over, or
 // its worker drains, goes or starts anew. Guards against a write that crosses one of these: whoever comes first wins.
 type flight struct {
-	worker decide.WorkerID
+	worker balancer.WorkerID
 	caller context.Context
 	left   func() bool // nil: only the context tells
 	off    context.CancelCauseFunc
@@ -164,11 +164,11 @@
 	}
 	c := &Core{cfg: cfg, events: make(chan func(), eventsWait), closing: make(chan struct{}),
 		stopped: make(chan struct{}), open: map[string]*call{}, flights: map[flightKey]*flight{},
-		members: map[decide.WorkerID]member{}, called: map[decide.FuncID]calledKey{}}
+		members: map[balancer.WorkerID]member{}, called: map[balancer.FuncID]calledKey{}}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	c.ration.window = time.Duration(cfg.Settings.LoadWindow)
 	c.ration.rule = rules.Ration{Free: cfg.Settings.LoadFree, Share: cfg.Settings.LoadShare}
-	d, err := decide.New(c.now(), cfg.Settings, cfg.Seed, (*host)(c))
+	d, err := balancer.New(c.now(), cfg.Settings, cfg.Seed, (*host)(c))
 	if err != nil {
 		return nil, fmt.Errorf("oakthread: %w", err)
 	}
@@ -212,7 +212,7 @@
 
 // now is the clock as the module reads it: the process's own, which steps of the wall clock do not reach.
 func (c *Core) now() int64 {
-	c.last = max(c.last, steady.Now().UnixNano())
+	c.last = max(c.last, monotime.Now().UnixNano())
 	return c.last
 }
 
@@ -241,7 +241,7 @@
 
 // AddClasses takes classes that requests may name from now on, all or none, and returns the number of the first;
 // requests in hand keep theirs. The error is the module's, or ErrClosed.
-func (c *Core) AddClasses(ks []decide.Class) (int, error) {
+func (c *Core) AddClasses(ks []balancer.Class) (int, error) {
 	type added struct {
 		n   int
 		err error
@@ -268,14 +268,14 @@
 func (c *Core) SetMaxAttempts(n int) { c.post(func() { c.d.SetMaxAttempts(c.now(), n) }) }
 
 // Ejected lists the workers that the module avoids by its own choice; nil once closed.
-func (c *Core) Ejected() []decide.WorkerID { return look(c, c.d.Ejected) }
+func (c *Core) Ejected() []balancer.WorkerID { return look(c, c.d.Ejected) }
 
 // Shared is what is known of the sums over all dispatchers; the zero View once closed.
-func (c *Core) Shared() commons.View { return look(c, c.d.Shared) }
+func (c *Core) Shared() aggregate.View { return look(c, c.d.Shared) }
 
 // Verdicts lists what is held of each worker and why; nil once closed.
-func (c *Core) Verdicts() []decide.Verdict {
-	return look(c, func() []decide.Verdict { return c.d.Verdicts(c.now()) })
+func (c *Core) Verdicts() []balancer.Verdict {
+	return look(c, func() []balancer.Verdict { return c.d.Verdicts(c.now()) })
 }
 
 // look asks the module; the zero value once closed.
@@ -369,8 +369,8 @@
 // route asks the module, which answers by calls of the host below: a send, a refusal, or nothing yet.
 func (c *Core) route(k *call) {
 	q := &k.req
-	c.d.Request(c.now(), decide.Request{ID: q.ID, Class: q.Class, Tenant: q.Tenant, Func: q.Func,
-		Deadline: steady.Nanos(q.Deadline), MemoryMB: q.MemoryMB, Lanes: q.Lanes, LoadTime: int64(q.LoadTime),
+	c.d.Request(c.now(), balancer.Request{ID: q.ID, Class: q.Class, Tenant: q.Tenant, Func: q.Func,
+		Deadline: monotime.Nanos(q.Deadline), MemoryMB: q.MemoryMB, Lanes: q.Lanes, LoadTime: int64(q.LoadTime),
 		Repeat: q.Repeat})
 }
 
@@ -394,10 +394,10 @@
 		r := c.cfg.Workers.Send(ctx, a)
 		// The end of our wait hides how an attempt ended only where nothing is known of it. What proves that it never
 		// ran stays a proof.
-		if ctx.Err() != nil && (r.Result == decide.Reset || r.Result == decide.Timeout) {
-			r.Result = decide.Timeout
+		if ctx.Err() != nil && (r.Result == balancer.Reset || r.Result == balancer.Timeout) {
+			r.Result = balancer.Timeout
 			if errors.Is(context.Cause(ctx), errCalledOff) {
-				r.Result = decide.Cancelled
+				r.Result = balancer.Cancelled
 			}
 		}
 		done()
@@ -407,16 +407,16 @@
 }
 
 // landed takes the end of an attempt. The first good answer is the request's.
-func (c *Core) landed(key flightKey, class int, w decide.WorkerID, sent time.Time, r Reply) {
+func (c *Core) landed(key flightKey, class int, w balancer.WorkerID, sent time.Time, r Reply) {
 	delete(c.flights, key)
 	c.n.Ends[r.Result]++
 	took := time.Since(sent)
 	if c.cfg.Observed != nil {
-		c.cfg.Observed(Observation{Worker: w, Class: class, Result: r.Result, Warm: r.Warmth == decide.WarmHit, Took: took})
+		c.cfg.Observed(Observation{Worker: w, Class: class, Result: r.Result, Warm: r.Warmth == balancer.WarmHit, Took: took})
 	}
 	k := c.open[key.id]
 	if c.cfg.Log.Enabled(c.ctx, slog.LevelDebug) {
-		fn := decide.FuncID(0)
+		fn := balancer.FuncID(0)
 		if k != nil {
 			fn = k.req.Func
 		}
@@ -429,17 +429,17 @@
 			c.violated(violation.Once, violation.PathLanded, key.id, "a second attempt ended that may have run")
 		}
 	}
-	if r.Result == decide.OK && k != nil {
+	if r.Result == balancer.OK && k != nil {
 		c.book(k, Answer{Outcome: Served, Body: r.Body}, false)
 	}
-	c.d.Outcome(c.now(), decide.Outcome{ID: key.id, Attempt: key.n, Worker: w, Result: r.Result,
+	c.d.Outcome(c.now(), balancer.Outcome{ID: key.id, Attempt: key.n, Worker: w, Result: r.Result,
 		Finished: c.open[key.id] == nil, Warmth: r.Warmth, Crowd: r.Crowd, RTT: int64(took), Report: r.Report})
 }
 
 // mayHaveRun tells whether an attempt that ended so may have had its effect.
-func mayHaveRun(r decide.Result) bool {
+func mayHaveRun(r balancer.Result) bool {
 	switch r {
-	case decide.OK, decide.Error, decide.Timeout, decide.Reset, decide.Cancelled:
+	case balancer.OK, balancer.Error, balancer.Timeout, balancer.Reset, balancer.Cancelled:
 		return true
 	}
 	return false
@@ -448,7 +448,7 @@
 // runsOnce tells whether a call must not run twice. Classes that a reload has added are not known here.
 func (c *Core) runsOnce(k *call) bool {
 	classes := c.cfg.Settings.Classes
-	return k.req.Class < len(classes) && classes[k.req.Class].Effect == decide.Unsafe
+	return k.req.Class < len(classes) && classes[k.req.Class].Effect == balancer.Unsafe
 }
 
 func (c *Core) violated(rule violation.Rule, path violation.Path, id, detail string) {
@@ -458,7 +458,7 @@
 }
 
 // unsent ends an attempt that must not be made: its caller has left, or its worker is not on the list. Nothing was written.
-func (c *Core) unsent(k *call, w decide.WorkerID, r decide.Result) {
+func (c *Core) unsent(k *call, w balancer.WorkerID, r balancer.Result) {
 	n, sent := k.tries, time.Now()
 	k.tries++
 	c.later = append(c.later, func() {
@@ -466,7 +466,7 @@
 			c.abandon(k)
 		}
 		c.n.Ends[r]++
-		c.d.Outcome(c.now(), decide.Outcome{ID: k.req.ID, Attempt: n, Worker: w, Result: r,
+		c.d.Outcome(c.now(), balancer.Outcome{ID: k.req.ID, Attempt: n, Worker: w, Result: r,
 			Finished: c.open[k.req.ID] != k, RTT: int64(time.Since(sent))})
 	})
 }
@@ -525,31 +525,31 @@
 
 // roster keeps the members by id and tells the module. Connections to a worker that left or restarted are void.
 func (c *Core) roster(r Roster) {
-	es := make([]decide.Entry, 0, len(r.Members))
-	named := make(map[decide.WorkerID]bool, len(r.Members))
+	es := make([]balancer.Entry, 0, len(r.Members))
+	named := make(map[balancer.WorkerID]bool, len(r.Members))
 	for _, m := range r.Members {
 		named[m.ID] = true
 		old, known := c.members[m.ID]
 		start := old.started
 		if !known || !old.Start.Equal(m.Start) {
-			start = steady.Started(m.Start)
+			start = monotime.Started(m.Start)
 		}
-		if known && (m.State == decide.Off || !old.Start.Equal(m.Start) || old.Addr != m.Addr) {
+		if known && (m.State == balancer.Off || !old.Start.Equal(m.Start) || old.Addr != m.Addr) {
 			c.cfg.Workers.Forget(m.ID)
 			c.revoke(m.ID)
 		}
-		if m.State != decide.On {
+		if m.State != balancer.On {
 			c.revoke(m.ID)
 		}
-		if m.State == decide.Off {
+		if m.State == balancer.Off {
 			delete(c.members, m.ID)
 		} else {
 			c.members[m.ID] = member{m, start}
 		}
-		es = append(es, decide.Entry{Worker: m.ID, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, State: m.State,
+		es = append(es, balancer.Entry{Worker: m.ID, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, State: m.State,
 			Weight: m.Weight, Start: start})
 	}
-	if r.Kind == decide.RosterFull || r.Kind == decide.RosterCached {
+	if r.Kind == balancer.RosterFull || r.Kind == balancer.RosterCached {
 		for id := range c.members {
 			if !named[id] {
 				delete(c.members, id)
@@ -563,7 +563,7 @@
 }
 
 // revoke ends what is on its way to a worker that must get nothing new, as far as nothing of it was written.
-func (c *Core) revoke(w decide.WorkerID) {
+func (c *Core) revoke(w balancer.WorkerID) {
 	for _, f := range c.flights {
 		if f.worker == w {
 			f.revoke()
@@ -587,7 +587,7 @@
 // host carries out the module's actions. Its methods run in the loop, within an event.
 type host Core
 
-func (h *host) Send(id string, w decide.WorkerID, until int64) {
+func (h *host) Send(id string, w balancer.WorkerID, until int64) {
 	c := (*Core)(h)
 	k := c.open[id]
 	if k == nil {
@@ -595,16 +595,16 @@
 	}
 	m, known := c.members[w]
 	if k.ctx.Err() != nil {
-		c.unsent(k, w, decide.Moot)
+		c.unsent(k, w, balancer.Moot)
 		return
 	}
-	if !known || m.State != decide.On {
-		c.unsent(k, w, decide.ConnectFailed)
+	if !known || m.State != balancer.On {
+		c.unsent(k, w, balancer.ConnectFailed)
 		return
 	}
 	end := k.req.Deadline
-	if until > 0 && steady.Time(until).Before(end) {
-		end = steady.Time(until)
+	if until > 0 && monotime.Time(until).Before(end) {
+		end = monotime.Time(until)
 	}
 	c.send(k, m.Member, end)
 }
@@ -631,19 +631,19 @@
 	}
 }
 
-func (h *host) Load(w decide.WorkerID, f decide.FuncID, n int) {
+func (h *host) Load(w balancer.WorkerID, f balancer.FuncID, n int) {
 	c := (*Core)(h)
 	m, known := c.members[w]
 	name, asked := c.called[f]
 	var reserved *loadOrder // nil: the order asks only
 	may := known && asked
-	if may = may && (n == 0 || m.State == decide.On); may && n > 0 {
+	if may = may && (n == 0 || m.State == balancer.On); may && n > 0 {
 		reserved = c.ration.reserve(time.Now())
 		may = reserved != nil
 	}
 	if !may {
 		c.n.OrdersHeld++
-		c.later = append(c.later, func() { c.d.Loaded(c.now(), w, f, 0, decide.Full) })
+		c.later = append(c.later, func() { c.d.Loaded(c.now(), w, f, 0, balancer.Full) })
 		return
 	}
 	c.n.Orders++
@@ -661,14 +661,14 @@
 		r := c.cfg.Workers.Load(ctx, Order{Worker: m.Member, Func: f, Key: name.key, Count: n, Begin: func() bool {
 			return c.ration.write(reserved, time.Now()) && way.begin()
 		}})
-		if r.Result == decide.Moot || r.Result == decide.ConnectFailed { // nothing of it was written
+		if r.Result == balancer.Moot || r.Result == balancer.ConnectFailed { // nothing of it was written
 			c.ration.release(reserved)
 		}
 		done()
 		off(nil)
 		c.post(func() {
 			delete(c.flights, key)
-			if c.cfg.Observed != nil && r.Result != decide.Timeout { // a load may take longer than we wait
+			if c.cfg.Observed != nil && r.Result != balancer.Timeout { // a load may take longer than we wait
 				c.cfg.Observed(Observation{Kind: ObservedOrder, Worker: w, Result: r.Result})
 			}
 			c.cfg.Log.Debug("order ended", "worker", uint32(w), "fn", uint64(f), "copies", r.Copies, "result", r.Result.String(),
@@ -678,7 +678,7 @@
 	}()
 }
 
-func (h *host) Drop(w decide.WorkerID, f decide.FuncID) {
+func (h *host) Drop(w balancer.WorkerID, f balancer.FuncID) {
 	c := (*Core)(h)
 	m, known := c.members[w]
 	if name, asked := c.called[f]; known && asked {
@@ -690,11 +690,11 @@
 	}
 }
 
-func (h *host) Probe(w decide.WorkerID) {
+func (h *host) Probe(w balancer.WorkerID) {
 	c := (*Core)(h)
 	m, known := c.members[w]
 	if !known {
-		c.later = append(c.later, func() { c.d.Probed(c.now(), w, decide.ConnectFailed, 0, nil) })
+		c.later = append(c.later, func() { c.d.Probed(c.now(), w, balancer.ConnectFailed, 0, nil) })
 		return
 	}
 	sent := time.Now()
@@ -718,7 +718,7 @@
 }
 
 // Counted has a call count for the ration as the module counts it.
-func (h *host) Counted(at int64) { h.ration.count(steady.Time(at)) }
+func (h *host) Counted(at int64) { h.ration.count(monotime.Time(at)) }
 
 // Watch has nothing to do: a Membership tells from its start on.
 func (h *host) Watch() {}
--- a/core_test.go
+++ b/core_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"oakthread/commons"
-	"oakthread/decide"
+	"oakthread/aggregate"
+	"oakthread/balancer"
 	"oakthread/rules"
 )
 
@@ -20,16 +20,16 @@
 	ended   chan error
 	replies chan Reply
 	orders  chan Order
-	forgot  chan decide.WorkerID
+	forgot  chan balancer.WorkerID
 }
 
 func newStand() *stand {
-	return &stand{make(chan Attempt, 64), make(chan error, 64), make(chan Reply, 64), make(chan Order, 64), make(chan decide.WorkerID, 64)}
+	return &stand{make(chan Attempt, 64), make(chan error, 64), make(chan Reply, 64), make(chan Order, 64), make(chan balancer.WorkerID, 64)}
 }
 
 func (s *stand) Send(ctx context.Context, a Attempt) Reply {
 	if !a.Begin() {
-		return Reply{Result: decide.Moot}
+		return Reply{Result: balancer.Moot}
 	}
 	s.sent <- a
 	select {
@@ -37,7 +37,7 @@
 		return r
 	case <-ctx.Done():
 		s.ended <- context.Cause(ctx)
-		return Reply{Result: decide.Reset}
+		return Reply{Result: balancer.Reset}
 	}
 }
 func (s *stand) Probe(context.Context, Member) Reply { return Reply{} }
@@ -46,26 +46,26 @@
 	return Reply{Copies: o.Count}
 }
 func (s *stand) Drop(_ context.Context, o Order) { s.orders <- o }
-func (s *stand) Forget(id decide.WorkerID)       { s.forgot <- id }
-func (s *stand) workers(states ...decide.State) Roster {
-	r := Roster{Kind: decide.RosterFull}
+func (s *stand) Forget(id balancer.WorkerID)     { s.forgot <- id }
+func (s *stand) workers(states ...balancer.State) Roster {
+	r := Roster{Kind: balancer.RosterFull}
 	for i, st := range states {
-		r.Members = append(r.Members, Member{ID: decide.WorkerID(i + 1), State: st, Weight: 1})
+		r.Members = append(r.Members, Member{ID: balancer.WorkerID(i + 1), State: st, Weight: 1})
 	}
 	return r
 }
 
 func testCore(t *testing.T, s *stand, change func(*Config)) *Core {
-	cfg := Config{Workers: s, Settings: decide.Settings{Quantum: int64(4 * time.Millisecond), MaxAttempts: 3,
+	cfg := Config{Workers: s, Settings: balancer.Settings{Quantum: int64(4 * time.Millisecond), MaxAttempts: 3,
 		MayCancel: true, KeepAlive: int64(8 * time.Second), LoadsOnMiss: true, Orders: true, MaxRetryAfter: int64(2 * time.Second),
-		Classes: []decide.Class{{Aim: int64(time.Second), GiveUp: int64(3 * time.Second), Worth: 1, Effect: decide.Unsafe}}}}
+		Classes: []balancer.Class{{Aim: int64(time.Second), GiveUp: int64(3 * time.Second), Worth: 1, Effect: balancer.Unsafe}}}}
 	if change != nil {
 		change(&cfg)
 	}
 	c, err := New(cfg)
 	require.NoError(t, err)
 	t.Cleanup(c.Close)
-	c.Roster(s.workers(decide.On))
+	c.Roster(s.workers(balancer.On))
 	return c
 }
 
@@ -78,11 +78,11 @@
 		replies []Reply
 		want    Outcome
 	}{
-		"served":                 {[]Reply{{Result: decide.OK, Body: []byte("out")}}, Served},
-		"error may have run":     {[]Reply{{Result: decide.Error}}, Failed},
-		"reset may have run":     {[]Reply{{Result: decide.Reset}}, Failed},
-		"never ran, then served": {[]Reply{{Result: decide.Moot}, {Result: decide.OK, Body: []byte("out")}}, Served},
-		"never ran at all":       {[]Reply{{Result: decide.Moot}, {Result: decide.Moot}, {Result: decide.Moot}}, Refused},
+		"served":                 {[]Reply{{Result: balancer.OK, Body: []byte("out")}}, Served},
+		"error may have run":     {[]Reply{{Result: balancer.Error}}, Failed},
+		"reset may have run":     {[]Reply{{Result: balancer.Reset}}, Failed},
+		"never ran, then served": {[]Reply{{Result: balancer.Moot}, {Result: balancer.OK, Body: []byte("out")}}, Served},
+		"never ran at all":       {[]Reply{{Result: balancer.Moot}, {Result: balancer.Moot}, {Result: balancer.Moot}}, Refused},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, settled := newStand(), make(chan Settlement, 4)
@@ -157,21 +157,21 @@
 func TestDrainReachesSendsRetriesAndOrders(t *testing.T) {
 	s := newStand()
 	core := testCore(t, s, nil)
-	core.Roster(s.workers(decide.On, decide.On))
+	core.Roster(s.workers(balancer.On, balancer.On))
 	got := make(chan Answer, 1)
 	go func() { a, _ := core.Do(t.Context(), ask("a")); got <- a }()
 	first := (<-s.sent).Worker.ID
-	states := []decide.State{decide.On, decide.On}
-	states[first-1] = decide.Draining
+	states := []balancer.State{balancer.On, balancer.On}
+	states[first-1] = balancer.Draining
 	core.Roster(s.workers(states...))
-	s.replies <- Reply{Result: decide.Moot}
+	s.replies <- Reply{Result: balancer.Moot}
 	assert.NotEqual(t, first, (<-s.sent).Worker.ID, "a retry went to the draining worker")
-	s.replies <- Reply{Result: decide.OK}
+	s.replies <- Reply{Result: balancer.OK}
 	assert.Equal(t, Served, (<-got).Outcome)
 	core.post(func() { (*host)(core).Load(first, 7, 1) })
 	assert.Equal(t, int64(1), core.Counters().OrdersHeld)
-	core.Roster(s.workers(decide.On))
-	assert.Equal(t, decide.WorkerID(2), <-s.forgot, "connections of a worker that has gone are kept")
+	core.Roster(s.workers(balancer.On))
+	assert.Equal(t, balancer.WorkerID(2), <-s.forgot, "connections of a worker that has gone are kept")
 }
 
 // Guards the rule on loads at the time when the order leaves, and that none names a function nobody called.
@@ -217,14 +217,14 @@
 }
 
 func TestNotReadyBeforeAList(t *testing.T) {
-	core, err := New(Config{Workers: newStand(), Settings: decide.Settings{Classes: []decide.Class{{Aim: 1}}}})
+	core, err := New(Config{Workers: newStand(), Settings: balancer.Settings{Classes: []balancer.Class{{Aim: 1}}}})
 	require.NoError(t, err)
 	defer core.Close()
 	assert.False(t, core.Ready())
-	core.Roster(Roster{Kind: decide.RosterDelta})
+	core.Roster(Roster{Kind: balancer.RosterDelta})
 	core.Counters()
 	assert.False(t, core.Ready())
-	core.Roster(Roster{Kind: decide.RosterFull})
+	core.Roster(Roster{Kind: balancer.RosterFull})
 	core.Counters()
 	assert.True(t, core.Ready())
 }
@@ -238,12 +238,12 @@
 		c.Admit = func(q *Request) (time.Duration, bool) { return 300 * time.Millisecond, pass }
 		c.Observed = func(o Observation) { seen <- o }
 	})
-	s.replies <- Reply{Result: decide.OK, Warmth: decide.WarmHit}
+	s.replies <- Reply{Result: balancer.OK, Warmth: balancer.WarmHit}
 	a, err := c.Do(t.Context(), ask("1"))
 	require.NoError(t, err)
 	assert.Equal(t, Served, a.Outcome)
 	o := <-seen
-	assert.Equal(t, decide.WorkerID(1), o.Worker)
+	assert.Equal(t, balancer.WorkerID(1), o.Worker)
 	assert.True(t, o.Warm)
 	c.post(func() { pass = false })
 	a, err = c.Do(t.Context(), ask("2"))
@@ -264,17 +264,17 @@
 	q.Class = 1
 	_, err := c.Do(context.Background(), q)
 	require.ErrorIs(t, err, ErrInvalid, "not yet a class")
-	_, err = c.AddClasses([]decide.Class{{Aim: 0}})
+	_, err = c.AddClasses([]balancer.Class{{Aim: 0}})
 	require.Error(t, err, "a class without an aim")
-	n, err := c.AddClasses([]decide.Class{{Aim: int64(time.Second), GiveUp: int64(3 * time.Second), Worth: 1, Effect: decide.Safe}})
+	n, err := c.AddClasses([]balancer.Class{{Aim: int64(time.Second), GiveUp: int64(3 * time.Second), Worth: 1, Effect: balancer.Safe}})
 	require.NoError(t, err)
 	require.Equal(t, 1, n)
-	s.replies <- Reply{Result: decide.Reset}
-	s.replies <- Reply{Result: decide.OK, Body: []byte("out")}
+	s.replies <- Reply{Result: balancer.Reset}
+	s.replies <- Reply{Result: balancer.OK, Body: []byte("out")}
 	a, err := c.Do(context.Background(), q)
 	require.NoError(t, err)
 	assert.Equal(t, Served, a.Outcome)
-	s.replies <- Reply{Result: decide.Reset}
+	s.replies <- Reply{Result: balancer.Reset}
 	a, err = c.Do(context.Background(), ask("0000000000000002"))
 	require.NoError(t, err)
 	assert.Equal(t, Failed, a.Outcome, "the first class may have run: no repeat")
@@ -285,19 +285,19 @@
 func TestMessagesThatCannotBeRead(t *testing.T) {
 	s := newStand()
 	c := testCore(t, s, func(cfg *Config) { cfg.Settings.Peers, cfg.Settings.Siblings = true, 3 })
-	c.Roster(s.workers(decide.On))
+	c.Roster(s.workers(balancer.On))
 	bad := []string{"", "A", "=", "AAA", "\x00\xff", strings.Repeat("A", 255), "AIAAAA" /* a flag not known */, "AAAAAA" /* the version before */, "CQAAAA" /* figures are missing */, "AQACAA"}
 	for _, data := range bad {
 		c.Heard(1, data)
 	}
 	for _, from := range []int{-1, 0, 3, 1 << 30} {
-		c.Heard(from, commons.Message{GoesOn: true}.Texts(3)[0])
+		c.Heard(from, aggregate.Message{GoesOn: true}.Texts(3)[0])
 	}
-	row := commons.Row{Figures: []float64{1, 2}}
-	c.Heard(1, commons.Message{Row: row, Counts: []commons.Count{{Worker: 65535, N: 5}}}.Texts(3)[0]) // about a worker that is not listed
-	c.Heard(1, commons.Message{Row: row}.Texts(3)[0])                                                 // doubled
+	row := aggregate.Row{Figures: []float64{1, 2}}
+	c.Heard(1, aggregate.Message{Row: row, Counts: []aggregate.Count{{Worker: 65535, N: 5}}}.Texts(3)[0]) // about a worker that is not listed
+	c.Heard(1, aggregate.Message{Row: row}.Texts(3)[0])                                                   // doubled
 	assert.Equal(t, int64(len(bad)+4), c.Counters().Unread)
-	s.replies <- Reply{Result: decide.OK}
+	s.replies <- Reply{Result: balancer.OK}
 	a, err := c.Do(t.Context(), ask("1"))
 	require.NoError(t, err)
 	assert.Equal(t, Served, a.Outcome)
@@ -316,9 +316,9 @@
 	ok := a.Begin()
 	l.begun <- ok
 	if !ok {
-		return Reply{Result: decide.Moot}
+		return Reply{Result: balancer.Moot}
 	}
-	return Reply{Result: decide.OK}
+	return Reply{Result: balancer.OK}
 }
 
 // Guards the write that crosses a leaving which the loop has yet to hear of: the loop is kept busy, the caller leaves, and
@@ -363,7 +363,7 @@
 	leave()
 	_, err := core.Do(ctx, ask("a"))
 	require.ErrorIs(t, err, context.Canceled)
-	s.replies <- Reply{Result: decide.OK}
+	s.replies <- Reply{Result: balancer.OK}
 	_, err = core.Do(t.Context(), ask("b"))
 	require.NoError(t, err)
 	assert.Equal(t, "b", (<-s.sent).Request.ID)
@@ -380,13 +380,13 @@
 		c.Settled = func(x Settlement) { settled <- x }
 	})
 	twice := func(id string, ctx context.Context) chan error {
-		s.replies <- Reply{Result: decide.Full}
-		s.replies <- Reply{Result: decide.Full}
+		s.replies <- Reply{Result: balancer.Full}
+		s.replies <- Reply{Result: balancer.Full}
 		end := make(chan error, 1)
 		go func() { _, err := core.Do(ctx, ask(id)); end <- err }()
 		<-s.sent
 		<-s.sent
-		for core.Counters().Ends[decide.Full]%2 != 0 {
+		for core.Counters().Ends[balancer.Full]%2 != 0 {
 		}
 		return end
 	}
@@ -396,7 +396,7 @@
 	require.ErrorIs(t, <-first, context.Canceled)
 	assert.True(t, (<-settled).Abandoned)
 	second := twice("b", t.Context())
-	s.replies <- Reply{Result: decide.OK}
+	s.replies <- Reply{Result: balancer.OK}
 	require.NoError(t, <-second)
 	assert.Equal(t, "b", (<-s.sent).Request.ID)
 	assert.Empty(t, s.sent)
--- a/roster/dial.go
+++ b/endpoints/dial.go
@@ -1,4 +1,4 @@
-package roster
+package endpoints
 
 // This file owns when and where discovery is asked again. It must never let many dispatchers that lost it together
 // come back together.
--- a/roster/hazard.go
+++ b/endpoints/hazard.go
@@ -1,4 +1,4 @@
-package roster
+package endpoints
 
 // This file owns what the list's own history tells of how long boxes stay: the estimate behind trust. It must never
 // take a figure for certain that rests on little: a prior weighs against it.
@@ -7,7 +7,7 @@
 	"math"
 	"time"
 
-	"oakthread/decide"
+	"oakthread/balancer"
 )
 
 const (
@@ -37,7 +37,7 @@
 // Event is one entry of the history.
 type Event struct {
 	At     time.Time
-	Worker decide.WorkerID
+	Worker balancer.WorkerID
 	What   What
 }
 
@@ -62,7 +62,7 @@
 	}
 }
 
-func (h *History) add(now time.Time, w decide.WorkerID, what What) {
+func (h *History) add(now time.Time, w balancer.WorkerID, what What) {
 	switch what {
 	case Left:
 		h.Leaves++
--- a/roster/ramp.go
+++ b/endpoints/ramp.go
@@ -1,4 +1,4 @@
-package roster
+package endpoints
 
 // This file owns how much a dispatcher that starts from a kept list lets through: a budget that grows with each proof, as
 // in slow start (RFC 5681, 3.1), summed over the boxes that answer. It must never choose a box: what it lets through is
--- a/roster/roster.go
+++ b/endpoints/roster.go
@@ -2,7 +2,7 @@
 // a dispatcher start from a list kept on disk while discovery is down, and makes of it the list that the decision
 // module is given. A List is one single-threaded state machine: events in with now, actions out; no clock, no
 // goroutine, no I/O. Which box a call goes to is the module's choice, never made here.
-package roster
+package endpoints
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 	"slices"
 	"time"
 
-	"oakthread/decide"
+	"oakthread/balancer"
 )
 
 const (
@@ -40,10 +40,10 @@
 
 // Box is an entry of the list: what was told of it, and what it proved.
 type Box struct {
-	ID               decide.WorkerID
+	ID               balancer.WorkerID
 	Addr             string
 	Zone, Kind, Cell int
-	State            decide.State
+	State            balancer.State
 	Weight           float64
 	Start            time.Time // zero: long ago
 	Told             time.Time // when discovery last told of a change
@@ -120,7 +120,7 @@
 
 // Publication is a change of the list as the decision module sees it.
 type Publication struct {
-	Kind  decide.RosterKind
+	Kind  balancer.RosterKind
 	Boxes []Box
 }
 
@@ -152,7 +152,7 @@
 type List struct {
 	cfg       Config
 	rng       *rand.Rand
-	boxes     map[decide.WorkerID]*entry
+	boxes     map[balancer.WorkerID]*entry
 	order     []*entry // by id
 	history   History
 	epoch     string
@@ -179,7 +179,7 @@
 	if cfg.Budget <= 0 {
 		cfg.Budget = defaultBudget
 	}
-	return &List{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0x726f7374)), boxes: map[decide.WorkerID]*entry{}}
+	return &List{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0x726f7374)), boxes: map[balancer.WorkerID]*entry{}}
 }
 
 // Take returns what is to be done since the last call.
@@ -220,7 +220,7 @@
 		l.log("the clock went back: the kept list is of unknown age and counts as %v old", unknownAge)
 	}
 	for _, b := range k.Boxes {
-		if b.State == decide.Off || l.boxes[b.ID] != nil {
+		if b.State == balancer.Off || l.boxes[b.ID] != nil {
 			continue
 		}
 		e := l.add(b)
@@ -228,7 +228,7 @@
 		e.unknown = !aged || e.at.IsZero() || e.at.After(now)
 		e.probeAt = now.Add(time.Duration(l.rng.Float64() * float64(l.spread())))
 		e.base = b.Pace
-		if b.State == decide.Draining {
+		if b.State == balancer.Draining {
 			e.proof = Draining
 		}
 	}
@@ -298,7 +298,7 @@
 }
 
 // Trust is the chance that a box is there as the list has it, 0 for one not known.
-func (l *List) Trust(now time.Time, id decide.WorkerID) float64 {
+func (l *List) Trust(now time.Time, id balancer.WorkerID) float64 {
 	if e := l.boxes[id]; e != nil {
 		return l.trust(now, e)
 	}
@@ -355,11 +355,11 @@
 	l.watched(now)
 	l.cursor, l.out.Save = u.Cursor, true
 	first := l.history.Watched == 0 && len(l.history.Events) == 0 && len(l.order) == 0
-	named := make(map[decide.WorkerID]bool, len(u.Boxes))
+	named := make(map[balancer.WorkerID]bool, len(u.Boxes))
 	for _, b := range u.Boxes {
 		named[b.ID] = true
 		e := l.boxes[b.ID]
-		if b.State == decide.Off {
+		if b.State == balancer.Off {
 			l.gone(now, e)
 			continue
 		}
@@ -374,16 +374,16 @@
 				l.history.add(now, b.ID, Restarted)
 				e.drainAt, e.base, e.answers, e.wait, e.ansAt = time.Time{}, 0, 0, 0, time.Time{}
 				e.Proved = time.Time{}
-			} else if b.State == decide.On && e.State == decide.Draining {
+			} else if b.State == balancer.On && e.State == balancer.Draining {
 				e.drainAt = time.Time{} // a newer word on this very box
 			}
 			b.Proved, b.Pace = e.Proved, e.Pace
-			if b.State == decide.Draining && e.State != decide.Draining {
+			if b.State == balancer.Draining && e.State != balancer.Draining {
 				l.history.add(now, b.ID, Drained)
 			}
 			e.Box = b
 		}
-		if b.State == decide.Draining {
+		if b.State == balancer.Draining {
 			l.out.Urgent = true
 		}
 		e.proof, e.belief, e.at, e.unknown = Told, 1, now, false
@@ -408,7 +408,7 @@
 	l.history.add(now, e.ID, Left)
 	l.out.Urgent, l.out.Save = true, true
 	if e.listed {
-		e.State = decide.Off
+		e.State = balancer.Off
 		e.proof = Told
 		l.show(e)
 	}
@@ -448,16 +448,16 @@
 	l.live, l.mourned = true, false
 	l.gate.stop()
 	for _, e := range l.order {
-		if e.State == decide.On && !e.drainAt.IsZero() && now.Sub(e.drainAt) < ownWord {
+		if e.State == balancer.On && !e.drainAt.IsZero() && now.Sub(e.drainAt) < ownWord {
 			continue
 		}
 		e.proof, e.belief, e.at, e.unknown, e.wait = Told, 1, now, false, 0
-		if e.State == decide.Draining {
+		if e.State == balancer.Draining {
 			e.proof = Draining
 		}
 	}
 	if len(l.order) == 0 && !l.began { // an empty list is one, too
-		l.out.Publish = append(l.out.Publish, Publication{Kind: decide.RosterFull})
+		l.out.Publish = append(l.out.Publish, Publication{Kind: balancer.RosterFull})
 	}
 	l.publish()
 	l.began = true
@@ -487,7 +487,7 @@
 // What boxes prove.
 
 // Observe takes what an attempt or order showed of a box.
-func (l *List) Observe(now time.Time, id decide.WorkerID, s Sign) {
+func (l *List) Observe(now time.Time, id balancer.WorkerID, s Sign) {
 	e := l.boxes[id]
 	if e == nil {
 		return
@@ -511,7 +511,7 @@
 }
 
 // Probed takes the end of a probe.
-func (l *List) Probed(now time.Time, id decide.WorkerID, s Sign) {
+func (l *List) Probed(now time.Time, id balancer.WorkerID, s Sign) {
 	e := l.boxes[id]
 	if e == nil {
 		return
@@ -523,7 +523,7 @@
 	}
 	if l.live && s != Drains {
 		switch {
-		case e.proof != Draining || e.State != decide.On:
+		case e.proof != Draining || e.State != balancer.On:
 		case s == Answered || s == Slow: // it takes work again
 			e.proof, e.drainAt = Told, time.Time{}
 			l.publish()
@@ -544,11 +544,11 @@
 			return
 		}
 		if e.proof == Draining || e.proof == LeftOut {
-			if s == Broken || !probe || e.State == decide.Draining && e.drainAt.IsZero() {
+			if s == Broken || !probe || e.State == balancer.Draining && e.drainAt.IsZero() {
 				return // discovery said that it drains, or the answer is to what was sent before
 			}
 			// Somebody new, it may be: what was there before is void.
-			e.drainAt, e.State, e.proofs = time.Time{}, decide.On, 0
+			e.drainAt, e.State, e.proofs = time.Time{}, balancer.On, 0
 			e.Start = now
 		}
 		if s != Broken {
@@ -600,9 +600,9 @@
 		return time.Time{}, false
 	}
 	if l.live {
-		return e.probeAt, e.proof == Draining && e.State == decide.On
+		return e.probeAt, e.proof == Draining && e.State == balancer.On
 	}
-	if e.State == decide.Draining && e.drainAt.IsZero() {
+	if e.State == balancer.Draining && e.drainAt.IsZero() {
 		return time.Time{}, false // discovery's word on a drain needs no proof
 	}
 	if e.probeAt.IsZero() { // in use: asked again when trust has run down
@@ -680,7 +680,7 @@
 	if !l.usable(e) {
 		if e.listed {
 			off := e.shown
-			off.State = decide.Off
+			off.State = balancer.Off
 			l.put(off)
 			e.listed = false
 		}
@@ -688,7 +688,7 @@
 	}
 	b := e.Box
 	if e.proof == Draining {
-		b.State = decide.Draining
+		b.State = balancer.Draining
 	}
 	b.Weight *= l.gate.weight(e)
 	if s := e.shown; !e.listed || s.Addr != b.Addr || s.State != b.State || s.Weight != b.Weight || !s.Start.Equal(b.Start) ||
@@ -717,11 +717,11 @@
 		p.Boxes = append(p.Boxes, b)
 		return
 	}
-	kind := decide.RosterDelta
+	kind := balancer.RosterDelta
 	if !l.began {
-		kind = decide.RosterCached
+		kind = balancer.RosterCached
 		if l.live {
-			kind = decide.RosterFull
+			kind = balancer.RosterFull
 		}
 	}
 	l.out.Publish = append(l.out.Publish, Publication{Kind: kind, Boxes: []Box{b}})
@@ -739,7 +739,7 @@
 			b.Pace = e.pace(now)
 		}
 		if e.proof == Draining {
-			b.State = decide.Draining
+			b.State = balancer.Draining
 		}
 		k.Boxes = append(k.Boxes, b)
 	}
@@ -782,7 +782,7 @@
 func (l *List) Ramping() bool { return l.gate.on }
 func (l *List) Usable() (n int) {
 	for _, e := range l.order {
-		if l.usable(e) && e.proof != Draining && e.State == decide.On {
+		if l.usable(e) && e.proof != Draining && e.State == balancer.On {
 			n++
 		}
 	}
--- a/roster/roster_test.go
+++ b/endpoints/roster_test.go
@@ -1,4 +1,4 @@
-package roster
+package endpoints
 
 import (
 	"math"
@@ -10,13 +10,13 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"oakthread/decide"
+	"oakthread/balancer"
 )
 
 var t0 = time.Unix(1_800_000_000, 0)
 
 func box(id int) Box {
-	return Box{ID: decide.WorkerID(id), Addr: "127.0.0.1:1", State: decide.On, Weight: 2, Start: t0.Add(-time.Hour), Pace: 10}
+	return Box{ID: balancer.WorkerID(id), Addr: "127.0.0.1:1", State: balancer.On, Weight: 2, Start: t0.Add(-time.Hour), Pace: 10}
 }
 
 func keptList(age time.Duration, boxes ...Box) Kept {
@@ -24,16 +24,16 @@
 }
 
 // view is the list as the module has it, from what was published.
-type view map[decide.WorkerID]Box
+type view map[balancer.WorkerID]Box
 
 func (v view) take(l *List) Actions {
 	a := l.Take()
 	for _, p := range a.Publish {
-		if p.Kind != decide.RosterDelta {
+		if p.Kind != balancer.RosterDelta {
 			clear(v)
 		}
 		for _, b := range p.Boxes {
-			if b.State == decide.Off {
+			if b.State == balancer.Off {
 				delete(v, b.ID)
 			} else {
 				v[b.ID] = b
@@ -45,7 +45,7 @@
 
 func (v view) on() (ids []int) {
 	for id, b := range v {
-		if b.State == decide.On {
+		if b.State == balancer.On {
 			ids = append(ids, int(id))
 		}
 	}
@@ -54,8 +54,8 @@
 }
 
 // probes runs the list's ticks until d has passed and answers every probe by its box.
-func probes(l *List, v view, from time.Time, d time.Duration, answer func(Box) Sign) (asked map[decide.WorkerID]int) {
-	asked = map[decide.WorkerID]int{}
+func probes(l *List, v view, from time.Time, d time.Duration, answer func(Box) Sign) (asked map[balancer.WorkerID]int) {
+	asked = map[balancer.WorkerID]int{}
 	for now := from; now.Before(from.Add(d)); now = now.Add(5 * time.Millisecond) {
 		l.Tick(now)
 		for _, b := range v.take(l).Probe {
@@ -89,7 +89,7 @@
 func TestOnlyProvenBoxesAreGiven(t *testing.T) {
 	l, v := New(Config{Siblings: 3}), view{}
 	gone := box(3)
-	gone.State = decide.Draining
+	gone.State = balancer.Draining
 	l.Restore(t0, keptList(6*time.Hour, box(1), box(2), gone))
 	assert.Empty(t, l.Take().Publish, "no list before a proof")
 	asked := probes(l, v, t0, time.Second, func(b Box) Sign {
@@ -132,7 +132,7 @@
 		boxes = append(boxes, box(i+1))
 	}
 	const n = 60 // dispatchers
-	perBox := map[decide.WorkerID]map[int]int{}
+	perBox := map[balancer.WorkerID]map[int]int{}
 	for d := range n {
 		l, v := New(Config{Siblings: n, Seed: uint64(d)}), view{}
 		l.Restore(t0, keptList(time.Hour, boxes...))
@@ -224,12 +224,12 @@
 	l.Tick(now)
 	a := v.take(l)
 	require.Len(t, a.Probe, 1)
-	assert.Equal(t, decide.WorkerID(2), a.Probe[0].ID)
+	assert.Equal(t, balancer.WorkerID(2), a.Probe[0].ID)
 	l.Probed(now, 2, Drains)
 	a = v.take(l)
 	assert.Equal(t, []int{1}, v.on())
 	assert.True(t, a.Urgent, "on disk at once")
-	assert.Equal(t, decide.Draining, l.Keep(now).Boxes[1].State)
+	assert.Equal(t, balancer.Draining, l.Keep(now).Boxes[1].State)
 
 	// Discovery is late: its word that the box runs does not undo the box's own for a while.
 	l.Told(now, Update{Full: true, Cursor: 8, Boxes: []Box{box(1), box(2)}})
@@ -287,14 +287,14 @@
 	fresh := box(9)
 	fresh.Start = now
 	gone := box(2)
-	gone.State = decide.Off
+	gone.State = balancer.Off
 	l.Told(now, Update{Cursor: 8, Boxes: []Box{gone, fresh}})
 	v.take(l)
 	assert.Equal(t, []int{1, 9}, v.on(), "changes count at once")
 	l.Current(now)
 	a := v.take(l)
 	for _, p := range a.Publish {
-		assert.Equal(t, decide.RosterDelta, p.Kind, "beliefs about those that stayed are kept")
+		assert.Equal(t, balancer.RosterDelta, p.Kind, "beliefs about those that stayed are kept")
 	}
 	assert.Equal(t, []int{1, 3, 9}, v.on(), "discovery's word on the rest")
 	assert.Equal(t, now, v[9].Start, "cold by what was told")
@@ -334,7 +334,7 @@
 	probes(l, v, t0, time.Second, always(Answered))
 	now := t0.Add(time.Second)
 	drain := box(2)
-	drain.State = decide.Draining
+	drain.State = balancer.Draining
 	l.Told(now, Update{Cursor: 8, Epoch: "e1", Boxes: []Box{drain}}) // and then its connection is cut
 	l.Lost(now)
 	v.take(l)
@@ -444,18 +444,18 @@
 		}
 		l.Restore(now, keptList(time.Duration(rapid.IntRange(-10, 10_000).Draw(t, "age"))*time.Second, boxes...))
 		v.take(l)
-		banned := map[decide.WorkerID]time.Time{} // told or said that it drains or is gone
+		banned := map[balancer.WorkerID]time.Time{} // told or said that it drains or is gone
 		cursor := int64(7)
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "after")) * time.Millisecond)
-			id := decide.WorkerID(rapid.IntRange(1, 7).Draw(t, "box"))
+			id := balancer.WorkerID(rapid.IntRange(1, 7).Draw(t, "box"))
 			switch rapid.IntRange(0, 8).Draw(t, "event") {
 			case 0:
 				b := box(int(id))
-				b.State = decide.State(rapid.IntRange(0, 2).Draw(t, "state"))
+				b.State = balancer.State(rapid.IntRange(0, 2).Draw(t, "state"))
 				cursor++
 				l.Told(now, Update{Cursor: cursor, Boxes: []Box{b}})
-				if delete(banned, id); b.State != decide.On {
+				if delete(banned, id); b.State != balancer.On {
 					banned[id] = now
 				}
 			case 1:
@@ -465,7 +465,7 @@
 					if rapid.Bool().Draw(t, "in") {
 						all = append(all, box(i))
 					} else {
-						banned[decide.WorkerID(i)] = now
+						banned[balancer.WorkerID(i)] = now
 					}
 				}
 				cursor++
@@ -480,7 +480,7 @@
 				s := Sign(rapid.IntRange(0, 6).Draw(t, "probe"))
 				if l.Probed(now, id, s); s == Drains && l.boxes[id] != nil {
 					banned[id] = now
-				} else if e := l.boxes[id]; (s == Answered || s == Slow) && e != nil && e.State == decide.On {
+				} else if e := l.boxes[id]; (s == Answered || s == Slow) && e != nil && e.State == balancer.On {
 					delete(banned, id) // it takes work again, or another box stands there
 				}
 			case 6:
@@ -493,11 +493,11 @@
 			}
 			v.take(l)
 			for id, at := range banned {
-				if b, there := v[id]; there && b.State == decide.On && now.Sub(at) < ownWord {
+				if b, there := v[id]; there && b.State == balancer.On && now.Sub(at) < ownWord {
 					t.Fatalf("box %d is given as on %v after it was told to drain or be gone", id, now.Sub(at))
 				}
 			}
-			seen := map[decide.WorkerID]bool{}
+			seen := map[balancer.WorkerID]bool{}
 			for _, r := range l.Rows(now) {
 				if seen[r.ID] {
 					t.Fatalf("box %d stands there twice", r.ID)
--- a/example_test.go
+++ b/example_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"oakthread"
-	"oakthread/decide"
+	"oakthread/balancer"
 	"oakthread/middleware"
 )
 
@@ -19,25 +19,25 @@
 
 func (local) Send(_ context.Context, a oakthread.Attempt) oakthread.Reply {
 	if !a.Begin() { // its caller has left meanwhile
-		return oakthread.Reply{Result: decide.Moot}
+		return oakthread.Reply{Result: balancer.Moot}
 	}
-	return oakthread.Reply{Result: decide.OK, Warmth: decide.WarmHit, Body: []byte(strings.ToUpper(string(a.Request.Body)))}
+	return oakthread.Reply{Result: balancer.OK, Warmth: balancer.WarmHit, Body: []byte(strings.ToUpper(string(a.Request.Body)))}
 }
 func (local) Probe(context.Context, oakthread.Member) oakthread.Reply { return oakthread.Reply{} }
 func (local) Load(context.Context, oakthread.Order) oakthread.Reply   { return oakthread.Reply{} }
 func (local) Drop(context.Context, oakthread.Order)                   {}
-func (local) Forget(decide.WorkerID)                                  {}
+func (local) Forget(balancer.WorkerID)                                {}
 
 // A program dispatches calls behind its own server: the middleware takes the calls, other requests pass on.
 func Example() {
-	core, err := oakthread.New(oakthread.Config{Workers: local{}, Settings: decide.Settings{
-		Classes:     []decide.Class{{Aim: int64(time.Second), GiveUp: int64(3 * time.Second), Worth: 1, Effect: decide.Safe}},
+	core, err := oakthread.New(oakthread.Config{Workers: local{}, Settings: balancer.Settings{
+		Classes:     []balancer.Class{{Aim: int64(time.Second), GiveUp: int64(3 * time.Second), Worth: 1, Effect: balancer.Safe}},
 		MaxAttempts: 3, LoadsOnMiss: true, KeepAlive: int64(10 * time.Second)}})
 	if err != nil {
 		panic(err)
 	}
 	defer core.Close()
-	core.Roster(oakthread.Roster{Kind: decide.RosterFull, Members: []oakthread.Member{{ID: 1, State: decide.On, Weight: 1}}})
+	core.Roster(oakthread.Roster{Kind: balancer.RosterFull, Members: []oakthread.Member{{ID: 1, State: balancer.On, Weight: 1}}})
 
 	calls := middleware.Dispatch(core, func(r *http.Request) (oakthread.Request, error) {
 		if r.URL.Path != "/upper" {
--- a/internal/console/console.go
+++ b/internal/adminapi/console.go
@@ -4,7 +4,7 @@
 //
 // It owns its own listener and server, never behind the clients' path, and must never block an answer on the core
 // for long: every call is owed an answer within a second.
-package console
+package adminapi
 
 import (
 	"bytes"
@@ -24,9 +24,9 @@
 	"time"
 
 	"oakthread"
-	"oakthread/decide"
-	"oakthread/internal/netfault"
-	"oakthread/service"
+	"oakthread/admin"
+	"oakthread/balancer"
+	"oakthread/internal/neterr"
 )
 
 const (
@@ -41,9 +41,9 @@
 type Figures struct {
 	Attempts       int64 // written whole to executors
 	Pending        int64
-	Reloads, Fails int64             // files taken and turned down at SIGHUP
-	Ejected        []decide.WorkerID // executors that the module avoids by its own choice
-	Stale          bool              // the core did not answer in time: Attempts and Ejected are not known
+	Reloads, Fails int64               // files taken and turned down at SIGHUP
+	Ejected        []balancer.WorkerID // executors that the module avoids by its own choice
+	Stale          bool                // the core did not answer in time: Attempts and Ejected are not known
 }
 
 // Sources are what the console reads and steers. All fields are needed.
@@ -58,17 +58,17 @@
 
 // Verdict is what the dispatcher holds of one executor, as /control/verdicts tells it.
 type Verdict struct {
-	Executor  decide.WorkerID `json:"executor"` // as the log names it
-	Zone      int             `json:"zone"`
-	Verdict   string          `json:"verdict"` // well, suspect, left out, on trial
-	Evidence  string          `json:"evidence"`
-	Served    float64         `json:"served_lately"` // own calls, decaying
-	Failed    float64         `json:"failed_latest"` // part of own latest calls
-	Pace      float64         `json:"pace"`          // time of its calls in the mean of all
-	Observers [2]int          `json:"observers"`     // of the last word: served, not served
-	WordAgeMS int64           `json:"word_age_ms"`   // -1: no word
-	TrialInMS int64           `json:"trial_in_ms"`   // 0: none is due
-	Unreached bool            `json:"unreachable"`   // from here
+	Executor  balancer.WorkerID `json:"executor"` // as the log names it
+	Zone      int               `json:"zone"`
+	Verdict   string            `json:"verdict"` // well, suspect, left out, on trial
+	Evidence  string            `json:"evidence"`
+	Served    float64           `json:"served_lately"` // own calls, decaying
+	Failed    float64           `json:"failed_latest"` // part of own latest calls
+	Pace      float64           `json:"pace"`          // time of its calls in the mean of all
+	Observers [2]int            `json:"observers"`     // of the last word: served, not served
+	WordAgeMS int64             `json:"word_age_ms"`   // -1: no word
+	TrialInMS int64             `json:"trial_in_ms"`   // 0: none is due
+	Unreached bool              `json:"unreachable"`   // from here
 }
 
 // Console holds the desk, its file and its server. Make it with New.
@@ -76,17 +76,17 @@
 	src  Sources
 	path string // of the bans; "" keeps none
 	log  *slog.Logger
-	ids  func(string) decide.WorkerID
+	ids  func(string) balancer.WorkerID
 
 	mu   sync.Mutex
-	desk service.Desk
+	desk admin.Desk
 	seen []byte // the file as last read or written
 	last Figures
 }
 
 // New makes a console whose bans are kept at path ("" for none), read once here. ids maps the list's executor ids
 // to the module's.
-func New(src Sources, path string, ids func(string) decide.WorkerID, log *slog.Logger) *Console {
+func New(src Sources, path string, ids func(string) balancer.WorkerID, log *slog.Logger) *Console {
 	c := &Console{src: src, path: path, log: log, ids: ids}
 	c.mu.Lock()
 	c.readFile()
@@ -136,7 +136,7 @@
 	srv.SetKeepAlivesEnabled(false) // one call a connection
 	go c.follow(ctx)
 	go func() { <-ctx.Done(); _ = srv.Close() }()
-	if err := srv.Serve(netfault.NewListener(ln, c.log)); !errors.Is(err, http.ErrServerClosed) {
+	if err := srv.Serve(neterr.NewListener(ln, c.log)); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("console: %w", err)
 	}
 	return nil
@@ -278,9 +278,9 @@
 		c.log.Error("console: file of bans not read", "path", c.path, "err", err)
 		return news
 	}
-	kept := make([]decide.WorkerID, 0, len(f.Banned))
+	kept := make([]balancer.WorkerID, 0, len(f.Banned))
 	for _, id := range f.Banned {
-		kept = append(kept, decide.WorkerID(id))
+		kept = append(kept, balancer.WorkerID(id))
 	}
 	return c.desk.Keep(kept, time.Now())
 }
--- a/internal/console/console_test.go
+++ b/internal/adminapi/console_test.go
@@ -1,4 +1,4 @@
-package console
+package adminapi
 
 import (
 	"context"
@@ -18,7 +18,7 @@
 	"github.com/stretchr/testify/require"
 
 	"oakthread"
-	"oakthread/decide"
+	"oakthread/balancer"
 )
 
 type fake struct {
@@ -43,8 +43,8 @@
 	}
 }
 
-func ids(s string) decide.WorkerID {
-	return map[string]decide.WorkerID{"s-1": 1, "s-2": 2}[s]
+func ids(s string) balancer.WorkerID {
+	return map[string]balancer.WorkerID{"s-1": 1, "s-2": 2}[s]
 }
 
 func call(t *testing.T, h http.Handler, method, path string) (int, string) {
@@ -59,7 +59,7 @@
 	var f fake
 	path := filepath.Join(t.TempDir(), "bans.json")
 	c := New(f.sources(), path, ids, slog.New(slog.DiscardHandler))
-	c.Listed(oakthread.Roster{Kind: decide.RosterFull, Members: []oakthread.Member{{ID: 1, State: decide.On}}})
+	c.Listed(oakthread.Roster{Kind: balancer.RosterFull, Members: []oakthread.Member{{ID: 1, State: balancer.On}}})
 	h := c.Handler()
 
 	code, _ := call(t, h, "GET", "/control/ready")
@@ -76,7 +76,7 @@
 	f.mu.Lock()
 	last := f.told[len(f.told)-1]
 	f.mu.Unlock()
-	assert.Equal(t, decide.Draining, last.Members[0].State)
+	assert.Equal(t, balancer.Draining, last.Members[0].State)
 
 	code, body := call(t, h, "GET", "/control/counters")
 	assert.Equal(t, 200, code)
@@ -101,9 +101,9 @@
 	// The next version reads the ban before its list comes.
 	var g fake
 	next := New(g.sources(), path, ids, slog.New(slog.DiscardHandler))
-	next.Listed(oakthread.Roster{Kind: decide.RosterFull, Members: []oakthread.Member{{ID: 1, State: decide.On}}})
+	next.Listed(oakthread.Roster{Kind: balancer.RosterFull, Members: []oakthread.Member{{ID: 1, State: balancer.On}}})
 	g.mu.Lock()
-	assert.Equal(t, decide.Draining, g.told[0].Members[0].State)
+	assert.Equal(t, balancer.Draining, g.told[0].Members[0].State)
 	g.mu.Unlock()
 	code, _ = call(t, next.Handler(), "POST", "/control/executors/s-1/online")
 	assert.Equal(t, 200, code)
--- a/internal/console/golden_test.go
+++ b/internal/adminapi/golden_test.go
@@ -1,4 +1,4 @@
-package console
+package adminapi
 
 // This file holds the console's answers and its file of bans against those of an earlier build.
 
@@ -20,7 +20,7 @@
 	"github.com/stretchr/testify/require"
 
 	"oakthread"
-	"oakthread/decide"
+	"oakthread/balancer"
 )
 
 var updateGolden = flag.Bool("update", false, "write the text golden files")
@@ -38,8 +38,8 @@
 }
 
 // goldenIDs knows three executors of the list, and one that the list does not hold.
-func goldenIDs(s string) decide.WorkerID {
-	return map[string]decide.WorkerID{"s-1": 1, "s-2": 2, "s-last": math.MaxUint32, "s-9": 9}[s]
+func goldenIDs(s string) balancer.WorkerID {
+	return map[string]balancer.WorkerID{"s-1": 1, "s-2": 2, "s-last": math.MaxUint32, "s-9": 9}[s]
 }
 
 // goldenCore is what the console asks, with a distinct value in every field.
@@ -55,7 +55,7 @@
 		if g.stale {
 			return Figures{Pending: 15, Reloads: 16, Fails: 17, Stale: true}
 		}
-		return Figures{Attempts: 11, Pending: 12, Reloads: 13, Fails: 14, Ejected: []decide.WorkerID{2}}
+		return Figures{Attempts: 11, Pending: 12, Reloads: 13, Fails: 14, Ejected: []balancer.WorkerID{2}}
 	}
 	src.Tally = func(fn func(string, int64, int64, int64)) { fn("path-check", 4, 5, 6); fn("path-book", 1, 2, 3) }
 	src.Verdicts = func(context.Context) ([]Verdict, bool) {
@@ -69,8 +69,8 @@
 }
 
 func goldenRoster() oakthread.Roster {
-	return oakthread.Roster{Kind: decide.RosterFull, Members: []oakthread.Member{{ID: 1, State: decide.On},
-		{ID: 2, State: decide.On}, {ID: math.MaxUint32, State: decide.On}}}
+	return oakthread.Roster{Kind: balancer.RosterFull, Members: []oakthread.Member{{ID: 1, State: balancer.On},
+		{ID: 2, State: balancer.On}, {ID: math.MaxUint32, State: balancer.On}}}
 }
 
 // Every call of the operators gets the status, content type and body that it got from an earlier build.
@@ -148,13 +148,13 @@
 
 // A new console has the bans in force that the file of an earlier build holds.
 func TestBansFileIsReadable(t *testing.T) {
-	for name, want := range map[string][]decide.WorkerID{"bans.json": {1, math.MaxUint32}, "no-bans.json": nil} {
+	for name, want := range map[string][]balancer.WorkerID{"bans.json": {1, math.MaxUint32}, "no-bans.json": nil} {
 		var core goldenCore
 		c := New(core.sources(), filepath.Join("testdata", name), goldenIDs, slog.New(slog.DiscardHandler))
 		c.Listed(goldenRoster())
-		var drained []decide.WorkerID
+		var drained []balancer.WorkerID
 		for _, m := range core.told[0].Members {
-			if m.State == decide.Draining {
+			if m.State == balancer.Draining {
 				drained = append(drained, m.ID)
 			}
 		}
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -178,8 +178,8 @@
 
 // sizes are constants of other packages; TestSizesAreThoseOfTheSources reads them again.
 type sizes struct {
-	textMax, marksMax, datagram, waiting, line, eventsWait            float64 // commons/message.go, internal/platform/channel.go, core.go
-	tellShare, tellFloor, purseMax, hubAims, beats, hello, pairPart   float64 // decide/decide.go
+	textMax, marksMax, datagram, waiting, line, eventsWait            float64 // aggregate/message.go, internal/platform/channel.go, core.go
+	tellShare, tellFloor, purseMax, hubAims, beats, hello, pairPart   float64 // balancer/decide.go
 	quiet, dial, most                                                 float64 // s: internal/platform/channel.go
 	idleShare, reserved, clientSpare, memoryPart, datagramsInAReceive float64 // internal/platform/fleet.go, internal/daemon/daemon.go
 	collectAt                                                         float64 // per cent: internal/daemon/daemon.go
@@ -198,7 +198,7 @@
 // Packed is how long a message of dispatchers is, in characters of base64 as they are sent.
 type Packed struct{ First, All, Texts int }
 
-// Digest is the shape of a collector's message, as commons.Message.Texts writes it.
+// Digest is the shape of a collector's message, as aggregate.Message.Texts writes it.
 type Digest struct {
 	Siblings, Figures    int
 	Partial              bool // some sibling's row is not in the sums: a bit for each sibling follows
@@ -231,7 +231,7 @@
 	return packed(head, r.Marks, r.Counts, r.Pairs)
 }
 
-// packed follows commons.Message.Texts: a part has textMax bytes at the most, save that the head is never cut.
+// packed follows aggregate.Message.Texts: a part has textMax bytes at the most, save that the head is never cut.
 func packed(head, marks, counts, pairs int) (p Packed) {
 	of := ofProgram()
 	most := int(of.textMax)
@@ -256,7 +256,7 @@
 	return p
 }
 
-// Stops is the greatest number of siblings up to which a collector with a full purse can pay for a digest to all (decide.tell);
+// Stops is the greatest number of siblings up to which a collector with a full purse can pay for a digest to all (balancer.tell);
 // length tells its characters at so many. Beyond most it is most.
 func Stops(price float64, most int, length func(siblings int) int) int {
 	for n := 2; n <= most; n++ {
@@ -310,7 +310,7 @@
 }
 
 // reportShape is the mean report of a dispatcher with so many calls a second: those executors are told where one of its calls
-// was answered within the shortest aim, and new holders up to the module's limit (decide.gather).
+// was answered within the shortest aim, and new holders up to the module's limit (balancer.gather).
 func (c Case) reportShape(calls float64) Report {
 	of := ofProgram()
 	counts := math.Round(Distinct(calls*c.Aim, c.Listed()))
@@ -319,7 +319,7 @@
 }
 
 // reports is how many reports a second a dispatcher sends, and their characters: one each housekeeping round and one with each call
-// to a holder not believed before (functions drawn evenly), as far as its calls pay for them (decide.beat, send, tell).
+// to a holder not believed before (functions drawn evenly), as far as its calls pay for them (balancer.beat, send, tell).
 func (c Case) reports(calls float64) (rate float64, p Packed) {
 	of := ofProgram()
 	p = c.reportShape(calls).Length()
@@ -380,7 +380,7 @@
 // Slopes are the measured ones by name. A Slope without a Curve is missing.
 type Slopes map[string]Slope
 
-// The names of slopes' dimensions in oaklab run capacity. dimensions are moved alone; each slope of a figure over one of them is
+// The names of slopes' dimensions in testbed run capacity. dimensions are moved alone; each slope of a figure over one of them is
 // needed. choice is that of the section which sets the walk of the whole list beside the program, over executors; largest is not
 // a dimension: a figure as the largest run had it.
 const (
@@ -876,10 +876,10 @@
 		before,
 		row("choices", "calls/s of the busiest x cpu.choice", Executors,
 			"candidates: believed holders, places by hash, a few drawn (`docs/design/choice.md`)", choice),
-		row("upkeep", "cpu.upkeep", Fleet, "`decide.beat`, every eighth of the shortest aim; `sweep` every eighth of the keep-alive", upkeep),
-		row("words written", "cpu.write", Fleet, "`decide.tell`, `gather`", write),
-		row("words read", "messages.in x cpu.read", Fleet, "`decide.Peer`", read),
-		row("list events", "events/s x cpu.list", Executors, "`decide.Roster`, changes alone", list),
+		row("upkeep", "cpu.upkeep", Fleet, "`balancer.beat`, every eighth of the shortest aim; `sweep` every eighth of the keep-alive", upkeep),
+		row("words written", "cpu.write", Fleet, "`balancer.tell`, `gather`", write),
+		row("words read", "messages.in x cpu.read", Fleet, "`balancer.Peer`", read),
+		row("list events", "events/s x cpu.list", Executors, "`balancer.Roster`, changes alone", list),
 		row("new configuration", "changes/s x cpu.config", Executors, "`AddClasses`, `SetMaxAttempts`", config),
 		{role: dispatcher, what: "processor time: its busiest second", unit: "of a core", formula: "cpu.busiest", along: Fleet,
 			mechanism: "-", budget: 1, budgetOf: ofTheProgram, of: func(r *reading) float64 {
@@ -897,7 +897,7 @@
 	sockets := math.Floor(base.Descriptors) // internal/daemon: clients hold a third and a sixteenth
 	sockets -= math.Floor(sockets/3) + math.Floor(sockets/of.clientSpare) + of.reserved
 	tau := func(c Case) float64 { return of.longest * c.Aim }
-	known := func(c Case) float64 { // functions met within the keep-alive and tau (decide.sweep)
+	known := func(c Case) float64 { // functions met within the keep-alive and tau (balancer.sweep)
 		rare, often := c.rare(), c.Functions-c.rare()
 		each, calls := c.RareCalls/c.Dispatchers, max(0, c.Calls-rare*c.RareCalls)/c.Dispatchers
 		long := c.KeepAlive + tau(c)
@@ -918,22 +918,22 @@
 			}},
 		{role: dispatcher, what: "state: functions in the holder table",
 			formula: "those of its own calls within keep-alive + 8 shortest aims; a collector learns of others", along: Fleet,
-			mechanism: "`decide.sweep`", budget: math.NaN(), of: func(r *reading) float64 { return known(r.Case) }},
+			mechanism: "`balancer.sweep`", budget: math.NaN(), of: func(r *reading) float64 { return known(r.Case) }},
 		{role: dispatcher, what: "connections to executors",
 			formula: "listed x (1 - exp(-calls/s x 9 s / listed)), calls even over executors", along: Executors,
 			mechanism: "the one idle for longest gives way (`Fleet.giveWay`): a handshake more", budget: sockets, budgetOf: ofTheProgram,
 			of: func(r *reading) float64 { return r.connections(r.CallsEach()*r.Busiest, r.Listed()) }},
 		{role: dispatcher, what: "executors that share a 16-bit tag with another, pairs",
 			formula: "n (n-1) / 2 / 2^16", along: Executors, budget: 1, budgetOf: ofOurs,
-			mechanism: noneYet + ": what is told of one counts for the other (`decide.tag`)",
+			mechanism: noneYet + ": what is told of one counts for the other (`balancer.tag`)",
 			of:        func(r *reading) float64 { return Collisions(r.Listed(), 16) }},
 		{role: dispatcher, what: "functions that share a 32-bit tag with another, pairs",
 			formula: "n (n-1) / 2 / 2^32", along: Functions, budget: 1, budgetOf: ofOurs,
-			mechanism: noneYet + ": one row of the holder table for both (`decide.funcTag`)",
+			mechanism: noneYet + ": one row of the holder table for both (`balancer.funcTag`)",
 			of:        func(r *reading) float64 { return Collisions(r.Functions, 32) }},
 		{role: dispatcher, what: "whole list: the loop stands still for", unit: "s",
 			formula: "cpu.list.whole; budget: a housekeeping round, from which on it counts as having stood still", along: Executors,
-			mechanism: "`decide.Roster`",
+			mechanism: "`balancer.Roster`",
 			budget:    base.Aim / of.beats, budgetOf: ofTheProgram,
 			of: func(r *reading) float64 { return 1e-9 * r.step("cpu.list.whole") }},
 		{role: dispatcher, what: "whole list: its line", unit: "B",
@@ -952,7 +952,7 @@
 	return []spec{
 		{role: dispatcher, what: "reports sent, by arithmetic", unit: "B/s", along: Calls, budget: b.Bytes, budgetOf: ofLetter,
 			formula:   "what calls pay for: 0.005 x calls/s x 256 / price; fewer where rounds and calls to new holders are fewer",
-			mechanism: noneYet + ": their price is counted by calls, not by seconds (`decide.tell`)",
+			mechanism: noneYet + ": their price is counted by calls, not by seconds (`balancer.tell`)",
 			of: func(r *reading) float64 {
 				rate, p := r.reports(r.CallsEach() * r.Busiest)
 				return rate * float64(p.All)
@@ -962,21 +962,21 @@
 			mechanism: "the price stops them: see the collector's rows",
 			of:        func(r *reading) float64 { return float64(r.wholeDigest(true).Length().All) / r.term() }},
 		{role: dispatcher, what: "messages in and out", unit: "B/s", along: Fleet, budget: b.Bytes, budgetOf: ofLetter,
-			formula: "bytes", mechanism: "`decide.tell`", of: func(r *reading) float64 { return r.state("bytes") }},
+			formula: "bytes", mechanism: "`balancer.tell`", of: func(r *reading) float64 { return r.state("bytes") }},
 		{role: dispatcher, what: "messages in", unit: "B/s", along: Fleet, budget: math.NaN(),
-			formula: "bytes.in", mechanism: "`decide.tell`", of: func(r *reading) float64 { return r.state("bytes.in") }},
+			formula: "bytes.in", mechanism: "`balancer.tell`", of: func(r *reading) float64 { return r.state("bytes.in") }},
 		{role: dispatcher, what: "messages out", unit: "B/s", along: Fleet, budget: math.NaN(),
-			formula: "bytes.out", mechanism: "`decide.tell`", of: func(r *reading) float64 { return r.state("bytes.out") }},
+			formula: "bytes.out", mechanism: "`balancer.tell`", of: func(r *reading) float64 { return r.state("bytes.out") }},
 		{role: dispatcher, what: "messages out in its busiest second", unit: "B/s", along: Dispatchers, budget: math.NaN(),
 			formula:   "bytes.out.busiest",
-			mechanism: "`decide.tell`",
+			mechanism: "`balancer.tell`",
 			of:        func(r *reading) float64 { return r.state("bytes.out.busiest") }},
 		{role: dispatcher, what: "command channel", unit: "B/s", along: Changes, budget: b.Bytes, budgetOf: ofLetter,
 			mechanism: "changes alone (`internal/platform/channel.go`)",
 			formula:   "(changes/86,400 + list events/s) x bytes of an event + a number's line a second",
 			of:        func(r *reading) float64 { return r.listRate()*r.EventBytes + 8 }},
 		{role: dispatcher, what: "answers to its hellos after a restart", unit: "B", along: Fleet, budget: math.NaN(),
-			mechanism: "`decide.Peer`; not priced",
+			mechanism: "`balancer.Peer`; not priced",
 			formula:   "3 x all holders that one believes, 6 B each: those of calls within the keep-alive",
 			of: func(r *reading) float64 {
 				return of.hello * float64(packed(3, 0, 0, int(Distinct(r.CallsEach()*r.KeepAlive, r.Functions))).All)
@@ -1046,11 +1046,11 @@
 			mechanism: "`peers_all`; without it what does not fit in the queue is lost, uncounted",
 			formula:   "dispatchers - 1; budget: the queue of the peers' socket", of: func(r *reading) float64 { return r.Dispatchers - 1 }},
 		{role: collector, what: "in its busiest second", unit: "B/s", along: Dispatchers, budget: math.NaN(),
-			mechanism: "`decide.tell`",
+			mechanism: "`balancer.tell`",
 			formula:   "collector.in.busiest",
 			of:        func(r *reading) float64 { return r.state("collector.in.busiest") }},
 		{role: collector, what: "out in its busiest second", unit: "B/s", along: Dispatchers, budget: math.NaN(),
-			mechanism: "`decide.tell`",
+			mechanism: "`balancer.tell`",
 			formula:   "collector.out.busiest",
 			of: func(r *reading) float64 {
 				return r.state("collector.out.busiest")
@@ -1066,7 +1066,7 @@
 	}
 	return []spec{
 		{role: executor, what: "calls", unit: "1/s", along: Fleet, budget: none,
-			mechanism: "`decide.choose`",
+			mechanism: "`balancer.choose`",
 			formula:   "calls/s over executors",
 			of:        func(r *reading) float64 { return each(r.Case) }},
 		{role: executor, what: "connections open", along: Fleet, budget: none,
@@ -1142,7 +1142,7 @@
 	}
 	return []spec{
 		{role: letter, what: "48,000 functions: calls of those called less than once a minute", unit: "of all", along: Functions, budget: none,
-			mechanism: "their place by hash, the same at every dispatcher (`decide.choose`)",
+			mechanism: "their place by hash, the same at every dispatcher (`balancer.choose`)",
 			formula:   "rare functions x calls/s / calls/s of all",
 			of:        func(r *reading) float64 { return r.rare() * r.RareCalls / r.Calls }},
 		{role: letter, what: "48,000 functions: one dispatcher meets such a function every", unit: "s", along: Dispatchers, budget: none,
@@ -1153,11 +1153,11 @@
 			formula:   "exp(-calls/s x keep-alive), all at one place",
 			of:        func(r *reading) float64 { cold, _ := RareLoads(r.RareCalls, r.KeepAlive, r.Load); return cold }},
 		{role: letter, what: "48,000 functions: loads of these", unit: "1/s", along: Functions, budget: none,
-			mechanism: "the store's; rationed (`decide.order`)",
+			mechanism: "the store's; rationed (`balancer.order`)",
 			formula:   "rare functions x calls/s x part without a copy",
 			of:        func(r *reading) float64 { loads, _ := rareCold(r.Case); return loads }},
 		{role: letter, what: "48,000 functions: copies that these hold", unit: "of the instances", along: Functions, budget: none,
-			mechanism: "`decide.trim`, the executors' keep-alive",
+			mechanism: "`balancer.trim`, the executors' keep-alive",
 			formula:   "rare functions x (1 - exp(-calls/s x keep-alive) + loading) / instances",
 			of:        func(r *reading) float64 { _, copies := rareCold(r.Case); return copies / r.Instances }},
 		{role: letter, what: "380,000 calls/s: of the mean dispatcher", unit: "1/s", along: Calls, budget: none,
@@ -1179,7 +1179,7 @@
 				return Waits(loads*r.Load/r.Executors, r.LoadSlots)
 			}},
 		{role: letter, what: "cold start, p99 in virtual time", unit: "s", along: Functions, budget: b.ColdStart, budgetOf: ofLetter,
-			mechanism: "an order to load, the call held meanwhile (`decide.hold`)",
+			mechanism: "an order to load, the call held meanwhile (`balancer.hold`)",
 			formula:   "p99.cold",
 			of: func(r *reading) float64 {
 				return r.largest("p99.cold")
@@ -1197,7 +1197,7 @@
 			mechanism: "zones judged as one (`verdict`)",
 			formula:   "1 / (zones - 1)", of: func(r *reading) float64 { return 1 / (r.Zones - 1) }},
 		{role: letter, what: "a zone gone: its copies are loaded elsewhere within", unit: "s", along: Executors, budget: none,
-			mechanism: "rationed (`decide.order`); the store's limit is not told in fetches a second",
+			mechanism: "rationed (`balancer.order`); the store's limit is not told in fetches a second",
 			formula:   "instances / zones x mean load / (executors left x 4.5 slots), evenly spread", of: func(r *reading) float64 {
 				return r.Instances / r.Zones * r.Load / (r.Executors * (1 - 1/r.Zones) * r.LoadSlots)
 			}},
@@ -1218,13 +1218,13 @@
 				return r.largest("unserved")
 			}},
 		{role: letter, what: "loads, in virtual time", unit: "a call", along: Functions,
-			budget: none, mechanism: "`decide.hold`, `decide.order`", formula: "loads",
+			budget: none, mechanism: "`balancer.hold`, `balancer.order`", formula: "loads",
 			of: func(r *reading) float64 { return r.largest("loads") }},
 		{role: letter, what: "part of the fleet that a dispatcher's view covers, in virtual time", along: Dispatchers, budget: none,
 			mechanism: "`commons.View`", formula: "covered",
 			of: func(r *reading) float64 { return r.largest("covered") }},
 		{role: letter, what: "terms in which half of the dispatchers were told", unit: "of all", along: Dispatchers, budget: none,
-			mechanism: "`decide.tell`",
+			mechanism: "`balancer.tell`",
 			formula:   "digests",
 			of:        func(r *reading) float64 { return r.largest("digests") }},
 	}
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -19,9 +19,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"oakthread/commons"
-	"oakthread/decide"
-	"oakthread/turns"
+	"oakthread/aggregate"
+	"oakthread/balancer"
+	"oakthread/leader"
 )
 
 // line is a straight line as a Curve.
@@ -30,7 +30,7 @@
 func (l line) At(x float64) float64 { return l.a + l.b*x }
 
 func slope(a, b, base float64) Slope {
-	return Slope{Curve: line{a, b}, Base: base, Spread: 0.1, Command: "oaklab run capacity"}
+	return Slope{Curve: line{a, b}, Base: base, Spread: 0.1, Command: "testbed run capacity"}
 }
 
 // all is a slope for every name that a row asks for.
@@ -60,8 +60,8 @@
 	return Row{}
 }
 
-func filled(n, of int) commons.Set {
-	s := commons.NewSet(of)
+func filled(n, of int) aggregate.Set {
+	s := aggregate.NewSet(of)
 	for i := range n {
 		s.Add(i)
 	}
@@ -71,13 +71,13 @@
 // The arithmetic of lengths is that of the codec, for digests and reports of any shape.
 func TestLengthsAreThoseOfTheCodec(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	check := func(m commons.Message, siblings int, got Packed) {
+	check := func(m aggregate.Message, siblings int, got Packed) {
 		t.Helper()
 		texts := m.Texts(siblings)
-		require.Equal(t, Packed{len(texts[0]), commons.Chars(texts), len(texts)}, got, "%d siblings, %+v", siblings, m)
+		require.Equal(t, Packed{len(texts[0]), aggregate.Chars(texts), len(texts)}, got, "%d siblings, %+v", siblings, m)
 	}
-	beside := func(m *commons.Message, marks, counts, pairs int) {
-		m.Marks, m.Counts, m.Pairs = make([]commons.Mark, marks), make([]commons.Count, counts), make([]commons.Pair, pairs)
+	beside := func(m *aggregate.Message, marks, counts, pairs int) {
+		m.Marks, m.Counts, m.Pairs = make([]aggregate.Mark, marks), make([]aggregate.Count, counts), make([]aggregate.Pair, pairs)
 	}
 	sizes := []int{1, 2, 7, 8, 9, 80, 300, 568, 569, 577, 1000, 1900, 1901}
 	for i := range 4000 {
@@ -87,8 +87,8 @@
 			counts, pairs = 0, 0
 		}
 		row := make([]float64, figs)
-		m := commons.Message{Hub: true, Sum: commons.Digest{Sums: row, Gone: row, Moved: row,
-			Covered: filled(siblings, siblings), Missing: commons.NewSet(siblings)}}
+		m := aggregate.Message{Hub: true, Sum: aggregate.Digest{Sums: row, Gone: row, Moved: row,
+			Covered: filled(siblings, siblings), Missing: aggregate.NewSet(siblings)}}
 		beside(&m, marks, counts, pairs)
 		d := Digest{Siblings: siblings, Figures: figs, Marks: marks, Counts: counts, Pairs: pairs}
 		if d.Partial = i%2 == 0 && siblings > 1; d.Partial {
@@ -100,7 +100,7 @@
 		check(m, siblings, d.Length())
 
 		r := Report{Figures: figs, Quoted: rng.IntN(figs+2) - 1, Marks: marks, Counts: counts, Pairs: pairs}
-		m = commons.Message{Row: commons.Row{Figures: row}}
+		m = aggregate.Message{Row: aggregate.Row{Figures: row}}
 		if r.Quoted >= 0 {
 			m.Row.Prev = make([]float64, figs)
 			for j := r.Quoted; j < figs; j++ {
@@ -169,9 +169,9 @@
 		path, name, written string
 		value, want         float64
 	}{
-		{"../../commons/message.go", "textMax", "190", of.textMax, 190},
-		{"../../commons/message.go", "marksMax", "12", of.marksMax, 12},
-		{"../../commons/message.go", "figsMax", "15", figuresMost, 15},
+		{"../../aggregate/message.go", "textMax", "190", of.textMax, 190},
+		{"../../aggregate/message.go", "marksMax", "12", of.marksMax, 12},
+		{"../../aggregate/message.go", "figsMax", "15", figuresMost, 15},
 		{"../platform/channel.go", "maxDatagram", "256", of.datagram, 256},
 		{"../platform/channel.go", "datagramWait", "256", of.waiting, 256},
 		{"../platform/channel.go", "maxLine", "4 << 20", of.line, 4 << 20},
@@ -184,15 +184,15 @@
 		{"../daemon/daemon.go", "memoryPart", "0.7", of.memoryPart, 0.7},
 		{"../daemon/daemon.go", "collectAt", "150", of.collectAt, 150},
 		{"../../core.go", "eventsWait", "1024", of.eventsWait, 1024},
-		{"../../decide/decide.go", "tellShare", "0.005", of.tellShare, 0.005},
-		{"../../decide/decide.go", "tellFloor", "0.002", of.tellFloor, 0.002},
-		{"../../decide/decide.go", "purseMax", "10.0", of.purseMax, 10},
-		{"../../decide/decide.go", "hubAims", "2", of.hubAims, 2},
-		{"../../decide/decide.go", "beats", "8", of.beats, 8},
-		{"../../decide/decide.go", "helloPeers", "3", of.hello, 3},
-		{"../../decide/decide.go", "pairPart", "8", of.pairPart, 8},
-		{"../../verdict/verdict.go", "longest", "8", of.longest, 8},
-		{"../../roster/roster.go", "defaultProbeRate", "300", Letter().ProbeRate, 300},
+		{"../../balancer/decide.go", "tellShare", "0.005", of.tellShare, 0.005},
+		{"../../balancer/decide.go", "tellFloor", "0.002", of.tellFloor, 0.002},
+		{"../../balancer/decide.go", "purseMax", "10.0", of.purseMax, 10},
+		{"../../balancer/decide.go", "hubAims", "2", of.hubAims, 2},
+		{"../../balancer/decide.go", "beats", "8", of.beats, 8},
+		{"../../balancer/decide.go", "helloPeers", "3", of.hello, 3},
+		{"../../balancer/decide.go", "pairPart", "8", of.pairPart, 8},
+		{"../../outlier/verdict.go", "longest", "8", of.longest, 8},
+		{"../../endpoints/roster.go", "defaultProbeRate", "300", Letter().ProbeRate, 300},
 	} {
 		assert.Equal(t, c.written, constants(t, c.path)[c.name], "%s in %s", c.name, c.path)
 		assert.InDelta(t, c.want, c.value, 1e-12, c.name)
@@ -241,7 +241,7 @@
 		s["cpu.list/"+dim], s["heap/"+dim] = slope(100, 0, 1), slope(1e6, 0, 1)
 	}
 	// Over executors 1,000 at the base of 100 and 96,000 at 9,600; over functions 2 more for each beyond 4,000.
-	s["cpu.list/executors"] = Slope{Curve: line{0, 10}, Base: 100, Spread: 0.2, Command: "oaklab run capacity --only executors"}
+	s["cpu.list/executors"] = Slope{Curve: line{0, 10}, Base: 100, Spread: 0.2, Command: "testbed run capacity --only executors"}
 	s["heap/executors"], s["heap/functions"] = slope(0, 1e4, 100), slope(992_000, 2, 4000)
 	rows := Rows(Letter(), LetterBudgets(), s)
 	for _, c := range []struct {
@@ -281,7 +281,7 @@
 	assert.Equal(t, []string{"cpu.choice/choice"}, choice.Slopes)
 	list := find(t, rows, dispatcher, "processor time: list events")
 	assert.Len(t, list.Slopes, 5)
-	assert.Equal(t, "oaklab run capacity, oaklab run capacity --only executors", list.Command)
+	assert.Equal(t, "testbed run capacity, testbed run capacity --only executors", list.Command)
 	assert.InDelta(t, 0.2, float64(list.Spread), 1e-9)
 	assert.Zero(t, float64(choice.Low), "choices may not count as control")
 
@@ -462,8 +462,8 @@
 		assert.Equal(t, 10, strings.Count(l, "|"), l)
 	}
 	assert.NotContains(t, table, "NaN")
-	assert.Contains(t, table, "| `oaklab run capacity`: heap/*; spread 0.1 |")
-	assert.Contains(t, table, "| `oaklab run capacity`: cpu.read/*, messages.in/*; spread 0.1 |")
+	assert.Contains(t, table, "| `testbed run capacity`: heap/*; spread 0.1 |")
+	assert.Contains(t, table, "| `testbed run capacity`: cpu.read/*, messages.in/*; spread 0.1 |")
 	assert.Equal(t, []string{"a/calls", "b/choice"}, gathered([]string{"b/choice", "a/calls"}))
 	assert.Equal(t, len(all())+2, strings.Count(MarkdownSlopes(all()), "\n"))
 	assert.Equal(t, 2, strings.Count(MarkdownSlopes(Slopes{"x/calls": {}}), "\n"), "a slope without a curve is missing")
@@ -480,7 +480,7 @@
 
 // asked is a dispatcher of the real module before executors that answer each call at once loaded, 60 ms after; it counts what it tells.
 type asked struct {
-	d     *decide.Dispatcher
+	d     *balancer.Dispatcher
 	now   int64
 	queue []due
 	tell  func(to int, text string)
@@ -498,26 +498,26 @@
 	h.queue = slices.Insert(h.queue, i, due{at, do})
 }
 
-func (h *asked) Send(id string, w decide.WorkerID, _ int64) {
+func (h *asked) Send(id string, w balancer.WorkerID, _ int64) {
 	n := h.sends[id]
 	h.sends[id]++
 	h.after(60e6, func() {
-		h.d.Outcome(h.now, decide.Outcome{ID: id, Attempt: n, Worker: w, Result: decide.OK, Finished: true, Warmth: decide.WarmHit})
+		h.d.Outcome(h.now, balancer.Outcome{ID: id, Attempt: n, Worker: w, Result: balancer.OK, Finished: true, Warmth: balancer.WarmHit})
 	})
 }
-func (h *asked) Load(w decide.WorkerID, f decide.FuncID, n int) {
-	h.after(100e6, func() { h.d.Loaded(h.now, w, f, n, decide.OK) })
+func (h *asked) Load(w balancer.WorkerID, f balancer.FuncID, n int) {
+	h.after(100e6, func() { h.d.Loaded(h.now, w, f, n, balancer.OK) })
 }
-func (h *asked) Counted(int64)                     {}
-func (h *asked) Timer(delay, ref int64)            { h.after(delay, func() { h.d.Timer(h.now, ref) }) }
-func (h *asked) Tell(to int, text string)          { h.tell(to, text) }
-func (*asked) Cancel(string, int)                  {}
-func (*asked) Refuse(string, int64)                {}
-func (*asked) Fail(string)                         {}
-func (*asked) Drop(decide.WorkerID, decide.FuncID) {}
-func (*asked) Probe(decide.WorkerID)               {}
-func (*asked) Watch()                              {}
-func (*asked) Log(string)                          {}
+func (h *asked) Counted(int64)                         {}
+func (h *asked) Timer(delay, ref int64)                { h.after(delay, func() { h.d.Timer(h.now, ref) }) }
+func (h *asked) Tell(to int, text string)              { h.tell(to, text) }
+func (*asked) Cancel(string, int)                      {}
+func (*asked) Refuse(string, int64)                    {}
+func (*asked) Fail(string)                             {}
+func (*asked) Drop(balancer.WorkerID, balancer.FuncID) {}
+func (*asked) Probe(balancer.WorkerID)                 {}
+func (*asked) Watch()                                  {}
+func (*asked) Log(string)                              {}
 
 // run plays events up to a time.
 func run(h *asked, until int64) {
@@ -539,28 +539,28 @@
 		h.tell = func(to int, text string) {
 			if to >= 0 {
 				chars += len(text)
-				if m, ok := commons.Read(text, siblings); ok && !m.GoesOn {
+				if m, ok := aggregate.Read(text, siblings); ok && !m.GoesOn {
 					reports++
 				}
 			}
 		}
-		s := decide.Settings{Classes: []decide.Class{{Aim: 400e6, GiveUp: 5e9, Worth: 1, Effect: decide.Safe}},
+		s := balancer.Settings{Classes: []balancer.Class{{Aim: 400e6, GiveUp: 5e9, Worth: 1, Effect: balancer.Safe}},
 			TenantRate: make([]float64, tenants), Number: 3, Siblings: siblings, Quantum: 4e6, MaxAttempts: 5,
 			Peers: true, PeerPrice: Base(Letter()).PeerPrice, KeepAlive: 10e9, LoadsOnMiss: true}
 		var err error
-		h.d, err = decide.New(h.now, s, 1, h)
+		h.d, err = balancer.New(h.now, s, 1, h)
 		require.NoError(t, err)
-		var es []decide.Entry
+		var es []balancer.Entry
 		for i := range executors {
-			es = append(es, decide.Entry{Worker: decide.WorkerID(i + 1), State: decide.On, Weight: 1})
+			es = append(es, balancer.Entry{Worker: balancer.WorkerID(i + 1), State: balancer.On, Weight: 1})
 		}
-		h.d.Roster(h.now, decide.RosterFull, es)
+		h.d.Roster(h.now, balancer.RosterFull, es)
 		rng := rand.New(rand.NewPCG(5, uint64(calls)))
 		gap, n := int64(1e9)/int64(calls), 0
 		var call func()
 		call = func() {
 			n++
-			h.d.Request(h.now, decide.Request{ID: fmt.Sprint(n), Func: decide.FuncID(rng.Uint64N(48_000)), Deadline: h.now + 5e9, Lanes: 1})
+			h.d.Request(h.now, balancer.Request{ID: fmt.Sprint(n), Func: balancer.FuncID(rng.Uint64N(48_000)), Deadline: h.now + 5e9, Lanes: 1})
 			h.after(gap, call)
 		}
 		h.after(gap, call)
@@ -591,36 +591,36 @@
 		t.Run(fmt.Sprintf("%d siblings, one silent %v", c.siblings, c.silent), func(t *testing.T) {
 			h, texts := &asked{now: 1e18, sends: map[string]int{}}, 0
 			h.tell = func(to int, text string) {
-				if m, ok := commons.Read(text, c.siblings); to < 0 && ok && m.Hub {
+				if m, ok := aggregate.Read(text, c.siblings); to < 0 && ok && m.Hub {
 					texts++
 				}
 			}
 			term := 2 * aim
 			h.now -= h.now % term
-			for turns.New(0, c.siblings, term).Collector(h.now) != 0 {
+			for leader.New(0, c.siblings, term).Collector(h.now) != 0 {
 				h.now += term
 			}
 			h.now -= term // it has lived for a while when its term comes
 			begin := h.now + term
-			s := decide.Settings{Classes: []decide.Class{{Aim: aim, GiveUp: 5e9, Worth: 1, Effect: decide.Safe}}, Siblings: c.siblings,
+			s := balancer.Settings{Classes: []balancer.Class{{Aim: aim, GiveUp: 5e9, Worth: 1, Effect: balancer.Safe}}, Siblings: c.siblings,
 				TenantRate: make([]float64, tenants), Quantum: 4e6, MaxAttempts: 5, Peers: true, PeerPrice: price, KeepAlive: 10e9}
 			var err error
-			h.d, err = decide.New(h.now, s, 1, h)
+			h.d, err = balancer.New(h.now, s, 1, h)
 			require.NoError(t, err)
-			var es []decide.Entry
+			var es []balancer.Entry
 			for i := range 60 {
-				es = append(es, decide.Entry{Worker: decide.WorkerID(i + 1), State: decide.On, Weight: 1})
+				es = append(es, balancer.Entry{Worker: balancer.WorkerID(i + 1), State: balancer.On, Weight: 1})
 			}
-			h.d.Roster(h.now, decide.RosterFull, es)
+			h.d.Roster(h.now, balancer.RosterFull, es)
 			n := 0
 			var call func()
 			call = func() {
 				n++
-				h.d.Request(h.now, decide.Request{ID: fmt.Sprint(n), Func: decide.FuncID(n), Deadline: h.now + 5e9, Lanes: 1})
+				h.d.Request(h.now, balancer.Request{ID: fmt.Sprint(n), Func: balancer.FuncID(n), Deadline: h.now + 5e9, Lanes: 1})
 				h.after(5e6, call)
 			}
 			h.after(1, call)
-			report := commons.Message{Calls: 255, Row: commons.Row{Seq: 1, Figures: make([]float64, tenants+2), Fresh: true}}.Texts(c.siblings)[0]
+			report := aggregate.Message{Calls: 255, Row: aggregate.Row{Seq: 1, Figures: make([]float64, tenants+2), Fresh: true}}.Texts(c.siblings)[0]
 			h.after(begin+20e6-h.now, func() {
 				for from := 1; from < c.siblings; from++ {
 					if !c.silent || from != 1 {
@@ -635,7 +635,7 @@
 }
 
 // The page says what the package works out: every row that needs no run, and the assumptions. Print them anew with
-// bin/oaklab run capacity.
+// bin/testbed run capacity.
 func TestPageHasTheRowsThatNeedNoRun(t *testing.T) {
 	raw, err := os.ReadFile("../../docs/CAPACITY.md")
 	require.NoError(t, err)
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -12,8 +12,8 @@
 
 	"github.com/spf13/cobra"
 
+	"oakthread/internal/config"
 	"oakthread/internal/daemon"
-	"oakthread/internal/opfile"
 	"oakthread/webhook"
 )
 
@@ -103,7 +103,7 @@
 		o := daemon.Options{Getenv: env.Getenv, Hup: env.Hup, Log: env.Log}
 		var err error
 		if *file != "" {
-			if o.File, err = opfile.Read(*file); err != nil {
+			if o.File, err = config.Read(*file); err != nil {
 				return err
 			}
 			o.Webhooks = o.File.Webhooks
@@ -124,7 +124,7 @@
 }
 
 func checkConfig(out io.Writer, path string) error {
-	f, err := opfile.Read(path)
+	f, err := config.Read(path)
 	if err != nil {
 		return err
 	}
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -15,10 +15,10 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"oakthread/decide"
-	"oakthread/internal/console"
-	"oakthread/internal/kept"
-	"oakthread/roster"
+	"oakthread/balancer"
+	"oakthread/endpoints"
+	"oakthread/internal/adminapi"
+	"oakthread/internal/endpointcache"
 )
 
 func typed(t *testing.T, args ...string) (out string, err error) {
@@ -29,14 +29,14 @@
 
 func keptFile(t *testing.T) string {
 	path := filepath.Join(t.TempDir(), "list.db")
-	s, _, err := kept.Open(path, "d7")
+	s, _, err := endpointcache.Open(path, "d7")
 	require.NoError(t, err)
 	now := time.Now()
-	k := roster.Kept{Epoch: "e", Cursor: 9, Confirmed: now.Add(-6 * time.Hour), Saved: now.Add(-6 * time.Hour)}
+	k := endpoints.Kept{Epoch: "e", Cursor: 9, Confirmed: now.Add(-6 * time.Hour), Saved: now.Add(-6 * time.Hour)}
 	for i := 1; i <= 3; i++ {
-		k.Boxes = append(k.Boxes, roster.Box{ID: decide.WorkerID(i), Addr: fmt.Sprint("127.0.0.1:", 90+i), State: decide.On, Weight: 2, Pace: 1.5})
+		k.Boxes = append(k.Boxes, endpoints.Box{ID: balancer.WorkerID(i), Addr: fmt.Sprint("127.0.0.1:", 90+i), State: balancer.On, Weight: 2, Pace: 1.5})
 	}
-	k.Boxes[2].State = decide.Draining
+	k.Boxes[2].State = balancer.Draining
 	require.NoError(t, s.Write(k))
 	require.NoError(t, s.Close())
 	return path
@@ -86,9 +86,9 @@
 	other := filepath.Join(t.TempDir(), "other.db")
 	_, err = typed(t, "list", "import", other, file, "--owner", "d8")
 	require.NoError(t, err)
-	a, err := kept.Read(path, "d7")
+	a, err := endpointcache.Read(path, "d7")
 	require.NoError(t, err)
-	b, err := kept.Read(other, "d8")
+	b, err := endpointcache.Read(other, "d8")
 	require.NoError(t, err)
 	assert.True(t, a.Kept.Confirmed.Equal(b.Kept.Confirmed))
 	assert.Equal(t, a.Kept.Boxes, b.Kept.Boxes)
@@ -97,7 +97,7 @@
 	require.NoError(t, err)
 	_, err = typed(t, "list", "forget", path, "--all")
 	require.NoError(t, err)
-	a, err = kept.Read(path, "d7")
+	a, err = endpointcache.Read(path, "d7")
 	require.NoError(t, err)
 	assert.Empty(t, a.Kept.Boxes)
 	assert.Zero(t, a.Kept.Cursor, "it is told anew in full")
@@ -108,11 +108,11 @@
 		_, err = typed(t, "list", "import", other, file)
 		assert.ErrorContains(t, err, want)
 	}
-	held, _, err := kept.Open(other, "d8")
+	held, _, err := endpointcache.Open(other, "d8")
 	require.NoError(t, err)
 	defer held.Close()
 	_, err = typed(t, "list", "forget", other, "--all")
-	require.ErrorIs(t, err, kept.ErrInUse)
+	require.ErrorIs(t, err, endpointcache.ErrInUse)
 	_, err = typed(t, "list", "show", other)
 	require.NoError(t, err, "reading beside a running dispatcher")
 }
@@ -131,7 +131,7 @@
 func TestVerdictsShow(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		assert.Equal(t, "/control/verdicts", r.URL.Path)
-		_ = json.NewEncoder(w).Encode([]console.Verdict{{Executor: 16094, Verdict: "left out", Evidence: "3 of 3 observers were not served", Observers: [2]int{0, 3}, WordAgeMS: 40},
+		_ = json.NewEncoder(w).Encode([]adminapi.Verdict{{Executor: 16094, Verdict: "left out", Evidence: "3 of 3 observers were not served", Observers: [2]int{0, 3}, WordAgeMS: 40},
 			{Executor: 256, Verdict: "well", WordAgeMS: -1}})
 	}))
 	defer srv.Close()
--- a/internal/cli/list.go
+++ b/internal/cli/list.go
@@ -16,9 +16,9 @@
 
 	"github.com/spf13/cobra"
 
-	"oakthread/decide"
-	"oakthread/internal/kept"
-	"oakthread/roster"
+	"oakthread/balancer"
+	"oakthread/endpoints"
+	"oakthread/internal/endpointcache"
 )
 
 // listing is a kept list as people and programs read it.
@@ -70,8 +70,8 @@
 	return *t
 }
 
-func makeListing(f kept.Found, now time.Time) listing {
-	l := roster.New(roster.Config{})
+func makeListing(f endpointcache.Found, now time.Time) listing {
+	l := endpoints.New(endpoints.Config{})
 	l.Restore(now, f.Kept)
 	k, h := f.Kept, f.Kept.History
 	out := listing{Owner: f.Owner, Schema: f.Schema, Epoch: k.Epoch, Cursor: k.Cursor, Confirmed: k.Confirmed.UTC(), Saved: k.Saved.UTC(),
@@ -87,12 +87,12 @@
 	return out
 }
 
-func parseID(s string) (decide.WorkerID, error) {
+func parseID(s string) (balancer.WorkerID, error) {
 	n, err := strconv.ParseUint(trimID(s), 16, 32)
 	if err != nil {
 		return 0, fmt.Errorf("box %q: want s- and 8 hex digits, as list show prints", s)
 	}
-	return decide.WorkerID(n), nil
+	return balancer.WorkerID(n), nil
 }
 
 func trimID(s string) string {
@@ -107,7 +107,7 @@
 	asJSON := false
 	show := &cobra.Command{Use: "show FILE", Short: "Show the boxes with their ages, trust and proofs; also while a dispatcher runs", Args: Args(cobra.ExactArgs(1)),
 		RunE: func(c *cobra.Command, args []string) error {
-			f, err := kept.Snapshot(args[0])
+			f, err := endpointcache.Snapshot(args[0])
 			if err != nil {
 				return err
 			}
@@ -120,7 +120,7 @@
 	show.Flags().BoolVar(&asJSON, "json", false, "as JSON")
 	verify := &cobra.Command{Use: "verify FILE", Short: "Read every record; exit 1 if anything is wrong", Args: Args(cobra.ExactArgs(1)),
 		RunE: func(c *cobra.Command, args []string) error {
-			wrong, err := kept.Check(args[0])
+			wrong, err := endpointcache.Check(args[0])
 			if err != nil {
 				return err
 			}
@@ -135,7 +135,7 @@
 		}}
 	export := &cobra.Command{Use: "export FILE", Short: "Write the list as JSON, in the form that import reads", Args: Args(cobra.ExactArgs(1)),
 		RunE: func(c *cobra.Command, args []string) error {
-			f, err := kept.Snapshot(args[0])
+			f, err := endpointcache.Snapshot(args[0])
 			if err != nil {
 				return err
 			}
@@ -196,8 +196,8 @@
 	if owner == "" {
 		owner = l.Owner
 	}
-	k := roster.Kept{Epoch: l.Epoch, Cursor: l.Cursor, Confirmed: l.Confirmed, Saved: l.Saved,
-		History: roster.History{Leaves: l.Leaves, Returns: l.Returns}}
+	k := endpoints.Kept{Epoch: l.Epoch, Cursor: l.Cursor, Confirmed: l.Confirmed, Saved: l.Saved,
+		History: endpoints.History{Leaves: l.Leaves, Returns: l.Returns}}
 	if k.History.Watched, err = time.ParseDuration(l.Watched); err != nil {
 		return fmt.Errorf("import: %s: watched: %w", from, err)
 	}
@@ -210,10 +210,10 @@
 		if err != nil {
 			return fmt.Errorf("import: %s: boxes[%d]: %w", from, i, err)
 		}
-		k.Boxes = append(k.Boxes, roster.Box{ID: id, Addr: b.Addr, Zone: b.Zone, Kind: b.Kind, Cell: b.Cell, State: decide.State(state),
+		k.Boxes = append(k.Boxes, endpoints.Box{ID: id, Addr: b.Addr, Zone: b.Zone, Kind: b.Kind, Cell: b.Cell, State: balancer.State(state),
 			Weight: b.Weight, Pace: b.Pace, Start: unstamp(b.Start), Told: unstamp(b.Told), Proved: unstamp(b.Proved)})
 	}
-	if err := rewrite(path, owner, func(roster.Kept) roster.Kept { return k }); err != nil {
+	if err := rewrite(path, owner, func(endpoints.Kept) endpoints.Kept { return k }); err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "%s holds %d boxes for dispatcher %s\n", path, len(k.Boxes), owner)
@@ -221,29 +221,29 @@
 }
 
 func forgetBoxes(out io.Writer, path string, names []string) error {
-	f, err := kept.Read(path, "")
+	f, err := endpointcache.Read(path, "")
 	if err != nil {
 		return err
 	}
-	drop := map[decide.WorkerID]bool{}
+	drop := map[balancer.WorkerID]bool{}
 	for _, n := range names {
 		id, err := parseID(n)
 		if err != nil {
 			return usageError{err}
 		}
-		if !slices.ContainsFunc(f.Kept.Boxes, func(b roster.Box) bool { return b.ID == id }) {
+		if !slices.ContainsFunc(f.Kept.Boxes, func(b endpoints.Box) bool { return b.ID == id }) {
 			return fmt.Errorf("list file %s: box %s is not in it", path, n)
 		}
 		drop[id] = true
 	}
 	n := 0
-	err = rewrite(path, f.Owner, func(k roster.Kept) roster.Kept {
+	err = rewrite(path, f.Owner, func(k endpoints.Kept) endpoints.Kept {
 		if len(names) == 0 {
 			n, k.Boxes, k.Cursor, k.Epoch = len(k.Boxes), nil, 0, ""
 			return k
 		}
 		n = len(k.Boxes)
-		k.Boxes = slices.DeleteFunc(k.Boxes, func(b roster.Box) bool { return drop[b.ID] })
+		k.Boxes = slices.DeleteFunc(k.Boxes, func(b endpoints.Box) bool { return drop[b.ID] })
 		n -= len(k.Boxes)
 		return k
 	})
@@ -253,8 +253,8 @@
 	return err
 }
 
-func rewrite(path, owner string, change func(roster.Kept) roster.Kept) error {
-	s, f, err := kept.Open(path, owner)
+func rewrite(path, owner string, change func(endpoints.Kept) endpoints.Kept) error {
+	s, f, err := endpointcache.Open(path, owner)
 	if err != nil {
 		if s != nil {
 			_ = s.Close()
--- a/internal/cli/verdicts.go
+++ b/internal/cli/verdicts.go
@@ -16,7 +16,7 @@
 
 	"github.com/spf13/cobra"
 
-	"oakthread/internal/console"
+	"oakthread/internal/adminapi"
 )
 
 const askConsole = 2 * time.Second
@@ -41,7 +41,7 @@
 			_, err := c.OutOrStdout().Write(body)
 			return err
 		}
-		var rows []console.Verdict
+		var rows []adminapi.Verdict
 		if err := json.Unmarshal(body, &rows); err != nil {
 			return fmt.Errorf("verdicts: the answer of %s: %w", at, err)
 		}
@@ -97,7 +97,7 @@
 	return body, nil
 }
 
-func showVerdicts(out io.Writer, rows []console.Verdict, all bool) error {
+func showVerdicts(out io.Writer, rows []adminapi.Verdict, all bool) error {
 	t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "EXECUTOR\tZONE\tVERDICT\tSERVED\tFAILED\tPACE\tOBSERVERS\tTOLD\tTRIAL\tEVIDENCE")
 	well := 0
--- a/internal/opfile/golden_test.go
+++ b/internal/config/golden_test.go
@@ -1,4 +1,4 @@
-package opfile
+package config
 
 // This file holds the keys of the operator's file against one that has them all.
 
--- a/internal/opfile/opfile.go
+++ b/internal/config/opfile.go
@@ -1,6 +1,6 @@
 // Package opfile owns the operator's file: the TOML file that sets what the platform's configuration does not. It must
 // never guess: an unknown key or a value that cannot be used is an error of one line that names file, line and key.
-package opfile
+package config
 
 import (
 	"errors"
--- a/internal/opfile/opfile_test.go
+++ b/internal/config/opfile_test.go
@@ -1,4 +1,4 @@
-package opfile
+package config
 
 import (
 	"bytes"
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -15,16 +15,16 @@
 	"time"
 
 	"oakthread"
-	"oakthread/decide"
-	"oakthread/internal/console"
+	"oakthread/admin"
+	"oakthread/balancer"
+	"oakthread/endpoints"
+	"oakthread/internal/adminapi"
+	"oakthread/internal/config"
+	"oakthread/internal/endpointcache"
 	"oakthread/internal/h2"
-	"oakthread/internal/kept"
-	"oakthread/internal/opfile"
+	"oakthread/internal/monotime"
 	"oakthread/internal/platform"
-	"oakthread/internal/steady"
 	"oakthread/internal/violation"
-	"oakthread/roster"
-	"oakthread/service"
 	"oakthread/webhook"
 )
 
@@ -43,7 +43,7 @@
 // Options are what a daemon is started with.
 type Options struct {
 	Getenv   func(string) string // names the platform's configuration
-	File     *opfile.File        // the operator's file; nil: none
+	File     *config.File        // the operator's file; nil: none
 	Webhooks *webhook.Options    // nil: no such front
 	Hup      <-chan os.Signal    // each value has it read its configuration anew
 	Log      *slog.Logger
@@ -100,19 +100,19 @@
 	var core *oakthread.Core
 	var front *platform.Front
 	var reloads reloaded
-	desk := console.New(console.Sources{
+	desk := adminapi.New(adminapi.Sources{
 		CoreReady: func() bool { return core.Ready() },
 		Tell:      func(r oakthread.Roster) { core.Roster(r) },
-		Figures:   func(ctx context.Context) console.Figures { return figures(ctx, core, front, &reloads) },
+		Figures:   func(ctx context.Context) adminapi.Figures { return figures(ctx, core, front, &reloads) },
 		Tally: func(fn func(string, int64, int64, int64)) {
 			front.Tally(func(class string, o *platform.Outcomes) {
 				fn(class, o.Completed.Load(), o.Rejected.Load(), o.Failed.Load())
 			})
 		},
 		Quiet:    func(on bool) { front.SetKeepAlives(!on) },
-		Verdicts: func(ctx context.Context) ([]console.Verdict, bool) { return verdicts(ctx, core) },
-	}, console.BanFile(os.TempDir(), cfg.Listen), platform.WorkerID, log)
-	var keeper *kept.Keeper
+		Verdicts: func(ctx context.Context) ([]adminapi.Verdict, bool) { return verdicts(ctx, core) },
+	}, adminapi.BanFile(os.TempDir(), cfg.Listen), platform.WorkerID, log)
+	var keeper *endpointcache.Keeper
 	if o.File != nil && o.File.List != nil {
 		keeper = keep(o, cfg, fleet, desk.Listed, log)
 		parts.Admit, parts.Observed = keeper.Admit, keeper.Observe
@@ -137,7 +137,7 @@
 		if len(addrs) == 0 && cfg.Channel != "" {
 			addrs = []string{cfg.Channel}
 		}
-		channel.Keep(keeper.Cursor(), keeper.Epoch(), roster.NewDialer(addrs, cfg.Seed))
+		channel.Keep(keeper.Cursor(), keeper.Epoch(), endpoints.NewDialer(addrs, cfg.Seed))
 		written := make(chan struct{})
 		go func() { defer close(written); keeper.Run(beside) }()
 		defer func() { done(); <-written }()
@@ -198,7 +198,7 @@
 }
 
 // http2 is the HTTP/2 front that the operator's file asks for; nil: none.
-func http2(f *opfile.File) *h2.Options {
+func http2(f *config.File) *h2.Options {
 	if f == nil || f.HTTP2 == nil {
 		return nil
 	}
@@ -206,9 +206,9 @@
 }
 
 // keep opens the kept list that the operator's file asks for.
-func keep(o Options, cfg *platform.Config, fleet *platform.Fleet, tell func(oakthread.Roster), log *slog.Logger) *kept.Keeper {
+func keep(o Options, cfg *platform.Config, fleet *platform.Fleet, tell func(oakthread.Roster), log *slog.Logger) *endpointcache.Keeper {
 	l, set := o.File.List, cfg.Setup.Decide()
-	ko := kept.Options{Path: l.Path, Owner: cfg.Name, Util: cfg.Setup.Field("cpu"), Roster: roster.Config{Seed: cfg.Seed,
+	ko := endpointcache.Options{Path: l.Path, Owner: cfg.Name, Util: cfg.Setup.Field("cpu"), Roster: endpoints.Config{Seed: cfg.Seed,
 		Siblings: max(l.Siblings, set.Siblings), Budget: l.Budget, ProbeRate: l.ProbeRate, MaxWait: l.MaxWait.Duration, Fresh: o.Fresh}}
 	if l.Siblings > 0 {
 		ko.Roster.Siblings = l.Siblings
@@ -216,8 +216,8 @@
 	for _, c := range set.Classes {
 		ko.Aims = append(ko.Aims, time.Duration(c.Aim))
 	}
-	now := steady.Now()
-	k := kept.NewKeeper(ko, fleet, tell, now, log)
+	now := monotime.Now()
+	k := endpointcache.NewKeeper(ko, fleet, tell, now, log)
 	var known []oakthread.Roster
 	for _, ev := range cfg.Known {
 		known = append(known, ev.Roster)
@@ -294,15 +294,15 @@
 	core    *oakthread.Core
 	front   *platform.Front
 	fleet   *platform.Fleet
-	classes service.Classes
+	classes admin.Classes
 }
 
 func newTuner(cfg *platform.Config, core *oakthread.Core, front *platform.Front, fleet *platform.Fleet) *tuner {
 	names, rules := classesOf(cfg)
-	return &tuner{core: core, front: front, fleet: fleet, classes: service.NewClasses(names, rules)}
+	return &tuner{core: core, front: front, fleet: fleet, classes: admin.NewClasses(names, rules)}
 }
 
-func classesOf(cfg *platform.Config) (names []string, rules []decide.Class) {
+func classesOf(cfg *platform.Config) (names []string, rules []balancer.Class) {
 	for _, c := range cfg.Setup.Categories {
 		names = append(names, c.Name)
 	}
@@ -329,18 +329,18 @@
 type reloaded struct{ taken, fails atomic.Int64 }
 
 // figures gathers what the console tells beside the classes; the core's part waits no longer than ctx.
-func figures(ctx context.Context, core *oakthread.Core, front *platform.Front, r *reloaded) console.Figures {
-	f := console.Figures{Pending: front.Pending(), Reloads: r.taken.Load(), Fails: r.fails.Load()}
+func figures(ctx context.Context, core *oakthread.Core, front *platform.Front, r *reloaded) adminapi.Figures {
+	f := adminapi.Figures{Pending: front.Pending(), Reloads: r.taken.Load(), Fails: r.fails.Load()}
 	type look struct {
 		n       oakthread.Counters
-		ejected []decide.WorkerID
+		ejected []balancer.WorkerID
 	}
 	got := make(chan look, 1)
 	go func() { got <- look{core.Counters(), core.Ejected()} }()
 	select {
 	case l := <-got:
 		// Attempts less those whose connection was refused.
-		f.Attempts, f.Ejected = l.n.Attempts-l.n.Ends[decide.ConnectFailed], l.ejected
+		f.Attempts, f.Ejected = l.n.Attempts-l.n.Ends[balancer.ConnectFailed], l.ejected
 	case <-ctx.Done():
 		f.Stale = true
 	}
@@ -348,14 +348,14 @@
 }
 
 // verdicts is what the core holds of each executor, in the console's form; false: it did not answer in time.
-func verdicts(ctx context.Context, core *oakthread.Core) ([]console.Verdict, bool) {
-	got := make(chan []decide.Verdict, 1)
+func verdicts(ctx context.Context, core *oakthread.Core) ([]adminapi.Verdict, bool) {
+	got := make(chan []balancer.Verdict, 1)
 	go func() { got <- core.Verdicts() }()
 	select {
 	case vs := <-got:
-		rows := make([]console.Verdict, 0, len(vs))
+		rows := make([]adminapi.Verdict, 0, len(vs))
 		for _, v := range vs {
-			row := console.Verdict{Executor: v.Worker, Zone: v.Zone, Verdict: v.State.Verdict, Evidence: v.Evidence, Served: v.Good, Failed: v.Bad, Pace: v.Pace,
+			row := adminapi.Verdict{Executor: v.Worker, Zone: v.Zone, Verdict: v.State.Verdict, Evidence: v.Evidence, Served: v.Good, Failed: v.Bad, Pace: v.Pace,
 				Observers: [2]int{int(v.Word.Good), int(v.Word.Bad)}, WordAgeMS: -1, TrialInMS: time.Duration(v.TrialIn).Milliseconds(), Unreached: v.Unreachable}
 			if v.WordAge >= 0 {
 				row.WordAgeMS = time.Duration(v.WordAge).Milliseconds()
@@ -389,7 +389,7 @@
 type faults struct {
 	front  *platform.Front
 	fleet  *platform.Fleet
-	keeper *kept.Keeper // nil: no list is kept
+	keeper *endpointcache.Keeper // nil: no list is kept
 	found  *violation.Recorder
 }
 
@@ -405,7 +405,7 @@
 	t := time.NewTicker(lookEvery)
 	defer t.Stop()
 	var told oakthread.Counters
-	stepped := steady.Step()
+	stepped := monotime.Step()
 	seen, next := time.Now(), time.Now().Add(countEvery)
 	for {
 		select {
@@ -415,7 +415,7 @@
 		}
 		woke := time.Now()
 		n := core.Counters()
-		if at := steady.Step(); at-stepped > stepTold || stepped-at > stepTold {
+		if at := monotime.Step(); at-stepped > stepTold || stepped-at > stepTold {
 			log.Warn("the wall clock was stepped", "by", at-stepped, "since_start", at)
 			stepped = at
 		}
@@ -435,9 +435,9 @@
 			strangers, long := peers.Dropped()
 			log.Info("counts", "taken", n.Taken, "served", n.Served, "refused", n.Refused, "failed", n.Failed,
 				"timed_out", n.TimedOut, "abandoned", n.Abandoned, "turned_away", n.TurnedAway, "held_off", n.HeldOff,
-				"attempts", n.Attempts, "full", n.Ends[decide.Full], "moot", n.Ends[decide.Moot], "cut", n.Ends[decide.Reset],
-				"unreached", n.Ends[decide.ConnectFailed], "late", n.Ends[decide.Timeout], "errors", n.Ends[decide.Error],
-				"called_off", n.Ends[decide.Cancelled], "orders", n.Orders, "orders_held", n.OrdersHeld, "bad", front.Bad(),
+				"attempts", n.Attempts, "full", n.Ends[balancer.Full], "moot", n.Ends[balancer.Moot], "cut", n.Ends[balancer.Reset],
+				"unreached", n.Ends[balancer.ConnectFailed], "late", n.Ends[balancer.Timeout], "errors", n.Ends[balancer.Error],
+				"called_off", n.Ends[balancer.Cancelled], "orders", n.Orders, "orders_held", n.OrdersHeld, "bad", front.Bad(),
 				"peers_unread", n.Unread, "peers_long", long, "peers_unknown", strangers,
 				"accepts_failed", f.front.AcceptsFailed(), "connects_failed", f.fleet.Shortages(), "list_writes_failed", f.listWrites(),
 				"violations", f.found.Sum())
--- a/internal/kept/golden_test.go
+++ b/internal/endpointcache/golden_test.go
@@ -1,4 +1,4 @@
-package kept
+package endpointcache
 
 // This file holds the kept list's stored form against a file that an earlier build of the program wrote.
 
@@ -18,8 +18,8 @@
 	"github.com/stretchr/testify/require"
 	"go.etcd.io/bbolt"
 
-	"oakthread/decide"
-	"oakthread/roster"
+	"oakthread/balancer"
+	"oakthread/endpoints"
 )
 
 var updateGolden = flag.Bool("update", false, "write the text golden files, and the database where there is none")
@@ -30,25 +30,25 @@
 )
 
 // storedList is what testdata/list.db holds: boxes in every state, events of every kind, no value twice in a record.
-func storedList() roster.Kept {
+func storedList() endpoints.Kept {
 	at := func(n int) time.Time { return t0.Add(time.Duration(n) * (time.Hour + time.Nanosecond)) }
-	return roster.Kept{Epoch: "epoch-3", Cursor: 1 << 40, Confirmed: at(1), Saved: at(2),
-		Boxes: []roster.Box{
-			{ID: 1, Addr: "127.0.0.1:7001", Zone: 6, Kind: 3, Cell: 4, State: decide.On, Weight: 5.5, Start: at(-9),
+	return endpoints.Kept{Epoch: "epoch-3", Cursor: 1 << 40, Confirmed: at(1), Saved: at(2),
+		Boxes: []endpoints.Box{
+			{ID: 1, Addr: "127.0.0.1:7001", Zone: 6, Kind: 3, Cell: 4, State: balancer.On, Weight: 5.5, Start: at(-9),
 				Told: at(-8), Proved: at(-7), Pace: 6.25},
-			{ID: 12, Addr: "127.0.0.1:7002", Zone: 13, Kind: 14, Cell: 15, State: decide.Draining, Weight: 16.5,
+			{ID: 12, Addr: "127.0.0.1:7002", Zone: 13, Kind: 14, Cell: 15, State: balancer.Draining, Weight: 16.5,
 				Start: at(-19), Told: at(-18), Proved: at(-17), Pace: 17.25},
-			{ID: 23, Addr: "[::1]:7003", Zone: 24, Kind: 25, Cell: 26, State: decide.Off, Weight: 27.5, Start: at(-29),
+			{ID: 23, Addr: "[::1]:7003", Zone: 24, Kind: 25, Cell: 26, State: balancer.Off, Weight: 27.5, Start: at(-29),
 				Told: at(-28), Proved: at(-27), Pace: 28.25},
-			{ID: 34, Addr: "box.example:7004", State: decide.On}, // all that may be left out
-			{ID: math.MaxUint32, Addr: "127.0.0.1:7005", Zone: -1, Kind: -2, Cell: -3, State: decide.On, Weight: 0.1,
+			{ID: 34, Addr: "box.example:7004", State: balancer.On}, // all that may be left out
+			{ID: math.MaxUint32, Addr: "127.0.0.1:7005", Zone: -1, Kind: -2, Cell: -3, State: balancer.On, Weight: 0.1,
 				Start: time.Unix(0, 1), Told: at(-38), Proved: at(-37), Pace: 1e9},
 		},
-		History: roster.History{Watched: 90*time.Hour + 1, Leaves: 3.5, Returns: 1.25, Events: []roster.Event{
-			{At: at(-6), Worker: 1, What: roster.Joined},
-			{At: at(-5), Worker: 12, What: roster.Left},
-			{At: at(-4), Worker: 23, What: roster.Restarted},
-			{At: at(-3), Worker: math.MaxUint32, What: roster.Drained},
+		History: endpoints.History{Watched: 90*time.Hour + 1, Leaves: 3.5, Returns: 1.25, Events: []endpoints.Event{
+			{At: at(-6), Worker: 1, What: endpoints.Joined},
+			{At: at(-5), Worker: 12, What: endpoints.Left},
+			{At: at(-4), Worker: 23, What: endpoints.Restarted},
+			{At: at(-3), Worker: math.MaxUint32, What: endpoints.Drained},
 		}}}
 }
 
--- a/internal/kept/keeper.go
+++ b/internal/endpointcache/keeper.go
@@ -1,4 +1,4 @@
-package kept
+package endpointcache
 
 // This file owns the life of a list in a running dispatcher: it feeds the state machine what discovery, attempts and
 // probes tell, and carries out what that orders. It must never block the core's loop, choose a box, or write on the
@@ -13,10 +13,10 @@
 	"time"
 
 	"oakthread"
-	"oakthread/decide"
-	"oakthread/internal/netfault"
-	"oakthread/internal/steady"
-	"oakthread/roster"
+	"oakthread/balancer"
+	"oakthread/endpoints"
+	"oakthread/internal/monotime"
+	"oakthread/internal/neterr"
 )
 
 const (
@@ -36,7 +36,7 @@
 type Options struct {
 	Path   string
 	Owner  string
-	Roster roster.Config
+	Roster endpoints.Config
 	Aims   []time.Duration // by class: an answer later than half of it proves no room
 	Util   int             // 1 + place of the cores' use in a load report; 0: not reported
 }
@@ -49,8 +49,8 @@
 	log   *slog.Logger
 
 	mu   sync.Mutex
-	list *roster.List
-	acts roster.Actions
+	list *endpoints.List
+	acts endpoints.Actions
 
 	kick   chan struct{}
 	probed chan struct{} // to have the loop look again
@@ -62,7 +62,7 @@
 }
 
 type saving struct {
-	kept   roster.Kept
+	kept   endpoints.Kept
 	urgent bool
 	at     time.Time
 }
@@ -70,7 +70,7 @@
 // NewKeeper opens the file and starts the list from it. It tells one line for whatever is wrong with the file, and goes
 // on with what is sound or without. tell hands news to the core, in order, from one goroutine.
 func NewKeeper(o Options, boxes Prober, tell func(oakthread.Roster), now time.Time, log *slog.Logger) *Keeper {
-	k := &Keeper{o: o, boxes: boxes, tell: tell, log: log, list: roster.New(o.Roster), kick: make(chan struct{}, 1),
+	k := &Keeper{o: o, boxes: boxes, tell: tell, log: log, list: endpoints.New(o.Roster), kick: make(chan struct{}, 1),
 		save: make(chan saving, 1), begun: now}
 	if o.Path == "" {
 		return k
@@ -109,16 +109,16 @@
 func (k *Keeper) Epoch() string { k.mu.Lock(); defer k.mu.Unlock(); return k.list.Epoch() }
 
 // Rows reports on the list as it stands.
-func (k *Keeper) Rows() []roster.Row {
+func (k *Keeper) Rows() []endpoints.Row {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.list.Rows(steady.Now())
+	return k.list.Rows(monotime.Now())
 }
 
 // event runs f on the list and has the loop carry out what comes of it. It returns at once.
-func (k *Keeper) event(f func(now time.Time, l *roster.List)) {
+func (k *Keeper) event(f func(now time.Time, l *endpoints.List)) {
 	k.mu.Lock()
-	f(steady.Now(), k.list)
+	f(monotime.Now(), k.list)
 	k.gather()
 	k.mu.Unlock()
 }
@@ -140,18 +140,18 @@
 
 // Told, Current, Lost and StartedOver are what discovery's side tells, from one goroutine.
 func (k *Keeper) Told(r oakthread.Roster, epoch string, cursor int64) {
-	k.event(func(now time.Time, l *roster.List) { l.Told(now, update(r, epoch, cursor)) })
+	k.event(func(now time.Time, l *endpoints.List) { l.Told(now, update(r, epoch, cursor)) })
 }
 
-func (k *Keeper) Current()     { k.event(func(now time.Time, l *roster.List) { l.Current(now) }) }
-func (k *Keeper) Lost()        { k.event(func(now time.Time, l *roster.List) { l.Lost(now) }) }
-func (k *Keeper) StartedOver() { k.event(func(now time.Time, l *roster.List) { l.Reset(now) }) }
+func (k *Keeper) Current()     { k.event(func(now time.Time, l *endpoints.List) { l.Current(now) }) }
+func (k *Keeper) Lost()        { k.event(func(now time.Time, l *endpoints.List) { l.Lost(now) }) }
+func (k *Keeper) StartedOver() { k.event(func(now time.Time, l *endpoints.List) { l.Reset(now) }) }
 
 // Admit is the core's gate.
 func (k *Keeper) Admit(*oakthread.Request) (time.Duration, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	wait, ok := k.list.Admit(steady.Now())
+	wait, ok := k.list.Admit(monotime.Now())
 	k.gather()
 	return wait, ok
 }
@@ -162,42 +162,42 @@
 	if !tells {
 		return
 	}
-	if s == roster.Answered && o.Kind == oakthread.ObservedAttempt && o.Class < len(k.o.Aims) && o.Warm && o.Took > k.o.Aims[o.Class]/2 {
-		s = roster.Slow
+	if s == endpoints.Answered && o.Kind == oakthread.ObservedAttempt && o.Class < len(k.o.Aims) && o.Warm && o.Took > k.o.Aims[o.Class]/2 {
+		s = endpoints.Slow
 	}
-	k.event(func(now time.Time, l *roster.List) { l.Observe(now, o.Worker, s) })
+	k.event(func(now time.Time, l *endpoints.List) { l.Observe(now, o.Worker, s) })
 }
 
 // Sign reads the end of an attempt, probe or order: what it shows of the box, if anything.
-func Sign(r decide.Result, drains bool) (roster.Sign, bool) {
+func Sign(r balancer.Result, drains bool) (endpoints.Sign, bool) {
 	switch {
 	case drains:
-		return roster.Drains, true
-	case r == decide.OK || r == decide.Miss:
-		return roster.Answered, true
-	case r == decide.Full:
-		return roster.Busy, true
-	case r == decide.ConnectFailed:
-		return roster.Refused, true
-	case r == decide.Timeout:
-		return roster.Silent, true
-	case r == decide.Error || r == decide.Reset:
-		return roster.Broken, true
+		return endpoints.Drains, true
+	case r == balancer.OK || r == balancer.Miss:
+		return endpoints.Answered, true
+	case r == balancer.Full:
+		return endpoints.Busy, true
+	case r == balancer.ConnectFailed:
+		return endpoints.Refused, true
+	case r == balancer.Timeout:
+		return endpoints.Silent, true
+	case r == balancer.Error || r == balancer.Reset:
+		return endpoints.Broken, true
 	}
 	return 0, false // called off or never written: it shows nothing
 }
 
-func update(r oakthread.Roster, epoch string, cursor int64) roster.Update {
-	u := roster.Update{Full: r.Kind != decide.RosterDelta, Epoch: epoch, Cursor: cursor}
+func update(r oakthread.Roster, epoch string, cursor int64) endpoints.Update {
+	u := endpoints.Update{Full: r.Kind != balancer.RosterDelta, Epoch: epoch, Cursor: cursor}
 	for _, m := range r.Members {
-		u.Boxes = append(u.Boxes, roster.Box{ID: m.ID, Addr: m.Addr, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, State: m.State,
+		u.Boxes = append(u.Boxes, endpoints.Box{ID: m.ID, Addr: m.Addr, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, State: m.State,
 			Weight: m.Weight, Start: m.Start})
 	}
 	return u
 }
 
 // Member is the box as the core knows it.
-func Member(b roster.Box) oakthread.Member {
+func Member(b endpoints.Box) oakthread.Member {
 	return oakthread.Member{ID: b.ID, Addr: b.Addr, Zone: b.Zone, Kind: b.Kind, Cell: b.Cell, State: b.State, Weight: b.Weight, Start: b.Start}
 }
 
@@ -209,13 +209,13 @@
 	defer t.Stop()
 	for {
 		k.mu.Lock()
-		now := steady.Now()
+		now := monotime.Now()
 		if at := k.list.Next(); !at.IsZero() && !at.After(now) {
 			k.list.Tick(now)
 			k.gather()
 		}
 		a := k.acts
-		k.acts = roster.Actions{}
+		k.acts = endpoints.Actions{}
 		if a.Save || a.Urgent {
 			k.hand(saving{k.list.Keep(now), a.Urgent, now})
 		}
@@ -242,7 +242,7 @@
 		select {
 		case <-ctx.Done():
 			k.mu.Lock()
-			k.hand(saving{k.list.Keep(steady.Now()), true, steady.Now()})
+			k.hand(saving{k.list.Keep(monotime.Now()), true, monotime.Now()})
 			k.mu.Unlock()
 			close(k.save)
 			<-written
@@ -264,21 +264,21 @@
 	k.save <- s
 }
 
-func (k *Keeper) probe(ctx context.Context, b roster.Box) {
+func (k *Keeper) probe(ctx context.Context, b endpoints.Box) {
 	in, done := context.WithTimeout(ctx, probeTime)
 	defer done()
 	r := k.boxes.Probe(in, Member(b))
 	s, tells := Sign(r.Result, r.Drains)
 	if !tells {
-		s = roster.Silent
+		s = endpoints.Silent
 		if errors.Is(ctx.Err(), context.Canceled) {
 			return
 		}
 	}
-	if i := k.o.Util - 1; s == roster.Answered && i >= 0 && i < len(r.Report) && r.Report[i] > crowded {
-		s = roster.Slow
+	if i := k.o.Util - 1; s == endpoints.Answered && i >= 0 && i < len(r.Report) && r.Report[i] > crowded {
+		s = endpoints.Slow
 	}
-	k.event(func(now time.Time, l *roster.List) { l.Probed(now, b.ID, s) })
+	k.event(func(now time.Time, l *endpoints.List) { l.Probed(now, b.ID, s) })
 }
 
 // write is the writer's goroutine: it coalesces what comes and outlives a disk that is full, gone or damaged. A list that
@@ -314,7 +314,7 @@
 	k       *Keeper
 	latest  saving
 	owed    bool // latest is not on disk
-	backoff netfault.Backoff
+	backoff neterr.Backoff
 	again   time.Time // the file is not opened before
 }
 
@@ -324,8 +324,8 @@
 	if k.o.Path == "" {
 		return
 	}
-	if k.store == nil && !steady.Now().Before(w.again) {
-		w.again = steady.Now().Add(openAgain)
+	if k.store == nil && !monotime.Now().Before(w.again) {
+		w.again = monotime.Now().Add(openAgain)
 		k.store, _, _ = Open(k.o.Path, k.o.Owner)
 	}
 	if k.store == nil {
--- a/internal/kept/kept_test.go
+++ b/internal/endpointcache/kept_test.go
@@ -1,4 +1,4 @@
-package kept
+package endpointcache
 
 import (
 	"bytes"
@@ -21,18 +21,18 @@
 	"go.etcd.io/bbolt"
 
 	"oakthread"
-	"oakthread/decide"
-	"oakthread/internal/kept/keptpb"
-	"oakthread/roster"
+	"oakthread/balancer"
+	"oakthread/endpoints"
+	"oakthread/internal/endpointcache/keptpb"
 )
 
 var t0 = time.Unix(1_800_000_000, 0)
 
-func sample(n int) roster.Kept {
-	k := roster.Kept{Epoch: "e1", Cursor: 41, Confirmed: t0, Saved: t0.Add(time.Second),
-		History: roster.History{Watched: 90 * time.Hour, Leaves: 3, Returns: 1, Events: []roster.Event{{At: t0, Worker: 9, What: roster.Left}}}}
+func sample(n int) endpoints.Kept {
+	k := endpoints.Kept{Epoch: "e1", Cursor: 41, Confirmed: t0, Saved: t0.Add(time.Second),
+		History: endpoints.History{Watched: 90 * time.Hour, Leaves: 3, Returns: 1, Events: []endpoints.Event{{At: t0, Worker: 9, What: endpoints.Left}}}}
 	for i := range n {
-		k.Boxes = append(k.Boxes, roster.Box{ID: decide.WorkerID(i + 1), Addr: fmt.Sprint("127.0.0.1:", 1+i%60000), Zone: 1, Cell: 2, State: decide.On, Weight: 2,
+		k.Boxes = append(k.Boxes, endpoints.Box{ID: balancer.WorkerID(i + 1), Addr: fmt.Sprint("127.0.0.1:", 1+i%60000), Zone: 1, Cell: 2, State: balancer.On, Weight: 2,
 			Start: t0.Add(-time.Hour), Told: t0, Proved: t0, Pace: 4.5})
 	}
 	return k
@@ -155,7 +155,7 @@
 func TestDamagedFiles(t *testing.T) {
 	whole, err := os.ReadFile(written(t, 40))
 	require.NoError(t, err)
-	want := map[decide.WorkerID]roster.Box{}
+	want := map[balancer.WorkerID]endpoints.Box{}
 	for _, b := range sample(40).Boxes {
 		want[b.ID] = b
 	}
@@ -316,22 +316,22 @@
 
 func BenchmarkObserve(b *testing.B) {
 	k := NewKeeper(Options{Aims: []time.Duration{time.Second}}, nil, func(oakthread.Roster) {}, time.Now(), slog.New(slog.DiscardHandler))
-	full := oakthread.Roster{Kind: decide.RosterFull}
+	full := oakthread.Roster{Kind: balancer.RosterFull}
 	for i := range 60 {
-		full.Members = append(full.Members, oakthread.Member{ID: decide.WorkerID(i), State: decide.On, Weight: 2})
+		full.Members = append(full.Members, oakthread.Member{ID: balancer.WorkerID(i), State: balancer.On, Weight: 2})
 	}
 	k.Told(full, "", 1)
 	for b.Loop() {
 		k.Admit(nil)
-		k.Observe(oakthread.Observation{Worker: 7, Result: decide.OK, Warm: true, Took: time.Millisecond})
+		k.Observe(oakthread.Observation{Worker: 7, Result: balancer.OK, Warm: true, Took: time.Millisecond})
 	}
 }
 
 // boxes answers probes by address.
 type boxes struct {
 	mu    sync.Mutex
-	asked map[decide.WorkerID]int
-	as    map[decide.WorkerID]oakthread.Reply
+	asked map[balancer.WorkerID]int
+	as    map[balancer.WorkerID]oakthread.Reply
 }
 
 func (b *boxes) Probe(_ context.Context, m oakthread.Member) oakthread.Reply {
@@ -358,9 +358,9 @@
 	return l.Buffer.String()
 }
 
-func running(t *testing.T, o Options, as map[decide.WorkerID]oakthread.Reply) (k *Keeper, told chan oakthread.Roster, log *logged, end func()) {
+func running(t *testing.T, o Options, as map[balancer.WorkerID]oakthread.Reply) (k *Keeper, told chan oakthread.Roster, log *logged, end func()) {
 	told, log = make(chan oakthread.Roster, 64), &logged{}
-	k = NewKeeper(o, &boxes{asked: map[decide.WorkerID]int{}, as: as}, func(r oakthread.Roster) { told <- r }, time.Now(),
+	k = NewKeeper(o, &boxes{asked: map[balancer.WorkerID]int{}, as: as}, func(r oakthread.Roster) { told <- r }, time.Now(),
 		slog.New(slog.NewTextHandler(log, nil)))
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -371,22 +371,22 @@
 // Guards the wiring: a restart goes from the file by proofs to the core's list, and a drain is on disk at once.
 func TestKeeperRestarts(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list.db")
-	o := Options{Path: path, Owner: "d1", Roster: roster.Config{Siblings: 2}}
+	o := Options{Path: path, Owner: "d1", Roster: endpoints.Config{Siblings: 2}}
 	k, told, _, end := running(t, o, nil)
-	full := oakthread.Roster{Kind: decide.RosterFull}
+	full := oakthread.Roster{Kind: balancer.RosterFull}
 	for i := 1; i <= 3; i++ {
-		full.Members = append(full.Members, oakthread.Member{ID: decide.WorkerID(i), Addr: "127.0.0.1:91", State: decide.On, Weight: 2})
+		full.Members = append(full.Members, oakthread.Member{ID: balancer.WorkerID(i), Addr: "127.0.0.1:91", State: balancer.On, Weight: 2})
 	}
 	k.Told(full, "e1", 5)
 	assert.Equal(t, full, <-told)
 	drain := oakthread.Roster{Members: []oakthread.Member{full.Members[2]}}
-	drain.Members[0].State = decide.Draining
+	drain.Members[0].State = balancer.Draining
 	asked := time.Now()
 	k.Told(drain, "e1", 6)
-	assert.Equal(t, decide.Draining, (<-told).Members[0].State)
+	assert.Equal(t, balancer.Draining, (<-told).Members[0].State)
 	for {
 		f, err := copied(path)
-		if err == nil && len(f.Kept.Boxes) == 3 && f.Kept.Boxes[2].State == decide.Draining {
+		if err == nil && len(f.Kept.Boxes) == 3 && f.Kept.Boxes[2].State == balancer.Draining {
 			break
 		}
 		require.Less(t, time.Since(asked), 10*time.Second)
@@ -394,22 +394,22 @@
 	t.Logf("a drain was on disk %v after it was told", time.Since(asked))
 	end()
 
-	k, told, log, end := running(t, o, map[decide.WorkerID]oakthread.Reply{1: {Result: decide.OK}, 2: {Result: decide.ConnectFailed}, 3: {Result: decide.OK}})
+	k, told, log, end := running(t, o, map[balancer.WorkerID]oakthread.Reply{1: {Result: balancer.OK}, 2: {Result: balancer.ConnectFailed}, 3: {Result: balancer.OK}})
 	assert.Equal(t, int64(6), k.Cursor())
 	assert.Equal(t, "e1", k.Epoch())
 	r := <-told
-	assert.Equal(t, decide.RosterCached, r.Kind)
+	assert.Equal(t, balancer.RosterCached, r.Kind)
 	require.Len(t, r.Members, 1)
-	assert.Equal(t, decide.WorkerID(1), r.Members[0].ID)
+	assert.Equal(t, balancer.WorkerID(1), r.Members[0].ID)
 	assert.Contains(t, log.text(), "starting from a kept list of 3 boxes")
-	k.Observe(oakthread.Observation{Worker: 1, Result: decide.ConnectFailed})
-	k.Observe(oakthread.Observation{Worker: 1, Result: decide.ConnectFailed})
+	k.Observe(oakthread.Observation{Worker: 1, Result: balancer.ConnectFailed})
+	k.Observe(oakthread.Observation{Worker: 1, Result: balancer.ConnectFailed})
 	for gone := false; !gone; {
 		r := <-told
-		gone = r.Members[0].ID == 1 && r.Members[0].State == decide.Off
+		gone = r.Members[0].ID == 1 && r.Members[0].State == balancer.Off
 	}
 	k.Current()
-	for all := map[decide.WorkerID]decide.State{}; all[1] != decide.On || all[2] != decide.On; {
+	for all := map[balancer.WorkerID]balancer.State{}; all[1] != balancer.On || all[2] != balancer.On; {
 		for _, m := range (<-told).Members {
 			all[m.ID] = m.State
 		}
@@ -425,7 +425,7 @@
 	require.NoError(t, err)
 	defer held.Close()
 	k, told, log, end := running(t, Options{Path: path, Owner: "d1"}, nil)
-	k.Told(oakthread.Roster{Kind: decide.RosterFull, Members: []oakthread.Member{{ID: 1, State: decide.On}}}, "", 1)
+	k.Told(oakthread.Roster{Kind: balancer.RosterFull, Members: []oakthread.Member{{ID: 1, State: balancer.On}}}, "", 1)
 	assert.Len(t, (<-told).Members, 1)
 	end()
 	assert.Equal(t, 1, strings.Count(log.text(), "kept list not used"))
@@ -440,16 +440,16 @@
 
 // What an end shows of a box: only what is proved.
 func TestSigns(t *testing.T) {
-	for r, want := range map[decide.Result]roster.Sign{decide.OK: roster.Answered, decide.Miss: roster.Answered, decide.Full: roster.Busy,
-		decide.ConnectFailed: roster.Refused, decide.Timeout: roster.Silent, decide.Error: roster.Broken, decide.Reset: roster.Broken} {
+	for r, want := range map[balancer.Result]endpoints.Sign{balancer.OK: endpoints.Answered, balancer.Miss: endpoints.Answered, balancer.Full: endpoints.Busy,
+		balancer.ConnectFailed: endpoints.Refused, balancer.Timeout: endpoints.Silent, balancer.Error: endpoints.Broken, balancer.Reset: endpoints.Broken} {
 		got, tells := Sign(r, false)
 		assert.True(t, tells)
 		assert.Equal(t, want, got, r)
 	}
-	for _, r := range []decide.Result{decide.Cancelled, decide.Moot} {
+	for _, r := range []balancer.Result{balancer.Cancelled, balancer.Moot} {
 		_, tells := Sign(r, false)
 		assert.False(t, tells, r)
 	}
-	got, _ := Sign(decide.Error, true)
-	assert.Equal(t, roster.Drains, got)
+	got, _ := Sign(balancer.Error, true)
+	assert.Equal(t, endpoints.Drains, got)
 }
--- a/internal/kept/retry_test.go
+++ b/internal/endpointcache/retry_test.go
@@ -1,4 +1,4 @@
-package kept
+package endpointcache
 
 import (
 	"log/slog"
@@ -10,13 +10,13 @@
 	"github.com/stretchr/testify/require"
 
 	"oakthread"
-	"oakthread/internal/steady"
+	"oakthread/internal/monotime"
 )
 
 // A list that could not be written is tried again by itself, without further news, and is on disk once that works.
 func TestFailedWritesAreTriedAgain(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list.db")
-	k := NewKeeper(Options{Path: path, Owner: "d1"}, nil, func(oakthread.Roster) {}, steady.Now(), slog.New(slog.DiscardHandler))
+	k := NewKeeper(Options{Path: path, Owner: "d1"}, nil, func(oakthread.Roster) {}, monotime.Now(), slog.New(slog.DiscardHandler))
 	working := k.store
 	other, _, err := Open(filepath.Join(t.TempDir(), "other.db"), "d1")
 	require.NoError(t, err)
@@ -35,7 +35,7 @@
 	k.store = other
 	ended := make(chan struct{})
 	go func() { defer close(ended); k.write() }()
-	k.hand(saving{kept: sample(5), urgent: true, at: steady.Now()})
+	k.hand(saving{kept: sample(5), urgent: true, at: monotime.Now()})
 	for begun := time.Now(); k.FailedWrites() < 4; {
 		require.Less(t, time.Since(begun), 10*time.Second, "one piece of news, and no further try")
 		time.Sleep(time.Millisecond)
--- a/internal/kept/store.go
+++ b/internal/endpointcache/store.go
@@ -3,7 +3,7 @@
 //
 // This file owns the list's file: a bbolt database with one checked protobuf record for the head, each box and each
 // event. It must never end the program, whatever the file holds, nor give an age that the file does not prove.
-package kept
+package endpointcache
 
 import (
 	"encoding/binary"
@@ -20,9 +20,9 @@
 	berrors "go.etcd.io/bbolt/errors"
 	"google.golang.org/protobuf/proto"
 
-	"oakthread/decide"
-	"oakthread/internal/kept/keptpb"
-	"oakthread/roster"
+	"oakthread/balancer"
+	"oakthread/endpoints"
+	"oakthread/internal/endpointcache/keptpb"
 )
 
 // Schema is the number of the records' meaning. Schema 1 had no history and no paces: such a file is read, and written
@@ -58,7 +58,7 @@
 
 // Found is what a file held. Unsound counts the records that failed their check and were left out.
 type Found struct {
-	Kept    roster.Kept
+	Kept    endpoints.Kept
 	Owner   string
 	Schema  int
 	Unsound int
@@ -175,20 +175,20 @@
 		return f, errNoHead
 	}
 	f.Owner, f.Schema = h.Owner, int(h.Schema)
-	f.Kept = roster.Kept{Epoch: h.Epoch, Cursor: h.Cursor, Confirmed: moment(h.Confirmed), Saved: moment(h.Saved),
-		History: roster.History{Watched: time.Duration(h.Watched), Leaves: h.Leaves, Returns: h.Returns}}
+	f.Kept = endpoints.Kept{Epoch: h.Epoch, Cursor: h.Cursor, Confirmed: moment(h.Confirmed), Saved: moment(h.Saved),
+		History: endpoints.History{Watched: time.Duration(h.Watched), Leaves: h.Leaves, Returns: h.Returns}}
 	if f.Schema > Schema {
 		return f, nil
 	}
 	if b := tx.Bucket(boxBucket); b != nil {
 		err = b.ForEach(func(k, raw []byte) error {
 			var x keptpb.Box
-			if !unseal(raw, &x) || x.State < 0 || x.State > int32(decide.On) || len(k) != 4 || binary.BigEndian.Uint32(k) != x.Id {
+			if !unseal(raw, &x) || x.State < 0 || x.State > int32(balancer.On) || len(k) != 4 || binary.BigEndian.Uint32(k) != x.Id {
 				f.Unsound++
 				return nil
 			}
-			f.Kept.Boxes = append(f.Kept.Boxes, roster.Box{ID: decide.WorkerID(x.Id), Addr: x.Addr, Zone: int(x.Zone),
-				Kind: int(x.Kind), Cell: int(x.Cell), State: decide.State(x.State), Weight: x.Weight, Start: moment(x.Start),
+			f.Kept.Boxes = append(f.Kept.Boxes, endpoints.Box{ID: balancer.WorkerID(x.Id), Addr: x.Addr, Zone: int(x.Zone),
+				Kind: int(x.Kind), Cell: int(x.Cell), State: balancer.State(x.State), Weight: x.Weight, Start: moment(x.Start),
 				Told: moment(x.Told), Proved: moment(x.Proved), Pace: x.Pace})
 			return nil
 		})
@@ -196,11 +196,11 @@
 	if b := tx.Bucket(eventBucket); b != nil && err == nil {
 		err = b.ForEach(func(_, raw []byte) error {
 			var x keptpb.Event
-			if !unseal(raw, &x) || x.What < 0 || x.What > int32(roster.Drained) {
+			if !unseal(raw, &x) || x.What < 0 || x.What > int32(endpoints.Drained) {
 				f.Unsound++
 				return nil
 			}
-			f.Kept.History.Events = append(f.Kept.History.Events, roster.Event{At: moment(x.At), Worker: decide.WorkerID(x.Worker), What: roster.What(x.What)})
+			f.Kept.History.Events = append(f.Kept.History.Events, endpoints.Event{At: moment(x.At), Worker: balancer.WorkerID(x.Worker), What: endpoints.What(x.What)})
 			return nil
 		})
 	}
@@ -222,7 +222,7 @@
 }
 
 // Write makes the file hold a list, in one transaction that is synced. Only records that differ are written.
-func (s *Store) Write(k roster.Kept) error {
+func (s *Store) Write(k endpoints.Kept) error {
 	err := guarded(func() error {
 		return s.db.Update(func(tx *bbolt.Tx) error { return s.write(tx, k) })
 	})
@@ -232,7 +232,7 @@
 	return nil
 }
 
-func (s *Store) write(tx *bbolt.Tx, k roster.Kept) error {
+func (s *Store) write(tx *bbolt.Tx, k endpoints.Kept) error {
 	head, err := tx.CreateBucketIfNotExists(headBucket)
 	if err != nil {
 		return err
@@ -319,7 +319,7 @@
 	if f.Unsound > 0 {
 		wrong = append(wrong, fmt.Sprintf("%d records fail their checksum", f.Unsound))
 	}
-	seen := map[string]decide.WorkerID{}
+	seen := map[string]balancer.WorkerID{}
 	for _, b := range f.Kept.Boxes {
 		if other, twice := seen[b.Addr]; twice && b.Addr != "" {
 			wrong = append(wrong, fmt.Sprintf("boxes s-%08x and s-%08x have one address, %s", uint32(other), uint32(b.ID), b.Addr))
--- a/internal/fault/sockets/sockets_test.go
+++ b/internal/fault/sockets/sockets_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"oakthread/internal/netfault"
+	"oakthread/internal/neterr"
 )
 
 // All that passes is passed unchanged, and every error is one that the program must be able to go on after.
@@ -30,25 +30,25 @@
 		var c net.Conn
 		var err error
 		for c, err = dial(t.Context(), "tcp", plain.Addr().String()); err != nil; c, err = dial(t.Context(), "tcp", plain.Addr().String()) {
-			if !netfault.IsShortage(err) {
+			if !neterr.IsShortage(err) {
 				done <- err
 				return
 			}
 		}
 		defer c.Close()
 		for at := 0; at < len(sent) && err == nil; at += 100 {
-			_, err = netfault.Write(c, sent[at:at+100])
+			_, err = neterr.Write(c, sent[at:at+100])
 		}
 		done <- err
 	}()
 	var c net.Conn
 	for c, err = ln.Accept(); err != nil; c, err = ln.Accept() {
-		require.False(t, netfault.EndsListener(err), err)
+		require.False(t, neterr.EndsListener(err), err)
 	}
 	defer c.Close()
 	var got bytes.Buffer
 	for b := make([]byte, 64); ; {
-		n, err := netfault.Read(c, b)
+		n, err := neterr.Read(c, b)
 		got.Write(b[:n])
 		if err == io.EOF {
 			break
--- a/internal/h2/h2.go
+++ b/internal/h2/h2.go
@@ -13,7 +13,7 @@
 
 	"golang.org/x/net/netutil"
 
-	"oakthread/internal/netfault"
+	"oakthread/internal/neterr"
 )
 
 // Options are the operator's [http2] section.
@@ -55,7 +55,7 @@
 		HTTP2: &http.HTTP2Config{MaxConcurrentStreams: o.Streams, MaxReceiveBufferPerConnection: window, MaxReceiveBufferPerStream: window,
 			SendPingTimeout: pingAfter, PingTimeout: pingTime, WriteByteTimeout: stallTime}}
 	failed := make(chan error, 1)
-	go func() { failed <- srv.Serve(netutil.LimitListener(netfault.NewListener(ln, log), o.Places())) }()
+	go func() { failed <- srv.Serve(netutil.LimitListener(neterr.NewListener(ln, log), o.Places())) }()
 	for _, wait := range []<-chan struct{}{ctx.Done(), after(ctx, linger)} {
 		select {
 		case err := <-failed:
--- a/streams/streams.go
+++ b/internal/h2/streamlimit/streams.go
@@ -1,7 +1,7 @@
 // Package streams owns the limits of a front with multiplexed streams (HTTP/2, RFC 9113): what each connection and all of
 // them together may open, reset, hold and cost. A Table is one single-threaded state machine: events in with now,
 // verdicts out; no clock, no goroutine, no I/O. It never decides what becomes of a call.
-package streams
+package streamlimit
 
 import (
 	"maps"
--- a/streams/streams_test.go
+++ b/internal/h2/streamlimit/streams_test.go
@@ -1,4 +1,4 @@
-package streams
+package streamlimit
 
 import (
 	"testing"
--- a/internal/reply/reply.go
+++ b/internal/httpreply/reply.go
@@ -1,6 +1,6 @@
 // Package reply puts answers of the core into HTTP, the same at every front. It owns the table of status codes;
 // it must never look at what a request asked for.
-package reply
+package httpreply
 
 import (
 	"errors"
--- a/internal/knownred/main.go
+++ b/internal/knownfailures/main.go
@@ -1,4 +1,4 @@
-// Command knownred is the test command: it runs all tests but for those that KNOWN-RED.txt names, at most three that fail
+// Command knownfailures is the test command: it runs all tests but for those that KNOWN-RED.txt names, at most three that fail
 // for a real fault which is not mended yet. These are run apart and printed with their outcome. It must never pass over a
 // test that the file does not name, nor let a file that cannot be read pass for an empty one.
 //
@@ -34,7 +34,7 @@
 
 func main() {
 	if err := run(context.Background(), ".", os.Args[1:], os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "knownred:", err)
+		fmt.Fprintln(os.Stderr, "knownfailures:", err)
 		os.Exit(1)
 	}
 }
--- a/internal/lab/before.go
+++ b/internal/lab/before.go
@@ -22,9 +22,9 @@
 	if err != nil {
 		return Program{}, err
 	}
-	path := filepath.Join(filepath.Dir(self), "oakthread")
+	path := filepath.Join(filepath.Dir(self), "dispatcher")
 	if _, err := os.Stat(path); err != nil {
-		return Program{}, fmt.Errorf("the program to run: %w (make build puts it beside oaklab)", err)
+		return Program{}, fmt.Errorf("the program to run: %w (make build puts it beside testbed)", err)
 	}
 	return Program{Path: path, Args: []string{"serve"}}, nil
 }
@@ -68,7 +68,11 @@
 		return Program{}, fmt.Errorf("commit %s: %w", what, bad)
 	}
 	path := filepath.Join(dir, "oakthread-before")
-	build := exec.CommandContext(ctx, "go", "build", "-o", path, "./cmd/oakthread")
+	source := "./cmd/dispatcher"
+	if _, err := os.Stat(filepath.Join(src, "cmd", "dispatcher")); err != nil {
+		source = "./cmd/oakthread" // the folder's name in commits before the package rename
+	}
+	build := exec.CommandContext(ctx, "go", "build", "-o", path, source)
 	build.Dir = src
 	if text, err := build.CombinedOutput(); err != nil {
 		return Program{}, fmt.Errorf("building commit %s: %w: %s", what, err, strings.TrimSpace(string(text)))
