--- a/internal/lab/calibrate_test.go
+++ b/internal/lab/calibrate_test.go
@@ -31,9 +31,9 @@
 	"golang.org/x/sys/unix"
 
 	"oakthread"
-	"oakthread/decide"
-	"oakthread/internal/kept"
-	"oakthread/roster"
+	"oakthread/balancer"
+	"oakthread/endpoints"
+	"oakthread/internal/endpointcache"
 )
 
 // bubbleStart is where the clock of every bubble begins, as package synctest has it.
@@ -53,7 +53,7 @@
 // play is one scripted run before a host: dispatcher 0 of the world. The zero values of its switches are the main comparison.
 type play struct {
 	seed     uint64
-	settings func(*decide.Settings)
+	settings func(*balancer.Settings)
 	asked    int           // calls at dispatcher 0; 0: 240
 	span     time.Duration // of their arrivals; 0: 12 s
 	steady   bool          // no troubles
@@ -79,17 +79,17 @@
 	host    stageHost
 	actions []action
 	calls0  []*simCall // of dispatcher 0
-	ends    [decide.Results]int64
-	proved  map[decide.WorkerID]time.Duration // when each executor last answered, as dispatcher 0's list has it, since the start of the run
+	ends    [balancer.Results]int64
+	proved  map[balancer.WorkerID]time.Duration // when each executor last answered, as dispatcher 0's list has it, since the start of the run
 	lost    bool
 }
 
 // stageHost is dispatcher 0, real or hollow.
 type stageHost interface {
-	told(u roster.Update)
+	told(u endpoints.Update)
 	heard(from int, data string)
 	arrive(c *simCall)
-	configure(k decide.Class, attempts int)
+	configure(k balancer.Class, attempts int)
 }
 
 const (
@@ -105,8 +105,8 @@
 	s.actions = append(s.actions, action{s.now.Sub(s.began), fmt.Sprintf(format, args...)})
 }
 
-func (s *stage) prove(rows []roster.Row) {
-	s.proved = map[decide.WorkerID]time.Duration{}
+func (s *stage) prove(rows []endpoints.Row) {
+	s.proved = map[balancer.WorkerID]time.Duration{}
 	for _, r := range rows {
 		s.proved[r.ID] = r.Proved.Sub(s.began)
 	}
@@ -164,14 +164,14 @@
 	}
 	f := fleetFigures()
 	f.Box.Warm, f.Box.Keep = 4*time.Second, 3*time.Second
-	w := &simWorld{f: f, byID: map[decide.WorkerID]*simBox{}, popular: newZipf(40, 0.4), messages: true,
+	w := &simWorld{f: f, byID: map[balancer.WorkerID]*simBox{}, popular: newZipf(40, 0.4), messages: true,
 		lossy: rand.New(rand.NewPCG(p.seed, 3)), load: Load{Rate: stageRate, Models: 40, Zipf: 0.4}}
 	w.now, w.began = start, start
 	s := &stage{simWorld: w, play: p, began: start}
 	for i := range stageBoxes {
 		x := w.add(i, start.Add(-time.Hour))
 		x.zone = i % 2
-		w.listed = append(w.listed, roster.Box{ID: x.id, Zone: x.zone, State: decide.On, Weight: 2, Start: start.Add(-time.Hour)})
+		w.listed = append(w.listed, endpoints.Box{ID: x.id, Zone: x.zone, State: balancer.On, Weight: 2, Start: start.Add(-time.Hour)})
 	}
 	w.nodes = make([]*simNode, stageNodes)
 	for n := range w.nodes {
@@ -185,7 +185,7 @@
 	return s
 }
 
-func (s *stage) settingsOf(n int) decide.Settings {
+func (s *stage) settingsOf(n int) balancer.Settings {
 	set := s.f.settings(n, stageNodes)
 	set.Peers, set.PeerPrice = true, peerPrice
 	set.LoadFree = 1e6 // the core's second look at orders must not strike: it has a test of its own
@@ -200,7 +200,7 @@
 // tell has all dispatchers told of the list: whole, or of those boxes alone.
 func (s *stage) tell(which ...int) {
 	s.cursor++
-	u := roster.Update{Full: len(which) == 0, Cursor: s.cursor}
+	u := endpoints.Update{Full: len(which) == 0, Cursor: s.cursor}
 	for i, b := range s.listed {
 		if u.Full || slices.Contains(which, i) {
 			u.Boxes = append(u.Boxes, b)
@@ -269,20 +269,20 @@
 	})
 	s.at(odd(0.66), func() {
 		s.boxes[4].drained = s.now
-		s.listed[4].State = decide.Draining
+		s.listed[4].State = balancer.Draining
 		s.tell(4)
 	})
 	s.at(odd(0.70), func() { // it stands anew
 		s.boxes[4].box, s.boxes[4].drained = NewBox(s.f.Box, s.now), time.Time{}
-		s.listed[4].State, s.listed[4].Start = decide.On, s.now
+		s.listed[4].State, s.listed[4].Start = balancer.On, s.now
 		s.tell(4)
 	})
 	s.at(odd(0.75), func() { s.listed[0].Weight = 1; s.tell(0) })
-	s.at(odd(0.80), func() { s.listed[5].State = decide.Off; s.tell(5) })
+	s.at(odd(0.80), func() { s.listed[5].State = balancer.Off; s.tell(5) })
 	s.at(odd(0.82), func() { // a shorter aim than any: all rounds grow shorter
-		s.host.configure(decide.Class{Aim: int64(300 * time.Millisecond), GiveUp: int64(5 * time.Second), Worth: 1, Effect: decide.Safe}, 3)
+		s.host.configure(balancer.Class{Aim: int64(300 * time.Millisecond), GiveUp: int64(5 * time.Second), Worth: 1, Effect: balancer.Safe}, 3)
 	})
-	s.at(odd(0.85), func() { s.listed[5].State = decide.On; s.tell() })
+	s.at(odd(0.85), func() { s.listed[5].State = balancer.On; s.tell() })
 }
 
 // ---- The hollow host.
@@ -310,7 +310,7 @@
 	return s
 }
 
-func (h *hollowHost) told(u roster.Update) {
+func (h *hollowHost) told(u endpoints.Update) {
 	h.list.Told(h.s.now, u)
 	h.flush()
 }
@@ -318,13 +318,13 @@
 func (h *hollowHost) heard(from int, data string) { h.d.Peer(h.s.now.UnixNano(), from, data) }
 func (h *hollowHost) arrive(c *simCall)           { h.simNode.arrive(c) }
 
-func (h *hollowHost) configure(k decide.Class, attempts int) {
-	_, err := h.d.AddClasses(h.s.now.UnixNano(), []decide.Class{k})
+func (h *hollowHost) configure(k balancer.Class, attempts int) {
+	_, err := h.d.AddClasses(h.s.now.UnixNano(), []balancer.Class{k})
 	h.s.did("configure %v", err)
 	h.d.SetMaxAttempts(h.s.now.UnixNano(), attempts)
 }
 
-func (h *hollowHost) Send(id string, w decide.WorkerID, until int64) {
+func (h *hollowHost) Send(id string, w balancer.WorkerID, until int64) {
 	h.s.did("send %s #%d to %d", id, h.open[id].tries, w)
 	h.simNode.Send(id, w, until)
 }
@@ -349,12 +349,12 @@
 	h.simNode.Fail(id)
 }
 
-func (h *hollowHost) Load(w decide.WorkerID, f decide.FuncID, n int) {
+func (h *hollowHost) Load(w balancer.WorkerID, f balancer.FuncID, n int) {
 	h.s.did("load %d of %x at %d", n, f, w)
 	h.simNode.Load(w, f, n)
 }
 
-func (h *hollowHost) Drop(w decide.WorkerID, f decide.FuncID) {
+func (h *hollowHost) Drop(w balancer.WorkerID, f balancer.FuncID) {
 	h.s.did("drop %x at %d", f, w)
 	h.simNode.Drop(w, f)
 }
@@ -372,7 +372,7 @@
 type realHost struct {
 	s      *stage
 	core   *oakthread.Core
-	keeper *kept.Keeper
+	keeper *endpointcache.Keeper
 	stub   *simNode // dispatcher 0's place in the world: it only remembers which drains it was told of
 	wait   sync.WaitGroup
 
@@ -398,7 +398,7 @@
 	h := &realHost{s: s, stub: s.nodes[0], calls: map[string]*simCall{}, kick: make(chan struct{}, 1)}
 	h.stub.dead = true
 	quiet := slog.New(slog.DiscardHandler)
-	h.keeper = kept.NewKeeper(kept.Options{Roster: roster.Config{Seed: s.seed, Siblings: stageNodes, MaxWait: 1500 * time.Millisecond}, Util: 2,
+	h.keeper = endpointcache.NewKeeper(endpointcache.Options{Roster: endpoints.Config{Seed: s.seed, Siblings: stageNodes, MaxWait: 1500 * time.Millisecond}, Util: 2,
 		Aims: s.f.aims()}, h, func(r oakthread.Roster) { h.core.Roster(r) }, s.now, quiet)
 	var err error
 	h.core, err = oakthread.New(oakthread.Config{Settings: s.settingsOf(0), Seed: s.seedOf(0), Workers: h, Peers: h, Settled: h.settled,
@@ -484,19 +484,19 @@
 	h.put(rankRest, func() { h.s.did(format, args...) })
 }
 
-func (h *realHost) told(u roster.Update) {
-	r := oakthread.Roster{Kind: decide.RosterDelta}
+func (h *realHost) told(u endpoints.Update) {
+	r := oakthread.Roster{Kind: balancer.RosterDelta}
 	if u.Full {
-		r.Kind = decide.RosterFull
+		r.Kind = balancer.RosterFull
 	}
 	for _, b := range u.Boxes {
-		r.Members = append(r.Members, kept.Member(b))
+		r.Members = append(r.Members, endpointcache.Member(b))
 	}
 	h.keeper.Told(r, "", u.Cursor)
 }
 
-func (h *realHost) configure(k decide.Class, attempts int) {
-	_, err := h.core.AddClasses([]decide.Class{k})
+func (h *realHost) configure(k balancer.Class, attempts int) {
+	_, err := h.core.AddClasses([]balancer.Class{k})
 	h.s.did("configure %v", err)
 	h.core.SetMaxAttempts(attempts)
 }
@@ -515,7 +515,7 @@
 	h.mu.Lock()
 	h.calls[id] = c
 	h.mu.Unlock()
-	q := oakthread.Request{ID: id, Class: c.class, Tenant: -1, Func: decide.FuncID(c.model), Key: fmt.Sprintf("%016x", c.model),
+	q := oakthread.Request{ID: id, Class: c.class, Tenant: -1, Func: balancer.FuncID(c.model), Key: fmt.Sprintf("%016x", c.model),
 		Deadline: c.intended.Add(h.s.f.Classes[c.class].GiveUp - 200*time.Millisecond), MemoryMB: 4000, Lanes: h.s.f.Lanes, LoadTime: h.s.f.Load}
 	h.wait.Go(func() {
 		a, err := h.core.Do(context.Background(), q)
@@ -558,15 +558,15 @@
 // overBy is what the platform's client makes of an attempt or order that our side ended.
 func overBy(written *atomic.Bool) oakthread.Reply {
 	if written.Load() {
-		return oakthread.Reply{Result: decide.Timeout}
+		return oakthread.Reply{Result: balancer.Timeout}
 	}
-	return oakthread.Reply{Result: decide.Moot}
+	return oakthread.Reply{Result: balancer.Moot}
 }
 
 // depart is what an attempt meets on its way, as simNode.Send has it: what comes up is asked for right before the first byte.
 func (h *realHost) depart(c *simCall, a oakthread.Attempt, written *atomic.Bool, got chan<- oakthread.Reply) {
 	w, x := h.s.simWorld, h.s.byID[a.Worker.ID]
-	land := func(r decide.Result, warm decide.Warmth, crowd int, rep []float64) {
+	land := func(r balancer.Result, warm balancer.Warmth, crowd int, rep []float64) {
 		if h.s.loses("answer") {
 			return
 		}
@@ -575,14 +575,14 @@
 	begin := func() bool {
 		written.Store(a.Begin())
 		if !written.Load() {
-			land(decide.Moot, 0, 0, nil)
+			land(balancer.Moot, 0, 0, nil)
 		}
 		return written.Load()
 	}
 	up, failed := w.way(h.stub, x)
 	switch {
 	case !up:
-		w.after(failed, func() { land(decide.ConnectFailed, 0, 0, nil) })
+		w.after(failed, func() { land(balancer.ConnectFailed, 0, 0, nil) })
 	case !h.s.handshake && !begin():
 	case x.fate != vanishes:
 		w.after(simWay, func() {
@@ -599,14 +599,14 @@
 	h.put(rankRest, func() {
 		h.s.did("load %d of %x at %d", o.Count, o.Func, o.Worker.ID)
 		w, x := h.s.simWorld, h.s.byID[o.Worker.ID]
-		answered := func(n int, r decide.Result) { got <- oakthread.Reply{Result: r, Copies: n} }
+		answered := func(n int, r balancer.Result) { got <- oakthread.Reply{Result: r, Copies: n} }
 		up, failed := w.way(h.stub, x)
 		if !up {
-			w.after(failed, func() { answered(0, decide.ConnectFailed) })
+			w.after(failed, func() { answered(0, balancer.ConnectFailed) })
 			return
 		}
 		if written.Store(o.Begin()); !written.Load() {
-			answered(0, decide.Moot)
+			answered(0, balancer.Moot)
 		} else if x.fate != vanishes {
 			w.after(simWay, func() { w.order(x, o.Func, answered) })
 		}
@@ -628,10 +628,10 @@
 
 func (h *realHost) Probe(_ context.Context, m oakthread.Member) oakthread.Reply {
 	h.did("probe %d", m.ID)
-	return oakthread.Reply{Result: decide.Timeout}
+	return oakthread.Reply{Result: balancer.Timeout}
 }
 
-func (h *realHost) Forget(decide.WorkerID) {}
+func (h *realHost) Forget(balancer.WorkerID) {}
 
 func (h *realHost) Tell(to int, data string) {
 	h.put(rankRest, func() {
@@ -709,7 +709,7 @@
 // Guards against a hollow dispatcher that stands for nothing: whatever the module orders, both hosts do at the same time.
 func TestHostsActAlike(t *testing.T) {
 	total := map[string]int{}
-	var ends [decide.Results]int64
+	var ends [balancer.Results]int64
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			real, hollow := playBoth(t, play{seed: seed}, func(h *realHost) {
@@ -730,7 +730,7 @@
 		})
 	}
 	t.Log(total, ends)
-	for _, r := range []decide.Result{decide.OK, decide.Error, decide.Full, decide.ConnectFailed, decide.Cancelled} {
+	for _, r := range []balancer.Result{balancer.OK, balancer.Error, balancer.Full, balancer.ConnectFailed, balancer.Cancelled} {
 		assert.Positive(t, ends[r], "no attempt ended so: %v", r)
 	}
 	for _, k := range []string{"send", "cancel", "refuse", "fail", "load", "drop", "tell", "log", "configure"} {
@@ -750,7 +750,7 @@
 		"a lost change of the list":     func(p *play) { p.lose = "list" },
 		"a second's messages lost":      func(p *play) { p.lose = "message" },
 		"what is called off goes on":    func(p *play) { p.keeps = true },
-		"other settings":                func(p *play) { p.settings = func(s *decide.Settings) { s.WastePrice, s.MaxAttempts = 0.3, 2 } },
+		"other settings":                func(p *play) { p.settings = func(s *balancer.Settings) { s.WastePrice, s.MaxAttempts = 0.3, 2 } },
 	} {
 		t.Run(name, func(t *testing.T) {
 			x := p
@@ -797,7 +797,7 @@
 // By design: the core looks a second time at the ration of orders, with a margin for the way; the module's own look is the
 // hollow host's only one.
 func TestCoreHoldsOrders(t *testing.T) {
-	_, real, hollow := apartBy(t, play{seed: 2, steady: true, settings: func(s *decide.Settings) { s.LoadFree, s.LoadShare = 2, 0.05 }}, func(h *realHost) {
+	_, real, hollow := apartBy(t, play{seed: 2, steady: true, settings: func(s *balancer.Settings) { s.LoadFree, s.LoadShare = 2, 0.05 }}, func(h *realHost) {
 		assert.Positive(t, h.core.Counters().OrdersHeld)
 	})
 	a, b := sorted(only(real.actions, hollow.actions)), sorted(only(hollow.actions, real.actions))
@@ -815,15 +815,15 @@
 		s.at(sent.Add(simWay/2), func() { // wherever it went
 			for i := range s.listed {
 				if slices.ContainsFunc(s.actions, func(a action) bool { return a.text == fmt.Sprintf("send 0.999.0 #0 to %d", s.listed[i].ID) }) {
-					s.listed[i].State = decide.Draining
+					s.listed[i].State = balancer.Draining
 					s.tell(i)
 				}
 			}
 		})
 	}
-	var ends [decide.Results]int64
+	var ends [balancer.Results]int64
 	_, real, hollow := apartBy(t, play{seed: 1, asked: 1, span: 4 * time.Second, steady: true, handshake: true, script: drain}, func(h *realHost) { ends = h.core.Counters().Ends })
-	assert.Equal(t, int64(1), ends[decide.Moot])
+	assert.Equal(t, int64(1), ends[balancer.Moot])
 	a, b := sorted(only(real.actions, hollow.actions)), only(hollow.actions, real.actions)
 	require.NotEmpty(t, a)
 	assert.Regexp(t, `^send 0\.999\.0 #1 to `, a[0].text)
@@ -859,7 +859,7 @@
 			real, hollow := playBoth(t, p, nil)
 			assert.Empty(t, firstApart(real.actions, hollow.actions))
 			assert.Equal(t, real.ends, hollow.ends)
-			assert.Positive(t, hollow.ends[decide.Cancelled])
+			assert.Positive(t, hollow.ends[balancer.Cancelled])
 			ran := 0
 			for i, c := range real.calls0 {
 				assert.Equal(t, c.ran, hollow.calls0[i].ran, "call %s: runs at executors", c.name)
@@ -869,7 +869,7 @@
 			p.keeps = true
 			left := playHollow(t, p)
 			assert.NotEmpty(t, firstApart(real.actions, left.actions), "a host that lets it go on")
-			assert.Zero(t, left.ends[decide.Cancelled])
+			assert.Zero(t, left.ends[balancer.Cancelled])
 		}
 	})
 	// No connection comes up, and one call is on its way when something ends that. One alone: the core revokes several of one
@@ -877,11 +877,11 @@
 	const sent = 3 * time.Second
 	for name, c := range map[string]struct {
 		left time.Duration // until the call's deadline; 0: its class's
-		then func(*stage, *roster.Box)
+		then func(*stage, *endpoints.Box)
 	}{
-		"its executor drains":     {then: func(_ *stage, b *roster.Box) { b.State = decide.Draining }},
-		"its executor has gone":   {then: func(_ *stage, b *roster.Box) { b.State = decide.Off }},
-		"its executor starts new": {then: func(s *stage, b *roster.Box) { b.Start = s.now }},
+		"its executor drains":     {then: func(_ *stage, b *endpoints.Box) { b.State = balancer.Draining }},
+		"its executor has gone":   {then: func(_ *stage, b *endpoints.Box) { b.State = balancer.Off }},
+		"its executor starts new": {then: func(s *stage, b *endpoints.Box) { b.Start = s.now }},
 		"its time is over":        {left: 100 * time.Millisecond},
 	} {
 		t.Run("not written, "+name, func(t *testing.T) {
@@ -897,7 +897,7 @@
 					s.host.arrive(call)
 				})
 				s.at(s.began.Add(sent+100*time.Millisecond), func() {
-					i := slices.IndexFunc(s.listed, func(b roster.Box) bool {
+					i := slices.IndexFunc(s.listed, func(b endpoints.Box) bool {
 						return slices.ContainsFunc(s.actions, func(a action) bool { return a.text == fmt.Sprintf("send 0.999.0 #0 to %d", b.ID) })
 					})
 					if require.GreaterOrEqual(t, i, 0); c.then != nil {
@@ -909,8 +909,8 @@
 			real, hollow := playBoth(t, play{seed: 1, asked: 1, span: 4 * time.Second, steady: true, script: script}, nil)
 			assert.Empty(t, firstApart(real.actions, hollow.actions))
 			assert.Equal(t, real.ends, hollow.ends)
-			assert.Equal(t, int64(1), hollow.ends[decide.Moot])
-			assert.Zero(t, hollow.ends[decide.Cancelled]+hollow.ends[decide.Timeout])
+			assert.Equal(t, int64(1), hollow.ends[balancer.Moot])
+			assert.Zero(t, hollow.ends[balancer.Cancelled]+hollow.ends[balancer.Timeout])
 		})
 	}
 }
@@ -928,7 +928,7 @@
 	real, hollow := playBoth(t, p, nil)
 	assert.Empty(t, firstApart(real.actions, hollow.actions))
 	assert.Equal(t, real.proved, hollow.proved)
-	var on decide.WorkerID
+	var on balancer.WorkerID
 	for _, a := range hollow.actions {
 		if a.at == 6*time.Second && a.kind() == "load" {
 			_, err := fmt.Sscanf(a.text, "load 1 of 4d at %d", &on)
@@ -955,8 +955,8 @@
 			})
 			s.at(call.intended.Add(simProbe/2), func() { end(s.nodes[0]) })
 		}})
-		assert.Equal(t, int64(1), hollow.ends[decide.Moot], name)
-		assert.Zero(t, hollow.ends[decide.Cancelled]+hollow.ends[decide.Timeout], name)
+		assert.Equal(t, int64(1), hollow.ends[balancer.Moot], name)
+		assert.Zero(t, hollow.ends[balancer.Cancelled]+hollow.ends[balancer.Timeout], name)
 	}
 }
 
@@ -972,7 +972,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := play{seed: 1, asked: 1, span: 8 * time.Second, steady: true,
-				settings: func(s *decide.Settings) { s.OrderTimeout = int64(limit) },
+				settings: func(s *balancer.Settings) { s.OrderTimeout = int64(limit) },
 				script: func(s *stage) { // a function is served, forgotten and asked for again; its box loses the load
 					for i, at := range []time.Duration{time.Second, 6 * time.Second} {
 						c := &simCall{class: 0, model: 77, intended: s.began.Add(at), name: fmt.Sprintf("0.90%d", i)}
@@ -1026,7 +1026,7 @@
 // Three processes and three hollow dispatchers under the same load: all figures are there, and messages and worth are near.
 func TestCalibrateSmall(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "oakthread")
-	text, err := exec.Command("go", "build", "-o", program, "oakthread/cmd/oakthread").CombinedOutput()
+	text, err := exec.Command("go", "build", "-o", program, "oakthread/cmd/dispatcher").CombinedOutput()
 	require.NoError(t, err, string(text))
 	c := calibration{sizes: []int{3}, calls: 20, functions: 30, warm: 2 * time.Second, span: 3 * time.Second,
 		program: Program{Path: program, Args: []string{"serve"}}}
--- a/internal/lab/capacity.go
+++ b/internal/lab/capacity.go
@@ -22,7 +22,7 @@
 	"gonum.org/v1/plot/plotter"
 
 	figures "oakthread/internal/capacity"
-	"oakthread/internal/slope"
+	"oakthread/internal/regression"
 )
 
 // The budgets of one dispatcher for control, as the operators' letter gives them, and what follows from them.
@@ -228,12 +228,12 @@
 
 // CapacitySlope is a figure over a size.
 type CapacitySlope struct {
-	slope.Series
-	Fit      *slope.Fit `json:"fit,omitempty"`
-	Fault    string     `json:"fault,omitempty"` // why there is no fit
-	Budget   float64    `json:"budget,omitempty"`
-	UsedUp   Figure     `json:"used_up"` // size at which the budget is; null: at none
-	Foretold *Foretold  `json:"foretold,omitempty"`
+	regression.Series
+	Fit      *regression.Fit `json:"fit,omitempty"`
+	Fault    string          `json:"fault,omitempty"` // why there is no fit
+	Budget   float64         `json:"budget,omitempty"`
+	UsedUp   Figure          `json:"used_up"` // size at which the budget is; null: at none
+	Foretold *Foretold       `json:"foretold,omitempty"`
 	timed    bool
 }
 
@@ -394,7 +394,7 @@
 	}
 	var all []*CapacitySlope
 	for _, f := range capacityFigures() {
-		all = append(all, &CapacitySlope{Series: slope.Series{Name: f.name, Unit: f.unit, Of: d.name}, Budget: f.budget, UsedUp: Figure(math.NaN()), timed: f.timed})
+		all = append(all, &CapacitySlope{Series: regression.Series{Name: f.name, Unit: f.unit, Of: d.name}, Budget: f.budget, UsedUp: Figure(math.NaN()), timed: f.timed})
 	}
 	for _, x := range d.sizes[:len(d.sizes)-1] {
 		runs, err := c.at(ctx, d, x)
@@ -416,7 +416,7 @@
 	for _, s := range all {
 		for i, f := range runs {
 			if y, ok := f[s.Name]; ok {
-				s.Points = append(s.Points, slope.Point{X: x, Y: y, Seed: c.plan.seeds[i]})
+				s.Points = append(s.Points, regression.Point{X: x, Y: y, Seed: c.plan.seeds[i]})
 			}
 		}
 	}
@@ -424,7 +424,7 @@
 
 // fit fits the points so far.
 func (s *CapacitySlope) fit() {
-	fit, err := slope.Choose(s.Points)
+	fit, err := regression.Choose(s.Points)
 	if err != nil {
 		s.Fault = err.Error()
 		return
@@ -514,7 +514,7 @@
 // is known only then, so what is written down before is the fit.
 func (c *capacity) words(ctx context.Context) (all []*CapacitySlope, err error) {
 	for _, name := range []string{"cpu.reading", "cpu.write"} {
-		all = append(all, &CapacitySlope{Series: slope.Series{Name: name, Unit: "ns a second", Of: wordsAt}, Budget: budgetCore * 1e9, UsedUp: Figure(math.NaN()), timed: true})
+		all = append(all, &CapacitySlope{Series: regression.Series{Name: name, Unit: "ns a second", Of: wordsAt}, Budget: budgetCore * 1e9, UsedUp: Figure(math.NaN()), timed: true})
 	}
 	for _, d := range c.plan.dims {
 		if d.name != "dispatchers" && d.name != "calls" {
@@ -552,8 +552,8 @@
 		return in
 	}
 	for i, f := range runs {
-		all[0].Points = append(all[0].Points, slope.Point{X: in, Y: f["cpu.read"] * f["messages.in"], Seed: seeds[i]})
-		all[1].Points = append(all[1].Points, slope.Point{X: in, Y: f["cpu.write"], Seed: seeds[i]})
+		all[0].Points = append(all[0].Points, regression.Point{X: in, Y: f["cpu.read"] * f["messages.in"], Seed: seeds[i]})
+		all[1].Points = append(all[1].Points, regression.Point{X: in, Y: f["cpu.write"], Seed: seeds[i]})
 	}
 	return in
 }
@@ -575,7 +575,7 @@
 func (c *capacity) walks(ctx context.Context) error {
 	var both []*CapacitySlope
 	for _, name := range []string{"cpu.choice.before", "cpu.choice"} {
-		both = append(both, &CapacitySlope{Series: slope.Series{Name: name, Unit: "ns a call", Of: choiceAt}, Budget: budgetChoice, UsedUp: Figure(math.NaN()), timed: true})
+		both = append(both, &CapacitySlope{Series: regression.Series{Name: name, Unit: "ns a call", Of: choiceAt}, Budget: budgetChoice, UsedUp: Figure(math.NaN()), timed: true})
 	}
 	for i, n := range c.plan.walks {
 		if i == len(c.plan.walks)-1 && i > 2 {
@@ -595,7 +595,7 @@
 					return err
 				}
 				arms[arm] = append(arms[arm], f)
-				both[arm].Points = append(both[arm].Points, slope.Point{X: float64(n), Y: f["cpu.choice"], Seed: seed})
+				both[arm].Points = append(both[arm].Points, regression.Point{X: float64(n), Y: f["cpu.choice"], Seed: seed})
 			}
 			both[arm].judge(meanOf(arms[arm], "cpu.choice"))
 		}
@@ -774,7 +774,7 @@
 	}
 	var told []*CapacitySlope
 	for i, f := range capacityFigures() {
-		s := &CapacitySlope{Series: slope.Series{Name: f.name, Unit: f.unit, Of: section}, Budget: f.budget, UsedUp: Figure(math.NaN()), timed: f.timed}
+		s := &CapacitySlope{Series: regression.Series{Name: f.name, Unit: f.unit, Of: section}, Budget: f.budget, UsedUp: Figure(math.NaN()), timed: f.timed}
 		if s.Foretold, s.Fault = c.combine(i, f.product, size); s.Foretold != nil {
 			c.o.Log("foretold at %s: %s %.4g %s", &size, s.Name, s.Foretold.Y, s.Unit)
 		}
@@ -870,14 +870,14 @@
 		if d, ok := capacityDims()[s.Of]; ok {
 			base = d.of(c.Base)
 		}
-		out[s.Name+"/"+s.Of] = figures.Slope{Curve: s.Fit, Base: base, Spread: s.Fit.Spread, Command: "oaklab run capacity", Text: s.Fit.String()}
+		out[s.Name+"/"+s.Of] = figures.Slope{Curve: s.Fit, Base: base, Spread: s.Fit.Spread, Command: "testbed run capacity", Text: s.Fit.String()}
 	}
 	for _, r := range c.Runs {
 		if r.Section != largestAt || r.Partial != "" {
 			continue
 		}
 		for name, y := range r.Figures {
-			out[name+"/"+largestAt] = figures.Slope{Curve: figures.Constant(y), Command: "oaklab run capacity", Text: fmt.Sprintf("%.4g, one run", y)}
+			out[name+"/"+largestAt] = figures.Slope{Curve: figures.Constant(y), Command: "testbed run capacity", Text: fmt.Sprintf("%.4g, one run", y)}
 		}
 	}
 	return out
@@ -1021,7 +1021,7 @@
 }
 
 // meanAt is the mean of the points at a size; NaN: there are none.
-func meanAt(ps []slope.Point, x float64) float64 {
+func meanAt(ps []regression.Point, x float64) float64 {
 	sum, n := 0.0, 0
 	for _, p := range ps {
 		if p.X == x {
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -87,7 +87,7 @@
 	if err := d.Stop(); err != nil {
 		return fmt.Errorf("the dispatcher did not end well: %w", err)
 	}
-	fmt.Fprintf(out, "configuration  %s\noperator's file  %s\nkept list  %s\nlog  %s\nlook at the list: bin/oakthread list show %s\n", d.Config, d.File,
+	fmt.Fprintf(out, "configuration  %s\noperator's file  %s\nkept list  %s\nlog  %s\nlook at the list: bin/dispatcher list show %s\n", d.Config, d.File,
 		filepath.Join(d.Dir, "list.db"), filepath.Join(d.Dir, "log"), filepath.Join(d.Dir, "list.db"))
 	return nil
 }
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -13,8 +13,8 @@
 
 	"gonum.org/v1/plot/plotter"
 
-	"oakthread/decide"
-	"oakthread/roster"
+	"oakthread/balancer"
+	"oakthread/endpoints"
 )
 
 const (
@@ -207,7 +207,7 @@
 // fleetWorld lays out a fleet in virtual time whose clients send until the end of a trouble's watch.
 func fleetWorld(f *Figures, dispatchers, boxes int, messages bool, walk int, seed uint64) (*simWorld, error) {
 	rate := float64(fleetCalls * boxes)
-	w := &simWorld{f: f, byID: map[decide.WorkerID]*simBox{}, popular: newZipf(8*boxes, 0.4), messages: messages, lost: peerLost, price: peerPrice, walk: walk,
+	w := &simWorld{f: f, byID: map[balancer.WorkerID]*simBox{}, popular: newZipf(8*boxes, 0.4), messages: messages, lost: peerLost, price: peerPrice, walk: walk,
 		load: Load{Rate: rate / float64(dispatchers), Models: 8 * boxes, Zipf: 0.4, Turn: 12 * time.Second, Retries: 2}}
 	w.now = time.Unix(1_800_000_000, 0)
 	w.lossy = rand.New(rand.NewPCG(seed, 3))
@@ -216,7 +216,7 @@
 	for i := range boxes {
 		x := w.add(i, began.Add(-time.Hour))
 		x.zone = i % 2
-		w.listed = append(w.listed, roster.Box{ID: x.id, Zone: i % 2, State: decide.On, Weight: 2, Start: began.Add(-time.Hour)})
+		w.listed = append(w.listed, endpoints.Box{ID: x.id, Zone: i % 2, State: balancer.On, Weight: 2, Start: began.Add(-time.Hour)})
 	}
 	w.nodes = make([]*simNode, dispatchers)
 	for n := range w.nodes {
@@ -236,14 +236,14 @@
 // tellAll tells the list to all, at the same moment: the most dangerous.
 func (w *simWorld) tellAll() {
 	w.cursor++
-	u := roster.Update{Full: true, Cursor: w.cursor, Boxes: slices.Clone(w.listed)}
+	u := endpoints.Update{Full: true, Cursor: w.cursor, Boxes: slices.Clone(w.listed)}
 	for _, s := range w.nodes {
 		s.list.Told(w.now, u)
 		s.flush()
 	}
 }
 
-// fleetSim runs one trouble; walk: decide.Settings.Walk. The same seed gives the same run.
+// fleetSim runs one trouble; walk: balancer.Settings.Walk. The same seed gives the same run.
 func fleetSim(f *Figures, kind string, dispatchers, boxes int, messages bool, walk int, seed uint64) (*fleetResult, error) {
 	w, err := fleetWorld(f, dispatchers, boxes, messages, walk, seed)
 	if err != nil {
@@ -258,8 +258,8 @@
 			w.at(began.Add(fleetWarm+fleetTrouble*time.Duration(i)/time.Duration(boxes*6/10)), func() {
 				x := w.add(boxes+i, w.now)
 				fresh = append(fresh, x)
-				w.listed = append(w.listed, roster.Box{ID: x.id, Zone: i % 2, State: decide.On, Weight: 2, Start: w.now})
-				w.listed[i].State = decide.Draining
+				w.listed = append(w.listed, endpoints.Box{ID: x.id, Zone: i % 2, State: balancer.On, Weight: 2, Start: w.now})
+				w.listed[i].State = balancer.Draining
 				old.box.Drain()
 				old.drained = w.now.Add(fleetTold)
 				w.after(fleetTold, tell)
@@ -316,7 +316,7 @@
 }
 
 // avoiding counts the dispatchers that leave a box out.
-func (w *simWorld) avoiding(id decide.WorkerID) (n int) {
+func (w *simWorld) avoiding(id balancer.WorkerID) (n int) {
 	for _, s := range w.nodes {
 		for _, v := range s.d.Verdicts(w.now.UnixNano()) {
 			if v.Worker == id && v.State.Verdict != "well" && v.State.Verdict != "suspect" {
@@ -329,7 +329,7 @@
 
 // add makes a box that starts then.
 func (w *simWorld) add(i int, start time.Time) *simBox {
-	x := &simBox{id: decide.WorkerID(0x100 + i*7919), box: NewBox(w.f.Box, start)}
+	x := &simBox{id: balancer.WorkerID(0x100 + i*7919), box: NewBox(w.f.Box, start)}
 	w.boxes = append(w.boxes, x)
 	w.byID[x.id] = x
 	return x
--- a/internal/lab/hollow.go
+++ b/internal/lab/hollow.go
@@ -22,9 +22,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"oakthread/commons"
-	"oakthread/decide"
-	"oakthread/roster"
+	"oakthread/aggregate"
+	"oakthread/balancer"
+	"oakthread/endpoints"
 )
 
 // HollowSize is one run of hollow dispatchers in virtual time. At large sizes Calls may be far fewer than the 200 a second
@@ -42,7 +42,7 @@
 	Fault                             string        // "" or one of HollowFaults()
 	Memory                            uint64        // bytes that the process may take; 0: half of the machine's
 	Lost                              float64       // part of the messages that never come
-	// PeerPrice is decide.Settings.PeerPrice: what a message costs, of the worth of a call; 0: the least that decide takes.
+	// PeerPrice is balancer.Settings.PeerPrice: what a message costs, of the worth of a call; 0: the least that decide takes.
 	// At the 0.021 of the experiment fleet no purse buys a digest for 1,000, and none is written.
 	PeerPrice float64
 }
@@ -392,7 +392,7 @@
 
 // newHollow lays out the world of a run; ctx ends that early.
 func newHollow(ctx context.Context, size HollowSize, seed uint64) (*hollowWorld, error) {
-	w := &simWorld{f: hollowFigures(size), byID: map[decide.WorkerID]*simBox{}, popular: newZipf(size.Functions, size.Zipf), messages: true,
+	w := &simWorld{f: hollowFigures(size), byID: map[balancer.WorkerID]*simBox{}, popular: newZipf(size.Functions, size.Zipf), messages: true,
 		lost: size.Lost, lossy: rand.New(rand.NewPCG(seed, 3)), load: Load{Rate: size.Calls, Models: size.Functions, Zipf: size.Zipf, Retries: 2}}
 	w.now = time.Unix(1_800_000_000, 0)
 	w.began = w.now
@@ -409,7 +409,7 @@
 	for i := range size.Executors {
 		x := w.add(i, w.began.Add(-time.Hour))
 		x.zone = i % 10
-		w.listed = append(w.listed, roster.Box{ID: x.id, Zone: x.zone, State: decide.On, Weight: 2, Start: w.began.Add(-time.Hour)})
+		w.listed = append(w.listed, endpoints.Box{ID: x.id, Zone: x.zone, State: balancer.On, Weight: 2, Start: w.began.Add(-time.Hour)})
 	}
 	h.changed = make([]time.Time, size.Executors)
 	w.nodes = make([]*simNode, size.Dispatchers)
@@ -502,12 +502,12 @@
 		return err
 	}
 	h.nodes[n] = s
-	h.tell(s, roster.Update{Full: true, Cursor: h.cursor, Boxes: h.listed})
+	h.tell(s, endpoints.Update{Full: true, Cursor: h.cursor, Boxes: h.listed})
 	return nil
 }
 
 // tell tells a dispatcher news of the list.
-func (h *hollowWorld) tell(s *simNode, u roster.Update) {
+func (h *hollowWorld) tell(s *simNode, u endpoints.Update) {
 	h.meter.whole = u.Full
 	h.meter.begin(s.n, partList)
 	s.list.Told(h.now, u)
@@ -526,7 +526,7 @@
 // platform's channel. since: of the first change that this one's time counts from.
 func (h *hollowWorld) change(since time.Time, boxes ...int) {
 	h.cursor++
-	u := roster.Update{Cursor: h.cursor}
+	u := endpoints.Update{Cursor: h.cursor}
 	for _, i := range boxes {
 		u.Boxes = append(u.Boxes, h.listed[i])
 	}
@@ -551,20 +551,20 @@
 		h.away, h.awayAt = h.away[1:], h.awayAt[1:]
 		x := h.boxes[i]
 		x.box, x.drained = NewBox(h.f.Box, h.now), time.Time{}
-		h.listed[i].State, h.listed[i].Start, h.changed[i] = decide.On, h.now, h.now
+		h.listed[i].State, h.listed[i].Start, h.changed[i] = balancer.On, h.now, h.now
 		h.change(from, i)
 		return
 	}
 	for range 8 { // one that has not changed just now
 		i := h.rng.IntN(len(h.boxes))
-		if h.listed[i].State != decide.On || h.now.Sub(h.changed[i]) < 2*fleetTold || h.boxes[i].fate != stays {
+		if h.listed[i].State != balancer.On || h.now.Sub(h.changed[i]) < 2*fleetTold || h.boxes[i].fate != stays {
 			continue
 		}
 		h.changed[i] = h.now
 		if 20*len(h.away) < len(h.boxes) && h.rng.IntN(2) == 0 {
 			h.boxes[i].box.Drain()
 			h.boxes[i].drained = h.now.Add(fleetTold)
-			h.listed[i].State = decide.Draining
+			h.listed[i].State = balancer.Draining
 			h.away, h.awayAt = append(h.away, i), append(h.awayAt, h.now)
 		} else {
 			h.listed[i].Weight = 3.5 - h.listed[i].Weight // 2 or 1.5
@@ -581,7 +581,7 @@
 			continue
 		}
 		h.meter.begin(s.n, partConfig)
-		_, err := s.d.AddClasses(h.now.UnixNano(), []decide.Class{{Aim: int64(time.Second), GiveUp: int64(4 * time.Second), Worth: 1, LateWorth: 0.2}})
+		_, err := s.d.AddClasses(h.now.UnixNano(), []balancer.Class{{Aim: int64(time.Second), GiveUp: int64(4 * time.Second), Worth: 1, LateWorth: 0.2}})
 		s.d.SetMaxAttempts(h.now.UnixNano(), 5)
 		h.meter.end()
 		if err != nil && h.err == nil {
@@ -639,7 +639,7 @@
 			h.meter.times[partWhole], h.meter.counts[partWhole], h.whole = 0, 0, 0
 			h.cursor++
 			for _, s := range h.nodes {
-				h.tell(s, roster.Update{Full: true, Cursor: h.cursor, Boxes: h.listed})
+				h.tell(s, endpoints.Update{Full: true, Cursor: h.cursor, Boxes: h.listed})
 			}
 		})
 	case FaultChanges:
@@ -664,17 +664,17 @@
 		h.at(from.Add(span*time.Duration(step)/10), func() {
 			var news []int
 			for i := 3 * (old * step / 30); i < 3*(old*(step+1)/30); i += 3 {
-				if h.listed[i].State != decide.On { // on its way already
+				if h.listed[i].State != balancer.On { // on its way already
 					continue
 				}
 				x := h.add(len(h.boxes), h.now)
 				x.zone = i % 10
 				news = append(news, i, len(h.listed))
-				h.listed = append(h.listed, roster.Box{ID: x.id, Zone: x.zone, State: decide.On, Weight: 2, Start: h.now})
+				h.listed = append(h.listed, endpoints.Box{ID: x.id, Zone: x.zone, State: balancer.On, Weight: 2, Start: h.now})
 				h.changed = append(h.changed, h.now)
 				h.boxes[i].box.Drain()
 				h.boxes[i].drained = h.now.Add(fleetTold)
-				h.listed[i].State = decide.Draining
+				h.listed[i].State = balancer.Draining
 			}
 			h.change(h.now, news...)
 		})
@@ -797,7 +797,7 @@
 	if h == nil {
 		return n
 	}
-	m, ok := commons.Read(data, len(h.nodes))
+	m, ok := aggregate.Read(data, len(h.nodes))
 	n = note{ok && m.Hub && !m.GoesOn, ok && !m.Hub && !m.GoesOn && !m.Hello}
 	if n.digest {
 		h.toldDigest(s.n)
--- a/internal/lab/keptlist.go
+++ b/internal/lab/keptlist.go
@@ -17,7 +17,7 @@
 	"sync"
 	"time"
 
-	"oakthread/internal/kept"
+	"oakthread/internal/endpointcache"
 )
 
 // Options are those of any experiment.
@@ -383,7 +383,7 @@
 
 // ageList makes a kept file older by moving all its times back.
 func ageList(path, owner string, by time.Duration) error {
-	s, found, err := kept.Open(path, owner)
+	s, found, err := endpointcache.Open(path, owner)
 	if err != nil {
 		return err
 	}
@@ -568,7 +568,7 @@
 
 // Scratch makes a folder for a run and returns how to remove it.
 func Scratch(o *Options) (func(), error) {
-	dir, err := os.MkdirTemp("", "oaklab-*")
+	dir, err := os.MkdirTemp("", "testbed-*")
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/service.go
+++ b/internal/lab/service.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"time"
 
-	"oakthread/decide"
+	"oakthread/balancer"
 )
 
 // callEnd is how the last try of a call that was never served ended.
@@ -210,17 +210,17 @@
 			over, c.end, c.ended = true, givenUp, w.now
 		}
 	})
-	w.reach(s, x, c.name+"."+strconv.Itoa(c.tries), c, func(r decide.Result, _ decide.Warmth, _ int, _ []float64) {
+	w.reach(s, x, c.name+"."+strconv.Itoa(c.tries), c, func(r balancer.Result, _ balancer.Warmth, _ int, _ []float64) {
 		if over {
 			return
 		}
 		over = true
-		if r == decide.OK {
+		if r == balancer.OK {
 			c.served, c.ended = true, w.now
 			return
 		}
 		c.end = turnedAway
-		s.again(c, 10*time.Millisecond, r == decide.Full)
+		s.again(c, 10*time.Millisecond, r == balancer.Full)
 	})
 }
 
--- a/internal/lab/vtime.go
+++ b/internal/lab/vtime.go
@@ -12,9 +12,9 @@
 	"strconv"
 	"time"
 
-	"oakthread/decide"
-	"oakthread/internal/kept"
-	"oakthread/roster"
+	"oakthread/balancer"
+	"oakthread/endpoints"
+	"oakthread/internal/endpointcache"
 )
 
 // engine runs events in order of time, then of their making. Its queue is a binary heap of its own: container/heap would
@@ -95,7 +95,7 @@
 
 // simBox is a box in virtual time, with its fate.
 type simBox struct {
-	id      decide.WorkerID
+	id      balancer.WorkerID
 	zone    int
 	box     *Box
 	fate    int
@@ -112,7 +112,7 @@
 	engine
 	f       *Figures
 	boxes   []*simBox
-	byID    map[decide.WorkerID]*simBox
+	byID    map[balancer.WorkerID]*simBox
 	nodes   []*simNode
 	load    Load
 	popular zipf
@@ -135,7 +135,7 @@
 	unheard float64 // share of answers lost on their way
 	began   time.Time
 	avoided float64 // see fleetResult
-	listed  []roster.Box
+	listed  []endpoints.Box
 	cursor  int64
 	sends   []int // attempts begun, by tenths of a second since began
 	goods   []int // calls served, the same
@@ -178,18 +178,18 @@
 type simNode struct {
 	w       *simWorld
 	n       int
-	list    *roster.List
-	d       *decide.Dispatcher
+	list    *endpoints.List
+	d       *balancer.Dispatcher
 	dead    bool
 	open    map[string]*simOpen
 	flights map[simKey]*simFlight
 	orders  []*simFlight  // to load, as they were given; the first alone has a timer
 	given   int           // orders so far
 	limit   time.Duration // of an order
-	members map[decide.WorkerID]simMember
-	told    map[decide.WorkerID]time.Time // first refusal of a draining box
-	ends    [decide.Results]int64         // of attempts, as oakthread.Counters has them
-	meter   *meter                        // nil: nothing is measured
+	members map[balancer.WorkerID]simMember
+	told    map[balancer.WorkerID]time.Time // first refusal of a draining box
+	ends    [balancer.Results]int64         // of attempts, as oakthread.Counters has them
+	meter   *meter                          // nil: nothing is measured
 }
 
 // simMember is what the host knows of an executor in the list.
@@ -216,24 +216,24 @@
 type simFlight struct {
 	s           *simNode
 	key         simKey
-	worker      decide.WorkerID
+	worker      balancer.WorkerID
 	sent        time.Time
 	begun, over bool
-	open        *simOpen      // nil: an order
-	fn          decide.FuncID // of an order
+	open        *simOpen        // nil: an order
+	fn          balancer.FuncID // of an order
 }
 
 // settings are those of a dispatcher on the sockets, without peers.
-func (f *Figures) settings(n, siblings int) decide.Settings {
-	s := decide.Settings{Number: n, Siblings: siblings, Quantum: int64(4 * time.Millisecond), MaxAttempts: 5, SecondCopies: true, MayCancel: true,
+func (f *Figures) settings(n, siblings int) balancer.Settings {
+	s := balancer.Settings{Number: n, Siblings: siblings, Quantum: int64(4 * time.Millisecond), MaxAttempts: 5, SecondCopies: true, MayCancel: true,
 		Tells: true, MaxRetryAfter: int64(1500 * time.Millisecond), DrainGrace: int64(time.Second), Cold: int64(f.Box.Warm), Fall: int64(f.Box.Fall),
 		OverloadFactor: f.Box.Factor, StartCapacity: f.Box.StartCap, Orders: true, LoadsOnMiss: true, TellsWarm: true, TellsCrowd: true,
 		KeepAlive: int64(f.Box.Keep), LoadWindow: int64(5 * time.Second), OrderTimeout: int64(10 * time.Second), LoadFree: 6, LoadShare: 0.3,
 		QueueField: 1, WastePrice: 0.2, OriginPrice: 0.03, MemoryPrice: 0.05}
 	for _, c := range f.Classes {
-		k := decide.Class{Aim: int64(c.Aim), GiveUp: int64(c.GiveUp), Worth: c.Worth, LateWorth: 0.2, Effect: decide.Safe}
+		k := balancer.Class{Aim: int64(c.Aim), GiveUp: int64(c.GiveUp), Worth: c.Worth, LateWorth: 0.2, Effect: balancer.Safe}
 		if c.Once {
-			k.Effect = decide.Unsafe
+			k.Effect = balancer.Unsafe
 		}
 		s.Classes = append(s.Classes, k)
 	}
@@ -241,22 +241,22 @@
 }
 
 func (w *simWorld) node(n int, seed uint64, fresh bool) (*simNode, error) {
-	s := &simNode{w: w, n: n, open: map[string]*simOpen{}, flights: map[simKey]*simFlight{}, members: map[decide.WorkerID]simMember{}, told: map[decide.WorkerID]time.Time{}}
+	s := &simNode{w: w, n: n, open: map[string]*simOpen{}, flights: map[simKey]*simFlight{}, members: map[balancer.WorkerID]simMember{}, told: map[balancer.WorkerID]time.Time{}}
 	if w.hollow != nil {
 		s.meter = &w.hollow.meter
 	}
-	s.list = roster.New(roster.Config{Seed: seed + uint64(n), Siblings: len(w.nodes), MaxWait: 1500 * time.Millisecond, Fresh: fresh})
+	s.list = endpoints.New(endpoints.Config{Seed: seed + uint64(n), Siblings: len(w.nodes), MaxWait: 1500 * time.Millisecond, Fresh: fresh})
 	set := w.f.settings(n, len(w.nodes))
 	set.Peers, set.PeerPrice, set.Walk = w.messages, w.price, w.walk
 	return s, s.module(set, seed^uint64(n)*0x9e3779b9, s)
 }
 
 // module makes the decision module; host is s, or a test's around it.
-func (s *simNode) module(set decide.Settings, seed uint64, host decide.Host) (err error) {
+func (s *simNode) module(set balancer.Settings, seed uint64, host balancer.Host) (err error) {
 	if s.limit = time.Duration(set.OrderTimeout); s.limit <= 0 {
 		s.limit = 10 * time.Second
 	}
-	s.d, err = decide.New(s.w.now.UnixNano(), set, seed, host)
+	s.d, err = balancer.New(s.w.now.UnixNano(), set, seed, host)
 	return err
 }
 
@@ -264,24 +264,24 @@
 func (s *simNode) flush() {
 	a := s.list.Take()
 	for _, p := range a.Publish {
-		var es []decide.Entry
+		var es []balancer.Entry
 		old := s.members
-		if p.Kind != decide.RosterDelta {
-			s.members = make(map[decide.WorkerID]simMember, len(p.Boxes))
+		if p.Kind != balancer.RosterDelta {
+			s.members = make(map[balancer.WorkerID]simMember, len(p.Boxes))
 		}
 		for _, b := range p.Boxes {
-			m := simMember{b.State == decide.On, b.Start.UnixNano()}
+			m := simMember{b.State == balancer.On, b.Start.UnixNano()}
 			if was, known := old[b.ID]; !m.on || known && was.start != m.start {
 				s.revoke(b.ID)
 			}
-			if s.members[b.ID] = m; b.State == decide.Off {
+			if s.members[b.ID] = m; b.State == balancer.Off {
 				delete(s.members, b.ID)
 			}
-			es = append(es, decide.Entry{Worker: b.ID, Zone: b.Zone, Kind: b.Kind, Cell: b.Cell, State: b.State, Weight: b.Weight, Start: b.Start.UnixNano()})
+			es = append(es, balancer.Entry{Worker: b.ID, Zone: b.Zone, Kind: b.Kind, Cell: b.Cell, State: b.State, Weight: b.Weight, Start: b.Start.UnixNano()})
 		}
 		for _, fl := range s.unbegun() {
 			if _, known := s.members[fl.worker]; !known {
-				fl.off(decide.Moot)
+				fl.off(balancer.Moot)
 			}
 		}
 		s.meter.begin(s.n, partList)
@@ -293,26 +293,26 @@
 	}
 }
 
-func (s *simNode) probe(id decide.WorkerID) {
+func (s *simNode) probe(id balancer.WorkerID) {
 	x := s.w.byID[id]
-	sign, after := roster.Answered, 2*simWay
+	sign, after := endpoints.Answered, 2*simWay
 	switch x.fate {
 	case refuses, reused:
-		sign = roster.Refused
+		sign = endpoints.Refused
 	case vanishes, cutOff:
-		sign, after = roster.Silent, simProbe
+		sign, after = endpoints.Silent, simProbe
 	}
 	if !s.w.reaches(s, x) {
-		sign, after = roster.Silent, simProbe
+		sign, after = endpoints.Silent, simProbe
 	}
 	s.w.after(after, func() {
 		if s.dead {
 			return
 		}
-		if sign == roster.Answered && x.box.Draining() {
-			sign = roster.Drains
-		} else if _, util := x.box.Report(s.w.now); sign == roster.Answered && util > 0.9 {
-			sign = roster.Slow
+		if sign == endpoints.Answered && x.box.Draining() {
+			sign = endpoints.Drains
+		} else if _, util := x.box.Report(s.w.now); sign == endpoints.Answered && util > 0.9 {
+			sign = endpoints.Slow
 		}
 		s.list.Probed(s.w.now, id, sign)
 		s.flush()
@@ -350,7 +350,7 @@
 	deadline := c.intended.Add(s.w.f.Classes[c.class].GiveUp - 200*time.Millisecond)
 	s.open[id] = &simOpen{call: c, began: s.w.now, deadline: deadline}
 	s.meter.begin(s.n, partChoice)
-	s.d.Request(s.w.now.UnixNano(), decide.Request{ID: id, Class: c.class, Tenant: -1, Func: decide.FuncID(c.model), Deadline: deadline.UnixNano(),
+	s.d.Request(s.w.now.UnixNano(), balancer.Request{ID: id, Class: c.class, Tenant: -1, Func: balancer.FuncID(c.model), Deadline: deadline.UnixNano(),
 		MemoryMB: 4000, Lanes: s.w.f.Lanes, LoadTime: int64(s.w.f.Load)})
 	s.meter.end()
 }
@@ -380,7 +380,7 @@
 	delete(s.open, id)
 	for n := range o.tries {
 		if fl := s.flights[simKey{id, n}]; fl != nil && !fl.begun {
-			fl.off(decide.Moot)
+			fl.off(balancer.Moot)
 		}
 	}
 	if served {
@@ -403,27 +403,27 @@
 }
 
 // revoke ends what is on its way to an executor that must get nothing new, as far as nothing of it was written.
-func (s *simNode) revoke(w decide.WorkerID) {
+func (s *simNode) revoke(w balancer.WorkerID) {
 	for _, fl := range s.unbegun() {
 		if fl.worker == w {
-			fl.off(decide.Moot)
+			fl.off(balancer.Moot)
 		}
 	}
 }
 
 // off ends a flight from this side, at once but not within the event at hand.
-func (fl *simFlight) off(r decide.Result) {
+func (fl *simFlight) off(r balancer.Result) {
 	if fl.over {
 		return
 	}
 	if fl.over = true; !fl.begun {
-		r = decide.Moot
+		r = balancer.Moot
 	}
 	fl.s.w.after(0, func() { fl.landed(r, 0, 0, 0, nil) })
 }
 
 // land is an answer of the executor's, or the proof that there will be none; timeout the end of the time for it.
-func (fl *simFlight) land(r decide.Result, warm decide.Warmth, crowd, copies int, rep []float64) {
+func (fl *simFlight) land(r balancer.Result, warm balancer.Warmth, crowd, copies int, rep []float64) {
 	if !fl.over {
 		fl.over = true
 		fl.landed(r, warm, crowd, copies, rep)
@@ -431,29 +431,29 @@
 }
 
 func (fl *simFlight) timeout() {
-	r := decide.Timeout
+	r := balancer.Timeout
 	if !fl.begun {
-		r = decide.Moot
+		r = balancer.Moot
 	}
 	fl.land(r, 0, 0, 0, nil)
 }
 
-func (fl *simFlight) landed(r decide.Result, warm decide.Warmth, crowd, copies int, rep []float64) {
+func (fl *simFlight) landed(r balancer.Result, warm balancer.Warmth, crowd, copies int, rep []float64) {
 	s, now := fl.s, fl.s.w.now
 	if s.dead {
 		return
 	}
 	delete(s.flights, fl.key)
-	if fl.open != nil && r == decide.Full {
+	if fl.open != nil && r == balancer.Full {
 		fl.open.full++
 	}
-	if o := fl.open; o != nil && r == decide.OK && s.open[fl.key.id] == o {
+	if o := fl.open; o != nil && r == balancer.OK && s.open[fl.key.id] == o {
 		s.end(fl.key.id, o, true)
 		s.w.tally(&s.w.goods)
 	}
-	if sign, tells := kept.Sign(r, false); tells && (fl.open != nil || r != decide.Timeout) { // a load may take longer than we wait
-		if fl.open != nil && sign == roster.Answered && warm == decide.WarmHit && now.Sub(fl.sent) > s.w.f.Classes[fl.open.call.class].Aim/2 {
-			sign = roster.Slow
+	if sign, tells := endpointcache.Sign(r, false); tells && (fl.open != nil || r != balancer.Timeout) { // a load may take longer than we wait
+		if fl.open != nil && sign == endpoints.Answered && warm == balancer.WarmHit && now.Sub(fl.sent) > s.w.f.Classes[fl.open.call.class].Aim/2 {
+			sign = endpoints.Slow
 		}
 		s.list.Observe(now, fl.worker, sign)
 		s.flush()
@@ -463,7 +463,7 @@
 		s.d.Loaded(now.UnixNano(), fl.worker, fl.fn, copies, r)
 	} else {
 		s.ends[r]++
-		s.d.Outcome(now.UnixNano(), decide.Outcome{ID: fl.key.id, Attempt: fl.key.n, Worker: fl.worker, Result: r, Finished: s.open[fl.key.id] == nil,
+		s.d.Outcome(now.UnixNano(), balancer.Outcome{ID: fl.key.id, Attempt: fl.key.n, Worker: fl.worker, Result: r, Finished: s.open[fl.key.id] == nil,
 			Warmth: warm, Crowd: crowd, RTT: int64(now.Sub(fl.sent)), Report: rep})
 	}
 	s.meter.end()
@@ -492,14 +492,14 @@
 		if fl.open != nil && failed == simProbe {
 			s.w.unreached++
 		}
-		s.w.after(failed, func() { fl.land(decide.ConnectFailed, 0, 0, 0, nil) })
+		s.w.after(failed, func() { fl.land(balancer.ConnectFailed, 0, 0, 0, nil) })
 	case x.fate != vanishes:
 		s.w.after(simWay, func() { arrive(x) })
 	}
 }
 
-// Send and the other methods are decide.Host.
-func (s *simNode) Send(id string, w decide.WorkerID, until int64) {
+// Send and the other methods are balancer.Host.
+func (s *simNode) Send(id string, w balancer.WorkerID, until int64) {
 	s.meter.pause()
 	defer s.meter.resume()
 	o := s.open[id]
@@ -515,9 +515,9 @@
 			if s.dead {
 				return
 			}
-			s.ends[decide.ConnectFailed]++
+			s.ends[balancer.ConnectFailed]++
 			s.meter.begin(s.n, partChoice)
-			s.d.Outcome(s.w.now.UnixNano(), decide.Outcome{ID: id, Attempt: n, Worker: w, Result: decide.ConnectFailed, Finished: s.open[id] != o})
+			s.d.Outcome(s.w.now.UnixNano(), balancer.Outcome{ID: id, Attempt: n, Worker: w, Result: balancer.ConnectFailed, Finished: s.open[id] != o})
 			s.meter.end()
 		})
 		return
@@ -529,17 +529,19 @@
 	}
 	s.w.at(end, fl.timeout)
 	fl.depart(func(x *simBox) {
-		s.w.reach(s, x, id, o.call, func(r decide.Result, warm decide.Warmth, crowd int, rep []float64) { fl.land(r, warm, crowd, 0, rep) })
+		s.w.reach(s, x, id, o.call, func(r balancer.Result, warm balancer.Warmth, crowd int, rep []float64) {
+			fl.land(r, warm, crowd, 0, rep)
+		})
 	})
 }
 
 // reach is a call's coming to a box.
-func (w *simWorld) reach(s *simNode, x *simBox, id string, c *simCall, land func(decide.Result, decide.Warmth, int, []float64)) {
+func (w *simWorld) reach(s *simNode, x *simBox, id string, c *simCall, land func(balancer.Result, balancer.Warmth, int, []float64)) {
 	if x.failing {
 		x.spoilt++
 		w.take(x)
 		w.book(c)
-		w.after(simWay, func() { land(decide.Error, 0, 0, nil) })
+		w.after(simWay, func() { land(balancer.Error, 0, 0, nil) })
 		return
 	}
 	j := &Job{ID: id, Class: c.class, Model: c.model, Work: w.f.Work(c.class, c.name), Load: w.f.Load, Lanes: w.f.Lanes}
@@ -552,8 +554,8 @@
 			return // the deadline ends it
 		}
 		c.cold = c.cold || j.Note != Hit
-		rep, warm := report(), [...]decide.Warmth{decide.WarmHit, decide.BeganLoad, decide.AwaitedLoad}[j.Note]
-		w.after(simWay, func() { land(decide.OK, warm, j.Same, rep) })
+		rep, warm := report(), [...]balancer.Warmth{balancer.WarmHit, balancer.BeganLoad, balancer.AwaitedLoad}[j.Note]
+		w.after(simWay, func() { land(balancer.OK, warm, j.Same, rep) })
 	}
 	v := x.box.Arrive(w.now, j)
 	w.counts.arrived(w, x, j, v)
@@ -569,9 +571,9 @@
 		}
 	}
 	if v != Taken {
-		rep, res := report(), decide.Full
+		rep, res := report(), balancer.Full
 		if v == Down {
-			res = decide.Reset
+			res = balancer.Reset
 		}
 		w.after(simWay, func() { land(res, 0, 0, rep) })
 		return
@@ -617,7 +619,7 @@
 	s.meter.pause()
 	defer s.meter.resume()
 	if fl := s.flights[simKey{id, attempt}]; fl != nil {
-		fl.off(decide.Cancelled)
+		fl.off(balancer.Cancelled)
 	}
 }
 
@@ -640,14 +642,14 @@
 	}
 }
 
-func (s *simNode) Load(id decide.WorkerID, f decide.FuncID, count int) {
+func (s *simNode) Load(id balancer.WorkerID, f balancer.FuncID, count int) {
 	s.meter.pause()
 	defer s.meter.resume()
 	if m, known := s.members[id]; !known || count > 0 && !m.on {
 		s.w.after(0, func() {
 			if !s.dead {
 				s.meter.begin(s.n, partChoice)
-				s.d.Loaded(s.w.now.UnixNano(), id, f, 0, decide.Full)
+				s.d.Loaded(s.w.now.UnixNano(), id, f, 0, balancer.Full)
 				s.meter.end()
 			}
 		})
@@ -659,7 +661,7 @@
 		s.w.after(s.limit, s.giveUp)
 	}
 	fl.depart(func(x *simBox) {
-		s.w.order(x, f, func(copies int, r decide.Result) { fl.land(r, 0, 0, copies, nil) })
+		s.w.order(x, f, func(copies int, r balancer.Result) { fl.land(r, 0, 0, copies, nil) })
 	})
 }
 
@@ -677,19 +679,19 @@
 }
 
 // order is an order's coming to a box, and its answer's way back.
-func (w *simWorld) order(x *simBox, f decide.FuncID, answered func(copies int, r decide.Result)) {
+func (w *simWorld) order(x *simBox, f balancer.FuncID, answered func(copies int, r balancer.Result)) {
 	j := &Job{Model: uint64(f), Load: w.f.Load, Lanes: w.f.Lanes, Order: true}
-	j.Data = func() { w.after(simWay, func() { answered(1, decide.OK) }) }
+	j.Data = func() { w.after(simWay, func() { answered(1, balancer.OK) }) }
 	v := x.box.Arrive(w.now, j)
 	if w.counts.arrived(w, x, j, v); v != Taken {
-		w.after(simWay, func() { answered(0, decide.Full) })
+		w.after(simWay, func() { answered(0, balancer.Full) })
 		return
 	}
 	w.hollow.loaded(j)
 	w.advance(x)
 }
 
-func (s *simNode) Drop(id decide.WorkerID, f decide.FuncID) {
+func (s *simNode) Drop(id balancer.WorkerID, f balancer.FuncID) {
 	s.meter.pause()
 	defer s.meter.resume()
 	if _, known := s.members[id]; known {
@@ -698,14 +700,14 @@
 }
 
 // drop has a box unload a function, where that comes there.
-func (w *simWorld) drop(s *simNode, x *simBox, f decide.FuncID) {
+func (w *simWorld) drop(s *simNode, x *simBox, f balancer.FuncID) {
 	if written, _ := w.way(s, x); written && x.fate != vanishes {
 		w.after(simWay, func() { x.box.Unload(uint64(f)) })
 	}
 }
 
-func (s *simNode) Probe(id decide.WorkerID) {
-	s.w.after(2*simWay, func() { s.d.Probed(s.w.now.UnixNano(), id, decide.OK, int64(2*simWay), nil) })
+func (s *simNode) Probe(id balancer.WorkerID) {
+	s.w.after(2*simWay, func() { s.d.Probed(s.w.now.UnixNano(), id, balancer.OK, int64(2*simWay), nil) })
 }
 func (s *simNode) Watch()     {}
 func (s *simNode) Log(string) {}
@@ -787,18 +789,18 @@
 
 // keptSim restarts a whole fleet in virtual time: warm up, replace four boxes in ten, crash, restart within a second.
 func keptSim(f *Figures, dispatchers, boxes int, rate float64, fresh bool, seed uint64) (*keptSimResult, error) {
-	w := &simWorld{f: f, byID: map[decide.WorkerID]*simBox{}, popular: newZipf(8*boxes, 0.4), price: peerPrice,
+	w := &simWorld{f: f, byID: map[balancer.WorkerID]*simBox{}, popular: newZipf(8*boxes, 0.4), price: peerPrice,
 		load: Load{Rate: rate / float64(dispatchers), Models: 8 * boxes, Zipf: 0.4, Turn: 12 * time.Second, Retries: 2}}
 	w.now = time.Unix(1_800_000_000, 0)
 	began := w.now
 	w.began = began
-	var list roster.Update
+	var list endpoints.Update
 	list.Full, list.Cursor = true, 1
 	for i := range boxes {
-		x := &simBox{id: decide.WorkerID(0x100 + i*7919), box: NewBox(f.Box, began.Add(-time.Hour))}
+		x := &simBox{id: balancer.WorkerID(0x100 + i*7919), box: NewBox(f.Box, began.Add(-time.Hour))}
 		w.boxes = append(w.boxes, x)
 		w.byID[x.id] = x
-		list.Boxes = append(list.Boxes, roster.Box{ID: x.id, Zone: i % 2, State: decide.On, Weight: 2, Start: began.Add(-time.Hour)})
+		list.Boxes = append(list.Boxes, endpoints.Box{ID: x.id, Zone: i % 2, State: balancer.On, Weight: 2, Start: began.Add(-time.Hour)})
 	}
 	w.nodes = make([]*simNode, dispatchers)
 	for n := range w.nodes {
@@ -815,7 +817,7 @@
 		w.arrivals(n, rand.New(rand.NewPCG(seed, uint64(n)<<8)), 0, began.Add(warm+time.Second+watch))
 	}
 	w.run(began.Add(warm))
-	lists := make([]roster.Kept, dispatchers)
+	lists := make([]endpoints.Kept, dispatchers)
 	for n, s := range w.nodes {
 		s.dead = true
 		lists[n] = s.list.Keep(w.now)
--- a/internal/ledger/ledger.go
+++ b/internal/loganalysis/ledger.go
@@ -1,7 +1,7 @@
 // Package ledger counts over the logs of a whole fleet what no single dispatcher shows: herds, duplicate loads, and how
 // long a fault goes on after it was first met. It reads what dispatchers write at level debug, decides nothing, and must
 // never fail on a line: what cannot be read is counted and skipped.
-package ledger
+package loganalysis
 
 import (
 	"bufio"
--- a/internal/ledger/ledger_test.go
+++ b/internal/loganalysis/ledger_test.go
@@ -1,4 +1,4 @@
-package ledger
+package loganalysis
 
 import (
 	"strings"
--- a/internal/steady/steady.go
+++ b/internal/monotime/steady.go
@@ -2,7 +2,7 @@
 // of the system's clock do not reach it. All spans, deadlines and orders of events are taken from it or from the monotonic
 // part of time.Now; the wall clock itself is read only where a message or a file speaks of it: ages of executors that the
 // platform tells as wall times, and timestamps of signatures.
-package steady
+package monotime
 
 import (
 	"time"
--- a/internal/steady/steady_test.go
+++ b/internal/monotime/steady_test.go
@@ -1,6 +1,6 @@
 //go:build linux && amd64 && cgo
 
-package steady
+package monotime
 
 import (
 	"testing"
--- a/internal/netfault/conn.go
+++ b/internal/neterr/conn.go
@@ -1,4 +1,4 @@
-package netfault
+package neterr
 
 import (
 	"net"
--- a/internal/netfault/netfault.go
+++ b/internal/neterr/netfault.go
@@ -3,7 +3,7 @@
 // and writing ask it, so that all of them treat an error alike.
 //
 // Source: accept(2), connect(2), socket(2), send(2), recv(2) and tcp(7) of the Linux manual pages.
-package netfault
+package neterr
 
 import (
 	"errors"
--- a/internal/platform/channel.go
+++ b/internal/platform/channel.go
@@ -18,8 +18,8 @@
 	"time"
 
 	"oakthread"
+	"oakthread/endpoints"
 	"oakthread/internal/wire"
-	"oakthread/roster"
 )
 
 const (
@@ -40,7 +40,7 @@
 	known  []Event
 	cursor int64
 	epoch  string
-	dialer *roster.Dialer
+	dialer *endpoints.Dialer
 	kept   bool   // the list is kept on disk: a numbering may have started over meanwhile
 	bad    string // the last line that cannot be read
 	gap    bool   // one was passed over: the next number is the next there is
@@ -70,12 +70,12 @@
 // NewChannel follows the channel of a configuration from the events on that it holds.
 func NewChannel(c *Config, log *slog.Logger) *Channel {
 	return &Channel{addr: c.Channel, moved: make(chan string, 1), setup: c.Setup, known: c.Known, cursor: c.Cursor, log: log, dial: (&net.Dialer{Timeout: channelDial}).DialContext,
-		dialer: roster.NewDialer([]string{c.Channel}, c.Seed).Within(channelMost)}
+		dialer: endpoints.NewDialer([]string{c.Channel}, c.Seed).Within(channelMost)}
 }
 
 // Keep has the channel go on from where a kept list stands, over several addresses in turn, and notice a discovery that
 // started over. It must be called before Follow.
-func (c *Channel) Keep(cursor int64, epoch string, d *roster.Dialer) {
+func (c *Channel) Keep(cursor int64, epoch string, d *endpoints.Dialer) {
 	c.cursor, c.epoch, c.dialer, c.kept, c.known = cursor, epoch, d, true, nil
 }
 
--- a/internal/platform/clientconn.go
+++ b/internal/platform/clientconn.go
@@ -14,7 +14,7 @@
 	"sync/atomic"
 	"time"
 
-	"oakthread/internal/netfault"
+	"oakthread/internal/neterr"
 )
 
 const mostAhead = 32 << 10 // bytes read behind a call in hand: a head and a body
@@ -108,7 +108,7 @@
 func (c *clientConn) readSocket(b []byte) (int, error) {
 	for {
 		c.limiter.beginRead(c)
-		n, err := netfault.Read(c.Conn, b)
+		n, err := neterr.Read(c.Conn, b)
 		if !errors.Is(err, os.ErrDeadlineExceeded) || n > 0 {
 			return n, err
 		}
@@ -174,7 +174,7 @@
 	if err := c.Conn.SetReadDeadline(time.Time{}); err != nil {
 		return 0, err
 	}
-	n, err := netfault.Read(c.Conn, b) // at once
+	n, err := neterr.Read(c.Conn, b) // at once
 	if again := c.Conn.SetReadDeadline(c.deadline); err == nil {
 		err = again
 	}
@@ -186,7 +186,7 @@
 	defer close(ended)
 	b := make([]byte, 1<<10)
 	for c.ahead.Len() < mostAhead {
-		n, err := netfault.Read(c.Conn, b)
+		n, err := neterr.Read(c.Conn, b)
 		c.ahead.Write(b[:n])
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			return
@@ -200,7 +200,7 @@
 }
 
 // Write writes all of an answer, also where a shortage of the system's cuts a write short.
-func (c *clientConn) Write(b []byte) (int, error) { return netfault.Write(c.Conn, b) }
+func (c *clientConn) Write(b []byte) (int, error) { return neterr.Write(c.Conn, b) }
 
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"oakthread"
-	"oakthread/decide"
+	"oakthread/balancer"
 	"oakthread/internal/wire"
 )
 
@@ -197,13 +197,13 @@
 	if f.Cursor == nil || *f.Cursor < 0 {
 		return Event{}, errors.New("field cursor is missing")
 	}
-	ev := Event{Cursor: *f.Cursor, Epoch: f.Epoch, Told: true, Roster: oakthread.Roster{Kind: decide.RosterDelta}}
+	ev := Event{Cursor: *f.Cursor, Epoch: f.Epoch, Told: true, Roster: oakthread.Roster{Kind: balancer.RosterDelta}}
 	if f.Nodes == nil {
 		ev.Told = false
 		return ev, nil // an event of a kind not known here: its number counts
 	}
 	if f.Nodes.Complete {
-		ev.Roster.Kind = decide.RosterFull
+		ev.Roster.Kind = balancer.RosterFull
 	}
 	for i, m := range f.Nodes.Members {
 		if m.ID == "" {
@@ -214,16 +214,16 @@
 			Kind: place(s.Kinds, m.Flavor), Cell: m.Cell, Weight: m.Size}
 		switch m.Phase {
 		case "Ready":
-			e.State = decide.On
+			e.State = balancer.On
 		case "Terminating":
-			e.State = decide.Draining
+			e.State = balancer.Draining
 		case "Gone":
-			e.State = decide.Off
+			e.State = balancer.Off
 		default:
-			e.State = decide.Draining
+			e.State = balancer.Draining
 			ev.Odd = append(ev.Odd, fmt.Errorf("members[%d]: phase %q of %q is not known", i, m.Phase, m.ID))
 		}
-		if e.State != decide.Off {
+		if e.State != balancer.Off {
 			if _, err := netip.ParseAddrPort(m.HostPort); err != nil {
 				ev.Odd = append(ev.Odd, fmt.Errorf("members[%d]: host_port %q of %q: %w", i, m.HostPort, m.ID, err))
 				continue
@@ -238,15 +238,15 @@
 }
 
 // WorkerID is the number behind an id such as s-00c41f7a, the same at every dispatcher; a hash for other forms.
-func WorkerID(id string) decide.WorkerID {
+func WorkerID(id string) balancer.WorkerID {
 	if _, hex, ok := strings.Cut(id, "-"); ok && len(hex) == 8 {
 		if n, err := strconv.ParseUint(hex, 16, 32); err == nil {
-			return decide.WorkerID(n)
+			return balancer.WorkerID(n)
 		}
 	}
 	h := fnv.New32a()
 	h.Write([]byte(id))
-	return decide.WorkerID(h.Sum32())
+	return balancer.WorkerID(h.Sum32())
 }
 
 // place is the number of a name in a list of the settings. One not listed gets the number after the last.
--- a/internal/platform/connlimiter.go
+++ b/internal/platform/connlimiter.go
@@ -16,7 +16,7 @@
 	"sync/atomic"
 	"time"
 
-	"oakthread/internal/netfault"
+	"oakthread/internal/neterr"
 	"oakthread/rules"
 )
 
@@ -35,7 +35,7 @@
 	net.Listener
 	max       int
 	log       *slog.Logger
-	logLimit  netfault.LogLimit
+	logLimit  neterr.LogLimit
 	failed    atomic.Int64  // accepts that failed and were tried again
 	ending    chan struct{} // closed once stopping
 	mu        sync.Mutex
@@ -99,7 +99,7 @@
 
 // accept takes a connection from the listener. Errors that pass are tried again, with a bounded backoff.
 func (l *connLimiter) accept() (net.Conn, error) {
-	var backoff netfault.Backoff
+	var backoff neterr.Backoff
 	for {
 		c, err := l.Listener.Accept()
 		if err == nil {
@@ -130,12 +130,12 @@
 		}
 		return false, errors.Join(errEnded, l.Listener.Close())
 	}
-	if netfault.EndsListener(err) {
+	if neterr.EndsListener(err) {
 		return false, err
 	}
 	l.failed.Add(1)
 	if suppressed, ok := l.logLimit.Allow(time.Now()); ok {
-		l.log.Warn("accept failed, trying again", "kind", netfault.Classify(err).String(), "err", err, "suppressed", suppressed)
+		l.log.Warn("accept failed, trying again", "kind", neterr.Classify(err).String(), "err", err, "suppressed", suppressed)
 	}
 	return false, nil
 }
--- a/internal/platform/conns_test.go
+++ b/internal/platform/conns_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 
 	"oakthread"
-	"oakthread/decide"
+	"oakthread/balancer"
 )
 
 // Guards the one reading of a message's bounds, however the bytes are cut.
@@ -239,19 +239,19 @@
 	}
 	for name, c := range map[string]struct {
 		first string
-		want  decide.Result
+		want  balancer.Result
 	}{
-		"second copy":      {ok("one") + ok("one"), decide.OK},
-		"noise":            {ok("one") + "\x00\xff~", decide.OK},
-		"1xx before":       {strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 20) + ok("one"), decide.OK},
-		"1xx without end":  {strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 2000), decide.Reset},
-		"head without end": {"HTTP/1.1 200 OK\r\n" + strings.Repeat("X-A: b\r\n", 4000), decide.Reset},
-		"3 GB":             {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 1<<16), decide.Reset},
-		"two lengths":      {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n\r\n", decide.Reset},
-		"no length":        {"HTTP/1.1 200 OK\r\n\r\none", decide.Reset},
-		"chunks, a copy":   {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n\r\n" + ok("one"), decide.OK},
-		"noise alone":      {"\x00\xff~\r\n\r\n", decide.Reset},
-		"101":              {"HTTP/1.1 101 Switching\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\none", decide.Reset},
+		"second copy":      {ok("one") + ok("one"), balancer.OK},
+		"noise":            {ok("one") + "\x00\xff~", balancer.OK},
+		"1xx before":       {strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 20) + ok("one"), balancer.OK},
+		"1xx without end":  {strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 2000), balancer.Reset},
+		"head without end": {"HTTP/1.1 200 OK\r\n" + strings.Repeat("X-A: b\r\n", 4000), balancer.Reset},
+		"3 GB":             {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 1<<16), balancer.Reset},
+		"two lengths":      {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n\r\n", balancer.Reset},
+		"no length":        {"HTTP/1.1 200 OK\r\n\r\none", balancer.Reset},
+		"chunks, a copy":   {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n\r\n" + ok("one"), balancer.OK},
+		"noise alone":      {"\x00\xff~\r\n\r\n", balancer.Reset},
+		"101":              {"HTTP/1.1 101 Switching\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\none", balancer.Reset},
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr, seen := raw(t, c.first, ok("two"))
@@ -261,7 +261,7 @@
 			defer done()
 			r := f.Send(ctx, attempt(member(addr), "x"))
 			assert.Equal(t, c.want, r.Result)
-			if c.want == decide.OK {
+			if c.want == balancer.OK {
 				assert.Equal(t, "one", string(r.Body))
 			}
 			r = f.Send(ctx, attempt(member(addr), "x"))
@@ -275,8 +275,8 @@
 func TestOurTimeEndsBeforeAnythingIsWritten(t *testing.T) {
 	f := NewFleet(setup(t), 1)
 	f.slots <- struct{}{}
-	assert.Equal(t, decide.Moot, f.Send(canceled(t), attempt(member("127.0.0.1:1"), "x")).Result)
-	assert.Equal(t, decide.Moot, failure(canceled(t), true, context.Canceled))
+	assert.Equal(t, balancer.Moot, f.Send(canceled(t), attempt(member("127.0.0.1:1"), "x")).Result)
+	assert.Equal(t, balancer.Moot, failure(canceled(t), true, context.Canceled))
 }
 
 // Guards memory on a long day: a Transport made for an executor already forgotten is dropped when unused.
@@ -284,7 +284,7 @@
 	f := NewFleet(setup(t), 1)
 	m := member("127.0.0.1:1")
 	for i := range 20 {
-		m.ID = decide.WorkerID(i)
+		m.ID = balancer.WorkerID(i)
 		f.line(m).used = time.Now().Add(-2 * lineKeptFor)
 	}
 	assert.Len(t, f.lines, 1)
@@ -300,15 +300,15 @@
 	for _, kept := range []bool{false, true} {
 		a := attempt(member(b.addr()), "x")
 		if kept {
-			require.Equal(t, decide.OK, f.Send(t.Context(), a).Result)
+			require.Equal(t, balancer.OK, f.Send(t.Context(), a).Result)
 		}
 		before := len(b.seen())
 		a.Begin = func() bool { return false }
-		assert.Equal(t, decide.Moot, f.Send(t.Context(), a).Result)
+		assert.Equal(t, balancer.Moot, f.Send(t.Context(), a).Result)
 		o := oakthread.Order{Worker: a.Worker, Key: a.Request.Key, Count: 1, Begin: a.Begin}
-		assert.Equal(t, decide.Moot, f.Load(t.Context(), o).Result)
+		assert.Equal(t, balancer.Moot, f.Load(t.Context(), o).Result)
 		a.Begin, a.Request.ID = nil, third
-		assert.Equal(t, decide.OK, f.Send(t.Context(), a).Result)
+		assert.Equal(t, balancer.OK, f.Send(t.Context(), a).Result)
 		assert.Equal(t, []string{third}, b.seen()[before:])
 	}
 }
@@ -320,7 +320,7 @@
 	f := NewFleet(setup(t), 1)
 	defer f.Close()
 	m := member(b.addr())
-	require.Equal(t, decide.OK, f.Send(t.Context(), attempt(m, "x")).Result)
+	require.Equal(t, balancer.OK, f.Send(t.Context(), attempt(m, "x")).Result)
 	var k *conn
 	for c := range f.conns {
 		k = c
@@ -331,6 +331,6 @@
 	require.True(t, k.retire())
 	require.ErrorIs(t, k.begin(), errUnasked, "a request would be written on a connection about to be closed")
 	require.NoError(t, k.Close())
-	require.Equal(t, decide.OK, f.Send(t.Context(), attempt(m, "x")).Result, "another connection serves it")
+	require.Equal(t, balancer.OK, f.Send(t.Context(), attempt(m, "x")).Result, "another connection serves it")
 	assert.Len(t, b.seen(), 2)
 }
--- a/internal/platform/crossings_test.go
+++ b/internal/platform/crossings_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 
 	"oakthread"
-	"oakthread/decide"
+	"oakthread/balancer"
 	"oakthread/internal/wire"
 )
 
@@ -132,7 +132,7 @@
 	ctx, done := context.WithTimeout(t.Context(), 100*time.Millisecond) // so that a write would have come: the next one does
 	defer done()
 	a := attempt(member(to.addr()), "x")
-	a.Worker.ID, a.Request.ID = decide.WorkerID(1+btoi(to == s.boxes[1])), second
+	a.Worker.ID, a.Request.ID = balancer.WorkerID(1+btoi(to == s.boxes[1])), second
 	s.fleet.Send(ctx, a)
 	assert.NotContains(t, to.seen(), first)
 }
@@ -178,8 +178,8 @@
 // and nothing is written on that connection. The call goes elsewhere, once.
 func TestNothingIsWrittenToABoxThatIsToGetNothing(t *testing.T) {
 	for name, change := range map[string]func(m *oakthread.Member){
-		"drains":     func(m *oakthread.Member) { m.State = decide.Draining },
-		"is gone":    func(m *oakthread.Member) { m.State = decide.Off },
+		"drains":     func(m *oakthread.Member) { m.State = balancer.Draining },
+		"is gone":    func(m *oakthread.Member) { m.State = balancer.Off },
 		"restarted":  func(m *oakthread.Member) { m.Start = time.Now().Add(-time.Hour) },
 		"has passed": func(m *oakthread.Member) { m.Addr = "127.0.0.1:1" },
 	} {
@@ -189,7 +189,7 @@
 			s.holdAfter(0)
 			c := s.send(first, "path-book")
 			held := <-s.came
-			s.list(decide.RosterDelta, func(i int, m *oakthread.Member) {
+			s.list(balancer.RosterDelta, func(i int, m *oakthread.Member) {
 				if s.boxes[i].addr() == held.RemoteAddr().String() {
 					change(m)
 				}
@@ -215,7 +215,7 @@
 	s.holdAfter(0)
 	c := s.send(first, "path-book")
 	<-s.came
-	s.list(decide.RosterDelta, func(_ int, m *oakthread.Member) { m.State = decide.Draining })
+	s.list(balancer.RosterDelta, func(_ int, m *oakthread.Member) { m.State = balancer.Draining })
 	close(s.goOn)
 	assert.Equal(t, 503, s.read(c), "no other box is there")
 	s.fleet.Probe(t.Context(), oakthread.Member{ID: 1, Addr: s.boxes[0].addr()})
@@ -260,7 +260,7 @@
 				assert.Equal(t, oakthread.Served, x.Answer.Outcome)
 				require.NoError(t, c.Close())
 			}
-			for s.core.Counters().Ends[decide.OK] == 0 {
+			for s.core.Counters().Ends[balancer.OK] == 0 {
 				runtime.Gosched()
 			}
 			n := s.core.Counters()
@@ -318,7 +318,7 @@
 					}
 				}()
 				s := newStage(t, nil, nil)
-				s.core.Roster(oakthread.Roster{Kind: decide.RosterFull, Members: []oakthread.Member{member(ln.Addr().String())}})
+				s.core.Roster(oakthread.Roster{Kind: balancer.RosterFull, Members: []oakthread.Member{member(ln.Addr().String())}})
 				in := s.send(first, "path-book")
 				resp, err := http.ReadResponse(bufio.NewReader(in), nil)
 				require.NoError(t, err)
@@ -387,7 +387,7 @@
 		ctx, done := context.WithTimeout(t.Context(), 10*time.Second)
 		r := f.Send(ctx, a)
 		done()
-		require.Equal(t, decide.OK, r.Result)
+		require.Equal(t, balancer.OK, r.Result)
 		assert.Equal(t, "of "+a.Request.ID, string(r.Body))
 	}
 	mu.Lock()
@@ -401,10 +401,10 @@
 	f := NewFleet(setup(t), 10)
 	defer f.Close()
 	m := member(b.addr())
-	require.Equal(t, decide.OK, f.Send(t.Context(), attempt(m, "x")).Result)
+	require.Equal(t, balancer.OK, f.Send(t.Context(), attempt(m, "x")).Result)
 	f.settle = time.Hour
 	ctx, stop := context.WithCancel(t.Context())
-	waits := make(chan decide.Result, mostWaiting)
+	waits := make(chan balancer.Result, mostWaiting)
 	for range mostWaiting {
 		go func() { waits <- f.Send(ctx, attempt(m, "x")).Result }()
 	}
@@ -413,10 +413,10 @@
 		waiting = f.lines[m.ID].waiting
 		f.mu.Unlock()
 	}
-	assert.Equal(t, decide.OK, f.Send(t.Context(), attempt(m, "x")).Result)
+	assert.Equal(t, balancer.OK, f.Send(t.Context(), attempt(m, "x")).Result)
 	stop()
 	for range mostWaiting {
-		assert.Equal(t, decide.Moot, <-waits)
+		assert.Equal(t, balancer.Moot, <-waits)
 	}
 	assert.Len(t, b.seen(), 2)
 }
@@ -428,7 +428,7 @@
 	defer f.Close()
 	for range 5 {
 		f.settle = 0 // as if time had passed
-		require.Equal(t, decide.OK, f.Send(t.Context(), attempt(member(b.addr()), "x")).Result)
+		require.Equal(t, balancer.OK, f.Send(t.Context(), attempt(member(b.addr()), "x")).Result)
 	}
 	assert.Len(t, f.slots, 1)
 	assert.Len(t, f.lines[1].lanes, 1)
--- a/internal/platform/faults_test.go
+++ b/internal/platform/faults_test.go
@@ -18,7 +18,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"oakthread/decide"
+	"oakthread/balancer"
 	"oakthread/rules"
 )
 
@@ -275,14 +275,14 @@
 			}
 			return dial(ctx, network, addr)
 		}
-		assert.Equal(t, decide.OK, f.Send(t.Context(), attempt(member(b.addr()), "x")).Result, "%v", errno)
+		assert.Equal(t, balancer.OK, f.Send(t.Context(), attempt(member(b.addr()), "x")).Result, "%v", errno)
 		assert.EqualValues(t, 3, f.shortages.Load())
 		f.Close()
 		f = NewFleet(setup(t), 10)
 		f.reach = func(_ context.Context, network, _ string) (net.Conn, error) {
 			return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("socket", errno)}
 		}
-		assert.Equal(t, decide.Moot, f.Send(t.Context(), attempt(member(b.addr()), "x")).Result, "%v", errno)
+		assert.Equal(t, balancer.Moot, f.Send(t.Context(), attempt(member(b.addr()), "x")).Result, "%v", errno)
 		assert.Empty(t, f.slots, "a place is still taken")
 	}
 }
--- a/internal/platform/fleet.go
+++ b/internal/platform/fleet.go
@@ -25,9 +25,9 @@
 	"time"
 
 	"oakthread"
-	"oakthread/decide"
+	"oakthread/balancer"
 	"oakthread/internal/mutant"
-	"oakthread/internal/netfault"
+	"oakthread/internal/neterr"
 	"oakthread/internal/wire"
 	"oakthread/rules"
 )
@@ -81,10 +81,10 @@
 	slots   chan struct{} // one for each open connection
 	room    atomic.Int64  // bytes that answers may yet take
 	mu      sync.Mutex
-	lines   map[decide.WorkerID]*line
+	lines   map[balancer.WorkerID]*line
 
 	shortages atomic.Int64 // connects that failed for want of this machine's
-	logLimit  netfault.LogLimit
+	logLimit  neterr.LogLimit
 
 	open  sync.Mutex // guards conns; taken after mu, before a connection's own
 	conns map[*conn]struct{}
@@ -114,7 +114,7 @@
 
 // NewFleet makes a Fleet that holds at most sockets connections.
 func NewFleet(s *wire.Setup, sockets int) *Fleet {
-	f := &Fleet{connect: s.ConnectTimeout(), lines: map[decide.WorkerID]*line{}, conns: map[*conn]struct{}{},
+	f := &Fleet{connect: s.ConnectTimeout(), lines: map[balancer.WorkerID]*line{}, conns: map[*conn]struct{}{},
 		slots: make(chan struct{}, sockets), reach: (&net.Dialer{}).DialContext,
 		idle: time.Duration(idleShare * float64(s.ConnIdle())), settle: settle}
 	var names []string
@@ -191,7 +191,7 @@
 }
 
 // Forget drops the connections to an executor that has gone or starts anew.
-func (f *Fleet) Forget(id decide.WorkerID) {
+func (f *Fleet) Forget(id balancer.WorkerID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if l := f.lines[id]; l != nil {
@@ -240,10 +240,10 @@
 
 // connectTo connects, again while only a shortage of this machine's keeps it from that: it tells nothing of the executor.
 func (f *Fleet) connectTo(ctx context.Context, network, addr string) (net.Conn, error) {
-	var backoff netfault.Backoff
+	var backoff neterr.Backoff
 	for {
 		c, err := f.reach(ctx, network, addr)
-		if err == nil || !netfault.IsShortage(err) {
+		if err == nil || !neterr.IsShortage(err) {
 			return c, err
 		}
 		f.shortages.Add(1)
@@ -332,7 +332,7 @@
 	}
 	// Counted before it is done: a failure seen meanwhile must not pass for a proof that nothing left.
 	c.begun.Add(int64(len(b)))
-	n, err := netfault.Write(c.Conn, b)
+	n, err := neterr.Write(c.Conn, b)
 	c.begun.Add(int64(n - len(b)))
 	return n, err
 }
@@ -371,7 +371,7 @@
 	if dead {
 		return 0, errUnasked
 	}
-	n, err := netfault.Read(c.Conn, b)
+	n, err := neterr.Read(c.Conn, b)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if n == 0 {
@@ -534,21 +534,21 @@
 
 // failure reads an error: what proves that nothing ran, and what does not. A connection reset while it came up was
 // accepted by somebody: unlike a refused one it tells of no death.
-func failure(ctx context.Context, unsent bool, err error) decide.Result {
+func failure(ctx context.Context, unsent bool, err error) balancer.Result {
 	var dial dialError
 	switch {
 	case errors.Is(err, errNoSocket), errors.Is(err, errShortage):
-		return decide.Moot // our own want, no fault of the worker's
+		return balancer.Moot // our own want, no fault of the worker's
 	case ctx.Err() != nil && unsent:
-		return decide.Moot // our time ran out, or we called it off, before anything was written
+		return balancer.Moot // our time ran out, or we called it off, before anything was written
 	case errors.As(err, &dial) && !errors.Is(err, syscall.ECONNRESET):
-		return decide.ConnectFailed
+		return balancer.ConnectFailed
 	case ctx.Err() != nil:
-		return decide.Timeout
+		return balancer.Timeout
 	case unsent:
-		return decide.Moot // the connection came up and was cut: the executor is there
+		return balancer.Moot // the connection came up and was cut: the executor is there
 	}
-	return decide.Reset
+	return balancer.Reset
 }
 
 // Classes names the classes by number from now on, for the executors' paths; it must hold every number in use.
@@ -578,13 +578,13 @@
 	return f.reply(resp, body)
 }
 
-var notes = map[string]decide.Warmth{"hit": decide.WarmHit, "spawn": decide.BeganLoad,
-	"pending": decide.AwaitedLoad, "spawn_failed": decide.LoadFailed}
+var notes = map[string]balancer.Warmth{"hit": balancer.WarmHit, "spawn": balancer.BeganLoad,
+	"pending": balancer.AwaitedLoad, "spawn_failed": balancer.LoadFailed}
 
 // reply reads an executor's answer. Only a 404, and a 503 or 504 that says so, prove that nothing ran.
 func (f *Fleet) reply(resp *http.Response, body []byte) oakthread.Reply {
 	h := resp.Header
-	r := oakthread.Reply{Result: decide.Error, Warmth: notes[h.Get("X-Tell")], Report: f.report(h.Get("X-Report"))}
+	r := oakthread.Reply{Result: balancer.Error, Warmth: notes[h.Get("X-Tell")], Report: f.report(h.Get("X-Report"))}
 	if n, err := strconv.Atoi(h.Get("X-Same")); err == nil && n > 0 {
 		r.Crowd = min(n, 30)
 	}
@@ -594,13 +594,13 @@
 	noEffect := h.Get("X-No-Effect") == "1"
 	switch {
 	case resp.StatusCode == http.StatusOK:
-		r.Result, r.Body = decide.OK, body
+		r.Result, r.Body = balancer.OK, body
 	case resp.StatusCode == http.StatusNotFound:
-		r.Result = decide.Miss
+		r.Result = balancer.Miss
 	case resp.StatusCode == http.StatusServiceUnavailable && noEffect:
-		r.Result = decide.Full
+		r.Result = balancer.Full
 	case resp.StatusCode == http.StatusGatewayTimeout && noEffect:
-		r.Result = decide.Moot
+		r.Result = balancer.Moot
 	}
 	return r
 }
@@ -657,8 +657,8 @@
 		return oakthread.Reply{Result: failure(ctx, unsent, err)}
 	}
 	r := f.reply(resp, nil)
-	if r.Result != decide.OK {
-		r.Result, r.Drains = decide.Error, resp.StatusCode == http.StatusServiceUnavailable
+	if r.Result != balancer.OK {
+		r.Result, r.Drains = balancer.Error, resp.StatusCode == http.StatusServiceUnavailable
 	}
 	return r
 }
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -18,10 +18,10 @@
 	"time"
 
 	"oakthread"
-	"oakthread/decide"
+	"oakthread/balancer"
+	"oakthread/internal/httpreply"
+	"oakthread/internal/monotime"
 	"oakthread/internal/mutant"
-	"oakthread/internal/reply"
-	"oakthread/internal/steady"
 	"oakthread/internal/violation"
 	"oakthread/internal/wire"
 )
@@ -203,7 +203,7 @@
 		}
 		_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
 	}
-	for end, old := steady.Nanos(q.Deadline), f.latest.Load(); end > old && !f.latest.CompareAndSwap(old, end); {
+	for end, old := monotime.Nanos(q.Deadline), f.latest.Load(); end > old && !f.latest.CompareAndSwap(old, end); {
 		old = f.latest.Load()
 	}
 	if c := clientConnOf(r.Context()); c != nil {
@@ -215,7 +215,7 @@
 		f.violated(violation.InTime, violation.PathBook, q.ID, fmt.Sprintf("answered %v after its time", over.Round(time.Millisecond)))
 	}
 	f.relay(w, a, err)
-	f.count(r.Header.Get("X-Class"), reply.Status(a, err))
+	f.count(r.Header.Get("X-Class"), httpreply.Status(a, err))
 }
 
 func (f *Front) violated(rule violation.Rule, path violation.Path, id, detail string) {
@@ -261,7 +261,7 @@
 	if err != nil {
 		return q, fmt.Errorf("function %q: want 16 hex digits", key)
 	}
-	q.Key, q.Func, q.ID, q.Tenant = key, decide.FuncID(n), h.Get("X-Call-Id"), -1
+	q.Key, q.Func, q.ID, q.Tenant = key, balancer.FuncID(n), h.Get("X-Call-Id"), -1
 	if _, err = hex16(q.ID); err != nil {
 		return q, fmt.Errorf("X-Call-Id %q: want 16 hex digits", q.ID)
 	}
@@ -315,7 +315,7 @@
 	if f.tells && err == nil && a.Outcome == oakthread.Refused && a.Wait > 0 {
 		w.Header().Set("X-Come-Back-Ms", strconv.FormatInt(int64((a.Wait+time.Millisecond-1)/time.Millisecond), 10))
 	}
-	reply.Write(w, a, err)
+	httpreply.Write(w, a, err)
 }
 
 // closeAfter says that the connection ends with this answer, where connections are to be quiet and no further request has begun
@@ -357,7 +357,7 @@
 	}
 	log.Info("ending: no new calls", "open", f.open.Load())
 	last := time.Now().Add(longest)
-	if taken := steady.Time(f.latest.Load()).Add(linger); taken.After(last) {
+	if taken := monotime.Time(f.latest.Load()).Add(linger); taken.After(last) {
 		last = taken
 	}
 	end, done := context.WithDeadline(context.Background(), last)
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -27,7 +27,7 @@
 	"github.com/stretchr/testify/require"
 
 	"oakthread"
-	"oakthread/decide"
+	"oakthread/balancer"
 	"oakthread/internal/wire"
 )
 
@@ -269,31 +269,31 @@
 		want                      reply
 	}{
 		{send, "200 OK", "X-Tell: hit\r\nX-Same: 3\r\nX-Report: queue:7;util:0.61", "a\x00\r\n",
-			reply{Result: decide.OK, Warmth: decide.WarmHit, Crowd: 3, Report: report, Body: body}},
+			reply{Result: balancer.OK, Warmth: balancer.WarmHit, Crowd: 3, Report: report, Body: body}},
 		{send, "200 OK", "X-Tell: spawn\r\nX-Report: cpu:0.61;waiting:7;active:2", "",
-			reply{Result: decide.OK, Warmth: decide.BeganLoad, Report: report, Body: none}},
+			reply{Result: balancer.OK, Warmth: balancer.BeganLoad, Report: report, Body: none}},
 		{send, "200 OK", "X-Tell: pending\r\nX-Report: queue:7", "",
-			reply{Result: decide.OK, Warmth: decide.AwaitedLoad, Body: none}},
+			reply{Result: balancer.OK, Warmth: balancer.AwaitedLoad, Body: none}},
 		{send, "200 OK", "X-Same: 99\r\nX-N: 2\r\nX-Tell: odd", "",
-			reply{Result: decide.OK, Crowd: 30, Copies: 2, Body: none}},
-		{send, "200 OK", "X-No-Effect: 1", "", reply{Result: decide.OK, Body: none}},
-		{send, "404 Not Found", "X-Report: queue:7;util:0.61", "gone", reply{Result: decide.Miss, Report: report}},
-		{send, "404 Not Found", "X-Tell: spawn_failed", "", reply{Result: decide.Miss, Warmth: decide.LoadFailed}},
-		{send, "503 Full", "X-No-Effect: 1\r\nX-Same: 4", "", reply{Result: decide.Full, Crowd: 4}},
-		{send, "503 Full", "", "", reply{Result: decide.Error}},
-		{send, "504 Late", "X-No-Effect: 1", "", reply{Result: decide.Moot}},
-		{send, "504 Late", "X-No-Effect: true", "", reply{Result: decide.Error}},
-		{send, "500 Broken", "X-Tell: spawn_failed", "", reply{Result: decide.Error, Warmth: decide.LoadFailed}},
-		{send, "429 Many", "X-No-Effect: 1", "", reply{Result: decide.Error}},
-		{send, "201 Created", "", "x", reply{Result: decide.Error}},
+			reply{Result: balancer.OK, Crowd: 30, Copies: 2, Body: none}},
+		{send, "200 OK", "X-No-Effect: 1", "", reply{Result: balancer.OK, Body: none}},
+		{send, "404 Not Found", "X-Report: queue:7;util:0.61", "gone", reply{Result: balancer.Miss, Report: report}},
+		{send, "404 Not Found", "X-Tell: spawn_failed", "", reply{Result: balancer.Miss, Warmth: balancer.LoadFailed}},
+		{send, "503 Full", "X-No-Effect: 1\r\nX-Same: 4", "", reply{Result: balancer.Full, Crowd: 4}},
+		{send, "503 Full", "", "", reply{Result: balancer.Error}},
+		{send, "504 Late", "X-No-Effect: 1", "", reply{Result: balancer.Moot}},
+		{send, "504 Late", "X-No-Effect: true", "", reply{Result: balancer.Error}},
+		{send, "500 Broken", "X-Tell: spawn_failed", "", reply{Result: balancer.Error, Warmth: balancer.LoadFailed}},
+		{send, "429 Many", "X-No-Effect: 1", "", reply{Result: balancer.Error}},
+		{send, "201 Created", "", "x", reply{Result: balancer.Error}},
 		{load, "200 OK", "X-N: 2\r\nX-Tell: spawn", "x",
-			reply{Result: decide.OK, Warmth: decide.BeganLoad, Copies: 2}},
-		{load, "200 OK", "X-N: 0", "", reply{Result: decide.OK}},
-		{load, "500 Broken", "X-Tell: spawn_failed", "", reply{Result: decide.Error, Warmth: decide.LoadFailed}},
-		{load, "503 Full", "X-No-Effect: 1\r\nX-N: 1", "", reply{Result: decide.Full, Copies: 1}},
-		{probe, "200 OK", "X-Report: queue:7;util:0.61", "x", reply{Result: decide.OK, Report: report}},
-		{probe, "503 Drains", "X-No-Effect: 1", "", reply{Result: decide.Error, Drains: true}},
-		{probe, "404 Not Found", "", "", reply{Result: decide.Error}},
+			reply{Result: balancer.OK, Warmth: balancer.BeganLoad, Copies: 2}},
+		{load, "200 OK", "X-N: 0", "", reply{Result: balancer.OK}},
+		{load, "500 Broken", "X-Tell: spawn_failed", "", reply{Result: balancer.Error, Warmth: balancer.LoadFailed}},
+		{load, "503 Full", "X-No-Effect: 1\r\nX-N: 1", "", reply{Result: balancer.Full, Copies: 1}},
+		{probe, "200 OK", "X-Report: queue:7;util:0.61", "x", reply{Result: balancer.OK, Report: report}},
+		{probe, "503 Drains", "X-No-Effect: 1", "", reply{Result: balancer.Error, Drains: true}},
+		{probe, "404 Not Found", "", "", reply{Result: balancer.Error}},
 	} {
 		t.Run(c.by+" "+c.status+" "+c.headers, func(t *testing.T) {
 			length := fmt.Sprintf("Content-Length: %d", len(c.body))
@@ -351,7 +351,7 @@
 func TestEventLinesAreRead(t *testing.T) {
 	raw, err := os.ReadFile("testdata/events.txt")
 	require.NoError(t, err)
-	of := func(k decide.RosterKind, ms ...oakthread.Member) oakthread.Roster {
+	of := func(k balancer.RosterKind, ms ...oakthread.Member) oakthread.Roster {
 		return oakthread.Roster{Kind: k, Members: ms}
 	}
 	want := []struct {
@@ -360,21 +360,21 @@
 		bad   string
 	}{
 		{event: Event{Cursor: 41, Beat: true}},
-		{event: Event{Cursor: 42, Epoch: "e7", Told: true, Roster: of(decide.RosterFull,
-			oakthread.Member{ID: 0xc41f7a, Addr: "127.0.0.1:4001", Zone: 1, Cell: 2, State: decide.On, Weight: 4,
+		{event: Event{Cursor: 42, Epoch: "e7", Told: true, Roster: of(balancer.RosterFull,
+			oakthread.Member{ID: 0xc41f7a, Addr: "127.0.0.1:4001", Zone: 1, Cell: 2, State: balancer.On, Weight: 4,
 				Start: time.UnixMilli(1500)},
 			oakthread.Member{ID: WorkerID("box nine"), Addr: "[::1]:4002", Zone: 2, Kind: 1, Cell: 3,
-				State: decide.Draining, Weight: 0.5})}},
-		{event: Event{Cursor: 43, Told: true, Roster: of(decide.RosterDelta, oakthread.Member{ID: 0xc41f7a,
-			Zone: 2, Kind: 1, State: decide.Off})}},
-		{event: Event{Cursor: 44, Told: true, Roster: of(decide.RosterDelta, oakthread.Member{ID: 2,
-			Addr: "127.0.0.1:4003", Zone: 2, Kind: 1, State: decide.Draining, Weight: 1})},
+				State: balancer.Draining, Weight: 0.5})}},
+		{event: Event{Cursor: 43, Told: true, Roster: of(balancer.RosterDelta, oakthread.Member{ID: 0xc41f7a,
+			Zone: 2, Kind: 1, State: balancer.Off})}},
+		{event: Event{Cursor: 44, Told: true, Roster: of(balancer.RosterDelta, oakthread.Member{ID: 2,
+			Addr: "127.0.0.1:4003", Zone: 2, Kind: 1, State: balancer.Draining, Weight: 1})},
 			odd: `members[0]: phase "Cordoned" of "s-00000002" is not known`},
-		{event: Event{Cursor: 45, Told: true, Roster: of(decide.RosterDelta)},
+		{event: Event{Cursor: 45, Told: true, Roster: of(balancer.RosterDelta)},
 			odd: "members[0]: field id is missing\n" +
 				`members[1]: host_port "nowhere" of "s-00000003": not an ip:port`},
-		{event: Event{Cursor: 46, Roster: of(decide.RosterDelta)}},
-		{event: Event{Cursor: 47, Epoch: "e8", Roster: of(decide.RosterDelta)}},
+		{event: Event{Cursor: 46, Roster: of(balancer.RosterDelta)}},
+		{event: Event{Cursor: 47, Epoch: "e8", Roster: of(balancer.RosterDelta)}},
 		{bad: "field cursor is missing"}, {bad: "field cursor is missing"}, {bad: "cannot unmarshal number"},
 		{bad: "invalid character"},
 	}
@@ -393,7 +393,7 @@
 		got.Odd = nil
 		assert.Equal(t, w.event, got, lines[i])
 	}
-	assert.Equal(t, decide.WorkerID(0xf4092e46), WorkerID("box nine"), "the hash of an id that holds no number")
+	assert.Equal(t, balancer.WorkerID(0xf4092e46), WorkerID("box nine"), "the hash of an id that holds no number")
 }
 
 func TestConfigurationFileIsReadWhole(t *testing.T) {
@@ -421,9 +421,9 @@
 		Sockets: 300, PeerListen: "127.0.0.1:7002", PeersAll: netip.MustParseAddrPort("239.1.2.3:7004"),
 		Peers:   []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:7002"), netip.MustParseAddrPort("[::1]:7003")},
 		Channel: "127.0.0.1:7005", Console: "127.0.0.1:7006", Cursor: 5, Setup: s,
-		Known: []Event{{Cursor: 5, Epoch: "e7", Told: true, Roster: oakthread.Roster{Kind: decide.RosterFull,
+		Known: []Event{{Cursor: 5, Epoch: "e7", Told: true, Roster: oakthread.Roster{Kind: balancer.RosterFull,
 			Members: []oakthread.Member{{ID: 0xc41f7a, Addr: "127.0.0.1:4001", Zone: 1, Kind: 1, Cell: 2,
-				State: decide.On, Weight: 4, Start: time.UnixMilli(1500)}}}}}}
+				State: balancer.On, Weight: 4, Start: time.UnixMilli(1500)}}}}}}
 	got, err := parseConfig(raw)
 	require.NoError(t, err)
 	matchGolden(t, "config-shape", []byte(strings.Join(got.shape, "\n")+"\n"))
--- a/internal/platform/lists_test.go
+++ b/internal/platform/lists_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"oakthread/decide"
+	"oakthread/balancer"
 )
 
 // discovery is a stand-in whose every connection is the test's to speak on.
@@ -191,7 +191,7 @@
 	ev, err := parseEvent([]byte(event(1, listed(1, "Ready")+","+listed(2, "Cordoned")+`,{"id":"s-3","phase":"Ready"},{"phase":"Ready"}`)), setup(t))
 	require.NoError(t, err)
 	require.Len(t, ev.Roster.Members, 2)
-	assert.Equal(t, decide.Draining, ev.Roster.Members[1].State)
+	assert.Equal(t, balancer.Draining, ev.Roster.Members[1].State)
 	assert.Len(t, ev.Odd, 3)
 	f := make(feed, 64)
 	ctx, stop := context.WithCancel(t.Context())
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -22,9 +22,9 @@
 	"github.com/stretchr/testify/require"
 
 	"oakthread"
-	"oakthread/decide"
+	"oakthread/balancer"
+	"oakthread/endpoints"
 	"oakthread/internal/wire"
-	"oakthread/roster"
 )
 
 const settingsText = `{"categories":[{"name":"path-check","aim_ns":400000000,"give_up_ns":5000000000,"credit":1,"idempotency":"read_like"},
@@ -43,7 +43,7 @@
 }
 
 func member(addr string) oakthread.Member {
-	return oakthread.Member{ID: 1, Addr: addr, State: decide.On, Weight: 1}
+	return oakthread.Member{ID: 1, Addr: addr, State: balancer.On, Weight: 1}
 }
 
 func attempt(m oakthread.Member, body string) oakthread.Attempt {
@@ -113,15 +113,15 @@
 	require.NoError(t, err)
 	assert.Equal(t, int64(3), c.Cursor)
 	assert.Equal(t, uint64(0x8c1f30d27a5be964), c.Seed)
-	assert.Equal(t, oakthread.Roster{Kind: decide.RosterFull, Members: []oakthread.Member{{ID: 0xc41f7a, Addr: "127.0.0.1:4",
-		Zone: 1, Cell: 2, State: decide.On, Weight: 4, Start: time.UnixMilli(5)}}}, c.Known[0].Roster)
+	assert.Equal(t, oakthread.Roster{Kind: balancer.RosterFull, Members: []oakthread.Member{{ID: 0xc41f7a, Addr: "127.0.0.1:4",
+		Zone: 1, Cell: 2, State: balancer.On, Weight: 4, Start: time.UnixMilli(5)}}}, c.Known[0].Roster)
 	for old, bad := range map[string]string{`"8c1f`: `"xx`, `"127.0.0.1:2"`: `"nowhere"`, `"127.0.0.1:3"`: `"x"`,
 		`"Ready"`: `"Odd"`, `"127.0.0.1:4"`: `""`, `"settings"`: `"unset"`, `"s-00c41f7a"`: `""`, `{"cursor":2,`: `{`} {
 		_, err := parseConfig([]byte(strings.Replace(whole, old, bad, 1)))
 		assert.Error(t, err, bad)
 	}
 	for line, want := range map[string]Event{"41": {Cursor: 41, Beat: true},
-		`{"cursor":4,"new":{}}`: {Cursor: 4, Roster: oakthread.Roster{Kind: decide.RosterDelta}}} {
+		`{"cursor":4,"new":{}}`: {Cursor: 4, Roster: oakthread.Roster{Kind: balancer.RosterDelta}}} {
 		ev, err := parseEvent([]byte(line), c.Setup)
 		require.NoError(t, err, line)
 		assert.Equal(t, want, ev)
@@ -134,20 +134,20 @@
 	for _, c := range []struct {
 		status int
 		header string
-		want   decide.Result
-		warmth decide.Warmth
+		want   balancer.Result
+		warmth balancer.Warmth
 	}{
-		{200, "X-Tell: hit", decide.OK, decide.WarmHit},
-		{200, "X-Tell: pending", decide.OK, decide.AwaitedLoad},
-		{404, "X-Tell: spawn_failed", decide.Miss, decide.LoadFailed},
-		{500, "X-Tell: spawn_failed", decide.Error, decide.LoadFailed},
-		{503, "X-No-Effect: 1", decide.Full, 0},
-		{503, "", decide.Error, 0},
-		{503, "X-No-Effect: 0", decide.Error, 0},
-		{504, "X-No-Effect: 1", decide.Moot, 0},
-		{504, "", decide.Error, 0},
-		{429, "X-No-Effect: 1", decide.Error, 0},
-		{302, "", decide.Error, 0},
+		{200, "X-Tell: hit", balancer.OK, balancer.WarmHit},
+		{200, "X-Tell: pending", balancer.OK, balancer.AwaitedLoad},
+		{404, "X-Tell: spawn_failed", balancer.Miss, balancer.LoadFailed},
+		{500, "X-Tell: spawn_failed", balancer.Error, balancer.LoadFailed},
+		{503, "X-No-Effect: 1", balancer.Full, 0},
+		{503, "", balancer.Error, 0},
+		{503, "X-No-Effect: 0", balancer.Error, 0},
+		{504, "X-No-Effect: 1", balancer.Moot, 0},
+		{504, "", balancer.Error, 0},
+		{429, "X-No-Effect: 1", balancer.Error, 0},
+		{302, "", balancer.Error, 0},
 	} {
 		h := http.Header{}
 		if k, v, ok := strings.Cut(c.header, ": "); ok {
@@ -184,7 +184,7 @@
 	r = f.Send(t.Context(), attempt(m, ""))
 	assert.Equal(t, `GET /c/path-book 9b1f03aa5c7e2d41 7F3a9c21e0b4d655 "" []`, string(r.Body), "no body is a GET")
 	o := oakthread.Order{Worker: m, Key: "7F3a9c21e0b4d655", Count: 2}
-	assert.Equal(t, decide.OK, f.Load(t.Context(), o).Result)
+	assert.Equal(t, balancer.OK, f.Load(t.Context(), o).Result)
 }
 
 // Guards against http.Transport's own repeats: on a reused connection that dies once the request is written, it
@@ -222,8 +222,8 @@
 		f := NewFleet(setup(t), 10)
 		f.settle = 0 // the second goes on the same connection at once
 		m := member(ln.Addr().String())
-		assert.Equal(t, decide.OK, f.Send(t.Context(), attempt(m, body)).Result)
-		assert.Equal(t, decide.Reset, f.Send(t.Context(), attempt(m, body)).Result, "it may have run")
+		assert.Equal(t, balancer.OK, f.Send(t.Context(), attempt(m, body)).Result)
+		assert.Equal(t, balancer.Reset, f.Send(t.Context(), attempt(m, body)).Result, "it may have run")
 		assert.Equal(t, int64(2), seen.Load(), "requests written for two attempts")
 		f.Close()
 	}
@@ -236,11 +236,11 @@
 	addr := ln.Addr().String()
 	ln.Close()
 	f := NewFleet(setup(t), 1)
-	assert.Equal(t, decide.ConnectFailed, f.Send(t.Context(), attempt(member(addr), "x")).Result)
+	assert.Equal(t, balancer.ConnectFailed, f.Send(t.Context(), attempt(member(addr), "x")).Result)
 	assert.Empty(t, f.slots, "a failed dial keeps its socket")
 	f.slots <- struct{}{}
-	assert.Equal(t, decide.Moot, f.Send(t.Context(), attempt(member(addr), "x")).Result)
-	assert.Equal(t, decide.Timeout, failure(canceled(t), false, errors.New("cut")))
+	assert.Equal(t, balancer.Moot, f.Send(t.Context(), attempt(member(addr), "x")).Result)
+	assert.Equal(t, balancer.Timeout, failure(canceled(t), false, errors.New("cut")))
 }
 
 // Guards against blame for an executor whose new connections are reset, while they come up or before anything is
@@ -254,7 +254,7 @@
 		},
 		"just up": func(c net.Conn) (net.Conn, error) { return c, c.Close() },
 	} {
-		for resets, want := range []decide.Result{decide.OK, decide.OK, decide.Moot} {
+		for resets, want := range []balancer.Result{balancer.OK, balancer.OK, balancer.Moot} {
 			f := NewFleet(setup(t), 10)
 			dial, dials := f.reach, 0
 			f.reach = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -348,7 +348,7 @@
 type feed chan string
 
 func (f feed) Told(r oakthread.Roster, epoch string, cursor int64) {
-	f <- fmt.Sprintf("told %d of %s, %d boxes, whole %v", cursor, epoch, len(r.Members), r.Kind == decide.RosterFull)
+	f <- fmt.Sprintf("told %d of %s, %d boxes, whole %v", cursor, epoch, len(r.Members), r.Kind == balancer.RosterFull)
 }
 func (f feed) Current()     { f <- "current" }
 func (f feed) Lost()        { f <- "lost" }
@@ -384,7 +384,7 @@
 	require.NoError(t, err)
 	refused.Close()
 	c := NewChannel(&Config{Setup: setup(t)}, quiet)
-	c.Keep(41, "e1", roster.NewDialer([]string{refused.Addr().String(), ln.Addr().String()}, 1))
+	c.Keep(41, "e1", endpoints.NewDialer([]string{refused.Addr().String(), ln.Addr().String()}, 1))
 	f, got := make(feed, 64), []string{}
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan error, 1)
@@ -514,7 +514,7 @@
 	resp, err := http.Get(url + "/ping")
 	require.NoError(t, err)
 	assert.Equal(t, 503, resp.StatusCode, "ready before a list was loaded")
-	core.Roster(oakthread.Roster{Kind: decide.RosterFull, Members: []oakthread.Member{member(ex.Listener.Addr().String())}})
+	core.Roster(oakthread.Roster{Kind: balancer.RosterFull, Members: []oakthread.Member{member(ex.Listener.Addr().String())}})
 	core.Counters()
 	resp, err = http.Get(url + "/ping")
 	require.NoError(t, err)
--- a/internal/platform/stage_test.go
+++ b/internal/platform/stage_test.go
@@ -17,7 +17,7 @@
 	"github.com/stretchr/testify/require"
 
 	"oakthread"
-	"oakthread/decide"
+	"oakthread/balancer"
 	"oakthread/internal/wire"
 )
 
@@ -117,15 +117,15 @@
 	go func() {
 		s.done <- s.front.Serve(ctx, in, 50, time.Millisecond, 5*time.Second, slog.New(slog.NewTextHandler(s.lines, nil)))
 	}()
-	s.list(decide.RosterFull, func(int, *oakthread.Member) {})
+	s.list(balancer.RosterFull, func(int, *oakthread.Member) {})
 	return s
 }
 
 // list tells of all boxes, as change leaves them.
-func (s *stage) list(kind decide.RosterKind, change func(i int, m *oakthread.Member)) {
+func (s *stage) list(kind balancer.RosterKind, change func(i int, m *oakthread.Member)) {
 	r := oakthread.Roster{Kind: kind}
 	for i, b := range s.boxes {
-		m := oakthread.Member{ID: decide.WorkerID(i + 1), Addr: b.addr(), State: decide.On, Weight: 1}
+		m := oakthread.Member{ID: balancer.WorkerID(i + 1), Addr: b.addr(), State: balancer.On, Weight: 1}
 		change(i, &m)
 		r.Members = append(r.Members, m)
 	}
--- a/internal/slope/slope.go
+++ b/internal/regression/slope.go
@@ -1,7 +1,7 @@
 // Package slope tells how a measured figure grows with a size: it fits a few plain shapes to points, takes the simplest that
 // will do, one that saturates where held-out points say so, and foretells the figure at a size that was not part of the fit, so that the fit can be held against a run and
 // fail. It has no clock, goroutine or I/O. It must never widen a prediction for a point that is already known.
-package slope
+package regression
 
 import (
 	"cmp"
--- a/internal/slope/slope_test.go
+++ b/internal/regression/slope_test.go
@@ -1,4 +1,4 @@
-package slope
+package regression
 
 import (
 	"encoding/json"
--- a/internal/soak/campaign.go
+++ b/internal/soak/campaign.go
@@ -198,7 +198,7 @@
 		c.Short[r.Schedule.Seed] = short
 		path := filepath.Join(r.Dir, scheduleName)
 		if err := short.Write(path); err == nil && o.Progress != nil {
-			o.Progress("seed %d: shortest that fails, of %d runs: %v; play it with oaklab run soak --replay %s", r.Schedule.Seed, tries, short.Troubles, path)
+			o.Progress("seed %d: shortest that fails, of %d runs: %v; play it with testbed run soak --replay %s", r.Schedule.Seed, tries, short.Troubles, path)
 		}
 	}
 }
--- a/internal/violation/violation.go
+++ b/internal/violation/violation.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"oakthread/internal/netfault"
+	"oakthread/internal/neterr"
 )
 
 // Rule names the rule that was broken, as docs/design/invariants.md has it.
@@ -41,7 +41,7 @@
 
 	mu     sync.Mutex
 	counts map[Key]int64
-	limit  netfault.LogLimit
+	limit  neterr.LogLimit
 }
 
 // Key is what breaches are counted by.
--- a/internal/wire/setup.go
+++ b/internal/wire/setup.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"oakthread/decide"
+	"oakthread/balancer"
 )
 
 // Setup is the settings object of a deployment, the same on the simulator's wire and in a dispatcher's
@@ -104,11 +104,11 @@
 }
 
 // Decide puts the deployment's names for settings into the decision module's.
-func (s *Setup) Decide() decide.Settings {
-	effects := map[string]decide.Effect{"read_like": decide.Safe, "idempotency_key": decide.Keyed}
-	scopes := map[string]decide.Scope{"all": decide.ScopeAll, "zone": decide.ScopeZone, "cell": decide.ScopeCell}
+func (s *Setup) Decide() balancer.Settings {
+	effects := map[string]balancer.Effect{"read_like": balancer.Safe, "idempotency_key": balancer.Keyed}
+	scopes := map[string]balancer.Scope{"all": balancer.ScopeAll, "zone": balancer.ScopeZone, "cell": balancer.ScopeCell}
 	p, q, r, f := s.Permissions, s.Prices, s.Rules, s.Specifics
-	d := decide.Settings{
+	d := balancer.Settings{
 		OverShareWorth: s.OverShareWorth, Number: s.Number, Siblings: s.Siblings, Zone: s.Zone, Quantum: s.Quantum,
 		MaxAttempts: p.SendCap, SecondCopies: p.SecondCopies, MayProbe: p.MayProbe, MayCancel: p.Cancel,
 		Peers: p.Peers, Tells: p.RetryAfter, MaxRetryAfter: p.MaxRetryAfter,
@@ -123,7 +123,7 @@
 		LateFailPrice: q.LateFail, OriginPrice: q.Origin,
 	}
 	for _, c := range s.Categories {
-		d.Classes = append(d.Classes, decide.Class{Aim: c.Aim, GiveUp: c.GiveUp, Window: c.Window, Worth: c.Credit,
+		d.Classes = append(d.Classes, balancer.Class{Aim: c.Aim, GiveUp: c.GiveUp, Window: c.Window, Worth: c.Credit,
 			LateWorth: c.LateWorth, Effect: effects[c.Idempotency], Scope: scopes[c.KeyScope]})
 	}
 	for _, c := range s.Customers {
--- a/turns/turns.go
+++ b/leader/turns.go
@@ -10,12 +10,12 @@
 // fenced by its term: what a collector that stood still sends for an old one is numbered by that, and dropped as late.
 //
 // Times are nanoseconds of the caller's clock, as in decide.
-package turns
+package leader
 
 // lasts is for how many terms whom a digest covers counts as there: one digest in that time is enough, and one may be lost.
 const lasts = 2
 
-// Set is a set of dispatchers by number, such as commons.Set.
+// Set is a set of dispatchers by number, such as aggregate.Set.
 type Set interface{ Has(i int) bool }
 
 // Roll is what one dispatcher knows of the others. Make one with New.
--- a/turns/turns_test.go
+++ b/leader/turns_test.go
@@ -1,4 +1,4 @@
-package turns
+package leader
 
 import (
 	"fmt"
--- a/middleware/middleware.go
+++ b/middleware/middleware.go
@@ -10,7 +10,7 @@
 	"net/http"
 
 	"oakthread"
-	"oakthread/internal/reply"
+	"oakthread/internal/httpreply"
 )
 
 // Doer is the Core as the middleware sees it.
@@ -36,7 +36,7 @@
 				http.Error(w, err.Error(), http.StatusBadRequest)
 			default:
 				a, err := core.Do(r.Context(), q)
-				reply.Write(w, a, err)
+				httpreply.Write(w, a, err)
 			}
 		})
 	}
--- a/oakthread.go
+++ b/oakthread.go
@@ -11,7 +11,7 @@
 	"errors"
 	"time"
 
-	"oakthread/decide"
+	"oakthread/balancer"
 )
 
 // Request is one call. ID, Key, IdempotencyKey and Body are handed on as they are.
@@ -19,7 +19,7 @@
 	ID       string // new with every try
 	Class    int    // place in the settings' classes
 	Tenant   int    // place in the settings' tenants; -1: none
-	Func     decide.FuncID
+	Func     balancer.FuncID
 	Key      string // the function as the caller wrote it
 	Body     []byte
 	Deadline time.Time // the caller stops waiting then
@@ -74,17 +74,17 @@
 
 // Member is a worker as the list of workers tells it. ID is the same at every dispatcher.
 type Member struct {
-	ID               decide.WorkerID
+	ID               balancer.WorkerID
 	Addr             string // where it listens; may pass to another worker once this one has gone
 	Zone, Kind, Cell int
-	State            decide.State
+	State            balancer.State
 	Weight           float64
 	Start            time.Time // zero: long ago
 }
 
 // Roster is news of the list of workers.
 type Roster struct {
-	Kind    decide.RosterKind
+	Kind    balancer.RosterKind
 	Members []Member
 }
 
@@ -99,8 +99,8 @@
 
 // Reply is the end of an attempt, probe or order. What cannot be told stays zero.
 type Reply struct {
-	Result decide.Result
-	Warmth decide.Warmth
+	Result balancer.Result
+	Warmth balancer.Warmth
 	Crowd  int       // calls of the same function that the worker held
 	Report []float64 // load report, in the order of the settings
 	Copies int       // of an order: copies that stand loaded
@@ -119,9 +119,9 @@
 // Observation tells an observer how an attempt or order ended: what it shows of the worker.
 type Observation struct {
 	Kind   ObservedKind
-	Worker decide.WorkerID
+	Worker balancer.WorkerID
 	Class  int // of an attempt
-	Result decide.Result
+	Result balancer.Result
 	Warm   bool // the copy was found loaded
 	Drains bool
 	Took   time.Duration
@@ -130,7 +130,7 @@
 // Order asks a worker to hold Count copies of a function.
 type Order struct {
 	Worker Member
-	Func   decide.FuncID
+	Func   balancer.FuncID
 	Key    string // as a caller wrote it last
 	Count  int
 	// Begin is asked right before the first byte is written; false: nothing may be written any more, and the end is
@@ -145,7 +145,7 @@
 	Probe(ctx context.Context, m Member) Reply
 	Load(ctx context.Context, o Order) Reply
 	Drop(ctx context.Context, o Order)
-	Forget(id decide.WorkerID) // the worker has gone or starts anew: its connections are void
+	Forget(id balancer.WorkerID) // the worker has gone or starts anew: its connections are void
 }
 
 // Membership tells of the list of workers until ctx ends. It calls tell in order, from one goroutine.
--- a/verdict/verdict.go
+++ b/outlier/verdict.go
@@ -5,7 +5,7 @@
 // leave out by itself: it says what is known, and decide chooses.
 //
 // Times are nanoseconds of the caller's clock, as in decide; a clock that goes back harms nothing.
-package verdict
+package outlier
 
 import (
 	"fmt"
--- a/verdict/words_test.go
+++ b/outlier/words_test.go
@@ -1,4 +1,4 @@
-package verdict
+package outlier
 
 import (
 	"fmt"
--- a/webhook/front.go
+++ b/webhook/front.go
@@ -18,7 +18,7 @@
 	"golang.org/x/net/netutil"
 
 	"oakthread"
-	"oakthread/internal/netfault"
+	"oakthread/internal/neterr"
 	"oakthread/spiffe"
 )
 
@@ -115,7 +115,7 @@
 func (f *Front) Serve(ctx context.Context, ln net.Listener, reload <-chan time.Time) error {
 	srv := &http.Server{Handler: f.Receiver, ReadHeaderTimeout: headerTime, IdleTimeout: time.Minute, MaxHeaderBytes: 16 << 10,
 		ErrorLog: slog.NewLogLogger(f.log.Handler(), slog.LevelWarn)}
-	ln = netutil.LimitListener(netfault.NewListener(ln, f.log), MaxConns)
+	ln = netutil.LimitListener(neterr.NewListener(ln, f.log), MaxConns)
 	beside, done := context.WithCancel(context.Background())
 	var work sync.WaitGroup
 	every, prune, minute := time.NewTicker(reloadEvery), time.NewTicker(pruneEvery), time.NewTicker(countEvery)
--- a/webhook/receive.go
+++ b/webhook/receive.go
@@ -27,10 +27,10 @@
 	"time"
 
 	"oakthread"
-	"oakthread/decide"
-	"oakthread/internal/netfault"
-	"oakthread/internal/reply"
-	"oakthread/internal/steady"
+	"oakthread/balancer"
+	"oakthread/internal/httpreply"
+	"oakthread/internal/monotime"
+	"oakthread/internal/neterr"
 	"oakthread/spiffe"
 )
 
@@ -43,7 +43,7 @@
 type Class struct {
 	Name   string
 	GiveUp time.Duration
-	Effect decide.Effect
+	Effect balancer.Effect
 }
 
 // Counters count what a Receiver has done since its start.
@@ -78,7 +78,7 @@
 
 	closing   chan struct{} // closed by Close
 	closeOnce sync.Once
-	logLimit  netfault.LogLimit
+	logLimit  neterr.LogLimit
 
 	taken, recorded, joined, unsigned, replayed, altered, denied, malformed, full atomic.Int64
 }
@@ -122,7 +122,7 @@
 		}
 	}
 	for n, i := range rc.allowed {
-		if o.State == "" && classes[i].Effect != decide.Safe {
+		if o.State == "" && classes[i].Effect != balancer.Safe {
 			return nil, fmt.Errorf("webhooks: class %q must not run twice, so a state file is needed", n)
 		}
 	}
@@ -228,7 +228,7 @@
 	if recorded {
 		w.Header().Set("Oakthread-Recorded", "1")
 	}
-	reply.Write(w, k.answer, k.err)
+	httpreply.Write(w, k.answer, k.err)
 }
 
 // allowed: under mTLS an operator with a SPIFFE ID must come as that.
@@ -279,7 +279,7 @@
 	if _, err := rand.Read(id[:]); err != nil {
 		return q, err
 	}
-	return oakthread.Request{ID: hex.EncodeToString(id[:]), Class: class, Tenant: tenant, Func: decide.FuncID(f),
+	return oakthread.Request{ID: hex.EncodeToString(id[:]), Class: class, Tenant: tenant, Func: balancer.FuncID(f),
 		Key: d.Function, Body: d.Body, Deadline: time.Now().Add(wait), MemoryMB: d.MemoryMB, Lanes: d.Lanes,
 		LoadTime: time.Duration(d.LoadMS * float64(time.Millisecond)), Ref: m.id}, nil
 }
@@ -289,11 +289,11 @@
 	sum := sha256.Sum256(m.body)
 	class := rc.classes[q.Class]
 	key := m.op.Name + "\x00" + m.id
-	fresh := receipt{Sum: sum[:], Call: q.ID, Class: class.Name, Key: q.Key, Expires: steady.Now().Add(rc.keep)}
+	fresh := receipt{Sum: sum[:], Call: q.ID, Class: class.Name, Key: q.Key, Expires: monotime.Now().Add(rc.keep)}
 	// A refusal had no effect, so the message may be run when it comes again; so may a failed call that is safe
 	// to repeat. Everything else stands as recorded.
 	again := func(r receipt) bool {
-		return r.Status == refused || class.Effect == decide.Safe && r.Status != served
+		return r.Status == refused || class.Effect == balancer.Safe && r.Status != served
 	}
 	// The lock holds from before the receipt shows a run until the run can be found, so that a second delivery
 	// meets either none or both.
@@ -372,7 +372,7 @@
 // record writes the outcome of a run and its notice. Where the disk fails, the sender gets its answer now, later deliveries
 // get it from memory, and the record is tried again until it stands: it is owed. At the end it is tried for a while.
 func (rc *Receiver) record(m message, q oakthread.Request, key string, k *run, n *notice) {
-	var backoff netfault.Backoff
+	var backoff neterr.Backoff
 	var once sync.Once
 	var ending time.Time // when the last try is made; zero: not at the end
 	for {
@@ -422,7 +422,7 @@
 		if !errors.Is(err, errFull) {
 			rc.log.Error("webhook receipt not written, message refused", "err", err)
 		}
-		reply.ComeBack(w.Header(), comeBack)
+		httpreply.ComeBack(w.Header(), comeBack)
 		http.Error(w, "no receipt could be written", http.StatusServiceUnavailable)
 	}
 }
@@ -434,7 +434,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticks:
-			if n, err := rc.store.prune(steady.Now(), rc.keep); err != nil {
+			if n, err := rc.store.prune(monotime.Now(), rc.keep); err != nil {
 				rc.log.Error("webhook receipts not pruned", "err", err)
 			} else if n > 0 {
 				rc.log.Info("webhook receipts pruned", "count", n)
--- a/webhook/send.go
+++ b/webhook/send.go
@@ -18,8 +18,8 @@
 	"time"
 
 	"oakthread"
-	"oakthread/internal/netfault"
-	"oakthread/internal/steady"
+	"oakthread/internal/monotime"
+	"oakthread/internal/neterr"
 )
 
 const (
@@ -76,7 +76,7 @@
 // NewSender makes a Sender. transport, if given, makes what leads to an operator's system.
 func NewSender(o *Options, ring *Ring, store *Store, classes []Class, tenants []string, transport func(Operator) http.RoundTripper, log *slog.Logger) (*Sender, error) {
 	if store != nil {
-		if err := store.soon(steady.Now(), max(o.RetryMax.Duration, o.Retry.Duration)); err != nil {
+		if err := store.soon(monotime.Now(), max(o.RetryMax.Duration, o.Retry.Duration)); err != nil {
 			return nil, fmt.Errorf("webhooks: state file: %w", err)
 		}
 	}
@@ -126,7 +126,7 @@
 		s.log.Error("notice not made", "call", d.Call, "err", err)
 		return nil
 	}
-	return &notice{ID: "msg_" + d.Call, Operator: operator, Body: body, Made: steady.Now()}
+	return &notice{ID: "msg_" + d.Call, Operator: operator, Body: body, Made: monotime.Now()}
 }
 
 // Settled takes a settlement from the Core, in its loop: it only queues. Calls that a webhook asked for have a
@@ -192,7 +192,7 @@
 		if err := s.Flush(); err != nil {
 			s.log.Error("notices not written, trying again", "err", err)
 		}
-		ns, next, err := s.store.due(steady.Now(), func(n *notice) bool {
+		ns, next, err := s.store.due(monotime.Now(), func(n *notice) bool {
 			if busy[n.ID] || len(busy) >= deliverers || byOp[n.Operator] >= perOperator {
 				return false
 			}
@@ -203,7 +203,7 @@
 		if err != nil {
 			s.log.Error("notices not read", "err", err)
 		} else if !next.IsZero() {
-			wait = min(wait, next.Sub(steady.Now().Round(0)))
+			wait = min(wait, next.Sub(monotime.Now().Round(0)))
 		}
 		for _, n := range ns {
 			go func() {
@@ -229,7 +229,7 @@
 
 // flushAtEnd writes what is left in hand; a disk that fails is tried again for a while.
 func (s *Sender) flushAtEnd() {
-	var backoff netfault.Backoff
+	var backoff neterr.Backoff
 	for until := time.Now().Add(lastWait); ; {
 		err := s.Flush()
 		if err == nil {
@@ -259,7 +259,7 @@
 		s.log.Warn("notice not delivered", "id", n.ID, "operator", n.Operator, "tries", n.Tries, "status", status, "err", err)
 		wait = max(wait, s.backoff(n.Tries))
 		n.Waited += wait
-		err = s.store.later(n, steady.Now().Add(wait))
+		err = s.store.later(n, monotime.Now().Add(wait))
 	}
 	if err != nil {
 		s.log.Error("notice not booked, it will be delivered again", "id", n.ID, "err", err)
--- a/webhook/webhook_test.go
+++ b/webhook/webhook_test.go
@@ -24,12 +24,12 @@
 	"go.etcd.io/bbolt"
 
 	"oakthread"
-	"oakthread/decide"
+	"oakthread/balancer"
 )
 
 var (
 	quiet   = slog.New(slog.DiscardHandler)
-	classes = []Class{{"path-check", time.Second, decide.Safe}, {"path-book", time.Second, decide.Unsafe}}
+	classes = []Class{{"path-check", time.Second, balancer.Safe}, {"path-book", time.Second, balancer.Unsafe}}
 	tenants = []string{"ironbridge-haul", "soar-freight"}
 )
 
