--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -11,6 +11,7 @@
 	"math"
 	"math/rand/v2"
 	"os"
+	"path/filepath"
 	"regexp"
 	"slices"
 	"strings"
@@ -139,62 +140,83 @@
 	assert.Equal(t, 1384, Fits(Digest{Figures: 7, Partial: true}, 4000))
 }
 
-// constants are those of the sources that the arithmetic copies, as they are written there.
-func constants(t *testing.T, path string) map[string]string {
+// constants returns the constants of a package's program files by name, each as its source writes the value. A name that
+// stands in two files fails the test.
+func constants(t *testing.T, folder string) map[string]string {
 	t.Helper()
-	set := token.NewFileSet()
-	f, err := parser.ParseFile(set, path, nil, 0)
+	paths, err := filepath.Glob(filepath.Join(folder, "*.go"))
 	require.NoError(t, err)
-	out := map[string]string{}
-	ast.Inspect(f, func(n ast.Node) bool {
-		if g, ok := n.(*ast.GenDecl); ok && g.Tok == token.CONST {
-			for _, s := range g.Specs {
-				v := s.(*ast.ValueSpec)
-				for i, x := range v.Values {
-					var b strings.Builder
-					require.NoError(t, printer.Fprint(&b, set, x))
-					out[v.Names[i].Name] = b.String()
+	values := map[string]string{}
+	for _, path := range paths {
+		if strings.HasSuffix(path, "_test.go") {
+			continue
+		}
+		for name, value := range constantsOfFile(t, path) {
+			assert.NotContains(t, values, name, "%s: declared twice", path)
+			values[name] = value
+		}
+	}
+	return values
+}
+
+func constantsOfFile(t *testing.T, path string) map[string]string {
+	t.Helper()
+	files := token.NewFileSet()
+	file, err := parser.ParseFile(files, path, nil, 0)
+	require.NoError(t, err)
+	values := map[string]string{}
+	for _, declaration := range file.Decls {
+		group, ok := declaration.(*ast.GenDecl)
+		if !ok || group.Tok != token.CONST {
+			continue
+		}
+		for _, spec := range group.Specs {
+			constant := spec.(*ast.ValueSpec)
+			for i, value := range constant.Values {
+				var text strings.Builder
+				require.NoError(t, printer.Fprint(&text, files, value))
+				if name := constant.Names[i].Name; name != "_" {
+					values[name] = text.String()
 				}
 			}
 		}
-		return true
-	})
-	return out
+	}
+	return values
 }
 
 // A constant that changes in the program must change here: figures of the page rest on it.
 func TestSizesAreThoseOfTheSources(t *testing.T) {
 	of := ofProgram()
 	for _, c := range []struct {
-		path, name, written string
-		value, want         float64
+		folder, name, written string
+		value, want           float64
 	}{
-		{"../../aggregate/message.go", "textMax", "190", of.textMax, 190},
-		{"../../aggregate/message.go", "marksMax", "12", of.marksMax, 12},
-		{"../../aggregate/message.go", "figsMax", "15", figuresMost, 15},
-		{"../platform/channel.go", "maxDatagram", "256", of.datagram, 256},
-		{"../platform/channel.go", "datagramWait", "256", of.waiting, 256},
-		{"../platform/channel.go", "maxLine", "4 << 20", of.line, 4 << 20},
-		{"../platform/channel.go", "channelQuiet", "2 * time.Second", of.quiet, 2},
-		{"../platform/channel.go", "channelDial", "time.Second", of.dial, 1},
-		{"../platform/channel.go", "channelMost", "400 * time.Millisecond", of.most, 0.4},
-		{"../platform/fleet.go", "idleShare", "0.6", of.idleShare, 0.6},
-		{"../daemon/daemon.go", "reserved", "20", of.reserved, 20},
-		{"../daemon/daemon.go", "clientSpare", "16", of.clientSpare, 16},
-		{"../daemon/daemon.go", "memoryPart", "0.7", of.memoryPart, 0.7},
-		{"../daemon/daemon.go", "collectAt", "150", of.collectAt, 150},
-		{"../../core.go", "eventsWait", "1024", of.eventsWait, 1024},
-		{"../../balancer/decide.go", "tellShare", "0.005", of.tellShare, 0.005},
-		{"../../balancer/decide.go", "tellFloor", "0.002", of.tellFloor, 0.002},
-		{"../../balancer/decide.go", "purseMax", "10.0", of.purseMax, 10},
-		{"../../balancer/decide.go", "hubAims", "2", of.hubAims, 2},
-		{"../../balancer/decide.go", "beats", "8", of.beats, 8},
-		{"../../balancer/decide.go", "helloPeers", "3", of.hello, 3},
-		{"../../balancer/decide.go", "pairPart", "8", of.pairPart, 8},
-		{"../../outlier/verdict.go", "longest", "8", of.longest, 8},
-		{"../../endpoints/roster.go", "defaultProbeRate", "300", Letter().ProbeRate, 300},
+		{"../../aggregate", "textMax", "190", of.textMax, 190},
+		{"../../aggregate", "marksMax", "12", of.marksMax, 12},
+		{"../../aggregate", "figsMax", "15", figuresMost, 15},
+		{"../platform", "maxDatagram", "256", of.datagram, 256},
+		{"../platform", "datagramWait", "256", of.waiting, 256},
+		{"../platform", "maxLine", "4 << 20", of.line, 4 << 20},
+		{"../platform", "channelQuiet", "2 * time.Second", of.quiet, 2},
+		{"../platform", "channelDial", "time.Second", of.dial, 1},
+		{"../platform", "channelMost", "400 * time.Millisecond", of.most, 0.4},
+		{"../platform", "idleShare", "0.6", of.idleShare, 0.6},
+		{"../daemon", "reserved", "20", of.reserved, 20},
+		{"../daemon", "clientSpare", "16", of.clientSpare, 16},
+		{"../daemon", "memoryPart", "0.7", of.memoryPart, 0.7},
+		{"../daemon", "collectAt", "150", of.collectAt, 150},
+		{"../..", "eventsWait", "1024", of.eventsWait, 1024},
+		{"../../balancer", "tellShare", "0.005", of.tellShare, 0.005},
+		{"../../balancer", "tellFloor", "0.002", of.tellFloor, 0.002},
+		{"../../balancer", "purseMax", "10.0", of.purseMax, 10},
+		{"../../balancer", "hubAims", "2", of.hubAims, 2},
+		{"../../balancer", "beats", "8", of.beats, 8},
+		{"../../balancer", "helloPeers", "3", of.hello, 3},
+		{"../../balancer", "pairPart", "8", of.pairPart, 8},
+		{"../../outlier", "longest", "8", of.longest, 8},
+		{"../../endpoints", "defaultProbeRate", "300", Letter().ProbeRate, 300},
 	} {
-		assert.Equal(t, c.written, constants(t, c.path)[c.name], "%s in %s", c.name, c.path)
+		assert.Equal(t, c.written, constants(t, c.folder)[c.name], "%s in %s", c.name, c.folder)
 		assert.InDelta(t, c.want, c.value, 1e-12, c.name)
 	}
 }
