--- a/admin/classes_test.go
+++ b/admin/classes_test.go
@@ -11,12 +11,12 @@
 // A class added at a reload gets a new number, one whose rules change gets a new one too, so that requests in hand
 // keep the old; a dropped one is no longer named; an unchanged one keeps its number.
 func TestRetuneKeepsNumbersOfOpenRequests(t *testing.T) {
-	a := balancer.Class{Aim: 1, GiveUp: 2, Effect: balancer.Safe}
-	b := balancer.Class{Aim: 3, GiveUp: 4}
+	a := balancer.Class{LatencyObjective: 1, ClientTimeout: 2, Idempotency: balancer.Idempotent}
+	b := balancer.Class{LatencyObjective: 3, ClientTimeout: 4}
 	c := NewClasses([]string{"a", "b"}, []balancer.Class{a, b})
 	b2 := b
-	b2.Effect = balancer.Keyed
-	x := balancer.Class{Aim: 5, GiveUp: 6}
+	b2.Idempotency = balancer.IdempotentByKey
+	x := balancer.Class{LatencyObjective: 5, ClientTimeout: 6}
 	added, next := c.Retune([]string{"b", "x"}, []balancer.Class{b2, x})
 	assert.Equal(t, []balancer.Class{b2, x}, added)
 	assert.Equal(t, map[string]int{"b": 2, "x": 3}, next)
--- a/admin/desk_test.go
+++ b/admin/desk_test.go
@@ -11,25 +11,25 @@
 	"oakthread/balancer"
 )
 
-func list(ids ...balancer.WorkerID) oakthread.Roster {
-	r := oakthread.Roster{Kind: balancer.RosterFull}
+func list(ids ...balancer.WorkerID) oakthread.EndpointUpdate {
+	r := oakthread.EndpointUpdate{Kind: balancer.EndpointsSnapshot}
 	for _, id := range ids {
-		r.Members = append(r.Members, oakthread.Member{ID: id, Addr: "127.0.0.1:1", State: balancer.On})
+		r.Endpoints = append(r.Endpoints, oakthread.Endpoint{ID: id, Addr: "127.0.0.1:1", State: balancer.Active})
 	}
 	return r
 }
 
 // Guards the rule on drains: once banned, the core hears the executor drain, whatever the list says later.
 func TestBanHoldsAgainstTheList(t *testing.T) {
-	var d Desk
-	d.Listed(list(1, 2))
-	news, ok := d.Offline(1)
+	var d State
+	d.UpdateEndpoints(list(1, 2))
+	news, ok := d.Eject(1)
 	require.True(t, ok)
-	require.Len(t, news.Members, 1)
-	assert.Equal(t, balancer.Draining, news.Members[0].State)
-	told := d.Listed(list(1, 2)) // the list says Ready again
-	assert.Equal(t, balancer.Draining, told.Members[0].State)
-	assert.Equal(t, balancer.On, told.Members[1].State)
+	require.Len(t, news.Endpoints, 1)
+	assert.Equal(t, balancer.Draining, news.Endpoints[0].State)
+	told := d.UpdateEndpoints(list(1, 2)) // the list says Ready again
+	assert.Equal(t, balancer.Draining, told.Endpoints[0].State)
+	assert.Equal(t, balancer.Active, told.Endpoints[1].State)
 	listed, unavailable := d.Members(nil)
 	assert.Equal(t, 2, listed)
 	assert.Equal(t, 1, unavailable)
@@ -39,41 +39,41 @@
 
 // Two calls out need one call back; the executor comes back as started then, so nothing is believed loaded there.
 func TestTwoOutOneBackAndCold(t *testing.T) {
-	var d Desk
-	d.Listed(list(1))
-	_, ok := d.Offline(1)
+	var d State
+	d.UpdateEndpoints(list(1))
+	_, ok := d.Eject(1)
 	require.True(t, ok)
-	_, ok = d.Offline(1)
+	_, ok = d.Eject(1)
 	require.True(t, ok)
 	at := time.Unix(100, 0)
-	news, ok := d.Online(1, at)
+	news, ok := d.Restore(1, at)
 	require.True(t, ok)
-	require.Len(t, news.Members, 1)
-	assert.Equal(t, balancer.On, news.Members[0].State)
-	assert.True(t, news.Members[0].Start.Equal(at))
+	require.Len(t, news.Endpoints, 1)
+	assert.Equal(t, balancer.Active, news.Endpoints[0].State)
+	assert.True(t, news.Endpoints[0].Start.Equal(at))
 	assert.Empty(t, d.Banned())
-	assert.Equal(t, balancer.On, d.Listed(list(1)).Members[0].State)
+	assert.Equal(t, balancer.Active, d.UpdateEndpoints(list(1)).Endpoints[0].State)
 }
 
 // Ids that nobody has get a no, and nothing changes.
 func TestUnknownExecutorIsANo(t *testing.T) {
-	var d Desk
-	d.Listed(list(1))
-	_, ok := d.Offline(9)
+	var d State
+	d.UpdateEndpoints(list(1))
+	_, ok := d.Eject(9)
 	assert.False(t, ok)
-	_, ok = d.Online(9, time.Unix(1, 0))
+	_, ok = d.Restore(9, time.Unix(1, 0))
 	assert.False(t, ok)
 	assert.Empty(t, d.Banned())
 }
 
 // A ban kept by the version before binds the new one before its list comes, and after the executor has left it.
 func TestRestoredBanBindsBeforeTheList(t *testing.T) {
-	var d Desk
+	var d State
 	d.Keep([]balancer.WorkerID{2}, time.Unix(1, 0))
-	told := d.Listed(list(1, 2))
-	assert.Equal(t, balancer.Draining, told.Members[1].State)
-	d.Listed(oakthread.Roster{Kind: balancer.RosterDelta, Members: []oakthread.Member{{ID: 2, State: balancer.Off}}})
-	_, ok := d.Offline(2) // no longer listed, still banned: a yes
+	told := d.UpdateEndpoints(list(1, 2))
+	assert.Equal(t, balancer.Draining, told.Endpoints[1].State)
+	d.UpdateEndpoints(oakthread.EndpointUpdate{Kind: balancer.EndpointsDelta, Endpoints: []oakthread.Endpoint{{ID: 2, State: balancer.Removed}}})
+	_, ok := d.Eject(2) // no longer listed, still banned: a yes
 	assert.True(t, ok)
 	assert.Equal(t, []balancer.WorkerID{2}, d.Banned())
 	d.Keep(nil, time.Unix(2, 0)) // called back at the other process
@@ -81,7 +81,7 @@
 }
 
 func TestOutOfService(t *testing.T) {
-	var d Desk
+	var d State
 	assert.False(t, d.Ready(false), "no list yet")
 	assert.True(t, d.Ready(true))
 	d.OutOfService()
--- a/aggregate/commons_test.go
+++ b/aggregate/commons_test.go
@@ -15,28 +15,28 @@
 	term = 800 * ms
 )
 
-func fleet(n, figures int) (ts []*Table) {
+func fleet(n, figures int) (ts []*Aggregator) {
 	for i := range n {
-		ts = append(ts, New(1000*1000*ms, Settings{Number: i, Siblings: n, Figures: figures, Term: term, Tick: term / 16, Forget: 64000 * ms}))
+		ts = append(ts, New(1000*1000*ms, Settings{DispatcherIndex: i, Dispatchers: n, Values: figures, Term: term, Tick: term / 16, Forget: 64000 * ms}))
 	}
 	return ts
 }
 
 // round is a term: those that reach the hub report, and the digest comes to those that it reaches.
-func round(ts []*Table, now int64, hub int, own func(i int) []float64, reach func(from, to int) bool) {
+func round(ts []*Aggregator, now int64, hub int, own func(i int) []float64, reach func(from, to int) bool) {
 	for i, t := range ts {
-		t.Own(own(i))
+		t.SetLocal(own(i))
 		if i != hub && reach(i, hub) {
-			r := t.Report()
-			t.Sent(r)
-			ts[hub].Heard(now, i, r)
+			r := t.NextReport()
+			t.ReportSent(r)
+			ts[hub].HandleReport(now, i, r)
 		}
 	}
-	d := ts[hub].Sum(now)
-	ts[hub].Told(now, hub, d)
+	d := ts[hub].NextDigest(now)
+	ts[hub].HandleDigest(now, hub, d)
 	for i, t := range ts {
 		if i != hub && reach(hub, i) {
-			t.Told(now, hub, d)
+			t.HandleDigest(now, hub, d)
 		}
 	}
 }
@@ -52,7 +52,7 @@
 	step := func(hub int, reach func(int, int) bool) { now += term; round(ts, now, hub, own, reach) }
 	likely := func(i int) float64 { return ts[i].View(now, 0).Totals[0].Likely }
 	assert.True(t, ts[2].View(now, 0).Never)
-	assert.Equal(t, Total{40, 80, 160}, func() Total { ts[2].Own(own(2)); return ts[2].View(now, 0).Totals[0] }(), "alone since its start: between what it has itself and as much for each")
+	assert.Equal(t, Total{40, 80, 160}, func() Total { ts[2].SetLocal(own(2)); return ts[2].View(now, 0).Totals[0] }(), "alone since its start: between what it has itself and as much for each")
 	step(0, all)
 	for i := range ts {
 		assert.InDelta(t, 200, likely(i), 1, i)
@@ -96,7 +96,7 @@
 		now += term
 		round(ts, now, 1, own, func(_, to int) bool { return to != 0 })
 	}
-	ts[0].Own(own(0))
+	ts[0].SetLocal(own(0))
 	assert.InDelta(t, 360, ts[0].View(now, 0).Totals[0].Likely, 15, "not 900")
 	assert.InDelta(t, 360, ts[1].View(now, 0).Totals[0].Likely, 5)
 	assert.Greater(t, ts[0].View(now, 0).Age, 10*term)
@@ -107,7 +107,7 @@
 	ts := fleet(2, 1)
 	now := 1000 * 1000 * ms
 	row := func(inc, seq uint8, x float64) bool {
-		return ts[0].Heard(now, 1, Row{Incarnation: inc, Seq: seq, Figures: []float64{x}})
+		return ts[0].HandleReport(now, 1, Report{Incarnation: inc, Seq: seq, Values: []float64{x}})
 	}
 	assert.True(t, row(5, 10, 1))
 	assert.False(t, row(5, 10, 2), "doubled")
@@ -115,26 +115,26 @@
 	assert.True(t, row(5, 11, 3))
 	assert.True(t, row(6, 1, 4), "restarted")
 	assert.False(t, row(5, 12, 5), "of the incarnation before")
-	assert.False(t, ts[0].Heard(now, 1, Row{Incarnation: 6, Seq: 2, Figures: []float64{1, 2}}), "of another size")
-	assert.False(t, ts[0].Heard(now, 0, Row{Incarnation: 6, Seq: 2, Figures: []float64{1}}), "our own")
+	assert.False(t, ts[0].HandleReport(now, 1, Report{Incarnation: 6, Seq: 2, Values: []float64{1, 2}}), "of another size")
+	assert.False(t, ts[0].HandleReport(now, 0, Report{Incarnation: 6, Seq: 2, Values: []float64{1}}), "our own")
 	assert.Equal(t, 5, ts[0].Dropped)
 	h := ts[0].rows[1]
 	for ahead := range 256 { // found at 80 dispatchers: a hub hears one again after any number of reports
 		ts[0].rows[1] = h
-		assert.True(t, ts[0].Heard(now+60*term, 1, Row{Incarnation: 6, Seq: h.Seq + uint8(ahead), Figures: []float64{4}}), ahead)
+		assert.True(t, ts[0].HandleReport(now+60*term, 1, Report{Incarnation: 6, Seq: h.Seq + uint8(ahead), Values: []float64{4}}), ahead)
 	}
 	ts[0].rows[1] = h
-	d := ts[0].Sum(now)
-	require.True(t, ts[1].Told(now, 0, d))
-	assert.True(t, ts[1].Told(now+ms, 0, d), "doubled: it changes nothing")
+	d := ts[0].NextDigest(now)
+	require.True(t, ts[1].HandleDigest(now, 0, d))
+	assert.True(t, ts[1].HandleDigest(now+ms, 0, d), "doubled: it changes nothing")
 	assert.Equal(t, now, ts[1].lastAt)
 	early := d
 	early.Tick--
-	assert.False(t, ts[1].Told(now, 0, early), "late")
+	assert.False(t, ts[1].HandleDigest(now, 0, early), "late")
 	d.Tick += 2000
-	assert.False(t, ts[1].Told(now, 0, d), "a clock minutes ahead")
-	later := ts[0].Sum(now + 200*ms)
-	assert.True(t, ts[1].Told(now, 0, later), "a clock 200 ms ahead")
+	assert.False(t, ts[1].HandleDigest(now, 0, d), "a clock minutes ahead")
+	later := ts[0].NextDigest(now + 200*ms)
+	assert.True(t, ts[1].HandleDigest(now, 0, later), "a clock 200 ms ahead")
 	assert.InDelta(t, 4, ts[1].View(now, 0).Totals[0].High, 0.1)
 }
 
@@ -229,11 +229,11 @@
 	now += term
 	round(ts, now, 0, own, all)
 	rate[1] = []float64{103, 90}
-	ts[1].Own(rate[1])
-	r := ts[1].Report()
-	require.Len(t, r.Prev, 2)
-	assert.True(t, math.IsNaN(r.Prev[0]))
-	assert.Equal(t, 50.0, r.Prev[1])
+	ts[1].SetLocal(rate[1])
+	r := ts[1].NextReport()
+	require.Len(t, r.LastCounted, 2)
+	assert.True(t, math.IsNaN(r.LastCounted[0]))
+	assert.Equal(t, 50.0, r.LastCounted[1])
 	now += term
 	round(ts, now, 0, own, func(from, _ int) bool { return from != 2 }) // 2 is not heard
 	v := ts[0].View(now, 0)
@@ -256,62 +256,62 @@
 		return out
 	}
 	for _, m := range []Message{
-		{Hello: true, GoesOn: true},
-		{Calls: 7, Row: Row{Incarnation: 200, Seq: 255, Figures: figs(5), Prev: []float64{0, math.NaN(), 25, math.NaN(), math.NaN()}}, Counts: []Count{{1, 5, true, false}, {1 << 15, 0, false, true}}, Pairs: []Pair{{1 << 30, 9}}},
-		{Calls: 1, Row: Row{Figures: figs(15), Fresh: true}, Marks: []Mark{{7, 15, 0, 255}, {1 << 15, 0, 9, 8}}},
-		{Hub: true, Sum: Digest{Short: true, Tick: 65535, Sums: figs(15), Gone: figs(15), Moved: figs(15), Covered: cover, Missing: gone}},
+		{SyncRequest: true, Continued: true},
+		{Calls: 7, Report: Report{Incarnation: 200, Seq: 255, Values: figs(5), LastCounted: []float64{0, math.NaN(), 25, math.NaN(), math.NaN()}}, Counts: []Count{{1, 5, true, false}, {1 << 15, 0, false, true}}, Holders: []Holder{{1 << 30, 9}}},
+		{Calls: 1, Report: Report{Values: figs(15), Fresh: true}, Marks: []Mark{{7, 15, 0, 255}, {1 << 15, 0, 9, 8}}},
+		{FromLeader: true, Digest: Digest{Truncated: true, Tick: 65535, Sums: figs(15), MissingSums: figs(15), MissingMoved: figs(15), Covered: cover, Missing: gone}},
 	} {
-		texts := m.Texts(300)
+		texts := m.Encode(300)
 		require.Len(t, texts, 1)
-		out, ok := Read(texts[0], 300)
+		out, ok := Decode(texts[0], 300)
 		require.True(t, ok)
-		assert.Equal(t, texts, out.Texts(300))
-		if !m.Hub {
+		assert.Equal(t, texts, out.Encode(300))
+		if !m.FromLeader {
 			assert.Equal(t, fmt.Sprint(m), fmt.Sprint(out))
 		} else {
-			assert.Equal(t, m.Sum, out.Sum)
+			assert.Equal(t, m.Digest, out.Digest)
 		}
 		for cut := range len(texts[0]) {
-			if x, ok := Read(texts[0][:cut], 300); ok && !x.GoesOn && len(x.Counts)+len(x.Pairs) == len(m.Counts)+len(m.Pairs) && cut < len(texts[0])-1 {
+			if x, ok := Decode(texts[0][:cut], 300); ok && !x.Continued && len(x.Counts)+len(x.Holders) == len(m.Counts)+len(m.Holders) && cut < len(texts[0])-1 {
 				t.Errorf("cut at %d of %d, it was read", cut, len(texts[0]))
 			}
 		}
 	}
 	for i := range 20 { // found by reading: the longest sums and a dozen marks are more than one text holds
-		full := Message{Hub: true, Sum: Digest{Sums: figs(15), Gone: figs(15), Moved: figs(15), Covered: cover, Missing: gone}, Counts: []Count{{Worker: 1, N: 1}}}
+		full := Message{FromLeader: true, Digest: Digest{Sums: figs(15), MissingSums: figs(15), MissingMoved: figs(15), Covered: cover, Missing: gone}, Counts: []Count{{Worker: 1, N: 1}}}
 		for range i {
 			full.Marks = append(full.Marks, Mark{Worker: 7, Bad: 3})
 		}
-		for _, x := range append(full.Texts(300), full.Short(300, 256).Texts(300)...) {
+		for _, x := range append(full.Encode(300), full.Truncate(300, 256).Encode(300)...) {
 			assert.LessOrEqual(t, len(x), 256)
-			_, ok := Read(x, 300)
+			_, ok := Decode(x, 300)
 			assert.True(t, ok)
 		}
-		assert.NotPanics(t, func() { full.Texts(5000) })
+		assert.NotPanics(t, func() { full.Encode(5000) })
 	}
-	big := Message{Hub: true, Sum: Digest{Sums: figs(7), Gone: figs(7), Moved: figs(7), Covered: cover, Missing: gone}}
+	big := Message{FromLeader: true, Digest: Digest{Sums: figs(7), MissingSums: figs(7), MissingMoved: figs(7), Covered: cover, Missing: gone}}
 	for i := range 120 {
 		big.Counts = append(big.Counts, Count{Worker: uint16(i), N: 3})
 	}
 	counts := 0
-	for _, x := range big.Texts(300) {
+	for _, x := range big.Encode(300) {
 		assert.LessOrEqual(t, len(x), 256)
-		m, ok := Read(x, 300)
+		m, ok := Decode(x, 300)
 		require.True(t, ok)
 		counts += len(m.Counts)
 	}
 	assert.Equal(t, 120, counts)
 	big.Counts[77] = Count{Worker: 77, Silent: true}
 	for _, chars := range []int{220, 253, 10000} {
-		short := big.Short(300, chars)
-		assert.LessOrEqual(t, Chars(short.Texts(300)), chars)
+		short := big.Truncate(300, chars)
+		assert.LessOrEqual(t, Chars(short.Encode(300)), chars)
 		if chars < 10000 {
 			assert.Equal(t, big.Counts[77:78], short.Counts, "what binds")
-			m, ok := Read(short.Texts(300)[0], 300)
-			assert.True(t, ok && m.Sum.Short)
+			m, ok := Decode(short.Encode(300)[0], 300)
+			assert.True(t, ok && m.Digest.Truncated)
 		}
 	}
-	assert.Equal(t, big, big.Short(300, 120), "not even the sums")
+	assert.Equal(t, big, big.Truncate(300, 120), "not even the sums")
 	for _, x := range []float64{0, 0.3, 12.5, 819, 7200, 1e6} {
 		assert.InDelta(t, x, small(packed(x)), 0.01+x/4000)
 	}
@@ -320,19 +320,19 @@
 
 // Any text ends in a message or in nothing.
 func FuzzRead(f *testing.F) {
-	for _, m := range []Message{{Row: Row{Figures: []float64{1, 2}}}, {Hub: true, Sum: Digest{Sums: []float64{1}, Covered: NewSet(9), Missing: NewSet(9)}}} {
-		f.Add(m.Texts(9)[0], 9)
+	for _, m := range []Message{{Report: Report{Values: []float64{1, 2}}}, {FromLeader: true, Digest: Digest{Sums: []float64{1}, Covered: NewSet(9), Missing: NewSet(9)}}} {
+		f.Add(m.Encode(9)[0], 9)
 	}
 	f.Add("BAAAAA", 3)
 	f.Fuzz(func(t *testing.T, text string, n int) {
 		n = max(1, n&1023)
-		m, ok := Read(text, n)
+		m, ok := Decode(text, n)
 		if !ok {
 			return
 		}
-		x := New(5e9, Settings{Siblings: n, Figures: 2, Term: term, Tick: term / 16, Forget: 64 * term})
-		x.Heard(5e9, 1, m.Row)
-		x.Told(5e9, 1, m.Sum)
+		x := New(5e9, Settings{Dispatchers: n, Values: 2, Term: term, Tick: term / 16, Forget: 64 * term})
+		x.HandleReport(5e9, 1, m.Report)
+		x.HandleDigest(5e9, 1, m.Digest)
 		for _, total := range x.View(6e9, 0).Totals {
 			if math.IsNaN(total.Likely) || total.Low < 0 {
 				t.Fatal(total)
@@ -351,15 +351,15 @@
 		b.Run(fmt.Sprintf("report_%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
-				r := ts[1].Report()
-				ts[1].Sent(r)
-				ts[0].Heard(now, 1, r)
+				r := ts[1].NextReport()
+				ts[1].ReportSent(r)
+				ts[0].HandleReport(now, 1, r)
 			}
 		})
 		b.Run(fmt.Sprintf("digest_%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
-				ts[0].Sum(now)
+				ts[0].NextDigest(now)
 			}
 		})
 		b.Run(fmt.Sprintf("view_%d", n), func(b *testing.B) {
@@ -376,20 +376,20 @@
 	rapid.Check(t, func(t *rapid.T) {
 		siblings := rapid.SampledFrom([]int{3, 80, 300, 1_000, 1_900, 6_000}).Draw(t, "siblings")
 		figures := make([]float64, rapid.IntRange(0, figsMax).Draw(t, "figures"))
-		m := Message{Hub: rapid.Bool().Draw(t, "hub"), GoesOn: rapid.IntRange(0, 3).Draw(t, "goes on") == 0, Row: Row{Figures: figures},
+		m := Message{FromLeader: rapid.Bool().Draw(t, "hub"), Continued: rapid.IntRange(0, 3).Draw(t, "goes on") == 0, Report: Report{Values: figures},
 			Marks: make([]Mark, rapid.IntRange(0, 20).Draw(t, "marks")), Counts: make([]Count, rapid.SampledFrom([]int{0, 1, 61, 62, 63, 700}).Draw(t, "counts")),
-			Pairs: make([]Pair, rapid.SampledFrom([]int{0, 1, 30, 31, 32, 200}).Draw(t, "pairs"))}
-		m.Sum = Digest{Sums: figures, Gone: figures, Moved: figures, Covered: NewSet(siblings), Missing: NewSet(siblings)}
+			Holders: make([]Holder, rapid.SampledFrom([]int{0, 1, 30, 31, 32, 200}).Draw(t, "pairs"))}
+		m.Digest = Digest{Sums: figures, MissingSums: figures, MissingMoved: figures, Covered: NewSet(siblings), Missing: NewSet(siblings)}
 		if rapid.Bool().Draw(t, "quoted") {
-			m.Row.Prev = figures
+			m.Report.LastCounted = figures
 		}
 		for i := range rapid.SampledFrom([]int{0, siblings - 1, siblings}).Draw(t, "covered") {
-			m.Sum.Covered.Add(i)
+			m.Digest.Covered.Add(i)
 		}
 		for i := range rapid.IntRange(0, 2).Draw(t, "missing") {
-			m.Sum.Missing.Add(i)
+			m.Digest.Missing.Add(i)
 		}
-		assert.Equal(t, Chars(m.Texts(siblings)), m.Length(siblings))
+		assert.Equal(t, Chars(m.Encode(siblings)), m.EncodedLen(siblings))
 	})
 }
 
--- a/aggregate/golden_test.go
+++ b/aggregate/golden_test.go
@@ -25,7 +25,7 @@
 	texts    []Message // what the texts decode to, one each; nil: one text that decodes to the message itself
 }
 
-func setOf(siblings int, numbers ...int) Set {
+func setOf(siblings int, numbers ...int) NodeSet {
 	s := NewSet(siblings)
 	for _, i := range numbers {
 		s.Add(i)
@@ -45,56 +45,56 @@
 	nan := math.NaN()
 	marks := []Mark{{Worker: 7, Good: 15, Pace: 255}, {Worker: 1 << 15, Bad: 9, Pace: 8}}
 	counts := []Count{{1, 5, true, false}, {2, 0, false, true}, {65535, 63, true, true}, {0, 1, false, false}}
-	pairs := []Pair{{1 << 30, 9}, {math.MaxUint32, 65535}, {0, 0}}
+	pairs := []Holder{{1 << 30, 9}, {math.MaxUint32, 65535}, {0, 0}}
 	manyCounts := upTo(70, func(i int) Count { return Count{Worker: uint16(i * 900), N: i % 64, Heard: i%2 == 0} })
-	manyPairs := upTo(40, func(i int) Pair { return Pair{Func: uint32(i) << 24, Worker: uint16(i)} })
+	manyPairs := upTo(40, func(i int) Holder { return Holder{Func: uint32(i) << 24, Worker: uint16(i)} })
 	figures := upTo(15, func(i int) float64 { return float64(i) * 12.5 })
 	quoted := upTo(15, func(i int) float64 { return []float64{0, nan, 1.5}[i%3] })
 	sums, zeros := []float64{100, 7.5}, []float64{0, 0}
-	whole := Digest{Tick: 513, Sums: sums, Gone: zeros, Moved: zeros, Covered: allOf(3), Missing: NewSet(3)}
+	whole := Digest{Tick: 513, Sums: sums, MissingSums: zeros, MissingMoved: zeros, Covered: allOf(3), Missing: NewSet(3)}
 	short := whole
-	short.Short = true
-	wide := Digest{Tick: 1, Sums: figures, Gone: figures, Moved: figures, Covered: allOf(300), Missing: setOf(300, 0)}
+	short.Truncated = true
+	wide := Digest{Tick: 1, Sums: figures, MissingSums: figures, MissingMoved: figures, Covered: allOf(300), Missing: setOf(300, 0)}
 	wide.Covered[0] = 0xfe
-	row := Row{Incarnation: 200, Seq: 255, Figures: []float64{12.5, 0.25}}
+	row := Report{Incarnation: 200, Seq: 255, Values: []float64{12.5, 0.25}}
 	manyMarks := upTo(14, func(i int) Mark { return Mark{Worker: uint16(i), Good: 20, Bad: 16, Pace: 1} })
 	mostMarks := upTo(12, func(i int) Mark { return Mark{Worker: uint16(i), Good: 15, Bad: 15, Pace: 1} })
 
 	return []goldenCase{
-		{name: "sync-request", siblings: 3, message: Message{Hello: true, GoesOn: true}},
-		{name: "holders", siblings: 3, message: Message{GoesOn: true, Pairs: pairs}},
-		{name: "report", siblings: 3, message: Message{Calls: 7, Row: row, Marks: marks, Counts: counts, Pairs: pairs}},
-		{name: "report-fresh", siblings: 3, message: Message{Calls: 1, Row: Row{Figures: sums, Fresh: true}}},
-		{name: "report-prev", siblings: 3, message: Message{Row: Row{Seq: 1, Figures: []float64{0, 1, 25, 2, 3},
-			Prev: []float64{0, nan, 50, nan, nan}}, Counts: counts[:1]}},
+		{name: "sync-request", siblings: 3, message: Message{SyncRequest: true, Continued: true}},
+		{name: "holders", siblings: 3, message: Message{Continued: true, Holders: pairs}},
+		{name: "report", siblings: 3, message: Message{Calls: 7, Report: row, Marks: marks, Counts: counts, Holders: pairs}},
+		{name: "report-fresh", siblings: 3, message: Message{Calls: 1, Report: Report{Values: sums, Fresh: true}}},
+		{name: "report-prev", siblings: 3, message: Message{Report: Report{Seq: 1, Values: []float64{0, 1, 25, 2, 3},
+			LastCounted: []float64{0, nan, 50, nan, nan}}, Counts: counts[:1]}},
 		{name: "report-in-three-texts", siblings: 3,
-			message: Message{Calls: 2, Row: row, Counts: manyCounts, Pairs: manyPairs},
-			texts: []Message{{Calls: 2, Row: row, Counts: manyCounts[:60]},
-				{GoesOn: true, Counts: manyCounts[60:], Pairs: manyPairs[:26]}, {GoesOn: true, Pairs: manyPairs[26:]}}},
+			message: Message{Calls: 2, Report: row, Counts: manyCounts, Holders: manyPairs},
+			texts: []Message{{Calls: 2, Report: row, Counts: manyCounts[:60]},
+				{Continued: true, Counts: manyCounts[60:], Holders: manyPairs[:26]}, {Continued: true, Holders: manyPairs[26:]}}},
 		{name: "digest-complete", siblings: 3,
-			message: Message{Hub: true, Sum: whole, Marks: marks, Counts: counts, Pairs: pairs}},
-		{name: "digest-missing", siblings: 12, message: Message{Hub: true, Counts: counts,
-			Sum: Digest{Tick: 65535, Sums: sums, Gone: []float64{40, 0}, Moved: []float64{8, 0},
+			message: Message{FromLeader: true, Digest: whole, Marks: marks, Counts: counts, Holders: pairs}},
+		{name: "digest-missing", siblings: 12, message: Message{FromLeader: true, Counts: counts,
+			Digest: Digest{Tick: 65535, Sums: sums, MissingSums: []float64{40, 0}, MissingMoved: []float64{8, 0},
 				Covered: setOf(12, 0, 3, 11), Missing: setOf(12, 1, 8)}}},
-		{name: "digest-uncovered", siblings: 9, message: Message{Hub: true,
-			Sum: Digest{Sums: sums, Gone: zeros, Moved: zeros, Covered: setOf(9, 8), Missing: NewSet(9)}}},
+		{name: "digest-uncovered", siblings: 9, message: Message{FromLeader: true,
+			Digest: Digest{Sums: sums, MissingSums: zeros, MissingMoved: zeros, Covered: setOf(9, 8), Missing: NewSet(9)}}},
 		{name: "digest-short", siblings: 3,
-			message: Message{Hub: true, Sum: whole, Marks: marks, Counts: counts, Pairs: pairs}.Short(3, 40),
-			texts:   []Message{{Hub: true, Sum: short, Marks: marks, Counts: counts[:1]}}},
-		{name: "digest-in-two-texts", siblings: 3, message: Message{Hub: true, Sum: whole, Counts: manyCounts},
-			texts: []Message{{Hub: true, Sum: whole, Counts: manyCounts[:60]},
-				{Hub: true, GoesOn: true, Counts: manyCounts[60:]}}},
-		{name: "digest-of-300-dispatchers", siblings: 300, message: Message{Hub: true, Sum: wide, Marks: mostMarks},
-			texts: []Message{{Hub: true, Sum: wide, Marks: mostMarks[:4]}}},
+			message: Message{FromLeader: true, Digest: whole, Marks: marks, Counts: counts, Holders: pairs}.Truncate(3, 40),
+			texts:   []Message{{FromLeader: true, Digest: short, Marks: marks, Counts: counts[:1]}}},
+		{name: "digest-in-two-texts", siblings: 3, message: Message{FromLeader: true, Digest: whole, Counts: manyCounts},
+			texts: []Message{{FromLeader: true, Digest: whole, Counts: manyCounts[:60]},
+				{FromLeader: true, Continued: true, Counts: manyCounts[60:]}}},
+		{name: "digest-of-300-dispatchers", siblings: 300, message: Message{FromLeader: true, Digest: wide, Marks: mostMarks},
+			texts: []Message{{FromLeader: true, Digest: wide, Marks: mostMarks[:4]}}},
 		{name: "report-of-15-figures-and-12-marks", siblings: 3,
-			message: Message{Calls: 255, Row: Row{Figures: figures, Prev: quoted}, Marks: mostMarks}},
+			message: Message{Calls: 255, Report: Report{Values: figures, LastCounted: quoted}, Marks: mostMarks}},
 		{name: "report-beyond-bounds", siblings: 3, message: Message{Calls: 300, Marks: manyMarks,
-			Row: Row{Figures: append(slices.Clone(figures), 1)}, Counts: []Count{{Worker: 1, N: 64}}},
-			texts: []Message{{Calls: 255, Marks: mostMarks, Row: Row{Figures: figures},
+			Report: Report{Values: append(slices.Clone(figures), 1)}, Counts: []Count{{Worker: 1, N: 64}}},
+			texts: []Message{{Calls: 255, Marks: mostMarks, Report: Report{Values: figures},
 				Counts: []Count{{Worker: 1, N: 63}}}}},
 		{name: "report-of-extreme-figures", siblings: 3,
-			message: Message{Row: Row{Figures: []float64{0, -1, nan, 1 / 64., 4095 / 64., 64, largest, 1e9, 0.001}}},
-			texts:   []Message{{Row: Row{Figures: []float64{0, 0, 0, 1 / 64., 4095 / 64., 64, largest, largest, 0}}}}},
+			message: Message{Report: Report{Values: []float64{0, -1, nan, 1 / 64., 4095 / 64., 64, largest, 1e9, 0.001}}},
+			texts:   []Message{{Report: Report{Values: []float64{0, 0, 0, 1 / 64., 4095 / 64., 64, largest, largest, 0}}}}},
 	}
 }
 
@@ -119,10 +119,10 @@
 
 // comparable replaces NaN, which differs from itself, by a figure that no text holds.
 func comparable(m Message) Message {
-	m.Row.Prev = slices.Clone(m.Row.Prev)
-	for i, x := range m.Row.Prev {
+	m.Report.LastCounted = slices.Clone(m.Report.LastCounted)
+	for i, x := range m.Report.LastCounted {
 		if math.IsNaN(x) {
-			m.Row.Prev[i] = -1
+			m.Report.LastCounted[i] = -1
 		}
 	}
 	return m
@@ -138,7 +138,7 @@
 	var paths []string
 	eachGoldenCase(t, func(t *testing.T, c goldenCase) {
 		paths = append(paths, c.path())
-		texts := c.message.Texts(c.siblings)
+		texts := c.message.Encode(c.siblings)
 		if *update {
 			text := "# " + c.name + "\n" + strings.Join(texts, "\n") + "\n"
 			require.NoError(t, os.WriteFile(c.path(), []byte(text), 0o644))
@@ -158,7 +158,7 @@
 		texts := c.golden(t)
 		require.Len(t, texts, len(want))
 		for i, text := range texts {
-			got, ok := Read(text, c.siblings)
+			got, ok := Decode(text, c.siblings)
 			require.True(t, ok, text)
 			assert.Equal(t, comparable(want[i]), comparable(got))
 		}
@@ -168,9 +168,9 @@
 func TestGoldenDatagramsAreUnchangedByDecodingAndEncoding(t *testing.T) {
 	eachGoldenCase(t, func(t *testing.T, c goldenCase) {
 		for _, text := range c.golden(t) {
-			m, ok := Read(text, c.siblings)
+			m, ok := Decode(text, c.siblings)
 			require.True(t, ok, text)
-			assert.Equal(t, []string{text}, m.Texts(c.siblings))
+			assert.Equal(t, []string{text}, m.Encode(c.siblings))
 		}
 	})
 }
@@ -183,7 +183,7 @@
 			require.NoError(t, err)
 			want := comparable(c.decoded()[i])
 			differs := func(changed []byte, how string, at int) {
-				m, ok := Read(base64.RawStdEncoding.EncodeToString(changed), c.siblings)
+				m, ok := Decode(base64.RawStdEncoding.EncodeToString(changed), c.siblings)
 				if ok && assert.ObjectsAreEqual(want, comparable(m)) {
 					t.Errorf("text %d decodes to the same value with header byte %d %s", i, at, how)
 				}
--- a/aggregate/message.go
+++ b/aggregate/message.go
@@ -9,15 +9,15 @@
 // Message is what one dispatcher writes to another, or the hub to all. It is packed into texts of at most 256 bytes; those
 // after the first say that they go on, and hold counts and pairs alone.
 type Message struct {
-	Hello  bool // asks for all beliefs
-	GoesOn bool
-	Hub    bool // a digest: Sum counts, else Row
-	Calls  int  // of a report: taken since the last one
-	Row    Row
-	Sum    Digest
-	Marks  []Mark // at most marksMax
-	Counts []Count
-	Pairs  []Pair
+	SyncRequest bool // asks for all beliefs
+	Continued   bool
+	FromLeader  bool // a digest: Sum counts, else Row
+	Calls       int  // of a report: taken since the last one
+	Report      Report
+	Digest      Digest
+	Marks       []Mark // at most marksMax
+	Counts      []Count
+	Holders     []Holder
 }
 
 // Mark is what a dispatcher, or the observers of a digest, have to say of one worker: calls or observers, good and bad, 15
@@ -35,8 +35,8 @@
 	Silent, Heard bool
 }
 
-// Pair is a new holder: function and worker by their tags.
-type Pair struct {
+// Holder is a new holder: function and worker by their tags.
+type Holder struct {
 	Func   uint32
 	Worker uint16
 }
@@ -70,27 +70,27 @@
 	return n
 }
 
-// Length is what Chars would say of the texts of a message, without writing them.
-func (m Message) Length(siblings int) (chars int) {
+// EncodedLen is what Chars would say of the texts of a message, without writing them.
+func (m Message) EncodedLen(siblings int) (chars int) {
 	room := make([]byte, 0, textMax)
-	for first := true; first || len(m.Counts)+len(m.Pairs) > 0; first = false {
+	for first := true; first || len(m.Counts)+len(m.Holders) > 0; first = false {
 		raw, n, k := m.start(room, !first, siblings)
 		chars += base64.RawStdEncoding.EncodedLen(len(raw) + 3*n + 6*k)
-		m.Counts, m.Pairs = m.Counts[n:], m.Pairs[k:]
+		m.Counts, m.Holders = m.Counts[n:], m.Holders[k:]
 	}
 	return chars
 }
 
-// Short is a digest cut to one text of so many characters at the most: its sums, and of the workers as many as there is room
+// Truncate is a digest cut to one text of so many characters at the most: its sums, and of the workers as many as there is room
 // for that some found silent and none heard. A digest that fits is as it was; one whose sums do not fit is left whole.
-func (m Message) Short(siblings, chars int) Message {
-	if !m.Hub || m.Length(siblings) <= chars {
+func (m Message) Truncate(siblings, chars int) Message {
+	if !m.FromLeader || m.EncodedLen(siblings) <= chars {
 		return m
 	}
 	short := m
-	short.Counts, short.Pairs, short.Sum.Short = nil, nil, true
+	short.Counts, short.Holders, short.Digest.Truncated = nil, nil, true
 	room := base64.RawStdEncoding.DecodedLen(min(chars, base64.RawStdEncoding.EncodedLen(textMax)))
-	if room -= base64.RawStdEncoding.DecodedLen(len(short.Texts(siblings)[0])); room < 0 {
+	if room -= base64.RawStdEncoding.DecodedLen(len(short.Encode(siblings)[0])); room < 0 {
 		return m
 	}
 	for _, c := range m.Counts {
@@ -101,9 +101,9 @@
 	return short
 }
 
-// Texts packs a message. siblings: of how many dispatchers the sets are.
-func (m Message) Texts(siblings int) (texts []string) {
-	for first := true; first || len(m.Counts)+len(m.Pairs) > 0; first = false {
+// Encode packs a message. siblings: of how many dispatchers the sets are.
+func (m Message) Encode(siblings int) (texts []string) {
+	for first := true; first || len(m.Counts)+len(m.Holders) > 0; first = false {
 		raw, n, k := m.start(make([]byte, 0, textMax), !first, siblings)
 		for _, c := range m.Counts[:n] {
 			b := byte(min(c.N, 63))
@@ -115,11 +115,11 @@
 			}
 			raw = append(binary.BigEndian.AppendUint16(raw, c.Worker), b)
 		}
-		for _, p := range m.Pairs[:k] {
+		for _, p := range m.Holders[:k] {
 			raw = binary.BigEndian.AppendUint32(raw, p.Func)
 			raw = binary.BigEndian.AppendUint16(raw, p.Worker)
 		}
-		m.Counts, m.Pairs = m.Counts[n:], m.Pairs[k:]
+		m.Counts, m.Holders = m.Counts[n:], m.Holders[k:]
 		texts = append(texts, base64.RawStdEncoding.EncodeToString(raw))
 	}
 	return texts
@@ -134,9 +134,9 @@
 		}
 		return on
 	}
-	set(flagHello, m.Hello)
-	set(flagHub, m.Hub)
-	if !set(flagGoesOn, goesOn || m.GoesOn) {
+	set(flagHello, m.SyncRequest)
+	set(flagHub, m.FromLeader)
+	if !set(flagGoesOn, goesOn || m.Continued) {
 		raw = m.first(raw, set, siblings)
 		if marks := m.Marks[:max(0, min(len(m.Marks), marksMax, (textMax-len(raw)-1)/4))]; len(marks) > 0 {
 			raw[0] |= marksHere
@@ -148,22 +148,22 @@
 	}
 	left := max(0, textMax-len(raw)) // of some thousand dispatchers the sets alone are too long: the host drops such a text
 	counts = min(len(m.Counts), left/3, 255)
-	pairs = min(len(m.Pairs), (left-3*counts)/6)
+	pairs = min(len(m.Holders), (left-3*counts)/6)
 	raw[1], raw[2] = flags, byte(counts)
 	return raw, counts, pairs
 }
 
 // first writes the row or the digest.
 func (m Message) first(raw []byte, set func(byte, bool) bool, siblings int) []byte {
-	if !m.Hub {
-		figs := m.Row.Figures[:min(len(m.Row.Figures), figsMax)]
+	if !m.FromLeader {
+		figs := m.Report.Values[:min(len(m.Report.Values), figsMax)]
 		raw[0] |= byte(len(figs) << 2)
-		raw = append(raw, byte(min(m.Calls, 255)), m.Row.Incarnation, m.Row.Seq)
+		raw = append(raw, byte(min(m.Calls, 255)), m.Report.Incarnation, m.Report.Seq)
 		raw = appendFigures(raw, figs)
-		set(flagFresh, m.Row.Fresh)
-		if set(flagPrev, m.Row.Prev != nil) {
+		set(flagFresh, m.Report.Fresh)
+		if set(flagPrev, m.Report.LastCounted != nil) {
 			has, prev := NewSet(len(figs)), make([]float64, 0, figsMax)
-			for i, x := range m.Row.Prev[:len(figs)] {
+			for i, x := range m.Report.LastCounted[:len(figs)] {
 				if !math.IsNaN(x) {
 					has.Add(i)
 					prev = append(prev, x)
@@ -173,31 +173,31 @@
 		}
 		return raw
 	}
-	figs := m.Sum.Sums[:min(len(m.Sum.Sums), figsMax)]
+	figs := m.Digest.Sums[:min(len(m.Digest.Sums), figsMax)]
 	raw[0] |= byte(len(figs) << 2)
-	raw = binary.BigEndian.AppendUint16(raw, m.Sum.Tick)
+	raw = binary.BigEndian.AppendUint16(raw, m.Digest.Tick)
 	raw = appendFigures(raw, figs)
-	set(flagShort, m.Sum.Short)
-	if set(flagPart, m.Sum.Covered.Len() < siblings) {
-		raw = append(raw, m.Sum.Covered...)
+	set(flagShort, m.Digest.Truncated)
+	if set(flagPart, m.Digest.Covered.Len() < siblings) {
+		raw = append(raw, m.Digest.Covered...)
 	}
-	if set(flagGone, m.Sum.Missing.Len() > 0) {
-		raw = appendFigures(raw, m.Sum.Gone[:len(figs)])
-		raw = appendFigures(raw, m.Sum.Moved[:len(figs)])
-		raw = append(raw, m.Sum.Missing...)
+	if set(flagGone, m.Digest.Missing.Len() > 0) {
+		raw = appendFigures(raw, m.Digest.MissingSums[:len(figs)])
+		raw = appendFigures(raw, m.Digest.MissingMoved[:len(figs)])
+		raw = append(raw, m.Digest.Missing...)
 	}
 	return raw
 }
 
-// Read unpacks a text; false: it is cut, of another version or of another size of fleet, and says nothing.
-func Read(text string, siblings int) (m Message, ok bool) {
+// Decode unpacks a text; false: it is cut, of another version or of another size of fleet, and says nothing.
+func Decode(text string, siblings int) (m Message, ok bool) {
 	raw, err := base64.RawStdEncoding.DecodeString(text)
 	if err != nil || len(raw) < 3 || raw[0]&3 != version || raw[0] >= 2*marksHere {
 		return m, false
 	}
 	marked := raw[0]&marksHere != 0
 	figs, flags, n := int(raw[0]&^marksHere>>2), raw[1], int(raw[2])
-	m.Hello, m.Hub, m.GoesOn = flags&flagHello != 0, flags&flagHub != 0, flags&flagGoesOn != 0
+	m.SyncRequest, m.FromLeader, m.Continued = flags&flagHello != 0, flags&flagHub != 0, flags&flagGoesOn != 0
 	raw = raw[3:]
 	cut := false
 	take := func(n int) []byte {
@@ -217,7 +217,7 @@
 		return out
 	}
 	quoted := func() (out []float64) {
-		has := Set(take((figs + 7) / 8))
+		has := NodeSet(take((figs + 7) / 8))
 		if beyond(has, figs) {
 			cut = true
 		}
@@ -232,33 +232,33 @@
 	}
 	sets := (siblings + 7) / 8
 	switch {
-	case m.GoesOn:
+	case m.Continued:
 		if figs > 0 || marked || flags&^(flagHello|flagHub|flagGoesOn) != 0 {
 			return m, false
 		}
-	case m.Hub:
-		m.Sum.Short = flags&flagShort != 0
-		m.Sum.Tick = binary.BigEndian.Uint16(take(2))
-		m.Sum.Sums = figures()
+	case m.FromLeader:
+		m.Digest.Truncated = flags&flagShort != 0
+		m.Digest.Tick = binary.BigEndian.Uint16(take(2))
+		m.Digest.Sums = figures()
 		if flags&flagPart != 0 {
-			m.Sum.Covered = Set(take(sets))
+			m.Digest.Covered = NodeSet(take(sets))
 		} else {
-			m.Sum.Covered = allOf(siblings)
+			m.Digest.Covered = allOf(siblings)
 		}
 		if flags&flagGone != 0 {
-			m.Sum.Gone, m.Sum.Moved, m.Sum.Missing = figures(), figures(), Set(take(sets))
+			m.Digest.MissingSums, m.Digest.MissingMoved, m.Digest.Missing = figures(), figures(), NodeSet(take(sets))
 		} else {
-			m.Sum.Gone, m.Sum.Moved, m.Sum.Missing = make([]float64, figs), make([]float64, figs), NewSet(siblings)
+			m.Digest.MissingSums, m.Digest.MissingMoved, m.Digest.Missing = make([]float64, figs), make([]float64, figs), NewSet(siblings)
 		}
-		if flags&(flagPrev|flagFresh) != 0 || beyond(m.Sum.Covered, siblings) || beyond(m.Sum.Missing, siblings) {
+		if flags&(flagPrev|flagFresh) != 0 || beyond(m.Digest.Covered, siblings) || beyond(m.Digest.Missing, siblings) {
 			return m, false
 		}
 	default:
 		b := take(3)
 		m.Calls = int(b[0])
-		m.Row = Row{Incarnation: b[1], Seq: b[2], Figures: figures(), Fresh: flags&flagFresh != 0}
+		m.Report = Report{Incarnation: b[1], Seq: b[2], Values: figures(), Fresh: flags&flagFresh != 0}
 		if flags&flagPrev != 0 {
-			m.Row.Prev = quoted()
+			m.Report.LastCounted = quoted()
 		}
 		if flags&(flagPart|flagGone|flagShort) != 0 {
 			return m, false
@@ -279,15 +279,15 @@
 		return Message{}, false
 	}
 	if len(raw) > 0 {
-		m.Pairs = make([]Pair, 0, len(raw)/6)
+		m.Holders = make([]Holder, 0, len(raw)/6)
 	}
 	for ; len(raw) > 0; raw = raw[6:] {
-		m.Pairs = append(m.Pairs, Pair{binary.BigEndian.Uint32(raw), binary.BigEndian.Uint16(raw[4:])})
+		m.Holders = append(m.Holders, Holder{binary.BigEndian.Uint32(raw), binary.BigEndian.Uint16(raw[4:])})
 	}
 	return m, true
 }
 
-func beyond(s Set, n int) bool {
+func beyond(s NodeSet, n int) bool {
 	for i := n; i < 8*len(s); i++ {
 		if s.Has(i) {
 			return true
--- a/aggregate/scale_test.go
+++ b/aggregate/scale_test.go
@@ -27,15 +27,15 @@
 	round(ts, now, 0, own, all)
 	now += term
 	round(ts, now, 0, own, func(from, to int) bool { return from < n-missing && to < n-missing })
-	sum := hub.Sum(now)
+	sum := hub.NextDigest(now)
 	if sum.Missing.Len() != missing || sum.Covered.Len() != n-missing {
 		b.Fatalf("the digest covers %d and misses %d", sum.Covered.Len(), sum.Missing.Len())
 	}
-	m := Message{Hub: true, Sum: sum}
+	m := Message{FromLeader: true, Digest: sum}
 	for i := range 120 {
 		m.Counts = append(m.Counts, Count{Worker: uint16(i), N: 3, Heard: true})
 	}
-	texts := m.Texts(n)
+	texts := m.Encode(n)
 	longest := 0
 	for _, x := range texts {
 		longest = max(longest, len(x))
@@ -50,11 +50,11 @@
 			b.ReportMetric(float64(Chars(texts)), "text/digest")
 		})
 	}
-	step("made", func(*testing.B) { hub.Sum(now) })
-	step("written", func(*testing.B) { m.Texts(n) })
+	step("made", func(*testing.B) { hub.NextDigest(now) })
+	step("written", func(*testing.B) { m.Encode(n) })
 	step("read", func(b *testing.B) {
 		for _, x := range texts {
-			if _, ok := Read(x, n); !ok {
+			if _, ok := Decode(x, n); !ok {
 				b.Fatal("a text cannot be read")
 			}
 		}
--- a/aggregate/set.go
+++ b/aggregate/set.go
@@ -2,14 +2,14 @@
 
 import "math/bits"
 
-// Set is a set of dispatchers by number, a bit each. The zero value is empty and holds none.
-type Set []byte
+// NodeSet is a set of dispatchers by number, a bit each. The zero value is empty and holds none.
+type NodeSet []byte
 
 // NewSet makes a set for numbers below n.
-func NewSet(n int) Set { return make(Set, (n+7)/8) }
+func NewSet(n int) NodeSet { return make(NodeSet, (n+7)/8) }
 
 // allOf makes the set of all numbers below n.
-func allOf(n int) Set {
+func allOf(n int) NodeSet {
 	s := NewSet(n)
 	for i := range s {
 		s[i] = 0xff
@@ -21,13 +21,13 @@
 }
 
 // Add puts a number in.
-func (s Set) Add(i int) { s[i/8] |= 1 << (i % 8) }
+func (s NodeSet) Add(i int) { s[i/8] |= 1 << (i % 8) }
 
 // Has tells whether a number is in.
-func (s Set) Has(i int) bool { return i >= 0 && i/8 < len(s) && s[i/8]&(1<<(i%8)) != 0 }
+func (s NodeSet) Has(i int) bool { return i >= 0 && i/8 < len(s) && s[i/8]&(1<<(i%8)) != 0 }
 
 // Len counts.
-func (s Set) Len() (n int) {
+func (s NodeSet) Len() (n int) {
 	for _, b := range s {
 		n += bits.OnesCount8(b)
 	}
--- a/aggregate/table.go
+++ b/aggregate/table.go
@@ -19,11 +19,11 @@
 
 // Settings of a Table. Siblings counts the dispatchers, this one with them; Figures the length of a row.
 type Settings struct {
-	Number, Siblings, Figures int
-	Passing                   int   // of these, the last ones, which pass too soon for a change to be quoted
-	Term                      int64 // for which one dispatcher is the hub
-	Tick                      int64 // numbers digests; those of one tick and hub are one
-	Forget                    int64 // time constant with which what is not heard is forgotten
+	DispatcherIndex, Dispatchers, Values int
+	Passing                              int   // of these, the last ones, which pass too soon for a change to be quoted
+	Term                                 int64 // for which one dispatcher is the hub
+	Tick                                 int64 // numbers digests; those of one tick and hub are one
+	Forget                               int64 // time constant with which what is not heard is forgotten
 }
 
 // termsApart is by how many terms a hub's clock may differ from ours.
@@ -36,23 +36,23 @@
 // in a rate that is a mean over some seconds.
 const changed = 0.1
 
-// Row is one dispatcher's report. Incarnation tells its restarts apart, Seq its reports; both wrap round.
-type Row struct {
+// Report is one dispatcher's report. Incarnation tells its restarts apart, Seq its reports; both wrap round.
+type Report struct {
 	Incarnation, Seq uint8
-	Figures          []float64
-	Prev             []float64 // what it added to the last digest that had it; nil, or NaN for a figure: about the same
+	Values           []float64
+	LastCounted      []float64 // what it added to the last digest that had it; nil, or NaN for a figure: about the same
 	Fresh            bool      // it has added to none since its start
 }
 
 // Digest is the hub's sum.
 type Digest struct {
-	Tick    uint16
-	Sums    []float64 // over the rows in Covered
-	Gone    []float64 // what those in Missing last added, all together
-	Moved   []float64 // of that, what has come to those in Covered since
-	Covered Set
-	Missing Set
-	Short   bool // of the counts beside it, most are left out
+	Tick         uint16
+	Sums         []float64 // over the rows in Covered
+	MissingSums  []float64 // what those in Missing last added, all together
+	MissingMoved []float64 // of that, what has come to those in Covered since
+	Covered      NodeSet
+	Missing      NodeSet
+	Truncated    bool // of the counts beside it, most are left out
 }
 
 // Total is a sum over the fleet with the bounds that hold whether those not heard are dead, cut off or stopped: their calls
@@ -71,8 +71,8 @@
 	Scale   float64 // how much more the whole is than what is covered, by the figure named at Table.View; at least 1
 }
 
-// Table is what one dispatcher holds. Make one with New.
-type Table struct {
+// Aggregator is what one dispatcher holds. Make one with New.
+type Aggregator struct {
 	set  Settings
 	inc  uint8
 	seq  uint8
@@ -90,46 +90,46 @@
 }
 
 type heard struct {
-	Row
+	Report
 	at int64
 	ok bool
 }
 
 // New makes a Table. now tells this incarnation from the one before, if a second lies between.
-func New(now int64, s Settings) *Table {
-	s.Siblings, s.Passing = max(1, s.Siblings), min(max(0, s.Passing), s.Figures)
+func New(now int64, s Settings) *Aggregator {
+	s.Dispatchers, s.Passing = max(1, s.Dispatchers), min(max(0, s.Passing), s.Values)
 	s.Term, s.Tick, s.Forget = max(1, s.Term), max(1, s.Tick), max(1, s.Forget)
-	return &Table{set: s, inc: uint8(now / 1e9), own: make([]float64, s.Figures), rows: make([]heard, s.Siblings)}
+	return &Aggregator{set: s, inc: uint8(now / 1e9), own: make([]float64, s.Values), rows: make([]heard, s.Dispatchers)}
 }
 
-func (t *Table) tick(now int64) uint16 { return uint16(now / t.set.Tick) }
+func (t *Aggregator) tick(now int64) uint16 { return uint16(now / t.set.Tick) }
 
-// Own sets our own row.
-func (t *Table) Own(figures []float64) { copy(t.own, figures) }
+// SetLocal sets our own row.
+func (t *Aggregator) SetLocal(figures []float64) { copy(t.own, figures) }
 
-// Report is our row as it is to be sent. It counts once Sent says so.
-func (t *Table) Report() Row {
-	r := Row{Incarnation: t.inc, Seq: t.seq + 1, Figures: slices.Clone(t.own), Fresh: !t.counted}
+// NextReport is our row as it is to be sent. It counts once Sent says so.
+func (t *Aggregator) NextReport() Report {
+	r := Report{Incarnation: t.inc, Seq: t.seq + 1, Values: slices.Clone(t.own), Fresh: !t.counted}
 	if !t.counted {
 		return r
 	}
-	all, some := !t.last.Covered.Has(t.set.Number), false
+	all, some := !t.last.Covered.Has(t.set.DispatcherIndex), false
 	prev := slices.Clone(t.mine)
 	for i, x := range t.own {
-		if quoted := all || i < t.set.Figures-t.set.Passing && differ(prev[i], x); !quoted {
+		if quoted := all || i < t.set.Values-t.set.Passing && differ(prev[i], x); !quoted {
 			prev[i] = math.NaN()
 		} else {
 			some = true
 		}
 	}
 	if some {
-		r.Prev = prev
+		r.LastCounted = prev
 	}
 	return r
 }
 
-// Sent takes that a report has gone out.
-func (t *Table) Sent(r Row) { t.seq, t.sent = r.Seq, r.Figures }
+// ReportSent takes that a report has gone out.
+func (t *Aggregator) ReportSent(r Report) { t.seq, t.sent = r.Seq, r.Values }
 
 func differ(a, b float64) bool {
 	return math.Abs(a-b) > changed*math.Max(a, b)+1+math.Sqrt(math.Max(a, b))
@@ -138,9 +138,9 @@
 // newer tells whether a comes after b, of numbers that wrap round.
 func newer(a, b uint8) bool { return a != b && a-b < 128 }
 
-// Heard takes a row; false: it is late, doubled, of an incarnation that is over, or nobody's.
-func (t *Table) Heard(now int64, from int, r Row) bool {
-	if from < 0 || from >= t.set.Siblings || from == t.set.Number || len(r.Figures) != t.set.Figures || r.Prev != nil && len(r.Prev) != t.set.Figures {
+// HandleReport takes a row; false: it is late, doubled, of an incarnation that is over, or nobody's.
+func (t *Aggregator) HandleReport(now int64, from int, r Report) bool {
+	if from < 0 || from >= t.set.Dispatchers || from == t.set.DispatcherIndex || len(r.Values) != t.set.Values || r.LastCounted != nil && len(r.LastCounted) != t.set.Values {
 		t.Dropped++
 		return false
 	}
@@ -156,30 +156,30 @@
 	return true
 }
 
-// Sum makes the digest of the hub from the rows of this term, our own and what the last digest remembers. It counts once we
+// NextDigest makes the digest of the hub from the rows of this term, our own and what the last digest remembers. It counts once we
 // are told it, as the others are.
-func (t *Table) Sum(now int64) Digest {
-	n, k := t.set.Siblings, t.set.Figures
-	d := Digest{Tick: t.tick(now), Sums: make([]float64, k), Gone: make([]float64, k), Moved: make([]float64, k), Covered: NewSet(n), Missing: NewSet(n)}
+func (t *Aggregator) NextDigest(now int64) Digest {
+	n, k := t.set.Dispatchers, t.set.Values
+	d := Digest{Tick: t.tick(now), Sums: make([]float64, k), MissingSums: make([]float64, k), MissingMoved: make([]float64, k), Covered: NewSet(n), Missing: NewSet(n)}
 	left, growth := make([]float64, k), make([]float64, k) // of the last sums: what those present had not added; what they add now beyond it
 	keep := 0.0
 	if t.has {
 		keep = math.Exp(-float64(max(0, now-t.lastAt)) / float64(t.set.Forget))
 		copy(left, t.last.Sums)
 		for i := range k {
-			d.Gone[i], d.Moved[i] = keep*t.last.Gone[i], keep*t.last.Moved[i]
+			d.MissingSums[i], d.MissingMoved[i] = keep*t.last.MissingSums[i], keep*t.last.MissingMoved[i]
 		}
 	}
 	for i := range n {
-		var r Row
+		var r Report
 		switch h := t.rows[i]; {
-		case i == t.set.Number:
-			r = Row{Figures: t.own, Fresh: !t.counted}
+		case i == t.set.DispatcherIndex:
+			r = Report{Values: t.own, Fresh: !t.counted}
 			if t.counted {
-				r.Prev = t.mine
+				r.LastCounted = t.mine
 			}
 		case h.ok && now-h.at < t.set.Term:
-			r = h.Row
+			r = h.Report
 		default:
 			if t.has && (t.last.Covered.Has(i) || t.last.Missing.Has(i)) {
 				d.Missing.Add(i)
@@ -189,36 +189,36 @@
 		d.Covered.Add(i)
 		back := t.has && t.last.Missing.Has(i)
 		was := t.has && t.last.Covered.Has(i) && !r.Fresh
-		for j, x := range r.Figures {
+		for j, x := range r.Values {
 			d.Sums[j] += x
 			prev := x
-			if r.Prev != nil && !math.IsNaN(r.Prev[j]) {
-				prev = r.Prev[j]
+			if r.LastCounted != nil && !math.IsNaN(r.LastCounted[j]) {
+				prev = r.LastCounted[j]
 			}
 			switch {
 			case was:
 				left[j] -= prev
 				growth[j] += x - prev
 			case back && r.Fresh: // it does not know: its part of what is missing
-				d.Gone[j] -= t.last.Gone[j] * keep / float64(t.last.Missing.Len())
+				d.MissingSums[j] -= t.last.MissingSums[j] * keep / float64(t.last.Missing.Len())
 			case back:
-				d.Gone[j] -= prev * keep
+				d.MissingSums[j] -= prev * keep
 			}
 		}
 	}
 	for j := range k {
 		if t.has && d.Missing.Len() > 0 {
-			d.Gone[j] = max(0, d.Gone[j]) + max(0, left[j])
+			d.MissingSums[j] = max(0, d.MissingSums[j]) + max(0, left[j])
 		} else {
-			d.Gone[j] = 0
+			d.MissingSums[j] = 0
 		}
-		d.Moved[j] = min(max(0, d.Moved[j]+growth[j]), d.Gone[j])
+		d.MissingMoved[j] = min(max(0, d.MissingMoved[j]+growth[j]), d.MissingSums[j])
 	}
 	return d
 }
 
-// Full tells whether the rows of this term are most of those that a digest would cover or remember.
-func (t *Table) Full(now int64) bool {
+// Complete tells whether the rows of this term are most of those that a digest would cover or remember.
+func (t *Aggregator) Complete(now int64) bool {
 	n, want := 1, t.last.Covered.Len()+t.last.Missing.Len()
 	for i := range t.rows {
 		if h := &t.rows[i]; h.ok && now-h.at < t.set.Term {
@@ -228,12 +228,12 @@
 	return 4*n >= 3*want
 }
 
-// Told takes a digest; false: it is late, doubled, of a clock too far from ours, or of another size.
-func (t *Table) Told(now int64, from int, d Digest) bool {
+// HandleDigest takes a digest; false: it is late, doubled, of a clock too far from ours, or of another size.
+func (t *Aggregator) HandleDigest(now int64, from int, d Digest) bool {
 	far := int16(min(termsApart*t.set.Term/t.set.Tick, math.MaxInt16/2))
 	away := int16(d.Tick - t.tick(now))
 	since, recent := int16(d.Tick-t.last.Tick), t.has && now-t.lastAt < termsApart*t.set.Term
-	if len(d.Sums) != t.set.Figures || away > far || away < -far || recent && (since < 0 || since == 0 && from != t.lastFrom) {
+	if len(d.Sums) != t.set.Values || away > far || away < -far || recent && (since < 0 || since == 0 && from != t.lastFrom) {
 		t.Dropped++
 		return false
 	}
@@ -241,9 +241,9 @@
 		return true // doubled, or told with more counts beside it
 	}
 	t.last, t.lastAt, t.lastFrom, t.has = d, now, from, true
-	if d.Covered.Has(t.set.Number) {
+	if d.Covered.Has(t.set.DispatcherIndex) {
 		mine := t.sent
-		if from == t.set.Number || mine == nil {
+		if from == t.set.DispatcherIndex || mine == nil {
 			mine = t.own
 		}
 		t.mine, t.counted = slices.Clone(mine), true
@@ -253,28 +253,28 @@
 
 // View tells the sums as they are known. Who has heard nobody since its start may see all there is or as much as each of the
 // others: its likely total is the geometric mean of the two. by: the figure whose covered part tells the scale of all that is counted beside.
-func (t *Table) View(now int64, by int) View {
-	v := View{Totals: make([]Total, t.set.Figures), Heard: 1, Scale: 1, Never: !t.has, Stale: !t.has}
+func (t *Aggregator) View(now int64, by int) View {
+	v := View{Totals: make([]Total, t.set.Values), Heard: 1, Scale: 1, Never: !t.has, Stale: !t.has}
 	if !t.has {
 		v.Covered = slices.Clone(t.own)
 		for i, x := range t.own {
-			v.Totals[i] = Total{Low: x, Likely: x * math.Sqrt(float64(t.set.Siblings)), High: x * float64(t.set.Siblings)}
+			v.Totals[i] = Total{Low: x, Likely: x * math.Sqrt(float64(t.set.Dispatchers)), High: x * float64(t.set.Dispatchers)}
 		}
 		return v
 	}
 	v.Covered = t.last.Sums
 	v.Heard, v.Missing, v.Age = t.last.Covered.Len(), t.last.Missing.Len(), max(0, now-t.lastAt)
-	unknown := t.set.Siblings - v.Heard - v.Missing
+	unknown := t.set.Dispatchers - v.Heard - v.Missing
 	keep := math.Exp(-float64(v.Age) / float64(t.set.Forget))
 	v.Stale = v.Age > staleTerms*t.set.Term
 	for i, x := range t.own {
 		sum := t.last.Sums[i]
 		was := 0.0
-		if t.counted && (t.last.Covered.Has(t.set.Number) || t.last.Missing.Has(t.set.Number)) {
+		if t.counted && (t.last.Covered.Has(t.set.DispatcherIndex) || t.last.Missing.Has(t.set.DispatcherIndex)) {
 			was = t.mine[i]
 		}
-		others := max(0, sum+t.last.Gone[i]-t.last.Moved[i]-was)
-		high := max(0, sum+t.last.Gone[i]-was)
+		others := max(0, sum+t.last.MissingSums[i]-t.last.MissingMoved[i]-was)
+		high := max(0, sum+t.last.MissingSums[i]-was)
 		if unknown > 0 && v.Heard > 0 {
 			high += sum / float64(v.Heard) * float64(unknown)
 		}
@@ -286,8 +286,8 @@
 		// Nobody is heard: what has come to us since may be what the others had.
 		v.Totals[i].Likely = max(x, x+keep*max(0, others-max(0, x-was)))
 	}
-	if by >= 0 && by < t.set.Figures && t.last.Sums[by] > 0 {
-		v.Scale = max(1, (t.last.Sums[by]+t.last.Gone[by]-t.last.Moved[by])/t.last.Sums[by])
+	if by >= 0 && by < t.set.Values && t.last.Sums[by] > 0 {
+		v.Scale = max(1, (t.last.Sums[by]+t.last.MissingSums[by]-t.last.MissingMoved[by])/t.last.Sums[by])
 	}
 	return v
 }
--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -11,7 +11,7 @@
 // refuse tells whether a new call is turned away, before anything is done for it: first what is over its
 // tenant's share or needs a load, by the shortest aim, then the classes worth least for their work, by the
 // mean aim. Guards against loads that hold the slots of other calls while the store is slow.
-func (d *Dispatcher) refuse(now int64, q Request) bool {
+func (d *Balancer) refuse(now int64, q Request) bool {
 	// Repeats that clients mark go with what is over a share: clients that repeat at once must not crowd out
 	// first tries; nor do they count as asked within it. May harm a call refused for no fault of its own.
 	f := d.funcs[funcTag(q.Func)]
@@ -28,7 +28,7 @@
 	below, own, all, worth, aim := d.over, 0.0, d.over, 0.0, 0.0
 	for i, w := range d.asked {
 		v, mine := d.value(i), d.value(q.Class)
-		all, worth, aim = all+w, worth+w*v, aim+w*v*float64(d.set.Classes[i].Aim)
+		all, worth, aim = all+w, worth+w*v, aim+w*v*float64(d.set.Classes[i].LatencyObjective)
 		if v < mine {
 			below += w
 		} else if v == mine {
@@ -44,22 +44,22 @@
 	rank := (below + d.rng.Float64()*own) / max(all, 1)
 	// Room for open calls is like time: once it is full, calls are turned away whatever their worth.
 	late := d.wait(now) > aim*(waitLow+(waitHigh-waitLow)*rank)
-	room := float64(d.set.MaxOpen) * (roomLow + (roomHigh-roomLow)*rank)
-	full := d.set.MaxOpen > 0 && float64(len(d.reqs)) > room
+	room := float64(d.set.MaxInFlight) * (roomLow + (roomHigh-roomLow)*rank)
+	full := d.set.MaxInFlight > 0 && float64(len(d.reqs)) > room
 	return now-d.born > 2*d.minAim && (late || full)
 }
 
 // value is a class's worth for its work.
-func (d *Dispatcher) value(class int) float64 {
-	return d.set.Classes[class].Worth / d.stats[class].mean
+func (d *Balancer) value(class int) float64 {
+	return d.set.Classes[class].PriorityWeight / d.stats[class].mean
 }
 
 // wait is the time that calls at loaded copies take now (a load is no queue): of all dispatchers, where a
 // digest tells it, else ours, with a few calls of usual length added so that chance does not decide.
-func (d *Dispatcher) wait(now int64) float64 {
+func (d *Balancer) wait(now int64) float64 {
 	n, rate, usual := d.queued(now), d.servedNow(now), 0.0
 	for i, st := range d.stats { // what answers took lately, bounded: else who refuses all would never stop
-		usual = max(usual, st.mean*float64(d.minAim)/float64(d.set.Classes[i].Aim))
+		usual = max(usual, st.mean*float64(d.minAim)/float64(d.set.Classes[i].LatencyObjective))
 	}
 	usual = max(usualTime, min(waitLow, usual/float64(d.minAim))) * float64(d.minAim)
 	own := (n + waitPrior) / (rate + waitPrior/usual)
@@ -69,7 +69,7 @@
 	return own
 }
 
-func (d *Dispatcher) queued(now int64) (n float64) {
+func (d *Balancer) queued(now int64) (n float64) {
 	for _, w := range d.inUse(now) {
 		if w.listed && d.well(now, w) {
 			for _, a := range w.open {
@@ -89,27 +89,27 @@
 }
 
 // servedNow is our answer rate, per nanosecond.
-func (d *Dispatcher) servedNow(now int64) float64 {
+func (d *Balancer) servedNow(now int64) float64 {
 	return d.served * math.Exp(-float64(now-d.servedAt)/float64(2*d.minAim)) / float64(2*d.minAim)
 }
 
 // excess is the part of a tenant's calls, at all dispatchers, that goes beyond its share. What is not heard
 // counts as it was when last heard; who never heard anybody takes the middle of what may be. Where messages
 // are not allowed all are taken to see as much as we do.
-func (d *Dispatcher) excess(now int64, tenant int) float64 {
-	if tenant < 0 || tenant >= len(d.tenants) || d.set.TenantRate[tenant] <= 0 {
+func (d *Balancer) excess(now int64, tenant int) float64 {
+	if tenant < 0 || tenant >= len(d.tenants) || d.set.TenantQuota[tenant] <= 0 {
 		return 0
 	}
 	t := &d.tenants[tenant]
 	f := math.Exp(-float64(now-t.at) / d.tau())
 	t.calls, t.at = t.calls*f+1, now
 	rate := t.calls / d.tau() * 1e9
-	if !d.set.Peers {
-		rate *= float64(d.set.Siblings)
+	if !d.set.Gossip {
+		rate *= float64(d.set.Dispatchers)
 	} else if tenant < len(d.view.Totals)-2 {
 		rate = max(rate, d.view.Totals[tenant].Likely)
 	}
-	return max(0, 1-d.set.TenantRate[tenant]/rate)
+	return max(0, 1-d.set.TenantQuota[tenant]/rate)
 }
 
 // tenant counts a tenant's calls lately, decaying over tau.
--- a/balancer/api.go
+++ b/balancer/api.go
@@ -2,20 +2,20 @@
 
 // WorkerID names a worker; FuncID a function. Times are nanoseconds of the host's clock.
 type (
-	WorkerID uint32
-	FuncID   uint64
-	Effect   int // what a repeat of a call may do
-	Scope    int // which workers drop repeats of a keyed call
+	WorkerID         uint32
+	FuncID           uint64
+	Idempotency      int // what a repeat of a call may do
+	IdempotencyScope int // which workers drop repeats of a keyed call
 )
 
 const (
-	Unsafe Effect = iota // the zero value is the cautious one
-	Keyed
-	Safe
+	NotIdempotent Idempotency = iota // the zero value is the cautious one
+	IdempotentByKey
+	Idempotent
 )
 
 const (
-	ScopeNone Scope = iota // no worker is known to drop repeats
+	ScopeNone IdempotencyScope = iota // no worker is known to drop repeats
 	ScopeCell
 	ScopeZone
 	ScopeAll
@@ -23,67 +23,67 @@
 
 // Class is a class of request. Aim is the wanted time, GiveUp the client's whole patience.
 type Class struct {
-	Aim, GiveUp, Window int64
-	Worth, LateWorth    float64
-	Effect              Effect
-	Scope               Scope
+	LatencyObjective, ClientTimeout, IdempotencyWindow int64
+	PriorityWeight, LatePriorityWeight                 float64
+	Idempotency                                        Idempotency
+	IdempotencyScope                                   IdempotencyScope
 }
 
 // Settings are what the deployment tells at start. Zero values are read in the cautious way.
 type Settings struct {
-	Classes          []Class
-	TenantRate       []float64 // requests a second within each tenant's share, all dispatchers together
-	OverShareWorth   float64   // part of its worth that a request over its tenant's share keeps
-	Number, Siblings int       // this dispatcher's number, and how many there are
-	Zone             int
-	Quantum          int64 // least time between two events' clocks
-
-	MaxAttempts                                     int
-	Walk                                            int  // lists up to so long are looked through whole for a choice; 0: 256
-	MaxOpen                                         int  // calls that can be in hand at a time; 0: no limit
-	SecondCopies, MayProbe, MayCancel, Peers, Tells bool // Tells: a refusal's wait reaches clients
-	MaxRetryAfter                                   int64
+	Classes                      []Class
+	TenantQuota                  []float64 // requests a second within each tenant's share, all dispatchers together
+	OverQuotaWeight              float64   // part of its worth that a request over its tenant's share keeps
+	DispatcherIndex, Dispatchers int       // this dispatcher's number, and how many there are
+	Zone                         int
+	ClockResolution              int64 // least time between two events' clocks
+
+	MaxAttempts                                                  int
+	FullScanLimit                                                int  // lists up to so long are looked through whole for a choice; 0: 256
+	MaxInFlight                                                  int  // calls that can be in hand at a time; 0: no limit
+	Hedging, HealthChecks, Cancellation, Gossip, SendsRetryAfter bool // Tells: a refusal's wait reaches clients
+	MaxRetryAfter                                                int64
 
 	InflightField, QueueField int  // 1 + place in a load report; 0: not reported
-	ReportOnProbe             bool // reports come only with probes
-	AskRoster                 bool // the roster must be asked for; else it is pushed
-	AskWithin                 int64
-
-	AnswerSlack, DrainGrace, Cold, Fall int64
-	OverloadFactor, StartCapacity       float64
-
-	Orders, LoadsOnMiss, TellsWarm, TellsCrowd bool
-	KeepAlive, LoadWindow, OrderTimeout        int64
-	LoadFree, LoadShare, MemoryPrice           float64
-	KindMemoryMB                               []float64
-	CrossZonePrice, WastePrice, ProbePrice     float64
-	PeerPrice, LateFailPrice, OriginPrice      float64
+	ReportOnHealthCheck       bool // reports come only with probes
+	PollEndpoints             bool // the roster must be asked for; else it is pushed
+	PollInterval              int64
+
+	AnswerSlack, DrainGrace, SlowStartWindow, Fall int64
+	OverloadFactor, SlowStartCapacity              float64
+
+	LoadOrders, LoadsOnMiss, TellsWarm, TellsCrowd bool
+	KeepAlive, LoadWindow, OrderTimeout            int64
+	LoadFree, LoadShare, MemoryPrice               float64
+	KindMemoryMB                                   []float64
+	CrossZonePrice, WastePrice, ProbePrice         float64
+	PeerPrice, LateFailPrice, OriginPrice          float64
 }
 
-// RosterKind tells how to read a Roster event.
-type RosterKind int
+// EndpointUpdateKind tells how to read a Roster event.
+type EndpointUpdateKind int
 
 const (
-	RosterDelta  RosterKind = iota // only the entries that changed
-	RosterFull                     // all of the list; a worker not in it is gone
-	RosterCached                   // all of the list as it was last known; may be old
-	RosterFailed                   // asking failed; no entries
+	EndpointsDelta       EndpointUpdateKind = iota // only the entries that changed
+	EndpointsSnapshot                              // all of the list; a worker not in it is gone
+	EndpointsCached                                // all of the list as it was last known; may be old
+	EndpointsUnavailable                           // asking failed; no entries
 )
 
-// State is what the roster says of a worker.
-type State int
+// EndpointState is what the roster says of a worker.
+type EndpointState int
 
 const (
-	Off State = iota
+	Removed EndpointState = iota
 	Draining
-	On
+	Active
 )
 
-// Entry is one worker of the roster. Start 0: it started long ago.
-type Entry struct {
+// Endpoint is one worker of the roster. Start 0: it started long ago.
+type Endpoint struct {
 	Worker           WorkerID
 	Zone, Kind, Cell int
-	State            State
+	State            EndpointState
 	Weight           float64
 	Start            int64
 }
@@ -134,8 +134,8 @@
 	LoadFailed
 )
 
-// Outcome is the end of an attempt. Finished: nothing more is owed for the request.
-type Outcome struct {
+// AttemptResult is the end of an attempt. Finished: nothing more is owed for the request.
+type AttemptResult struct {
 	ID       string
 	Attempt  int
 	Worker   WorkerID
@@ -149,18 +149,18 @@
 
 // Host carries out the actions. Calls are made from within the event that causes them.
 type Host interface {
-	Send(id string, w WorkerID, until int64) // until 0: as long as the client waits
-	Cancel(id string, attempt int)
-	Refuse(id string, wait int64)
+	SendAttempt(id string, w WorkerID, until int64) // until 0: as long as the client waits
+	CancelAttempt(id string, attempt int)
+	Reject(id string, wait int64)
 	Fail(id string)
-	Load(w WorkerID, f FuncID, count int)
-	Drop(w WorkerID, f FuncID)
-	Probe(w WorkerID)
-	Tell(to int, data string) // to one other dispatcher by its number, to all if below 0; 256 bytes at most
-	Timer(delay int64, ref int64)
-	// Counted tells that a call, which came at a time, counts as taken for the ration of orders. The platform counts no calls
+	OrderLoad(w WorkerID, f FuncID, count int)
+	OrderUnload(w WorkerID, f FuncID)
+	HealthCheck(w WorkerID)
+	SendPeerMessage(to int, data string) // to one other dispatcher by its number, to all if below 0; 256 bytes at most
+	SetTimer(delay int64, ref int64)
+	// CountTowardLoadQuota tells that a call, which came at a time, counts as taken for the ration of orders. The platform counts no calls
 	// of functions that do not exist, so one counts once a worker has served its function.
-	Counted(at int64)
-	Watch() // subscribe to the roster
+	CountTowardLoadQuota(at int64)
+	SubscribeEndpoints() // subscribe to the roster
 	Log(text string)
 }
--- a/balancer/beliefs.go
+++ b/balancer/beliefs.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-func (d *Dispatcher) believe(now int64, h *holder) {
+func (d *Balancer) believe(now int64, h *holder) {
 	if h.until <= now {
 		h.copies = 1
 	}
@@ -18,7 +18,7 @@
 }
 
 // unbelieve ends all beliefs about a worker that restarted, was replaced or broke its connections.
-func (d *Dispatcher) unbelieve(w *worker) {
+func (d *Balancer) unbelieve(w *worker) {
 	for _, h := range w.holds {
 		h.until, h.copies, h.sure = 0, 1, false
 	}
@@ -83,8 +83,8 @@
 func (h *holder) expected(now int64) bool { return h.until > now || h.inflight > 0 || h.ordered }
 
 // holding lists the workers that may be believed to hold copies: of a short list all.
-func (d *Dispatcher) holding() []*worker {
-	if len(d.list) <= d.set.Walk {
+func (d *Balancer) holding() []*worker {
+	if len(d.list) <= d.set.FullScanLimit {
 		return d.list
 	}
 	d.holders = slices.DeleteFunc(d.holders, func(w *worker) bool { w.holder = w.listed && len(w.holds) > 0; return !w.holder })
@@ -92,7 +92,7 @@
 }
 
 // holds takes that w may come to be believed to hold copies.
-func (d *Dispatcher) holds(w *worker) {
+func (d *Balancer) holds(w *worker) {
 	if !w.holder {
 		w.holder, d.holders = true, append(d.holders, w)
 	}
@@ -100,7 +100,7 @@
 
 // held lists the functions that w is believed to hold, for less than so long, by id, so that nothing depends on map order. It is good
 // until the next one.
-func (d *Dispatcher) held(now int64, w *worker, long int64) []*holder {
+func (d *Balancer) held(now int64, w *worker, long int64) []*holder {
 	hs := d.hs[:0]
 	for _, h := range w.holds {
 		if h.until > now && h.until-now < long {
@@ -117,7 +117,7 @@
 	return hs
 }
 
-func (d *Dispatcher) function(now int64, q Request) *function {
+func (d *Balancer) function(now int64, q Request) *function {
 	f := d.funcs[funcTag(q.Func)]
 	if f == nil {
 		f = &function{}
--- a/balancer/choose.go
+++ b/balancer/choose.go
@@ -9,7 +9,7 @@
 	"slices"
 )
 
-func (d *Dispatcher) choose(now int64, r *request) (best *worker, trial bool) {
+func (d *Balancer) choose(now int64, r *request) (best *worker, trial bool) {
 	d.turn++
 	all, well, lost, homes := 0, 0, 0, 0
 	d.can, d.sorted = d.can[:0], d.sorted[:0]
@@ -93,7 +93,7 @@
 			u := uniform(r.fn.id, w.Worker)
 			x := affinity(u, w.Weight*d.grown(now, w))
 			if u > 1-places {
-				x += affinity(uniform(r.fn.id^FuncID(mix(uint64(d.set.Number+1))), w.Worker), 1e6)
+				x += affinity(uniform(r.fn.id^FuncID(mix(uint64(d.set.DispatcherIndex+1))), w.Worker), 1e6)
 			}
 			if h := r.fn.at(w, false); h != nil && h.noOrder > now {
 				x /= 1e9 // it had no room just now
@@ -109,13 +109,13 @@
 // candidates are what a choice looks at: of a short list all; of a long one first a window of the ring, the
 // same at all dispatchers (a hot function has several, each dispatcher one of them), then some drawn, so far
 // they stand for all, and believed holders. Harm: the lightest, and trials due, are found only among these.
-func (d *Dispatcher) candidates(now int64, r *request) (ws []*worker, home, fair int, places float64) {
+func (d *Balancer) candidates(now int64, r *request) (ws []*worker, home, fair int, places float64) {
 	places = d.places(now, r)
-	if n := len(d.list); n <= d.set.Walk {
+	if n := len(d.list); n <= d.set.FullScanLimit {
 		return d.list, n, n, places / float64(n)
 	}
 	windows, key := max(1, math.Ceil(places/window)), uint64(r.fn.id)
-	if own := mix(key^uint64(d.set.Number+1)) % uint64(windows); own > 0 {
+	if own := mix(key^uint64(d.set.DispatcherIndex+1)) % uint64(windows); own > 0 {
 		key = mix(key + own)
 	}
 	ws = d.ring.Window(d.near[:0], mix(key), 0, window)
@@ -130,7 +130,7 @@
 
 // lightest is the lightest holder. What is known of others grows old, and is known to all alike: if all took
 // the very lightest they would meet there, so the older it is, the more of about its load are drawn from.
-func (d *Dispatcher) lightest(now int64, ws []*worker, mid float64) (best *worker) {
+func (d *Balancer) lightest(now int64, ws []*worker, mid float64) (best *worker) {
 	low, n := math.Inf(1), 0
 	for _, w := range ws {
 		low = min(low, w.now)
@@ -148,29 +148,29 @@
 }
 
 // many is by how much the dispatchers are more than few.
-func (d *Dispatcher) many() float64 { return max(1, float64(d.set.Siblings)/few) }
+func (d *Balancer) many() float64 { return max(1, float64(d.set.Dispatchers)/few) }
 
 // places is how many workers the calls of a function need, by Little's law: what we send, taken for every
 // dispatcher's share, at half of the lanes of one copy each. The call at hand does not count, nor, where many
 // dispatch, what may be chance: of functions called once or twice by each everyone would think them hot.
-func (d *Dispatcher) places(now int64, r *request) float64 {
+func (d *Balancer) places(now int64, r *request) float64 {
 	f := r.fn
 	keep := float64(d.keep())
 	long := keep * (1 - math.Exp(-float64(now-d.born+d.minAim/2)/keep)) // a new one has seen less
 	n := f.calls * math.Exp(-float64(now-f.callsAt)/keep)
 	n = max(0, n-(1-1/d.many())*math.Sqrt(n))
-	return n / long * float64(d.set.Siblings) * d.stats[r.Class].mean / (placeLanes * float64(f.lanes))
+	return n / long * float64(d.set.Dispatchers) * d.stats[r.Class].mean / (placeLanes * float64(f.lanes))
 }
 
-func (d *Dispatcher) keep() int64 { return max(d.set.KeepAlive, d.minAim) }
+func (d *Balancer) keep() int64 { return max(d.set.KeepAlive, d.minAim) }
 
 // eligible is the one gate of every send and order: listed, not draining, in the cold budget (rules 3, 4).
-func (d *Dispatcher) eligible(now int64, w *worker) bool {
-	return w.listed && w.State == On && d.coldRoom(now, w)
+func (d *Balancer) eligible(now int64, w *worker) bool {
+	return w.listed && w.State == Active && d.coldRoom(now, w)
 }
 
 // draw appends workers drawn from those that are on, some perhaps twice: in a release a third of a list may be draining.
-func (d *Dispatcher) draw(ws []*worker) []*worker {
+func (d *Balancer) draw(ws []*worker) []*worker {
 	for range min(drawn, len(d.on)) {
 		ws = append(ws, d.on[d.rng.IntN(len(d.on))])
 	}
@@ -178,8 +178,8 @@
 }
 
 // some are workers that stand for all: of a short list all, of a long one some drawn; good until the next choice.
-func (d *Dispatcher) some() []*worker {
-	if len(d.list) <= d.set.Walk {
+func (d *Balancer) some() []*worker {
+	if len(d.list) <= d.set.FullScanLimit {
 		return d.list
 	}
 	d.near = d.draw(d.near[:0])
--- a/balancer/decide_test.go
+++ b/balancer/decide_test.go
@@ -37,49 +37,49 @@
 
 func newFake() *fake { return &fake{answers: map[string]string{}, last: map[string]WorkerID{}} }
 
-func (f *fake) Send(id string, w WorkerID, until int64) {
+func (f *fake) SendAttempt(id string, w WorkerID, until int64) {
 	f.sends = append(f.sends, sent{id, w})
 	f.last[id] = w
 }
-func (f *fake) Cancel(id string, n int)           { f.cancels++ }
-func (f *fake) Refuse(id string, wait int64)      { f.answers[id] += "refused" }
-func (f *fake) Fail(id string)                    { f.answers[id] += "failed" }
-func (f *fake) Load(w WorkerID, fn FuncID, n int) { f.loads = append(f.loads, w) }
-func (f *fake) Drop(w WorkerID, fn FuncID)        { f.drops = append(f.drops, fn) }
-func (f *fake) Probe(w WorkerID)                  {}
-func (f *fake) Tell(to int, data string) {
+func (f *fake) CancelAttempt(id string, n int)         { f.cancels++ }
+func (f *fake) Reject(id string, wait int64)           { f.answers[id] += "refused" }
+func (f *fake) Fail(id string)                         { f.answers[id] += "failed" }
+func (f *fake) OrderLoad(w WorkerID, fn FuncID, n int) { f.loads = append(f.loads, w) }
+func (f *fake) OrderUnload(w WorkerID, fn FuncID)      { f.drops = append(f.drops, fn) }
+func (f *fake) HealthCheck(w WorkerID)                 {}
+func (f *fake) SendPeerMessage(to int, data string) {
 	f.told, f.toldTo = append(f.told, data), append(f.toldTo, to)
 }
-func (f *fake) Timer(delay, ref int64) {
+func (f *fake) SetTimer(delay, ref int64) {
 	f.timers = append(f.timers, delay)
 	f.ref = ref
 }
-func (f *fake) Counted(int64)   {}
-func (f *fake) Watch()          { f.watches++ }
-func (f *fake) Log(text string) {}
+func (f *fake) CountTowardLoadQuota(int64) {}
+func (f *fake) SubscribeEndpoints()        { f.watches++ }
+func (f *fake) Log(text string)            {}
 
-func settings(e Effect, s Scope) Settings {
-	return Settings{Classes: []Class{{Aim: 1000 * ms, GiveUp: 3000 * ms, Window: 2000 * ms, Worth: 1, Effect: e, Scope: s}},
-		Siblings: 2, Quantum: 2 * ms, MaxAttempts: 4, SecondCopies: true, MayCancel: true,
-		DrainGrace: 500 * ms, Cold: 10000 * ms, Fall: 2000 * ms, OverloadFactor: 3, StartCapacity: 0.2,
-		Orders: true, LoadsOnMiss: true, TellsWarm: true, KeepAlive: 8000 * ms, OrderTimeout: 10000 * ms}
+func settings(e Idempotency, s IdempotencyScope) Settings {
+	return Settings{Classes: []Class{{LatencyObjective: 1000 * ms, ClientTimeout: 3000 * ms, IdempotencyWindow: 2000 * ms, PriorityWeight: 1, Idempotency: e, IdempotencyScope: s}},
+		Dispatchers: 2, ClockResolution: 2 * ms, MaxAttempts: 4, Hedging: true, Cancellation: true,
+		DrainGrace: 500 * ms, SlowStartWindow: 10000 * ms, Fall: 2000 * ms, OverloadFactor: 3, SlowStartCapacity: 0.2,
+		LoadOrders: true, LoadsOnMiss: true, TellsWarm: true, KeepAlive: 8000 * ms, OrderTimeout: 10000 * ms}
 }
 
-func roster(n int) (es []Entry) {
+func roster(n int) (es []Endpoint) {
 	for i := 1; i <= n; i++ {
-		es = append(es, Entry{Worker: WorkerID(i), Zone: i % 2, State: On, Weight: 1})
+		es = append(es, Endpoint{Worker: WorkerID(i), Zone: i % 2, State: Active, Weight: 1})
 	}
 	return es
 }
 
-func start(t testing.TB, s Settings, n int) (*Dispatcher, *fake) {
+func start(t testing.TB, s Settings, n int) (*Balancer, *fake) {
 	t.Helper()
 	f := newFake()
 	d, err := New(0, s, 7, f)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Roster(0, RosterFull, roster(n))
+	d.UpdateEndpoints(0, EndpointsSnapshot, roster(n))
 	return d, f
 }
 
@@ -87,19 +87,19 @@
 	return Request{ID: id, Func: fn, Deadline: now + 3000*ms, Lanes: 2, LoadTime: 500 * ms}
 }
 
-func ok(id string, w WorkerID) Outcome {
-	return Outcome{ID: id, Worker: w, Result: OK, Finished: true, Warmth: WarmHit}
+func ok(id string, w WorkerID) AttemptResult {
+	return AttemptResult{ID: id, Worker: w, Result: OK, Finished: true, Warmth: WarmHit}
 }
 
 // awake rings the bell all along, so that the dispatcher does not take itself to have stood still.
-func awake(d *Dispatcher, f *fake, from, to int64) {
+func awake(d *Balancer, f *fake, from, to int64) {
 	for now := from; now <= to; now += 20 * ms {
-		d.Timer(now, f.ref)
+		d.HandleTimer(now, f.ref)
 	}
 }
 
 // hear makes every worker known by one answered call each.
-func hear(d *Dispatcher, now int64) {
+func hear(d *Balancer, now int64) {
 	for _, w := range d.list {
 		w.heard = true
 	}
@@ -107,30 +107,30 @@
 }
 
 func TestHolderWithFreeLanesFirst(t *testing.T) {
-	d, f := start(t, settings(Safe, ScopeAll), 4)
+	d, f := start(t, settings(Idempotent, ScopeAll), 4)
 	hear(d, 0)
-	d.Request(0, call("a", 0, 1))
-	d.Outcome(10*ms, ok("a", f.last["a"]))
+	d.HandleRequest(0, call("a", 0, 1))
+	d.HandleAttemptResult(10*ms, ok("a", f.last["a"]))
 	for i := range 20 {
 		id := fmt.Sprint("b", i)
 		now := int64(20+i) * ms
-		d.Request(now, call(id, now, 1))
+		d.HandleRequest(now, call(id, now, 1))
 		if f.last[id] != f.last["a"] {
 			t.Fatalf("call %d went to %d, the holder is %d", i, f.last[id], f.last["a"])
 		}
-		d.Outcome(now+ms/2, ok(id, f.last[id]))
+		d.HandleAttemptResult(now+ms/2, ok(id, f.last[id]))
 	}
 }
 
 func TestFullHolderOverEpsilonIsPassedOver(t *testing.T) {
-	d, f := start(t, settings(Safe, ScopeAll), 4)
+	d, f := start(t, settings(Idempotent, ScopeAll), 4)
 	hear(d, 0)
-	d.Request(0, call("a", 0, 1))
-	d.Outcome(10*ms, ok("a", f.last["a"]))
+	d.HandleRequest(0, call("a", 0, 1))
+	d.HandleAttemptResult(10*ms, ok("a", f.last["a"]))
 	used := map[WorkerID]bool{}
 	for i := range 12 {
 		id := fmt.Sprint("b", i)
-		d.Request(20*ms, call(id, 20*ms, 1))
+		d.HandleRequest(20*ms, call(id, 20*ms, 1))
 		used[f.last[id]] = true
 	}
 	if len(used) < 2 {
@@ -143,9 +143,9 @@
 		at   int64
 		held bool
 	}{{8009 * ms, true}, {8011 * ms, false}} {
-		d, f := start(t, settings(Safe, ScopeAll), 3)
-		d.Request(0, call("a", 0, 1))
-		d.Outcome(10*ms, ok("a", f.last["a"]))
+		d, f := start(t, settings(Idempotent, ScopeAll), 3)
+		d.HandleRequest(0, call("a", 0, 1))
+		d.HandleAttemptResult(10*ms, ok("a", f.last["a"]))
 		h := d.funcs[1].at(d.workers[f.last["a"]], false)
 		if (h.until > c.at) != c.held {
 			t.Errorf("at %d ms: believed %v, want %v", c.at/ms, !c.held, c.held)
@@ -156,27 +156,27 @@
 func TestEffectClasses(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		effect Effect
-		scope  Scope
+		effect Idempotency
+		scope  IdempotencyScope
 		res    Result
 		at     int64 // when the outcome comes
 		resend bool
 		zone   bool // the resend must stay in the zone
 	}{
-		{"unsafe error", Unsafe, ScopeNone, Error, 100 * ms, false, false},
-		{"unsafe refused connection", Unsafe, ScopeNone, ConnectFailed, 100 * ms, true, false},
-		{"unsafe full", Unsafe, ScopeNone, Full, 100 * ms, true, false},
-		{"safe error", Safe, ScopeNone, Error, 100 * ms, true, false},
-		{"keyed error within window", Keyed, ScopeZone, Error, 1997 * ms, true, true},
-		{"keyed error at window's end", Keyed, ScopeZone, Error, 1998 * ms, false, false},
-		{"keyed no group", Keyed, ScopeNone, Error, 100 * ms, false, false},
+		{"unsafe error", NotIdempotent, ScopeNone, Error, 100 * ms, false, false},
+		{"unsafe refused connection", NotIdempotent, ScopeNone, ConnectFailed, 100 * ms, true, false},
+		{"unsafe full", NotIdempotent, ScopeNone, Full, 100 * ms, true, false},
+		{"safe error", Idempotent, ScopeNone, Error, 100 * ms, true, false},
+		{"keyed error within window", IdempotentByKey, ScopeZone, Error, 1997 * ms, true, true},
+		{"keyed error at window's end", IdempotentByKey, ScopeZone, Error, 1998 * ms, false, false},
+		{"keyed no group", IdempotentByKey, ScopeNone, Error, 100 * ms, false, false},
 	} {
 		s := settings(c.effect, c.scope)
-		s.SecondCopies = false
+		s.Hedging = false
 		d, f := start(t, s, 8)
-		d.Request(0, call("a", 0, 1))
+		d.HandleRequest(0, call("a", 0, 1))
 		first := f.last["a"]
-		d.Outcome(c.at, Outcome{ID: "a", Worker: first, Result: c.res})
+		d.HandleAttemptResult(c.at, AttemptResult{ID: "a", Worker: first, Result: c.res})
 		if got := len(f.sends) == 2; got != c.resend {
 			t.Errorf("%s: resent %v, want %v", c.name, got, c.resend)
 		}
@@ -190,13 +190,13 @@
 }
 
 func TestNothingToDrainingOrGone(t *testing.T) {
-	d, f := start(t, settings(Safe, ScopeAll), 2)
-	d.Roster(ms, RosterDelta, []Entry{{Worker: 1, State: Draining, Weight: 1}})
+	d, f := start(t, settings(Idempotent, ScopeAll), 2)
+	d.UpdateEndpoints(ms, EndpointsDelta, []Endpoint{{Worker: 1, State: Draining, Weight: 1}})
 	for i := range 20 {
-		d.Request(2*ms, call(fmt.Sprint(i), 2*ms, FuncID(i)))
+		d.HandleRequest(2*ms, call(fmt.Sprint(i), 2*ms, FuncID(i)))
 	}
-	d.Roster(3*ms, RosterFull, []Entry{{Worker: 1, State: Draining, Weight: 1}})
-	d.Request(4*ms, call("held", 4*ms, 3))
+	d.UpdateEndpoints(3*ms, EndpointsSnapshot, []Endpoint{{Worker: 1, State: Draining, Weight: 1}})
+	d.HandleRequest(4*ms, call("held", 4*ms, 3))
 	for _, s := range f.sends {
 		if s.w == 1 {
 			t.Fatal("sent to a draining worker")
@@ -205,7 +205,7 @@
 	if f.last["held"] != 0 {
 		t.Fatal("sent to a worker that is gone")
 	}
-	d.Roster(50*ms, RosterDelta, roster(3)[2:])
+	d.UpdateEndpoints(50*ms, EndpointsDelta, roster(3)[2:])
 	awake(d, f, 50*ms, 200*ms)
 	if f.last["held"] != 3 {
 		t.Fatal("a held call was not sent when a worker came")
@@ -213,13 +213,13 @@
 }
 
 func TestEmptyRosterAnswersInTime(t *testing.T) {
-	d, f := start(t, settings(Unsafe, ScopeNone), 0)
-	d.Request(0, call("a", 0, 1))
-	d.Timer(2995*ms, f.ref)
+	d, f := start(t, settings(NotIdempotent, ScopeNone), 0)
+	d.HandleRequest(0, call("a", 0, 1))
+	d.HandleTimer(2995*ms, f.ref)
 	if f.answers["a"] != "" {
 		t.Fatal("answered too early")
 	}
-	d.Timer(2996*ms, f.ref)
+	d.HandleTimer(2996*ms, f.ref)
 	if f.answers["a"] != "refused" {
 		t.Fatalf("answered %q", f.answers["a"])
 	}
@@ -227,8 +227,8 @@
 
 // A bell that rings a little before its time must not stop the timers: found by a hunt as lost requests.
 func TestEarlyBellArmsAgain(t *testing.T) {
-	d, f := start(t, settings(Safe, ScopeAll), 0)
-	d.Request(0, call("a", 0, 1))
+	d, f := start(t, settings(Idempotent, ScopeAll), 0)
+	d.HandleRequest(0, call("a", 0, 1))
 	now := int64(0)
 	for range 2000 {
 		delay := f.timers[len(f.timers)-1]
@@ -237,7 +237,7 @@
 			delay -= 334
 		}
 		now += delay
-		d.Timer(now, f.ref)
+		d.HandleTimer(now, f.ref)
 		if f.answers["a"] != "" {
 			return
 		}
@@ -252,8 +252,8 @@
 // dispatchers with unequal traffic, some fresh from a restart, send it less than the multiple in any window.
 func TestColdBudget(t *testing.T) {
 	for _, size := range []int{1, 3, 40, 200} {
-		s := settings(Safe, ScopeAll)
-		s.Siblings = size
+		s := settings(Idempotent, ScopeAll)
+		s.Dispatchers = size
 		const workers, capacity = 5, 20.0 // calls a second of a warm worker
 		now := int64(20000 * ms)
 		var at []int64
@@ -262,16 +262,16 @@
 			parts += 1 / float64(i+1)
 		}
 		for i := range size {
-			s.Number = i
+			s.DispatcherIndex = i
 			f := newFake()
 			d, err := New(0, s, uint64(i), f)
 			if err != nil {
 				t.Fatal(err)
 			}
-			d.Roster(0, RosterFull, roster(workers))
+			d.UpdateEndpoints(0, EndpointsSnapshot, roster(workers))
 			hear(d, 0)
 			d.warm = workers
-			d.Roster(now, RosterFull, append(roster(workers), Entry{Worker: 99, State: On, Weight: 1, Start: now}))
+			d.UpdateEndpoints(now, EndpointsSnapshot, append(roster(workers), Endpoint{Worker: 99, State: Active, Weight: 1, Start: now}))
 			for step := range int64(100) { // everybody wants the cold worker all the time
 				clock := now + step*40*ms
 				if i%7 != 3 { // what a dispatcher of its size gets from warm workers in a long time
@@ -295,7 +295,7 @@
 					n++
 				}
 			}
-			can := s.StartCapacity + (1-s.StartCapacity)*float64(from-now)/float64(s.Cold)
+			can := s.SlowStartCapacity + (1-s.SlowStartCapacity)*float64(from-now)/float64(s.SlowStartWindow)
 			worst = max(worst, n/(s.OverloadFactor*can*capacity*float64(s.Fall)/1e9))
 		}
 		if len(at) == 0 || worst > 1 {
@@ -308,8 +308,8 @@
 // seconds, and its calls ran into their deadlines. Of few, each sees its queue.
 func TestSlowWorkerIsHeavierWhereManyDispatch(t *testing.T) {
 	for _, many := range []int{1, 5, 80, 300} {
-		s := settings(Safe, ScopeAll)
-		s.Siblings = many
+		s := settings(Idempotent, ScopeAll)
+		s.Dispatchers = many
 		d, f := start(t, s, 6)
 		hear(d, 0)
 		now := int64(0)
@@ -322,7 +322,7 @@
 				took *= 4
 			}
 			d.send(now, r, w, false)
-			d.Outcome(now+took, ok(fmt.Sprint(i), w.Worker))
+			d.HandleAttemptResult(now+took, ok(fmt.Sprint(i), w.Worker))
 		}
 		slow, other := d.load(now+ms, d.workers[1]), d.load(now+ms, d.workers[2])
 		if many <= 5 && slow != other || many > 5 && slow < 2*other {
@@ -347,20 +347,20 @@
 		{name: "idle there", told: true, least: 0.99, most: 1},
 		{name: "crowded there", told: true, inflight: 9, least: 0.2, most: 0.5},
 	} {
-		s := settings(Safe, ScopeAll)
-		s.Siblings = 80
+		s := settings(Idempotent, ScopeAll)
+		s.Dispatchers = 80
 		open, asked := 0.0, 0.0
-		for i := range s.Siblings {
-			s.Number = i
+		for i := range s.Dispatchers {
+			s.DispatcherIndex = i
 			f := newFake()
 			d, err := New(0, s, uint64(i), f)
 			if err != nil {
 				t.Fatal(err)
 			}
 			start := int64(20000 * ms)
-			d.Roster(0, RosterFull, roster(20))
+			d.UpdateEndpoints(0, EndpointsSnapshot, roster(20))
 			d.warm = 20
-			d.Roster(start, RosterDelta, []Entry{{Worker: 99, State: On, Weight: 1, Start: start - 4000*ms}})
+			d.UpdateEndpoints(start, EndpointsDelta, []Endpoint{{Worker: 99, State: Active, Weight: 1, Start: start - 4000*ms}})
 			for at := start; at < start+4000*ms; at += 667 * ms {
 				d.answers, d.answersAt = 0.2*20*d.tau()/1e9, at // 0.2 a second from each warm worker
 				if c.told {
@@ -381,17 +381,17 @@
 }
 
 func TestUnheardWorkerGetsFirstCalls(t *testing.T) {
-	d, f := start(t, settings(Safe, ScopeAll), 3)
+	d, f := start(t, settings(Idempotent, ScopeAll), 3)
 	hear(d, 0)
-	d.Roster(ms, RosterDelta, []Entry{{Worker: 9, State: On, Weight: 1}})
+	d.UpdateEndpoints(ms, EndpointsDelta, []Endpoint{{Worker: 9, State: Active, Weight: 1}})
 	n := 0
 	for i := range 60 {
 		id := fmt.Sprint(i)
-		d.Request(int64(i)*ms, call(id, int64(i)*ms, FuncID(i+1)))
+		d.HandleRequest(int64(i)*ms, call(id, int64(i)*ms, FuncID(i+1)))
 		if f.last[id] == 9 {
 			n++
 		}
-		d.Outcome(int64(i)*ms, ok(id, f.last[id]))
+		d.HandleAttemptResult(int64(i)*ms, ok(id, f.last[id]))
 	}
 	if n < 3 || n > 30 {
 		t.Fatalf("%d of 60 calls to a worker not heard from", n)
@@ -400,17 +400,17 @@
 
 // Found at full size: with nothing known of each other, every dispatcher loaded its own copy of everything.
 func TestStrangersLoadInOnePlace(t *testing.T) {
-	s := settings(Safe, ScopeAll)
-	s.Siblings = 50
+	s := settings(Idempotent, ScopeAll)
+	s.Dispatchers = 50
 	at := map[FuncID]map[WorkerID]bool{}
 	on := map[WorkerID]bool{}
 	for i := range 50 {
-		s.Number = i
+		s.DispatcherIndex = i
 		d, f := start(t, s, 40)
 		for k := range 40 {
-			d.Request(ms, call(fmt.Sprint(k), ms, FuncID(k)))
+			d.HandleRequest(ms, call(fmt.Sprint(k), ms, FuncID(k)))
 			w := f.last[fmt.Sprint(k)]
-			d.Outcome(2*ms, ok(fmt.Sprint(k), w))
+			d.HandleAttemptResult(2*ms, ok(fmt.Sprint(k), w))
 			if at[FuncID(k)] == nil {
 				at[FuncID(k)] = map[WorkerID]bool{}
 			}
@@ -433,10 +433,10 @@
 	copies, heavy := map[int]int{}, map[int]int{}
 	for _, many := range []int{1, 3, 5, 80, 300} {
 		at := map[[2]int]bool{}
-		s := settings(Safe, ScopeAll)
-		s.Siblings = many
+		s := settings(Idempotent, ScopeAll)
+		s.Dispatchers = many
 		for i := range min(many, 80) {
-			s.Number = i
+			s.DispatcherIndex = i
 			d, f := start(t, s, workers)
 			hear(d, 0)
 			rng := rand.New(rand.NewPCG(uint64(i), 5))
@@ -446,12 +446,12 @@
 			d.others = 2
 			for k := range functions {
 				id := fmt.Sprint(k)
-				d.Request(ms, call(id, ms, FuncID(k)))
+				d.HandleRequest(ms, call(id, ms, FuncID(k)))
 				at[[2]int{k, int(f.last[id])}] = true
 				if w := d.workers[f.last[id]]; w.others > 3 {
 					heavy[many]++
 				}
-				d.Outcome(ms, ok(id, f.last[id]))
+				d.HandleAttemptResult(ms, ok(id, f.last[id]))
 			}
 		}
 		copies[many] = len(at)
@@ -472,17 +472,17 @@
 // dispatcher sends is bounded by its calls and by the number of its receivers.
 func TestMessagesAreBounded(t *testing.T) {
 	for _, size := range []int{3, 250} {
-		s := settings(Safe, ScopeAll)
-		s.Siblings, s.Peers, s.PeerPrice = size, true, 0.01
+		s := settings(Idempotent, ScopeAll)
+		s.Dispatchers, s.Gossip, s.PeerPrice = size, true, 0.01
 		d, f := start(t, s, 100)
 		const calls = 2000
 		for i := range calls {
 			now := int64(i) * 50 * ms
-			d.Request(now, call(fmt.Sprint(i), now, FuncID(i)))
+			d.HandleRequest(now, call(fmt.Sprint(i), now, FuncID(i)))
 			if i%5 > 0 {
-				d.Outcome(now+20*ms, ok(fmt.Sprint(i), f.last[fmt.Sprint(i)]))
+				d.HandleAttemptResult(now+20*ms, ok(fmt.Sprint(i), f.last[fmt.Sprint(i)]))
 			}
-			d.Timer(now+30*ms, f.ref)
+			d.HandleTimer(now+30*ms, f.ref)
 		}
 		spent := 0.0
 		for i, m := range f.told {
@@ -502,19 +502,19 @@
 }
 
 func TestFastErrorsDoNotDraw(t *testing.T) {
-	s := settings(Unsafe, ScopeNone)
+	s := settings(NotIdempotent, ScopeNone)
 	d, f := start(t, s, 4)
 	hear(d, 0)
 	bad := 0
 	for i := range 100 {
 		now := int64(i) * 20 * ms
 		id := fmt.Sprint(i)
-		d.Request(now, call(id, now, FuncID(i)))
+		d.HandleRequest(now, call(id, now, FuncID(i)))
 		if w := f.last[id]; w == 2 {
 			bad++
-			d.Outcome(now+ms, Outcome{ID: id, Worker: w, Result: Error})
+			d.HandleAttemptResult(now+ms, AttemptResult{ID: id, Worker: w, Result: Error})
 		} else {
-			d.Outcome(now+15*ms, ok(id, w))
+			d.HandleAttemptResult(now+15*ms, ok(id, w))
 		}
 	}
 	if bad > 10 {
@@ -523,31 +523,31 @@
 }
 
 func TestSilentWorkerIsPassedOver(t *testing.T) {
-	d, f := start(t, settings(Safe, ScopeAll), 4)
+	d, f := start(t, settings(Idempotent, ScopeAll), 4)
 	hear(d, 0)
-	d.Request(0, call("a", 0, 1))
+	d.HandleRequest(0, call("a", 0, 1))
 	quiet := f.last["a"]
 	for i := range 400 {
 		now := int64(i) * 10 * ms
 		id := fmt.Sprint(i)
-		d.Request(now, call(id, now, 1))
+		d.HandleRequest(now, call(id, now, 1))
 		if f.last[id] != quiet {
-			d.Outcome(now+5*ms, ok(id, f.last[id]))
+			d.HandleAttemptResult(now+5*ms, ok(id, f.last[id]))
 		} else if now > 2500*ms {
 			t.Fatalf("call at %d ms to a worker silent since the start", now/ms)
 		}
 		if w := f.last["a"]; w != quiet {
-			d.Outcome(now+5*ms, Outcome{ID: "a", Attempt: 1, Worker: w, Result: OK, Finished: true})
+			d.HandleAttemptResult(now+5*ms, AttemptResult{ID: "a", Attempt: 1, Worker: w, Result: OK, Finished: true})
 		}
-		d.Timer(now+6*ms, f.ref)
+		d.HandleTimer(now+6*ms, f.ref)
 	}
 }
 
 func TestFullRepliesArePaced(t *testing.T) {
-	d, f := start(t, settings(Safe, ScopeAll), 4)
-	d.Request(0, call("a", 0, 1))
+	d, f := start(t, settings(Idempotent, ScopeAll), 4)
+	d.HandleRequest(0, call("a", 0, 1))
 	for i := range 2 {
-		d.Outcome(int64(i+1)*ms, Outcome{ID: "a", Attempt: i, Worker: f.last["a"], Result: Full})
+		d.HandleAttemptResult(int64(i+1)*ms, AttemptResult{ID: "a", Attempt: i, Worker: f.last["a"], Result: Full})
 	}
 	if len(f.sends) != 2 {
 		t.Fatalf("%d sends at once against full workers, want 2 and then a pause", len(f.sends))
@@ -555,13 +555,13 @@
 }
 
 func TestLoadRation(t *testing.T) {
-	s := settings(Safe, ScopeAll)
+	s := settings(Idempotent, ScopeAll)
 	s.LoadWindow, s.LoadFree, s.LoadsOnMiss = 1000*ms, 2, false
 	d, f := start(t, s, 4)
 	for i := range 10 {
 		id := fmt.Sprint(i)
-		d.Request(int64(i)*ms, call(id, int64(i)*ms, FuncID(i)))
-		d.Outcome(int64(i)*ms, Outcome{ID: id, Worker: f.last[id], Result: Miss})
+		d.HandleRequest(int64(i)*ms, call(id, int64(i)*ms, FuncID(i)))
+		d.HandleAttemptResult(int64(i)*ms, AttemptResult{ID: id, Worker: f.last[id], Result: Miss})
 	}
 	if len(f.loads) != 2 {
 		t.Fatalf("%d loads ordered, 2 allowed", len(f.loads))
@@ -569,14 +569,14 @@
 }
 
 func TestOverloadRefusesTheLeastWorth(t *testing.T) {
-	s := settings(Safe, ScopeAll)
+	s := settings(Idempotent, ScopeAll)
 	s.Classes = append(s.Classes, s.Classes[0])
-	s.Classes[1].Worth = 5
+	s.Classes[1].PriorityWeight = 5
 	d, f := start(t, s, 4)
 	hear(d, 0)
 	now := int64(5000 * ms)
 	for i := range 60 { // all functions loaded, nothing answered: a queue forms
-		d.Request(now, Request{ID: fmt.Sprint(i), Class: i % 2, Func: 1, Deadline: now + 3000*ms, Lanes: 16})
+		d.HandleRequest(now, Request{ID: fmt.Sprint(i), Class: i % 2, Func: 1, Deadline: now + 3000*ms, Lanes: 16})
 		if h := d.funcs[1].at(d.list[i%4], true); true {
 			h.until = now + 8000*ms
 		}
@@ -597,26 +597,26 @@
 }
 
 // digest is what a hub tells that has heard of all.
-func digest(d *Dispatcher, now int64, sums []float64, counts ...aggregate.Count) string {
-	m := aggregate.Message{Hub: true, Counts: counts, Sum: aggregate.Digest{Tick: uint16(now / d.set.Quantum), Sums: sums,
-		Covered: aggregate.NewSet(d.set.Siblings)}}
-	for i := range d.set.Siblings {
-		m.Sum.Covered.Add(i)
+func digest(d *Balancer, now int64, sums []float64, counts ...aggregate.Count) string {
+	m := aggregate.Message{FromLeader: true, Counts: counts, Digest: aggregate.Digest{Tick: uint16(now / d.set.ClockResolution), Sums: sums,
+		Covered: aggregate.NewSet(d.set.Dispatchers)}}
+	for i := range d.set.Dispatchers {
+		m.Digest.Covered.Add(i)
 	}
-	return m.Texts(d.set.Siblings)[0]
+	return m.Encode(d.set.Dispatchers)[0]
 }
 
 // TestRulesUnderRandomEvents checks the rules from outside over seeded random days, hostile ones too.
 func TestRulesUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(120) {
 		rng := rand.New(rand.NewPCG(seed%60, 1))
-		effect := Effect(seed % 3)
-		s := settings(effect, Scope(seed/3%4))
+		effect := Idempotency(seed % 3)
+		s := settings(effect, IdempotencyScope(seed/3%4))
 		if seed >= 60 { // the same days where every list counts as long
-			s.Walk = walkNever
+			s.FullScanLimit = walkNever
 		}
-		s.SecondCopies = seed%2 == 0
-		s.Peers = seed%5 == 0
+		s.Hedging = seed%2 == 0
+		s.Gossip = seed%5 == 0
 		f := newFake()
 		d, err := New(0, s, seed, f)
 		if err != nil {
@@ -627,7 +627,7 @@
 			n  int
 			w  WorkerID
 		}
-		state := map[WorkerID]State{}
+		state := map[WorkerID]EndpointState{}
 		deadline := map[string]int64{}
 		finished := map[string]bool{}
 		mayRun := map[string]int{}
@@ -640,10 +640,10 @@
 				if finished[sd.id] || f.answers[sd.id] != "" {
 					t.Fatalf("seed %d: sent after the end", seed)
 				}
-				if state[sd.w] != On {
+				if state[sd.w] != Active {
 					t.Fatalf("seed %d: sent to worker %d that is not on", seed, sd.w)
 				}
-				if effect == Unsafe && mayRun[sd.id] > 0 {
+				if effect == NotIdempotent && mayRun[sd.id] > 0 {
 					t.Fatalf("seed %d: unsafe call sent twice", seed)
 				}
 				n := 0
@@ -652,7 +652,7 @@
 						n++
 					}
 				}
-				if n > 0 && !s.SecondCopies {
+				if n > 0 && !s.Hedging {
 					t.Fatalf("seed %d: two attempts out", seed)
 				}
 				mayRun[sd.id]++
@@ -664,7 +664,7 @@
 				if a != "refused" && a != "failed" || finished[id] {
 					t.Fatalf("seed %d: %s answered %q", seed, id, a)
 				}
-				if a == "refused" && effect == Unsafe && mayRun[id] > 0 {
+				if a == "refused" && effect == NotIdempotent && mayRun[id] > 0 {
 					t.Fatalf("seed %d: unsafe call refused after it may have run", seed)
 				}
 				delete(f.answers, id)
@@ -688,7 +688,7 @@
 			bells = nil
 			for _, b := range due {
 				if b[0] <= now {
-					d.Timer(now, b[1])
+					d.HandleTimer(now, b[1])
 				} else {
 					bells = append(bells, b)
 				}
@@ -698,24 +698,24 @@
 			case k < 4:
 				id := fmt.Sprint("r", step)
 				deadline[id] = now + int64(5+rng.IntN(3000))*ms
-				d.Request(now, Request{ID: id, Func: FuncID(rng.IntN(9)), Deadline: deadline[id], Lanes: rng.IntN(3)})
+				d.HandleRequest(now, Request{ID: id, Func: FuncID(rng.IntN(9)), Deadline: deadline[id], Lanes: rng.IntN(3)})
 			case k < 5:
 				w := WorkerID(1 + rng.IntN(8))
-				st := State(rng.IntN(3))
+				st := EndpointState(rng.IntN(3))
 				if step < 100 {
-					st = On
+					st = Active
 				}
 				state[w] = st
-				d.Roster(now, RosterDelta, []Entry{{Worker: w, Zone: int(w) % 2, Cell: int(w) % 3, State: st, Start: now}})
+				d.UpdateEndpoints(now, EndpointsDelta, []Endpoint{{Worker: w, Zone: int(w) % 2, Cell: int(w) % 3, State: st, Start: now}})
 			case k == 5:
-				d.Peer(now, rng.IntN(4)-1, string([]byte{byte(65 + rng.IntN(50)), 'A', 'B', 'c'}))
-				d.Gone(now, "no such request")
-				d.Loaded(now, WorkerID(rng.IntN(9)), FuncID(rng.IntN(9)), rng.IntN(3), Result(rng.IntN(int(Results))))
+				d.HandlePeerMessage(now, rng.IntN(4)-1, string([]byte{byte(65 + rng.IntN(50)), 'A', 'B', 'c'}))
+				d.HandleClientGone(now, "no such request")
+				d.HandleLoadResult(now, WorkerID(rng.IntN(9)), FuncID(rng.IntN(9)), rng.IntN(3), Result(rng.IntN(int(Results))))
 			case len(out) > 0:
 				i := rng.IntN(len(out))
 				o := out[i]
 				out = append(out[:i], out[i+1:]...)
-				oc := Outcome{ID: o.id, Attempt: o.n, Worker: o.w, Result: Result(rng.IntN(int(Results))), Warmth: Warmth(rng.IntN(5)),
+				oc := AttemptResult{ID: o.id, Attempt: o.n, Worker: o.w, Result: Result(rng.IntN(int(Results))), Warmth: Warmth(rng.IntN(5)),
 					Report: []float64{rng.Float64() - 0.5}}
 				oc.Finished = finished[o.id] || oc.Result == OK
 				if r := oc.Result; r == Full || r == ConnectFailed || r == Miss || r == Moot {
@@ -724,8 +724,8 @@
 				if oc.Finished && oc.Result == OK {
 					finished[o.id] = true
 				}
-				d.Outcome(now, oc)
-				d.Outcome(now, oc) // a duplicate is ignored
+				d.HandleAttemptResult(now, oc)
+				d.HandleAttemptResult(now, oc) // a duplicate is ignored
 			}
 			check()
 		}
@@ -733,15 +733,15 @@
 }
 
 func TestMemoryIsBounded(t *testing.T) {
-	d, f := start(t, settings(Safe, ScopeAll), 4)
+	d, f := start(t, settings(Idempotent, ScopeAll), 4)
 	for i := range 20000 {
 		now := int64(i) * 10 * ms
 		id := fmt.Sprint(i)
-		d.Request(now, call(id, now, FuncID(i)))
-		d.Outcome(now+ms, ok(id, f.last[id]))
-		d.Timer(now+2*ms, f.ref)
+		d.HandleRequest(now, call(id, now, FuncID(i)))
+		d.HandleAttemptResult(now+ms, ok(id, f.last[id]))
+		d.HandleTimer(now+2*ms, f.ref)
 		if i%50 == 0 {
-			d.Roster(now, RosterFull, []Entry{{Worker: WorkerID(i + 10), State: On}, {Worker: WorkerID(i + 11), State: On}})
+			d.UpdateEndpoints(now, EndpointsSnapshot, []Endpoint{{Worker: WorkerID(i + 10), State: Active}, {Worker: WorkerID(i + 11), State: Active}})
 		}
 	}
 	if len(d.reqs) > 0 || len(d.funcs) > 3000 || len(d.workers) > 10 || len(d.heap) > 5000 {
@@ -750,14 +750,14 @@
 }
 
 func TestSettingsAreChecked(t *testing.T) {
-	if _, err := New(0, settings(Safe, ScopeAll), 1, nil); err == nil {
+	if _, err := New(0, settings(Idempotent, ScopeAll), 1, nil); err == nil {
 		t.Error("a nil host was taken")
 	}
 	for _, field := range []string{"Aim", "KeepAlive", "Classes"} {
-		s := settings(Safe, ScopeAll)
+		s := settings(Idempotent, ScopeAll)
 		switch field {
 		case "Aim":
-			s.Classes[0].Aim = 0
+			s.Classes[0].LatencyObjective = 0
 		case "KeepAlive":
 			s.KeepAlive = -1
 		case "Classes":
@@ -806,8 +806,8 @@
 	for _, workers := range []int{10, 60, 120} {
 		for _, siblings := range []int{5, 80, 300} {
 			b.Run(fmt.Sprintf("%d_workers_%d_siblings", workers, siblings), func(b *testing.B) {
-				s := settings(Safe, ScopeAll)
-				s.Siblings, s.Peers, s.PeerPrice = siblings, true, 0.01
+				s := settings(Idempotent, ScopeAll)
+				s.Dispatchers, s.Gossip, s.PeerPrice = siblings, true, 0.01
 				b.ReportAllocs()
 				run(b, s, workers)
 			})
@@ -820,9 +820,9 @@
 	for i := range b.N {
 		now := int64(i) * 5 * ms
 		id := fmt.Sprint(i)
-		d.Request(now, call(id, now, FuncID(i%40)))
-		d.Outcome(now+ms, ok(id, f.last[id]))
-		d.Timer(now+2*ms, f.ref)
+		d.HandleRequest(now, call(id, now, FuncID(i%40)))
+		d.HandleAttemptResult(now+ms, ok(id, f.last[id]))
+		d.HandleTimer(now+2*ms, f.ref)
 		delete(f.last, id)
 		f.sends, f.told = f.sends[:0], f.told[:0]
 	}
@@ -830,7 +830,7 @@
 
 func benchRound(b *testing.B, s Settings, workers int) {
 	d, _ := start(b, s, workers)
-	report := aggregate.Message{Row: aggregate.Row{Incarnation: 1, Figures: []float64{10, 2}}}
+	report := aggregate.Message{Report: aggregate.Report{Incarnation: 1, Values: []float64{10, 2}}}
 	for _, w := range d.list {
 		report.Counts = append(report.Counts, aggregate.Count{Worker: tag(w.Worker), N: 3, Heard: true})
 	}
@@ -838,18 +838,18 @@
 		now := int64(i) * d.minAim / beats
 		if i%beats == 0 { // as often as each of them reports
 			b.StopTimer()
-			report.Row.Seq++
-			texts := report.Texts(s.Siblings)
-			for from := 1; from < s.Siblings; from++ {
+			report.Report.Seq++
+			texts := report.Encode(s.Dispatchers)
+			for from := 1; from < s.Dispatchers; from++ {
 				for _, x := range texts {
-					d.Peer(now, from, x)
+					d.HandlePeerMessage(now, from, x)
 				}
 			}
 			b.StartTimer()
 		}
-		m := aggregate.Message{Hub: true}
+		m := aggregate.Message{FromLeader: true}
 		d.gather(now, &m)
-		if len(m.Texts(s.Siblings)) == 0 || len(m.Counts) != workers {
+		if len(m.Encode(s.Dispatchers)) == 0 || len(m.Counts) != workers {
 			b.Fatal("the digest lacks workers")
 		}
 	}
@@ -857,12 +857,12 @@
 
 // Found in iad616b: calls stuck for seconds were read as a queue, and half of the traffic was refused.
 func TestStuckCallsAreNoQueue(t *testing.T) {
-	d, f := start(t, settings(Safe, ScopeAll), 4)
+	d, f := start(t, settings(Idempotent, ScopeAll), 4)
 	hear(d, 0)
 	now := int64(1000 * ms)
 	for i := range 8 {
 		id := fmt.Sprint(i)
-		d.Request(now, call(id, now, 1))
+		d.HandleRequest(now, call(id, now, 1))
 		d.workers[f.last[id]].open[len(d.workers[f.last[id]].open)-1].warm = true
 	}
 	queued := d.wait(now + ms)
@@ -876,13 +876,13 @@
 
 // Found in i7067a9: calls turned away from full queues must count as queued.
 func TestTurnedAwayCallsCountAsQueued(t *testing.T) {
-	d, f := start(t, settings(Unsafe, ScopeNone), 4)
+	d, f := start(t, settings(NotIdempotent, ScopeNone), 4)
 	hear(d, 0)
 	before := d.wait(0)
 	for i := range 8 {
 		id := fmt.Sprint(i)
-		d.Request(0, call(id, 0, FuncID(i)))
-		d.Outcome(ms, Outcome{ID: id, Worker: f.last[id], Result: Full})
+		d.HandleRequest(0, call(id, 0, FuncID(i)))
+		d.HandleAttemptResult(ms, AttemptResult{ID: id, Worker: f.last[id], Result: Full})
 	}
 	if after := d.wait(2 * ms); after < 1.5*before {
 		t.Fatalf("expected time %.0f ms after full answers, %.0f ms before", after/1e6, before/1e6)
@@ -892,15 +892,15 @@
 // A slow store widens ε: full holders are waited for instead of loading elsewhere.
 func TestSlowStoreCallsForPatience(t *testing.T) {
 	used := func(stress float64) int {
-		d, f := start(t, settings(Safe, ScopeAll), 6)
+		d, f := start(t, settings(Idempotent, ScopeAll), 6)
 		hear(d, 0)
-		d.Request(0, call("a", 0, 1))
-		d.Outcome(10*ms, ok("a", f.last["a"]))
+		d.HandleRequest(0, call("a", 0, 1))
+		d.HandleAttemptResult(10*ms, ok("a", f.last["a"]))
 		d.stress = stress
 		on := map[WorkerID]bool{}
 		for i := range 8 {
 			id := fmt.Sprint("b", i)
-			d.Request(20*ms, call(id, 20*ms, 1))
+			d.HandleRequest(20*ms, call(id, 20*ms, 1))
 			on[f.last[id]] = true
 		}
 		return len(on)
@@ -912,26 +912,26 @@
 
 // A restarted dispatcher asks its peers and learns what is loaded, without loading it again.
 func TestRestartLearnsFromPeers(t *testing.T) {
-	s := settings(Safe, ScopeAll)
-	s.Peers = true
+	s := settings(Idempotent, ScopeAll)
+	s.Gossip = true
 	a, fa := start(t, s, 6)
 	for i := range 4 {
 		id := fmt.Sprint(i)
-		a.Request(ms, call(id, ms, FuncID(i)))
-		a.Outcome(2*ms, ok(id, fa.last[id]))
+		a.HandleRequest(ms, call(id, ms, FuncID(i)))
+		a.HandleAttemptResult(2*ms, ok(id, fa.last[id]))
 	}
-	s.Number = 1
+	s.DispatcherIndex = 1
 	b, fb := start(t, s, 6)
-	b.Timer(200*ms, fb.ref)
-	a.Peer(201*ms, 1, fb.told[0])
+	b.HandleTimer(200*ms, fb.ref)
+	a.HandlePeerMessage(201*ms, 1, fb.told[0])
 	fa.told = nil
-	a.Timer(400*ms, fa.ref)
+	a.HandleTimer(400*ms, fa.ref)
 	for _, m := range fa.told {
-		b.Peer(401*ms, 0, m)
+		b.HandlePeerMessage(401*ms, 0, m)
 	}
 	for i := range 4 {
 		id := fmt.Sprint("b", i)
-		b.Request(500*ms, call(id, 500*ms, FuncID(i)))
+		b.HandleRequest(500*ms, call(id, 500*ms, FuncID(i)))
 		if fb.last[id] != fa.last[fmt.Sprint(i)] {
 			t.Errorf("function %d is loaded on %d, sent to %d", i, fa.last[fmt.Sprint(i)], fb.last[id])
 		}
@@ -945,18 +945,18 @@
 		at     int64
 		resend bool
 	}{{1997 * ms, true}, {1998 * ms, false}} {
-		d, f := start(t, settings(Keyed, ScopeZone), 8)
-		d.Request(0, call("z", 0, 1))
-		d.Outcome(0, ok("z", f.last["z"]))
+		d, f := start(t, settings(IdempotentByKey, ScopeZone), 8)
+		d.HandleRequest(0, call("z", 0, 1))
+		d.HandleAttemptResult(0, ok("z", f.last["z"]))
 		f.sends = nil
-		d.Request(0, call("a", 0, 1))
+		d.HandleRequest(0, call("a", 0, 1))
 		first := f.last["a"]
 		awake(d, f, 0, 1500*ms) // overdue: a second copy in the zone
 		if len(f.sends) != 2 {
 			t.Fatalf("%d sends, want a second copy", len(f.sends))
 		}
-		d.Outcome(1600*ms, Outcome{ID: "a", Worker: first, Result: Miss, Warmth: LoadFailed})
-		d.Outcome(c.at, Outcome{ID: "a", Attempt: 1, Worker: f.last["a"], Result: Error})
+		d.HandleAttemptResult(1600*ms, AttemptResult{ID: "a", Worker: first, Result: Miss, Warmth: LoadFailed})
+		d.HandleAttemptResult(c.at, AttemptResult{ID: "a", Attempt: 1, Worker: f.last["a"], Result: Error})
 		if got := len(f.sends) == 3; got != c.resend {
 			t.Errorf("at %d ms: sent again %v, want %v", c.at/ms, got, c.resend)
 		}
@@ -965,21 +965,21 @@
 
 // With many busy workers the counts fill a message; new holders must still be told, and nothing pile up.
 func TestLargeFleetTellsItsHolders(t *testing.T) {
-	s := settings(Safe, ScopeAll)
-	s.Peers = true
+	s := settings(Idempotent, ScopeAll)
+	s.Gossip = true
 	a, fa := start(t, s, 60)
 	hear(a, 0)
 	a.words.left, a.pool.left = 1, 1
 	for i := range 60 {
-		a.Request(1001*ms, call(fmt.Sprint(i), 1001*ms, FuncID(i)))
+		a.HandleRequest(1001*ms, call(fmt.Sprint(i), 1001*ms, FuncID(i)))
 	}
-	a.Timer(1200*ms, fa.ref)
+	a.HandleTimer(1200*ms, fa.ref)
 	b, _ := start(t, s, 60)
 	for _, m := range fa.told {
 		if len(m) > 256 {
 			t.Fatalf("a message of %d bytes", len(m))
 		}
-		b.Peer(1210*ms, 1, m)
+		b.HandlePeerMessage(1210*ms, 1, m)
 	}
 	busy := 0
 	for _, w := range b.list {
@@ -1000,24 +1000,24 @@
 
 // A roster that must be asked for is asked for at start, and again after failures at a bounded rate.
 func TestRosterIsAskedForAgainAfterFailure(t *testing.T) {
-	s := settings(Safe, ScopeAll)
-	s.AskRoster, s.AskWithin = true, 8000*ms
+	s := settings(Idempotent, ScopeAll)
+	s.PollEndpoints, s.PollInterval = true, 8000*ms
 	f := newFake()
 	d, err := New(0, s, 1, f)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Roster(0, RosterCached, roster(2))
+	d.UpdateEndpoints(0, EndpointsCached, roster(2))
 	if f.watches != 1 {
 		t.Fatalf("%d subscriptions asked for at start", f.watches)
 	}
 	for now := 100 * ms; now < 20000*ms; now += 100 * ms {
 		before := f.watches
-		d.Timer(now, f.ref)
+		d.HandleTimer(now, f.ref)
 		if f.watches > before {
-			d.Roster(now, RosterFailed, nil)
+			d.UpdateEndpoints(now, EndpointsUnavailable, nil)
 		} else if now == 100*ms {
-			d.Roster(now, RosterFailed, nil)
+			d.UpdateEndpoints(now, EndpointsUnavailable, nil)
 		}
 	}
 	if f.watches < 6 || f.watches > 14 {
@@ -1026,10 +1026,10 @@
 }
 
 func TestStreamHasNoDeadline(t *testing.T) {
-	d, f := start(t, settings(Safe, ScopeAll), 3)
-	d.Request(0, call("a", 0, 1))
-	d.FirstByte(100*ms, "a", 0)
-	d.Timer(5000*ms, f.ref)
+	d, f := start(t, settings(Idempotent, ScopeAll), 3)
+	d.HandleRequest(0, call("a", 0, 1))
+	d.HandleFirstByte(100*ms, "a", 0)
+	d.HandleTimer(5000*ms, f.ref)
 	if len(f.sends) != 1 || f.answers["a"] != "" {
 		t.Fatalf("%d sends, answered %q: a begun stream was touched", len(f.sends), f.answers["a"])
 	}
@@ -1037,7 +1037,7 @@
 
 // Found at full size: answers that never come from workers that answer others. The more are lost, the sooner a copy.
 func TestLostAnswersBringCopiesSooner(t *testing.T) {
-	d, f := start(t, settings(Safe, ScopeAll), 1)
+	d, f := start(t, settings(Idempotent, ScopeAll), 1)
 	hear(d, 0)
 	now := int64(0)
 	round := func(lost bool) {
@@ -1045,17 +1045,17 @@
 		now += 4000 * ms
 		for i := range 5 {
 			id := fmt.Sprint(now, i)
-			d.Request(now, call(id, now, 1))
+			d.HandleRequest(now, call(id, now, 1))
 			if i == 0 && lost {
 				w := f.last[id]
 				defer func() {
 					awake(d, f, now, now+2900*ms)
 					now += 2900 * ms
-					d.Outcome(now, Outcome{ID: id, Worker: w, Result: Timeout})
+					d.HandleAttemptResult(now, AttemptResult{ID: id, Worker: w, Result: Timeout})
 				}()
 				continue
 			}
-			d.Outcome(now+int64(100+100*i)*ms, ok(id, f.last[id]))
+			d.HandleAttemptResult(now+int64(100+100*i)*ms, ok(id, f.last[id]))
 		}
 	}
 	round(false)
@@ -1074,20 +1074,20 @@
 
 // Reports are summed at the hub and the sums reach all: overload is seen by a dispatcher with little traffic.
 func TestHubTellsTheQueueToAll(t *testing.T) {
-	s := settings(Safe, ScopeAll)
-	s.Siblings, s.Peers = 3, true
+	s := settings(Idempotent, ScopeAll)
+	s.Dispatchers, s.Gossip = 3, true
 	d, _ := start(t, s, 4)
 	calm := d.wait(5000 * ms)
-	d.Peer(5000*ms, 1, digest(d, 5000*ms, []float64{40, 80}, aggregate.Count{Worker: 1, N: 9, Heard: true}, aggregate.Count{Worker: 2, N: 3, Silent: true}))
+	d.HandlePeerMessage(5000*ms, 1, digest(d, 5000*ms, []float64{40, 80}, aggregate.Count{Worker: 1, N: 9, Heard: true}, aggregate.Count{Worker: 2, N: 3, Silent: true}))
 	if w := d.wait(5001 * ms); w < 2*calm {
 		t.Errorf("expected wait %.0f ms with 80 calls in queue and 40 answers a second, %.0f ms before", w/1e6, calm/1e6)
 	}
 	if d.workers[1].others != 9 || d.silent(5001*ms, d.workers[1]) || !d.silent(5001*ms, d.workers[2]) {
 		t.Errorf("load %.0f at worker 1, silent %v, %v", d.workers[1].others, d.silent(5001*ms, d.workers[1]), d.silent(5001*ms, d.workers[2]))
 	}
-	d.Peer(5010*ms, 1, digest(d, 5010*ms, []float64{40, 0}))
+	d.HandlePeerMessage(5010*ms, 1, digest(d, 5010*ms, []float64{40, 0}))
 	for i := range 40 { // what we see ourselves is newer than what was told
-		d.Request(5020*ms, call(fmt.Sprint(i), 5020*ms, FuncID(i%4)))
+		d.HandleRequest(5020*ms, call(fmt.Sprint(i), 5020*ms, FuncID(i%4)))
 	}
 	for _, w := range d.list {
 		for _, a := range w.open {
@@ -1097,27 +1097,27 @@
 	if w := d.wait(5030 * ms); w < 2*calm {
 		t.Errorf("expected wait %.0f ms with 40 calls of our own in queue, an idle fleet told just before, %.0f ms then", w/1e6, calm/1e6)
 	}
-	d.Peer(5040*ms, 99, digest(d, 5200*ms, []float64{1, 1})) // no such sibling
-	d.Peer(5000*ms, 1, "AAAA")
+	d.HandlePeerMessage(5040*ms, 99, digest(d, 5200*ms, []float64{1, 1})) // no such sibling
+	d.HandlePeerMessage(5000*ms, 1, "AAAA")
 }
 
 // Found with 300 dispatchers: a digest of all workers cost more than a hub may save up, so one was sent in a whole day, and
 // nothing was shared. Where none has come for some terms a hub tells the sums, and what is silent.
 func TestHubOfManyTellsWhatItCanPayFor(t *testing.T) {
-	s := settings(Safe, ScopeAll)
-	s.Siblings, s.Peers, s.PeerPrice, s.Fall = 300, true, 0.021, 0
-	s.Classes[0].Aim = 240 * ms
+	s := settings(Idempotent, ScopeAll)
+	s.Dispatchers, s.Gossip, s.PeerPrice, s.Fall = 300, true, 0.021, 0
+	s.Classes[0].LatencyObjective = 240 * ms
 	d, f := start(t, s, 118)
 	d.greeted = helloPeers
 	term := hubAims * d.minAim
 	for at := 10*term + 300*ms; ; at += term {
-		if d.roll.Collector(at) != s.Number {
+		if d.roll.Leader(at) != s.DispatcherIndex {
 			continue
 		}
 		for from := 1; from < 300; from++ { // each took some three calls
-			row := aggregate.Message{Calls: 3, Row: aggregate.Row{Incarnation: 1, Seq: uint8(at / term), Figures: []float64{7, 1}, Fresh: true},
+			row := aggregate.Message{Calls: 3, Report: aggregate.Report{Incarnation: 1, Seq: uint8(at / term), Values: []float64{7, 1}, Fresh: true},
 				Counts: []aggregate.Count{{Worker: uint16(1 + from%118), N: 1, Heard: true}, {Worker: 118, N: 1, Silent: true}}}
-			d.Peer(at, from, row.Texts(300)[0])
+			d.HandlePeerMessage(at, from, row.Encode(300)[0])
 		}
 		told := len(f.told)
 		for in := at; in < at/term*term+term; in += 30 * ms {
@@ -1129,8 +1129,8 @@
 		if len(f.told) == told {
 			t.Fatalf("told nothing, with %.1f earned", d.pool.left)
 		}
-		m, ok := aggregate.Read(f.told[told], 300)
-		if !ok || m.Sum.Sums[0] < 299*7-1 || len(m.Counts) != 1 || m.Counts[0].Worker != 118 || !d.told(at, d.workers[118]) {
+		m, ok := aggregate.Decode(f.told[told], 300)
+		if !ok || m.Digest.Sums[0] < 299*7-1 || len(m.Counts) != 1 || m.Counts[0].Worker != 118 || !d.told(at, d.workers[118]) {
 			t.Fatalf("told %+v", m)
 		}
 		if len(f.told) > told+1 {
@@ -1146,8 +1146,8 @@
 	const workers, lost = 10, 7
 	trials, heard := map[WorkerID]int{}, 0
 	for i := range 80 {
-		s := settings(Safe, ScopeAll)
-		s.Siblings, s.Number, s.Peers = 80, i, true
+		s := settings(Idempotent, ScopeAll)
+		s.Dispatchers, s.DispatcherIndex, s.Gossip = 80, i, true
 		d, f := start(t, s, workers)
 		hear(d, 0)
 		var counts []aggregate.Count
@@ -1156,10 +1156,10 @@
 			d.blame(0, d.workers[WorkerID(w+1)], outlier.Dead) // its ejection will have run out
 		}
 		now := 20000 * ms
-		d.Peer(now, (i+1)%80, digest(d, now, []float64{0, 0}, counts...))
+		d.HandlePeerMessage(now, (i+1)%80, digest(d, now, []float64{0, 0}, counts...))
 		for k := range 20 {
 			id := fmt.Sprint(k)
-			d.Request(now+ms, call(id, now+ms, FuncID(k)))
+			d.HandleRequest(now+ms, call(id, now+ms, FuncID(k)))
 			if w := f.last[id]; w <= lost {
 				trials[w]++
 				if k > 0 && len(d.workers[w].open) > 1 {
@@ -1168,14 +1168,14 @@
 			}
 		}
 		later := now + d.minAim/beats
-		d.Peer(later, (i+1)%80, digest(d, later, []float64{0, 0}, aggregate.Count{Worker: 1, N: 1, Silent: true, Heard: true}))
+		d.HandlePeerMessage(later, (i+1)%80, digest(d, later, []float64{0, 0}, aggregate.Count{Worker: 1, N: 1, Silent: true, Heard: true}))
 		d.workers[1].open = nil
-		d.Request(later+ms, call("back", later+ms, 99))
+		d.HandleRequest(later+ms, call("back", later+ms, 99))
 		if f.last["back"] == 1 {
 			heard++
 		}
 		for _, many := range []int{3, 80} { // of few, each finds out for itself soon
-			d.set.Siblings = many
+			d.set.Dispatchers = many
 			if told := d.told(now+3*d.minAim, d.workers[2]); told != (many == 80) {
 				t.Fatalf("three aims later, %d dispatchers: told silent %v", many, told)
 			}
@@ -1194,29 +1194,29 @@
 // Found at full size: a dispatcher that stands still for two seconds finds its bell and all answers at once. The bell
 // comes first: nobody may be blamed, nothing sent again or ended before the answers are heard.
 func TestOwnStallIsNobodysFault(t *testing.T) {
-	d, f := start(t, settings(Safe, ScopeAll), 4)
+	d, f := start(t, settings(Idempotent, ScopeAll), 4)
 	hear(d, 0)
 	awake(d, f, 0, 1000*ms)
 	for i := range 8 {
-		d.Request(1000*ms, call(fmt.Sprint(i), 1000*ms, FuncID(i)))
+		d.HandleRequest(1000*ms, call(fmt.Sprint(i), 1000*ms, FuncID(i)))
 	}
 	awake(d, f, 1000*ms, 1100*ms)
-	d.Timer(3995*ms, f.ref) // 2.9 s later, inside the last moments of the calls
+	d.HandleTimer(3995*ms, f.ref) // 2.9 s later, inside the last moments of the calls
 	for i := range 8 {
 		id := fmt.Sprint(i)
-		d.Outcome(3995*ms, ok(id, f.last[id]))
+		d.HandleAttemptResult(3995*ms, ok(id, f.last[id]))
 	}
 	if len(f.sends) != 8 || len(f.answers) > 0 || f.cancels > 0 {
 		t.Fatalf("%d sends, answers %v, %d cancels after standing still", len(f.sends), f.answers, f.cancels)
 	}
 	for _, w := range d.list {
-		if x := d.judge.Failures(4000*ms, &w.health); d.out(w) || x > 0 {
+		if x := d.judge.FailureRate(4000*ms, &w.health); d.out(w) || x > 0 {
 			t.Fatalf("worker %d blamed (%.2f)", w.Worker, x)
 		}
 	}
-	d.Request(3996*ms, call("late", 3996*ms, 1))
+	d.HandleRequest(3996*ms, call("late", 3996*ms, 1))
 	awake(d, f, 3997*ms, 6990*ms)
-	d.Timer(6992*ms, f.ref)
+	d.HandleTimer(6992*ms, f.ref)
 	if f.answers["late"] == "" {
 		t.Fatal("no final answer after a stall")
 	}
@@ -1225,21 +1225,21 @@
 // Found at full size: 50 dispatchers had one first choice for a hot function. It has as many as its calls need, and a
 // function that each of them calls once keeps one.
 func TestHotFunctionHasItsPlaces(t *testing.T) {
-	s := settings(Safe, ScopeAll)
-	s.Siblings = 50
+	s := settings(Idempotent, ScopeAll)
+	s.Dispatchers = 50
 	hot, cold := map[WorkerID]bool{}, map[WorkerID]bool{}
-	for i := range s.Siblings {
-		s.Number = i
+	for i := range s.Dispatchers {
+		s.DispatcherIndex = i
 		d, f := start(t, s, 40)
 		for k := range 8 { // the calls come and go without an answer that would make a holder
 			at := int64(k) * 100 * ms
 			id := fmt.Sprint(k)
-			d.Request(at, call(id, at, 1))
-			d.Gone(at+ms, id)
-			d.Outcome(at+ms, Outcome{ID: id, Worker: f.last[id], Result: Cancelled, Finished: true})
+			d.HandleRequest(at, call(id, at, 1))
+			d.HandleClientGone(at+ms, id)
+			d.HandleAttemptResult(at+ms, AttemptResult{ID: id, Worker: f.last[id], Result: Cancelled, Finished: true})
 		}
-		d.Request(900*ms, call("hot", 900*ms, 1))
-		d.Request(900*ms, call("cold", 900*ms, 2))
+		d.HandleRequest(900*ms, call("hot", 900*ms, 1))
+		d.HandleRequest(900*ms, call("cold", 900*ms, 2))
 		hot[f.last["hot"]], cold[f.last["cold"]] = true, true
 	}
 	if len(hot) < 10 || len(cold) > 3 {
@@ -1249,8 +1249,8 @@
 
 // Found at full size: a few workers with fifty calls made all look light by the mean. The middle is not moved by them.
 func TestFewCrowdedWorkersDoNotHideEachOther(t *testing.T) {
-	s := settings(Safe, ScopeAll)
-	s.Siblings, s.Peers = 50, true
+	s := settings(Idempotent, ScopeAll)
+	s.Dispatchers, s.Gossip = 50, true
 	d, f := start(t, s, 10)
 	hear(d, 0)
 	var counts []aggregate.Count
@@ -1261,12 +1261,12 @@
 		}
 		counts = append(counts, aggregate.Count{Worker: uint16(i), N: n, Heard: true})
 	}
-	d.Peer(ms, 1, digest(d, ms, []float64{0, 0}, counts...))
+	d.HandlePeerMessage(ms, 1, digest(d, ms, []float64{0, 0}, counts...))
 	for k := range 40 {
 		h := d.function(ms, call("", ms, FuncID(k))).at(d.workers[1], true) // believed at a crowded worker
 		h.until = 8000 * ms
 		d.misses = 1
-		d.Request(2*ms, call(fmt.Sprint(k), 2*ms, FuncID(k)))
+		d.HandleRequest(2*ms, call(fmt.Sprint(k), 2*ms, FuncID(k)))
 		if w := f.last[fmt.Sprint(k)]; w <= 4 {
 			t.Fatalf("function %d sent to worker %d, which holds 50 calls where most hold 4", k, w)
 		}
@@ -1274,47 +1274,47 @@
 }
 
 func TestBadInputAtSize(t *testing.T) {
-	s := settings(Safe, ScopeAll)
-	s.Siblings, s.Number, s.Peers = 250, 7, true
+	s := settings(Idempotent, ScopeAll)
+	s.Dispatchers, s.DispatcherIndex, s.Gossip = 250, 7, true
 	d, f := start(t, s, 4000)
-	d.Request(0, call("a", 0, 1))
+	d.HandleRequest(0, call("a", 0, 1))
 	for _, from := range []int{-1, 7, 250, 1 << 30} {
-		d.Peer(ms, from, digest(d, ms, []float64{9, 9}))
+		d.HandlePeerMessage(ms, from, digest(d, ms, []float64{9, 9}))
 	}
 	for _, text := range []string{"", "A", "AQ", "////////", "AAAAAAA", "\x00\xff", strings.Repeat("A", 400)} {
-		d.Peer(ms, 3, text)
+		d.HandlePeerMessage(ms, 3, text)
 	}
 	if d.sum(served) != 0 || len(d.funcs) != 1 {
 		t.Fatalf("bad messages were taken: %v, %d functions", d.sum(served), len(d.funcs))
 	}
-	d.Roster(2*ms, RosterFull, roster(1))
-	d.Request(3*ms, call("b", 3*ms, 1))
-	d.Roster(4*ms, RosterFull, nil)
-	d.Outcome(5*ms, ok("long gone", 3))
-	d.Loaded(5*ms, 9, 9, 1, OK)
-	d.Probed(5*ms, 9, OK, 1, []float64{1})
-	d.Roster(6*ms, RosterKind(9), roster(2))
+	d.UpdateEndpoints(2*ms, EndpointsSnapshot, roster(1))
+	d.HandleRequest(3*ms, call("b", 3*ms, 1))
+	d.UpdateEndpoints(4*ms, EndpointsSnapshot, nil)
+	d.HandleAttemptResult(5*ms, ok("long gone", 3))
+	d.HandleLoadResult(5*ms, 9, 9, 1, OK)
+	d.HandleHealthCheck(5*ms, 9, OK, 1, []float64{1})
+	d.UpdateEndpoints(6*ms, EndpointUpdateKind(9), roster(2))
 	if f.last["b"] != 1 {
 		t.Fatalf("sent to %d, one worker was listed", f.last["b"])
 	}
-	zero, err := New(0, Settings{Classes: []Class{{Aim: 1000 * ms}}, Peers: true}, 1, newFake())
+	zero, err := New(0, Settings{Classes: []Class{{LatencyObjective: 1000 * ms}}, Gossip: true}, 1, newFake())
 	if err != nil {
 		t.Fatal(err)
 	}
-	zero.Roster(0, RosterFull, roster(2))
-	zero.Request(0, call("z", 0, 1))
-	zero.Timer(3000*ms, 1)
+	zero.UpdateEndpoints(0, EndpointsSnapshot, roster(2))
+	zero.HandleRequest(0, call("z", 0, 1))
+	zero.HandleTimer(3000*ms, 1)
 	awake(zero, newFake(), 3000*ms, 4000*ms)
 }
 
 // Found at full size: clients that repeat at once. When calls queue, marked repeats are refused before first tries.
 func TestRepeatsDoNotCrowdOutFirstTries(t *testing.T) {
-	d, f := start(t, settings(Safe, ScopeAll), 4)
+	d, f := start(t, settings(Idempotent, ScopeAll), 4)
 	hear(d, 0)
 	now := int64(5000 * ms)
 	for i := range 90 { // all loaded, nothing answered: a queue forms
 		id := fmt.Sprint(i)
-		d.Request(now, Request{ID: id, Func: 1, Deadline: now + 3000*ms, Lanes: 16, Repeat: i%3 > 0})
+		d.HandleRequest(now, Request{ID: id, Func: 1, Deadline: now + 3000*ms, Lanes: 16, Repeat: i%3 > 0})
 		d.function(now, call(id, now, 1)).at(d.list[i%4], true).until = now + 8000*ms
 	}
 	first, repeat := 0, 0
@@ -1334,8 +1334,8 @@
 
 // Found by reading: before the warm workers were first counted, what all of them answer was taken for what one does.
 func TestColdBudgetBeforeTheFirstCount(t *testing.T) {
-	d, _ := start(t, settings(Safe, ScopeAll), 50)
-	d.Roster(0, RosterFull, append(roster(50), Entry{Worker: 99, State: On, Weight: 1, Start: 999 * ms}))
+	d, _ := start(t, settings(Idempotent, ScopeAll), 50)
+	d.UpdateEndpoints(0, EndpointsSnapshot, append(roster(50), Endpoint{Worker: 99, State: Active, Weight: 1, Start: 999 * ms}))
 	d.answers, d.answersAt = 400, 1000*ms // 50 a second from 50 workers: one a second each
 	if d.eligible(1000*ms, d.workers[99]); d.workers[99].coldLeft > 1 {
 		t.Fatalf("%d calls at once to a cold worker", d.workers[99].coldLeft)
@@ -1345,8 +1345,8 @@
 // Guards against loads that crowd out loaded copies: near the limit of open calls, what needs a load is turned
 // away first, and the rest only when hardly any room is left.
 func TestRoomGoesToLoadedFunctionsFirst(t *testing.T) {
-	s := settings(Safe, ScopeAll)
-	s.MaxOpen = 100
+	s := settings(Idempotent, ScopeAll)
+	s.MaxInFlight = 100
 	d, f := start(t, s, 4)
 	hear(d, 0)
 	now := 5000 * ms
@@ -1362,7 +1362,7 @@
 			fn = FuncID(100 + i)
 		}
 		id := fmt.Sprint(i)
-		if d.Request(now, call(id, now, fn)); f.answers[id] == "refused" {
+		if d.HandleRequest(now, call(id, now, fn)); f.answers[id] == "refused" {
 			if fn == 1 {
 				warm++
 			} else {
@@ -1378,16 +1378,16 @@
 // Guards against loads that cost more than the wait they spare: a busy holder is kept up to what a load takes.
 func TestDearLoadsKeepTheHolder(t *testing.T) {
 	used := func(load int64) int {
-		d, f := start(t, settings(Safe, ScopeAll), 4)
+		d, f := start(t, settings(Idempotent, ScopeAll), 4)
 		hear(d, 0)
 		on := map[WorkerID]bool{}
 		for i := range 10 {
 			q := call(fmt.Sprint(i), 0, 1)
 			q.LoadTime = load
-			d.Request(0, q)
+			d.HandleRequest(0, q)
 			on[f.last[q.ID]] = true
 			if i == 0 {
-				d.Outcome(10*ms, ok("0", f.last["0"]))
+				d.HandleAttemptResult(10*ms, ok("0", f.last["0"]))
 			}
 		}
 		return len(on)
@@ -1402,17 +1402,17 @@
 // connection tells of a death at once.
 func TestCutConnectionsEjectNobody(t *testing.T) {
 	for lately, res := range map[int64]Result{100 * ms: Reset, 1500 * ms: Reset, 1501 * ms: ConnectFailed} {
-		d, f := start(t, settings(Safe, ScopeAll), 4)
+		d, f := start(t, settings(Idempotent, ScopeAll), 4)
 		hear(d, 0)
-		d.Request(0, call("a", 0, 1))
+		d.HandleRequest(0, call("a", 0, 1))
 		w := d.workers[f.last["a"]]
-		d.Outcome(10*ms, ok("a", w.Worker))
+		d.HandleAttemptResult(10*ms, ok("a", w.Worker))
 		awake(d, f, 20*ms, lately)
-		d.Request(lately, call("b", lately, 1))
+		d.HandleRequest(lately, call("b", lately, 1))
 		if f.last["b"] != w.Worker {
 			t.Fatal("the holder was not taken")
 		}
-		d.Outcome(lately+5*ms, Outcome{ID: "b", Worker: w.Worker, Result: res})
+		d.HandleAttemptResult(lately+5*ms, AttemptResult{ID: "b", Worker: w.Worker, Result: res})
 		if dead := res != Reset; d.out(w) != dead || (w.holds[0].until == 0) != dead || (f.last["b"] != w.Worker) != dead {
 			t.Fatalf("%d after %d ms: ejected %v, beliefs %v, sent to %d", res, lately/ms, d.out(w), w.holds[0].until, f.last["b"])
 		}
@@ -1420,7 +1420,7 @@
 			t.Errorf("%d: Ejected says %v", res, ejected)
 		}
 		if res == Reset {
-			d.Outcome(lately+9*ms, Outcome{ID: "b", Attempt: 1, Worker: w.Worker, Result: res})
+			d.HandleAttemptResult(lately+9*ms, AttemptResult{ID: "b", Attempt: 1, Worker: w.Worker, Result: res})
 			if f.last["b"] == w.Worker || d.out(w) {
 				t.Errorf("cut twice: sent to %d again, ejected %v", f.last["b"], d.out(w))
 			}
@@ -1431,30 +1431,30 @@
 // Guards against workers' queues that fill with calls for copies still loading: such calls wait here, one order
 // loads, and its end sends them. A load that outlasts their patience gets them all the same, in time.
 func TestCallsWaitHereForALoad(t *testing.T) {
-	d, f := start(t, settings(Safe, ScopeAll), 3)
+	d, f := start(t, settings(Idempotent, ScopeAll), 3)
 	hear(d, 0)
-	d.Request(0, call("a", 0, 1))
+	d.HandleRequest(0, call("a", 0, 1))
 	if len(f.sends) != 1 || len(f.loads) != 0 {
 		t.Fatal("a function that no worker has served was ordered")
 	}
-	d.Outcome(10*ms, ok("a", f.last["a"]))
+	d.HandleAttemptResult(10*ms, ok("a", f.last["a"]))
 	now := 9000 * ms // the belief has lapsed
 	awake(d, f, 20*ms, now)
 	for _, id := range []string{"b", "c"} {
-		d.Request(now, call(id, now, 1))
+		d.HandleRequest(now, call(id, now, 1))
 	}
 	if len(f.sends) != 1 || len(f.loads) != 1 {
 		t.Fatalf("%d sends, %d orders", len(f.sends), len(f.loads))
 	}
-	d.Loaded(now+600*ms, f.loads[0], 1, 1, OK)
+	d.HandleLoadResult(now+600*ms, f.loads[0], 1, 1, OK)
 	if f.last["b"] != f.loads[0] || f.last["c"] != f.loads[0] {
 		t.Fatalf("sent %v, loaded at %v", f.last, f.loads)
 	}
-	d.Outcome(now+610*ms, ok("b", f.last["b"]))
-	d.Outcome(now+610*ms, ok("c", f.last["c"]))
+	d.HandleAttemptResult(now+610*ms, ok("b", f.last["b"]))
+	d.HandleAttemptResult(now+610*ms, ok("c", f.last["c"]))
 	now = 19000 * ms
 	awake(d, f, 9700*ms, now)
-	d.Request(now, call("d", now, 1))
+	d.HandleRequest(now, call("d", now, 1))
 	awake(d, f, now, now+1180*ms)
 	if f.last["d"] != 0 {
 		t.Fatal("not held")
@@ -1468,16 +1468,16 @@
 // Guards healthy workers against calls of functions that do not exist: such errors come from any worker alike. And the
 // calls go round no more than twice.
 func TestUnknownFunctionsBlameNobody(t *testing.T) {
-	d, f := start(t, settings(Safe, ScopeAll), 3)
+	d, f := start(t, settings(Idempotent, ScopeAll), 3)
 	hear(d, 0)
 	for i := range 4 {
 		now, id := int64(i)*20*ms, fmt.Sprint(i)
-		d.Request(now, call(id, now, FuncID(i)))
+		d.HandleRequest(now, call(id, now, FuncID(i)))
 		for try := 0; f.answers[id] == ""; try++ {
 			if try == 2 {
 				t.Fatal("tried again and again")
 			}
-			d.Outcome(now+ms, Outcome{ID: id, Attempt: try, Worker: f.last[id], Result: Error})
+			d.HandleAttemptResult(now+ms, AttemptResult{ID: id, Attempt: try, Worker: f.last[id], Result: Error})
 		}
 	}
 	for _, w := range d.list {
@@ -1490,7 +1490,7 @@
 // Guards memory, which idle copies cost and loads wait for: one that is hardly called goes after half the keep-alive,
 // one that is called now and then stays, and so does one with a call out.
 func TestIdleCopiesAreUnloaded(t *testing.T) {
-	d, f := start(t, settings(Safe, ScopeAll), 3)
+	d, f := start(t, settings(Idempotent, ScopeAll), 3)
 	hear(d, 0)
 	for now := int64(0); now < 3000*ms; now += 500 * ms {
 		for _, fn := range []FuncID{1, 2, 3} {
@@ -1498,9 +1498,9 @@
 				continue
 			}
 			id := fmt.Sprint(fn, "-", now)
-			d.Request(now, call(id, now, fn))
+			d.HandleRequest(now, call(id, now, fn))
 			if fn != 3 {
-				d.Outcome(now+20*ms, ok(id, f.last[id]))
+				d.HandleAttemptResult(now+20*ms, ok(id, f.last[id]))
 			}
 		}
 		awake(d, f, now+20*ms, now+480*ms)
@@ -1522,18 +1522,18 @@
 		"another function's did":   {},
 		"a peer told of the copy":  {told: true},
 	} {
-		s := settings(Safe, ScopeAll)
+		s := settings(Idempotent, ScopeAll)
 		s.LoadsOnMiss = false // nothing is held for an order
 		d, f := start(t, s, 1)
 		hear(d, 0)
 		for i, fn := range []FuncID{1, 2} {
 			id := fmt.Sprint("a", i)
-			d.Request(0, call(id, 0, fn))
-			d.Outcome(10*ms, ok(id, f.last[id]))
+			d.HandleRequest(0, call(id, 0, fn))
+			d.HandleAttemptResult(10*ms, ok(id, f.last[id]))
 		}
 		h := d.funcs[1].holders[0]
 		h.sure = !c.told
-		d.Request(20*ms, call("x", 20*ms, 1))
+		d.HandleRequest(20*ms, call("x", 20*ms, 1))
 		if a := d.reqs["x"].tries[0]; c.told != (a.due-a.sent > 1000*ms) {
 			t.Errorf("%s: due after %d ms", name, (a.due-a.sent)/ms)
 		}
@@ -1541,11 +1541,11 @@
 		if c.hit {
 			other = 1
 		}
-		d.Request(30*ms, call("y", 30*ms, other))
-		d.Outcome(40*ms, ok("y", f.last["y"]))
+		d.HandleRequest(30*ms, call("y", 30*ms, other))
+		d.HandleAttemptResult(40*ms, ok("y", f.last["y"]))
 		awake(d, f, 60*ms, 2900*ms)
 		before := d.lost
-		d.Outcome(2900*ms, Outcome{ID: "x", Worker: 1, Result: Timeout, Finished: true})
+		d.HandleAttemptResult(2900*ms, AttemptResult{ID: "x", Worker: 1, Result: Timeout, Finished: true})
 		if (d.lost > before) != c.lost {
 			t.Errorf("%s: share of lost answers %v, before %v", name, d.lost, before)
 		}
@@ -1564,21 +1564,21 @@
 		"another copy does":       {1500 * ms, 2, 1},
 		"too late to be in time":  {700 * ms, 1, 1},
 	} {
-		s := settings(Safe, ScopeAll)
+		s := settings(Idempotent, ScopeAll)
 		d, f := start(t, s, 1)
 		hear(d, 0)
-		d.set.Classes[0].Aim = c.aim // learned times stay
+		d.set.Classes[0].LatencyObjective = c.aim // learned times stay
 		for i, fn := range []FuncID{1, 2} {
 			id := fmt.Sprint("a", i)
-			d.Request(0, call(id, 0, fn))
-			d.Outcome(10*ms, ok(id, f.last[id]))
+			d.HandleRequest(0, call(id, 0, fn))
+			d.HandleAttemptResult(10*ms, ok(id, f.last[id]))
 		}
-		d.Request(20*ms, call("x", 20*ms, 1))
+		d.HandleRequest(20*ms, call("x", 20*ms, 1))
 		for i := range 140 {
 			now, id := int64(30+20*i)*ms, fmt.Sprint("y", i)
-			d.Timer(now, f.ref)
-			d.Request(now, call(id, now, c.other))
-			d.Outcome(now+5*ms, ok(id, f.last[id]))
+			d.HandleTimer(now, f.ref)
+			d.HandleRequest(now, call(id, now, c.other))
+			d.HandleAttemptResult(now+5*ms, ok(id, f.last[id]))
 		}
 		n := 0
 		for _, x := range f.sends {
@@ -1596,17 +1596,17 @@
 // sent to wait there, or load elsewhere. It is given again, within the ration; after a no the call is sent.
 func TestOrdersCutOffAreGivenAgain(t *testing.T) {
 	for res, orders := range map[Result]int{Reset: 3, Moot: 3, Full: 1, Error: 1} {
-		s := settings(Safe, ScopeAll)
+		s := settings(Idempotent, ScopeAll)
 		s.LoadWindow, s.LoadFree = 5000*ms, 3
 		d, f := start(t, s, 1)
 		hear(d, 0)
-		d.Request(0, call("a", 0, 1))
-		d.Outcome(10*ms, ok("a", 1))
+		d.HandleRequest(0, call("a", 0, 1))
+		d.HandleAttemptResult(10*ms, ok("a", 1))
 		now := 9000 * ms // the belief has lapsed
 		awake(d, f, 20*ms, now)
-		d.Request(now, call("b", now, 1))
+		d.HandleRequest(now, call("b", now, 1))
 		for i := range int64(4) {
-			d.Loaded(now+i*ms, 1, 1, 0, res)
+			d.HandleLoadResult(now+i*ms, 1, 1, 0, res)
 		}
 		if len(f.loads) != orders || len(f.sends) != 2 {
 			t.Errorf("order ended with %d: %d orders, %d sends", res, len(f.loads), len(f.sends))
@@ -1620,8 +1620,8 @@
 func TestZoneCutOffIsLearntAndForgottenAsOne(t *testing.T) {
 	const cutAt, healAt, end, workers = 2000 * ms, 8000 * ms, 11000 * ms, 40
 	for seed := range uint64(4) {
-		s := settings(Safe, ScopeAll)
-		s.Siblings, s.Number, s.Classes[0].Aim = 80, int(seed), 240*ms
+		s := settings(Idempotent, ScopeAll)
+		s.Dispatchers, s.DispatcherIndex, s.Classes[0].LatencyObjective = 80, int(seed), 240*ms
 		f := newFake()
 		d, err := New(0, s, seed, f)
 		if err != nil {
@@ -1631,10 +1631,10 @@
 		for i := range es {
 			es[i].Zone = i % 2
 		}
-		d.Roster(0, RosterFull, es)
+		d.UpdateEndpoints(0, EndpointsSnapshot, es)
 		type flight struct {
 			at int64
-			o  Outcome
+			o  AttemptResult
 		}
 		var out []flight
 		tries := map[string]int{}
@@ -1645,18 +1645,18 @@
 				if now >= healAt { // held nowhere: its place is any worker's
 					fn += FuncID(now)
 				}
-				d.Request(now, call(fmt.Sprint(now/ms), now, fn))
+				d.HandleRequest(now, call(fmt.Sprint(now/ms), now, fn))
 			}
 			for i := 0; i < len(out); {
 				if x := out[i]; x.at <= now {
 					out = append(out[:i], out[i+1:]...)
-					d.Outcome(now, x.o)
+					d.HandleAttemptResult(now, x.o)
 				} else {
 					i++
 				}
 			}
 			if f.ref > 0 {
-				d.Timer(now, f.ref)
+				d.HandleTimer(now, f.ref)
 			}
 			for ; seen < len(f.sends); seen++ {
 				x := f.sends[seen]
@@ -1688,8 +1688,8 @@
 // Found by reading: what others told of a worker's pace was told on as if seen, so that it never faded. It weighs here, is told
 // to nobody, and what we saw ourselves is not made less by it.
 func TestToldPaceIsNotToldOn(t *testing.T) {
-	s := settings(Safe, ScopeAll)
-	s.Siblings, s.Peers = 12, true
+	s := settings(Idempotent, ScopeAll)
+	s.Dispatchers, s.Gossip = 12, true
 	d, _ := start(t, s, 4)
 	now := 1000000 * ms
 	before := d.load(now, d.workers[1])
@@ -1755,23 +1755,23 @@
 		{siblings: 3}, {siblings: 5}, {siblings: 24, waits: true}, {siblings: 300, waits: true},
 		{siblings: 300, walk: walkNever, waits: true}, {siblings: 300, elsewhere: true},
 	} {
-		s := settings(Safe, ScopeAll)
-		s.Siblings, s.Walk = c.siblings, c.walk
+		s := settings(Idempotent, ScopeAll)
+		s.Dispatchers, s.FullScanLimit = c.siblings, c.walk
 		d, f := start(t, s, workers)
 		hear(d, 0)
-		d.Request(ms, call("a", ms, 9))
+		d.HandleRequest(ms, call("a", ms, 9))
 		place := f.last["a"]
 		other := place%workers + 1
 		if c.elsewhere {
 			d.believe(ms, d.funcs[funcTag(9)].at(d.workers[other], true))
 		}
 		full := func(n int, now int64) {
-			d.Outcome(now, Outcome{ID: "a", Attempt: n, Worker: f.last["a"], Result: Full})
+			d.HandleAttemptResult(now, AttemptResult{ID: "a", Attempt: n, Worker: f.last["a"], Result: Full})
 		}
 		// until is when the next attempt goes out; 0: none does in time.
 		until := func(from int64) int64 {
 			for now, n := from, len(f.sends); now < 3000*ms; now += ms {
-				if d.Timer(now, f.ref); len(f.sends) > n {
+				if d.HandleTimer(now, f.ref); len(f.sends) > n {
 					return now
 				}
 			}
@@ -1805,8 +1805,8 @@
 		const functions = 20
 		at := map[[2]int]bool{}
 		for i := range 40 {
-			s := settings(Safe, ScopeAll)
-			s.Siblings, s.Number, s.Walk = 300, i*7, walk
+			s := settings(Idempotent, ScopeAll)
+			s.Dispatchers, s.DispatcherIndex, s.FullScanLimit = 300, i*7, walk
 			d, f := start(t, s, 120)
 			hear(d, 0)
 			d.stats[0] = stat{float64(1000 * ms), float64(500 * ms)}
@@ -1814,7 +1814,7 @@
 				r := call(fmt.Sprint(k), 8000*ms, FuncID(5+k*1_000_003))
 				fn := d.function(8000*ms, r)
 				fn.calls, fn.callsAt = 1, 8000*ms // the call at hand is the second
-				d.Request(8000*ms, r)
+				d.HandleRequest(8000*ms, r)
 				at[[2]int{k, int(f.last[r.ID])}] = true
 			}
 		}
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -19,8 +19,8 @@
 const peerDatagramsFile = "testdata/peer-datagrams.golden"
 
 func peerSettings(number int) Settings {
-	s := settings(Safe, ScopeAll)
-	s.Number, s.Siblings, s.Peers, s.TenantRate = number, 3, true, []float64{50}
+	s := settings(Idempotent, ScopeAll)
+	s.DispatcherIndex, s.Dispatchers, s.Gossip, s.TenantQuota = number, 3, true, []float64{50}
 	return s
 }
 
@@ -33,31 +33,31 @@
 	d, f := start(t, s, 6)
 	for i := range 600 {
 		now, id := int64(i)*20*ms, fmt.Sprint(i)
-		d.Request(now, call(id, now, FuncID(i%5)))
+		d.HandleRequest(now, call(id, now, FuncID(i%5)))
 		if i%40 != 39 {
 			answer := ok(id, f.last[id])
 			if answer.Worker == 2 {
-				d.Outcome(now+4*ms, Outcome{ID: id, Worker: 2, Result: Error})
+				d.HandleAttemptResult(now+4*ms, AttemptResult{ID: id, Worker: 2, Result: Error})
 				answer.Attempt, answer.Worker = 1, f.last[id]
 			}
-			d.Outcome(now+5*ms, answer)
+			d.HandleAttemptResult(now+5*ms, answer)
 		}
 		if i%50 == 25 {
-			for from := 1; from < s.Siblings; from++ {
+			for from := 1; from < s.Dispatchers; from++ {
 				report := aggregate.Message{Calls: 20, Marks: []aggregate.Mark{{Worker: 2, Bad: 3}},
-					Row:    aggregate.Row{Incarnation: 1, Seq: uint8(i / 50), Figures: []float64{12.5, 20, 3}, Fresh: i < 100},
-					Counts: []aggregate.Count{{Worker: 4, N: from, Heard: true}, {Worker: 5, Silent: true}},
-					Pairs:  []aggregate.Pair{{Func: uint32(100 + from), Worker: 6}}}
-				d.Peer(now+6*ms, from, report.Texts(s.Siblings)[0])
+					Report:  aggregate.Report{Incarnation: 1, Seq: uint8(i / 50), Values: []float64{12.5, 20, 3}, Fresh: i < 100},
+					Counts:  []aggregate.Count{{Worker: 4, N: from, Heard: true}, {Worker: 5, Silent: true}},
+					Holders: []aggregate.Holder{{Func: uint32(100 + from), Worker: 6}}}
+				d.HandlePeerMessage(now+6*ms, from, report.Encode(s.Dispatchers)[0])
 			}
 		}
 		if i%100 == 60 {
-			d.Peer(now+7*ms, 1, digest(d, now+7*ms, []float64{60, 60, 5}, aggregate.Count{Worker: 1, N: 3, Heard: true}))
+			d.HandlePeerMessage(now+7*ms, 1, digest(d, now+7*ms, []float64{60, 60, 5}, aggregate.Count{Worker: 1, N: 3, Heard: true}))
 		}
 		if i == 300 {
-			d.Peer(now+8*ms, 2, aggregate.Message{Hello: true, GoesOn: true}.Texts(s.Siblings)[0])
+			d.HandlePeerMessage(now+8*ms, 2, aggregate.Message{SyncRequest: true, Continued: true}.Encode(s.Dispatchers)[0])
 		}
-		d.Timer(now+10*ms, f.ref)
+		d.HandleTimer(now+10*ms, f.ref)
 		for n := len(lines); n < len(f.told); n++ {
 			lines, times = append(lines, fmt.Sprint(f.toldTo[n], " ", f.told[n])), append(times, now+10*ms)
 		}
@@ -92,26 +92,26 @@
 		require.True(t, found, line)
 		number, err := strconv.Atoi(to)
 		require.NoError(t, err)
-		m, readable := aggregate.Read(text, s.Siblings)
+		m, readable := aggregate.Decode(text, s.Dispatchers)
 		require.True(t, readable, line)
 		switch {
-		case m.Hello:
+		case m.SyncRequest:
 			kinds["sync request"]++
-		case m.GoesOn:
+		case m.Continued:
 			kinds["holders"]++
-		case m.Hub:
+		case m.FromLeader:
 			kinds["digest"]++
 			assert.Equal(t, -1, number, "a digest goes to all")
-		case m.Row.Prev != nil:
+		case m.Report.LastCounted != nil:
 			kinds["report with Prev"]++
 		default:
 			kinds["report"]++
 		}
-		assert.True(t, d.Peer(times[i], 0, text), line)
+		assert.True(t, d.HandlePeerMessage(times[i], 0, text), line)
 	}
 	for _, kind := range []string{"sync request", "holders", "digest", "report with Prev", "report"} {
 		assert.Positive(t, kinds[kind], kind)
 	}
 	assert.Zero(t, d.shared.Dropped, "rows and digests not taken")
-	assert.False(t, d.Shared().Never, "a digest was taken")
+	assert.False(t, d.FleetView().Never, "a digest was taken")
 }
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -9,7 +9,7 @@
 )
 
 // learn learns from an outcome: latency, holder beliefs, and the worker's faults.
-func (d *Dispatcher) learn(now int64, a *attempt, o Outcome) {
+func (d *Balancer) learn(now int64, a *attempt, o AttemptResult) {
 	w, h, st := a.w, a.h, &d.stats[a.req.Class]
 	age := float64(now - a.sent)
 	if o.Result != OK && o.Result != Moot && o.Result != Cancelled {
@@ -34,7 +34,7 @@
 		}
 		d.served = d.served*math.Exp(-float64(now-d.servedAt)/float64(2*d.minAim)) + 1
 		d.servedAt = now
-		d.changed(now, w, d.judge.Succeeded(now, &w.health))
+		d.changed(now, w, d.judge.RecordSuccess(now, &w.health))
 		miss := 0.0
 		if o.Warmth == BeganLoad || a.req.began {
 			miss, a.req.began = 1, false
@@ -72,7 +72,7 @@
 
 // cut takes a connection that never came up, or one cut under a call. That tells of no death: some networks
 // cut everywhere, and all workers would be out in turn.
-func (d *Dispatcher) cut(now, sent int64, w *worker, res Result) {
+func (d *Balancer) cut(now, sent int64, w *worker, res Result) {
 	if res == Reset {
 		d.blame(now, w, outlier.Hint)
 	}
@@ -80,55 +80,55 @@
 		return
 	}
 	d.unbelieve(w)
-	d.changed(now, w, d.judge.Unreached(now, sent, &w.health, w.Zone))
+	d.changed(now, w, d.judge.RecordUnreachable(now, sent, &w.health, w.Zone))
 }
 
 // answered: w has said something, good or bad, so it can be reached.
-func (d *Dispatcher) answered(now int64, w *worker) {
+func (d *Balancer) answered(now int64, w *worker) {
 	w.lastAnswer = now
-	d.changed(now, w, d.judge.Answered(now, &w.health, w.Zone))
+	d.changed(now, w, d.judge.RecordResponse(now, &w.health, w.Zone))
 }
 
-func (d *Dispatcher) blame(now int64, w *worker, weight outlier.Weight) {
-	d.changed(now, w, d.judge.Failed(now, &w.health, weight))
+func (d *Balancer) blame(now int64, w *worker, weight outlier.Weight) {
+	d.changed(now, w, d.judge.RecordFailure(now, &w.health, weight))
 }
 
-func (d *Dispatcher) well(now int64, w *worker) bool { return !d.out(w) && !d.silent(now, w) }
+func (d *Balancer) well(now int64, w *worker) bool { return !d.out(w) && !d.silent(now, w) }
 
 // silent: its oldest attempt is overdue and nothing has been heard since that was sent.
-func (d *Dispatcher) silent(now int64, w *worker) bool { return d.nobodys(now, w) || d.quiet(now, w) }
+func (d *Balancer) silent(now int64, w *worker) bool { return d.nobodys(now, w) || d.quiet(now, w) }
 
 // nobodys: no dispatcher hears it, none is served there, or none on our side of a cut.
-func (d *Dispatcher) nobodys(now int64, w *worker) bool {
-	return d.told(now, w) || d.judge.Cut(w.Zone)
+func (d *Balancer) nobodys(now int64, w *worker) bool {
+	return d.told(now, w) || d.judge.ZonePartitioned(w.Zone)
 }
 
 // told: the hub tells that others were not served there, or that some found it silent and none had an answer;
 // nor had we. Of many dispatchers the next hubs may be down, and each alone is slow to find out.
-func (d *Dispatcher) told(now int64, w *worker) bool {
+func (d *Balancer) told(now int64, w *worker) bool {
 	mute := w.silentAt > 0 && w.lastAnswer < w.silentAt-d.minAim &&
 		float64(now-w.silentAt) < min(d.tau(), 2*d.many()*float64(d.minAim))
 	return mute || d.judge.ByWords(now, &w.health)
 }
 
-func (d *Dispatcher) quiet(now int64, w *worker) bool {
+func (d *Balancer) quiet(now int64, w *worker) bool {
 	return len(w.open) > 0 && now > w.open[0].due && w.lastAnswer <= w.open[0].sent
 }
 
 // trialDue: a worker that nobody hears is tried by a few dispatchers in turn, one that serves nobody by one.
-func (d *Dispatcher) trialDue(now int64, w *worker, r *request) bool {
+func (d *Balancer) trialDue(now int64, w *worker, r *request) bool {
 	k, key := int(few), mix(uint64(w.Worker)+uint64(now)/uint64(d.tau()))
 	if d.judge.ByWords(now, &w.health) {
 		k = 1
 	}
-	return d.judge.Due(now, &w.health, w.Zone) && len(w.open) == 0 && len(r.tries) == 0 &&
-		(r.class.Effect == Safe || !d.safe) && (!d.told(now, w) || d.roll.Turn(now, key, k))
+	return d.judge.TrialDue(now, &w.health, w.Zone) && len(w.open) == 0 && len(r.tries) == 0 &&
+		(r.class.Idempotency == Idempotent || !d.safe) && (!d.told(now, w) || d.roll.Assigned(now, key, k))
 }
 
-func (d *Dispatcher) out(w *worker) bool { return d.judge.Out(&w.health, w.Zone) }
+func (d *Balancer) out(w *worker) bool { return d.judge.Ejected(&w.health, w.Zone) }
 
 // changed logs what has changed of a worker; an empty text is nothing.
-func (d *Dispatcher) changed(now int64, w *worker, text string) {
+func (d *Balancer) changed(now int64, w *worker, text string) {
 	if text != "" {
 		d.log(now, "worker %d %s", w.Worker, text)
 	}
@@ -136,18 +136,18 @@
 
 // Ejected lists the listed workers that the module avoids by its own choice (ejected, past their failures), in the
 // order of the list. It changes nothing.
-func (d *Dispatcher) Ejected() []WorkerID {
+func (d *Balancer) Ejected() []WorkerID {
 	var out []WorkerID
 	for _, w := range d.list {
-		if w.listed && w.State == On && (d.out(w) || d.judge.Cut(w.Zone)) {
+		if w.listed && w.State == Active && (d.out(w) || d.judge.ZonePartitioned(w.Zone)) {
 			out = append(out, w.Worker)
 		}
 	}
 	return out
 }
 
-// Verdict is what is held of one worker, for operators.
-type Verdict struct {
+// WorkerHealth is what is held of one worker, for operators.
+type WorkerHealth struct {
 	Worker WorkerID
 	Zone   int
 	Pace   float64 // time of its calls in the mean of all
@@ -155,12 +155,12 @@
 	outlier.State
 }
 
-// Verdicts lists what is held of each listed worker, in the order of the list. It changes nothing that is decided.
-func (d *Dispatcher) Verdicts(now int64) (out []Verdict) {
+// WorkerHealth lists what is held of each listed worker, in the order of the list. It changes nothing that is decided.
+func (d *Balancer) WorkerHealth(now int64) (out []WorkerHealth) {
 	for _, w := range d.list {
 		pace := d.slow(now, w)
 		silent := d.told(now, w) && !d.judge.ByWords(now, &w.health)
-		v := Verdict{w.Worker, w.Zone, pace, silent, d.judge.State(now, &w.health, w.Zone, pace)}
+		v := WorkerHealth{w.Worker, w.Zone, pace, silent, d.judge.State(now, &w.health, w.Zone, pace)}
 		if v.Silent && v.State.Verdict == "well" {
 			v.State.Verdict, v.Evidence = "left out", "several found it silent, and nobody had an answer"
 		}
--- a/balancer/loadorders.go
+++ b/balancer/loadorders.go
@@ -12,16 +12,16 @@
 
 // trim has copies unloaded that lie idle for half of their time and that all dispatchers, by our part of the
 // answers, call less than once in it: they cost memory, and loads wait for room. Harm: a load more.
-func (d *Dispatcher) trim(now int64) {
-	part := 1 / float64(d.set.Siblings)
+func (d *Balancer) trim(now int64) {
+	part := 1 / float64(d.set.Dispatchers)
 	if all := d.sum(served) * d.view.Scale; now-d.digestAt < 2*d.minAim && all > 0 {
 		part = min(1, max(d.servedNow(now)*1e9/all, leastPart))
 	}
 	for _, w := range d.holding() {
 		for _, h := range d.held(now, w, d.set.KeepAlive/2) {
 			calls := h.fn.calls * math.Exp(-float64(now-h.fn.callsAt)/float64(d.keep())) / part
-			if d.set.Orders && h.sure && h.inflight == 0 && calls < idleCalls {
-				d.host.Drop(w.Worker, h.fn.id)
+			if d.set.LoadOrders && h.sure && h.inflight == 0 && calls < idleCalls {
+				d.host.OrderUnload(w.Worker, h.fn.id)
 				h.until = 0
 			}
 		}
@@ -29,30 +29,30 @@
 }
 
 // loadTook learns what a load takes and, by what it should take, how slow the store is.
-func (d *Dispatcher) loadTook(f *function, x float64) {
+func (d *Balancer) loadTook(f *function, x float64) {
 	usual := cmp.Or(float64(max(0, f.load)), d.loads.mean)
 	d.stress += learnStore * (min(max(x/max(usual, 1), 1), stressMax) - d.stress)
 	d.loads.add(x, learn)
 }
 
-func (d *Dispatcher) loadTime(f *function) float64 {
+func (d *Balancer) loadTime(f *function) float64 {
 	return max(float64(f.load), d.loads.mean) * d.stress
 }
 
 // count takes a call that came at a time as taken, for the ration.
-func (d *Dispatcher) count(at int64) {
+func (d *Balancer) count(at int64) {
 	if d.set.LoadWindow <= 0 {
 		return
 	}
 	d.arrived = since(d.arrived, at-2*d.set.LoadWindow)
 	place, _ := slices.BinarySearch(d.arrived, at)
 	d.arrived = slices.Insert(d.arrived, place, at)
-	d.host.Counted(at)
+	d.host.CountTowardLoadQuota(at)
 }
 
 // order is the one gate of every LOAD: eligibility and the ration (rules 3 and 5).
-func (d *Dispatcher) order(now int64, h *holder, n int) bool {
-	if !d.set.Orders || !d.eligible(now, h.w) {
+func (d *Balancer) order(now int64, h *holder, n int) bool {
+	if !d.set.LoadOrders || !d.eligible(now, h.w) {
 		return false
 	}
 	if d.set.LoadWindow > 0 {
@@ -64,12 +64,12 @@
 		}
 		d.ordered = append(d.ordered, now)
 	}
-	d.host.Load(h.w.Worker, h.fn.id, n)
+	d.host.OrderLoad(h.w.Worker, h.fn.id, n)
 	return true
 }
 
-// Probed takes the answer to a probe.
-func (d *Dispatcher) Probed(now int64, id WorkerID, res Result, rtt int64, rep []float64) {
+// HandleHealthCheck takes the answer to a probe.
+func (d *Balancer) HandleHealthCheck(now int64, id WorkerID, res Result, rtt int64, rep []float64) {
 	d.tick(now)
 	if w := d.workers[id]; w != nil && res == OK {
 		d.report(now, w, rep)
@@ -77,8 +77,8 @@
 	d.arm()
 }
 
-// Loaded takes what came of an order, and lets go the calls that were held for it.
-func (d *Dispatcher) Loaded(now int64, id WorkerID, fid FuncID, copies int, res Result) {
+// HandleLoadResult takes what came of an order, and lets go the calls that were held for it.
+func (d *Balancer) HandleLoadResult(now int64, id WorkerID, fid FuncID, copies int, res Result) {
 	d.tick(now)
 	defer d.arm()
 	w, f := d.workers[id], d.funcs[funcTag(fid)]
--- a/balancer/long_test.go
+++ b/balancer/long_test.go
@@ -21,7 +21,7 @@
 const walkWhole, walkNever = math.MaxInt, -1 // of Settings.Walk
 
 // lookedAt are the workers that the last choice looked at.
-func lookedAt(d *Dispatcher) (ws []*worker) {
+func lookedAt(d *Balancer) (ws []*worker) {
 	for _, w := range d.list {
 		if w.looked == d.turn {
 			ws = append(ws, w)
@@ -32,13 +32,13 @@
 
 func TestChoiceLooksAtAsManyInAnyLongList(t *testing.T) {
 	for _, n := range []int{3, 120, 256, 257, 600, 1900, 9600} {
-		s := settings(Safe, ScopeAll)
-		s.Siblings, s.LoadsOnMiss = 300, false
+		s := settings(Idempotent, ScopeAll)
+		s.Dispatchers, s.LoadsOnMiss = 300, false
 		d, f := start(t, s, n)
 		for i := range 200 {
 			now := int64(i) * 5 * ms
 			id := fmt.Sprint(i)
-			d.Request(now, call(id, now, FuncID(i%7)))
+			d.HandleRequest(now, call(id, now, FuncID(i%7)))
 			looked := lookedAt(d)
 			if n <= walked {
 				assert.Len(t, looked, n)
@@ -46,15 +46,15 @@
 				assert.LessOrEqual(t, len(looked), window+drawn+window, "%d executors", n)
 			}
 			assert.Contains(t, looked, d.workers[f.last[id]])
-			d.Outcome(now+ms, ok(id, f.last[id]))
+			d.HandleAttemptResult(now+ms, ok(id, f.last[id]))
 		}
 	}
 }
 
 // The mechanism's first clause in a list of any length: the copy that is believed to stand is found.
 func TestLongListFindsTheHolder(t *testing.T) {
-	s := settings(Safe, ScopeAll)
-	s.Siblings = 300
+	s := settings(Idempotent, ScopeAll)
+	s.Dispatchers = 300
 	d, f := start(t, s, 9600)
 	hear(d, 0)
 	for fn := range FuncID(50) {
@@ -64,7 +64,7 @@
 	}
 	for fn := range FuncID(50) {
 		id := fmt.Sprint(fn)
-		d.Request(ms, call(id, ms, fn))
+		d.HandleRequest(ms, call(id, ms, fn))
 		assert.Equal(t, WorkerID(1+fn*191), f.last[id])
 	}
 }
@@ -75,14 +75,14 @@
 	places := func(walk int) (n int) {
 		at := map[[2]int]bool{} // function and executor
 		for i := range 40 {
-			s := settings(Safe, ScopeAll)
-			s.Siblings, s.Number, s.Walk = 300, i, walk
+			s := settings(Idempotent, ScopeAll)
+			s.Dispatchers, s.DispatcherIndex, s.FullScanLimit = 300, i, walk
 			d, f := start(t, s, 1900)
 			gone := WorkerID(1 + (i*997)%1900)
-			d.Roster(0, RosterDelta, []Entry{{Worker: gone, State: Off}})
+			d.UpdateEndpoints(0, EndpointsDelta, []Endpoint{{Worker: gone, State: Removed}})
 			hear(d, 0)
 			for fn := range 20 {
-				d.Request(ms, call(fmt.Sprint(fn), ms, FuncID(77+fn*1_000_003)))
+				d.HandleRequest(ms, call(fmt.Sprint(fn), ms, FuncID(77+fn*1_000_003)))
 				at[[2]int{fn, int(f.last[fmt.Sprint(fn)])}] = true
 			}
 		}
@@ -96,14 +96,14 @@
 func TestLongListHotFunctionSpreads(t *testing.T) {
 	at := map[WorkerID]int{}
 	for i := range 100 {
-		s := settings(Safe, ScopeAll)
-		s.Siblings, s.Number = 200, i*2
+		s := settings(Idempotent, ScopeAll)
+		s.Dispatchers, s.DispatcherIndex = 200, i*2
 		d, f := start(t, s, 1900)
 		hear(d, 0)
 		r := call("x", 3000*ms, 5)
 		fn := d.function(3000*ms, r)
 		fn.calls, fn.callsAt = 8, 3000*ms // one a second here, 200 in all: at 0.25 s and a copy's two lanes half taken, 50 places
-		d.Request(3000*ms, r)
+		d.HandleRequest(3000*ms, r)
 		at[f.last["x"]]++
 	}
 	assert.Greater(t, len(at), 25, "places of a function that needs some 50")
@@ -112,8 +112,8 @@
 
 // Functions spread over the executors: no executor is the place of far more than its part, and few of none.
 func TestLongListPlacesAreEven(t *testing.T) {
-	s := settings(Safe, ScopeAll)
-	s.Siblings = 300
+	s := settings(Idempotent, ScopeAll)
+	s.Dispatchers = 300
 	d, _ := start(t, s, 1900)
 	hear(d, 0)
 	at := map[WorkerID]int{}
@@ -133,7 +133,7 @@
 
 // Busy executors are left to others: with three in ten crowded hardly a call goes to one of these.
 func TestLongListLeavesOutTheCrowded(t *testing.T) {
-	s := settings(Safe, ScopeAll)
+	s := settings(Idempotent, ScopeAll)
 	d, _ := start(t, s, 1900)
 	hear(d, 0)
 	for i, w := range d.list {
@@ -153,8 +153,8 @@
 
 // An executor that is out gets its trial also in a long list, as soon as it is drawn.
 func TestLongListTriesWhatIsOut(t *testing.T) {
-	s := settings(Safe, ScopeAll)
-	s.Siblings, s.LoadsOnMiss = 1, false
+	s := settings(Idempotent, ScopeAll)
+	s.Dispatchers, s.LoadsOnMiss = 1, false
 	d, f := start(t, s, 600)
 	hear(d, 0)
 	sick := d.workers[7]
@@ -164,10 +164,10 @@
 	for i := range 2000 {
 		now := 2000*ms + int64(i)*5*ms
 		id := fmt.Sprint(i)
-		d.Request(now, call(id, now, FuncID(i)))
+		d.HandleRequest(now, call(id, now, FuncID(i)))
 		tried = tried || f.last[id] == 7
-		d.Outcome(now+ms, ok(id, f.last[id]))
-		d.Timer(now+2*ms, f.ref)
+		d.HandleAttemptResult(now+ms, ok(id, f.last[id]))
+		d.HandleTimer(now+2*ms, f.ref)
 	}
 	assert.True(t, tried)
 	assert.False(t, d.out(sick), "back after trials that went well")
@@ -176,23 +176,23 @@
 // Found by reading: an executor that was first told of as stopped was listed for good but never in the list, and got no call when
 // it came on.
 func TestStoppedExecutorComesOn(t *testing.T) {
-	d, f := start(t, settings(Safe, ScopeAll), 0)
-	d.Roster(0, RosterDelta, []Entry{{Worker: 5, State: Off, Weight: 1}})
-	d.Roster(ms, RosterDelta, []Entry{{Worker: 5, State: On, Weight: 1}})
-	d.Request(2*ms, call("x", 2*ms, 1))
+	d, f := start(t, settings(Idempotent, ScopeAll), 0)
+	d.UpdateEndpoints(0, EndpointsDelta, []Endpoint{{Worker: 5, State: Removed, Weight: 1}})
+	d.UpdateEndpoints(ms, EndpointsDelta, []Endpoint{{Worker: 5, State: Active, Weight: 1}})
+	d.HandleRequest(2*ms, call("x", 2*ms, 1))
 	assert.Equal(t, WorkerID(5), f.last["x"])
 }
 
 // A class with keys may be repeated in its own group alone: the one executor left there is found, however long the list.
 func TestLongListFindsAnywhereToResend(t *testing.T) {
 	for _, n := range []int{3, 300} {
-		d, _ := start(t, settings(Keyed, ScopeZone), n)
+		d, _ := start(t, settings(IdempotentByKey, ScopeZone), n)
 		r := &request{Request: call("x", 0, 1), class: &d.set.Classes[0]}
 		r.tries = []*attempt{{req: r, w: d.list[0], zone: 9, ran: true}}
 		assert.False(t, d.mayResendAnywhere(ms, r))
 		d.list[n-1].Zone = 9
 		assert.True(t, d.mayResendAnywhere(ms, r))
-		d.set.Classes[0].Effect = Unsafe
+		d.set.Classes[0].Idempotency = NotIdempotent
 		assert.False(t, d.mayResendAnywhere(ms, r))
 	}
 }
@@ -200,15 +200,15 @@
 // Found at full size: with lists taken for long from 129 executors on, the days of a release fell (roll 0.48 to 0.31, herd 0.90 to 0.66),
 // where old ones may drain beside new ones (the cause was reasoned, not played alone): no look goes to one that drains.
 func TestLongListLooksAtNoneThatDrains(t *testing.T) {
-	s := settings(Safe, ScopeAll)
-	s.Siblings = 300
+	s := settings(Idempotent, ScopeAll)
+	s.Dispatchers = 300
 	d, _ := start(t, s, 900)
 	hear(d, 0)
-	var news []Entry
+	var news []Endpoint
 	for i := range 600 {
-		news = append(news, Entry{Worker: WorkerID(1 + i), State: Draining, Weight: 1})
+		news = append(news, Endpoint{Worker: WorkerID(1 + i), State: Draining, Weight: 1})
 	}
-	d.Roster(ms, RosterDelta, news)
+	d.UpdateEndpoints(ms, EndpointsDelta, news)
 	for fn := range FuncID(50) {
 		r := &request{Request: call("x", ms, fn), class: &d.set.Classes[0], fn: &function{id: fn, lanes: 2}}
 		w, _ := d.choose(ms, r)
@@ -216,7 +216,7 @@
 		looked := lookedAt(d)
 		assert.GreaterOrEqual(t, len(looked), window+drawn*3/4)
 		for _, w := range looked {
-			assert.Equal(t, On, w.State)
+			assert.Equal(t, Active, w.State)
 		}
 	}
 }
@@ -226,15 +226,15 @@
 func TestRoundsOverAPartMissNobody(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{3, 17, 64, 129, 400, 1900}).Draw(t, "executors")
-		s := settings(Effect(rapid.IntRange(0, 2).Draw(t, "effect")), ScopeAll)
-		s.Siblings, s.Number, s.Peers, s.Walk = 20, 1, true, walkNever
+		s := settings(Idempotency(rapid.IntRange(0, 2).Draw(t, "effect")), ScopeAll)
+		s.Dispatchers, s.DispatcherIndex, s.Gossip, s.FullScanLimit = 20, 1, true, walkNever
 		s.QueueField = 1
 		s.LoadsOnMiss = rapid.Bool().Draw(t, "orders")
 		f := newFake()
 		const began = 100_000 * ms
 		d, err := New(began, s, 7, f)
 		require.NoError(t, err)
-		d.Roster(began, RosterFull, roster(n))
+		d.UpdateEndpoints(began, EndpointsSnapshot, roster(n))
 		type flight struct {
 			id string
 			n  int
@@ -245,7 +245,7 @@
 		take := func() {
 			for _, x := range f.sends {
 				w := d.workers[x.w]
-				require.True(t, w != nil && w.listed && w.State == On, "sent to %d", x.w)
+				require.True(t, w != nil && w.listed && w.State == Active, "sent to %d", x.w)
 				out = append(out, flight{x.id, tries[x.id], x.w})
 				tries[x.id]++
 			}
@@ -256,38 +256,38 @@
 		}
 		for range rapid.IntRange(20, 60).Draw(t, "events") {
 			now += rapid.SampledFrom([]int64{ms, 20 * ms, 130 * ms, 900 * ms, 4100 * ms}).Draw(t, "later")
-			d.Timer(now, f.ref)
+			d.HandleTimer(now, f.ref)
 			take()
 			switch rapid.IntRange(0, 9).Draw(t, "event") {
 			case 0, 1, 2:
 				seq++
-				d.Request(now, call(fmt.Sprint(seq), now, FuncID(rapid.IntRange(0, 30).Draw(t, "function"))))
+				d.HandleRequest(now, call(fmt.Sprint(seq), now, FuncID(rapid.IntRange(0, 30).Draw(t, "function"))))
 			case 3, 4, 5:
 				if len(out) > 0 {
 					i := rapid.IntRange(0, len(out)-1).Draw(t, "flight")
 					o := out[i]
 					out = slices.Delete(out, i, i+1)
 					res := Result(rapid.IntRange(0, int(Results)-1).Draw(t, "end"))
-					d.Outcome(now, Outcome{ID: o.id, Attempt: o.n, Worker: o.w, Result: res, Finished: res == OK, Warmth: WarmHit, Report: []float64{2}})
+					d.HandleAttemptResult(now, AttemptResult{ID: o.id, Attempt: o.n, Worker: o.w, Result: res, Finished: res == OK, Warmth: WarmHit, Report: []float64{2}})
 				}
 			case 6:
-				e := Entry{Worker: few("worker"), State: State(rapid.IntRange(0, 2).Draw(t, "state")), Weight: 1}
+				e := Endpoint{Worker: few("worker"), State: EndpointState(rapid.IntRange(0, 2).Draw(t, "state")), Weight: 1}
 				if rapid.Bool().Draw(t, "restarts") {
 					e.Start = now
 				}
-				d.Roster(now, RosterDelta, []Entry{e})
+				d.UpdateEndpoints(now, EndpointsDelta, []Endpoint{e})
 			case 7:
-				d.Roster(now, RosterFull, roster(rapid.SampledFrom([]int{n, n / 2, 1}).Draw(t, "whole")))
+				d.UpdateEndpoints(now, EndpointsSnapshot, roster(rapid.SampledFrom([]int{n, n / 2, 1}).Draw(t, "whole")))
 			case 8:
-				m := aggregate.Message{Row: aggregate.Row{Incarnation: 1, Seq: uint8(seq + 1), Figures: []float64{1, 1}}, Calls: 9}
+				m := aggregate.Message{Report: aggregate.Report{Incarnation: 1, Seq: uint8(seq + 1), Values: []float64{1, 1}}, Calls: 9}
 				seq++
 				for range rapid.IntRange(0, 3).Draw(t, "counts") {
 					m.Counts = append(m.Counts, aggregate.Count{Worker: tag(few("counted")), N: 2, Silent: rapid.Bool().Draw(t, "silent"), Heard: true})
 				}
 				m.Marks = []aggregate.Mark{{Worker: tag(few("marked")), Bad: 3}}
-				d.Peer(now, rapid.IntRange(2, 6).Draw(t, "from"), m.Texts(20)[0])
+				d.HandlePeerMessage(now, rapid.IntRange(2, 6).Draw(t, "from"), m.Encode(20)[0])
 			case 9:
-				d.Peer(now, 3, digest(d, now, []float64{5, 1}, aggregate.Count{Worker: tag(few("told")), N: 1, Silent: true}))
+				d.HandlePeerMessage(now, 3, digest(d, now, []float64{5, 1}, aggregate.Count{Worker: tag(few("told")), N: 1, Silent: true}))
 			}
 			take()
 			sameRounds(t, d, now)
@@ -296,10 +296,10 @@
 }
 
 // sameRounds compares what a dispatcher finds by what was touched with what it finds in the whole list.
-func sameRounds(t require.TestingT, d *Dispatcher, now int64) {
+func sameRounds(t require.TestingT, d *Balancer, now int64) {
 	on := 0
 	for _, w := range d.list {
-		if w.State == On {
+		if w.State == Active {
 			on++
 		}
 	}
@@ -307,7 +307,7 @@
 	require.Len(t, d.on, on)
 	n := 0.0 // the definition of queued, over the whole list
 	for _, w := range d.list {
-		require.True(t, w.listed && w.State != Off)
+		require.True(t, w.listed && w.State != Removed)
 		if !d.well(now, w) {
 			continue
 		}
@@ -325,15 +325,15 @@
 	require.Equal(t, n, d.queued(now))
 	for _, hub := range []bool{false, true} {
 		said := func(walk int) (m aggregate.Message) {
-			d.set.Walk, m.Hub = walk, hub
+			d.set.FullScanLimit, m.FromLeader = walk, hub
 			d.gather(now, &m)
 			slices.SortFunc(m.Counts, func(a, b aggregate.Count) int { return cmp.Compare(a.Worker, b.Worker) })
 			slices.SortFunc(m.Marks, func(a, b aggregate.Mark) int { return cmp.Compare(a.Worker, b.Worker) })
-			m.Pairs = nil
+			m.Holders = nil
 			return m
 		}
 		part, whole := said(walkNever), said(walkWhole)
-		d.set.Walk = walkNever
+		d.set.FullScanLimit = walkNever
 		require.Equal(t, whole.Counts, part.Counts, "hub %v", hub)
 		require.Equal(t, whole.Marks, part.Marks, "hub %v", hub)
 	}
@@ -341,17 +341,17 @@
 
 // What is not gathered because the last message was dearer than what is saved up is gathered later.
 func TestPurseWaitsNoLongerThanItMust(t *testing.T) {
-	s := settings(Safe, ScopeAll)
-	s.Siblings, s.Peers, s.PeerPrice, s.Walk, s.LoadsOnMiss = 6, true, 0.5, walkNever, false
+	s := settings(Idempotent, ScopeAll)
+	s.Dispatchers, s.Gossip, s.PeerPrice, s.FullScanLimit, s.LoadsOnMiss = 6, true, 0.5, walkNever, false
 	d, f := start(t, s, 200)
 	rng := rand.New(rand.NewPCG(1, 1))
 	told := 0
 	for i := range 4000 {
 		now := int64(i) * 5 * ms
 		id := fmt.Sprint(i)
-		d.Request(now, call(id, now, FuncID(rng.IntN(100))))
-		d.Outcome(now+ms, ok(id, f.last[id]))
-		d.Timer(now+2*ms, f.ref)
+		d.HandleRequest(now, call(id, now, FuncID(rng.IntN(100))))
+		d.HandleAttemptResult(now+ms, ok(id, f.last[id]))
+		d.HandleTimer(now+2*ms, f.ref)
 		told += len(f.told)
 		f.told, f.toldTo, f.sends = nil, nil, nil
 		assert.GreaterOrEqual(t, d.words.left, 0.0)
@@ -362,11 +362,11 @@
 
 // A digest tells the same of every executor whether those that it leaves out are set at once or found idle when they are asked for.
 func TestLongListDigestLeavesOutWhoIsIdle(t *testing.T) {
-	s := settings(Safe, ScopeAll)
-	s.Siblings, s.Peers = 20, true
-	var both [2]*Dispatcher
+	s := settings(Idempotent, ScopeAll)
+	s.Dispatchers, s.Gossip = 20, true
+	var both [2]*Balancer
 	for i, walk := range []int{walkWhole, walkNever} {
-		s.Walk = walk
+		s.FullScanLimit = walk
 		d, _ := start(t, s, 300)
 		both[i] = d
 		for _, told := range []struct {
@@ -377,7 +377,7 @@
 			for _, w := range told.busy {
 				counts = append(counts, aggregate.Count{Worker: w, N: int(w%7) + 1})
 			}
-			require.True(t, d.Peer(told.at, 3, digest(d, told.at, []float64{5, 1}, counts...)))
+			require.True(t, d.HandlePeerMessage(told.at, 3, digest(d, told.at, []float64{5, 1}, counts...)))
 		}
 	}
 	for i := range both[0].list {
--- a/balancer/maintenance.go
+++ b/balancer/maintenance.go
@@ -12,7 +12,7 @@
 
 // awake finds that we stood still: our bell is late by more than a housekeeping round. Nothing is overdue for
 // that, and what has come meanwhile is heard before anybody is blamed or anything ended.
-func (d *Dispatcher) awake(now int64) {
+func (d *Balancer) awake(now int64) {
 	if late := now - d.armed; d.armed > 0 && late > d.minAim/beats && d.stoodAt < now {
 		d.stoodAt = now
 		for _, w := range d.inUse(now) {
@@ -24,7 +24,7 @@
 }
 
 // beat is the housekeeping round; it stops when nothing has happened for a while.
-func (d *Dispatcher) beat(now int64) {
+func (d *Balancer) beat(now int64) {
 	d.ask(now)
 	d.tell(now)
 	if now-d.sweptAt > d.set.KeepAlive/beats {
@@ -33,7 +33,7 @@
 		d.sweep(now)
 	}
 	d.beatAt = 0
-	if now-d.busyAt < 2*outlier.Longest*d.minAim || d.set.AskRoster {
+	if now-d.busyAt < 2*outlier.Longest*d.minAim || d.set.PollEndpoints {
 		d.tick(now)
 	}
 }
@@ -89,24 +89,24 @@
 	return ts
 }
 
-func (d *Dispatcher) push(at int64, r *request) { d.heap.push(wakeup{at, r}) }
+func (d *Balancer) push(at int64, r *request) { d.heap.push(wakeup{at, r}) }
 
-func (d *Dispatcher) wakeAt(r *request, at int64) {
+func (d *Balancer) wakeAt(r *request, at int64) {
 	r.wake = at
 	if at < r.end(d) {
 		d.push(at, r)
 	}
 }
 
-func (d *Dispatcher) arm() {
+func (d *Balancer) arm() {
 	if len(d.heap) > 0 && max(d.heap[0].at, d.now) < d.armed {
 		d.armed = max(d.heap[0].at, d.now)
 		d.bell++
-		d.host.Timer(max(d.armed-d.now, 1), d.bell)
+		d.host.SetTimer(max(d.armed-d.now, 1), d.bell)
 	}
 }
 
-func (d *Dispatcher) tick(now int64) {
+func (d *Balancer) tick(now int64) {
 	d.now = max(d.now, now)
 	d.awake(d.now)
 	if d.beatAt == 0 {
@@ -117,7 +117,7 @@
 }
 
 // log writes a line, of a burst at most logBurst, and one more in each shortest aim.
-func (d *Dispatcher) log(now int64, format string, args ...any) {
+func (d *Balancer) log(now int64, format string, args ...any) {
 	d.logLeft = min(d.logLeft+float64(now-d.logAt)/float64(d.minAim), logBurst)
 	d.logAt = now
 	if d.logLeft >= 1 {
@@ -129,7 +129,7 @@
 const logBurst = 32
 
 // sweep drops what is no longer believed, listed or in flight, so that memory stays bounded.
-func (d *Dispatcher) sweep(now int64) {
+func (d *Balancer) sweep(now int64) {
 	for id, f := range d.funcs {
 		keep := f.holders[:0]
 		for _, h := range f.holders {
@@ -171,8 +171,8 @@
 	}
 }
 
-// Timer takes an expired timer.
-func (d *Dispatcher) Timer(now int64, ref int64) {
+// HandleTimer takes an expired timer.
+func (d *Balancer) HandleTimer(now int64, ref int64) {
 	d.tick(now)
 	if ref == d.bell { // by its number, not its time: a host that rounds may ring a little early
 		d.armed = forever
--- a/balancer/peers.go
+++ b/balancer/peers.go
@@ -14,68 +14,68 @@
 // each reports to it alone its calls in flight at each worker, which workers answer or are silent, tenants'
 // rates and new holders, and the hub tells the sums to all. So messages grow with the number of dispatchers,
 // not its square, and each call earns their cost. Only hints come of them: nothing breaks if they are lost.
-func (d *Dispatcher) tell(now int64) {
-	if !d.set.Peers || d.set.Siblings < 2 {
+func (d *Balancer) tell(now int64) {
+	if !d.set.Gossip || d.set.Dispatchers < 2 {
 		return
 	}
-	for ; d.greeted < min(helloPeers, d.set.Siblings-1); d.greeted++ { // after a start: for beliefs
-		to := (d.set.Number + 1 + d.rng.IntN(d.set.Siblings-1)) % d.set.Siblings
-		d.host.Tell(to, aggregate.Message{Hello: true, GoesOn: true}.Texts(0)[0])
+	for ; d.greeted < min(helloPeers, d.set.Dispatchers-1); d.greeted++ { // after a start: for beliefs
+		to := (d.set.DispatcherIndex + 1 + d.rng.IntN(d.set.Dispatchers-1)) % d.set.Dispatchers
+		d.host.SendPeerMessage(to, aggregate.Message{SyncRequest: true, Continued: true}.Encode(0)[0])
 	}
 	term := hubAims * d.minAim
-	hub := d.roll.Collector(now)
-	m := aggregate.Message{Hub: hub == d.set.Number, Calls: d.calls}
+	hub := d.roll.Leader(now)
+	m := aggregate.Message{FromLeader: hub == d.set.DispatcherIndex, Calls: d.calls}
 	purse, to, receivers := &d.words, hub, 1
-	if m.Hub {
-		purse, to, receivers = &d.pool, -1, d.set.Siblings-1
+	if m.FromLeader {
+		purse, to, receivers = &d.pool, -1, d.set.Dispatchers-1
 	}
-	d.shared.Own(d.figures(now))
+	d.shared.SetLocal(d.figures(now))
 	d.view = d.shared.View(now, d.kept()+served)
 	in := now % term
-	if m.Hub && (in < d.minAim*2/beats || now-d.born < d.minAim ||
-		d.many() > 1 && in < term/2 && !d.shared.Full(now)) {
+	if m.FromLeader && (in < d.minAim*2/beats || now-d.born < d.minAim ||
+		d.many() > 1 && in < term/2 && !d.shared.Complete(now)) {
 		return // the reports are not all in
 	}
-	if len(d.list) > d.set.Walk && purse.left < min(purse.last, purseMax) { // not worth gathering yet
+	if len(d.list) > d.set.FullScanLimit && purse.left < min(purse.last, purseMax) { // not worth gathering yet
 		return
 	}
 	d.gather(now, &m)
-	if len(m.Counts)+len(m.Pairs) == 0 {
+	if len(m.Counts)+len(m.Holders) == 0 {
 		return
 	}
 	char := max(d.set.PeerPrice, tellFloor) * float64(receivers) / 256
-	if m.Hub && in > term*3/4 && d.view.Stale { // a whole one is too dear for all of them
-		m = m.Short(d.set.Siblings, int(purse.left/char))
+	if m.FromLeader && in > term*3/4 && d.view.Stale { // a whole one is too dear for all of them
+		m = m.Truncate(d.set.Dispatchers, int(purse.left/char))
 	}
-	cost := char * float64(m.Length(d.set.Siblings))
+	cost := char * float64(m.EncodedLen(d.set.Dispatchers))
 	if purse.last = cost; cost > purse.left {
 		return
 	}
 	purse.left -= cost
 	d.news, d.calls = d.news[:0], 0
-	for _, x := range m.Texts(d.set.Siblings) {
-		d.host.Tell(to, x)
+	for _, x := range m.Encode(d.set.Dispatchers) {
+		d.host.SendPeerMessage(to, x)
 	}
-	if m.Hub {
+	if m.FromLeader {
 		d.learnDigest(now, hub, m)
 	} else {
-		d.shared.Sent(m.Row)
+		d.shared.ReportSent(m.Report)
 	}
 }
 
-// purse is what may be spent on messages, and what the last one cost, sent or not; as prices, parts of a call's worth.
-type purse struct{ left, last float64 }
+// tokenBucket is what may be spent on messages, and what the last one cost, sent or not; as prices, parts of a call's worth.
+type tokenBucket struct{ left, last float64 }
 
-func (p *purse) earn(x float64) { p.left = min(p.left+x, purseMax) }
+func (p *tokenBucket) refill(x float64) { p.left = min(p.left+x, purseMax) }
 
 // The figures that dispatchers share: calls a second by tenant, then answers a second and calls in a queue.
 const served, waiting, keptMost = 0, 1, 13
 
 // kept is how many tenants' figures are shared: a report holds no more.
-func (d *Dispatcher) kept() int { return min(len(d.tenants), keptMost) }
+func (d *Balancer) kept() int { return min(len(d.tenants), keptMost) }
 
 // figures is our own row.
-func (d *Dispatcher) figures(now int64) []float64 {
+func (d *Balancer) figures(now int64) []float64 {
 	row := make([]float64, 0, keptMost+2)
 	for i := range d.kept() {
 		t := &d.tenants[i]
@@ -86,7 +86,7 @@
 
 // sum is what those that a digest covers have together of answers a second, or of calls in a queue; 0: nothing yet. The
 // others are left out: a queue passes sooner than they are forgotten.
-func (d *Dispatcher) sum(what int) float64 {
+func (d *Balancer) sum(what int) float64 {
 	if i := d.kept() + what; i < len(d.view.Covered) {
 		return d.view.Covered[i]
 	}
@@ -94,8 +94,8 @@
 }
 
 // note has the others told of a holder with the next message.
-func (d *Dispatcher) note(now int64, h *holder) {
-	if d.set.Peers {
+func (d *Balancer) note(now int64, h *holder) {
+	if d.set.Gossip {
 		h.told = now
 		d.news = append(d.news, h)
 	}
@@ -103,51 +103,51 @@
 
 // announce has the others told of a new holder at once; where the list is long, only once what the last message cost is saved up:
 // it may be too dear for each call.
-func (d *Dispatcher) announce(now int64, h *holder) {
+func (d *Balancer) announce(now int64, h *holder) {
 	d.note(now, h)
-	if len(d.list) <= d.set.Walk || d.words.left >= d.words.last {
+	if len(d.list) <= d.set.FullScanLimit || d.words.left >= d.words.last {
 		d.tell(now)
 	}
 }
 
-// Peer takes a message from another dispatcher; false: it cannot be read, or is nobody's, and changes nothing.
-func (d *Dispatcher) Peer(now int64, from int, data string) bool {
+// HandlePeerMessage takes a message from another dispatcher; false: it cannot be read, or is nobody's, and changes nothing.
+func (d *Balancer) HandlePeerMessage(now int64, from int, data string) bool {
 	d.tick(now)
 	defer d.arm()
-	m, ok := aggregate.Read(data, d.set.Siblings)
-	if !ok || from < 0 || from >= d.set.Siblings || from == d.set.Number {
+	m, ok := aggregate.Decode(data, d.set.Dispatchers)
+	if !ok || from < 0 || from >= d.set.Dispatchers || from == d.set.DispatcherIndex {
 		return false
 	}
-	if m.Hello { // a restarted dispatcher asks: tell it all that we believe
-		out := aggregate.Message{GoesOn: true}
+	if m.SyncRequest { // a restarted dispatcher asks: tell it all that we believe
+		out := aggregate.Message{Continued: true}
 		for _, w := range d.list {
 			for _, h := range d.held(now, w, forever) {
-				out.Pairs = append(out.Pairs, aggregate.Pair{Func: funcTag(h.fn.id), Worker: tag(w.Worker)})
+				out.Holders = append(out.Holders, aggregate.Holder{Func: funcTag(h.fn.id), Worker: tag(w.Worker)})
 			}
 		}
-		for _, x := range out.Texts(d.set.Siblings) {
-			d.host.Tell(from, x)
+		for _, x := range out.Encode(d.set.Dispatchers) {
+			d.host.SendPeerMessage(from, x)
 		}
 	}
-	for _, p := range m.Pairs {
-		d.hear(now, p, !m.Hub && !m.GoesOn)
+	for _, p := range m.Holders {
+		d.hear(now, p, !m.FromLeader && !m.Continued)
 	}
-	if m.Hub {
+	if m.FromLeader {
 		d.learnDigest(now, from, m)
 		return true
 	}
-	if !m.GoesOn {
-		if !d.shared.Heard(now, from, m.Row) {
+	if !m.Continued {
+		if !d.shared.HandleReport(now, from, m.Report) {
 			return true // doubled, late, or of before its restart
 		}
-		d.pool.earn(tellShare * float64(m.Calls))
+		d.pool.refill(tellShare * float64(m.Calls))
 	}
 	d.takeReport(now, from, m)
 	return true
 }
 
 // hear takes a new holder from a message; the hub passes on what it did not know.
-func (d *Dispatcher) hear(now int64, p aggregate.Pair, pass bool) {
+func (d *Balancer) hear(now int64, p aggregate.Holder, pass bool) {
 	w := d.tags[p.Worker]
 	if w == nil || !w.listed {
 		return
@@ -170,19 +170,19 @@
 
 // learnDigest takes the sums over all dispatchers: what a first part leaves out is idle, but of a short one. Calls at a
 // worker are told of those that the sums cover; the others are taken to have as many there, by their answers.
-func (d *Dispatcher) learnDigest(now int64, from int, m aggregate.Message) {
-	if !m.GoesOn {
-		if !d.shared.Told(now, from, m.Sum) {
+func (d *Balancer) learnDigest(now int64, from int, m aggregate.Message) {
+	if !m.Continued {
+		if !d.shared.HandleDigest(now, from, m.Digest) {
 			return
 		}
 		d.view = d.shared.View(now, d.kept()+served)
 		if d.many() > 1 { // of few, one digest lost changes who is there more often than death does
-			d.roll.Told(now, m.Sum.Covered)
+			d.roll.ObserveDigest(now, m.Digest.Covered)
 		}
 		d.takeWords(now, m.Marks)
-		if !m.Sum.Short {
+		if !m.Digest.Truncated {
 			d.digestAt = now
-			if len(d.list) > d.set.Walk {
+			if len(d.list) > d.set.FullScanLimit {
 				d.wholeAt = now
 			} else {
 				for _, w := range d.list {
@@ -192,7 +192,7 @@
 		}
 	}
 	for _, c := range m.Counts {
-		if w := d.tags[c.Worker]; w != nil && w.listed && m.Sum.Short {
+		if w := d.tags[c.Worker]; w != nil && w.listed && m.Digest.Truncated {
 			w.silentAt = now
 		} else if w != nil && w.listed {
 			w.others, w.othersAt = max(0, float64(c.N)*max(1, d.view.Scale)-float64(len(w.open))), now
@@ -210,11 +210,11 @@
 }
 
 // takeWords takes what a digest tells of workers whose calls fail or take long.
-func (d *Dispatcher) takeWords(now int64, marks []aggregate.Mark) {
+func (d *Balancer) takeWords(now int64, marks []aggregate.Mark) {
 	if len(marks) == 0 {
 		return
 	}
-	told, of, all := []outlier.Told(nil), []*worker(nil), 0.0
+	told, of, all := []outlier.GossipEvidence(nil), []*worker(nil), 0.0
 	for _, w := range d.list {
 		all += max(w.Weight, 0.1)
 	}
@@ -223,25 +223,25 @@
 		if w == nil || !w.listed {
 			continue
 		}
-		word := outlier.Word(outlier.Mark{Good: m.Good, Bad: m.Bad, Pace: m.Pace})
+		word := outlier.Evidence(outlier.Mark{Good: m.Good, Bad: m.Bad, Pace: m.Pace})
 		d.touch(now, w)
-		told, of = append(told, outlier.Told{Box: &w.health, Weight: max(w.Weight, 0.1), Word: word}), append(of, w)
+		told, of = append(told, outlier.GossipEvidence{Box: &w.health, Weight: max(w.Weight, 0.1), Word: word}), append(of, w)
 		if word.Pace > 0 {
 			w.told, w.toldAt = min(word.Slow(), paceMax), now
 		}
 	}
-	for i, text := range d.judge.Words(now, told, all) {
+	for i, text := range d.judge.ApplyGossip(now, told, all) {
 		d.changed(now, of[i], text)
 	}
 }
 
 // gather fills a report with what this dispatcher has and, for a digest, with what others reported lately.
-func (d *Dispatcher) gather(now int64, m *aggregate.Message) {
-	if m.Hub {
-		m.Sum = d.shared.Sum(now)
+func (d *Balancer) gather(now int64, m *aggregate.Message) {
+	if m.FromLeader {
+		m.Digest = d.shared.NextDigest(now)
 		d.tallyReports(now)
 	} else {
-		m.Row = d.shared.Report()
+		m.Report = d.shared.NextReport()
 	}
 	heard, silent, all := 0, 0, d.active()
 	for _, w := range all {
@@ -260,7 +260,7 @@
 			c.N = 0
 		}
 		mark, says := d.judge.Mark(now, &w.health, d.slow(now, w))
-		if says = says && sure; m.Hub {
+		if says = says && sure; m.FromLeader {
 			mark, says = d.pooled(now, w, &c, mark, says)
 		}
 		if says {
@@ -277,11 +277,11 @@
 	slices.SortStableFunc(m.Marks, func(a, b aggregate.Mark) int { return int(b.Bad) - int(a.Bad) }) // there is room for a dozen
 	most := helloPeers + len(m.Counts)/pairPart
 	for _, h := range d.news {
-		if len(m.Pairs) < most && (h.until > now || h.inflight > 0) {
-			m.Pairs = append(m.Pairs, aggregate.Pair{Func: funcTag(h.fn.id), Worker: tag(h.w.Worker)})
+		if len(m.Holders) < most && (h.until > now || h.inflight > 0) {
+			m.Holders = append(m.Holders, aggregate.Holder{Func: funcTag(h.fn.id), Worker: tag(h.w.Worker)})
 		}
 	}
 }
 
-// Shared is what is known of the sums over all dispatchers, as of the last round; it changes nothing.
-func (d *Dispatcher) Shared() aggregate.View { return d.view }
+// FleetView is what is known of the sums over all dispatchers, as of the last round; it changes nothing.
+func (d *Balancer) FleetView() aggregate.View { return d.view }
--- a/balancer/ration_test.go
+++ b/balancer/ration_test.go
@@ -8,14 +8,14 @@
 // Calls of functions that no worker serves earn no orders to load: the platform does not count them as taken. Found on a
 // day of clients that call functions which do not exist.
 func TestCallsOfUnknownFunctionsEarnNoOrders(t *testing.T) {
-	s := settings(Safe, ScopeAll)
+	s := settings(Idempotent, ScopeAll)
 	s.LoadWindow, s.LoadFree, s.LoadShare = 5000*ms, 1, 0.25
 	d, f := start(t, s, 4)
 	hear(d, 0)
 	for i := range 40 {
 		id, now := fmt.Sprint("unknown", i), int64(i)*ms
-		d.Request(now, call(id, now, FuncID(1000+i)))
-		d.Outcome(now, Outcome{ID: id, Worker: f.last[id], Result: Error, Finished: true})
+		d.HandleRequest(now, call(id, now, FuncID(1000+i)))
+		d.HandleAttemptResult(now, AttemptResult{ID: id, Worker: f.last[id], Result: Error, Finished: true})
 	}
 	h := d.function(50*ms, call("", 50*ms, 1)).at(d.workers[1], true)
 	if !d.order(50*ms, h, 1) {
@@ -26,8 +26,8 @@
 	}
 	for i := range 4 { // these count, also the first, whose answer shows that the function is there
 		id, now := fmt.Sprint("known", i), int64(60+10*i)*ms
-		d.Request(now, call(id, now, 2))
-		d.Outcome(now+ms, ok(id, f.last[id]))
+		d.HandleRequest(now, call(id, now, 2))
+		d.HandleAttemptResult(now+ms, ok(id, f.last[id]))
 	}
 	if !d.order(100*ms, h, 1) {
 		t.Fatal("no order was given for four calls served")
--- a/balancer/reports.go
+++ b/balancer/reports.go
@@ -83,10 +83,10 @@
 }
 
 // takeReport takes what a report tells of workers, in place of what its sender told before; a later text of it adds to that.
-func (d *Dispatcher) takeReport(now int64, from int, m aggregate.Message) {
+func (d *Balancer) takeReport(now int64, from int, m aggregate.Message) {
 	rs := &d.reports
 	if rs.by == nil {
-		rs.by = make([]*peerReport, d.set.Siblings)
+		rs.by = make([]*peerReport, d.set.Dispatchers)
 	}
 	r := rs.by[from]
 	if r == nil {
@@ -96,7 +96,7 @@
 		r = &peerReport{}
 		rs.by[from] = r
 	}
-	if !m.GoesOn {
+	if !m.Continued {
 		r.keep(func(w *worker, _ int64, _ int) bool { return !d.isActive(w) })
 	}
 	rs.texts++
@@ -168,7 +168,7 @@
 }
 
 // sweepReports drops what is of no use any more.
-func (d *Dispatcher) sweepReports(now int64) {
+func (d *Balancer) sweepReports(now int64) {
 	rs, some := &d.reports, false
 	rs.age(now, d.minAim)
 	for from, r := range rs.by {
@@ -190,7 +190,7 @@
 }
 
 // tallyReports brings all sums up to date, and gathers marks: it looks at the reports that tell any.
-func (d *Dispatcher) tallyReports(now int64) {
+func (d *Balancer) tallyReports(now int64) {
 	rs := &d.reports
 	rs.age(now, d.minAim)
 	rs.round++
@@ -223,7 +223,7 @@
 }
 
 // pooled adds to what we have at w what others reported, and makes a word of all marks, each observer one. It is asked once in a round.
-func (d *Dispatcher) pooled(now int64, w *worker, c *aggregate.Count, own outlier.Mark, says bool) (outlier.Mark, bool) {
+func (d *Balancer) pooled(now int64, w *worker, c *aggregate.Count, own outlier.Mark, says bool) (outlier.Mark, bool) {
 	t := w.tally.fresh(d.reports.round)
 	silent, heard := t.silent, t.heard-t.heardByMarked
 	if c.Silent {
@@ -236,11 +236,11 @@
 	}
 	c.N += t.n
 	c.Heard = c.Heard || t.heard > 0
-	c.Silent = outlier.Silent(silent, d.set.Siblings)
-	stands := d.judge.Bound(now, &w.health)
+	c.Silent = outlier.Silent(silent, d.set.Dispatchers)
+	stands := d.judge.EjectedByGossip(now, &w.health)
 	if stands { // an answer may be of before: what has served since is told by marks
 		heard = 0
 	}
-	word := outlier.Pool(t.marks, heard)
+	word := outlier.Merge(t.marks, heard)
 	return outlier.Mark(word), word.Says(stands)
 }
--- a/balancer/reports_test.go
+++ b/balancer/reports_test.go
@@ -17,7 +17,7 @@
 
 // plainReports holds what others told by worker and not by who told it, and adds up anew each time: the plain model.
 type plainReports struct {
-	d       *Dispatcher
+	d       *Balancer
 	told    map[*worker]*plainTold
 	touched map[*worker]bool // before the event at hand
 	swept   int64
@@ -60,7 +60,7 @@
 // after follows what rounds do to what is held: a sweep drops what is old, and a long list what has not been touched for long.
 func (p *plainReports) after(now int64) {
 	d := p.d
-	long := len(d.list) > d.set.Walk
+	long := len(d.list) > d.set.FullScanLimit
 	for w, t := range p.told {
 		if d.workers[w.Worker] != w {
 			delete(p.told, w)
@@ -79,7 +79,7 @@
 // read takes a text of a report that the dispatcher heeds; active: what it listed as such before.
 func (p *plainReports) read(now int64, from int, m aggregate.Message, active []*worker) {
 	d := p.d
-	if !m.GoesOn {
+	if !m.Continued {
 		for _, w := range active {
 			t := p.of(w)
 			t.counts = slices.DeleteFunc(t.counts, func(c plainCount) bool { return c.from == from })
@@ -131,12 +131,12 @@
 			heard++
 		}
 	}
-	c.Silent = outlier.Silent(silent, d.set.Siblings)
-	stands := d.judge.Bound(now, &w.health)
+	c.Silent = outlier.Silent(silent, d.set.Dispatchers)
+	stands := d.judge.EjectedByGossip(now, &w.health)
 	if stands {
 		heard = 0
 	}
-	word := outlier.Pool(marks, heard)
+	word := outlier.Merge(marks, heard)
 	return outlier.Mark(word), word.Says(stands)
 }
 
@@ -146,15 +146,15 @@
 func TestReportsAddUpAsAnew(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{3, 17, 64, 300, 960}).Draw(t, "executors")
-		s := settings(Safe, ScopeAll)
-		s.Siblings, s.Number, s.Peers = rapid.SampledFrom([]int{3, 20, 300, 1900}).Draw(t, "siblings"), 1, true
-		s.Walk = rapid.SampledFrom([]int{walkWhole, 0, walkNever}).Draw(t, "walk")
+		s := settings(Idempotent, ScopeAll)
+		s.Dispatchers, s.DispatcherIndex, s.Gossip = rapid.SampledFrom([]int{3, 20, 300, 1900}).Draw(t, "siblings"), 1, true
+		s.FullScanLimit = rapid.SampledFrom([]int{walkWhole, 0, walkNever}).Draw(t, "walk")
 		s.LoadsOnMiss = rapid.Bool().Draw(t, "orders")
 		f := newFake()
 		const began = 100_000 * ms
 		d, err := New(began, s, 7, f)
 		require.NoError(t, err)
-		d.Roster(began, RosterFull, roster(n))
+		d.UpdateEndpoints(began, EndpointsSnapshot, roster(n))
 		p := &plainReports{d: d, told: map[*worker]*plainTold{}}
 		type letter struct {
 			from int
@@ -166,7 +166,9 @@
 		few := func(label string) WorkerID { // of some, so that events meet
 			return WorkerID(1 + rapid.IntRange(0, min(n, 12)-1).Draw(t, label)*max(1, n/12))
 		}
-		from := func() int { return []int{0, 2, s.Siblings - 1, s.Siblings / 2}[rapid.IntRange(0, 3).Draw(t, "from")] }
+		from := func() int {
+			return []int{0, 2, s.Dispatchers - 1, s.Dispatchers / 2}[rapid.IntRange(0, 3).Draw(t, "from")]
+		}
 		event := func(do func()) {
 			p.before()
 			do()
@@ -174,12 +176,12 @@
 		}
 		read := func(l letter) {
 			event(func() { d.tick(now) })
-			m, ok := aggregate.Read(l.text, s.Siblings)
+			m, ok := aggregate.Decode(l.text, s.Dispatchers)
 			require.True(t, ok)
 			before, active := d.shared.Dropped, slices.Clone(d.active())
 			event(func() {
-				d.Peer(now, l.from, l.text)
-				if l.from != s.Number && d.shared.Dropped == before {
+				d.HandlePeerMessage(now, l.from, l.text)
+				if l.from != s.DispatcherIndex && d.shared.Dropped == before {
 					p.read(now, l.from, m, active)
 				}
 			})
@@ -193,7 +195,7 @@
 				if rapid.IntRange(0, 9).Draw(t, "restarted") == 0 {
 					seqs[who], incs[who] = 1, incs[who]+1
 				}
-				m := aggregate.Message{Calls: 9, Row: aggregate.Row{Incarnation: incs[who], Seq: seqs[who], Figures: []float64{1, 1}}}
+				m := aggregate.Message{Calls: 9, Report: aggregate.Report{Incarnation: incs[who], Seq: seqs[who], Values: []float64{1, 1}}}
 				for range rapid.SampledFrom([]int{0, 1, 3, 8, 70}).Draw(t, "counts") {
 					m.Counts = append(m.Counts, aggregate.Count{Worker: tag(few("counted")), N: rapid.IntRange(0, 3).Draw(t, "calls"),
 						Silent: rapid.Bool().Draw(t, "silent"), Heard: rapid.Bool().Draw(t, "heard")})
@@ -202,7 +204,7 @@
 					m.Marks = append(m.Marks, aggregate.Mark{Worker: tag(few("marked")), Good: uint8(rapid.IntRange(0, 2).Draw(t, "good")),
 						Bad: uint8(rapid.IntRange(0, 2).Draw(t, "bad")), Pace: uint8(rapid.SampledFrom([]int{0, 9}).Draw(t, "pace"))})
 				}
-				for _, text := range m.Texts(s.Siblings) {
+				for _, text := range m.Encode(s.Dispatchers) {
 					if sent = append(sent, letter{who, text}); rapid.IntRange(0, 5).Draw(t, "lost") > 0 {
 						read(sent[len(sent)-1])
 					}
@@ -212,12 +214,12 @@
 					read(sent[len(sent)-1-rapid.IntRange(0, min(len(sent), 6)-1).Draw(t, "again")])
 				}
 			case 6:
-				event(func() { d.Timer(now, f.ref) })
+				event(func() { d.HandleTimer(now, f.ref) })
 			case 7:
 				event(func() {
 					d.tick(now)
 					calls++
-					d.Request(now, call(fmt.Sprint(calls), now, FuncID(calls%5)))
+					d.HandleRequest(now, call(fmt.Sprint(calls), now, FuncID(calls%5)))
 				})
 			case 8:
 				if len(f.sends) > 0 {
@@ -225,28 +227,30 @@
 					res := Result(rapid.IntRange(0, int(Results)-1).Draw(t, "end"))
 					event(func() { d.tick(now) })
 					event(func() {
-						d.Outcome(now, Outcome{ID: o.id, Worker: o.w, Result: res, Finished: res == OK, Warmth: WarmHit})
+						d.HandleAttemptResult(now, AttemptResult{ID: o.id, Worker: o.w, Result: res, Finished: res == OK, Warmth: WarmHit})
 					})
 				}
 			case 9:
-				e := Entry{Worker: few("worker"), State: State(rapid.IntRange(0, 2).Draw(t, "state")), Weight: 1}
+				e := Endpoint{Worker: few("worker"), State: EndpointState(rapid.IntRange(0, 2).Draw(t, "state")), Weight: 1}
 				if rapid.Bool().Draw(t, "restarts") {
 					e.Start = now
 				}
 				event(func() { d.tick(now) })
-				event(func() { d.Roster(now, RosterDelta, []Entry{e}) })
+				event(func() { d.UpdateEndpoints(now, EndpointsDelta, []Endpoint{e}) })
 			case 10:
 				event(func() { d.tick(now) })
-				event(func() { d.Roster(now, RosterFull, roster(rapid.SampledFrom([]int{n, n / 2, 1}).Draw(t, "whole"))) })
+				event(func() {
+					d.UpdateEndpoints(now, EndpointsSnapshot, roster(rapid.SampledFrom([]int{n, n / 2, 1}).Draw(t, "whole")))
+				})
 			case 11:
-				m := aggregate.Message{Hub: true, Marks: []aggregate.Mark{{Worker: tag(few("judged")), Bad: 9}}, Sum: aggregate.Digest{
-					Tick: uint16(now / d.set.Quantum), Sums: []float64{9, 9}, Gone: []float64{0, 0}, Moved: []float64{0, 0},
-					Covered: aggregate.NewSet(s.Siblings), Missing: aggregate.NewSet(s.Siblings)}}
+				m := aggregate.Message{FromLeader: true, Marks: []aggregate.Mark{{Worker: tag(few("judged")), Bad: 9}}, Digest: aggregate.Digest{
+					Tick: uint16(now / d.set.ClockResolution), Sums: []float64{9, 9}, MissingSums: []float64{0, 0}, MissingMoved: []float64{0, 0},
+					Covered: aggregate.NewSet(s.Dispatchers), Missing: aggregate.NewSet(s.Dispatchers)}}
 				for range rapid.IntRange(0, 3).Draw(t, "told") {
 					m.Counts = append(m.Counts, aggregate.Count{Worker: tag(few("told of")), N: 2, Silent: rapid.Bool().Draw(t, "mute")})
 				}
 				event(func() { d.tick(now) })
-				event(func() { d.Peer(now, from(), m.Texts(s.Siblings)[0]) })
+				event(func() { d.HandlePeerMessage(now, from(), m.Encode(s.Dispatchers)[0]) })
 			}
 			if rapid.Bool().Draw(t, "gathered") { // else more than one thing happens between two digests
 				sameSums(t, p, now)
@@ -274,26 +278,26 @@
 // costs what it tells and what its sender told before, whatever a collector holds.
 func TestReportCostsWhatItTells(t *testing.T) {
 	for _, n := range []int{120, 9600} {
-		s := settings(Safe, ScopeAll)
-		s.Siblings, s.Peers = 1900, true
+		s := settings(Idempotent, ScopeAll)
+		s.Dispatchers, s.Gossip = 1900, true
 		d, _ := start(t, s, n)
 		report := func(now int64, from int, seq uint8, workers ...int) string {
-			m := aggregate.Message{Row: aggregate.Row{Incarnation: 1, Seq: seq, Figures: []float64{1, 1}},
+			m := aggregate.Message{Report: aggregate.Report{Incarnation: 1, Seq: seq, Values: []float64{1, 1}},
 				Marks: []aggregate.Mark{{Worker: uint16(workers[0]), Bad: 3}}}
 			for _, w := range workers {
 				m.Counts = append(m.Counts, aggregate.Count{Worker: uint16(w), N: 1, Heard: true})
 			}
-			return m.Texts(s.Siblings)[0]
+			return m.Encode(s.Dispatchers)[0]
 		}
 		now := 100_000 * ms
-		for from := 1; from < s.Siblings; from++ {
-			d.Peer(now, from, report(now, from, 1, 1+from%n, 1+from*7%n, 1+from*13%n))
+		for from := 1; from < s.Dispatchers; from++ {
+			d.HandlePeerMessage(now, from, report(now, from, 1, 1+from%n, 1+from*7%n, 1+from*13%n))
 		}
 		list, touched, reports := d.list, d.touched, d.reports.by
-		d.list, d.touched, d.reports.by = make([]*worker, len(list)), make([]*worker, len(touched)), make([]*peerReport, s.Siblings)
+		d.list, d.touched, d.reports.by = make([]*worker, len(list)), make([]*worker, len(touched)), make([]*peerReport, s.Dispatchers)
 		d.reports.by[5] = reports[5]
 		require.Len(t, reports[5].counts, 3)
-		require.True(t, d.Peer(now+ms, 5, report(now+ms, 5, 2, 2, 3)), "%d executors", n)
+		require.True(t, d.HandlePeerMessage(now+ms, 5, report(now+ms, 5, 2, 2, 3)), "%d executors", n)
 		d.list, d.touched, d.reports.by = list, touched, reports
 		require.Len(t, reports[5].counts, 2)
 		require.Len(t, reports[5].marks, 1)
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -6,26 +6,26 @@
 	"math"
 )
 
-// Request takes a call. Exactly one final answer follows before its deadline.
-func (d *Dispatcher) Request(now int64, q Request) {
+// HandleRequest takes a call. Exactly one final answer follows before its deadline.
+func (d *Balancer) HandleRequest(now int64, q Request) {
 	d.tick(now)
 	if d.reqs[q.ID] != nil {
 		return
 	}
 	if q.Class < 0 || q.Class >= len(d.set.Classes) {
-		d.host.Refuse(q.ID, 0)
+		d.host.Reject(q.ID, 0)
 		return
 	}
 	d.busyAt = now
-	d.words.earn(tellShare)
-	d.pool.earn(tellShare)
+	d.words.refill(tellShare)
+	d.pool.refill(tellShare)
 	d.calls++
 	d.hedges = min(d.hedges+hedgeShare+d.lost, 1/hedgeShare)
 	if d.refuse(now, q) {
 		if f := d.funcs[funcTag(q.Func)]; f != nil && f.served {
 			d.count(now)
 		}
-		d.host.Refuse(q.ID, d.set.MaxRetryAfter)
+		d.host.Reject(q.ID, d.set.MaxRetryAfter)
 		return
 	}
 	r := &request{Request: q, class: &d.set.Classes[q.Class], arrived: now, fn: d.function(now, q)}
@@ -41,10 +41,10 @@
 }
 
 // end is when a request must be answered at the latest: a little inside its deadline.
-func (r *request) end(d *Dispatcher) int64 { return r.Deadline - 2*d.set.Quantum }
+func (r *request) end(d *Balancer) int64 { return r.Deadline - 2*d.set.ClockResolution }
 
 // dispatch sends r to the chosen worker or holds it for another look.
-func (d *Dispatcher) dispatch(now int64, r *request) {
+func (d *Balancer) dispatch(now int64, r *request) {
 	if now >= r.end(d) || len(r.tries) >= d.set.MaxAttempts {
 		d.finish(now, r)
 		return
@@ -56,7 +56,7 @@
 		!first && !d.mayResendAnywhere(now, r)) {
 		d.finish(now, r) // where nothing was sent, early
 	} else if w == nil {
-		d.wakeAt(r, now+max(d.minAim/beats/2, d.set.Quantum))
+		d.wakeAt(r, now+max(d.minAim/beats/2, d.set.ClockResolution))
 	}
 }
 
@@ -65,7 +65,7 @@
 // hold has a copy loaded by order and keeps the call here until it stands. Guards against bounded queues full
 // of calls that wait for a slow store. A copy that only a peer told of is asked for too: it may be loading. A
 // function that no worker served is never ordered: it may not exist. Harm: one way to the worker and back.
-func (d *Dispatcher) hold(now int64, r *request, w *worker) bool {
+func (d *Balancer) hold(now int64, r *request, w *worker) bool {
 	if !d.set.LoadsOnMiss || !r.fn.served || len(r.tries) > 0 || now >= r.holdEnd() {
 		return false
 	}
@@ -88,7 +88,7 @@
 	return true
 }
 
-func (d *Dispatcher) send(now int64, r *request, w *worker, trial bool) {
+func (d *Balancer) send(now int64, r *request, w *worker, trial bool) {
 	h := r.fn.at(w, true)
 	st := d.stats[r.Class]
 	due := st.mean + d.overdueDevs()*st.dev
@@ -106,16 +106,16 @@
 	}
 	w.coldLeft--
 	if trial {
-		d.judge.Tried(now, &w.health, w.Zone)
+		d.judge.TrialStarted(now, &w.health, w.Zone)
 	}
-	d.host.Send(r.ID, w.Worker, 0)
-	if r.class.Effect != Unsafe {
+	d.host.SendAttempt(r.ID, w.Worker, 0)
+	if r.class.Idempotency != NotIdempotent {
 		d.wakeAt(r, a.due)
 	}
 }
 
-// Outcome ends an attempt.
-func (d *Dispatcher) Outcome(now int64, o Outcome) {
+// HandleAttemptResult ends an attempt.
+func (d *Balancer) HandleAttemptResult(now int64, o AttemptResult) {
 	d.tick(now)
 	defer d.arm()
 	w := d.workers[o.Worker]
@@ -170,9 +170,9 @@
 }
 
 // finish gives the one final answer: refused where the client may safely come again, else failed.
-func (d *Dispatcher) finish(now int64, r *request) {
+func (d *Balancer) finish(now int64, r *request) {
 	if d.mayRefuse(now, r) {
-		d.host.Refuse(r.ID, d.set.MaxRetryAfter)
+		d.host.Reject(r.ID, d.set.MaxRetryAfter)
 	} else {
 		d.host.Fail(r.ID)
 	}
@@ -180,15 +180,15 @@
 }
 
 // forget drops a request that is over and calls off what is still out for it.
-func (d *Dispatcher) forget(now int64, r *request) {
+func (d *Balancer) forget(now int64, r *request) {
 	if r.done {
 		return
 	}
 	r.done = true
 	delete(d.reqs, r.ID)
 	for _, a := range r.tries {
-		if a.open && d.set.MayCancel && !r.stream {
-			d.host.Cancel(r.ID, a.n)
+		if a.open && d.set.Cancellation && !r.stream {
+			d.host.CancelAttempt(r.ID, a.n)
 		}
 	}
 }
@@ -260,8 +260,8 @@
 	return nil
 }
 
-// Gone ends a request whose client left.
-func (d *Dispatcher) Gone(now int64, id string) {
+// HandleClientGone ends a request whose client left.
+func (d *Balancer) HandleClientGone(now int64, id string) {
 	d.tick(now)
 	if r := d.reqs[id]; r != nil {
 		d.forget(now, r)
@@ -269,8 +269,8 @@
 	d.arm()
 }
 
-// FirstByte binds a request to a stream: it has no deadline and no further attempts.
-func (d *Dispatcher) FirstByte(now int64, id string, n int) {
+// HandleFirstByte binds a request to a stream: it has no deadline and no further attempts.
+func (d *Balancer) HandleFirstByte(now int64, id string, n int) {
 	d.tick(now)
 	if r := d.reqs[id]; r != nil {
 		r.stream = true
