--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -12,7 +12,7 @@
 // overdue looks at a request whose attempt has been out for longer than its kind takes. Guards against silent
 // and very slow workers, lost messages and stuck loads. Harm: wasted work when all are slow, so only silence
 // is acted on freely; against a worker that answers others it draws on a budget.
-func (d *Dispatcher) overdue(now int64, r *request) {
+func (d *Balancer) overdue(now int64, r *request) {
 	last := r.out()
 	if last == nil {
 		d.dispatch(now, r)
@@ -29,7 +29,7 @@
 			d.wakeAt(r, slow)
 			return
 		}
-		if d.hedges < 1 || float64(r.arrived+r.class.Aim-now) < st.mean { // late, it earns too little
+		if d.hedges < 1 || float64(r.arrived+r.class.LatencyObjective-now) < st.mean { // late, it earns too little
 			d.wakeAt(r, now+d.minAim/beats)
 			return
 		}
@@ -45,50 +45,50 @@
 	if !silent {
 		d.hedges--
 	}
-	if d.set.SecondCopies {
+	if d.set.Hedging {
 		d.send(now, r, w, false)
-	} else if d.set.MayCancel && r.class.Effect == Safe {
-		d.host.Cancel(r.ID, last.n)
+	} else if d.set.Cancellation && r.class.Idempotency == Idempotent {
+		d.host.CancelAttempt(r.ID, last.n)
 	}
 }
 
 // overdueDevs is how many deviations past its mean an attempt is as likely lost as late. Guards against
 // answers that never come from workers that answer others: the more are lost, the sooner a copy goes out, as
 // far as the effect class allows. With nothing lost it is about four. May harm where the tail is longer.
-func (d *Dispatcher) overdueDevs() float64 { return max(0, (-math.Log(d.lost)-1)/expTail) }
+func (d *Balancer) overdueDevs() float64 { return max(0, (-math.Log(d.lost)-1)/expTail) }
 
 // gone is the chance that an attempt still out is lost, not late.
-func (d *Dispatcher) gone(now int64, a *attempt) float64 {
+func (d *Balancer) gone(now int64, a *attempt) float64 {
 	st := d.stats[a.req.Class]
 	late := (1 - d.lost) * math.Exp(min(0, -1-expTail*(float64(now-a.sent)-st.mean)/max(st.dev, 1)))
 	return d.lost / (d.lost + late)
 }
 
 // missed learns the share of lost answers; an attempt that ends without one counts by that chance.
-func (d *Dispatcher) missed(x float64) {
+func (d *Balancer) missed(x float64) {
 	d.lost = max(lostPrior, d.lost+learnTime*(x-d.lost))
 }
 
 // mayResend is the one gate for a further attempt, mayRefuse for a refusal: by effect class (rule 2).
-func (d *Dispatcher) mayResend(now int64, r *request, w *worker) bool {
+func (d *Balancer) mayResend(now int64, r *request, w *worker) bool {
 	call := rules.Repeat{Over: r.done || r.stream, LateForIt: now >= r.end(d), Attempts: len(r.tries), MostAttempts: d.set.MaxAttempts}
 	if !rules.MayRepeat(call).OK() {
 		return false
 	}
 	for _, a := range r.tries {
-		barred := r.class.Effect == Unsafe || r.class.Effect == Keyed &&
-			(now >= a.sent+r.class.Window-d.set.Quantum || !sameGroup(r.class.Scope, a, w))
-		if !rules.MayRepeatBeside(rules.Earlier{Out: a.open, Ran: a.ran, Barred: barred}, d.set.SecondCopies).OK() {
+		barred := r.class.Idempotency == NotIdempotent || r.class.Idempotency == IdempotentByKey &&
+			(now >= a.sent+r.class.IdempotencyWindow-d.set.ClockResolution || !sameGroup(r.class.IdempotencyScope, a, w))
+		if !rules.MayRepeatBeside(rules.Earlier{Out: a.open, Ran: a.ran, Barred: barred}, d.set.Hedging).OK() {
 			return false
 		}
 	}
 	return true
 }
 
-func (d *Dispatcher) mayRefuse(now int64, r *request) bool {
+func (d *Balancer) mayRefuse(now int64, r *request) bool {
 	for _, a := range r.tries {
-		barred := r.class.Effect == Unsafe || r.class.Effect == Keyed &&
-			(r.class.Scope != ScopeAll || now >= a.sent+r.class.Window-d.set.Quantum)
+		barred := r.class.Idempotency == NotIdempotent || r.class.Idempotency == IdempotentByKey &&
+			(r.class.IdempotencyScope != ScopeAll || now >= a.sent+r.class.IdempotencyWindow-d.set.ClockResolution)
 		if !rules.MayRefuse(rules.Earlier{Ran: a.ran, Barred: barred}).OK() {
 			return false
 		}
@@ -96,13 +96,13 @@
 	return !r.stream
 }
 
-func sameGroup(s Scope, a *attempt, w *worker) bool {
+func sameGroup(s IdempotencyScope, a *attempt, w *worker) bool {
 	return s == ScopeAll || s == ScopeZone && w.Zone == a.zone || s == ScopeCell && w.Cell == a.cell
 }
 
-func (d *Dispatcher) mayResendAnywhere(now int64, r *request) bool {
+func (d *Balancer) mayResendAnywhere(now int64, r *request) bool {
 	for _, w := range d.list {
-		if d.mayResend(now, r, w) || r.class.Effect != Keyed { // else it is the same for all
+		if d.mayResend(now, r, w) || r.class.Idempotency != IdempotentByKey { // else it is the same for all
 			return d.mayResend(now, r, w)
 		}
 	}
--- a/balancer/scale_test.go
+++ b/balancer/scale_test.go
@@ -31,8 +31,8 @@
 			s    float64
 		}{{"even", 0}, {"zipf", 1.1}} {
 			b.Run(fmt.Sprintf("%d_workers_%s", workers, law.name), func(b *testing.B) {
-				s := settings(Safe, ScopeAll)
-				s.Siblings, s.Peers, s.PeerPrice = scaleSiblings, true, 0.01
+				s := settings(Idempotent, ScopeAll)
+				s.Dispatchers, s.Gossip, s.PeerPrice = scaleSiblings, true, 0.01
 				x := newScaleHost(b, s, workers, law.s)
 				for range scaleWarm {
 					x.step()
@@ -56,7 +56,7 @@
 // scaleHost answers what one dispatcher sends, at its own pace: executors have room for every copy and call. Its own part of
 // the cost is a ring of slots of the clock, and a short list of copies for each function.
 type scaleHost struct {
-	d                    *Dispatcher
+	d                    *Balancer
 	rng                  *rand.Rand
 	sums                 []float64 // of the popularity of functions
 	copies               [][]scaleCopy
@@ -102,7 +102,7 @@
 		b.Fatal(err)
 	}
 	x.d = d
-	d.Roster(0, RosterFull, roster(workers))
+	d.UpdateEndpoints(0, EndpointsSnapshot, roster(workers))
 	return x
 }
 
@@ -111,14 +111,14 @@
 	x.now += scaleStep
 	for x.due <= x.now {
 		x.due = forever
-		x.d.Timer(x.now, x.ref)
+		x.d.HandleTimer(x.now, x.ref)
 	}
 	slot := &x.ring[x.now/scaleStep%int64(len(x.ring))]
 	for _, e := range *slot {
 		if e.id == "" {
-			x.d.Loaded(x.now, e.worker, e.fn, 1, OK)
+			x.d.HandleLoadResult(x.now, e.worker, e.fn, 1, OK)
 		} else {
-			x.d.Outcome(x.now, Outcome{ID: e.id, Attempt: e.try, Worker: e.worker, Result: OK, Finished: true, Warmth: e.warmth})
+			x.d.HandleAttemptResult(x.now, AttemptResult{ID: e.id, Attempt: e.try, Worker: e.worker, Result: OK, Finished: true, Warmth: e.warmth})
 		}
 	}
 	*slot = (*slot)[:0]
@@ -126,7 +126,7 @@
 	f := sort.SearchFloat64s(x.sums, x.rng.Float64()*x.sums[len(x.sums)-1])
 	x.inHand[id] = scaleCall{fn: f}
 	x.calls++
-	x.d.Request(x.now, call(id, x.now, FuncID(f+1)))
+	x.d.HandleRequest(x.now, call(id, x.now, FuncID(f+1)))
 }
 
 // copy is the copy of a function at a worker, begun if there is none; it stands from now on for the keep-alive.
@@ -151,7 +151,7 @@
 	*slot = append(*slot, e)
 }
 
-func (x *scaleHost) Send(id string, w WorkerID, _ int64) {
+func (x *scaleHost) SendAttempt(id string, w WorkerID, _ int64) {
 	x.sends++
 	call := x.inHand[id]
 	c, warmth := x.copy(call.fn, w)
@@ -160,23 +160,23 @@
 	x.inHand[id] = call
 }
 
-func (x *scaleHost) Load(w WorkerID, f FuncID, _ int) {
+func (x *scaleHost) OrderLoad(w WorkerID, f FuncID, _ int) {
 	c, _ := x.copy(int(f-1), w)
 	x.at(max(c.from, x.now+scaleStep), scaleEvent{worker: w, fn: f})
 }
 
-func (x *scaleHost) Counted(int64)          {}
-func (x *scaleHost) Timer(delay, ref int64) { x.due, x.ref = x.now+delay, ref }
-func (x *scaleHost) Refuse(string, int64)   { x.refuse++ }
-func (x *scaleHost) Fail(string)            { x.refuse++ }
-func (x *scaleHost) Cancel(string, int)     {}
-func (x *scaleHost) Drop(w WorkerID, f FuncID) {
+func (x *scaleHost) CountTowardLoadQuota(int64) {}
+func (x *scaleHost) SetTimer(delay, ref int64)  { x.due, x.ref = x.now+delay, ref }
+func (x *scaleHost) Reject(string, int64)       { x.refuse++ }
+func (x *scaleHost) Fail(string)                { x.refuse++ }
+func (x *scaleHost) CancelAttempt(string, int)  {}
+func (x *scaleHost) OrderUnload(w WorkerID, f FuncID) {
 	x.copies[f-1] = slices.DeleteFunc(x.copies[f-1], func(c scaleCopy) bool { return c.worker == w })
 }
-func (x *scaleHost) Probe(WorkerID)   {}
-func (x *scaleHost) Tell(int, string) {}
-func (x *scaleHost) Watch()           {}
-func (x *scaleHost) Log(string)       {}
+func (x *scaleHost) HealthCheck(WorkerID)        {}
+func (x *scaleHost) SendPeerMessage(int, string) {}
+func (x *scaleHost) SubscribeEndpoints()         {}
+func (x *scaleHost) Log(string)                  {}
 
 // BenchmarkReport is a report read by a collector that holds reports of all its siblings, each of which tells of up to 30 executors;
 // what a digest costs to gather then, and to tell or find too dear late in a term; and a term: all reports read, and ten digests gathered meanwhile.
@@ -194,7 +194,7 @@
 			b.Run(fmt.Sprintf("gathered/%d_siblings_%d_workers", siblings, workers), func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
-					m := aggregate.Message{Hub: true}
+					m := aggregate.Message{FromLeader: true}
 					x.d.gather(x.now, &m)
 				}
 			})
@@ -211,7 +211,7 @@
 					for i := range siblings - 1 {
 						x.read(b)
 						if i%max(1, (siblings-1)/10) == 0 {
-							x.d.gather(x.now, &aggregate.Message{Hub: true})
+							x.d.gather(x.now, &aggregate.Message{FromLeader: true})
 						}
 					}
 				}
@@ -222,28 +222,28 @@
 
 // senders are what the siblings of dispatcher 0 tell it, one after the other, each once in a term.
 type senders struct {
-	d     *Dispatcher
+	d     *Balancer
 	texts [3][][]string // by the round and the sibling; numbers of reports wrap round
 	n     int
 	now   int64
 }
 
 func newSenders(b *testing.B, siblings, workers int) *senders {
-	s := settings(Safe, ScopeAll)
-	s.Siblings, s.Peers, s.PeerPrice = siblings, true, 0.01
+	s := settings(Idempotent, ScopeAll)
+	s.Dispatchers, s.Gossip, s.PeerPrice = siblings, true, 0.01
 	host := newScaleHost(b, s, workers, 0)
-	x := &senders{d: host.d, now: 1000 * hubAims * s.Classes[0].Aim}
+	x := &senders{d: host.d, now: 1000 * hubAims * s.Classes[0].LatencyObjective}
 	rng := rand.New(rand.NewPCG(uint64(siblings), uint64(workers)))
 	for round := range x.texts {
 		for range siblings {
-			m := aggregate.Message{Calls: 100, Row: aggregate.Row{Incarnation: 1, Seq: uint8(round * 85), Figures: []float64{200, 3}}}
+			m := aggregate.Message{Calls: 100, Report: aggregate.Report{Incarnation: 1, Seq: uint8(round * 85), Values: []float64{200, 3}}}
 			for range min(workers, 30) {
 				m.Counts = append(m.Counts, aggregate.Count{Worker: tag(WorkerID(1 + rng.IntN(workers))), N: 1 + rng.IntN(3), Heard: true})
 			}
 			for range 3 {
-				m.Pairs = append(m.Pairs, aggregate.Pair{Func: uint32(1 + rng.IntN(scaleFuncs)), Worker: tag(WorkerID(1 + rng.IntN(workers)))})
+				m.Holders = append(m.Holders, aggregate.Holder{Func: uint32(1 + rng.IntN(scaleFuncs)), Worker: tag(WorkerID(1 + rng.IntN(workers)))})
 			}
-			x.texts[round] = append(x.texts[round], m.Texts(siblings))
+			x.texts[round] = append(x.texts[round], m.Encode(siblings))
 		}
 	}
 	for range 2 * siblings {
@@ -255,7 +255,7 @@
 // collect has all reports read in a term in which dispatcher 0 collects, and the clock stand in its last eighth.
 func (x *senders) collect(b *testing.B) {
 	term := hubAims * x.d.minAim
-	for x.now = (x.now/term + 1) * term; x.d.roll.Collector(x.now) != 0; {
+	for x.now = (x.now/term + 1) * term; x.d.roll.Leader(x.now) != 0; {
 		x.now += term
 	}
 	at := x.now
@@ -271,7 +271,7 @@
 	from := 1 + x.n%(siblings-1)
 	x.now += hubAims * x.d.minAim / int64(siblings-1)
 	for _, text := range x.texts[x.n/(siblings-1)%len(x.texts)][from] {
-		if !x.d.Peer(x.now, from, text) {
+		if !x.d.HandlePeerMessage(x.now, from, text) {
 			b.Fatal("a report is not read")
 		}
 	}
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -20,15 +20,15 @@
 	forgetTaus = 20  // tau: the time constant with which a dispatcher that is not heard is forgotten
 )
 
-// Dispatcher decides for one front end. Use New. Its methods must be called from one goroutine, with a clock
+// Balancer decides for one front end. Use New. Its methods must be called from one goroutine, with a clock
 // that does not go back; what concerns a request, worker or attempt it does not know is ignored.
-type Dispatcher struct {
+type Balancer struct {
 	set            Settings
 	host           Host
 	rng            *rand.Rand
 	now            int64
 	minAim         int64
-	judge          *outlier.Judge
+	judge          *outlier.Detector
 	safe           bool // some class is safe to repeat: such calls make the trials
 	reqs           map[string]*request
 	workers        map[WorkerID]*worker
@@ -57,9 +57,9 @@
 	ordered        []int64
 	watching       bool
 	askAt          int64
-	greeted        int   // dispatchers asked for their beliefs
-	words, pool    purse // earned by calls for reports and, at the hub, for digests
-	calls          int   // calls taken since the last report
+	greeted        int         // dispatchers asked for their beliefs
+	words, pool    tokenBucket // earned by calls for reports and, at the hub, for digests
+	calls          int         // calls taken since the last report
 	news           []*holder
 	others         float64   // requests of other dispatchers seen at a worker, on the mean
 	near           []*worker // those that the choice at hand looks at, in a long list
@@ -73,14 +73,14 @@
 	young          []*worker // listed ones that are cold, or were
 	warm           int       // listed workers that are not cold
 	sweptAt        int64
-	stoodAt        int64            // when we last found that we had stood still
-	lost           float64          // share of answers that never come, from workers that answer others
-	shared         *aggregate.Table // what each has of the figures below, and their sums
-	view           aggregate.View   // as of the last round
-	reports        reports          // what the others told us as the hub
-	counted        int              // counts in the last report gathered
-	roll           *leader.Roll     // who is there, and whose turn it is
-	sorted         []float64        // scratch for a middle
+	stoodAt        int64                 // when we last found that we had stood still
+	lost           float64               // share of answers that never come, from workers that answer others
+	shared         *aggregate.Aggregator // what each has of the figures below, and their sums
+	view           aggregate.View        // as of the last round
+	reports        reports               // what the others told us as the hub
+	counted        int                   // counts in the last report gathered
+	roll           *leader.Elector       // who is there, and whose turn it is
+	sorted         []float64             // scratch for a middle
 	digestAt       int64
 	wholeAt        int64 // when the last whole digest came in a long list
 	logAt          int64
@@ -123,17 +123,17 @@
 		return fmt.Errorf("balancer: Classes is empty")
 	}
 	for i, c := range s.Classes {
-		if c.Aim <= 0 {
+		if c.LatencyObjective <= 0 {
 			return fmt.Errorf("balancer: Classes[%d].Aim must be above 0", i)
 		}
-		if c.Window < 0 || c.GiveUp < 0 || math.IsNaN(c.Worth) {
+		if c.IdempotencyWindow < 0 || c.ClientTimeout < 0 || math.IsNaN(c.PriorityWeight) {
 			return fmt.Errorf("balancer: Classes[%d]: Window, GiveUp or Worth cannot be read", i)
 		}
 	}
 	for _, f := range []struct {
 		name string
 		v    int64
-	}{{"KeepAlive", s.KeepAlive}, {"Cold", s.Cold}, {"Fall", s.Fall}, {"DrainGrace", s.DrainGrace},
+	}{{"KeepAlive", s.KeepAlive}, {"Cold", s.SlowStartWindow}, {"Fall", s.Fall}, {"DrainGrace", s.DrainGrace},
 		{"LoadWindow", s.LoadWindow}} {
 		if f.v < 0 {
 			return fmt.Errorf("balancer: %s is negative", f.name)
@@ -143,33 +143,33 @@
 }
 
 // New makes a Dispatcher. It knows no workers until Roster is called.
-func New(now int64, s Settings, seed uint64, host Host) (*Dispatcher, error) {
+func New(now int64, s Settings, seed uint64, host Host) (*Balancer, error) {
 	if err := s.check(host); err != nil {
 		return nil, err
 	}
-	d := &Dispatcher{set: s, host: host, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)), now: now,
+	d := &Balancer{set: s, host: host, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)), now: now,
 		minAim: forever, reqs: map[string]*request{}, workers: map[WorkerID]*worker{},
 		funcs: map[uint32]*function{}, tags: map[uint16]*worker{}, armed: forever,
 		stress: 1, misses: 1, lost: lostPrior, born: now, stoodAt: now - 1, hedges: 1,
 		asked: make([]float64, len(s.Classes))}
 	for i := range s.Classes {
 		c := &s.Classes[i]
-		d.minAim = min(d.minAim, c.Aim)
-		d.safe = d.safe || c.Effect == Safe
-		d.stats = append(d.stats, stat{usualTime * float64(c.Aim), usualTime / 2 * float64(c.Aim)})
+		d.minAim = min(d.minAim, c.LatencyObjective)
+		d.safe = d.safe || c.Idempotency == Idempotent
+		d.stats = append(d.stats, stat{usualTime * float64(c.LatencyObjective), usualTime / 2 * float64(c.LatencyObjective)})
 	}
-	d.set.Siblings = max(1, s.Siblings)
+	d.set.Dispatchers = max(1, s.Dispatchers)
 	d.set.MaxAttempts = max(1, s.MaxAttempts)
-	d.set.Walk = cmp.Or(s.Walk, walked)
-	d.set.Quantum = max(s.Quantum, 1_000_000)
+	d.set.FullScanLimit = cmp.Or(s.FullScanLimit, walked)
+	d.set.ClockResolution = max(s.ClockResolution, 1_000_000)
 	d.set.OverloadFactor = max(s.OverloadFactor, 0)
-	for range s.TenantRate {
+	for range s.TenantQuota {
 		d.tenants = append(d.tenants, tenant{})
 	}
 	d.judge = outlier.New(d.minAim, d.many() > 1)
-	d.roll = leader.New(s.Number, d.set.Siblings, hubAims*d.minAim)
-	d.shared = aggregate.New(now, aggregate.Settings{Number: s.Number, Siblings: d.set.Siblings, Figures: d.kept() + 2, Passing: 1,
-		Term: hubAims * d.minAim, Tick: d.set.Quantum, Forget: forgetTaus * int64(d.tau())})
+	d.roll = leader.New(s.DispatcherIndex, d.set.Dispatchers, hubAims*d.minAim)
+	d.shared = aggregate.New(now, aggregate.Settings{DispatcherIndex: s.DispatcherIndex, Dispatchers: d.set.Dispatchers,
+		Values: d.kept() + 2, Passing: 1, Term: hubAims * d.minAim, Tick: d.set.ClockResolution, Forget: forgetTaus * int64(d.tau())})
 	d.loads = stat{usualLoad * float64(d.minAim), usualLoad / 2 * float64(d.minAim)}
 	return d, nil
 }
@@ -177,29 +177,29 @@
 // AddClasses takes classes that requests may name from now on and returns the number of the first; requests in hand
 // keep the class they came with. All are taken or none: an error, for a class without a positive aim or with figures
 // that cannot be read, changes nothing.
-func (d *Dispatcher) AddClasses(now int64, cs []Class) (int, error) {
+func (d *Balancer) AddClasses(now int64, cs []Class) (int, error) {
 	d.tick(now)
 	for i, c := range cs {
-		if c.Aim <= 0 || c.Window < 0 || c.GiveUp < 0 || math.IsNaN(c.Worth) {
+		if c.LatencyObjective <= 0 || c.IdempotencyWindow < 0 || c.ClientTimeout < 0 || math.IsNaN(c.PriorityWeight) {
 			return 0, fmt.Errorf("balancer: added class %d: Aim must be above 0, and Window, GiveUp and Worth be read", i)
 		}
 	}
 	first := len(d.set.Classes)
 	d.set.Classes = append(d.set.Classes, cs...) // a request holds its class by pointer: an old array stays its own
 	for _, c := range cs {
-		d.minAim = min(d.minAim, c.Aim)
-		d.safe = d.safe || c.Effect == Safe
-		d.stats = append(d.stats, stat{usualTime * float64(c.Aim), usualTime / 2 * float64(c.Aim)})
+		d.minAim = min(d.minAim, c.LatencyObjective)
+		d.safe = d.safe || c.Idempotency == Idempotent
+		d.stats = append(d.stats, stat{usualTime * float64(c.LatencyObjective), usualTime / 2 * float64(c.LatencyObjective)})
 		d.asked = append(d.asked, 0)
 	}
 	d.judge.Pace(d.minAim)
-	d.roll.Pace(hubAims * d.minAim)
+	d.roll.SetTerm(hubAims * d.minAim)
 	d.arm()
 	return first, nil
 }
 
 // SetMaxAttempts changes how many attempts a request may have, from now on; at least one.
-func (d *Dispatcher) SetMaxAttempts(now int64, n int) {
+func (d *Balancer) SetMaxAttempts(now int64, n int) {
 	d.tick(now)
 	d.set.MaxAttempts = max(1, n)
 	d.arm()
--- a/balancer/workers.go
+++ b/balancer/workers.go
@@ -9,17 +9,17 @@
 )
 
 // ask keeps a roster that must be asked for within AskWithin, again after failures at a bounded rate.
-func (d *Dispatcher) ask(now int64) {
-	if d.set.AskRoster && !d.watching && now >= d.askAt {
-		d.askAt = now + max(d.set.AskWithin/4, d.minAim)
+func (d *Balancer) ask(now int64) {
+	if d.set.PollEndpoints && !d.watching && now >= d.askAt {
+		d.askAt = now + max(d.set.PollInterval/4, d.minAim)
 		d.watching = true
-		d.host.Watch()
+		d.host.SubscribeEndpoints()
 	}
 }
 
 // worker's fields that each choice reads stand first: a candidate of a long list is in no cache.
 type worker struct {
-	Entry
+	Endpoint
 	looked     int     // the last choice that looked at it, and whether it was well then
 	turn       int     // the last choice that it may have
 	now        float64 // load in that
@@ -36,7 +36,7 @@
 	paceAt     int64
 	told       float64 // the same as others tell it: it weighs, and is never told on
 	toldAt     int64
-	health     outlier.Box
+	health     outlier.Stats
 
 	coldSlot  int64 // the draw of the cold budget in force, and what is left of it
 	coldLeft  int
@@ -49,7 +49,7 @@
 	tally     tally // of what the others told of it
 }
 
-func (d *Dispatcher) entry(e Entry) {
+func (d *Balancer) entry(e Endpoint) {
 	w := d.workers[e.Worker]
 	if w == nil {
 		w = &worker{pace: 1}
@@ -57,16 +57,16 @@
 	} else if e.Start != w.Start && e.Start > 0 {
 		d.unbelieve(w)
 		w.coldSlot = 0
-		w.health.Restarted()
+		w.health.Reset()
 	}
-	w.Entry, w.listed = e, e.State != Off
+	w.Endpoint, w.listed = e, e.State != Removed
 	if w.listed && !w.inList {
 		w.inList, d.list = true, append(d.list, w)
 		d.touch(d.now, w)
 	}
-	if e.State != On && d.ring.Remove(uint32(w.Worker)) {
+	if e.State != Active && d.ring.Remove(uint32(w.Worker)) {
 		d.on = slices.DeleteFunc(d.on, func(x *worker) bool { return x == w })
-	} else if e.State == On && d.ring.Add(uint32(w.Worker), w) {
+	} else if e.State == Active && d.ring.Add(uint32(w.Worker), w) {
 		d.on = append(d.on, w)
 	}
 	if !w.young && d.isCold(d.now, w) {
@@ -74,21 +74,21 @@
 	}
 }
 
-// Roster takes news of the workers.
-func (d *Dispatcher) Roster(now int64, kind RosterKind, entries []Entry) {
+// UpdateEndpoints takes news of the workers.
+func (d *Balancer) UpdateEndpoints(now int64, kind EndpointUpdateKind, entries []Endpoint) {
 	d.tick(now)
-	if kind == RosterFailed {
+	if kind == EndpointsUnavailable {
 		d.watching = false
 	} else {
 		d.askAt = now
-		d.watching = d.watching || kind != RosterCached
+		d.watching = d.watching || kind != EndpointsCached
 	}
 	named := map[WorkerID]bool{}
 	for _, e := range entries {
 		named[e.Worker] = true
 		d.entry(e)
 	}
-	if kind == RosterFull || kind == RosterCached {
+	if kind == EndpointsSnapshot || kind == EndpointsCached {
 		for _, w := range d.list {
 			w.listed = w.listed && named[w.Worker]
 		}
--- a/clock_test.go
+++ b/clock_test.go
@@ -36,10 +36,12 @@
 		return Reply{Result: balancer.Timeout}
 	}
 }
-func (w slowWorkers) Probe(context.Context, Member) Reply { return Reply{Result: balancer.OK} }
-func (w slowWorkers) Load(context.Context, Order) Reply   { return Reply{Result: balancer.OK, Copies: 1} }
-func (w slowWorkers) Drop(context.Context, Order)         {}
-func (w slowWorkers) Forget(balancer.WorkerID)            {}
+func (w slowWorkers) Probe(context.Context, Endpoint) Reply { return Reply{Result: balancer.OK} }
+func (w slowWorkers) Load(context.Context, LoadOrder) Reply {
+	return Reply{Result: balancer.OK, Copies: 1}
+}
+func (w slowWorkers) Drop(context.Context, LoadOrder) {}
+func (w slowWorkers) Forget(balancer.WorkerID)        {}
 
 // A step of the wall clock, either way and with calls in hand, changes nothing: calls are served as before, and one that a
 // worker never answers ends at its deadline.
@@ -52,15 +54,15 @@
 	for _, by := range []time.Duration{-time.Hour, -5 * time.Second, 5 * time.Second, time.Hour} {
 		t.Run(by.String(), func(t *testing.T) {
 			t.Cleanup(func() { require.NoError(t, wallclock.Set(0)) })
-			classes := []balancer.Class{{Aim: int64(400 * time.Millisecond), GiveUp: int64(patience), Worth: 1, Effect: balancer.Unsafe}}
-			served, err := New(Config{Workers: slowWorkers{takes: takes}, Settings: balancer.Settings{Classes: classes, MaxAttempts: 3, Quantum: int64(4 * time.Millisecond)}})
+			classes := []balancer.Class{{LatencyObjective: int64(400 * time.Millisecond), ClientTimeout: int64(patience), PriorityWeight: 1, Idempotency: balancer.NotIdempotent}}
+			served, err := New(Config{Workers: slowWorkers{takes: takes}, Settings: balancer.Settings{Classes: classes, MaxAttempts: 3, ClockResolution: int64(4 * time.Millisecond)}})
 			require.NoError(t, err)
 			defer served.Close()
-			silent, err := New(Config{Workers: slowWorkers{silent: true}, Settings: balancer.Settings{Classes: classes, MaxAttempts: 3, Quantum: int64(4 * time.Millisecond)}})
+			silent, err := New(Config{Workers: slowWorkers{silent: true}, Settings: balancer.Settings{Classes: classes, MaxAttempts: 3, ClockResolution: int64(4 * time.Millisecond)}})
 			require.NoError(t, err)
 			defer silent.Close()
 			for _, c := range []*Core{served, silent} {
-				c.Roster(Roster{Kind: balancer.RosterFull, Members: []Member{{ID: 1, Addr: "127.0.0.1:1", State: balancer.On, Weight: 1}}})
+				c.UpdateEndpoints(EndpointUpdate{Kind: balancer.EndpointsSnapshot, Endpoints: []Endpoint{{ID: 1, Addr: "127.0.0.1:1", State: balancer.Active, Weight: 1}}})
 			}
 			ask := func(c *Core, id string) (Answer, time.Duration) {
 				begun := time.Now()
--- a/cmd/dispatcher/main_test.go
+++ b/cmd/dispatcher/main_test.go
@@ -313,7 +313,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, "e2", found.Kept.Epoch)
 	var ids []int
-	for _, x := range found.Kept.Boxes {
+	for _, x := range found.Kept.Endpoints {
 		ids = append(ids, int(x.ID))
 	}
 	assert.Equal(t, []int{1, 3}, ids)
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -20,35 +20,35 @@
 }
 
 type instance struct {
-	d   *balancer.Dispatcher
+	d   *balancer.Balancer
 	who string
 	out *wire.Writer
 }
 
-func (h *instance) Send(id string, w balancer.WorkerID, until int64) {
+func (h *instance) SendAttempt(id string, w balancer.WorkerID, until int64) {
 	h.out.Open("pass_on", h.who).Str("xid", id).Int("runner", int64(w))
 	if until > 0 {
 		h.out.Int("try_until_ns", until)
 	}
 	h.out.End()
 }
-func (h *instance) Cancel(id string, attempt int) {
+func (h *instance) CancelAttempt(id string, attempt int) {
 	h.out.Open("abort_attempt", h.who).Str("xid", id).Int("trial", int64(attempt)).End()
 }
-func (h *instance) Refuse(id string, wait int64) {
+func (h *instance) Reject(id string, wait int64) {
 	h.out.Open("shed", h.who).Str("xid", id).Int("wait_ns", wait).End()
 }
 func (h *instance) Fail(id string) { h.out.Open("lose", h.who).Str("xid", id).End() }
-func (h *instance) Load(w balancer.WorkerID, f balancer.FuncID, n int) {
+func (h *instance) OrderLoad(w balancer.WorkerID, f balancer.FuncID, n int) {
 	h.out.Open("keep_loaded", h.who).Fn(uint64(f)).Int("how_many", int64(n)).Int("runner", int64(w)).End()
 }
-func (h *instance) Drop(w balancer.WorkerID, f balancer.FuncID) {
+func (h *instance) OrderUnload(w balancer.WorkerID, f balancer.FuncID) {
 	h.out.Open("unmount", h.who).Fn(uint64(f)).Int("runner", int64(w)).End()
 }
-func (h *instance) Probe(w balancer.WorkerID) {
+func (h *instance) HealthCheck(w balancer.WorkerID) {
 	h.out.Open("probe", h.who).Int("runner", int64(w)).End()
 }
-func (h *instance) Tell(to int, data string) {
+func (h *instance) SendPeerMessage(to int, data string) {
 	h.out.Open("write_peer", h.who)
 	if to < 0 {
 		h.out.Str("peer", "*")
@@ -58,13 +58,13 @@
 	h.out.Str("data", data).End()
 }
 
-// Counted has nothing to do: the simulator counts for itself.
-func (h *instance) Counted(int64) {}
+// CountTowardLoadQuota has nothing to do: the simulator counts for itself.
+func (h *instance) CountTowardLoadQuota(int64) {}
 
-func (h *instance) Timer(delay, ref int64) {
+func (h *instance) SetTimer(delay, ref int64) {
 	h.out.Open("sleep", h.who).Int("offset_ns", delay).Int("ref", ref).End()
 }
-func (h *instance) Watch() {
+func (h *instance) SubscribeEndpoints() {
 	h.out.Open("tail", h.who)
 	h.out.Buf = append(h.out.Buf, `,"enable":true`...)
 	h.out.End()
@@ -87,7 +87,7 @@
 	rd := bufio.NewReaderSize(in, 1<<20)
 	var reply wire.Writer
 	all := map[string]*instance{}
-	lists := map[int][]balancer.Entry{}
+	lists := map[int][]balancer.Endpoint{}
 	now, line := int64(0), 0
 	find := func(who string) (*instance, error) {
 		if h := all[who]; h != nil {
@@ -129,19 +129,19 @@
 			}
 			reply.Buf = reply.Buf[:0]
 		case *wire.DefineList:
-			es := make([]balancer.Entry, 0, len(e.Entries))
+			es := make([]balancer.Endpoint, 0, len(e.Entries))
 			for i, x := range e.Entries {
 				if x.Runner == nil {
 					return fmt.Errorf("line %d: define_list: entries[%d]: field runner is missing", line, i)
 				}
-				st := balancer.Off
+				st := balancer.Removed
 				switch x.Readiness {
 				case "on":
-					st = balancer.On
+					st = balancer.Active
 				case "fading":
 					st = balancer.Draining
 				}
-				es = append(es, balancer.Entry{Worker: balancer.WorkerID(*x.Runner), Zone: x.Hall, Kind: x.HW,
+				es = append(es, balancer.Endpoint{Worker: balancer.WorkerID(*x.Runner), Zone: x.Hall, Kind: x.HW,
 					Cell: x.Block, State: st, Weight: x.Nominal, Start: x.UpSince})
 			}
 			lists[e.Bank] = es
@@ -161,20 +161,20 @@
 			if h, err = find(e.Who); err != nil {
 				return err
 			}
-			kinds := map[string]balancer.RosterKind{"delta": balancer.RosterDelta, "full": balancer.RosterFull,
-				"cached": balancer.RosterCached, "failed": balancer.RosterFailed}
+			kinds := map[string]balancer.EndpointUpdateKind{"delta": balancer.EndpointsDelta, "full": balancer.EndpointsSnapshot,
+				"cached": balancer.EndpointsCached, "failed": balancer.EndpointsUnavailable}
 			k, known := kinds[e.Kind]
 			if !known {
 				return fmt.Errorf("line %d: sync: field kind: unknown %q", line, e.Kind)
 			}
 			es, ok := lists[e.Bank]
-			if !ok && k != balancer.RosterFailed {
+			if !ok && k != balancer.EndpointsUnavailable {
 				return fmt.Errorf("line %d: sync: field bank: unknown list %d", line, e.Bank)
 			}
-			if k == balancer.RosterFailed {
+			if k == balancer.EndpointsUnavailable {
 				es = nil
 			}
-			h.d.Roster(now, k, es)
+			h.d.UpdateEndpoints(now, k, es)
 		case *wire.Demand:
 			if h, err = find(e.Who); err != nil {
 				return err
@@ -183,37 +183,37 @@
 			if err != nil && e.Fn != "" {
 				return fmt.Errorf("line %d: demand: field target_fn: %q is not a function id", line, e.Fn)
 			}
-			h.d.Request(now, balancer.Request{ID: e.ID, Class: e.Kind, Tenant: e.Group, Func: balancer.FuncID(f),
+			h.d.HandleRequest(now, balancer.Request{ID: e.ID, Class: e.Kind, Tenant: e.Group, Func: balancer.FuncID(f),
 				Deadline: e.ValidUntil, MemoryMB: e.MemoryMB, Lanes: int(e.Lanes),
 				LoadTime: int64(e.LoadMS * 1e6), Repeat: e.Repeat})
 		case *wire.Bell:
 			if h, err = find(e.Who); err != nil {
 				return err
 			}
-			h.d.Timer(now, e.Ref)
+			h.d.HandleTimer(now, e.Ref)
 		case *wire.FirstByte:
 			if h, err = find(e.Who); err != nil {
 				return err
 			}
-			h.d.FirstByte(now, e.ID, e.Trial)
+			h.d.HandleFirstByte(now, e.ID, e.Trial)
 		case *wire.AttemptEnd:
 			if h, err = find(e.Who); err != nil {
 				return err
 			}
-			o := balancer.Outcome{ID: e.ID, Attempt: e.Trial, Worker: balancer.WorkerID(e.Runner), RTT: e.RTT,
+			o := balancer.AttemptResult{ID: e.ID, Attempt: e.Trial, Worker: balancer.WorkerID(e.Runner), RTT: e.RTT,
 				Finished: e.Finished, Report: e.Load, Result: result(e.How), Crowd: e.Info >> 3,
 				Warmth: balancer.Warmth(e.Info & 7)}
-			h.d.Outcome(now, o)
+			h.d.HandleAttemptResult(now, o)
 		case *wire.Pong:
 			if h, err = find(e.Who); err != nil {
 				return err
 			}
-			h.d.Probed(now, balancer.WorkerID(e.Runner), result(e.How), e.RTT, e.Load)
+			h.d.HandleHealthCheck(now, balancer.WorkerID(e.Runner), result(e.How), e.RTT, e.Load)
 		case *wire.NoteFrom:
 			if h, err = find(e.Who); err != nil {
 				return err
 			}
-			h.d.Peer(now, e.Sender, e.Data)
+			h.d.HandlePeerMessage(now, e.Sender, e.Data)
 		case *wire.Warmed:
 			if h, err = find(e.Who); err != nil {
 				return err
@@ -222,12 +222,12 @@
 			if err != nil {
 				return fmt.Errorf("line %d: warmed: field target_fn: %q is not a function id", line, e.Fn)
 			}
-			h.d.Loaded(now, balancer.WorkerID(e.Runner), balancer.FuncID(f), e.HowMany, result(e.How))
+			h.d.HandleLoadResult(now, balancer.WorkerID(e.Runner), balancer.FuncID(f), e.HowMany, result(e.How))
 		case *wire.Vanished:
 			if h, err = find(e.Who); err != nil {
 				return err
 			}
-			h.d.Gone(now, e.ID)
+			h.d.HandleClientGone(now, e.ID)
 		}
 	}
 }
--- a/core.go
+++ b/core.go
@@ -24,12 +24,12 @@
 
 // Config is what a Core is made of. Workers is needed; the rest has a zero value that works.
 type Config struct {
-	Settings balancer.Settings
-	Seed     uint64
-	MaxOpen  int // requests in hand at a time; 0: 4096
-	Workers  Workers
-	Peers    Peers
-	Settled  func(Settlement) // called for every request that is over; must return at once
+	Settings    balancer.Settings
+	Seed        uint64
+	MaxInFlight int // requests in hand at a time; 0: 4096
+	Workers     Workers
+	Peers       Peers
+	Completed   func(Completion) // called for every request that is over; must return at once
 	// Admit is asked once for each request before the module is; false: it is refused at once, with the wait told. It is
 	// called in the loop and must return at once. nil: all pass.
 	Admit    func(*Request) (wait time.Duration, ok bool)
@@ -51,12 +51,12 @@
 
 // Counters count what a Core has done since its start.
 type Counters struct {
-	Taken, Served, Refused, Failed, TimedOut, Abandoned int64
-	TurnedAway                                          int64 // refused by the cap on open requests
-	HeldOff                                             int64 // refused by Config.Admit
-	Attempts, Orders, OrdersHeld                        int64
-	Unread                                              int64                   // messages of peers that cannot be read
-	Ends                                                [balancer.Results]int64 // of attempts, by decide.Result
+	Accepted, Served, Rejected, Failed, TimedOut, Abandoned int64
+	RejectedByLimit                                         int64 // refused by the cap on open requests
+	RejectedByAdmission                                     int64 // refused by Config.Admit
+	Attempts, LoadOrders, LoadOrdersWithheld                int64
+	Unread                                                  int64                   // messages of peers that cannot be read
+	Ends                                                    [balancer.Results]int64 // of attempts, by decide.Result
 }
 
 // Core dispatches requests. Its methods may be called from many goroutines.
@@ -72,23 +72,23 @@
 	cancel  context.CancelFunc
 
 	// Owned by the loop.
-	d       *balancer.Dispatcher
-	last    int64
-	later   []func()
-	open    map[string]*call
-	flights map[flightKey]*flight
-	orders  int // given so far
-	members map[balancer.WorkerID]member
-	called  map[balancer.FuncID]calledKey
-	ration  ration
-	swept   time.Time
-	n       Counters
+	d         *balancer.Balancer
+	last      int64
+	deferred  []func()
+	requests  map[string]*call
+	attempts  map[attemptKey]*inFlightAttempt
+	orders    int // given so far
+	members   map[balancer.WorkerID]member
+	called    map[balancer.FuncID]calledKey
+	ration    loadOrderLimiter
+	lastSweep time.Time
+	n         Counters
 }
 
 // member is a worker on the list, and when it started by the module's clock, as worked out when that was first told: told
 // again, it is the same start, wherever the wall clock has gone meanwhile.
 type member struct {
-	Member
+	Endpoint
 	started int64
 }
 
@@ -105,15 +105,15 @@
 	err error
 }
 
-type flightKey struct {
+type attemptKey struct {
 	id string // "": an order
 	n  int
 }
 
-// flight is one attempt or order to load on its way. It owns whether anything of it was written: once begun it may only
+// inFlightAttempt is one attempt or order to load on its way. It owns whether anything of it was written: once begun it may only
 // be called off, where the settings allow that; until then it is revoked when its caller leaves, its request is over, or
 // its worker drains, goes or starts anew. Guards against a write that crosses one of these: whoever comes first wins.
-type flight struct {
+type inFlightAttempt struct {
 	worker balancer.WorkerID
 	caller context.Context
 	left   func() bool // nil: only the context tells
@@ -125,7 +125,7 @@
 
 // begin is asked right before the first byte is written; false: nothing may be written any more. Asked again, for another
 // connection since nothing was written on the first, it answers anew.
-func (f *flight) begin() bool {
+func (f *inFlightAttempt) begin() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.begun = rules.MayWrite(rules.Write{CallerLeft: f.callerLeft(), Revoked: f.revoked}).OK()
@@ -133,10 +133,12 @@
 }
 
 // callerLeft tells whether the caller has left: its context says so, or its connection.
-func (f *flight) callerLeft() bool { return f.caller.Err() != nil || f.left != nil && f.left() }
+func (f *inFlightAttempt) callerLeft() bool {
+	return f.caller.Err() != nil || f.left != nil && f.left()
+}
 
 // revoke has a flight begin no more, and ends it where it has not begun.
-func (f *flight) revoke() {
+func (f *inFlightAttempt) revoke() {
 	f.mu.Lock()
 	f.revoked = true
 	begun := f.begun
@@ -156,14 +158,14 @@
 	if cfg.Workers == nil {
 		return nil, errors.New("oakthread: Config.Workers is nil")
 	}
-	if cfg.MaxOpen <= 0 {
-		cfg.MaxOpen = defaultOpen
+	if cfg.MaxInFlight <= 0 {
+		cfg.MaxInFlight = defaultOpen
 	}
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
 	}
 	c := &Core{cfg: cfg, events: make(chan func(), eventsWait), closing: make(chan struct{}),
-		stopped: make(chan struct{}), open: map[string]*call{}, flights: map[flightKey]*flight{},
+		stopped: make(chan struct{}), requests: map[string]*call{}, attempts: map[attemptKey]*inFlightAttempt{},
 		members: map[balancer.WorkerID]member{}, called: map[balancer.FuncID]calledKey{}}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	c.ration.window = time.Duration(cfg.Settings.LoadWindow)
@@ -184,15 +186,15 @@
 		select {
 		case ev := <-c.events:
 			ev()
-			for len(c.later) > 0 { // what the module may not hear within the event that caused it
-				next := c.later
-				c.later = nil
+			for len(c.deferred) > 0 { // what the module may not hear within the event that caused it
+				next := c.deferred
+				c.deferred = nil
 				for _, f := range next {
 					f()
 				}
 			}
 		case <-c.closing:
-			for _, k := range c.open {
+			for _, k := range c.requests {
 				k.answer <- result{err: ErrClosed}
 			}
 			return
@@ -271,11 +273,11 @@
 func (c *Core) Ejected() []balancer.WorkerID { return look(c, c.d.Ejected) }
 
 // Shared is what is known of the sums over all dispatchers; the zero View once closed.
-func (c *Core) Shared() aggregate.View { return look(c, c.d.Shared) }
+func (c *Core) Shared() aggregate.View { return look(c, c.d.FleetView) }
 
 // Verdicts lists what is held of each worker and why; nil once closed.
-func (c *Core) Verdicts() []balancer.Verdict {
-	return look(c, func() []balancer.Verdict { return c.d.Verdicts(c.now()) })
+func (c *Core) Verdicts() []balancer.WorkerHealth {
+	return look(c, func() []balancer.WorkerHealth { return c.d.WorkerHealth(c.now()) })
 }
 
 // look asks the module; the zero value once closed.
@@ -291,13 +293,13 @@
 	return none
 }
 
-// Roster takes news of the workers.
-func (c *Core) Roster(r Roster) { c.post(func() { c.roster(r) }) }
+// UpdateEndpoints takes news of the workers.
+func (c *Core) UpdateEndpoints(r EndpointUpdate) { c.post(func() { c.roster(r) }) }
 
-// Heard takes a message of another dispatcher.
-func (c *Core) Heard(from int, data string) {
+// HandlePeerMessage takes a message of another dispatcher.
+func (c *Core) HandlePeerMessage(from int, data string) {
 	c.post(func() {
-		if !c.d.Peer(c.now(), from, data) {
+		if !c.d.HandlePeerMessage(c.now(), from, data) {
 			c.n.Unread++
 		}
 	})
@@ -341,23 +343,23 @@
 	if k.ctx.Err() != nil {
 		return // its caller has left, and nothing was done for it
 	}
-	if c.open[k.req.ID] != nil {
+	if c.requests[k.req.ID] != nil {
 		k.answer <- result{err: ErrDuplicate}
 		return
 	}
-	c.n.Taken++
+	c.n.Accepted++
 	now := time.Now()
-	if len(c.open) >= c.cfg.MaxOpen {
-		c.n.TurnedAway++
-		c.open[k.req.ID] = k
-		c.book(k, Answer{Outcome: Refused, Wait: time.Duration(c.cfg.Settings.MaxRetryAfter)}, false)
+	if len(c.requests) >= c.cfg.MaxInFlight {
+		c.n.RejectedByLimit++
+		c.requests[k.req.ID] = k
+		c.complete(k, Answer{Outcome: Rejected, RetryAfter: time.Duration(c.cfg.Settings.MaxRetryAfter)}, false)
 		return
 	}
-	c.open[k.req.ID] = k
+	c.requests[k.req.ID] = k
 	if c.cfg.Admit != nil {
 		if wait, ok := c.cfg.Admit(&k.req); !ok {
-			c.n.HeldOff++
-			c.book(k, Answer{Outcome: Refused, Wait: wait}, false)
+			c.n.RejectedByAdmission++
+			c.complete(k, Answer{Outcome: Rejected, RetryAfter: wait}, false)
 			return
 		}
 	}
@@ -369,7 +371,7 @@
 // route asks the module, which answers by calls of the host below: a send, a refusal, or nothing yet.
 func (c *Core) route(k *call) {
 	q := &k.req
-	c.d.Request(c.now(), balancer.Request{ID: q.ID, Class: q.Class, Tenant: q.Tenant, Func: q.Func,
+	c.d.HandleRequest(c.now(), balancer.Request{ID: q.ID, Class: q.Class, Tenant: q.Tenant, Func: q.Func,
 		Deadline: monotime.Nanos(q.Deadline), MemoryMB: q.MemoryMB, Lanes: q.Lanes, LoadTime: int64(q.LoadTime),
 		Repeat: q.Repeat})
 }
@@ -380,13 +382,13 @@
 )
 
 // send is one attempt, on a goroutine of its own. Its end comes back as an event, exactly once.
-func (c *Core) send(k *call, m Member, until time.Time) {
-	key := flightKey{k.req.ID, k.tries}
+func (c *Core) send(k *call, m Endpoint, until time.Time) {
+	key := attemptKey{k.req.ID, k.tries}
 	ctx, off := context.WithCancelCause(c.ctx)
 	ctx, done := context.WithDeadline(ctx, until)
-	f := &flight{worker: m.ID, caller: k.ctx, left: k.req.Left, off: off}
+	f := &inFlightAttempt{worker: m.ID, caller: k.ctx, left: k.req.Left, off: off}
 	a := Attempt{Request: &k.req, Worker: m, N: k.tries, Until: until, Begin: f.begin}
-	c.flights[key] = f
+	c.attempts[key] = f
 	k.tries++
 	c.n.Attempts++
 	sent := time.Now()
@@ -402,19 +404,19 @@
 		}
 		done()
 		off(nil)
-		c.post(func() { c.landed(key, a.Request.Class, m.ID, sent, r) })
+		c.post(func() { c.finishAttempt(key, a.Request.Class, m.ID, sent, r) })
 	}()
 }
 
-// landed takes the end of an attempt. The first good answer is the request's.
-func (c *Core) landed(key flightKey, class int, w balancer.WorkerID, sent time.Time, r Reply) {
-	delete(c.flights, key)
+// finishAttempt takes the end of an attempt. The first good answer is the request's.
+func (c *Core) finishAttempt(key attemptKey, class int, w balancer.WorkerID, sent time.Time, r Reply) {
+	delete(c.attempts, key)
 	c.n.Ends[r.Result]++
 	took := time.Since(sent)
 	if c.cfg.Observed != nil {
 		c.cfg.Observed(Observation{Worker: w, Class: class, Result: r.Result, Warm: r.Warmth == balancer.WarmHit, Took: took})
 	}
-	k := c.open[key.id]
+	k := c.requests[key.id]
 	if c.cfg.Log.Enabled(c.ctx, slog.LevelDebug) {
 		fn := balancer.FuncID(0)
 		if k != nil {
@@ -430,10 +432,10 @@
 		}
 	}
 	if r.Result == balancer.OK && k != nil {
-		c.book(k, Answer{Outcome: Served, Body: r.Body}, false)
+		c.complete(k, Answer{Outcome: Served, Body: r.Body}, false)
 	}
-	c.d.Outcome(c.now(), balancer.Outcome{ID: key.id, Attempt: key.n, Worker: w, Result: r.Result,
-		Finished: c.open[key.id] == nil, Warmth: r.Warmth, Crowd: r.Crowd, RTT: int64(took), Report: r.Report})
+	c.d.HandleAttemptResult(c.now(), balancer.AttemptResult{ID: key.id, Attempt: key.n, Worker: w, Result: r.Result,
+		Finished: c.requests[key.id] == nil, Warmth: r.Warmth, Crowd: r.Crowd, RTT: int64(took), Report: r.Report})
 }
 
 // mayHaveRun tells whether an attempt that ended so may have had its effect.
@@ -448,7 +450,7 @@
 // runsOnce tells whether a call must not run twice. Classes that a reload has added are not known here.
 func (c *Core) runsOnce(k *call) bool {
 	classes := c.cfg.Settings.Classes
-	return k.req.Class < len(classes) && classes[k.req.Class].Effect == balancer.Unsafe
+	return k.req.Class < len(classes) && classes[k.req.Class].Idempotency == balancer.NotIdempotent
 }
 
 func (c *Core) violated(rule violation.Rule, path violation.Path, id, detail string) {
@@ -461,27 +463,27 @@
 func (c *Core) unsent(k *call, w balancer.WorkerID, r balancer.Result) {
 	n, sent := k.tries, time.Now()
 	k.tries++
-	c.later = append(c.later, func() {
+	c.deferred = append(c.deferred, func() {
 		if k.ctx.Err() != nil {
 			c.abandon(k)
 		}
 		c.n.Ends[r]++
-		c.d.Outcome(c.now(), balancer.Outcome{ID: k.req.ID, Attempt: n, Worker: w, Result: r,
-			Finished: c.open[k.req.ID] != k, RTT: int64(time.Since(sent))})
+		c.d.HandleAttemptResult(c.now(), balancer.AttemptResult{ID: k.req.ID, Attempt: n, Worker: w, Result: r,
+			Finished: c.requests[k.req.ID] != k, RTT: int64(time.Since(sent))})
 	})
 }
 
-// book gives the final answer and tells the observer. No request is booked twice: it leaves the table here.
-func (c *Core) book(k *call, a Answer, abandoned bool) {
-	if c.open[k.req.ID] != k {
+// complete gives the final answer and tells the observer. No request is booked twice: it leaves the table here.
+func (c *Core) complete(k *call, a Answer, abandoned bool) {
+	if c.requests[k.req.ID] != k {
 		return
 	}
-	delete(c.open, k.req.ID)
-	if a.Outcome == Refused && !abandoned && k.ran > 0 && c.runsOnce(k) {
+	delete(c.requests, k.req.ID)
+	if a.Outcome == Rejected && !abandoned && k.ran > 0 && c.runsOnce(k) {
 		c.violated(violation.Refusal, violation.PathBook, k.req.ID, "refused after an attempt that may have run")
 	}
 	for n := range k.tries {
-		if f := c.flights[flightKey{k.req.ID, n}]; f != nil {
+		if f := c.attempts[attemptKey{k.req.ID, n}]; f != nil {
 			f.revoke()
 		}
 	}
@@ -490,8 +492,8 @@
 		c.n.Abandoned++
 	case a.Outcome == Served:
 		c.n.Served++
-	case a.Outcome == Refused:
-		c.n.Refused++
+	case a.Outcome == Rejected:
+		c.n.Rejected++
 	case a.Outcome == Failed:
 		c.n.Failed++
 	case a.Outcome == TimedOut:
@@ -502,54 +504,54 @@
 		c.cfg.Log.Debug("settled", "id", k.req.ID, "fn", uint64(k.req.Func), "class", k.req.Class, "outcome", a.Outcome.String(),
 			"abandoned", abandoned, "attempts", k.tries, "left_ms", time.Until(k.req.Deadline).Milliseconds())
 	}
-	if c.cfg.Settled != nil {
-		c.cfg.Settled(Settlement{Request: k.req, Answer: a, Abandoned: abandoned, At: time.Now(), Attempts: k.tries})
+	if c.cfg.Completed != nil {
+		c.cfg.Completed(Completion{Request: k.req, Answer: a, Abandoned: abandoned, At: time.Now(), Attempts: k.tries})
 	}
 }
 
 // abandon ends a request whose caller left; expire one that the module left without an answer.
 func (c *Core) abandon(k *call) {
-	if c.open[k.req.ID] == k {
-		c.book(k, Answer{Outcome: Failed}, true)
-		c.d.Gone(c.now(), k.req.ID)
+	if c.requests[k.req.ID] == k {
+		c.complete(k, Answer{Outcome: Failed}, true)
+		c.d.HandleClientGone(c.now(), k.req.ID)
 	}
 }
 
 func (c *Core) expire(k *call) {
-	if c.open[k.req.ID] == k {
+	if c.requests[k.req.ID] == k {
 		c.cfg.Log.Error("answer overdue, ended by the core", "id", k.req.ID)
-		c.book(k, Answer{Outcome: TimedOut}, false)
-		c.d.Gone(c.now(), k.req.ID)
+		c.complete(k, Answer{Outcome: TimedOut}, false)
+		c.d.HandleClientGone(c.now(), k.req.ID)
 	}
 }
 
 // roster keeps the members by id and tells the module. Connections to a worker that left or restarted are void.
-func (c *Core) roster(r Roster) {
-	es := make([]balancer.Entry, 0, len(r.Members))
-	named := make(map[balancer.WorkerID]bool, len(r.Members))
-	for _, m := range r.Members {
+func (c *Core) roster(r EndpointUpdate) {
+	es := make([]balancer.Endpoint, 0, len(r.Endpoints))
+	named := make(map[balancer.WorkerID]bool, len(r.Endpoints))
+	for _, m := range r.Endpoints {
 		named[m.ID] = true
 		old, known := c.members[m.ID]
 		start := old.started
 		if !known || !old.Start.Equal(m.Start) {
-			start = monotime.Started(m.Start)
+			start = monotime.StartTime(m.Start)
 		}
-		if known && (m.State == balancer.Off || !old.Start.Equal(m.Start) || old.Addr != m.Addr) {
+		if known && (m.State == balancer.Removed || !old.Start.Equal(m.Start) || old.Addr != m.Addr) {
 			c.cfg.Workers.Forget(m.ID)
 			c.revoke(m.ID)
 		}
-		if m.State != balancer.On {
+		if m.State != balancer.Active {
 			c.revoke(m.ID)
 		}
-		if m.State == balancer.Off {
+		if m.State == balancer.Removed {
 			delete(c.members, m.ID)
 		} else {
 			c.members[m.ID] = member{m, start}
 		}
-		es = append(es, balancer.Entry{Worker: m.ID, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, State: m.State,
+		es = append(es, balancer.Endpoint{Worker: m.ID, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, State: m.State,
 			Weight: m.Weight, Start: start})
 	}
-	if r.Kind == balancer.RosterFull || r.Kind == balancer.RosterCached {
+	if r.Kind == balancer.EndpointsSnapshot || r.Kind == balancer.EndpointsCached {
 		for id := range c.members {
 			if !named[id] {
 				delete(c.members, id)
@@ -559,12 +561,12 @@
 		}
 		c.ready.Store(true)
 	}
-	c.d.Roster(c.now(), r.Kind, es)
+	c.d.UpdateEndpoints(c.now(), r.Kind, es)
 }
 
 // revoke ends what is on its way to a worker that must get nothing new, as far as nothing of it was written.
 func (c *Core) revoke(w balancer.WorkerID) {
-	for _, f := range c.flights {
+	for _, f := range c.attempts {
 		if f.worker == w {
 			f.revoke()
 		}
@@ -573,10 +575,10 @@
 
 // sweep keeps the table of called functions bounded.
 func (c *Core) sweep(now time.Time) {
-	if now.Sub(c.swept) < calledFor/10 {
+	if now.Sub(c.lastSweep) < calledFor/10 {
 		return
 	}
-	c.swept = now
+	c.lastSweep = now
 	for f, k := range c.called {
 		if now.Sub(k.at) > calledFor {
 			delete(c.called, f)
@@ -587,9 +589,9 @@
 // host carries out the module's actions. Its methods run in the loop, within an event.
 type host Core
 
-func (h *host) Send(id string, w balancer.WorkerID, until int64) {
+func (h *host) SendAttempt(id string, w balancer.WorkerID, until int64) {
 	c := (*Core)(h)
-	k := c.open[id]
+	k := c.requests[id]
 	if k == nil {
 		return
 	}
@@ -598,7 +600,7 @@
 		c.unsent(k, w, balancer.Moot)
 		return
 	}
-	if !known || m.State != balancer.On {
+	if !known || m.State != balancer.Active {
 		c.unsent(k, w, balancer.ConnectFailed)
 		return
 	}
@@ -606,59 +608,59 @@
 	if until > 0 && monotime.Time(until).Before(end) {
 		end = monotime.Time(until)
 	}
-	c.send(k, m.Member, end)
+	c.send(k, m.Endpoint, end)
 }
 
-func (h *host) Cancel(id string, attempt int) {
-	if f := h.flights[flightKey{id, attempt}]; f != nil {
+func (h *host) CancelAttempt(id string, attempt int) {
+	if f := h.attempts[attemptKey{id, attempt}]; f != nil {
 		f.off(errCalledOff)
 	}
 }
 
-func (h *host) Refuse(id string, wait int64) {
-	if k := h.open[id]; k != nil {
-		(*Core)(h).book(k, Answer{Outcome: Refused, Wait: time.Duration(max(wait, 0))}, false)
+func (h *host) Reject(id string, wait int64) {
+	if k := h.requests[id]; k != nil {
+		(*Core)(h).complete(k, Answer{Outcome: Rejected, RetryAfter: time.Duration(max(wait, 0))}, false)
 	}
 }
 
 func (h *host) Fail(id string) {
-	if k := h.open[id]; k != nil {
+	if k := h.requests[id]; k != nil {
 		a := Answer{Outcome: Failed}
-		if slack := time.Duration(4 * h.cfg.Settings.Quantum); time.Until(k.req.Deadline) <= slack {
+		if slack := time.Duration(4 * h.cfg.Settings.ClockResolution); time.Until(k.req.Deadline) <= slack {
 			a.Outcome = TimedOut
 		}
-		(*Core)(h).book(k, a, false)
+		(*Core)(h).complete(k, a, false)
 	}
 }
 
-func (h *host) Load(w balancer.WorkerID, f balancer.FuncID, n int) {
+func (h *host) OrderLoad(w balancer.WorkerID, f balancer.FuncID, n int) {
 	c := (*Core)(h)
 	m, known := c.members[w]
 	name, asked := c.called[f]
 	var reserved *loadOrder // nil: the order asks only
 	may := known && asked
-	if may = may && (n == 0 || m.State == balancer.On); may && n > 0 {
+	if may = may && (n == 0 || m.State == balancer.Active); may && n > 0 {
 		reserved = c.ration.reserve(time.Now())
 		may = reserved != nil
 	}
 	if !may {
-		c.n.OrdersHeld++
-		c.later = append(c.later, func() { c.d.Loaded(c.now(), w, f, 0, balancer.Full) })
+		c.n.LoadOrdersWithheld++
+		c.deferred = append(c.deferred, func() { c.d.HandleLoadResult(c.now(), w, f, 0, balancer.Full) })
 		return
 	}
-	c.n.Orders++
+	c.n.LoadOrders++
 	given, limit := time.Now(), time.Duration(c.cfg.Settings.OrderTimeout)
 	if limit <= 0 {
 		limit = 10 * time.Second
 	}
 	c.orders++
-	key := flightKey{n: c.orders}
+	key := attemptKey{n: c.orders}
 	ctx, off := context.WithCancelCause(c.ctx)
-	way := &flight{worker: w, caller: c.ctx, off: off}
-	c.flights[key] = way
+	way := &inFlightAttempt{worker: w, caller: c.ctx, off: off}
+	c.attempts[key] = way
 	go func() {
 		ctx, done := context.WithTimeout(ctx, limit)
-		r := c.cfg.Workers.Load(ctx, Order{Worker: m.Member, Func: f, Key: name.key, Count: n, Begin: func() bool {
+		r := c.cfg.Workers.Load(ctx, LoadOrder{Worker: m.Endpoint, Func: f, Key: name.key, Count: n, Begin: func() bool {
 			return c.ration.write(reserved, time.Now()) && way.begin()
 		}})
 		if r.Result == balancer.Moot || r.Result == balancer.ConnectFailed { // nothing of it was written
@@ -667,60 +669,60 @@
 		done()
 		off(nil)
 		c.post(func() {
-			delete(c.flights, key)
+			delete(c.attempts, key)
 			if c.cfg.Observed != nil && r.Result != balancer.Timeout { // a load may take longer than we wait
 				c.cfg.Observed(Observation{Kind: ObservedOrder, Worker: w, Result: r.Result})
 			}
 			c.cfg.Log.Debug("order ended", "worker", uint32(w), "fn", uint64(f), "copies", r.Copies, "result", r.Result.String(),
 				"ms", time.Since(given).Milliseconds())
-			c.d.Loaded(c.now(), w, f, r.Copies, r.Result)
+			c.d.HandleLoadResult(c.now(), w, f, r.Copies, r.Result)
 		})
 	}()
 }
 
-func (h *host) Drop(w balancer.WorkerID, f balancer.FuncID) {
+func (h *host) OrderUnload(w balancer.WorkerID, f balancer.FuncID) {
 	c := (*Core)(h)
 	m, known := c.members[w]
 	if name, asked := c.called[f]; known && asked {
 		go func() {
 			ctx, done := context.WithTimeout(c.ctx, probeTime*2)
 			defer done()
-			c.cfg.Workers.Drop(ctx, Order{Worker: m.Member, Func: f, Key: name.key})
+			c.cfg.Workers.Drop(ctx, LoadOrder{Worker: m.Endpoint, Func: f, Key: name.key})
 		}()
 	}
 }
 
-func (h *host) Probe(w balancer.WorkerID) {
+func (h *host) HealthCheck(w balancer.WorkerID) {
 	c := (*Core)(h)
 	m, known := c.members[w]
 	if !known {
-		c.later = append(c.later, func() { c.d.Probed(c.now(), w, balancer.ConnectFailed, 0, nil) })
+		c.deferred = append(c.deferred, func() { c.d.HandleHealthCheck(c.now(), w, balancer.ConnectFailed, 0, nil) })
 		return
 	}
 	sent := time.Now()
 	go func() {
 		ctx, done := context.WithTimeout(c.ctx, probeTime)
 		defer done()
-		r := c.cfg.Workers.Probe(ctx, m.Member)
-		c.post(func() { c.d.Probed(c.now(), w, r.Result, int64(time.Since(sent)), r.Report) })
+		r := c.cfg.Workers.Probe(ctx, m.Endpoint)
+		c.post(func() { c.d.HandleHealthCheck(c.now(), w, r.Result, int64(time.Since(sent)), r.Report) })
 	}()
 }
 
-func (h *host) Tell(to int, data string) {
+func (h *host) SendPeerMessage(to int, data string) {
 	if h.cfg.Peers != nil {
 		h.cfg.Peers.Tell(to, data)
 	}
 }
 
-func (h *host) Timer(delay, ref int64) {
+func (h *host) SetTimer(delay, ref int64) {
 	c := (*Core)(h)
-	time.AfterFunc(time.Duration(delay), func() { c.post(func() { c.d.Timer(c.now(), ref) }) })
+	time.AfterFunc(time.Duration(delay), func() { c.post(func() { c.d.HandleTimer(c.now(), ref) }) })
 }
 
-// Counted has a call count for the ration as the module counts it.
-func (h *host) Counted(at int64) { h.ration.count(monotime.Time(at)) }
+// CountTowardLoadQuota has a call count for the ration as the module counts it.
+func (h *host) CountTowardLoadQuota(at int64) { h.ration.count(monotime.Time(at)) }
 
-// Watch has nothing to do: a Membership tells from its start on.
-func (h *host) Watch() {}
+// SubscribeEndpoints has nothing to do: a Membership tells from its start on.
+func (h *host) SubscribeEndpoints() {}
 
 func (h *host) Log(text string) { h.cfg.Log.Info(text) }
--- a/core_test.go
+++ b/core_test.go
@@ -19,12 +19,12 @@
 	sent    chan Attempt
 	ended   chan error
 	replies chan Reply
-	orders  chan Order
+	orders  chan LoadOrder
 	forgot  chan balancer.WorkerID
 }
 
 func newStand() *stand {
-	return &stand{make(chan Attempt, 64), make(chan error, 64), make(chan Reply, 64), make(chan Order, 64), make(chan balancer.WorkerID, 64)}
+	return &stand{make(chan Attempt, 64), make(chan error, 64), make(chan Reply, 64), make(chan LoadOrder, 64), make(chan balancer.WorkerID, 64)}
 }
 
 func (s *stand) Send(ctx context.Context, a Attempt) Reply {
@@ -40,32 +40,32 @@
 		return Reply{Result: balancer.Reset}
 	}
 }
-func (s *stand) Probe(context.Context, Member) Reply { return Reply{} }
-func (s *stand) Load(_ context.Context, o Order) Reply {
+func (s *stand) Probe(context.Context, Endpoint) Reply { return Reply{} }
+func (s *stand) Load(_ context.Context, o LoadOrder) Reply {
 	s.orders <- o
 	return Reply{Copies: o.Count}
 }
-func (s *stand) Drop(_ context.Context, o Order) { s.orders <- o }
-func (s *stand) Forget(id balancer.WorkerID)     { s.forgot <- id }
-func (s *stand) workers(states ...balancer.State) Roster {
-	r := Roster{Kind: balancer.RosterFull}
+func (s *stand) Drop(_ context.Context, o LoadOrder) { s.orders <- o }
+func (s *stand) Forget(id balancer.WorkerID)         { s.forgot <- id }
+func (s *stand) workers(states ...balancer.EndpointState) EndpointUpdate {
+	r := EndpointUpdate{Kind: balancer.EndpointsSnapshot}
 	for i, st := range states {
-		r.Members = append(r.Members, Member{ID: balancer.WorkerID(i + 1), State: st, Weight: 1})
+		r.Endpoints = append(r.Endpoints, Endpoint{ID: balancer.WorkerID(i + 1), State: st, Weight: 1})
 	}
 	return r
 }
 
 func testCore(t *testing.T, s *stand, change func(*Config)) *Core {
-	cfg := Config{Workers: s, Settings: balancer.Settings{Quantum: int64(4 * time.Millisecond), MaxAttempts: 3,
-		MayCancel: true, KeepAlive: int64(8 * time.Second), LoadsOnMiss: true, Orders: true, MaxRetryAfter: int64(2 * time.Second),
-		Classes: []balancer.Class{{Aim: int64(time.Second), GiveUp: int64(3 * time.Second), Worth: 1, Effect: balancer.Unsafe}}}}
+	cfg := Config{Workers: s, Settings: balancer.Settings{ClockResolution: int64(4 * time.Millisecond), MaxAttempts: 3,
+		Cancellation: true, KeepAlive: int64(8 * time.Second), LoadsOnMiss: true, LoadOrders: true, MaxRetryAfter: int64(2 * time.Second),
+		Classes: []balancer.Class{{LatencyObjective: int64(time.Second), ClientTimeout: int64(3 * time.Second), PriorityWeight: 1, Idempotency: balancer.NotIdempotent}}}}
 	if change != nil {
 		change(&cfg)
 	}
 	c, err := New(cfg)
 	require.NoError(t, err)
 	t.Cleanup(c.Close)
-	c.Roster(s.workers(balancer.On))
+	c.UpdateEndpoints(s.workers(balancer.Active))
 	return c
 }
 
@@ -82,11 +82,11 @@
 		"error may have run":     {[]Reply{{Result: balancer.Error}}, Failed},
 		"reset may have run":     {[]Reply{{Result: balancer.Reset}}, Failed},
 		"never ran, then served": {[]Reply{{Result: balancer.Moot}, {Result: balancer.OK, Body: []byte("out")}}, Served},
-		"never ran at all":       {[]Reply{{Result: balancer.Moot}, {Result: balancer.Moot}, {Result: balancer.Moot}}, Refused},
+		"never ran at all":       {[]Reply{{Result: balancer.Moot}, {Result: balancer.Moot}, {Result: balancer.Moot}}, Rejected},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, settled := newStand(), make(chan Settlement, 4)
-			core := testCore(t, s, func(c *Config) { c.Settled = func(x Settlement) { settled <- x } })
+			s, settled := newStand(), make(chan Completion, 4)
+			core := testCore(t, s, func(c *Config) { c.Completed = func(x Completion) { settled <- x } })
 			for _, r := range c.replies {
 				s.replies <- r
 			}
@@ -97,12 +97,12 @@
 			if c.want == Served {
 				assert.Equal(t, "out", string(a.Body))
 			}
-			if c.want == Refused {
-				assert.Positive(t, a.Wait, "a refusal says when to come back")
+			if c.want == Rejected {
+				assert.Positive(t, a.RetryAfter, "a refusal says when to come back")
 			}
 			assert.Equal(t, c.want, (<-settled).Answer.Outcome)
 			n := core.Counters()
-			assert.Equal(t, int64(1), n.Served+n.Refused+n.Failed, "answers: %+v", n)
+			assert.Equal(t, int64(1), n.Served+n.Rejected+n.Failed, "answers: %+v", n)
 			assert.Empty(t, settled, "settled twice")
 		})
 	}
@@ -111,8 +111,8 @@
 // Guards against work that goes on for nobody: the caller's end reaches the attempt.
 func TestCallerLeaves(t *testing.T) {
 	s := newStand()
-	settled := make(chan Settlement, 1)
-	core := testCore(t, s, func(c *Config) { c.Settled = func(x Settlement) { settled <- x } })
+	settled := make(chan Completion, 1)
+	core := testCore(t, s, func(c *Config) { c.Completed = func(x Completion) { settled <- x } })
 	ctx, leave := context.WithCancel(t.Context())
 	go func() { <-s.sent; leave() }()
 	_, err := core.Do(ctx, ask("a"))
@@ -136,7 +136,7 @@
 // Guards against two holders of one id, a table without bound, and calls that cannot be used.
 func TestAdmission(t *testing.T) {
 	s := newStand()
-	core := testCore(t, s, func(c *Config) { c.MaxOpen = 1 })
+	core := testCore(t, s, func(c *Config) { c.MaxInFlight = 1 })
 	done := make(chan error, 1)
 	go func() { _, err := core.Do(t.Context(), ask("a")); done <- err }()
 	<-s.sent
@@ -144,7 +144,7 @@
 	require.ErrorIs(t, err, ErrDuplicate)
 	a, err := core.Do(t.Context(), ask("b"))
 	require.NoError(t, err)
-	assert.Equal(t, Answer{Outcome: Refused, Wait: 2 * time.Second}, a)
+	assert.Equal(t, Answer{Outcome: Rejected, RetryAfter: 2 * time.Second}, a)
 	_, err = core.Do(t.Context(), Request{ID: "c", Class: 9, Deadline: time.Now()})
 	require.ErrorIs(t, err, ErrInvalid)
 	core.Close()
@@ -157,26 +157,26 @@
 func TestDrainReachesSendsRetriesAndOrders(t *testing.T) {
 	s := newStand()
 	core := testCore(t, s, nil)
-	core.Roster(s.workers(balancer.On, balancer.On))
+	core.UpdateEndpoints(s.workers(balancer.Active, balancer.Active))
 	got := make(chan Answer, 1)
 	go func() { a, _ := core.Do(t.Context(), ask("a")); got <- a }()
 	first := (<-s.sent).Worker.ID
-	states := []balancer.State{balancer.On, balancer.On}
+	states := []balancer.EndpointState{balancer.Active, balancer.Active}
 	states[first-1] = balancer.Draining
-	core.Roster(s.workers(states...))
+	core.UpdateEndpoints(s.workers(states...))
 	s.replies <- Reply{Result: balancer.Moot}
 	assert.NotEqual(t, first, (<-s.sent).Worker.ID, "a retry went to the draining worker")
 	s.replies <- Reply{Result: balancer.OK}
 	assert.Equal(t, Served, (<-got).Outcome)
-	core.post(func() { (*host)(core).Load(first, 7, 1) })
-	assert.Equal(t, int64(1), core.Counters().OrdersHeld)
-	core.Roster(s.workers(balancer.On))
+	core.post(func() { (*host)(core).OrderLoad(first, 7, 1) })
+	assert.Equal(t, int64(1), core.Counters().LoadOrdersWithheld)
+	core.UpdateEndpoints(s.workers(balancer.Active))
 	assert.Equal(t, balancer.WorkerID(2), <-s.forgot, "connections of a worker that has gone are kept")
 }
 
 // Guards the rule on loads at the time when the order leaves, and that none names a function nobody called.
 func TestOrdersAreRationed(t *testing.T) {
-	r := ration{window: 5 * time.Second, rule: rules.Ration{Free: 2, Share: 0.5}}
+	r := loadOrderLimiter{window: 5 * time.Second, rule: rules.Ration{Free: 2, Share: 0.5}}
 	at := func(ms int) time.Time { return time.Unix(100, 0).Add(time.Duration(ms) * time.Millisecond) }
 	var got []bool
 	for _, x := range []struct {
@@ -192,7 +192,7 @@
 
 	// An order whose connection comes up late is asked again when its first byte leaves: calls that earned it have left
 	// the window by then. One of which nothing was written makes room for another.
-	r = ration{window: 5 * time.Second, rule: rules.Ration{Free: 1, Share: 0.5}}
+	r = loadOrderLimiter{window: 5 * time.Second, rule: rules.Ration{Free: 1, Share: 0.5}}
 	r.count(at(2))
 	r.count(at(0)) // told late, since its function was not known before
 	assert.Equal(t, []time.Time{at(0), at(2)}, r.taken)
@@ -211,20 +211,20 @@
 
 	s := newStand()
 	core := testCore(t, s, nil)
-	core.post(func() { (*host)(core).Load(1, 99, 1); (*host)(core).Drop(1, 99) })
-	assert.Equal(t, int64(1), core.Counters().OrdersHeld)
+	core.post(func() { (*host)(core).OrderLoad(1, 99, 1); (*host)(core).OrderUnload(1, 99) })
+	assert.Equal(t, int64(1), core.Counters().LoadOrdersWithheld)
 	assert.Empty(t, s.orders)
 }
 
 func TestNotReadyBeforeAList(t *testing.T) {
-	core, err := New(Config{Workers: newStand(), Settings: balancer.Settings{Classes: []balancer.Class{{Aim: 1}}}})
+	core, err := New(Config{Workers: newStand(), Settings: balancer.Settings{Classes: []balancer.Class{{LatencyObjective: 1}}}})
 	require.NoError(t, err)
 	defer core.Close()
 	assert.False(t, core.Ready())
-	core.Roster(Roster{Kind: balancer.RosterDelta})
+	core.UpdateEndpoints(EndpointUpdate{Kind: balancer.EndpointsDelta})
 	core.Counters()
 	assert.False(t, core.Ready())
-	core.Roster(Roster{Kind: balancer.RosterFull})
+	core.UpdateEndpoints(EndpointUpdate{Kind: balancer.EndpointsSnapshot})
 	core.Counters()
 	assert.True(t, core.Ready())
 }
@@ -248,11 +248,11 @@
 	c.post(func() { pass = false })
 	a, err = c.Do(t.Context(), ask("2"))
 	require.NoError(t, err)
-	assert.Equal(t, Answer{Outcome: Refused, Wait: 300 * time.Millisecond}, a)
+	assert.Equal(t, Answer{Outcome: Rejected, RetryAfter: 300 * time.Millisecond}, a)
 	assert.Len(t, s.sent, 1)
 	n := c.Counters()
-	assert.Equal(t, int64(1), n.HeldOff)
-	assert.Equal(t, int64(1), n.Refused)
+	assert.Equal(t, int64(1), n.RejectedByAdmission)
+	assert.Equal(t, int64(1), n.Rejected)
 }
 
 // A class added while running is taken by new requests with its own rules: here a safe one is sent again after a
@@ -264,9 +264,9 @@
 	q.Class = 1
 	_, err := c.Do(context.Background(), q)
 	require.ErrorIs(t, err, ErrInvalid, "not yet a class")
-	_, err = c.AddClasses([]balancer.Class{{Aim: 0}})
+	_, err = c.AddClasses([]balancer.Class{{LatencyObjective: 0}})
 	require.Error(t, err, "a class without an aim")
-	n, err := c.AddClasses([]balancer.Class{{Aim: int64(time.Second), GiveUp: int64(3 * time.Second), Worth: 1, Effect: balancer.Safe}})
+	n, err := c.AddClasses([]balancer.Class{{LatencyObjective: int64(time.Second), ClientTimeout: int64(3 * time.Second), PriorityWeight: 1, Idempotency: balancer.Idempotent}})
 	require.NoError(t, err)
 	require.Equal(t, 1, n)
 	s.replies <- Reply{Result: balancer.Reset}
@@ -284,18 +284,18 @@
 // not listed. They are counted, change nothing, and the next call is served.
 func TestMessagesThatCannotBeRead(t *testing.T) {
 	s := newStand()
-	c := testCore(t, s, func(cfg *Config) { cfg.Settings.Peers, cfg.Settings.Siblings = true, 3 })
-	c.Roster(s.workers(balancer.On))
+	c := testCore(t, s, func(cfg *Config) { cfg.Settings.Gossip, cfg.Settings.Dispatchers = true, 3 })
+	c.UpdateEndpoints(s.workers(balancer.Active))
 	bad := []string{"", "A", "=", "AAA", "\x00\xff", strings.Repeat("A", 255), "AIAAAA" /* a flag not known */, "AAAAAA" /* the version before */, "CQAAAA" /* figures are missing */, "AQACAA"}
 	for _, data := range bad {
-		c.Heard(1, data)
+		c.HandlePeerMessage(1, data)
 	}
 	for _, from := range []int{-1, 0, 3, 1 << 30} {
-		c.Heard(from, aggregate.Message{GoesOn: true}.Texts(3)[0])
+		c.HandlePeerMessage(from, aggregate.Message{Continued: true}.Encode(3)[0])
 	}
-	row := aggregate.Row{Figures: []float64{1, 2}}
-	c.Heard(1, aggregate.Message{Row: row, Counts: []aggregate.Count{{Worker: 65535, N: 5}}}.Texts(3)[0]) // about a worker that is not listed
-	c.Heard(1, aggregate.Message{Row: row}.Texts(3)[0])                                                   // doubled
+	row := aggregate.Report{Values: []float64{1, 2}}
+	c.HandlePeerMessage(1, aggregate.Message{Report: row, Counts: []aggregate.Count{{Worker: 65535, N: 5}}}.Encode(3)[0]) // about a worker that is not listed
+	c.HandlePeerMessage(1, aggregate.Message{Report: row}.Encode(3)[0])                                                   // doubled
 	assert.Equal(t, int64(len(bad)+4), c.Counters().Unread)
 	s.replies <- Reply{Result: balancer.OK}
 	a, err := c.Do(t.Context(), ask("1"))
@@ -328,7 +328,7 @@
 	stands, goOn := make(chan bool), make(chan bool)
 	core := testCore(t, l.stand, func(c *Config) {
 		c.Workers = l
-		c.Settled = func(x Settlement) {
+		c.Completed = func(x Completion) {
 			if x.Request.ID == "busy" {
 				stands <- true
 				<-goOn
@@ -348,7 +348,7 @@
 	close(l.goOn)
 	assert.False(t, <-l.begun, "begun for a caller that has left")
 	goOn <- true
-	f := &flight{caller: t.Context(), off: func(error) { t.Error("what has begun was revoked") }}
+	f := &inFlightAttempt{caller: t.Context(), off: func(error) { t.Error("what has begun was revoked") }}
 	require.True(t, f.begin())
 	f.revoke()
 	assert.False(t, f.begin(), "asked again, for another connection")
@@ -367,17 +367,17 @@
 	_, err = core.Do(t.Context(), ask("b"))
 	require.NoError(t, err)
 	assert.Equal(t, "b", (<-s.sent).Request.ID)
-	assert.Equal(t, int64(1), core.Counters().Taken)
+	assert.Equal(t, int64(1), core.Counters().Accepted)
 }
 
 // Guards the wait between two attempts: its caller leaves, and the attempt that was due is not made. A second call waits
 // as long after it, so that the first one's turn has passed.
 func TestCallerLeavesInBackoff(t *testing.T) {
 	s := newStand()
-	settled := make(chan Settlement, 4)
+	settled := make(chan Completion, 4)
 	core := testCore(t, s, func(c *Config) {
 		c.Settings.MaxAttempts = 5
-		c.Settled = func(x Settlement) { settled <- x }
+		c.Completed = func(x Completion) { settled <- x }
 	})
 	twice := func(id string, ctx context.Context) chan error {
 		s.replies <- Reply{Result: balancer.Full}
--- a/endpoints/hazard.go
+++ b/endpoints/hazard.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// Hazard is the expected number of departures of one box in an hour.
-func (h *History) Hazard() float64 {
+// FailureRate is the expected number of departures of one box in an hour.
+func (h *History) FailureRate() float64 {
 	return (priorLeaves + h.Leaves) / (priorWatched + h.Watched).Hours()
 }
 
--- a/endpoints/roster.go
+++ b/endpoints/roster.go
@@ -38,63 +38,63 @@
 	defaultProbeRate = 300 // probes a second that all dispatchers together send to one box
 )
 
-// Box is an entry of the list: what was told of it, and what it proved.
-type Box struct {
+// Endpoint is an entry of the list: what was told of it, and what it proved.
+type Endpoint struct {
 	ID               balancer.WorkerID
 	Addr             string
 	Zone, Kind, Cell int
-	State            balancer.State
+	State            balancer.EndpointState
 	Weight           float64
 	Start            time.Time // zero: long ago
-	Told             time.Time // when discovery last told of a change
-	Proved           time.Time // when it last answered us
-	Pace             float64   // calls a second that it answered us
+	UpdatedAt        time.Time // when discovery last told of a change
+	VerifiedAt       time.Time // when it last answered us
+	RequestRate      float64   // calls a second that it answered us
 }
 
-// Kept is a list as it was written to disk.
-type Kept struct {
+// Snapshot is a list as it was written to disk.
+type Snapshot struct {
 	Epoch     string
 	Cursor    int64
 	Confirmed time.Time // discovery last said then that the list is current
 	Saved     time.Time
-	Boxes     []Box
+	Endpoints []Endpoint
 	History   History
 }
 
 // Update is news of discovery. Full: all of the list; a box not in it is gone.
 type Update struct {
-	Full   bool
-	Epoch  string
-	Cursor int64
-	Boxes  []Box
+	Full      bool
+	Epoch     string
+	Cursor    int64
+	Endpoints []Endpoint
 }
 
-// Sign is what an attempt, probe or order showed of a box.
-type Sign int
+// Observation is what an attempt, probe or order showed of a box.
+type Observation int
 
 const (
-	Answered Sign = iota // it answered in good time
-	Slow                 // it answered, late
-	Busy                 // 503, never ran: full, or it drains
-	Drains               // it says that it takes no work
-	Refused              // nobody listens there
-	Silent               // nothing came in time
-	Broken               // cut or failed: somebody is there
+	Answered Observation = iota // it answered in good time
+	Slow                        // it answered, late
+	Busy                        // 503, never ran: full, or it drains
+	Drains                      // it says that it takes no work
+	Refused                     // nobody listens there
+	Silent                      // nothing came in time
+	Broken                      // cut or failed: somebody is there
 )
 
-// Proof is how a box stands with us.
-type Proof int
+// Verification is how a box stands with us.
+type Verification int
 
 const (
-	Told     Proof = iota // by discovery, which is there
-	Unproved              // by a kept list alone
-	Proven                // it answered
-	Doubted               // it failed us
-	LeftOut               // it failed us until little trust was left
-	Draining              // it said so itself
+	Reported   Verification = iota // by discovery, which is there
+	Unverified                     // by a kept list alone
+	Verified                       // it answered
+	Suspect                        // it failed us
+	Excluded                       // it failed us until little trust was left
+	Draining                       // it said so itself
 )
 
-func (p Proof) String() string {
+func (p Verification) String() string {
 	return [...]string{"told", "unproved", "proven", "doubted", "left out", "draining"}[p]
 }
 
@@ -112,7 +112,7 @@
 // Actions are what a List wants done. Publish goes to the decision module, in order.
 type Actions struct {
 	Publish []Publication
-	Probe   []Box
+	Probe   []Endpoint
 	Save    bool // the list has changed: write it some time
 	Urgent  bool // a box drains or is gone: write it now
 	Log     []string
@@ -120,13 +120,13 @@
 
 // Publication is a change of the list as the decision module sees it.
 type Publication struct {
-	Kind  balancer.RosterKind
-	Boxes []Box
+	Kind      balancer.EndpointUpdateKind
+	Endpoints []Endpoint
 }
 
 type entry struct {
-	Box
-	proof   Proof
+	Endpoint
+	proof   Verification
 	belief  float64   // trust when the last evidence came
 	at      time.Time // of the last evidence; zero: unknown
 	unknown bool      // its age is not known
@@ -145,7 +145,7 @@
 	ansAt   time.Time
 	since   time.Time // of the first answer counted
 	listed  bool      // the module knows it
-	shown   Box
+	shown   Endpoint
 }
 
 // List is the list of boxes. Use New; its methods are called from one goroutine at a time.
@@ -182,8 +182,8 @@
 	return &List{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0x726f7374)), boxes: map[balancer.WorkerID]*entry{}}
 }
 
-// Take returns what is to be done since the last call.
-func (l *List) Take() Actions {
+// TakeActions returns what is to be done since the last call.
+func (l *List) TakeActions() Actions {
 	a := l.out
 	l.out = Actions{}
 	return a
@@ -193,8 +193,8 @@
 	l.out.Log = append(l.out.Log, fmt.Sprintf(format, args...))
 }
 
-func (l *List) add(b Box) *entry {
-	e := &entry{Box: b, belief: 1}
+func (l *List) add(b Endpoint) *entry {
+	e := &entry{Endpoint: b, belief: 1}
 	l.boxes[b.ID] = e
 	i, _ := slices.BinarySearchFunc(l.order, e, byID)
 	l.order = slices.Insert(l.order, i, e)
@@ -212,29 +212,29 @@
 }
 
 // Restore starts from a kept list. It must be the first event.
-func (l *List) Restore(now time.Time, k Kept) {
+func (l *List) Restore(now time.Time, k Snapshot) {
 	l.history, l.epoch, l.cursor, l.confirmed = k.History, k.Epoch, k.Cursor, k.Confirmed
 	aged := true
 	if k.Confirmed.After(now) || k.Saved.After(now) {
 		aged = false
 		l.log("the clock went back: the kept list is of unknown age and counts as %v old", unknownAge)
 	}
-	for _, b := range k.Boxes {
-		if b.State == balancer.Off || l.boxes[b.ID] != nil {
+	for _, b := range k.Endpoints {
+		if b.State == balancer.Removed || l.boxes[b.ID] != nil {
 			continue
 		}
 		e := l.add(b)
-		e.proof, e.at = Unproved, later(k.Confirmed, b.Proved)
+		e.proof, e.at = Unverified, later(k.Confirmed, b.VerifiedAt)
 		e.unknown = !aged || e.at.IsZero() || e.at.After(now)
 		e.probeAt = now.Add(time.Duration(l.rng.Float64() * float64(l.spread())))
-		e.base = b.Pace
+		e.base = b.RequestRate
 		if b.State == balancer.Draining {
 			e.proof = Draining
 		}
 	}
 	if l.cfg.Fresh {
 		for _, e := range l.order {
-			e.proof, e.belief, e.at, e.unknown = Proven, 1, now, false
+			e.proof, e.belief, e.at, e.unknown = Verified, 1, now, false
 		}
 		l.publish()
 		return
@@ -256,7 +256,7 @@
 func (l *List) rush(now time.Time) {
 	var es []*entry
 	for _, e := range l.order {
-		if e.proof == Unproved {
+		if e.proof == Unverified {
 			es = append(es, e)
 			e.probeAt = e.probeAt.Add(laterTime)
 		}
@@ -297,8 +297,8 @@
 	return now.Sub(l.confirmed)
 }
 
-// Trust is the chance that a box is there as the list has it, 0 for one not known.
-func (l *List) Trust(now time.Time, id balancer.WorkerID) float64 {
+// Confidence is the chance that a box is there as the list has it, 0 for one not known.
+func (l *List) Confidence(now time.Time, id balancer.WorkerID) float64 {
 	if e := l.boxes[id]; e != nil {
 		return l.trust(now, e)
 	}
@@ -307,7 +307,7 @@
 
 func (l *List) trust(now time.Time, e *entry) float64 {
 	at := e.at
-	if l.live && e.proof == Told {
+	if l.live && e.proof == Reported {
 		return 1
 	}
 	if e.unknown {
@@ -331,20 +331,20 @@
 	e.wait = min(max(2*e.wait, probeAgain), probeMost)
 	e.probeAt = now.Add(time.Duration(float64(e.wait) * (0.5 + l.rng.Float64())))
 	if e.belief < leaveOut {
-		if e.proof != LeftOut {
+		if e.proof != Excluded {
 			l.out.Save = true
 		}
-		e.proof = LeftOut
-	} else if e.proof != LeftOut && e.proof != Draining {
-		e.proof = Doubted
+		e.proof = Excluded
+	} else if e.proof != Excluded && e.proof != Draining {
+		e.proof = Suspect
 	}
 	l.gate.setback(now, e)
 }
 
 // Discovery's word.
 
-// Told takes news of discovery. Its word replaces what was kept; what the box itself said lately of draining stands.
-func (l *List) Told(now time.Time, u Update) {
+// HandleUpdate takes news of discovery. Its word replaces what was kept; what the box itself said lately of draining stands.
+func (l *List) HandleUpdate(now time.Time, u Update) {
 	if u.Epoch != "" && l.epoch != "" && u.Epoch != l.epoch && !u.Full {
 		l.log("discovery speaks of epoch %q where the list is of %q: a change alone is not taken", u.Epoch, l.epoch)
 		return
@@ -355,15 +355,15 @@
 	l.watched(now)
 	l.cursor, l.out.Save = u.Cursor, true
 	first := l.history.Watched == 0 && len(l.history.Events) == 0 && len(l.order) == 0
-	named := make(map[balancer.WorkerID]bool, len(u.Boxes))
-	for _, b := range u.Boxes {
+	named := make(map[balancer.WorkerID]bool, len(u.Endpoints))
+	for _, b := range u.Endpoints {
 		named[b.ID] = true
 		e := l.boxes[b.ID]
-		if b.State == balancer.Off {
+		if b.State == balancer.Removed {
 			l.gone(now, e)
 			continue
 		}
-		b.Told = now
+		b.UpdatedAt = now
 		if e == nil {
 			e = l.add(b)
 			if !first {
@@ -373,20 +373,20 @@
 			if !b.Start.Equal(e.Start) || b.Addr != e.Addr { // it starts anew: nothing it proved holds
 				l.history.add(now, b.ID, Restarted)
 				e.drainAt, e.base, e.answers, e.wait, e.ansAt = time.Time{}, 0, 0, 0, time.Time{}
-				e.Proved = time.Time{}
-			} else if b.State == balancer.On && e.State == balancer.Draining {
+				e.VerifiedAt = time.Time{}
+			} else if b.State == balancer.Active && e.State == balancer.Draining {
 				e.drainAt = time.Time{} // a newer word on this very box
 			}
-			b.Proved, b.Pace = e.Proved, e.Pace
+			b.VerifiedAt, b.RequestRate = e.VerifiedAt, e.RequestRate
 			if b.State == balancer.Draining && e.State != balancer.Draining {
 				l.history.add(now, b.ID, Drained)
 			}
-			e.Box = b
+			e.Endpoint = b
 		}
 		if b.State == balancer.Draining {
 			l.out.Urgent = true
 		}
-		e.proof, e.belief, e.at, e.unknown = Told, 1, now, false
+		e.proof, e.belief, e.at, e.unknown = Reported, 1, now, false
 	}
 	if u.Full {
 		for _, e := range slices.Clone(l.order) {
@@ -408,8 +408,8 @@
 	l.history.add(now, e.ID, Left)
 	l.out.Urgent, l.out.Save = true, true
 	if e.listed {
-		e.State = balancer.Off
-		e.proof = Told
+		e.State = balancer.Removed
+		e.proof = Reported
 		l.show(e)
 	}
 	delete(l.boxes, e.ID)
@@ -424,8 +424,8 @@
 	}
 }
 
-// Current takes discovery's word that nothing has changed after the last news: the whole list is as told.
-func (l *List) Current(now time.Time) {
+// ConfirmCurrent takes discovery's word that nothing has changed after the last news: the whole list is as told.
+func (l *List) ConfirmCurrent(now time.Time) {
 	l.watched(now)
 	l.confirm(now, false)
 	if !l.live {
@@ -448,46 +448,46 @@
 	l.live, l.mourned = true, false
 	l.gate.stop()
 	for _, e := range l.order {
-		if e.State == balancer.On && !e.drainAt.IsZero() && now.Sub(e.drainAt) < ownWord {
+		if e.State == balancer.Active && !e.drainAt.IsZero() && now.Sub(e.drainAt) < ownWord {
 			continue
 		}
-		e.proof, e.belief, e.at, e.unknown, e.wait = Told, 1, now, false, 0
+		e.proof, e.belief, e.at, e.unknown, e.wait = Reported, 1, now, false, 0
 		if e.State == balancer.Draining {
 			e.proof = Draining
 		}
 	}
 	if len(l.order) == 0 && !l.began { // an empty list is one, too
-		l.out.Publish = append(l.out.Publish, Publication{Kind: balancer.RosterFull})
+		l.out.Publish = append(l.out.Publish, Publication{Kind: balancer.EndpointsSnapshot})
 	}
 	l.publish()
 	l.began = true
 }
 
-// Lost takes the end of the connection to discovery. The list stays, and ages.
-func (l *List) Lost(now time.Time) {
+// WatchLost takes the end of the connection to discovery. The list stays, and ages.
+func (l *List) WatchLost(now time.Time) {
 	if !l.live {
 		return
 	}
 	l.live = false
 	for _, e := range l.order {
-		if e.proof == Told {
-			e.proof, e.belief, e.at = Proven, 1, l.confirmed
+		if e.proof == Reported {
+			e.proof, e.belief, e.at = Verified, 1, l.confirmed
 		}
 		e.probeAt = time.Time{}
 	}
 }
 
-// Reset forgets the numbering of a discovery that started over. The list stays until it is told anew in full.
-func (l *List) Reset(now time.Time) {
+// ResetWatch forgets the numbering of a discovery that started over. The list stays until it is told anew in full.
+func (l *List) ResetWatch(now time.Time) {
 	l.log("discovery started over: its list is read in full")
-	l.Lost(now)
+	l.WatchLost(now)
 	l.epoch, l.cursor, l.out.Save = "", 0, true
 }
 
 // What boxes prove.
 
 // Observe takes what an attempt or order showed of a box.
-func (l *List) Observe(now time.Time, id balancer.WorkerID, s Sign) {
+func (l *List) Observe(now time.Time, id balancer.WorkerID, s Observation) {
 	e := l.boxes[id]
 	if e == nil {
 		return
@@ -502,7 +502,7 @@
 	}
 	if l.live || l.cfg.Fresh {
 		if s == Answered || s == Slow {
-			e.Proved = now
+			e.VerifiedAt = now
 		}
 		return
 	}
@@ -511,7 +511,7 @@
 }
 
 // Probed takes the end of a probe.
-func (l *List) Probed(now time.Time, id balancer.WorkerID, s Sign) {
+func (l *List) Probed(now time.Time, id balancer.WorkerID, s Observation) {
 	e := l.boxes[id]
 	if e == nil {
 		return
@@ -523,9 +523,9 @@
 	}
 	if l.live && s != Drains {
 		switch {
-		case e.proof != Draining || e.State != balancer.On:
+		case e.proof != Draining || e.State != balancer.Active:
 		case s == Answered || s == Slow: // it takes work again
-			e.proof, e.drainAt = Told, time.Time{}
+			e.proof, e.drainAt = Reported, time.Time{}
 			l.publish()
 		default: // that it drains still stands
 			e.probeAt = now.Add(ownWord)
@@ -536,24 +536,24 @@
 	l.publishOne(e)
 }
 
-func (l *List) sign(now time.Time, e *entry, s Sign, probe bool) {
+func (l *List) sign(now time.Time, e *entry, s Observation, probe bool) {
 	switch s {
 	case Answered, Slow, Broken:
-		if s == Broken && e.proof == Unproved {
+		if s == Broken && e.proof == Unverified {
 			l.doubt(now, e, silentThough)
 			return
 		}
-		if e.proof == Draining || e.proof == LeftOut {
+		if e.proof == Draining || e.proof == Excluded {
 			if s == Broken || !probe || e.State == balancer.Draining && e.drainAt.IsZero() {
 				return // discovery said that it drains, or the answer is to what was sent before
 			}
 			// Somebody new, it may be: what was there before is void.
-			e.drainAt, e.State, e.proofs = time.Time{}, balancer.On, 0
+			e.drainAt, e.State, e.proofs = time.Time{}, balancer.Active, 0
 			e.Start = now
 		}
 		if s != Broken {
-			e.Proved = now
-			e.proof, e.belief, e.at, e.unknown, e.wait = Proven, 1, now, false, 0
+			e.VerifiedAt = now
+			e.proof, e.belief, e.at, e.unknown, e.wait = Verified, 1, now, false, 0
 		}
 		switch s {
 		case Answered:
@@ -584,8 +584,8 @@
 	}
 }
 
-// Next is when Tick wants to be called at the latest; zero: no need.
-func (l *List) Next() (at time.Time) {
+// NextDeadline is when Tick wants to be called at the latest; zero: no need.
+func (l *List) NextDeadline() (at time.Time) {
 	for _, e := range l.order {
 		if t, due := l.dueAt(e); due && (at.IsZero() || t.Before(at)) {
 			at = t
@@ -600,7 +600,7 @@
 		return time.Time{}, false
 	}
 	if l.live {
-		return e.probeAt, e.proof == Draining && e.State == balancer.On
+		return e.probeAt, e.proof == Draining && e.State == balancer.Active
 	}
 	if e.State == balancer.Draining && e.drainAt.IsZero() {
 		return time.Time{}, false // discovery's word on a drain needs no proof
@@ -631,7 +631,7 @@
 		e.probing, e.askAt = true, now
 		e.probeAt = time.Time{}
 		l.probing++
-		l.out.Probe = append(l.out.Probe, e.Box)
+		l.out.Probe = append(l.out.Probe, e.Endpoint)
 	}
 	l.mourn(now)
 }
@@ -644,7 +644,7 @@
 	refused := 0
 	for _, e := range l.order {
 		switch e.proof {
-		case LeftOut:
+		case Excluded:
 			refused++
 		case Draining:
 		default:
@@ -659,9 +659,9 @@
 // booking sent to a silent address would be lost.
 func (l *List) usable(e *entry) bool {
 	switch e.proof {
-	case Told, Proven:
+	case Reported, Verified:
 		return true
-	case Doubted:
+	case Suspect:
 		return e.listed
 	case Draining:
 		return e.listed || l.live
@@ -680,13 +680,13 @@
 	if !l.usable(e) {
 		if e.listed {
 			off := e.shown
-			off.State = balancer.Off
+			off.State = balancer.Removed
 			l.put(off)
 			e.listed = false
 		}
 		return
 	}
-	b := e.Box
+	b := e.Endpoint
 	if e.proof == Draining {
 		b.State = balancer.Draining
 	}
@@ -700,48 +700,48 @@
 
 // show puts an entry's state out at once, as where it has gone.
 func (l *List) show(e *entry) {
-	l.put(e.Box)
+	l.put(e.Endpoint)
 	e.listed = false
 }
 
 // put adds a box to the change that is being made. The first list of all is a whole one.
-func (l *List) put(b Box) {
+func (l *List) put(b Endpoint) {
 	if n := len(l.out.Publish); n > 0 {
 		p := &l.out.Publish[n-1]
-		for i := range p.Boxes {
-			if p.Boxes[i].ID == b.ID {
-				p.Boxes[i] = b
+		for i := range p.Endpoints {
+			if p.Endpoints[i].ID == b.ID {
+				p.Endpoints[i] = b
 				return
 			}
 		}
-		p.Boxes = append(p.Boxes, b)
+		p.Endpoints = append(p.Endpoints, b)
 		return
 	}
-	kind := balancer.RosterDelta
+	kind := balancer.EndpointsDelta
 	if !l.began {
-		kind = balancer.RosterCached
+		kind = balancer.EndpointsCached
 		if l.live {
-			kind = balancer.RosterFull
+			kind = balancer.EndpointsSnapshot
 		}
 	}
-	l.out.Publish = append(l.out.Publish, Publication{Kind: kind, Boxes: []Box{b}})
+	l.out.Publish = append(l.out.Publish, Publication{Kind: kind, Endpoints: []Endpoint{b}})
 	l.began = true
 }
 
-// Keep is the list as it is to be written.
-func (l *List) Keep(now time.Time) Kept {
-	k := Kept{Epoch: l.epoch, Cursor: l.cursor, Confirmed: l.confirmed, Saved: now, History: l.history}
+// TakeSnapshot is the list as it is to be written.
+func (l *List) TakeSnapshot(now time.Time) Snapshot {
+	k := Snapshot{Epoch: l.epoch, Cursor: l.cursor, Confirmed: l.confirmed, Saved: now, History: l.history}
 	k.History.Events = slices.Clone(l.history.Events)
 	for _, e := range l.order {
-		b := e.Box
-		b.Pace = max(e.pace(now), e.base)
+		b := e.Endpoint
+		b.RequestRate = max(e.pace(now), e.base)
 		if l.live && now.Sub(l.gate.ended) > paceSpan {
-			b.Pace = e.pace(now)
+			b.RequestRate = e.pace(now)
 		}
 		if e.proof == Draining {
 			b.State = balancer.Draining
 		}
-		k.Boxes = append(k.Boxes, b)
+		k.Endpoints = append(k.Endpoints, b)
 	}
 	return k
 }
@@ -756,9 +756,9 @@
 
 // Row is one line of a report on the list.
 type Row struct {
-	Box
+	Endpoint
 	Trust float64
-	Proof Proof
+	Proof Verification
 	Age   time.Duration // of the last evidence; below 0: unknown
 }
 
@@ -766,7 +766,7 @@
 func (l *List) Rows(now time.Time) []Row {
 	rows := make([]Row, 0, len(l.order))
 	for _, e := range l.order {
-		r := Row{Box: e.Box, Trust: l.trust(now, e), Proof: e.proof, Age: -1}
+		r := Row{Endpoint: e.Endpoint, Trust: l.trust(now, e), Proof: e.proof, Age: -1}
 		if !e.unknown && !e.at.IsZero() {
 			r.Age = now.Sub(e.at)
 		}
@@ -776,13 +776,13 @@
 }
 
 // Live tells whether discovery's word is current; Cursor and Epoch where it stands.
-func (l *List) Live() bool    { return l.live }
-func (l *List) Cursor() int64 { return l.cursor }
-func (l *List) Epoch() string { return l.epoch }
-func (l *List) Ramping() bool { return l.gate.on }
+func (l *List) Live() bool        { return l.live }
+func (l *List) Cursor() int64     { return l.cursor }
+func (l *List) Epoch() string     { return l.epoch }
+func (l *List) InSlowStart() bool { return l.gate.on }
 func (l *List) Usable() (n int) {
 	for _, e := range l.order {
-		if l.usable(e) && e.proof != Draining && e.State == balancer.On {
+		if l.usable(e) && e.proof != Draining && e.State == balancer.Active {
 			n++
 		}
 	}
--- a/endpoints/roster_test.go
+++ b/endpoints/roster_test.go
@@ -15,25 +15,25 @@
 
 var t0 = time.Unix(1_800_000_000, 0)
 
-func box(id int) Box {
-	return Box{ID: balancer.WorkerID(id), Addr: "127.0.0.1:1", State: balancer.On, Weight: 2, Start: t0.Add(-time.Hour), Pace: 10}
+func box(id int) Endpoint {
+	return Endpoint{ID: balancer.WorkerID(id), Addr: "127.0.0.1:1", State: balancer.Active, Weight: 2, Start: t0.Add(-time.Hour), RequestRate: 10}
 }
 
-func keptList(age time.Duration, boxes ...Box) Kept {
-	return Kept{Epoch: "e1", Cursor: 7, Confirmed: t0.Add(-age), Saved: t0.Add(-age), Boxes: boxes}
+func keptList(age time.Duration, boxes ...Endpoint) Snapshot {
+	return Snapshot{Epoch: "e1", Cursor: 7, Confirmed: t0.Add(-age), Saved: t0.Add(-age), Endpoints: boxes}
 }
 
 // view is the list as the module has it, from what was published.
-type view map[balancer.WorkerID]Box
+type view map[balancer.WorkerID]Endpoint
 
 func (v view) take(l *List) Actions {
-	a := l.Take()
+	a := l.TakeActions()
 	for _, p := range a.Publish {
-		if p.Kind != balancer.RosterDelta {
+		if p.Kind != balancer.EndpointsDelta {
 			clear(v)
 		}
-		for _, b := range p.Boxes {
-			if b.State == balancer.Off {
+		for _, b := range p.Endpoints {
+			if b.State == balancer.Removed {
 				delete(v, b.ID)
 			} else {
 				v[b.ID] = b
@@ -45,7 +45,7 @@
 
 func (v view) on() (ids []int) {
 	for id, b := range v {
-		if b.State == balancer.On {
+		if b.State == balancer.Active {
 			ids = append(ids, int(id))
 		}
 	}
@@ -54,7 +54,7 @@
 }
 
 // probes runs the list's ticks until d has passed and answers every probe by its box.
-func probes(l *List, v view, from time.Time, d time.Duration, answer func(Box) Sign) (asked map[balancer.WorkerID]int) {
+func probes(l *List, v view, from time.Time, d time.Duration, answer func(Endpoint) Observation) (asked map[balancer.WorkerID]int) {
 	asked = map[balancer.WorkerID]int{}
 	for now := from; now.Before(from.Add(d)); now = now.Add(5 * time.Millisecond) {
 		l.Tick(now)
@@ -67,14 +67,14 @@
 	return asked
 }
 
-func always(s Sign) func(Box) Sign { return func(Box) Sign { return s } }
+func always(s Observation) func(Endpoint) Observation { return func(Endpoint) Observation { return s } }
 
 func TestSurvival(t *testing.T) {
 	var h History
 	assert.InDelta(t, 0.5, h.Survival(36*time.Hour), 1e-9, "the prior alone: (12/48)^0.5")
 	h.Watched, h.Leaves = 1000*time.Hour, 10
 	assert.InDelta(t, math.Pow(1012.0/1022, 10.5), h.Survival(10*time.Hour), 1e-12)
-	assert.InDelta(t, 10.5/1012, h.Hazard(), 1e-12)
+	assert.InDelta(t, 10.5/1012, h.FailureRate(), 1e-12)
 	assert.Equal(t, 1.0, h.Survival(-time.Second))
 	h.watch(1000, 90*24*time.Hour)
 	assert.Equal(t, mostWatched, h.Watched, "bounded")
@@ -91,8 +91,8 @@
 	gone := box(3)
 	gone.State = balancer.Draining
 	l.Restore(t0, keptList(6*time.Hour, box(1), box(2), gone))
-	assert.Empty(t, l.Take().Publish, "no list before a proof")
-	asked := probes(l, v, t0, time.Second, func(b Box) Sign {
+	assert.Empty(t, l.TakeActions().Publish, "no list before a proof")
+	asked := probes(l, v, t0, time.Second, func(b Endpoint) Observation {
 		if b.ID == 1 {
 			return Answered
 		}
@@ -100,7 +100,7 @@
 	})
 	assert.Equal(t, []int{1}, v.on())
 	assert.Zero(t, asked[3], "discovery's word on a drain needs no proof")
-	assert.Less(t, l.Trust(t0.Add(time.Second), 2), leaveOut)
+	assert.Less(t, l.Confidence(t0.Add(time.Second), 2), leaveOut)
 	assert.Equal(t, 1, l.Usable())
 }
 
@@ -111,7 +111,7 @@
 	said := 0
 	for now := t0; now.Before(t0.Add(5 * time.Second)); now = now.Add(5 * time.Millisecond) {
 		l.Tick(now)
-		a := l.Take()
+		a := l.TakeActions()
 		for _, b := range a.Probe {
 			l.Probed(now, b.ID, Silent)
 		}
@@ -127,7 +127,7 @@
 
 // Guards the boxes against a fleet of dispatchers that restarts at once: probes are spread and bounded.
 func TestProbesAreSpread(t *testing.T) {
-	var boxes []Box
+	var boxes []Endpoint
 	for i := range 200 {
 		boxes = append(boxes, box(i+1))
 	}
@@ -229,13 +229,13 @@
 	a = v.take(l)
 	assert.Equal(t, []int{1}, v.on())
 	assert.True(t, a.Urgent, "on disk at once")
-	assert.Equal(t, balancer.Draining, l.Keep(now).Boxes[1].State)
+	assert.Equal(t, balancer.Draining, l.TakeSnapshot(now).Endpoints[1].State)
 
 	// Discovery is late: its word that the box runs does not undo the box's own for a while.
-	l.Told(now, Update{Full: true, Cursor: 8, Boxes: []Box{box(1), box(2)}})
+	l.HandleUpdate(now, Update{Full: true, Cursor: 8, Endpoints: []Endpoint{box(1), box(2)}})
 	v.take(l)
 	assert.True(t, l.Live())
-	l.Current(now.Add(time.Second))
+	l.ConfirmCurrent(now.Add(time.Second))
 	v.take(l)
 	assert.Equal(t, []int{1, 2}, v.on(), "a newer word on this very box counts")
 }
@@ -265,7 +265,7 @@
 	probes(l, v, t0, time.Second, always(Answered))
 	now := t0.Add(time.Second)
 	l.Probed(now, 2, Drains)
-	l.Current(now.Add(100 * time.Millisecond))
+	l.ConfirmCurrent(now.Add(100 * time.Millisecond))
 	v.take(l)
 	assert.Equal(t, []int{1}, v.on())
 	asked := probes(l, v, now.Add(time.Second), 2*ownWord, always(Answered))
@@ -277,7 +277,7 @@
 func TestDiscoveryReturns(t *testing.T) {
 	l, v := New(Config{}), view{}
 	l.Restore(t0, keptList(time.Hour, box(1), box(2), box(3)))
-	probes(l, v, t0, time.Second, func(b Box) Sign {
+	probes(l, v, t0, time.Second, func(b Endpoint) Observation {
 		if b.ID == 3 {
 			return Silent
 		}
@@ -287,20 +287,20 @@
 	fresh := box(9)
 	fresh.Start = now
 	gone := box(2)
-	gone.State = balancer.Off
-	l.Told(now, Update{Cursor: 8, Boxes: []Box{gone, fresh}})
+	gone.State = balancer.Removed
+	l.HandleUpdate(now, Update{Cursor: 8, Endpoints: []Endpoint{gone, fresh}})
 	v.take(l)
 	assert.Equal(t, []int{1, 9}, v.on(), "changes count at once")
-	l.Current(now)
+	l.ConfirmCurrent(now)
 	a := v.take(l)
 	for _, p := range a.Publish {
-		assert.Equal(t, balancer.RosterDelta, p.Kind, "beliefs about those that stayed are kept")
+		assert.Equal(t, balancer.EndpointsDelta, p.Kind, "beliefs about those that stayed are kept")
 	}
 	assert.Equal(t, []int{1, 3, 9}, v.on(), "discovery's word on the rest")
 	assert.Equal(t, now, v[9].Start, "cold by what was told")
-	assert.False(t, l.Ramping())
+	assert.False(t, l.InSlowStart())
 	var whats []What
-	for _, e := range l.Keep(now).History.Events {
+	for _, e := range l.TakeSnapshot(now).History.Events {
 		whats = append(whats, e.What)
 	}
 	assert.Equal(t, []What{Left, Joined}, whats)
@@ -310,16 +310,16 @@
 // Guards the numbering: a change under another epoch is not mixed in; after a reset the list comes whole.
 func TestEpochs(t *testing.T) {
 	l, v := New(Config{}), view{}
-	l.Told(t0, Update{Full: true, Epoch: "e1", Cursor: 50, Boxes: []Box{box(1), box(2)}})
+	l.HandleUpdate(t0, Update{Full: true, Epoch: "e1", Cursor: 50, Endpoints: []Endpoint{box(1), box(2)}})
 	v.take(l)
-	l.Told(t0, Update{Epoch: "e2", Cursor: 51, Boxes: []Box{box(3)}})
+	l.HandleUpdate(t0, Update{Epoch: "e2", Cursor: 51, Endpoints: []Endpoint{box(3)}})
 	v.take(l)
 	assert.Equal(t, []int{1, 2}, v.on())
 	assert.Equal(t, int64(50), l.Cursor())
-	l.Reset(t0)
+	l.ResetWatch(t0)
 	v.take(l)
 	assert.Equal(t, []int{1, 2}, v.on(), "the list stays until it is told anew")
-	l.Told(t0, Update{Full: true, Epoch: "e2", Cursor: 1, Boxes: []Box{box(2), box(3)}})
+	l.HandleUpdate(t0, Update{Full: true, Epoch: "e2", Cursor: 1, Endpoints: []Endpoint{box(2), box(3)}})
 	v.take(l)
 	assert.Equal(t, []int{2, 3}, v.on())
 	assert.Equal(t, int64(1), l.Cursor())
@@ -335,8 +335,8 @@
 	now := t0.Add(time.Second)
 	drain := box(2)
 	drain.State = balancer.Draining
-	l.Told(now, Update{Cursor: 8, Epoch: "e1", Boxes: []Box{drain}}) // and then its connection is cut
-	l.Lost(now)
+	l.HandleUpdate(now, Update{Cursor: 8, Epoch: "e1", Endpoints: []Endpoint{drain}}) // and then its connection is cut
+	l.WatchLost(now)
 	v.take(l)
 	assert.Equal(t, []int{1, 3}, v.on())
 	assert.False(t, l.Live(), "half of its word is not the whole list")
@@ -344,21 +344,21 @@
 	assert.Zero(t, asked[2])
 	assert.Equal(t, []int{1, 3}, v.on(), "an answer does not undo discovery's word on a drain")
 	now = now.Add(20 * time.Second)
-	l.Reset(now)
-	l.Told(now, Update{Full: true, Epoch: "e2", Cursor: 1, Boxes: []Box{box(3), box(4)}})
+	l.ResetWatch(now)
+	l.HandleUpdate(now, Update{Full: true, Epoch: "e2", Cursor: 1, Endpoints: []Endpoint{box(3), box(4)}})
 	v.take(l)
 	assert.Equal(t, []int{3, 4}, v.on())
 	assert.True(t, l.Live())
-	k := l.Keep(now)
+	k := l.TakeSnapshot(now)
 	assert.Equal(t, "e2", k.Epoch)
-	assert.Len(t, k.Boxes, 2)
+	assert.Len(t, k.Endpoints, 2)
 }
 
 // Guards against another box at an old address: what answers where a box was left out counts as cold and unproved.
 func TestAddressTakenOver(t *testing.T) {
 	l, v := New(Config{}), view{}
 	l.Restore(t0, keptList(time.Minute, box(1), box(2)))
-	probes(l, v, t0, 2*time.Second, func(b Box) Sign {
+	probes(l, v, t0, 2*time.Second, func(b Endpoint) Observation {
 		if b.ID == 2 {
 			return Refused
 		}
@@ -376,16 +376,16 @@
 	l := New(Config{})
 	l.Restore(t0, keptList(-time.Hour, box(1)))
 	var h History
-	assert.InDelta(t, h.Survival(unknownAge), l.Trust(t0, 1), 1e-9)
+	assert.InDelta(t, h.Survival(unknownAge), l.Confidence(t0, 1), 1e-9)
 	assert.Negative(t, l.Rows(t0)[0].Age)
 }
 
 // Guards steady service while discovery is away: boxes without traffic are asked again as trust runs down.
 func TestLostWhileServing(t *testing.T) {
 	l, v := New(Config{}), view{}
-	l.Told(t0, Update{Full: true, Cursor: 1, Boxes: []Box{box(1), box(2)}})
+	l.HandleUpdate(t0, Update{Full: true, Cursor: 1, Endpoints: []Endpoint{box(1), box(2)}})
 	v.take(l)
-	l.Lost(t0)
+	l.WatchLost(t0)
 	asked := probes(l, v, t0, time.Second, always(Answered))
 	assert.Empty(t, asked, "just told")
 	for now := t0; now.Before(t0.Add(12 * time.Hour)); now = now.Add(10 * time.Second) {
@@ -438,7 +438,7 @@
 func TestRandomOrders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l, v, now := New(Config{Seed: rapid.Uint64().Draw(t, "seed"), Siblings: rapid.IntRange(1, 50).Draw(t, "siblings")}), view{}, t0
-		var boxes []Box
+		var boxes []Endpoint
 		for i := range rapid.IntRange(0, 5).Draw(t, "kept") {
 			boxes = append(boxes, box(i+1))
 		}
@@ -452,14 +452,14 @@
 			switch rapid.IntRange(0, 8).Draw(t, "event") {
 			case 0:
 				b := box(int(id))
-				b.State = balancer.State(rapid.IntRange(0, 2).Draw(t, "state"))
+				b.State = balancer.EndpointState(rapid.IntRange(0, 2).Draw(t, "state"))
 				cursor++
-				l.Told(now, Update{Cursor: cursor, Boxes: []Box{b}})
-				if delete(banned, id); b.State != balancer.On {
+				l.HandleUpdate(now, Update{Cursor: cursor, Endpoints: []Endpoint{b}})
+				if delete(banned, id); b.State != balancer.Active {
 					banned[id] = now
 				}
 			case 1:
-				var all []Box
+				var all []Endpoint
 				clear(banned)
 				for i := 1; i <= 7; i++ {
 					if rapid.Bool().Draw(t, "in") {
@@ -469,22 +469,22 @@
 					}
 				}
 				cursor++
-				l.Told(now, Update{Full: true, Cursor: cursor, Boxes: all})
+				l.HandleUpdate(now, Update{Full: true, Cursor: cursor, Endpoints: all})
 			case 2:
-				l.Current(now)
+				l.ConfirmCurrent(now)
 			case 3:
-				l.Lost(now)
+				l.WatchLost(now)
 			case 4:
-				l.Observe(now, id, Sign(rapid.IntRange(0, 6).Draw(t, "sign")))
+				l.Observe(now, id, Observation(rapid.IntRange(0, 6).Draw(t, "sign")))
 			case 5:
-				s := Sign(rapid.IntRange(0, 6).Draw(t, "probe"))
+				s := Observation(rapid.IntRange(0, 6).Draw(t, "probe"))
 				if l.Probed(now, id, s); s == Drains && l.boxes[id] != nil {
 					banned[id] = now
-				} else if e := l.boxes[id]; (s == Answered || s == Slow) && e != nil && e.State == balancer.On {
+				} else if e := l.boxes[id]; (s == Answered || s == Slow) && e != nil && e.State == balancer.Active {
 					delete(banned, id) // it takes work again, or another box stands there
 				}
 			case 6:
-				l.Reset(now)
+				l.ResetWatch(now)
 				cursor = 0
 			case 7:
 				l.Admit(now)
@@ -493,7 +493,7 @@
 			}
 			v.take(l)
 			for id, at := range banned {
-				if b, there := v[id]; there && b.State == balancer.On && now.Sub(at) < ownWord {
+				if b, there := v[id]; there && b.State == balancer.Active && now.Sub(at) < ownWord {
 					t.Fatalf("box %d is given as on %v after it was told to drain or be gone", id, now.Sub(at))
 				}
 			}
@@ -503,7 +503,7 @@
 					t.Fatalf("box %d stands there twice", r.ID)
 				}
 				seen[r.ID] = true
-				later := l.Trust(now.Add(time.Hour), r.ID)
+				later := l.Confidence(now.Add(time.Hour), r.ID)
 				if !(r.Trust >= 0 && r.Trust <= 1) || later > r.Trust {
 					t.Fatalf("box %d: trust %v, an hour later %v", r.ID, r.Trust, later)
 				}
--- a/example_test.go
+++ b/example_test.go
@@ -23,21 +23,21 @@
 	}
 	return oakthread.Reply{Result: balancer.OK, Warmth: balancer.WarmHit, Body: []byte(strings.ToUpper(string(a.Request.Body)))}
 }
-func (local) Probe(context.Context, oakthread.Member) oakthread.Reply { return oakthread.Reply{} }
-func (local) Load(context.Context, oakthread.Order) oakthread.Reply   { return oakthread.Reply{} }
-func (local) Drop(context.Context, oakthread.Order)                   {}
-func (local) Forget(balancer.WorkerID)                                {}
+func (local) Probe(context.Context, oakthread.Endpoint) oakthread.Reply { return oakthread.Reply{} }
+func (local) Load(context.Context, oakthread.LoadOrder) oakthread.Reply { return oakthread.Reply{} }
+func (local) Drop(context.Context, oakthread.LoadOrder)                 {}
+func (local) Forget(balancer.WorkerID)                                  {}
 
 // A program dispatches calls behind its own server: the middleware takes the calls, other requests pass on.
 func Example() {
 	core, err := oakthread.New(oakthread.Config{Workers: local{}, Settings: balancer.Settings{
-		Classes:     []balancer.Class{{Aim: int64(time.Second), GiveUp: int64(3 * time.Second), Worth: 1, Effect: balancer.Safe}},
+		Classes:     []balancer.Class{{LatencyObjective: int64(time.Second), ClientTimeout: int64(3 * time.Second), PriorityWeight: 1, Idempotency: balancer.Idempotent}},
 		MaxAttempts: 3, LoadsOnMiss: true, KeepAlive: int64(10 * time.Second)}})
 	if err != nil {
 		panic(err)
 	}
 	defer core.Close()
-	core.Roster(oakthread.Roster{Kind: balancer.RosterFull, Members: []oakthread.Member{{ID: 1, State: balancer.On, Weight: 1}}})
+	core.UpdateEndpoints(oakthread.EndpointUpdate{Kind: balancer.EndpointsSnapshot, Endpoints: []oakthread.Endpoint{{ID: 1, State: balancer.Active, Weight: 1}}})
 
 	calls := middleware.Dispatch(core, func(r *http.Request) (oakthread.Request, error) {
 		if r.URL.Path != "/upper" {
--- a/internal/adminapi/console.go
+++ b/internal/adminapi/console.go
@@ -49,7 +49,7 @@
 // Sources are what the console reads and steers. All fields are needed.
 type Sources struct {
 	CoreReady func() bool
-	Tell      func(oakthread.Roster)                      // the core's news of the list
+	Tell      func(oakthread.EndpointUpdate)              // the core's news of the list
 	Figures   func(ctx context.Context) Figures           // may block; bounded by ctx
 	Tally     func(fn func(class string, c, r, f int64))  // answers by class
 	Quiet     func(on bool)                               // out of service: close idle client connections
@@ -79,7 +79,7 @@
 	ids  func(string) balancer.WorkerID
 
 	mu   sync.Mutex
-	desk admin.Desk
+	desk admin.State
 	seen []byte // the file as last read or written
 	last Figures
 }
@@ -101,9 +101,9 @@
 }
 
 // Listed passes news of the list through the desk to the core.
-func (c *Console) Listed(r oakthread.Roster) {
+func (c *Console) Listed(r oakthread.EndpointUpdate) {
 	c.mu.Lock()
-	told := c.desk.Listed(r)
+	told := c.desk.UpdateEndpoints(r)
 	c.mu.Unlock()
 	c.src.Tell(told)
 }
@@ -155,12 +155,12 @@
 		raw := r.PathValue("id")
 		id := c.ids(raw)
 		c.mu.Lock()
-		var news oakthread.Roster
+		var news oakthread.EndpointUpdate
 		var ok bool
 		if out {
-			news, ok = c.desk.Offline(id)
+			news, ok = c.desk.Eject(id)
 		} else {
-			news, ok = c.desk.Online(id, time.Now())
+			news, ok = c.desk.Restore(id, time.Now())
 		}
 		if ok {
 			c.writeFile()
@@ -170,7 +170,7 @@
 			http.Error(w, fmt.Sprintf("executor %q is not known", raw), http.StatusNotFound)
 			return
 		}
-		if len(news.Members) > 0 {
+		if len(news.Endpoints) > 0 {
 			c.src.Tell(news)
 		}
 		c.log.Info("console: executor", "id", raw, "offline", out)
@@ -253,7 +253,7 @@
 		c.mu.Lock()
 		news := c.readFile()
 		c.mu.Unlock()
-		if len(news.Members) > 0 {
+		if len(news.Endpoints) > 0 {
 			c.src.Tell(news)
 		}
 	}
@@ -264,7 +264,7 @@
 }
 
 // readFile takes the bans that the file holds where it changed since last seen; the caller holds mu.
-func (c *Console) readFile() (news oakthread.Roster) {
+func (c *Console) readFile() (news oakthread.EndpointUpdate) {
 	if c.path == "" {
 		return news
 	}
--- a/internal/adminapi/console_test.go
+++ b/internal/adminapi/console_test.go
@@ -23,7 +23,7 @@
 
 type fake struct {
 	mu    sync.Mutex
-	told  []oakthread.Roster
+	told  []oakthread.EndpointUpdate
 	quiet bool
 	busy  bool
 }
@@ -31,7 +31,7 @@
 func (f *fake) sources() Sources {
 	return Sources{
 		CoreReady: func() bool { return true },
-		Tell:      func(r oakthread.Roster) { f.mu.Lock(); f.told = append(f.told, r); f.mu.Unlock() },
+		Tell:      func(r oakthread.EndpointUpdate) { f.mu.Lock(); f.told = append(f.told, r); f.mu.Unlock() },
 		Figures:   func(context.Context) Figures { return Figures{Attempts: 7, Pending: 2, Reloads: 1, Fails: 1} },
 		Tally:     func(fn func(string, int64, int64, int64)) { fn("call", 5, 1, 0) },
 		Quiet:     func(on bool) { f.mu.Lock(); f.quiet = on; f.mu.Unlock() },
@@ -59,7 +59,7 @@
 	var f fake
 	path := filepath.Join(t.TempDir(), "bans.json")
 	c := New(f.sources(), path, ids, slog.New(slog.DiscardHandler))
-	c.Listed(oakthread.Roster{Kind: balancer.RosterFull, Members: []oakthread.Member{{ID: 1, State: balancer.On}}})
+	c.Listed(oakthread.EndpointUpdate{Kind: balancer.EndpointsSnapshot, Endpoints: []oakthread.Endpoint{{ID: 1, State: balancer.Active}}})
 	h := c.Handler()
 
 	code, _ := call(t, h, "GET", "/control/ready")
@@ -76,7 +76,7 @@
 	f.mu.Lock()
 	last := f.told[len(f.told)-1]
 	f.mu.Unlock()
-	assert.Equal(t, balancer.Draining, last.Members[0].State)
+	assert.Equal(t, balancer.Draining, last.Endpoints[0].State)
 
 	code, body := call(t, h, "GET", "/control/counters")
 	assert.Equal(t, 200, code)
@@ -101,9 +101,9 @@
 	// The next version reads the ban before its list comes.
 	var g fake
 	next := New(g.sources(), path, ids, slog.New(slog.DiscardHandler))
-	next.Listed(oakthread.Roster{Kind: balancer.RosterFull, Members: []oakthread.Member{{ID: 1, State: balancer.On}}})
+	next.Listed(oakthread.EndpointUpdate{Kind: balancer.EndpointsSnapshot, Endpoints: []oakthread.Endpoint{{ID: 1, State: balancer.Active}}})
 	g.mu.Lock()
-	assert.Equal(t, balancer.Draining, g.told[0].Members[0].State)
+	assert.Equal(t, balancer.Draining, g.told[0].Endpoints[0].State)
 	g.mu.Unlock()
 	code, _ = call(t, next.Handler(), "POST", "/control/executors/s-1/online")
 	assert.Equal(t, 200, code)
--- a/internal/adminapi/golden_test.go
+++ b/internal/adminapi/golden_test.go
@@ -68,9 +68,9 @@
 	return src
 }
 
-func goldenRoster() oakthread.Roster {
-	return oakthread.Roster{Kind: balancer.RosterFull, Members: []oakthread.Member{{ID: 1, State: balancer.On},
-		{ID: 2, State: balancer.On}, {ID: math.MaxUint32, State: balancer.On}}}
+func goldenRoster() oakthread.EndpointUpdate {
+	return oakthread.EndpointUpdate{Kind: balancer.EndpointsSnapshot, Endpoints: []oakthread.Endpoint{{ID: 1, State: balancer.Active},
+		{ID: 2, State: balancer.Active}, {ID: math.MaxUint32, State: balancer.Active}}}
 }
 
 // Every call of the operators gets the status, content type and body that it got from an earlier build.
@@ -153,7 +153,7 @@
 		c := New(core.sources(), filepath.Join("testdata", name), goldenIDs, slog.New(slog.DiscardHandler))
 		c.Listed(goldenRoster())
 		var drained []balancer.WorkerID
-		for _, m := range core.told[0].Members {
+		for _, m := range core.told[0].Endpoints {
 			if m.State == balancer.Draining {
 				drained = append(drained, m.ID)
 			}
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -61,7 +61,7 @@
 	return Row{}
 }
 
-func filled(n, of int) aggregate.Set {
+func filled(n, of int) aggregate.NodeSet {
 	s := aggregate.NewSet(of)
 	for i := range n {
 		s.Add(i)
@@ -74,11 +74,11 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	check := func(m aggregate.Message, siblings int, got Packed) {
 		t.Helper()
-		texts := m.Texts(siblings)
+		texts := m.Encode(siblings)
 		require.Equal(t, Packed{len(texts[0]), aggregate.Chars(texts), len(texts)}, got, "%d siblings, %+v", siblings, m)
 	}
 	beside := func(m *aggregate.Message, marks, counts, pairs int) {
-		m.Marks, m.Counts, m.Pairs = make([]aggregate.Mark, marks), make([]aggregate.Count, counts), make([]aggregate.Pair, pairs)
+		m.Marks, m.Counts, m.Holders = make([]aggregate.Mark, marks), make([]aggregate.Count, counts), make([]aggregate.Holder, pairs)
 	}
 	sizes := []int{1, 2, 7, 8, 9, 80, 300, 568, 569, 577, 1000, 1900, 1901}
 	for i := range 4000 {
@@ -88,24 +88,24 @@
 			counts, pairs = 0, 0
 		}
 		row := make([]float64, figs)
-		m := aggregate.Message{Hub: true, Sum: aggregate.Digest{Sums: row, Gone: row, Moved: row,
+		m := aggregate.Message{FromLeader: true, Digest: aggregate.Digest{Sums: row, MissingSums: row, MissingMoved: row,
 			Covered: filled(siblings, siblings), Missing: aggregate.NewSet(siblings)}}
 		beside(&m, marks, counts, pairs)
 		d := Digest{Siblings: siblings, Figures: figs, Marks: marks, Counts: counts, Pairs: pairs}
 		if d.Partial = i%2 == 0 && siblings > 1; d.Partial {
-			m.Sum.Covered = filled(siblings-1, siblings)
+			m.Digest.Covered = filled(siblings-1, siblings)
 			if d.Missing = rng.IntN(2) == 0; d.Missing {
-				m.Sum.Missing.Add(siblings - 1)
+				m.Digest.Missing.Add(siblings - 1)
 			}
 		}
 		check(m, siblings, d.Length())
 
 		r := Report{Figures: figs, Quoted: rng.IntN(figs+2) - 1, Marks: marks, Counts: counts, Pairs: pairs}
-		m = aggregate.Message{Row: aggregate.Row{Figures: row}}
+		m = aggregate.Message{Report: aggregate.Report{Values: row}}
 		if r.Quoted >= 0 {
-			m.Row.Prev = make([]float64, figs)
+			m.Report.LastCounted = make([]float64, figs)
 			for j := r.Quoted; j < figs; j++ {
-				m.Row.Prev[j] = math.NaN()
+				m.Report.LastCounted[j] = math.NaN()
 			}
 		}
 		beside(&m, marks, counts, pairs)
@@ -502,7 +502,7 @@
 
 // asked is a dispatcher of the real module before executors that answer each call at once loaded, 60 ms after; it counts what it tells.
 type asked struct {
-	d     *balancer.Dispatcher
+	d     *balancer.Balancer
 	now   int64
 	queue []due
 	tell  func(to int, text string)
@@ -520,26 +520,26 @@
 	h.queue = slices.Insert(h.queue, i, due{at, do})
 }
 
-func (h *asked) Send(id string, w balancer.WorkerID, _ int64) {
+func (h *asked) SendAttempt(id string, w balancer.WorkerID, _ int64) {
 	n := h.sends[id]
 	h.sends[id]++
 	h.after(60e6, func() {
-		h.d.Outcome(h.now, balancer.Outcome{ID: id, Attempt: n, Worker: w, Result: balancer.OK, Finished: true, Warmth: balancer.WarmHit})
+		h.d.HandleAttemptResult(h.now, balancer.AttemptResult{ID: id, Attempt: n, Worker: w, Result: balancer.OK, Finished: true, Warmth: balancer.WarmHit})
 	})
 }
-func (h *asked) Load(w balancer.WorkerID, f balancer.FuncID, n int) {
-	h.after(100e6, func() { h.d.Loaded(h.now, w, f, n, balancer.OK) })
+func (h *asked) OrderLoad(w balancer.WorkerID, f balancer.FuncID, n int) {
+	h.after(100e6, func() { h.d.HandleLoadResult(h.now, w, f, n, balancer.OK) })
 }
-func (h *asked) Counted(int64)                         {}
-func (h *asked) Timer(delay, ref int64)                { h.after(delay, func() { h.d.Timer(h.now, ref) }) }
-func (h *asked) Tell(to int, text string)              { h.tell(to, text) }
-func (*asked) Cancel(string, int)                      {}
-func (*asked) Refuse(string, int64)                    {}
-func (*asked) Fail(string)                             {}
-func (*asked) Drop(balancer.WorkerID, balancer.FuncID) {}
-func (*asked) Probe(balancer.WorkerID)                 {}
-func (*asked) Watch()                                  {}
-func (*asked) Log(string)                              {}
+func (h *asked) CountTowardLoadQuota(int64)                   {}
+func (h *asked) SetTimer(delay, ref int64)                    { h.after(delay, func() { h.d.HandleTimer(h.now, ref) }) }
+func (h *asked) SendPeerMessage(to int, text string)          { h.tell(to, text) }
+func (*asked) CancelAttempt(string, int)                      {}
+func (*asked) Reject(string, int64)                           {}
+func (*asked) Fail(string)                                    {}
+func (*asked) OrderUnload(balancer.WorkerID, balancer.FuncID) {}
+func (*asked) HealthCheck(balancer.WorkerID)                  {}
+func (*asked) SubscribeEndpoints()                            {}
+func (*asked) Log(string)                                     {}
 
 // run plays events up to a time.
 func run(h *asked, until int64) {
@@ -561,28 +561,28 @@
 		h.tell = func(to int, text string) {
 			if to >= 0 {
 				chars += len(text)
-				if m, ok := aggregate.Read(text, siblings); ok && !m.GoesOn {
+				if m, ok := aggregate.Decode(text, siblings); ok && !m.Continued {
 					reports++
 				}
 			}
 		}
-		s := balancer.Settings{Classes: []balancer.Class{{Aim: 400e6, GiveUp: 5e9, Worth: 1, Effect: balancer.Safe}},
-			TenantRate: make([]float64, tenants), Number: 3, Siblings: siblings, Quantum: 4e6, MaxAttempts: 5,
-			Peers: true, PeerPrice: Base(Letter()).PeerPrice, KeepAlive: 10e9, LoadsOnMiss: true}
+		s := balancer.Settings{Classes: []balancer.Class{{LatencyObjective: 400e6, ClientTimeout: 5e9, PriorityWeight: 1, Idempotency: balancer.Idempotent}},
+			TenantQuota: make([]float64, tenants), DispatcherIndex: 3, Dispatchers: siblings, ClockResolution: 4e6, MaxAttempts: 5,
+			Gossip: true, PeerPrice: Base(Letter()).PeerPrice, KeepAlive: 10e9, LoadsOnMiss: true}
 		var err error
 		h.d, err = balancer.New(h.now, s, 1, h)
 		require.NoError(t, err)
-		var es []balancer.Entry
+		var es []balancer.Endpoint
 		for i := range executors {
-			es = append(es, balancer.Entry{Worker: balancer.WorkerID(i + 1), State: balancer.On, Weight: 1})
+			es = append(es, balancer.Endpoint{Worker: balancer.WorkerID(i + 1), State: balancer.Active, Weight: 1})
 		}
-		h.d.Roster(h.now, balancer.RosterFull, es)
+		h.d.UpdateEndpoints(h.now, balancer.EndpointsSnapshot, es)
 		rng := rand.New(rand.NewPCG(5, uint64(calls)))
 		gap, n := int64(1e9)/int64(calls), 0
 		var call func()
 		call = func() {
 			n++
-			h.d.Request(h.now, balancer.Request{ID: fmt.Sprint(n), Func: balancer.FuncID(rng.Uint64N(48_000)), Deadline: h.now + 5e9, Lanes: 1})
+			h.d.HandleRequest(h.now, balancer.Request{ID: fmt.Sprint(n), Func: balancer.FuncID(rng.Uint64N(48_000)), Deadline: h.now + 5e9, Lanes: 1})
 			h.after(gap, call)
 		}
 		h.after(gap, call)
@@ -613,40 +613,40 @@
 		t.Run(fmt.Sprintf("%d siblings, one silent %v", c.siblings, c.silent), func(t *testing.T) {
 			h, texts := &asked{now: 1e18, sends: map[string]int{}}, 0
 			h.tell = func(to int, text string) {
-				if m, ok := aggregate.Read(text, c.siblings); to < 0 && ok && m.Hub {
+				if m, ok := aggregate.Decode(text, c.siblings); to < 0 && ok && m.FromLeader {
 					texts++
 				}
 			}
 			term := 2 * aim
 			h.now -= h.now % term
-			for leader.New(0, c.siblings, term).Collector(h.now) != 0 {
+			for leader.New(0, c.siblings, term).Leader(h.now) != 0 {
 				h.now += term
 			}
 			h.now -= term // it has lived for a while when its term comes
 			begin := h.now + term
-			s := balancer.Settings{Classes: []balancer.Class{{Aim: aim, GiveUp: 5e9, Worth: 1, Effect: balancer.Safe}}, Siblings: c.siblings,
-				TenantRate: make([]float64, tenants), Quantum: 4e6, MaxAttempts: 5, Peers: true, PeerPrice: price, KeepAlive: 10e9}
+			s := balancer.Settings{Classes: []balancer.Class{{LatencyObjective: aim, ClientTimeout: 5e9, PriorityWeight: 1, Idempotency: balancer.Idempotent}}, Dispatchers: c.siblings,
+				TenantQuota: make([]float64, tenants), ClockResolution: 4e6, MaxAttempts: 5, Gossip: true, PeerPrice: price, KeepAlive: 10e9}
 			var err error
 			h.d, err = balancer.New(h.now, s, 1, h)
 			require.NoError(t, err)
-			var es []balancer.Entry
+			var es []balancer.Endpoint
 			for i := range 60 {
-				es = append(es, balancer.Entry{Worker: balancer.WorkerID(i + 1), State: balancer.On, Weight: 1})
+				es = append(es, balancer.Endpoint{Worker: balancer.WorkerID(i + 1), State: balancer.Active, Weight: 1})
 			}
-			h.d.Roster(h.now, balancer.RosterFull, es)
+			h.d.UpdateEndpoints(h.now, balancer.EndpointsSnapshot, es)
 			n := 0
 			var call func()
 			call = func() {
 				n++
-				h.d.Request(h.now, balancer.Request{ID: fmt.Sprint(n), Func: balancer.FuncID(n), Deadline: h.now + 5e9, Lanes: 1})
+				h.d.HandleRequest(h.now, balancer.Request{ID: fmt.Sprint(n), Func: balancer.FuncID(n), Deadline: h.now + 5e9, Lanes: 1})
 				h.after(5e6, call)
 			}
 			h.after(1, call)
-			report := aggregate.Message{Calls: 255, Row: aggregate.Row{Seq: 1, Figures: make([]float64, tenants+2), Fresh: true}}.Texts(c.siblings)[0]
+			report := aggregate.Message{Calls: 255, Report: aggregate.Report{Seq: 1, Values: make([]float64, tenants+2), Fresh: true}}.Encode(c.siblings)[0]
 			h.after(begin+20e6-h.now, func() {
 				for from := 1; from < c.siblings; from++ {
 					if !c.silent || from != 1 {
-						require.True(t, h.d.Peer(h.now, from, report))
+						require.True(t, h.d.HandlePeerMessage(h.now, from, report))
 					}
 				}
 			})
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -32,11 +32,11 @@
 	s, _, err := endpointcache.Open(path, "d7")
 	require.NoError(t, err)
 	now := time.Now()
-	k := endpoints.Kept{Epoch: "e", Cursor: 9, Confirmed: now.Add(-6 * time.Hour), Saved: now.Add(-6 * time.Hour)}
+	k := endpoints.Snapshot{Epoch: "e", Cursor: 9, Confirmed: now.Add(-6 * time.Hour), Saved: now.Add(-6 * time.Hour)}
 	for i := 1; i <= 3; i++ {
-		k.Boxes = append(k.Boxes, endpoints.Box{ID: balancer.WorkerID(i), Addr: fmt.Sprint("127.0.0.1:", 90+i), State: balancer.On, Weight: 2, Pace: 1.5})
+		k.Endpoints = append(k.Endpoints, endpoints.Endpoint{ID: balancer.WorkerID(i), Addr: fmt.Sprint("127.0.0.1:", 90+i), State: balancer.Active, Weight: 2, RequestRate: 1.5})
 	}
-	k.Boxes[2].State = balancer.Draining
+	k.Endpoints[2].State = balancer.Draining
 	require.NoError(t, s.Write(k))
 	require.NoError(t, s.Close())
 	return path
@@ -91,7 +91,7 @@
 	b, err := endpointcache.Read(other, "d8")
 	require.NoError(t, err)
 	assert.True(t, a.Kept.Confirmed.Equal(b.Kept.Confirmed))
-	assert.Equal(t, a.Kept.Boxes, b.Kept.Boxes)
+	assert.Equal(t, a.Kept.Endpoints, b.Kept.Endpoints)
 
 	_, err = typed(t, "list", "forget", path, "s-00000002")
 	require.NoError(t, err)
@@ -99,7 +99,7 @@
 	require.NoError(t, err)
 	a, err = endpointcache.Read(path, "d7")
 	require.NoError(t, err)
-	assert.Empty(t, a.Kept.Boxes)
+	assert.Empty(t, a.Kept.Endpoints)
 	assert.Zero(t, a.Kept.Cursor, "it is told anew in full")
 
 	for text, want := range map[string]string{"{": "list.json", `{"watched":"x"}`: "watched", `{"watched":"1s","boxes":[{"id":"q","state":"on"}]}`: "boxes[0]",
--- a/internal/cli/list.go
+++ b/internal/cli/list.go
@@ -75,14 +75,14 @@
 	l.Restore(now, f.Kept)
 	k, h := f.Kept, f.Kept.History
 	out := listing{Owner: f.Owner, Schema: f.Schema, Epoch: k.Epoch, Cursor: k.Cursor, Confirmed: k.Confirmed.UTC(), Saved: k.Saved.UTC(),
-		Hazard: h.Hazard(), Watched: h.Watched.Round(time.Second).String(), Leaves: h.Leaves, Returns: h.Returns, Unsound: f.Unsound, Boxes: []boxRow{}}
+		Hazard: h.FailureRate(), Watched: h.Watched.Round(time.Second).String(), Leaves: h.Leaves, Returns: h.Returns, Unsound: f.Unsound, Boxes: []boxRow{}}
 	for _, r := range l.Rows(now) {
 		age := "unknown"
 		if r.Age >= 0 {
 			age = r.Age.Round(time.Second).String()
 		}
 		out.Boxes = append(out.Boxes, boxRow{ID: fmt.Sprintf("s-%08x", uint32(r.ID)), Addr: r.Addr, State: stateNames[r.State], Trust: r.Trust, Age: age,
-			Zone: r.Zone, Kind: r.Kind, Cell: r.Cell, Weight: r.Weight, Pace: r.Pace, Start: stamp(r.Start), Told: stamp(r.Told), Proved: stamp(r.Proved)})
+			Zone: r.Zone, Kind: r.Kind, Cell: r.Cell, Weight: r.Weight, Pace: r.RequestRate, Start: stamp(r.Start), Told: stamp(r.UpdatedAt), Proved: stamp(r.VerifiedAt)})
 	}
 	return out
 }
@@ -196,7 +196,7 @@
 	if owner == "" {
 		owner = l.Owner
 	}
-	k := endpoints.Kept{Epoch: l.Epoch, Cursor: l.Cursor, Confirmed: l.Confirmed, Saved: l.Saved,
+	k := endpoints.Snapshot{Epoch: l.Epoch, Cursor: l.Cursor, Confirmed: l.Confirmed, Saved: l.Saved,
 		History: endpoints.History{Leaves: l.Leaves, Returns: l.Returns}}
 	if k.History.Watched, err = time.ParseDuration(l.Watched); err != nil {
 		return fmt.Errorf("import: %s: watched: %w", from, err)
@@ -210,13 +210,13 @@
 		if err != nil {
 			return fmt.Errorf("import: %s: boxes[%d]: %w", from, i, err)
 		}
-		k.Boxes = append(k.Boxes, endpoints.Box{ID: id, Addr: b.Addr, Zone: b.Zone, Kind: b.Kind, Cell: b.Cell, State: balancer.State(state),
-			Weight: b.Weight, Pace: b.Pace, Start: unstamp(b.Start), Told: unstamp(b.Told), Proved: unstamp(b.Proved)})
+		k.Endpoints = append(k.Endpoints, endpoints.Endpoint{ID: id, Addr: b.Addr, Zone: b.Zone, Kind: b.Kind, Cell: b.Cell, State: balancer.EndpointState(state),
+			Weight: b.Weight, RequestRate: b.Pace, Start: unstamp(b.Start), UpdatedAt: unstamp(b.Told), VerifiedAt: unstamp(b.Proved)})
 	}
-	if err := rewrite(path, owner, func(endpoints.Kept) endpoints.Kept { return k }); err != nil {
+	if err := rewrite(path, owner, func(endpoints.Snapshot) endpoints.Snapshot { return k }); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%s holds %d boxes for dispatcher %s\n", path, len(k.Boxes), owner)
+	fmt.Fprintf(out, "%s holds %d boxes for dispatcher %s\n", path, len(k.Endpoints), owner)
 	return nil
 }
 
@@ -231,20 +231,20 @@
 		if err != nil {
 			return usageError{err}
 		}
-		if !slices.ContainsFunc(f.Kept.Boxes, func(b endpoints.Box) bool { return b.ID == id }) {
+		if !slices.ContainsFunc(f.Kept.Endpoints, func(b endpoints.Endpoint) bool { return b.ID == id }) {
 			return fmt.Errorf("list file %s: box %s is not in it", path, n)
 		}
 		drop[id] = true
 	}
 	n := 0
-	err = rewrite(path, f.Owner, func(k endpoints.Kept) endpoints.Kept {
+	err = rewrite(path, f.Owner, func(k endpoints.Snapshot) endpoints.Snapshot {
 		if len(names) == 0 {
-			n, k.Boxes, k.Cursor, k.Epoch = len(k.Boxes), nil, 0, ""
+			n, k.Endpoints, k.Cursor, k.Epoch = len(k.Endpoints), nil, 0, ""
 			return k
 		}
-		n = len(k.Boxes)
-		k.Boxes = slices.DeleteFunc(k.Boxes, func(b endpoints.Box) bool { return drop[b.ID] })
-		n -= len(k.Boxes)
+		n = len(k.Endpoints)
+		k.Endpoints = slices.DeleteFunc(k.Endpoints, func(b endpoints.Endpoint) bool { return drop[b.ID] })
+		n -= len(k.Endpoints)
 		return k
 	})
 	if err == nil {
@@ -253,7 +253,7 @@
 	return err
 }
 
-func rewrite(path, owner string, change func(endpoints.Kept) endpoints.Kept) error {
+func rewrite(path, owner string, change func(endpoints.Snapshot) endpoints.Snapshot) error {
 	s, f, err := endpointcache.Open(path, owner)
 	if err != nil {
 		if s != nil {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -82,8 +82,8 @@
 		return fmt.Errorf("configuration: %w", err)
 	}
 	parts := oakthread.Config{Settings: cfg.Setup.Decide(), Seed: cfg.Seed, Workers: fleet, Log: log,
-		MaxOpen: cfg.Setup.Permissions.OpenCap}
-	parts.Settings.MaxOpen = cfg.Sockets / 3 // clients hold no more connections, and each has one call
+		MaxInFlight: cfg.Setup.Permissions.OpenCap}
+	parts.Settings.MaxInFlight = cfg.Sockets / 3 // clients hold no more connections, and each has one call
 	if peers != nil {
 		parts.Peers = peers
 	}
@@ -92,17 +92,17 @@
 		found.Found(violation.Rule(rule), violation.Path(path), id, detail)
 	}
 	var hooks *webhook.Front // set before the first call comes
-	parts.Settled = func(s oakthread.Settlement) {
+	parts.Completed = func(s oakthread.Completion) {
 		if hooks != nil {
 			hooks.Settled(s)
 		}
 	}
 	var core *oakthread.Core
-	var front *platform.Front
+	var front *platform.Server
 	var reloads reloaded
 	desk := adminapi.New(adminapi.Sources{
 		CoreReady: func() bool { return core.Ready() },
-		Tell:      func(r oakthread.Roster) { core.Roster(r) },
+		Tell:      func(r oakthread.EndpointUpdate) { core.UpdateEndpoints(r) },
 		Figures:   func(ctx context.Context) adminapi.Figures { return figures(ctx, core, front, &reloads) },
 		Tally: func(fn func(string, int64, int64, int64)) {
 			front.Tally(func(class string, o *platform.Outcomes) {
@@ -112,7 +112,7 @@
 		Quiet:    func(on bool) { front.SetKeepAlives(!on) },
 		Verdicts: func(ctx context.Context) ([]adminapi.Verdict, bool) { return verdicts(ctx, core) },
 	}, adminapi.BanFile(os.TempDir(), cfg.Listen), platform.WorkerID, log)
-	var keeper *endpointcache.Keeper
+	var keeper *endpointcache.Syncer
 	if o.File != nil && o.File.List != nil {
 		keeper = keep(o, cfg, fleet, desk.Listed, log)
 		parts.Admit, parts.Observed = keeper.Admit, keeper.Observe
@@ -143,10 +143,10 @@
 		defer func() { done(); <-written }()
 		go func() { _ = channel.Follow(beside, keeper) }()
 	} else {
-		go func() { _ = oakthread.Membership(channel).Watch(beside, desk.Listed) }()
+		go func() { _ = oakthread.EndpointWatcher(channel).Watch(beside, desk.Listed) }()
 	}
 	if peers != nil {
-		go func() { _ = peers.Listen(beside, core.Heard) }()
+		go func() { _ = peers.Listen(beside, core.HandlePeerMessage) }()
 	}
 	ended, keys := make(chan error, 1), make(chan time.Time, 1)
 	if o.Webhooks == nil {
@@ -206,19 +206,19 @@
 }
 
 // keep opens the kept list that the operator's file asks for.
-func keep(o Options, cfg *platform.Config, fleet *platform.Fleet, tell func(oakthread.Roster), log *slog.Logger) *endpointcache.Keeper {
+func keep(o Options, cfg *platform.Config, fleet *platform.ExecutorPool, tell func(oakthread.EndpointUpdate), log *slog.Logger) *endpointcache.Syncer {
 	l, set := o.File.List, cfg.Setup.Decide()
 	ko := endpointcache.Options{Path: l.Path, Owner: cfg.Name, Util: cfg.Setup.Field("cpu"), Roster: endpoints.Config{Seed: cfg.Seed,
-		Siblings: max(l.Siblings, set.Siblings), Budget: l.Budget, ProbeRate: l.ProbeRate, MaxWait: l.MaxWait.Duration, Fresh: o.Fresh}}
+		Siblings: max(l.Siblings, set.Dispatchers), Budget: l.Budget, ProbeRate: l.ProbeRate, MaxWait: l.MaxWait.Duration, Fresh: o.Fresh}}
 	if l.Siblings > 0 {
 		ko.Roster.Siblings = l.Siblings
 	}
 	for _, c := range set.Classes {
-		ko.Aims = append(ko.Aims, time.Duration(c.Aim))
+		ko.Aims = append(ko.Aims, time.Duration(c.LatencyObjective))
 	}
 	now := monotime.Now()
 	k := endpointcache.NewKeeper(ko, fleet, tell, now, log)
-	var known []oakthread.Roster
+	var known []oakthread.EndpointUpdate
 	for _, ev := range cfg.Known {
 		known = append(known, ev.Roster)
 	}
@@ -230,7 +230,7 @@
 func serveHooks(ctx context.Context, o *webhook.Options, cfg *platform.Config, core *oakthread.Core, reload <-chan time.Time, ended chan<- error, log *slog.Logger) (*webhook.Front, error) {
 	var classes []webhook.Class
 	for i, c := range cfg.Setup.Decide().Classes {
-		classes = append(classes, webhook.Class{Name: cfg.Setup.Categories[i].Name, GiveUp: time.Duration(c.GiveUp), Effect: c.Effect})
+		classes = append(classes, webhook.Class{Name: cfg.Setup.Categories[i].Name, GiveUp: time.Duration(c.ClientTimeout), Effect: c.Idempotency})
 	}
 	var tenants []string
 	for _, c := range cfg.Setup.Customers {
@@ -256,7 +256,7 @@
 
 // reload reads the configuration anew at each signal and moves the command channel where its address has changed; the
 // webhook front reads its keys. A file that cannot be used changes nothing. Guards against an end by SIGHUP.
-func reload(ctx context.Context, hup <-chan os.Signal, getenv func(string) string, first *platform.Config, channel *platform.Channel, keys chan<- time.Time, n *reloaded, retune func(*platform.Config) error, log *slog.Logger) {
+func reload(ctx context.Context, hup <-chan os.Signal, getenv func(string) string, first *platform.Config, channel *platform.EndpointWatcher, keys chan<- time.Time, n *reloaded, retune func(*platform.Config) error, log *slog.Logger) {
 	at := first.Channel
 	for {
 		select {
@@ -292,12 +292,12 @@
 // tuner carries the classes and attempts of a reload to the core and the front.
 type tuner struct {
 	core    *oakthread.Core
-	front   *platform.Front
-	fleet   *platform.Fleet
+	front   *platform.Server
+	fleet   *platform.ExecutorPool
 	classes admin.Classes
 }
 
-func newTuner(cfg *platform.Config, core *oakthread.Core, front *platform.Front, fleet *platform.Fleet) *tuner {
+func newTuner(cfg *platform.Config, core *oakthread.Core, front *platform.Server, fleet *platform.ExecutorPool) *tuner {
 	names, rules := classesOf(cfg)
 	return &tuner{core: core, front: front, fleet: fleet, classes: admin.NewClasses(names, rules)}
 }
@@ -329,7 +329,7 @@
 type reloaded struct{ taken, fails atomic.Int64 }
 
 // figures gathers what the console tells beside the classes; the core's part waits no longer than ctx.
-func figures(ctx context.Context, core *oakthread.Core, front *platform.Front, r *reloaded) adminapi.Figures {
+func figures(ctx context.Context, core *oakthread.Core, front *platform.Server, r *reloaded) adminapi.Figures {
 	f := adminapi.Figures{Pending: front.Pending(), Reloads: r.taken.Load(), Fails: r.fails.Load()}
 	type look struct {
 		n       oakthread.Counters
@@ -349,7 +349,7 @@
 
 // verdicts is what the core holds of each executor, in the console's form; false: it did not answer in time.
 func verdicts(ctx context.Context, core *oakthread.Core) ([]adminapi.Verdict, bool) {
-	got := make(chan []balancer.Verdict, 1)
+	got := make(chan []balancer.WorkerHealth, 1)
 	go func() { got <- core.Verdicts() }()
 	select {
 	case vs := <-got:
@@ -380,16 +380,16 @@
 // longest is the longest time that any class of client waits.
 func longest(c oakthread.Config) (most time.Duration) {
 	for _, k := range c.Settings.Classes {
-		most = max(most, time.Duration(k.GiveUp))
+		most = max(most, time.Duration(k.ClientTimeout))
 	}
 	return most
 }
 
 // faults is what counts troubles of the system's.
 type faults struct {
-	front  *platform.Front
-	fleet  *platform.Fleet
-	keeper *endpointcache.Keeper // nil: no list is kept
+	front  *platform.Server
+	fleet  *platform.ExecutorPool
+	keeper *endpointcache.Syncer // nil: no list is kept
 	found  *violation.Recorder
 }
 
@@ -401,7 +401,7 @@
 }
 
 // count logs the counters while calls come, and whether the process or the core's loop stood still.
-func count(ctx context.Context, core *oakthread.Core, front *platform.Front, peers *platform.Datagrams, f faults, log *slog.Logger) {
+func count(ctx context.Context, core *oakthread.Core, front *platform.Server, peers *platform.PeerTransport, f faults, log *slog.Logger) {
 	t := time.NewTicker(lookEvery)
 	defer t.Stop()
 	var told oakthread.Counters
@@ -433,11 +433,11 @@
 		if seen = time.Now(); n != told && !seen.Before(next) {
 			told, next = n, seen.Add(countEvery)
 			strangers, long := peers.Dropped()
-			log.Info("counts", "taken", n.Taken, "served", n.Served, "refused", n.Refused, "failed", n.Failed,
-				"timed_out", n.TimedOut, "abandoned", n.Abandoned, "turned_away", n.TurnedAway, "held_off", n.HeldOff,
+			log.Info("counts", "taken", n.Accepted, "served", n.Served, "refused", n.Rejected, "failed", n.Failed,
+				"timed_out", n.TimedOut, "abandoned", n.Abandoned, "turned_away", n.RejectedByLimit, "held_off", n.RejectedByAdmission,
 				"attempts", n.Attempts, "full", n.Ends[balancer.Full], "moot", n.Ends[balancer.Moot], "cut", n.Ends[balancer.Reset],
 				"unreached", n.Ends[balancer.ConnectFailed], "late", n.Ends[balancer.Timeout], "errors", n.Ends[balancer.Error],
-				"called_off", n.Ends[balancer.Cancelled], "orders", n.Orders, "orders_held", n.OrdersHeld, "bad", front.Bad(),
+				"called_off", n.Ends[balancer.Cancelled], "orders", n.LoadOrders, "orders_held", n.LoadOrdersWithheld, "bad", front.Bad(),
 				"peers_unread", n.Unread, "peers_long", long, "peers_unknown", strangers,
 				"accepts_failed", f.front.AcceptsFailed(), "connects_failed", f.fleet.Shortages(), "list_writes_failed", f.listWrites(),
 				"violations", f.found.Sum())
--- a/internal/endpointcache/golden_test.go
+++ b/internal/endpointcache/golden_test.go
@@ -30,19 +30,19 @@
 )
 
 // storedList is what testdata/list.db holds: boxes in every state, events of every kind, no value twice in a record.
-func storedList() endpoints.Kept {
+func storedList() endpoints.Snapshot {
 	at := func(n int) time.Time { return t0.Add(time.Duration(n) * (time.Hour + time.Nanosecond)) }
-	return endpoints.Kept{Epoch: "epoch-3", Cursor: 1 << 40, Confirmed: at(1), Saved: at(2),
-		Boxes: []endpoints.Box{
-			{ID: 1, Addr: "127.0.0.1:7001", Zone: 6, Kind: 3, Cell: 4, State: balancer.On, Weight: 5.5, Start: at(-9),
-				Told: at(-8), Proved: at(-7), Pace: 6.25},
+	return endpoints.Snapshot{Epoch: "epoch-3", Cursor: 1 << 40, Confirmed: at(1), Saved: at(2),
+		Endpoints: []endpoints.Endpoint{
+			{ID: 1, Addr: "127.0.0.1:7001", Zone: 6, Kind: 3, Cell: 4, State: balancer.Active, Weight: 5.5, Start: at(-9),
+				UpdatedAt: at(-8), VerifiedAt: at(-7), RequestRate: 6.25},
 			{ID: 12, Addr: "127.0.0.1:7002", Zone: 13, Kind: 14, Cell: 15, State: balancer.Draining, Weight: 16.5,
-				Start: at(-19), Told: at(-18), Proved: at(-17), Pace: 17.25},
-			{ID: 23, Addr: "[::1]:7003", Zone: 24, Kind: 25, Cell: 26, State: balancer.Off, Weight: 27.5, Start: at(-29),
-				Told: at(-28), Proved: at(-27), Pace: 28.25},
-			{ID: 34, Addr: "box.example:7004", State: balancer.On}, // all that may be left out
-			{ID: math.MaxUint32, Addr: "127.0.0.1:7005", Zone: -1, Kind: -2, Cell: -3, State: balancer.On, Weight: 0.1,
-				Start: time.Unix(0, 1), Told: at(-38), Proved: at(-37), Pace: 1e9},
+				Start: at(-19), UpdatedAt: at(-18), VerifiedAt: at(-17), RequestRate: 17.25},
+			{ID: 23, Addr: "[::1]:7003", Zone: 24, Kind: 25, Cell: 26, State: balancer.Removed, Weight: 27.5, Start: at(-29),
+				UpdatedAt: at(-28), VerifiedAt: at(-27), RequestRate: 28.25},
+			{ID: 34, Addr: "box.example:7004", State: balancer.Active}, // all that may be left out
+			{ID: math.MaxUint32, Addr: "127.0.0.1:7005", Zone: -1, Kind: -2, Cell: -3, State: balancer.Active, Weight: 0.1,
+				Start: time.Unix(0, 1), UpdatedAt: at(-38), VerifiedAt: at(-37), RequestRate: 1e9},
 		},
 		History: endpoints.History{Watched: 90*time.Hour + 1, Leaves: 3.5, Returns: 1.25, Events: []endpoints.Event{
 			{At: at(-6), Worker: 1, What: endpoints.Joined},
--- a/internal/endpointcache/keeper.go
+++ b/internal/endpointcache/keeper.go
@@ -29,7 +29,7 @@
 
 // Prober asks a worker for its load.
 type Prober interface {
-	Probe(ctx context.Context, m oakthread.Member) oakthread.Reply
+	Probe(ctx context.Context, m oakthread.Endpoint) oakthread.Reply
 }
 
 // Options are the operator's [list] section.
@@ -41,11 +41,11 @@
 	Util   int             // 1 + place of the cores' use in a load report; 0: not reported
 }
 
-// Keeper has a list follow the world. Make one with NewKeeper, then call Run.
-type Keeper struct {
+// Syncer has a list follow the world. Make one with NewKeeper, then call Run.
+type Syncer struct {
 	o     Options
 	boxes Prober
-	tell  func(oakthread.Roster)
+	tell  func(oakthread.EndpointUpdate)
 	log   *slog.Logger
 
 	mu   sync.Mutex
@@ -62,15 +62,15 @@
 }
 
 type saving struct {
-	kept   endpoints.Kept
+	kept   endpoints.Snapshot
 	urgent bool
 	at     time.Time
 }
 
 // NewKeeper opens the file and starts the list from it. It tells one line for whatever is wrong with the file, and goes
 // on with what is sound or without. tell hands news to the core, in order, from one goroutine.
-func NewKeeper(o Options, boxes Prober, tell func(oakthread.Roster), now time.Time, log *slog.Logger) *Keeper {
-	k := &Keeper{o: o, boxes: boxes, tell: tell, log: log, list: endpoints.New(o.Roster), kick: make(chan struct{}, 1),
+func NewKeeper(o Options, boxes Prober, tell func(oakthread.EndpointUpdate), now time.Time, log *slog.Logger) *Syncer {
+	k := &Syncer{o: o, boxes: boxes, tell: tell, log: log, list: endpoints.New(o.Roster), kick: make(chan struct{}, 1),
 		save: make(chan saving, 1), begun: now}
 	if o.Path == "" {
 		return k
@@ -81,42 +81,42 @@
 	}
 	k.store = s
 	if found.Unsound > 0 {
-		log.Error("kept list read in part", "records_left_out", found.Unsound, "boxes", len(found.Kept.Boxes))
+		log.Error("kept list read in part", "records_left_out", found.Unsound, "boxes", len(found.Kept.Endpoints))
 	}
 	if found.Schema > 0 && found.Schema < Schema {
 		log.Info("kept list of an older schema, written anew", "schema", found.Schema)
 	}
 	if !found.None {
 		k.list.Restore(now, found.Kept)
-		k.acts = k.list.Take()
+		k.acts = k.list.TakeActions()
 	}
 	return k
 }
 
 // Known takes the list that the configuration brings, unless the kept one is newer.
-func (k *Keeper) Known(now time.Time, cursor int64, rs []oakthread.Roster) {
+func (k *Syncer) Known(now time.Time, cursor int64, rs []oakthread.EndpointUpdate) {
 	if len(rs) == 0 || cursor < k.list.Cursor() {
 		return
 	}
 	for _, r := range rs {
-		k.list.Told(now, update(r, "", cursor))
+		k.list.HandleUpdate(now, update(r, "", cursor))
 	}
 	k.gather()
 }
 
 // Cursor and Epoch are where discovery is to go on from.
-func (k *Keeper) Cursor() int64 { k.mu.Lock(); defer k.mu.Unlock(); return k.list.Cursor() }
-func (k *Keeper) Epoch() string { k.mu.Lock(); defer k.mu.Unlock(); return k.list.Epoch() }
+func (k *Syncer) Cursor() int64 { k.mu.Lock(); defer k.mu.Unlock(); return k.list.Cursor() }
+func (k *Syncer) Epoch() string { k.mu.Lock(); defer k.mu.Unlock(); return k.list.Epoch() }
 
 // Rows reports on the list as it stands.
-func (k *Keeper) Rows() []endpoints.Row {
+func (k *Syncer) Rows() []endpoints.Row {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.list.Rows(monotime.Now())
 }
 
 // event runs f on the list and has the loop carry out what comes of it. It returns at once.
-func (k *Keeper) event(f func(now time.Time, l *endpoints.List)) {
+func (k *Syncer) event(f func(now time.Time, l *endpoints.List)) {
 	k.mu.Lock()
 	f(monotime.Now(), k.list)
 	k.gather()
@@ -124,8 +124,8 @@
 }
 
 // gather adds the list's new actions to those not yet carried out. Called with mu held, or before Run.
-func (k *Keeper) gather() {
-	a := k.list.Take()
+func (k *Syncer) gather() {
+	a := k.list.TakeActions()
 	k.acts.Publish = append(k.acts.Publish, a.Publish...)
 	k.acts.Probe = append(k.acts.Probe, a.Probe...)
 	k.acts.Log = append(k.acts.Log, a.Log...)
@@ -139,16 +139,16 @@
 }
 
 // Told, Current, Lost and StartedOver are what discovery's side tells, from one goroutine.
-func (k *Keeper) Told(r oakthread.Roster, epoch string, cursor int64) {
-	k.event(func(now time.Time, l *endpoints.List) { l.Told(now, update(r, epoch, cursor)) })
+func (k *Syncer) Told(r oakthread.EndpointUpdate, epoch string, cursor int64) {
+	k.event(func(now time.Time, l *endpoints.List) { l.HandleUpdate(now, update(r, epoch, cursor)) })
 }
 
-func (k *Keeper) Current()     { k.event(func(now time.Time, l *endpoints.List) { l.Current(now) }) }
-func (k *Keeper) Lost()        { k.event(func(now time.Time, l *endpoints.List) { l.Lost(now) }) }
-func (k *Keeper) StartedOver() { k.event(func(now time.Time, l *endpoints.List) { l.Reset(now) }) }
+func (k *Syncer) Current()     { k.event(func(now time.Time, l *endpoints.List) { l.ConfirmCurrent(now) }) }
+func (k *Syncer) Lost()        { k.event(func(now time.Time, l *endpoints.List) { l.WatchLost(now) }) }
+func (k *Syncer) StartedOver() { k.event(func(now time.Time, l *endpoints.List) { l.ResetWatch(now) }) }
 
 // Admit is the core's gate.
-func (k *Keeper) Admit(*oakthread.Request) (time.Duration, bool) {
+func (k *Syncer) Admit(*oakthread.Request) (time.Duration, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	wait, ok := k.list.Admit(monotime.Now())
@@ -157,7 +157,7 @@
 }
 
 // Observe takes the end of an attempt or order from the core.
-func (k *Keeper) Observe(o oakthread.Observation) {
+func (k *Syncer) Observe(o oakthread.Observation) {
 	s, tells := Sign(o.Result, o.Drains)
 	if !tells {
 		return
@@ -169,7 +169,7 @@
 }
 
 // Sign reads the end of an attempt, probe or order: what it shows of the box, if anything.
-func Sign(r balancer.Result, drains bool) (endpoints.Sign, bool) {
+func Sign(r balancer.Result, drains bool) (endpoints.Observation, bool) {
 	switch {
 	case drains:
 		return endpoints.Drains, true
@@ -187,22 +187,22 @@
 	return 0, false // called off or never written: it shows nothing
 }
 
-func update(r oakthread.Roster, epoch string, cursor int64) endpoints.Update {
-	u := endpoints.Update{Full: r.Kind != balancer.RosterDelta, Epoch: epoch, Cursor: cursor}
-	for _, m := range r.Members {
-		u.Boxes = append(u.Boxes, endpoints.Box{ID: m.ID, Addr: m.Addr, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, State: m.State,
+func update(r oakthread.EndpointUpdate, epoch string, cursor int64) endpoints.Update {
+	u := endpoints.Update{Full: r.Kind != balancer.EndpointsDelta, Epoch: epoch, Cursor: cursor}
+	for _, m := range r.Endpoints {
+		u.Endpoints = append(u.Endpoints, endpoints.Endpoint{ID: m.ID, Addr: m.Addr, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, State: m.State,
 			Weight: m.Weight, Start: m.Start})
 	}
 	return u
 }
 
 // Member is the box as the core knows it.
-func Member(b endpoints.Box) oakthread.Member {
-	return oakthread.Member{ID: b.ID, Addr: b.Addr, Zone: b.Zone, Kind: b.Kind, Cell: b.Cell, State: b.State, Weight: b.Weight, Start: b.Start}
+func Member(b endpoints.Endpoint) oakthread.Endpoint {
+	return oakthread.Endpoint{ID: b.ID, Addr: b.Addr, Zone: b.Zone, Kind: b.Kind, Cell: b.Cell, State: b.State, Weight: b.Weight, Start: b.Start}
 }
 
 // Run carries out what the list orders until ctx ends; then the list is on disk and the file closed.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Syncer) Run(ctx context.Context) {
 	written := make(chan struct{})
 	go func() { defer close(written); k.write() }()
 	t := time.NewTimer(0)
@@ -210,21 +210,21 @@
 	for {
 		k.mu.Lock()
 		now := monotime.Now()
-		if at := k.list.Next(); !at.IsZero() && !at.After(now) {
+		if at := k.list.NextDeadline(); !at.IsZero() && !at.After(now) {
 			k.list.Tick(now)
 			k.gather()
 		}
 		a := k.acts
 		k.acts = endpoints.Actions{}
 		if a.Save || a.Urgent {
-			k.hand(saving{k.list.Keep(now), a.Urgent, now})
+			k.hand(saving{k.list.TakeSnapshot(now), a.Urgent, now})
 		}
-		next := k.list.Next()
+		next := k.list.NextDeadline()
 		k.mu.Unlock()
 		for _, p := range a.Publish {
-			r := oakthread.Roster{Kind: p.Kind}
-			for _, b := range p.Boxes {
-				r.Members = append(r.Members, Member(b))
+			r := oakthread.EndpointUpdate{Kind: p.Kind}
+			for _, b := range p.Endpoints {
+				r.Endpoints = append(r.Endpoints, Member(b))
 			}
 			k.tell(r)
 		}
@@ -242,7 +242,7 @@
 		select {
 		case <-ctx.Done():
 			k.mu.Lock()
-			k.hand(saving{k.list.Keep(monotime.Now()), true, monotime.Now()})
+			k.hand(saving{k.list.TakeSnapshot(monotime.Now()), true, monotime.Now()})
 			k.mu.Unlock()
 			close(k.save)
 			<-written
@@ -254,7 +254,7 @@
 }
 
 // hand gives the writer the newest list; one that it has not taken yet is replaced.
-func (k *Keeper) hand(s saving) {
+func (k *Syncer) hand(s saving) {
 	select {
 	case old := <-k.save:
 		s.urgent = s.urgent || old.urgent
@@ -264,7 +264,7 @@
 	k.save <- s
 }
 
-func (k *Keeper) probe(ctx context.Context, b endpoints.Box) {
+func (k *Syncer) probe(ctx context.Context, b endpoints.Endpoint) {
 	in, done := context.WithTimeout(ctx, probeTime)
 	defer done()
 	r := k.boxes.Probe(in, Member(b))
@@ -283,7 +283,7 @@
 
 // write is the writer's goroutine: it coalesces what comes and outlives a disk that is full, gone or damaged. A list that
 // could not be written is tried again until it or a newer one is on disk.
-func (k *Keeper) write() {
+func (k *Syncer) write() {
 	w := writer{k: k}
 	retry := time.NewTimer(time.Hour)
 	defer retry.Stop()
@@ -311,7 +311,7 @@
 
 // writer is what the writer's goroutine holds.
 type writer struct {
-	k       *Keeper
+	k       *Syncer
 	latest  saving
 	owed    bool // latest is not on disk
 	backoff neterr.Backoff
@@ -369,10 +369,10 @@
 }
 
 // FailedWrites counts the writes of the list that failed; each is tried again.
-func (k *Keeper) FailedWrites() int64 { return k.failedWrites.Load() }
+func (k *Syncer) FailedWrites() int64 { return k.failedWrites.Load() }
 
 // collect waits until due for newer lists; an urgent one brings the end nearer.
-func (k *Keeper) collect(s saving, due time.Time) saving {
+func (k *Syncer) collect(s saving, due time.Time) saving {
 	t := time.NewTimer(time.Until(due))
 	defer t.Stop()
 	for {
--- a/internal/endpointcache/kept_test.go
+++ b/internal/endpointcache/kept_test.go
@@ -28,12 +28,12 @@
 
 var t0 = time.Unix(1_800_000_000, 0)
 
-func sample(n int) endpoints.Kept {
-	k := endpoints.Kept{Epoch: "e1", Cursor: 41, Confirmed: t0, Saved: t0.Add(time.Second),
+func sample(n int) endpoints.Snapshot {
+	k := endpoints.Snapshot{Epoch: "e1", Cursor: 41, Confirmed: t0, Saved: t0.Add(time.Second),
 		History: endpoints.History{Watched: 90 * time.Hour, Leaves: 3, Returns: 1, Events: []endpoints.Event{{At: t0, Worker: 9, What: endpoints.Left}}}}
 	for i := range n {
-		k.Boxes = append(k.Boxes, endpoints.Box{ID: balancer.WorkerID(i + 1), Addr: fmt.Sprint("127.0.0.1:", 1+i%60000), Zone: 1, Cell: 2, State: balancer.On, Weight: 2,
-			Start: t0.Add(-time.Hour), Told: t0, Proved: t0, Pace: 4.5})
+		k.Endpoints = append(k.Endpoints, endpoints.Endpoint{ID: balancer.WorkerID(i + 1), Addr: fmt.Sprint("127.0.0.1:", 1+i%60000), Zone: 1, Cell: 2, State: balancer.Active, Weight: 2,
+			Start: t0.Add(-time.Hour), UpdatedAt: t0, VerifiedAt: t0, RequestRate: 4.5})
 	}
 	return k
 }
@@ -62,7 +62,7 @@
 	require.NoError(t, s.Close())
 	f, err = Read(path, "d1")
 	require.NoError(t, err)
-	assert.Len(t, f.Kept.Boxes, 2, "what left the list leaves the file")
+	assert.Len(t, f.Kept.Endpoints, 2, "what left the list leaves the file")
 	assert.Empty(t, f.Kept.History.Events)
 	wrong, err := Check(path)
 	require.NoError(t, err)
@@ -88,7 +88,7 @@
 	require.ErrorIs(t, err, ErrInUse)
 	f, err := Snapshot(path)
 	require.NoError(t, err, "reading beside a running dispatcher")
-	assert.Len(t, f.Kept.Boxes, 1)
+	assert.Len(t, f.Kept.Endpoints, 1)
 	require.NoError(t, s.Close())
 
 	head(t, path, func(h *keptpb.Head) { h.Schema = Schema + 1 })
@@ -144,7 +144,7 @@
 	require.NoError(t, err)
 	require.NoError(t, s.Close())
 	assert.Equal(t, 1, found.Unsound)
-	assert.Len(t, found.Kept.Boxes, 2)
+	assert.Len(t, found.Kept.Endpoints, 2)
 	wrong, err := Check(path)
 	require.NoError(t, err)
 	assert.Equal(t, []string{"1 records fail their checksum"}, wrong)
@@ -155,8 +155,8 @@
 func TestDamagedFiles(t *testing.T) {
 	whole, err := os.ReadFile(written(t, 40))
 	require.NoError(t, err)
-	want := map[balancer.WorkerID]endpoints.Box{}
-	for _, b := range sample(40).Boxes {
+	want := map[balancer.WorkerID]endpoints.Endpoint{}
+	for _, b := range sample(40).Endpoints {
 		want[b.ID] = b
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -191,14 +191,14 @@
 			assert.FileExists(t, path+".damaged")
 			aside++
 		}
-		for _, b := range found.Kept.Boxes {
+		for _, b := range found.Kept.Endpoints {
 			assert.Equal(t, want[b.ID], b, "only sound records")
 		}
 		if werr := s.Write(sample(5)); werr == nil {
 			require.NoError(t, s.Close())
 			f, err := Read(path, "d1")
 			require.NoError(t, err)
-			assert.Len(t, f.Kept.Boxes, 5)
+			assert.Len(t, f.Kept.Endpoints, 5)
 		} else {
 			assert.ErrorIs(t, werr, ErrDamaged)
 			_ = s.Close()
@@ -250,8 +250,8 @@
 		for n := 0; ; n++ {
 			k := sample(50)
 			k.Cursor = int64(n)
-			for i := range k.Boxes {
-				k.Boxes[i].Cell = n // all of one write, or none
+			for i := range k.Endpoints {
+				k.Endpoints[i].Cell = n // all of one write, or none
 			}
 			if err := s.Write(k); err != nil {
 				panic(err)
@@ -281,8 +281,8 @@
 		_ = cmd.Wait()
 		f, err := Read(path, "d1")
 		require.NoError(t, err)
-		require.Len(t, f.Kept.Boxes, 50)
-		for _, b := range f.Kept.Boxes {
+		require.Len(t, f.Kept.Endpoints, 50)
+		for _, b := range f.Kept.Endpoints {
 			assert.Equal(t, int(f.Kept.Cursor), b.Cell)
 		}
 	}
@@ -298,7 +298,7 @@
 	assert.Equal(t, "too long: true\nshort: <nil>\nclosed: <nil>\n", string(out))
 	f, err := Read(path, "d1")
 	require.NoError(t, err)
-	assert.Len(t, f.Kept.Boxes, 30)
+	assert.Len(t, f.Kept.Endpoints, 30)
 }
 
 func BenchmarkWrite(b *testing.B) {
@@ -307,18 +307,18 @@
 	defer s.Close()
 	k := sample(60)
 	for n := 0; b.Loop(); n++ {
-		for i := range k.Boxes {
-			k.Boxes[i].Proved = t0.Add(time.Duration(n) * time.Second)
+		for i := range k.Endpoints {
+			k.Endpoints[i].VerifiedAt = t0.Add(time.Duration(n) * time.Second)
 		}
 		require.NoError(b, s.Write(k))
 	}
 }
 
 func BenchmarkObserve(b *testing.B) {
-	k := NewKeeper(Options{Aims: []time.Duration{time.Second}}, nil, func(oakthread.Roster) {}, time.Now(), slog.New(slog.DiscardHandler))
-	full := oakthread.Roster{Kind: balancer.RosterFull}
+	k := NewKeeper(Options{Aims: []time.Duration{time.Second}}, nil, func(oakthread.EndpointUpdate) {}, time.Now(), slog.New(slog.DiscardHandler))
+	full := oakthread.EndpointUpdate{Kind: balancer.EndpointsSnapshot}
 	for i := range 60 {
-		full.Members = append(full.Members, oakthread.Member{ID: balancer.WorkerID(i), State: balancer.On, Weight: 2})
+		full.Endpoints = append(full.Endpoints, oakthread.Endpoint{ID: balancer.WorkerID(i), State: balancer.Active, Weight: 2})
 	}
 	k.Told(full, "", 1)
 	for b.Loop() {
@@ -334,7 +334,7 @@
 	as    map[balancer.WorkerID]oakthread.Reply
 }
 
-func (b *boxes) Probe(_ context.Context, m oakthread.Member) oakthread.Reply {
+func (b *boxes) Probe(_ context.Context, m oakthread.Endpoint) oakthread.Reply {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.asked[m.ID]++
@@ -358,9 +358,9 @@
 	return l.Buffer.String()
 }
 
-func running(t *testing.T, o Options, as map[balancer.WorkerID]oakthread.Reply) (k *Keeper, told chan oakthread.Roster, log *logged, end func()) {
-	told, log = make(chan oakthread.Roster, 64), &logged{}
-	k = NewKeeper(o, &boxes{asked: map[balancer.WorkerID]int{}, as: as}, func(r oakthread.Roster) { told <- r }, time.Now(),
+func running(t *testing.T, o Options, as map[balancer.WorkerID]oakthread.Reply) (k *Syncer, told chan oakthread.EndpointUpdate, log *logged, end func()) {
+	told, log = make(chan oakthread.EndpointUpdate, 64), &logged{}
+	k = NewKeeper(o, &boxes{asked: map[balancer.WorkerID]int{}, as: as}, func(r oakthread.EndpointUpdate) { told <- r }, time.Now(),
 		slog.New(slog.NewTextHandler(log, nil)))
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -373,20 +373,20 @@
 	path := filepath.Join(t.TempDir(), "list.db")
 	o := Options{Path: path, Owner: "d1", Roster: endpoints.Config{Siblings: 2}}
 	k, told, _, end := running(t, o, nil)
-	full := oakthread.Roster{Kind: balancer.RosterFull}
+	full := oakthread.EndpointUpdate{Kind: balancer.EndpointsSnapshot}
 	for i := 1; i <= 3; i++ {
-		full.Members = append(full.Members, oakthread.Member{ID: balancer.WorkerID(i), Addr: "127.0.0.1:91", State: balancer.On, Weight: 2})
+		full.Endpoints = append(full.Endpoints, oakthread.Endpoint{ID: balancer.WorkerID(i), Addr: "127.0.0.1:91", State: balancer.Active, Weight: 2})
 	}
 	k.Told(full, "e1", 5)
 	assert.Equal(t, full, <-told)
-	drain := oakthread.Roster{Members: []oakthread.Member{full.Members[2]}}
-	drain.Members[0].State = balancer.Draining
+	drain := oakthread.EndpointUpdate{Endpoints: []oakthread.Endpoint{full.Endpoints[2]}}
+	drain.Endpoints[0].State = balancer.Draining
 	asked := time.Now()
 	k.Told(drain, "e1", 6)
-	assert.Equal(t, balancer.Draining, (<-told).Members[0].State)
+	assert.Equal(t, balancer.Draining, (<-told).Endpoints[0].State)
 	for {
 		f, err := copied(path)
-		if err == nil && len(f.Kept.Boxes) == 3 && f.Kept.Boxes[2].State == balancer.Draining {
+		if err == nil && len(f.Kept.Endpoints) == 3 && f.Kept.Endpoints[2].State == balancer.Draining {
 			break
 		}
 		require.Less(t, time.Since(asked), 10*time.Second)
@@ -398,19 +398,19 @@
 	assert.Equal(t, int64(6), k.Cursor())
 	assert.Equal(t, "e1", k.Epoch())
 	r := <-told
-	assert.Equal(t, balancer.RosterCached, r.Kind)
-	require.Len(t, r.Members, 1)
-	assert.Equal(t, balancer.WorkerID(1), r.Members[0].ID)
+	assert.Equal(t, balancer.EndpointsCached, r.Kind)
+	require.Len(t, r.Endpoints, 1)
+	assert.Equal(t, balancer.WorkerID(1), r.Endpoints[0].ID)
 	assert.Contains(t, log.text(), "starting from a kept list of 3 boxes")
 	k.Observe(oakthread.Observation{Worker: 1, Result: balancer.ConnectFailed})
 	k.Observe(oakthread.Observation{Worker: 1, Result: balancer.ConnectFailed})
 	for gone := false; !gone; {
 		r := <-told
-		gone = r.Members[0].ID == 1 && r.Members[0].State == balancer.Off
+		gone = r.Endpoints[0].ID == 1 && r.Endpoints[0].State == balancer.Removed
 	}
 	k.Current()
-	for all := map[balancer.WorkerID]balancer.State{}; all[1] != balancer.On || all[2] != balancer.On; {
-		for _, m := range (<-told).Members {
+	for all := map[balancer.WorkerID]balancer.EndpointState{}; all[1] != balancer.Active || all[2] != balancer.Active; {
+		for _, m := range (<-told).Endpoints {
 			all[m.ID] = m.State
 		}
 	}
@@ -425,8 +425,8 @@
 	require.NoError(t, err)
 	defer held.Close()
 	k, told, log, end := running(t, Options{Path: path, Owner: "d1"}, nil)
-	k.Told(oakthread.Roster{Kind: balancer.RosterFull, Members: []oakthread.Member{{ID: 1, State: balancer.On}}}, "", 1)
-	assert.Len(t, (<-told).Members, 1)
+	k.Told(oakthread.EndpointUpdate{Kind: balancer.EndpointsSnapshot, Endpoints: []oakthread.Endpoint{{ID: 1, State: balancer.Active}}}, "", 1)
+	assert.Len(t, (<-told).Endpoints, 1)
 	end()
 	assert.Equal(t, 1, strings.Count(log.text(), "kept list not used"))
 	assert.Contains(t, log.text(), ErrInUse.Error())
@@ -440,7 +440,7 @@
 
 // What an end shows of a box: only what is proved.
 func TestSigns(t *testing.T) {
-	for r, want := range map[balancer.Result]endpoints.Sign{balancer.OK: endpoints.Answered, balancer.Miss: endpoints.Answered, balancer.Full: endpoints.Busy,
+	for r, want := range map[balancer.Result]endpoints.Observation{balancer.OK: endpoints.Answered, balancer.Miss: endpoints.Answered, balancer.Full: endpoints.Busy,
 		balancer.ConnectFailed: endpoints.Refused, balancer.Timeout: endpoints.Silent, balancer.Error: endpoints.Broken, balancer.Reset: endpoints.Broken} {
 		got, tells := Sign(r, false)
 		assert.True(t, tells)
--- a/internal/endpointcache/retry_test.go
+++ b/internal/endpointcache/retry_test.go
@@ -16,7 +16,7 @@
 // A list that could not be written is tried again by itself, without further news, and is on disk once that works.
 func TestFailedWritesAreTriedAgain(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list.db")
-	k := NewKeeper(Options{Path: path, Owner: "d1"}, nil, func(oakthread.Roster) {}, monotime.Now(), slog.New(slog.DiscardHandler))
+	k := NewKeeper(Options{Path: path, Owner: "d1"}, nil, func(oakthread.EndpointUpdate) {}, monotime.Now(), slog.New(slog.DiscardHandler))
 	working := k.store
 	other, _, err := Open(filepath.Join(t.TempDir(), "other.db"), "d1")
 	require.NoError(t, err)
@@ -45,5 +45,5 @@
 	require.NoError(t, working.Close())
 	f, err := Read(path, "d1")
 	require.NoError(t, err)
-	assert.Len(t, f.Kept.Boxes, 3)
+	assert.Len(t, f.Kept.Endpoints, 3)
 }
--- a/internal/endpointcache/store.go
+++ b/internal/endpointcache/store.go
@@ -58,7 +58,7 @@
 
 // Found is what a file held. Unsound counts the records that failed their check and were left out.
 type Found struct {
-	Kept    endpoints.Kept
+	Kept    endpoints.Snapshot
 	Owner   string
 	Schema  int
 	Unsound int
@@ -175,7 +175,7 @@
 		return f, errNoHead
 	}
 	f.Owner, f.Schema = h.Owner, int(h.Schema)
-	f.Kept = endpoints.Kept{Epoch: h.Epoch, Cursor: h.Cursor, Confirmed: moment(h.Confirmed), Saved: moment(h.Saved),
+	f.Kept = endpoints.Snapshot{Epoch: h.Epoch, Cursor: h.Cursor, Confirmed: moment(h.Confirmed), Saved: moment(h.Saved),
 		History: endpoints.History{Watched: time.Duration(h.Watched), Leaves: h.Leaves, Returns: h.Returns}}
 	if f.Schema > Schema {
 		return f, nil
@@ -183,13 +183,13 @@
 	if b := tx.Bucket(boxBucket); b != nil {
 		err = b.ForEach(func(k, raw []byte) error {
 			var x keptpb.Box
-			if !unseal(raw, &x) || x.State < 0 || x.State > int32(balancer.On) || len(k) != 4 || binary.BigEndian.Uint32(k) != x.Id {
+			if !unseal(raw, &x) || x.State < 0 || x.State > int32(balancer.Active) || len(k) != 4 || binary.BigEndian.Uint32(k) != x.Id {
 				f.Unsound++
 				return nil
 			}
-			f.Kept.Boxes = append(f.Kept.Boxes, endpoints.Box{ID: balancer.WorkerID(x.Id), Addr: x.Addr, Zone: int(x.Zone),
-				Kind: int(x.Kind), Cell: int(x.Cell), State: balancer.State(x.State), Weight: x.Weight, Start: moment(x.Start),
-				Told: moment(x.Told), Proved: moment(x.Proved), Pace: x.Pace})
+			f.Kept.Endpoints = append(f.Kept.Endpoints, endpoints.Endpoint{ID: balancer.WorkerID(x.Id), Addr: x.Addr, Zone: int(x.Zone),
+				Kind: int(x.Kind), Cell: int(x.Cell), State: balancer.EndpointState(x.State), Weight: x.Weight, Start: moment(x.Start),
+				UpdatedAt: moment(x.Told), VerifiedAt: moment(x.Proved), RequestRate: x.Pace})
 			return nil
 		})
 	}
@@ -222,7 +222,7 @@
 }
 
 // Write makes the file hold a list, in one transaction that is synced. Only records that differ are written.
-func (s *Store) Write(k endpoints.Kept) error {
+func (s *Store) Write(k endpoints.Snapshot) error {
 	err := guarded(func() error {
 		return s.db.Update(func(tx *bbolt.Tx) error { return s.write(tx, k) })
 	})
@@ -232,7 +232,7 @@
 	return nil
 }
 
-func (s *Store) write(tx *bbolt.Tx, k endpoints.Kept) error {
+func (s *Store) write(tx *bbolt.Tx, k endpoints.Snapshot) error {
 	head, err := tx.CreateBucketIfNotExists(headBucket)
 	if err != nil {
 		return err
@@ -245,13 +245,13 @@
 	if err != nil {
 		return err
 	}
-	named := make(map[string]bool, len(k.Boxes))
-	for _, b := range k.Boxes {
+	named := make(map[string]bool, len(k.Endpoints))
+	for _, b := range k.Endpoints {
 		key := binary.BigEndian.AppendUint32(nil, uint32(b.ID))
 		named[string(key)] = true
 		if err := put(boxes, key, &keptpb.Box{Id: uint32(b.ID), Addr: b.Addr, Zone: int32(b.Zone), Kind: int32(b.Kind),
-			Cell: int32(b.Cell), State: int32(b.State), Weight: b.Weight, Start: nanos(b.Start), Told: nanos(b.Told),
-			Proved: nanos(b.Proved), Pace: b.Pace}); err != nil {
+			Cell: int32(b.Cell), State: int32(b.State), Weight: b.Weight, Start: nanos(b.Start), Told: nanos(b.UpdatedAt),
+			Proved: nanos(b.VerifiedAt), Pace: b.RequestRate}); err != nil {
 			return err
 		}
 	}
@@ -320,7 +320,7 @@
 		wrong = append(wrong, fmt.Sprintf("%d records fail their checksum", f.Unsound))
 	}
 	seen := map[string]balancer.WorkerID{}
-	for _, b := range f.Kept.Boxes {
+	for _, b := range f.Kept.Endpoints {
 		if other, twice := seen[b.Addr]; twice && b.Addr != "" {
 			wrong = append(wrong, fmt.Sprintf("boxes s-%08x and s-%08x have one address, %s", uint32(other), uint32(b.ID), b.Addr))
 		}
--- a/internal/httpreply/reply.go
+++ b/internal/httpreply/reply.go
@@ -20,7 +20,7 @@
 		return http.StatusBadRequest
 	case err != nil || a.Outcome == oakthread.Failed:
 		return http.StatusBadGateway
-	case a.Outcome == oakthread.Refused:
+	case a.Outcome == oakthread.Rejected:
 		return http.StatusServiceUnavailable
 	case a.Outcome == oakthread.TimedOut:
 		return http.StatusGatewayTimeout
@@ -30,8 +30,8 @@
 
 // Write sends an answer, its body unchanged. A refusal says when to come back, where the module knows.
 func Write(w http.ResponseWriter, a oakthread.Answer, err error) {
-	if err == nil && a.Outcome == oakthread.Refused {
-		ComeBack(w.Header(), a.Wait)
+	if err == nil && a.Outcome == oakthread.Rejected {
+		ComeBack(w.Header(), a.RetryAfter)
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set("Content-Length", strconv.Itoa(len(a.Body)))
--- a/internal/lab/calibrate_test.go
+++ b/internal/lab/calibrate_test.go
@@ -108,7 +108,7 @@
 func (s *stage) prove(rows []endpoints.Row) {
 	s.proved = map[balancer.WorkerID]time.Duration{}
 	for _, r := range rows {
-		s.proved[r.ID] = r.Proved.Sub(s.began)
+		s.proved[r.ID] = r.VerifiedAt.Sub(s.began)
 	}
 }
 
@@ -133,7 +133,7 @@
 	s *stage
 }
 
-func (p peerNode) Tell(to int, data string) { p.s.carry(p.n, to, data) }
+func (p peerNode) SendPeerMessage(to int, data string) { p.s.carry(p.n, to, data) }
 
 // carry takes a message to one or all; about three in a hundred are lost, which ones follows from what they say.
 func (s *stage) carry(from, to int, data string) {
@@ -145,7 +145,7 @@
 		}
 		s.after(peerWay+time.Duration(from*stageNodes+n), func() {
 			if n > 0 {
-				s.nodes[n].d.Peer(s.now.UnixNano(), from, data)
+				s.nodes[n].d.HandlePeerMessage(s.now.UnixNano(), from, data)
 			} else if !s.loses("message") {
 				s.host.heard(from, data)
 			}
@@ -171,7 +171,7 @@
 	for i := range stageBoxes {
 		x := w.add(i, start.Add(-time.Hour))
 		x.zone = i % 2
-		w.listed = append(w.listed, endpoints.Box{ID: x.id, Zone: x.zone, State: balancer.On, Weight: 2, Start: start.Add(-time.Hour)})
+		w.listed = append(w.listed, endpoints.Endpoint{ID: x.id, Zone: x.zone, State: balancer.Active, Weight: 2, Start: start.Add(-time.Hour)})
 	}
 	w.nodes = make([]*simNode, stageNodes)
 	for n := range w.nodes {
@@ -187,7 +187,7 @@
 
 func (s *stage) settingsOf(n int) balancer.Settings {
 	set := s.f.settings(n, stageNodes)
-	set.Peers, set.PeerPrice = true, peerPrice
+	set.Gossip, set.PeerPrice = true, peerPrice
 	set.LoadFree = 1e6 // the core's second look at orders must not strike: it has a test of its own
 	if s.settings != nil {
 		s.settings(&set)
@@ -203,12 +203,12 @@
 	u := endpoints.Update{Full: len(which) == 0, Cursor: s.cursor}
 	for i, b := range s.listed {
 		if u.Full || slices.Contains(which, i) {
-			u.Boxes = append(u.Boxes, b)
+			u.Endpoints = append(u.Endpoints, b)
 		}
 	}
 	for i, x := range s.nodes[1:] {
 		s.after(time.Duration(i+1)*stageApart, func() {
-			x.list.Told(s.now, u)
+			x.list.HandleUpdate(s.now, u)
 			x.flush()
 		})
 	}
@@ -274,15 +274,15 @@
 	})
 	s.at(odd(0.70), func() { // it stands anew
 		s.boxes[4].box, s.boxes[4].drained = NewBox(s.f.Box, s.now), time.Time{}
-		s.listed[4].State, s.listed[4].Start = balancer.On, s.now
+		s.listed[4].State, s.listed[4].Start = balancer.Active, s.now
 		s.tell(4)
 	})
 	s.at(odd(0.75), func() { s.listed[0].Weight = 1; s.tell(0) })
-	s.at(odd(0.80), func() { s.listed[5].State = balancer.Off; s.tell(5) })
+	s.at(odd(0.80), func() { s.listed[5].State = balancer.Removed; s.tell(5) })
 	s.at(odd(0.82), func() { // a shorter aim than any: all rounds grow shorter
-		s.host.configure(balancer.Class{Aim: int64(300 * time.Millisecond), GiveUp: int64(5 * time.Second), Worth: 1, Effect: balancer.Safe}, 3)
+		s.host.configure(balancer.Class{LatencyObjective: int64(300 * time.Millisecond), ClientTimeout: int64(5 * time.Second), PriorityWeight: 1, Idempotency: balancer.Idempotent}, 3)
 	})
-	s.at(odd(0.85), func() { s.listed[5].State = balancer.On; s.tell() })
+	s.at(odd(0.85), func() { s.listed[5].State = balancer.Active; s.tell() })
 }
 
 // ---- The hollow host.
@@ -311,12 +311,14 @@
 }
 
 func (h *hollowHost) told(u endpoints.Update) {
-	h.list.Told(h.s.now, u)
+	h.list.HandleUpdate(h.s.now, u)
 	h.flush()
 }
 
-func (h *hollowHost) heard(from int, data string) { h.d.Peer(h.s.now.UnixNano(), from, data) }
-func (h *hollowHost) arrive(c *simCall)           { h.simNode.arrive(c) }
+func (h *hollowHost) heard(from int, data string) {
+	h.d.HandlePeerMessage(h.s.now.UnixNano(), from, data)
+}
+func (h *hollowHost) arrive(c *simCall) { h.simNode.arrive(c) }
 
 func (h *hollowHost) configure(k balancer.Class, attempts int) {
 	_, err := h.d.AddClasses(h.s.now.UnixNano(), []balancer.Class{k})
@@ -324,24 +326,24 @@
 	h.d.SetMaxAttempts(h.s.now.UnixNano(), attempts)
 }
 
-func (h *hollowHost) Send(id string, w balancer.WorkerID, until int64) {
+func (h *hollowHost) SendAttempt(id string, w balancer.WorkerID, until int64) {
 	h.s.did("send %s #%d to %d", id, h.open[id].tries, w)
-	h.simNode.Send(id, w, until)
+	h.simNode.SendAttempt(id, w, until)
 }
 
-// Cancel is told of, as at the core, where there is still something to call off.
-func (h *hollowHost) Cancel(id string, attempt int) {
+// CancelAttempt is told of, as at the core, where there is still something to call off.
+func (h *hollowHost) CancelAttempt(id string, attempt int) {
 	if fl := h.flights[simKey{id, attempt}]; fl != nil && !fl.over {
 		h.s.did("cancel %s #%d", id, attempt)
 	}
 	if !h.s.keeps {
-		h.simNode.Cancel(id, attempt)
+		h.simNode.CancelAttempt(id, attempt)
 	}
 }
 
-func (h *hollowHost) Refuse(id string, wait int64) {
+func (h *hollowHost) Reject(id string, wait int64) {
 	h.s.did("refuse %s, come back in %v", id, time.Duration(wait))
-	h.simNode.Refuse(id, wait)
+	h.simNode.Reject(id, wait)
 }
 
 func (h *hollowHost) Fail(id string) {
@@ -349,17 +351,17 @@
 	h.simNode.Fail(id)
 }
 
-func (h *hollowHost) Load(w balancer.WorkerID, f balancer.FuncID, n int) {
+func (h *hollowHost) OrderLoad(w balancer.WorkerID, f balancer.FuncID, n int) {
 	h.s.did("load %d of %x at %d", n, f, w)
-	h.simNode.Load(w, f, n)
+	h.simNode.OrderLoad(w, f, n)
 }
 
-func (h *hollowHost) Drop(w balancer.WorkerID, f balancer.FuncID) {
+func (h *hollowHost) OrderUnload(w balancer.WorkerID, f balancer.FuncID) {
 	h.s.did("drop %x at %d", f, w)
-	h.simNode.Drop(w, f)
+	h.simNode.OrderUnload(w, f)
 }
 
-func (h *hollowHost) Tell(to int, data string) {
+func (h *hollowHost) SendPeerMessage(to int, data string) {
 	h.s.did("tell %d %s", to, data)
 	h.s.carry(0, to, data)
 }
@@ -372,7 +374,7 @@
 type realHost struct {
 	s      *stage
 	core   *oakthread.Core
-	keeper *endpointcache.Keeper
+	keeper *endpointcache.Syncer
 	stub   *simNode // dispatcher 0's place in the world: it only remembers which drains it was told of
 	wait   sync.WaitGroup
 
@@ -399,9 +401,9 @@
 	h.stub.dead = true
 	quiet := slog.New(slog.DiscardHandler)
 	h.keeper = endpointcache.NewKeeper(endpointcache.Options{Roster: endpoints.Config{Seed: s.seed, Siblings: stageNodes, MaxWait: 1500 * time.Millisecond}, Util: 2,
-		Aims: s.f.aims()}, h, func(r oakthread.Roster) { h.core.Roster(r) }, s.now, quiet)
+		Aims: s.f.aims()}, h, func(r oakthread.EndpointUpdate) { h.core.UpdateEndpoints(r) }, s.now, quiet)
 	var err error
-	h.core, err = oakthread.New(oakthread.Config{Settings: s.settingsOf(0), Seed: s.seedOf(0), Workers: h, Peers: h, Settled: h.settled,
+	h.core, err = oakthread.New(oakthread.Config{Settings: s.settingsOf(0), Seed: s.seedOf(0), Workers: h, Peers: h, Completed: h.settled,
 		Admit: h.admit, Observed: h.keeper.Observe, Log: slog.New(&ear{h})})
 	require.NoError(t, err)
 	s.host = h
@@ -415,7 +417,7 @@
 	n := h.core.Counters()
 	s.ends = n.Ends
 	s.prove(h.keeper.Rows())
-	assert.Equal(t, n.Taken, n.Served+n.Refused+n.Failed+n.TimedOut, "calls without an end")
+	assert.Equal(t, n.Accepted, n.Served+n.Rejected+n.Failed+n.TimedOut, "calls without an end")
 	stop()
 	h.core.Close()
 	h.wait.Wait()
@@ -485,12 +487,12 @@
 }
 
 func (h *realHost) told(u endpoints.Update) {
-	r := oakthread.Roster{Kind: balancer.RosterDelta}
+	r := oakthread.EndpointUpdate{Kind: balancer.EndpointsDelta}
 	if u.Full {
-		r.Kind = balancer.RosterFull
+		r.Kind = balancer.EndpointsSnapshot
 	}
-	for _, b := range u.Boxes {
-		r.Members = append(r.Members, endpointcache.Member(b))
+	for _, b := range u.Endpoints {
+		r.Endpoints = append(r.Endpoints, endpointcache.Member(b))
 	}
 	h.keeper.Told(r, "", u.Cursor)
 }
@@ -508,7 +510,7 @@
 	return h.keeper.Admit(q)
 }
 
-func (h *realHost) heard(from int, data string) { h.core.Heard(from, data) }
+func (h *realHost) heard(from int, data string) { h.core.HandlePeerMessage(from, data) }
 
 func (h *realHost) arrive(c *simCall) {
 	id := c.name + ".0"
@@ -524,10 +526,10 @@
 }
 
 // settled tells of the ends that the module ordered.
-func (h *realHost) settled(x oakthread.Settlement) {
+func (h *realHost) settled(x oakthread.Completion) {
 	switch x.Answer.Outcome {
-	case oakthread.Refused:
-		h.did("refuse %s, come back in %v", x.Request.ID, x.Answer.Wait)
+	case oakthread.Rejected:
+		h.did("refuse %s, come back in %v", x.Request.ID, x.Answer.RetryAfter)
 	case oakthread.Failed, oakthread.TimedOut:
 		h.did("fail %s", x.Request.ID)
 	}
@@ -593,7 +595,7 @@
 	}
 }
 
-func (h *realHost) Load(ctx context.Context, o oakthread.Order) oakthread.Reply {
+func (h *realHost) Load(ctx context.Context, o oakthread.LoadOrder) oakthread.Reply {
 	got := make(chan oakthread.Reply, 1)
 	var written atomic.Bool
 	h.put(rankRest, func() {
@@ -619,14 +621,14 @@
 	}
 }
 
-func (h *realHost) Drop(_ context.Context, o oakthread.Order) {
+func (h *realHost) Drop(_ context.Context, o oakthread.LoadOrder) {
 	h.put(rankRest, func() {
 		h.s.did("drop %x at %d", o.Func, o.Worker.ID)
 		h.s.drop(h.stub, h.s.byID[o.Worker.ID], o.Func)
 	})
 }
 
-func (h *realHost) Probe(_ context.Context, m oakthread.Member) oakthread.Reply {
+func (h *realHost) Probe(_ context.Context, m oakthread.Endpoint) oakthread.Reply {
 	h.did("probe %d", m.ID)
 	return oakthread.Reply{Result: balancer.Timeout}
 }
@@ -714,8 +716,8 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			real, hollow := playBoth(t, play{seed: seed}, func(h *realHost) {
 				n := h.core.Counters()
-				assert.Zero(t, n.OrdersHeld, "the core's second look struck")
-				assert.Zero(t, n.TurnedAway+n.HeldOff+n.Abandoned+n.Unread)
+				assert.Zero(t, n.LoadOrdersWithheld, "the core's second look struck")
+				assert.Zero(t, n.RejectedByLimit+n.RejectedByAdmission+n.Abandoned+n.Unread)
 			})
 			assert.Empty(t, firstApart(real.actions, hollow.actions))
 			assert.Empty(t, callsApart(real, hollow))
@@ -798,7 +800,7 @@
 // hollow host's only one.
 func TestCoreHoldsOrders(t *testing.T) {
 	_, real, hollow := apartBy(t, play{seed: 2, steady: true, settings: func(s *balancer.Settings) { s.LoadFree, s.LoadShare = 2, 0.05 }}, func(h *realHost) {
-		assert.Positive(t, h.core.Counters().OrdersHeld)
+		assert.Positive(t, h.core.Counters().LoadOrdersWithheld)
 	})
 	a, b := sorted(only(real.actions, hollow.actions)), sorted(only(hollow.actions, real.actions))
 	assert.Equal(t, "load", b[0].kind(), "what the hollow host did first of all that the real one did not")
@@ -877,11 +879,11 @@
 	const sent = 3 * time.Second
 	for name, c := range map[string]struct {
 		left time.Duration // until the call's deadline; 0: its class's
-		then func(*stage, *endpoints.Box)
+		then func(*stage, *endpoints.Endpoint)
 	}{
-		"its executor drains":     {then: func(_ *stage, b *endpoints.Box) { b.State = balancer.Draining }},
-		"its executor has gone":   {then: func(_ *stage, b *endpoints.Box) { b.State = balancer.Off }},
-		"its executor starts new": {then: func(s *stage, b *endpoints.Box) { b.Start = s.now }},
+		"its executor drains":     {then: func(_ *stage, b *endpoints.Endpoint) { b.State = balancer.Draining }},
+		"its executor has gone":   {then: func(_ *stage, b *endpoints.Endpoint) { b.State = balancer.Removed }},
+		"its executor starts new": {then: func(s *stage, b *endpoints.Endpoint) { b.Start = s.now }},
 		"its time is over":        {left: 100 * time.Millisecond},
 	} {
 		t.Run("not written, "+name, func(t *testing.T) {
@@ -897,7 +899,7 @@
 					s.host.arrive(call)
 				})
 				s.at(s.began.Add(sent+100*time.Millisecond), func() {
-					i := slices.IndexFunc(s.listed, func(b endpoints.Box) bool {
+					i := slices.IndexFunc(s.listed, func(b endpoints.Endpoint) bool {
 						return slices.ContainsFunc(s.actions, func(a action) bool { return a.text == fmt.Sprintf("send 0.999.0 #0 to %d", b.ID) })
 					})
 					if require.GreaterOrEqual(t, i, 0); c.then != nil {
@@ -942,7 +944,7 @@
 // ran (platform.failure), and so does the hollow host, when time or the module ends it.
 func TestHollowProvesWhatWasNotWritten(t *testing.T) {
 	for name, end := range map[string]func(*simNode){
-		"called off":  func(h *simNode) { h.Cancel("0.999.0", 0) },
+		"called off":  func(h *simNode) { h.CancelAttempt("0.999.0", 0) },
 		"out of time": func(h *simNode) { h.flights[simKey{"0.999.0", 0}].timeout() },
 	} {
 		hollow := playHollow(t, play{seed: 1, asked: 1, span: 4 * time.Second, steady: true, script: func(s *stage) {
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -188,7 +188,7 @@
 		if float64(n) < part*float64(dispatchers) {
 			side = 1
 		}
-		if v := s.d.Shared(); len(v.Totals) > 0 {
+		if v := s.d.FleetView(); len(v.Totals) > 0 {
 			sums[side] += math.Abs(v.Totals[0].Likely/math.Max(float64(truth), 1) - 1)
 			counts[side]++
 		}
@@ -216,7 +216,7 @@
 	for i := range boxes {
 		x := w.add(i, began.Add(-time.Hour))
 		x.zone = i % 2
-		w.listed = append(w.listed, endpoints.Box{ID: x.id, Zone: i % 2, State: balancer.On, Weight: 2, Start: began.Add(-time.Hour)})
+		w.listed = append(w.listed, endpoints.Endpoint{ID: x.id, Zone: i % 2, State: balancer.Active, Weight: 2, Start: began.Add(-time.Hour)})
 	}
 	w.nodes = make([]*simNode, dispatchers)
 	for n := range w.nodes {
@@ -236,9 +236,9 @@
 // tellAll tells the list to all, at the same moment: the most dangerous.
 func (w *simWorld) tellAll() {
 	w.cursor++
-	u := endpoints.Update{Full: true, Cursor: w.cursor, Boxes: slices.Clone(w.listed)}
+	u := endpoints.Update{Full: true, Cursor: w.cursor, Endpoints: slices.Clone(w.listed)}
 	for _, s := range w.nodes {
-		s.list.Told(w.now, u)
+		s.list.HandleUpdate(w.now, u)
 		s.flush()
 	}
 }
@@ -258,7 +258,7 @@
 			w.at(began.Add(fleetWarm+fleetTrouble*time.Duration(i)/time.Duration(boxes*6/10)), func() {
 				x := w.add(boxes+i, w.now)
 				fresh = append(fresh, x)
-				w.listed = append(w.listed, endpoints.Box{ID: x.id, Zone: i % 2, State: balancer.On, Weight: 2, Start: w.now})
+				w.listed = append(w.listed, endpoints.Endpoint{ID: x.id, Zone: i % 2, State: balancer.Active, Weight: 2, Start: w.now})
 				w.listed[i].State = balancer.Draining
 				old.box.Drain()
 				old.drained = w.now.Add(fleetTold)
@@ -318,7 +318,7 @@
 // avoiding counts the dispatchers that leave a box out.
 func (w *simWorld) avoiding(id balancer.WorkerID) (n int) {
 	for _, s := range w.nodes {
-		for _, v := range s.d.Verdicts(w.now.UnixNano()) {
+		for _, v := range s.d.WorkerHealth(w.now.UnixNano()) {
 			if v.Worker == id && v.State.Verdict != "well" && v.State.Verdict != "suspect" {
 				n++
 			}
--- a/internal/lab/hollow.go
+++ b/internal/lab/hollow.go
@@ -409,7 +409,7 @@
 	for i := range size.Executors {
 		x := w.add(i, w.began.Add(-time.Hour))
 		x.zone = i % 10
-		w.listed = append(w.listed, endpoints.Box{ID: x.id, Zone: x.zone, State: balancer.On, Weight: 2, Start: w.began.Add(-time.Hour)})
+		w.listed = append(w.listed, endpoints.Endpoint{ID: x.id, Zone: x.zone, State: balancer.Active, Weight: 2, Start: w.began.Add(-time.Hour)})
 	}
 	h.changed = make([]time.Time, size.Executors)
 	w.nodes = make([]*simNode, size.Dispatchers)
@@ -502,7 +502,7 @@
 		return err
 	}
 	h.nodes[n] = s
-	h.tell(s, endpoints.Update{Full: true, Cursor: h.cursor, Boxes: h.listed})
+	h.tell(s, endpoints.Update{Full: true, Cursor: h.cursor, Endpoints: h.listed})
 	return nil
 }
 
@@ -510,7 +510,7 @@
 func (h *hollowWorld) tell(s *simNode, u endpoints.Update) {
 	h.meter.whole = u.Full
 	h.meter.begin(s.n, partList)
-	s.list.Told(h.now, u)
+	s.list.HandleUpdate(h.now, u)
 	h.meter.end()
 	s.flush()
 	switch {
@@ -528,7 +528,7 @@
 	h.cursor++
 	u := endpoints.Update{Cursor: h.cursor}
 	for _, i := range boxes {
-		u.Boxes = append(u.Boxes, h.listed[i])
+		u.Endpoints = append(u.Endpoints, h.listed[i])
 	}
 	for n, d := range h.delay {
 		h.after(d, func() {
@@ -551,13 +551,13 @@
 		h.away, h.awayAt = h.away[1:], h.awayAt[1:]
 		x := h.boxes[i]
 		x.box, x.drained = NewBox(h.f.Box, h.now), time.Time{}
-		h.listed[i].State, h.listed[i].Start, h.changed[i] = balancer.On, h.now, h.now
+		h.listed[i].State, h.listed[i].Start, h.changed[i] = balancer.Active, h.now, h.now
 		h.change(from, i)
 		return
 	}
 	for range 8 { // one that has not changed just now
 		i := h.rng.IntN(len(h.boxes))
-		if h.listed[i].State != balancer.On || h.now.Sub(h.changed[i]) < 2*fleetTold || h.boxes[i].fate != stays {
+		if h.listed[i].State != balancer.Active || h.now.Sub(h.changed[i]) < 2*fleetTold || h.boxes[i].fate != stays {
 			continue
 		}
 		h.changed[i] = h.now
@@ -581,7 +581,7 @@
 			continue
 		}
 		h.meter.begin(s.n, partConfig)
-		_, err := s.d.AddClasses(h.now.UnixNano(), []balancer.Class{{Aim: int64(time.Second), GiveUp: int64(4 * time.Second), Worth: 1, LateWorth: 0.2}})
+		_, err := s.d.AddClasses(h.now.UnixNano(), []balancer.Class{{LatencyObjective: int64(time.Second), ClientTimeout: int64(4 * time.Second), PriorityWeight: 1, LatePriorityWeight: 0.2}})
 		s.d.SetMaxAttempts(h.now.UnixNano(), 5)
 		h.meter.end()
 		if err != nil && h.err == nil {
@@ -639,7 +639,7 @@
 			h.meter.times[partWhole], h.meter.counts[partWhole], h.whole = 0, 0, 0
 			h.cursor++
 			for _, s := range h.nodes {
-				h.tell(s, endpoints.Update{Full: true, Cursor: h.cursor, Boxes: h.listed})
+				h.tell(s, endpoints.Update{Full: true, Cursor: h.cursor, Endpoints: h.listed})
 			}
 		})
 	case FaultChanges:
@@ -664,13 +664,13 @@
 		h.at(from.Add(span*time.Duration(step)/10), func() {
 			var news []int
 			for i := 3 * (old * step / 30); i < 3*(old*(step+1)/30); i += 3 {
-				if h.listed[i].State != balancer.On { // on its way already
+				if h.listed[i].State != balancer.Active { // on its way already
 					continue
 				}
 				x := h.add(len(h.boxes), h.now)
 				x.zone = i % 10
 				news = append(news, i, len(h.listed))
-				h.listed = append(h.listed, endpoints.Box{ID: x.id, Zone: x.zone, State: balancer.On, Weight: 2, Start: h.now})
+				h.listed = append(h.listed, endpoints.Endpoint{ID: x.id, Zone: x.zone, State: balancer.Active, Weight: 2, Start: h.now})
 				h.changed = append(h.changed, h.now)
 				h.boxes[i].box.Drain()
 				h.boxes[i].drained = h.now.Add(fleetTold)
@@ -797,8 +797,8 @@
 	if h == nil {
 		return n
 	}
-	m, ok := aggregate.Read(data, len(h.nodes))
-	n = note{ok && m.Hub && !m.GoesOn, ok && !m.Hub && !m.GoesOn && !m.Hello}
+	m, ok := aggregate.Decode(data, len(h.nodes))
+	n = note{ok && m.FromLeader && !m.Continued, ok && !m.FromLeader && !m.Continued && !m.SyncRequest}
 	if n.digest {
 		h.toldDigest(s.n)
 	}
@@ -811,7 +811,7 @@
 		h.meter.outByte[s.n] += int64(copies * len(data))
 		h.meter.sums[2] += copies * len(data)
 		h.meter.sums[3] += copies
-		h.meter.collects[s.n] = h.meter.collects[s.n] || m.Hub
+		h.meter.collects[s.n] = h.meter.collects[s.n] || m.FromLeader
 	}
 	return n
 }
@@ -843,7 +843,7 @@
 	sum, there := 0, 0
 	for _, s := range h.nodes {
 		if !s.dead {
-			sum += s.d.Shared().Heard
+			sum += s.d.FleetView().Heard
 			there++
 		}
 	}
--- a/internal/lab/keptlist.go
+++ b/internal/lab/keptlist.go
@@ -387,16 +387,16 @@
 	if err != nil {
 		return err
 	}
-	if found.None || len(found.Kept.Boxes) == 0 {
+	if found.None || len(found.Kept.Endpoints) == 0 {
 		_ = s.Close()
 		return fmt.Errorf("list file %s holds no boxes", path)
 	}
 	k := found.Kept
 	k.Confirmed, k.Saved = k.Confirmed.Add(-by), k.Saved.Add(-by)
-	for i := range k.Boxes {
-		b := &k.Boxes[i]
-		if b.Told = b.Told.Add(-by); !b.Proved.IsZero() {
-			b.Proved = b.Proved.Add(-by)
+	for i := range k.Endpoints {
+		b := &k.Endpoints[i]
+		if b.UpdatedAt = b.UpdatedAt.Add(-by); !b.VerifiedAt.IsZero() {
+			b.VerifiedAt = b.VerifiedAt.Add(-by)
 		}
 	}
 	if err := s.Write(k); err != nil {
--- a/internal/lab/vtime.go
+++ b/internal/lab/vtime.go
@@ -135,7 +135,7 @@
 	unheard float64 // share of answers lost on their way
 	began   time.Time
 	avoided float64 // see fleetResult
-	listed  []endpoints.Box
+	listed  []endpoints.Endpoint
 	cursor  int64
 	sends   []int // attempts begun, by tenths of a second since began
 	goods   []int // calls served, the same
@@ -179,7 +179,7 @@
 	w       *simWorld
 	n       int
 	list    *endpoints.List
-	d       *balancer.Dispatcher
+	d       *balancer.Balancer
 	dead    bool
 	open    map[string]*simOpen
 	flights map[simKey]*simFlight
@@ -225,15 +225,15 @@
 
 // settings are those of a dispatcher on the sockets, without peers.
 func (f *Figures) settings(n, siblings int) balancer.Settings {
-	s := balancer.Settings{Number: n, Siblings: siblings, Quantum: int64(4 * time.Millisecond), MaxAttempts: 5, SecondCopies: true, MayCancel: true,
-		Tells: true, MaxRetryAfter: int64(1500 * time.Millisecond), DrainGrace: int64(time.Second), Cold: int64(f.Box.Warm), Fall: int64(f.Box.Fall),
-		OverloadFactor: f.Box.Factor, StartCapacity: f.Box.StartCap, Orders: true, LoadsOnMiss: true, TellsWarm: true, TellsCrowd: true,
+	s := balancer.Settings{DispatcherIndex: n, Dispatchers: siblings, ClockResolution: int64(4 * time.Millisecond), MaxAttempts: 5, Hedging: true, Cancellation: true,
+		SendsRetryAfter: true, MaxRetryAfter: int64(1500 * time.Millisecond), DrainGrace: int64(time.Second), SlowStartWindow: int64(f.Box.Warm), Fall: int64(f.Box.Fall),
+		OverloadFactor: f.Box.Factor, SlowStartCapacity: f.Box.StartCap, LoadOrders: true, LoadsOnMiss: true, TellsWarm: true, TellsCrowd: true,
 		KeepAlive: int64(f.Box.Keep), LoadWindow: int64(5 * time.Second), OrderTimeout: int64(10 * time.Second), LoadFree: 6, LoadShare: 0.3,
 		QueueField: 1, WastePrice: 0.2, OriginPrice: 0.03, MemoryPrice: 0.05}
 	for _, c := range f.Classes {
-		k := balancer.Class{Aim: int64(c.Aim), GiveUp: int64(c.GiveUp), Worth: c.Worth, LateWorth: 0.2, Effect: balancer.Safe}
+		k := balancer.Class{LatencyObjective: int64(c.Aim), ClientTimeout: int64(c.GiveUp), PriorityWeight: c.Worth, LatePriorityWeight: 0.2, Idempotency: balancer.Idempotent}
 		if c.Once {
-			k.Effect = balancer.Unsafe
+			k.Idempotency = balancer.NotIdempotent
 		}
 		s.Classes = append(s.Classes, k)
 	}
@@ -247,7 +247,7 @@
 	}
 	s.list = endpoints.New(endpoints.Config{Seed: seed + uint64(n), Siblings: len(w.nodes), MaxWait: 1500 * time.Millisecond, Fresh: fresh})
 	set := w.f.settings(n, len(w.nodes))
-	set.Peers, set.PeerPrice, set.Walk = w.messages, w.price, w.walk
+	set.Gossip, set.PeerPrice, set.FullScanLimit = w.messages, w.price, w.walk
 	return s, s.module(set, seed^uint64(n)*0x9e3779b9, s)
 }
 
@@ -262,22 +262,22 @@
 
 // flush carries out what the list ordered.
 func (s *simNode) flush() {
-	a := s.list.Take()
+	a := s.list.TakeActions()
 	for _, p := range a.Publish {
-		var es []balancer.Entry
+		var es []balancer.Endpoint
 		old := s.members
-		if p.Kind != balancer.RosterDelta {
-			s.members = make(map[balancer.WorkerID]simMember, len(p.Boxes))
+		if p.Kind != balancer.EndpointsDelta {
+			s.members = make(map[balancer.WorkerID]simMember, len(p.Endpoints))
 		}
-		for _, b := range p.Boxes {
-			m := simMember{b.State == balancer.On, b.Start.UnixNano()}
+		for _, b := range p.Endpoints {
+			m := simMember{b.State == balancer.Active, b.Start.UnixNano()}
 			if was, known := old[b.ID]; !m.on || known && was.start != m.start {
 				s.revoke(b.ID)
 			}
-			if s.members[b.ID] = m; b.State == balancer.Off {
+			if s.members[b.ID] = m; b.State == balancer.Removed {
 				delete(s.members, b.ID)
 			}
-			es = append(es, balancer.Entry{Worker: b.ID, Zone: b.Zone, Kind: b.Kind, Cell: b.Cell, State: b.State, Weight: b.Weight, Start: b.Start.UnixNano()})
+			es = append(es, balancer.Endpoint{Worker: b.ID, Zone: b.Zone, Kind: b.Kind, Cell: b.Cell, State: b.State, Weight: b.Weight, Start: b.Start.UnixNano()})
 		}
 		for _, fl := range s.unbegun() {
 			if _, known := s.members[fl.worker]; !known {
@@ -285,7 +285,7 @@
 			}
 		}
 		s.meter.begin(s.n, partList)
-		s.d.Roster(s.w.now.UnixNano(), p.Kind, es)
+		s.d.UpdateEndpoints(s.w.now.UnixNano(), p.Kind, es)
 		s.meter.end()
 	}
 	for _, b := range a.Probe {
@@ -350,7 +350,7 @@
 	deadline := c.intended.Add(s.w.f.Classes[c.class].GiveUp - 200*time.Millisecond)
 	s.open[id] = &simOpen{call: c, began: s.w.now, deadline: deadline}
 	s.meter.begin(s.n, partChoice)
-	s.d.Request(s.w.now.UnixNano(), balancer.Request{ID: id, Class: c.class, Tenant: -1, Func: balancer.FuncID(c.model), Deadline: deadline.UnixNano(),
+	s.d.HandleRequest(s.w.now.UnixNano(), balancer.Request{ID: id, Class: c.class, Tenant: -1, Func: balancer.FuncID(c.model), Deadline: deadline.UnixNano(),
 		MemoryMB: 4000, Lanes: s.w.f.Lanes, LoadTime: int64(s.w.f.Load)})
 	s.meter.end()
 }
@@ -460,10 +460,10 @@
 	}
 	s.meter.begin(s.n, partChoice)
 	if fl.open == nil {
-		s.d.Loaded(now.UnixNano(), fl.worker, fl.fn, copies, r)
+		s.d.HandleLoadResult(now.UnixNano(), fl.worker, fl.fn, copies, r)
 	} else {
 		s.ends[r]++
-		s.d.Outcome(now.UnixNano(), balancer.Outcome{ID: fl.key.id, Attempt: fl.key.n, Worker: fl.worker, Result: r, Finished: s.open[fl.key.id] == nil,
+		s.d.HandleAttemptResult(now.UnixNano(), balancer.AttemptResult{ID: fl.key.id, Attempt: fl.key.n, Worker: fl.worker, Result: r, Finished: s.open[fl.key.id] == nil,
 			Warmth: warm, Crowd: crowd, RTT: int64(now.Sub(fl.sent)), Report: rep})
 	}
 	s.meter.end()
@@ -498,8 +498,8 @@
 	}
 }
 
-// Send and the other methods are balancer.Host.
-func (s *simNode) Send(id string, w balancer.WorkerID, until int64) {
+// SendAttempt and the other methods are balancer.Host.
+func (s *simNode) SendAttempt(id string, w balancer.WorkerID, until int64) {
 	s.meter.pause()
 	defer s.meter.resume()
 	o := s.open[id]
@@ -517,7 +517,7 @@
 			}
 			s.ends[balancer.ConnectFailed]++
 			s.meter.begin(s.n, partChoice)
-			s.d.Outcome(s.w.now.UnixNano(), balancer.Outcome{ID: id, Attempt: n, Worker: w, Result: balancer.ConnectFailed, Finished: s.open[id] != o})
+			s.d.HandleAttemptResult(s.w.now.UnixNano(), balancer.AttemptResult{ID: id, Attempt: n, Worker: w, Result: balancer.ConnectFailed, Finished: s.open[id] != o})
 			s.meter.end()
 		})
 		return
@@ -614,8 +614,8 @@
 	})
 }
 
-// Cancel ends a wait; the work at the executor goes on.
-func (s *simNode) Cancel(id string, attempt int) {
+// CancelAttempt ends a wait; the work at the executor goes on.
+func (s *simNode) CancelAttempt(id string, attempt int) {
 	s.meter.pause()
 	defer s.meter.resume()
 	if fl := s.flights[simKey{id, attempt}]; fl != nil {
@@ -623,7 +623,7 @@
 	}
 }
 
-func (s *simNode) Refuse(id string, wait int64) {
+func (s *simNode) Reject(id string, wait int64) {
 	if o := s.open[id]; o != nil {
 		s.end(id, o, false)
 		o.call.end = o.refused()
@@ -642,14 +642,14 @@
 	}
 }
 
-func (s *simNode) Load(id balancer.WorkerID, f balancer.FuncID, count int) {
+func (s *simNode) OrderLoad(id balancer.WorkerID, f balancer.FuncID, count int) {
 	s.meter.pause()
 	defer s.meter.resume()
 	if m, known := s.members[id]; !known || count > 0 && !m.on {
 		s.w.after(0, func() {
 			if !s.dead {
 				s.meter.begin(s.n, partChoice)
-				s.d.Loaded(s.w.now.UnixNano(), id, f, 0, balancer.Full)
+				s.d.HandleLoadResult(s.w.now.UnixNano(), id, f, 0, balancer.Full)
 				s.meter.end()
 			}
 		})
@@ -691,7 +691,7 @@
 	w.advance(x)
 }
 
-func (s *simNode) Drop(id balancer.WorkerID, f balancer.FuncID) {
+func (s *simNode) OrderUnload(id balancer.WorkerID, f balancer.FuncID) {
 	s.meter.pause()
 	defer s.meter.resume()
 	if _, known := s.members[id]; known {
@@ -706,14 +706,14 @@
 	}
 }
 
-func (s *simNode) Probe(id balancer.WorkerID) {
-	s.w.after(2*simWay, func() { s.d.Probed(s.w.now.UnixNano(), id, balancer.OK, int64(2*simWay), nil) })
+func (s *simNode) HealthCheck(id balancer.WorkerID) {
+	s.w.after(2*simWay, func() { s.d.HandleHealthCheck(s.w.now.UnixNano(), id, balancer.OK, int64(2*simWay), nil) })
 }
-func (s *simNode) Watch()     {}
-func (s *simNode) Log(string) {}
+func (s *simNode) SubscribeEndpoints() {}
+func (s *simNode) Log(string)          {}
 
-// Tell carries a message to one dispatcher, or to all others; some are lost. What goes to all is one event.
-func (s *simNode) Tell(to int, data string) {
+// SendPeerMessage carries a message to one dispatcher, or to all others; some are lost. What goes to all is one event.
+func (s *simNode) SendPeerMessage(to int, data string) {
 	s.meter.pause()
 	defer s.meter.resume()
 	if len(data) > peerBytes {
@@ -743,21 +743,21 @@
 			}
 			s.w.hollow.heard(x.n, data, note)
 			s.meter.begin(x.n, partRead)
-			x.d.Peer(s.w.now.UnixNano(), s.n, data)
+			x.d.HandlePeerMessage(s.w.now.UnixNano(), s.n, data)
 			s.meter.end()
 		}
 	})
 }
 
-func (s *simNode) Counted(int64) {}
+func (s *simNode) CountTowardLoadQuota(int64) {}
 
-func (s *simNode) Timer(delay, ref int64) {
+func (s *simNode) SetTimer(delay, ref int64) {
 	s.meter.pause()
 	defer s.meter.resume()
 	s.w.after(time.Duration(delay), func() {
 		if !s.dead {
 			s.meter.begin(s.n, partUpkeep)
-			s.d.Timer(s.w.now.UnixNano(), ref)
+			s.d.HandleTimer(s.w.now.UnixNano(), ref)
 			s.meter.end()
 		}
 	})
@@ -800,7 +800,7 @@
 		x := &simBox{id: balancer.WorkerID(0x100 + i*7919), box: NewBox(f.Box, began.Add(-time.Hour))}
 		w.boxes = append(w.boxes, x)
 		w.byID[x.id] = x
-		list.Boxes = append(list.Boxes, endpoints.Box{ID: x.id, Zone: i % 2, State: balancer.On, Weight: 2, Start: began.Add(-time.Hour)})
+		list.Endpoints = append(list.Endpoints, endpoints.Endpoint{ID: x.id, Zone: i % 2, State: balancer.Active, Weight: 2, Start: began.Add(-time.Hour)})
 	}
 	w.nodes = make([]*simNode, dispatchers)
 	for n := range w.nodes {
@@ -809,7 +809,7 @@
 			return nil, err
 		}
 		w.nodes[n] = s
-		s.list.Told(w.now, list)
+		s.list.HandleUpdate(w.now, list)
 		s.flush()
 	}
 	const warm, watch = 6 * time.Second, 6 * time.Second
@@ -817,14 +817,14 @@
 		w.arrivals(n, rand.New(rand.NewPCG(seed, uint64(n)<<8)), 0, began.Add(warm+time.Second+watch))
 	}
 	w.run(began.Add(warm))
-	lists := make([]endpoints.Kept, dispatchers)
+	lists := make([]endpoints.Snapshot, dispatchers)
 	for n, s := range w.nodes {
 		s.dead = true
-		lists[n] = s.list.Keep(w.now)
+		lists[n] = s.list.TakeSnapshot(w.now)
 		age := keptAges[n%len(keptAges)]
 		lists[n].Confirmed, lists[n].Saved = lists[n].Confirmed.Add(-age), lists[n].Saved.Add(-age)
-		for i := range lists[n].Boxes {
-			lists[n].Boxes[i].Proved = time.Time{}
+		for i := range lists[n].Endpoints {
+			lists[n].Endpoints[i].VerifiedAt = time.Time{}
 		}
 	}
 	for i, x := range w.boxes {
--- a/internal/monotime/steady.go
+++ b/internal/monotime/steady.go
@@ -41,10 +41,10 @@
 	return now.Round(0).Sub(start.Add(now.Sub(start)).Round(0)).Round(stepLeast)
 }
 
-// Started is when something started that a message tells as a time of the wall clock, in nanoseconds of the process's
+// StartTime is when something started that a message tells as a time of the wall clock, in nanoseconds of the process's
 // clock; 0 for the zero time. Where the wall clock has been stepped, it is not known by which clock the time was told:
 // the later start counts, and none lies ahead. So what may be young counts as young.
-func Started(told time.Time) int64 {
+func StartTime(told time.Time) int64 {
 	if told.IsZero() {
 		return 0
 	}
--- a/internal/monotime/steady_test.go
+++ b/internal/monotime/steady_test.go
@@ -31,7 +31,7 @@
 			"a wall time counts by the wall as it stands")
 		assert.InDelta(t, 0, time.Until(Time(Nanos(deadline)))-time.Until(deadline), float64(tolerance))
 		assert.Equal(t, by, Step())
-		started := Started(told)
+		started := StartTime(told)
 		age := time.Duration(Now().UnixNano() - started)
 		assert.GreaterOrEqual(t, age, time.Duration(0))
 		assert.LessOrEqual(t, age, time.Minute+tolerance, "what is young does not count as old")
@@ -39,7 +39,7 @@
 	}
 	assert.Zero(t, Step())
 	assert.Zero(t, Nanos(time.Time{}))
-	assert.Zero(t, Started(time.Time{}))
+	assert.Zero(t, StartTime(time.Time{}))
 	told := time.UnixMilli(time.Now().UnixMilli()).Add(-time.Minute)
-	assert.Equal(t, told.UnixNano(), Started(told), "without a step a start is what was told")
+	assert.Equal(t, told.UnixNano(), StartTime(told), "without a step a start is what was told")
 }
