--- a/internal/platform/channel.go
+++ b/internal/platform/channel.go
@@ -32,8 +32,8 @@
 	datagramRest = 10 * time.Millisecond // after a failed read
 )
 
-// Channel follows the command channel. It implements oakthread.Membership.
-type Channel struct {
+// EndpointWatcher follows the command channel. It implements oakthread.Membership.
+type EndpointWatcher struct {
 	addr   string
 	moved  chan string
 	setup  *wire.Setup
@@ -49,39 +49,39 @@
 }
 
 // Through puts something between the Channel and the system's sockets; it must be called before Follow.
-func (c *Channel) Through(n Network) { c.dial = n.dial(c.dial) }
+func (c *EndpointWatcher) Through(n Network) { c.dial = n.dial(c.dial) }
 
-// Feed takes what the channel tells, in order, from one goroutine.
-type Feed interface {
-	Told(r oakthread.Roster, epoch string, cursor int64)
+// EndpointHandler takes what the channel tells, in order, from one goroutine.
+type EndpointHandler interface {
+	Told(r oakthread.EndpointUpdate, epoch string, cursor int64)
 	Current()     // nothing has changed after the last news
 	Lost()        // the connection has ended
 	StartedOver() // the numbering begins anew: the next list is whole
 }
 
 // plain is the feed of a dispatcher that keeps no list.
-type plain func(oakthread.Roster)
+type plain func(oakthread.EndpointUpdate)
 
-func (p plain) Told(r oakthread.Roster, _ string, _ int64) { p(r) }
-func (plain) Current()                                     {}
-func (plain) Lost()                                        {}
-func (plain) StartedOver()                                 {}
+func (p plain) Told(r oakthread.EndpointUpdate, _ string, _ int64) { p(r) }
+func (plain) Current()                                             {}
+func (plain) Lost()                                                {}
+func (plain) StartedOver()                                         {}
 
 // NewChannel follows the channel of a configuration from the events on that it holds.
-func NewChannel(c *Config, log *slog.Logger) *Channel {
-	return &Channel{addr: c.Channel, moved: make(chan string, 1), setup: c.Setup, known: c.Known, cursor: c.Cursor, log: log, dial: (&net.Dialer{Timeout: channelDial}).DialContext,
+func NewChannel(c *Config, log *slog.Logger) *EndpointWatcher {
+	return &EndpointWatcher{addr: c.Channel, moved: make(chan string, 1), setup: c.Setup, known: c.Known, cursor: c.Cursor, log: log, dial: (&net.Dialer{Timeout: channelDial}).DialContext,
 		dialer: endpoints.NewDialer([]string{c.Channel}, c.Seed).Within(channelMost)}
 }
 
 // Keep has the channel go on from where a kept list stands, over several addresses in turn, and notice a discovery that
 // started over. It must be called before Follow.
-func (c *Channel) Keep(cursor int64, epoch string, d *endpoints.Dialer) {
+func (c *EndpointWatcher) Keep(cursor int64, epoch string, d *endpoints.Dialer) {
 	c.cursor, c.epoch, c.dialer, c.kept, c.known = cursor, epoch, d, true, nil
 }
 
 // Move follows the channel at another address, at once, from the last event known on. It must be called from one
 // goroutine and does not block: of two moves in a row the later one counts.
-func (c *Channel) Move(addr string) {
+func (c *EndpointWatcher) Move(addr string) {
 	select {
 	case <-c.moved:
 	default:
@@ -90,12 +90,12 @@
 }
 
 // Watch tells the events known at the start, then those of the channel, and connects again until ctx ends.
-func (c *Channel) Watch(ctx context.Context, tell func(oakthread.Roster)) error {
+func (c *EndpointWatcher) Watch(ctx context.Context, tell func(oakthread.EndpointUpdate)) error {
 	return c.Follow(ctx, plain(tell))
 }
 
 // Follow is Watch with all that a Feed wants to know.
-func (c *Channel) Follow(ctx context.Context, f Feed) error {
+func (c *EndpointWatcher) Follow(ctx context.Context, f EndpointHandler) error {
 	for _, ev := range c.known {
 		f.Told(ev.Roster, ev.Epoch, ev.Cursor)
 	}
@@ -132,7 +132,7 @@
 }
 
 // pause waits; true: the channel has moved meanwhile.
-func (c *Channel) pause(ctx context.Context, wait time.Duration) bool {
+func (c *EndpointWatcher) pause(ctx context.Context, wait time.Duration) bool {
 	t := time.NewTimer(wait)
 	defer t.Stop()
 	select {
@@ -145,14 +145,14 @@
 	return false
 }
 
-func (c *Channel) move(addr string) {
+func (c *EndpointWatcher) move(addr string) {
 	c.addr = addr
 	c.dialer.Move(addr)
 	c.log.Info("command channel moved", "to", c.addr, "after", c.cursor)
 }
 
 // follow reads the channel at one address until it fails. Without an address there is nothing to read.
-func (c *Channel) follow(ctx context.Context, f Feed) error {
+func (c *EndpointWatcher) follow(ctx context.Context, f EndpointHandler) error {
 	if c.addr == "" {
 		<-ctx.Done()
 		return ctx.Err()
@@ -204,7 +204,7 @@
 // take reads one line. Events seen before are passed over. Numbers that are skipped say that events are missing, and
 // these are asked for again on a new connection; the first event there is the next there is, whatever its number.
 // Where a list is kept, a lower number than ours or another epoch says that discovery started over.
-func (c *Channel) take(line []byte, first bool, f Feed) error {
+func (c *EndpointWatcher) take(line []byte, first bool, f EndpointHandler) error {
 	ev, err := parseEvent(line, c.setup)
 	if err != nil {
 		// It may be the connection's fault. One that comes again is: without it passed over, nothing would be told any more.
@@ -255,8 +255,8 @@
 	return nil
 }
 
-// Datagrams carries messages between dispatchers. It implements oakthread.Peers.
-type Datagrams struct {
+// PeerTransport carries messages between dispatchers. It implements oakthread.Peers.
+type PeerTransport struct {
 	conn  *net.UDPConn
 	all   netip.AddrPort
 	peers []netip.AddrPort
@@ -269,7 +269,7 @@
 }
 
 // Dropped counts datagrams that were read and handed to nobody: from addresses that are no peer's, and too long.
-func (p *Datagrams) Dropped() (strangers, long int64) {
+func (p *PeerTransport) Dropped() (strangers, long int64) {
 	if p == nil { // the settings allow no messages
 		return 0, 0
 	}
@@ -282,7 +282,7 @@
 }
 
 // ListenPeers opens the socket for messages; nil where the settings allow none.
-func ListenPeers(c *Config, log *slog.Logger) (*Datagrams, error) {
+func ListenPeers(c *Config, log *slog.Logger) (*PeerTransport, error) {
 	if !c.Setup.Permissions.Peers || c.PeerListen == "" {
 		return nil, nil
 	}
@@ -294,7 +294,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	p := &Datagrams{conn: conn, all: c.PeersAll, peers: c.Peers, from: map[netip.AddrPort]int{},
+	p := &PeerTransport{conn: conn, all: c.PeersAll, peers: c.Peers, from: map[netip.AddrPort]int{},
 		me: c.Setup.Number, out: make(chan datagram, datagramWait), log: log}
 	for i, a := range c.Peers {
 		p.from[a] = i
@@ -303,7 +303,7 @@
 }
 
 // Tell hands a datagram to the socket's goroutine; with too many waiting, it is lost, as any may be.
-func (p *Datagrams) Tell(to int, data string) {
+func (p *PeerTransport) Tell(to int, data string) {
 	if len(data) > maxDatagram {
 		p.log.Error("message to peers is too long, not sent", "bytes", len(data))
 		return
@@ -322,14 +322,14 @@
 	}
 }
 
-func (p *Datagrams) send(to netip.AddrPort, data string) {
+func (p *PeerTransport) send(to netip.AddrPort, data string) {
 	select {
 	case p.out <- datagram{to, data}:
 	default:
 	}
 }
 
-func (p *Datagrams) write(ctx context.Context) {
+func (p *PeerTransport) write(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -343,7 +343,7 @@
 }
 
 // Listen sends what is told and hands on what peers say until ctx ends. A datagram from elsewhere is dropped.
-func (p *Datagrams) Listen(ctx context.Context, heard func(from int, data string)) error {
+func (p *PeerTransport) Listen(ctx context.Context, heard func(from int, data string)) error {
 	go p.write(ctx)
 	defer context.AfterFunc(ctx, func() { p.conn.Close() })()
 	buf := make([]byte, maxDatagram+1)
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -160,7 +160,7 @@
 	Epoch  string  // of the numbering, where discovery tells one
 	Told   bool    // it tells of executors
 	Odd    []error // of those that cannot be used: left out, or draining where their phase is not known
-	Roster oakthread.Roster
+	Roster oakthread.EndpointUpdate
 }
 
 // eventLine and listedBox are an event as the command channel writes it.
@@ -197,33 +197,33 @@
 	if f.Cursor == nil || *f.Cursor < 0 {
 		return Event{}, errors.New("field cursor is missing")
 	}
-	ev := Event{Cursor: *f.Cursor, Epoch: f.Epoch, Told: true, Roster: oakthread.Roster{Kind: balancer.RosterDelta}}
+	ev := Event{Cursor: *f.Cursor, Epoch: f.Epoch, Told: true, Roster: oakthread.EndpointUpdate{Kind: balancer.EndpointsDelta}}
 	if f.Nodes == nil {
 		ev.Told = false
 		return ev, nil // an event of a kind not known here: its number counts
 	}
 	if f.Nodes.Complete {
-		ev.Roster.Kind = balancer.RosterFull
+		ev.Roster.Kind = balancer.EndpointsSnapshot
 	}
 	for i, m := range f.Nodes.Members {
 		if m.ID == "" {
 			ev.Odd = append(ev.Odd, fmt.Errorf("members[%d]: field id is missing", i))
 			continue
 		}
-		e := oakthread.Member{ID: WorkerID(m.ID), Addr: m.HostPort, Zone: place(s.Zones, m.Locality),
+		e := oakthread.Endpoint{ID: WorkerID(m.ID), Addr: m.HostPort, Zone: place(s.Zones, m.Locality),
 			Kind: place(s.Kinds, m.Flavor), Cell: m.Cell, Weight: m.Size}
 		switch m.Phase {
 		case "Ready":
-			e.State = balancer.On
+			e.State = balancer.Active
 		case "Terminating":
 			e.State = balancer.Draining
 		case "Gone":
-			e.State = balancer.Off
+			e.State = balancer.Removed
 		default:
 			e.State = balancer.Draining
 			ev.Odd = append(ev.Odd, fmt.Errorf("members[%d]: phase %q of %q is not known", i, m.Phase, m.ID))
 		}
-		if e.State != balancer.Off {
+		if e.State != balancer.Removed {
 			if _, err := netip.ParseAddrPort(m.HostPort); err != nil {
 				ev.Odd = append(ev.Odd, fmt.Errorf("members[%d]: host_port %q of %q: %w", i, m.HostPort, m.ID, err))
 				continue
@@ -232,7 +232,7 @@
 		if m.UpSince > 0 {
 			e.Start = time.UnixMilli(m.UpSince)
 		}
-		ev.Roster.Members = append(ev.Roster.Members, e)
+		ev.Roster.Endpoints = append(ev.Roster.Endpoints, e)
 	}
 	return ev, nil
 }
--- a/internal/platform/conns_test.go
+++ b/internal/platform/conns_test.go
@@ -305,7 +305,7 @@
 		before := len(b.seen())
 		a.Begin = func() bool { return false }
 		assert.Equal(t, balancer.Moot, f.Send(t.Context(), a).Result)
-		o := oakthread.Order{Worker: a.Worker, Key: a.Request.Key, Count: 1, Begin: a.Begin}
+		o := oakthread.LoadOrder{Worker: a.Worker, Key: a.Request.Key, Count: 1, Begin: a.Begin}
 		assert.Equal(t, balancer.Moot, f.Load(t.Context(), o).Result)
 		a.Begin, a.Request.ID = nil, third
 		assert.Equal(t, balancer.OK, f.Send(t.Context(), a).Result)
--- a/internal/platform/crossings_test.go
+++ b/internal/platform/crossings_test.go
@@ -177,11 +177,11 @@
 // Guards drains and restarts against what is on its way: the list tells of a box while the connection for a call comes up,
 // and nothing is written on that connection. The call goes elsewhere, once.
 func TestNothingIsWrittenToABoxThatIsToGetNothing(t *testing.T) {
-	for name, change := range map[string]func(m *oakthread.Member){
-		"drains":     func(m *oakthread.Member) { m.State = balancer.Draining },
-		"is gone":    func(m *oakthread.Member) { m.State = balancer.Off },
-		"restarted":  func(m *oakthread.Member) { m.Start = time.Now().Add(-time.Hour) },
-		"has passed": func(m *oakthread.Member) { m.Addr = "127.0.0.1:1" },
+	for name, change := range map[string]func(m *oakthread.Endpoint){
+		"drains":     func(m *oakthread.Endpoint) { m.State = balancer.Draining },
+		"is gone":    func(m *oakthread.Endpoint) { m.State = balancer.Removed },
+		"restarted":  func(m *oakthread.Endpoint) { m.Start = time.Now().Add(-time.Hour) },
+		"has passed": func(m *oakthread.Endpoint) { m.Addr = "127.0.0.1:1" },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -189,7 +189,7 @@
 			s.holdAfter(0)
 			c := s.send(first, "path-book")
 			held := <-s.came
-			s.list(balancer.RosterDelta, func(i int, m *oakthread.Member) {
+			s.list(balancer.EndpointsDelta, func(i int, m *oakthread.Endpoint) {
 				if s.boxes[i].addr() == held.RemoteAddr().String() {
 					change(m)
 				}
@@ -215,10 +215,10 @@
 	s.holdAfter(0)
 	c := s.send(first, "path-book")
 	<-s.came
-	s.list(balancer.RosterDelta, func(_ int, m *oakthread.Member) { m.State = balancer.Draining })
+	s.list(balancer.EndpointsDelta, func(_ int, m *oakthread.Endpoint) { m.State = balancer.Draining })
 	close(s.goOn)
 	assert.Equal(t, 503, s.read(c), "no other box is there")
-	s.fleet.Probe(t.Context(), oakthread.Member{ID: 1, Addr: s.boxes[0].addr()})
+	s.fleet.Probe(t.Context(), oakthread.Endpoint{ID: 1, Addr: s.boxes[0].addr()})
 	assert.Equal(t, []string{third, "GET"}, s.boxes[0].seen())
 	s.over()
 }
@@ -264,7 +264,7 @@
 				runtime.Gosched()
 			}
 			n := s.core.Counters()
-			assert.Equal(t, []int64{1, 1, int64(btoi(!closeFirst)), int64(btoi(closeFirst))}, []int64{n.Taken, n.Attempts, n.Served, n.Abandoned})
+			assert.Equal(t, []int64{1, 1, int64(btoi(!closeFirst)), int64(btoi(closeFirst))}, []int64{n.Accepted, n.Attempts, n.Served, n.Abandoned})
 			assert.Equal(t, []string{first}, s.boxes[0].seen())
 			s.end()
 			require.NoError(t, <-s.done)
@@ -318,7 +318,7 @@
 					}
 				}()
 				s := newStage(t, nil, nil)
-				s.core.Roster(oakthread.Roster{Kind: balancer.RosterFull, Members: []oakthread.Member{member(ln.Addr().String())}})
+				s.core.UpdateEndpoints(oakthread.EndpointUpdate{Kind: balancer.EndpointsSnapshot, Endpoints: []oakthread.Endpoint{member(ln.Addr().String())}})
 				in := s.send(first, "path-book")
 				resp, err := http.ReadResponse(bufio.NewReader(in), nil)
 				require.NoError(t, err)
@@ -449,7 +449,7 @@
 			}
 			assert.Equal(t, 200, s.ask(second, "path-book"))
 			assert.Equal(t, []string{second}, s.boxes[0].seen())
-			assert.Equal(t, int64(1), s.core.Counters().Taken)
+			assert.Equal(t, int64(1), s.core.Counters().Accepted)
 			s.over()
 		})
 	}
--- a/internal/platform/fleet.go
+++ b/internal/platform/fleet.go
@@ -67,10 +67,10 @@
 
 func (e dialError) Unwrap() error { return e.error }
 
-var _ oakthread.Workers = (*Fleet)(nil)
+var _ oakthread.Workers = (*ExecutorPool)(nil)
 
-// Fleet carries attempts, probes and orders to executors. It implements oakthread.Workers.
-type Fleet struct {
+// ExecutorPool carries attempts, probes and orders to executors. It implements oakthread.Workers.
+type ExecutorPool struct {
 	Log     *slog.Logger             // tells of connections at level debug; nil: nothing. Set before use
 	classes atomic.Pointer[[]string] // by number, escaped for a path; only grows
 	fields  []string
@@ -81,7 +81,7 @@
 	slots   chan struct{} // one for each open connection
 	room    atomic.Int64  // bytes that answers may yet take
 	mu      sync.Mutex
-	lines   map[balancer.WorkerID]*line
+	lines   map[balancer.WorkerID]*executorConns
 
 	shortages atomic.Int64 // connects that failed for want of this machine's
 	logLimit  neterr.LogLimit
@@ -90,31 +90,31 @@
 	conns map[*conn]struct{}
 }
 
-// line is the connections to one executor: lanes, in the order in which they are preferred. Guarded by the Fleet's mu.
-type line struct {
-	member oakthread.Member
+// executorConns is the connections to one executor: lanes, in the order in which they are preferred. Guarded by the Fleet's mu.
+type executorConns struct {
+	member oakthread.Endpoint
 	used   time.Time
-	lanes  []*lane
+	lanes  []*pooledTransport
 	// waiting is how many requests wait for one of them to settle.
 	waiting int
 }
 
-// lane is a Transport and when an answer last ended on it. A Transport hands the connection used last to the next request;
+// pooledTransport is a Transport and when an answer last ended on it. A Transport hands the connection used last to the next request;
 // a late second answer on it would be read as the answer to that.
-type lane struct {
+type pooledTransport struct {
 	*http.Transport
 	freed time.Time
 }
 
-func (l *line) close() {
+func (l *executorConns) close() {
 	for _, x := range l.lanes {
 		x.CloseIdleConnections()
 	}
 }
 
 // NewFleet makes a Fleet that holds at most sockets connections.
-func NewFleet(s *wire.Setup, sockets int) *Fleet {
-	f := &Fleet{connect: s.ConnectTimeout(), lines: map[balancer.WorkerID]*line{}, conns: map[*conn]struct{}{},
+func NewFleet(s *wire.Setup, sockets int) *ExecutorPool {
+	f := &ExecutorPool{connect: s.ConnectTimeout(), lines: map[balancer.WorkerID]*executorConns{}, conns: map[*conn]struct{}{},
 		slots: make(chan struct{}, sockets), reach: (&net.Dialer{}).DialContext,
 		idle: time.Duration(idleShare * float64(s.ConnIdle())), settle: settle}
 	var names []string
@@ -130,17 +130,17 @@
 }
 
 // Through puts something between the Fleet and the system's sockets; it must be called before the first use.
-func (f *Fleet) Through(n Network) { f.reach = n.dial(f.reach) }
+func (f *ExecutorPool) Through(n Network) { f.reach = n.dial(f.reach) }
 
 // line is the line of an executor, made where there is none; the caller holds mu. One made late, for an executor already
 // forgotten, is nobody's to drop: those unused for long go when the next is made.
-func (f *Fleet) line(m oakthread.Member) *line {
+func (f *ExecutorPool) line(m oakthread.Endpoint) *executorConns {
 	l := f.lines[m.ID]
 	if l == nil || l.member.Addr != m.Addr || !l.member.Start.Equal(m.Start) {
 		if l != nil {
 			l.close()
 		}
-		l = &line{member: m}
+		l = &executorConns{member: m}
 		f.lines[m.ID] = l
 		for id, x := range f.lines {
 			if x != l && time.Since(x.used) > lineKeptFor {
@@ -155,11 +155,11 @@
 
 // lane is the first lane of an executor that has settled. Where none has, a few requests wait for that, and others meanwhile
 // get a lane of their own: a wait of some milliseconds is cheaper than a handshake.
-func (f *Fleet) lane(ctx context.Context, m oakthread.Member) (*line, *lane) {
+func (f *ExecutorPool) lane(ctx context.Context, m oakthread.Endpoint) (*executorConns, *pooledTransport) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	l := f.line(m)
-	var oldest *lane
+	var oldest *pooledTransport
 	for _, x := range l.lanes {
 		if l.used.Sub(x.freed) >= f.settle {
 			return l, x
@@ -184,14 +184,14 @@
 	case len(l.lanes) == mostTransports:
 		return l, oldest // its connection waits for the rest
 	}
-	x := &lane{Transport: &http.Transport{Proxy: nil, DisableCompression: true, DialContext: f.dial, MaxIdleConnsPerHost: idlePerHost,
+	x := &pooledTransport{Transport: &http.Transport{Proxy: nil, DisableCompression: true, DialContext: f.dial, MaxIdleConnsPerHost: idlePerHost,
 		IdleConnTimeout: f.idle, MaxResponseHeaderBytes: 16 << 10, ForceAttemptHTTP2: false, WriteBufferSize: 4 << 10, ReadBufferSize: 4 << 10}}
 	l.lanes = append(l.lanes, x)
 	return l, x
 }
 
 // Forget drops the connections to an executor that has gone or starts anew.
-func (f *Fleet) Forget(id balancer.WorkerID) {
+func (f *ExecutorPool) Forget(id balancer.WorkerID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if l := f.lines[id]; l != nil {
@@ -201,7 +201,7 @@
 }
 
 // Close closes all idle connections.
-func (f *Fleet) Close() {
+func (f *ExecutorPool) Close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, l := range f.lines {
@@ -210,7 +210,7 @@
 }
 
 // dial opens a counted connection, within the settings' time.
-func (f *Fleet) dial(ctx context.Context, network, addr string) (net.Conn, error) {
+func (f *ExecutorPool) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	ctx, done := context.WithTimeout(ctx, f.connect)
 	defer done()
 	select {
@@ -239,7 +239,7 @@
 }
 
 // connectTo connects, again while only a shortage of this machine's keeps it from that: it tells nothing of the executor.
-func (f *Fleet) connectTo(ctx context.Context, network, addr string) (net.Conn, error) {
+func (f *ExecutorPool) connectTo(ctx context.Context, network, addr string) (net.Conn, error) {
 	var backoff neterr.Backoff
 	for {
 		c, err := f.reach(ctx, network, addr)
@@ -260,10 +260,10 @@
 }
 
 // Shortages counts the connects that failed for want of this machine's and were tried again.
-func (f *Fleet) Shortages() int64 { return f.shortages.Load() }
+func (f *ExecutorPool) Shortages() int64 { return f.shortages.Load() }
 
 // giveWay closes the connection that has been idle for longest.
-func (f *Fleet) giveWay() {
+func (f *ExecutorPool) giveWay() {
 	var longest *conn
 	most := idleLeast
 	f.open.Lock()
@@ -283,7 +283,7 @@
 // would read them as the answer to the next request. A connection that brought any carries no further request.
 type conn struct {
 	net.Conn
-	fleet  *Fleet
+	fleet  *ExecutorPool
 	once   sync.Once
 	settle time.Duration // after an answer, before the next request
 	begun  atomic.Int64  // bytes whose writing has begun and did not fail
@@ -443,7 +443,7 @@
 
 // trip writes one request and reads its whole answer. unsent: nothing of the request was written. Whether it may be written
 // is asked right before its first byte is, and a connection that comes up late stays for the next.
-func (f *Fleet) trip(ctx context.Context, m oakthread.Member, g message) (resp *http.Response, got []byte, unsent bool, err error) {
+func (f *ExecutorPool) trip(ctx context.Context, m oakthread.Endpoint, g message) (resp *http.Response, got []byte, unsent bool, err error) {
 	for try := 0; ; try++ {
 		if ctx.Err() != nil {
 			return nil, nil, true, ctx.Err()
@@ -501,7 +501,7 @@
 
 // body reads an answer's body. Guards against answers without end or beyond all memory, and against one cut off
 // that looks whole: its end must be told.
-func (f *Fleet) body(resp *http.Response) ([]byte, error) {
+func (f *ExecutorPool) body(resp *http.Response) ([]byte, error) {
 	if resp.StatusCode == http.StatusSwitchingProtocols || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
 		return nil, errNoLength
 	}
@@ -552,7 +552,7 @@
 }
 
 // Classes names the classes by number from now on, for the executors' paths; it must hold every number in use.
-func (f *Fleet) Classes(names []string) {
+func (f *ExecutorPool) Classes(names []string) {
 	escaped := make([]string, len(names))
 	for i, n := range names {
 		escaped[i] = url.PathEscape(n)
@@ -561,7 +561,7 @@
 }
 
 // Send is one attempt: at most one request written.
-func (f *Fleet) Send(ctx context.Context, a oakthread.Attempt) oakthread.Reply {
+func (f *ExecutorPool) Send(ctx context.Context, a oakthread.Attempt) oakthread.Reply {
 	h := http.Header{"X-Hop-Id": {a.Request.ID}, "X-Thing": {a.Request.Key}, "User-Agent": {""}}
 	if a.Request.IdempotencyKey != "" {
 		h.Set("X-Replay-Key", a.Request.IdempotencyKey)
@@ -582,7 +582,7 @@
 	"pending": balancer.AwaitedLoad, "spawn_failed": balancer.LoadFailed}
 
 // reply reads an executor's answer. Only a 404, and a 503 or 504 that says so, prove that nothing ran.
-func (f *Fleet) reply(resp *http.Response, body []byte) oakthread.Reply {
+func (f *ExecutorPool) reply(resp *http.Response, body []byte) oakthread.Reply {
 	h := resp.Header
 	r := oakthread.Reply{Result: balancer.Error, Warmth: notes[h.Get("X-Tell")], Report: f.report(h.Get("X-Report"))}
 	if n, err := strconv.Atoi(h.Get("X-Same")); err == nil && n > 0 {
@@ -611,7 +611,7 @@
 
 // report reads a load report such as inflight:7;util:0.61 in the order of the settings; one that lacks a field
 // or holds what is no number is no report.
-func (f *Fleet) report(text string) []float64 {
+func (f *ExecutorPool) report(text string) []float64 {
 	if text == "" || len(f.fields) == 0 {
 		return nil
 	}
@@ -651,7 +651,7 @@
 }
 
 // Probe asks an executor for its load.
-func (f *Fleet) Probe(ctx context.Context, m oakthread.Member) oakthread.Reply {
+func (f *ExecutorPool) Probe(ctx context.Context, m oakthread.Endpoint) oakthread.Reply {
 	resp, _, unsent, err := f.trip(ctx, m, message{method: http.MethodGet, path: "/busy", header: noAgent()})
 	if err != nil {
 		return oakthread.Reply{Result: failure(ctx, unsent, err)}
@@ -664,7 +664,7 @@
 }
 
 // Load orders copies of a function. 500 is a failed load, 503 no room.
-func (f *Fleet) Load(ctx context.Context, o oakthread.Order) oakthread.Reply {
+func (f *ExecutorPool) Load(ctx context.Context, o oakthread.LoadOrder) oakthread.Reply {
 	path := "/c/" + url.PathEscape(o.Key) + "/" + strconv.Itoa(o.Count)
 	resp, _, unsent, err := f.trip(ctx, o.Worker, message{method: http.MethodPut, path: path, header: noAgent(), begin: o.Begin})
 	if err != nil {
@@ -674,7 +674,7 @@
 }
 
 // Drop unloads the idle copies of a function; nothing is learned of it.
-func (f *Fleet) Drop(ctx context.Context, o oakthread.Order) {
+func (f *ExecutorPool) Drop(ctx context.Context, o oakthread.LoadOrder) {
 	_, _, _, _ = f.trip(ctx, o.Worker, message{method: http.MethodDelete, path: "/c/" + url.PathEscape(o.Key), header: noAgent()})
 }
 
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -44,8 +44,8 @@
 	repeatMark     = "X-Repeat"     // where clients mark their repeats
 )
 
-// Front serves the platform's clients. It implements http.Handler.
-type Front struct {
+// Server serves the platform's clients. It implements http.Handler.
+type Server struct {
 	core         *oakthread.Core
 	classes      atomic.Pointer[map[string]int] // by name, the class number that new calls take
 	tenants      map[string]int
@@ -70,16 +70,16 @@
 type Outcomes struct{ Completed, Rejected, Failed atomic.Int64 }
 
 // Tally calls fn for each class that has had an answer, by the name the client gave.
-func (f *Front) Tally(fn func(class string, o *Outcomes)) {
+func (f *Server) Tally(fn func(class string, o *Outcomes)) {
 	f.tally.Range(func(k, v any) bool { fn(k.(string), v.(*Outcomes)); return true })
 }
 
 // Pending is the number of calls taken and not yet answered.
-func (f *Front) Pending() int64 { return f.open.Load() }
+func (f *Server) Pending() int64 { return f.open.Load() }
 
 // SetKeepAlives, off, closes idle connections of clients and ends each other one after its answer; on, keeps them again.
 // It takes effect once Serve runs.
-func (f *Front) SetKeepAlives(on bool) {
+func (f *Server) SetKeepAlives(on bool) {
 	if f.draining.Load() {
 		return // the end sees to that
 	}
@@ -89,7 +89,7 @@
 	}
 }
 
-func (f *Front) count(class string, status int) {
+func (f *Server) count(class string, status int) {
 	v, ok := f.tally.Load(class)
 	if !ok {
 		v, _ = f.tally.LoadOrStore(class, new(Outcomes))
@@ -106,8 +106,8 @@
 }
 
 // NewFront makes the front of a Core.
-func NewFront(core *oakthread.Core, s *wire.Setup) *Front {
-	f := &Front{core: core, tenants: map[string]int{}, tells: s.Permissions.RetryAfter, mux: http.NewServeMux()}
+func NewFront(core *oakthread.Core, s *wire.Setup) *Server {
+	f := &Server{core: core, tenants: map[string]int{}, tells: s.Permissions.RetryAfter, mux: http.NewServeMux()}
 	classes := map[string]int{}
 	for i, c := range s.Categories {
 		classes[c.Name] = i
@@ -123,10 +123,10 @@
 
 // Classes has new calls take the class numbers of names from now on; calls in hand keep theirs. names must not be
 // changed afterwards.
-func (f *Front) Classes(names map[string]int) { f.classes.Store(&names) }
+func (f *Server) Classes(names map[string]int) { f.classes.Store(&names) }
 
 // AcceptsFailed counts the accepts that failed and were tried again.
-func (f *Front) AcceptsFailed() int64 {
+func (f *Server) AcceptsFailed() int64 {
 	if held := f.held.Load(); held != nil {
 		return held.failed.Load()
 	}
@@ -134,9 +134,9 @@
 }
 
 // Bad counts the calls that could not be read.
-func (f *Front) Bad() int64 { return f.bad.Load() }
+func (f *Server) Bad() int64 { return f.bad.Load() }
 
-func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	g := clientConnOf(r.Context())
 	if g != nil {
 		ctx, left := context.WithCancel(r.Context())
@@ -168,14 +168,14 @@
 var errLengths = errors.New("the lengths of a request on this connection contradict each other")
 
 // refuse answers what cannot be read and ends the connection: what comes behind it is not to be trusted.
-func (f *Front) refuse(w http.ResponseWriter, status int, err error) {
+func (f *Server) refuse(w http.ResponseWriter, status int, err error) {
 	f.bad.Add(1)
 	w.Header().Set("Connection", "close")
 	http.Error(w, err.Error(), status)
 }
 
 // ping tells the platform's front that calls may come: not before a list is loaded, nor once we are to end.
-func (f *Front) ping(w http.ResponseWriter, r *http.Request) {
+func (f *Server) ping(w http.ResponseWriter, r *http.Request) {
 	f.closeAfter(w, r)
 	if !f.core.Ready() || f.draining.Load() || f.Gate != nil && !f.Gate() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -183,7 +183,7 @@
 }
 
 // call is the chain of a call on this side: take in, then the Core's stages, then relay.
-func (f *Front) call(w http.ResponseWriter, r *http.Request) {
+func (f *Server) call(w http.ResponseWriter, r *http.Request) {
 	f.open.Add(1)
 	defer f.open.Add(-1)
 	began := time.Now()
@@ -218,7 +218,7 @@
 	f.count(r.Header.Get("X-Class"), httpreply.Status(a, err))
 }
 
-func (f *Front) violated(rule violation.Rule, path violation.Path, id, detail string) {
+func (f *Server) violated(rule violation.Rule, path violation.Path, id, detail string) {
 	if f.Violated != nil {
 		f.Violated(string(rule), string(path), id, detail)
 	}
@@ -235,7 +235,7 @@
 }
 
 // takeIn decodes a call into the Core's value, once.
-func (f *Front) takeIn(w http.ResponseWriter, r *http.Request, now time.Time) (q oakthread.Request, status int, err error) {
+func (f *Server) takeIn(w http.ResponseWriter, r *http.Request, now time.Time) (q oakthread.Request, status int, err error) {
 	q, err = f.head(r.PathValue("key"), r.Header, now)
 	if err != nil {
 		return q, http.StatusBadRequest, err
@@ -251,7 +251,7 @@
 	return q, http.StatusBadRequest, err
 }
 
-func (f *Front) head(key string, h http.Header, now time.Time) (q oakthread.Request, err error) {
+func (f *Server) head(key string, h http.Header, now time.Time) (q oakthread.Request, err error) {
 	for _, name := range [...]string{"X-Call-Id", "X-Class", "X-Customer", "X-Patience-Ms", "X-Extras", idempotencyKey, repeatMark} {
 		if len(h[name]) > 1 { // which of them counts is anyone's guess
 			return q, fmt.Errorf("%s stands there %d times", name, len(h[name]))
@@ -311,16 +311,16 @@
 }
 
 // relay encodes the answer, once.
-func (f *Front) relay(w http.ResponseWriter, a oakthread.Answer, err error) {
-	if f.tells && err == nil && a.Outcome == oakthread.Refused && a.Wait > 0 {
-		w.Header().Set("X-Come-Back-Ms", strconv.FormatInt(int64((a.Wait+time.Millisecond-1)/time.Millisecond), 10))
+func (f *Server) relay(w http.ResponseWriter, a oakthread.Answer, err error) {
+	if f.tells && err == nil && a.Outcome == oakthread.Rejected && a.RetryAfter > 0 {
+		w.Header().Set("X-Come-Back-Ms", strconv.FormatInt(int64((a.RetryAfter+time.Millisecond-1)/time.Millisecond), 10))
 	}
 	httpreply.Write(w, a, err)
 }
 
 // closeAfter says that the connection ends with this answer, where connections are to be quiet and no further request has begun
 // to come on it.
-func (f *Front) closeAfter(w http.ResponseWriter, r *http.Request) {
+func (f *Server) closeAfter(w http.ResponseWriter, r *http.Request) {
 	if g := clientConnOf(r.Context()); f.noKeepAlives.Load() && (g == nil || !g.limiter.behind(g)) {
 		w.Header().Set("Connection", "close")
 	}
@@ -329,7 +329,7 @@
 // Serve runs an HTTP server on ln, which holds at most conns connections, until ctx ends. Then it goes on taking
 // calls for linger, since clients learn late, answers all it has taken, and returns nil. longest is the least time
 // given to those.
-func (f *Front) Serve(ctx context.Context, ln net.Listener, conns int, linger, longest time.Duration, log *slog.Logger) error {
+func (f *Server) Serve(ctx context.Context, ln net.Listener, conns int, linger, longest time.Duration, log *slog.Logger) error {
 	held := newConnLimiter(ln, conns, log)
 	srv := &http.Server{Handler: f, ReadHeaderTimeout: headerTime, IdleTimeout: idleClients, ConnState: held.state,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -245,16 +245,16 @@
 }
 
 func TestOrdersAndProbesMatchGoldenFiles(t *testing.T) {
-	for name, do := range map[string]func(context.Context, *Fleet, oakthread.Order){
-		"load":  func(ctx context.Context, f *Fleet, o oakthread.Order) { f.Load(ctx, o) },
-		"drop":  func(ctx context.Context, f *Fleet, o oakthread.Order) { f.Drop(ctx, o) },
-		"probe": func(ctx context.Context, f *Fleet, o oakthread.Order) { f.Probe(ctx, o.Worker) },
+	for name, do := range map[string]func(context.Context, *ExecutorPool, oakthread.LoadOrder){
+		"load":  func(ctx context.Context, f *ExecutorPool, o oakthread.LoadOrder) { f.Load(ctx, o) },
+		"drop":  func(ctx context.Context, f *ExecutorPool, o oakthread.LoadOrder) { f.Drop(ctx, o) },
+		"probe": func(ctx context.Context, f *ExecutorPool, o oakthread.LoadOrder) { f.Probe(ctx, o.Worker) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			b, requests := recorder(t, plainOK)
 			f := NewFleet(setup(t), 10)
 			defer f.Close()
-			do(t.Context(), f, oakthread.Order{Worker: member(b.addr()), Key: "7F3a9c21e0b4d655", Count: 2})
+			do(t.Context(), f, oakthread.LoadOrder{Worker: member(b.addr()), Key: "7F3a9c21e0b4d655", Count: 2})
 			matchGolden(t, name, <-requests)
 		})
 	}
@@ -310,7 +310,7 @@
 				a.Until = time.Now().Add(10 * time.Second)
 				got = f.Send(t.Context(), a)
 			case load:
-				got = f.Load(t.Context(), oakthread.Order{Worker: m, Key: "7F3a9c21e0b4d655", Count: 2})
+				got = f.Load(t.Context(), oakthread.LoadOrder{Worker: m, Key: "7F3a9c21e0b4d655", Count: 2})
 			case probe:
 				got = f.Probe(t.Context(), m)
 			}
@@ -351,8 +351,8 @@
 func TestEventLinesAreRead(t *testing.T) {
 	raw, err := os.ReadFile("testdata/events.txt")
 	require.NoError(t, err)
-	of := func(k balancer.RosterKind, ms ...oakthread.Member) oakthread.Roster {
-		return oakthread.Roster{Kind: k, Members: ms}
+	of := func(k balancer.EndpointUpdateKind, ms ...oakthread.Endpoint) oakthread.EndpointUpdate {
+		return oakthread.EndpointUpdate{Kind: k, Endpoints: ms}
 	}
 	want := []struct {
 		event Event
@@ -360,21 +360,21 @@
 		bad   string
 	}{
 		{event: Event{Cursor: 41, Beat: true}},
-		{event: Event{Cursor: 42, Epoch: "e7", Told: true, Roster: of(balancer.RosterFull,
-			oakthread.Member{ID: 0xc41f7a, Addr: "127.0.0.1:4001", Zone: 1, Cell: 2, State: balancer.On, Weight: 4,
+		{event: Event{Cursor: 42, Epoch: "e7", Told: true, Roster: of(balancer.EndpointsSnapshot,
+			oakthread.Endpoint{ID: 0xc41f7a, Addr: "127.0.0.1:4001", Zone: 1, Cell: 2, State: balancer.Active, Weight: 4,
 				Start: time.UnixMilli(1500)},
-			oakthread.Member{ID: WorkerID("box nine"), Addr: "[::1]:4002", Zone: 2, Kind: 1, Cell: 3,
+			oakthread.Endpoint{ID: WorkerID("box nine"), Addr: "[::1]:4002", Zone: 2, Kind: 1, Cell: 3,
 				State: balancer.Draining, Weight: 0.5})}},
-		{event: Event{Cursor: 43, Told: true, Roster: of(balancer.RosterDelta, oakthread.Member{ID: 0xc41f7a,
-			Zone: 2, Kind: 1, State: balancer.Off})}},
-		{event: Event{Cursor: 44, Told: true, Roster: of(balancer.RosterDelta, oakthread.Member{ID: 2,
+		{event: Event{Cursor: 43, Told: true, Roster: of(balancer.EndpointsDelta, oakthread.Endpoint{ID: 0xc41f7a,
+			Zone: 2, Kind: 1, State: balancer.Removed})}},
+		{event: Event{Cursor: 44, Told: true, Roster: of(balancer.EndpointsDelta, oakthread.Endpoint{ID: 2,
 			Addr: "127.0.0.1:4003", Zone: 2, Kind: 1, State: balancer.Draining, Weight: 1})},
 			odd: `members[0]: phase "Cordoned" of "s-00000002" is not known`},
-		{event: Event{Cursor: 45, Told: true, Roster: of(balancer.RosterDelta)},
+		{event: Event{Cursor: 45, Told: true, Roster: of(balancer.EndpointsDelta)},
 			odd: "members[0]: field id is missing\n" +
 				`members[1]: host_port "nowhere" of "s-00000003": not an ip:port`},
-		{event: Event{Cursor: 46, Roster: of(balancer.RosterDelta)}},
-		{event: Event{Cursor: 47, Epoch: "e8", Roster: of(balancer.RosterDelta)}},
+		{event: Event{Cursor: 46, Roster: of(balancer.EndpointsDelta)}},
+		{event: Event{Cursor: 47, Epoch: "e8", Roster: of(balancer.EndpointsDelta)}},
 		{bad: "field cursor is missing"}, {bad: "field cursor is missing"}, {bad: "cannot unmarshal number"},
 		{bad: "invalid character"},
 	}
@@ -421,9 +421,9 @@
 		Sockets: 300, PeerListen: "127.0.0.1:7002", PeersAll: netip.MustParseAddrPort("239.1.2.3:7004"),
 		Peers:   []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:7002"), netip.MustParseAddrPort("[::1]:7003")},
 		Channel: "127.0.0.1:7005", Console: "127.0.0.1:7006", Cursor: 5, Setup: s,
-		Known: []Event{{Cursor: 5, Epoch: "e7", Told: true, Roster: oakthread.Roster{Kind: balancer.RosterFull,
-			Members: []oakthread.Member{{ID: 0xc41f7a, Addr: "127.0.0.1:4001", Zone: 1, Kind: 1, Cell: 2,
-				State: balancer.On, Weight: 4, Start: time.UnixMilli(1500)}}}}}}
+		Known: []Event{{Cursor: 5, Epoch: "e7", Told: true, Roster: oakthread.EndpointUpdate{Kind: balancer.EndpointsSnapshot,
+			Endpoints: []oakthread.Endpoint{{ID: 0xc41f7a, Addr: "127.0.0.1:4001", Zone: 1, Kind: 1, Cell: 2,
+				State: balancer.Active, Weight: 4, Start: time.UnixMilli(1500)}}}}}}
 	got, err := parseConfig(raw)
 	require.NoError(t, err)
 	matchGolden(t, "config-shape", []byte(strings.Join(got.shape, "\n")+"\n"))
@@ -519,7 +519,7 @@
 		require.NoError(t, err, what)
 		fmt.Fprintf(&raw, "%s: %q\n", what, buf[:n])
 	}
-	open := func(all netip.AddrPort) (*Datagrams, chan string) {
+	open := func(all netip.AddrPort) (*PeerTransport, chan string) {
 		p, err := ListenPeers(&Config{PeerListen: "127.0.0.1:0", PeersAll: all, Setup: setup(t),
 			Peers: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:9"), oneAddr, twoAddr}}, quiet)
 		require.NoError(t, err)
--- a/internal/platform/lists_test.go
+++ b/internal/platform/lists_test.go
@@ -74,7 +74,7 @@
 }
 
 // follow has a channel follow d from number 0.
-func follow(t *testing.T, d *discovery, log io.Writer) (*Channel, feed) {
+func follow(t *testing.T, d *discovery, log io.Writer) (*EndpointWatcher, feed) {
 	c := NewChannel(&Config{Channel: d.addr(), Setup: setup(t)}, slog.New(slog.NewTextHandler(log, nil)))
 	f := make(feed, 64)
 	ctx, stop := context.WithCancel(t.Context())
@@ -190,8 +190,8 @@
 	c := NewChannel(&Config{Channel: d.addr(), Setup: setup(t)}, slog.New(slog.NewTextHandler(log, nil)))
 	ev, err := parseEvent([]byte(event(1, listed(1, "Ready")+","+listed(2, "Cordoned")+`,{"id":"s-3","phase":"Ready"},{"phase":"Ready"}`)), setup(t))
 	require.NoError(t, err)
-	require.Len(t, ev.Roster.Members, 2)
-	assert.Equal(t, balancer.Draining, ev.Roster.Members[1].State)
+	require.Len(t, ev.Roster.Endpoints, 2)
+	assert.Equal(t, balancer.Draining, ev.Roster.Endpoints[1].State)
 	assert.Len(t, ev.Odd, 3)
 	f := make(feed, 64)
 	ctx, stop := context.WithCancel(t.Context())
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -42,11 +42,11 @@
 	return s
 }
 
-func member(addr string) oakthread.Member {
-	return oakthread.Member{ID: 1, Addr: addr, State: balancer.On, Weight: 1}
+func member(addr string) oakthread.Endpoint {
+	return oakthread.Endpoint{ID: 1, Addr: addr, State: balancer.Active, Weight: 1}
 }
 
-func attempt(m oakthread.Member, body string) oakthread.Attempt {
+func attempt(m oakthread.Endpoint, body string) oakthread.Attempt {
 	return oakthread.Attempt{Worker: m, Until: time.Now().Add(time.Second), Request: &oakthread.Request{
 		ID: "9b1f03aa5c7e2d41", Class: 1, Key: "7F3a9c21e0b4d655", Body: []byte(body)}}
 }
@@ -113,15 +113,15 @@
 	require.NoError(t, err)
 	assert.Equal(t, int64(3), c.Cursor)
 	assert.Equal(t, uint64(0x8c1f30d27a5be964), c.Seed)
-	assert.Equal(t, oakthread.Roster{Kind: balancer.RosterFull, Members: []oakthread.Member{{ID: 0xc41f7a, Addr: "127.0.0.1:4",
-		Zone: 1, Cell: 2, State: balancer.On, Weight: 4, Start: time.UnixMilli(5)}}}, c.Known[0].Roster)
+	assert.Equal(t, oakthread.EndpointUpdate{Kind: balancer.EndpointsSnapshot, Endpoints: []oakthread.Endpoint{{ID: 0xc41f7a, Addr: "127.0.0.1:4",
+		Zone: 1, Cell: 2, State: balancer.Active, Weight: 4, Start: time.UnixMilli(5)}}}, c.Known[0].Roster)
 	for old, bad := range map[string]string{`"8c1f`: `"xx`, `"127.0.0.1:2"`: `"nowhere"`, `"127.0.0.1:3"`: `"x"`,
 		`"Ready"`: `"Odd"`, `"127.0.0.1:4"`: `""`, `"settings"`: `"unset"`, `"s-00c41f7a"`: `""`, `{"cursor":2,`: `{`} {
 		_, err := parseConfig([]byte(strings.Replace(whole, old, bad, 1)))
 		assert.Error(t, err, bad)
 	}
 	for line, want := range map[string]Event{"41": {Cursor: 41, Beat: true},
-		`{"cursor":4,"new":{}}`: {Cursor: 4, Roster: oakthread.Roster{Kind: balancer.RosterDelta}}} {
+		`{"cursor":4,"new":{}}`: {Cursor: 4, Roster: oakthread.EndpointUpdate{Kind: balancer.EndpointsDelta}}} {
 		ev, err := parseEvent([]byte(line), c.Setup)
 		require.NoError(t, err, line)
 		assert.Equal(t, want, ev)
@@ -183,7 +183,7 @@
 	assert.Equal(t, fmt.Sprintf("POST /c/path-book 9b1f03aa5c7e2d41 7F3a9c21e0b4d655 %q [3f:a b;c]", body), string(r.Body))
 	r = f.Send(t.Context(), attempt(m, ""))
 	assert.Equal(t, `GET /c/path-book 9b1f03aa5c7e2d41 7F3a9c21e0b4d655 "" []`, string(r.Body), "no body is a GET")
-	o := oakthread.Order{Worker: m, Key: "7F3a9c21e0b4d655", Count: 2}
+	o := oakthread.LoadOrder{Worker: m, Key: "7F3a9c21e0b4d655", Count: 2}
 	assert.Equal(t, balancer.OK, f.Load(t.Context(), o).Result)
 }
 
@@ -328,7 +328,7 @@
 	told := 0
 	ctx, stop := context.WithCancel(t.Context())
 	c := NewChannel(&Config{Channel: ln.Addr().String(), Cursor: 3, Setup: setup(t), Known: []Event{{Cursor: 3}}}, quiet)
-	err = c.Watch(ctx, func(oakthread.Roster) {
+	err = c.Watch(ctx, func(oakthread.EndpointUpdate) {
 		mu.Lock()
 		defer mu.Unlock()
 		if told++; told == 5 { // the known one, 4, 5, 6, and 9 as the next
@@ -347,8 +347,8 @@
 // feed writes down what a channel tells.
 type feed chan string
 
-func (f feed) Told(r oakthread.Roster, epoch string, cursor int64) {
-	f <- fmt.Sprintf("told %d of %s, %d boxes, whole %v", cursor, epoch, len(r.Members), r.Kind == balancer.RosterFull)
+func (f feed) Told(r oakthread.EndpointUpdate, epoch string, cursor int64) {
+	f <- fmt.Sprintf("told %d of %s, %d boxes, whole %v", cursor, epoch, len(r.Endpoints), r.Kind == balancer.EndpointsSnapshot)
 }
 func (f feed) Current()     { f <- "current" }
 func (f feed) Lost()        { f <- "lost" }
@@ -403,7 +403,7 @@
 
 // Guards the rules on datagrams: 256 bytes at most, from known peers alone, known by their address.
 func TestDatagrams(t *testing.T) {
-	open := func(n int) *Datagrams {
+	open := func(n int) *PeerTransport {
 		s := setup(t)
 		s.Number = n
 		p, err := ListenPeers(&Config{PeerListen: "127.0.0.1:0", Setup: s}, quiet)
@@ -411,8 +411,8 @@
 		return p
 	}
 	a, b, stranger := open(0), open(1), open(2)
-	addr := func(p *Datagrams) netip.AddrPort { return p.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
-	for _, p := range []*Datagrams{a, b, stranger} {
+	addr := func(p *PeerTransport) netip.AddrPort { return p.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
+	for _, p := range []*PeerTransport{a, b, stranger} {
 		p.peers = []netip.AddrPort{addr(a), addr(b)}
 	}
 	b.from = map[netip.AddrPort]int{addr(a): 0, addr(b): 1}
@@ -420,7 +420,7 @@
 	a.Tell(1, strings.Repeat("x", 257))
 	a.Tell(-1, "hello")
 	ctx, stop := context.WithCancel(t.Context())
-	for _, p := range []*Datagrams{a, stranger} {
+	for _, p := range []*PeerTransport{a, stranger} {
 		go func() { _ = p.Listen(ctx, func(int, string) {}) }()
 	}
 	var got []string
@@ -495,7 +495,7 @@
 }
 
 // serve starts a front on a socket over one executor; end asks it to stop.
-func serve(t *testing.T, linger time.Duration, lines notify, executor http.HandlerFunc) (url string, end func(), done chan error, front *Front) {
+func serve(t *testing.T, linger time.Duration, lines notify, executor http.HandlerFunc) (url string, end func(), done chan error, front *Server) {
 	ex := httptest.NewServer(executor)
 	t.Cleanup(ex.Close)
 	fleet := NewFleet(setup(t), 50)
@@ -514,7 +514,7 @@
 	resp, err := http.Get(url + "/ping")
 	require.NoError(t, err)
 	assert.Equal(t, 503, resp.StatusCode, "ready before a list was loaded")
-	core.Roster(oakthread.Roster{Kind: balancer.RosterFull, Members: []oakthread.Member{member(ex.Listener.Addr().String())}})
+	core.UpdateEndpoints(oakthread.EndpointUpdate{Kind: balancer.EndpointsSnapshot, Endpoints: []oakthread.Endpoint{member(ex.Listener.Addr().String())}})
 	core.Counters()
 	resp, err = http.Get(url + "/ping")
 	require.NoError(t, err)
--- a/internal/platform/stage_test.go
+++ b/internal/platform/stage_test.go
@@ -64,10 +64,10 @@
 	t       *testing.T
 	addr    string
 	core    *oakthread.Core
-	fleet   *Fleet
-	front   *Front
+	fleet   *ExecutorPool
+	front   *Server
 	boxes   []*box
-	settled chan oakthread.Settlement
+	settled chan oakthread.Completion
 	end     func()
 	done    chan error
 	lines   notify
@@ -84,7 +84,7 @@
 	if change != nil {
 		change(set)
 	}
-	s := &stage{t: t, boxes: boxes, settled: make(chan oakthread.Settlement, 64), hold: -1, came: make(chan net.Conn, 1),
+	s := &stage{t: t, boxes: boxes, settled: make(chan oakthread.Completion, 64), hold: -1, came: make(chan net.Conn, 1),
 		goOn: make(chan struct{}), lines: make(notify, 64), done: make(chan error, 1)}
 	s.fleet = NewFleet(set, 50)
 	dial := s.fleet.reach
@@ -102,7 +102,7 @@
 	}
 	var err error
 	s.core, err = oakthread.New(oakthread.Config{Settings: set.Decide(), Workers: s.fleet,
-		Settled: func(x oakthread.Settlement) { s.settled <- x }})
+		Completed: func(x oakthread.Completion) { s.settled <- x }})
 	require.NoError(t, err)
 	t.Cleanup(s.core.Close)
 	s.front = NewFront(s.core, set)
@@ -117,19 +117,19 @@
 	go func() {
 		s.done <- s.front.Serve(ctx, in, 50, time.Millisecond, 5*time.Second, slog.New(slog.NewTextHandler(s.lines, nil)))
 	}()
-	s.list(balancer.RosterFull, func(int, *oakthread.Member) {})
+	s.list(balancer.EndpointsSnapshot, func(int, *oakthread.Endpoint) {})
 	return s
 }
 
 // list tells of all boxes, as change leaves them.
-func (s *stage) list(kind balancer.RosterKind, change func(i int, m *oakthread.Member)) {
-	r := oakthread.Roster{Kind: kind}
+func (s *stage) list(kind balancer.EndpointUpdateKind, change func(i int, m *oakthread.Endpoint)) {
+	r := oakthread.EndpointUpdate{Kind: kind}
 	for i, b := range s.boxes {
-		m := oakthread.Member{ID: balancer.WorkerID(i + 1), Addr: b.addr(), State: balancer.On, Weight: 1}
+		m := oakthread.Endpoint{ID: balancer.WorkerID(i + 1), Addr: b.addr(), State: balancer.Active, Weight: 1}
 		change(i, &m)
-		r.Members = append(r.Members, m)
+		r.Endpoints = append(r.Endpoints, m)
 	}
-	s.core.Roster(r)
+	s.core.UpdateEndpoints(r)
 	s.core.Counters() // by now the list is taken
 }
 
--- a/internal/wire/setup.go
+++ b/internal/wire/setup.go
@@ -105,29 +105,29 @@
 
 // Decide puts the deployment's names for settings into the decision module's.
 func (s *Setup) Decide() balancer.Settings {
-	effects := map[string]balancer.Effect{"read_like": balancer.Safe, "idempotency_key": balancer.Keyed}
-	scopes := map[string]balancer.Scope{"all": balancer.ScopeAll, "zone": balancer.ScopeZone, "cell": balancer.ScopeCell}
+	effects := map[string]balancer.Idempotency{"read_like": balancer.Idempotent, "idempotency_key": balancer.IdempotentByKey}
+	scopes := map[string]balancer.IdempotencyScope{"all": balancer.ScopeAll, "zone": balancer.ScopeZone, "cell": balancer.ScopeCell}
 	p, q, r, f := s.Permissions, s.Prices, s.Rules, s.Specifics
 	d := balancer.Settings{
-		OverShareWorth: s.OverShareWorth, Number: s.Number, Siblings: s.Siblings, Zone: s.Zone, Quantum: s.Quantum,
-		MaxAttempts: p.SendCap, SecondCopies: p.SecondCopies, MayProbe: p.MayProbe, MayCancel: p.Cancel,
-		Peers: p.Peers, Tells: p.RetryAfter, MaxRetryAfter: p.MaxRetryAfter,
-		ReportOnProbe: s.Feedback.How == "on_probe",
-		AskRoster:     s.RegistryMode == "on_request", AskWithin: r.AskWithin,
-		AnswerSlack: r.AnswerSlack, DrainGrace: r.DrainGrace, Cold: r.Cold, Fall: r.Fall,
-		OverloadFactor: r.OverloadFactor, StartCapacity: r.StartCapacity,
-		Orders: f.LoadControl, LoadsOnMiss: f.OnMiss != "miss", TellsWarm: f.WarmNotes, TellsCrowd: f.NotesPeers,
+		OverQuotaWeight: s.OverShareWorth, DispatcherIndex: s.Number, Dispatchers: s.Siblings, Zone: s.Zone, ClockResolution: s.Quantum,
+		MaxAttempts: p.SendCap, Hedging: p.SecondCopies, HealthChecks: p.MayProbe, Cancellation: p.Cancel,
+		Gossip: p.Peers, SendsRetryAfter: p.RetryAfter, MaxRetryAfter: p.MaxRetryAfter,
+		ReportOnHealthCheck: s.Feedback.How == "on_probe",
+		PollEndpoints:       s.RegistryMode == "on_request", PollInterval: r.AskWithin,
+		AnswerSlack: r.AnswerSlack, DrainGrace: r.DrainGrace, SlowStartWindow: r.Cold, Fall: r.Fall,
+		OverloadFactor: r.OverloadFactor, SlowStartCapacity: r.StartCapacity,
+		LoadOrders: f.LoadControl, LoadsOnMiss: f.OnMiss != "miss", TellsWarm: f.WarmNotes, TellsCrowd: f.NotesPeers,
 		KeepAlive: f.LingerIdle, LoadWindow: f.LoadSpan, OrderTimeout: f.OrderLimit,
 		LoadFree: f.FreeLoads, LoadShare: f.LoadPart, MemoryPrice: f.IdleMemory, KindMemoryMB: f.KindMemory,
 		CrossZonePrice: q.CrossZone, WastePrice: q.Waste, ProbePrice: q.Probe, PeerPrice: q.Peer,
 		LateFailPrice: q.LateFail, OriginPrice: q.Origin,
 	}
 	for _, c := range s.Categories {
-		d.Classes = append(d.Classes, balancer.Class{Aim: c.Aim, GiveUp: c.GiveUp, Window: c.Window, Worth: c.Credit,
-			LateWorth: c.LateWorth, Effect: effects[c.Idempotency], Scope: scopes[c.KeyScope]})
+		d.Classes = append(d.Classes, balancer.Class{LatencyObjective: c.Aim, ClientTimeout: c.GiveUp, IdempotencyWindow: c.Window, PriorityWeight: c.Credit,
+			LatePriorityWeight: c.LateWorth, Idempotency: effects[c.Idempotency], IdempotencyScope: scopes[c.KeyScope]})
 	}
 	for _, c := range s.Customers {
-		d.TenantRate = append(d.TenantRate, c.Allowance)
+		d.TenantQuota = append(d.TenantQuota, c.Allowance)
 	}
 	d.InflightField, d.QueueField = s.Field("active"), s.Field("waiting")
 	return d
--- a/leader/turns.go
+++ b/leader/turns.go
@@ -18,8 +18,8 @@
 // Set is a set of dispatchers by number, such as aggregate.Set.
 type Set interface{ Has(i int) bool }
 
-// Roll is what one dispatcher knows of the others. Make one with New.
-type Roll struct {
+// Elector is what one dispatcher knows of the others. Make one with New.
+type Elector struct {
 	self  int
 	term  int64
 	until []int64 // each counts as there until then; 0: never covered
@@ -30,15 +30,15 @@
 }
 
 // New makes the roll of dispatcher self of n, with terms of so long.
-func New(self, n int, term int64) *Roll {
-	return &Roll{self: self, term: max(1, term), until: make([]int64, max(1, n))}
+func New(self, n int, term int64) *Elector {
+	return &Elector{self: self, term: max(1, term), until: make([]int64, max(1, n))}
 }
 
-// Pace changes how long a term is.
-func (r *Roll) Pace(term int64) { r.term = max(1, term) }
+// SetTerm changes how long a term is.
+func (r *Elector) SetTerm(term int64) { r.term = max(1, term) }
 
-// Told takes whom a digest covers.
-func (r *Roll) Told(now int64, covered Set) {
+// ObserveDigest takes whom a digest covers.
+func (r *Elector) ObserveDigest(now int64, covered Set) {
 	for i := range r.until {
 		if covered.Has(i) {
 			r.until[i] = now + lasts*r.term
@@ -46,20 +46,22 @@
 	}
 }
 
-// There tells whether dispatcher i is there. Until a digest has covered another than ourselves lately, all are.
-func (r *Roll) There(now int64, i int) bool { return i == r.self || r.until[i] > now || r.alone(now) }
+// Alive tells whether dispatcher i is there. Until a digest has covered another than ourselves lately, all are.
+func (r *Elector) Alive(now int64, i int) bool {
+	return i == r.self || r.until[i] > now || r.alone(now)
+}
 
-// Count is how many are there.
-func (r *Roll) Count(now int64) (n int) {
+// AliveCount is how many are there.
+func (r *Elector) AliveCount(now int64) (n int) {
 	for i := range r.until {
-		if r.There(now, i) {
+		if r.Alive(now, i) {
 			n++
 		}
 	}
 	return n
 }
 
-func (r *Roll) alone(now int64) bool {
+func (r *Elector) alone(now int64) bool {
 	for i, until := range r.until {
 		if i != r.self && until > now {
 			return false
@@ -68,9 +70,9 @@
 	return true
 }
 
-// Turn tells whether a task is ours: whether we are among the k dispatchers there that its key draws. The key holds the
+// Assigned tells whether a task is ours: whether we are among the k dispatchers there that its key draws. The key holds the
 // task's name and its term.
-func (r *Roll) Turn(now int64, key uint64, k int) bool {
+func (r *Elector) Assigned(now int64, key uint64, k int) bool {
 	mine, alone := draw(key, r.self), r.alone(now)
 	for i, until := range r.until {
 		if i != r.self && (alone || until > now) && draw(key, i) > mine {
@@ -82,8 +84,8 @@
 	return k > 0
 }
 
-// Collector is whose turn it is to collect in the term of now. It stays the same for the whole of a term.
-func (r *Roll) Collector(now int64) int {
+// Leader is whose turn it is to collect in the term of now. It stays the same for the whole of a term.
+func (r *Elector) Leader(now int64) int {
 	if t := now / r.term; !r.drawn || t != r.now {
 		r.now, r.drawn, r.collector = t, true, r.self
 		best, alone := draw(uint64(t), r.self), r.alone(now)
--- a/leader/turns_test.go
+++ b/leader/turns_test.go
@@ -14,7 +14,7 @@
 
 func (s set) Has(i int) bool { return s[i] }
 
-func rolls(n int) (rs []*Roll) {
+func rolls(n int) (rs []*Elector) {
 	for i := range n {
 		rs = append(rs, New(i, n, term))
 	}
@@ -30,9 +30,9 @@
 }
 
 // takers are those of the dispatchers named that take a turn.
-func takers(rs []*Roll, now int64, key uint64, k int, who set) (n int) {
+func takers(rs []*Elector, now int64, key uint64, k int, who set) (n int) {
 	for i, r := range rs {
-		if who[i] && r.Turn(now, key, k) {
+		if who[i] && r.Assigned(now, key, k) {
 			n++
 		}
 	}
@@ -49,7 +49,7 @@
 		assert.Equal(t, 3, takers(rs, now, key, 3, all))
 	}
 	for _, r := range rs {
-		r.Told(now, all)
+		r.ObserveDigest(now, all)
 	}
 	lost := 0
 	for key := range uint64(200) {
@@ -57,15 +57,15 @@
 	}
 	assert.Greater(t, lost, 100, "just after four of six died their turns are lost")
 	for i := range living {
-		rs[i].Told(now+term, living)
+		rs[i].ObserveDigest(now+term, living)
 	}
 	now += lasts * term
 	for key := range uint64(200) {
 		assert.Equal(t, 1, takers(rs, now, key, 1, living), "two terms later none is")
 		assert.Equal(t, 2, takers(rs, now, key, 5, living))
 	}
-	assert.Equal(t, 2, rs[1].Count(now))
-	assert.Equal(t, 6, rs[1].Count(now+lasts*term), "who hears nothing goes by the settings")
+	assert.Equal(t, 2, rs[1].AliveCount(now))
+	assert.Equal(t, 6, rs[1].AliveCount(now+lasts*term), "who hears nothing goes by the settings")
 }
 
 // Guards a term: whatever is heard in its course, it has one collector; and both sides of a cut that ends find the same one
@@ -76,27 +76,27 @@
 	left, right := of(0, 1, 2, 3), of(4, 5, 6, 7)
 	for i, r := range rs {
 		if left[i] {
-			r.Told(now, left)
+			r.ObserveDigest(now, left)
 		} else {
-			r.Told(now, right)
+			r.ObserveDigest(now, right)
 		}
 	}
 	for step := range int64(20) {
 		at := now + step*term/20
 		for i, r := range rs {
-			c := r.Collector(at)
+			c := r.Leader(at)
 			assert.True(t, left[i] == left[c], "dispatcher %d: a collector of its own side", i)
-			assert.Equal(t, rs[i/4*4].Collector(at), c)
+			assert.Equal(t, rs[i/4*4].Leader(at), c)
 		}
 	}
 	for _, r := range rs { // the cut ends, both digests come to all
-		before := r.Collector(now + term/2)
-		r.Told(now+term/2, left)
-		r.Told(now+term/2, right)
-		assert.Equal(t, before, r.Collector(now+3*term/4), "not within the term")
+		before := r.Leader(now + term/2)
+		r.ObserveDigest(now+term/2, left)
+		r.ObserveDigest(now+term/2, right)
+		assert.Equal(t, before, r.Leader(now+3*term/4), "not within the term")
 	}
 	for _, r := range rs {
-		assert.Equal(t, rs[0].Collector(now+term), r.Collector(now+term))
+		assert.Equal(t, rs[0].Leader(now+term), r.Leader(now+term))
 	}
 }
 
@@ -108,7 +108,7 @@
 		const keys = 3000
 		for key := range uint64(keys * max(1, n/12)) {
 			for i, r := range rs[:min(n, 12)] { // a dozen are enough to see
-				if r.Turn(term, key*0x9e3779b97f4a7c15, 1) {
+				if r.Assigned(term, key*0x9e3779b97f4a7c15, 1) {
 					count[i]++
 				}
 			}
@@ -128,7 +128,7 @@
 		}
 		rs := rolls(n)
 		for i := range rs {
-			rs[i].Told(term, who)
+			rs[i].ObserveDigest(term, who)
 		}
 		key, k := rapid.Uint64().Draw(t, "key"), rapid.IntRange(1, 4).Draw(t, "k")
 		others := 0
@@ -152,10 +152,10 @@
 		}
 		rs2 := rolls(n)
 		for i := range rs2 {
-			rs2[i].Told(term, less)
+			rs2[i].ObserveDigest(term, less)
 		}
 		for i := range n {
-			if less[i] && rs[i].Turn(2*term, key, 1) && !rs2[i].Turn(2*term, key, 1) {
+			if less[i] && rs[i].Assigned(2*term, key, 1) && !rs2[i].Assigned(2*term, key, 1) {
 				t.Fatalf("%d lost a turn as %d went", i, gone)
 			}
 		}
@@ -172,7 +172,7 @@
 		distinct := map[int]bool{}
 		for i := range rs {
 			v := views >> (3 * i) & 7
-			rs[i].Told(term, of(pick(v, 0), pick(v, 1), pick(v, 2)))
+			rs[i].ObserveDigest(term, of(pick(v, 0), pick(v, 1), pick(v, 2)))
 			v |= 1 << i // one knows of itself
 			if v == 1<<i {
 				v = 7 // heard nobody: all
@@ -203,7 +203,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for i := range b.N {
-				r.Turn(int64(i), uint64(i), 5)
+				r.Assigned(int64(i), uint64(i), 5)
 			}
 		})
 	}
--- a/middleware/middleware_test.go
+++ b/middleware/middleware_test.go
@@ -42,8 +42,8 @@
 		want string
 	}{
 		{"/call", core{a: oakthread.Answer{Body: []byte("out")}}, "200 out "},
-		{"/call", core{a: oakthread.Answer{Outcome: oakthread.Refused, Wait: 1100 * time.Millisecond}}, "503  2"},
-		{"/call", core{a: oakthread.Answer{Outcome: oakthread.Refused}}, "503  "},
+		{"/call", core{a: oakthread.Answer{Outcome: oakthread.Rejected, RetryAfter: 1100 * time.Millisecond}}, "503  2"},
+		{"/call", core{a: oakthread.Answer{Outcome: oakthread.Rejected}}, "503  "},
 		{"/call", core{a: oakthread.Answer{Outcome: oakthread.Failed}}, "502  "},
 		{"/call", core{a: oakthread.Answer{Outcome: oakthread.TimedOut}}, "504  "},
 		{"/call", core{err: oakthread.ErrDuplicate}, "409  "},
--- a/oakthread.go
+++ b/oakthread.go
@@ -40,7 +40,7 @@
 
 const (
 	Served   Outcome = iota // Answer.Body is what a worker gave for this request
-	Refused                 // it had no effect; asking again is harmless
+	Rejected                // it had no effect; asking again is harmless
 	Failed                  // it may have had its effect
 	TimedOut                // failed because its time ran out; it may have had its effect
 )
@@ -51,13 +51,13 @@
 
 // Answer is the one final answer to a request.
 type Answer struct {
-	Outcome Outcome
-	Body    []byte
-	Wait    time.Duration // of a refusal: when to come back; 0: no advice
+	Outcome    Outcome
+	Body       []byte
+	RetryAfter time.Duration // of a refusal: when to come back; 0: no advice
 }
 
-// Settlement tells an observer of a request that is over. Abandoned: the caller left before the answer.
-type Settlement struct {
+// Completion tells an observer of a request that is over. Abandoned: the caller left before the answer.
+type Completion struct {
 	Request   Request
 	Answer    Answer
 	Abandoned bool
@@ -72,26 +72,26 @@
 	ErrInvalid   = errors.New("oakthread: request cannot be used")
 )
 
-// Member is a worker as the list of workers tells it. ID is the same at every dispatcher.
-type Member struct {
+// Endpoint is a worker as the list of workers tells it. ID is the same at every dispatcher.
+type Endpoint struct {
 	ID               balancer.WorkerID
 	Addr             string // where it listens; may pass to another worker once this one has gone
 	Zone, Kind, Cell int
-	State            balancer.State
+	State            balancer.EndpointState
 	Weight           float64
 	Start            time.Time // zero: long ago
 }
 
-// Roster is news of the list of workers.
-type Roster struct {
-	Kind    balancer.RosterKind
-	Members []Member
+// EndpointUpdate is news of the list of workers.
+type EndpointUpdate struct {
+	Kind      balancer.EndpointUpdateKind
+	Endpoints []Endpoint
 }
 
 // Attempt is one send of a request to one worker.
 type Attempt struct {
 	Request *Request
-	Worker  Member
+	Worker  Endpoint
 	N       int
 	Until   time.Time
 	Begin   func() bool // as in Order
@@ -127,9 +127,9 @@
 	Took   time.Duration
 }
 
-// Order asks a worker to hold Count copies of a function.
-type Order struct {
-	Worker Member
+// LoadOrder asks a worker to hold Count copies of a function.
+type LoadOrder struct {
+	Worker Endpoint
 	Func   balancer.FuncID
 	Key    string // as a caller wrote it last
 	Count  int
@@ -142,15 +142,15 @@
 // many goroutines, and writes at most one request for each call. Send and Load ask Begin before they write it.
 type Workers interface {
 	Send(ctx context.Context, a Attempt) Reply
-	Probe(ctx context.Context, m Member) Reply
-	Load(ctx context.Context, o Order) Reply
-	Drop(ctx context.Context, o Order)
+	Probe(ctx context.Context, m Endpoint) Reply
+	Load(ctx context.Context, o LoadOrder) Reply
+	Drop(ctx context.Context, o LoadOrder)
 	Forget(id balancer.WorkerID) // the worker has gone or starts anew: its connections are void
 }
 
-// Membership tells of the list of workers until ctx ends. It calls tell in order, from one goroutine.
-type Membership interface {
-	Watch(ctx context.Context, tell func(Roster)) error
+// EndpointWatcher tells of the list of workers until ctx ends. It calls tell in order, from one goroutine.
+type EndpointWatcher interface {
+	Watch(ctx context.Context, tell func(EndpointUpdate)) error
 }
 
 // Peers carries short messages between dispatchers; they may be lost. Tell must not block; to below 0: all.
--- a/outlier/verdict.go
+++ b/outlier/verdict.go
@@ -35,23 +35,23 @@
 	Dead    Weight = failLimit + 0.1
 )
 
-// Judge holds what is known of zones. Make one with New.
-type Judge struct {
+// Detector holds what is known of zones. Make one with New.
+type Detector struct {
 	aim   int64
 	zonal bool
 	zones map[int]*zone
-	cuts  int    // zones that are cut
-	bound []Told // executors that words leave out
+	cuts  int              // zones that are cut
+	bound []GossipEvidence // executors that words leave out
 }
 
 // New makes a Judge. aim: the shortest aim, the pace of trials. zonal: zones are judged, and an answer proves that its
 // executor can be reached again; of few dispatchers each meets every executor often enough to go by its own samples.
-func New(aim int64, zonal bool) *Judge {
-	return &Judge{aim: max(aim, 1), zonal: zonal, zones: map[int]*zone{}}
+func New(aim int64, zonal bool) *Detector {
+	return &Detector{aim: max(aim, 1), zonal: zonal, zones: map[int]*zone{}}
 }
 
 // Pace changes the shortest aim.
-func (j *Judge) Pace(aim int64) { j.aim = max(aim, 1) }
+func (j *Detector) Pace(aim int64) { j.aim = max(aim, 1) }
 
 // zone is what is known of the executors of one zone together.
 type zone struct {
@@ -67,8 +67,8 @@
 	ended  int64 // when the last cut ended
 }
 
-// Box is what is known of one executor. The zero value is one of which nothing bad is known.
-type Box struct {
+// Stats is what is known of one executor. The zero value is one of which nothing bad is known.
+type Stats struct {
 	mean    float64 // of failures, decaying
 	at      int64
 	boundAt int64 // the last word that would leave it out; 0: none
@@ -78,13 +78,13 @@
 	wait    int64
 	round   int // of its zone, when it was last found cold
 	trialed int64
-	seen    seen // what came of our calls there
-	word    Word // what others told last
+	seen    seen     // what came of our calls there
+	word    Evidence // what others told last
 	wordAt  int64
 	since   int64 // when a verdict by words began
 }
 
-func (j *Judge) zone(z int) *zone {
+func (j *Detector) zone(z int) *zone {
 	x := j.zones[z]
 	if x == nil {
 		x = &zone{}
@@ -93,8 +93,8 @@
 	return x
 }
 
-// Failures is the share of what came of b lately that failed. It fades while b is not out and nothing comes of it.
-func (j *Judge) Failures(now int64, b *Box) float64 {
+// FailureRate is the share of what came of b lately that failed. It fades while b is not out and nothing comes of it.
+func (j *Detector) FailureRate(now int64, b *Stats) float64 {
 	if b.mean > 0 && !b.out {
 		b.mean *= math.Exp(-float64(max(0, now-b.at)) / float64(longest*j.aim))
 	}
@@ -102,9 +102,9 @@
 	return b.mean
 }
 
-// Failed takes a failure. b is out for longer each time a trial fails. Here and below the text says what has changed, with
+// RecordFailure takes a failure. b is out for longer each time a trial fails. Here and below the text says what has changed, with
 // the evidence, for the log; it is empty where nothing has.
-func (j *Judge) Failed(now int64, b *Box, w Weight) string {
+func (j *Detector) RecordFailure(now int64, b *Stats, w Weight) string {
 	if w == Failure {
 		b.seen.run, b.seen.failed = b.seen.run+1, now
 	}
@@ -117,9 +117,9 @@
 	return fmt.Sprintf("ejected: %d%% of late calls failed", b.percent())
 }
 
-func (j *Judge) failed(now int64, b *Box, w Weight) bool {
+func (j *Detector) failed(now int64, b *Stats, w Weight) bool {
 	was := b.out
-	j.Failures(now, b)
+	j.FailureRate(now, b)
 	b.mean += (1 - b.mean) * float64(w)
 	if b.mean <= failLimit || was && now < b.until {
 		return false
@@ -132,12 +132,12 @@
 	return !was
 }
 
-// Unreached takes a connection of a call sent at sent that never came up. It puts b out at once, and after some in a row
+// RecordUnreachable takes a connection of a call sent at sent that never came up. It puts b out at once, and after some in a row
 // its zone. What was sent before the zone's last answer came says nothing of the zone, and what was sent before a cut
 // ended says nothing at all.
-func (j *Judge) Unreached(now, sent int64, b *Box, z int) string {
+func (j *Detector) RecordUnreachable(now, sent int64, b *Stats, z int) string {
 	if !j.zonal {
-		return j.Failed(now, b, Dead)
+		return j.RecordFailure(now, b, Dead)
 	}
 	x := j.zone(z)
 	if !x.cut && sent < x.ended {
@@ -162,9 +162,9 @@
 	return "ejected: it cannot be reached"
 }
 
-// Answered takes an answer of b, good or bad: it can be reached, and so can its zone. All that were put out for that in the
+// RecordResponse takes an answer of b, good or bad: it can be reached, and so can its zone. All that were put out for that in the
 // course of a cut are then as good as before.
-func (j *Judge) Answered(now int64, b *Box, z int) (news string) {
+func (j *Detector) RecordResponse(now int64, b *Stats, z int) (news string) {
 	if !j.zonal {
 		return ""
 	}
@@ -187,18 +187,18 @@
 }
 
 // heal takes back that b could not be reached, where that was found in the course of a cut that has ended.
-func (j *Judge) heal(b *Box, x *zone) {
+func (j *Detector) heal(b *Stats, x *zone) {
 	if b.cold && b.round >= x.since && b.round < x.healed {
 		b.reached()
 	}
 }
 
 // reached takes back that b could not be reached.
-func (b *Box) reached() { b.cold, b.out, b.mean = false, false, 0 }
+func (b *Stats) reached() { b.cold, b.out, b.mean = false, false, 0 }
 
-// Succeeded takes a call that b served.
-func (j *Judge) Succeeded(now int64, b *Box) string {
-	j.Failures(now, b)
+// RecordSuccess takes a call that b served.
+func (j *Detector) RecordSuccess(now int64, b *Stats) string {
+	j.FailureRate(now, b)
 	b.seen.served(now, j.forget())
 	b.mean *= failDecay
 	if !b.out || b.mean >= failHealed {
@@ -208,41 +208,41 @@
 	return fmt.Sprintf("back: %d%% of late calls failed", b.percent())
 }
 
-func (b *Box) percent() int { return int(100 * b.mean) }
+func (b *Stats) percent() int { return int(100 * b.mean) }
 
-// Out tells whether b gets nothing but trials, for what it did itself.
-func (j *Judge) Out(b *Box, z int) bool {
+// Ejected tells whether b gets nothing but trials, for what it did itself.
+func (j *Detector) Ejected(b *Stats, z int) bool {
 	if b.out && b.cold && j.zonal {
 		j.heal(b, j.zone(z))
 	}
 	return b.out
 }
 
-// Cut tells whether a zone cannot be reached from here.
-func (j *Judge) Cut(z int) bool { return j.cuts > 0 && j.zone(z).cut }
+// ZonePartitioned tells whether a zone cannot be reached from here.
+func (j *Detector) ZonePartitioned(z int) bool { return j.cuts > 0 && j.zone(z).cut }
 
-// Due tells whether a call may be spent on finding out whether b is back. A zone that is cut off has one trial at a time,
+// TrialDue tells whether a call may be spent on finding out whether b is back. A zone that is cut off has one trial at a time,
 // at a pace that slows, of its executors in turn.
-func (j *Judge) Due(now int64, b *Box, z int) bool {
-	if j.Cut(z) {
+func (j *Detector) TrialDue(now int64, b *Stats, z int) bool {
+	if j.ZonePartitioned(z) {
 		x := j.zone(z)
 		return now >= x.next && (b.trialed <= x.ended || now-b.trialed >= longest*j.aim)
 	}
-	if j.Out(b, z) {
+	if j.Ejected(b, z) {
 		return now >= b.until
 	}
 	return j.ByWords(now, b) && (b.trialed == 0 || now-b.trialed >= wordAims*j.aim)
 }
 
-// Tried takes that a trial has been sent to b.
-func (j *Judge) Tried(now int64, b *Box, z int) {
+// TrialStarted takes that a trial has been sent to b.
+func (j *Detector) TrialStarted(now int64, b *Stats, z int) {
 	b.trialed = now
-	if j.Cut(z) {
+	if j.ZonePartitioned(z) {
 		x := j.zone(z)
 		x.next = now + x.wait
 		x.wait = min(2*x.wait, longest*j.aim)
 	}
 }
 
-// Restarted forgets what b did: another process has its place.
-func (b *Box) Restarted() { *b = Box{} }
+// Reset forgets what b did: another process has its place.
+func (b *Stats) Reset() { *b = Stats{} }
--- a/outlier/words.go
+++ b/outlier/words.go
@@ -34,9 +34,9 @@
 	Pace uint8 // the time its calls took there, in quarters of the mean of all; 0: not slow
 }
 
-// Word is what the observers of a pool tell of an executor, each counted once: those that it served, and those whose latest
+// Evidence is what the observers of a pool tell of an executor, each counted once: those that it served, and those whose latest
 // call there failed.
-type Word struct {
+type Evidence struct {
 	Good, Bad uint8
 	Pace      uint8 // the middle of those that told one, if they are two at least
 }
@@ -60,17 +60,17 @@
 }
 
 // forget is the time constant of evidence.
-func (j *Judge) forget() int64 { return longest * j.aim }
+func (j *Detector) forget() int64 { return longest * j.aim }
 
 // Mark is what we have to tell of b, whose calls take pace times as long as the mean: evidence against it, nothing at all
 // where it answered with what may not be its fault, so that the answer does not count for it, or where a verdict by words
 // stands, that it has served us since. false: nothing.
-func (j *Judge) Mark(now int64, b *Box, pace float64) (m Mark, ok bool) {
+func (j *Detector) Mark(now int64, b *Stats, pace float64) (m Mark, ok bool) {
 	odd := b.seen.odd > b.seen.at && now-b.seen.odd < wordAims*j.aim
-	if late := now-b.seen.failed >= wordAims*j.aim || b.seen.run == 0; late && !odd && pace < slowPace && !j.Bound(now, b) {
+	if late := now-b.seen.failed >= wordAims*j.aim || b.seen.run == 0; late && !odd && pace < slowPace && !j.EjectedByGossip(now, b) {
 		return m, false
 	}
-	if !odd && now-b.seen.at < wordAims*j.aim && (!j.Bound(now, b) || b.seen.at >= b.since) {
+	if !odd && now-b.seen.at < wordAims*j.aim && (!j.EjectedByGossip(now, b) || b.seen.at >= b.since) {
 		m.Good = uint8(min(math.Round(b.seen.lately(now, j.forget())), markMost))
 	}
 	if now-b.seen.failed < wordAims*j.aim {
@@ -79,7 +79,7 @@
 	if pace >= slowPace {
 		m.Pace = uint8(min(pace*paceUnit, 255))
 	}
-	return m, m.Bad > 0 || m.Pace > 0 || odd || j.Bound(now, b) && m.Good > 0
+	return m, m.Bad > 0 || m.Pace > 0 || odd || j.EjectedByGossip(now, b) && m.Good > 0
 }
 
 // Doubts tells whether one that hears so many executors and finds so many silent must take itself to be the cause: its word
@@ -90,8 +90,8 @@
 // stood still. Of two dispatchers the other one is all there is.
 func Silent(observers, dispatchers int) bool { return observers >= max(1, min(2, dispatchers-1)) }
 
-// Pool makes a word of the marks of several observers, one each; heard: observers that told no mark and had an answer.
-func Pool(marks []Mark, heard int) (w Word) {
+// Merge makes a word of the marks of several observers, one each; heard: observers that told no mark and had an answer.
+func Merge(marks []Mark, heard int) (w Evidence) {
 	w.Good = uint8(min(heard, markMost))
 	var paces []uint8
 	for _, m := range marks {
@@ -116,14 +116,16 @@
 }
 
 // Says tells whether a word has anything to tell; stands: a verdict by words stands.
-func (w Word) Says(stands bool) bool { return w.Bad > 1 || w.Pace > 0 || stands && w.observers() > 0 }
+func (w Evidence) Says(stands bool) bool {
+	return w.Bad > 1 || w.Pace > 0 || stands && w.observers() > 0
+}
 
 // Slow is how many times longer calls take there; 0: not told.
-func (w Word) Slow() float64 { return float64(w.Pace) / paceUnit }
+func (w Evidence) Slow() float64 { return float64(w.Pace) / paceUnit }
 
 // Share is the lower end of the interval (Wilson's, of one and a half deviations) of the part of observers that found the
 // executor bad.
-func (w Word) Share() float64 {
+func (w Evidence) Share() float64 {
 	n := float64(w.Good) + float64(w.Bad)
 	if n == 0 {
 		return 0
@@ -132,18 +134,18 @@
 	return max(0, (p+z2/(2*n)-wordZ*math.Sqrt(p*(1-p)/n+z2/(4*n*n)))/(1+z2/n))
 }
 
-// Told is a word of a digest about one executor.
-type Told struct {
-	Box    *Box
+// GossipEvidence is a word of a digest about one executor.
+type GossipEvidence struct {
+	Box    *Stats
 	Weight float64 // of the executor's capacity
-	Word   Word
+	Word   Evidence
 }
 
-// Words takes the words of a digest; all: the weight of all executors. Of those that words would leave out, the worst are,
+// ApplyGossip takes the words of a digest; all: the weight of all executors. Of those that words would leave out, the worst are,
 // up to a quarter of the capacity with those of digests before that still stand. A verdict that stands is renewed by any word
 // against it, for then one executor is tried by one observer at a time, and ends with the first word that two observers or
 // more were served, and more than not. The texts are for the log, in the order of told; empty where nothing has changed.
-func (j *Judge) Words(now int64, told []Told, all float64) (news []string) {
+func (j *Detector) ApplyGossip(now int64, told []GossipEvidence, all float64) (news []string) {
 	order := make([]int, len(told))
 	for i := range order {
 		order[i] = i
@@ -151,7 +153,7 @@
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(told[b].Word.Share(), told[a].Word.Share()) })
 	news = make([]string, len(told))
 	for i, t := range told {
-		b, stood := t.Box, j.Bound(now, t.Box)
+		b, stood := t.Box, j.EjectedByGossip(now, t.Box)
 		b.word, b.wordAt = t.Word, now
 		switch {
 		case stood && t.Word.Good > max(1, t.Word.Bad):
@@ -162,13 +164,13 @@
 		}
 	}
 	left := all / capPart
-	j.bound = slices.DeleteFunc(j.bound, func(t Told) bool { return !j.Bound(now, t.Box) })
+	j.bound = slices.DeleteFunc(j.bound, func(t GossipEvidence) bool { return !j.EjectedByGossip(now, t.Box) })
 	for _, t := range j.bound {
 		left -= t.Weight
 	}
 	for _, i := range order {
 		b, word := told[i].Box, told[i].Word
-		if !j.Bound(now, b) && word.Bad > 1 && word.Share() > wordLimit && left >= told[i].Weight {
+		if !j.EjectedByGossip(now, b) && word.Bad > 1 && word.Share() > wordLimit && left >= told[i].Weight {
 			left -= told[i].Weight
 			b.boundAt, b.since = now, now
 			j.bound = append(j.bound, told[i])
@@ -178,15 +180,17 @@
 	return news
 }
 
-func (w Word) observers() int { return int(w.Good) + int(w.Bad) }
+func (w Evidence) observers() int { return int(w.Good) + int(w.Bad) }
 
-// Bound tells whether words of others would leave b out.
-func (j *Judge) Bound(now int64, b *Box) bool { return b.boundAt > 0 && now-b.boundAt < fadeAims*j.aim }
+// EjectedByGossip tells whether words of others would leave b out.
+func (j *Detector) EjectedByGossip(now int64, b *Stats) bool {
+	return b.boundAt > 0 && now-b.boundAt < fadeAims*j.aim
+}
 
 // ByWords tells whether b is left out for what others saw: until the words fade, and not against a call that it served us at
 // most one shortest aim before.
-func (j *Judge) ByWords(now int64, b *Box) bool {
-	return j.Bound(now, b) && (b.seen.good == 0 || b.seen.at < b.since-j.aim || b.seen.run > 0)
+func (j *Detector) ByWords(now int64, b *Stats) bool {
+	return j.EjectedByGossip(now, b) && (b.seen.good == 0 || b.seen.at < b.since-j.aim || b.seen.run > 0)
 }
 
 // State is what is held of one executor, for operators.
@@ -194,22 +198,22 @@
 	Verdict     string // well, suspect, left out, on trial
 	Evidence    string
 	Good, Bad   float64 // our own calls served lately, decaying, and the part of the latest that failed
-	Word        Word
+	Word        Evidence
 	WordAge     int64 // of the word; below 0: none
 	TrialIn     int64 // until the next trial; 0 where none is due
 	Unreachable bool
 }
 
 // State tells what is held of b; pace as at Mark.
-func (j *Judge) State(now int64, b *Box, z int, pace float64) State {
-	x := State{Verdict: "well", Evidence: "nothing against it", Good: b.seen.lately(now, j.forget()), Bad: j.Failures(now, b), Word: b.word, WordAge: -1, Unreachable: b.cold}
+func (j *Detector) State(now int64, b *Stats, z int, pace float64) State {
+	x := State{Verdict: "well", Evidence: "nothing against it", Good: b.seen.lately(now, j.forget()), Bad: j.FailureRate(now, b), Word: b.word, WordAge: -1, Unreachable: b.cold}
 	if b.wordAt > 0 {
 		x.WordAge = now - b.wordAt
 	}
 	switch {
-	case j.Cut(z):
+	case j.ZonePartitioned(z):
 		x.Verdict, x.Evidence, x.TrialIn = "left out", fmt.Sprintf("zone %d cannot be reached", z), max(0, j.zone(z).next-now)
-	case j.Out(b, z):
+	case j.Ejected(b, z):
 		x.Verdict, x.Evidence, x.TrialIn = "left out", fmt.Sprintf("%d%% of our late calls failed", b.percent()), max(0, b.until-now)
 		if b.cold {
 			x.Evidence = "it cannot be reached from here"
@@ -217,7 +221,7 @@
 	case j.ByWords(now, b):
 		x.Verdict, x.Evidence = "left out", fmt.Sprintf("%d of %d observers were not served", b.word.Bad, b.word.observers())
 		x.TrialIn = max(0, b.trialed+wordAims*j.aim-now)
-	case j.Failures(now, b) > failLimit/2:
+	case j.FailureRate(now, b) > failLimit/2:
 		x.Verdict, x.Evidence = "suspect", fmt.Sprintf("%d%% of our late calls failed", b.percent())
 	case pace >= slowPace:
 		x.Verdict, x.Evidence = "suspect", fmt.Sprintf("calls take %.1f times as long as elsewhere", pace)
--- a/outlier/words_test.go
+++ b/outlier/words_test.go
@@ -14,22 +14,22 @@
 		good, bad uint8
 		out       bool
 	}{{0, 1, false}, {0, 2, false}, {0, 3, true}, {1, 4, false}, {1, 5, true}, {2, 6, false}, {2, 7, true}, {15, 15, false}, {2, 15, true}} {
-		j, b := New(aim, true), &Box{}
-		news := j.Words(1, []Told{{b, 1, Word{Good: c.good, Bad: c.bad}}}, 100)
-		assert.Equal(t, c.out, j.ByWords(1, b), "%+v: %.2f", c, Word{Good: c.good, Bad: c.bad}.Share())
+		j, b := New(aim, true), &Stats{}
+		news := j.ApplyGossip(1, []GossipEvidence{{b, 1, Evidence{Good: c.good, Bad: c.bad}}}, 100)
+		assert.Equal(t, c.out, j.ByWords(1, b), "%+v: %.2f", c, Evidence{Good: c.good, Bad: c.bad}.Share())
 		assert.Equal(t, c.out, news[0] != "", "%+v", c)
 	}
 }
 
 // Guards against an observer with much traffic, or a wrong one, that outweighs others: each counts once.
 func TestPoolCountsEachObserverOnce(t *testing.T) {
-	w := Pool([]Mark{{Good: 0, Bad: 15}, {Good: 1}, {Good: 2}, {}}, 3)
-	assert.Equal(t, Word{Good: 5, Bad: 1}, w)
+	w := Merge([]Mark{{Good: 0, Bad: 15}, {Good: 1}, {Good: 2}, {}}, 3)
+	assert.Equal(t, Evidence{Good: 5, Bad: 1}, w)
 	assert.False(t, w.Says(false))
-	assert.Equal(t, Word{Bad: 2}, Pool([]Mark{{Bad: 6}, {Good: 1, Bad: 9}}, 0))
-	assert.Zero(t, Pool([]Mark{{Pace: 200}}, 9).Pace, "one alone")
-	assert.Zero(t, Pool([]Mark{{Good: 3, Pace: 200}, {Good: 9}, {Good: 9}}, 0).Pace, "slow for one, not for others")
-	assert.Equal(t, 8.0, Pool([]Mark{{Good: 3, Pace: 32}, {Good: 2, Pace: 40}, {Good: 1}, {Good: 1, Pace: 32}}, 0).Slow())
+	assert.Equal(t, Evidence{Bad: 2}, Merge([]Mark{{Bad: 6}, {Good: 1, Bad: 9}}, 0))
+	assert.Zero(t, Merge([]Mark{{Pace: 200}}, 9).Pace, "one alone")
+	assert.Zero(t, Merge([]Mark{{Good: 3, Pace: 200}, {Good: 9}, {Good: 9}}, 0).Pace, "slow for one, not for others")
+	assert.Equal(t, 8.0, Merge([]Mark{{Good: 3, Pace: 32}, {Good: 2, Pace: 40}, {Good: 1}, {Good: 1, Pace: 32}}, 0).Slow())
 	assert.False(t, Silent(1, 3) || Silent(1, 300) || Silent(0, 1))
 	assert.True(t, Silent(1, 2) && Silent(2, 3))
 	assert.True(t, Doubts(1, 3))
@@ -41,13 +41,13 @@
 // fade, and a restart ends them.
 func TestWordsAreBounded(t *testing.T) {
 	j := New(aim, true)
-	boxes := make([]Box, 12)
-	told := make([]Told, len(boxes))
+	boxes := make([]Stats, 12)
+	told := make([]GossipEvidence, len(boxes))
 	for i := range boxes {
-		told[i] = Told{&boxes[i], 2, Word{Bad: uint8(3 + i)}}
+		told[i] = GossipEvidence{&boxes[i], 2, Evidence{Bad: uint8(3 + i)}}
 	}
-	j.Succeeded(0, &boxes[11])
-	j.Words(10*ms, told, 24)
+	j.RecordSuccess(0, &boxes[11])
+	j.ApplyGossip(10*ms, told, 24)
 	out := func(now int64) (n int) {
 		for i := range boxes {
 			if j.ByWords(now, &boxes[i]) {
@@ -59,85 +59,89 @@
 	assert.False(t, j.ByWords(10*ms, &boxes[11]), "it served us")
 	assert.True(t, j.ByWords(10*ms, &boxes[10]))
 	assert.Equal(t, 2, out(10*ms), "three of twelve, the worst, less the one that served us")
-	assert.True(t, j.Due(10*ms, &boxes[10], 0), "a trial")
-	j.Tried(10*ms, &boxes[10], 0)
-	assert.False(t, j.Due(20*ms, &boxes[10], 0))
-	j.Words(20*ms, []Told{{&boxes[10], 2, Word{Bad: 1}}, {&boxes[9], 2, Word{Good: 2}}}, 24)
+	assert.True(t, j.TrialDue(10*ms, &boxes[10], 0), "a trial")
+	j.TrialStarted(10*ms, &boxes[10], 0)
+	assert.False(t, j.TrialDue(20*ms, &boxes[10], 0))
+	j.ApplyGossip(20*ms, []GossipEvidence{{&boxes[10], 2, Evidence{Bad: 1}}, {&boxes[9], 2, Evidence{Good: 2}}}, 24)
 	assert.True(t, j.ByWords(15*ms+fadeAims*aim, &boxes[10]), "one observer renews what several found")
 	assert.False(t, j.ByWords(20*ms, &boxes[9]), "two bring back what serves them")
 	told[10].Word.Bad = 13
 	assert.Equal(t, 0, out(20*ms+fadeAims*aim), "no word comes any more")
-	j.Words(3000*ms, told, 24)
-	boxes[10].Restarted()
+	j.ApplyGossip(3000*ms, told, 24)
+	boxes[10].Reset()
 	assert.False(t, j.ByWords(3000*ms, &boxes[10]), "another process")
 	assert.True(t, j.ByWords(3000*ms, &boxes[9]))
-	j.Succeeded(3000*ms, &boxes[9])
+	j.RecordSuccess(3000*ms, &boxes[9])
 	assert.False(t, j.ByWords(3000*ms, &boxes[9]), "it serves us")
-	j.Failed(3000*ms, &boxes[9], Failure)
+	j.RecordFailure(3000*ms, &boxes[9], Failure)
 	assert.True(t, j.ByWords(3000*ms, &boxes[9]), "our own evidence agrees")
 }
 
 // Guards what is told: evidence against an executor, or of one that others speak of; else nothing, so a calm fleet pays
 // nothing.
 func TestMarksAreToldWhereTheyMatter(t *testing.T) {
-	j, b := New(aim, true), &Box{}
-	j.Succeeded(0, b)
+	j, b := New(aim, true), &Stats{}
+	j.RecordSuccess(0, b)
 	_, says := j.Mark(0, b, 1)
 	assert.False(t, says)
-	j.Words(1, []Told{{b, 1, Word{Bad: 3}}}, 100)
+	j.ApplyGossip(1, []GossipEvidence{{b, 1, Evidence{Bad: 3}}}, 100)
 	_, says = j.Mark(1, b, 1)
 	assert.False(t, says, "it served us before the verdict, not since")
 	assert.False(t, j.ByWords(1, b), "but so shortly before that it stands for us")
-	j.Succeeded(2, b)
+	j.RecordSuccess(2, b)
 	m, says := j.Mark(2, b, 1)
 	assert.True(t, says, "asked")
 	assert.Equal(t, Mark{Good: 2}, m)
-	c := &Box{}
-	j.Failed(0, c, Failure)
+	c := &Stats{}
+	j.RecordFailure(0, c, Failure)
 	m, says = j.Mark(0, c, 1)
 	assert.True(t, says)
 	assert.Equal(t, Mark{Bad: 1}, m)
-	j.Succeeded(0, c)
+	j.RecordSuccess(0, c)
 	_, says = j.Mark(0, c, 1)
 	assert.False(t, says, "served since")
-	j.Failed(0, c, Failure)
+	j.RecordFailure(0, c, Failure)
 	_, says = j.Mark(0, c, 1)
 	assert.True(t, says, "telling changes nothing")
 	_, says = j.Mark(wordAims*aim, c, 1)
 	assert.False(t, says, "it fades")
-	d := &Box{}
-	j.Failed(1, d, Hint)
+	d := &Stats{}
+	j.RecordFailure(1, d, Hint)
 	m, says = j.Mark(1, d, 1)
 	assert.True(t, says, "an answer that must not count for it")
 	assert.Equal(t, Mark{}, m)
-	assert.Equal(t, Word{}, Pool([]Mark{m}, 0))
-	m, says = j.Mark(0, &Box{}, 8)
+	assert.Equal(t, Evidence{}, Merge([]Mark{m}, 0))
+	m, says = j.Mark(0, &Stats{}, 8)
 	assert.True(t, says && m.Pace == 32)
-	assert.Equal(t, "left out", j.State(1, func() *Box { x := &Box{}; j.Words(1, []Told{{x, 1, Word{Bad: 3}}}, 100); return x }(), 0, 1).Verdict)
+	assert.Equal(t, "left out", j.State(1, func() *Stats {
+		x := &Stats{}
+		j.ApplyGossip(1, []GossipEvidence{{x, 1, Evidence{Bad: 3}}}, 100)
+		return x
+	}(), 0, 1).Verdict)
 }
 
 // For any order of events: what words leave out is at most a quarter, never what served us last; one observer's marks leave
 // out nothing; without words for a while nothing is left out by them.
 func TestWordsUnderAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		j, boxes, now := New(aim, true), make([]Box, 8), int64(1)
+		j, boxes, now := New(aim, true), make([]Stats, 8), int64(1)
 		served := make([]bool, 8)
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
 			now += rapid.Int64Range(0, 500*ms).Draw(t, "gap")
 			i := rapid.IntRange(0, 7).Draw(t, "box")
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
-				j.Succeeded(now, &boxes[i])
+				j.RecordSuccess(now, &boxes[i])
 			case 1:
-				j.Failed(now, &boxes[i], Failure)
+				j.RecordFailure(now, &boxes[i], Failure)
 			case 2:
-				j.Unreached(now, now-10*ms, &boxes[i], i%2)
+				j.RecordUnreachable(now, now-10*ms, &boxes[i], i%2)
 			case 3:
-				j.Answered(now, &boxes[i], i%2)
+				j.RecordResponse(now, &boxes[i], i%2)
 			case 4:
-				boxes[i].Restarted()
+				boxes[i].Reset()
 			case 5:
-				var told []Told
+				var told []GossipEvidence
 				alone := rapid.Bool().Draw(t, "one observer")
 				for k := range boxes {
 					mark := Mark{Good: uint8(rapid.IntRange(0, 15).Draw(t, "good")), Bad: uint8(rapid.IntRange(0, 15).Draw(t, "bad"))}
@@ -145,14 +149,14 @@
 					if !alone {
 						marks = append(marks, mark, Mark{Good: uint8(rapid.IntRange(0, 1).Draw(t, "other"))})
 					}
-					if w := Pool(marks, 0); w.Says(false) {
-						told = append(told, Told{&boxes[k], 1, w})
+					if w := Merge(marks, 0); w.Says(false) {
+						told = append(told, GossipEvidence{&boxes[k], 1, w})
 					}
 				}
 				if alone && len(told) > 0 {
 					t.Fatal("one observer says something")
 				}
-				j.Words(now, told, 8)
+				j.ApplyGossip(now, told, 8)
 			}
 			out := 0
 			for k := range boxes {
@@ -187,15 +191,15 @@
 					for others := range 9 {
 						n++
 						marks := []Mark{one, {Good: uint8(others % 3)}, {Good: uint8(others / 3)}}
-						j, b := New(aim, true), &Box{}
-						w := Pool(marks, heard)
-						j.Words(1, []Told{{b, 1, w}}, 100)
-						if j.Bound(1, b) {
+						j, b := New(aim, true), &Stats{}
+						w := Merge(marks, heard)
+						j.ApplyGossip(1, []GossipEvidence{{b, 1, w}}, 100)
+						if j.EjectedByGossip(1, b) {
 							t.Fatalf("%+v alone, %d heard, others %+v: left out by %+v", one, heard, marks[1:], w)
 						}
-						j.Words(2, []Told{{b, 1, Word{Bad: 3}}}, 100)
-						j.Words(3, []Told{{b, 1, Pool([]Mark{one}, 0)}}, 100)
-						if !j.Bound(3, b) {
+						j.ApplyGossip(2, []GossipEvidence{{b, 1, Evidence{Bad: 3}}}, 100)
+						j.ApplyGossip(3, []GossipEvidence{{b, 1, Merge([]Mark{one}, 0)}}, 100)
+						if !j.EjectedByGossip(3, b) {
 							t.Fatalf("%+v alone brings back what three were not served by", one)
 						}
 					}
@@ -209,20 +213,20 @@
 // What one end of a call, one executor's mark, one pool and one digest's words cost.
 func BenchmarkJudge(b *testing.B) {
 	for _, n := range []int{10, 60, 120} {
-		j, boxes := New(aim, true), make([]Box, n)
-		told := make([]Told, 0, 12)
+		j, boxes := New(aim, true), make([]Stats, n)
+		told := make([]GossipEvidence, 0, 12)
 		for i := range min(n, 12) {
-			told = append(told, Told{&boxes[i], 1, Word{Good: uint8(i), Bad: 5}})
+			told = append(told, GossipEvidence{&boxes[i], 1, Evidence{Good: uint8(i), Bad: 5}})
 		}
 		b.Run(fmt.Sprintf("end_%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for i := range b.N {
 				x := &boxes[i%n]
-				j.Answered(int64(i), x, i%2)
+				j.RecordResponse(int64(i), x, i%2)
 				if i%100 == 0 {
-					j.Failed(int64(i), x, Failure)
+					j.RecordFailure(int64(i), x, Failure)
 				} else {
-					j.Succeeded(int64(i), x)
+					j.RecordSuccess(int64(i), x)
 				}
 			}
 		})
@@ -237,7 +241,7 @@
 		b.Run(fmt.Sprintf("words_%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for i := range b.N {
-				j.Words(int64(i), told, float64(n))
+				j.ApplyGossip(int64(i), told, float64(n))
 			}
 		})
 	}
@@ -249,7 +253,7 @@
 		b.Run(fmt.Sprintf("pool_%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
-				Pool(marks, 3)
+				Merge(marks, 3)
 			}
 		})
 	}
--- a/ration.go
+++ b/ration.go
@@ -8,10 +8,10 @@
 	"oakthread/rules"
 )
 
-// ration is the second look at the rule on orders to load, when an order is given and again when its first byte leaves: a
+// loadOrderLimiter is the second look at the rule on orders to load, when an order is given and again when its first byte leaves: a
 // connection may come up late, and by then other calls and orders lie in the window. The module says which calls count
 // as taken, so that both looks have one number. Both carry a margin for the way to the worker.
-type ration struct {
+type loadOrderLimiter struct {
 	window time.Duration
 	rule   rules.Ration
 
@@ -24,7 +24,7 @@
 type loadOrder struct{ at time.Time }
 
 // count takes a call that came at a time.
-func (r *ration) count(at time.Time) {
+func (r *loadOrderLimiter) count(at time.Time) {
 	if r.window <= 0 {
 		return
 	}
@@ -36,7 +36,7 @@
 }
 
 // reserve asks for an order; nil: the ration is spent.
-func (r *ration) reserve(now time.Time) *loadOrder {
+func (r *loadOrderLimiter) reserve(now time.Time) *loadOrder {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.allows(now, nil) {
@@ -48,7 +48,7 @@
 }
 
 // write asks for an order's first byte; false: it must not be written now. o nil: it asks only.
-func (r *ration) write(o *loadOrder, now time.Time) bool {
+func (r *loadOrderLimiter) write(o *loadOrder, now time.Time) bool {
 	if o == nil {
 		return true
 	}
@@ -62,14 +62,14 @@
 }
 
 // release takes back an order of which nothing was written.
-func (r *ration) release(o *loadOrder) {
+func (r *loadOrderLimiter) release(o *loadOrder) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ordered = slices.DeleteFunc(r.ordered, func(x *loadOrder) bool { return x == o })
 }
 
 // allows tells whether one order beside all but own may leave now; the caller holds mu.
-func (r *ration) allows(now time.Time, own *loadOrder) bool {
+func (r *loadOrderLimiter) allows(now time.Time, own *loadOrder) bool {
 	if r.window <= 0 {
 		return true
 	}
--- a/webhook/disk_test.go
+++ b/webhook/disk_test.go
@@ -104,7 +104,7 @@
 			defer operator.Close()
 			d := newDaemon(t, operator.URL)
 			d.o.GiveUp = span{time.Minute}
-			settled := oakthread.Settlement{Request: oakthread.Request{ID: "c1", Class: 1, Tenant: 0, Key: fn}, At: time.Now()}
+			settled := oakthread.Completion{Request: oakthread.Request{ID: "c1", Class: 1, Tenant: 0, Key: fn}, At: time.Now()}
 			require.NoError(t, wallclock.Set(by)) // between the call and its notice's first try
 			d.sender.Settled(settled)
 			tried := func() {
--- a/webhook/front.go
+++ b/webhook/front.go
@@ -108,7 +108,7 @@
 }
 
 // Settled takes a settlement from the Core. It returns at once.
-func (f *Front) Settled(s oakthread.Settlement) { f.sender.Settled(s) }
+func (f *Front) Settled(s oakthread.Completion) { f.sender.Settled(s) }
 
 // Serve takes messages on ln and delivers notices until ctx ends; then it answers what it has taken and closes the
 // state file. reload asks for the keys to be read again at once.
--- a/webhook/receive.go
+++ b/webhook/receive.go
@@ -43,7 +43,7 @@
 type Class struct {
 	Name   string
 	GiveUp time.Duration
-	Effect balancer.Effect
+	Effect balancer.Idempotency
 }
 
 // Counters count what a Receiver has done since its start.
@@ -122,7 +122,7 @@
 		}
 	}
 	for n, i := range rc.allowed {
-		if o.State == "" && classes[i].Effect != balancer.Safe {
+		if o.State == "" && classes[i].Effect != balancer.Idempotent {
 			return nil, fmt.Errorf("webhooks: class %q must not run twice, so a state file is needed", n)
 		}
 	}
@@ -293,7 +293,7 @@
 	// A refusal had no effect, so the message may be run when it comes again; so may a failed call that is safe
 	// to repeat. Everything else stands as recorded.
 	again := func(r receipt) bool {
-		return r.Status == refused || class.Effect == balancer.Safe && r.Status != served
+		return r.Status == refused || class.Effect == balancer.Idempotent && r.Status != served
 	}
 	// The lock holds from before the receipt shows a run until the run can be found, so that a second delivery
 	// meets either none or both.
@@ -360,7 +360,7 @@
 	if k.err != nil { // no answer: whether it ran is not known, save where it was not taken at all
 		k.answer = oakthread.Answer{Outcome: oakthread.Failed}
 		if errors.Is(k.err, oakthread.ErrDuplicate) || errors.Is(k.err, oakthread.ErrInvalid) {
-			k.answer.Outcome = oakthread.Refused
+			k.answer.Outcome = oakthread.Rejected
 		}
 		k.err = nil
 	}
--- a/webhook/send.go
+++ b/webhook/send.go
@@ -131,7 +131,7 @@
 
 // Settled takes a settlement from the Core, in its loop: it only queues. Calls that a webhook asked for have a
 // receipt, with which their notice is written.
-func (s *Sender) Settled(st oakthread.Settlement) {
+func (s *Sender) Settled(st oakthread.Completion) {
 	q := st.Request
 	if op, ok := s.byPlace[q.Tenant]; ok && q.Ref == "" {
 		n := s.notice(op, settled{Call: q.ID, Class: s.classes[q.Class].Name, Function: q.Key,
--- a/webhook/store.go
+++ b/webhook/store.go
@@ -26,7 +26,7 @@
 	timedOut = "timed out"
 )
 
-var outcomes = map[string]oakthread.Outcome{served: oakthread.Served, refused: oakthread.Refused,
+var outcomes = map[string]oakthread.Outcome{served: oakthread.Served, refused: oakthread.Rejected,
 	failed: oakthread.Failed, timedOut: oakthread.TimedOut}
 
 // receipt is what is kept of a message, by operator and id.
@@ -48,7 +48,7 @@
 	if !known {
 		o = oakthread.Failed
 	}
-	return oakthread.Answer{Outcome: o, Body: r.Body, Wait: r.Wait}
+	return oakthread.Answer{Outcome: o, Body: r.Body, RetryAfter: r.Wait}
 }
 
 // notice is a settlement on its way to an operator. ID stays the same over all deliveries.
@@ -213,7 +213,7 @@
 		if err != nil || !known {
 			return errors.Join(err, errors.New("receipt is missing"))
 		}
-		r.Status, r.Body, r.Wait = a.Outcome.String(), a.Body, a.Wait
+		r.Status, r.Body, r.Wait = a.Outcome.String(), a.Body, a.RetryAfter
 		if err := put(b, key, r); err != nil {
 			return err
 		}
--- a/webhook/webhook_test.go
+++ b/webhook/webhook_test.go
@@ -29,7 +29,7 @@
 
 var (
 	quiet   = slog.New(slog.DiscardHandler)
-	classes = []Class{{"path-check", time.Second, balancer.Safe}, {"path-book", time.Second, balancer.Unsafe}}
+	classes = []Class{{"path-check", time.Second, balancer.Idempotent}, {"path-book", time.Second, balancer.NotIdempotent}}
 	tenants = []string{"ironbridge-haul", "soar-freight"}
 )
 
@@ -202,7 +202,7 @@
 		"failed":          {"path-book", oakthread.Answer{Outcome: oakthread.Failed}, nil, 502, 1},
 		"out of time":     {"path-book", oakthread.Answer{Outcome: oakthread.TimedOut}, nil, 504, 1},
 		"cut off":         {"path-book", oakthread.Answer{}, oakthread.ErrClosed, 502, 1},
-		"refused":         {"path-book", oakthread.Answer{Outcome: oakthread.Refused, Wait: 1500 * time.Millisecond}, nil, 503, 2},
+		"refused":         {"path-book", oakthread.Answer{Outcome: oakthread.Rejected, RetryAfter: 1500 * time.Millisecond}, nil, 503, 2},
 		"safe and failed": {"path-check", oakthread.Answer{Outcome: oakthread.Failed}, nil, 502, 2},
 		"safe and served": {"path-check", oakthread.Answer{Body: []byte("ok")}, nil, 200, 1},
 	} {
@@ -445,7 +445,7 @@
 	defer receiver.Close()
 	d := newDaemon(t, receiver.URL)
 	settle := func(id string, class, tenant int) {
-		d.sender.Settled(oakthread.Settlement{Request: oakthread.Request{ID: id, Class: class, Tenant: tenant, Key: fn},
+		d.sender.Settled(oakthread.Completion{Request: oakthread.Request{ID: id, Class: class, Tenant: tenant, Key: fn},
 			Answer: oakthread.Answer{Outcome: oakthread.TimedOut}, At: time.Now()})
 	}
 	settle("c1", 0, 0)  // a class that is not told
