--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -15,7 +15,7 @@
 	// Repeats that clients mark go with what is over a share: clients that repeat at once must not crowd out
 	// first tries; nor do they count as asked within it. May harm a call refused for no fault of its own.
 	f := d.funcs[funcTag(q.Func)]
-	over := q.Repeat || d.rng.Float64() < d.excess(now, q.Tenant) || f == nil || !f.expected(now, nil)
+	over := q.Retry || d.rng.Float64() < d.excess(now, q.Tenant) || f == nil || !f.expected(now, nil)
 	d.over -= learnMix * d.over
 	for i := range d.asked {
 		d.asked[i] -= learnMix * d.asked[i]
--- a/balancer/api.go
+++ b/balancer/api.go
@@ -49,15 +49,15 @@
 	PollEndpoints             bool // the roster must be asked for; else it is pushed
 	PollInterval              int64
 
-	AnswerSlack, DrainGrace, SlowStartWindow, Fall int64
-	OverloadFactor, SlowStartCapacity              float64
-
-	LoadOrders, LoadsOnMiss, TellsWarm, TellsCrowd bool
-	KeepAlive, LoadWindow, OrderTimeout            int64
-	LoadFree, LoadShare, MemoryPrice               float64
-	KindMemoryMB                                   []float64
-	CrossZonePrice, WastePrice, ProbePrice         float64
-	PeerPrice, LateFailPrice, OriginPrice          float64
+	ResponseSlack, DrainGrace, SlowStartWindow, OverloadWindow int64
+	OverloadFactor, SlowStartCapacity                          float64
+
+	LoadOrders, LoadsOnMiss, ReportsWarmth, ReportsConcurrency bool
+	KeepAlive, LoadQuotaWindow, LoadOrderTimeout               int64
+	LoadQuotaBase, LoadQuotaRatio, MemoryPrice                 float64
+	KindMemoryMB                                               []float64
+	CrossZonePrice, WastePrice, ProbePrice                     float64
+	PeerPrice, LateFailurePrice, OriginPrice                   float64
 }
 
 // EndpointUpdateKind tells how to read a Roster event.
@@ -95,9 +95,9 @@
 	Func          FuncID
 	Deadline      int64
 	MemoryMB      float64
-	Lanes         int
+	Concurrency   int
 	LoadTime      int64 // usual time of a load; 0: not told
-	Repeat        bool
+	Retry         bool
 }
 
 // Result is how an attempt, probe or order ended.
@@ -106,18 +106,18 @@
 const (
 	OK Result = iota
 	Error
-	Full
+	QueueFull
 	Timeout
 	ConnectFailed
 	Reset
 	Cancelled
-	Moot
-	Miss
-	Results // how many there are
+	NotSent
+	NotLoaded
+	NumResults // how many there are
 )
 
 func (r Result) String() string {
-	if r < 0 || r >= Results {
+	if r < 0 || r >= NumResults {
 		return "unknown"
 	}
 	return [...]string{"ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot", "miss"}[r]
@@ -136,15 +136,15 @@
 
 // AttemptResult is the end of an attempt. Finished: nothing more is owed for the request.
 type AttemptResult struct {
-	ID       string
-	Attempt  int
-	Worker   WorkerID
-	Result   Result
-	Finished bool
-	Warmth   Warmth
-	Crowd    int // requests for the function that the worker held, where told
-	RTT      int64
-	Report   []float64
+	ID                 string
+	Attempt            int
+	Worker             WorkerID
+	Result             Result
+	Finished           bool
+	Warmth             Warmth
+	ConcurrentRequests int // requests for the function that the worker held, where told
+	RTT                int64
+	Report             []float64
 }
 
 // Host carries out the actions. Calls are made from within the event that causes them.
--- a/balancer/beliefs.go
+++ b/balancer/beliefs.go
@@ -123,6 +123,6 @@
 		f = &function{}
 		d.funcs[funcTag(q.Func)] = f
 	}
-	f.id, f.lanes, f.load, f.last = q.Func, max(1, q.Lanes), q.LoadTime, now
+	f.id, f.lanes, f.load, f.last = q.Func, max(1, q.Concurrency), q.LoadTime, now
 	return f
 }
--- a/balancer/coldstart.go
+++ b/balancer/coldstart.go
@@ -14,10 +14,10 @@
 )
 
 func (d *Balancer) coldRoom(now int64, w *worker) bool {
-	if !d.isCold(now, w) || d.set.Fall == 0 {
+	if !d.isCold(now, w) || d.set.OverloadWindow == 0 {
 		return true
 	}
-	long := max(d.set.Fall/coldSlots, d.set.ClockResolution)
+	long := max(d.set.OverloadWindow/coldSlots, d.set.ClockResolution)
 	if slot := (now + long*int64(d.set.DispatcherIndex)/int64(d.set.Dispatchers)) / long; slot != w.coldSlot {
 		warm := cmp.Or(d.warm, len(d.list)) // not counted yet: none is cold
 		rate := d.answers * d.fade(now) / d.tau() / float64(max(1, warm))
--- a/balancer/decide_test.go
+++ b/balancer/decide_test.go
@@ -61,8 +61,8 @@
 func settings(e Idempotency, s IdempotencyScope) Settings {
 	return Settings{Classes: []Class{{LatencyObjective: 1000 * ms, ClientTimeout: 3000 * ms, IdempotencyWindow: 2000 * ms, PriorityWeight: 1, Idempotency: e, IdempotencyScope: s}},
 		Dispatchers: 2, ClockResolution: 2 * ms, MaxAttempts: 4, Hedging: true, Cancellation: true,
-		DrainGrace: 500 * ms, SlowStartWindow: 10000 * ms, Fall: 2000 * ms, OverloadFactor: 3, SlowStartCapacity: 0.2,
-		LoadOrders: true, LoadsOnMiss: true, TellsWarm: true, KeepAlive: 8000 * ms, OrderTimeout: 10000 * ms}
+		DrainGrace: 500 * ms, SlowStartWindow: 10000 * ms, OverloadWindow: 2000 * ms, OverloadFactor: 3, SlowStartCapacity: 0.2,
+		LoadOrders: true, LoadsOnMiss: true, ReportsWarmth: true, KeepAlive: 8000 * ms, LoadOrderTimeout: 10000 * ms}
 }
 
 func roster(n int) (es []Endpoint) {
@@ -84,7 +84,7 @@
 }
 
 func call(id string, now int64, fn FuncID) Request {
-	return Request{ID: id, Func: fn, Deadline: now + 3000*ms, Lanes: 2, LoadTime: 500 * ms}
+	return Request{ID: id, Func: fn, Deadline: now + 3000*ms, Concurrency: 2, LoadTime: 500 * ms}
 }
 
 func ok(id string, w WorkerID) AttemptResult {
@@ -165,7 +165,7 @@
 	}{
 		{"unsafe error", NotIdempotent, ScopeNone, Error, 100 * ms, false, false},
 		{"unsafe refused connection", NotIdempotent, ScopeNone, ConnectFailed, 100 * ms, true, false},
-		{"unsafe full", NotIdempotent, ScopeNone, Full, 100 * ms, true, false},
+		{"unsafe full", NotIdempotent, ScopeNone, QueueFull, 100 * ms, true, false},
 		{"safe error", Idempotent, ScopeNone, Error, 100 * ms, true, false},
 		{"keyed error within window", IdempotentByKey, ScopeZone, Error, 1997 * ms, true, true},
 		{"keyed error at window's end", IdempotentByKey, ScopeZone, Error, 1998 * ms, false, false},
@@ -291,12 +291,12 @@
 		for _, from := range at {
 			n := 0.0
 			for _, x := range at {
-				if x >= from && x < from+s.Fall {
+				if x >= from && x < from+s.OverloadWindow {
 					n++
 				}
 			}
 			can := s.SlowStartCapacity + (1-s.SlowStartCapacity)*float64(from-now)/float64(s.SlowStartWindow)
-			worst = max(worst, n/(s.OverloadFactor*can*capacity*float64(s.Fall)/1e9))
+			worst = max(worst, n/(s.OverloadFactor*can*capacity*float64(s.OverloadWindow)/1e9))
 		}
 		if len(at) == 0 || worst > 1 {
 			t.Errorf("%d dispatchers: %d calls, %.2f of what pushes the worker over", size, len(at), worst)
@@ -547,7 +547,7 @@
 	d, f := start(t, settings(Idempotent, ScopeAll), 4)
 	d.HandleRequest(0, call("a", 0, 1))
 	for i := range 2 {
-		d.HandleAttemptResult(int64(i+1)*ms, AttemptResult{ID: "a", Attempt: i, Worker: f.last["a"], Result: Full})
+		d.HandleAttemptResult(int64(i+1)*ms, AttemptResult{ID: "a", Attempt: i, Worker: f.last["a"], Result: QueueFull})
 	}
 	if len(f.sends) != 2 {
 		t.Fatalf("%d sends at once against full workers, want 2 and then a pause", len(f.sends))
@@ -556,12 +556,12 @@
 
 func TestLoadRation(t *testing.T) {
 	s := settings(Idempotent, ScopeAll)
-	s.LoadWindow, s.LoadFree, s.LoadsOnMiss = 1000*ms, 2, false
+	s.LoadQuotaWindow, s.LoadQuotaBase, s.LoadsOnMiss = 1000*ms, 2, false
 	d, f := start(t, s, 4)
 	for i := range 10 {
 		id := fmt.Sprint(i)
 		d.HandleRequest(int64(i)*ms, call(id, int64(i)*ms, FuncID(i)))
-		d.HandleAttemptResult(int64(i)*ms, AttemptResult{ID: id, Worker: f.last[id], Result: Miss})
+		d.HandleAttemptResult(int64(i)*ms, AttemptResult{ID: id, Worker: f.last[id], Result: NotLoaded})
 	}
 	if len(f.loads) != 2 {
 		t.Fatalf("%d loads ordered, 2 allowed", len(f.loads))
@@ -576,7 +576,7 @@
 	hear(d, 0)
 	now := int64(5000 * ms)
 	for i := range 60 { // all functions loaded, nothing answered: a queue forms
-		d.HandleRequest(now, Request{ID: fmt.Sprint(i), Class: i % 2, Func: 1, Deadline: now + 3000*ms, Lanes: 16})
+		d.HandleRequest(now, Request{ID: fmt.Sprint(i), Class: i % 2, Func: 1, Deadline: now + 3000*ms, Concurrency: 16})
 		if h := d.funcs[1].at(d.list[i%4], true); true {
 			h.until = now + 8000*ms
 		}
@@ -698,7 +698,7 @@
 			case k < 4:
 				id := fmt.Sprint("r", step)
 				deadline[id] = now + int64(5+rng.IntN(3000))*ms
-				d.HandleRequest(now, Request{ID: id, Func: FuncID(rng.IntN(9)), Deadline: deadline[id], Lanes: rng.IntN(3)})
+				d.HandleRequest(now, Request{ID: id, Func: FuncID(rng.IntN(9)), Deadline: deadline[id], Concurrency: rng.IntN(3)})
 			case k < 5:
 				w := WorkerID(1 + rng.IntN(8))
 				st := EndpointState(rng.IntN(3))
@@ -710,15 +710,15 @@
 			case k == 5:
 				d.HandlePeerMessage(now, rng.IntN(4)-1, string([]byte{byte(65 + rng.IntN(50)), 'A', 'B', 'c'}))
 				d.HandleClientGone(now, "no such request")
-				d.HandleLoadResult(now, WorkerID(rng.IntN(9)), FuncID(rng.IntN(9)), rng.IntN(3), Result(rng.IntN(int(Results))))
+				d.HandleLoadResult(now, WorkerID(rng.IntN(9)), FuncID(rng.IntN(9)), rng.IntN(3), Result(rng.IntN(int(NumResults))))
 			case len(out) > 0:
 				i := rng.IntN(len(out))
 				o := out[i]
 				out = append(out[:i], out[i+1:]...)
-				oc := AttemptResult{ID: o.id, Attempt: o.n, Worker: o.w, Result: Result(rng.IntN(int(Results))), Warmth: Warmth(rng.IntN(5)),
+				oc := AttemptResult{ID: o.id, Attempt: o.n, Worker: o.w, Result: Result(rng.IntN(int(NumResults))), Warmth: Warmth(rng.IntN(5)),
 					Report: []float64{rng.Float64() - 0.5}}
 				oc.Finished = finished[o.id] || oc.Result == OK
-				if r := oc.Result; r == Full || r == ConnectFailed || r == Miss || r == Moot {
+				if r := oc.Result; r == QueueFull || r == ConnectFailed || r == NotLoaded || r == NotSent {
 					mayRun[o.id]--
 				}
 				if oc.Finished && oc.Result == OK {
@@ -882,7 +882,7 @@
 	for i := range 8 {
 		id := fmt.Sprint(i)
 		d.HandleRequest(0, call(id, 0, FuncID(i)))
-		d.HandleAttemptResult(ms, AttemptResult{ID: id, Worker: f.last[id], Result: Full})
+		d.HandleAttemptResult(ms, AttemptResult{ID: id, Worker: f.last[id], Result: QueueFull})
 	}
 	if after := d.wait(2 * ms); after < 1.5*before {
 		t.Fatalf("expected time %.0f ms after full answers, %.0f ms before", after/1e6, before/1e6)
@@ -955,7 +955,7 @@
 		if len(f.sends) != 2 {
 			t.Fatalf("%d sends, want a second copy", len(f.sends))
 		}
-		d.HandleAttemptResult(1600*ms, AttemptResult{ID: "a", Worker: first, Result: Miss, Warmth: LoadFailed})
+		d.HandleAttemptResult(1600*ms, AttemptResult{ID: "a", Worker: first, Result: NotLoaded, Warmth: LoadFailed})
 		d.HandleAttemptResult(c.at, AttemptResult{ID: "a", Attempt: 1, Worker: f.last["a"], Result: Error})
 		if got := len(f.sends) == 3; got != c.resend {
 			t.Errorf("at %d ms: sent again %v, want %v", c.at/ms, got, c.resend)
@@ -1105,7 +1105,7 @@
 // nothing was shared. Where none has come for some terms a hub tells the sums, and what is silent.
 func TestHubOfManyTellsWhatItCanPayFor(t *testing.T) {
 	s := settings(Idempotent, ScopeAll)
-	s.Dispatchers, s.Gossip, s.PeerPrice, s.Fall = 300, true, 0.021, 0
+	s.Dispatchers, s.Gossip, s.PeerPrice, s.OverloadWindow = 300, true, 0.021, 0
 	s.Classes[0].LatencyObjective = 240 * ms
 	d, f := start(t, s, 118)
 	d.greeted = helloPeers
@@ -1314,7 +1314,7 @@
 	now := int64(5000 * ms)
 	for i := range 90 { // all loaded, nothing answered: a queue forms
 		id := fmt.Sprint(i)
-		d.HandleRequest(now, Request{ID: id, Func: 1, Deadline: now + 3000*ms, Lanes: 16, Repeat: i%3 > 0})
+		d.HandleRequest(now, Request{ID: id, Func: 1, Deadline: now + 3000*ms, Concurrency: 16, Retry: i%3 > 0})
 		d.function(now, call(id, now, 1)).at(d.list[i%4], true).until = now + 8000*ms
 	}
 	first, repeat := 0, 0
@@ -1350,7 +1350,7 @@
 	d, f := start(t, s, 4)
 	hear(d, 0)
 	now := 5000 * ms
-	d.function(now, Request{Func: 1, Lanes: 16})
+	d.function(now, Request{Func: 1, Concurrency: 16})
 	for _, w := range d.list {
 		d.funcs[1].at(w, true).until = now + 8000*ms
 	}
@@ -1595,9 +1595,9 @@
 // Guards against an order that was cut off, or never written, passing for a worker without room: its calls would be
 // sent to wait there, or load elsewhere. It is given again, within the ration; after a no the call is sent.
 func TestOrdersCutOffAreGivenAgain(t *testing.T) {
-	for res, orders := range map[Result]int{Reset: 3, Moot: 3, Full: 1, Error: 1} {
+	for res, orders := range map[Result]int{Reset: 3, NotSent: 3, QueueFull: 1, Error: 1} {
 		s := settings(Idempotent, ScopeAll)
-		s.LoadWindow, s.LoadFree = 5000*ms, 3
+		s.LoadQuotaWindow, s.LoadQuotaBase = 5000*ms, 3
 		d, f := start(t, s, 1)
 		hear(d, 0)
 		d.HandleRequest(0, call("a", 0, 1))
@@ -1766,7 +1766,7 @@
 			d.believe(ms, d.funcs[funcTag(9)].at(d.workers[other], true))
 		}
 		full := func(n int, now int64) {
-			d.HandleAttemptResult(now, AttemptResult{ID: "a", Attempt: n, Worker: f.last["a"], Result: Full})
+			d.HandleAttemptResult(now, AttemptResult{ID: "a", Attempt: n, Worker: f.last["a"], Result: QueueFull})
 		}
 		// until is when the next attempt goes out; 0: none does in time.
 		until := func(from int64) int64 {
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -36,7 +36,7 @@
 		panic(err)
 	}
 	d.UpdateEndpoints(0, balancer.EndpointsSnapshot, []balancer.Endpoint{{Worker: 1, State: balancer.Active}, {Worker: 2, State: balancer.Active}})
-	d.HandleRequest(0, balancer.Request{ID: "call", Func: 7, Deadline: 3 * second, Lanes: 1})
+	d.HandleRequest(0, balancer.Request{ID: "call", Func: 7, Deadline: 3 * second, Concurrency: 1})
 	first := host.worker
 	d.HandleAttemptResult(second/10, balancer.AttemptResult{ID: "call", Worker: first, Result: balancer.ConnectFailed})
 	fmt.Println("another worker:", host.worker != first)
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -12,9 +12,9 @@
 func (d *Balancer) learn(now int64, a *attempt, o AttemptResult) {
 	w, h, st := a.w, a.h, &d.stats[a.req.Class]
 	age := float64(now - a.sent)
-	if o.Result != OK && o.Result != Moot && o.Result != Cancelled {
+	if o.Result != OK && o.Result != NotSent && o.Result != Cancelled {
 		// A failure must not make a worker look light: it stays in its load for a normal service time.
-		w.ghosts = append(w.ghosts, ghost{now + int64(st.mean), o.Result == Full})
+		w.ghosts = append(w.ghosts, ghost{now + int64(st.mean), o.Result == QueueFull})
 	}
 	// Lost, if the copy answered others meanwhile: one that was pushed out is loading.
 	if (o.Result == Timeout || o.Result == Cancelled) && a.warm && now > a.due && h.hitAt > a.sent {
@@ -49,12 +49,12 @@
 			h.hitAt = now
 		}
 		d.believe(now, h)
-	case Error, Miss, Full:
+	case Error, NotLoaded, QueueFull:
 		d.answered(now, w)
 		if o.Warmth == LoadFailed {
 			d.stress += learn * (stressMax/2 - d.stress)
 			h.until = 0
-		} else if o.Result == Miss {
+		} else if o.Result == NotLoaded {
 			h.until = 0
 		} else if o.Result == Error && h.fn.served {
 			d.blame(now, w, outlier.Failure)
--- a/balancer/loadorders.go
+++ b/balancer/loadorders.go
@@ -41,10 +41,10 @@
 
 // count takes a call that came at a time as taken, for the ration.
 func (d *Balancer) count(at int64) {
-	if d.set.LoadWindow <= 0 {
+	if d.set.LoadQuotaWindow <= 0 {
 		return
 	}
-	d.arrived = since(d.arrived, at-2*d.set.LoadWindow)
+	d.arrived = since(d.arrived, at-2*d.set.LoadQuotaWindow)
 	place, _ := slices.BinarySearch(d.arrived, at)
 	d.arrived = slices.Insert(d.arrived, place, at)
 	d.host.CountTowardLoadQuota(at)
@@ -55,11 +55,11 @@
 	if !d.set.LoadOrders || !d.eligible(now, h.w) {
 		return false
 	}
-	if d.set.LoadWindow > 0 {
-		d.arrived = since(d.arrived, now-d.set.LoadWindow+1)
-		d.ordered = since(d.ordered, now-d.set.LoadWindow)
-		ration := rules.Ration{Free: d.set.LoadFree, Share: d.set.LoadShare}
-		if !rules.MayOrder(ration, len(d.arrived), len(d.ordered)).OK() {
+	if d.set.LoadQuotaWindow > 0 {
+		d.arrived = since(d.arrived, now-d.set.LoadQuotaWindow+1)
+		d.ordered = since(d.ordered, now-d.set.LoadQuotaWindow)
+		ration := rules.LoadQuota{Base: d.set.LoadQuotaBase, Ratio: d.set.LoadQuotaRatio}
+		if !rules.MayOrderLoad(ration, len(d.arrived), len(d.ordered)).OK() {
 			return false
 		}
 		d.ordered = append(d.ordered, now)
@@ -86,7 +86,7 @@
 		return
 	}
 	d.touch(now, w)
-	if res == OK || res == Full || res == Error {
+	if res == OK || res == QueueFull || res == Error {
 		d.answered(now, w)
 	}
 	sent := now
@@ -98,7 +98,7 @@
 			}
 			d.believe(now, h)
 			h.copies = copies
-		} else if res != Reset && res != Moot { // cut off or never written tells nothing of room: it is given again
+		} else if res != Reset && res != NotSent { // cut off or never written tells nothing of room: it is given again
 			h.noOrder = now + d.minAim
 		}
 	}
--- a/balancer/long_test.go
+++ b/balancer/long_test.go
@@ -267,7 +267,7 @@
 					i := rapid.IntRange(0, len(out)-1).Draw(t, "flight")
 					o := out[i]
 					out = slices.Delete(out, i, i+1)
-					res := Result(rapid.IntRange(0, int(Results)-1).Draw(t, "end"))
+					res := Result(rapid.IntRange(0, int(NumResults)-1).Draw(t, "end"))
 					d.HandleAttemptResult(now, AttemptResult{ID: o.id, Attempt: o.n, Worker: o.w, Result: res, Finished: res == OK, Warmth: WarmHit, Report: []float64{2}})
 				}
 			case 6:
--- a/balancer/maintenance.go
+++ b/balancer/maintenance.go
@@ -133,7 +133,7 @@
 	for id, f := range d.funcs {
 		keep := f.holders[:0]
 		for _, h := range f.holders {
-			if h.inflight > 0 || h.until > now || now-h.orderedAt < d.set.OrderTimeout && h.orderedAt > 0 {
+			if h.inflight > 0 || h.until > now || now-h.orderedAt < d.set.LoadOrderTimeout && h.orderedAt > 0 {
 				keep = append(keep, h)
 			} else {
 				h.w.holds = slices.DeleteFunc(h.w.holds, func(x *holder) bool { return x == h })
--- a/balancer/ration_test.go
+++ b/balancer/ration_test.go
@@ -9,7 +9,7 @@
 // day of clients that call functions which do not exist.
 func TestCallsOfUnknownFunctionsEarnNoOrders(t *testing.T) {
 	s := settings(Idempotent, ScopeAll)
-	s.LoadWindow, s.LoadFree, s.LoadShare = 5000*ms, 1, 0.25
+	s.LoadQuotaWindow, s.LoadQuotaBase, s.LoadQuotaRatio = 5000*ms, 1, 0.25
 	d, f := start(t, s, 4)
 	hear(d, 0)
 	for i := range 40 {
--- a/balancer/reports_test.go
+++ b/balancer/reports_test.go
@@ -224,7 +224,7 @@
 			case 8:
 				if len(f.sends) > 0 {
 					o := f.sends[rapid.IntRange(0, len(f.sends)-1).Draw(t, "ends")]
-					res := Result(rapid.IntRange(0, int(Results)-1).Draw(t, "end"))
+					res := Result(rapid.IntRange(0, int(NumResults)-1).Draw(t, "end"))
 					event(func() { d.tick(now) })
 					event(func() {
 						d.HandleAttemptResult(now, AttemptResult{ID: o.id, Worker: o.w, Result: res, Finished: res == OK, Warmth: WarmHit})
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -128,11 +128,11 @@
 	if a == nil {
 		return
 	}
-	a.open, a.excused = false, o.Result == Reset || o.Result == Moot || o.Result == Full && d.many() > 1
+	a.open, a.excused = false, o.Result == Reset || o.Result == NotSent || o.Result == QueueFull && d.many() > 1
 	r, h := a.req, a.h
 	h.inflight--
 	d.learn(now, a, o)
-	if o.Result == Full || o.Result == ConnectFailed || o.Result == Moot || o.Result == Miss {
+	if o.Result == QueueFull || o.Result == ConnectFailed || o.Result == NotSent || o.Result == NotLoaded {
 		// It never ran. Where a further attempt went out meanwhile, that one stays bound to this one's
 		// window.
 		a.ran = a.n < len(r.tries)-1
@@ -149,7 +149,7 @@
 		d.finish(now, r)
 		return
 	}
-	if o.Result == Miss && !d.set.LoadsOnMiss && o.Warmth != LoadFailed && d.order(now, h, 1) {
+	if o.Result == NotLoaded && !d.set.LoadsOnMiss && o.Warmth != LoadFailed && d.order(now, h, 1) {
 		h.orderedAt = now
 		if d.mayResend(now, r, w) && d.eligible(now, w) {
 			d.send(now, r, w, false)
@@ -158,7 +158,7 @@
 	}
 	// A queue needs time to drain: at once others are full too. If calls of many dispatchers went where no
 	// copy is expected, their loads would fill those queues too: they wait, no longer than a load takes.
-	if lone := d.many() > 1 && !r.fn.expected(now, h); o.Result == Full && (lone || len(r.tries) > 1) {
+	if lone := d.many() > 1 && !r.fn.expected(now, h); o.Result == QueueFull && (lone || len(r.tries) > 1) {
 		wait := d.stats[r.Class].mean / 2
 		if lone {
 			wait = min(d.loadTime(r.fn), float64(r.end(d)-now)/float64(d.set.MaxAttempts+1-len(r.tries)))
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -71,14 +71,19 @@
 
 // mayResend is the one gate for a further attempt, mayRefuse for a refusal: by effect class (rule 2).
 func (d *Balancer) mayResend(now int64, r *request, w *worker) bool {
-	call := rules.Repeat{Over: r.done || r.stream, LateForIt: now >= r.end(d), Attempts: len(r.tries), MostAttempts: d.set.MaxAttempts}
-	if !rules.MayRepeat(call).OK() {
+	call := rules.Retry{
+		Completed:       r.done || r.stream,
+		DeadlineReached: now >= r.end(d),
+		Attempts:        len(r.tries),
+		MaxAttempts:     d.set.MaxAttempts,
+	}
+	if !rules.MayRetry(call).OK() {
 		return false
 	}
 	for _, a := range r.tries {
 		barred := r.class.Idempotency == NotIdempotent || r.class.Idempotency == IdempotentByKey &&
 			(now >= a.sent+r.class.IdempotencyWindow-d.set.ClockResolution || !sameGroup(r.class.IdempotencyScope, a, w))
-		if !rules.MayRepeatBeside(rules.Earlier{Out: a.open, Ran: a.ran, Barred: barred}, d.set.Hedging).OK() {
+		if !rules.MayRetryAfter(rules.PriorAttempt{InFlight: a.open, MayHaveRun: a.ran, NotRetryable: barred}, d.set.Hedging).OK() {
 			return false
 		}
 	}
@@ -89,7 +94,7 @@
 	for _, a := range r.tries {
 		barred := r.class.Idempotency == NotIdempotent || r.class.Idempotency == IdempotentByKey &&
 			(r.class.IdempotencyScope != ScopeAll || now >= a.sent+r.class.IdempotencyWindow-d.set.ClockResolution)
-		if !rules.MayRefuse(rules.Earlier{Ran: a.ran, Barred: barred}).OK() {
+		if !rules.MayReject(rules.PriorAttempt{MayHaveRun: a.ran, NotRetryable: barred}).OK() {
 			return false
 		}
 	}
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -133,8 +133,8 @@
 	for _, f := range []struct {
 		name string
 		v    int64
-	}{{"KeepAlive", s.KeepAlive}, {"Cold", s.SlowStartWindow}, {"Fall", s.Fall}, {"DrainGrace", s.DrainGrace},
-		{"LoadWindow", s.LoadWindow}} {
+	}{{"KeepAlive", s.KeepAlive}, {"Cold", s.SlowStartWindow}, {"Fall", s.OverloadWindow}, {"DrainGrace", s.DrainGrace},
+		{"LoadWindow", s.LoadQuotaWindow}} {
 		if f.v < 0 {
 			return fmt.Errorf("balancer: %s is negative", f.name)
 		}
--- a/clock_test.go
+++ b/clock_test.go
@@ -22,8 +22,8 @@
 }
 
 func (w slowWorkers) Send(ctx context.Context, a Attempt) Reply {
-	if !a.Begin() {
-		return Reply{Result: balancer.Moot}
+	if !a.BeforeWrite() {
+		return Reply{Result: balancer.NotSent}
 	}
 	wait := time.After(w.takes)
 	if w.silent {
@@ -36,12 +36,12 @@
 		return Reply{Result: balancer.Timeout}
 	}
 }
-func (w slowWorkers) Probe(context.Context, Endpoint) Reply { return Reply{Result: balancer.OK} }
+func (w slowWorkers) HealthCheck(context.Context, Endpoint) Reply { return Reply{Result: balancer.OK} }
 func (w slowWorkers) Load(context.Context, LoadOrder) Reply {
 	return Reply{Result: balancer.OK, Copies: 1}
 }
-func (w slowWorkers) Drop(context.Context, LoadOrder) {}
-func (w slowWorkers) Forget(balancer.WorkerID)        {}
+func (w slowWorkers) Unload(context.Context, LoadOrder)  {}
+func (w slowWorkers) CloseConnections(balancer.WorkerID) {}
 
 // A step of the wall clock, either way and with calls in hand, changes nothing: calls are served as before, and one that a
 // worker never answers ends at its deadline.
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -71,9 +71,9 @@
 }
 func (h *instance) Log(text string) { h.out.Open("emit", h.who).Str("text", text).End() }
 
-var results = map[string]balancer.Result{"delivered": balancer.OK, "app_error": balancer.Error, "shed": balancer.Full,
+var results = map[string]balancer.Result{"delivered": balancer.OK, "app_error": balancer.Error, "shed": balancer.QueueFull,
 	"expired": balancer.Timeout, "dial_failed": balancer.ConnectFailed, "dropped": balancer.Reset,
-	"revoked": balancer.Cancelled, "unused": balancer.Moot, "empty": balancer.Miss}
+	"revoked": balancer.Cancelled, "unused": balancer.NotSent, "empty": balancer.NotLoaded}
 
 // result reads an outcome's name; one not known here proves nothing, like an error.
 func result(s string) balancer.Result {
@@ -184,8 +184,8 @@
 				return fmt.Errorf("line %d: demand: field target_fn: %q is not a function id", line, e.Fn)
 			}
 			h.d.HandleRequest(now, balancer.Request{ID: e.ID, Class: e.Kind, Tenant: e.Group, Func: balancer.FuncID(f),
-				Deadline: e.ValidUntil, MemoryMB: e.MemoryMB, Lanes: int(e.Lanes),
-				LoadTime: int64(e.LoadMS * 1e6), Repeat: e.Repeat})
+				Deadline: e.ValidUntil, MemoryMB: e.MemoryMB, Concurrency: int(e.Lanes),
+				LoadTime: int64(e.LoadMS * 1e6), Retry: e.Repeat})
 		case *wire.Bell:
 			if h, err = find(e.Who); err != nil {
 				return err
@@ -201,7 +201,7 @@
 				return err
 			}
 			o := balancer.AttemptResult{ID: e.ID, Attempt: e.Trial, Worker: balancer.WorkerID(e.Runner), RTT: e.RTT,
-				Finished: e.Finished, Report: e.Load, Result: result(e.How), Crowd: e.Info >> 3,
+				Finished: e.Finished, Report: e.Load, Result: result(e.How), ConcurrentRequests: e.Info >> 3,
 				Warmth: balancer.Warmth(e.Info & 7)}
 			h.d.HandleAttemptResult(now, o)
 		case *wire.Pong:
--- a/core.go
+++ b/core.go
@@ -55,8 +55,8 @@
 	RejectedByLimit                                         int64 // refused by the cap on open requests
 	RejectedByAdmission                                     int64 // refused by Config.Admit
 	Attempts, LoadOrders, LoadOrdersWithheld                int64
-	Unread                                                  int64                   // messages of peers that cannot be read
-	Ends                                                    [balancer.Results]int64 // of attempts, by decide.Result
+	InvalidPeerMessages                                     int64                      // messages of peers that cannot be read
+	AttemptResults                                          [balancer.NumResults]int64 // of attempts, by decide.Result
 }
 
 // Core dispatches requests. Its methods may be called from many goroutines.
@@ -168,8 +168,8 @@
 		stopped: make(chan struct{}), requests: map[string]*call{}, attempts: map[attemptKey]*inFlightAttempt{},
 		members: map[balancer.WorkerID]member{}, called: map[balancer.FuncID]calledKey{}}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
-	c.ration.window = time.Duration(cfg.Settings.LoadWindow)
-	c.ration.rule = rules.Ration{Free: cfg.Settings.LoadFree, Share: cfg.Settings.LoadShare}
+	c.ration.window = time.Duration(cfg.Settings.LoadQuotaWindow)
+	c.ration.rule = rules.LoadQuota{Base: cfg.Settings.LoadQuotaBase, Ratio: cfg.Settings.LoadQuotaRatio}
 	d, err := balancer.New(c.now(), cfg.Settings, cfg.Seed, (*host)(c))
 	if err != nil {
 		return nil, fmt.Errorf("oakthread: %w", err)
@@ -272,11 +272,11 @@
 // Ejected lists the workers that the module avoids by its own choice; nil once closed.
 func (c *Core) Ejected() []balancer.WorkerID { return look(c, c.d.Ejected) }
 
-// Shared is what is known of the sums over all dispatchers; the zero View once closed.
-func (c *Core) Shared() aggregate.View { return look(c, c.d.FleetView) }
+// FleetView is what is known of the sums over all dispatchers; the zero View once closed.
+func (c *Core) FleetView() aggregate.View { return look(c, c.d.FleetView) }
 
-// Verdicts lists what is held of each worker and why; nil once closed.
-func (c *Core) Verdicts() []balancer.WorkerHealth {
+// WorkerHealth lists what is held of each worker and why; nil once closed.
+func (c *Core) WorkerHealth() []balancer.WorkerHealth {
 	return look(c, func() []balancer.WorkerHealth { return c.d.WorkerHealth(c.now()) })
 }
 
@@ -300,7 +300,7 @@
 func (c *Core) HandlePeerMessage(from int, data string) {
 	c.post(func() {
 		if !c.d.HandlePeerMessage(c.now(), from, data) {
-			c.n.Unread++
+			c.n.InvalidPeerMessages++
 		}
 	})
 }
@@ -372,8 +372,8 @@
 func (c *Core) route(k *call) {
 	q := &k.req
 	c.d.HandleRequest(c.now(), balancer.Request{ID: q.ID, Class: q.Class, Tenant: q.Tenant, Func: q.Func,
-		Deadline: monotime.Nanos(q.Deadline), MemoryMB: q.MemoryMB, Lanes: q.Lanes, LoadTime: int64(q.LoadTime),
-		Repeat: q.Repeat})
+		Deadline: monotime.Nanos(q.Deadline), MemoryMB: q.MemoryMB, Concurrency: q.Concurrency, LoadTime: int64(q.LoadTime),
+		Retry: q.Retry})
 }
 
 var (
@@ -386,8 +386,8 @@
 	key := attemptKey{k.req.ID, k.tries}
 	ctx, off := context.WithCancelCause(c.ctx)
 	ctx, done := context.WithDeadline(ctx, until)
-	f := &inFlightAttempt{worker: m.ID, caller: k.ctx, left: k.req.Left, off: off}
-	a := Attempt{Request: &k.req, Worker: m, N: k.tries, Until: until, Begin: f.begin}
+	f := &inFlightAttempt{worker: m.ID, caller: k.ctx, left: k.req.CallerGone, off: off}
+	a := Attempt{Request: &k.req, Worker: m, Number: k.tries, Deadline: until, BeforeWrite: f.begin}
 	c.attempts[key] = f
 	k.tries++
 	c.n.Attempts++
@@ -411,10 +411,10 @@
 // finishAttempt takes the end of an attempt. The first good answer is the request's.
 func (c *Core) finishAttempt(key attemptKey, class int, w balancer.WorkerID, sent time.Time, r Reply) {
 	delete(c.attempts, key)
-	c.n.Ends[r.Result]++
+	c.n.AttemptResults[r.Result]++
 	took := time.Since(sent)
 	if c.cfg.Observed != nil {
-		c.cfg.Observed(Observation{Worker: w, Class: class, Result: r.Result, Warm: r.Warmth == balancer.WarmHit, Took: took})
+		c.cfg.Observed(Observation{Worker: w, Class: class, Result: r.Result, Warm: r.Warmth == balancer.WarmHit, Duration: took})
 	}
 	k := c.requests[key.id]
 	if c.cfg.Log.Enabled(c.ctx, slog.LevelDebug) {
@@ -423,7 +423,7 @@
 			fn = k.req.Func
 		}
 		c.cfg.Log.Debug("attempt ended", "id", key.id, "n", key.n, "worker", uint32(w), "fn", uint64(fn), "class", class,
-			"result", r.Result.String(), "note", int(r.Warmth), "crowd", r.Crowd, "report", fmt.Sprint(r.Report), "ms", took.Milliseconds())
+			"result", r.Result.String(), "note", int(r.Warmth), "crowd", r.ConcurrentRequests, "report", fmt.Sprint(r.Report), "ms", took.Milliseconds())
 	}
 	if k != nil && mayHaveRun(r.Result) {
 		k.ran++
@@ -435,7 +435,7 @@
 		c.complete(k, Answer{Outcome: Served, Body: r.Body}, false)
 	}
 	c.d.HandleAttemptResult(c.now(), balancer.AttemptResult{ID: key.id, Attempt: key.n, Worker: w, Result: r.Result,
-		Finished: c.requests[key.id] == nil, Warmth: r.Warmth, Crowd: r.Crowd, RTT: int64(took), Report: r.Report})
+		Finished: c.requests[key.id] == nil, Warmth: r.Warmth, ConcurrentRequests: r.ConcurrentRequests, RTT: int64(took), Report: r.Report})
 }
 
 // mayHaveRun tells whether an attempt that ended so may have had its effect.
@@ -467,7 +467,7 @@
 		if k.ctx.Err() != nil {
 			c.abandon(k)
 		}
-		c.n.Ends[r]++
+		c.n.AttemptResults[r]++
 		c.d.HandleAttemptResult(c.now(), balancer.AttemptResult{ID: k.req.ID, Attempt: n, Worker: w, Result: r,
 			Finished: c.requests[k.req.ID] != k, RTT: int64(time.Since(sent))})
 	})
@@ -537,7 +537,7 @@
 			start = monotime.StartTime(m.Start)
 		}
 		if known && (m.State == balancer.Removed || !old.Start.Equal(m.Start) || old.Addr != m.Addr) {
-			c.cfg.Workers.Forget(m.ID)
+			c.cfg.Workers.CloseConnections(m.ID)
 			c.revoke(m.ID)
 		}
 		if m.State != balancer.Active {
@@ -555,7 +555,7 @@
 		for id := range c.members {
 			if !named[id] {
 				delete(c.members, id)
-				c.cfg.Workers.Forget(id)
+				c.cfg.Workers.CloseConnections(id)
 				c.revoke(id)
 			}
 		}
@@ -597,7 +597,7 @@
 	}
 	m, known := c.members[w]
 	if k.ctx.Err() != nil {
-		c.unsent(k, w, balancer.Moot)
+		c.unsent(k, w, balancer.NotSent)
 		return
 	}
 	if !known || m.State != balancer.Active {
@@ -645,11 +645,11 @@
 	}
 	if !may {
 		c.n.LoadOrdersWithheld++
-		c.deferred = append(c.deferred, func() { c.d.HandleLoadResult(c.now(), w, f, 0, balancer.Full) })
+		c.deferred = append(c.deferred, func() { c.d.HandleLoadResult(c.now(), w, f, 0, balancer.QueueFull) })
 		return
 	}
 	c.n.LoadOrders++
-	given, limit := time.Now(), time.Duration(c.cfg.Settings.OrderTimeout)
+	given, limit := time.Now(), time.Duration(c.cfg.Settings.LoadOrderTimeout)
 	if limit <= 0 {
 		limit = 10 * time.Second
 	}
@@ -660,10 +660,10 @@
 	c.attempts[key] = way
 	go func() {
 		ctx, done := context.WithTimeout(ctx, limit)
-		r := c.cfg.Workers.Load(ctx, LoadOrder{Worker: m.Endpoint, Func: f, Key: name.key, Count: n, Begin: func() bool {
+		r := c.cfg.Workers.Load(ctx, LoadOrder{Worker: m.Endpoint, Func: f, Key: name.key, Count: n, BeforeWrite: func() bool {
 			return c.ration.write(reserved, time.Now()) && way.begin()
 		}})
-		if r.Result == balancer.Moot || r.Result == balancer.ConnectFailed { // nothing of it was written
+		if r.Result == balancer.NotSent || r.Result == balancer.ConnectFailed { // nothing of it was written
 			c.ration.release(reserved)
 		}
 		done()
@@ -687,7 +687,7 @@
 		go func() {
 			ctx, done := context.WithTimeout(c.ctx, probeTime*2)
 			defer done()
-			c.cfg.Workers.Drop(ctx, LoadOrder{Worker: m.Endpoint, Func: f, Key: name.key})
+			c.cfg.Workers.Unload(ctx, LoadOrder{Worker: m.Endpoint, Func: f, Key: name.key})
 		}()
 	}
 }
@@ -703,14 +703,14 @@
 	go func() {
 		ctx, done := context.WithTimeout(c.ctx, probeTime)
 		defer done()
-		r := c.cfg.Workers.Probe(ctx, m.Endpoint)
+		r := c.cfg.Workers.HealthCheck(ctx, m.Endpoint)
 		c.post(func() { c.d.HandleHealthCheck(c.now(), w, r.Result, int64(time.Since(sent)), r.Report) })
 	}()
 }
 
 func (h *host) SendPeerMessage(to int, data string) {
 	if h.cfg.Peers != nil {
-		h.cfg.Peers.Tell(to, data)
+		h.cfg.Peers.SendMessage(to, data)
 	}
 }
 
--- a/core_test.go
+++ b/core_test.go
@@ -28,8 +28,8 @@
 }
 
 func (s *stand) Send(ctx context.Context, a Attempt) Reply {
-	if !a.Begin() {
-		return Reply{Result: balancer.Moot}
+	if !a.BeforeWrite() {
+		return Reply{Result: balancer.NotSent}
 	}
 	s.sent <- a
 	select {
@@ -40,13 +40,13 @@
 		return Reply{Result: balancer.Reset}
 	}
 }
-func (s *stand) Probe(context.Context, Endpoint) Reply { return Reply{} }
+func (s *stand) HealthCheck(context.Context, Endpoint) Reply { return Reply{} }
 func (s *stand) Load(_ context.Context, o LoadOrder) Reply {
 	s.orders <- o
 	return Reply{Copies: o.Count}
 }
-func (s *stand) Drop(_ context.Context, o LoadOrder) { s.orders <- o }
-func (s *stand) Forget(id balancer.WorkerID)         { s.forgot <- id }
+func (s *stand) Unload(_ context.Context, o LoadOrder) { s.orders <- o }
+func (s *stand) CloseConnections(id balancer.WorkerID) { s.forgot <- id }
 func (s *stand) workers(states ...balancer.EndpointState) EndpointUpdate {
 	r := EndpointUpdate{Kind: balancer.EndpointsSnapshot}
 	for i, st := range states {
@@ -70,7 +70,7 @@
 }
 
 func ask(id string) Request {
-	return Request{ID: id, Tenant: -1, Func: 7, Key: "0000000000000007", Body: []byte("in"), Deadline: time.Now().Add(time.Minute), Lanes: 1}
+	return Request{ID: id, Tenant: -1, Func: 7, Key: "0000000000000007", Body: []byte("in"), Deadline: time.Now().Add(time.Minute), Concurrency: 1}
 }
 
 func TestOneFinalAnswer(t *testing.T) {
@@ -81,8 +81,8 @@
 		"served":                 {[]Reply{{Result: balancer.OK, Body: []byte("out")}}, Served},
 		"error may have run":     {[]Reply{{Result: balancer.Error}}, Failed},
 		"reset may have run":     {[]Reply{{Result: balancer.Reset}}, Failed},
-		"never ran, then served": {[]Reply{{Result: balancer.Moot}, {Result: balancer.OK, Body: []byte("out")}}, Served},
-		"never ran at all":       {[]Reply{{Result: balancer.Moot}, {Result: balancer.Moot}, {Result: balancer.Moot}}, Rejected},
+		"never ran, then served": {[]Reply{{Result: balancer.NotSent}, {Result: balancer.OK, Body: []byte("out")}}, Served},
+		"never ran at all":       {[]Reply{{Result: balancer.NotSent}, {Result: balancer.NotSent}, {Result: balancer.NotSent}}, Rejected},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, settled := newStand(), make(chan Completion, 4)
@@ -164,7 +164,7 @@
 	states := []balancer.EndpointState{balancer.Active, balancer.Active}
 	states[first-1] = balancer.Draining
 	core.UpdateEndpoints(s.workers(states...))
-	s.replies <- Reply{Result: balancer.Moot}
+	s.replies <- Reply{Result: balancer.NotSent}
 	assert.NotEqual(t, first, (<-s.sent).Worker.ID, "a retry went to the draining worker")
 	s.replies <- Reply{Result: balancer.OK}
 	assert.Equal(t, Served, (<-got).Outcome)
@@ -176,7 +176,7 @@
 
 // Guards the rule on loads at the time when the order leaves, and that none names a function nobody called.
 func TestOrdersAreRationed(t *testing.T) {
-	r := loadOrderLimiter{window: 5 * time.Second, rule: rules.Ration{Free: 2, Share: 0.5}}
+	r := loadOrderLimiter{window: 5 * time.Second, rule: rules.LoadQuota{Base: 2, Ratio: 0.5}}
 	at := func(ms int) time.Time { return time.Unix(100, 0).Add(time.Duration(ms) * time.Millisecond) }
 	var got []bool
 	for _, x := range []struct {
@@ -192,7 +192,7 @@
 
 	// An order whose connection comes up late is asked again when its first byte leaves: calls that earned it have left
 	// the window by then. One of which nothing was written makes room for another.
-	r = loadOrderLimiter{window: 5 * time.Second, rule: rules.Ration{Free: 1, Share: 0.5}}
+	r = loadOrderLimiter{window: 5 * time.Second, rule: rules.LoadQuota{Base: 1, Ratio: 0.5}}
 	r.count(at(2))
 	r.count(at(0)) // told late, since its function was not known before
 	assert.Equal(t, []time.Time{at(0), at(2)}, r.taken)
@@ -296,7 +296,7 @@
 	row := aggregate.Report{Values: []float64{1, 2}}
 	c.HandlePeerMessage(1, aggregate.Message{Report: row, Counts: []aggregate.Count{{Worker: 65535, N: 5}}}.Encode(3)[0]) // about a worker that is not listed
 	c.HandlePeerMessage(1, aggregate.Message{Report: row}.Encode(3)[0])                                                   // doubled
-	assert.Equal(t, int64(len(bad)+4), c.Counters().Unread)
+	assert.Equal(t, int64(len(bad)+4), c.Counters().InvalidPeerMessages)
 	s.replies <- Reply{Result: balancer.OK}
 	a, err := c.Do(t.Context(), ask("1"))
 	require.NoError(t, err)
@@ -313,10 +313,10 @@
 func (l *late) Send(ctx context.Context, a Attempt) Reply {
 	l.sent <- a
 	<-l.goOn
-	ok := a.Begin()
+	ok := a.BeforeWrite()
 	l.begun <- ok
 	if !ok {
-		return Reply{Result: balancer.Moot}
+		return Reply{Result: balancer.NotSent}
 	}
 	return Reply{Result: balancer.OK}
 }
@@ -380,13 +380,13 @@
 		c.Completed = func(x Completion) { settled <- x }
 	})
 	twice := func(id string, ctx context.Context) chan error {
-		s.replies <- Reply{Result: balancer.Full}
-		s.replies <- Reply{Result: balancer.Full}
+		s.replies <- Reply{Result: balancer.QueueFull}
+		s.replies <- Reply{Result: balancer.QueueFull}
 		end := make(chan error, 1)
 		go func() { _, err := core.Do(ctx, ask(id)); end <- err }()
 		<-s.sent
 		<-s.sent
-		for core.Counters().Ends[balancer.Full]%2 != 0 {
+		for core.Counters().AttemptResults[balancer.QueueFull]%2 != 0 {
 		}
 		return end
 	}
--- a/example_test.go
+++ b/example_test.go
@@ -18,15 +18,17 @@
 type local struct{}
 
 func (local) Send(_ context.Context, a oakthread.Attempt) oakthread.Reply {
-	if !a.Begin() { // its caller has left meanwhile
-		return oakthread.Reply{Result: balancer.Moot}
+	if !a.BeforeWrite() { // its caller has left meanwhile
+		return oakthread.Reply{Result: balancer.NotSent}
 	}
 	return oakthread.Reply{Result: balancer.OK, Warmth: balancer.WarmHit, Body: []byte(strings.ToUpper(string(a.Request.Body)))}
 }
-func (local) Probe(context.Context, oakthread.Endpoint) oakthread.Reply { return oakthread.Reply{} }
+func (local) HealthCheck(context.Context, oakthread.Endpoint) oakthread.Reply {
+	return oakthread.Reply{}
+}
 func (local) Load(context.Context, oakthread.LoadOrder) oakthread.Reply { return oakthread.Reply{} }
-func (local) Drop(context.Context, oakthread.LoadOrder)                 {}
-func (local) Forget(balancer.WorkerID)                                  {}
+func (local) Unload(context.Context, oakthread.LoadOrder)               {}
+func (local) CloseConnections(balancer.WorkerID)                        {}
 
 // A program dispatches calls behind its own server: the middleware takes the calls, other requests pass on.
 func Example() {
@@ -44,7 +46,7 @@
 			return oakthread.Request{}, middleware.ErrPass
 		}
 		body, err := io.ReadAll(r.Body)
-		return oakthread.Request{ID: "call-1", Tenant: -1, Func: 7, Body: body, Lanes: 1, Deadline: time.Now().Add(3 * time.Second)}, err
+		return oakthread.Request{ID: "call-1", Tenant: -1, Func: 7, Body: body, Concurrency: 1, Deadline: time.Now().Add(3 * time.Second)}, err
 	})
 	server := httptest.NewServer(calls(http.NotFoundHandler()))
 	defer server.Close()
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -582,7 +582,7 @@
 		var call func()
 		call = func() {
 			n++
-			h.d.HandleRequest(h.now, balancer.Request{ID: fmt.Sprint(n), Func: balancer.FuncID(rng.Uint64N(48_000)), Deadline: h.now + 5e9, Lanes: 1})
+			h.d.HandleRequest(h.now, balancer.Request{ID: fmt.Sprint(n), Func: balancer.FuncID(rng.Uint64N(48_000)), Deadline: h.now + 5e9, Concurrency: 1})
 			h.after(gap, call)
 		}
 		h.after(gap, call)
@@ -638,7 +638,7 @@
 			var call func()
 			call = func() {
 				n++
-				h.d.HandleRequest(h.now, balancer.Request{ID: fmt.Sprint(n), Func: balancer.FuncID(n), Deadline: h.now + 5e9, Lanes: 1})
+				h.d.HandleRequest(h.now, balancer.Request{ID: fmt.Sprint(n), Func: balancer.FuncID(n), Deadline: h.now + 5e9, Concurrency: 1})
 				h.after(5e6, call)
 			}
 			h.after(1, call)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -340,7 +340,7 @@
 	select {
 	case l := <-got:
 		// Attempts less those whose connection was refused.
-		f.Attempts, f.Ejected = l.n.Attempts-l.n.Ends[balancer.ConnectFailed], l.ejected
+		f.Attempts, f.Ejected = l.n.Attempts-l.n.AttemptResults[balancer.ConnectFailed], l.ejected
 	case <-ctx.Done():
 		f.Stale = true
 	}
@@ -350,7 +350,7 @@
 // verdicts is what the core holds of each executor, in the console's form; false: it did not answer in time.
 func verdicts(ctx context.Context, core *oakthread.Core) ([]adminapi.Verdict, bool) {
 	got := make(chan []balancer.WorkerHealth, 1)
-	go func() { got <- core.Verdicts() }()
+	go func() { got <- core.WorkerHealth() }()
 	select {
 	case vs := <-got:
 		rows := make([]adminapi.Verdict, 0, len(vs))
@@ -423,7 +423,7 @@
 			log.Warn("stood still", "process", process, "loop", loop)
 		}
 		if peers != nil && log.Enabled(ctx, slog.LevelDebug) {
-			v := core.Shared()
+			v := core.FleetView()
 			likely := make([]float64, 0, len(v.Totals))
 			for _, t := range v.Totals {
 				likely = append(likely, math.Round(10*t.Likely)/10)
@@ -435,10 +435,10 @@
 			strangers, long := peers.Dropped()
 			log.Info("counts", "taken", n.Accepted, "served", n.Served, "refused", n.Rejected, "failed", n.Failed,
 				"timed_out", n.TimedOut, "abandoned", n.Abandoned, "turned_away", n.RejectedByLimit, "held_off", n.RejectedByAdmission,
-				"attempts", n.Attempts, "full", n.Ends[balancer.Full], "moot", n.Ends[balancer.Moot], "cut", n.Ends[balancer.Reset],
-				"unreached", n.Ends[balancer.ConnectFailed], "late", n.Ends[balancer.Timeout], "errors", n.Ends[balancer.Error],
-				"called_off", n.Ends[balancer.Cancelled], "orders", n.LoadOrders, "orders_held", n.LoadOrdersWithheld, "bad", front.Bad(),
-				"peers_unread", n.Unread, "peers_long", long, "peers_unknown", strangers,
+				"attempts", n.Attempts, "full", n.AttemptResults[balancer.QueueFull], "moot", n.AttemptResults[balancer.NotSent], "cut", n.AttemptResults[balancer.Reset],
+				"unreached", n.AttemptResults[balancer.ConnectFailed], "late", n.AttemptResults[balancer.Timeout], "errors", n.AttemptResults[balancer.Error],
+				"called_off", n.AttemptResults[balancer.Cancelled], "orders", n.LoadOrders, "orders_held", n.LoadOrdersWithheld, "bad", front.Bad(),
+				"peers_unread", n.InvalidPeerMessages, "peers_long", long, "peers_unknown", strangers,
 				"accepts_failed", f.front.AcceptsFailed(), "connects_failed", f.fleet.Shortages(), "list_writes_failed", f.listWrites(),
 				"violations", f.found.Sum())
 		}
--- a/internal/endpointcache/keeper.go
+++ b/internal/endpointcache/keeper.go
@@ -27,9 +27,9 @@
 	crowded    = 0.9 // share of its cores at work: a box that reports more proves no room
 )
 
-// Prober asks a worker for its load.
-type Prober interface {
-	Probe(ctx context.Context, m oakthread.Endpoint) oakthread.Reply
+// HealthChecker asks a worker for its load.
+type HealthChecker interface {
+	HealthCheck(ctx context.Context, m oakthread.Endpoint) oakthread.Reply
 }
 
 // Options are the operator's [list] section.
@@ -44,7 +44,7 @@
 // Syncer has a list follow the world. Make one with NewKeeper, then call Run.
 type Syncer struct {
 	o     Options
-	boxes Prober
+	boxes HealthChecker
 	tell  func(oakthread.EndpointUpdate)
 	log   *slog.Logger
 
@@ -69,7 +69,7 @@
 
 // NewKeeper opens the file and starts the list from it. It tells one line for whatever is wrong with the file, and goes
 // on with what is sound or without. tell hands news to the core, in order, from one goroutine.
-func NewKeeper(o Options, boxes Prober, tell func(oakthread.EndpointUpdate), now time.Time, log *slog.Logger) *Syncer {
+func NewKeeper(o Options, boxes HealthChecker, tell func(oakthread.EndpointUpdate), now time.Time, log *slog.Logger) *Syncer {
 	k := &Syncer{o: o, boxes: boxes, tell: tell, log: log, list: endpoints.New(o.Roster), kick: make(chan struct{}, 1),
 		save: make(chan saving, 1), begun: now}
 	if o.Path == "" {
@@ -158,11 +158,11 @@
 
 // Observe takes the end of an attempt or order from the core.
 func (k *Syncer) Observe(o oakthread.Observation) {
-	s, tells := Sign(o.Result, o.Drains)
+	s, tells := Sign(o.Result, o.Draining)
 	if !tells {
 		return
 	}
-	if s == endpoints.Answered && o.Kind == oakthread.ObservedAttempt && o.Class < len(k.o.Aims) && o.Warm && o.Took > k.o.Aims[o.Class]/2 {
+	if s == endpoints.Answered && o.Kind == oakthread.ObservedAttempt && o.Class < len(k.o.Aims) && o.Warm && o.Duration > k.o.Aims[o.Class]/2 {
 		s = endpoints.Slow
 	}
 	k.event(func(now time.Time, l *endpoints.List) { l.Observe(now, o.Worker, s) })
@@ -173,9 +173,9 @@
 	switch {
 	case drains:
 		return endpoints.Drains, true
-	case r == balancer.OK || r == balancer.Miss:
+	case r == balancer.OK || r == balancer.NotLoaded:
 		return endpoints.Answered, true
-	case r == balancer.Full:
+	case r == balancer.QueueFull:
 		return endpoints.Busy, true
 	case r == balancer.ConnectFailed:
 		return endpoints.Refused, true
@@ -267,8 +267,8 @@
 func (k *Syncer) probe(ctx context.Context, b endpoints.Endpoint) {
 	in, done := context.WithTimeout(ctx, probeTime)
 	defer done()
-	r := k.boxes.Probe(in, Member(b))
-	s, tells := Sign(r.Result, r.Drains)
+	r := k.boxes.HealthCheck(in, Member(b))
+	s, tells := Sign(r.Result, r.Draining)
 	if !tells {
 		s = endpoints.Silent
 		if errors.Is(ctx.Err(), context.Canceled) {
--- a/internal/endpointcache/kept_test.go
+++ b/internal/endpointcache/kept_test.go
@@ -323,7 +323,7 @@
 	k.Told(full, "", 1)
 	for b.Loop() {
 		k.Admit(nil)
-		k.Observe(oakthread.Observation{Worker: 7, Result: balancer.OK, Warm: true, Took: time.Millisecond})
+		k.Observe(oakthread.Observation{Worker: 7, Result: balancer.OK, Warm: true, Duration: time.Millisecond})
 	}
 }
 
@@ -334,7 +334,7 @@
 	as    map[balancer.WorkerID]oakthread.Reply
 }
 
-func (b *boxes) Probe(_ context.Context, m oakthread.Endpoint) oakthread.Reply {
+func (b *boxes) HealthCheck(_ context.Context, m oakthread.Endpoint) oakthread.Reply {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.asked[m.ID]++
@@ -440,13 +440,13 @@
 
 // What an end shows of a box: only what is proved.
 func TestSigns(t *testing.T) {
-	for r, want := range map[balancer.Result]endpoints.Observation{balancer.OK: endpoints.Answered, balancer.Miss: endpoints.Answered, balancer.Full: endpoints.Busy,
+	for r, want := range map[balancer.Result]endpoints.Observation{balancer.OK: endpoints.Answered, balancer.NotLoaded: endpoints.Answered, balancer.QueueFull: endpoints.Busy,
 		balancer.ConnectFailed: endpoints.Refused, balancer.Timeout: endpoints.Silent, balancer.Error: endpoints.Broken, balancer.Reset: endpoints.Broken} {
 		got, tells := Sign(r, false)
 		assert.True(t, tells)
 		assert.Equal(t, want, got, r)
 	}
-	for _, r := range []balancer.Result{balancer.Cancelled, balancer.Moot} {
+	for _, r := range []balancer.Result{balancer.Cancelled, balancer.NotSent} {
 		_, tells := Sign(r, false)
 		assert.False(t, tells, r)
 	}
--- a/internal/lab/calibrate_test.go
+++ b/internal/lab/calibrate_test.go
@@ -79,7 +79,7 @@
 	host    stageHost
 	actions []action
 	calls0  []*simCall // of dispatcher 0
-	ends    [balancer.Results]int64
+	ends    [balancer.NumResults]int64
 	proved  map[balancer.WorkerID]time.Duration // when each executor last answered, as dispatcher 0's list has it, since the start of the run
 	lost    bool
 }
@@ -188,7 +188,7 @@
 func (s *stage) settingsOf(n int) balancer.Settings {
 	set := s.f.settings(n, stageNodes)
 	set.Gossip, set.PeerPrice = true, peerPrice
-	set.LoadFree = 1e6 // the core's second look at orders must not strike: it has a test of its own
+	set.LoadQuotaBase = 1e6 // the core's second look at orders must not strike: it has a test of its own
 	if s.settings != nil {
 		s.settings(&set)
 	}
@@ -415,7 +415,7 @@
 		look(h)
 	}
 	n := h.core.Counters()
-	s.ends = n.Ends
+	s.ends = n.AttemptResults
 	s.prove(h.keeper.Rows())
 	assert.Equal(t, n.Accepted, n.Served+n.Rejected+n.Failed+n.TimedOut, "calls without an end")
 	stop()
@@ -518,7 +518,7 @@
 	h.calls[id] = c
 	h.mu.Unlock()
 	q := oakthread.Request{ID: id, Class: c.class, Tenant: -1, Func: balancer.FuncID(c.model), Key: fmt.Sprintf("%016x", c.model),
-		Deadline: c.intended.Add(h.s.f.Classes[c.class].GiveUp - 200*time.Millisecond), MemoryMB: 4000, Lanes: h.s.f.Lanes, LoadTime: h.s.f.Load}
+		Deadline: c.intended.Add(h.s.f.Classes[c.class].GiveUp - 200*time.Millisecond), MemoryMB: 4000, Concurrency: h.s.f.Lanes, LoadTime: h.s.f.Load}
 	h.wait.Go(func() {
 		a, err := h.core.Do(context.Background(), q)
 		c.served, c.ended = err == nil && a.Outcome == oakthread.Served, time.Now()
@@ -542,8 +542,8 @@
 	number := 0
 	_, _ = fmt.Sscanf(c.name, "0.%d", &number)
 	var written atomic.Bool
-	h.put(8*number+a.N, func() {
-		h.s.did("send %s #%d to %d", a.Request.ID, a.N, a.Worker.ID)
+	h.put(8*number+a.Number, func() {
+		h.s.did("send %s #%d to %d", a.Request.ID, a.Number, a.Worker.ID)
 		h.depart(c, a, &written, got)
 	})
 	select {
@@ -552,7 +552,7 @@
 	case <-ctx.Done():
 	}
 	if context.Cause(ctx).Error() == "called off" {
-		h.did("cancel %s #%d", a.Request.ID, a.N)
+		h.did("cancel %s #%d", a.Request.ID, a.Number)
 	}
 	return overBy(&written)
 }
@@ -562,7 +562,7 @@
 	if written.Load() {
 		return oakthread.Reply{Result: balancer.Timeout}
 	}
-	return oakthread.Reply{Result: balancer.Moot}
+	return oakthread.Reply{Result: balancer.NotSent}
 }
 
 // depart is what an attempt meets on its way, as simNode.Send has it: what comes up is asked for right before the first byte.
@@ -572,12 +572,12 @@
 		if h.s.loses("answer") {
 			return
 		}
-		got <- oakthread.Reply{Result: r, Warmth: warm, Crowd: crowd, Report: rep}
+		got <- oakthread.Reply{Result: r, Warmth: warm, ConcurrentRequests: crowd, Report: rep}
 	}
 	begin := func() bool {
-		written.Store(a.Begin())
+		written.Store(a.BeforeWrite())
 		if !written.Load() {
-			land(balancer.Moot, 0, 0, nil)
+			land(balancer.NotSent, 0, 0, nil)
 		}
 		return written.Load()
 	}
@@ -607,8 +607,8 @@
 			w.after(failed, func() { answered(0, balancer.ConnectFailed) })
 			return
 		}
-		if written.Store(o.Begin()); !written.Load() {
-			answered(0, balancer.Moot)
+		if written.Store(o.BeforeWrite()); !written.Load() {
+			answered(0, balancer.NotSent)
 		} else if x.fate != vanishes {
 			w.after(simWay, func() { w.order(x, o.Func, answered) })
 		}
@@ -621,21 +621,21 @@
 	}
 }
 
-func (h *realHost) Drop(_ context.Context, o oakthread.LoadOrder) {
+func (h *realHost) Unload(_ context.Context, o oakthread.LoadOrder) {
 	h.put(rankRest, func() {
 		h.s.did("drop %x at %d", o.Func, o.Worker.ID)
 		h.s.drop(h.stub, h.s.byID[o.Worker.ID], o.Func)
 	})
 }
 
-func (h *realHost) Probe(_ context.Context, m oakthread.Endpoint) oakthread.Reply {
+func (h *realHost) HealthCheck(_ context.Context, m oakthread.Endpoint) oakthread.Reply {
 	h.did("probe %d", m.ID)
 	return oakthread.Reply{Result: balancer.Timeout}
 }
 
-func (h *realHost) Forget(balancer.WorkerID) {}
+func (h *realHost) CloseConnections(balancer.WorkerID) {}
 
-func (h *realHost) Tell(to int, data string) {
+func (h *realHost) SendMessage(to int, data string) {
 	h.put(rankRest, func() {
 		h.s.did("tell %d %s", to, data)
 		h.s.carry(0, to, data)
@@ -711,13 +711,13 @@
 // Guards against a hollow dispatcher that stands for nothing: whatever the module orders, both hosts do at the same time.
 func TestHostsActAlike(t *testing.T) {
 	total := map[string]int{}
-	var ends [balancer.Results]int64
+	var ends [balancer.NumResults]int64
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			real, hollow := playBoth(t, play{seed: seed}, func(h *realHost) {
 				n := h.core.Counters()
 				assert.Zero(t, n.LoadOrdersWithheld, "the core's second look struck")
-				assert.Zero(t, n.RejectedByLimit+n.RejectedByAdmission+n.Abandoned+n.Unread)
+				assert.Zero(t, n.RejectedByLimit+n.RejectedByAdmission+n.Abandoned+n.InvalidPeerMessages)
 			})
 			assert.Empty(t, firstApart(real.actions, hollow.actions))
 			assert.Empty(t, callsApart(real, hollow))
@@ -732,7 +732,7 @@
 		})
 	}
 	t.Log(total, ends)
-	for _, r := range []balancer.Result{balancer.OK, balancer.Error, balancer.Full, balancer.ConnectFailed, balancer.Cancelled} {
+	for _, r := range []balancer.Result{balancer.OK, balancer.Error, balancer.QueueFull, balancer.ConnectFailed, balancer.Cancelled} {
 		assert.Positive(t, ends[r], "no attempt ended so: %v", r)
 	}
 	for _, k := range []string{"send", "cancel", "refuse", "fail", "load", "drop", "tell", "log", "configure"} {
@@ -799,7 +799,7 @@
 // By design: the core looks a second time at the ration of orders, with a margin for the way; the module's own look is the
 // hollow host's only one.
 func TestCoreHoldsOrders(t *testing.T) {
-	_, real, hollow := apartBy(t, play{seed: 2, steady: true, settings: func(s *balancer.Settings) { s.LoadFree, s.LoadShare = 2, 0.05 }}, func(h *realHost) {
+	_, real, hollow := apartBy(t, play{seed: 2, steady: true, settings: func(s *balancer.Settings) { s.LoadQuotaBase, s.LoadQuotaRatio = 2, 0.05 }}, func(h *realHost) {
 		assert.Positive(t, h.core.Counters().LoadOrdersWithheld)
 	})
 	a, b := sorted(only(real.actions, hollow.actions)), sorted(only(hollow.actions, real.actions))
@@ -823,9 +823,9 @@
 			}
 		})
 	}
-	var ends [balancer.Results]int64
-	_, real, hollow := apartBy(t, play{seed: 1, asked: 1, span: 4 * time.Second, steady: true, handshake: true, script: drain}, func(h *realHost) { ends = h.core.Counters().Ends })
-	assert.Equal(t, int64(1), ends[balancer.Moot])
+	var ends [balancer.NumResults]int64
+	_, real, hollow := apartBy(t, play{seed: 1, asked: 1, span: 4 * time.Second, steady: true, handshake: true, script: drain}, func(h *realHost) { ends = h.core.Counters().AttemptResults })
+	assert.Equal(t, int64(1), ends[balancer.NotSent])
 	a, b := sorted(only(real.actions, hollow.actions)), only(hollow.actions, real.actions)
 	require.NotEmpty(t, a)
 	assert.Regexp(t, `^send 0\.999\.0 #1 to `, a[0].text)
@@ -911,7 +911,7 @@
 			real, hollow := playBoth(t, play{seed: 1, asked: 1, span: 4 * time.Second, steady: true, script: script}, nil)
 			assert.Empty(t, firstApart(real.actions, hollow.actions))
 			assert.Equal(t, real.ends, hollow.ends)
-			assert.Equal(t, int64(1), hollow.ends[balancer.Moot])
+			assert.Equal(t, int64(1), hollow.ends[balancer.NotSent])
 			assert.Zero(t, hollow.ends[balancer.Cancelled]+hollow.ends[balancer.Timeout])
 		})
 	}
@@ -957,7 +957,7 @@
 			})
 			s.at(call.intended.Add(simProbe/2), func() { end(s.nodes[0]) })
 		}})
-		assert.Equal(t, int64(1), hollow.ends[balancer.Moot], name)
+		assert.Equal(t, int64(1), hollow.ends[balancer.NotSent], name)
 		assert.Zero(t, hollow.ends[balancer.Cancelled]+hollow.ends[balancer.Timeout], name)
 	}
 }
@@ -974,7 +974,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := play{seed: 1, asked: 1, span: 8 * time.Second, steady: true,
-				settings: func(s *balancer.Settings) { s.OrderTimeout = int64(limit) },
+				settings: func(s *balancer.Settings) { s.LoadOrderTimeout = int64(limit) },
 				script: func(s *stage) { // a function is served, forgotten and asked for again; its box loses the load
 					for i, at := range []time.Duration{time.Second, 6 * time.Second} {
 						c := &simCall{class: 0, model: 77, intended: s.began.Add(at), name: fmt.Sprintf("0.90%d", i)}
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -42,7 +42,7 @@
 		defer b.Die()
 		listed = append(listed, listing(b, i, time.Now().Add(-time.Hour), Ready))
 	}
-	disc.Tell(listed...)
+	disc.SendMessage(listed...)
 	if _, err := disc.Listen(net.Addr(1, 0, 9400)); err != nil {
 		return err
 	}
--- a/internal/lab/keptlist.go
+++ b/internal/lab/keptlist.go
@@ -274,7 +274,7 @@
 		w.boxes, w.fate = append(w.boxes, b), append(w.fate, fateOf(i))
 		w.listed = append(w.listed, listing(b, i, old, Ready))
 	}
-	w.disc.Tell(w.listed...)
+	w.disc.SendMessage(w.listed...)
 	var peers []string
 	for n := range size.dispatchers {
 		peers = append(peers, net.Addr(arm*3+1, n, 9300))
@@ -377,7 +377,7 @@
 		w.fresh = append(w.fresh, f)
 		news = append(news, gone, listing(f, i, now, Ready))
 	}
-	w.disc.Tell(news...)
+	w.disc.SendMessage(news...)
 	return nil
 }
 
--- a/internal/lab/rig.go
+++ b/internal/lab/rig.go
@@ -102,7 +102,7 @@
 		}
 		return b.Addr
 	}
-	r.Disc.Tell(r.Listed...)
+	r.Disc.SendMessage(r.Listed...)
 	var listens []string
 	for n := range r.Dispatchers {
 		listens = append(listens, r.addr(groupNodes, n, 9300))
@@ -358,7 +358,7 @@
 			news = append(news, b)
 		}
 	}
-	r.Disc.Tell(news...)
+	r.Disc.SendMessage(news...)
 }
 
 // Between counts, over all boxes, the calls that came and those that were turned away, in a span.
--- a/internal/lab/service.go
+++ b/internal/lab/service.go
@@ -220,7 +220,7 @@
 			return
 		}
 		c.end = turnedAway
-		s.again(c, 10*time.Millisecond, r == balancer.Full)
+		s.again(c, 10*time.Millisecond, r == balancer.QueueFull)
 	})
 }
 
--- a/internal/lab/vtime.go
+++ b/internal/lab/vtime.go
@@ -188,7 +188,7 @@
 	limit   time.Duration // of an order
 	members map[balancer.WorkerID]simMember
 	told    map[balancer.WorkerID]time.Time // first refusal of a draining box
-	ends    [balancer.Results]int64         // of attempts, as oakthread.Counters has them
+	ends    [balancer.NumResults]int64      // of attempts, as oakthread.Counters has them
 	meter   *meter                          // nil: nothing is measured
 }
 
@@ -226,9 +226,9 @@
 // settings are those of a dispatcher on the sockets, without peers.
 func (f *Figures) settings(n, siblings int) balancer.Settings {
 	s := balancer.Settings{DispatcherIndex: n, Dispatchers: siblings, ClockResolution: int64(4 * time.Millisecond), MaxAttempts: 5, Hedging: true, Cancellation: true,
-		SendsRetryAfter: true, MaxRetryAfter: int64(1500 * time.Millisecond), DrainGrace: int64(time.Second), SlowStartWindow: int64(f.Box.Warm), Fall: int64(f.Box.Fall),
-		OverloadFactor: f.Box.Factor, SlowStartCapacity: f.Box.StartCap, LoadOrders: true, LoadsOnMiss: true, TellsWarm: true, TellsCrowd: true,
-		KeepAlive: int64(f.Box.Keep), LoadWindow: int64(5 * time.Second), OrderTimeout: int64(10 * time.Second), LoadFree: 6, LoadShare: 0.3,
+		SendsRetryAfter: true, MaxRetryAfter: int64(1500 * time.Millisecond), DrainGrace: int64(time.Second), SlowStartWindow: int64(f.Box.Warm), OverloadWindow: int64(f.Box.Fall),
+		OverloadFactor: f.Box.Factor, SlowStartCapacity: f.Box.StartCap, LoadOrders: true, LoadsOnMiss: true, ReportsWarmth: true, ReportsConcurrency: true,
+		KeepAlive: int64(f.Box.Keep), LoadQuotaWindow: int64(5 * time.Second), LoadOrderTimeout: int64(10 * time.Second), LoadQuotaBase: 6, LoadQuotaRatio: 0.3,
 		QueueField: 1, WastePrice: 0.2, OriginPrice: 0.03, MemoryPrice: 0.05}
 	for _, c := range f.Classes {
 		k := balancer.Class{LatencyObjective: int64(c.Aim), ClientTimeout: int64(c.GiveUp), PriorityWeight: c.Worth, LatePriorityWeight: 0.2, Idempotency: balancer.Idempotent}
@@ -253,7 +253,7 @@
 
 // module makes the decision module; host is s, or a test's around it.
 func (s *simNode) module(set balancer.Settings, seed uint64, host balancer.Host) (err error) {
-	if s.limit = time.Duration(set.OrderTimeout); s.limit <= 0 {
+	if s.limit = time.Duration(set.LoadOrderTimeout); s.limit <= 0 {
 		s.limit = 10 * time.Second
 	}
 	s.d, err = balancer.New(s.w.now.UnixNano(), set, seed, host)
@@ -281,7 +281,7 @@
 		}
 		for _, fl := range s.unbegun() {
 			if _, known := s.members[fl.worker]; !known {
-				fl.off(balancer.Moot)
+				fl.off(balancer.NotSent)
 			}
 		}
 		s.meter.begin(s.n, partList)
@@ -351,7 +351,7 @@
 	s.open[id] = &simOpen{call: c, began: s.w.now, deadline: deadline}
 	s.meter.begin(s.n, partChoice)
 	s.d.HandleRequest(s.w.now.UnixNano(), balancer.Request{ID: id, Class: c.class, Tenant: -1, Func: balancer.FuncID(c.model), Deadline: deadline.UnixNano(),
-		MemoryMB: 4000, Lanes: s.w.f.Lanes, LoadTime: int64(s.w.f.Load)})
+		MemoryMB: 4000, Concurrency: s.w.f.Lanes, LoadTime: int64(s.w.f.Load)})
 	s.meter.end()
 }
 
@@ -380,7 +380,7 @@
 	delete(s.open, id)
 	for n := range o.tries {
 		if fl := s.flights[simKey{id, n}]; fl != nil && !fl.begun {
-			fl.off(balancer.Moot)
+			fl.off(balancer.NotSent)
 		}
 	}
 	if served {
@@ -406,7 +406,7 @@
 func (s *simNode) revoke(w balancer.WorkerID) {
 	for _, fl := range s.unbegun() {
 		if fl.worker == w {
-			fl.off(balancer.Moot)
+			fl.off(balancer.NotSent)
 		}
 	}
 }
@@ -417,7 +417,7 @@
 		return
 	}
 	if fl.over = true; !fl.begun {
-		r = balancer.Moot
+		r = balancer.NotSent
 	}
 	fl.s.w.after(0, func() { fl.landed(r, 0, 0, 0, nil) })
 }
@@ -433,7 +433,7 @@
 func (fl *simFlight) timeout() {
 	r := balancer.Timeout
 	if !fl.begun {
-		r = balancer.Moot
+		r = balancer.NotSent
 	}
 	fl.land(r, 0, 0, 0, nil)
 }
@@ -444,7 +444,7 @@
 		return
 	}
 	delete(s.flights, fl.key)
-	if fl.open != nil && r == balancer.Full {
+	if fl.open != nil && r == balancer.QueueFull {
 		fl.open.full++
 	}
 	if o := fl.open; o != nil && r == balancer.OK && s.open[fl.key.id] == o {
@@ -464,7 +464,7 @@
 	} else {
 		s.ends[r]++
 		s.d.HandleAttemptResult(now.UnixNano(), balancer.AttemptResult{ID: fl.key.id, Attempt: fl.key.n, Worker: fl.worker, Result: r, Finished: s.open[fl.key.id] == nil,
-			Warmth: warm, Crowd: crowd, RTT: int64(now.Sub(fl.sent)), Report: rep})
+			Warmth: warm, ConcurrentRequests: crowd, RTT: int64(now.Sub(fl.sent)), Report: rep})
 	}
 	s.meter.end()
 }
@@ -571,7 +571,7 @@
 		}
 	}
 	if v != Taken {
-		rep, res := report(), balancer.Full
+		rep, res := report(), balancer.QueueFull
 		if v == Down {
 			res = balancer.Reset
 		}
@@ -649,7 +649,7 @@
 		s.w.after(0, func() {
 			if !s.dead {
 				s.meter.begin(s.n, partChoice)
-				s.d.HandleLoadResult(s.w.now.UnixNano(), id, f, 0, balancer.Full)
+				s.d.HandleLoadResult(s.w.now.UnixNano(), id, f, 0, balancer.QueueFull)
 				s.meter.end()
 			}
 		})
@@ -684,7 +684,7 @@
 	j.Data = func() { w.after(simWay, func() { answered(1, balancer.OK) }) }
 	v := x.box.Arrive(w.now, j)
 	if w.counts.arrived(w, x, j, v); v != Taken {
-		w.after(simWay, func() { answered(0, balancer.Full) })
+		w.after(simWay, func() { answered(0, balancer.QueueFull) })
 		return
 	}
 	w.hollow.loaded(j)
--- a/internal/platform/channel.go
+++ b/internal/platform/channel.go
@@ -302,8 +302,8 @@
 	return p, nil
 }
 
-// Tell hands a datagram to the socket's goroutine; with too many waiting, it is lost, as any may be.
-func (p *PeerTransport) Tell(to int, data string) {
+// SendMessage hands a datagram to the socket's goroutine; with too many waiting, it is lost, as any may be.
+func (p *PeerTransport) SendMessage(to int, data string) {
 	if len(data) > maxDatagram {
 		p.log.Error("message to peers is too long, not sent", "bytes", len(data))
 		return
--- a/internal/platform/connlimiter.go
+++ b/internal/platform/connlimiter.go
@@ -170,7 +170,7 @@
 // closeIfQuiet closes a connection where connections are to be quiet, unless a request has begun to come on it; the caller
 // holds mu.
 func (l *connLimiter) closeIfQuiet(c *clientConn) {
-	if l.closeIdle && l.mayClose(c, rules.CloseToQuiet, time.Now()).OK() {
+	if l.closeIdle && l.mayClose(c, rules.CloseForDrain, time.Now()).OK() {
 		l.close(c)
 	}
 }
@@ -181,7 +181,7 @@
 	if reason := rules.MayCloseClient(state, why); !reason.OK() {
 		return reason
 	}
-	state.Unread = unread(c.Conn) // a system call: asked last
+	state.UnreadData = unread(c.Conn) // a system call: asked last
 	return rules.MayCloseClient(state, why)
 }
 
@@ -233,18 +233,18 @@
 func (l *connLimiter) leastActive(now time.Time) (_ *clientConn, wait time.Duration) {
 	var candidates []*clientConn
 	for c := range l.conns {
-		switch rules.MayCloseClient(c.known(now), rules.CloseForAnother) {
+		switch rules.MayCloseClient(c.known(now), rules.CloseForCapacity) {
 		case rules.Allowed:
 			candidates = append(candidates, c)
 		case rules.TooRecent:
-			if rest := max(rules.QuietLeast(c.spoke)-now.Sub(c.since), time.Millisecond); wait == 0 || rest < wait {
+			if rest := max(rules.MinIdleTime(c.spoke)-now.Sub(c.since), time.Millisecond); wait == 0 || rest < wait {
 				wait = rest
 			}
 		}
 	}
 	slices.SortFunc(candidates, func(a, b *clientConn) int { return cmp.Compare(b.silence(now), a.silence(now)) })
 	for _, c := range candidates {
-		if l.mayClose(c, rules.CloseForAnother, now).OK() { // a system call each: few are asked
+		if l.mayClose(c, rules.CloseForCapacity, now).OK() { // a system call each: few are asked
 			return c, 0
 		}
 	}
@@ -262,7 +262,7 @@
 
 // known is what the rule on closing asks, but for what lies with the kernel. The caller holds the limiter's mu.
 func (c *clientConn) known(now time.Time) rules.ClientConn {
-	return rules.ClientConn{InHand: c.busy, Begun: c.came, Answered: c.spoke, Quiet: now.Sub(c.since)}
+	return rules.ClientConn{RequestInFlight: c.busy, PartlyRead: c.came, Reused: c.spoke, Idle: now.Sub(c.since)}
 }
 
 func (l *connLimiter) drop(c *clientConn) {
--- a/internal/platform/conns_test.go
+++ b/internal/platform/conns_test.go
@@ -275,8 +275,8 @@
 func TestOurTimeEndsBeforeAnythingIsWritten(t *testing.T) {
 	f := NewFleet(setup(t), 1)
 	f.slots <- struct{}{}
-	assert.Equal(t, balancer.Moot, f.Send(canceled(t), attempt(member("127.0.0.1:1"), "x")).Result)
-	assert.Equal(t, balancer.Moot, failure(canceled(t), true, context.Canceled))
+	assert.Equal(t, balancer.NotSent, f.Send(canceled(t), attempt(member("127.0.0.1:1"), "x")).Result)
+	assert.Equal(t, balancer.NotSent, failure(canceled(t), true, context.Canceled))
 }
 
 // Guards memory on a long day: a Transport made for an executor already forgotten is dropped when unused.
@@ -303,11 +303,11 @@
 			require.Equal(t, balancer.OK, f.Send(t.Context(), a).Result)
 		}
 		before := len(b.seen())
-		a.Begin = func() bool { return false }
-		assert.Equal(t, balancer.Moot, f.Send(t.Context(), a).Result)
-		o := oakthread.LoadOrder{Worker: a.Worker, Key: a.Request.Key, Count: 1, Begin: a.Begin}
-		assert.Equal(t, balancer.Moot, f.Load(t.Context(), o).Result)
-		a.Begin, a.Request.ID = nil, third
+		a.BeforeWrite = func() bool { return false }
+		assert.Equal(t, balancer.NotSent, f.Send(t.Context(), a).Result)
+		o := oakthread.LoadOrder{Worker: a.Worker, Key: a.Request.Key, Count: 1, BeforeWrite: a.BeforeWrite}
+		assert.Equal(t, balancer.NotSent, f.Load(t.Context(), o).Result)
+		a.BeforeWrite, a.Request.ID = nil, third
 		assert.Equal(t, balancer.OK, f.Send(t.Context(), a).Result)
 		assert.Equal(t, []string{third}, b.seen()[before:])
 	}
--- a/internal/platform/crossings_test.go
+++ b/internal/platform/crossings_test.go
@@ -218,7 +218,7 @@
 	s.list(balancer.EndpointsDelta, func(_ int, m *oakthread.Endpoint) { m.State = balancer.Draining })
 	close(s.goOn)
 	assert.Equal(t, 503, s.read(c), "no other box is there")
-	s.fleet.Probe(t.Context(), oakthread.Endpoint{ID: 1, Addr: s.boxes[0].addr()})
+	s.fleet.HealthCheck(t.Context(), oakthread.Endpoint{ID: 1, Addr: s.boxes[0].addr()})
 	assert.Equal(t, []string{third, "GET"}, s.boxes[0].seen())
 	s.over()
 }
@@ -260,7 +260,7 @@
 				assert.Equal(t, oakthread.Served, x.Answer.Outcome)
 				require.NoError(t, c.Close())
 			}
-			for s.core.Counters().Ends[balancer.OK] == 0 {
+			for s.core.Counters().AttemptResults[balancer.OK] == 0 {
 				runtime.Gosched()
 			}
 			n := s.core.Counters()
@@ -416,7 +416,7 @@
 	assert.Equal(t, balancer.OK, f.Send(t.Context(), attempt(m, "x")).Result)
 	stop()
 	for range mostWaiting {
-		assert.Equal(t, balancer.Moot, <-waits)
+		assert.Equal(t, balancer.NotSent, <-waits)
 	}
 	assert.Len(t, b.seen(), 2)
 }
--- a/internal/platform/faults_test.go
+++ b/internal/platform/faults_test.go
@@ -203,7 +203,7 @@
 }
 
 // rulesNewLeast is the longest time that a connection must have been quiet before it is closed for another.
-var rulesNewLeast = rules.QuietLeast(false)
+var rulesNewLeast = rules.MinIdleTime(false)
 
 // heldReadConn holds the end of a read back: its bytes have left the kernel, and nobody has counted them.
 type heldReadConn struct {
@@ -282,7 +282,7 @@
 		f.reach = func(_ context.Context, network, _ string) (net.Conn, error) {
 			return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("socket", errno)}
 		}
-		assert.Equal(t, balancer.Moot, f.Send(t.Context(), attempt(member(b.addr()), "x")).Result, "%v", errno)
+		assert.Equal(t, balancer.NotSent, f.Send(t.Context(), attempt(member(b.addr()), "x")).Result, "%v", errno)
 		assert.Empty(t, f.slots, "a place is still taken")
 	}
 }
@@ -291,10 +291,10 @@
 func TestTimeIsWordedAnew(t *testing.T) {
 	m := message{until: time.Now().Add(time.Second)}
 	assert.Equal(t, rules.Allowed, m.permit(time.Now()))
-	assert.Equal(t, rules.TimeTold, m.permit(time.Now().Add(-time.Second)))
+	assert.Equal(t, rules.BudgetStale, m.permit(time.Now().Add(-time.Second)))
 	m.begin = func() bool { return false }
-	assert.Equal(t, rules.RequestOver, m.permit(time.Now()))
-	assert.Equal(t, rules.RequestOver, (&message{begin: m.begin}).permit(time.Time{}))
+	assert.Equal(t, rules.RequestCompleted, m.permit(time.Now()))
+	assert.Equal(t, rules.RequestCompleted, (&message{begin: m.begin}).permit(time.Time{}))
 	assert.Equal(t, rules.Allowed, (&message{}).permit(time.Time{}), "a message that tells no time is not old")
 }
 
--- a/internal/platform/fleet.go
+++ b/internal/platform/fleet.go
@@ -190,8 +190,8 @@
 	return l, x
 }
 
-// Forget drops the connections to an executor that has gone or starts anew.
-func (f *ExecutorPool) Forget(id balancer.WorkerID) {
+// CloseConnections drops the connections to an executor that has gone or starts anew.
+func (f *ExecutorPool) CloseConnections(id balancer.WorkerID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if l := f.lines[id]; l != nil {
@@ -317,7 +317,9 @@
 }
 
 // known is what the rules on this connection ask; the caller holds mu.
-func (c *conn) known() rules.WorkerConn { return rules.WorkerConn{Awaits: c.waiting, Spent: c.tainted} }
+func (c *conn) known() rules.WorkerConn {
+	return rules.WorkerConn{ResponsePending: c.waiting, Tainted: c.tainted}
+}
 
 // spent tells that the connection must carry no further request.
 func (c *conn) spent() bool {
@@ -350,9 +352,9 @@
 		c.tainted = true // bytes behind an answer, which this process has not come to read
 	}
 	switch rules.MayReuseWorker(c.known()) {
-	case rules.ConnectionSpent:
+	case rules.ConnectionTainted:
 		return errUnasked
-	case rules.AnswerAwaited: // the rest of a request; after an answer whose end is not seen here, another one
+	case rules.ResponsePending: // the rest of a request; after an answer whose end is not seen here, another one
 		return nil
 	}
 	if c.permit != nil {
@@ -428,7 +430,7 @@
 // tell words what is left in a head that is about to be written.
 func (g *message) tell(head http.Header) {
 	if !g.until.IsZero() {
-		head.Set(budgetHeader, strconv.FormatInt(rules.TimeToTell(time.Until(g.until)), 10))
+		head.Set(budgetHeader, strconv.FormatInt(rules.RemainingMillis(time.Until(g.until)), 10))
 	}
 }
 
@@ -436,7 +438,7 @@
 func (g *message) permit(worded time.Time) rules.Reason {
 	w := rules.Write{Revoked: g.begin != nil && !g.begin()}
 	if !g.until.IsZero() {
-		w.Worded = time.Since(worded)
+		w.BudgetAge = time.Since(worded)
 	}
 	return rules.MayWrite(w)
 }
@@ -538,15 +540,15 @@
 	var dial dialError
 	switch {
 	case errors.Is(err, errNoSocket), errors.Is(err, errShortage):
-		return balancer.Moot // our own want, no fault of the worker's
+		return balancer.NotSent // our own want, no fault of the worker's
 	case ctx.Err() != nil && unsent:
-		return balancer.Moot // our time ran out, or we called it off, before anything was written
+		return balancer.NotSent // our time ran out, or we called it off, before anything was written
 	case errors.As(err, &dial) && !errors.Is(err, syscall.ECONNRESET):
 		return balancer.ConnectFailed
 	case ctx.Err() != nil:
 		return balancer.Timeout
 	case unsent:
-		return balancer.Moot // the connection came up and was cut: the executor is there
+		return balancer.NotSent // the connection came up and was cut: the executor is there
 	}
 	return balancer.Reset
 }
@@ -571,7 +573,7 @@
 		method = http.MethodGet
 	}
 	resp, body, unsent, err := f.trip(ctx, a.Worker, message{method: method, path: "/c/" + (*f.classes.Load())[a.Request.Class], header: h,
-		body: a.Request.Body, until: a.Until, begin: a.Begin})
+		body: a.Request.Body, until: a.Deadline, begin: a.BeforeWrite})
 	if err != nil {
 		return oakthread.Reply{Result: failure(ctx, unsent, err)}
 	}
@@ -586,7 +588,7 @@
 	h := resp.Header
 	r := oakthread.Reply{Result: balancer.Error, Warmth: notes[h.Get("X-Tell")], Report: f.report(h.Get("X-Report"))}
 	if n, err := strconv.Atoi(h.Get("X-Same")); err == nil && n > 0 {
-		r.Crowd = min(n, 30)
+		r.ConcurrentRequests = min(n, 30)
 	}
 	if n, err := strconv.Atoi(h.Get("X-N")); err == nil && n > 0 {
 		r.Copies = n
@@ -596,11 +598,11 @@
 	case resp.StatusCode == http.StatusOK:
 		r.Result, r.Body = balancer.OK, body
 	case resp.StatusCode == http.StatusNotFound:
-		r.Result = balancer.Miss
+		r.Result = balancer.NotLoaded
 	case resp.StatusCode == http.StatusServiceUnavailable && noEffect:
-		r.Result = balancer.Full
+		r.Result = balancer.QueueFull
 	case resp.StatusCode == http.StatusGatewayTimeout && noEffect:
-		r.Result = balancer.Moot
+		r.Result = balancer.NotSent
 	}
 	return r
 }
@@ -650,15 +652,15 @@
 	return out, nil
 }
 
-// Probe asks an executor for its load.
-func (f *ExecutorPool) Probe(ctx context.Context, m oakthread.Endpoint) oakthread.Reply {
+// HealthCheck asks an executor for its load.
+func (f *ExecutorPool) HealthCheck(ctx context.Context, m oakthread.Endpoint) oakthread.Reply {
 	resp, _, unsent, err := f.trip(ctx, m, message{method: http.MethodGet, path: "/busy", header: noAgent()})
 	if err != nil {
 		return oakthread.Reply{Result: failure(ctx, unsent, err)}
 	}
 	r := f.reply(resp, nil)
 	if r.Result != balancer.OK {
-		r.Result, r.Drains = balancer.Error, resp.StatusCode == http.StatusServiceUnavailable
+		r.Result, r.Draining = balancer.Error, resp.StatusCode == http.StatusServiceUnavailable
 	}
 	return r
 }
@@ -666,15 +668,15 @@
 // Load orders copies of a function. 500 is a failed load, 503 no room.
 func (f *ExecutorPool) Load(ctx context.Context, o oakthread.LoadOrder) oakthread.Reply {
 	path := "/c/" + url.PathEscape(o.Key) + "/" + strconv.Itoa(o.Count)
-	resp, _, unsent, err := f.trip(ctx, o.Worker, message{method: http.MethodPut, path: path, header: noAgent(), begin: o.Begin})
+	resp, _, unsent, err := f.trip(ctx, o.Worker, message{method: http.MethodPut, path: path, header: noAgent(), begin: o.BeforeWrite})
 	if err != nil {
 		return oakthread.Reply{Result: failure(ctx, unsent, err)}
 	}
 	return f.reply(resp, nil)
 }
 
-// Drop unloads the idle copies of a function; nothing is learned of it.
-func (f *ExecutorPool) Drop(ctx context.Context, o oakthread.LoadOrder) {
+// Unload unloads the idle copies of a function; nothing is learned of it.
+func (f *ExecutorPool) Unload(ctx context.Context, o oakthread.LoadOrder) {
 	_, _, _, _ = f.trip(ctx, o.Worker, message{method: http.MethodDelete, path: "/c/" + url.PathEscape(o.Key), header: noAgent()})
 }
 
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -207,7 +207,7 @@
 		old = f.latest.Load()
 	}
 	if c := clientConnOf(r.Context()); c != nil {
-		q.Left = func() bool { return hasLeft(c.Conn) }
+		q.CallerGone = func() bool { return hasLeft(c.Conn) }
 	}
 	a, err := f.core.Do(r.Context(), q)
 	f.closeAfter(w, r)
@@ -296,9 +296,9 @@
 	switch h.Get(repeatMark) {
 	case "", "0", "false":
 	default:
-		q.Repeat = true
+		q.Retry = true
 	}
-	q.MemoryMB, q.Lanes = extras["memory_mb"], int(lanes)
+	q.MemoryMB, q.Concurrency = extras["memory_mb"], int(lanes)
 	q.LoadTime = time.Duration(extras["load_ms"] * float64(time.Millisecond))
 	return q, nil
 }
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -247,8 +247,8 @@
 func TestOrdersAndProbesMatchGoldenFiles(t *testing.T) {
 	for name, do := range map[string]func(context.Context, *ExecutorPool, oakthread.LoadOrder){
 		"load":  func(ctx context.Context, f *ExecutorPool, o oakthread.LoadOrder) { f.Load(ctx, o) },
-		"drop":  func(ctx context.Context, f *ExecutorPool, o oakthread.LoadOrder) { f.Drop(ctx, o) },
-		"probe": func(ctx context.Context, f *ExecutorPool, o oakthread.LoadOrder) { f.Probe(ctx, o.Worker) },
+		"drop":  func(ctx context.Context, f *ExecutorPool, o oakthread.LoadOrder) { f.Unload(ctx, o) },
+		"probe": func(ctx context.Context, f *ExecutorPool, o oakthread.LoadOrder) { f.HealthCheck(ctx, o.Worker) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			b, requests := recorder(t, plainOK)
@@ -269,19 +269,19 @@
 		want                      reply
 	}{
 		{send, "200 OK", "X-Tell: hit\r\nX-Same: 3\r\nX-Report: queue:7;util:0.61", "a\x00\r\n",
-			reply{Result: balancer.OK, Warmth: balancer.WarmHit, Crowd: 3, Report: report, Body: body}},
+			reply{Result: balancer.OK, Warmth: balancer.WarmHit, ConcurrentRequests: 3, Report: report, Body: body}},
 		{send, "200 OK", "X-Tell: spawn\r\nX-Report: cpu:0.61;waiting:7;active:2", "",
 			reply{Result: balancer.OK, Warmth: balancer.BeganLoad, Report: report, Body: none}},
 		{send, "200 OK", "X-Tell: pending\r\nX-Report: queue:7", "",
 			reply{Result: balancer.OK, Warmth: balancer.AwaitedLoad, Body: none}},
 		{send, "200 OK", "X-Same: 99\r\nX-N: 2\r\nX-Tell: odd", "",
-			reply{Result: balancer.OK, Crowd: 30, Copies: 2, Body: none}},
+			reply{Result: balancer.OK, ConcurrentRequests: 30, Copies: 2, Body: none}},
 		{send, "200 OK", "X-No-Effect: 1", "", reply{Result: balancer.OK, Body: none}},
-		{send, "404 Not Found", "X-Report: queue:7;util:0.61", "gone", reply{Result: balancer.Miss, Report: report}},
-		{send, "404 Not Found", "X-Tell: spawn_failed", "", reply{Result: balancer.Miss, Warmth: balancer.LoadFailed}},
-		{send, "503 Full", "X-No-Effect: 1\r\nX-Same: 4", "", reply{Result: balancer.Full, Crowd: 4}},
+		{send, "404 Not Found", "X-Report: queue:7;util:0.61", "gone", reply{Result: balancer.NotLoaded, Report: report}},
+		{send, "404 Not Found", "X-Tell: spawn_failed", "", reply{Result: balancer.NotLoaded, Warmth: balancer.LoadFailed}},
+		{send, "503 Full", "X-No-Effect: 1\r\nX-Same: 4", "", reply{Result: balancer.QueueFull, ConcurrentRequests: 4}},
 		{send, "503 Full", "", "", reply{Result: balancer.Error}},
-		{send, "504 Late", "X-No-Effect: 1", "", reply{Result: balancer.Moot}},
+		{send, "504 Late", "X-No-Effect: 1", "", reply{Result: balancer.NotSent}},
 		{send, "504 Late", "X-No-Effect: true", "", reply{Result: balancer.Error}},
 		{send, "500 Broken", "X-Tell: spawn_failed", "", reply{Result: balancer.Error, Warmth: balancer.LoadFailed}},
 		{send, "429 Many", "X-No-Effect: 1", "", reply{Result: balancer.Error}},
@@ -290,9 +290,9 @@
 			reply{Result: balancer.OK, Warmth: balancer.BeganLoad, Copies: 2}},
 		{load, "200 OK", "X-N: 0", "", reply{Result: balancer.OK}},
 		{load, "500 Broken", "X-Tell: spawn_failed", "", reply{Result: balancer.Error, Warmth: balancer.LoadFailed}},
-		{load, "503 Full", "X-No-Effect: 1\r\nX-N: 1", "", reply{Result: balancer.Full, Copies: 1}},
+		{load, "503 Full", "X-No-Effect: 1\r\nX-N: 1", "", reply{Result: balancer.QueueFull, Copies: 1}},
 		{probe, "200 OK", "X-Report: queue:7;util:0.61", "x", reply{Result: balancer.OK, Report: report}},
-		{probe, "503 Drains", "X-No-Effect: 1", "", reply{Result: balancer.Error, Drains: true}},
+		{probe, "503 Drains", "X-No-Effect: 1", "", reply{Result: balancer.Error, Draining: true}},
 		{probe, "404 Not Found", "", "", reply{Result: balancer.Error}},
 	} {
 		t.Run(c.by+" "+c.status+" "+c.headers, func(t *testing.T) {
@@ -307,12 +307,12 @@
 			switch c.by {
 			case send:
 				a := attempt(m, "x")
-				a.Until = time.Now().Add(10 * time.Second)
+				a.Deadline = time.Now().Add(10 * time.Second)
 				got = f.Send(t.Context(), a)
 			case load:
 				got = f.Load(t.Context(), oakthread.LoadOrder{Worker: m, Key: "7F3a9c21e0b4d655", Count: 2})
 			case probe:
-				got = f.Probe(t.Context(), m)
+				got = f.HealthCheck(t.Context(), m)
 			}
 			assert.Equal(t, c.want, got)
 		})
@@ -532,8 +532,8 @@
 		return p, heard
 	}
 	p, heard := open(netip.AddrPort{})
-	p.Tell(1, data+"one")
-	p.Tell(-1, data+"all")
+	p.SendMessage(1, data+"one")
+	p.SendMessage(-1, data+"all")
 	read("to peer 1", one)
 	read("to all, at peer 1", one)
 	read("to all, at peer 2", two)
@@ -545,8 +545,8 @@
 	strangers, _ := p.Dropped()
 	assert.Equal(t, int64(1), strangers)
 	q, _ := open(groupAddr)
-	q.Tell(-1, data+"all")
-	q.Tell(2, data+"two")
+	q.SendMessage(-1, data+"all")
+	q.SendMessage(2, data+"two")
 	read("to all, at the group", group)
 	read("to peer 2", two)
 	matchGolden(t, "datagrams", []byte(raw.String()))
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -47,7 +47,7 @@
 }
 
 func attempt(m oakthread.Endpoint, body string) oakthread.Attempt {
-	return oakthread.Attempt{Worker: m, Until: time.Now().Add(time.Second), Request: &oakthread.Request{
+	return oakthread.Attempt{Worker: m, Deadline: time.Now().Add(time.Second), Request: &oakthread.Request{
 		ID: "9b1f03aa5c7e2d41", Class: 1, Key: "7F3a9c21e0b4d655", Body: []byte(body)}}
 }
 
@@ -84,14 +84,14 @@
 		assert.Equal(t, c.bad, err != nil, "%s: %v", name, err)
 		if name == "plain" {
 			assert.Equal(t, oakthread.Request{ID: "9b1f03aa5c7e2d41", Class: 1, Func: 0x7f3a9c21e0b4d655, Key: "7F3a9c21e0b4d655",
-				Deadline: time.Unix(101, 3e8), MemoryMB: 512, Lanes: 2, LoadTime: 640 * time.Millisecond}, q)
+				Deadline: time.Unix(101, 3e8), MemoryMB: 512, Concurrency: 2, LoadTime: 640 * time.Millisecond}, q)
 		}
 	}
 	for mark, want := range map[string]bool{"": false, "0": false, "false": false, "1": true, "true": true} {
 		h := http.Header{"X-Class": {"path-book"}, "X-Call-Id": {"9b1f03aa5c7e2d41"}, "X-Patience-Ms": {"1500"}, "X-Repeat": {mark}, "X-Dedupe-Key": {"k 1"}}
 		q, err := f.head("7F3a9c21e0b4d655", h, time.Now())
 		require.NoError(t, err)
-		assert.Equal(t, want, q.Repeat, mark)
+		assert.Equal(t, want, q.Retry, mark)
 		assert.Equal(t, "k 1", q.IdempotencyKey)
 		h.Add("X-Dedupe-Key", "k 2")
 		_, err = f.head("7F3a9c21e0b4d655", h, time.Now())
@@ -139,12 +139,12 @@
 	}{
 		{200, "X-Tell: hit", balancer.OK, balancer.WarmHit},
 		{200, "X-Tell: pending", balancer.OK, balancer.AwaitedLoad},
-		{404, "X-Tell: spawn_failed", balancer.Miss, balancer.LoadFailed},
+		{404, "X-Tell: spawn_failed", balancer.NotLoaded, balancer.LoadFailed},
 		{500, "X-Tell: spawn_failed", balancer.Error, balancer.LoadFailed},
-		{503, "X-No-Effect: 1", balancer.Full, 0},
+		{503, "X-No-Effect: 1", balancer.QueueFull, 0},
 		{503, "", balancer.Error, 0},
 		{503, "X-No-Effect: 0", balancer.Error, 0},
-		{504, "X-No-Effect: 1", balancer.Moot, 0},
+		{504, "X-No-Effect: 1", balancer.NotSent, 0},
 		{504, "", balancer.Error, 0},
 		{429, "X-No-Effect: 1", balancer.Error, 0},
 		{302, "", balancer.Error, 0},
@@ -239,7 +239,7 @@
 	assert.Equal(t, balancer.ConnectFailed, f.Send(t.Context(), attempt(member(addr), "x")).Result)
 	assert.Empty(t, f.slots, "a failed dial keeps its socket")
 	f.slots <- struct{}{}
-	assert.Equal(t, balancer.Moot, f.Send(t.Context(), attempt(member(addr), "x")).Result)
+	assert.Equal(t, balancer.NotSent, f.Send(t.Context(), attempt(member(addr), "x")).Result)
 	assert.Equal(t, balancer.Timeout, failure(canceled(t), false, errors.New("cut")))
 }
 
@@ -254,7 +254,7 @@
 		},
 		"just up": func(c net.Conn) (net.Conn, error) { return c, c.Close() },
 	} {
-		for resets, want := range []balancer.Result{balancer.OK, balancer.OK, balancer.Moot} {
+		for resets, want := range []balancer.Result{balancer.OK, balancer.OK, balancer.NotSent} {
 			f := NewFleet(setup(t), 10)
 			dial, dials := f.reach, 0
 			f.reach = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -416,9 +416,9 @@
 		p.peers = []netip.AddrPort{addr(a), addr(b)}
 	}
 	b.from = map[netip.AddrPort]int{addr(a): 0, addr(b): 1}
-	stranger.Tell(1, "who")
-	a.Tell(1, strings.Repeat("x", 257))
-	a.Tell(-1, "hello")
+	stranger.SendMessage(1, "who")
+	a.SendMessage(1, strings.Repeat("x", 257))
+	a.SendMessage(-1, "hello")
 	ctx, stop := context.WithCancel(t.Context())
 	for _, p := range []*PeerTransport{a, stranger} {
 		go func() { _ = p.Listen(ctx, func(int, string) {}) }()
--- a/internal/wire/setup.go
+++ b/internal/wire/setup.go
@@ -114,13 +114,13 @@
 		Gossip: p.Peers, SendsRetryAfter: p.RetryAfter, MaxRetryAfter: p.MaxRetryAfter,
 		ReportOnHealthCheck: s.Feedback.How == "on_probe",
 		PollEndpoints:       s.RegistryMode == "on_request", PollInterval: r.AskWithin,
-		AnswerSlack: r.AnswerSlack, DrainGrace: r.DrainGrace, SlowStartWindow: r.Cold, Fall: r.Fall,
+		ResponseSlack: r.AnswerSlack, DrainGrace: r.DrainGrace, SlowStartWindow: r.Cold, OverloadWindow: r.Fall,
 		OverloadFactor: r.OverloadFactor, SlowStartCapacity: r.StartCapacity,
-		LoadOrders: f.LoadControl, LoadsOnMiss: f.OnMiss != "miss", TellsWarm: f.WarmNotes, TellsCrowd: f.NotesPeers,
-		KeepAlive: f.LingerIdle, LoadWindow: f.LoadSpan, OrderTimeout: f.OrderLimit,
-		LoadFree: f.FreeLoads, LoadShare: f.LoadPart, MemoryPrice: f.IdleMemory, KindMemoryMB: f.KindMemory,
+		LoadOrders: f.LoadControl, LoadsOnMiss: f.OnMiss != "miss", ReportsWarmth: f.WarmNotes, ReportsConcurrency: f.NotesPeers,
+		KeepAlive: f.LingerIdle, LoadQuotaWindow: f.LoadSpan, LoadOrderTimeout: f.OrderLimit,
+		LoadQuotaBase: f.FreeLoads, LoadQuotaRatio: f.LoadPart, MemoryPrice: f.IdleMemory, KindMemoryMB: f.KindMemory,
 		CrossZonePrice: q.CrossZone, WastePrice: q.Waste, ProbePrice: q.Probe, PeerPrice: q.Peer,
-		LateFailPrice: q.LateFail, OriginPrice: q.Origin,
+		LateFailurePrice: q.LateFail, OriginPrice: q.Origin,
 	}
 	for _, c := range s.Categories {
 		d.Classes = append(d.Classes, balancer.Class{LatencyObjective: c.Aim, ClientTimeout: c.GiveUp, IdempotencyWindow: c.Window, PriorityWeight: c.Credit,
--- a/oakthread.go
+++ b/oakthread.go
@@ -16,23 +16,23 @@
 
 // Request is one call. ID, Key, IdempotencyKey and Body are handed on as they are.
 type Request struct {
-	ID       string // new with every try
-	Class    int    // place in the settings' classes
-	Tenant   int    // place in the settings' tenants; -1: none
-	Func     balancer.FuncID
-	Key      string // the function as the caller wrote it
-	Body     []byte
-	Deadline time.Time // the caller stops waiting then
-	MemoryMB float64   // of one loaded copy
-	Lanes    int       // calls that a copy runs at a time
-	LoadTime time.Duration
-	Repeat   bool // the caller says that it asked before
+	ID          string // new with every try
+	Class       int    // place in the settings' classes
+	Tenant      int    // place in the settings' tenants; -1: none
+	Func        balancer.FuncID
+	Key         string // the function as the caller wrote it
+	Body        []byte
+	Deadline    time.Time // the caller stops waiting then
+	MemoryMB    float64   // of one loaded copy
+	Concurrency int       // calls that a copy runs at a time
+	LoadTime    time.Duration
+	Retry       bool // the caller says that it asked before
 	// IdempotencyKey is the same for all tries of one call; workers that are given it drop repeats. Handed on as it is.
 	IdempotencyKey string
 	// Left, where set, tells whether the caller has left, as far as its connection shows; it is asked right before the first
 	// byte of each attempt, from any goroutine, and must return at once. A context that has ended says so as well.
-	Left func() bool
-	Ref  string // what the caller knows the request by; for observers alone
+	CallerGone func() bool
+	Ref        string // what the caller knows the request by; for observers alone
 }
 
 // Outcome is how a request ended.
@@ -90,22 +90,22 @@
 
 // Attempt is one send of a request to one worker.
 type Attempt struct {
-	Request *Request
-	Worker  Endpoint
-	N       int
-	Until   time.Time
-	Begin   func() bool // as in Order
+	Request     *Request
+	Worker      Endpoint
+	Number      int
+	Deadline    time.Time
+	BeforeWrite func() bool // as in Order
 }
 
 // Reply is the end of an attempt, probe or order. What cannot be told stays zero.
 type Reply struct {
-	Result balancer.Result
-	Warmth balancer.Warmth
-	Crowd  int       // calls of the same function that the worker held
-	Report []float64 // load report, in the order of the settings
-	Copies int       // of an order: copies that stand loaded
-	Drains bool      // of a probe: the worker says that it takes no work
-	Body   []byte
+	Result             balancer.Result
+	Warmth             balancer.Warmth
+	ConcurrentRequests int       // calls of the same function that the worker held
+	Report             []float64 // load report, in the order of the settings
+	Copies             int       // of an order: copies that stand loaded
+	Draining           bool      // of a probe: the worker says that it takes no work
+	Body               []byte
 }
 
 // ObservedKind is what an Observation is of.
@@ -118,13 +118,13 @@
 
 // Observation tells an observer how an attempt or order ended: what it shows of the worker.
 type Observation struct {
-	Kind   ObservedKind
-	Worker balancer.WorkerID
-	Class  int // of an attempt
-	Result balancer.Result
-	Warm   bool // the copy was found loaded
-	Drains bool
-	Took   time.Duration
+	Kind     ObservedKind
+	Worker   balancer.WorkerID
+	Class    int // of an attempt
+	Result   balancer.Result
+	Warm     bool // the copy was found loaded
+	Draining bool
+	Duration time.Duration
 }
 
 // LoadOrder asks a worker to hold Count copies of a function.
@@ -133,19 +133,19 @@
 	Func   balancer.FuncID
 	Key    string // as a caller wrote it last
 	Count  int
-	// Begin is asked right before the first byte is written; false: nothing may be written any more, and the end is
+	// BeforeWrite is asked right before the first byte is written; false: nothing may be written any more, and the end is
 	// Moot. Its caller may have left, or its worker begun to drain, while a connection came up. nil: always.
-	Begin func() bool
+	BeforeWrite func() bool
 }
 
 // Workers carries attempts, probes and orders. Each method blocks until its end or that of ctx, is called from
 // many goroutines, and writes at most one request for each call. Send and Load ask Begin before they write it.
 type Workers interface {
 	Send(ctx context.Context, a Attempt) Reply
-	Probe(ctx context.Context, m Endpoint) Reply
+	HealthCheck(ctx context.Context, m Endpoint) Reply
 	Load(ctx context.Context, o LoadOrder) Reply
-	Drop(ctx context.Context, o LoadOrder)
-	Forget(id balancer.WorkerID) // the worker has gone or starts anew: its connections are void
+	Unload(ctx context.Context, o LoadOrder)
+	CloseConnections(id balancer.WorkerID) // the worker has gone or starts anew: its connections are void
 }
 
 // EndpointWatcher tells of the list of workers until ctx ends. It calls tell in order, from one goroutine.
@@ -155,6 +155,6 @@
 
 // Peers carries short messages between dispatchers; they may be lost. Tell must not block; to below 0: all.
 type Peers interface {
-	Tell(to int, data string)
+	SendMessage(to int, data string)
 	Listen(ctx context.Context, heard func(from int, data string)) error
 }
--- a/ration.go
+++ b/ration.go
@@ -13,7 +13,7 @@
 // as taken, so that both looks have one number. Both carry a margin for the way to the worker.
 type loadOrderLimiter struct {
 	window time.Duration
-	rule   rules.Ration
+	rule   rules.LoadQuota
 
 	mu      sync.Mutex
 	taken   []time.Time // in order
@@ -82,5 +82,5 @@
 			others++
 		}
 	}
-	return rules.MayOrder(r.rule, len(r.taken), others).OK()
+	return rules.MayOrderLoad(r.rule, len(r.taken), others).OK()
 }
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -15,21 +15,21 @@
 type Reason int
 
 const (
-	Allowed         Reason = iota
-	CallInHand             // the connection carries a call whose answer is owed
-	RequestBegun           // bytes of a request have been read, and its answer is owed
-	BytesUnread            // bytes lie with the kernel that nobody has read
-	TooRecent              // a request may be on its way
-	CallerLeft             // the client has closed its connection or cancelled
-	RequestOver            // the request has its final answer, or the worker must get nothing new
-	TimeTold               // the time that the request tells the worker is over, or was told too long ago
-	MayHaveRun             // an attempt may have run, and the class must not run twice
-	AttemptOut             // an attempt is out, and the settings allow no second one beside it
-	NoAttemptsLeft         // the request has had all its attempts
-	OutOfTime              // the request must be answered now
-	RationSpent            // the ration of orders to load in this window is spent
-	AnswerAwaited          // the connection to a worker awaits an answer
-	ConnectionSpent        // the connection to a worker must carry nothing more
+	Allowed            Reason = iota
+	RequestInFlight           // the connection carries a call whose answer is owed
+	RequestPartlyRead         // bytes of a request have been read, and its answer is owed
+	UnreadData                // bytes lie with the kernel that nobody has read
+	TooRecent                 // a request may be on its way
+	CallerLeft                // the client has closed its connection or cancelled
+	RequestCompleted          // the request has its final answer, or the worker must get nothing new
+	BudgetStale               // the time that the request tells the worker is over, or was told too long ago
+	MayHaveRun                // an attempt may have run, and the class must not run twice
+	AttemptInFlight           // an attempt is out, and the settings allow no second one beside it
+	NoAttemptsLeft            // the request has had all its attempts
+	DeadlineReached           // the request must be answered now
+	LoadQuotaExhausted        // the ration of orders to load in this window is spent
+	ResponsePending           // the connection to a worker awaits an answer
+	ConnectionTainted         // the connection to a worker must carry nothing more
 )
 
 var reasons = [...]string{"allowed", "call in hand", "request begun", "bytes unread", "too recent", "caller left", "request over",
@@ -45,8 +45,8 @@
 type CloseCause int
 
 const (
-	CloseForAnother CloseCause = iota // all places are taken, and another client waits for one
-	CloseToQuiet                      // connections are to fall quiet: out of service, or at the end
+	CloseForCapacity CloseCause = iota // all places are taken, and another client waits for one
+	CloseForDrain                      // connections are to fall quiet: out of service, or at the end
 )
 
 const (
@@ -57,9 +57,9 @@
 	newLeast = 250 * time.Millisecond
 )
 
-// QuietLeast is how long a connection must have been quiet before it is closed for another; answered: it has carried a
+// MinIdleTime is how long a connection must have been quiet before it is closed for another; answered: it has carried a
 // request before.
-func QuietLeast(answered bool) time.Duration {
+func MinIdleTime(answered bool) time.Duration {
 	if answered {
 		return idleLeast
 	}
@@ -68,23 +68,23 @@
 
 // ClientConn is what is known of a client's connection.
 type ClientConn struct {
-	InHand   bool          // a whole call is in hand
-	Begun    bool          // some of a request has been read, and its answer has not been written
-	Unread   bool          // bytes lie with the kernel
-	Answered bool          // it has carried a request before
-	Quiet    time.Duration // since something happened on it
+	RequestInFlight bool          // a whole call is in hand
+	PartlyRead      bool          // some of a request has been read, and its answer has not been written
+	UnreadData      bool          // bytes lie with the kernel
+	Reused          bool          // it has carried a request before
+	Idle            time.Duration // since something happened on it
 }
 
 // MayCloseClient tells whether a client's connection may be closed.
 func MayCloseClient(c ClientConn, why CloseCause) Reason {
 	switch {
-	case c.InHand:
-		return CallInHand
-	case c.Begun && !mutant.On(mutant.CloseBegun):
-		return RequestBegun
-	case c.Unread && !mutant.On(mutant.CloseBegun):
-		return BytesUnread
-	case why == CloseForAnother && !mutant.On(mutant.CloseBegun) && c.Quiet < QuietLeast(c.Answered):
+	case c.RequestInFlight:
+		return RequestInFlight
+	case c.PartlyRead && !mutant.On(mutant.CloseBegun):
+		return RequestPartlyRead
+	case c.UnreadData && !mutant.On(mutant.CloseBegun):
+		return UnreadData
+	case why == CloseForCapacity && !mutant.On(mutant.CloseBegun) && c.Idle < MinIdleTime(c.Reused):
 		return TooRecent
 	}
 	return Allowed
@@ -98,7 +98,7 @@
 type Write struct {
 	CallerLeft bool
 	Revoked    bool          // the request is over, or its worker drains, has gone or starts anew
-	Worded     time.Duration // since the time that it tells was worded; 0: it tells none
+	BudgetAge  time.Duration // since the time that it tells was worded; 0: it tells none
 }
 
 // MayWrite tells whether the first byte of a request to a worker may be written.
@@ -107,9 +107,9 @@
 	case w.CallerLeft && !mutant.On(mutant.CallerLeft):
 		return CallerLeft
 	case w.Revoked && !mutant.On(mutant.Revoked) && !mutant.On(mutant.CallerLeft): // a request is over when its client leaves
-		return RequestOver
-	case w.Worded > mostWorded:
-		return TimeTold
+		return RequestCompleted
+	case w.BudgetAge > mostWorded:
+		return BudgetStale
 	}
 	return Allowed
 }
@@ -117,9 +117,9 @@
 // toldTooMuch is what a planted fault adds.
 const toldTooMuch = time.Second
 
-// TimeToTell is what a worker is told of the time that the client has left when its request is written, in whole
+// RemainingMillis is what a worker is told of the time that the client has left when its request is written, in whole
 // milliseconds, 1 at the least.
-func TimeToTell(left time.Duration) int64 {
+func RemainingMillis(left time.Duration) int64 {
 	if mutant.On(mutant.TimeTold) {
 		left += toldTooMuch
 	}
@@ -128,14 +128,14 @@
 
 // WorkerConn is what is known of a connection to a worker.
 type WorkerConn struct {
-	Awaits bool // a request was begun on it, and its answer has not ended
-	Spent  bool // it brought bytes that belong to no answer, or is about to be closed
+	ResponsePending bool // a request was begun on it, and its answer has not ended
+	Tainted         bool // it brought bytes that belong to no answer, or is about to be closed
 }
 
 // MayCloseWorker tells whether a kept connection to a worker may be closed for another's sake.
 func MayCloseWorker(c WorkerConn) Reason {
-	if c.Awaits {
-		return AnswerAwaited
+	if c.ResponsePending {
+		return ResponsePending
 	}
 	return Allowed
 }
@@ -143,74 +143,74 @@
 // MayReuseWorker tells whether a kept connection to a worker may carry a further request.
 func MayReuseWorker(c WorkerConn) Reason {
 	switch {
-	case c.Spent && !mutant.On(mutant.ReuseSpent):
-		return ConnectionSpent
-	case c.Awaits:
-		return AnswerAwaited
+	case c.Tainted && !mutant.On(mutant.ReuseSpent):
+		return ConnectionTainted
+	case c.ResponsePending:
+		return ResponsePending
 	}
 	return Allowed
 }
 
-// Earlier is an attempt that a call has had, as far as it bears on a further one.
-type Earlier struct {
-	Out    bool // it has not ended
-	Ran    bool // it may have run: nothing proves that it did not
-	Barred bool // then the call must not run again: by its class, or outside the window and group within which workers drop repeats
+// PriorAttempt is an attempt that a call has had, as far as it bears on a further one.
+type PriorAttempt struct {
+	InFlight     bool // it has not ended
+	MayHaveRun   bool // it may have run: nothing proves that it did not
+	NotRetryable bool // then the call must not run again: by its class, or outside the window and group within which workers drop repeats
 }
 
-// Repeat is a further attempt of a call.
-type Repeat struct {
-	Over         bool // the call has its answer, or its answer has begun
-	LateForIt    bool // the call must be answered now
-	Attempts     int  // so far
-	MostAttempts int
-	SecondCopies bool // a second attempt may be out beside the first
+// Retry is a further attempt of a call.
+type Retry struct {
+	Completed       bool // the call has its answer, or its answer has begun
+	DeadlineReached bool // the call must be answered now
+	Attempts        int  // so far
+	MaxAttempts     int
+	Hedging         bool // a second attempt may be out beside the first
 }
 
-// MayRepeat tells whether a further attempt may begin, as far as the call itself goes. Its earlier attempts are asked each
+// MayRetry tells whether a further attempt may begin, as far as the call itself goes. Its earlier attempts are asked each
 // by MayRepeatBeside.
-func MayRepeat(r Repeat) Reason {
+func MayRetry(r Retry) Reason {
 	switch {
-	case r.Over:
-		return RequestOver
-	case r.Attempts >= r.MostAttempts:
+	case r.Completed:
+		return RequestCompleted
+	case r.Attempts >= r.MaxAttempts:
 		return NoAttemptsLeft
-	case r.LateForIt:
-		return OutOfTime
+	case r.DeadlineReached:
+		return DeadlineReached
 	}
 	return Allowed
 }
 
-// MayRepeatBeside tells whether an earlier attempt allows a further one.
-func MayRepeatBeside(e Earlier, secondCopies bool) Reason {
+// MayRetryAfter tells whether an earlier attempt allows a further one.
+func MayRetryAfter(e PriorAttempt, secondCopies bool) Reason {
 	switch {
-	case e.Out && !secondCopies:
-		return AttemptOut
-	case e.Ran && e.Barred && !mutant.On(mutant.RepeatRan):
+	case e.InFlight && !secondCopies:
+		return AttemptInFlight
+	case e.MayHaveRun && e.NotRetryable && !mutant.On(mutant.RepeatRan):
 		return MayHaveRun
 	}
 	return Allowed
 }
 
-// MayRefuse tells whether a call may be answered with a refusal, which promises that it had no effect, as far as an earlier
+// MayReject tells whether a call may be answered with a refusal, which promises that it had no effect, as far as an earlier
 // attempt goes.
-func MayRefuse(e Earlier) Reason {
-	if e.Ran && e.Barred && !mutant.On(mutant.RefuseRan) {
+func MayReject(e PriorAttempt) Reason {
+	if e.MayHaveRun && e.NotRetryable && !mutant.On(mutant.RefuseRan) {
 		return MayHaveRun
 	}
 	return Allowed
 }
 
-// Ration is what orders to load may be given for: so many freely, and a share of the requests taken in the same window.
-type Ration struct {
-	Free, Share float64
+// LoadQuota is what orders to load may be given for: so many freely, and a share of the requests taken in the same window.
+type LoadQuota struct {
+	Base, Ratio float64
 }
 
-// MayOrder tells whether one more order to load may be written in a window in which so many requests were taken and so many
+// MayOrderLoad tells whether one more order to load may be written in a window in which so many requests were taken and so many
 // orders written.
-func MayOrder(r Ration, taken, ordered int) Reason {
-	if !mutant.On(mutant.RationFree) && float64(ordered+1) > r.Free+r.Share*float64(taken) {
-		return RationSpent
+func MayOrderLoad(r LoadQuota, taken, ordered int) Reason {
+	if !mutant.On(mutant.RationFree) && float64(ordered+1) > r.Base+r.Ratio*float64(taken) {
+		return LoadQuotaExhausted
 	}
 	return Allowed
 }
--- a/webhook/receive.go
+++ b/webhook/receive.go
@@ -280,7 +280,7 @@
 		return q, err
 	}
 	return oakthread.Request{ID: hex.EncodeToString(id[:]), Class: class, Tenant: tenant, Func: balancer.FuncID(f),
-		Key: d.Function, Body: d.Body, Deadline: time.Now().Add(wait), MemoryMB: d.MemoryMB, Lanes: d.Lanes,
+		Key: d.Function, Body: d.Body, Deadline: time.Now().Add(wait), MemoryMB: d.MemoryMB, Concurrency: d.Lanes,
 		LoadTime: time.Duration(d.LoadMS * float64(time.Millisecond)), Ref: m.id}, nil
 }
 
