--- a/webhook/failingdisk_test.go
+++ b/webhook/failingdisk_test.go
@@ -12,20 +12,20 @@
 // the disk never confirmed.
 type failingDisk struct {
 	*bbolt.DB
-	mu     sync.Mutex
-	before int // so many writes fail so
-	after  int
-	failed int
+	mu              sync.Mutex
+	failBeforeWrite int // so many writes fail so
+	failAfterWrite  int
+	failed          int
 }
 
 func (f *failingDisk) write(do func(func(*bbolt.Tx) error) error, change func(*bbolt.Tx) error) error {
 	f.mu.Lock()
-	before, after := f.before > 0, f.before == 0 && f.after > 0
+	before, after := f.failBeforeWrite > 0, f.failBeforeWrite == 0 && f.failAfterWrite > 0
 	if before {
-		f.before--
+		f.failBeforeWrite--
 		f.failed++
 	} else if after {
-		f.after--
+		f.failAfterWrite--
 		f.failed++
 	}
 	f.mu.Unlock()
@@ -41,10 +41,10 @@
 func (f *failingDisk) Update(change func(*bbolt.Tx) error) error { return f.write(f.DB.Update, change) }
 func (f *failingDisk) Batch(change func(*bbolt.Tx) error) error  { return f.write(f.DB.Batch, change) }
 
-// fail has the daemon's next writes fail.
-func (d *daemon) fail(before, after int) *failingDisk {
+// failWrites has the daemon's next writes fail.
+func (d *testFront) failWrites(before, after int) *failingDisk {
 	d.disk.mu.Lock()
 	defer d.disk.mu.Unlock()
-	d.disk.before, d.disk.after = before, after
+	d.disk.failBeforeWrite, d.disk.failAfterWrite = before, after
 	return d.disk
 }
--- a/webhook/front_test.go
+++ b/webhook/front_test.go
@@ -71,7 +71,7 @@
 
 // Guards identities over real sockets: an operator's key works only for that operator's SPIFFE ID, a stranger gets no
 // connection, and the daemon's own SVID may be renewed while it serves.
-func TestIdentities(t *testing.T) {
+func TestOperatorIdentityIsEnforced(t *testing.T) {
 	const root = "spiffe://trentvale.example/"
 	ca := newAuthority(t)
 	ca.issue(t, "daemon", root+"oakthread", false)
@@ -82,9 +82,9 @@
 		{Name: "a", Tenant: tenants[0], KeysFile: keys, SPIFFEID: root + "a"},
 		{Name: "b", Tenant: tenants[1], KeysFile: ca.path("keys-b"), SPIFFEID: root + "b"}}}
 	o.SPIFFE.SVID, o.SPIFFE.Key, o.SPIFFE.Bundle = ca.path("daemon.pem"), ca.path("daemon.key"), ca.path("ca.pem")
-	require.NoError(t, o.fill())
-	core := &booker{ran: map[string]int{}, answer: echo}
-	f, err := Open(o, core, classes, tenants, nil, quiet)
+	require.NoError(t, o.applyDefaults())
+	core := &fakeCore{runs: map[string]int{}, answer: echo}
+	f, err := Open(o, core, classes, tenants, nil, discardLog)
 	require.NoError(t, err)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -94,7 +94,7 @@
 
 	daemon := spiffeid.RequireFromString(root + "oakthread")
 	send := func(src spiffe.Source, key, id string) (int, error) {
-		body := want("path-book", fn, "x")
+		body := requestBody("path-book", testFunction, "x")
 		req, err := http.NewRequest("POST", "https://"+ln.Addr().String()+"/webhooks", bytes.NewReader(body))
 		require.NoError(t, err)
 		req.Header = signed(t, key, id, time.Now(), body)
@@ -119,16 +119,16 @@
 	require.Error(t, err, "the right name, by another authority")
 
 	ca.issue(t, "daemon", root+"oakthread", false)
-	require.NoError(t, f.files.Reload())
+	require.NoError(t, f.svidFiles.Reload())
 	code, err = send(a, secret(1), "m5")
 	require.NoError(t, err)
 	assert.Equal(t, 200, code)
 	require.NoError(t, os.WriteFile(ca.path("daemon.pem"), []byte("half written"), 0o600))
-	require.Error(t, f.files.Reload())
+	require.Error(t, f.svidFiles.Reload())
 	code, err = send(a, secret(1), "m6")
 	require.NoError(t, err)
 	assert.Equal(t, 200, code, "the old identity stays")
-	assert.Equal(t, map[string]int{"m1": 1, "m5": 1, "m6": 1}, core.ran)
+	assert.Equal(t, map[string]int{"m1": 1, "m5": 1, "m6": 1}, core.runs)
 	stop()
 	require.NoError(t, <-done)
 }
--- a/webhook/keys.go
+++ b/webhook/keys.go
@@ -26,7 +26,7 @@
 // Tolerance is how far a message's time may lie from ours, by the scheme.
 const Tolerance = 5 * time.Minute
 
-var errUnknownKey = errors.New("no known key made this signature")
+var errInvalidSignature = errors.New("no known key made this signature")
 
 // Options are the operator's file: what the webhook front is set up with.
 type Options struct {
@@ -35,10 +35,10 @@
 	Classes  []string `toml:"classes"`  // that webhooks may ask for; empty: all
 	Notify   []string `toml:"notify"`   // classes whose settlements are told outward
 	Receipts int      `toml:"receipts"` // how many are held at the most
-	Keep     span     `toml:"keep"`     // how long each: longer than any sender retries
-	Retry    span     `toml:"retry"`    // wait before a notice's second delivery; it doubles from there
-	RetryMax span     `toml:"retry_max"`
-	GiveUp   span     `toml:"give_up"` // after this a notice is put aside
+	Keep     duration `toml:"keep"`     // how long each: longer than any sender retries
+	Retry    duration `toml:"retry"`    // wait before a notice's second delivery; it doubles from there
+	RetryMax duration `toml:"retry_max"`
+	GiveUp   duration `toml:"give_up"` // after this a notice is put aside
 	SPIFFE   struct {
 		SVID   string `toml:"svid"` // PEM files
 		Key    string `toml:"key"`
@@ -59,9 +59,9 @@
 	keys []*standardwebhooks.Webhook
 }
 
-type span struct{ time.Duration }
+type duration struct{ time.Duration }
 
-func (s *span) UnmarshalText(b []byte) (err error) {
+func (s *duration) UnmarshalText(b []byte) (err error) {
 	s.Duration, err = time.ParseDuration(string(b))
 	return err
 }
@@ -94,25 +94,25 @@
 // folder of the file that they come from.
 func (o *Options) Resolve(path string) error {
 	for _, p := range []*string{&o.State, &o.SPIFFE.SVID, &o.SPIFFE.Key, &o.SPIFFE.Bundle} {
-		*p = beside(path, *p)
+		*p = resolvePath(path, *p)
 	}
 	for i := range o.Operators {
-		o.Operators[i].KeysFile = beside(path, o.Operators[i].KeysFile)
+		o.Operators[i].KeysFile = resolvePath(path, o.Operators[i].KeysFile)
 	}
-	return o.fill()
+	return o.applyDefaults()
 }
 
-func beside(file, path string) string {
+func resolvePath(file, path string) string {
 	if path == "" || filepath.IsAbs(path) {
 		return path
 	}
 	return filepath.Join(filepath.Dir(file), path)
 }
 
-// fill checks options and sets what was left out.
-func (o *Options) fill() error {
+// applyDefaults checks options and sets what was left out.
+func (o *Options) applyDefaults() error {
 	for _, d := range []struct {
-		s    *span
+		s    *duration
 		than time.Duration
 	}{{&o.Keep, defaultKeep}, {&o.Retry, defaultRetry}, {&o.RetryMax, defaultRetryMax}, {&o.GiveUp, defaultGiveUp}} {
 		if d.s.Duration == 0 {
@@ -134,16 +134,16 @@
 	return nil
 }
 
-// Ring is the operators with the keys in force. Reload may be called while messages flow.
-type Ring struct {
-	made atomic.Pointer[[]Operator]
-	from []Operator
-	log  *slog.Logger
+// KeySet is the operators with the keys in force. Reload may be called while messages flow.
+type KeySet struct {
+	current    atomic.Pointer[[]Operator]
+	configured []Operator
+	log        *slog.Logger
 }
 
-// NewRing reads every operator's keys.
-func NewRing(ops []Operator, log *slog.Logger) (*Ring, error) {
-	r := &Ring{from: ops, log: log}
+// NewKeySet reads every operator's keys.
+func NewKeySet(ops []Operator, log *slog.Logger) (*KeySet, error) {
+	r := &KeySet{configured: ops, log: log}
 	if _, err := r.Reload(); err != nil {
 		return nil, err
 	}
@@ -151,9 +151,9 @@
 }
 
 // Reload reads the keys again. An error leaves the keys in force as they are.
-func (r *Ring) Reload() (changed bool, err error) {
-	made := make([]Operator, 0, len(r.from))
-	for _, op := range r.from {
+func (r *KeySet) Reload() (changed bool, err error) {
+	made := make([]Operator, 0, len(r.configured))
+	for _, op := range r.configured {
 		if op.SPIFFEID != "" {
 			if op.id, err = spiffeid.FromString(op.SPIFFEID); err != nil {
 				return false, fmt.Errorf("operator %s: spiffe_id: %w", op.Name, err)
@@ -178,11 +178,11 @@
 		}
 		made = append(made, op)
 	}
-	old := r.made.Swap(&made)
-	return old == nil || !sameKeys(*old, made), nil
+	old := r.current.Swap(&made)
+	return old == nil || !equalKeys(*old, made), nil
 }
 
-func sameKeys(a, b []Operator) bool {
+func equalKeys(a, b []Operator) bool {
 	for i := range b {
 		if len(a[i].keys) != len(b[i].keys) {
 			return false
@@ -198,7 +198,7 @@
 }
 
 // Watch reloads the keys at every tick, and logs what came of it, until ctx ends.
-func (r *Ring) Watch(ctx context.Context, ticks <-chan time.Time) {
+func (r *KeySet) Watch(ctx context.Context, ticks <-chan time.Time) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -214,38 +214,38 @@
 	}
 }
 
-func (r *Ring) operators() []Operator { return *r.made.Load() }
+func (r *KeySet) operators() []Operator { return *r.current.Load() }
 
-// message is a verified webhook.
-type message struct {
-	id   string
-	at   time.Time
-	op   Operator
-	body []byte
+// verifiedMessage is a verified webhook.
+type verifiedMessage struct {
+	id        string
+	timestamp time.Time
+	operator  Operator
+	body      []byte
 }
 
 // verify finds whose key signed a message. Several signatures may stand in the header; one good one will do.
-func (r *Ring) verify(h http.Header, body []byte) (message, error) {
-	m := message{id: h.Get(standardwebhooks.HeaderWebhookID), body: body}
+func (r *KeySet) verify(h http.Header, body []byte) (verifiedMessage, error) {
+	m := verifiedMessage{id: h.Get(standardwebhooks.HeaderWebhookID), body: body}
 	sec, err := strconv.ParseInt(h.Get(standardwebhooks.HeaderWebhookTimestamp), 10, 64)
 	if err != nil || m.id == "" || len(m.id) > 256 || strings.ContainsRune(m.id, '.') {
-		return m, errUnknownKey
+		return m, errInvalidSignature
 	}
-	m.at = time.Unix(sec, 0)
+	m.timestamp = time.Unix(sec, 0)
 	for _, op := range r.operators() {
 		for _, key := range op.keys {
 			if key.Verify(body, h) == nil {
-				m.op = op
+				m.operator = op
 				return m, nil
 			}
 		}
 	}
-	return m, errUnknownKey
+	return m, errInvalidSignature
 }
 
 // sign makes the headers of a message, with a signature for every key in force: during a rotation the receiver
 // may know either.
-func (r *Ring) sign(operator, id string, at time.Time, body []byte) (http.Header, Operator, error) {
+func (r *KeySet) sign(operator, id string, at time.Time, body []byte) (http.Header, Operator, error) {
 	for _, op := range r.operators() {
 		if op.Name != operator {
 			continue
--- a/webhook/receive.go
+++ b/webhook/receive.go
@@ -48,33 +48,33 @@
 
 // Counters count what a Receiver has done since its start.
 type Counters struct {
-	Taken, Recorded, Joined             int64 // run; answered from a receipt; joined to a run under way
-	Unsigned, Replayed, Altered, Denied int64 // 401; 409 same signature; 409 other body; 403
-	Malformed, Full                     int64
+	Executed, FromReceipt, Joined                      int64 // run; answered from a receipt; joined to a run under way
+	Unauthenticated, Replayed, BodyMismatch, Forbidden int64 // 401; 409 same signature; 409 other body; 403
+	Malformed, Unavailable                             int64
 }
 
 // Receiver is the front for signed webhooks. It implements http.Handler.
 type Receiver struct {
-	core    Doer
-	ring    *Ring
-	store   *Store
-	classes []Class
-	allowed map[string]int // class by name
-	tenants map[string]int
-	keep    time.Duration
-	notices *Sender
-	log     *slog.Logger
-	ctx     context.Context
-	cancel  context.CancelFunc
-	work    sync.WaitGroup
-	slowest time.Duration // that a message may take to come
+	core        Doer
+	keys        *KeySet
+	store       *Store
+	classes     []Class
+	classIndex  map[string]int // class by name
+	tenantIndex map[string]int
+	retention   time.Duration
+	notifier    *Notifier
+	log         *slog.Logger
+	ctx         context.Context
+	cancel      context.CancelFunc
+	work        sync.WaitGroup
+	bodyTimeout time.Duration // that a message may take to come
 
-	locks [64]sync.Mutex // by message: a receipt and its run change together
-	mu    sync.Mutex
-	runs  map[string]*run
-	// unbegun are the calls of receipts whose write failed, by message: where the file has one all the same, its run never
+	messageLocks [64]sync.Mutex // by message: a receipt and its run change together
+	mu           sync.Mutex
+	executions   map[string]*execution
+	// unstarted are the calls of receipts whose write failed, by message: where the file has one all the same, its run never
 	// began.
-	unbegun map[string][]string
+	unstarted map[string][]string
 
 	closing   chan struct{} // closed by Close
 	closeOnce sync.Once
@@ -83,60 +83,60 @@
 	taken, recorded, joined, unsigned, replayed, altered, denied, malformed, full atomic.Int64
 }
 
-type run struct {
-	done   chan struct{}
-	answer oakthread.Answer
-	err    error
-	sum    []byte // of the message's body
+type execution struct {
+	done     chan struct{}
+	answer   oakthread.Answer
+	err      error
+	bodyHash []byte // of the message's body
 }
 
 const (
-	maxMessage = 64 << 10 // a call's body is 16 KiB at most, and grows by a third in base64
-	maxCall    = 16 << 10
-	comeBack   = time.Minute
+	maxMessageBytes = 64 << 10 // a call's body is 16 KiB at most, and grows by a third in base64
+	maxCallBytes    = 16 << 10
+	storeRetryAfter = time.Minute
 
-	mostUnbegun     = 64 // receipts of one message that could not be written
-	mostUnbegunKeys = 4096
-	answerTime      = 5 * time.Second // beyond a call's own time
-	bodyTime        = 5 * time.Second
+	maxUnstartedPerMessage = 64 // receipts of one message that could not be written
+	maxUnstartedMessages   = 4096
+	answerReserve          = 5 * time.Second // beyond a call's own time
+	bodyReadTimeout        = 5 * time.Second
 )
 
 // NewReceiver makes the front. Without a store it refuses every class that must not run twice.
-func NewReceiver(core Doer, o *Options, ring *Ring, store *Store, notices *Sender, classes []Class, tenants []string, log *slog.Logger) (*Receiver, error) {
-	rc := &Receiver{core: core, ring: ring, store: store, classes: classes, allowed: map[string]int{},
-		tenants: map[string]int{}, keep: o.Keep.Duration, notices: notices, log: log, runs: map[string]*run{}, unbegun: map[string][]string{}, closing: make(chan struct{}), slowest: bodyTime}
+func NewReceiver(core Doer, o *Options, ring *KeySet, store *Store, notices *Notifier, classes []Class, tenants []string, log *slog.Logger) (*Receiver, error) {
+	rc := &Receiver{core: core, keys: ring, store: store, classes: classes, classIndex: map[string]int{},
+		tenantIndex: map[string]int{}, retention: o.Keep.Duration, notifier: notices, log: log, executions: map[string]*execution{}, unstarted: map[string][]string{}, closing: make(chan struct{}), bodyTimeout: bodyReadTimeout}
 	rc.ctx, rc.cancel = context.WithCancel(context.Background())
 	for i, c := range classes {
 		if len(o.Classes) == 0 {
-			rc.allowed[c.Name] = i
+			rc.classIndex[c.Name] = i
 		}
 		for _, n := range o.Classes {
 			if n == c.Name {
-				rc.allowed[n] = i
+				rc.classIndex[n] = i
 			}
 		}
 	}
 	for _, n := range o.Classes {
-		if _, ok := rc.allowed[n]; !ok {
+		if _, ok := rc.classIndex[n]; !ok {
 			return nil, fmt.Errorf("webhooks: class %q is not in the settings", n)
 		}
 	}
-	for n, i := range rc.allowed {
+	for n, i := range rc.classIndex {
 		if o.State == "" && classes[i].Effect != balancer.Idempotent {
 			return nil, fmt.Errorf("webhooks: class %q must not run twice, so a state file is needed", n)
 		}
 	}
 	for i, n := range tenants {
-		rc.tenants[n] = i
+		rc.tenantIndex[n] = i
 	}
 	for _, op := range o.Operators {
-		if _, ok := rc.tenants[op.Tenant]; !ok && len(tenants) > 0 {
+		if _, ok := rc.tenantIndex[op.Tenant]; !ok && len(tenants) > 0 {
 			return nil, fmt.Errorf("webhooks: operator %s: tenant %q is not in the settings", op.Name, op.Tenant)
 		}
 	}
-	cut, err := store.endRunning(func(op, id string, r receipt) *notice {
-		return notices.notice(op, settled{Call: r.Call, Message: id, Class: r.Class, Function: r.Key,
-			Outcome: failed, Reason: "cut off by a restart"}, time.Now())
+	cut, err := store.failInterrupted(func(op, id string, r receipt) *notification {
+		return notices.newNotification(op, completionData{CallID: r.CallID, MessageID: id, Class: r.Class, Function: r.Function,
+			Outcome: statusFailed, Reason: "cut off by a restart"}, time.Now())
 	})
 	if err != nil {
 		return nil, fmt.Errorf("webhooks: state file: %w", err)
@@ -149,9 +149,9 @@
 
 // Counters returns the counts so far.
 func (rc *Receiver) Counters() Counters {
-	return Counters{Taken: rc.taken.Load(), Recorded: rc.recorded.Load(), Joined: rc.joined.Load(),
-		Unsigned: rc.unsigned.Load(), Replayed: rc.replayed.Load(), Altered: rc.altered.Load(),
-		Denied: rc.denied.Load(), Malformed: rc.malformed.Load(), Full: rc.full.Load()}
+	return Counters{Executed: rc.taken.Load(), FromReceipt: rc.recorded.Load(), Joined: rc.joined.Load(),
+		Unauthenticated: rc.unsigned.Load(), Replayed: rc.replayed.Load(), BodyMismatch: rc.altered.Load(),
+		Forbidden: rc.denied.Load(), Malformed: rc.malformed.Load(), Unavailable: rc.full.Load()}
 }
 
 // Close waits for the calls under way: each has its own end.
@@ -163,12 +163,12 @@
 
 // call is the data of a message that asks for a call.
 type callData struct {
-	Function string  `json:"function"`
-	Body     []byte  `json:"body"` // base64
-	Patience float64 `json:"patience_ms"`
-	MemoryMB float64 `json:"memory_mb"`
-	Lanes    int     `json:"lanes"`
-	LoadMS   float64 `json:"load_ms"`
+	Function    string  `json:"function"`
+	Body        []byte  `json:"body"` // base64
+	PatienceMS  float64 `json:"patience_ms"`
+	MemoryMB    float64 `json:"memory_mb"`
+	Concurrency int     `json:"lanes"`
+	LoadMS      float64 `json:"load_ms"`
 }
 
 // ServeHTTP takes a message through its stages: verify, take in, admit, run, relay.
@@ -180,8 +180,8 @@
 	}
 	// Against bodies that never end: each holds one of the front's connections.
 	reads := http.NewResponseController(w)
-	_ = reads.SetReadDeadline(time.Now().Add(rc.slowest))
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxMessage))
+	_ = reads.SetReadDeadline(time.Now().Add(rc.bodyTimeout))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxMessageBytes))
 	var long *http.MaxBytesError
 	if errors.As(err, &long) {
 		rc.malformed.Add(1)
@@ -198,18 +198,18 @@
 		return // the sender left
 	}
 	_ = reads.SetReadDeadline(time.Time{})
-	m, err := rc.ring.verify(r.Header, body)
+	m, err := rc.keys.verify(r.Header, body)
 	if err != nil {
 		rc.unsigned.Add(1)
 		http.Error(w, "signature is not valid", http.StatusUnauthorized)
 		return
 	}
-	if !allowed(r.TLS, m.op) {
+	if !peerAllowed(r.TLS, m.operator) {
 		rc.denied.Add(1)
 		http.Error(w, "this identity may not use this key", http.StatusForbidden)
 		return
 	}
-	q, err := rc.takeIn(m)
+	q, err := rc.decode(m)
 	if err != nil {
 		rc.malformed.Add(1)
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -217,7 +217,7 @@
 	}
 	k, recorded, err := rc.admit(m, q)
 	if err != nil {
-		rc.turnAway(w, err)
+		rc.writeRejection(w, err)
 		return
 	}
 	select {
@@ -232,7 +232,7 @@
 }
 
 // allowed: under mTLS an operator with a SPIFFE ID must come as that.
-func allowed(t *tls.ConnectionState, op Operator) bool {
+func peerAllowed(t *tls.ConnectionState, op Operator) bool {
 	if op.id.IsZero() {
 		return true
 	}
@@ -240,8 +240,8 @@
 	return err == nil && id == op.id
 }
 
-// takeIn decodes a verified message into the Core's value, once.
-func (rc *Receiver) takeIn(m message) (q oakthread.Request, err error) {
+// decode decodes a verified message into the Core's value, once.
+func (rc *Receiver) decode(m verifiedMessage) (q oakthread.Request, err error) {
 	var msg struct {
 		Type string   `json:"type"`
 		Data callData `json:"data"`
@@ -250,7 +250,7 @@
 		return q, fmt.Errorf("message cannot be read: %w", err)
 	}
 	name, ok := strings.CutSuffix(msg.Type, ".requested")
-	class, known := rc.allowed[name]
+	class, known := rc.classIndex[name]
 	if !ok || !known {
 		return q, fmt.Errorf("type %q: want a class and .requested", msg.Type)
 	}
@@ -259,20 +259,20 @@
 	if err != nil || len(d.Function) != 16 {
 		return q, fmt.Errorf("function %q: want 16 hex digits", d.Function)
 	}
-	if len(d.Body) > maxCall {
-		return q, fmt.Errorf("body is over %d bytes", maxCall)
+	if len(d.Body) > maxCallBytes {
+		return q, fmt.Errorf("body is over %d bytes", maxCallBytes)
 	}
-	for _, x := range []float64{d.Patience, d.MemoryMB, d.LoadMS, float64(d.Lanes)} {
+	for _, x := range []float64{d.PatienceMS, d.MemoryMB, d.LoadMS, float64(d.Concurrency)} {
 		if x < 0 || math.IsInf(x, 0) || x > 1e9 {
 			return q, errors.New("a figure is out of range")
 		}
 	}
 	wait := rc.classes[class].GiveUp
-	if d.Patience > 0 {
-		wait = min(wait, time.Duration(d.Patience*float64(time.Millisecond)))
+	if d.PatienceMS > 0 {
+		wait = min(wait, time.Duration(d.PatienceMS*float64(time.Millisecond)))
 	}
 	tenant := -1
-	if i, ok := rc.tenants[m.op.Tenant]; ok {
+	if i, ok := rc.tenantIndex[m.operator.Tenant]; ok {
 		tenant = i
 	}
 	var id [8]byte
@@ -280,65 +280,65 @@
 		return q, err
 	}
 	return oakthread.Request{ID: hex.EncodeToString(id[:]), Class: class, Tenant: tenant, Func: balancer.FuncID(f),
-		Key: d.Function, Body: d.Body, Deadline: time.Now().Add(wait), MemoryMB: d.MemoryMB, Concurrency: d.Lanes,
+		Key: d.Function, Body: d.Body, Deadline: time.Now().Add(wait), MemoryMB: d.MemoryMB, Concurrency: d.Concurrency,
 		LoadTime: time.Duration(d.LoadMS * float64(time.Millisecond)), Ref: m.id}, nil
 }
 
 // admit writes the receipt, and starts a run, joins one, or finds the recorded outcome.
-func (rc *Receiver) admit(m message, q oakthread.Request) (k *run, recorded bool, err error) {
+func (rc *Receiver) admit(m verifiedMessage, q oakthread.Request) (k *execution, recorded bool, err error) {
 	sum := sha256.Sum256(m.body)
 	class := rc.classes[q.Class]
-	key := m.op.Name + "\x00" + m.id
-	fresh := receipt{Sum: sum[:], Call: q.ID, Class: class.Name, Key: q.Key, Expires: monotime.Now().Add(rc.keep)}
+	key := m.operator.Name + "\x00" + m.id
+	fresh := receipt{BodyHash: sum[:], CallID: q.ID, Class: class.Name, Function: q.Key, ExpiresAt: monotime.Now().Add(rc.retention)}
 	// A refusal had no effect, so the message may be run when it comes again; so may a failed call that is safe
 	// to repeat. Everything else stands as recorded.
 	again := func(r receipt) bool {
-		return r.Status == refused || class.Effect == balancer.Idempotent && r.Status != served
+		return r.Status == statusRejected || class.Effect == balancer.Idempotent && r.Status != statusServed
 	}
 	// The lock holds from before the receipt shows a run until the run can be found, so that a second delivery
 	// meets either none or both.
 	defer rc.lock(key)()
 	rc.mu.Lock()
-	unbegun := rc.unbegun[key]
+	unbegun := rc.unstarted[key]
 	rc.mu.Unlock()
-	r, start, err := rc.store.take(m.op.Name, m.id, m.at, fresh, unbegun, again)
+	r, start, err := rc.store.acquireReceipt(m.operator.Name, m.id, m.timestamp, fresh, unbegun, again)
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
 	if err != nil {
-		if errors.Is(err, errReplay) || errors.Is(err, errOther) || errors.Is(err, errFull) {
+		if errors.Is(err, errReplayed) || errors.Is(err, errBodyMismatch) || errors.Is(err, errStoreFull) {
 			return nil, false, err
 		}
-		if k = rc.runs[key]; k != nil && bytes.Equal(k.sum, sum[:]) { // the disk fails, and memory knows
+		if k = rc.executions[key]; k != nil && bytes.Equal(k.bodyHash, sum[:]) { // the disk fails, and memory knows
 			rc.joined.Add(1)
 			return k, false, nil
 		}
-		rc.neverBegan(key, fresh.Call)
+		rc.rememberUnstarted(key, fresh.CallID)
 		return nil, false, err
 	}
-	delete(rc.unbegun, key)
+	delete(rc.unstarted, key)
 	if start {
 		rc.taken.Add(1)
-		k = &run{done: make(chan struct{}), sum: sum[:]}
-		rc.runs[key] = k
+		k = &execution{done: make(chan struct{}), bodyHash: sum[:]}
+		rc.executions[key] = k
 		rc.work.Add(1)
-		go rc.run(m, q, key, k)
+		go rc.execute(m, q, key, k)
 		return k, false, nil
 	}
-	if k = rc.runs[key]; k != nil {
+	if k = rc.executions[key]; k != nil {
 		rc.joined.Add(1)
 		return k, false, nil
 	}
 	rc.recorded.Add(1)
-	k = &run{done: make(chan struct{}), answer: r.answer()}
+	k = &execution{done: make(chan struct{}), answer: r.answer()}
 	close(k.done)
 	return k, true, nil
 }
 
-// neverBegan remembers a call whose receipt could not be written. Of too many messages or tries none is: such a receipt, where
+// rememberUnstarted remembers a call whose receipt could not be written. Of too many messages or tries none is: such a receipt, where
 // the file has it, then reads as failed, and is not run. The caller holds mu.
-func (rc *Receiver) neverBegan(key, call string) {
-	if calls := rc.unbegun[key]; len(calls) < mostUnbegun && (calls != nil || len(rc.unbegun) < mostUnbegunKeys) {
-		rc.unbegun[key] = append(calls, call)
+func (rc *Receiver) rememberUnstarted(key, call string) {
+	if calls := rc.unstarted[key]; len(calls) < maxUnstartedPerMessage && (calls != nil || len(rc.unstarted) < maxUnstartedMessages) {
+		rc.unstarted[key] = append(calls, call)
 	}
 }
 
@@ -346,15 +346,15 @@
 func (rc *Receiver) lock(key string) func() {
 	h := fnv.New32a()
 	h.Write([]byte(key))
-	l := &rc.locks[h.Sum32()%uint32(len(rc.locks))]
+	l := &rc.messageLocks[h.Sum32()%uint32(len(rc.messageLocks))]
 	l.Lock()
 	return l.Unlock
 }
 
-// run has the Core answer, apart from the connection that brought the message, and records the outcome.
-func (rc *Receiver) run(m message, q oakthread.Request, key string, k *run) {
+// execute has the Core answer, apart from the connection that brought the message, and records the outcome.
+func (rc *Receiver) execute(m verifiedMessage, q oakthread.Request, key string, k *execution) {
 	defer rc.work.Done()
-	ctx, done := context.WithDeadline(rc.ctx, q.Deadline.Add(answerTime))
+	ctx, done := context.WithDeadline(rc.ctx, q.Deadline.Add(answerReserve))
 	k.answer, k.err = rc.core.Do(ctx, q)
 	done()
 	if k.err != nil { // no answer: whether it ran is not known, save where it was not taken at all
@@ -364,29 +364,29 @@
 		}
 		k.err = nil
 	}
-	n := rc.notices.notice(m.op.Name, settled{Call: q.ID, Message: m.id, Class: rc.classes[q.Class].Name,
-		Function: q.Key, Outcome: word(k.answer.Outcome), Reason: reason(k.answer.Outcome, false)}, time.Now())
-	rc.record(m, q, key, k, n)
+	n := rc.notifier.newNotification(m.operator.Name, completionData{CallID: q.ID, MessageID: m.id, Class: rc.classes[q.Class].Name,
+		Function: q.Key, Outcome: outcomeText(k.answer.Outcome), Reason: outcomeReason(k.answer.Outcome, false)}, time.Now())
+	rc.recordOutcome(m, q, key, k, n)
 }
 
-// record writes the outcome of a run and its notice. Where the disk fails, the sender gets its answer now, later deliveries
+// recordOutcome writes the outcome of a run and its notice. Where the disk fails, the sender gets its answer now, later deliveries
 // get it from memory, and the record is tried again until it stands: it is owed. At the end it is tried for a while.
-func (rc *Receiver) record(m message, q oakthread.Request, key string, k *run, n *notice) {
+func (rc *Receiver) recordOutcome(m verifiedMessage, q oakthread.Request, key string, k *execution, n *notification) {
 	var backoff neterr.Backoff
 	var once sync.Once
 	var ending time.Time // when the last try is made; zero: not at the end
 	for {
 		unlock := rc.lock(key)
-		err := rc.store.settle(m.op.Name, m.id, k.answer, n)
+		err := rc.store.recordOutcome(m.operator.Name, m.id, k.answer, n)
 		if err == nil || !ending.IsZero() && time.Now().After(ending) {
 			rc.mu.Lock()
-			delete(rc.runs, key)
+			delete(rc.executions, key)
 			rc.mu.Unlock()
 		}
 		unlock()
 		once.Do(func() { close(k.done) })
 		if err == nil {
-			rc.notices.wake()
+			rc.notifier.wake()
 			return
 		}
 		if !ending.IsZero() && time.Now().After(ending) {
@@ -400,7 +400,7 @@
 		select {
 		case <-rc.closing:
 			if ending.IsZero() {
-				ending = time.Now().Add(lastWait)
+				ending = time.Now().Add(shutdownGrace)
 			}
 			time.Sleep(backoff.Next())
 		case <-time.After(backoff.Next()):
@@ -408,21 +408,21 @@
 	}
 }
 
-// turnAway answers a message that was not run.
-func (rc *Receiver) turnAway(w http.ResponseWriter, err error) {
+// writeRejection answers a message that was not run.
+func (rc *Receiver) writeRejection(w http.ResponseWriter, err error) {
 	switch {
-	case errors.Is(err, errReplay):
+	case errors.Is(err, errReplayed):
 		rc.replayed.Add(1)
 		http.Error(w, err.Error(), http.StatusConflict)
-	case errors.Is(err, errOther):
+	case errors.Is(err, errBodyMismatch):
 		rc.altered.Add(1)
 		http.Error(w, err.Error(), http.StatusConflict)
 	default:
 		rc.full.Add(1)
-		if !errors.Is(err, errFull) {
+		if !errors.Is(err, errStoreFull) {
 			rc.log.Error("webhook receipt not written, message refused", "err", err)
 		}
-		httpreply.ComeBack(w.Header(), comeBack)
+		httpreply.ComeBack(w.Header(), storeRetryAfter)
 		http.Error(w, "no receipt could be written", http.StatusServiceUnavailable)
 	}
 }
@@ -434,7 +434,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticks:
-			if n, err := rc.store.prune(monotime.Now(), rc.keep); err != nil {
+			if n, err := rc.store.prune(monotime.Now(), rc.retention); err != nil {
 				rc.log.Error("webhook receipts not pruned", "err", err)
 			} else if n > 0 {
 				rc.log.Info("webhook receipts pruned", "count", n)
--- a/webhook/webhook_test.go
+++ b/webhook/webhook_test.go
@@ -28,25 +28,25 @@
 )
 
 var (
-	quiet   = slog.New(slog.DiscardHandler)
-	classes = []Class{{"path-check", time.Second, balancer.Idempotent}, {"path-book", time.Second, balancer.NotIdempotent}}
-	tenants = []string{"ironbridge-haul", "soar-freight"}
+	discardLog = slog.New(slog.DiscardHandler)
+	classes    = []Class{{"path-check", time.Second, balancer.Idempotent}, {"path-book", time.Second, balancer.NotIdempotent}}
+	tenants    = []string{"ironbridge-haul", "soar-freight"}
 )
 
 func secret(n byte) string {
 	return "whsec_" + base64.StdEncoding.EncodeToString(bytes.Repeat([]byte{n}, 24))
 }
 
-// booker stands for the Core: it counts what it runs and answers as told.
-type booker struct {
+// fakeCore stands for the Core: it counts what it runs and answers as told.
+type fakeCore struct {
 	mu     sync.Mutex
-	ran    map[string]int // by the caller's id
+	runs   map[string]int // by the caller's id
 	answer func(q oakthread.Request) (oakthread.Answer, error)
 }
 
-func (b *booker) Do(_ context.Context, q oakthread.Request) (oakthread.Answer, error) {
+func (b *fakeCore) Do(_ context.Context, q oakthread.Request) (oakthread.Answer, error) {
 	b.mu.Lock()
-	b.ran[q.Ref]++
+	b.runs[q.Ref]++
 	b.mu.Unlock()
 	return b.answer(q)
 }
@@ -55,64 +55,64 @@
 	return oakthread.Answer{Outcome: oakthread.Served, Body: q.Body}, nil
 }
 
-// daemon is the webhook front with its files, which may be stopped and started again.
-type daemon struct {
-	t      *testing.T
-	dir    string
-	o      *Options
-	core   *booker
-	ring   *Ring
-	store  *Store
-	disk   *failingDisk
-	sender *Sender
-	rc     *Receiver
-	stop   func()
+// testFront is the webhook front with its files, which may be stopped and started again.
+type testFront struct {
+	t        *testing.T
+	dir      string
+	options  *Options
+	core     *fakeCore
+	keys     *KeySet
+	store    *Store
+	disk     *failingDisk
+	notifier *Notifier
+	receiver *Receiver
+	stop     func()
 }
 
-func newDaemon(t *testing.T, notify string) *daemon {
-	d := &daemon{t: t, dir: t.TempDir(), core: &booker{ran: map[string]int{}, answer: echo}}
-	d.keys("ironbridge", secret(1))
-	d.keys("soar", secret(2))
-	d.o = &Options{State: filepath.Join(d.dir, "state.db"), Notify: []string{"path-book"}, Retry: span{time.Millisecond},
-		RetryMax: span{5 * time.Millisecond}, Operators: []Operator{
+func newTestFront(t *testing.T, notify string) *testFront {
+	d := &testFront{t: t, dir: t.TempDir(), core: &fakeCore{runs: map[string]int{}, answer: echo}}
+	d.writeKeys("ironbridge", secret(1))
+	d.writeKeys("soar", secret(2))
+	d.options = &Options{State: filepath.Join(d.dir, "state.db"), Notify: []string{"path-book"}, Retry: duration{time.Millisecond},
+		RetryMax: duration{5 * time.Millisecond}, Operators: []Operator{
 			{Name: "ironbridge", Tenant: "ironbridge-haul", KeysFile: filepath.Join(d.dir, "ironbridge"), Notify: notify},
 			{Name: "soar", Tenant: "soar-freight", KeysFile: filepath.Join(d.dir, "soar")}}}
-	require.NoError(t, d.o.fill())
+	require.NoError(t, d.options.applyDefaults())
 	d.start()
 	t.Cleanup(func() { d.stop() })
 	return d
 }
 
-func (d *daemon) keys(op string, lines ...string) {
+func (d *testFront) writeKeys(op string, lines ...string) {
 	require.NoError(d.t, os.WriteFile(filepath.Join(d.dir, op), []byte(strings.Join(lines, "\n")), 0o600))
 }
 
-func (d *daemon) start() {
+func (d *testFront) start() {
 	var err error
-	d.ring, err = NewRing(d.o.Operators, quiet)
+	d.keys, err = NewKeySet(d.options.Operators, discardLog)
 	require.NoError(d.t, err)
-	d.store, err = OpenStore(d.o.State, d.o.Receipts)
+	d.store, err = OpenStore(d.options.State, d.options.Receipts)
 	require.NoError(d.t, err)
 	d.disk = &failingDisk{DB: d.store.db.(*bbolt.DB)}
 	d.store.db = d.disk
-	d.sender, err = NewSender(d.o, d.ring, d.store, classes, tenants, nil, quiet)
+	d.notifier, err = NewNotifier(d.options, d.keys, d.store, classes, tenants, nil, discardLog)
 	require.NoError(d.t, err)
-	d.rc, err = NewReceiver(d.core, d.o, d.ring, d.store, d.sender, classes, tenants, quiet)
+	d.receiver, err = NewReceiver(d.core, d.options, d.keys, d.store, d.notifier, classes, tenants, discardLog)
 	require.NoError(d.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	ran := make(chan bool)
-	go func() { d.sender.Run(ctx); close(ran) }()
+	go func() { d.notifier.Run(ctx); close(ran) }()
 	d.stop = func() {
-		d.rc.Close()
+		d.receiver.Close()
 		cancel()
 		<-ran
 		require.NoError(d.t, d.store.Close())
 	}
 }
 
-func want(class, function, body string) []byte {
+func requestBody(class, function, body string) []byte {
 	b, _ := json.Marshal(map[string]any{"type": class + ".requested",
-		"data": callData{Function: function, Body: []byte(body), Lanes: 2}})
+		"data": callData{Function: function, Body: []byte(body), Concurrency: 2}})
 	return b
 }
 
@@ -124,20 +124,20 @@
 	return http.Header{"Webhook-Id": {id}, "Webhook-Timestamp": {fmt.Sprint(at.Unix())}, "Webhook-Signature": {sig}}
 }
 
-func (d *daemon) deliver(h http.Header, body []byte) *httptest.ResponseRecorder {
+func (d *testFront) deliver(h http.Header, body []byte) *httptest.ResponseRecorder {
 	r := httptest.NewRequest("POST", "/webhooks", bytes.NewReader(body))
 	r.Header = h.Clone()
 	w := httptest.NewRecorder()
-	d.rc.ServeHTTP(w, r)
+	d.receiver.ServeHTTP(w, r)
 	return w
 }
 
-const fn = "7f3a9c21e0b4d655"
+const testFunction = "7f3a9c21e0b4d655"
 
 // Guards the signature: altered in any part, stale, early, or by a key not in force, it is a 401 and nothing runs.
-func TestSignatures(t *testing.T) {
-	d := newDaemon(t, "")
-	now, body := time.Now(), want("path-book", fn, "x")
+func TestInvalidSignatureIsRejectedWithoutExecution(t *testing.T) {
+	d := newTestFront(t, "")
+	now, body := time.Now(), requestBody("path-book", testFunction, "x")
 	for name, c := range map[string]struct {
 		key    string
 		id     string
@@ -164,33 +164,33 @@
 		assert.Equal(t, c.want, d.deliver(h, body).Code, name)
 	}
 	assert.Equal(t, 401, d.deliver(signed(t, secret(1), "k", now, body), append(body, ' ')).Code, "altered body")
-	assert.Equal(t, map[string]int{"good": 1, "two": 1}, d.core.ran)
-	assert.Equal(t, int64(10), d.rc.Counters().Unsigned)
+	assert.Equal(t, map[string]int{"good": 1, "two": 1}, d.core.runs)
+	assert.Equal(t, int64(10), d.receiver.Counters().Unauthenticated)
 }
 
-func TestMalformedMessages(t *testing.T) {
-	d := newDaemon(t, "")
+func TestMalformedMessageIsRejectedWithoutExecution(t *testing.T) {
+	d := newTestFront(t, "")
 	for i, c := range []struct {
 		body []byte
 		want int
 	}{
 		{[]byte("no json"), 400},
-		{want("path-walk", fn, ""), 400},
-		{[]byte(`{"type":"path-book","data":{"function":"` + fn + `"}}`), 400},
-		{want("path-book", "7f", ""), 400},
-		{want("path-book", fn, strings.Repeat("x", maxCall+1)), 400},
-		{[]byte(`{"type":"path-book.requested","data":{"function":"` + fn + `","patience_ms":-1}}`), 400},
-		{bytes.Repeat([]byte("x"), maxMessage+1), 413},
+		{requestBody("path-walk", testFunction, ""), 400},
+		{[]byte(`{"type":"path-book","data":{"function":"` + testFunction + `"}}`), 400},
+		{requestBody("path-book", "7f", ""), 400},
+		{requestBody("path-book", testFunction, strings.Repeat("x", maxCallBytes+1)), 400},
+		{[]byte(`{"type":"path-book.requested","data":{"function":"` + testFunction + `","patience_ms":-1}}`), 400},
+		{bytes.Repeat([]byte("x"), maxMessageBytes+1), 413},
 	} {
 		assert.Equal(t, c.want, d.deliver(signed(t, secret(1), fmt.Sprint(i), time.Now(), c.body), c.body).Code, i)
 	}
-	assert.Empty(t, d.core.ran)
-	assert.Equal(t, int64(7), d.rc.Counters().Malformed)
+	assert.Empty(t, d.core.runs)
+	assert.Equal(t, int64(7), d.receiver.Counters().Malformed)
 }
 
 // Guards against a second booking: the same message again is a replay, signed anew it gets the recorded outcome,
 // and with another body it is refused. What ran not at all may run when it comes again.
-func TestDeliveredAgain(t *testing.T) {
+func TestRedeliveryIsAnsweredFromReceipt(t *testing.T) {
 	for name, c := range map[string]struct {
 		class  string
 		answer oakthread.Answer
@@ -207,9 +207,9 @@
 		"safe and served": {"path-check", oakthread.Answer{Body: []byte("ok")}, nil, 200, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := newDaemon(t, "")
+			d := newTestFront(t, "")
 			d.core.answer = func(oakthread.Request) (oakthread.Answer, error) { return c.answer, c.err }
-			now, body := time.Now(), want(c.class, fn, "x")
+			now, body := time.Now(), requestBody(c.class, testFunction, "x")
 			first := signed(t, secret(1), "m", now, body)
 			for i, h := range []http.Header{first, signed(t, secret(1), "m", now.Add(time.Second), body)} {
 				w := d.deliver(h, body)
@@ -221,23 +221,23 @@
 				assert.Equal(t, i == 1 && c.runs == 1, w.Header().Get("Oakthread-Recorded") == "1")
 			}
 			assert.Equal(t, 409, d.deliver(first, body).Code, "replay")
-			other := want(c.class, fn, "y")
+			other := requestBody(c.class, testFunction, "y")
 			assert.Equal(t, 409, d.deliver(signed(t, secret(1), "m", now.Add(2*time.Second), other), other).Code, "other body")
 			assert.Equal(t, 200, func() int { // the id is the operator's own: another one's is another message
 				d.core.answer = echo
 				return d.deliver(signed(t, secret(2), "m", now, body), body).Code
 			}())
-			assert.Equal(t, c.runs+1, d.core.ran["m"])
+			assert.Equal(t, c.runs+1, d.core.runs["m"])
 		})
 	}
 }
 
 // Guards against two runs of one message side by side: the second delivery joins the first.
-func TestJoinsTheRunUnderWay(t *testing.T) {
-	d := newDaemon(t, "")
+func TestConcurrentRedeliveryJoinsExecution(t *testing.T) {
+	d := newTestFront(t, "")
 	began, goOn := make(chan bool), make(chan bool)
 	d.core.answer = func(q oakthread.Request) (oakthread.Answer, error) { began <- true; <-goOn; return echo(q) }
-	now, body := time.Now(), want("path-book", fn, "x")
+	now, body := time.Now(), requestBody("path-book", testFunction, "x")
 	codes := make(chan int, 2)
 	send := func(at time.Time) { codes <- d.deliver(signed(t, secret(1), "m", at, body), body).Code }
 	go send(now)
@@ -246,9 +246,9 @@
 	leave()
 	r := httptest.NewRequestWithContext(ctx, "POST", "/", bytes.NewReader(body))
 	r.Header = signed(t, secret(1), "m", now.Add(time.Second), body)
-	d.rc.ServeHTTP(httptest.NewRecorder(), r)
+	d.receiver.ServeHTTP(httptest.NewRecorder(), r)
 	go send(now.Add(2 * time.Second))
-	for d.rc.Counters().Joined < 2 {
+	for d.receiver.Counters().Joined < 2 {
 		select {
 		case code := <-codes:
 			t.Fatal("answered before the run ended", code)
@@ -257,35 +257,35 @@
 	}
 	close(goOn)
 	assert.Equal(t, []int{200, 200}, []int{<-codes, <-codes})
-	assert.Equal(t, map[string]int{"m": 1}, d.core.ran)
+	assert.Equal(t, map[string]int{"m": 1}, d.core.runs)
 }
 
 // Guards against a booking run again after a crash: its receipt was on disk before it ran, so it has failed.
-func TestCutOffByARestart(t *testing.T) {
-	d := newDaemon(t, "")
-	now, body := time.Now(), want("path-book", fn, "x")
+func TestInterruptedExecutionIsFailedAfterRestart(t *testing.T) {
+	d := newTestFront(t, "")
+	now, body := time.Now(), requestBody("path-book", testFunction, "x")
 	d.core.answer = func(q oakthread.Request) (oakthread.Answer, error) {
 		// The process dies here: what is on disk now is what the next one finds.
 		require.NoError(t, d.store.db.Sync())
-		raw, err := os.ReadFile(d.o.State)
+		raw, err := os.ReadFile(d.options.State)
 		require.NoError(t, err)
-		require.NoError(t, os.WriteFile(d.o.State+".crash", raw, 0o600))
+		require.NoError(t, os.WriteFile(d.options.State+".crash", raw, 0o600))
 		return echo(q)
 	}
 	assert.Equal(t, 200, d.deliver(signed(t, secret(1), "m", now, body), body).Code)
 	d.stop()
-	d.o.State += ".crash"
+	d.options.State += ".crash"
 	d.start()
 	assert.Equal(t, 409, d.deliver(signed(t, secret(1), "m", now, body), body).Code, "replay over a restart")
 	assert.Equal(t, 502, d.deliver(signed(t, secret(1), "m", now.Add(time.Second), body), body).Code)
-	assert.Equal(t, map[string]int{"m": 1}, d.core.ran)
+	assert.Equal(t, map[string]int{"m": 1}, d.core.runs)
 }
 
 // Guards against receipts without bound, and against dropping one within its time to make room.
-func TestReceiptsFullAndPruned(t *testing.T) {
-	d := newDaemon(t, "")
-	d.store.most = 2
-	body := want("path-book", fn, "x")
+func TestReceiptsAreBoundedAndPruned(t *testing.T) {
+	d := newTestFront(t, "")
+	d.store.maxReceipts = 2
+	body := requestBody("path-book", testFunction, "x")
 	code := func(id string) *httptest.ResponseRecorder {
 		return d.deliver(signed(t, secret(1), id, time.Now(), body), body)
 	}
@@ -294,15 +294,15 @@
 	n, err := d.store.prune(time.Now(), time.Hour)
 	require.NoError(t, err)
 	assert.Zero(t, n)
-	n, err = d.store.prune(time.Now().Add(d.o.Keep.Duration+time.Second), time.Hour)
+	n, err = d.store.prune(time.Now().Add(d.options.Keep.Duration+time.Second), time.Hour)
 	require.NoError(t, err)
 	assert.Equal(t, 2, n)
 	assert.Equal(t, 200, code("c").Code)
-	assert.Equal(t, map[string]int{"a": 1, "b": 1, "c": 1}, d.core.ran)
+	assert.Equal(t, map[string]int{"a": 1, "b": 1, "c": 1}, d.core.runs)
 }
 
 // Guards against a set-up that could book twice or not start: each is refused with a plain line.
-func TestOptionsAreChecked(t *testing.T) {
+func TestInvalidOptionsAreRejected(t *testing.T) {
 	dir := t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "keys"), []byte("# rotated today\n"+secret(1)+"\n"), 0o600))
 	op := "[[operator]]\nname='a'\ntenant='ironbridge-haul'\nkeys_file='keys'\n"
@@ -327,9 +327,9 @@
 			if err != nil {
 				return err
 			}
-			f, err := Open(o, &booker{}, classes, tenants, nil, quiet)
+			f, err := Open(o, &fakeCore{}, classes, tenants, nil, discardLog)
 			if err == nil {
-				f.tidy()
+				f.release()
 			}
 			return err
 		}()
@@ -345,7 +345,7 @@
 // Proof of both directions on loopback: a sender repeats, alters and replays its messages while the keys rotate and
 // the daemon restarts; a receiver of notices fails at first and counts. Bookings and refusals are counted against
 // what was sent.
-func TestBookingsAgainstWhatWasSent(t *testing.T) {
+func TestEachMessageExecutesOnceAcrossKeyRotationAndRestart(t *testing.T) {
 	const messages = 60
 	var mu sync.Mutex
 	told, tries, forged := map[string]string{}, map[string]int{}, 0
@@ -368,18 +368,18 @@
 			return
 		}
 		var n struct {
-			Data settled `json:"data"`
+			Data completionData `json:"data"`
 		}
 		_ = json.Unmarshal(body, &n)
 		if told[id] == "" {
-			told[id] = n.Data.Message + " " + n.Data.Outcome
+			told[id] = n.Data.MessageID + " " + n.Data.Outcome
 			if len(told) == messages {
 				close(all)
 			}
 		}
 	}))
 	defer receiver.Close()
-	d := newDaemon(t, receiver.URL)
+	d := newTestFront(t, receiver.URL)
 	answer := func(q oakthread.Request) (oakthread.Answer, error) {
 		if strings.HasSuffix(q.Ref, "7") {
 			return oakthread.Answer{Outcome: oakthread.Failed}, nil
@@ -391,28 +391,28 @@
 	for i := range messages {
 		switch i {
 		case messages / 3: // the new key comes beside the old one
-			d.keys("ironbridge", secret(3), secret(1))
+			d.writeKeys("ironbridge", secret(3), secret(1))
 		case messages / 2:
 			d.stop()
 			d.start()
 		case messages * 2 / 3: // the old one goes
-			d.keys("ironbridge", secret(3))
+			d.writeKeys("ironbridge", secret(3))
 			key = secret(3)
 		}
-		_, err := d.ring.Reload()
+		_, err := d.keys.Reload()
 		require.NoError(t, err)
-		id, body := fmt.Sprint("m", i), want("path-book", fn, fmt.Sprint(i))
+		id, body := fmt.Sprint("m", i), requestBody("path-book", testFunction, fmt.Sprint(i))
 		first := signed(t, key, id, now, body)
-		codes[d.deliver(first, body).Code]++                                                   // 200, or 502 for one in ten
-		codes[d.deliver(first, body).Code]++                                                   // replayed: 409
-		codes[d.deliver(first, bytes.Replace(body, []byte(fn), []byte(fn[1:]+"0"), 1)).Code]++ // altered: 401
-		codes[d.deliver(signed(t, key, id, now.Add(time.Second), body), body).Code]++          // sent again: as the first
-		codes[d.deliver(signed(t, secret(9), id, now, body), body).Code]++                     // unknown key: 401
+		codes[d.deliver(first, body).Code]++                                                                       // 200, or 502 for one in ten
+		codes[d.deliver(first, body).Code]++                                                                       // replayed: 409
+		codes[d.deliver(first, bytes.Replace(body, []byte(testFunction), []byte(testFunction[1:]+"0"), 1)).Code]++ // altered: 401
+		codes[d.deliver(signed(t, key, id, now.Add(time.Second), body), body).Code]++                              // sent again: as the first
+		codes[d.deliver(signed(t, secret(9), id, now, body), body).Code]++                                         // unknown key: 401
 	}
-	assert.Equal(t, 401, d.deliver(signed(t, secret(1), "old", now, want("path-book", fn, "")), want("path-book", fn, "")).Code, "key out of force")
+	assert.Equal(t, 401, d.deliver(signed(t, secret(1), "old", now, requestBody("path-book", testFunction, "")), requestBody("path-book", testFunction, "")).Code, "key out of force")
 	assert.Equal(t, map[int]int{200: 2 * (messages - 6), 502: 2 * 6, 409: messages, 401: 2 * messages}, codes)
-	assert.Len(t, d.core.ran, messages)
-	for id, n := range d.core.ran {
+	assert.Len(t, d.core.runs, messages)
+	for id, n := range d.core.runs {
 		assert.Equal(t, 1, n, id)
 	}
 	<-all
@@ -425,9 +425,9 @@
 		assert.Equal(t, 3, tries[id], "deliveries of %s under one id", id)
 	}
 	for i := range messages {
-		o := served
+		o := statusServed
 		if strings.HasSuffix(fmt.Sprint(i), "7") {
-			o = failed
+			o = statusFailed
 		}
 		assert.True(t, outcomes[fmt.Sprintf("m%d %s", i, o)], i)
 	}
@@ -435,7 +435,7 @@
 
 // Guards the Core's loop and the operator's log of settlements: other fronts' bookings are told too, classes not set
 // up are not, and a notice is given up in the end.
-func TestNoticesOfOtherFronts(t *testing.T) {
+func TestCompletionsOfOtherFrontsAreNotified(t *testing.T) {
 	gone := make(chan string, 4)
 	receiver := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
@@ -443,33 +443,33 @@
 		gone <- string(b)
 	}))
 	defer receiver.Close()
-	d := newDaemon(t, receiver.URL)
+	d := newTestFront(t, receiver.URL)
 	settle := func(id string, class, tenant int) {
-		d.sender.Settled(oakthread.Completion{Request: oakthread.Request{ID: id, Class: class, Tenant: tenant, Key: fn},
+		d.notifier.Settled(oakthread.Completion{Request: oakthread.Request{ID: id, Class: class, Tenant: tenant, Key: testFunction},
 			Answer: oakthread.Answer{Outcome: oakthread.TimedOut}, At: time.Now()})
 	}
 	settle("c1", 0, 0)  // a class that is not told
 	settle("c2", 1, 1)  // an operator that wants no notices
 	settle("c3", 1, -1) // nobody's
 	settle("c4", 1, 0)
-	assert.Contains(t, <-gone, `"data":{"call_id":"c4","class":"path-book","function":"`+fn+`","outcome":"failed","reason":"out of time"}`)
+	assert.Contains(t, <-gone, `"data":{"call_id":"c4","class":"path-book","function":"`+testFunction+`","outcome":"failed","reason":"out of time"}`)
 	d.stop()
 	assert.Empty(t, gone)
 	d.start()
-	open, given, err := d.sender.Waiting()
+	open, given, err := d.notifier.Pending()
 	require.NoError(t, err)
 	assert.Equal(t, []int{0, 1}, []int{open, given})
 	for tries := range 20 {
-		b := d.sender.backoff(tries + 1)
-		assert.True(t, b > 0 && b <= d.o.RetryMax.Duration, b)
+		b := d.notifier.backoff(tries + 1)
+		assert.True(t, b > 0 && b <= d.options.RetryMax.Duration, b)
 	}
 }
 
 // Guards the front's connections against messages that never come whole: they end with a 408.
-func TestSlowMessagesEnd(t *testing.T) {
-	d := newDaemon(t, "")
-	d.rc.slowest = 20 * time.Millisecond
-	srv := httptest.NewServer(d.rc)
+func TestSlowRequestBodyTimesOut(t *testing.T) {
+	d := newTestFront(t, "")
+	d.receiver.bodyTimeout = 20 * time.Millisecond
+	srv := httptest.NewServer(d.receiver)
 	defer srv.Close()
 	c, err := net.Dial("tcp", srv.Listener.Addr().String())
 	require.NoError(t, err)
@@ -479,5 +479,5 @@
 	got, err := io.ReadAll(c)
 	require.NoError(t, err, "the connection ends")
 	assert.Contains(t, string(got), "HTTP/1.1 408 ")
-	assert.Equal(t, int64(1), d.rc.Counters().Malformed)
+	assert.Equal(t, int64(1), d.receiver.Counters().Malformed)
 }
