--- /dev/null
+++ b/webhook/decode.go
@@ -0,0 +1,118 @@
+package webhook
+
+import (
+	"crypto/rand"
+	"encoding/hex"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math"
+	"strconv"
+	"strings"
+	"time"
+
+	"oakthread"
+	"oakthread/balancer"
+)
+
+// functionDigits is the length of a function's id in hexadecimal digits.
+const functionDigits = 16
+
+// maxQuantity bounds every number of a message, so that none overflows a time.Duration of
+// nanoseconds.
+const maxQuantity = 1e9
+
+// callData is the data of a message that requests a call.
+type callData struct {
+	Function    string  `json:"function"` // 16 hexadecimal digits
+	Body        []byte  `json:"body"`     // base64
+	PatienceMS  float64 `json:"patience_ms"`
+	MemoryMB    float64 `json:"memory_mb"`
+	Concurrency int     `json:"lanes"`
+	LoadMS      float64 `json:"load_ms"`
+}
+
+// decode turns a verified message into a request to the core. The text of an error is answered to
+// the sender.
+func (rc *Receiver) decode(msg verifiedMessage) (request oakthread.Request, err error) {
+	var envelope struct {
+		Type string   `json:"type"`
+		Data callData `json:"data"`
+	}
+	if err := json.Unmarshal(msg.body, &envelope); err != nil {
+		return request, fmt.Errorf("message cannot be read: %w", err)
+	}
+	name, ok := strings.CutSuffix(envelope.Type, ".requested")
+	class, known := rc.classIndex[name]
+	if !ok || !known {
+		return request, fmt.Errorf("type %q: want a class and .requested", envelope.Type)
+	}
+	data := envelope.Data
+	function, err := data.validate()
+	if err != nil {
+		return request, err
+	}
+	id, err := newCallID()
+	if err != nil {
+		return request, err
+	}
+	return oakthread.Request{
+		ID:          id,
+		Class:       class,
+		Tenant:      rc.tenantOf(msg.operator),
+		Func:        function,
+		Key:         data.Function,
+		Body:        data.Body,
+		Deadline:    time.Now().Add(data.timeout(rc.classes[class].GiveUp)),
+		MemoryMB:    data.MemoryMB,
+		Concurrency: data.Concurrency,
+		LoadTime:    milliseconds(data.LoadMS),
+		Ref:         msg.id,
+	}, nil
+}
+
+// validate checks the fields of a call and returns its function.
+func (d *callData) validate() (balancer.FuncID, error) {
+	function, err := strconv.ParseUint(d.Function, 16, 64)
+	if err != nil || len(d.Function) != functionDigits {
+		return 0, fmt.Errorf("function %q: want 16 hex digits", d.Function)
+	}
+	if len(d.Body) > maxCallBytes {
+		return 0, fmt.Errorf("body is over %d bytes", maxCallBytes)
+	}
+	for _, quantity := range []float64{d.PatienceMS, d.MemoryMB, d.LoadMS, float64(d.Concurrency)} {
+		if quantity < 0 || math.IsInf(quantity, 0) || quantity > maxQuantity {
+			return 0, errors.New("a figure is out of range")
+		}
+	}
+	return balancer.FuncID(function), nil
+}
+
+// timeout returns the time within which the call must be answered: that of its class, or less where
+// the message says so.
+func (d *callData) timeout(classTimeout time.Duration) time.Duration {
+	if d.PatienceMS <= 0 {
+		return classTimeout
+	}
+	return min(classTimeout, milliseconds(d.PatienceMS))
+}
+
+// tenantOf returns the index of the operator's tenant, or -1 if the settings have no tenants.
+func (rc *Receiver) tenantOf(operator Operator) int {
+	if i, ok := rc.tenantIndex[operator.Tenant]; ok {
+		return i
+	}
+	return -1
+}
+
+// newCallID returns a random id of 16 hexadecimal digits.
+func newCallID() (string, error) {
+	var id [8]byte
+	if _, err := rand.Read(id[:]); err != nil {
+		return "", err
+	}
+	return hex.EncodeToString(id[:]), nil
+}
+
+// milliseconds converts a number of milliseconds to a Duration.
+func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/webhook/disk_test.go
+++ b/webhook/disk_test.go
@@ -21,8 +21,8 @@
 
 // This file has the state file's disk fail and the wall clock step.
 
-// An outcome that the disk does not take is owed: it is tried again until it is on record, its notice goes out, and meanwhile
-// the message gets the outcome from memory.
+// An outcome that the disk does not take is owed: it is tried again until it is on record, its
+// notice goes out, and meanwhile the message gets the outcome from memory.
 func TestOutcomeIsRecordedAfterDiskRecovers(t *testing.T) {
 	noticed := make(chan string, 4)
 	operator := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -56,8 +56,8 @@
 	assert.Equal(t, map[string]int{"m": 1}, d.core.runs)
 }
 
-// A receipt whose write failed after it had reached the file is of a run that never began: the message was refused, and
-// runs when it comes again.
+// A receipt whose write failed after it had reached the file is of a run that never began: the
+// message was refused, and runs when it comes again.
 func TestUnstartedExecutionRunsOnRedelivery(t *testing.T) {
 	d := newTestFront(t, "")
 	d.failWrites(0, 1)
@@ -71,7 +71,8 @@
 	assert.Equal(t, map[string]int{"m": 1}, d.core.runs)
 }
 
-// The same where further deliveries fail before one is taken: none of their receipts is of a run that began.
+// The same where further deliveries fail before one is taken: none of their receipts is of a run
+// that began.
 func TestSeveralUnstartedExecutionsRunOnceOnRedelivery(t *testing.T) {
 	d := newTestFront(t, "")
 	now, body := time.Now(), requestBody("path-book", testFunction, "x")
@@ -84,7 +85,8 @@
 	assert.Equal(t, map[string]int{"m": 1}, d.core.runs)
 }
 
-// A notice is tried again after its wait, and given up after its time, whatever steps the wall clock makes meanwhile.
+// A notice is tried again after its wait, and given up after its time, whatever steps the wall
+// clock makes meanwhile.
 func TestNotificationRetriesSurviveClockSteps(t *testing.T) {
 	for _, by := range []time.Duration{-time.Hour, time.Hour} {
 		t.Run(by.String(), func(t *testing.T) {
@@ -127,7 +129,8 @@
 	}
 }
 
-// Notices that are due far ahead, by a clock that stood wrong when they were put off, are due at once after a start.
+// Notices that are due far ahead, by a clock that stood wrong when they were put off, are due at
+// once after a start.
 func TestFarScheduledNotificationsAreResetOnStart(t *testing.T) {
 	d := newTestFront(t, "http://127.0.0.1:1/")
 	d.stop()
--- a/webhook/failingdisk_test.go
+++ b/webhook/failingdisk_test.go
@@ -8,8 +8,8 @@
 	"go.etcd.io/bbolt"
 )
 
-// failingDisk fails writes: before anything is written, as a full disk does, or after all of it was, as a sync does that
-// the disk never confirmed.
+// failingDisk fails writes: before anything is written, as a full disk does, or after all of it
+// was, as a sync does that the disk never confirmed.
 type failingDisk struct {
 	*bbolt.DB
 	mu              sync.Mutex
--- a/webhook/front_test.go
+++ b/webhook/front_test.go
@@ -69,8 +69,8 @@
 	return f
 }
 
-// Guards identities over real sockets: an operator's key works only for that operator's SPIFFE ID, a stranger gets no
-// connection, and the daemon's own SVID may be renewed while it serves.
+// Guards identities over real sockets: an operator's key works only for that operator's SPIFFE ID,
+// a stranger gets no connection, and the daemon's own SVID may be renewed while it serves.
 func TestOperatorIdentityIsEnforced(t *testing.T) {
 	const root = "spiffe://trentvale.example/"
 	ca := newAuthority(t)
--- a/webhook/golden_test.go
+++ b/webhook/golden_test.go
@@ -1,6 +1,7 @@
 package webhook
 
-// This file holds the state file's stored form, and the text of a notice, against those of an earlier build.
+// This file holds the state file's stored form, and the text of a notice, against those of an
+// earlier build.
 
 import (
 	"encoding/json"
@@ -131,7 +132,8 @@
 	return s
 }
 
-// dumpRecords are all records, one a line: bucket, key, and the value as it is, or quoted where it is no JSON.
+// dumpRecords are all records, one a line: bucket, key, and the value as it is, or quoted where it
+// is no JSON.
 func dumpRecords(t *testing.T, s *Store) string {
 	t.Helper()
 	var b strings.Builder
@@ -158,7 +160,8 @@
 	assert.FileExists(t, goldenState)
 }
 
-// Receipts of an earlier build are read with every field, and stand for the outcomes that were recorded.
+// Receipts of an earlier build are read with every field, and stand for the outcomes that were
+// recorded.
 func TestGoldenReceiptsAreReadable(t *testing.T) {
 	s := openGolden(t)
 	for _, x := range storedReceipts() {
@@ -205,7 +208,8 @@
 	}
 }
 
-// Notices of an earlier build are due when they were, with every field, and those put aside are there.
+// Notices of an earlier build are due when they were, with every field, and those put aside are
+// there.
 func TestGoldenNotificationsAreReadable(t *testing.T) {
 	s := openGolden(t)
 	type dueNotice struct {
--- /dev/null
+++ b/webhook/notifier.go
@@ -0,0 +1,257 @@
+package webhook
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"log/slog"
+	"net/http"
+	"sync"
+	"time"
+
+	"oakthread"
+	"oakthread/internal/monotime"
+	"oakthread/internal/neterr"
+)
+
+const (
+	// maxUnwritten bounds the notifications in memory that wait to be written to the state file.
+	maxUnwritten = 65536
+
+	// shutdownGrace is how long deliveries in progress and failing writes are given at shutdown.
+	shutdownGrace = 2 * time.Second
+)
+
+// completionData is the data of a notification.
+type completionData struct {
+	CallID    string `json:"call_id"`
+	MessageID string `json:"message_id,omitempty"` // of the webhook that requested the call
+	Class     string `json:"class"`
+	Function  string `json:"function"`
+	Outcome   string `json:"outcome"` // served, refused or failed
+	Reason    string `json:"reason,omitempty"`
+}
+
+// outcomeText returns the outcome as notifications state it: a call that timed out has failed.
+func outcomeText(outcome oakthread.Outcome) string {
+	if outcome == oakthread.TimedOut {
+		return statusFailed
+	}
+	return outcome.String()
+}
+
+// outcomeReason returns the reason of an outcome as notifications state it, or "" if it has none.
+func outcomeReason(outcome oakthread.Outcome, abandoned bool) string {
+	switch {
+	case abandoned:
+		return "the caller left"
+	case outcome == oakthread.TimedOut:
+		return "out of time"
+	}
+	return ""
+}
+
+// Notifier queues notifications of completions in the state file and delivers them to the
+// operators. A notification is delivered at least once, signed anew for each attempt, until the
+// operator's endpoint accepts it or it is abandoned.
+type Notifier struct {
+	options          *Options
+	keys             *KeySet
+	store            *Store
+	clients          map[string]*http.Client // by operator
+	classes          []Class
+	notifiedClasses  map[string]bool
+	operatorByTenant map[int]string
+	log              *slog.Logger
+	wakeup           chan struct{} // buffered; has Run look at the outbox
+
+	mu        sync.Mutex
+	unwritten []*notification // not yet in the state file
+	dropped   int             // since the last write, because unwritten was full
+}
+
+// notifierConfig holds what a Notifier is made from.
+type notifierConfig struct {
+	options   *Options
+	keys      *KeySet
+	store     *Store
+	classes   []Class
+	tenants   []string
+	transport func(Operator) http.RoundTripper // to an operator's endpoint; nil: http.DefaultTransport
+	log       *slog.Logger
+}
+
+// newNotifier returns a Notifier. It returns an error if notifications are configured without a
+// state file.
+func newNotifier(cfg notifierConfig) (*Notifier, error) {
+	if cfg.store != nil {
+		maxDelay := max(cfg.options.RetryMax.Duration, cfg.options.Retry.Duration)
+		if err := cfg.store.resetFarSchedule(monotime.Now(), maxDelay); err != nil {
+			return nil, fmt.Errorf("webhooks: state file: %w", err)
+		}
+	}
+	s := &Notifier{
+		options:          cfg.options,
+		keys:             cfg.keys,
+		store:            cfg.store,
+		clients:          map[string]*http.Client{},
+		classes:          cfg.classes,
+		notifiedClasses:  map[string]bool{},
+		operatorByTenant: map[int]string{},
+		log:              cfg.log,
+		wakeup:           make(chan struct{}, 1),
+	}
+	for _, operator := range cfg.keys.operators() {
+		s.clients[operator.Name] = newClient(operator, cfg.transport)
+	}
+	for _, class := range cfg.options.Notify {
+		s.notifiedClasses[class] = true
+		if cfg.options.State == "" {
+			return nil, fmt.Errorf("webhooks: notices of class %q need a state file", class)
+		}
+	}
+	for i, tenant := range cfg.tenants {
+		for _, operator := range cfg.options.Operators {
+			if operator.Tenant == tenant {
+				s.operatorByTenant[i] = operator.Name
+			}
+		}
+	}
+	return s, nil
+}
+
+// newNotification returns the notification of a completion, or nil if the operator or class is not
+// to be notified. Its ID is derived from the call's, so that a completion that is reported twice
+// gives one notification.
+func (s *Notifier) newNotification(operator string, data completionData, now time.Time) *notification {
+	if !s.notifiedClasses[data.Class] || !s.hasEndpoint(operator) {
+		return nil
+	}
+	body, err := json.Marshal(struct {
+		Type string         `json:"type"`
+		Time time.Time      `json:"timestamp"`
+		Data completionData `json:"data"`
+	}{data.Class + ".settled", now.UTC(), data})
+	if err != nil {
+		s.log.Error("notification encoding failed", "request_id", data.CallID, "error", err)
+		return nil
+	}
+	return &notification{ID: "msg_" + data.CallID, Operator: operator, Body: body, CreatedAt: monotime.Now()}
+}
+
+// hasEndpoint reports whether an operator has a URL for notifications.
+func (s *Notifier) hasEndpoint(name string) bool {
+	for _, operator := range s.keys.operators() {
+		if operator.Name == name && operator.Notify != "" {
+			return true
+		}
+	}
+	return false
+}
+
+// Settled takes a completion from the core's event loop and queues its notification in memory
+// without blocking. A call that a webhook requested is skipped: its notification is written
+// together with its receipt.
+func (s *Notifier) Settled(completion oakthread.Completion) {
+	request := completion.Request
+	operator, ok := s.operatorByTenant[request.Tenant]
+	if !ok || request.Ref != "" {
+		return
+	}
+	n := s.newNotification(operator, completionData{
+		CallID:   request.ID,
+		Class:    s.classes[request.Class].Name,
+		Function: request.Key,
+		Outcome:  outcomeText(completion.Answer.Outcome),
+		Reason:   outcomeReason(completion.Answer.Outcome, completion.Abandoned),
+	}, completion.At)
+	if n == nil {
+		return
+	}
+	s.mu.Lock()
+	if len(s.unwritten) < maxUnwritten {
+		s.unwritten = append(s.unwritten, n)
+	} else {
+		s.dropped++
+	}
+	s.mu.Unlock()
+	s.wake()
+}
+
+// wake has Run look at the outbox at once.
+func (s *Notifier) wake() {
+	select {
+	case s.wakeup <- struct{}{}:
+	default:
+	}
+}
+
+// Flush writes the notifications in memory to the state file. On an error they stay in memory.
+func (s *Notifier) Flush() error {
+	s.mu.Lock()
+	unwritten, dropped := s.unwritten, s.dropped
+	s.unwritten, s.dropped = nil, 0
+	s.mu.Unlock()
+	if dropped > 0 {
+		s.log.Error("notifications dropped", "count", dropped)
+	}
+	if len(unwritten) == 0 {
+		return nil
+	}
+	err := s.store.enqueue(unwritten)
+	if err != nil {
+		s.mu.Lock()
+		s.unwritten = append(unwritten, s.unwritten...)
+		s.mu.Unlock()
+	}
+	return err
+}
+
+// flushOnShutdown writes the notifications in memory. A write that fails is retried for
+// shutdownGrace.
+func (s *Notifier) flushOnShutdown() {
+	var backoff neterr.Backoff
+	for deadline := time.Now().Add(shutdownGrace); ; {
+		err := s.Flush()
+		if err == nil {
+			return
+		}
+		if time.Now().After(deadline) {
+			s.log.Error("notifications lost at shutdown", "error", err)
+			return
+		}
+		time.Sleep(backoff.Next())
+	}
+}
+
+// Pending returns the numbers of notifications that are not yet delivered and that were abandoned.
+func (s *Notifier) Pending() (queued, abandoned int, err error) {
+	if err := s.Flush(); err != nil {
+		return 0, 0, err
+	}
+	return s.store.notificationCounts()
+}
+
+// Run delivers notifications until ctx is done. Then it gives deliveries in progress shutdownGrace
+// to end and writes the notifications in memory to the state file.
+func (s *Notifier) Run(ctx context.Context) {
+	deliveryCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancel()
+	defer context.AfterFunc(ctx, func() { time.AfterFunc(shutdownGrace, cancel) })()
+	active := newDeliveries()
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	for ctx.Err() == nil {
+		wait := s.startDue(deliveryCtx, active)
+		timer.Reset(max(wait, time.Millisecond))
+		select {
+		case <-ctx.Done():
+		case <-s.wakeup:
+		case <-timer.C:
+		case n := <-active.ended:
+			active.remove(n)
+		}
+	}
+	active.wait()
+	s.flushOnShutdown()
+}
--- /dev/null
+++ b/webhook/receiver.go
@@ -0,0 +1,182 @@
+package webhook
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"slices"
+	"sync"
+	"time"
+
+	"oakthread"
+	"oakthread/balancer"
+	"oakthread/internal/monotime"
+	"oakthread/internal/neterr"
+)
+
+const (
+	maxMessageBytes  = 64 << 10        // a call's body has at most 16 KiB and grows by a third in base64
+	maxCallBytes     = 16 << 10        // the platform's limit on a call's body
+	bodyReadTimeout  = 5 * time.Second // bounds how long a slow sender holds one of the front's connections
+	messageLockCount = 64              // stripes of the message locks
+)
+
+// Doer executes calls. The core implements it.
+type Doer interface {
+	Do(ctx context.Context, request oakthread.Request) (oakthread.Answer, error)
+}
+
+// Class is a class of calls as webhooks name it.
+type Class struct {
+	Name   string
+	GiveUp time.Duration        // time from the receipt of a message to the deadline of its call
+	Effect balancer.Idempotency // whether a call may run twice
+}
+
+// Receiver executes the calls that signed messages request. It implements http.Handler and is safe
+// for concurrent use.
+//
+// A message is executed once: its receipt is on disk before the execution starts, and later
+// deliveries join the execution or are answered from the receipt.
+type Receiver struct {
+	core        Doer
+	keys        *KeySet
+	store       *Store
+	notifier    *Notifier
+	log         *slog.Logger
+	classes     []Class
+	classIndex  map[string]int // classes that webhooks may request, by name
+	tenantIndex map[string]int
+	retention   time.Duration // of a receipt
+	bodyTimeout time.Duration
+
+	executing *executions
+	counters  receiverCounters
+	logLimit  neterr.LogLimit
+
+	ctx        context.Context // of executions; canceled after the last one has ended
+	cancel     context.CancelFunc
+	inProgress sync.WaitGroup
+	closing    chan struct{} // closed by Close
+	closeOnce  sync.Once
+}
+
+// receiverConfig holds what a Receiver is made from.
+type receiverConfig struct {
+	options  *Options
+	core     Doer
+	keys     *KeySet
+	store    *Store
+	notifier *Notifier
+	classes  []Class
+	tenants  []string
+	log      *slog.Logger
+}
+
+// newReceiver returns a Receiver. Receipts that an earlier process left running are recorded as
+// failed first. It returns an error for a class or tenant that is not configured, and for a class
+// that is not idempotent without a state file.
+func newReceiver(cfg receiverConfig) (*Receiver, error) {
+	rc := &Receiver{
+		core:        cfg.core,
+		keys:        cfg.keys,
+		store:       cfg.store,
+		notifier:    cfg.notifier,
+		log:         cfg.log,
+		classes:     cfg.classes,
+		tenantIndex: map[string]int{},
+		retention:   cfg.options.Keep.Duration,
+		bodyTimeout: bodyReadTimeout,
+		executing:   newExecutions(),
+		closing:     make(chan struct{}),
+	}
+	rc.ctx, rc.cancel = context.WithCancel(context.Background())
+	for i, tenant := range cfg.tenants {
+		rc.tenantIndex[tenant] = i
+	}
+	var err error
+	if rc.classIndex, err = indexClasses(cfg.classes, cfg.options); err != nil {
+		return nil, err
+	}
+	for _, operator := range cfg.options.Operators {
+		if len(cfg.tenants) > 0 && !slices.Contains(cfg.tenants, operator.Tenant) {
+			return nil, fmt.Errorf("webhooks: operator %s: tenant %q is not in the settings",
+				operator.Name, operator.Tenant)
+		}
+	}
+	if err := rc.failInterrupted(); err != nil {
+		return nil, err
+	}
+	return rc, nil
+}
+
+// indexClasses maps the names of the classes that webhooks may request to their indexes.
+func indexClasses(classes []Class, options *Options) (map[string]int, error) {
+	index := map[string]int{}
+	for i, class := range classes {
+		if len(options.Classes) == 0 || slices.Contains(options.Classes, class.Name) {
+			index[class.Name] = i
+		}
+	}
+	for _, name := range options.Classes {
+		if _, ok := index[name]; !ok {
+			return nil, fmt.Errorf("webhooks: class %q is not in the settings", name)
+		}
+	}
+	for name, i := range index {
+		if options.State == "" && classes[i].Effect != balancer.Idempotent {
+			return nil, fmt.Errorf("webhooks: class %q must not run twice, so a state file is needed", name)
+		}
+	}
+	return index, nil
+}
+
+// failInterrupted records the executions that an earlier process left running as failed, and
+// notifies their operators.
+func (rc *Receiver) failInterrupted() error {
+	count, err := rc.store.failInterrupted(func(operator, id string, r receipt) *notification {
+		return rc.notifier.newNotification(operator, completionData{
+			CallID:    r.CallID,
+			MessageID: id,
+			Class:     r.Class,
+			Function:  r.Function,
+			Outcome:   statusFailed,
+			Reason:    "cut off by a restart",
+		}, time.Now())
+	})
+	if err != nil {
+		return fmt.Errorf("webhooks: state file: %w", err)
+	}
+	if count > 0 {
+		rc.log.Warn("interrupted webhook calls recorded as failed", "count", count)
+	}
+	return nil
+}
+
+// Counters returns the current counters.
+func (rc *Receiver) Counters() Counters { return rc.counters.snapshot() }
+
+// Close waits for the executions in progress, which end at their deadlines, and for their outcomes
+// to be recorded.
+func (rc *Receiver) Close() {
+	rc.closeOnce.Do(func() { close(rc.closing) })
+	rc.inProgress.Wait()
+	rc.cancel()
+}
+
+// Prune drops expired receipts and abandoned notifications at every tick until ctx is done.
+func (rc *Receiver) Prune(ctx context.Context, ticks <-chan time.Time) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticks:
+		}
+		switch count, err := rc.store.prune(monotime.Now(), rc.retention); {
+		case err != nil:
+			rc.log.Error("webhook receipt pruning failed", "error", err)
+		case count > 0:
+			rc.log.Info("webhook receipts pruned", "count", count)
+		}
+	}
+}
--- a/webhook/webhook_test.go
+++ b/webhook/receiver_test.go
@@ -95,9 +95,14 @@
 	require.NoError(d.t, err)
 	d.disk = &failingDisk{DB: d.store.db.(*bbolt.DB)}
 	d.store.db = d.disk
-	d.notifier, err = NewNotifier(d.options, d.keys, d.store, classes, tenants, nil, discardLog)
+	d.notifier, err = newNotifier(notifierConfig{
+		options: d.options, keys: d.keys, store: d.store, classes: classes, tenants: tenants, log: discardLog,
+	})
 	require.NoError(d.t, err)
-	d.receiver, err = NewReceiver(d.core, d.options, d.keys, d.store, d.notifier, classes, tenants, discardLog)
+	d.receiver, err = newReceiver(receiverConfig{
+		options: d.options, core: d.core, keys: d.keys, store: d.store, notifier: d.notifier,
+		classes: classes, tenants: tenants, log: discardLog,
+	})
 	require.NoError(d.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	ran := make(chan bool)
@@ -134,7 +139,8 @@
 
 const testFunction = "7f3a9c21e0b4d655"
 
-// Guards the signature: altered in any part, stale, early, or by a key not in force, it is a 401 and nothing runs.
+// Guards the signature: altered in any part, stale, early, or by a key not in force, it is a 401
+// and nothing runs.
 func TestInvalidSignatureIsRejectedWithoutExecution(t *testing.T) {
 	d := newTestFront(t, "")
 	now, body := time.Now(), requestBody("path-book", testFunction, "x")
@@ -188,8 +194,9 @@
 	assert.Equal(t, int64(7), d.receiver.Counters().Malformed)
 }
 
-// Guards against a second booking: the same message again is a replay, signed anew it gets the recorded outcome,
-// and with another body it is refused. What ran not at all may run when it comes again.
+// Guards against a second booking: the same message again is a replay, signed anew it gets the
+// recorded outcome, and with another body it is refused. What ran not at all may run when it comes
+// again.
 func TestRedeliveryIsAnsweredFromReceipt(t *testing.T) {
 	for name, c := range map[string]struct {
 		class  string
@@ -260,7 +267,8 @@
 	assert.Equal(t, map[string]int{"m": 1}, d.core.runs)
 }
 
-// Guards against a booking run again after a crash: its receipt was on disk before it ran, so it has failed.
+// Guards against a booking run again after a crash: its receipt was on disk before it ran, so it
+// has failed.
 func TestInterruptedExecutionIsFailedAfterRestart(t *testing.T) {
 	d := newTestFront(t, "")
 	now, body := time.Now(), requestBody("path-book", testFunction, "x")
@@ -342,9 +350,9 @@
 	}
 }
 
-// Proof of both directions on loopback: a sender repeats, alters and replays its messages while the keys rotate and
-// the daemon restarts; a receiver of notices fails at first and counts. Bookings and refusals are counted against
-// what was sent.
+// Proof of both directions on loopback: a sender repeats, alters and replays its messages while the
+// keys rotate and the daemon restarts; a receiver of notices fails at first and counts. Bookings
+// and refusals are counted against what was sent.
 func TestEachMessageExecutesOnceAcrossKeyRotationAndRestart(t *testing.T) {
 	const messages = 60
 	var mu sync.Mutex
@@ -433,8 +441,8 @@
 	}
 }
 
-// Guards the Core's loop and the operator's log of settlements: other fronts' bookings are told too, classes not set
-// up are not, and a notice is given up in the end.
+// Guards the Core's loop and the operator's log of settlements: other fronts' bookings are told
+// too, classes not set up are not, and a notice is given up in the end.
 func TestCompletionsOfOtherFrontsAreNotified(t *testing.T) {
 	gone := make(chan string, 4)
 	receiver := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
