--- a/webhook/decode.go
+++ b/webhook/decode.go
@@ -26,7 +26,7 @@
 type callData struct {
 	Function    string  `json:"function"` // 16 hexadecimal digits
 	Body        []byte  `json:"body"`     // base64
-	PatienceMS  float64 `json:"patience_ms"`
+	TimeoutMS   float64 `json:"patience_ms"`
 	MemoryMB    float64 `json:"memory_mb"`
 	Concurrency int     `json:"lanes"`
 	LoadMS      float64 `json:"load_ms"`
@@ -80,7 +80,7 @@
 	if len(d.Body) > maxCallBytes {
 		return 0, fmt.Errorf("body is over %d bytes", maxCallBytes)
 	}
-	for _, quantity := range []float64{d.PatienceMS, d.MemoryMB, d.LoadMS, float64(d.Concurrency)} {
+	for _, quantity := range []float64{d.TimeoutMS, d.MemoryMB, d.LoadMS, float64(d.Concurrency)} {
 		if quantity < 0 || math.IsInf(quantity, 0) || quantity > maxQuantity {
 			return 0, errors.New("a figure is out of range")
 		}
@@ -91,10 +91,10 @@
 // timeout returns the time within which the call must be answered: that of its class, or less where
 // the message says so.
 func (d *callData) timeout(classTimeout time.Duration) time.Duration {
-	if d.PatienceMS <= 0 {
+	if d.TimeoutMS <= 0 {
 		return classTimeout
 	}
-	return min(classTimeout, milliseconds(d.PatienceMS))
+	return min(classTimeout, milliseconds(d.TimeoutMS))
 }
 
 // tenantOf returns the index of the operator's tenant, or -1 if the settings have no tenants.
--- a/webhook/disk_test.go
+++ b/webhook/disk_test.go
@@ -19,10 +19,8 @@
 	"oakthread/internal/fault/wallclock"
 )
 
-// This file has the state file's disk fail and the wall clock step.
-
-// An outcome that the disk does not take is owed: it is tried again until it is on record, its
-// notice goes out, and meanwhile the message gets the outcome from memory.
+// An outcome whose write fails is written again until that succeeds, then its notification is
+// delivered. Meanwhile the message is answered from memory.
 func TestOutcomeIsRecordedAfterDiskRecovers(t *testing.T) {
 	noticed := make(chan string, 4)
 	operator := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -56,8 +54,8 @@
 	assert.Equal(t, map[string]int{"m": 1}, d.core.runs)
 }
 
-// A receipt whose write failed after it had reached the file is of a run that never began: the
-// message was refused, and runs when it comes again.
+// A receipt that reached the file although its write failed belongs to an execution that never
+// started: the message was rejected, and is executed when it is delivered again.
 func TestUnstartedExecutionRunsOnRedelivery(t *testing.T) {
 	d := newTestFront(t, "")
 	d.failWrites(0, 1)
@@ -71,8 +69,7 @@
 	assert.Equal(t, map[string]int{"m": 1}, d.core.runs)
 }
 
-// The same where further deliveries fail before one is taken: none of their receipts is of a run
-// that began.
+// The same holds if the writes of several deliveries fail before one succeeds.
 func TestSeveralUnstartedExecutionsRunOnceOnRedelivery(t *testing.T) {
 	d := newTestFront(t, "")
 	now, body := time.Now(), requestBody("path-book", testFunction, "x")
@@ -85,7 +82,7 @@
 	assert.Equal(t, map[string]int{"m": 1}, d.core.runs)
 }
 
-// A notice is tried again after its wait, and given up after its time, whatever steps the wall
+// A notification is retried after its backoff and abandoned after its time, whatever steps the wall
 // clock makes meanwhile.
 func TestNotificationRetriesSurviveClockSteps(t *testing.T) {
 	for _, by := range []time.Duration{-time.Hour, time.Hour} {
@@ -106,9 +103,12 @@
 			defer operator.Close()
 			d := newTestFront(t, operator.URL)
 			d.options.GiveUp = duration{time.Minute}
-			settled := oakthread.Completion{Request: oakthread.Request{ID: "c1", Class: 1, Tenant: 0, Key: testFunction}, At: time.Now()}
+			completion := oakthread.Completion{
+				Request: oakthread.Request{ID: "c1", Class: 1, Tenant: 0, Key: testFunction},
+				At:      time.Now(),
+			}
 			require.NoError(t, wallclock.Set(by)) // between the call and its notice's first try
-			d.notifier.Settled(settled)
+			d.notifier.Settled(completion)
 			tried := func() {
 				select {
 				case <-came:
@@ -129,8 +129,7 @@
 	}
 }
 
-// Notices that are due far ahead, by a clock that stood wrong when they were put off, are due at
-// once after a start.
+// Notifications that a wrong clock has scheduled far ahead are due at once after a start.
 func TestFarScheduledNotificationsAreResetOnStart(t *testing.T) {
 	d := newTestFront(t, "http://127.0.0.1:1/")
 	d.stop()
--- a/webhook/execution.go
+++ b/webhook/execution.go
@@ -114,8 +114,8 @@
 }
 
 // admit writes the receipt of a delivery, and starts an execution, joins the one in progress or
-// returns the recorded outcome, in which case fromReceipt is true. Errors that the sender is told
-// about are errReplayed, errBodyMismatch and errStoreFull; any other is of the state file.
+// returns the recorded outcome, in which case fromReceipt is true. Errors that are answered to the
+// sender are errReplayed, errBodyMismatch and errStoreFull; any other is of the state file.
 func (rc *Receiver) admit(msg verifiedMessage, request oakthread.Request) (_ *execution, fromReceipt bool, err error) {
 	hash := sha256.Sum256(msg.body)
 	exec := &execution{
--- a/webhook/failingdisk_test.go
+++ b/webhook/failingdisk_test.go
@@ -8,27 +8,18 @@
 	"go.etcd.io/bbolt"
 )
 
-// failingDisk fails writes: before anything is written, as a full disk does, or after all of it
-// was, as a sync does that the disk never confirmed.
+// failingDisk is a database whose writes fail on demand: before anything is written, as on a full
+// disk, or after all of it was written, as by a sync that the disk never confirmed.
 type failingDisk struct {
 	*bbolt.DB
 	mu              sync.Mutex
-	failBeforeWrite int // so many writes fail so
+	failBeforeWrite int // number of writes that fail so
 	failAfterWrite  int
 	failed          int
 }
 
 func (f *failingDisk) write(do func(func(*bbolt.Tx) error) error, change func(*bbolt.Tx) error) error {
-	f.mu.Lock()
-	before, after := f.failBeforeWrite > 0, f.failBeforeWrite == 0 && f.failAfterWrite > 0
-	if before {
-		f.failBeforeWrite--
-		f.failed++
-	} else if after {
-		f.failAfterWrite--
-		f.failed++
-	}
-	f.mu.Unlock()
+	before, after := f.nextFailure()
 	if before {
 		return fmt.Errorf("write: %w", syscall.ENOSPC)
 	}
@@ -38,10 +29,27 @@
 	return fmt.Errorf("sync: %w", syscall.EIO)
 }
 
+// nextFailure reports how the next write fails, if it does.
+func (f *failingDisk) nextFailure() (before, after bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	switch {
+	case f.failBeforeWrite > 0:
+		f.failBeforeWrite--
+		f.failed++
+		return true, false
+	case f.failAfterWrite > 0:
+		f.failAfterWrite--
+		f.failed++
+		return false, true
+	}
+	return false, false
+}
+
 func (f *failingDisk) Update(change func(*bbolt.Tx) error) error { return f.write(f.DB.Update, change) }
 func (f *failingDisk) Batch(change func(*bbolt.Tx) error) error  { return f.write(f.DB.Batch, change) }
 
-// failWrites has the daemon's next writes fail.
+// failWrites has the next writes fail: first those before the write, then those after it.
 func (d *testFront) failWrites(before, after int) *failingDisk {
 	d.disk.mu.Lock()
 	defer d.disk.mu.Unlock()
--- a/webhook/front_test.go
+++ b/webhook/front_test.go
@@ -24,7 +24,7 @@
 	"oakthread/spiffe"
 )
 
-// authority is a trust domain that signs SVIDs into files.
+// authority is a trust domain that writes the SVIDs that it signs to files.
 type authority struct {
 	dir  string
 	cert *x509.Certificate
@@ -53,8 +53,10 @@
 	require.NoError(t, err)
 	raw, err := x509.MarshalPKCS8PrivateKey(key)
 	require.NoError(t, err)
-	require.NoError(t, os.WriteFile(a.path(name+".pem"), pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), 0o600))
-	require.NoError(t, os.WriteFile(a.path(name+".key"), pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: raw}), 0o600))
+	certPEM := pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})
+	keyPEM := pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: raw})
+	require.NoError(t, os.WriteFile(a.path(name+".pem"), certPEM, 0o600))
+	require.NoError(t, os.WriteFile(a.path(name+".key"), keyPEM, 0o600))
 	cert, err := x509.ParseCertificate(der)
 	require.NoError(t, err)
 	return cert, key
@@ -69,8 +71,8 @@
 	return f
 }
 
-// Guards identities over real sockets: an operator's key works only for that operator's SPIFFE ID,
-// a stranger gets no connection, and the daemon's own SVID may be renewed while it serves.
+// Over real sockets an operator's key is valid only under that operator's SPIFFE ID, an unknown
+// identity gets no connection, and the dispatcher's own SVID can be renewed while it serves.
 func TestOperatorIdentityIsEnforced(t *testing.T) {
 	const root = "spiffe://trentvale.example/"
 	ca := newAuthority(t)
@@ -83,7 +85,7 @@
 		{Name: "b", Tenant: tenants[1], KeysFile: ca.path("keys-b"), SPIFFEID: root + "b"}}}
 	o.SPIFFE.SVID, o.SPIFFE.Key, o.SPIFFE.Bundle = ca.path("daemon.pem"), ca.path("daemon.key"), ca.path("ca.pem")
 	require.NoError(t, o.applyDefaults())
-	core := &fakeCore{runs: map[string]int{}, answer: echo}
+	core := newFakeCore()
 	f, err := Open(o, core, classes, tenants, nil, discardLog)
 	require.NoError(t, err)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -95,11 +97,13 @@
 	daemon := spiffeid.RequireFromString(root + "oakthread")
 	send := func(src spiffe.Source, key, id string) (int, error) {
 		body := requestBody("path-book", testFunction, "x")
-		req, err := http.NewRequest("POST", "https://"+ln.Addr().String()+"/webhooks", bytes.NewReader(body))
+		req, err := http.NewRequest(http.MethodPost, "https://"+ln.Addr().String()+"/webhooks", bytes.NewReader(body))
 		require.NoError(t, err)
 		req.Header = signed(t, key, id, time.Now(), body)
-		c := &http.Client{Transport: &http.Transport{TLSClientConfig: spiffe.ClientTLS(src, daemon), DisableKeepAlives: true}}
-		resp, err := c.Do(req)
+		client := &http.Client{
+			Transport: &http.Transport{TLSClientConfig: spiffe.ClientTLS(src, daemon), DisableKeepAlives: true},
+		}
+		resp, err := client.Do(req)
 		if err != nil {
 			return 0, err
 		}
--- a/webhook/golden_test.go
+++ b/webhook/golden_test.go
@@ -1,8 +1,5 @@
 package webhook
 
-// This file holds the state file's stored form, and the text of a notice, against those of an
-// earlier build.
-
 import (
 	"encoding/json"
 	"errors"
@@ -28,14 +25,15 @@
 
 const goldenState = "testdata/state.db"
 
-// goldenTime is a time of the committed file; n is in seconds.
+// goldenTime returns a time in the golden file; n is in seconds.
 func goldenTime(n int) time.Time { return time.Unix(1_800_000_000+int64(n), 987_654_321).UTC() }
 
-// notificationBody is the text of a notice as an operator's system gets it.
-const notificationBody = `{"type":"path-book.settled","timestamp":"2027-01-15T08:00:01.987654321Z","data":{"call_id":"c1",` +
-	`"message_id":"m-1","class":"path-book","function":"00000000000000ff","outcome":"failed","reason":"out of time"}}`
+// notificationBody is the body of a notification as an operator receives it.
+const notificationBody = `{"type":"path-book.settled","timestamp":"2027-01-15T08:00:01.987654321Z",` +
+	`"data":{"call_id":"c1","message_id":"m-1","class":"path-book","function":"00000000000000ff","outcome":"failed",` +
+	`"reason":"out of time"}}`
 
-// storedReceipt is one receipt of the committed file, with the answer that it stands for.
+// storedReceipt is a receipt in the golden file, with the answer that it records.
 type storedReceipt struct {
 	op, id string
 	times  []int // of its deliveries
@@ -46,29 +44,35 @@
 
 func storedReceipts() []storedReceipt {
 	made := func(n int, class, status string, body []byte, wait time.Duration) receipt {
-		return receipt{BodyHash: []byte{byte(n), 0xfe}, CallID: fmt.Sprint("c", n), Class: class, Function: fmt.Sprintf("%016x", n),
-			Status: status, Body: body, RetryAfter: wait, ExpiresAt: goldenTime(1000 * n)}
+		return receipt{BodyHash: []byte{byte(n), 0xfe}, CallID: fmt.Sprint("c", n), Class: class,
+			Function: fmt.Sprintf("%016x", n), Status: status, Body: body, RetryAfter: wait,
+			ExpiresAt: goldenTime(1000 * n)}
 	}
 	body := func(s string) []byte { return []byte(s) }
+	enqueued := func(id, operator, text string, seconds int) *notification {
+		return &notification{ID: id, Operator: operator, Body: body(text), CreatedAt: goldenTime(seconds)}
+	}
 	return []storedReceipt{
 		{"ironbridge", "m-1", []int{1}, made(1, "path-book", statusRunning, nil, 0),
 			oakthread.Answer{Outcome: oakthread.Failed}, nil},
 		{"ironbridge", "m-2", []int{2, 22, 222}, made(2, "path-book", statusServed, body("a path\n\x00\xff"), 0),
 			oakthread.Answer{Outcome: oakthread.Served, Body: body("a path\n\x00\xff")},
-			&notification{ID: "msg_c2", Operator: "ironbridge", Body: body(notificationBody), CreatedAt: goldenTime(20)}},
+			enqueued("msg_c2", "ironbridge", notificationBody, 20)},
 		{"ironbridge", "m-3", []int{3}, made(3, "path-check", statusRejected, body("full"), 1500*time.Millisecond),
-			oakthread.Answer{Outcome: oakthread.Rejected, Body: body("full"), RetryAfter: 1500 * time.Millisecond}, nil},
+			oakthread.Answer{Outcome: oakthread.Rejected, Body: body("full"), RetryAfter: 1500 * time.Millisecond},
+			nil},
 		{"soar", "m-1", []int{4}, made(4, "path-check", statusFailed, body("broken"), 0),
 			oakthread.Answer{Outcome: oakthread.Failed, Body: body("broken")},
-			&notification{ID: "msg_c4", Operator: "soar", Body: body(`{"n":4}`), CreatedAt: goldenTime(40)}},
+			enqueued("msg_c4", "soar", `{"n":4}`, 40)},
 		{"soar", "m-5", []int{5}, made(5, "path-book", statusTimedOut, body("late"), 2500*time.Millisecond),
 			oakthread.Answer{Outcome: oakthread.TimedOut, Body: body("late"), RetryAfter: 2500 * time.Millisecond},
-			&notification{ID: "msg_c5", Operator: "soar", Body: body(`{"n":5}`), CreatedAt: goldenTime(50)}},
-		{"soar", "m-6", []int{6}, made(6, "path-book", statusServed, nil, 0), oakthread.Answer{Outcome: oakthread.Served}, nil},
+			enqueued("msg_c5", "soar", `{"n":5}`, 50)},
+		{"soar", "m-6", []int{6}, made(6, "path-book", statusServed, nil, 0),
+			oakthread.Answer{Outcome: oakthread.Served}, nil},
 	}
 }
 
-// storedNotification is one notice of another front's call.
+// storedNotification is a notification in the golden file of a call that came by another front.
 type storedNotification struct {
 	n   notification
 	due time.Time // zero: put aside
@@ -87,7 +91,8 @@
 	}
 }
 
-// writeState writes the receipts and notices into a state file by the calls that the front makes.
+// writeState writes the receipts and notifications to a state file by the methods that the front
+// calls.
 func writeState(t *testing.T, path string) {
 	t.Helper()
 	s, err := OpenStore(path, 100)
@@ -95,7 +100,8 @@
 	never := func(receipt) bool { return false }
 	for _, x := range storedReceipts() {
 		for i, sec := range x.times {
-			fresh := receipt{BodyHash: x.r.BodyHash, CallID: x.r.CallID, Class: x.r.Class, Function: x.r.Function, ExpiresAt: x.r.ExpiresAt}
+			fresh := receipt{BodyHash: x.r.BodyHash, CallID: x.r.CallID, Class: x.r.Class, Function: x.r.Function,
+				ExpiresAt: x.r.ExpiresAt}
 			_, run, err := s.acquireReceipt(x.op, x.id, goldenTime(sec), fresh, nil, never)
 			require.NoError(t, err)
 			require.Equal(t, i == 0, run)
@@ -119,7 +125,7 @@
 	require.NoError(t, s.Close())
 }
 
-// openGolden is a copy of the committed file, opened.
+// openGolden opens a copy of the golden file.
 func openGolden(t *testing.T) *Store {
 	t.Helper()
 	raw, err := os.ReadFile(goldenState)
@@ -132,8 +138,7 @@
 	return s
 }
 
-// dumpRecords are all records, one a line: bucket, key, and the value as it is, or quoted where it
-// is no JSON.
+// dumpRecords returns all records, one a line: bucket, key, and the value, quoted if it is no JSON.
 func dumpRecords(t *testing.T, s *Store) string {
 	t.Helper()
 	var b strings.Builder
@@ -152,7 +157,7 @@
 	return b.String()
 }
 
-// With -update it makes the database where there is none; one that is there always stays.
+// With -update the golden file is made if there is none; one that exists is never replaced.
 func TestGoldenStateExists(t *testing.T) {
 	if _, err := os.Stat(goldenState); *updateGolden && errors.Is(err, fs.ErrNotExist) {
 		writeState(t, goldenState)
@@ -160,8 +165,7 @@
 	assert.FileExists(t, goldenState)
 }
 
-// Receipts of an earlier build are read with every field, and stand for the outcomes that were
-// recorded.
+// Receipts of an earlier build are read with every field and give the outcomes that were recorded.
 func TestGoldenReceiptsAreReadable(t *testing.T) {
 	s := openGolden(t)
 	for _, x := range storedReceipts() {
@@ -191,7 +195,7 @@
 	assert.Equal(t, []string{"ironbridge m-1"}, cut, "left running")
 }
 
-// Messages of an earlier build that come again are known by operator, id and body, and not run.
+// Messages that an earlier build received are matched by operator, id and body, and not executed.
 func TestGoldenReceiptsAreMatchedOnRedelivery(t *testing.T) {
 	s := openGolden(t)
 	never := func(receipt) bool { return false }
@@ -200,7 +204,8 @@
 		require.ErrorIs(t, err, errReplayed, x.op+" "+x.id)
 		_, _, err = s.acquireReceipt(x.op, x.id, goldenTime(7), receipt{BodyHash: []byte("other")}, nil, never)
 		require.ErrorIs(t, err, errBodyMismatch, x.op+" "+x.id)
-		r, run, err := s.acquireReceipt(x.op, x.id, goldenTime(7), receipt{BodyHash: x.r.BodyHash, CallID: "new"}, nil, never)
+		redelivered := receipt{BodyHash: x.r.BodyHash, CallID: "new"}
+		r, run, err := s.acquireReceipt(x.op, x.id, goldenTime(7), redelivered, nil, never)
 		require.NoError(t, err)
 		assert.False(t, run)
 		assert.Equal(t, x.r.CallID, r.CallID)
@@ -208,8 +213,8 @@
 	}
 }
 
-// Notices of an earlier build are due when they were, with every field, and those put aside are
-// there.
+// Notifications of an earlier build are read with every field and due time, and so are abandoned
+// ones.
 func TestGoldenNotificationsAreReadable(t *testing.T) {
 	s := openGolden(t)
 	type dueNotice struct {
@@ -262,7 +267,7 @@
 	assert.Empty(t, ns, "found by id")
 }
 
-// The same receipts and notices make the same records, byte for byte.
+// The same receipts and notifications give the same records, byte for byte.
 func TestGoldenRecordsAreWrittenIdentically(t *testing.T) {
 	golden := filepath.Join("testdata", "records.golden")
 	committed := dumpRecords(t, openGolden(t))
@@ -276,15 +281,16 @@
 	writeState(t, path)
 	s, err := OpenStore(path, 100)
 	require.NoError(t, err)
-	defer s.Close()
+	defer func() { assert.NoError(t, s.Close()) }()
 	assert.Equal(t, string(want), dumpRecords(t, s), "in a new file")
 }
 
-// An operator's system gets the text that it got from an earlier build.
+// The body of a notification is the same as that of an earlier build.
 func TestNotificationBodyMatchesGolden(t *testing.T) {
 	d := newTestFront(t, "http://127.0.0.1:1/")
 	n := d.notifier.newNotification("ironbridge", completionData{CallID: "c1", MessageID: "m-1", Class: "path-book",
-		Function: "00000000000000ff", Outcome: outcomeText(oakthread.TimedOut), Reason: outcomeReason(oakthread.TimedOut, false)},
+		Function: "00000000000000ff", Outcome: outcomeText(oakthread.TimedOut),
+		Reason: outcomeReason(oakthread.TimedOut, false)},
 		goldenTime(1))
 	require.NotNil(t, n)
 	assert.Equal(t, "msg_c1", n.ID)
--- a/webhook/handler.go
+++ b/webhook/handler.go
@@ -13,7 +13,7 @@
 )
 
 // storeRetryAfter is the Retry-After of a message whose receipt could not be written: a disk or a
-// full store is not mended in less.
+// full store does not recover in less.
 const storeRetryAfter = time.Minute
 
 // ServeHTTP verifies and decodes a message, admits it and answers with the outcome of its
--- /dev/null
+++ b/webhook/helpers_test.go
@@ -0,0 +1,168 @@
+package webhook
+
+import (
+	"bytes"
+	"context"
+	"encoding/base64"
+	"encoding/json"
+	"fmt"
+	"log/slog"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	standardwebhooks "github.com/standard-webhooks/standard-webhooks/libraries/go"
+	"github.com/stretchr/testify/require"
+	"go.etcd.io/bbolt"
+
+	"oakthread"
+	"oakthread/balancer"
+)
+
+const testFunction = "7f3a9c21e0b4d655"
+
+var (
+	discardLog = slog.New(slog.DiscardHandler)
+	classes    = []Class{
+		{"path-check", time.Second, balancer.Idempotent},
+		{"path-book", time.Second, balancer.NotIdempotent},
+	}
+	tenants = []string{"ironbridge-haul", "soar-freight"}
+)
+
+// secret returns the n-th signing secret.
+func secret(n byte) string {
+	return "whsec_" + base64.StdEncoding.EncodeToString(bytes.Repeat([]byte{n}, 24))
+}
+
+// fakeCore is a Doer that counts executions and answers by a function.
+type fakeCore struct {
+	mu     sync.Mutex
+	runs   map[string]int // by the message's id
+	answer func(request oakthread.Request) (oakthread.Answer, error)
+}
+
+func newFakeCore() *fakeCore { return &fakeCore{runs: map[string]int{}, answer: echo} }
+
+func (c *fakeCore) Do(_ context.Context, request oakthread.Request) (oakthread.Answer, error) {
+	c.mu.Lock()
+	c.runs[request.Ref]++
+	c.mu.Unlock()
+	return c.answer(request)
+}
+
+// echo answers a call with its own body.
+func echo(request oakthread.Request) (oakthread.Answer, error) {
+	return oakthread.Answer{Outcome: oakthread.Served, Body: request.Body}, nil
+}
+
+// testFront is the webhook front with its files. It can be stopped and started again.
+type testFront struct {
+	t        *testing.T
+	dir      string
+	options  *Options
+	core     *fakeCore
+	keys     *KeySet
+	store    *Store
+	disk     *failingDisk
+	notifier *Notifier
+	receiver *Receiver
+	stop     func()
+}
+
+// newTestFront starts a front with two operators, the first of which is notified at notifyURL.
+func newTestFront(t *testing.T, notifyURL string) *testFront {
+	t.Helper()
+	d := &testFront{t: t, dir: t.TempDir(), core: newFakeCore()}
+	d.writeKeys("ironbridge", secret(1))
+	d.writeKeys("soar", secret(2))
+	keysFile := func(operator string) string { return filepath.Join(d.dir, operator) }
+	d.options = &Options{
+		State:    filepath.Join(d.dir, "state.db"),
+		Notify:   []string{"path-book"},
+		Retry:    duration{time.Millisecond},
+		RetryMax: duration{5 * time.Millisecond},
+		Operators: []Operator{
+			{Name: "ironbridge", Tenant: tenants[0], KeysFile: keysFile("ironbridge"), Notify: notifyURL},
+			{Name: "soar", Tenant: tenants[1], KeysFile: keysFile("soar")},
+		},
+	}
+	require.NoError(t, d.options.applyDefaults())
+	d.start()
+	t.Cleanup(func() { d.stop() })
+	return d
+}
+
+// writeKeys replaces the keys of an operator.
+func (d *testFront) writeKeys(operator string, secrets ...string) {
+	d.t.Helper()
+	text := strings.Join(secrets, "\n")
+	require.NoError(d.t, os.WriteFile(filepath.Join(d.dir, operator), []byte(text), 0o600))
+}
+
+// start opens the state file and starts the notifier; stop ends both.
+func (d *testFront) start() {
+	d.t.Helper()
+	var err error
+	d.keys, err = NewKeySet(d.options.Operators, discardLog)
+	require.NoError(d.t, err)
+	d.store, err = OpenStore(d.options.State, d.options.Receipts)
+	require.NoError(d.t, err)
+	d.disk = &failingDisk{DB: d.store.db.(*bbolt.DB)}
+	d.store.db = d.disk
+	d.notifier, err = newNotifier(notifierConfig{
+		options: d.options, keys: d.keys, store: d.store, classes: classes, tenants: tenants, log: discardLog,
+	})
+	require.NoError(d.t, err)
+	d.receiver, err = newReceiver(receiverConfig{
+		options: d.options, core: d.core, keys: d.keys, store: d.store, notifier: d.notifier,
+		classes: classes, tenants: tenants, log: discardLog,
+	})
+	require.NoError(d.t, err)
+	ctx, cancel := context.WithCancel(context.Background())
+	var running sync.WaitGroup
+	running.Go(func() { d.notifier.Run(ctx) })
+	d.stop = func() {
+		d.receiver.Close()
+		cancel()
+		running.Wait()
+		require.NoError(d.t, d.store.Close())
+	}
+}
+
+// deliver has the receiver handle a message and returns its answer.
+func (d *testFront) deliver(header http.Header, body []byte) *httptest.ResponseRecorder {
+	request := httptest.NewRequest(http.MethodPost, "/webhooks", bytes.NewReader(body))
+	request.Header = header.Clone()
+	recorder := httptest.NewRecorder()
+	d.receiver.ServeHTTP(recorder, request)
+	return recorder
+}
+
+// requestBody returns a message that requests a call.
+func requestBody(class, function, body string) []byte {
+	raw, _ := json.Marshal(map[string]any{
+		"type": class + ".requested",
+		"data": callData{Function: function, Body: []byte(body), Concurrency: 2},
+	})
+	return raw
+}
+
+// signed returns the headers of a message that is signed by a secret.
+func signed(t *testing.T, secret, id string, timestamp time.Time, body []byte) http.Header {
+	t.Helper()
+	key, err := standardwebhooks.NewWebhook(secret)
+	require.NoError(t, err)
+	signature, err := key.Sign(id, timestamp, body)
+	require.NoError(t, err)
+	return http.Header{
+		"Webhook-Id":        {id},
+		"Webhook-Timestamp": {fmt.Sprint(timestamp.Unix())},
+		"Webhook-Signature": {signature},
+	}
+}
--- a/webhook/outbox.go
+++ b/webhook/outbox.go
@@ -105,7 +105,7 @@
 	})
 }
 
-// abandon moves a notification out of the outbox. It is kept for operators to look at until it is
+// abandon moves a notification out of the outbox. It stays available to operators until it is
 // pruned.
 func (s *Store) abandon(n *notification) error {
 	return s.db.Batch(func(tx *bbolt.Tx) error {
