--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -27,15 +27,15 @@
 // Every key sets what it set in an earlier build.
 func TestEveryKeyIsRead(t *testing.T) {
 	hooks := webhook.Options{Listen: "127.0.0.1:8443", State: "etc/state/webhooks.db",
-		Classes: []string{"path-check", "path-book"}, Notify: []string{"path-book"}, Receipts: 5000,
+		Classes: []string{"path-check", "path-book"}, NotifiedClasses: []string{"path-book"}, MaxReceipts: 5000,
 		Operators: []webhook.Operator{
 			{Name: "ironbridge", Tenant: "ironbridge-haul", SPIFFEID: "spiffe://ironbridge.example/hooks",
-				KeysFile: "etc/keys/ironbridge", Notify: "https://ironbridge.example/settled"},
+				KeysFile: "etc/keys/ironbridge", NotifyURL: "https://ironbridge.example/settled"},
 			{Name: "soar", Tenant: "soar-freight", SPIFFEID: "spiffe://soar.example/hooks",
-				KeysFile: "/etc/oakthread/soar", Notify: "https://soar.example/settled"},
+				KeysFile: "/etc/oakthread/soar", NotifyURL: "https://soar.example/settled"},
 		}}
-	hooks.Keep.Duration, hooks.Retry.Duration = 100*time.Hour, 6*time.Second
-	hooks.RetryMax.Duration, hooks.GiveUp.Duration = 2*time.Hour, 50*time.Hour
+	hooks.ReceiptRetention.Duration, hooks.InitialBackoff.Duration = 100*time.Hour, 6*time.Second
+	hooks.MaxBackoff.Duration, hooks.MaxTotalBackoff.Duration = 2*time.Hour, 50*time.Hour
 	hooks.SPIFFE.SVID, hooks.SPIFFE.Bundle = "etc/ids/svid.pem", "etc/ids/bundle.pem"
 	hooks.SPIFFE.Key = "/etc/oakthread/key.pem"
 	f, err := Parse("etc/op.toml", everyKey(t))
--- a/webhook/delivery.go
+++ b/webhook/delivery.go
@@ -56,7 +56,7 @@
 // startDue writes the notifications in memory to the outbox, starts an attempt for each that is
 // due, as far as the limits allow, and returns the time until the outbox is to be looked at again.
 func (s *Notifier) startDue(ctx context.Context, active *deliveries) time.Duration {
-	wait := s.options.Retry.Duration
+	wait := s.options.InitialBackoff.Duration
 	if err := s.Flush(); err != nil {
 		s.log.Error("notification write failed", "error", err)
 	}
@@ -85,7 +85,7 @@
 		return // shutdown: the notification stays queued as it was
 	case err == nil && status/100 == 2:
 		err = s.store.remove(n.ID)
-	case status == http.StatusGone || n.TotalBackoff > s.options.GiveUp.Duration:
+	case status == http.StatusGone || n.TotalBackoff > s.options.MaxTotalBackoff.Duration:
 		log.Error("notification abandoned", "status", status, "error", err)
 		err = s.store.abandon(n)
 	default:
@@ -102,11 +102,11 @@
 // backoff returns the wait after a number of attempts: it doubles from Retry up to RetryMax, less a
 // random part of up to one half, so that many notifications do not come back together.
 func (s *Notifier) backoff(attempts int) time.Duration {
-	wait := s.options.Retry.Duration
-	for i := 1; i < attempts && wait < s.options.RetryMax.Duration; i++ {
+	wait := s.options.InitialBackoff.Duration
+	for i := 1; i < attempts && wait < s.options.MaxBackoff.Duration; i++ {
 		wait *= 2
 	}
-	wait = min(wait, s.options.RetryMax.Duration)
+	wait = min(wait, s.options.MaxBackoff.Duration)
 	return wait/2 + rand.N(wait/2+1)
 }
 
@@ -117,7 +117,7 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, operator.Notify, bytes.NewReader(n.Body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, operator.NotifyURL, bytes.NewReader(n.Body))
 	if err != nil {
 		return 0, 0, err
 	}
@@ -130,7 +130,7 @@
 	defer response.Body.Close()
 	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxMessageBytes)) // so that the connection is reused
 	if seconds, err := strconv.Atoi(response.Header.Get("Retry-After")); err == nil && seconds > 0 {
-		retryAfter = min(time.Duration(seconds)*time.Second, s.options.RetryMax.Duration)
+		retryAfter = min(time.Duration(seconds)*time.Second, s.options.MaxBackoff.Duration)
 	}
 	return response.StatusCode, retryAfter, nil
 }
--- a/webhook/disk_test.go
+++ b/webhook/disk_test.go
@@ -102,7 +102,7 @@
 			}))
 			defer operator.Close()
 			d := newTestFront(t, operator.URL)
-			d.options.GiveUp = duration{time.Minute}
+			d.options.MaxTotalBackoff = duration{time.Minute}
 			completion := oakthread.Completion{
 				Request: oakthread.Request{ID: "c1", Class: 1, Tenant: 0, Key: testFunction},
 				At:      time.Now(),
@@ -133,14 +133,14 @@
 func TestFarScheduledNotificationsAreResetOnStart(t *testing.T) {
 	d := newTestFront(t, "http://127.0.0.1:1/")
 	d.stop()
-	store, err := OpenStore(d.options.State, d.options.Receipts)
+	store, err := OpenStore(d.options.State, d.options.MaxReceipts)
 	require.NoError(t, err)
 	far := time.Now().Add(time.Hour)
 	require.NoError(t, store.db.Update(func(tx *bbolt.Tx) error {
 		return schedule(tx, &notification{ID: "msg_1", Operator: "ironbridge", CreatedAt: time.Now()}, far)
 	}))
 	require.NoError(t, store.Close())
-	store, err = OpenStore(d.options.State, d.options.Receipts)
+	store, err = OpenStore(d.options.State, d.options.MaxReceipts)
 	require.NoError(t, err)
 	require.NoError(t, store.resetFarSchedule(time.Now(), time.Minute))
 	require.NoError(t, store.db.View(func(tx *bbolt.Tx) error {
--- a/webhook/front.go
+++ b/webhook/front.go
@@ -111,7 +111,7 @@
 		file.Close()
 	}
 	var err error
-	if f.store, err = OpenStore(path, f.options.Receipts); err != nil {
+	if f.store, err = OpenStore(path, f.options.MaxReceipts); err != nil {
 		f.release()
 		return fmt.Errorf("webhooks: %w", err)
 	}
--- a/webhook/helpers_test.go
+++ b/webhook/helpers_test.go
@@ -83,12 +83,12 @@
 	d.writeKeys("soar", secret(2))
 	keysFile := func(operator string) string { return filepath.Join(d.dir, operator) }
 	d.options = &Options{
-		State:    filepath.Join(d.dir, "state.db"),
-		Notify:   []string{"path-book"},
-		Retry:    duration{time.Millisecond},
-		RetryMax: duration{5 * time.Millisecond},
+		State:           filepath.Join(d.dir, "state.db"),
+		NotifiedClasses: []string{"path-book"},
+		InitialBackoff:  duration{time.Millisecond},
+		MaxBackoff:      duration{5 * time.Millisecond},
 		Operators: []Operator{
-			{Name: "ironbridge", Tenant: tenants[0], KeysFile: keysFile("ironbridge"), Notify: notifyURL},
+			{Name: "ironbridge", Tenant: tenants[0], KeysFile: keysFile("ironbridge"), NotifyURL: notifyURL},
 			{Name: "soar", Tenant: tenants[1], KeysFile: keysFile("soar")},
 		},
 	}
@@ -111,7 +111,7 @@
 	var err error
 	d.keys, err = NewKeySet(d.options.Operators, discardLog)
 	require.NoError(d.t, err)
-	d.store, err = OpenStore(d.options.State, d.options.Receipts)
+	d.store, err = OpenStore(d.options.State, d.options.MaxReceipts)
 	require.NoError(d.t, err)
 	d.disk = &failingDisk{DB: d.store.db.(*bbolt.DB)}
 	d.store.db = d.disk
--- a/webhook/notifier.go
+++ b/webhook/notifier.go
@@ -85,7 +85,7 @@
 // state file.
 func newNotifier(cfg notifierConfig) (*Notifier, error) {
 	if cfg.store != nil {
-		maxDelay := max(cfg.options.RetryMax.Duration, cfg.options.Retry.Duration)
+		maxDelay := max(cfg.options.MaxBackoff.Duration, cfg.options.InitialBackoff.Duration)
 		if err := cfg.store.resetFarSchedule(monotime.Now(), maxDelay); err != nil {
 			return nil, fmt.Errorf("webhooks: state file: %w", err)
 		}
@@ -104,7 +104,7 @@
 	for _, operator := range cfg.keys.operators() {
 		s.clients[operator.Name] = newClient(operator, cfg.transport)
 	}
-	for _, class := range cfg.options.Notify {
+	for _, class := range cfg.options.NotifiedClasses {
 		s.notifiedClasses[class] = true
 		if cfg.options.State == "" {
 			return nil, fmt.Errorf("webhooks: notices of class %q need a state file", class)
@@ -142,7 +142,7 @@
 // hasEndpoint reports whether an operator has a URL for notifications.
 func (s *Notifier) hasEndpoint(name string) bool {
 	for _, operator := range s.keys.operators() {
-		if operator.Name == name && operator.Notify != "" {
+		if operator.Name == name && operator.NotifyURL != "" {
 			return true
 		}
 	}
--- a/webhook/notifier_test.go
+++ b/webhook/notifier_test.go
@@ -46,6 +46,6 @@
 	assert.Equal(t, []int{0, 1}, []int{queued, abandoned})
 	for i := range 20 {
 		wait := d.notifier.backoff(i + 1)
-		assert.True(t, wait > 0 && wait <= d.options.RetryMax.Duration, wait)
+		assert.True(t, wait > 0 && wait <= d.options.MaxBackoff.Duration, wait)
 	}
 }
--- a/webhook/options.go
+++ b/webhook/options.go
@@ -16,26 +16,34 @@
 const Tolerance = 5 * time.Minute
 
 const (
-	defaultReceipts = 1_000_000
-	defaultKeep     = 7 * 24 * time.Hour // the specification's retry schedule ends after about three days
-	defaultRetry    = 5 * time.Second
-	defaultRetryMax = time.Hour
-	defaultGiveUp   = 3 * 24 * time.Hour
+	defaultMaxReceipts      = 1_000_000
+	defaultReceiptRetention = 7 * 24 * time.Hour // the specification's retry schedule ends after about three days
+	defaultInitialBackoff   = 5 * time.Second
+	defaultMaxBackoff       = time.Hour
+	defaultMaxTotalBackoff  = 3 * 24 * time.Hour
 )
 
 // Options configure the webhook front. They are read from a TOML file of their own or from a
 // section of the dispatcher's configuration file.
 type Options struct {
-	Listen   string   `toml:"listen"`
-	State    string   `toml:"state"`    // path of the state file; required for classes that are not idempotent
-	Classes  []string `toml:"classes"`  // classes that webhooks may request; empty: all
-	Notify   []string `toml:"notify"`   // classes whose completions are notified
-	Receipts int      `toml:"receipts"` // maximum number of receipts in the state file
-	Keep     duration `toml:"keep"`     // retention of a receipt; must exceed the time over which any sender retries
-	Retry    duration `toml:"retry"`    // backoff before the second delivery of a notification; doubles from there
-	RetryMax duration `toml:"retry_max"`
-	GiveUp   duration `toml:"give_up"` // total backoff after which a notification is abandoned
-	SPIFFE   struct {
+	Listen string `toml:"listen"`
+	// State is the path of the state file. It is required for classes that are not idempotent.
+	State string `toml:"state"`
+	// Classes are those that webhooks may request; empty: all.
+	Classes []string `toml:"classes"`
+	// NotifiedClasses are those whose completions are notified.
+	NotifiedClasses []string `toml:"notify"`
+	// MaxReceipts bounds the receipts in the state file.
+	MaxReceipts int `toml:"receipts"`
+	// ReceiptRetention must exceed the time over which any sender retries.
+	ReceiptRetention duration `toml:"keep"`
+	// InitialBackoff is the wait before the second delivery of a notification. It doubles with each
+	// further one, up to MaxBackoff.
+	InitialBackoff duration `toml:"retry"`
+	MaxBackoff     duration `toml:"retry_max"`
+	// MaxTotalBackoff is the sum of the waits after which a notification is abandoned.
+	MaxTotalBackoff duration `toml:"give_up"`
+	SPIFFE          struct {
 		SVID   string `toml:"svid"` // PEM files
 		Key    string `toml:"key"`
 		Bundle string `toml:"bundle"`
@@ -45,11 +53,11 @@
 
 // Operator is a party that sends or receives webhooks.
 type Operator struct {
-	Name     string `toml:"name"`
-	Tenant   string `toml:"tenant"`
-	SPIFFEID string `toml:"spiffe_id"` // identity that the operator must present under mTLS
-	KeysFile string `toml:"keys_file"` // one whsec_ secret a line, the newest first
-	Notify   string `toml:"notify"`    // URL that receives notifications; empty: none
+	Name      string `toml:"name"`
+	Tenant    string `toml:"tenant"`
+	SPIFFEID  string `toml:"spiffe_id"` // identity that the operator must present under mTLS
+	KeysFile  string `toml:"keys_file"` // one whsec_ secret a line, the newest first
+	NotifyURL string `toml:"notify"`    // URL that receives notifications; empty: none
 
 	id   spiffeid.ID
 	keys []*standardwebhooks.Webhook
@@ -106,7 +114,12 @@
 	for _, setting := range []struct {
 		value        *duration
 		defaultValue time.Duration
-	}{{&o.Keep, defaultKeep}, {&o.Retry, defaultRetry}, {&o.RetryMax, defaultRetryMax}, {&o.GiveUp, defaultGiveUp}} {
+	}{
+		{&o.ReceiptRetention, defaultReceiptRetention},
+		{&o.InitialBackoff, defaultInitialBackoff},
+		{&o.MaxBackoff, defaultMaxBackoff},
+		{&o.MaxTotalBackoff, defaultMaxTotalBackoff},
+	} {
 		if setting.value.Duration == 0 {
 			setting.value.Duration = setting.defaultValue
 		}
@@ -114,10 +127,10 @@
 			return errors.New("a time is below 0")
 		}
 	}
-	if o.Receipts == 0 {
-		o.Receipts = defaultReceipts
+	if o.MaxReceipts == 0 {
+		o.MaxReceipts = defaultMaxReceipts
 	}
-	if o.Keep.Duration < 2*Tolerance {
+	if o.ReceiptRetention.Duration < 2*Tolerance {
 		return fmt.Errorf("keep: must be %v at least, or a replayed message would outlive its receipt", 2*Tolerance)
 	}
 	if len(o.Operators) == 0 {
--- a/webhook/receiver.go
+++ b/webhook/receiver.go
@@ -85,7 +85,7 @@
 		log:         cfg.log,
 		classes:     cfg.classes,
 		tenantIndex: map[string]int{},
-		retention:   cfg.options.Keep.Duration,
+		retention:   cfg.options.ReceiptRetention.Duration,
 		bodyTimeout: bodyReadTimeout,
 		executing:   newExecutions(),
 		closing:     make(chan struct{}),
--- a/webhook/receiver_test.go
+++ b/webhook/receiver_test.go
@@ -128,7 +128,7 @@
 	dropped, err := d.store.prune(time.Now(), time.Hour)
 	require.NoError(t, err)
 	assert.Zero(t, dropped)
-	dropped, err = d.store.prune(time.Now().Add(d.options.Keep.Duration+time.Second), time.Hour)
+	dropped, err = d.store.prune(time.Now().Add(d.options.ReceiptRetention.Duration+time.Second), time.Hour)
 	require.NoError(t, err)
 	assert.Equal(t, 2, dropped)
 	assert.Equal(t, 200, deliver("c").Code)
