--- /dev/null
+++ b/internal/adminapi/banfile.go
@@ -0,0 +1,125 @@
+package adminapi
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"time"
+
+	"oakthread"
+	"oakthread/balancer"
+)
+
+// banPollInterval is how often the file of bans is read for changes by another process: the next
+// version of the dispatcher, which runs beside this one while it drains.
+const banPollInterval = 200 * time.Millisecond
+
+// BanFile returns the path in dir of the file of bans of the dispatcher that listens at listen. The
+// next version of the dispatcher finds the file by the same name.
+func BanFile(dir, listen string) string {
+	name := strings.NewReplacer(":", "_", "/", "_", "[", "", "]", "").Replace(listen)
+	return filepath.Join(dir, "oakthread-bans-"+name+".json")
+}
+
+// bannedWorkers is the stored form of the file of bans.
+type bannedWorkers struct {
+	Banned []uint32 `json:"banned"`
+}
+
+// banFile is the file that holds the ids of the workers that operators have taken offline.
+type banFile struct {
+	path    string // empty: there is no file
+	content []byte // as last read or written
+}
+
+// read returns the banned workers if the file has changed since it was last read or written. A file
+// that cannot be decoded is reported once.
+func (f *banFile) read() (banned []balancer.WorkerID, changed bool, err error) {
+	if f.path == "" {
+		return nil, false, nil
+	}
+	raw, err := os.ReadFile(f.path)
+	if err != nil || bytes.Equal(raw, f.content) {
+		return nil, false, nil // a missing file is normal: no worker was ever banned
+	}
+	f.content = raw
+	var stored bannedWorkers
+	if err := json.Unmarshal(raw, &stored); err != nil {
+		return nil, false, fmt.Errorf("decode bans: %w", err)
+	}
+	banned = make([]balancer.WorkerID, 0, len(stored.Banned))
+	for _, id := range stored.Banned {
+		banned = append(banned, balancer.WorkerID(id))
+	}
+	return banned, true, nil
+}
+
+// write replaces the file atomically.
+func (f *banFile) write(banned []balancer.WorkerID) error {
+	if f.path == "" {
+		return nil
+	}
+	var stored bannedWorkers
+	for _, id := range banned {
+		stored.Banned = append(stored.Banned, uint32(id))
+	}
+	raw, err := json.Marshal(stored)
+	if err != nil {
+		return err
+	}
+	temporary := f.path + ".new." + strconv.Itoa(os.Getpid())
+	if err := os.WriteFile(temporary, raw, 0o600); err != nil {
+		return err
+	}
+	if err := os.Rename(temporary, f.path); err != nil {
+		return err
+	}
+	f.content = raw
+	return nil
+}
+
+// watchBans applies changes that another process makes to the file of bans, until ctx is done.
+func (s *Server) watchBans(ctx context.Context) {
+	if s.bans.path == "" {
+		return
+	}
+	ticker := time.NewTicker(banPollInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		}
+		if update := s.reloadBans(); len(update.Endpoints) > 0 {
+			s.sources.Tell(update)
+		}
+	}
+}
+
+// reloadBans applies the file of bans if it has changed, and returns the resulting update of the
+// endpoint list.
+func (s *Server) reloadBans() oakthread.EndpointUpdate {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	banned, changed, err := s.bans.read()
+	if err != nil {
+		s.log.Error("ban file read failed", "path", s.bans.path, "error", err)
+	}
+	if !changed {
+		return oakthread.EndpointUpdate{}
+	}
+	return s.state.Keep(banned, time.Now())
+}
+
+// saveBans writes the bans in force to the file. mu must be held.
+func (s *Server) saveBans() {
+	if err := s.bans.write(s.state.Banned()); err != nil {
+		s.log.Error("ban file write failed", "path", s.bans.path, "error", err)
+	}
+}
--- a/internal/adminapi/golden_test.go
+++ b/internal/adminapi/golden_test.go
@@ -1,7 +1,5 @@
 package adminapi
 
-// This file holds the console's answers and its file of bans against those of an earlier build.
-
 import (
 	"context"
 	"flag"
@@ -25,7 +23,7 @@
 
 var updateGolden = flag.Bool("update", false, "write the text golden files")
 
-// golden compares text with a file of testdata.
+// golden compares text with a golden file.
 func golden(t *testing.T, name, text string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -37,19 +35,19 @@
 	assert.Equal(t, string(want), text)
 }
 
-// goldenIDs knows three executors of the list, and one that the list does not hold.
-func goldenIDs(s string) balancer.WorkerID {
-	return map[string]balancer.WorkerID{"s-1": 1, "s-2": 2, "s-last": math.MaxUint32, "s-9": 9}[s]
+// goldenWorkerID maps the ids of three workers in the endpoint list and of one that is not.
+func goldenWorkerID(name string) balancer.WorkerID {
+	return map[string]balancer.WorkerID{"s-1": 1, "s-2": 2, "s-last": math.MaxUint32, "s-9": 9}[name]
 }
 
-// goldenCore is what the console asks, with a distinct value in every field.
+// goldenCore are Sources with a distinct value in every field.
 type goldenCore struct {
-	fake
+	fakeSources
 	unready, stale bool
 }
 
 func (g *goldenCore) sources() Sources {
-	src := g.fake.sources()
+	src := g.fakeSources.sources()
 	src.CoreReady = func() bool { return !g.unready }
 	src.Figures = func(context.Context) Figures {
 		if g.stale {
@@ -57,30 +55,40 @@
 		}
 		return Figures{Attempts: 11, Pending: 12, Reloads: 13, Fails: 14, Ejected: []balancer.WorkerID{2}}
 	}
-	src.Tally = func(fn func(string, int64, int64, int64)) { fn("path-check", 4, 5, 6); fn("path-book", 1, 2, 3) }
+	src.Tally = func(fn func(string, int64, int64, int64)) {
+		fn("path-check", 4, 5, 6)
+		fn("path-book", 1, 2, 3)
+	}
 	src.Verdicts = func(context.Context) ([]Verdict, bool) {
 		return []Verdict{
 			{Executor: math.MaxUint32, Zone: 1, Verdict: "left out", Evidence: "3 of 4 observers were not served",
-				Served: 2.5, Failed: 0.75, Pace: 1.125, Observers: [2]int{5, 6}, WordAgeMS: 7, TrialInMS: 8, Unreached: true},
+				Served: 2.5, Failed: 0.75, Pace: 1.125, Observers: [2]int{5, 6},
+				WordAgeMS: 7, TrialInMS: 8, Unreached: true},
 			{Executor: 9, Verdict: "well", WordAgeMS: -1},
 		}, !g.busy
 	}
 	return src
 }
 
-func goldenRoster() oakthread.EndpointUpdate {
-	return oakthread.EndpointUpdate{Kind: balancer.EndpointsSnapshot, Endpoints: []oakthread.Endpoint{{ID: 1, State: balancer.Active},
-		{ID: 2, State: balancer.Active}, {ID: math.MaxUint32, State: balancer.Active}}}
+func goldenEndpoints() oakthread.EndpointUpdate {
+	return oakthread.EndpointUpdate{
+		Kind: balancer.EndpointsSnapshot,
+		Endpoints: []oakthread.Endpoint{
+			{ID: 1, State: balancer.Active},
+			{ID: 2, State: balancer.Active},
+			{ID: math.MaxUint32, State: balancer.Active},
+		},
+	}
 }
 
-// Every call of the operators gets the status, content type and body that it got from an earlier build.
-func TestAnswersAreTheSame(t *testing.T) {
+// Every request is answered with the status, content type and body of an earlier build.
+func TestAnswersMatchGolden(t *testing.T) {
 	var core goldenCore
-	c := New(core.sources(), "", goldenIDs, slog.New(slog.DiscardHandler))
-	c.Listed(goldenRoster())
-	h := c.Handler()
+	server := New(core.sources(), "", goldenWorkerID, slog.New(slog.DiscardHandler))
+	server.Listed(goldenEndpoints())
+	h := server.Handler()
 	var b strings.Builder
-	for _, x := range []struct {
+	for _, step := range []struct {
 		state  string
 		set    func()
 		method string
@@ -105,20 +113,20 @@
 		{"unknown path", nil, "GET", "nothing executors executors/s-1 ready/ ../control ../"},
 		{"unknown path", nil, "POST", "executors//offline executors/s-1/else"},
 	} {
-		if x.set != nil {
-			x.set()
+		if step.set != nil {
+			step.set()
 		}
-		for _, p := range strings.Fields(x.paths) {
+		for _, p := range strings.Fields(step.paths) {
 			path := "/control/" + p
 			if up, ok := strings.CutPrefix(p, ".."); ok {
 				path = up
 			}
 			w := httptest.NewRecorder()
-			h.ServeHTTP(w, httptest.NewRequest(x.method, path, http.NoBody))
+			h.ServeHTTP(w, httptest.NewRequest(step.method, path, http.NoBody))
 			r := w.Result()
 			body, err := io.ReadAll(r.Body)
 			require.NoError(t, err)
-			fmt.Fprintf(&b, "# %s\n%s %s\n%d, %s, %d bytes\n%s\n", x.state, x.method, path, r.StatusCode,
+			fmt.Fprintf(&b, "# %s\n%s %s\n%d, %s, %d bytes\n%s\n", step.state, step.method, path, r.StatusCode,
 				r.Header.Get("Content-Type"), len(body), body)
 		}
 	}
@@ -126,18 +134,18 @@
 }
 
 // The file of bans is written byte for byte as by an earlier build, with bans and without.
-func TestBansFileIsWrittenTheSame(t *testing.T) {
+func TestBanFileIsWrittenIdentically(t *testing.T) {
 	var core goldenCore
 	path := filepath.Join(t.TempDir(), "bans.json")
-	c := New(core.sources(), path, goldenIDs, slog.New(slog.DiscardHandler))
-	c.Listed(goldenRoster())
+	server := New(core.sources(), path, goldenWorkerID, slog.New(slog.DiscardHandler))
+	server.Listed(goldenEndpoints())
 	assert.NoFileExists(t, path, "before any call")
 	for _, x := range []struct{ calls, golden string }{
 		{"s-last/offline s-1/offline", "bans.json"},
 		{"s-1/online s-last/online", "no-bans.json"},
 	} {
 		for _, p := range strings.Fields(x.calls) {
-			code, _ := call(t, c.Handler(), "POST", "/control/executors/"+p)
+			code, _ := call(t, server.Handler(), "POST", "/control/executors/"+p)
 			require.Equal(t, 200, code, p)
 		}
 		raw, err := os.ReadFile(path)
@@ -146,14 +154,14 @@
 	}
 }
 
-// A new console has the bans in force that the file of an earlier build holds.
-func TestBansFileIsReadable(t *testing.T) {
+// The bans in a file of an earlier build are in force.
+func TestGoldenBanFileIsReadable(t *testing.T) {
 	for name, want := range map[string][]balancer.WorkerID{"bans.json": {1, math.MaxUint32}, "no-bans.json": nil} {
 		var core goldenCore
-		c := New(core.sources(), filepath.Join("testdata", name), goldenIDs, slog.New(slog.DiscardHandler))
-		c.Listed(goldenRoster())
+		server := New(core.sources(), filepath.Join("testdata", name), goldenWorkerID, slog.New(slog.DiscardHandler))
+		server.Listed(goldenEndpoints())
 		var drained []balancer.WorkerID
-		for _, m := range core.told[0].Endpoints {
+		for _, m := range core.updates[0].Endpoints {
 			if m.State == balancer.Draining {
 				drained = append(drained, m.ID)
 			}
@@ -162,8 +170,8 @@
 	}
 }
 
-// The next version looks for the bans under the name that an earlier build gave.
-func TestBansFileNameIsTheSame(t *testing.T) {
+// The file of bans has the name that an earlier build gave it.
+func TestBanFileNameIsUnchanged(t *testing.T) {
 	for listen, want := range map[string]string{
 		"127.0.0.1:9090": "oakthread-bans-127.0.0.1_9090.json",
 		"[::1]:9090":     "oakthread-bans-__1_9090.json",
--- /dev/null
+++ b/internal/adminapi/server.go
@@ -0,0 +1,120 @@
+package adminapi
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+	"net/http"
+	"sync"
+	"time"
+
+	"oakthread"
+	"oakthread/admin"
+	"oakthread/balancer"
+	"oakthread/internal/neterr"
+)
+
+// Every request is to be answered within a second, so a client that has not sent all of its request
+// is disconnected well before.
+const (
+	readHeaderTimeout = 400 * time.Millisecond
+	readTimeout       = 500 * time.Millisecond
+	writeTimeout      = 900 * time.Millisecond
+	coreTimeout       = 250 * time.Millisecond // of a query to the core
+	maxHeaderBytes    = 8 << 10
+)
+
+// Sources are the parts of the dispatcher that the API reads and controls. All fields are required.
+type Sources struct {
+	// CoreReady reports whether the core has endpoints to dispatch to.
+	CoreReady func() bool
+	// Tell hands an update of the endpoint list to the core.
+	Tell func(oakthread.EndpointUpdate)
+	// Figures returns the counters of the dispatcher. It may block until ctx is done.
+	Figures func(ctx context.Context) Figures
+	// Tally calls fn with the completed, rejected and failed calls of each class.
+	Tally func(fn func(class string, completed, rejected, failed int64))
+	// Quiet is called when the dispatcher is taken out of service, with true, or put back. While
+	// out of service it closes idle client connections.
+	Quiet func(outOfService bool)
+	// Verdicts returns the health of the workers. It is false if the core did not answer until ctx
+	// was done.
+	Verdicts func(ctx context.Context) ([]Verdict, bool)
+}
+
+// Server is the operators' API of a dispatcher. It applies the operators' decisions to the endpoint
+// list and keeps them in a file.
+type Server struct {
+	sources  Sources
+	workerID func(string) balancer.WorkerID // maps the id of a worker in the endpoint list
+	log      *slog.Logger
+
+	mu           sync.Mutex
+	state        admin.State
+	bans         banFile
+	lastCounters Figures
+}
+
+// New returns a Server. The ids of workers that operators have taken offline are read from banPath
+// and written there; an empty path keeps none. workerID maps the id of a worker in the endpoint
+// list to the dispatcher's.
+func New(sources Sources, banPath string, workerID func(string) balancer.WorkerID, log *slog.Logger) *Server {
+	s := &Server{sources: sources, workerID: workerID, log: log, bans: banFile{path: banPath}}
+	s.reloadBans() // the core has no endpoints yet, so there is no update to hand on
+	return s
+}
+
+// Listed applies the operators' decisions to an update of the endpoint list and hands it to the
+// core.
+func (s *Server) Listed(update oakthread.EndpointUpdate) {
+	s.mu.Lock()
+	effective := s.state.UpdateEndpoints(update)
+	s.mu.Unlock()
+	s.sources.Tell(effective)
+}
+
+// Ready reports whether the dispatcher accepts calls: it is in service and the core is ready.
+func (s *Server) Ready() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.state.Ready(s.sources.CoreReady())
+}
+
+// Handler returns the handler of the API.
+func (s *Server) Handler() http.Handler {
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /control/ready", s.handleReady)
+	mux.HandleFunc("GET /control/counters", s.handleCounters)
+	mux.HandleFunc("GET /control/verdicts", s.handleWorkerHealth)
+	mux.HandleFunc("POST /control/executors/{id}/offline", s.handleOffline)
+	mux.HandleFunc("POST /control/executors/{id}/online", s.handleOnline)
+	mux.HandleFunc("POST /control/out-of-service", s.handleOutOfService)
+	mux.HandleFunc("POST /control/in-service", s.handleInService)
+	return mux
+}
+
+// Serve serves the API on ln until ctx is done, and applies changes that another process makes to
+// the file of bans. After an error of ln those changes are still applied until ctx is done.
+func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
+	server := &http.Server{
+		Handler:           s.Handler(),
+		ReadHeaderTimeout: readHeaderTimeout,
+		ReadTimeout:       readTimeout,
+		WriteTimeout:      writeTimeout,
+		IdleTimeout:       readHeaderTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ErrorLog:          slog.NewLogLogger(s.log.Handler(), slog.LevelWarn),
+	}
+	server.SetKeepAlivesEnabled(false) // an idle client does not hold a connection
+	var watching sync.WaitGroup
+	watching.Go(func() { s.watchBans(ctx) })
+	defer context.AfterFunc(ctx, func() { _ = server.Close() })()
+	err := server.Serve(neterr.NewListener(ln, s.log))
+	if !errors.Is(err, http.ErrServerClosed) {
+		return fmt.Errorf("console: %w", err)
+	}
+	watching.Wait()
+	return nil
+}
--- /dev/null
+++ b/internal/adminapi/workers.go
@@ -0,0 +1,78 @@
+package adminapi
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"time"
+
+	"oakthread"
+	"oakthread/balancer"
+)
+
+// Verdict is the health of one worker as the dispatcher sees it, in the form of /control/verdicts.
+type Verdict struct {
+	Executor  balancer.WorkerID `json:"executor"` // as log lines name it
+	Zone      int               `json:"zone"`
+	Verdict   string            `json:"verdict"` // well, suspect, left out, on trial
+	Evidence  string            `json:"evidence"`
+	Served    float64           `json:"served_lately"` // own calls that succeeded, decaying
+	Failed    float64           `json:"failed_latest"` // fraction of the latest own calls that failed
+	Pace      float64           `json:"pace"`          // duration of its calls relative to the mean of all workers
+	Observers [2]int            `json:"observers"`     // of the last gossip: dispatchers that were served, and not
+	WordAgeMS int64             `json:"word_age_ms"`   // age of the last gossip; -1: none
+	TrialInMS int64             `json:"trial_in_ms"`   // time until the next health check; 0: none is due
+	Unreached bool              `json:"unreachable"`   // from this dispatcher
+}
+
+// handleWorkerHealth answers with the health of all workers as JSON.
+func (s *Server) handleWorkerHealth(w http.ResponseWriter, r *http.Request) {
+	ctx, cancel := context.WithTimeout(r.Context(), coreTimeout)
+	defer cancel()
+	workers, ok := s.sources.Verdicts(ctx)
+	if !ok {
+		http.Error(w, "the dispatcher is busy; ask again", http.StatusServiceUnavailable)
+		return
+	}
+	w.Header().Set("Content-Type", "application/json")
+	_ = json.NewEncoder(w).Encode(workers)
+}
+
+// handleOffline takes a worker offline until an operator puts it back online.
+func (s *Server) handleOffline(w http.ResponseWriter, r *http.Request) {
+	s.changeWorker(w, r, true, s.state.Eject)
+}
+
+// handleOnline puts a worker that was taken offline back online.
+func (s *Server) handleOnline(w http.ResponseWriter, r *http.Request) {
+	s.changeWorker(w, r, false, func(id balancer.WorkerID) (oakthread.EndpointUpdate, bool) {
+		return s.state.Restore(id, time.Now())
+	})
+}
+
+// changeWorker applies an operator's decision on a worker, keeps it in the file of bans and hands
+// the update of the endpoint list to the core. apply is called with mu held; it is false for a
+// worker that is not known.
+func (s *Server) changeWorker(
+	w http.ResponseWriter, r *http.Request, offline bool,
+	apply func(balancer.WorkerID) (oakthread.EndpointUpdate, bool),
+) {
+	name := r.PathValue("id")
+	id := s.workerID(name)
+	s.mu.Lock()
+	update, known := apply(id)
+	if known {
+		s.saveBans()
+	}
+	s.mu.Unlock()
+	if !known {
+		http.Error(w, fmt.Sprintf("executor %q is not known", name), http.StatusNotFound)
+		return
+	}
+	if len(update.Endpoints) > 0 {
+		s.sources.Tell(update)
+	}
+	s.log.Info("admin worker state changed", "worker_id", name, "offline", offline)
+	_, _ = w.Write([]byte("ok\n"))
+}
