--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli owns the command line of the dispatcher: what operators type, and what they are shown. It must never
-// change a file that a running dispatcher has open.
+// Package cli is the command line of the dispatcher. Its commands read the files of a running
+// dispatcher, but never change one that a dispatcher has open.
 package cli
 
 import (
@@ -11,74 +11,101 @@
 	"os"
 
 	"github.com/spf13/cobra"
+)
 
-	"oakthread/internal/config"
-	"oakthread/internal/daemon"
-	"oakthread/webhook"
+// Exit codes of the program.
+const (
+	exitOK    = 0
+	exitError = 1
+	exitUsage = 2 // the command line cannot be understood
 )
 
-// Env is the world that a command runs in.
+// Env is the environment that a command runs in.
 type Env struct {
 	Getenv   func(string) string
 	Hup      <-chan os.Signal
 	Out, Err io.Writer
-	Log      *slog.Logger // nil: as the operator's file asks, on Err
+	Log      *slog.Logger // nil: as the configuration file says, to Err
 }
 
-// usageError is a command line that cannot be read: exit code 2.
+// usageError is an error of the command line itself.
 type usageError struct{ error }
 
 func (e usageError) Unwrap() error { return e.error }
 
-// Code is the exit code for the error of Run.
+// Code returns the exit code for an error of Run.
 func Code(err error) int {
-	var u usageError
+	var usage usageError
 	switch {
 	case err == nil:
-		return 0
-	case errors.As(err, &u):
-		return 2
+		return exitOK
+	case errors.As(err, &usage):
+		return exitUsage
 	}
-	return 1
+	return exitError
 }
 
-// Run carries out one command line.
+// Run runs the command that args, without the program's name, ask for.
 func Run(ctx context.Context, env Env, args []string) error {
-	root := command(env)
-	for i, a := range args { // the flag's form before there were commands
-		if a == "-webhooks" {
-			args = append(append(append([]string(nil), args[:i]...), "--webhooks"), args[i+1:]...)
-		}
-	}
-	root.SetArgs(args)
+	root := newRootCommand(env)
+	root.SetArgs(rewriteLegacyFlag(args))
 	root.SetOut(env.Out)
 	root.SetErr(env.Err)
 	root.SetContext(ctx)
 	return root.ExecuteContext(ctx)
 }
 
-func command(env Env) *cobra.Command {
+// rewriteLegacyFlag replaces -webhooks, a form of --webhooks that cobra would read as several short
+// flags.
+func rewriteLegacyFlag(args []string) []string {
+	rewritten := make([]string, 0, len(args))
+	for _, arg := range args {
+		if arg == "-webhooks" {
+			arg = "--webhooks"
+		}
+		rewritten = append(rewritten, arg)
+	}
+	return rewritten
+}
+
+// newRootCommand returns the program's command, which serves if no subcommand is named.
+func newRootCommand(env Env) *cobra.Command {
 	root := &cobra.Command{
 		Use:   "oakthread",
 		Short: "Dispatch calls of models to the workers that hold them loaded",
-		Long: "oakthread dispatches calls of models to the least loaded worker believed warm.\n" +
+		Long: "oakthread dispatches calls of models to the least loaded worker believed to have them loaded.\n" +
 			"Without a command it serves. ROUTER_CONFIG names the platform's configuration file.",
-		SilenceErrors: true, SilenceUsage: true,
-		Args: Args(cobra.NoArgs),
+		SilenceErrors: true,
+		SilenceUsage:  true,
+		Args:          Args(cobra.NoArgs),
 	}
 	root.CompletionOptions.HiddenDefaultCmd = true
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
-	serve(root, env)
-	alone := &cobra.Command{Use: "serve", Short: "Serve until SIGTERM; all calls taken are answered", Args: Args(cobra.NoArgs)}
-	serve(alone, env)
-	config := Group("config", "Look at the operator's file")
-	config.AddCommand(&cobra.Command{Use: "check FILE", Short: "Check an operator's file and say what it sets", Args: Args(cobra.ExactArgs(1)),
-		RunE: func(c *cobra.Command, args []string) error { return checkConfig(c.OutOrStdout(), args[0]) }})
-	root.AddCommand(alone, config, list(), verdicts(env.Getenv))
+	addServe(root, env)
+	serve := &cobra.Command{
+		Use:   "serve",
+		Short: "Serve until SIGTERM; all calls that were admitted are answered",
+		Args:  Args(cobra.NoArgs),
+	}
+	addServe(serve, env)
+	root.AddCommand(
+		serve,
+		newConfigCommand(),
+		newEndpointsCommand("endpoints"),
+		hidden(newEndpointsCommand("list")),
+		newHealthCommand("health", env.Getenv),
+		hidden(newHealthCommand("verdicts", env.Getenv)),
+	)
 	return root
 }
 
-// Args words a wrong number of arguments as a usage error.
+// hidden returns a command that works under a former name and is not shown in the help text.
+func hidden(command *cobra.Command) *cobra.Command {
+	command.Hidden = true
+	return command
+}
+
+// Args returns a check whose error is a usage error that names the command's help.
 func Args(check cobra.PositionalArgs) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if err := check(c, args); err != nil {
@@ -88,64 +115,16 @@
 	}
 }
 
-// Group is a command that only holds others.
+// Group returns a command that only holds subcommands. Without one it prints its help and returns a
+// usage error.
 func Group(use, short string) *cobra.Command {
-	return &cobra.Command{Use: use, Short: short, Args: Args(cobra.NoArgs), RunE: func(c *cobra.Command, _ []string) error {
-		_ = c.Help()
-		return usageError{fmt.Errorf("%s needs a command", c.CommandPath())}
-	}}
-}
-
-func serve(c *cobra.Command, env Env) {
-	file := c.Flags().String("config", "", "operator's file, such as deploy/oakthread.toml; empty: all of its parts are off")
-	hooks := c.Flags().String("webhooks", "", "operator's file of the webhook front alone, as in deploy/webhooks.toml")
-	c.RunE = func(c *cobra.Command, _ []string) error {
-		o := daemon.Options{Getenv: env.Getenv, Hup: env.Hup, Log: env.Log}
-		var err error
-		if *file != "" {
-			if o.File, err = config.Read(*file); err != nil {
-				return err
-			}
-			o.Webhooks = o.File.Webhooks
-		}
-		if *hooks != "" {
-			if o.Webhooks != nil {
-				return usageError{fmt.Errorf("--webhooks and section webhooks of %s: one of them", *file)}
-			}
-			if o.Webhooks, err = webhook.ReadOptions(*hooks); err != nil {
-				return err
-			}
-		}
-		if o.Log == nil {
-			o.Log = slog.New(o.File.Handler(env.Err))
-		}
-		return daemon.Run(c.Context(), o)
-	}
-}
-
-func checkConfig(out io.Writer, path string) error {
-	f, err := config.Read(path)
-	if err != nil {
-		return err
-	}
-	on := func(is bool) string {
-		if is {
-			return "on"
-		}
-		return "off"
-	}
-	fmt.Fprintf(out, "%s is sound\n  list      %s", path, on(f.List != nil))
-	if f.List != nil {
-		fmt.Fprintf(out, ", kept in %s", f.List.Path)
-	}
-	fmt.Fprintf(out, "\n  http2     %s", on(f.HTTP2 != nil))
-	if f.HTTP2 != nil {
-		fmt.Fprintf(out, ", at %s", f.HTTP2.Listen)
-	}
-	fmt.Fprintf(out, "\n  webhooks  %s", on(f.Webhooks != nil))
-	if f.Webhooks != nil {
-		fmt.Fprintf(out, ", at %s, %d operators", f.Webhooks.Listen, len(f.Webhooks.Operators))
+	return &cobra.Command{
+		Use:   use,
+		Short: short,
+		Args:  Args(cobra.NoArgs),
+		RunE: func(c *cobra.Command, _ []string) error {
+			_ = c.Help()
+			return usageError{fmt.Errorf("%s needs a command", c.CommandPath())}
+		},
 	}
-	fmt.Fprintln(out)
-	return nil
 }
