--- a/balancer/health.go
+++ b/balancer/health.go
@@ -127,10 +127,10 @@
 
 func (d *Balancer) out(w *worker) bool { return d.judge.Ejected(&w.health, w.Zone) }
 
-// changed logs what has changed of a worker; an empty text is nothing.
-func (d *Balancer) changed(now int64, w *worker, text string) {
-	if text != "" {
-		d.log(now, "worker %d %s", w.Worker, text)
+// changed logs what has changed of a worker.
+func (d *Balancer) changed(now int64, w *worker, event outlier.Event) {
+	if !event.IsZero() {
+		d.log(now, "worker %d %s", w.Worker, event)
 	}
 }
 
@@ -161,8 +161,8 @@
 		pace := d.slow(now, w)
 		silent := d.told(now, w) && !d.judge.ByWords(now, &w.health)
 		v := WorkerHealth{w.Worker, w.Zone, pace, silent, d.judge.State(now, &w.health, w.Zone, pace)}
-		if v.Silent && v.State.Verdict == "well" {
-			v.State.Verdict, v.Evidence = "left out", "several found it silent, and nobody had an answer"
+		if v.Silent && v.Status == outlier.StatusHealthy {
+			v.Status, v.Evidence = outlier.StatusEjected, "several found it silent, and nobody had an answer"
 		}
 		out = append(out, v)
 	}
--- a/balancer/peers.go
+++ b/balancer/peers.go
@@ -230,8 +230,8 @@
 			w.told, w.toldAt = min(word.Slow(), paceMax), now
 		}
 	}
-	for i, text := range d.judge.ApplyGossip(now, told, all) {
-		d.changed(now, of[i], text)
+	for i, event := range d.judge.ApplyGossip(now, told, all) {
+		d.changed(now, of[i], event)
 	}
 }
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -355,7 +355,7 @@
 	case vs := <-got:
 		rows := make([]adminapi.Verdict, 0, len(vs))
 		for _, v := range vs {
-			row := adminapi.Verdict{Executor: v.Worker, Zone: v.Zone, Verdict: v.State.Verdict, Evidence: v.Evidence, Served: v.Good, Failed: v.Bad, Pace: v.Pace,
+			row := adminapi.Verdict{Executor: v.Worker, Zone: v.Zone, Verdict: v.Status.String(), Evidence: v.Evidence, Served: v.Good, Failed: v.Bad, Pace: v.Pace,
 				Observers: [2]int{int(v.Word.Good), int(v.Word.Bad)}, WordAgeMS: -1, TrialInMS: time.Duration(v.TrialIn).Milliseconds(), Unreached: v.Unreachable}
 			if v.WordAge >= 0 {
 				row.WordAgeMS = time.Duration(v.WordAge).Milliseconds()
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -15,6 +15,7 @@
 
 	"oakthread/balancer"
 	"oakthread/endpoints"
+	"oakthread/outlier"
 )
 
 const (
@@ -319,7 +320,7 @@
 func (w *simWorld) avoiding(id balancer.WorkerID) (n int) {
 	for _, s := range w.nodes {
 		for _, v := range s.d.WorkerHealth(w.now.UnixNano()) {
-			if v.Worker == id && v.State.Verdict != "well" && v.State.Verdict != "suspect" {
+			if v.Worker == id && v.Status != outlier.StatusHealthy && v.Status != outlier.StatusSuspect {
 				n++
 			}
 		}
--- /dev/null
+++ b/outlier/event.go
@@ -0,0 +1,57 @@
+package outlier
+
+import "fmt"
+
+// EventKind is a change of the state of a worker or of its zone.
+type EventKind uint8
+
+// Kinds of events.
+const (
+	EventNone               EventKind = iota // nothing has changed
+	EventEjectedFailing                      // too many of its latest calls failed
+	EventEjectedUnreachable                  // a connection to it was never established
+	EventZonePartitioned                     // the same, and its zone counts as partitioned from now on
+	EventEjectedByGossip                     // other dispatchers were not served by it
+	EventRestoredServing                     // it serves calls again
+	EventRestoredReachable                   // it answers again
+	EventZoneRestored                        // it answers again, which ends the partition of its zone
+	EventRestoredByGossip                    // other dispatchers are served by it again
+)
+
+// Event is what one observation changed in the state of a worker, with the evidence for it. The zero value is no change.
+type Event struct {
+	Kind           EventKind
+	FailurePercent int // decaying mean of failed calls, 0 to 100: EventEjectedFailing, EventRestoredServing
+	Zone           int // EventZonePartitioned, EventZoneRestored
+	Unreachable    int // consecutive unreachable workers of the zone: EventZonePartitioned
+	Agreeing       int // observers that reported what the event says: EventEjectedByGossip, EventRestoredByGossip
+	Observers      int // observers that reported anything: as Agreeing
+}
+
+// IsZero reports whether nothing has changed.
+func (e Event) IsZero() bool { return e.Kind == EventNone }
+
+// String returns the event as the log shows it, empty for EventNone.
+func (e Event) String() string {
+	switch e.Kind {
+	case EventNone:
+		return ""
+	case EventEjectedFailing:
+		return fmt.Sprintf("ejected: %d%% of late calls failed", e.FailurePercent)
+	case EventEjectedUnreachable:
+		return "ejected: it cannot be reached"
+	case EventZonePartitioned:
+		return fmt.Sprintf("ejected with zone %d, which is cut off: %d executors in a row cannot be reached", e.Zone, e.Unreachable)
+	case EventEjectedByGossip:
+		return fmt.Sprintf("left out by words: %d of %d observers were not served", e.Agreeing, e.Observers)
+	case EventRestoredServing:
+		return fmt.Sprintf("back: %d%% of late calls failed", e.FailurePercent)
+	case EventRestoredReachable:
+		return "back: it can be reached"
+	case EventZoneRestored:
+		return fmt.Sprintf("back, and with it zone %d: it can be reached", e.Zone)
+	case EventRestoredByGossip:
+		return fmt.Sprintf("back by words: %d of %d observers were served", e.Agreeing, e.Observers)
+	}
+	return fmt.Sprintf("EventKind(%d)", e.Kind)
+}
--- a/outlier/verdict.go
+++ b/outlier/verdict.go
@@ -7,10 +7,7 @@
 // Times are nanoseconds of the caller's clock, as in decide; a clock that goes back harms nothing.
 package outlier
 
-import (
-	"fmt"
-	"math"
-)
+import "math"
 
 const (
 	failStep   = 0.4  // weight of one failure in the mean of failures: two in a row pass failLimit
@@ -102,9 +99,8 @@
 	return b.mean
 }
 
-// RecordFailure takes a failure. b is out for longer each time a trial fails. Here and below the text says what has changed, with
-// the evidence, for the log; it is empty where nothing has.
-func (j *Detector) RecordFailure(now int64, b *Stats, w Weight) string {
+// RecordFailure takes a failure. b is out for longer each time a trial fails.
+func (j *Detector) RecordFailure(now int64, b *Stats, w Weight) Event {
 	if w == Failure {
 		b.seen.run, b.seen.failed = b.seen.run+1, now
 	}
@@ -112,9 +108,9 @@
 		b.seen.odd = now
 	}
 	if !j.failed(now, b, w) {
-		return ""
+		return Event{}
 	}
-	return fmt.Sprintf("ejected: %d%% of late calls failed", b.percent())
+	return Event{Kind: EventEjectedFailing, FailurePercent: b.percent()}
 }
 
 func (j *Detector) failed(now int64, b *Stats, w Weight) bool {
@@ -135,13 +131,13 @@
 // RecordUnreachable takes a connection of a call sent at sent that never came up. It puts b out at once, and after some in a row
 // its zone. What was sent before the zone's last answer came says nothing of the zone, and what was sent before a cut
 // ended says nothing at all.
-func (j *Detector) RecordUnreachable(now, sent int64, b *Stats, z int) string {
+func (j *Detector) RecordUnreachable(now, sent int64, b *Stats, z int) Event {
 	if !j.zonal {
 		return j.RecordFailure(now, b, Dead)
 	}
 	x := j.zone(z)
 	if !x.cut && sent < x.ended {
-		return ""
+		return Event{}
 	}
 	out := j.failed(now, b, Dead)
 	if fresh := !b.cold || b.round != x.round; fresh && sent >= x.heard {
@@ -154,36 +150,36 @@
 		}
 		x.cut, x.began, x.next = true, x.round, now+x.wait
 		j.cuts++
-		return fmt.Sprintf("ejected with zone %d, which is cut off: %d executors in a row cannot be reached", z, x.run)
+		return Event{Kind: EventZonePartitioned, Zone: z, Unreachable: x.run}
 	}
 	if !out {
-		return ""
+		return Event{}
 	}
-	return "ejected: it cannot be reached"
+	return Event{Kind: EventEjectedUnreachable}
 }
 
 // RecordResponse takes an answer of b, good or bad: it can be reached, and so can its zone. All that were put out for that in the
 // course of a cut are then as good as before.
-func (j *Detector) RecordResponse(now int64, b *Stats, z int) (news string) {
+func (j *Detector) RecordResponse(now int64, b *Stats, z int) (event Event) {
 	if !j.zonal {
-		return ""
+		return Event{}
 	}
 	x := j.zone(z)
 	j.heal(b, x)
 	if b.cold {
 		if b.out {
-			news = "back: it can be reached"
+			event = Event{Kind: EventRestoredReachable}
 		}
 		b.reached()
 	}
 	if x.cut {
 		x.cut, x.since, x.healed, x.ended = false, x.began, x.round+1, now
 		j.cuts--
-		news = fmt.Sprintf("back, and with it zone %d: it can be reached", z)
+		event = Event{Kind: EventZoneRestored, Zone: z}
 	}
 	x.heard, x.run = now, 0
 	x.round++
-	return news
+	return event
 }
 
 // heal takes back that b could not be reached, where that was found in the course of a cut that has ended.
@@ -197,15 +193,15 @@
 func (b *Stats) reached() { b.cold, b.out, b.mean = false, false, 0 }
 
 // RecordSuccess takes a call that b served.
-func (j *Detector) RecordSuccess(now int64, b *Stats) string {
+func (j *Detector) RecordSuccess(now int64, b *Stats) Event {
 	j.FailureRate(now, b)
 	b.seen.served(now, j.forget())
 	b.mean *= failDecay
 	if !b.out || b.mean >= failHealed {
-		return ""
+		return Event{}
 	}
 	b.out = false
-	return fmt.Sprintf("back: %d%% of late calls failed", b.percent())
+	return Event{Kind: EventRestoredServing, FailurePercent: b.percent()}
 }
 
 func (b *Stats) percent() int { return int(100 * b.mean) }
--- a/outlier/verdict_test.go
+++ b/outlier/verdict_test.go
@@ -17,7 +17,7 @@
 func TestFewGoByTheirOwnSamples(t *testing.T) {
 	j, b := New(aim, false), &Stats{}
 	assert.Empty(t, j.RecordFailure(0, b, Failure), "one failure is no verdict")
-	assert.Contains(t, j.RecordFailure(ms, b, Failure), "ejected: 63%")
+	assert.Contains(t, j.RecordFailure(ms, b, Failure).String(), "ejected: 63%")
 	assert.False(t, j.TrialDue(100*ms, b, 0))
 	assert.True(t, j.TrialDue(ms+aim, b, 0), "a trial after the shortest aim")
 	j.RecordFailure(ms+aim, b, Failure)
@@ -28,7 +28,7 @@
 		j.RecordSuccess(ms+3*aim, b)
 	}
 	assert.Less(t, j.FailureRate(ms+3*aim, b), failHealed)
-	assert.Contains(t, j.RecordUnreachable(ms+4*aim, ms+4*aim, b, 0), "ejected")
+	assert.Contains(t, j.RecordUnreachable(ms+4*aim, ms+4*aim, b, 0).String(), "ejected")
 	assert.False(t, j.ZonePartitioned(0))
 }
 
@@ -60,7 +60,7 @@
 	}
 	assert.LessOrEqual(t, trials, 7, "in six seconds")
 	assert.GreaterOrEqual(t, len(tried), 4, "of executors in turn")
-	assert.Contains(t, j.RecordResponse(7000*ms, &boxes[4], 1), "zone 1")
+	assert.Contains(t, j.RecordResponse(7000*ms, &boxes[4], 1).String(), "zone 1")
 	for i := range boxes[:7] {
 		assert.False(t, j.Ejected(&boxes[i], 1), i)
 		assert.Zero(t, j.FailureRate(7000*ms, &boxes[i]))
@@ -108,7 +108,7 @@
 				if j.zonal && (j.ZonePartitioned(z) || b.cold) {
 					t.Fatal("it answered, and it or its zone counts as unreached")
 				}
-				if said != "" && !strings.Contains(said, "back") {
+				if !said.IsZero() && !strings.Contains(said.String(), "back") {
 					t.Fatal(said)
 				}
 			case 3:
--- a/outlier/words.go
+++ b/outlier/words.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"fmt"
 	"math"
 	"slices"
 )
@@ -144,21 +143,21 @@
 // ApplyGossip takes the words of a digest; all: the weight of all executors. Of those that words would leave out, the worst are,
 // up to a quarter of the capacity with those of digests before that still stand. A verdict that stands is renewed by any word
 // against it, for then one executor is tried by one observer at a time, and ends with the first word that two observers or
-// more were served, and more than not. The texts are for the log, in the order of told; empty where nothing has changed.
-func (j *Detector) ApplyGossip(now int64, told []GossipEvidence, all float64) (news []string) {
+// more were served, and more than not. The events are in the order of told.
+func (j *Detector) ApplyGossip(now int64, told []GossipEvidence, all float64) []Event {
 	order := make([]int, len(told))
 	for i := range order {
 		order[i] = i
 	}
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(told[b].Word.Share(), told[a].Word.Share()) })
-	news = make([]string, len(told))
+	events := make([]Event, len(told))
 	for i, t := range told {
 		b, stood := t.Box, j.EjectedByGossip(now, t.Box)
 		b.word, b.wordAt = t.Word, now
 		switch {
 		case stood && t.Word.Good > max(1, t.Word.Bad):
 			b.boundAt = 0
-			news[i] = fmt.Sprintf("back by words: %d of %d observers were served", t.Word.Good, t.Word.observers())
+			events[i] = Event{Kind: EventRestoredByGossip, Agreeing: int(t.Word.Good), Observers: t.Word.observers()}
 		case stood && t.Word.Bad > 0:
 			b.boundAt = now
 		}
@@ -174,10 +173,10 @@
 			left -= told[i].Weight
 			b.boundAt, b.since = now, now
 			j.bound = append(j.bound, told[i])
-			news[i] = fmt.Sprintf("left out by words: %d of %d observers were not served", word.Bad, word.observers())
+			events[i] = Event{Kind: EventEjectedByGossip, Agreeing: int(word.Bad), Observers: word.observers()}
 		}
 	}
-	return news
+	return events
 }
 
 func (w Evidence) observers() int { return int(w.Good) + int(w.Bad) }
@@ -192,42 +191,3 @@
 func (j *Detector) ByWords(now int64, b *Stats) bool {
 	return j.EjectedByGossip(now, b) && (b.seen.good == 0 || b.seen.at < b.since-j.aim || b.seen.run > 0)
 }
-
-// State is what is held of one executor, for operators.
-type State struct {
-	Verdict     string // well, suspect, left out, on trial
-	Evidence    string
-	Good, Bad   float64 // our own calls served lately, decaying, and the part of the latest that failed
-	Word        Evidence
-	WordAge     int64 // of the word; below 0: none
-	TrialIn     int64 // until the next trial; 0 where none is due
-	Unreachable bool
-}
-
-// State tells what is held of b; pace as at Mark.
-func (j *Detector) State(now int64, b *Stats, z int, pace float64) State {
-	x := State{Verdict: "well", Evidence: "nothing against it", Good: b.seen.lately(now, j.forget()), Bad: j.FailureRate(now, b), Word: b.word, WordAge: -1, Unreachable: b.cold}
-	if b.wordAt > 0 {
-		x.WordAge = now - b.wordAt
-	}
-	switch {
-	case j.ZonePartitioned(z):
-		x.Verdict, x.Evidence, x.TrialIn = "left out", fmt.Sprintf("zone %d cannot be reached", z), max(0, j.zone(z).next-now)
-	case j.Ejected(b, z):
-		x.Verdict, x.Evidence, x.TrialIn = "left out", fmt.Sprintf("%d%% of our late calls failed", b.percent()), max(0, b.until-now)
-		if b.cold {
-			x.Evidence = "it cannot be reached from here"
-		}
-	case j.ByWords(now, b):
-		x.Verdict, x.Evidence = "left out", fmt.Sprintf("%d of %d observers were not served", b.word.Bad, b.word.observers())
-		x.TrialIn = max(0, b.trialed+wordAims*j.aim-now)
-	case j.FailureRate(now, b) > failLimit/2:
-		x.Verdict, x.Evidence = "suspect", fmt.Sprintf("%d%% of our late calls failed", b.percent())
-	case pace >= slowPace:
-		x.Verdict, x.Evidence = "suspect", fmt.Sprintf("calls take %.1f times as long as elsewhere", pace)
-	}
-	if x.Verdict == "left out" && b.trialed > 0 && now-b.trialed < j.aim {
-		x.Verdict = "on trial"
-	}
-	return x
-}
--- a/outlier/words_test.go
+++ b/outlier/words_test.go
@@ -17,7 +17,7 @@
 		j, b := New(aim, true), &Stats{}
 		news := j.ApplyGossip(1, []GossipEvidence{{b, 1, Evidence{Good: c.good, Bad: c.bad}}}, 100)
 		assert.Equal(t, c.out, j.ByWords(1, b), "%+v: %.2f", c, Evidence{Good: c.good, Bad: c.bad}.Share())
-		assert.Equal(t, c.out, news[0] != "", "%+v", c)
+		assert.Equal(t, c.out, !news[0].IsZero(), "%+v", c)
 	}
 }
 
@@ -113,11 +113,11 @@
 	assert.Equal(t, Evidence{}, Merge([]Mark{m}, 0))
 	m, says = j.Mark(0, &Stats{}, 8)
 	assert.True(t, says && m.Pace == 32)
-	assert.Equal(t, "left out", j.State(1, func() *Stats {
+	assert.Equal(t, StatusEjected, j.State(1, func() *Stats {
 		x := &Stats{}
 		j.ApplyGossip(1, []GossipEvidence{{x, 1, Evidence{Bad: 3}}}, 100)
 		return x
-	}(), 0, 1).Verdict)
+	}(), 0, 1).Status)
 }
 
 // For any order of events: what words leave out is at most a quarter, never what served us last; one observer's marks leave
