--- a/cmd/dispatcher/main_test.go
+++ b/cmd/dispatcher/main_test.go
@@ -255,7 +255,7 @@
 	stays, a := box("s-00000001")
 	defer stays.Die()
 	dies, b := box("s-00000002")
-	disc.SendMessage(a, b)
+	disc.Publish(a, b)
 	dir, addr := t.TempDir(), freeAddr(t)
 	op := filepath.Join(dir, "oakthread.toml")
 	require.NoError(t, os.WriteFile(op, []byte("[list]\npath='state/list.db'\n"), 0o600))
@@ -304,7 +304,7 @@
 	require.NoError(t, disc.Up())
 	disc.StartOver("e2")
 	b.Phase = lab.Gone
-	disc.SendMessage(b, c)
+	disc.Publish(b, c)
 	for !strings.Contains(<-log, "discovery is back") {
 	}
 	assert.Equal(t, 200, ask("/call/7f3a9c21e0b4d655/trigger"))
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -7,6 +7,12 @@
 	"fmt"
 	"io"
 	"log/slog"
+	"oakthread/internal/cli"
+	"oakthread/internal/config"
+	"oakthread/internal/daemon"
+	"oakthread/internal/fault"
+	"oakthread/internal/lab"
+	"oakthread/internal/loganalysis"
 	"os"
 	"os/signal"
 	"path/filepath"
@@ -15,13 +21,6 @@
 	"time"
 
 	"github.com/spf13/cobra"
-
-	"oakthread/internal/cli"
-	"oakthread/internal/config"
-	"oakthread/internal/daemon"
-	"oakthread/internal/fault"
-	"oakthread/internal/lab"
-	"oakthread/internal/loganalysis"
 )
 
 var errBroken = errors.New("not all bounds hold")
@@ -50,8 +49,10 @@
 		run.AddCommand(experiment(e))
 	}
 	run.AddCommand(soakCommand())
-	demo := &cobra.Command{Use: "demo", Short: "Start discovery, a dozen boxes and a dispatcher, and send some seconds of calls", Args: cli.Args(cobra.NoArgs),
-		RunE: func(c *cobra.Command, _ []string) error { return lab.Demo(c.Context(), c.OutOrStdout()) }}
+	demo := &cobra.Command{
+		Use: "demo", Short: "Start discovery, a dozen boxes and a dispatcher, and send some seconds of calls", Args: cli.Args(cobra.NoArgs),
+		RunE: func(c *cobra.Command, _ []string) error { return lab.Demo(c.Context(), c.OutOrStdout()) },
+	}
 	root.AddCommand(run, demo, fleetLedger(), dispatch())
 	return root
 }
@@ -99,8 +100,10 @@
 
 // fleetLedger counts over the logs of many dispatchers.
 func fleetLedger() *cobra.Command {
-	c := &cobra.Command{Use: "ledger LOG...", Short: "Count over the debug logs of a fleet, one file a dispatcher: herds, duplicate loads, faults that go on",
-		Args: cli.Args(cobra.MinimumNArgs(1))}
+	c := &cobra.Command{
+		Use: "ledger LOG...", Short: "Count over the debug logs of a fleet, one file a dispatcher: herds, duplicate loads, faults that go on",
+		Args: cli.Args(cobra.MinimumNArgs(1)),
+	}
 	keep := c.Flags().Duration("keep", 8*time.Second, "time that an idle copy stays loaded")
 	c.RunE = func(c *cobra.Command, logs []string) error {
 		var l loganalysis.Ledger
--- a/cmd/testbed/soak.go
+++ b/cmd/testbed/soak.go
@@ -2,13 +2,12 @@
 
 import (
 	"fmt"
-	"os"
-
-	"github.com/spf13/cobra"
-
 	"oakthread/internal/cli"
 	"oakthread/internal/lab"
 	"oakthread/internal/soak"
+	"os"
+
+	"github.com/spf13/cobra"
 )
 
 // soakCommand runs real processes under troubles drawn from seeds.
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -41,9 +41,11 @@
 
 // Letter is the plan of the operators' letter.
 func Letter() Plan {
-	return Plan{Dispatchers: 1900, Instances: 230_000, Functions: 48_000, Calls: 380_000, Regions: 4, Zones: 10, Changes: 5100, Machines: 17,
+	return Plan{
+		Dispatchers: 1900, Instances: 230_000, Functions: 48_000, Calls: 380_000, Regions: 4, Zones: 10, Changes: 5100, Machines: 17,
 		Failing: 2, Restarted: 100, Aim: 0.4, ConnIdle: 15, Descriptors: 1024, LoadSlots: 4.5, FetchPart: 0.575,
-		ProbeRate: 300, ProbeWork: 0.4e-3}
+		ProbeRate: 300, ProbeWork: 0.4e-3,
+	}
 }
 
 // Budgets are what the letter allows.
@@ -94,35 +96,57 @@
 // Assumptions are those that the page states.
 func Assumptions() []Assumption {
 	return []Assumption{
-		{"executors", "", 9600, 4800, 28_800, "24 instances each; memory alone gives 8 to 20 (46,464 MB, 5,900 to 2,300 MB a copy)",
-			func(c *Case, x float64) { c.Executors = x }},
-		{"part of the executors in a dispatcher's list", "", 1, 0.025, 1,
+		{
+			"executors", "", 9600, 4800, 28_800, "24 instances each; memory alone gives 8 to 20 (46,464 MB, 5,900 to 2,300 MB a copy)",
+			func(c *Case, x float64) { c.Executors = x },
+		},
+		{
+			"part of the executors in a dispatcher's list", "", 1, 0.025, 1,
 			"all, as the channel tells today; a region's is 0.25, a zone's 0.1 or 0.025",
-			func(c *Case, x float64) { c.ListPart = x }},
+			func(c *Case, x float64) { c.ListPart = x },
+		},
 		{"zones", "", 10, 10, 40, "10 in all, or 10 in each of the regions", func(c *Case, x float64) { c.Zones = x }},
-		{"the choice of a call counts as control", "", 1, 0, 1,
-			"the letter does not say; counted, to be safe", func(c *Case, x float64) { c.ChoiceIsControl = x }},
-		{"calls of the busiest dispatcher, in the mean", "", 2, 1, 4,
-			"most dispatchers carry little traffic, some far more", func(c *Case, x float64) { c.Busiest = x }},
-		{"bytes of a list event", "B", 220, 196, 660,
-			"one executor a line, as in PROTOCOL-oakthread; four of them", func(c *Case, x float64) { c.EventBytes = x }},
-		{"list events a second beside the changes", "", 0.33, 0.1, 1.3,
+		{
+			"the choice of a call counts as control", "", 1, 0, 1,
+			"the letter does not say; counted, to be safe", func(c *Case, x float64) { c.ChoiceIsControl = x },
+		},
+		{
+			"calls of the busiest dispatcher, in the mean", "", 2, 1, 4,
+			"most dispatchers carry little traffic, some far more", func(c *Case, x float64) { c.Busiest = x },
+		},
+		{
+			"bytes of a list event", "B", 220, 196, 660,
+			"one executor a line, as in PROTOCOL-oakthread; four of them", func(c *Case, x float64) { c.EventBytes = x },
+		},
+		{
+			"list events a second beside the changes", "", 0.33, 0.1, 1.3,
 			"each executor replaced once a day, told three times; factors of three and four",
-			func(c *Case, x float64) { c.ListEvents = x }},
-		{"price of 256 bytes told to one, in calls", "", 0.021, 0.002, 0.042,
+			func(c *Case, x float64) { c.ListEvents = x },
+		},
+		{
+			"price of 256 bytes told to one, in calls", "", 0.021, 0.002, 0.042,
 			"settings of today (prices.peer); the least that the program reckons with; twice",
-			func(c *Case, x float64) { c.PeerPrice = x }},
-		{"figures in a row", "", 7, 3, 15,
-			"today's five tenants and two more; one tenant; the most that fit", func(c *Case, x float64) { c.Figures = x }},
+			func(c *Case, x float64) { c.PeerPrice = x },
+		},
+		{
+			"figures in a row", "", 7, 3, 15,
+			"today's five tenants and two more; one tenant; the most that fit", func(c *Case, x float64) { c.Figures = x },
+		},
 		{"part of the functions called less than once a minute", "", 0.8, 0.6, 0.95, "\"most\"", func(c *Case, x float64) { c.Rare = x }},
-		{"calls a second of such a function", "1/s", 1.0 / 120, 1.0 / 600, 1.0 / 60,
-			"less than once a minute", func(c *Case, x float64) { c.RareCalls = x }},
+		{
+			"calls a second of such a function", "1/s", 1.0 / 120, 1.0 / 600, 1.0 / 60,
+			"less than once a minute", func(c *Case, x float64) { c.RareCalls = x },
+		},
 		{"keep-alive of an idle copy", "s", 10, 8.1, 12, "BRIEF-oakthread", func(c *Case, x float64) { c.KeepAlive = x }},
 		{"mean time of a load", "s", 1.3, 0.87, 1.8, "BRIEF-oakthread, over the classes", func(c *Case, x float64) { c.Load = x }},
-		{"p99 of a load's time, in its mean", "", 2, 1, 4.6, "times even on a log scale between half and twice; all alike; exponential",
-			func(c *Case, x float64) { c.LoadTail = x }},
-		{"time until discovery tells a change", "s", 3, 1, 7,
-			"\"seconds late\"; PROTOCOL-oakthread: 7 s at the latest", func(c *Case, x float64) { c.ToldAfter = x }},
+		{
+			"p99 of a load's time, in its mean", "", 2, 1, 4.6, "times even on a log scale between half and twice; all alike; exponential",
+			func(c *Case, x float64) { c.LoadTail = x },
+		},
+		{
+			"time until discovery tells a change", "s", 3, 1, 7,
+			"\"seconds late\"; PROTOCOL-oakthread: 7 s at the latest", func(c *Case, x float64) { c.ToldAfter = x },
+		},
 	}
 }
 
@@ -187,10 +211,12 @@
 }
 
 func ofProgram() sizes {
-	return sizes{textMax: 190, marksMax: 12, datagram: 256, waiting: 256, line: 4 << 20, eventsWait: 1024,
+	return sizes{
+		textMax: 190, marksMax: 12, datagram: 256, waiting: 256, line: 4 << 20, eventsWait: 1024,
 		tellShare: 0.005, tellFloor: 0.002, purseMax: 10, hubAims: 2, beats: 8, hello: 3, pairPart: 8,
 		quiet: 2, dial: 1, most: 0.4, idleShare: 0.6, reserved: 20, clientSpare: 16, memoryPart: 0.7, longest: 8, collectAt: 150,
-		datagramsInAReceive: 277} // of 768 bytes each, as the kernel counts a small one, in its usual 212,992: not measured
+		datagramsInAReceive: 277,
+	} // of 768 bytes each, as the kernel counts a small one, in its usual 212,992: not measured
 }
 
 // ---- Arithmetic that needs no run.
@@ -579,9 +605,11 @@
 func (s spec) row(base Case, b Budgets, slopes Slopes) Row {
 	at := func(c Case) *reading { return &reading{Case: c, budgets: b, slopes: slopes} }
 	r := at(base)
-	out := Row{Role: s.role, What: s.what, Unit: s.unit, Formula: s.formula, Along: s.along, Mechanism: s.mechanism,
+	out := Row{
+		Role: s.role, What: s.what, Unit: s.unit, Formula: s.formula, Along: s.along, Mechanism: s.mechanism,
 		Budget: Figure(s.budget), BudgetOf: s.budgetOf,
-		Value: Figure(s.of(r)), Slopes: unique(r.used), Missing: unique(r.missing), Command: arithmetic, Was: s.was}
+		Value: Figure(s.of(r)), Slopes: unique(r.used), Missing: unique(r.missing), Command: arithmetic, Was: s.was,
+	}
 	none := Figure(math.NaN())
 	out.Low, out.High, out.Headroom, out.Breaks = none, none, none, none
 	var commands []string
@@ -866,8 +894,10 @@
 		return 1e-9 * r.Changes / 86400 * r.step("cpu.config")
 	}
 	row := func(what, formula string, along Dimension, mechanism string, of func(*reading) float64) spec {
-		return spec{role: dispatcher, what: "processor time: " + what, unit: "of a core", formula: formula, along: along,
-			mechanism: mechanism, budget: b.Core, budgetOf: ofLetter, of: of}
+		return spec{
+			role: dispatcher, what: "processor time: " + what, unit: "of a core", formula: formula, along: along,
+			mechanism: mechanism, budget: b.Core, budgetOf: ofLetter, of: of,
+		}
 	}
 	before := row("choices, the whole list walked and sorted", "calls/s of the busiest x cpu.choice.before", Executors,
 		"replaced by candidates", was)
@@ -881,10 +911,12 @@
 		row("words read", "messages.in x cpu.read", Fleet, "`balancer.Peer`", read),
 		row("list events", "events/s x cpu.list", Executors, "`balancer.Roster`, changes alone", list),
 		row("new configuration", "changes/s x cpu.config", Executors, "`AddClasses`, `SetMaxAttempts`", config),
-		{role: dispatcher, what: "processor time: its busiest second", unit: "of a core", formula: "cpu.busiest", along: Fleet,
+		{
+			role: dispatcher, what: "processor time: its busiest second", unit: "of a core", formula: "cpu.busiest", along: Fleet,
 			mechanism: "-", budget: 1, budgetOf: ofTheProgram, of: func(r *reading) float64 {
 				return r.largest("cpu.busiest")
-			}},
+			},
+		},
 		row("all control together", "the six above", Fleet, "-", func(r *reading) float64 {
 			return choice(r) + upkeep(r) + write(r) + read(r) + list(r) + config(r)
 		}),
@@ -904,43 +936,59 @@
 		return Distinct(rare*each*long, rare) + Distinct(calls*long, max(1, often))
 	}
 	return []spec{
-		{role: dispatcher, what: "memory: live heap", unit: "B",
+		{
+			role: dispatcher, what: "memory: live heap", unit: "B",
 			formula: "heap; budget 0.7 of the limit, where collection works harder", along: Fleet,
 			mechanism: "`SetMemoryLimit` (`internal/daemon`)",
 			budget:    of.memoryPart * b.Memory, budgetOf: ofLetter, of: func(r *reading) float64 {
 				return r.state("heap")
-			}},
-		{role: dispatcher, what: "memory: heap as it grows between collections", unit: "B",
+			},
+		},
+		{
+			role: dispatcher, what: "memory: heap as it grows between collections", unit: "B",
 			formula: "2.5 x heap: collected at 150 %", along: Fleet,
 			mechanism: "`SetGCPercent`, `SetMemoryLimit` (`internal/daemon`)", budget: b.Memory, budgetOf: ofLetter,
 			of: func(r *reading) float64 {
 				return (1 + of.collectAt/100) * r.state("heap")
-			}},
-		{role: dispatcher, what: "state: functions in the holder table",
+			},
+		},
+		{
+			role: dispatcher, what: "state: functions in the holder table",
 			formula: "those of its own calls within keep-alive + 8 shortest aims; a collector learns of others", along: Fleet,
-			mechanism: "`balancer.sweep`", budget: math.NaN(), of: func(r *reading) float64 { return known(r.Case) }},
-		{role: dispatcher, what: "connections to executors",
+			mechanism: "`balancer.sweep`", budget: math.NaN(), of: func(r *reading) float64 { return known(r.Case) },
+		},
+		{
+			role: dispatcher, what: "connections to executors",
 			formula: "listed x (1 - exp(-calls/s x 9 s / listed)), calls even over executors", along: Executors,
 			mechanism: "the one idle for longest gives way (`Fleet.giveWay`): a handshake more", budget: sockets, budgetOf: ofTheProgram,
-			of: func(r *reading) float64 { return r.connections(r.CallsEach()*r.Busiest, r.Listed()) }},
-		{role: dispatcher, what: "executors that share a 16-bit tag with another, pairs",
+			of: func(r *reading) float64 { return r.connections(r.CallsEach()*r.Busiest, r.Listed()) },
+		},
+		{
+			role: dispatcher, what: "executors that share a 16-bit tag with another, pairs",
 			formula: "n (n-1) / 2 / 2^16", along: Executors, budget: 1, budgetOf: ofOurs,
 			mechanism: noneYet + ": what is told of one counts for the other (`balancer.tag`)",
-			of:        func(r *reading) float64 { return Collisions(r.Listed(), 16) }},
-		{role: dispatcher, what: "functions that share a 32-bit tag with another, pairs",
+			of:        func(r *reading) float64 { return Collisions(r.Listed(), 16) },
+		},
+		{
+			role: dispatcher, what: "functions that share a 32-bit tag with another, pairs",
 			formula: "n (n-1) / 2 / 2^32", along: Functions, budget: 1, budgetOf: ofOurs,
 			mechanism: noneYet + ": one row of the holder table for both (`balancer.funcTag`)",
-			of:        func(r *reading) float64 { return Collisions(r.Functions, 32) }},
-		{role: dispatcher, what: "whole list: the loop stands still for", unit: "s",
+			of:        func(r *reading) float64 { return Collisions(r.Functions, 32) },
+		},
+		{
+			role: dispatcher, what: "whole list: the loop stands still for", unit: "s",
 			formula: "cpu.list.whole; budget: a housekeeping round, from which on it counts as having stood still", along: Executors,
 			mechanism: "`balancer.Roster`",
 			budget:    base.Aim / of.beats, budgetOf: ofTheProgram,
-			of: func(r *reading) float64 { return 1e-9 * r.step("cpu.list.whole") }},
-		{role: dispatcher, what: "whole list: its line", unit: "B",
+			of: func(r *reading) float64 { return 1e-9 * r.step("cpu.list.whole") },
+		},
+		{
+			role: dispatcher, what: "whole list: its line", unit: "B",
 			formula: "152 x listed; budget: the longest line that is read", along: Executors,
 			mechanism: "`maxLine` (`internal/platform/channel.go`); a longer one ends the connection, again and again",
 			budget:    of.line, budgetOf: ofTheProgram,
-			of: func(r *reading) float64 { return memberBytes * r.Listed() }},
+			of: func(r *reading) float64 { return memberBytes * r.Listed() },
+		},
 	}
 }
 
@@ -950,37 +998,53 @@
 // byteSpecs: what a dispatcher sends and hears for control, bytes a second.
 func byteSpecs(b Budgets, of sizes) []spec {
 	return []spec{
-		{role: dispatcher, what: "reports sent, by arithmetic", unit: "B/s", along: Calls, budget: b.Bytes, budgetOf: ofLetter,
+		{
+			role: dispatcher, what: "reports sent, by arithmetic", unit: "B/s", along: Calls, budget: b.Bytes, budgetOf: ofLetter,
 			formula:   "what calls pay for: 0.005 x calls/s x 256 / price; fewer where rounds and calls to new holders are fewer",
 			mechanism: noneYet + ": their price is counted by calls, not by seconds (`balancer.tell`)",
 			of: func(r *reading) float64 {
 				rate, p := r.reports(r.CallsEach() * r.Busiest)
 				return rate * float64(p.All)
-			}},
-		{role: dispatcher, what: "whole digests heard, were they paid for", unit: "B/s", along: Fleet, budget: b.Bytes, budgetOf: ofLetter,
+			},
+		},
+		{
+			role: dispatcher, what: "whole digests heard, were they paid for", unit: "B/s", along: Fleet, budget: b.Bytes, budgetOf: ofLetter,
 			formula:   "characters of sums and 3 B for each busy executor, once a term",
 			mechanism: "the price stops them: see the collector's rows",
-			of:        func(r *reading) float64 { return float64(r.wholeDigest(true).Length().All) / r.term() }},
-		{role: dispatcher, what: "messages in and out", unit: "B/s", along: Fleet, budget: b.Bytes, budgetOf: ofLetter,
-			formula: "bytes", mechanism: "`balancer.tell`", of: func(r *reading) float64 { return r.state("bytes") }},
-		{role: dispatcher, what: "messages in", unit: "B/s", along: Fleet, budget: math.NaN(),
-			formula: "bytes.in", mechanism: "`balancer.tell`", of: func(r *reading) float64 { return r.state("bytes.in") }},
-		{role: dispatcher, what: "messages out", unit: "B/s", along: Fleet, budget: math.NaN(),
-			formula: "bytes.out", mechanism: "`balancer.tell`", of: func(r *reading) float64 { return r.state("bytes.out") }},
-		{role: dispatcher, what: "messages out in its busiest second", unit: "B/s", along: Dispatchers, budget: math.NaN(),
+			of:        func(r *reading) float64 { return float64(r.wholeDigest(true).Length().All) / r.term() },
+		},
+		{
+			role: dispatcher, what: "messages in and out", unit: "B/s", along: Fleet, budget: b.Bytes, budgetOf: ofLetter,
+			formula: "bytes", mechanism: "`balancer.tell`", of: func(r *reading) float64 { return r.state("bytes") },
+		},
+		{
+			role: dispatcher, what: "messages in", unit: "B/s", along: Fleet, budget: math.NaN(),
+			formula: "bytes.in", mechanism: "`balancer.tell`", of: func(r *reading) float64 { return r.state("bytes.in") },
+		},
+		{
+			role: dispatcher, what: "messages out", unit: "B/s", along: Fleet, budget: math.NaN(),
+			formula: "bytes.out", mechanism: "`balancer.tell`", of: func(r *reading) float64 { return r.state("bytes.out") },
+		},
+		{
+			role: dispatcher, what: "messages out in its busiest second", unit: "B/s", along: Dispatchers, budget: math.NaN(),
 			formula:   "bytes.out.busiest",
 			mechanism: "`balancer.tell`",
-			of:        func(r *reading) float64 { return r.state("bytes.out.busiest") }},
-		{role: dispatcher, what: "command channel", unit: "B/s", along: Changes, budget: b.Bytes, budgetOf: ofLetter,
+			of:        func(r *reading) float64 { return r.state("bytes.out.busiest") },
+		},
+		{
+			role: dispatcher, what: "command channel", unit: "B/s", along: Changes, budget: b.Bytes, budgetOf: ofLetter,
 			mechanism: "changes alone (`internal/platform/channel.go`)",
 			formula:   "(changes/86,400 + list events/s) x bytes of an event + a number's line a second",
-			of:        func(r *reading) float64 { return r.listRate()*r.EventBytes + 8 }},
-		{role: dispatcher, what: "answers to its hellos after a restart", unit: "B", along: Fleet, budget: math.NaN(),
+			of:        func(r *reading) float64 { return r.listRate()*r.EventBytes + 8 },
+		},
+		{
+			role: dispatcher, what: "answers to its hellos after a restart", unit: "B", along: Fleet, budget: math.NaN(),
 			mechanism: "`balancer.Peer`; not priced",
 			formula:   "3 x all holders that one believes, 6 B each: those of calls within the keep-alive",
 			of: func(r *reading) float64 {
 				return of.hello * float64(packed(3, 0, 0, int(Distinct(r.CallsEach()*r.KeepAlive, r.Functions))).All)
-			}},
+			},
+		},
 	}
 }
 
@@ -994,67 +1058,99 @@
 		return digestPrice(r.PeerPrice, r.Dispatchers, float64(d.Length().All))
 	}
 	return []spec{
-		{role: collector, what: "texts of reports that come in a second", unit: "1/s", along: Fleet, budget: math.NaN(),
+		{
+			role: collector, what: "texts of reports that come in a second", unit: "1/s", along: Fleet, budget: math.NaN(),
 			mechanism: "another one each term (`turns.Collector`)",
-			formula:   "(dispatchers - 1) x reports/s x texts", of: func(r *reading) float64 { t, _ := in(r.Case); return t }},
-		{role: collector, what: "bytes of reports in a second", unit: "B/s", along: Fleet, budget: math.NaN(), mechanism: "the same",
-			formula: "(dispatchers - 1) x reports/s x characters", of: func(r *reading) float64 { _, n := in(r.Case); return n }},
-		{role: collector, what: "bytes of reports in a term", unit: "B", along: Fleet, budget: math.NaN(), mechanism: "the same",
-			formula: "two shortest aims of these", of: func(r *reading) float64 { _, n := in(r.Case); return n * r.term() }},
-		{role: collector, what: "bytes of a digest's one round, to all", unit: "B", along: Fleet, budget: math.NaN(),
+			formula:   "(dispatchers - 1) x reports/s x texts", of: func(r *reading) float64 { t, _ := in(r.Case); return t },
+		},
+		{
+			role: collector, what: "bytes of reports in a second", unit: "B/s", along: Fleet, budget: math.NaN(), mechanism: "the same",
+			formula: "(dispatchers - 1) x reports/s x characters", of: func(r *reading) float64 { _, n := in(r.Case); return n },
+		},
+		{
+			role: collector, what: "bytes of reports in a term", unit: "B", along: Fleet, budget: math.NaN(), mechanism: "the same",
+			formula: "two shortest aims of these", of: func(r *reading) float64 { _, n := in(r.Case); return n * r.term() },
+		},
+		{
+			role: collector, what: "bytes of a digest's one round, to all", unit: "B", along: Fleet, budget: math.NaN(),
 			mechanism: "`peers_all`, where the platform gives it",
 			formula:   "characters of a whole digest x (dispatchers - 1)", of: func(r *reading) float64 {
 				return float64(r.wholeDigest(true).Length().All) * (r.Dispatchers - 1)
-			}},
-		{role: collector, what: "processor time in its second", unit: "of a core", along: Fleet, budget: 1, budgetOf: ofOurs,
+			},
+		},
+		{
+			role: collector, what: "processor time in its second", unit: "of a core", along: Fleet, budget: 1, budgetOf: ofOurs,
 			mechanism: noneYet + ": one dispatcher hears all",
 			formula:   "texts a second x cpu.read; budget: the one core that it has", of: func(r *reading) float64 {
 				t, _ := in(r.Case)
 				return 1e-9 * t * r.step("cpu.read")
-			}},
-		{role: collector, what: "texts that come while its loop is busy for a round", along: Fleet,
+			},
+		},
+		{
+			role: collector, what: "texts that come while its loop is busy for a round", along: Fleet,
 			budget: of.eventsWait + of.datagramsInAReceive, budgetOf: ofTheProgram,
 			mechanism: noneYet,
 			formula:   "texts a second x aim/8; budget: 1,024 events and some 277 datagrams in the kernel (768 B each: not measured)",
-			of:        func(r *reading) float64 { t, _ := in(r.Case); return t * r.Aim / of.beats }},
-		{role: collector, what: "price of a whole digest", along: Fleet, budget: of.purseMax, budgetOf: ofTheProgram,
+			of:        func(r *reading) float64 { t, _ := in(r.Case); return t * r.Aim / of.beats },
+		},
+		{
+			role: collector, what: "price of a whole digest", along: Fleet, budget: of.purseMax, budgetOf: ofTheProgram,
 			mechanism: noneYet + ": too dear, none is told; short ones where they fit",
 			formula:   "0.021/256 x receivers x characters; budget: what may be saved up (`purseMax`)",
-			of:        func(r *reading) float64 { return price(r.wholeDigest(false), r) }},
-		{role: collector, what: "price of a short digest, nobody missing", along: Dispatchers, budget: of.purseMax, budgetOf: ofTheProgram,
+			of:        func(r *reading) float64 { return price(r.wholeDigest(false), r) },
+		},
+		{
+			role: collector, what: "price of a short digest, nobody missing", along: Dispatchers, budget: of.purseMax, budgetOf: ofTheProgram,
 			mechanism: "`Message.Short`",
-			formula:   "the same of the sums alone", of: func(r *reading) float64 { return price(r.sums(false), r) }},
-		{role: collector, what: "price of a short digest, one silent in the term", along: Dispatchers,
+			formula:   "the same of the sums alone", of: func(r *reading) float64 { return price(r.sums(false), r) },
+		},
+		{
+			role: collector, what: "price of a short digest, one silent in the term", along: Dispatchers,
 			budget: of.purseMax, budgetOf: ofTheProgram, mechanism: noneYet,
 			formula: "the same with a bit for each dispatcher: one without calls, or not heard",
-			of:      func(r *reading) float64 { return price(r.silent(), r) }},
-		{role: collector, what: "price of a short digest, one missing", along: Dispatchers,
+			of:      func(r *reading) float64 { return price(r.silent(), r) },
+		},
+		{
+			role: collector, what: "price of a short digest, one missing", along: Dispatchers,
 			budget: of.purseMax, budgetOf: ofTheProgram, mechanism: noneYet,
-			formula: "the same with two bits for each dispatcher", of: func(r *reading) float64 { return price(r.sums(true), r) }},
-		{role: collector, what: "first text, nobody missing", unit: "B", along: Dispatchers, budget: of.datagram, budgetOf: ofTheProgram,
+			formula: "the same with two bits for each dispatcher", of: func(r *reading) float64 { return price(r.sums(true), r) },
+		},
+		{
+			role: collector, what: "first text, nobody missing", unit: "B", along: Dispatchers, budget: of.datagram, budgetOf: ofTheProgram,
 			mechanism: "sums alone, no bits (`commons.Message.first`)",
-			formula:   "4/3 x (5 + 2 figures)", of: func(r *reading) float64 { return float64(r.sums(false).Length().First) }},
-		{role: collector, what: "first text, one silent in the term", unit: "B", along: Dispatchers,
+			formula:   "4/3 x (5 + 2 figures)", of: func(r *reading) float64 { return float64(r.sums(false).Length().First) },
+		},
+		{
+			role: collector, what: "first text, one silent in the term", unit: "B", along: Dispatchers,
 			budget: of.datagram, budgetOf: ofTheProgram, mechanism: noneYet,
-			formula: "4/3 x (5 + 2 figures + dispatchers/8)", of: func(r *reading) float64 { return float64(r.silent().Length().First) }},
-		{role: collector, what: "first text, one missing", unit: "B", along: Dispatchers, budget: of.datagram, budgetOf: ofTheProgram,
+			formula: "4/3 x (5 + 2 figures + dispatchers/8)", of: func(r *reading) float64 { return float64(r.silent().Length().First) },
+		},
+		{
+			role: collector, what: "first text, one missing", unit: "B", along: Dispatchers, budget: of.datagram, budgetOf: ofTheProgram,
 			mechanism: noneYet + ": dropped as too long, with one log line, where the price lets it go at all",
 			formula:   "4/3 x (5 + 6 figures + dispatchers/4)",
-			of:        func(r *reading) float64 { return float64(r.sums(true).Length().First) }},
-		{role: collector, what: "datagrams that one text needs without `peers_all`", along: Dispatchers,
+			of:        func(r *reading) float64 { return float64(r.sums(true).Length().First) },
+		},
+		{
+			role: collector, what: "datagrams that one text needs without `peers_all`", along: Dispatchers,
 			budget: of.waiting, budgetOf: ofTheProgram,
 			mechanism: "`peers_all`; without it what does not fit in the queue is lost, uncounted",
-			formula:   "dispatchers - 1; budget: the queue of the peers' socket", of: func(r *reading) float64 { return r.Dispatchers - 1 }},
-		{role: collector, what: "in its busiest second", unit: "B/s", along: Dispatchers, budget: math.NaN(),
+			formula:   "dispatchers - 1; budget: the queue of the peers' socket", of: func(r *reading) float64 { return r.Dispatchers - 1 },
+		},
+		{
+			role: collector, what: "in its busiest second", unit: "B/s", along: Dispatchers, budget: math.NaN(),
 			mechanism: "`balancer.tell`",
 			formula:   "collector.in.busiest",
-			of:        func(r *reading) float64 { return r.state("collector.in.busiest") }},
-		{role: collector, what: "out in its busiest second", unit: "B/s", along: Dispatchers, budget: math.NaN(),
+			of:        func(r *reading) float64 { return r.state("collector.in.busiest") },
+		},
+		{
+			role: collector, what: "out in its busiest second", unit: "B/s", along: Dispatchers, budget: math.NaN(),
 			mechanism: "`balancer.tell`",
 			formula:   "collector.out.busiest",
 			of: func(r *reading) float64 {
 				return r.state("collector.out.busiest")
-			}},
+			},
+		},
 	}
 }
 
@@ -1065,54 +1161,74 @@
 		return r.connections(r.CallsEach(), r.Listed()) * r.Dispatchers / r.Executors
 	}
 	return []spec{
-		{role: executor, what: "calls", unit: "1/s", along: Fleet, budget: none,
+		{
+			role: executor, what: "calls", unit: "1/s", along: Fleet, budget: none,
 			mechanism: "`balancer.choose`",
 			formula:   "calls/s over executors",
-			of:        func(r *reading) float64 { return each(r.Case) }},
-		{role: executor, what: "connections open", along: Fleet, budget: none,
+			of:        func(r *reading) float64 { return each(r.Case) },
+		},
+		{
+			role: executor, what: "connections open", along: Fleet, budget: none,
 			mechanism: "idle ones end after 9 s (`idleShare`)",
 			formula:   "dispatchers x (1 - exp(-9 s x calls/s of one dispatcher / listed))",
-			of:        open},
-		{role: executor, what: "handshakes", unit: "1/s", along: Fleet, budget: none,
+			of:        open,
+		},
+		{
+			role: executor, what: "handshakes", unit: "1/s", along: Fleet, budget: none,
 			mechanism: noneYet + ": dispatchers share no connections",
 			formula:   "calls/s x exp(-9 s x calls/s of one dispatcher / listed)",
 			of: func(r *reading) float64 {
 				return each(r.Case) * math.Exp(-of.idleShare*r.ConnIdle*r.CallsEach()/r.Listed())
-			}},
-		{role: executor, what: "probes while all dispatchers start from a kept list", unit: "of a core", along: Dispatchers, budget: none,
+			},
+		},
+		{
+			role: executor, what: "probes while all dispatchers start from a kept list", unit: "of a core", along: Dispatchers, budget: none,
 			mechanism: "300 a second from all together, whatever their number (`roster.spread`)",
-			formula:   "300/s x 0.4 ms", of: func(r *reading) float64 { return r.ProbeRate * r.ProbeWork }},
+			formula:   "300/s x 0.4 ms", of: func(r *reading) float64 { return r.ProbeRate * r.ProbeWork },
+		},
 	}
 }
 
 // discoverySpecs: the platform's; what we ask of it.
 func discoverySpecs(b Budgets, of sizes, none float64) []spec {
 	return []spec{
-		{role: discovery, what: "connections held", along: Dispatchers, budget: none,
+		{
+			role: discovery, what: "connections held", along: Dispatchers, budget: none,
 			mechanism: "the platform's",
 			formula:   "dispatchers",
-			of:        func(r *reading) float64 { return r.Dispatchers }},
-		{role: discovery, what: "lines told", unit: "1/s", along: Fleet, budget: none,
+			of:        func(r *reading) float64 { return r.Dispatchers },
+		},
+		{
+			role: discovery, what: "lines told", unit: "1/s", along: Fleet, budget: none,
 			mechanism: "the platform's",
 			formula:   "dispatchers x (1 + changes/86,400 + list events/s)",
-			of:        func(r *reading) float64 { return r.Dispatchers * (1 + r.listRate()) }},
-		{role: discovery, what: "burst of 20 changes in a second", unit: "B/s", along: Fleet, budget: none,
+			of:        func(r *reading) float64 { return r.Dispatchers * (1 + r.listRate()) },
+		},
+		{
+			role: discovery, what: "burst of 20 changes in a second", unit: "B/s", along: Fleet, budget: none,
 			mechanism: "the platform's",
 			formula:   "20 x dispatchers x bytes of an event",
-			of:        func(r *reading) float64 { return 20 * r.Dispatchers * r.EventBytes }},
-		{role: discovery, what: "the whole list to all within 12 s", unit: "B/s", along: Fleet, budget: none,
+			of:        func(r *reading) float64 { return 20 * r.Dispatchers * r.EventBytes },
+		},
+		{
+			role: discovery, what: "the whole list to all within 12 s", unit: "B/s", along: Fleet, budget: none,
 			mechanism: "the platform's; we resume from the last event, so it is needed after a restart alone",
 			formula:   "dispatchers x listed x 152 B / 12 s",
-			of:        func(r *reading) float64 { return r.Dispatchers * r.Listed() * memberBytes / b.InForce }},
-		{role: letter, what: "a change of the list, in force everywhere", unit: "s", along: Changes, budget: b.InForce, budgetOf: ofLetter,
+			of:        func(r *reading) float64 { return r.Dispatchers * r.Listed() * memberBytes / b.InForce },
+		},
+		{
+			role: letter, what: "a change of the list, in force everywhere", unit: "s", along: Changes, budget: b.InForce, budgetOf: ofLetter,
 			mechanism: "the channel: dead after 2 s without a line, 0.4 s to the next try, 1 s to connect",
 			formula:   "time until discovery tells it + 3.4 s at a break",
-			of:        func(r *reading) float64 { return r.ToldAfter + of.quiet + of.most + of.dial }},
-		{role: letter, what: "a change of the list, until the last dispatcher has it", unit: "s", along: Dispatchers,
+			of:        func(r *reading) float64 { return r.ToldAfter + of.quiet + of.most + of.dial },
+		},
+		{
+			role: letter, what: "a change of the list, until the last dispatcher has it", unit: "s", along: Dispatchers,
 			budget: b.InForce, budgetOf: ofLetter,
 			mechanism: "the channel",
 			formula:   "acts.last, discovery's delay in it as emulated",
-			of:        func(r *reading) float64 { return r.largest("acts.last") }},
+			of:        func(r *reading) float64 { return r.largest("acts.last") },
+		},
 	}
 }
 
@@ -1120,17 +1236,21 @@
 func tierSpecs(none float64) []spec {
 	share := func(c Case, machines float64) float64 { return c.Dispatchers / machines }
 	return []spec{
-		{role: tier, what: "dispatchers for each, one machine down", along: Dispatchers, budget: none,
+		{
+			role: tier, what: "dispatchers for each, one machine down", along: Dispatchers, budget: none,
 			mechanism: noneYet + ": dispatchers collect in turn, the 17 carry nothing of ours",
 			formula:   "dispatchers / 16",
-			of:        func(r *reading) float64 { return share(r.Case, r.Machines-1) }},
-		{role: tier, what: "reports for each, were they to collect, one machine down", unit: "B/s", along: Fleet, budget: none,
+			of:        func(r *reading) float64 { return share(r.Case, r.Machines-1) },
+		},
+		{
+			role: tier, what: "reports for each, were they to collect, one machine down", unit: "B/s", along: Fleet, budget: none,
 			mechanism: noneYet,
 			formula:   "dispatchers / 16 x reports sent",
 			of: func(r *reading) float64 {
 				rate, p := r.reports(r.CallsEach())
 				return share(r.Case, r.Machines-1) * rate * float64(p.All)
-			}},
+			},
+		},
 	}
 }
 
@@ -1141,91 +1261,135 @@
 		return c.rare() * c.RareCalls * cold, c.rare() * each
 	}
 	return []spec{
-		{role: letter, what: "48,000 functions: calls of those called less than once a minute", unit: "of all", along: Functions, budget: none,
+		{
+			role: letter, what: "48,000 functions: calls of those called less than once a minute", unit: "of all", along: Functions, budget: none,
 			mechanism: "their place by hash, the same at every dispatcher (`balancer.choose`)",
 			formula:   "rare functions x calls/s / calls/s of all",
-			of:        func(r *reading) float64 { return r.rare() * r.RareCalls / r.Calls }},
-		{role: letter, what: "48,000 functions: one dispatcher meets such a function every", unit: "s", along: Dispatchers, budget: none,
+			of:        func(r *reading) float64 { return r.rare() * r.RareCalls / r.Calls },
+		},
+		{
+			role: letter, what: "48,000 functions: one dispatcher meets such a function every", unit: "s", along: Dispatchers, budget: none,
 			mechanism: "no belief outlives it, no word about it is of use: the hash alone knows where",
-			formula:   "dispatchers / calls/s of it", of: func(r *reading) float64 { return r.Dispatchers / r.RareCalls }},
-		{role: letter, what: "48,000 functions: calls of these that find no copy", unit: "of theirs", along: Functions, budget: none,
+			formula:   "dispatchers / calls/s of it", of: func(r *reading) float64 { return r.Dispatchers / r.RareCalls },
+		},
+		{
+			role: letter, what: "48,000 functions: calls of these that find no copy", unit: "of theirs", along: Functions, budget: none,
 			mechanism: noneYet + ": the keep-alive is the platform's",
 			formula:   "exp(-calls/s x keep-alive), all at one place",
-			of:        func(r *reading) float64 { cold, _ := RareLoads(r.RareCalls, r.KeepAlive, r.Load); return cold }},
-		{role: letter, what: "48,000 functions: loads of these", unit: "1/s", along: Functions, budget: none,
+			of:        func(r *reading) float64 { cold, _ := RareLoads(r.RareCalls, r.KeepAlive, r.Load); return cold },
+		},
+		{
+			role: letter, what: "48,000 functions: loads of these", unit: "1/s", along: Functions, budget: none,
 			mechanism: "the store's; rationed (`balancer.order`)",
 			formula:   "rare functions x calls/s x part without a copy",
-			of:        func(r *reading) float64 { loads, _ := rareCold(r.Case); return loads }},
-		{role: letter, what: "48,000 functions: copies that these hold", unit: "of the instances", along: Functions, budget: none,
+			of:        func(r *reading) float64 { loads, _ := rareCold(r.Case); return loads },
+		},
+		{
+			role: letter, what: "48,000 functions: copies that these hold", unit: "of the instances", along: Functions, budget: none,
 			mechanism: "`balancer.trim`, the executors' keep-alive",
 			formula:   "rare functions x (1 - exp(-calls/s x keep-alive) + loading) / instances",
-			of:        func(r *reading) float64 { _, copies := rareCold(r.Case); return copies / r.Instances }},
-		{role: letter, what: "380,000 calls/s: of the mean dispatcher", unit: "1/s", along: Calls, budget: none,
+			of:        func(r *reading) float64 { _, copies := rareCold(r.Case); return copies / r.Instances },
+		},
+		{
+			role: letter, what: "380,000 calls/s: of the mean dispatcher", unit: "1/s", along: Calls, budget: none,
 			mechanism: "-",
 			formula:   "calls/s over dispatchers",
-			of:        func(r *reading) float64 { return r.CallsEach() }},
-		{role: letter, what: "cold start, p99 of the load alone", unit: "s", along: Fleet, budget: b.ColdStart, budgetOf: ofLetter,
+			of:        func(r *reading) float64 { return r.CallsEach() },
+		},
+		{
+			role: letter, what: "cold start, p99 of the load alone", unit: "s", along: Fleet, budget: b.ColdStart, budgetOf: ofLetter,
 			mechanism: noneYet + ": the store's and the start's",
-			formula:   "mean load x tail", of: func(r *reading) float64 { return r.Load * r.LoadTail }},
-		{role: letter, what: "cold start, p99 with the image on the executor's disk", unit: "s", along: Fleet,
+			formula:   "mean load x tail", of: func(r *reading) float64 { return r.Load * r.LoadTail },
+		},
+		{
+			role: letter, what: "cold start, p99 with the image on the executor's disk", unit: "s", along: Fleet,
 			budget: b.ColdStart, budgetOf: ofLetter,
 			mechanism: noneYet + ": nothing sends a function where its image is",
 			formula:   "the same without the fetch, 0.44 to 0.71 of it",
-			of:        func(r *reading) float64 { return r.Load * r.LoadTail * (1 - r.FetchPart) }},
-		{role: letter, what: "cold start, chance that a load waits at its executor", along: Fleet, budget: 0.01, budgetOf: ofOurs,
+			of:        func(r *reading) float64 { return r.Load * r.LoadTail * (1 - r.FetchPart) },
+		},
+		{
+			role: letter, what: "cold start, chance that a load waits at its executor", along: Fleet, budget: 0.01, budgetOf: ofOurs,
 			mechanism: "executors load 3 to 6 at a time; places by hash spread them",
 			formula:   "Erlang C, rare loads/s x mean load over executors, 4 slots", of: func(r *reading) float64 {
 				loads, _ := rareCold(r.Case)
 				return Waits(loads*r.Load/r.Executors, r.LoadSlots)
-			}},
-		{role: letter, what: "cold start, p99 in virtual time", unit: "s", along: Functions, budget: b.ColdStart, budgetOf: ofLetter,
+			},
+		},
+		{
+			role: letter, what: "cold start, p99 in virtual time", unit: "s", along: Functions, budget: b.ColdStart, budgetOf: ofLetter,
 			mechanism: "an order to load, the call held meanwhile (`balancer.hold`)",
 			formula:   "p99.cold",
 			of: func(r *reading) float64 {
 				return r.largest("p99.cold")
-			}},
-		{role: letter, what: "two machines a day: dispatchers missing at a time, an hour each", along: Fleet, budget: none,
+			},
+		},
+		{
+			role: letter, what: "two machines a day: dispatchers missing at a time, an hour each", along: Fleet, budget: none,
 			mechanism: "remembered, not taken for idle (`commons`)",
-			formula:   "2 / 24, were all of them dispatchers'", of: func(r *reading) float64 { return r.Failing / 24 }},
-		{role: letter, what: "100 restarted a day: part of the day with one missing, 5 minutes each", along: Fleet, budget: none,
+			formula:   "2 / 24, were all of them dispatchers'", of: func(r *reading) float64 { return r.Failing / 24 },
+		},
+		{
+			role: letter, what: "100 restarted a day: part of the day with one missing, 5 minutes each", along: Fleet, budget: none,
 			mechanism: "the same; the first text is too long then",
-			formula:   "1 - exp(-100 x 300 s / 86,400 s)", of: func(r *reading) float64 { return -math.Expm1(-r.Restarted * 300 / 86400) }},
-		{role: letter, what: "a rack of 40 executors gone: the rest bears more", unit: "of its calls", along: Executors, budget: none,
+			formula:   "1 - exp(-100 x 300 s / 86,400 s)", of: func(r *reading) float64 { return -math.Expm1(-r.Restarted * 300 / 86400) },
+		},
+		{
+			role: letter, what: "a rack of 40 executors gone: the rest bears more", unit: "of its calls", along: Executors, budget: none,
 			mechanism: "silence told by two observers (`verdict`); each by itself where no digest comes",
-			formula:   "executors / (executors - 40)", of: func(r *reading) float64 { return r.Executors / max(1, r.Executors-40) }},
-		{role: letter, what: "a zone gone: the rest bears more", unit: "of its calls", along: Executors, budget: none,
+			formula:   "executors / (executors - 40)", of: func(r *reading) float64 { return r.Executors / max(1, r.Executors-40) },
+		},
+		{
+			role: letter, what: "a zone gone: the rest bears more", unit: "of its calls", along: Executors, budget: none,
 			mechanism: "zones judged as one (`verdict`)",
-			formula:   "1 / (zones - 1)", of: func(r *reading) float64 { return 1 / (r.Zones - 1) }},
-		{role: letter, what: "a zone gone: its copies are loaded elsewhere within", unit: "s", along: Executors, budget: none,
+			formula:   "1 / (zones - 1)", of: func(r *reading) float64 { return 1 / (r.Zones - 1) },
+		},
+		{
+			role: letter, what: "a zone gone: its copies are loaded elsewhere within", unit: "s", along: Executors, budget: none,
 			mechanism: "rationed (`balancer.order`); the store's limit is not told in fetches a second",
 			formula:   "instances / zones x mean load / (executors left x 4.5 slots), evenly spread", of: func(r *reading) float64 {
 				return r.Instances / r.Zones * r.Load / (r.Executors * (1 - 1/r.Zones) * r.LoadSlots)
-			}},
-		{role: letter, what: "regions that lose each other: members in a region's digest that count as missing", along: Dispatchers,
+			},
+		},
+		{
+			role: letter, what: "regions that lose each other: members in a region's digest that count as missing", along: Dispatchers,
 			budget:    none,
 			mechanism: "totals with bounds, each side collects for itself (`commons`, `turns`)",
-			formula:   "dispatchers x (1 - 1/regions)", of: func(r *reading) float64 { return r.Dispatchers * (1 - 1/r.Regions) }},
-		{role: letter, what: "all dispatchers restarted without discovery: until the ramp is over", unit: "s", along: Dispatchers, budget: none,
+			formula:   "dispatchers x (1 - 1/regions)", of: func(r *reading) float64 { return r.Dispatchers * (1 - 1/r.Regions) },
+		},
+		{
+			role: letter, what: "all dispatchers restarted without discovery: until the ramp is over", unit: "s", along: Dispatchers, budget: none,
 			mechanism: "kept list (`roster`): four proofs of an executor, each after dispatchers / 300 s",
-			formula:   "4 x dispatchers / 300", of: func(r *reading) float64 { return 4 * r.Dispatchers / r.ProbeRate }},
-		{role: letter, what: "worth in time, in virtual time", unit: "of that asked", along: Dispatchers, budget: none,
+			formula:   "4 x dispatchers / 300", of: func(r *reading) float64 { return 4 * r.Dispatchers / r.ProbeRate },
+		},
+		{
+			role: letter, what: "worth in time, in virtual time", unit: "of that asked", along: Dispatchers, budget: none,
 			mechanism: "-",
 			formula:   "worth",
-			of:        func(r *reading) float64 { return r.largest("worth") }},
-		{role: letter, what: "calls never served, in virtual time", unit: "of all", along: Dispatchers,
+			of:        func(r *reading) float64 { return r.largest("worth") },
+		},
+		{
+			role: letter, what: "calls never served, in virtual time", unit: "of all", along: Dispatchers,
 			budget: none, mechanism: "-", formula: "unserved",
 			of: func(r *reading) float64 {
 				return r.largest("unserved")
-			}},
-		{role: letter, what: "loads, in virtual time", unit: "a call", along: Functions,
+			},
+		},
+		{
+			role: letter, what: "loads, in virtual time", unit: "a call", along: Functions,
 			budget: none, mechanism: "`balancer.hold`, `balancer.order`", formula: "loads",
-			of: func(r *reading) float64 { return r.largest("loads") }},
-		{role: letter, what: "part of the fleet that a dispatcher's view covers, in virtual time", along: Dispatchers, budget: none,
+			of: func(r *reading) float64 { return r.largest("loads") },
+		},
+		{
+			role: letter, what: "part of the fleet that a dispatcher's view covers, in virtual time", along: Dispatchers, budget: none,
 			mechanism: "`commons.View`", formula: "covered",
-			of: func(r *reading) float64 { return r.largest("covered") }},
-		{role: letter, what: "terms in which half of the dispatchers were told", unit: "of all", along: Dispatchers, budget: none,
+			of: func(r *reading) float64 { return r.largest("covered") },
+		},
+		{
+			role: letter, what: "terms in which half of the dispatchers were told", unit: "of all", along: Dispatchers, budget: none,
 			mechanism: "`balancer.tell`",
 			formula:   "digests",
-			of:        func(r *reading) float64 { return r.largest("digests") }},
+			of:        func(r *reading) float64 { return r.largest("digests") },
+		},
 	}
 }
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -10,6 +10,9 @@
 	"go/token"
 	"math"
 	"math/rand/v2"
+	"oakthread/aggregate"
+	"oakthread/balancer"
+	"oakthread/leader"
 	"os"
 	"path/filepath"
 	"regexp"
@@ -19,10 +22,6 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"oakthread/aggregate"
-	"oakthread/balancer"
-	"oakthread/leader"
 )
 
 // line is a straight line as a Curve.
@@ -88,8 +87,10 @@
 			counts, pairs = 0, 0
 		}
 		row := make([]float64, figs)
-		m := aggregate.Message{FromLeader: true, Digest: aggregate.Digest{Sums: row, MissingSums: row, MissingMoved: row,
-			Covered: filled(siblings, siblings), Missing: aggregate.NewSet(siblings)}}
+		m := aggregate.Message{FromLeader: true, Digest: aggregate.Digest{
+			Sums: row, MissingSums: row, MissingMoved: row,
+			Covered: filled(siblings, siblings), Missing: aggregate.NewSet(siblings),
+		}}
 		beside(&m, marks, counts, pairs)
 		d := Digest{Siblings: siblings, Figures: figs, Marks: marks, Counts: counts, Pairs: pairs}
 		if d.Partial = i%2 == 0 && siblings > 1; d.Partial {
@@ -494,8 +495,16 @@
 	for _, c := range []struct {
 		f    Figure
 		want string
-	}{{Figure(math.NaN()), "not measured"}, {Figure(math.Inf(1)), "none"}, {0.0451, "0.0451"}, {1900, "1900"}, {9600, "9600"},
-		{230_000, "230 k"}, {4.2e6, "4.2 M"}, {2.77e9, "2.77 G"}} {
+	}{
+		{Figure(math.NaN()), "not measured"},
+		{Figure(math.Inf(1)), "none"},
+		{0.0451, "0.0451"},
+		{1900, "1900"},
+		{9600, "9600"},
+		{230_000, "230 k"},
+		{4.2e6, "4.2 M"},
+		{2.77e9, "2.77 G"},
+	} {
 		assert.Equal(t, c.want, c.f.String())
 	}
 }
@@ -527,6 +536,7 @@
 		h.d.HandleAttemptResult(h.now, balancer.AttemptResult{ID: id, Attempt: n, Worker: w, Result: balancer.OK, Finished: true, Warmth: balancer.WarmHit})
 	})
 }
+
 func (h *asked) OrderLoad(w balancer.WorkerID, f balancer.FuncID, n int) {
 	h.after(100e6, func() { h.d.HandleLoadResult(h.now, w, f, n, balancer.OK) })
 }
@@ -566,9 +576,11 @@
 				}
 			}
 		}
-		s := balancer.Settings{Classes: []balancer.Class{{LatencyObjective: 400e6, ClientTimeout: 5e9, PriorityWeight: 1, Idempotency: balancer.Idempotent}},
+		s := balancer.Settings{
+			Classes:     []balancer.Class{{LatencyObjective: 400e6, ClientTimeout: 5e9, PriorityWeight: 1, Idempotency: balancer.Idempotent}},
 			TenantQuota: make([]float64, tenants), DispatcherIndex: 3, Dispatchers: siblings, ClockResolution: 4e6, MaxAttempts: 5,
-			Gossip: true, PeerPrice: Base(Letter()).PeerPrice, KeepAlive: 10e9, LoadsOnMiss: true}
+			Gossip: true, PeerPrice: Base(Letter()).PeerPrice, KeepAlive: 10e9, LoadsOnMiss: true,
+		}
 		var err error
 		h.d, err = balancer.New(h.now, s, 1, h)
 		require.NoError(t, err)
@@ -624,8 +636,10 @@
 			}
 			h.now -= term // it has lived for a while when its term comes
 			begin := h.now + term
-			s := balancer.Settings{Classes: []balancer.Class{{LatencyObjective: aim, ClientTimeout: 5e9, PriorityWeight: 1, Idempotency: balancer.Idempotent}}, Dispatchers: c.siblings,
-				TenantQuota: make([]float64, tenants), ClockResolution: 4e6, MaxAttempts: 5, Gossip: true, PeerPrice: price, KeepAlive: 10e9}
+			s := balancer.Settings{
+				Classes: []balancer.Class{{LatencyObjective: aim, ClientTimeout: 5e9, PriorityWeight: 1, Idempotency: balancer.Idempotent}}, Dispatchers: c.siblings,
+				TenantQuota: make([]float64, tenants), ClockResolution: 4e6, MaxAttempts: 5, Gossip: true, PeerPrice: price, KeepAlive: 10e9,
+			}
 			var err error
 			h.d, err = balancer.New(h.now, s, 1, h)
 			require.NoError(t, err)
--- a/internal/fault/sockets/sockets.go
+++ b/internal/fault/sockets/sockets.go
@@ -9,12 +9,11 @@
 	"context"
 	"math/rand/v2"
 	"net"
+	"oakthread/internal/platform"
 	"os"
 	"sync"
 	"syscall"
 	"time"
-
-	"oakthread/internal/platform"
 )
 
 // Rates are the shares of calls that fail.
@@ -51,10 +50,14 @@
 }
 
 var (
-	acceptErrors = []syscall.Errno{syscall.ENOBUFS, syscall.ENOMEM, syscall.EMFILE, syscall.ENFILE, syscall.EPROTO, syscall.EPERM,
-		syscall.ENETDOWN, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ECONNABORTED, syscall.EINTR}
-	connectErrors = []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENETUNREACH,
-		syscall.EAGAIN, syscall.EPERM}
+	acceptErrors = []syscall.Errno{
+		syscall.ENOBUFS, syscall.ENOMEM, syscall.EMFILE, syscall.ENFILE, syscall.EPROTO, syscall.EPERM,
+		syscall.ENETDOWN, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.ECONNABORTED, syscall.EINTR,
+	}
+	connectErrors = []syscall.Errno{
+		syscall.EADDRNOTAVAIL, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENETUNREACH,
+		syscall.EAGAIN, syscall.EPERM,
+	}
 	ioErrors = []syscall.Errno{syscall.EINTR, syscall.ENOBUFS, syscall.ENOMEM}
 )
 
--- a/internal/fault/sockets/sockets_test.go
+++ b/internal/fault/sockets/sockets_test.go
@@ -2,15 +2,15 @@
 
 import (
 	"bytes"
+	"errors"
 	"io"
 	"net"
+	"oakthread/internal/neterr"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"oakthread/internal/neterr"
 )
 
 // All that passes is passed unchanged, and every error is one that the program must be able to go on after.
@@ -50,7 +50,7 @@
 	for b := make([]byte, 64); ; {
 		n, err := neterr.Read(c, b)
 		got.Write(b[:n])
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			break
 		}
 		require.NoError(t, err)
--- a/internal/lab/box.go
+++ b/internal/lab/box.go
@@ -28,6 +28,7 @@
 // Verdict is what a box says to a job when it comes.
 type Verdict int
 
+// The worker takes a job, rejects it for a full queue or because it drains, or is down.
 const (
 	Taken Verdict = iota
 	Full
@@ -38,6 +39,7 @@
 // Note is how a job found its model.
 type Note int
 
+// The model was loaded, begins to load, or is being loaded.
 const (
 	Hit Note = iota
 	Spawn
@@ -108,12 +110,22 @@
 	return b.cfg.StartCap + (1-b.cfg.StartCap)*float64(max(0, age))/float64(b.cfg.Warm)
 }
 
-// Drain has it take nothing new. Stall has it stand still, Slow work at a part of its pace.
-func (b *Box) Drain()                { b.draining = true }
-func (b *Box) Draining() bool        { return b.draining }
-func (b *Box) Fallen() bool          { return b.fallen }
-func (b *Box) Slow(factor float64)   { b.slow = factor }
-func (b *Box) Started() time.Time    { return b.start }
+// Drain makes the worker reject new jobs; those it holds go on.
+func (b *Box) Drain() { b.draining = true }
+
+// Draining reports whether the worker takes no new job.
+func (b *Box) Draining() bool { return b.draining }
+
+// Fallen reports whether the worker collapsed under load.
+func (b *Box) Fallen() bool { return b.fallen }
+
+// Slow makes every job take factor times as long.
+func (b *Box) Slow(factor float64) { b.slow = factor }
+
+// Started returns when the worker's process started.
+func (b *Box) Started() time.Time { return b.start }
+
+// Stall makes no job progress until the given time.
 func (b *Box) Stall(until time.Time) { b.frozen = until }
 
 // Arrive takes a job or says why not. A taken one comes back from Advance.
@@ -311,8 +323,10 @@
 	return 0
 }
 
-// Loads counts the loads of a model that began here; Holds whether a copy of it stands or loads.
+// Loads returns how many loads of a model began here.
 func (b *Box) Loads(model uint64) int { return b.loads[model] }
+
+// Holds reports whether a copy of the model is loaded or being loaded.
 func (b *Box) Holds(now time.Time, model uint64) bool {
 	b.expire(now)
 	return b.copies[model] != nil
--- a/internal/lab/boxserver.go
+++ b/internal/lab/boxserver.go
@@ -183,7 +183,7 @@
 
 // Vanish ends the box without a word: its connections stay open and silent, and its address takes connections that
 // nobody answers. (A loopback address cannot be made to swallow the handshake without privileges.)
-func (s *BoxServer) Vanish() (close func(), err error) {
+func (s *BoxServer) Vanish() (release func(), err error) {
 	s.Die()
 	ln, err := net.Listen("tcp", s.Addr)
 	if err != nil {
@@ -201,9 +201,19 @@
 	return append([]Sight(nil), s.seen...), append([]time.Time(nil), s.orders...)
 }
 
-// Drained is when it began to drain, zero if it did not; Fallen whether it fell over.
-func (s *BoxServer) Drained() time.Time { s.mu.Lock(); defer s.mu.Unlock(); return s.drained }
-func (s *BoxServer) Fallen() bool       { s.mu.Lock(); defer s.mu.Unlock(); return s.box.Fallen() }
+// Drained returns when the worker began to drain; the zero time if it did not.
+func (s *BoxServer) Drained() time.Time {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.drained
+}
+
+// Fallen reports whether the worker collapsed under load.
+func (s *BoxServer) Fallen() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.box.Fallen()
+}
 
 func (s *BoxServer) report(h http.Header, now time.Time) {
 	queue, util := s.box.Report(now)
--- a/internal/lab/calibrate.go
+++ b/internal/lab/calibrate.go
@@ -203,16 +203,18 @@
 	only("of it messages over sockets", "us a call", 1e6*(whole-list))
 	only("that is, for one out and one in", "us a message", 1e6*(whole-list)*c.calls/r.messages)
 	ratio := r.bytesACall(n, c.span) / h.bytesACall(n, c.span)
-	rep.Most(name+"bytes of messages a call, real of hollow", ratio, calibrateApart)
-	rep.Least(name+"bytes of messages a call, real of hollow", ratio, 1/calibrateApart)
-	rep.Most(name+"worth apart", math.Abs(r.worth-h.worth), calibrateWorth)
-	rep.Most(name+"breaches by the real ones, alone or not", float64(r.breaches+pairs[1].real.breaches+pairs[2].real.breaches), 0)
+	rep.AtMost(name+"bytes of messages a call, real of hollow", ratio, calibrateApart)
+	rep.AtLeast(name+"bytes of messages a call, real of hollow", ratio, 1/calibrateApart)
+	rep.AtMost(name+"worth apart", math.Abs(r.worth-h.worth), calibrateWorth)
+	rep.AtMost(name+"breaches by the real ones, alone or not", float64(r.breaches+pairs[1].real.breaches+pairs[2].real.breaches), 0)
 }
 
 // size is what a hollow run has of it.
 func (c *calibration) size(f fleetOf) HollowSize {
-	return HollowSize{Dispatchers: f.dispatchers, Executors: f.executors, Functions: c.functions, Calls: c.calls, Warm: c.warm, Span: c.span,
-		PeerPrice: peerPrice}
+	return HollowSize{
+		Dispatchers: f.dispatchers, Executors: f.executors, Functions: c.functions, Calls: c.calls, Warm: c.warm, Span: c.span,
+		PeerPrice: peerPrice,
+	}
 }
 
 // hollow is a run of hollow dispatchers.
@@ -227,8 +229,10 @@
 		}
 		return math.NaN()
 	}
-	h := &costs{calls: int(f("calls")), system: math.NaN(), idle: math.NaN(), resident: math.NaN(), heap: f("heap"), bytes: f("bytes.out"),
-		messages: f("messages.out"), busiest: f("bytes.out.busiest"), worth: f("worth"), unserved: f("unserved")}
+	h := &costs{
+		calls: int(f("calls")), system: math.NaN(), idle: math.NaN(), resident: math.NaN(), heap: f("heap"), bytes: f("bytes.out"),
+		messages: f("messages.out"), busiest: f("bytes.out.busiest"), worth: f("worth"), unserved: f("unserved"),
+	}
 	h.cpu = f("cpu.all") * c.span.Seconds() * float64(fleet.dispatchers) / float64(max(1, h.calls))
 	return h, nil
 }
@@ -236,10 +240,12 @@
 // real is a run of processes: one second without calls, then the warm-up and the span.
 func (c *calibration) real(ctx context.Context, net *Net, dir string, group int, fleet fleetOf, seed uint64) (*costs, error) {
 	f := hollowFigures(c.size(fleet))
-	r, err := NewRig(net, dir, RigSize{Dispatchers: fleet.dispatchers, Boxes: fleet.executors, Figures: f, Program: c.program, Group: group, Zones: calibrateZones,
+	r, err := NewRig(net, dir, RigSize{
+		Dispatchers: fleet.dispatchers, Boxes: fleet.executors, Figures: f, Program: c.program, Group: group, Zones: calibrateZones,
 		Seed: seed, Load: Load{Rate: c.calls, Models: c.functions, Retries: 2}, Settings: func(_ int, s map[string]any) {
 			s["prices"].(map[string]any)["peer"] = peerPrice
-		}})
+		},
+	})
 	if err != nil {
 		return nil, err
 	}
@@ -266,8 +272,10 @@
 	r.Quiet()
 	from, until := look[2].at, look[3].at
 	n, span := float64(fleet.dispatchers), until.Sub(from).Seconds()
-	x := &costs{heap: math.NaN(), resident: float64(look[3].resident) / n, idle: (look[1].cpu - look[0].cpu).Seconds() / n / look[1].at.Sub(look[0].at).Seconds(),
-		system: float64(look[3].system-look[2].system) / math.Max(1, float64(look[3].ticks-look[2].ticks))}
+	x := &costs{
+		heap: math.NaN(), resident: float64(look[3].resident) / n, idle: (look[1].cpu - look[0].cpu).Seconds() / n / look[1].at.Sub(look[0].at).Seconds(),
+		system: float64(look[3].system-look[2].system) / math.Max(1, float64(look[3].ticks-look[2].ticks)),
+	}
 	asked, earned, bad := 0.0, 0.0, 0
 	for _, call := range r.Calls(func(int) bool { return true }) {
 		if call.Intended.Before(from) || !call.Intended.Before(until) {
@@ -281,7 +289,7 @@
 		}
 	}
 	for _, k := range r.Called {
-		x.late = max(x.late, k.Late().Seconds())
+		x.late = max(x.late, k.MaxLag().Seconds())
 	}
 	if x.calls == 0 {
 		return nil, fmt.Errorf("no call came in the span; clients fell %.1f s behind their schedule at the most", x.late)
--- a/internal/lab/calibrate_test.go
+++ b/internal/lab/calibrate_test.go
@@ -14,6 +14,10 @@
 	"log/slog"
 	"math"
 	"math/rand/v2"
+	"oakthread"
+	"oakthread/balancer"
+	"oakthread/endpoints"
+	"oakthread/internal/endpointcache"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -29,11 +33,6 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sys/unix"
-
-	"oakthread"
-	"oakthread/balancer"
-	"oakthread/endpoints"
-	"oakthread/internal/endpointcache"
 )
 
 // bubbleStart is where the clock of every bubble begins, as package synctest has it.
@@ -164,8 +163,10 @@
 	}
 	f := fleetFigures()
 	f.Box.Warm, f.Box.Keep = 4*time.Second, 3*time.Second
-	w := &simWorld{f: f, byID: map[balancer.WorkerID]*simBox{}, popular: newZipf(40, 0.4), messages: true,
-		lossy: rand.New(rand.NewPCG(p.seed, 3)), load: Load{Rate: stageRate, Models: 40, Zipf: 0.4}}
+	w := &simWorld{
+		f: f, byID: map[balancer.WorkerID]*simBox{}, popular: newZipf(40, 0.4), messages: true,
+		lossy: rand.New(rand.NewPCG(p.seed, 3)), load: Load{Rate: stageRate, Models: 40, Zipf: 0.4},
+	}
 	w.now, w.began = start, start
 	s := &stage{simWorld: w, play: p, began: start}
 	for i := range stageBoxes {
@@ -400,11 +401,15 @@
 	h := &realHost{s: s, stub: s.nodes[0], calls: map[string]*simCall{}, kick: make(chan struct{}, 1)}
 	h.stub.dead = true
 	quiet := slog.New(slog.DiscardHandler)
-	h.keeper = endpointcache.NewKeeper(endpointcache.Options{Roster: endpoints.Config{Seed: s.seed, Siblings: stageNodes, MaxWait: 1500 * time.Millisecond}, Util: 2,
-		Aims: s.f.aims()}, h, func(r oakthread.EndpointUpdate) { h.core.UpdateEndpoints(r) }, s.now, quiet)
+	h.keeper = endpointcache.NewKeeper(endpointcache.Options{
+		Roster: endpoints.Config{Seed: s.seed, Siblings: stageNodes, MaxWait: 1500 * time.Millisecond}, Util: 2,
+		Aims: s.f.aims(),
+	}, h, func(r oakthread.EndpointUpdate) { h.core.UpdateEndpoints(r) }, s.now, quiet)
 	var err error
-	h.core, err = oakthread.New(oakthread.Config{Settings: s.settingsOf(0), Seed: s.seedOf(0), Workers: h, Peers: h, Completed: h.settled,
-		Admit: h.admit, Observed: h.keeper.Observe, Log: slog.New(&ear{h})})
+	h.core, err = oakthread.New(oakthread.Config{
+		Settings: s.settingsOf(0), Seed: s.seedOf(0), Workers: h, Peers: h, Completed: h.settled,
+		Admit: h.admit, Observed: h.keeper.Observe, Log: slog.New(&ear{h}),
+	})
 	require.NoError(t, err)
 	s.host = h
 	ctx, stop := context.WithCancel(t.Context())
@@ -517,8 +522,10 @@
 	h.mu.Lock()
 	h.calls[id] = c
 	h.mu.Unlock()
-	q := oakthread.Request{ID: id, Class: c.class, Tenant: -1, Func: balancer.FuncID(c.model), Key: fmt.Sprintf("%016x", c.model),
-		Deadline: c.intended.Add(h.s.f.Classes[c.class].GiveUp - 200*time.Millisecond), MemoryMB: 4000, Concurrency: h.s.f.Lanes, LoadTime: h.s.f.Load}
+	q := oakthread.Request{
+		ID: id, Class: c.class, Tenant: -1, Func: balancer.FuncID(c.model), Key: fmt.Sprintf("%016x", c.model),
+		Deadline: c.intended.Add(h.s.f.Classes[c.class].GiveUp - 200*time.Millisecond), MemoryMB: 4000, Concurrency: h.s.f.Lanes, LoadTime: h.s.f.Load,
+	}
 	h.wait.Go(func() {
 		a, err := h.core.Do(context.Background(), q)
 		c.served, c.ended = err == nil && a.Outcome == oakthread.Served, time.Now()
@@ -665,28 +672,28 @@
 }
 
 // firstApart is the first place where two runs differ; "": nowhere.
-func firstApart(real, hollow []action) string {
-	real, hollow = sorted(real), sorted(hollow)
-	for i := range max(len(real), len(hollow)) {
+func firstApart(actual, hollow []action) string {
+	actual, hollow = sorted(actual), sorted(hollow)
+	for i := range max(len(actual), len(hollow)) {
 		a, b := action{text: "nothing"}, action{text: "nothing"}
-		if i < len(real) {
-			a = real[i]
+		if i < len(actual) {
+			a = actual[i]
 		}
 		if i < len(hollow) {
 			b = hollow[i]
 		}
 		if a != b {
-			return fmt.Sprintf("action %d of %d: real %s, hollow %s", i, max(len(real), len(hollow)), a, b)
+			return fmt.Sprintf("action %d of %d: real %s, hollow %s", i, max(len(actual), len(hollow)), a, b)
 		}
 	}
 	return ""
 }
 
 // callsApart is the first call whose end differs.
-func callsApart(real, hollow *stage) string {
-	for i, c := range real.calls0 {
+func callsApart(actual, hollow *stage) string {
+	for i, c := range actual.calls0 {
 		x := hollow.calls0[i]
-		if c.served != x.served || c.ended.Sub(real.began) != x.ended.Sub(hollow.began) {
+		if c.served != x.served || c.ended.Sub(actual.began) != x.ended.Sub(hollow.began) {
 			return fmt.Sprintf("call %s: real served %v after %v, hollow %v after %v", c.name, c.served, c.ended.Sub(c.intended), x.served, x.ended.Sub(x.intended))
 		}
 	}
@@ -702,10 +709,10 @@
 }
 
 // playBoth plays one script before both hosts.
-func playBoth(t *testing.T, p play, look func(*realHost)) (real, hollow *stage) {
+func playBoth(t *testing.T, p play, look func(*realHost)) (actual, hollow *stage) {
 	t.Helper()
-	synctest.Test(t, func(t *testing.T) { real = playReal(t, p, look) })
-	return real, playHollow(t, p)
+	synctest.Test(t, func(t *testing.T) { actual = playReal(t, p, look) })
+	return actual, playHollow(t, p)
 }
 
 // Guards against a hollow dispatcher that stands for nothing: whatever the module orders, both hosts do at the same time.
@@ -714,19 +721,19 @@
 	var ends [balancer.NumResults]int64
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			real, hollow := playBoth(t, play{seed: seed}, func(h *realHost) {
+			actual, hollow := playBoth(t, play{seed: seed}, func(h *realHost) {
 				n := h.core.Counters()
 				assert.Zero(t, n.LoadOrdersWithheld, "the core's second look struck")
 				assert.Zero(t, n.RejectedByLimit+n.RejectedByAdmission+n.Abandoned+n.InvalidPeerMessages)
 			})
-			assert.Empty(t, firstApart(real.actions, hollow.actions))
-			assert.Empty(t, callsApart(real, hollow))
-			assert.Equal(t, real.ends, hollow.ends, "ends of attempts, by their result")
-			assert.Equal(t, real.proved, hollow.proved)
-			for r, n := range real.ends {
+			assert.Empty(t, firstApart(actual.actions, hollow.actions))
+			assert.Empty(t, callsApart(actual, hollow))
+			assert.Equal(t, actual.ends, hollow.ends, "ends of attempts, by their result")
+			assert.Equal(t, actual.proved, hollow.proved)
+			for r, n := range actual.ends {
 				ends[r] += n
 			}
-			for k, n := range kinds(real.actions) {
+			for k, n := range kinds(actual.actions) {
 				total[k] += n
 			}
 		})
@@ -744,8 +751,8 @@
 // The comparison must be able to fail: one thing is altered, and it shows.
 func TestComparisonFindsWhatDiffers(t *testing.T) {
 	p := play{seed: 1}
-	real, hollow := playBoth(t, p, nil)
-	require.Empty(t, firstApart(real.actions, hollow.actions))
+	actual, hollow := playBoth(t, p, nil)
+	require.Empty(t, firstApart(actual.actions, hollow.actions))
 	for name, alter := range map[string]func(*play){
 		"a clock that is off by a tick": func(p *play) { p.offset = 4 * time.Millisecond },
 		"a lost call":                   func(p *play) { p.lose = "call" },
@@ -757,7 +764,7 @@
 		t.Run(name, func(t *testing.T) {
 			x := p
 			alter(&x)
-			found := firstApart(real.actions, playHollow(t, x).actions)
+			found := firstApart(actual.actions, playHollow(t, x).actions)
 			assert.NotEmpty(t, found)
 			t.Log(found)
 		})
@@ -765,21 +772,21 @@
 	t.Run("a lost answer", func(t *testing.T) {
 		x := p
 		x.lose = "answer"
-		synctest.Test(t, func(t *testing.T) { real = playReal(t, x, nil) })
-		found := firstApart(real.actions, hollow.actions)
+		synctest.Test(t, func(t *testing.T) { actual = playReal(t, x, nil) })
+		found := firstApart(actual.actions, hollow.actions)
 		assert.NotEmpty(t, found)
 		t.Log(found)
 	})
 }
 
-// apartBy plays a script that forces a difference and returns the first one; both actions of it are of the time that it names.
-func apartBy(t *testing.T, p play, look func(*realHost)) (first string, real, hollow *stage) {
+// apartBy plays a script that forces a difference, and logs the first one.
+func apartBy(t *testing.T, p play, look func(*realHost)) (actual, hollow *stage) {
 	t.Helper()
-	real, hollow = playBoth(t, p, look)
-	first = firstApart(real.actions, hollow.actions)
+	actual, hollow = playBoth(t, p, look)
+	first := firstApart(actual.actions, hollow.actions)
 	t.Log(first)
 	require.NotEmpty(t, first, "nothing differs")
-	return first, real, hollow
+	return actual, hollow
 }
 
 // only are the actions of one run that the other has not.
@@ -799,10 +806,10 @@
 // By design: the core looks a second time at the ration of orders, with a margin for the way; the module's own look is the
 // hollow host's only one.
 func TestCoreHoldsOrders(t *testing.T) {
-	_, real, hollow := apartBy(t, play{seed: 2, steady: true, settings: func(s *balancer.Settings) { s.LoadQuotaBase, s.LoadQuotaRatio = 2, 0.05 }}, func(h *realHost) {
+	actual, hollow := apartBy(t, play{seed: 2, steady: true, settings: func(s *balancer.Settings) { s.LoadQuotaBase, s.LoadQuotaRatio = 2, 0.05 }}, func(h *realHost) {
 		assert.Positive(t, h.core.Counters().LoadOrdersWithheld)
 	})
-	a, b := sorted(only(real.actions, hollow.actions)), sorted(only(hollow.actions, real.actions))
+	a, b := sorted(only(actual.actions, hollow.actions)), sorted(only(hollow.actions, actual.actions))
 	assert.Equal(t, "load", b[0].kind(), "what the hollow host did first of all that the real one did not")
 	assert.GreaterOrEqual(t, a[0].at, b[0].at)
 }
@@ -824,9 +831,9 @@
 		})
 	}
 	var ends [balancer.NumResults]int64
-	_, real, hollow := apartBy(t, play{seed: 1, asked: 1, span: 4 * time.Second, steady: true, handshake: true, script: drain}, func(h *realHost) { ends = h.core.Counters().AttemptResults })
+	actual, hollow := apartBy(t, play{seed: 1, asked: 1, span: 4 * time.Second, steady: true, handshake: true, script: drain}, func(h *realHost) { ends = h.core.Counters().AttemptResults })
 	assert.Equal(t, int64(1), ends[balancer.NotSent])
-	a, b := sorted(only(real.actions, hollow.actions)), only(hollow.actions, real.actions)
+	a, b := sorted(only(actual.actions, hollow.actions)), only(hollow.actions, actual.actions)
 	require.NotEmpty(t, a)
 	assert.Regexp(t, `^send 0\.999\.0 #1 to `, a[0].text)
 	assert.NotContains(t, fmt.Sprint(b), "send 0.999.0 #1")
@@ -836,17 +843,17 @@
 // the module hear all of that time 3 ms late at the most.
 func TestCoreReadsItsClockInTheLoop(t *testing.T) {
 	const still = 3 * time.Millisecond
-	_, real, hollow := apartBy(t, play{seed: 1, steady: true, stall: still}, nil)
-	a, b := sorted(only(real.actions, hollow.actions)), sorted(only(hollow.actions, real.actions))
+	actual, hollow := apartBy(t, play{seed: 1, steady: true, stall: still}, nil)
+	a, b := sorted(only(actual.actions, hollow.actions)), sorted(only(hollow.actions, actual.actions))
 	assert.Contains(t, b[0].text, " 0.100.0 ")
 	assert.Equal(t, action{b[0].at + still, b[0].text}, a[0])
 }
 
 // By design: before the first list the module holds calls; the hollow host's clients are sent away at once.
 func TestCoreTakesCallsBeforeTheList(t *testing.T) {
-	real, hollow := playBoth(t, play{seed: 1, steady: true, listAt: 500 * time.Millisecond}, nil)
-	c, x := real.calls0[0], hollow.calls0[0]
-	require.Less(t, c.intended.Sub(real.began), 400*time.Millisecond)
+	actual, hollow := playBoth(t, play{seed: 1, steady: true, listAt: 500 * time.Millisecond}, nil)
+	c, x := actual.calls0[0], hollow.calls0[0]
+	require.Less(t, c.intended.Sub(actual.began), 400*time.Millisecond)
 	assert.True(t, c.served)
 	assert.False(t, x.served)
 	assert.Zero(t, x.ended.Sub(x.intended))
@@ -858,19 +865,19 @@
 	t.Run("written", func(t *testing.T) {
 		for seed := range uint64(2) {
 			p := play{seed: seed}
-			real, hollow := playBoth(t, p, nil)
-			assert.Empty(t, firstApart(real.actions, hollow.actions))
-			assert.Equal(t, real.ends, hollow.ends)
+			actual, hollow := playBoth(t, p, nil)
+			assert.Empty(t, firstApart(actual.actions, hollow.actions))
+			assert.Equal(t, actual.ends, hollow.ends)
 			assert.Positive(t, hollow.ends[balancer.Cancelled])
 			ran := 0
-			for i, c := range real.calls0 {
+			for i, c := range actual.calls0 {
 				assert.Equal(t, c.ran, hollow.calls0[i].ran, "call %s: runs at executors", c.name)
 				ran = max(ran, c.ran)
 			}
 			assert.Greater(t, ran, 1, "nothing that was called off ran on")
 			p.keeps = true
 			left := playHollow(t, p)
-			assert.NotEmpty(t, firstApart(real.actions, left.actions), "a host that lets it go on")
+			assert.NotEmpty(t, firstApart(actual.actions, left.actions), "a host that lets it go on")
 			assert.Zero(t, left.ends[balancer.Cancelled])
 		}
 	})
@@ -908,9 +915,9 @@
 					}
 				})
 			}
-			real, hollow := playBoth(t, play{seed: 1, asked: 1, span: 4 * time.Second, steady: true, script: script}, nil)
-			assert.Empty(t, firstApart(real.actions, hollow.actions))
-			assert.Equal(t, real.ends, hollow.ends)
+			actual, hollow := playBoth(t, play{seed: 1, asked: 1, span: 4 * time.Second, steady: true, script: script}, nil)
+			assert.Empty(t, firstApart(actual.actions, hollow.actions))
+			assert.Equal(t, actual.ends, hollow.ends)
 			assert.Equal(t, int64(1), hollow.ends[balancer.NotSent])
 			assert.Zero(t, hollow.ends[balancer.Cancelled]+hollow.ends[balancer.Timeout])
 		})
@@ -927,9 +934,9 @@
 			s.at(c.intended, func() { s.host.arrive(c) })
 		}
 	}}
-	real, hollow := playBoth(t, p, nil)
-	assert.Empty(t, firstApart(real.actions, hollow.actions))
-	assert.Equal(t, real.proved, hollow.proved)
+	actual, hollow := playBoth(t, p, nil)
+	assert.Empty(t, firstApart(actual.actions, hollow.actions))
+	assert.Equal(t, actual.proved, hollow.proved)
 	var on balancer.WorkerID
 	for _, a := range hollow.actions {
 		if a.at == 6*time.Second && a.kind() == "load" {
@@ -973,7 +980,8 @@
 		"its box has vanished": {5900 * time.Millisecond, func(_ *stage, x *simBox) { x.fate = vanishes }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := play{seed: 1, asked: 1, span: 8 * time.Second, steady: true,
+			p := play{
+				seed: 1, asked: 1, span: 8 * time.Second, steady: true,
 				settings: func(s *balancer.Settings) { s.LoadOrderTimeout = int64(limit) },
 				script: func(s *stage) { // a function is served, forgotten and asked for again; its box loses the load
 					for i, at := range []time.Duration{time.Second, 6 * time.Second} {
@@ -985,10 +993,11 @@
 							c.lose(s, x)
 						}
 					})
-				}}
-			real, hollow := playBoth(t, p, nil)
-			assert.Empty(t, firstApart(real.actions, hollow.actions))
-			assert.Equal(t, real.ends, hollow.ends)
+				},
+			}
+			actual, hollow := playBoth(t, p, nil)
+			assert.Empty(t, firstApart(actual.actions, hollow.actions))
+			assert.Equal(t, actual.ends, hollow.ends)
 			var loads []time.Duration
 			for _, a := range hollow.actions {
 				if a.kind() == "load" && a.at >= 6*time.Second {
@@ -998,7 +1007,7 @@
 			require.GreaterOrEqual(t, len(loads), 2)
 			assert.Equal(t, []time.Duration{6 * time.Second, 6*time.Second + limit}, loads[:2], "given up, and given elsewhere at once")
 			p.waits = true
-			assert.Contains(t, firstApart(real.actions, playHollow(t, p).actions), "real "+(6*time.Second+limit).String()+" ", "a host that waits for ever")
+			assert.Contains(t, firstApart(actual.actions, playHollow(t, p).actions), "real "+(6*time.Second+limit).String()+" ", "a host that waits for ever")
 		})
 	}
 }
@@ -1030,8 +1039,10 @@
 	program := filepath.Join(t.TempDir(), "oakthread")
 	text, err := exec.Command("go", "build", "-o", program, "oakthread/cmd/dispatcher").CombinedOutput()
 	require.NoError(t, err, string(text))
-	c := calibration{sizes: []int{3}, calls: 20, functions: 30, warm: 2 * time.Second, span: 3 * time.Second,
-		program: Program{Path: program, Args: []string{"serve"}}}
+	c := calibration{
+		sizes: []int{3}, calls: 20, functions: 30, warm: 2 * time.Second, span: 3 * time.Second,
+		program: Program{Path: program, Args: []string{"serve"}},
+	}
 	rep, err := c.run(t.Context(), Options{Seed: 1, Dir: t.TempDir(), Log: t.Logf})
 	require.NoError(t, err)
 	var out strings.Builder
--- a/internal/lab/capacity.go
+++ b/internal/lab/capacity.go
@@ -11,6 +11,7 @@
 	"fmt"
 	"io"
 	"math"
+	"oakthread/internal/regression"
 	"os"
 	"path/filepath"
 	"slices"
@@ -22,7 +23,6 @@
 	"gonum.org/v1/plot/plotter"
 
 	figures "oakthread/internal/capacity"
-	"oakthread/internal/regression"
 )
 
 // The budgets of one dispatcher for control, as the operators' letter gives them, and what follows from them.
@@ -171,7 +171,8 @@
 // long as some two minutes of one core bear. Messages are at their least price: at a higher one
 // the purse, not the size, bounds what is told.
 func planCapacity(o Options) capacityPlan {
-	p := capacityPlan{seeds: []uint64{o.Seed, o.Seed + 1, o.Seed + 2}, walks: []int{120, 300, 600, 1_200, 2_400, 9_600},
+	p := capacityPlan{
+		seeds: []uint64{o.Seed, o.Seed + 1, o.Seed + 2}, walks: []int{120, 300, 600, 1_200, 2_400, 9_600},
 		exponents: []float64{0, 0.4, 0.8, 1, 1.2},
 		base:      HollowSize{Dispatchers: 60, Executors: 300, Functions: 4_800, Calls: 10, ListEvents: 1, Span: 6 * time.Second, PeerPrice: peerPrice},
 		choice:    HollowSize{Dispatchers: 4, Functions: 48_000, Calls: 50, Span: 8 * time.Second, PeerPrice: peerPrice},
@@ -602,9 +603,9 @@
 		for _, f := range []struct{ name, unit string }{{"cpu.choice", "ns a call"}, {"worth", "of that asked"}, {"loads", "a call"}} {
 			c.rep.Row(fmt.Sprintf("choice, %d executors: %s", n, f.name), f.unit, meanOf(arms[0], f.name), meanOf(arms[1], f.name))
 		}
-		c.rep.Least(fmt.Sprintf("choice, %d executors: worth less that of the whole walk", n), meanOf(arms[1], "worth")-meanOf(arms[0], "worth"), -worthRoom)
+		c.rep.AtLeast(fmt.Sprintf("choice, %d executors: worth less that of the whole walk", n), meanOf(arms[1], "worth")-meanOf(arms[0], "worth"), -worthRoom)
 		if n == 9_600 {
-			c.rep.Most(fmt.Sprintf("choice, %d executors: ns a call", n), meanOf(arms[1], "cpu.choice"), aimChoice)
+			c.rep.AtMost(fmt.Sprintf("choice, %d executors: ns a call", n), meanOf(arms[1], "cpu.choice"), aimChoice)
 		}
 	}
 	return nil
@@ -619,9 +620,10 @@
 		var figures []map[string]float64 // by arm
 		for _, of := range serviceArms() {
 			dispatchers, walk := s.dispatchers, s.walk
-			if of == wholeWalk {
+			switch of {
+			case wholeWalk:
 				walk = math.MaxInt
-			} else if of == oneDispatcher {
+			case oneDispatcher:
 				dispatchers = 1
 			}
 			var runs []map[string]float64
@@ -636,7 +638,7 @@
 				runs = append(runs, k.figures(r))
 				c.o.Log("%s%s, seed %d: worth %.4f, unserved %.4f; %s", name, of, seed, r.service, r.unserved, k)
 				if of != omniscient {
-					c.rep.Most(fmt.Sprintf("%s%s, seed %d: path-books twice, late sends, boxes pushed over, calls without an end", name, of, seed),
+					c.rep.AtMost(fmt.Sprintf("%s%s, seed %d: path-books twice, late sends, boxes pushed over, calls without an end", name, of, seed),
 						float64(r.twice+r.late+r.fallen+r.open), 0)
 				}
 				if s.dispatchers >= fewSeeds {
@@ -658,8 +660,8 @@
 				c.rep.Row(name+worthInTime+", "+of, "of that asked", math.NaN(), worth(arm))
 			}
 		}
-		c.rep.Least(name+"worth less that of the whole walk", worth(1)-worth(0), -worthRoom)
-		c.rep.Least(name+"worth less that of one dispatcher with all calls", worth(1)-worth(2), -oneRoom)
+		c.rep.AtLeast(name+"worth less that of the whole walk", worth(1)-worth(0), -worthRoom)
+		c.rep.AtLeast(name+"worth less that of one dispatcher with all calls", worth(1)-worth(2), -oneRoom)
 	}
 	return nil
 }
@@ -698,7 +700,7 @@
 				c.rep.Row(name+": "+figure, "", math.NaN(), y)
 			}
 		}
-		c.rep.Most(name+": path-books twice, late sends, boxes pushed over, calls without an end", f["twice"]+f["late"]+f["fallen"]+f["open"], 0)
+		c.rep.AtMost(name+": path-books twice, late sends, boxes pushed over, calls without an end", f["twice"]+f["late"]+f["fallen"]+f["open"], 0)
 	}
 	return nil
 }
@@ -733,7 +735,7 @@
 				return err
 			}
 			runs = append(runs, f)
-			c.rep.Most(fmt.Sprintf("zipf, exponent %g, seed %d: path-books twice, late sends, boxes pushed over, calls without an end", x, seed),
+			c.rep.AtMost(fmt.Sprintf("zipf, exponent %g, seed %d: path-books twice, late sends, boxes pushed over, calls without an end", x, seed),
 				f["twice"]+f["late"]+f["fallen"]+f["open"], 0)
 		}
 		for _, figure := range zipfFigures() {
@@ -804,7 +806,7 @@
 			c.rep.Row(name(s), "", math.NaN(), y)
 		}
 	}
-	c.rep.Most(name("path-books twice, late sends, boxes pushed over, calls without an end"), f["twice"]+f["late"]+f["fallen"]+f["open"], 0)
+	c.rep.AtMost(name("path-books twice, late sends, boxes pushed over, calls without an end"), f["twice"]+f["late"]+f["fallen"]+f["open"], 0)
 	return nil
 }
 
@@ -853,7 +855,7 @@
 				}
 			}
 			if all > 0 {
-				c.rep.Most(fmt.Sprintf("as foretold, %s, %s: figures of %d that are not", name, kind.name, all), float64(off), 0)
+				c.rep.AtMost(fmt.Sprintf("as foretold, %s, %s: figures of %d that are not", name, kind.name, all), float64(off), 0)
 			}
 		}
 	}
@@ -948,9 +950,11 @@
 	slices.Sort(names)
 	var lines [][]string
 	for _, name := range names {
-		lines = append(lines, []string{r.Section, strconv.FormatUint(r.Seed, 10), strconv.FormatBool(r.Size.Before), strconv.Itoa(r.Size.Dispatchers),
+		lines = append(lines, []string{
+			r.Section, strconv.FormatUint(r.Seed, 10), strconv.FormatBool(r.Size.Before), strconv.Itoa(r.Size.Dispatchers),
 			strconv.Itoa(r.Size.Executors), strconv.Itoa(r.Size.Functions), number(r.Size.Calls), number(r.Size.ListEvents), number(r.Size.Span.Seconds()),
-			number(r.Size.Zipf), r.Size.Fault, r.Partial, name, number(r.Figures[name])})
+			number(r.Size.Zipf), r.Size.Fault, r.Partial, name, number(r.Figures[name]),
+		})
 	}
 	return c.lines(lines...)
 }
@@ -986,7 +990,11 @@
 	}
 	if len(arms[1]) > 1 {
 		lines := []plotter.XYs{flat(arms[0], budgetChoice/1e3), arms[0], arms[1]}
-		if err := drawLines(c.o.Plots, "capacity-choice.svg", "Processor time of a call", "executors", "us", []string{"budget", "the whole list walked", "ours"}, lines, true); err != nil {
+		chart := lineChart{
+			file: "capacity-choice.svg", title: "Processor time of a call", xLabel: "executors", yLabel: "us",
+			names: []string{"budget", "the whole list walked", "ours"}, lines: lines, logX: true,
+		}
+		if err := chart.draw(c.o.Plots); err != nil {
 			return err
 		}
 	}
@@ -1013,7 +1021,11 @@
 		if len(line) < 2 {
 			continue
 		}
-		if err := drawLines(c.o.Plots, p.file, p.title, p.of, p.unit, []string{"budget", "measured"}, []plotter.XYs{flat(line, p.budget/p.scale), line}, true); err != nil {
+		chart := lineChart{
+			file: p.file, title: p.title, xLabel: p.of, yLabel: p.unit, names: []string{"budget", "measured"},
+			lines: []plotter.XYs{flat(line, p.budget/p.scale), line}, logX: true,
+		}
+		if err := chart.draw(c.o.Plots); err != nil {
 			return err
 		}
 	}
--- a/internal/lab/capacity_test.go
+++ b/internal/lab/capacity_test.go
@@ -19,10 +19,12 @@
 
 // tinyPlan is the whole experiment at sizes for tests.
 func tinyPlan() capacityPlan {
-	p := capacityPlan{seeds: []uint64{1}, walks: []int{20, 60},
+	p := capacityPlan{
+		seeds: []uint64{1}, walks: []int{20, 60},
 		base:    HollowSize{Dispatchers: 6, Executors: 20, Functions: 200, Calls: 5, ListEvents: 1, Span: 2 * time.Second},
 		choice:  HollowSize{Dispatchers: 3, Functions: 2_000, Calls: 5, Span: time.Second},
-		largest: HollowSize{Dispatchers: 50, Executors: 60, Functions: 2_000, Calls: 5, ListEvents: 1, Span: 2 * time.Second}}
+		largest: HollowSize{Dispatchers: 50, Executors: 60, Functions: 2_000, Calls: 5, ListEvents: 1, Span: 2 * time.Second},
+	}
 	p.dim("dispatchers", 3, 6, 12, 20, 30)
 	p.dim("executors", 10, 20, 40, 60, 100)
 	p.dim("functions", 100, 200, 400, 1_000, 2_000)
@@ -136,8 +138,10 @@
 			seen(s)
 		}
 		d, e := float64(s.Dispatchers), float64(s.Executors)
-		return &HollowResult{Figures: map[string]float64{"heap": 1e5 + 200*d + 5000*e + 3*float64(s.Functions) + extra*e*e, "cpu.choice": (100 + 20*e) * (1 + d/100),
-			"bytes.in": 100 + 2*d + s.Calls, "bytes.out": 100 + s.Calls, "messages.in": 2 + s.Calls, "cpu.read": 1000, "cpu.write": 500 * (2 + s.Calls), "worth": 1}}, nil
+		return &HollowResult{Figures: map[string]float64{
+			"heap": 1e5 + 200*d + 5000*e + 3*float64(s.Functions) + extra*e*e, "cpu.choice": (100 + 20*e) * (1 + d/100),
+			"bytes.in": 100 + 2*d + s.Calls, "bytes.out": 100 + s.Calls, "messages.in": 2 + s.Calls, "cpu.read": 1000, "cpu.write": 500 * (2 + s.Calls), "worth": 1,
+		}}, nil
 	}
 }
 
--- a/internal/lab/check.go
+++ b/internal/lab/check.go
@@ -172,11 +172,11 @@
 	return got / max(asked, 1e-9)
 }
 
-// mostIn is the most times that lie in any span; the times are in order.
-func mostIn(times []time.Time, span time.Duration) (most int) {
+// mostInOneSecond returns the most times that lie within any second; the times are in order.
+func mostInOneSecond(times []time.Time) (most int) {
 	from := 0
 	for i, t := range times {
-		for t.Sub(times[from]) >= span {
+		for t.Sub(times[from]) >= time.Second {
 			from++
 		}
 		most = max(most, i-from+1)
--- a/internal/lab/comeback.go
+++ b/internal/lab/comeback.go
@@ -61,7 +61,10 @@
 			for arm, program := range programs {
 				o.Log("%s, seed %d, %s", kind, o.Seed+uint64(s), rep.Arms[arm])
 				dir := filepath.Join(o.Dir, fmt.Sprintf("%s-%d-%s", kind, s, rep.Arms[arm]))
-				if pair[arm], err = comebackArm(ctx, net, dir, kind, size, program, arm, o.Seed+uint64(s)); err != nil {
+				run := comebackRun{
+					dir: dir, kind: kind, size: size, program: program, group: arm, seed: o.Seed + uint64(s),
+				}
+				if pair[arm], err = run.play(ctx, net); err != nil {
 					return nil, fmt.Errorf("%s, %s: %w", kind, rep.Arms[arm], err)
 				}
 			}
@@ -78,10 +81,24 @@
 	return f
 }
 
-func comebackArm(ctx context.Context, net *Net, dir, kind string, size comebackSize, program Program, group int, seed uint64) (*comebackResult, error) {
-	r, err := NewRig(net, dir, RigSize{Dispatchers: size.dispatchers, Boxes: size.boxes, Figures: comebackFigures(), Program: program,
-		Group: group, Seed: seed, Load: Load{Rate: float64(fleetCalls*size.boxes) / float64(size.dispatchers), Models: 6 * size.boxes,
-			Zipf: 0.4, Turn: 12 * time.Second, Retries: 2}})
+// comebackRun is one play of the experiment.
+type comebackRun struct {
+	dir, kind string
+	size      comebackSize
+	program   Program
+	group     int // of loopback addresses
+	seed      uint64
+}
+
+func (run comebackRun) play(ctx context.Context, net *Net) (*comebackResult, error) {
+	size := run.size
+	r, err := NewRig(net, run.dir, RigSize{
+		Dispatchers: size.dispatchers, Boxes: size.boxes, Figures: comebackFigures(), Program: run.program,
+		Group: run.group, Seed: run.seed, Load: Load{
+			Rate: float64(fleetCalls*size.boxes) / float64(size.dispatchers), Models: 6 * size.boxes,
+			Zipf: 0.4, Turn: 12 * time.Second, Retries: 2,
+		},
+	})
 	if err != nil {
 		return nil, err
 	}
@@ -99,7 +116,7 @@
 	}
 	cross := func(n, box int) bool { return n%2 != box%2 }
 	words := func(from, to int) bool { return from%2 != to%2 }
-	if kind == "third" {
+	if run.kind == "third" {
 		cross, words = func(_, box int) bool { return box%3 == 0 }, func(_, _ int) bool { return false }
 	}
 	cutAt = time.Now()
@@ -145,7 +162,7 @@
 	x.least = float64(size.dispatchers) * (3 + math.Floor(math.Log2(1+float64(size.cut)/float64(r.Figures.Classes[0].Aim))))
 	x.lateTries, x.lateFull = tries(healed.Add(size.tail), end)
 	for _, c := range r.Called {
-		x.behind = max(x.behind, c.Late())
+		x.behind = max(x.behind, c.MaxLag())
 	}
 	if err := r.Stop(); err != nil {
 		return nil, fmt.Errorf("a dispatcher did not end well: %w", err)
@@ -170,14 +187,14 @@
 	row("the least possible, where the zone is learnt as one", "", func(r *comebackResult) float64 { return r.least })
 	row("generator late, most", "ms", func(r *comebackResult) float64 { return float64(r.behind.Milliseconds()) })
 	was, is := both[0], both[1]
-	rep.Most(name+"path-book run twice", float64(is.Twice), 0)
-	rep.Most(name+"tries without a whole answer, or a wrong one", float64(is.Lost+is.Wrong), 0)
-	rep.Most(name+"late sends to draining boxes", float64(is.LateSends), 0)
-	rep.Most(name+"boxes pushed over", float64(is.Fallen), 0)
-	rep.Least(name+"worth from 2 s after, of that before", is.late/math.Max(is.calm, 1e-9), 0.97)
-	rep.Most(name+"attempts a served call from 2 s after, of those before", is.lateTries/math.Max(is.calmTries, 1), 1.1)
+	rep.AtMost(name+"path-book run twice", float64(is.Twice), 0)
+	rep.AtMost(name+"tries without a whole answer, or a wrong one", float64(is.Lost+is.Wrong), 0)
+	rep.AtMost(name+"late sends to draining boxes", float64(is.LateSends), 0)
+	rep.AtMost(name+"boxes pushed over", float64(is.Fallen), 0)
+	rep.AtLeast(name+"worth from 2 s after, of that before", is.late/math.Max(is.calm, 1e-9), 0.97)
+	rep.AtMost(name+"attempts a served call from 2 s after, of those before", is.lateTries/math.Max(is.calmTries, 1), 1.1)
 	if _, ok := Swallowed(); ok {
-		rep.Most(name+"handshakes swallowed: a third of before, or 1.5 times the least", is.failedEarly+is.failedLate,
+		rep.AtMost(name+"handshakes swallowed: a third of before, or 1.5 times the least", is.failedEarly+is.failedLate,
 			math.Max((was.failedEarly+was.failedLate)/3, 1.5*is.least))
 	}
 }
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -40,13 +40,16 @@
 			return err
 		}
 		defer b.Die()
-		listed = append(listed, listing(b, i, time.Now().Add(-time.Hour), Ready))
+		listed = append(listed, listing(b, i, time.Now().Add(-time.Hour)))
 	}
-	disc.SendMessage(listed...)
+	disc.Publish(listed...)
 	if _, err := disc.Listen(net.Addr(1, 0, 9400)); err != nil {
 		return err
 	}
-	d, err := Lay(dir, 0, net.Addr(1, 0, 9200), f, []string{net.Addr(1, 0, 9300)}, disc.Addr(0), "[list]\npath = \"list.db\"\n\n[log]\nformat = \"text\"\n")
+	d, err := Lay(DispatcherFiles{
+		Dir: dir, Addr: net.Addr(1, 0, 9200), Settings: f.Settings(0, 1), Peers: []string{net.Addr(1, 0, 9300)}, Channel: disc.Addr(0),
+		Operators: "[list]\npath = \"list.db\"\n\n[log]\nformat = \"text\"\n",
+	})
 	if err != nil {
 		return err
 	}
--- a/internal/lab/discovery.go
+++ b/internal/lab/discovery.go
@@ -120,8 +120,8 @@
 	}()
 }
 
-// SendMessage makes one event of changed boxes; the first holds the whole list.
-func (d *Discovery) SendMessage(boxes ...Listed) {
+// Publish makes one event of changed boxes; the first holds the whole list.
+func (d *Discovery) Publish(boxes ...Listed) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.tell(boxes)
--- a/internal/lab/dispatchers.go
+++ b/internal/lab/dispatchers.go
@@ -64,17 +64,25 @@
 		}
 		cats = append(cats, map[string]any{"name": c.Name, "aim_ns": c.Aim, "give_up_ns": c.GiveUp, "credit": c.Worth, "late_worth": 0.2, "idempotency": kind})
 	}
-	return map[string]any{"categories": cats, "customers": []any{},
+	return map[string]any{
+		"categories": cats, "customers": []any{},
 		"feedback": map[string]any{"fields": []string{"waiting", "cpu"}, "how": "inline"}, "kinds": []string{"std-2core"},
 		"zones": []string{"north-room", "south-room"}, "my_number": number, "siblings": siblings, "quantum_ns": 4 * time.Millisecond,
-		"permissions": map[string]any{"send_cap": 5, "second_copies": true, "cancel": true, "peers": true, "may_probe": true,
-			"retry_after": true, "connect_timeout_ns": 250 * time.Millisecond, "conn_idle_ns": 15 * time.Second, "max_retry_after_ns": 1500 * time.Millisecond},
-		"rules": map[string]any{"cold_ns": f.Box.Warm, "fall_ns": f.Box.Fall, "overload_factor": f.Box.Factor, "start_capacity": f.Box.StartCap,
-			"drain_grace_ns": time.Second},
-		"specifics": map[string]any{"linger_idle_ns": f.Box.Keep, "on_miss": "load", "load_control": true, "warm_notes": true,
+		"permissions": map[string]any{
+			"send_cap": 5, "second_copies": true, "cancel": true, "peers": true, "may_probe": true,
+			"retry_after": true, "connect_timeout_ns": 250 * time.Millisecond, "conn_idle_ns": 15 * time.Second, "max_retry_after_ns": 1500 * time.Millisecond,
+		},
+		"rules": map[string]any{
+			"cold_ns": f.Box.Warm, "fall_ns": f.Box.Fall, "overload_factor": f.Box.Factor, "start_capacity": f.Box.StartCap,
+			"drain_grace_ns": time.Second,
+		},
+		"specifics": map[string]any{
+			"linger_idle_ns": f.Box.Keep, "on_miss": "load", "load_control": true, "warm_notes": true,
 			"notes_peers_in_hand": true, "free_loads": 6, "load_part": 0.3, "load_span_ns": 5 * time.Second, "order_limit_ns": 10 * time.Second,
-			"idle_memory_cost": 0.05},
-		"prices": map[string]any{"origin": 0.03, "peer": 0.02, "probe": 0.01, "waste": 0.2}}
+			"idle_memory_cost": 0.05,
+		},
+		"prices": map[string]any{"origin": 0.03, "peer": 0.02, "probe": 0.01, "waste": 0.2},
+	}
 }
 
 // Dispatcher is one process of the daemon.
@@ -100,20 +108,30 @@
 	Env  []string // beside this process's
 }
 
-// Lay writes a dispatcher's files. operators: its operator's file, empty for none.
-func Lay(dir string, n int, addr string, f *Figures, peers []string, channel, operators string) (*Dispatcher, error) {
-	return LayWith(dir, n, addr, f.Settings(n, len(peers)), peers, channel, operators)
+// DispatcherFiles is what the files of one dispatcher are written from.
+type DispatcherFiles struct {
+	Dir       string // that the dispatcher's own folder is made in
+	N         int    // its number
+	Addr      string // it listens there
+	Settings  map[string]any
+	Peers     []string // addresses of all dispatchers, by number
+	Channel   string   // address of discovery
+	Operators string   // the operator's file; empty: none
 }
 
-// LayWith is Lay with a settings object of the caller's.
-func LayWith(dir string, n int, addr string, settings map[string]any, peers []string, channel, operators string) (*Dispatcher, error) {
-	d := &Dispatcher{N: n, Addr: addr, Dir: filepath.Join(dir, fmt.Sprintf("d%02d", n))}
+// Lay writes a dispatcher's files.
+func Lay(files DispatcherFiles) (*Dispatcher, error) {
+	n, peers := files.N, files.Peers
+	d := &Dispatcher{N: n, Addr: files.Addr, Dir: filepath.Join(files.Dir, fmt.Sprintf("d%02d", n))}
 	if err := os.MkdirAll(d.Dir, 0o700); err != nil {
 		return nil, err
 	}
-	raw, err := json.MarshalIndent(map[string]any{"name": fmt.Sprintf("d%02d", n), "listen": addr, "seed": fmt.Sprintf("%x", 0x9e3779b9*(n+1)),
-		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024}, "peer_listen": peers[n], "peers": peers, "channel": channel,
-		"known": map[string]any{"cursor": 0, "cmds": []any{}}, "settings": settings}, "", " ")
+	raw, err := json.MarshalIndent(map[string]any{
+		"name": fmt.Sprintf("d%02d", n), "listen": files.Addr, "seed": fmt.Sprintf("%x", 0x9e3779b9*(n+1)),
+		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024}, "peer_listen": peers[n], "peers": peers,
+		"channel": files.Channel,
+		"known":   map[string]any{"cursor": 0, "cmds": []any{}}, "settings": files.Settings,
+	}, "", " ")
 	if err != nil {
 		return nil, err
 	}
@@ -121,9 +139,9 @@
 	if err := os.WriteFile(d.Config, raw, 0o600); err != nil {
 		return nil, err
 	}
-	if operators != "" {
+	if files.Operators != "" {
 		d.File = filepath.Join(d.Dir, "oakthread.toml")
-		return d, os.WriteFile(d.File, []byte(operators), 0o600)
+		return d, os.WriteFile(d.File, []byte(files.Operators), 0o600)
 	}
 	return d, nil
 }
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -8,13 +8,12 @@
 	"fmt"
 	"math"
 	"math/rand/v2"
+	"oakthread/balancer"
+	"oakthread/endpoints"
 	"slices"
 	"time"
 
 	"gonum.org/v1/plot/plotter"
-
-	"oakthread/balancer"
-	"oakthread/endpoints"
 )
 
 const (
@@ -78,7 +77,7 @@
 			o.Log("%d dispatchers, %s", n, kind)
 			var both [2]*fleetResult
 			for arm := range both {
-				r, err := fleetSim(f, kind, n, boxes, arm == 1, 0, o.Seed)
+				r, err := fleetSim(f, kind, n, boxes, arm == 1, o.Seed)
 				if err != nil {
 					return nil, err
 				}
@@ -105,16 +104,16 @@
 			}
 			row("messages", "bytes a call", func(r *fleetResult) float64 { return r.bytes })
 			if kind == "fails" {
-				rep.Most(name("calls spoilt, of those without messages"), float64(both[1].spoilt)/float64(max(1, both[0].spoilt)), 1.2)
+				rep.AtMost(name("calls spoilt, of those without messages"), float64(both[1].spoilt)/float64(max(1, both[0].spoilt)), 1.2)
 			}
 			for arm, r := range both {
 				of := func(s string) string { return name(s) + " (" + rep.Arms[arm] + ")" }
-				rep.Most(of("path-book run twice"), float64(r.twice), 0)
-				rep.Most(of("boxes pushed over, told to be cold"), float64(r.fallen), 0)
-				rep.Most(of("sent more than 1 s after a drain was told"), float64(r.late), 0)
-				rep.Most(of("calls without a final answer"), float64(r.open), 0)
-				rep.Most(of("messages over 256 bytes"), float64(r.oversize), 0)
-				rep.Most(of("price of messages, of the result"), peerPrice*r.bytes/peerBytes, 0.02)
+				rep.AtMost(of("path-book run twice"), float64(r.twice), 0)
+				rep.AtMost(of("boxes pushed over, told to be cold"), float64(r.fallen), 0)
+				rep.AtMost(of("sent more than 1 s after a drain was told"), float64(r.late), 0)
+				rep.AtMost(of("calls without a final answer"), float64(r.open), 0)
+				rep.AtMost(of("messages over 256 bytes"), float64(r.oversize), 0)
+				rep.AtMost(of("price of messages, of the result"), peerPrice*r.bytes/peerBytes, 0.02)
 			}
 		}
 	}
@@ -145,7 +144,12 @@
 			off[1] = append(off[1], plotter.XY{X: 100 * part, Y: 100 * deaf})
 		}
 	}
-	if err := drawLines(o.Plots, "mesh-error.svg", "Answers a second of all, as dispatchers know them, 6 s after some are deaf", "% of 80 dispatchers that hear nothing", "% off, on the mean", []string{"those who hear", "the deaf"}, off[:], false); err != nil {
+	chart := lineChart{
+		file: "mesh-error.svg", title: "Answers a second of all, as dispatchers know them, 6 s after some are deaf",
+		xLabel: "% of 80 dispatchers that hear nothing", yLabel: "% off, on the mean",
+		names: []string{"those who hear", "the deaf"}, lines: off[:],
+	}
+	if err := chart.draw(o.Plots); err != nil {
 		return err
 	}
 	var spoilt [2]plotter.XYs
@@ -156,14 +160,18 @@
 				return err
 			}
 			o.Log("%d dispatchers, a box fails, arm %d", n, arm)
-			r, err := fleetSim(f, "fails", n, 60, arm == 1, 0, o.Seed)
+			r, err := fleetSim(f, "fails", n, 60, arm == 1, o.Seed)
 			if err != nil {
 				return err
 			}
 			spoilt[arm] = append(spoilt[arm], plotter.XY{X: float64(n), Y: float64(r.spoilt)})
 		}
 	}
-	return drawLines(o.Plots, "verdicts-spoilt.svg", "A box of 60 that fails at once for 7 s", "dispatchers", "calls spoilt", []string{"no messages", "ours"}, spoilt[:], true)
+	chart = lineChart{
+		file: "verdicts-spoilt.svg", title: "A box of 60 that fails at once for 7 s",
+		xLabel: "dispatchers", yLabel: "calls spoilt", names: []string{"no messages", "ours"}, lines: spoilt[:], logX: true,
+	}
+	return chart.draw(o.Plots)
 }
 
 // deafSim is by how much, on the mean, dispatchers' totals of answers a second are off after a part of them has heard nothing
@@ -207,8 +215,10 @@
 // fleetWorld lays out a fleet in virtual time whose clients send until the end of a trouble's watch.
 func fleetWorld(f *Figures, dispatchers, boxes int, messages bool, walk int, seed uint64) (*simWorld, error) {
 	rate := float64(fleetCalls * boxes)
-	w := &simWorld{f: f, byID: map[balancer.WorkerID]*simBox{}, popular: newZipf(8*boxes, 0.4), messages: messages, lost: peerLost, price: peerPrice, walk: walk,
-		load: Load{Rate: rate / float64(dispatchers), Models: 8 * boxes, Zipf: 0.4, Turn: 12 * time.Second, Retries: 2}}
+	w := &simWorld{
+		f: f, byID: map[balancer.WorkerID]*simBox{}, popular: newZipf(8*boxes, 0.4), messages: messages, lost: peerLost, price: peerPrice, walk: walk,
+		load: Load{Rate: rate / float64(dispatchers), Models: 8 * boxes, Zipf: 0.4, Turn: 12 * time.Second, Retries: 2},
+	}
 	w.now = time.Unix(1_800_000_000, 0)
 	w.lossy = rand.New(rand.NewPCG(seed, 3))
 	began := w.now
@@ -243,9 +253,9 @@
 	}
 }
 
-// fleetSim runs one trouble; walk: balancer.Settings.Walk. The same seed gives the same run.
-func fleetSim(f *Figures, kind string, dispatchers, boxes int, messages bool, walk int, seed uint64) (*fleetResult, error) {
-	w, err := fleetWorld(f, dispatchers, boxes, messages, walk, seed)
+// fleetSim plays one fault. The same seed gives the same run.
+func fleetSim(f *Figures, kind string, dispatchers, boxes int, messages bool, seed uint64) (*fleetResult, error) {
+	w, err := fleetWorld(f, dispatchers, boxes, messages, 0, seed)
 	if err != nil {
 		return nil, err
 	}
@@ -319,7 +329,7 @@
 func (w *simWorld) avoiding(id balancer.WorkerID) (n int) {
 	for _, s := range w.nodes {
 		for _, v := range s.d.WorkerHealth(w.now.UnixNano()) {
-			if v.Worker == id && v.State.Verdict != "well" && v.State.Verdict != "suspect" {
+			if v.Worker == id && v.Verdict != "well" && v.Verdict != "suspect" {
 				n++
 			}
 		}
--- a/internal/lab/hollow.go
+++ b/internal/lab/hollow.go
@@ -12,6 +12,9 @@
 	"fmt"
 	"math"
 	"math/rand/v2"
+	"oakthread/aggregate"
+	"oakthread/balancer"
+	"oakthread/endpoints"
 	"os"
 	"runtime"
 	"runtime/debug"
@@ -21,10 +24,6 @@
 	"time"
 
 	"golang.org/x/sys/unix"
-
-	"oakthread/aggregate"
-	"oakthread/balancer"
-	"oakthread/endpoints"
 )
 
 // HollowSize is one run of hollow dispatchers in virtual time. At large sizes Calls may be far fewer than the 200 a second
@@ -392,13 +391,17 @@
 
 // newHollow lays out the world of a run; ctx ends that early.
 func newHollow(ctx context.Context, size HollowSize, seed uint64) (*hollowWorld, error) {
-	w := &simWorld{f: hollowFigures(size), byID: map[balancer.WorkerID]*simBox{}, popular: newZipf(size.Functions, size.Zipf), messages: true,
-		lost: size.Lost, lossy: rand.New(rand.NewPCG(seed, 3)), load: Load{Rate: size.Calls, Models: size.Functions, Zipf: size.Zipf, Retries: 2}}
+	w := &simWorld{
+		f: hollowFigures(size), byID: map[balancer.WorkerID]*simBox{}, popular: newZipf(size.Functions, size.Zipf), messages: true,
+		lost: size.Lost, lossy: rand.New(rand.NewPCG(seed, 3)), load: Load{Rate: size.Calls, Models: size.Functions, Zipf: size.Zipf, Retries: 2},
+	}
 	w.now = time.Unix(1_800_000_000, 0)
 	w.began = w.now
-	h := &hollowWorld{simWorld: w, size: size, seed: seed, rng: rand.New(rand.NewPCG(seed, 4)), from: w.now.Add(size.Warm),
+	h := &hollowWorld{
+		simWorld: w, size: size, seed: seed, rng: rand.New(rand.NewPCG(seed, 4)), from: w.now.Add(size.Warm),
 		told: map[int64]int{}, terms: make([]int64, size.Dispatchers), meter: newMeter(size.Dispatchers),
-		samples: []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}}
+		samples: []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}},
+	}
 	h.until = h.from.Add(size.Span)
 	h.term = 2 * int64(w.f.Classes[0].Aim)
 	w.hollow = h
@@ -745,8 +748,10 @@
 			class++
 			u -= h.f.Classes[class].Share
 		}
-		c := &simCall{class: class, model: h.load.model(h.popular.draw(rng.Float64()), h.now), intended: h.now,
-			name: strconv.Itoa(n) + "." + strconv.Itoa(seq)}
+		c := &simCall{
+			class: class, model: h.load.model(h.popular.draw(rng.Float64()), h.now), intended: h.now,
+			name: strconv.Itoa(n) + "." + strconv.Itoa(seq),
+		}
 		h.begun++
 		h.simWorld.home(n).arrive(c)
 		h.clients(n, rng, seq+1)
--- a/internal/lab/keptlist.go
+++ b/internal/lab/keptlist.go
@@ -10,14 +10,13 @@
 	"fmt"
 	"math"
 	"math/rand/v2"
+	"oakthread/internal/endpointcache"
 	"os"
 	"path/filepath"
 	"slices"
 	"strings"
 	"sync"
 	"time"
-
-	"oakthread/internal/endpointcache"
 )
 
 // Options are those of any experiment.
@@ -73,8 +72,10 @@
 			{Name: "path-book", Share: 0.27, Aim: 750 * time.Millisecond, GiveUp: 4 * time.Second, Worth: 5, Work: 22 * time.Millisecond, Once: true},
 		},
 		Load: 120 * time.Millisecond, Lanes: 4,
-		Box: BoxConfig{Cores: 4, Queue: 64, Copies: 64, Loads: 4, Keep: 10 * time.Second, Warm: 8 * time.Second, StartCap: 0.2,
-			Fall: 3 * time.Second, Factor: 3},
+		Box: BoxConfig{
+			Cores: 4, Queue: 64, Copies: 64, Loads: 4, Keep: 10 * time.Second, Warm: 8 * time.Second, StartCap: 0.2,
+			Fall: 3 * time.Second, Factor: 3,
+		},
 	}
 }
 
@@ -138,7 +139,6 @@
 	fate       []int
 	fresh      []*BoxServer
 	listed     []Listed
-	freshNews  []Listed
 	dispatcher []*Dispatcher
 	clients    []*Clients
 	closers    []func()
@@ -258,9 +258,11 @@
 	}
 }
 
-func listing(b *BoxServer, room int, up time.Time, phase string) Listed {
-	return Listed{ID: b.ID, Addr: b.Addr, Room: []string{"north-room", "south-room"}[room%2], Flavor: "std-2core", Phase: phase, Size: 2,
-		UpSince: up.UnixMilli()}
+func listing(b *BoxServer, room int, up time.Time) Listed {
+	return Listed{
+		ID: b.ID, Addr: b.Addr, Room: []string{"north-room", "south-room"}[room%2], Flavor: "std-2core", Phase: Ready, Size: 2,
+		UpSince: up.UnixMilli(),
+	}
 }
 
 func (w *keptWorld) build(net *Net, arm int, dir string, size keptSize, seed uint64) error {
@@ -272,9 +274,9 @@
 			return err
 		}
 		w.boxes, w.fate = append(w.boxes, b), append(w.fate, fateOf(i))
-		w.listed = append(w.listed, listing(b, i, old, Ready))
+		w.listed = append(w.listed, listing(b, i, old))
 	}
-	w.disc.SendMessage(w.listed...)
+	w.disc.Publish(w.listed...)
 	var peers []string
 	for n := range size.dispatchers {
 		peers = append(peers, net.Addr(arm*3+1, n, 9300))
@@ -287,13 +289,18 @@
 		if arm == armFresh || arm == armOurs {
 			operators = "[list]\npath = \"list.db\"\n"
 		}
-		d, err := Lay(dir, n, net.Addr(arm*3+1, n, 9200), w.f, peers, w.disc.Addr(n), operators)
+		d, err := Lay(DispatcherFiles{
+			Dir: dir, N: n, Addr: net.Addr(arm*3+1, n, 9200), Settings: w.f.Settings(n, len(peers)), Peers: peers,
+			Channel: w.disc.Addr(n), Operators: operators,
+		})
 		if err != nil {
 			return err
 		}
 		w.dispatcher = append(w.dispatcher, d)
-		w.clients = append(w.clients, NewClients(w.f, n, d.Addr, Load{Rate: size.rate / float64(size.dispatchers), Models: 8 * size.boxes, Zipf: 0.4,
-			Turn: 12 * time.Second, Retries: 2, Seed: seed}))
+		w.clients = append(w.clients, NewClients(w.f, n, d.Addr, Load{
+			Rate: size.rate / float64(size.dispatchers), Models: 8 * size.boxes, Zipf: 0.4,
+			Turn: 12 * time.Second, Retries: 2, Seed: seed,
+		}))
 	}
 	for _, d := range w.dispatcher {
 		if arm == armFresh {
@@ -375,9 +382,9 @@
 			return err
 		}
 		w.fresh = append(w.fresh, f)
-		news = append(news, gone, listing(f, i, now, Ready))
+		news = append(news, gone, listing(f, i, now))
 	}
-	w.disc.SendMessage(news...)
+	w.disc.Publish(news...)
 	return nil
 }
 
@@ -415,7 +422,7 @@
 	bad, all, badLate, allLate := 0, 0, 0, 0
 	var times []time.Duration
 	for n, c := range w.clients {
-		r.late = max(r.late, c.Late())
+		r.late = max(r.late, c.MaxLag())
 		d := w.dispatcher[n]
 		for _, call := range c.Calls() {
 			r.calls++
@@ -472,7 +479,7 @@
 				in = append(in, s.At)
 			}
 		}
-		most, total = max(most, mostIn(in, time.Second)), total+len(in)
+		most, total = max(most, mostInOneSecond(in)), total+len(in)
 	}
 	return float64(most) / math.Max(float64(total)/float64(len(w.boxes))/until.Sub(from).Seconds(), 1e-9)
 }
@@ -514,7 +521,7 @@
 	r.twice = RunTwice(w.f, all...)
 	share := float64(total) / float64(max(1, len(staying))) / window.Seconds()
 	for _, times := range staying {
-		r.peak = max(r.peak, float64(mostIn(times, time.Second))/math.Max(share, 1e-9))
+		r.peak = max(r.peak, float64(mostInOneSecond(times))/math.Max(share, 1e-9))
 	}
 	r.fresh = float64(freshEnd) / float64(max(1, len(w.fresh))) / math.Max(float64(oldEnd)/float64(max(1, olds)), 1e-9)
 }
@@ -549,21 +556,21 @@
 	row("dispatchers' CPU before the crash", "us a call", func(r *keptResult) float64 { return r.cpu })
 	row("generator late, most", "ms", func(r *keptResult) float64 { return float64(r.late.Milliseconds()) })
 	ours, up, naive := res[armOurs], res[armUp], res[armFresh]
-	rep.Most("path-book run twice", float64(ours.twice), 0)
-	rep.Most("tries without a whole answer", float64(ours.unanswered+ours.wrong), 0)
-	rep.Most("sends more than 1 s after a drain was told", float64(ours.lateDrains), 0)
-	rep.Most("boxes pushed over", float64(ours.fallen), 0)
-	rep.Most("ready, ms", float64(ours.readyMost.Milliseconds()), 500)
+	rep.AtMost("path-book run twice", float64(ours.twice), 0)
+	rep.AtMost("tries without a whole answer", float64(ours.unanswered+ours.wrong), 0)
+	rep.AtMost("sends more than 1 s after a drain was told", float64(ours.lateDrains), 0)
+	rep.AtMost("boxes pushed over", float64(ours.fallen), 0)
+	rep.AtMost("ready, ms", float64(ours.readyMost.Milliseconds()), 500)
 	// One call in a thousand is taken for the least that naive can lose: fewer are single calls.
-	rep.Most("calls never served, over naive's", ours.errors/math.Max(naive.errors, 0.001), 0.25)
-	rep.Most("calls never served from 3 s on, %", 100*ours.errorsLate, 1)
-	rep.Least("worth in time, over that with discovery up", ours.service/math.Max(up.service, 1e-9), 0.9)
+	rep.AtMost("calls never served, over naive's", ours.errors/math.Max(naive.errors, 0.001), 0.25)
+	rep.AtMost("calls never served from 3 s on, %", 100*ours.errorsLate, 1)
+	rep.AtLeast("worth in time, over that with discovery up", ours.service/math.Max(up.service, 1e-9), 0.9)
 	share := 0.5
 	if size.end < 15*time.Second { // fresh boxes get what new models bring, and a short run has few
 		share = 0.3
 	}
-	rep.Least("fresh boxes at the end, of the others' calls", ours.fresh, share)
-	rep.Most("peak second of a box, over that with discovery up", ours.peak/math.Max(up.peak, 1e-9), 1.35)
+	rep.AtLeast("fresh boxes at the end, of the others' calls", ours.fresh, share)
+	rep.AtMost("peak second of a box, over that with discovery up", ours.peak/math.Max(up.peak, 1e-9), 1.35)
 }
 
 // Scratch makes a folder for a run and returns how to remove it.
--- a/internal/lab/keptsize.go
+++ b/internal/lab/keptsize.go
@@ -23,9 +23,11 @@
 	if o.Quick {
 		sizes = []int{50, 100}
 	}
-	rep := &Report{Name: "kept-size", Seed: o.Seed, Arms: []string{"naive", "ours"},
+	rep := &Report{
+		Name: "kept-size", Seed: o.Seed, Arms: []string{"naive", "ours"},
 		Note: fmt.Sprintf("virtual time, %d to %d dispatchers, 6 boxes to 10 of them, %d calls/s a box; roster and decide are the real code, core and sockets are not",
-			sizes[0], sizes[len(sizes)-1], callsABox)}
+			sizes[0], sizes[len(sizes)-1], callsABox),
+	}
 	var points [2][]keptSimResult
 	for _, n := range sizes {
 		if err := ctx.Err(); err != nil {
@@ -51,10 +53,10 @@
 		row("worth in time", "of that asked", func(r *keptSimResult) float64 { return r.service })
 		row("sent late to draining boxes", "", func(r *keptSimResult) float64 { return float64(r.late) })
 		ours := both[1]
-		rep.Most(name("path-book run twice"), float64(ours.twice), 0)
-		rep.Most(name("boxes pushed over"), float64(ours.fallen), 0)
-		rep.Most(name("sent late to draining boxes"), float64(ours.late), 0)
-		rep.Most(name("calls never served, %"), 100*ours.unserved, 1)
+		rep.AtMost(name("path-book run twice"), float64(ours.twice), 0)
+		rep.AtMost(name("boxes pushed over"), float64(ours.fallen), 0)
+		rep.AtMost(name("sent late to draining boxes"), float64(ours.late), 0)
+		rep.AtMost(name("calls never served, %"), 100*ours.unserved, 1)
 	}
 	if o.Plots != "" {
 		if err := plotKeptSize(o.Plots, sizes, points); err != nil {
@@ -78,30 +80,43 @@
 				lines[arm] = append(lines[arm], plotter.XY{X: float64(n), Y: p.of(points[arm][i])})
 			}
 		}
-		if err := drawLines(dir, p.file, p.title, "dispatchers (6 boxes to 10)", p.y, []string{"list taken as if fresh", "ours"}, lines, true); err != nil {
+		chart := lineChart{
+			file: p.file, title: p.title, xLabel: "dispatchers (6 boxes to 10)", yLabel: p.y,
+			names: []string{"list taken as if fresh", "ours"}, lines: lines, logX: true,
+		}
+		if err := chart.draw(dir); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// drawLines writes a plot of some lines, the first one dashed.
-func drawLines(dir, file, title, x, y string, names []string, lines []plotter.XYs, logX bool) error {
+// lineChart is a plot of some lines, the first one dashed.
+type lineChart struct {
+	file, title    string
+	xLabel, yLabel string
+	names          []string // of the lines
+	lines          []plotter.XYs
+	logX           bool // a logarithmic scale for x
+}
+
+// draw writes the chart to its file in dir.
+func (c lineChart) draw(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
 	fig := plot.New()
-	fig.Title.Text, fig.X.Label.Text, fig.Y.Label.Text = title, x, y
-	if logX {
+	fig.Title.Text, fig.X.Label.Text, fig.Y.Label.Text = c.title, c.xLabel, c.yLabel
+	if c.logX {
 		fig.X.Scale, fig.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{}
 	}
 	fig.Y.Min = 0
 	fig.Legend.Top = true
 	fig.Add(plotter.NewGrid())
-	for i, name := range names {
-		line, dots, err := plotter.NewLinePoints(lines[i])
+	for i, name := range c.names {
+		line, dots, err := plotter.NewLinePoints(c.lines[i])
 		if err != nil {
-			return fmt.Errorf("plot %s: %w", file, err)
+			return fmt.Errorf("plot %s: %w", c.file, err)
 		}
 		if i == 0 {
 			line.Dashes = []vg.Length{vg.Points(4), vg.Points(3)}
@@ -109,8 +124,8 @@
 		fig.Add(line, dots)
 		fig.Legend.Add(name, line, dots)
 	}
-	if err := fig.Save(16*vg.Centimeter, 10*vg.Centimeter, filepath.Join(dir, file)); err != nil {
-		return fmt.Errorf("plot %s: %w", file, err)
+	if err := fig.Save(16*vg.Centimeter, 10*vg.Centimeter, filepath.Join(dir, c.file)); err != nil {
+		return fmt.Errorf("plot %s: %w", c.file, err)
 	}
 	return nil
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -123,7 +123,12 @@
 	s, err := StartBox("s-00000001", "127.0.0.1:0", f, time.Now().Add(-time.Hour))
 	require.NoError(t, err)
 	defer s.Die()
-	do := func(method, path, id, body string) (*http.Response, string) {
+	type answer struct {
+		status int
+		header http.Header
+		body   string
+	}
+	do := func(method, path, id, body string) answer {
 		req, err := http.NewRequest(method, "http://"+s.Addr+path, strings.NewReader(body))
 		require.NoError(t, err)
 		req.Header.Set("X-Hop-Id", id)
@@ -133,27 +138,27 @@
 		defer resp.Body.Close()
 		var b bytes.Buffer
 		_, _ = b.ReadFrom(resp.Body)
-		return resp, b.String()
+		return answer{resp.StatusCode, resp.Header, b.String()}
 	}
-	resp, got := do("POST", "/c/path-book", "id1", "slot")
-	assert.Equal(t, 200, resp.StatusCode)
-	assert.Equal(t, "id1slot", got)
-	assert.Equal(t, "spawn", resp.Header.Get("X-Tell"))
-	assert.Contains(t, resp.Header.Get("X-Report"), "queue:")
-	resp, _ = do("POST", "/c/path-check", "id2", "x")
-	assert.Equal(t, "hit", resp.Header.Get("X-Tell"))
-	resp, _ = do("POST", "/c/odd", "id3", "x")
-	assert.Equal(t, 400, resp.StatusCode)
-	resp, _ = do("PUT", "/c/7f3a9c21e0b4d655/1", "", "")
-	assert.Equal(t, "1", resp.Header.Get("X-N"))
-	resp, _ = do("DELETE", "/c/7f3a9c21e0b4d655", "", "")
-	assert.Equal(t, 204, resp.StatusCode)
+	got := do("POST", "/c/path-book", "id1", "slot")
+	assert.Equal(t, 200, got.status)
+	assert.Equal(t, "id1slot", got.body)
+	assert.Equal(t, "spawn", got.header.Get("X-Tell"))
+	assert.Contains(t, got.header.Get("X-Report"), "queue:")
+	got = do("POST", "/c/path-check", "id2", "x")
+	assert.Equal(t, "hit", got.header.Get("X-Tell"))
+	got = do("POST", "/c/odd", "id3", "x")
+	assert.Equal(t, 400, got.status)
+	got = do("PUT", "/c/7f3a9c21e0b4d655/1", "", "")
+	assert.Equal(t, "1", got.header.Get("X-N"))
+	got = do("DELETE", "/c/7f3a9c21e0b4d655", "", "")
+	assert.Equal(t, 204, got.status)
 	s.Change(func(b *Box) { b.Drain() })
-	resp, _ = do("POST", "/c/path-check", "id4", "x")
-	assert.Equal(t, 503, resp.StatusCode)
-	assert.Equal(t, "1", resp.Header.Get("X-No-Effect"))
-	resp, _ = do("GET", "/busy", "", "")
-	assert.Equal(t, 503, resp.StatusCode)
+	got = do("POST", "/c/path-check", "id4", "x")
+	assert.Equal(t, 503, got.status)
+	assert.Equal(t, "1", got.header.Get("X-No-Effect"))
+	got = do("GET", "/busy", "", "")
+	assert.Equal(t, 503, got.status)
 	calls, orders := s.Seen()
 	assert.Len(t, calls, 3)
 	assert.Len(t, orders, 1)
@@ -165,8 +170,8 @@
 	d := NewDiscovery("e1")
 	n, err := d.Listen("127.0.0.1:0")
 	require.NoError(t, err)
-	d.SendMessage(Listed{ID: "s-1", Addr: "127.0.0.1:1", Phase: Ready})
-	d.SendMessage(Listed{ID: "s-1", Phase: Terminating})
+	d.Publish(Listed{ID: "s-1", Addr: "127.0.0.1:1", Phase: Ready})
+	d.Publish(Listed{ID: "s-1", Phase: Terminating})
 	read := func(from, lines int) (out []string) {
 		c, err := net.Dial("tcp", d.Addr(n))
 		require.NoError(t, err)
@@ -188,7 +193,7 @@
 	d.Down()
 	_, err = net.Dial("tcp", d.Addr(n))
 	require.Error(t, err)
-	d.SendMessage(Listed{ID: "s-2", Addr: "127.0.0.1:2", Phase: Ready})
+	d.Publish(Listed{ID: "s-2", Addr: "127.0.0.1:2", Phase: Ready})
 	require.NoError(t, d.Up())
 	assert.True(t, d.ToldAt(n, "s-2").IsZero())
 	known, err := json.Marshal(d.Known(n))
@@ -222,15 +227,15 @@
 	b := &BoxServer{ID: "s-1"}
 	assert.Zero(t, w.late(b, []Sight{see(0, 0), see(0, 900), see(1, 1500)}), "each dispatcher counts for itself")
 	assert.Equal(t, 2, w.late(b, []Sight{see(0, 0), see(0, 1200), see(0, 1300)}))
-	assert.Equal(t, 3, mostIn([]time.Time{t0, t0.Add(ms(500)), t0.Add(ms(999)), t0.Add(ms(1600))}, time.Second))
+	assert.Equal(t, 3, mostInOneSecond([]time.Time{t0, t0.Add(ms(500)), t0.Add(ms(999)), t0.Add(ms(1600))}))
 }
 
 func TestReport(t *testing.T) {
 	r := &Report{Name: "x", Arms: []string{"a", "b"}}
 	r.Row("figure", "ms", 1.5, math.NaN())
-	r.Most("low", 1, 2)
-	r.Least("high", 1, 2)
-	r.Most("unmeasured", math.NaN(), 2)
+	r.AtMost("low", 1, 2)
+	r.AtLeast("high", 1, 2)
+	r.AtMost("unmeasured", math.NaN(), 2)
 	assert.Equal(t, 2, r.Broken())
 	var b bytes.Buffer
 	r.Print(&b)
@@ -270,7 +275,7 @@
 func TestFleetKeepsTheRules(t *testing.T) {
 	for _, kind := range fleetKinds()[1:] {
 		for _, n := range []int{1, 3, 80} {
-			r, err := fleetSim(fleetFigures(), kind, n, 20, true, 0, 5)
+			r, err := fleetSim(fleetFigures(), kind, n, 20, true, 5)
 			require.NoError(t, err)
 			name := fmt.Sprintf("%s, %d dispatchers", kind, n)
 			require.Zero(t, r.twice+r.fallen+r.late+r.open+r.oversize, name)
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -85,14 +85,15 @@
 	ends  atomic.Bool   // the dispatcher is at a planned end
 	late  time.Duration // the most that a call was sent after its moment
 	wait  sync.WaitGroup
-	serve int
 }
 
 // NewClients makes the clients of dispatcher number n.
 func NewClients(f *Figures, n int, addr string, l Load) *Clients {
 	client := func(keeps bool) *http.Client {
-		return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 128, IdleConnTimeout: 3 * time.Second, DisableKeepAlives: !keeps,
-			DisableCompression: true, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}}
+		return &http.Client{Transport: &http.Transport{
+			MaxIdleConnsPerHost: 128, IdleConnTimeout: 3 * time.Second, DisableKeepAlives: !keeps,
+			DisableCompression: true, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext,
+		}}
 	}
 	return &Clients{f: f, n: n, addr: addr, load: l, http: client(true), anew: client(false)}
 }
@@ -201,8 +202,10 @@
 		return t, 0
 	}
 	req.GetBody = nil // no second sending behind our back
-	req.Header = http.Header{"X-Class": {class}, "X-Call-Id": {id}, "X-Patience-Ms": {strconv.FormatInt(max(1, patience.Milliseconds()), 10)},
-		"X-Extras": {fmt.Sprintf("memory_mb:4000;lanes:%d;load_ms:%d", c.f.Lanes, c.f.Load.Milliseconds())}}
+	req.Header = http.Header{
+		"X-Class": {class}, "X-Call-Id": {id}, "X-Patience-Ms": {strconv.FormatInt(max(1, patience.Milliseconds()), 10)},
+		"X-Extras": {fmt.Sprintf("memory_mb:4000;lanes:%d;load_ms:%d", c.f.Lanes, c.f.Load.Milliseconds())},
+	}
 	if tenant != "" {
 		req.Header["X-Customer"] = []string{tenant}
 	}
@@ -230,14 +233,19 @@
 	return t, wait
 }
 
-// Calls are all that have ended so far; Late the most that the generator itself fell behind.
+// Calls returns all calls that have ended so far.
 func (c *Clients) Calls() []*Call {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]*Call(nil), c.calls...)
 }
 
-func (c *Clients) Late() time.Duration { c.mu.Lock(); defer c.mu.Unlock(); return c.late }
+// MaxLag returns the most by which the generator sent a call later than intended.
+func (c *Clients) MaxLag() time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.late
+}
 
 // zipf draws models by rank: weight 1/(rank+1)^s.
 type zipf struct{ sums []float64 }
--- a/internal/lab/mesh.go
+++ b/internal/lab/mesh.go
@@ -89,7 +89,8 @@
 	}
 	asked := [2]float64{m.Tenants[0].Asked, m.Tenants[1].Asked + m.Tenants[2].Asked}
 	var err error
-	m.Rig, err = NewRig(net, dir, RigSize{Dispatchers: size.Dispatchers, Boxes: size.Boxes, Figures: f, Program: size.Program, Group: size.Group,
+	m.Rig, err = NewRig(net, dir, RigSize{
+		Dispatchers: size.Dispatchers, Boxes: size.Boxes, Figures: f, Program: size.Program, Group: size.Group,
 		Seed: size.Seed, Debug: size.Debug, Load: Load{Models: 6 * size.Boxes, Zipf: 0.4},
 		Rate: func(n int) float64 { return asked[n%2] * weight(n) / sums[n%2] },
 		Tenant: func(n, seq int) string {
@@ -107,7 +108,8 @@
 			if size.Aim > 0 {
 				s["categories"].([]map[string]any)[0]["aim_ns"] = size.Aim
 			}
-		}})
+		},
+	})
 	return m, err
 }
 
@@ -245,12 +247,16 @@
 		sizes, boxes, seeds, faults = []int{6}, 2, 1, []string{MeshHalves, MeshUnheard}
 		spans = meshSpans{4 * time.Second, 2 * time.Second, 2 * time.Second, 5 * time.Second, 3 * time.Second}
 	}
-	return versus[meshResult]{name: "mesh", before: meshBefore, sizes: sizes, seeds: seeds, faults: faults,
+	return versus[meshResult]{
+		name: "mesh", before: meshBefore, sizes: sizes, seeds: seeds, faults: faults,
 		note: fmt.Sprintf("%d boxes; a floods with 3 times its allowance, b and c ask for 0.9 of theirs at other dispatchers", boxes),
 		run: func(net *Net, dir, fault string, size RigSize) (*meshResult, error) {
-			return meshArm(ctx, net, dir, fault, MeshSize{Dispatchers: size.Dispatchers, Boxes: boxes, Slow: 1, Seed: size.Seed, Debug: true,
-				Group: size.Group, Program: size.Program}, spans)
-		}, report: meshReport}.all(ctx, o)
+			return meshArm(ctx, net, dir, fault, MeshSize{
+				Dispatchers: size.Dispatchers, Boxes: boxes, Slow: 1, Seed: size.Seed, Debug: true,
+				Group: size.Group, Program: size.Program,
+			}, spans)
+		}, report: meshReport,
+	}.all(ctx, o)
 }
 
 func meshArm(ctx context.Context, net *Net, dir, fault string, size MeshSize, spans meshSpans) (*meshResult, error) {
@@ -363,16 +369,16 @@
 	row("messages", "bytes a call", func(r *meshResult) float64 { return r.bytes })
 	row("totals apart, two terms after the end", "of the least", func(r *meshResult) float64 { return r.apart })
 	is := both[1]
-	rep.Most(name+"breaches of the rules", float64(is.Sum()), 0)
+	rep.AtMost(name+"breaches of the rules", float64(is.Sum()), 0)
 	if fault == MeshStarted {
-		rep.Least(name+"b and c after 2 s, of their calls", is.later, 0.85)
+		rep.AtLeast(name+"b and c after 2 s, of their calls", is.later, 0.85)
 	} else {
-		rep.Least(name+"b and c after 2 s, of what they get with all hearing", is.later/math.Max(is.calm, 1e-9), 0.95)
-		rep.Least(name+"within these", is.first/math.Max(is.calm, 1e-9), 0.9)
-		rep.Most(name+"a, of what it gets with all hearing", is.flood/math.Max(is.floodCalm, 1e-9), 1.1)
-		rep.Most(name+"bytes a call, of those before", is.bytes/math.Max(both[0].bytes, 1e-9), 1.1)
+		rep.AtLeast(name+"b and c after 2 s, of what they get with all hearing", is.later/math.Max(is.calm, 1e-9), 0.95)
+		rep.AtLeast(name+"within these", is.first/math.Max(is.calm, 1e-9), 0.9)
+		rep.AtMost(name+"a, of what it gets with all hearing", is.flood/math.Max(is.floodCalm, 1e-9), 1.1)
+		rep.AtMost(name+"bytes a call, of those before", is.bytes/math.Max(both[0].bytes, 1e-9), 1.1)
 	}
 	if fault != MeshKilled {
-		rep.Most(name+"totals apart, two terms after the end", is.apart, 0.05)
+		rep.AtMost(name+"totals apart, two terms after the end", is.apart, 0.05)
 	}
 }
--- a/internal/lab/relay.go
+++ b/internal/lab/relay.go
@@ -20,6 +20,7 @@
 // Fault is what a way does to those who use it.
 type Fault int
 
+// Faults of a link.
 const (
 	Open   Fault = iota // all passes
 	Cut                 // handshakes are swallowed; open connections stay open and silent, as behind a network that is cut
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -56,12 +56,13 @@
 	Holds   bool    `json:"holds"`
 }
 
-// Most and Least add a bound.
-func (r *Report) Most(name string, figure, limit float64) {
+// AtMost adds an upper bound.
+func (r *Report) AtMost(name string, figure, limit float64) {
 	r.Bounds = append(r.Bounds, Bound{name, Figure(figure), limit, false, figure <= limit})
 }
 
-func (r *Report) Least(name string, figure, limit float64) {
+// AtLeast adds a lower bound.
+func (r *Report) AtLeast(name string, figure, limit float64) {
 	r.Bounds = append(r.Bounds, Bound{name, Figure(figure), limit, true, figure >= limit})
 }
 
--- a/internal/lab/rig.go
+++ b/internal/lab/rig.go
@@ -102,7 +102,7 @@
 		}
 		return b.Addr
 	}
-	r.Disc.SendMessage(r.Listed...)
+	r.Disc.Publish(r.Listed...)
 	var listens []string
 	for n := range r.Dispatchers {
 		listens = append(listens, r.addr(groupNodes, n, 9300))
@@ -134,7 +134,10 @@
 		if r.Debug {
 			level = "debug"
 		}
-		d, err := LayWith(r.dir, n, r.addr(groupNodes, n, 9200), settings, r.Words.Peers(n), way.Addr, fmt.Sprintf("[log]\nlevel = %q\n%s", level, r.Operators))
+		d, err := Lay(DispatcherFiles{
+			Dir: r.dir, N: n, Addr: r.addr(groupNodes, n, 9200), Settings: settings, Peers: r.Words.Peers(n), Channel: way.Addr,
+			Operators: fmt.Sprintf("[log]\nlevel = %q\n%s", level, r.Operators),
+		})
 		if err != nil {
 			return err
 		}
@@ -163,7 +166,7 @@
 			return err
 		}
 		r.Boxes = append(r.Boxes, b)
-		x := listing(b, i, start, Ready)
+		x := listing(b, i, start)
 		x.Room = zoneName(i % r.Zones)
 		r.Listed = append(r.Listed, x)
 	}
@@ -358,7 +361,7 @@
 			news = append(news, b)
 		}
 	}
-	r.Disc.SendMessage(news...)
+	r.Disc.Publish(news...)
 }
 
 // Between counts, over all boxes, the calls that came and those that were turned away, in a span.
--- a/internal/lab/service.go
+++ b/internal/lab/service.go
@@ -6,10 +6,9 @@
 
 import (
 	"fmt"
+	"oakthread/balancer"
 	"strconv"
 	"time"
-
-	"oakthread/balancer"
 )
 
 // callEnd is how the last try of a call that was never served ended.
@@ -130,19 +129,33 @@
 type serviceRow struct{ name, unit string }
 
 func serviceRows() []serviceRow {
-	return []serviceRow{{worthInTime, "of that asked"}, {worthInTime + ", calls of the last 12 s", "of that asked"}, {"calls never served", "of all"},
-		{"calls late", "of all"}, {"never served: refused before a send", "of all"}, {"never served: turned away by full boxes", "of all"},
-		{"never served: given up", "of all"}, {"turned away by a box", "a call"}, {"loads", "a call"}, {"loads ordered", "a call"},
-		{"loads needless", "a call"}, {"idle copies pushed out by loads", "a call"}, {"a load takes", "s"}, {"copies standing, at the end", "in all"},
-		{"copies loading, at the end", "in all"}}
+	return []serviceRow{
+		{worthInTime, "of that asked"},
+		{worthInTime + ", calls of the last 12 s", "of that asked"},
+		{"calls never served", "of all"},
+		{"calls late", "of all"},
+		{"never served: refused before a send", "of all"},
+		{"never served: turned away by full boxes", "of all"},
+		{"never served: given up", "of all"},
+		{"turned away by a box", "a call"},
+		{"loads", "a call"},
+		{"loads ordered", "a call"},
+		{"loads needless", "a call"},
+		{"idle copies pushed out by loads", "a call"},
+		{"a load takes", "s"},
+		{"copies standing, at the end", "in all"},
+		{"copies loading, at the end", "in all"},
+	}
 }
 
 func (k *serviceCounts) figures(r *fleetResult) map[string]float64 {
 	of := func(n int) float64 { return float64(n) / float64(max(1, k.calls)) }
 	loads := k.byCalls + k.byOrders
-	values := []float64{r.service, r.later, r.unserved, of(k.late), of(k.ends[refused]), of(k.ends[turnedAway]), of(k.ends[givenUp]), of(k.full), of(loads),
+	values := []float64{
+		r.service, r.later, r.unserved, of(k.late), of(k.ends[refused]), of(k.ends[turnedAway]), of(k.ends[givenUp]), of(k.full), of(loads),
 		of(k.byOrders), of(k.needless), of(k.pushed), k.wait.Seconds() / float64(max(1, loads)), float64(k.copies[len(k.copies)-1]),
-		float64(k.loading[len(k.loading)-1])}
+		float64(k.loading[len(k.loading)-1]),
+	}
 	out := map[string]float64{}
 	for i, row := range serviceRows() {
 		out[row.name] = values[i]
--- a/internal/lab/turns.go
+++ b/internal/lab/turns.go
@@ -81,12 +81,14 @@
 	if o.Quick {
 		sizes, boxes, seeds = []int{6}, 12, 1
 	}
-	return versus[turnsResult]{name: "turns", before: turnsBefore, sizes: sizes, seeds: seeds, faults: TurnsFaults(),
+	return versus[turnsResult]{
+		name: "turns", before: turnsBefore, sizes: sizes, seeds: seeds, faults: TurnsFaults(),
 		note: fmt.Sprintf("%d boxes, %d calls/s a box; counted from %d to %d terms after the fault", boxes, fleetCalls, turnsSettle, turnsSettle+turnsCount),
 		run: func(net *Net, dir, fault string, size RigSize) (*turnsResult, error) {
 			size.Boxes = boxes
 			return turnsArm(ctx, net, dir, fault, size)
-		}, report: turnsReport}.all(ctx, o)
+		}, report: turnsReport,
+	}.all(ctx, o)
 }
 
 func turnsArm(ctx context.Context, net *Net, dir, fault string, size RigSize) (*turnsResult, error) {
@@ -168,8 +170,8 @@
 	row("calls served before", "", func(r *turnsResult) float64 { return r.calm })
 	row("calls served after", "", func(r *turnsResult) float64 { return r.late })
 	is := both[1]
-	rep.Most(name+"breaches of the rules", float64(is.Sum()), 0)
-	rep.Most(name+"longest time without a word, terms", is.silence, 1.5)
-	rep.Most(name+"terms in which nobody told all", is.idle, 1.0/turnsCount)
-	rep.Least(name+"calls served, of those before", is.late/math.Max(is.calm, 1e-9), 0.97)
+	rep.AtMost(name+"breaches of the rules", float64(is.Sum()), 0)
+	rep.AtMost(name+"longest time without a word, terms", is.silence, 1.5)
+	rep.AtMost(name+"terms in which nobody told all", is.idle, 1.0/turnsCount)
+	rep.AtLeast(name+"calls served, of those before", is.late/math.Max(is.calm, 1e-9), 0.97)
 }
--- a/internal/lab/verdicts.go
+++ b/internal/lab/verdicts.go
@@ -218,12 +218,14 @@
 	if o.Quick {
 		sizes, boxes, seeds, faults = []int{6}, 12, 1, []string{VerdictFails, VerdictPartial}
 	}
-	return versus[verdictsResult]{name: "verdicts", before: verdictsBefore, sizes: sizes, seeds: seeds, faults: faults,
+	return versus[verdictsResult]{
+		name: "verdicts", before: verdictsBefore, sizes: sizes, seeds: seeds, faults: faults,
 		note: fmt.Sprintf("%d boxes, %d calls/s a box", boxes, fleetCalls),
 		run: func(net *Net, dir, fault string, size RigSize) (*verdictsResult, error) {
 			size.Boxes = boxes
 			return verdictsArm(ctx, net, dir, fault, size)
-		}, report: verdictsReport}.all(ctx, o)
+		}, report: verdictsReport,
+	}.all(ctx, o)
 }
 
 func verdictsArm(ctx context.Context, net *Net, dir, fault string, size RigSize) (*verdictsResult, error) {
@@ -279,7 +281,7 @@
 	was, is := both[0], both[1]
 	row("served before", "of calls", func(r *verdictsResult) float64 { return r.calm })
 	row("served while it lasts, where it does not hit", "", func(r *verdictsResult) float64 { return r.during })
-	rep.Most(name+"breaches of the rules", float64(is.Sum()), 0)
+	rep.AtMost(name+"breaches of the rules", float64(is.Sum()), 0)
 	switch fault {
 	case VerdictFails, VerdictMute, VerdictSlow:
 		what := "calls spoilt at the box"
@@ -289,20 +291,20 @@
 		row(what, "", func(r *verdictsResult) float64 { return r.bad })
 		row("the same in the second half", "", func(r *verdictsResult) float64 { return r.badLate })
 		if fault == VerdictMute {
-			rep.Most(name+what+", of those before", is.bad/math.Max(was.bad, 1), 1.2)
+			rep.AtMost(name+what+", of those before", is.bad/math.Max(was.bad, 1), 1.2)
 		} else {
-			rep.Most(name+what+", of those before", is.bad/math.Max(was.bad, 1), 1.0/3)
+			rep.AtMost(name+what+", of those before", is.bad/math.Max(was.bad, 1), 1.0/3)
 		}
 	case VerdictPartial, VerdictStopped:
 		row("calls of the others at the boxes in question, second half", "of those before", func(r *verdictsResult) float64 { return r.others })
-		rep.Least(name+"calls of the others there, of those before", is.others, 0.95)
-		rep.Least(name+"service of the others, of that before", is.during/math.Max(is.calm, 1e-9), 0.98)
+		rep.AtLeast(name+"calls of the others there, of those before", is.others, 0.95)
+		rep.AtLeast(name+"service of the others, of that before", is.during/math.Max(is.calm, 1e-9), 0.98)
 	case VerdictZone:
 		row("calls at the boxes back, second half", "of those before", func(r *verdictsResult) float64 { return r.others })
-		rep.Least(name+"service while it lasts, of that of the program before", is.during/math.Max(was.during, 1e-9), 0.97)
+		rep.AtLeast(name+"service while it lasts, of that of the program before", is.during/math.Max(was.during, 1e-9), 0.97)
 	case VerdictErrors:
 		row("box-seconds without a call", "of all", func(r *verdictsResult) float64 { return r.idle })
-		rep.Most(name+"box-seconds without a call", is.idle, 1e-4)
-		rep.Least(name+"service, of that of the program before", is.during/math.Max(was.during, 1e-9), 0.99)
+		rep.AtMost(name+"box-seconds without a call", is.idle, 1e-4)
+		rep.AtLeast(name+"service, of that of the program before", is.during/math.Max(was.during, 1e-9), 0.99)
 	}
 }
--- a/internal/lab/vtime.go
+++ b/internal/lab/vtime.go
@@ -8,13 +8,12 @@
 	"cmp"
 	"math"
 	"math/rand/v2"
-	"slices"
-	"strconv"
-	"time"
-
 	"oakthread/balancer"
 	"oakthread/endpoints"
 	"oakthread/internal/endpointcache"
+	"slices"
+	"strconv"
+	"time"
 )
 
 // engine runs events in order of time, then of their making. Its queue is a binary heap of its own: container/heap would
@@ -157,7 +156,7 @@
 
 // reaches tells whether a dispatcher's connections to a box come up.
 func (w *simWorld) reaches(s *simNode, x *simBox) bool {
-	return x.fate != cutOff && !(w.parted && s.n%2 != x.zone)
+	return x.fate != cutOff && (!w.parted || s.n%2 == x.zone)
 }
 
 type simCall struct {
@@ -225,11 +224,13 @@
 
 // settings are those of a dispatcher on the sockets, without peers.
 func (f *Figures) settings(n, siblings int) balancer.Settings {
-	s := balancer.Settings{DispatcherIndex: n, Dispatchers: siblings, ClockResolution: int64(4 * time.Millisecond), MaxAttempts: 5, Hedging: true, Cancellation: true,
+	s := balancer.Settings{
+		DispatcherIndex: n, Dispatchers: siblings, ClockResolution: int64(4 * time.Millisecond), MaxAttempts: 5, Hedging: true, Cancellation: true,
 		SendsRetryAfter: true, MaxRetryAfter: int64(1500 * time.Millisecond), DrainGrace: int64(time.Second), SlowStartWindow: int64(f.Box.Warm), OverloadWindow: int64(f.Box.Fall),
 		OverloadFactor: f.Box.Factor, SlowStartCapacity: f.Box.StartCap, LoadOrders: true, LoadsOnMiss: true, ReportsWarmth: true, ReportsConcurrency: true,
 		KeepAlive: int64(f.Box.Keep), LoadQuotaWindow: int64(5 * time.Second), LoadOrderTimeout: int64(10 * time.Second), LoadQuotaBase: 6, LoadQuotaRatio: 0.3,
-		QueueField: 1, WastePrice: 0.2, OriginPrice: 0.03, MemoryPrice: 0.05}
+		QueueField: 1, WastePrice: 0.2, OriginPrice: 0.03, MemoryPrice: 0.05,
+	}
 	for _, c := range f.Classes {
 		k := balancer.Class{LatencyObjective: int64(c.Aim), ClientTimeout: int64(c.GiveUp), PriorityWeight: c.Worth, LatePriorityWeight: 0.2, Idempotency: balancer.Idempotent}
 		if c.Once {
@@ -350,8 +351,10 @@
 	deadline := c.intended.Add(s.w.f.Classes[c.class].GiveUp - 200*time.Millisecond)
 	s.open[id] = &simOpen{call: c, began: s.w.now, deadline: deadline}
 	s.meter.begin(s.n, partChoice)
-	s.d.HandleRequest(s.w.now.UnixNano(), balancer.Request{ID: id, Class: c.class, Tenant: -1, Func: balancer.FuncID(c.model), Deadline: deadline.UnixNano(),
-		MemoryMB: 4000, Concurrency: s.w.f.Lanes, LoadTime: int64(s.w.f.Load)})
+	s.d.HandleRequest(s.w.now.UnixNano(), balancer.Request{
+		ID: id, Class: c.class, Tenant: -1, Func: balancer.FuncID(c.model), Deadline: deadline.UnixNano(),
+		MemoryMB: 4000, Concurrency: s.w.f.Lanes, LoadTime: int64(s.w.f.Load),
+	})
 	s.meter.end()
 }
 
@@ -463,8 +466,10 @@
 		s.d.HandleLoadResult(now.UnixNano(), fl.worker, fl.fn, copies, r)
 	} else {
 		s.ends[r]++
-		s.d.HandleAttemptResult(now.UnixNano(), balancer.AttemptResult{ID: fl.key.id, Attempt: fl.key.n, Worker: fl.worker, Result: r, Finished: s.open[fl.key.id] == nil,
-			Warmth: warm, ConcurrentRequests: crowd, RTT: int64(now.Sub(fl.sent)), Report: rep})
+		s.d.HandleAttemptResult(now.UnixNano(), balancer.AttemptResult{
+			ID: fl.key.id, Attempt: fl.key.n, Worker: fl.worker, Result: r, Finished: s.open[fl.key.id] == nil,
+			Warmth: warm, ConcurrentRequests: crowd, RTT: int64(now.Sub(fl.sent)), Report: rep,
+		})
 	}
 	s.meter.end()
 }
@@ -789,8 +794,10 @@
 
 // keptSim restarts a whole fleet in virtual time: warm up, replace four boxes in ten, crash, restart within a second.
 func keptSim(f *Figures, dispatchers, boxes int, rate float64, fresh bool, seed uint64) (*keptSimResult, error) {
-	w := &simWorld{f: f, byID: map[balancer.WorkerID]*simBox{}, popular: newZipf(8*boxes, 0.4), price: peerPrice,
-		load: Load{Rate: rate / float64(dispatchers), Models: 8 * boxes, Zipf: 0.4, Turn: 12 * time.Second, Retries: 2}}
+	w := &simWorld{
+		f: f, byID: map[balancer.WorkerID]*simBox{}, popular: newZipf(8*boxes, 0.4), price: peerPrice,
+		load: Load{Rate: rate / float64(dispatchers), Models: 8 * boxes, Zipf: 0.4, Turn: 12 * time.Second, Retries: 2},
+	}
 	w.now = time.Unix(1_800_000_000, 0)
 	began := w.now
 	w.began = began
@@ -871,7 +878,7 @@
 		}
 		staying++
 		total += len(in)
-		most = max(most, mostIn(in, time.Second))
+		most = max(most, mostInOneSecond(in))
 	}
 	r.peak = float64(most) / math.Max(float64(total)/float64(max(1, staying))/watch.Seconds(), 1e-9)
 	all, bad := 0, 0
--- a/internal/lab/ways_test.go
+++ b/internal/lab/ways_test.go
@@ -44,8 +44,13 @@
 	for _, x := range []struct {
 		fault       Fault
 		known, anew string // what the open connection and a new one meet
-	}{{Cut, "timeout awaiting", "i/o timeout"}, {Deny, "refused|reset", "refused"}, {Freeze, "timeout awaiting", "timeout awaiting"},
-		{Reset, "reset|EOF", "reset|EOF"}, {Cut, "timeout awaiting", "i/o timeout"}} {
+	}{
+		{Cut, "timeout awaiting", "i/o timeout"},
+		{Deny, "refused|reset", "refused"},
+		{Freeze, "timeout awaiting", "timeout awaiting"},
+		{Reset, "reset|EOF", "reset|EOF"},
+		{Cut, "timeout awaiting", "i/o timeout"},
+	} {
 		require.NoError(t, r.Set(x.fault, 0))
 		for _, want := range []string{x.known, x.anew} {
 			err := ask()
@@ -135,8 +140,11 @@
 	assert.Zero(t, RunTwice(f, once, []Sight{see(id(0, 2, 1), book, 9, true, false), see(id(0, 3, 1), 0, 9, true, false)}))
 	assert.Equal(t, 1, RunTwice(f, once, []Sight{see(id(0, 1, 1), book, 9, true, false)}), "a retry at another box")
 
-	calls := []*Call{{Served: true, Intended: t0, Tries: []Try{{Status: 503}, {Status: 200}}}, {Intended: t0.Add(ms(5)), Tries: []Try{{Lost: true, Sent: t0}}},
-		{Intended: t0.Add(ms(8)), Tries: []Try{{Status: 200, Wrong: true}}}}
+	calls := []*Call{
+		{Served: true, Intended: t0, Tries: []Try{{Status: 503}, {Status: 200}}},
+		{Intended: t0.Add(ms(5)), Tries: []Try{{Lost: true, Sent: t0}}},
+		{Intended: t0.Add(ms(8)), Tries: []Try{{Status: 200, Wrong: true}}},
+	}
 	lost, wrong := Unanswered(calls, nil)
 	assert.Equal(t, []int{1, 1}, []int{lost, wrong})
 	lost, _ = Unanswered(calls, func(x Try) bool { return x.Sent.Equal(t0) })
--- a/internal/mutant/mutant.go
+++ b/internal/mutant/mutant.go
@@ -23,6 +23,8 @@
 
 // All lists them.
 func All() []Name {
-	return []Name{CallerLeft, Revoked, TimeTold, CloseBegun, RepeatRan, RefuseRan, ReuseSpent, RationFree, WallClock, AcceptEnds,
-		TransferEnds, EndsAtOnce}
+	return []Name{
+		CallerLeft, Revoked, TimeTold, CloseBegun, RepeatRan, RefuseRan, ReuseSpent, RationFree, WallClock, AcceptEnds,
+		TransferEnds, EndsAtOnce,
+	}
 }
--- a/internal/soak/campaign.go
+++ b/internal/soak/campaign.go
@@ -8,6 +8,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"oakthread/internal/lab"
 	"os"
 	"path/filepath"
 	"runtime"
@@ -16,8 +17,6 @@
 	"sync"
 	"text/tabwriter"
 	"time"
-
-	"oakthread/internal/lab"
 )
 
 // Options of a campaign.
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -12,12 +12,11 @@
 	"math/rand/v2"
 	"net"
 	"net/http"
+	"oakthread/internal/lab"
 	"os"
 	"sync"
 	"sync/atomic"
 	"time"
-
-	"oakthread/internal/lab"
 )
 
 // End is how a request ended for its client.
@@ -297,7 +296,7 @@
 // read reads the answer.
 func (c *Clients) read(k *kept, r *Request, p plannedCall, body string) {
 	_ = k.SetReadDeadline(r.Whole.Add(p.patience + late + readSlack))
-	resp, err := http.ReadResponse(k.in, nil)
+	resp, err := http.ReadResponse(k.in, nil) //nolint:bodyclose // read up to its end below; the connection is its caller's
 	var got []byte
 	if err == nil {
 		r.Status = resp.StatusCode
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -9,6 +9,7 @@
 	"errors"
 	"fmt"
 	"net/http"
+	"oakthread/internal/lab"
 	"os"
 	"os/exec"
 	"sync"
@@ -16,8 +17,6 @@
 	"time"
 
 	"golang.org/x/sys/unix"
-
-	"oakthread/internal/lab"
 )
 
 // Life is one process of a node, from its start to its end.
@@ -80,7 +79,8 @@
 		n.mu.Lock()
 		life.Ended = time.Now()
 		var exit *exec.ExitError
-		if err != nil && !(errors.As(err, &exit) && !exit.Exited() && !life.Killed.IsZero()) {
+		killed := errors.As(err, &exit) && !exit.Exited() && !life.Killed.IsZero()
+		if err != nil && !killed {
 			life.Failure = err.Error()
 		}
 		n.mu.Unlock()
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -6,13 +6,12 @@
 	"context"
 	"errors"
 	"fmt"
+	"oakthread/internal/lab"
 	"os"
 	"path/filepath"
 	"sync"
 	"sync/atomic"
 	"time"
-
-	"oakthread/internal/lab"
 )
 
 // Result is what came of a run.
@@ -109,8 +108,10 @@
 
 // judge gathers what the run left and has it judged.
 func (w *world) judge(calmFrom, calmTo time.Time) []Violation {
-	r := Records{Troubled: w.troubled, Untold: w.untold, Drains: w.drains, CalmFrom: calmFrom, CalmTo: calmTo,
-		Once: func(class int) bool { return w.figures.Classes[class].Once }}
+	r := Records{
+		Troubled: w.troubled, Untold: w.untold, Drains: w.drains, CalmFrom: calmFrom, CalmTo: calmTo,
+		Once: func(class int) bool { return w.figures.Classes[class].Once },
+	}
 	r.Ration = rationOf(w.Deployment)
 	for _, k := range w.figures.Classes {
 		r.Longest = max(r.Longest, k.GiveUp)
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -63,10 +63,12 @@
 
 // Kinds lists them all.
 func Kinds() []Kind {
-	return []Kind{Terminate, Crash, Pause, Reload, ReloadBad, ExecutorHang, ExecutorVanish, ExecutorReset, ExecutorSlow, ExecutorDrain,
+	return []Kind{
+		Terminate, Crash, Pause, Reload, ReloadBad, ExecutorHang, ExecutorVanish, ExecutorReset, ExecutorSlow, ExecutorDrain,
 		ExecutorRenew, IdleClosed, AnswerTwice, AnswerPieces, AnswerCut, ExecutorErrors, DiscoverySilent, DiscoveryReset, DiscoverySlow,
 		DiscoveryOver, ClientsLeave, ClientsDawdle, ClientsFlood, ClientsRetry, ClientsBrief, ClientsBurst, PeersDeaf, PeersTwice, ClockStep,
-		AcceptFails, ConnectFails, ConnectLate, TransferFails, DiskFails}
+		AcceptFails, ConnectFails, ConnectLate, TransferFails, DiskFails,
+	}
 }
 
 // Trouble is one trouble of a schedule. Times count from when the clients begin.
@@ -114,8 +116,10 @@
 // Draw makes the schedule of a seed: waves of two or three troubles that overlap. only restricts the kinds; empty: all.
 func Draw(seed uint64, processes int, only []Kind) Schedule {
 	rng := rand.New(rand.NewPCG(seed, 0x736f616b))
-	s := Schedule{Seed: seed, Processes: processes, Executors: max(6, int(executorsPart*float64(processes))), Deployment: Planning,
-		Kept: rng.IntN(2) == 0, Trouble: troubleTime, Calm: calmTime}
+	s := Schedule{
+		Seed: seed, Processes: processes, Executors: max(6, int(executorsPart*float64(processes))), Deployment: Planning,
+		Kept: rng.IntN(2) == 0, Trouble: troubleTime, Calm: calmTime,
+	}
 	if seed%2 == 1 {
 		s.Deployment = Render
 	}
@@ -133,9 +137,20 @@
 }
 
 // meets are troubles of which it is known that they can cross at a request; half of the waves begin with one of these.
-var meets = [][]Kind{{ClientsLeave, ConnectLate}, {ExecutorDrain, ConnectLate}, {ClientsBurst, ClientsFlood}, {ClientsBurst, AnswerTwice},
-	{AcceptFails, Terminate}, {ClockStep, ExecutorErrors}, {Pause, ClientsLeave}, {Terminate, ClientsDawdle}, {ClientsBrief, ConnectLate},
-	{ExecutorRenew, ClientsBurst}, {Reload, Terminate}, {ExecutorHang, Terminate}}
+var meets = [][]Kind{
+	{ClientsLeave, ConnectLate},
+	{ExecutorDrain, ConnectLate},
+	{ClientsBurst, ClientsFlood},
+	{ClientsBurst, AnswerTwice},
+	{AcceptFails, Terminate},
+	{ClockStep, ExecutorErrors},
+	{Pause, ClientsLeave},
+	{Terminate, ClientsDawdle},
+	{ClientsBrief, ConnectLate},
+	{ExecutorRenew, ClientsBurst},
+	{Reload, Terminate},
+	{ExecutorHang, Terminate},
+}
 
 // wave draws two or three kinds that come together.
 func wave(rng *rand.Rand, kinds []Kind) []Kind {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -75,10 +75,12 @@
 	clean := func() (Records, *Request, *Arrival) {
 		q := &Request{ID: "a", Sent: at(100), Whole: at(100), Patience: time.Second, Ended: at(300), End: Answered, Status: http.StatusOK}
 		a := &Arrival{ID: "a", At: at(120), Budget: 900 * time.Millisecond, Ran: true}
-		r := Records{Requests: []*Request{q}, Arrivals: []*Arrival{a}, Troubled: make([][]span, 1), Untold: make([][]span, 1),
+		r := Records{
+			Requests: []*Request{q}, Arrivals: []*Arrival{a}, Troubled: make([][]span, 1), Untold: make([][]span, 1),
 			Lives:  [][]Life{{{Begun: at(-500), Ready: at(-400), Ending: at(5000), Ended: at(6000)}}},
 			Paused: make([][]span, 1), Once: func(int) bool { return true }, Longest: 2 * time.Second, CalmFrom: at(4000), CalmTo: at(5000),
-			Ration: Ration{Window: 5 * time.Second, Free: 1, Share: 0.1}}
+			Ration: Ration{Window: 5 * time.Second, Free: 1, Share: 0.1},
+		}
 		return r, q, a
 	}
 	r, _, _ := clean()
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -5,14 +5,13 @@
 import (
 	"context"
 	"net"
+	"oakthread/internal/fault"
+	"oakthread/internal/fault/sockets"
+	"oakthread/internal/lab"
 	"path/filepath"
 	"sync"
 	"syscall"
 	"time"
-
-	"oakthread/internal/fault"
-	"oakthread/internal/fault/sockets"
-	"oakthread/internal/lab"
 )
 
 // Figures of the world.
@@ -92,8 +91,10 @@
 
 func newWorld(s Schedule, dir string, network *lab.Net, program lab.Program) (*world, error) {
 	w := &world{Schedule: s, dir: dir, figures: figures(s.Deployment), untold: make([][]span, s.Processes), troubled: make([][]span, s.Executors), busy: map[int]bool{}}
-	size := lab.RigSize{Dispatchers: s.Processes, Boxes: s.Executors, Figures: w.figures, Seed: s.Seed, Load: lab.Load{Rate: 1, Models: 1},
-		Settings: func(_ int, settings map[string]any) { permissions(s.Deployment, settings) }}
+	size := lab.RigSize{
+		Dispatchers: s.Processes, Boxes: s.Executors, Figures: w.figures, Seed: s.Seed, Load: lab.Load{Rate: 1, Models: 1},
+		Settings: func(_ int, settings map[string]any) { permissions(s.Deployment, settings) },
+	}
 	if s.Kept {
 		size.Operators = "[list]\npath = \"list.db\"\n"
 	}
