--- a/clock_test.go
+++ b/clock_test.go
@@ -5,14 +5,13 @@
 import (
 	"context"
 	"fmt"
+	"oakthread/balancer"
+	"oakthread/internal/fault/wallclock"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"oakthread/balancer"
-	"oakthread/internal/fault/wallclock"
 )
 
 // slowWorkers answer each attempt after some time, or never where it is silent.
--- a/core_test.go
+++ b/core_test.go
@@ -2,16 +2,15 @@
 
 import (
 	"context"
+	"oakthread/aggregate"
+	"oakthread/balancer"
+	"oakthread/rules"
 	"strings"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"oakthread/aggregate"
-	"oakthread/balancer"
-	"oakthread/rules"
 )
 
 // stand is a fleet in memory: each attempt waits for a reply on replies, or for its end.
@@ -56,9 +55,11 @@
 }
 
 func testCore(t *testing.T, s *stand, change func(*Config)) *Core {
-	cfg := Config{Workers: s, Settings: balancer.Settings{ClockResolution: int64(4 * time.Millisecond), MaxAttempts: 3,
+	cfg := Config{Workers: s, Settings: balancer.Settings{
+		ClockResolution: int64(4 * time.Millisecond), MaxAttempts: 3,
 		Cancellation: true, KeepAlive: int64(8 * time.Second), LoadsOnMiss: true, LoadOrders: true, MaxRetryAfter: int64(2 * time.Second),
-		Classes: []balancer.Class{{LatencyObjective: int64(time.Second), ClientTimeout: int64(3 * time.Second), PriorityWeight: 1, Idempotency: balancer.NotIdempotent}}}}
+		Classes: []balancer.Class{{LatencyObjective: int64(time.Second), ClientTimeout: int64(3 * time.Second), PriorityWeight: 1, Idempotency: balancer.NotIdempotent}},
+	}}
 	if change != nil {
 		change(&cfg)
 	}
--- a/example_test.go
+++ b/example_test.go
@@ -6,12 +6,11 @@
 	"io"
 	"net/http"
 	"net/http/httptest"
-	"strings"
-	"time"
-
 	"oakthread"
 	"oakthread/balancer"
 	"oakthread/middleware"
+	"strings"
+	"time"
 )
 
 // local runs calls in this process; a real one carries them to workers on other machines.
@@ -23,6 +22,7 @@
 	}
 	return oakthread.Reply{Result: balancer.OK, Warmth: balancer.WarmHit, Body: []byte(strings.ToUpper(string(a.Request.Body)))}
 }
+
 func (local) HealthCheck(context.Context, oakthread.Endpoint) oakthread.Reply {
 	return oakthread.Reply{}
 }
@@ -34,7 +34,8 @@
 func Example() {
 	core, err := oakthread.New(oakthread.Config{Workers: local{}, Settings: balancer.Settings{
 		Classes:     []balancer.Class{{LatencyObjective: int64(time.Second), ClientTimeout: int64(3 * time.Second), PriorityWeight: 1, Idempotency: balancer.Idempotent}},
-		MaxAttempts: 3, LoadsOnMiss: true, KeepAlive: int64(10 * time.Second)}})
+		MaxAttempts: 3, LoadsOnMiss: true, KeepAlive: int64(10 * time.Second),
+	}})
 	if err != nil {
 		panic(err)
 	}
--- a/invariants_test.go
+++ b/invariants_test.go
@@ -13,8 +13,10 @@
 )
 
 // pathsOfRules are the paths that the page of invariants must cover.
-var pathsOfRules = []string{"shutdown", "reload", "retry", "hedge", "cancel", "idle close", "full house", "watch", "restart", "hand-over",
-	"clock step", "failed syscall", "failed disk"}
+var pathsOfRules = []string{
+	"shutdown", "reload", "retry", "hedge", "cancel", "idle close", "full house", "watch", "restart", "hand-over",
+	"clock step", "failed syscall", "failed disk",
+}
 
 // definedFunctions are the names of all functions and methods of the module.
 func definedFunctions(t *testing.T) map[string]bool {
--- a/ration.go
+++ b/loadorderlimiter.go
@@ -1,11 +1,10 @@
 package oakthread
 
 import (
+	"oakthread/rules"
 	"slices"
 	"sync"
 	"time"
-
-	"oakthread/rules"
 )
 
 // loadOrderLimiter is the second look at the rule on orders to load, when an order is given and again when its first byte leaves: a
