--- a/api.go
+++ b/api.go
@@ -5,79 +5,58 @@
 	"oakthread/balancer"
 )
 
-// Ready tells whether a list of workers has been loaded.
+// Ready reports whether the endpoint list has been received.
 func (c *Core) Ready() bool { return c.ready.Load() }
 
-// Counters returns the counts so far; all zero once closed.
+// Counters returns the totals since the start, or zeros if the Core is closed.
 func (c *Core) Counters() Counters {
-	got := make(chan Counters, 1)
-	if c.post(func() { got <- c.n }) {
-		select {
-		case n := <-got:
-			return n
-		case <-c.stopped:
-		}
-	}
-	return Counters{}
+	return query(c, func() Counters { return c.state.counters })
 }
 
-// AddClasses takes classes that requests may name from now on, all or none, and returns the number of the first;
-// requests in hand keep theirs. The error is the module's, or ErrClosed.
-func (c *Core) AddClasses(ks []balancer.Class) (int, error) {
+// AddClasses adds classes that requests may name from now on, all of them or none, and returns the
+// index of the first. Requests in flight keep their classes. The error is that of the balancer, or
+// ErrClosed.
+func (c *Core) AddClasses(classes []balancer.Class) (first int, err error) {
 	type added struct {
-		n   int
-		err error
+		first int
+		err   error
 	}
-	got := make(chan added, 1)
-	if !c.post(func() {
-		n, err := c.d.AddClasses(c.now(), ks)
+	answer := query(c, func() *added {
+		first, err := c.state.balancer.AddClasses(c.now(), classes)
 		if err == nil {
-			c.classes.Store(int64(n + len(ks)))
+			c.classCount.Store(int64(first + len(classes)))
 		}
-		got <- added{n, err}
-	}) {
-		return 0, ErrClosed
-	}
-	select {
-	case a := <-got:
-		return a.n, a.err
-	case <-c.stopped:
+		return &added{first, err}
+	})
+	if answer == nil {
 		return 0, ErrClosed
 	}
+	return answer.first, answer.err
 }
 
-// SetMaxAttempts changes how many attempts a request may have, from now on.
-func (c *Core) SetMaxAttempts(n int) { c.post(func() { c.d.SetMaxAttempts(c.now(), n) }) }
+// SetMaxAttempts changes the number of attempts that a request may have, for requests in flight as
+// well.
+func (c *Core) SetMaxAttempts(n int) {
+	c.post(func() { c.state.balancer.SetMaxAttempts(c.now(), n) })
+}
 
-// Ejected lists the workers that the module avoids by its own choice; nil once closed.
-func (c *Core) Ejected() []balancer.WorkerID { return look(c, c.d.Ejected) }
+// Ejected returns the workers that the balancer has ejected, or nil if the Core is closed.
+func (c *Core) Ejected() []balancer.WorkerID { return query(c, c.state.balancer.Ejected) }
 
-// FleetView is what is known of the sums over all dispatchers; the zero View once closed.
-func (c *Core) FleetView() aggregate.View { return look(c, c.d.FleetView) }
+// FleetView returns the aggregated load of all dispatchers, or the zero View if the Core is closed.
+func (c *Core) FleetView() aggregate.View { return query(c, c.state.balancer.FleetView) }
 
-// WorkerHealth lists what is held of each worker and why; nil once closed.
+// WorkerHealth returns the health of each worker and its evidence, or nil if the Core is closed.
 func (c *Core) WorkerHealth() []balancer.WorkerHealth {
-	return look(c, func() []balancer.WorkerHealth { return c.d.WorkerHealth(c.now()) })
-}
-
-// look asks the module; the zero value once closed.
-func look[T any](c *Core, ask func() T) (none T) {
-	got := make(chan T, 1)
-	if c.post(func() { got <- ask() }) {
-		select {
-		case x := <-got:
-			return x
-		case <-c.stopped:
-		}
-	}
-	return none
+	return query(c, func() []balancer.WorkerHealth { return c.state.balancer.WorkerHealth(c.now()) })
 }
 
-// HandlePeerMessage takes a message of another dispatcher.
+// HandlePeerMessage handles a message of another dispatcher. One that cannot be decoded is counted
+// and dropped.
 func (c *Core) HandlePeerMessage(from int, data string) {
 	c.post(func() {
-		if !c.d.HandlePeerMessage(c.now(), from, data) {
-			c.n.InvalidPeerMessages++
+		if !c.state.balancer.HandlePeerMessage(c.now(), from, data) {
+			c.state.counters.InvalidPeerMessages++
 		}
 	})
 }
--- a/attempt.go
+++ b/attempt.go
@@ -6,141 +6,182 @@
 	"fmt"
 	"log/slog"
 	"oakthread/balancer"
-	"oakthread/internal/mutant"
 	"oakthread/internal/violation"
-	"oakthread/rules"
-	"sync"
 	"time"
 )
 
+// attemptKey identifies an attempt by its request and its number among the attempts of that
+// request, from 0.
 type attemptKey struct {
-	id string // "": an order
-	n  int
+	requestID string
+	number    int
 }
 
-// inFlightAttempt is one attempt or order to load on its way. It owns whether anything of it was written: once begun it may only
-// be called off, where the settings allow that; until then it is revoked when its caller leaves, its request is over, or
-// its worker drains, goes or starts anew. Guards against a write that crosses one of these: whoever comes first wins.
+// inFlightAttempt is an attempt that Workers.Send has not returned from.
 type inFlightAttempt struct {
-	worker balancer.WorkerID
-	caller context.Context
-	left   func() bool // nil: only the context tells
-	off    context.CancelCauseFunc
+	writePermission
 
-	mu             sync.Mutex
-	begun, revoked bool
+	key     attemptKey
+	class   int
+	worker  balancer.WorkerID
+	started time.Time
 }
 
-// begin is asked right before the first byte is written; false: nothing may be written any more. Asked again, for another
-// connection since nothing was written on the first, it answers anew.
-func (f *inFlightAttempt) begin() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.begun = rules.MayWrite(rules.Write{CallerLeft: f.callerLeft(), Revoked: f.revoked}).OK()
-	return f.begun
+// startAttempt sends a request to a worker in a goroutine of its own, which ends with Workers.Send:
+// at the latest when its context is cancelled, by the deadline, CancelAttempt or Close. Its result
+// returns as one event.
+func (c *Core) startAttempt(request *pendingRequest, worker Endpoint, deadline time.Time) {
+	ctx, cancel := context.WithCancelCause(c.ctx)
+	ctx, release := context.WithDeadline(ctx, deadline)
+	attempt := &inFlightAttempt{
+		writePermission: writePermission{caller: request.ctx, callerGone: request.CallerGone, cancel: cancel},
+		key:             attemptKey{request.ID, request.attempts},
+		class:           request.Class,
+		worker:          worker.ID,
+	}
+	c.state.attempts[attempt.key] = attempt
+	request.attempts++
+	c.state.counters.Attempts++
+	outgoing := Attempt{
+		Request:     &request.Request,
+		Worker:      worker,
+		Number:      attempt.key.number,
+		Deadline:    deadline,
+		BeforeWrite: attempt.begin,
+	}
+	attempt.started = time.Now()
+	go func() {
+		reply := c.cfg.Workers.Send(ctx, outgoing)
+		reply.Result = resultAfter(ctx, reply.Result)
+		release()
+		cancel(nil)
+		c.post(func() { c.finishAttempt(attempt, reply) })
+	}()
 }
 
-// callerLeft tells whether the caller has left: its context says so, or its connection.
-func (f *inFlightAttempt) callerLeft() bool {
-	return f.caller.Err() != nil || f.left != nil && f.left()
+// resultAfter returns the result of an attempt in view of the end of its context. A context that
+// has ended turns results that leave the outcome open into Timeout or Cancelled. Results that prove
+// that the attempt did not run stay.
+func resultAfter(ctx context.Context, result balancer.Result) balancer.Result {
+	if ctx.Err() == nil || result != balancer.Reset && result != balancer.Timeout {
+		return result
+	}
+	if errors.Is(context.Cause(ctx), errAttemptCancelled) {
+		return balancer.Cancelled
+	}
+	return balancer.Timeout
 }
 
-// revoke has a flight begin no more, and ends it where it has not begun.
-func (f *inFlightAttempt) revoke() {
-	f.mu.Lock()
-	f.revoked = true
-	begun := f.begun
-	f.mu.Unlock()
-	if !begun && !mutant.On(mutant.CallerLeft) && !mutant.On(mutant.Revoked) {
-		f.off(errRevoked)
+// finishAttempt handles the end of an attempt. The first successful attempt completes its request.
+func (c *Core) finishAttempt(attempt *inFlightAttempt, reply Reply) {
+	delete(c.state.attempts, attempt.key)
+	c.state.counters.AttemptResults[reply.Result]++
+	duration := time.Since(attempt.started)
+	c.observeAttempt(attempt, reply, duration)
+	request := c.state.requests[attempt.key.requestID]
+	c.logAttempt(request, attempt, reply, duration)
+	if request != nil && mayHaveRun(reply.Result) {
+		c.countExecution(request)
 	}
+	if request != nil && reply.Result == balancer.OK {
+		c.complete(request, Answer{Outcome: Served, Body: reply.Body})
+	}
+	c.state.balancer.HandleAttemptResult(c.now(), balancer.AttemptResult{
+		ID:                 attempt.key.requestID,
+		Attempt:            attempt.key.number,
+		Worker:             attempt.worker,
+		Result:             reply.Result,
+		Finished:           c.state.requests[attempt.key.requestID] == nil,
+		Warmth:             reply.Warmth,
+		ConcurrentRequests: reply.ConcurrentRequests,
+		RTT:                int64(duration),
+		Report:             reply.Report,
+	})
 }
 
-var (
-	errCalledOff = errors.New("called off")
-	errRevoked   = errors.New("revoked before anything was written")
-)
-
-// send is one attempt, on a goroutine of its own. Its end comes back as an event, exactly once.
-func (c *Core) send(k *call, m Endpoint, until time.Time) {
-	key := attemptKey{k.req.ID, k.tries}
-	ctx, off := context.WithCancelCause(c.ctx)
-	ctx, done := context.WithDeadline(ctx, until)
-	f := &inFlightAttempt{worker: m.ID, caller: k.ctx, left: k.req.CallerGone, off: off}
-	a := Attempt{Request: &k.req, Worker: m, Number: k.tries, Deadline: until, BeforeWrite: f.begin}
-	c.attempts[key] = f
-	k.tries++
-	c.n.Attempts++
-	sent := time.Now()
-	go func() {
-		r := c.cfg.Workers.Send(ctx, a)
-		// The end of our wait hides how an attempt ended only where nothing is known of it. What proves that it never
-		// ran stays a proof.
-		if ctx.Err() != nil && (r.Result == balancer.Reset || r.Result == balancer.Timeout) {
-			r.Result = balancer.Timeout
-			if errors.Is(context.Cause(ctx), errCalledOff) {
-				r.Result = balancer.Cancelled
-			}
-		}
-		done()
-		off(nil)
-		c.post(func() { c.finishAttempt(key, a.Request.Class, m.ID, sent, r) })
-	}()
+// observeAttempt passes the end of an attempt to Config.Observed.
+func (c *Core) observeAttempt(attempt *inFlightAttempt, reply Reply, duration time.Duration) {
+	if c.cfg.Observed == nil {
+		return
+	}
+	c.cfg.Observed(Observation{
+		Kind:     ObservedAttempt,
+		Worker:   attempt.worker,
+		Class:    attempt.class,
+		Result:   reply.Result,
+		Warm:     reply.Warmth == balancer.WarmHit,
+		Duration: duration,
+	})
 }
 
-// finishAttempt takes the end of an attempt. The first good answer is the request's.
-func (c *Core) finishAttempt(key attemptKey, class int, w balancer.WorkerID, sent time.Time, r Reply) {
-	delete(c.attempts, key)
-	c.n.AttemptResults[r.Result]++
-	took := time.Since(sent)
-	if c.cfg.Observed != nil {
-		c.cfg.Observed(Observation{Worker: w, Class: class, Result: r.Result, Warm: r.Warmth == balancer.WarmHit, Duration: took})
+// logAttempt logs the end of an attempt at level debug. The request is nil if it has completed
+// before.
+func (c *Core) logAttempt(request *pendingRequest, attempt *inFlightAttempt, reply Reply, duration time.Duration) {
+	if !c.cfg.Log.Enabled(c.ctx, slog.LevelDebug) {
+		return
 	}
-	k := c.requests[key.id]
-	if c.cfg.Log.Enabled(c.ctx, slog.LevelDebug) {
-		fn := balancer.FuncID(0)
-		if k != nil {
-			fn = k.req.Func
-		}
-		c.cfg.Log.Debug("attempt ended", "id", key.id, "n", key.n, "worker", uint32(w), "fn", uint64(fn), "class", class,
-			"result", r.Result.String(), "note", int(r.Warmth), "crowd", r.ConcurrentRequests, "report", fmt.Sprint(r.Report), "ms", took.Milliseconds())
-	}
-	if k != nil && mayHaveRun(r.Result) {
-		k.ran++
-		if k.ran > 1 && c.runsOnce(k) {
-			c.violated(violation.Once, violation.PathLanded, key.id, "a second attempt ended that may have run")
-		}
-	}
-	if r.Result == balancer.OK && k != nil {
-		c.complete(k, Answer{Outcome: Served, Body: r.Body}, false)
+	function := balancer.FuncID(0)
+	if request != nil {
+		function = request.Func
 	}
-	c.d.HandleAttemptResult(c.now(), balancer.AttemptResult{
-		ID: key.id, Attempt: key.n, Worker: w, Result: r.Result,
-		Finished: c.requests[key.id] == nil, Warmth: r.Warmth, ConcurrentRequests: r.ConcurrentRequests, RTT: int64(took), Report: r.Report,
-	})
+	c.cfg.Log.Debug("attempt ended", "id", attempt.key.requestID, "n", attempt.key.number,
+		"worker", uint32(attempt.worker), "fn", uint64(function), "class", attempt.class,
+		"result", reply.Result.String(), "note", int(reply.Warmth), "crowd", reply.ConcurrentRequests,
+		"report", fmt.Sprint(reply.Report), "ms", duration.Milliseconds())
 }
 
-// mayHaveRun tells whether an attempt that ended so may have had its effect.
-func mayHaveRun(r balancer.Result) bool {
-	switch r {
+// mayHaveRun reports whether an attempt with this result may have had an effect.
+func mayHaveRun(result balancer.Result) bool {
+	switch result {
 	case balancer.OK, balancer.Error, balancer.Timeout, balancer.Reset, balancer.Cancelled:
 		return true
+	case balancer.QueueFull, balancer.ConnectFailed, balancer.NotSent, balancer.NotLoaded:
+		return false
 	}
 	return false
 }
 
-// unsent ends an attempt that must not be made: its caller has left, or its worker is not on the list. Nothing was written.
-func (c *Core) unsent(k *call, w balancer.WorkerID, r balancer.Result) {
-	n, sent := k.tries, time.Now()
-	k.tries++
-	c.deferred = append(c.deferred, func() {
-		if k.ctx.Err() != nil {
-			c.abandon(k)
+// countExecution records that an attempt of the request may have run, and reports a violation if it
+// is the second one of a request that is not idempotent.
+func (c *Core) countExecution(request *pendingRequest) {
+	request.executions++
+	if request.executions > 1 && c.cfg.isNonIdempotent(request.Class) {
+		c.reportViolation(violation.Once, violation.PathLanded, request.ID, "a second attempt ended that may have run")
+	}
+}
+
+// skipAttempt ends an attempt that is not sent, with the result NotSent or ConnectFailed: the
+// caller has left, or the worker accepts no requests.
+func (c *Core) skipAttempt(request *pendingRequest, worker balancer.WorkerID, result balancer.Result) {
+	number, started := request.attempts, time.Now()
+	request.attempts++
+	c.deferEvent(func() {
+		if request.ctx.Err() != nil {
+			c.abandon(request)
 		}
-		c.n.AttemptResults[r]++
-		c.d.HandleAttemptResult(c.now(), balancer.AttemptResult{
-			ID: k.req.ID, Attempt: n, Worker: w, Result: r,
-			Finished: c.requests[k.req.ID] != k, RTT: int64(time.Since(sent)),
+		c.state.counters.AttemptResults[result]++
+		c.state.balancer.HandleAttemptResult(c.now(), balancer.AttemptResult{
+			ID:       request.ID,
+			Attempt:  number,
+			Worker:   worker,
+			Result:   result,
+			Finished: c.state.requests[request.ID] != request,
+			RTT:      int64(time.Since(started)),
 		})
 	})
 }
+
+// revokeWorker revokes the attempts and load orders on their way to a worker that must not receive
+// new ones.
+func (c *Core) revokeWorker(worker balancer.WorkerID) {
+	for _, attempt := range c.state.attempts {
+		if attempt.worker == worker {
+			attempt.revoke()
+		}
+	}
+	for load := range c.state.loads {
+		if load.order.Worker.ID == worker {
+			load.revoke()
+		}
+	}
+}
--- a/core.go
+++ b/core.go
@@ -1,128 +1,153 @@
 package oakthread
 
-// This file owns the life of requests: one goroutine holds the decision module, takes events over a channel and
-// carries out what the module orders. It owns the one final answer, deadlines, cancels, the cap on open
-// requests and the second look at the ration of orders. It must never block on I/O, choose a worker, or give
-// an answer that the module did not give, save where the module cannot (a full house, an overdue answer).
-
 import (
 	"context"
-	"errors"
 	"fmt"
-	"log/slog"
 	"oakthread/balancer"
 	"oakthread/internal/monotime"
-	"oakthread/rules"
 	"sync"
 	"sync/atomic"
-	"time"
-)
-
-const (
-	defaultOpen  = 4096
-	eventsWait   = 1024                   // events that may wait for the loop
-	rationMargin = 300 * time.Millisecond // an order may be this long on its way to the worker
-	calledFor    = time.Minute            // orders name only functions called within this time
-	probeTime    = 250 * time.Millisecond
-	overdue      = 20 * time.Millisecond // past a deadline: the module has not answered, so the core does
 )
 
-// Core dispatches requests. Its methods may be called from many goroutines.
+// Core dispatches requests to workers. A single goroutine, the event loop, owns the balancer and
+// all state of requests; every other goroutine posts events to it. Its methods are safe for
+// concurrent use.
 type Core struct {
-	cfg     Config
-	events  chan func()
-	closing chan struct{}
-	stopped chan struct{}
-	once    sync.Once
-	ready   atomic.Bool
-	classes atomic.Int64 // that requests may name
-	ctx     context.Context
-	cancel  context.CancelFunc
+	cfg    Config
+	events chan func()
+	state  loopState
+
+	loadLimiter loadOrderLimiter
+
+	ready      atomic.Bool
+	classCount atomic.Int64 // classes that a request may name
+
+	closeOnce sync.Once
+	closing   chan struct{}
+	stopped   chan struct{} // closed when the event loop has returned
+
+	// ctx is the parent of the contexts of attempts, load orders and health checks. Close cancels
+	// it.
+	ctx    context.Context
+	cancel context.CancelFunc
+}
 
-	// Owned by the loop.
-	d         *balancer.Balancer
-	last      int64
-	deferred  []func()
-	requests  map[string]*call
+// loopState is the state that only the event loop reads and writes.
+type loopState struct {
+	balancer  *balancer.Balancer
+	lastEvent int64    // time of the latest event, in nanoseconds of the process clock
+	deferred  []func() // run after the current event
+	requests  map[string]*pendingRequest
 	attempts  map[attemptKey]*inFlightAttempt
-	orders    int // given so far
-	members   map[balancer.WorkerID]member
-	called    map[balancer.FuncID]calledKey
-	ration    loadOrderLimiter
-	lastSweep time.Time
-	n         Counters
+	loads     map[*inFlightLoad]struct{}
+	endpoints map[balancer.WorkerID]listedEndpoint
+	functions recentFunctions
+	counters  Counters
 }
 
-// New starts a Core. Close ends it.
+// New starts a Core, which runs until Close. It fails if cfg names no Workers or the balancer does
+// not accept the settings.
 func New(cfg Config) (*Core, error) {
-	if cfg.Workers == nil {
-		return nil, errors.New("oakthread: Config.Workers is nil")
-	}
-	if cfg.MaxInFlight <= 0 {
-		cfg.MaxInFlight = defaultOpen
-	}
-	if cfg.Log == nil {
-		cfg.Log = slog.New(slog.DiscardHandler)
+	cfg, err := cfg.withDefaults()
+	if err != nil {
+		return nil, err
 	}
 	c := &Core{
-		cfg: cfg, events: make(chan func(), eventsWait), closing: make(chan struct{}),
-		stopped: make(chan struct{}), requests: map[string]*call{}, attempts: map[attemptKey]*inFlightAttempt{},
-		members: map[balancer.WorkerID]member{}, called: map[balancer.FuncID]calledKey{},
+		cfg:         cfg,
+		events:      make(chan func(), eventQueueSize),
+		closing:     make(chan struct{}),
+		stopped:     make(chan struct{}),
+		loadLimiter: newLoadOrderLimiter(cfg.Settings),
+		state: loopState{
+			requests:  map[string]*pendingRequest{},
+			attempts:  map[attemptKey]*inFlightAttempt{},
+			loads:     map[*inFlightLoad]struct{}{},
+			endpoints: map[balancer.WorkerID]listedEndpoint{},
+			functions: recentFunctions{entries: map[balancer.FuncID]recentFunction{}},
+		},
 	}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
-	c.ration.window = time.Duration(cfg.Settings.LoadQuotaWindow)
-	c.ration.rule = rules.LoadQuota{Base: cfg.Settings.LoadQuotaBase, Ratio: cfg.Settings.LoadQuotaRatio}
-	d, err := balancer.New(c.now(), cfg.Settings, cfg.Seed, (*host)(c))
+	c.state.balancer, err = balancer.New(c.now(), cfg.Settings, cfg.Seed, host{c})
 	if err != nil {
 		return nil, fmt.Errorf("oakthread: %w", err)
 	}
-	c.d = d
-	c.classes.Store(int64(len(cfg.Settings.Classes)))
-	go c.loop()
+	c.classCount.Store(int64(len(cfg.Settings.Classes)))
+	go c.run() // Close waits for it through c.stopped
 	return c, nil
 }
 
-func (c *Core) loop() {
+// Close stops the event loop and cancels what is in flight. Requests in flight get ErrClosed, so a
+// graceful shutdown waits for its requests first. Close returns without waiting for the methods of
+// Workers, which end with their contexts.
+func (c *Core) Close() {
+	c.closeOnce.Do(func() { close(c.closing) })
+	<-c.stopped
+	c.cancel()
+}
+
+// run is the event loop. It returns when Close is called.
+func (c *Core) run() {
 	defer close(c.stopped)
 	for {
 		select {
-		case ev := <-c.events:
-			ev()
-			for len(c.deferred) > 0 { // what the module may not hear within the event that caused it
-				next := c.deferred
-				c.deferred = nil
-				for _, f := range next {
-					f()
-				}
-			}
+		case event := <-c.events:
+			event()
+			c.runDeferred()
 		case <-c.closing:
-			for _, k := range c.requests {
-				k.answer <- result{err: ErrClosed}
+			for _, request := range c.state.requests {
+				request.answer <- result{err: ErrClosed}
 			}
 			return
 		}
 	}
 }
 
-// post hands an event to the loop; false: the Core is closed.
-func (c *Core) post(ev func()) bool {
+// runDeferred runs the functions that an event deferred, and those that they defer in turn.
+func (c *Core) runDeferred() {
+	for len(c.state.deferred) > 0 {
+		deferred := c.state.deferred
+		c.state.deferred = nil
+		for _, event := range deferred {
+			event()
+		}
+	}
+}
+
+// deferEvent has the event loop run event after the current one. Methods of balancer.Host use it
+// for results that are known at once, since the balancer cannot be called from within its own calls
+// to the host.
+func (c *Core) deferEvent(event func()) {
+	c.state.deferred = append(c.state.deferred, event)
+}
+
+// post queues an event for the event loop. It blocks while the queue is full and returns false if
+// the Core is closed.
+func (c *Core) post(event func()) bool {
 	select {
-	case c.events <- ev:
+	case c.events <- event:
 		return true
 	case <-c.closing:
 		return false
 	}
 }
 
-// now is the clock as the module reads it: the process's own, which steps of the wall clock do not reach.
-func (c *Core) now() int64 {
-	c.last = max(c.last, monotime.Now().UnixNano())
-	return c.last
+// query runs ask in the event loop and returns its result, or the zero value if the Core is closed.
+func query[T any](c *Core, ask func() T) (zero T) {
+	answer := make(chan T, 1)
+	if !c.post(func() { answer <- ask() }) {
+		return zero
+	}
+	select {
+	case result := <-answer:
+		return result
+	case <-c.stopped:
+		return zero
+	}
 }
 
-// Close ends the Core. Requests in hand get ErrClosed: let them end first.
-func (c *Core) Close() {
-	c.once.Do(func() { close(c.closing) })
-	<-c.stopped
-	c.cancel()
+// now returns the time of the current event in nanoseconds of the process clock, which steps of the
+// wall clock do not affect. It never goes backwards.
+func (c *Core) now() int64 {
+	c.state.lastEvent = max(c.state.lastEvent, monotime.Now().UnixNano())
+	return c.state.lastEvent
 }
--- a/core_test.go
+++ b/core_test.go
@@ -118,7 +118,7 @@
 	go func() { <-s.sent; leave() }()
 	_, err := core.Do(ctx, ask("a"))
 	require.ErrorIs(t, err, context.Canceled)
-	require.ErrorIs(t, <-s.ended, errCalledOff)
+	require.ErrorIs(t, <-s.ended, errAttemptCancelled)
 	assert.True(t, (<-settled).Abandoned)
 }
 
@@ -169,7 +169,7 @@
 	assert.NotEqual(t, first, (<-s.sent).Worker.ID, "a retry went to the draining worker")
 	s.replies <- Reply{Result: balancer.OK}
 	assert.Equal(t, Served, (<-got).Outcome)
-	core.post(func() { (*host)(core).OrderLoad(first, 7, 1) })
+	core.post(func() { host{core}.OrderLoad(first, 7, 1) })
 	assert.Equal(t, int64(1), core.Counters().LoadOrdersWithheld)
 	core.UpdateEndpoints(s.workers(balancer.Active))
 	assert.Equal(t, balancer.WorkerID(2), <-s.forgot, "connections of a worker that has gone are kept")
@@ -177,7 +177,7 @@
 
 // Guards the rule on loads at the time when the order leaves, and that none names a function nobody called.
 func TestOrdersAreRationed(t *testing.T) {
-	r := loadOrderLimiter{window: 5 * time.Second, rule: rules.LoadQuota{Base: 2, Ratio: 0.5}}
+	r := loadOrderLimiter{window: 5 * time.Second, quota: rules.LoadQuota{Base: 2, Ratio: 0.5}}
 	at := func(ms int) time.Time { return time.Unix(100, 0).Add(time.Duration(ms) * time.Millisecond) }
 	var got []bool
 	for _, x := range []struct {
@@ -193,10 +193,10 @@
 
 	// An order whose connection comes up late is asked again when its first byte leaves: calls that earned it have left
 	// the window by then. One of which nothing was written makes room for another.
-	r = loadOrderLimiter{window: 5 * time.Second, rule: rules.LoadQuota{Base: 1, Ratio: 0.5}}
+	r = loadOrderLimiter{window: 5 * time.Second, quota: rules.LoadQuota{Base: 1, Ratio: 0.5}}
 	r.count(at(2))
 	r.count(at(0)) // told late, since its function was not known before
-	assert.Equal(t, []time.Time{at(0), at(2)}, r.taken)
+	assert.Equal(t, []time.Time{at(0), at(2)}, r.requests)
 	first, late := r.reserve(at(4000)), r.reserve(at(4000))
 	require.NotNil(t, first)
 	require.NotNil(t, late)
@@ -208,11 +208,11 @@
 	assert.NotNil(t, r.reserve(at(5000)))
 	assert.True(t, r.write(nil, at(5000)), "an order that only asks is not rationed")
 	r.count(at(60_000))
-	assert.Len(t, r.taken, 1, "what is over is kept")
+	assert.Len(t, r.requests, 1, "what is over is kept")
 
 	s := newStand()
 	core := testCore(t, s, nil)
-	core.post(func() { (*host)(core).OrderLoad(1, 99, 1); (*host)(core).OrderUnload(1, 99) })
+	core.post(func() { host{core}.OrderLoad(1, 99, 1); host{core}.OrderUnload(1, 99) })
 	assert.Equal(t, int64(1), core.Counters().LoadOrdersWithheld)
 	assert.Empty(t, s.orders)
 }
@@ -349,7 +349,7 @@
 	close(l.goOn)
 	assert.False(t, <-l.begun, "begun for a caller that has left")
 	goOn <- true
-	f := &inFlightAttempt{caller: t.Context(), off: func(error) { t.Error("what has begun was revoked") }}
+	f := &writePermission{caller: t.Context(), cancel: func(error) { t.Error("what has begun was revoked") }}
 	require.True(t, f.begin())
 	f.revoke()
 	assert.False(t, f.begin(), "asked again, for another connection")
--- a/endpoints.go
+++ b/endpoints.go
@@ -7,83 +7,107 @@
 	"time"
 )
 
-// Endpoint is a worker as the list of workers tells it. ID is the same at every dispatcher.
+// Endpoint is the entry of a worker in the endpoint list.
 type Endpoint struct {
-	ID               balancer.WorkerID
-	Addr             string // where it listens; may pass to another worker once this one has gone
-	Zone, Kind, Cell int
-	State            balancer.EndpointState
-	Weight           float64
-	Start            time.Time // zero: long ago
+	ID     balancer.WorkerID // the same at every dispatcher
+	Addr   string            // where the worker listens; may be given to another worker once this one is removed
+	Zone   int
+	Kind   int // of hardware
+	Cell   int
+	State  balancer.EndpointState
+	Weight float64
+	Start  time.Time // of the worker process; zero means long ago
 }
 
-// EndpointUpdate is news of the list of workers.
+// EndpointUpdate is a change of the endpoint list, or a snapshot of it.
 type EndpointUpdate struct {
 	Kind      balancer.EndpointUpdateKind
 	Endpoints []Endpoint
 }
 
-// EndpointWatcher tells of the list of workers until ctx ends. It calls tell in order, from one goroutine.
+// replacesList reports whether the update names every endpoint there is.
+func (u EndpointUpdate) replacesList() bool {
+	return u.Kind == balancer.EndpointsSnapshot || u.Kind == balancer.EndpointsCached
+}
+
+// EndpointWatcher watches the endpoint list.
 type EndpointWatcher interface {
-	Watch(ctx context.Context, tell func(EndpointUpdate)) error
+	// Watch passes each update to handle, in order and from one goroutine, until ctx ends.
+	Watch(ctx context.Context, handle func(EndpointUpdate)) error
 }
 
-// member is a worker on the list, and when it started by the module's clock, as worked out when that was first told: told
-// again, it is the same start, wherever the wall clock has gone meanwhile.
-type member struct {
+// listedEndpoint is an endpoint and the start of its worker in nanoseconds of the process clock.
+// The start is converted once, when it is first received: a repeated entry keeps it even if the
+// wall clock has been stepped in between.
+type listedEndpoint struct {
 	Endpoint
+
 	started int64
 }
 
-// UpdateEndpoints takes news of the workers.
-func (c *Core) UpdateEndpoints(r EndpointUpdate) { c.post(func() { c.roster(r) }) }
+// UpdateEndpoints applies an update of the endpoint list.
+func (c *Core) UpdateEndpoints(update EndpointUpdate) {
+	c.post(func() { c.applyEndpoints(update) })
+}
 
-// roster keeps the members by id and tells the module. Connections to a worker that left or restarted are void.
-func (c *Core) roster(r EndpointUpdate) {
-	es := make([]balancer.Endpoint, 0, len(r.Endpoints))
-	named := make(map[balancer.WorkerID]bool, len(r.Endpoints))
-	for _, m := range r.Endpoints {
-		named[m.ID] = true
-		old, known := c.members[m.ID]
-		start := old.started
-		if !known || !old.Start.Equal(m.Start) {
-			start = monotime.StartTime(m.Start)
-		}
-		if known && (m.State == balancer.Removed || !old.Start.Equal(m.Start) || old.Addr != m.Addr) {
-			c.cfg.Workers.CloseConnections(m.ID)
-			c.revoke(m.ID)
-		}
-		if m.State != balancer.Active {
-			c.revoke(m.ID)
-		}
-		if m.State == balancer.Removed {
-			delete(c.members, m.ID)
-		} else {
-			c.members[m.ID] = member{m, start}
-		}
-		es = append(es, balancer.Endpoint{
-			Worker: m.ID, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, State: m.State,
-			Weight: m.Weight, Start: start,
+// applyEndpoints applies an update to the table of endpoints and passes it to the balancer.
+func (c *Core) applyEndpoints(update EndpointUpdate) {
+	entries := make([]balancer.Endpoint, 0, len(update.Endpoints))
+	for _, endpoint := range update.Endpoints {
+		started := c.applyEndpoint(endpoint)
+		entries = append(entries, balancer.Endpoint{
+			Worker: endpoint.ID,
+			Zone:   endpoint.Zone,
+			Kind:   endpoint.Kind,
+			Cell:   endpoint.Cell,
+			State:  endpoint.State,
+			Weight: endpoint.Weight,
+			Start:  started,
 		})
 	}
-	if r.Kind == balancer.EndpointsSnapshot || r.Kind == balancer.EndpointsCached {
-		for id := range c.members {
-			if !named[id] {
-				delete(c.members, id)
-				c.cfg.Workers.CloseConnections(id)
-				c.revoke(id)
-			}
-		}
+	if update.replacesList() {
+		c.removeUnlisted(update.Endpoints)
 		c.ready.Store(true)
 	}
-	c.d.UpdateEndpoints(c.now(), r.Kind, es)
+	c.state.balancer.UpdateEndpoints(c.now(), update.Kind, entries)
+}
+
+// applyEndpoint applies one entry and returns the start of its worker. Connections to a worker that
+// was removed, has restarted or has moved are closed, and what is on its way to a worker that is
+// not active is revoked.
+func (c *Core) applyEndpoint(endpoint Endpoint) (started int64) {
+	known, listed := c.state.endpoints[endpoint.ID]
+	restarted := !known.Start.Equal(endpoint.Start)
+	started = known.started
+	if !listed || restarted {
+		started = monotime.StartTime(endpoint.Start)
+	}
+	if listed && (restarted || endpoint.State == balancer.Removed || known.Addr != endpoint.Addr) {
+		c.cfg.Workers.CloseConnections(endpoint.ID)
+		c.revokeWorker(endpoint.ID)
+	}
+	if endpoint.State != balancer.Active {
+		c.revokeWorker(endpoint.ID)
+	}
+	if endpoint.State == balancer.Removed {
+		delete(c.state.endpoints, endpoint.ID)
+	} else {
+		c.state.endpoints[endpoint.ID] = listedEndpoint{endpoint, started}
+	}
+	return started
 }
 
-// revoke ends what is on its way to a worker that must get nothing new, as far as nothing of it was written.
-func (c *Core) revoke(w balancer.WorkerID) {
-	for _, f := range c.attempts {
-		if f.worker == w {
-			f.revoke()
+// removeUnlisted removes the endpoints that a snapshot does not name.
+func (c *Core) removeUnlisted(snapshot []Endpoint) {
+	listed := make(map[balancer.WorkerID]bool, len(snapshot))
+	for _, endpoint := range snapshot {
+		listed[endpoint.ID] = true
+	}
+	for id := range c.state.endpoints {
+		if !listed[id] {
+			delete(c.state.endpoints, id)
+			c.cfg.Workers.CloseConnections(id)
+			c.revokeWorker(id)
 		}
 	}
 }
--- a/host.go
+++ b/host.go
@@ -7,84 +7,110 @@
 	"time"
 )
 
-// host carries out the module's actions. Its methods run in the loop, within an event.
-type host Core
+// healthCheckTimeout limits a health check. A worker that does not answer within it counts as not
+// answering.
+const healthCheckTimeout = 250 * time.Millisecond
 
-func (h *host) SendAttempt(id string, w balancer.WorkerID, until int64) {
-	c := (*Core)(h)
-	k := c.requests[id]
-	if k == nil {
+// host carries out the actions of the balancer. Its methods run in the event loop, within the event
+// that causes them.
+type host struct{ core *Core }
+
+var _ balancer.Host = host{}
+
+// SendAttempt sends a request to a worker. An until of zero means the deadline of the request.
+func (h host) SendAttempt(id string, worker balancer.WorkerID, until int64) {
+	request := h.core.state.requests[id]
+	if request == nil {
 		return
 	}
-	m, known := c.members[w]
-	if k.ctx.Err() != nil {
-		c.unsent(k, w, balancer.NotSent)
+	if request.ctx.Err() != nil {
+		h.core.skipAttempt(request, worker, balancer.NotSent)
 		return
 	}
-	if !known || m.State != balancer.Active {
-		c.unsent(k, w, balancer.ConnectFailed)
+	endpoint, listed := h.core.state.endpoints[worker]
+	if !listed || endpoint.State != balancer.Active {
+		h.core.skipAttempt(request, worker, balancer.ConnectFailed)
 		return
 	}
-	end := k.req.Deadline
-	if until > 0 && monotime.Time(until).Before(end) {
-		end = monotime.Time(until)
+	deadline := request.Deadline
+	if until > 0 && monotime.Time(until).Before(deadline) {
+		deadline = monotime.Time(until)
 	}
-	c.send(k, m.Endpoint, end)
+	h.core.startAttempt(request, endpoint.Endpoint, deadline)
 }
 
-func (h *host) CancelAttempt(id string, attempt int) {
-	if f := h.attempts[attemptKey{id, attempt}]; f != nil {
-		f.off(errCalledOff)
+// CancelAttempt cancels an attempt in flight.
+func (h host) CancelAttempt(id string, number int) {
+	if attempt := h.core.state.attempts[attemptKey{id, number}]; attempt != nil {
+		attempt.cancel(errAttemptCancelled)
 	}
 }
 
-func (h *host) Reject(id string, wait int64) {
-	if k := h.requests[id]; k != nil {
-		(*Core)(h).complete(k, Answer{Outcome: Rejected, RetryAfter: time.Duration(max(wait, 0))}, false)
+// Reject rejects a request; wait is its Retry-After in nanoseconds, no advice below 1.
+func (h host) Reject(id string, wait int64) {
+	if request := h.core.state.requests[id]; request != nil {
+		h.core.reject(request, time.Duration(max(wait, 0)))
 	}
 }
 
-func (h *host) Fail(id string) {
-	if k := h.requests[id]; k != nil {
-		a := Answer{Outcome: Failed}
-		if slack := time.Duration(4 * h.cfg.Settings.ClockResolution); time.Until(k.req.Deadline) <= slack {
-			a.Outcome = TimedOut
-		}
-		(*Core)(h).complete(k, a, false)
+// Fail fails a request that may have run.
+func (h host) Fail(id string) {
+	if request := h.core.state.requests[id]; request != nil {
+		h.core.fail(request)
 	}
 }
 
-func (h *host) HealthCheck(w balancer.WorkerID) {
-	c := (*Core)(h)
-	m, known := c.members[w]
-	if !known {
-		c.deferred = append(c.deferred, func() { c.d.HandleHealthCheck(c.now(), w, balancer.ConnectFailed, 0, nil) })
+// OrderLoad orders a worker to hold so many copies of a function.
+func (h host) OrderLoad(worker balancer.WorkerID, function balancer.FuncID, copies int) {
+	h.core.orderLoad(worker, function, copies)
+}
+
+// OrderUnload orders a worker to unload a function.
+func (h host) OrderUnload(worker balancer.WorkerID, function balancer.FuncID) {
+	h.core.orderUnload(worker, function)
+}
+
+// HealthCheck checks a worker in a goroutine of its own, which ends at the latest after
+// healthCheckTimeout or with Close.
+func (h host) HealthCheck(worker balancer.WorkerID) {
+	c := h.core
+	endpoint, listed := c.state.endpoints[worker]
+	if !listed {
+		c.deferEvent(func() { c.state.balancer.HandleHealthCheck(c.now(), worker, balancer.ConnectFailed, 0, nil) })
 		return
 	}
-	sent := time.Now()
+	started := time.Now()
 	go func() {
-		ctx, done := context.WithTimeout(c.ctx, probeTime)
-		defer done()
-		r := c.cfg.Workers.HealthCheck(ctx, m.Endpoint)
-		c.post(func() { c.d.HandleHealthCheck(c.now(), w, r.Result, int64(time.Since(sent)), r.Report) })
+		ctx, cancel := context.WithTimeout(c.ctx, healthCheckTimeout)
+		defer cancel()
+		reply := c.cfg.Workers.HealthCheck(ctx, endpoint.Endpoint)
+		c.post(func() {
+			c.state.balancer.HandleHealthCheck(c.now(), worker, reply.Result, int64(time.Since(started)), reply.Report)
+		})
 	}()
 }
 
-func (h *host) SendPeerMessage(to int, data string) {
-	if h.cfg.Peers != nil {
-		h.cfg.Peers.SendMessage(to, data)
+// SendPeerMessage sends a message to another dispatcher, or to all of them if to is negative.
+func (h host) SendPeerMessage(to int, data string) {
+	if h.core.cfg.Peers != nil {
+		h.core.cfg.Peers.SendMessage(to, data)
 	}
 }
 
-func (h *host) SetTimer(delay, ref int64) {
-	c := (*Core)(h)
-	time.AfterFunc(time.Duration(delay), func() { c.post(func() { c.d.HandleTimer(c.now(), ref) }) })
+// SetTimer has the balancer handle the timer ref after a delay in nanoseconds.
+func (h host) SetTimer(delay, ref int64) {
+	c := h.core
+	time.AfterFunc(time.Duration(delay), func() {
+		c.post(func() { c.state.balancer.HandleTimer(c.now(), ref) })
+	})
 }
 
-// CountTowardLoadQuota has a call count for the ration as the module counts it.
-func (h *host) CountTowardLoadQuota(at int64) { h.ration.count(monotime.Time(at)) }
+// CountTowardLoadQuota counts a request, which arrived at the given time, toward the quota on load
+// orders.
+func (h host) CountTowardLoadQuota(at int64) { h.core.loadLimiter.count(monotime.Time(at)) }
 
-// SubscribeEndpoints has nothing to do: a Membership tells from its start on.
-func (h *host) SubscribeEndpoints() {}
+// SubscribeEndpoints does nothing: the owner of the Core watches the endpoint list from the start.
+func (h host) SubscribeEndpoints() {}
 
-func (h *host) Log(text string) { h.cfg.Log.Info(text) }
+// Log logs a line of the balancer.
+func (h host) Log(text string) { h.core.cfg.Log.Info(text) }
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -205,7 +205,7 @@
 		{"../daemon", "clientSpare", "16", of.clientSpare, 16},
 		{"../daemon", "memoryPart", "0.7", of.memoryPart, 0.7},
 		{"../daemon", "collectAt", "150", of.collectAt, 150},
-		{"../..", "eventsWait", "1024", of.eventsWait, 1024},
+		{"../..", "eventQueueSize", "1024", of.eventsWait, 1024},
 		{"../../balancer", "tellShare", "0.005", of.tellShare, 0.005},
 		{"../../balancer", "tellFloor", "0.002", of.tellFloor, 0.002},
 		{"../../balancer", "purseMax", "10.0", of.purseMax, 10},
--- a/loadorder.go
+++ b/loadorder.go
@@ -6,79 +6,136 @@
 	"time"
 )
 
-type calledKey struct {
-	key string
-	at  time.Time
+const (
+	// defaultLoadOrderTimeout is the timeout of a load order if the settings name none.
+	defaultLoadOrderTimeout = 10 * time.Second
+	// unloadTimeout limits an unload order, whose result nobody waits for.
+	unloadTimeout = 2 * healthCheckTimeout
+	// recentFunctionTTL is how long a function may be named by load orders after its last request.
+	recentFunctionTTL = time.Minute
+)
+
+// recentFunctions are the functions requested within recentFunctionTTL. Load orders name only
+// these, by the key that the latest request carried.
+type recentFunctions struct {
+	entries   map[balancer.FuncID]recentFunction
+	lastSweep time.Time
+}
+
+// recentFunction is the key and the time of the latest request for a function.
+type recentFunction struct {
+	key       string
+	requested time.Time
 }
 
-// sweep keeps the table of called functions bounded.
-func (c *Core) sweep(now time.Time) {
-	if now.Sub(c.lastSweep) < calledFor/10 {
+// add records a request for a function, and removes expired entries from time to time.
+func (r *recentFunctions) add(function balancer.FuncID, key string, now time.Time) {
+	r.entries[function] = recentFunction{key, now}
+	if now.Sub(r.lastSweep) < recentFunctionTTL/10 {
 		return
 	}
-	c.lastSweep = now
-	for f, k := range c.called {
-		if now.Sub(k.at) > calledFor {
-			delete(c.called, f)
+	r.lastSweep = now
+	for id, entry := range r.entries {
+		if now.Sub(entry.requested) > recentFunctionTTL {
+			delete(r.entries, id)
 		}
 	}
 }
 
-func (h *host) OrderLoad(w balancer.WorkerID, f balancer.FuncID, n int) {
-	c := (*Core)(h)
-	m, known := c.members[w]
-	name, asked := c.called[f]
-	var reserved *loadOrder // nil: the order asks only
-	may := known && asked
-	if may = may && (n == 0 || m.State == balancer.Active); may && n > 0 {
-		reserved = c.ration.reserve(time.Now())
-		may = reserved != nil
-	}
-	if !may {
-		c.n.LoadOrdersWithheld++
-		c.deferred = append(c.deferred, func() { c.d.HandleLoadResult(c.now(), w, f, 0, balancer.QueueFull) })
+// inFlightLoad is a load order that Workers.Load has not returned from.
+type inFlightLoad struct {
+	writePermission
+
+	order       LoadOrder
+	reservation *loadReservation // nil for an order of zero copies
+	started     time.Time
+}
+
+// orderLoad sends a load order, unless its worker or function is not known, its worker accepts no
+// orders, or the quota is exhausted. To the balancer, a withheld order ends like one that the
+// worker rejects.
+func (c *Core) orderLoad(worker balancer.WorkerID, function balancer.FuncID, copies int) {
+	endpoint, listed := c.state.endpoints[worker]
+	recent, requested := c.state.functions.entries[function]
+	if !listed || !requested || copies != 0 && endpoint.State != balancer.Active {
+		c.withholdLoad(worker, function)
 		return
 	}
-	c.n.LoadOrders++
-	given, limit := time.Now(), time.Duration(c.cfg.Settings.LoadOrderTimeout)
-	if limit <= 0 {
-		limit = 10 * time.Second
+	var reservation *loadReservation
+	if copies > 0 {
+		if reservation = c.loadLimiter.reserve(time.Now()); reservation == nil {
+			c.withholdLoad(worker, function)
+			return
+		}
 	}
-	c.orders++
-	key := attemptKey{n: c.orders}
-	ctx, off := context.WithCancelCause(c.ctx)
-	way := &inFlightAttempt{worker: w, caller: c.ctx, off: off}
-	c.attempts[key] = way
+	order := LoadOrder{Worker: endpoint.Endpoint, Func: function, Key: recent.key, Count: copies}
+	c.startLoad(&inFlightLoad{order: order, reservation: reservation})
+}
+
+// withholdLoad ends a load order that is not sent.
+func (c *Core) withholdLoad(worker balancer.WorkerID, function balancer.FuncID) {
+	c.state.counters.LoadOrdersWithheld++
+	c.deferEvent(func() { c.state.balancer.HandleLoadResult(c.now(), worker, function, 0, balancer.QueueFull) })
+}
+
+// startLoad sends a load order in a goroutine of its own, which ends with Workers.Load: at the
+// latest when its context is cancelled, by the timeout or Close. Its result returns as one event.
+func (c *Core) startLoad(load *inFlightLoad) {
+	ctx, cancel := context.WithCancelCause(c.ctx)
+	load.caller, load.cancel = c.ctx, cancel
+	load.order.BeforeWrite = func() bool {
+		return c.loadLimiter.write(load.reservation, time.Now()) && load.begin()
+	}
+	load.started = time.Now()
+	c.state.loads[load] = struct{}{}
+	c.state.counters.LoadOrders++
 	go func() {
-		ctx, done := context.WithTimeout(ctx, limit)
-		r := c.cfg.Workers.Load(ctx, LoadOrder{Worker: m.Endpoint, Func: f, Key: name.key, Count: n, BeforeWrite: func() bool {
-			return c.ration.write(reserved, time.Now()) && way.begin()
-		}})
-		if r.Result == balancer.NotSent || r.Result == balancer.ConnectFailed { // nothing of it was written
-			c.ration.release(reserved)
-		}
-		done()
-		off(nil)
-		c.post(func() {
-			delete(c.attempts, key)
-			if c.cfg.Observed != nil && r.Result != balancer.Timeout { // a load may take longer than we wait
-				c.cfg.Observed(Observation{Kind: ObservedOrder, Worker: w, Result: r.Result})
-			}
-			c.cfg.Log.Debug("order ended", "worker", uint32(w), "fn", uint64(f), "copies", r.Copies, "result", r.Result.String(),
-				"ms", time.Since(given).Milliseconds())
-			c.d.HandleLoadResult(c.now(), w, f, r.Copies, r.Result)
-		})
+		reply := c.sendLoad(ctx, load)
+		cancel(nil)
+		c.post(func() { c.finishLoad(load, reply) })
 	}()
 }
 
-func (h *host) OrderUnload(w balancer.WorkerID, f balancer.FuncID) {
-	c := (*Core)(h)
-	m, known := c.members[w]
-	if name, asked := c.called[f]; known && asked {
-		go func() {
-			ctx, done := context.WithTimeout(c.ctx, probeTime*2)
-			defer done()
-			c.cfg.Workers.Unload(ctx, LoadOrder{Worker: m.Endpoint, Func: f, Key: name.key})
-		}()
+// sendLoad sends a load order and waits for its result. A reservation of which nothing was written
+// is released.
+func (c *Core) sendLoad(ctx context.Context, load *inFlightLoad) Reply {
+	timeout := time.Duration(c.cfg.Settings.LoadOrderTimeout)
+	if timeout <= 0 {
+		timeout = defaultLoadOrderTimeout
+	}
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	reply := c.cfg.Workers.Load(ctx, load.order)
+	if reply.Result == balancer.NotSent || reply.Result == balancer.ConnectFailed {
+		c.loadLimiter.release(load.reservation)
+	}
+	return reply
+}
+
+// finishLoad handles the end of a load order.
+func (c *Core) finishLoad(load *inFlightLoad, reply Reply) {
+	delete(c.state.loads, load)
+	worker, function := load.order.Worker.ID, load.order.Func
+	// A timeout says nothing of the worker: a load may take longer than the core waits.
+	if c.cfg.Observed != nil && reply.Result != balancer.Timeout {
+		c.cfg.Observed(Observation{Kind: ObservedOrder, Worker: worker, Result: reply.Result})
 	}
+	c.cfg.Log.Debug("order ended", "worker", uint32(worker), "fn", uint64(function), "copies", reply.Copies,
+		"result", reply.Result.String(), "ms", time.Since(load.started).Milliseconds())
+	c.state.balancer.HandleLoadResult(c.now(), worker, function, reply.Copies, reply.Result)
+}
+
+// orderUnload sends an unload order in a goroutine of its own, which ends at the latest after
+// unloadTimeout or with Close. Its result is not used.
+func (c *Core) orderUnload(worker balancer.WorkerID, function balancer.FuncID) {
+	endpoint, listed := c.state.endpoints[worker]
+	recent, requested := c.state.functions.entries[function]
+	if !listed || !requested {
+		return
+	}
+	go func() {
+		ctx, cancel := context.WithTimeout(c.ctx, unloadTimeout)
+		defer cancel()
+		c.cfg.Workers.Unload(ctx, LoadOrder{Worker: endpoint.Endpoint, Func: function, Key: recent.key})
+	}()
 }
--- a/loadorderlimiter.go
+++ b/loadorderlimiter.go
@@ -1,85 +1,104 @@
 package oakthread
 
 import (
+	"oakthread/balancer"
 	"oakthread/rules"
 	"slices"
 	"sync"
 	"time"
 )
 
-// loadOrderLimiter is the second look at the rule on orders to load, when an order is given and again when its first byte leaves: a
-// connection may come up late, and by then other calls and orders lie in the window. The module says which calls count
-// as taken, so that both looks have one number. Both carry a margin for the way to the worker.
+// loadQuotaMargin is the time that a load order may spend on its way to the worker. Both ends of
+// the window of the quota are moved by it to the strict side.
+const loadQuotaMargin = 300 * time.Millisecond
+
+// loadOrderLimiter enforces the quota on load orders, rules.MayOrderLoad, when an order is given
+// and again when its first byte is written: a connection may be established late, and by then other
+// requests and orders are in the window. The balancer decides which requests count toward the
+// quota. It is safe for concurrent use.
 type loadOrderLimiter struct {
-	window time.Duration
-	rule   rules.LoadQuota
+	window time.Duration // zero disables the limit
+	quota  rules.LoadQuota
 
-	mu      sync.Mutex
-	taken   []time.Time // in order
-	ordered []*loadOrder
+	mu       sync.Mutex
+	requests []time.Time // that count toward the quota, in ascending order
+	orders   []*loadReservation
 }
 
-// loadOrder is an order in the ration: reserved at a time, and moved to that of its first byte.
-type loadOrder struct{ at time.Time }
+// loadReservation is the place of one load order in the window: at first at the time of the
+// reservation, later at that of its first byte.
+type loadReservation struct{ at time.Time }
+
+// newLoadOrderLimiter returns the limiter for the quota of the settings.
+func newLoadOrderLimiter(settings balancer.Settings) loadOrderLimiter {
+	return loadOrderLimiter{
+		window: time.Duration(settings.LoadQuotaWindow),
+		quota:  rules.LoadQuota{Base: settings.LoadQuotaBase, Ratio: settings.LoadQuotaRatio},
+	}
+}
 
-// count takes a call that came at a time.
-func (r *loadOrderLimiter) count(at time.Time) {
-	if r.window <= 0 {
+// count adds a request that arrived at the given time. Times need not ascend.
+func (l *loadOrderLimiter) count(at time.Time) {
+	if l.window <= 0 {
 		return
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.taken = slices.DeleteFunc(r.taken, func(t time.Time) bool { return t.Before(at.Add(-2 * r.window)) })
-	place, _ := slices.BinarySearchFunc(r.taken, at, time.Time.Compare)
-	r.taken = slices.Insert(r.taken, place, at)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	expired := at.Add(-2 * l.window)
+	l.requests = slices.DeleteFunc(l.requests, func(other time.Time) bool { return other.Before(expired) })
+	index, _ := slices.BinarySearchFunc(l.requests, at, time.Time.Compare)
+	l.requests = slices.Insert(l.requests, index, at)
 }
 
-// reserve asks for an order; nil: the ration is spent.
-func (r *loadOrderLimiter) reserve(now time.Time) *loadOrder {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if !r.allows(now, nil) {
+// reserve takes a place for one order, or returns nil if the quota is exhausted.
+func (l *loadOrderLimiter) reserve(now time.Time) *loadReservation {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if !l.allows(now, nil) {
 		return nil
 	}
-	o := &loadOrder{now}
-	r.ordered = append(r.ordered, o)
-	return o
+	reservation := &loadReservation{now}
+	l.orders = append(l.orders, reservation)
+	return reservation
 }
 
-// write asks for an order's first byte; false: it must not be written now. o nil: it asks only.
-func (r *loadOrderLimiter) write(o *loadOrder, now time.Time) bool {
-	if o == nil {
+// write reports whether the first byte of an order may be written now, and if so moves its
+// reservation to now. A nil reservation is that of an order which asks for no further copies; it is
+// always allowed.
+func (l *loadOrderLimiter) write(reservation *loadReservation, now time.Time) bool {
+	if reservation == nil {
 		return true
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if !r.allows(now, o) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if !l.allows(now, reservation) {
 		return false
 	}
-	o.at = now
+	reservation.at = now
 	return true
 }
 
-// release takes back an order of which nothing was written.
-func (r *loadOrderLimiter) release(o *loadOrder) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.ordered = slices.DeleteFunc(r.ordered, func(x *loadOrder) bool { return x == o })
+// release gives back the reservation of an order of which nothing was written.
+func (l *loadOrderLimiter) release(reservation *loadReservation) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.orders = slices.DeleteFunc(l.orders, func(other *loadReservation) bool { return other == reservation })
 }
 
-// allows tells whether one order beside all but own may leave now; the caller holds mu.
-func (r *loadOrderLimiter) allows(now time.Time, own *loadOrder) bool {
-	if r.window <= 0 {
+// allows reports whether the quota has room at now for one order besides all reservations except
+// own. It forgets what has left the window. The caller holds mu.
+func (l *loadOrderLimiter) allows(now time.Time, own *loadReservation) bool {
+	if l.window <= 0 {
 		return true
 	}
-	takenFrom, orderedFrom := now.Add(rationMargin-r.window), now.Add(-rationMargin-r.window)
-	r.taken = slices.DeleteFunc(r.taken, func(at time.Time) bool { return at.Before(takenFrom) })
-	others := 0
-	r.ordered = slices.DeleteFunc(r.ordered, func(o *loadOrder) bool { return o != own && o.at.Before(orderedFrom) })
-	for _, o := range r.ordered {
-		if o != own {
-			others++
-		}
+	requestsSince, ordersSince := now.Add(loadQuotaMargin-l.window), now.Add(-loadQuotaMargin-l.window)
+	l.requests = slices.DeleteFunc(l.requests, func(at time.Time) bool { return at.Before(requestsSince) })
+	l.orders = slices.DeleteFunc(l.orders, func(other *loadReservation) bool {
+		return other != own && other.at.Before(ordersSince)
+	})
+	others := len(l.orders)
+	if slices.Contains(l.orders, own) {
+		others--
 	}
-	return rules.MayOrderLoad(r.rule, len(r.taken), others).OK()
+	return rules.MayOrderLoad(l.quota, len(l.requests), others).OK()
 }
--- a/oakthread.go
+++ b/oakthread.go
@@ -1,9 +1,11 @@
-// Package oakthread dispatches calls of functions to workers that hold them loaded. It is the core of the
-// oakthread daemon and can be embedded in any Go program: Do takes a Request and returns its one final Answer.
+// Package oakthread dispatches function calls to the workers that hold the functions loaded. It is
+// the core of the oakthread daemon and can be embedded in any Go program: Core.Do takes a Request
+// and returns its one final Answer.
 //
-// This file owns the vocabulary of the core: requests, attempts, orders, outcomes, and the interfaces behind
-// which workers, the list of workers and other dispatchers stand. It must never name a wire, a header or a
-// status code: the fronts and the carriers of attempts do that.
+// The package knows no wire protocol. Servers turn incoming calls into a Request and an Answer into
+// a response; a Workers implementation carries attempts to workers; an EndpointWatcher supplies the
+// list of workers; Peers carries messages between dispatchers. Package balancer makes the
+// decisions.
 package oakthread
 
 import (
@@ -12,60 +14,69 @@
 	"time"
 )
 
-// Request is one call. ID, Key, IdempotencyKey and Body are handed on as they are.
+// Errors that Core.Do returns besides that of its context.
+var (
+	// ErrClosed means that the Core is closed, or was closed before the request had its answer.
+	ErrClosed = errors.New("oakthread: dispatcher is closed")
+	// ErrDuplicate means that a request of the same ID is in flight.
+	ErrDuplicate = errors.New("oakthread: a request of this id is in hand")
+	// ErrInvalid means that the request has no ID, no deadline or an unknown class.
+	ErrInvalid = errors.New("oakthread: request cannot be used")
+)
+
+// Request is one call of a function. ID, Key, IdempotencyKey and Body are passed to the worker
+// unchanged.
 type Request struct {
-	ID          string // new with every try
-	Class       int    // place in the settings' classes
-	Tenant      int    // place in the settings' tenants; -1: none
-	Func        balancer.FuncID
-	Key         string // the function as the caller wrote it
-	Body        []byte
-	Deadline    time.Time // the caller stops waiting then
-	MemoryMB    float64   // of one loaded copy
-	Concurrency int       // calls that a copy runs at a time
-	LoadTime    time.Duration
-	Retry       bool // the caller says that it asked before
-	// IdempotencyKey is the same for all tries of one call; workers that are given it drop repeats. Handed on as it is.
+	ID     string // differs between the calls that a client makes, also if one repeats another
+	Class  int    // index in Settings.Classes
+	Tenant int    // index in Settings.TenantQuota; -1 if none
+	Func   balancer.FuncID
+	Key    string // the function as the client wrote it
+	Body   []byte
+	// Deadline is when the client stops waiting.
+	Deadline    time.Time
+	MemoryMB    float64       // of one loaded copy of the function
+	Concurrency int           // requests that a copy runs at a time
+	LoadTime    time.Duration // expected time to load a copy
+	Retry       bool          // the client says that it repeats an earlier call
+	// IdempotencyKey is the same for all repeats of one call. Workers that support it drop repeats.
 	IdempotencyKey string
-	// Left, where set, tells whether the caller has left, as far as its connection shows; it is asked right before the first
-	// byte of each attempt, from any goroutine, and must return at once. A context that has ended says so as well.
+	// CallerGone reports whether the client has left, as far as its connection shows; nil if only
+	// the context of the request shows it. It is called right before the first byte of each
+	// attempt, from any goroutine, and must not block.
 	CallerGone func() bool
-	Ref        string // what the caller knows the request by; for observers alone
+	// Ref is the name of the request at its source. It is passed to Config.Completed only.
+	Ref string
 }
 
 // Outcome is how a request ended.
 type Outcome int
 
+// Outcomes of a request.
 const (
-	Served   Outcome = iota // Answer.Body is what a worker gave for this request
-	Rejected                // it had no effect; asking again is harmless
-	Failed                  // it may have had its effect
-	TimedOut                // failed because its time ran out; it may have had its effect
+	Served   Outcome = iota // Answer.Body is the response of a worker to this request
+	Rejected                // the request had no effect; the client may repeat it
+	Failed                  // the request may have had an effect
+	TimedOut                // the deadline came; the request may have had an effect
 )
 
+// String returns the outcome as log lines name it.
 func (o Outcome) String() string {
 	return [...]string{"served", "refused", "failed", "timed out"}[o]
 }
 
-// Answer is the one final answer to a request.
+// Answer is the final answer to a request.
 type Answer struct {
 	Outcome    Outcome
 	Body       []byte
-	RetryAfter time.Duration // of a refusal: when to come back; 0: no advice
+	RetryAfter time.Duration // if rejected: when the client may repeat the request; zero gives no advice
 }
 
-// Completion tells an observer of a request that is over. Abandoned: the caller left before the answer.
+// Completion describes a request that has ended, for Config.Completed.
 type Completion struct {
 	Request   Request
 	Answer    Answer
-	Abandoned bool
+	Abandoned bool // the caller left before the answer
 	At        time.Time
 	Attempts  int
 }
-
-// Errors of Do: the request was not taken, or its caller left.
-var (
-	ErrClosed    = errors.New("oakthread: dispatcher is closed")
-	ErrDuplicate = errors.New("oakthread: a request of this id is in hand")
-	ErrInvalid   = errors.New("oakthread: request cannot be used")
-)
--- a/request.go
+++ b/request.go
@@ -9,152 +9,196 @@
 	"time"
 )
 
-type call struct {
-	ran    int // attempts that may have run, of which nothing proves that they did not
-	req    Request
-	ctx    context.Context // its end says that the caller has left
-	tries  int
-	answer chan result
+// answerGrace is the time past its deadline after which the core ends a request that the balancer
+// left unanswered.
+const answerGrace = 20 * time.Millisecond
+
+// pendingRequest is a request without a final answer. Do owns it until admit; from then on the
+// event loop does.
+type pendingRequest struct {
+	Request
+
+	ctx        context.Context // ends when the caller leaves
+	attempts   int             // attempts so far
+	executions int             // attempts that may have run
+	answer     chan result     // receives the one final answer; has room for it
 }
 
+// result is what Do returns.
 type result struct {
 	Answer
+
 	err error
 }
 
-// Do takes a request and returns its final answer. If ctx ends before, the request is given up. An error says
-// that there is no answer: the request was not taken, the caller left, or the Core was closed.
+// Do dispatches a request and returns its final answer. If ctx ends first, the request is abandoned
+// and the error is that of ctx. Other errors are ErrInvalid, ErrDuplicate and ErrClosed; the
+// request was not accepted or its answer is unknown.
 func (c *Core) Do(ctx context.Context, q Request) (Answer, error) {
-	if q.ID == "" || q.Class < 0 || int64(q.Class) >= c.classes.Load() || q.Deadline.IsZero() {
+	if !c.isValid(&q) {
 		return Answer{}, ErrInvalid
 	}
 	q.Deadline = time.Now().Add(time.Until(q.Deadline)) // by the monotonic clock from here on
-	k := &call{req: q, ctx: ctx, answer: make(chan result, 1)}
-	if !c.post(func() { c.admit(k) }) {
+	request := &pendingRequest{Request: q, ctx: ctx, answer: make(chan result, 1)}
+	if !c.post(func() { c.admit(request) }) {
 		return Answer{}, ErrClosed
 	}
-	late := time.NewTimer(time.Until(q.Deadline) + overdue)
-	defer late.Stop()
+	overdue := time.NewTimer(time.Until(q.Deadline) + answerGrace)
+	defer overdue.Stop()
 	for {
 		select {
-		case r := <-k.answer:
-			return r.Answer, r.err
-		case <-late.C:
-			c.post(func() { c.expire(k) })
+		case result := <-request.answer:
+			return result.Answer, result.err
+		case <-overdue.C:
+			c.post(func() { c.expire(request) })
 		case <-ctx.Done():
-			c.post(func() { c.abandon(k) })
+			c.post(func() { c.abandon(request) })
 			return Answer{}, ctx.Err()
 		case <-c.stopped:
-			select {
-			case r := <-k.answer:
-				return r.Answer, r.err
-			default:
-				return Answer{}, ErrClosed
-			}
+			return request.answerAfterClose()
 		}
 	}
 }
 
-// admit is the first stage in the loop: it takes a request in hand, or turns it away for want of room.
-func (c *Core) admit(k *call) {
-	if k.ctx.Err() != nil {
-		return // its caller has left, and nothing was done for it
+// isValid reports whether a request has an id, a deadline and a known class.
+func (c *Core) isValid(q *Request) bool {
+	return q.ID != "" && q.Class >= 0 && int64(q.Class) < c.classCount.Load() && !q.Deadline.IsZero()
+}
+
+// answerAfterClose returns the answer that the request got before the event loop stopped, or
+// ErrClosed.
+func (p *pendingRequest) answerAfterClose() (Answer, error) {
+	select {
+	case result := <-p.answer:
+		return result.Answer, result.err
+	default:
+		return Answer{}, ErrClosed
 	}
-	if c.requests[k.req.ID] != nil {
-		k.answer <- result{err: ErrDuplicate}
+}
+
+// admit accepts a request into the table of requests, or rejects it because of the limit or
+// Config.Admit.
+func (c *Core) admit(request *pendingRequest) {
+	if request.ctx.Err() != nil {
+		return // the caller has left before anything was done
+	}
+	if c.state.requests[request.ID] != nil {
+		request.answer <- result{err: ErrDuplicate}
 		return
 	}
-	c.n.Accepted++
+	c.state.counters.Accepted++
 	now := time.Now()
-	if len(c.requests) >= c.cfg.MaxInFlight {
-		c.n.RejectedByLimit++
-		c.requests[k.req.ID] = k
-		c.complete(k, Answer{Outcome: Rejected, RetryAfter: time.Duration(c.cfg.Settings.MaxRetryAfter)}, false)
+	full := len(c.state.requests) >= c.cfg.MaxInFlight
+	c.state.requests[request.ID] = request
+	if full {
+		c.state.counters.RejectedByLimit++
+		c.reject(request, time.Duration(c.cfg.Settings.MaxRetryAfter))
 		return
 	}
-	c.requests[k.req.ID] = k
 	if c.cfg.Admit != nil {
-		if wait, ok := c.cfg.Admit(&k.req); !ok {
-			c.n.RejectedByAdmission++
-			c.complete(k, Answer{Outcome: Rejected, RetryAfter: wait}, false)
+		if wait, ok := c.cfg.Admit(&request.Request); !ok {
+			c.state.counters.RejectedByAdmission++
+			c.reject(request, wait)
 			return
 		}
 	}
-	c.called[k.req.Func] = calledKey{k.req.Key, now}
-	c.sweep(now)
-	c.route(k)
+	c.state.functions.add(request.Func, request.Key, now)
+	c.dispatch(request)
 }
 
-// route asks the module, which answers by calls of the host below: a send, a refusal, or nothing yet.
-func (c *Core) route(k *call) {
-	q := &k.req
-	c.d.HandleRequest(c.now(), balancer.Request{
-		ID: q.ID, Class: q.Class, Tenant: q.Tenant, Func: q.Func,
-		Deadline: monotime.Nanos(q.Deadline), MemoryMB: q.MemoryMB, Concurrency: q.Concurrency, LoadTime: int64(q.LoadTime),
-		Retry: q.Retry,
+// dispatch passes a request to the balancer, which answers through balancer.Host: with an attempt,
+// a rejection, or nothing yet.
+func (c *Core) dispatch(request *pendingRequest) {
+	c.state.balancer.HandleRequest(c.now(), balancer.Request{
+		ID:          request.ID,
+		Class:       request.Class,
+		Tenant:      request.Tenant,
+		Func:        request.Func,
+		Deadline:    monotime.Nanos(request.Deadline),
+		MemoryMB:    request.MemoryMB,
+		Concurrency: request.Concurrency,
+		LoadTime:    int64(request.LoadTime),
+		Retry:       request.Retry,
 	})
 }
 
-// runsOnce tells whether a call must not run twice. Classes that a reload has added are not known here.
-func (c *Core) runsOnce(k *call) bool {
-	classes := c.cfg.Settings.Classes
-	return k.req.Class < len(classes) && classes[k.req.Class].Idempotency == balancer.NotIdempotent
+// reject completes a request as rejected. A retryAfter of zero gives no advice.
+func (c *Core) reject(request *pendingRequest, retryAfter time.Duration) {
+	c.complete(request, Answer{Outcome: Rejected, RetryAfter: retryAfter})
 }
 
-func (c *Core) violated(rule violation.Rule, path violation.Path, id, detail string) {
-	if c.cfg.Violated != nil {
-		c.cfg.Violated(string(rule), string(path), id, detail)
+// fail completes a request that may have run: as timed out if its deadline has come, to the
+// resolution of the clock.
+func (c *Core) fail(request *pendingRequest) {
+	outcome := Failed
+	slack := time.Duration(4 * c.cfg.Settings.ClockResolution)
+	if time.Until(request.Deadline) <= slack {
+		outcome = TimedOut
+	}
+	c.complete(request, Answer{Outcome: outcome})
+}
+
+// abandon ends a request whose caller has left.
+func (c *Core) abandon(request *pendingRequest) {
+	if c.state.requests[request.ID] != request {
+		return
 	}
+	c.finish(request, Completion{Answer: Answer{Outcome: Failed}, Abandoned: true})
+	c.state.balancer.HandleClientGone(c.now(), request.ID)
 }
 
-// complete gives the final answer and tells the observer. No request is booked twice: it leaves the table here.
-func (c *Core) complete(k *call, a Answer, abandoned bool) {
-	if c.requests[k.req.ID] != k {
+// expire ends a request that the balancer has left without an answer past its deadline.
+func (c *Core) expire(request *pendingRequest) {
+	if c.state.requests[request.ID] != request {
 		return
 	}
-	delete(c.requests, k.req.ID)
-	if a.Outcome == Rejected && !abandoned && k.ran > 0 && c.runsOnce(k) {
-		c.violated(violation.Refusal, violation.PathBook, k.req.ID, "refused after an attempt that may have run")
+	c.cfg.Log.Error("answer overdue, ended by the core", "id", request.ID)
+	c.complete(request, Answer{Outcome: TimedOut})
+	c.state.balancer.HandleClientGone(c.now(), request.ID)
+}
+
+// complete gives a request its final answer, unless it already has one.
+func (c *Core) complete(request *pendingRequest, answer Answer) {
+	if c.state.requests[request.ID] == request {
+		c.finish(request, Completion{Answer: answer})
 	}
-	for n := range k.tries {
-		if f := c.attempts[attemptKey{k.req.ID, n}]; f != nil {
-			f.revoke()
+}
+
+// finish removes a request from the table, which makes its answer the only one, and reports the
+// completion.
+func (c *Core) finish(request *pendingRequest, completion Completion) {
+	delete(c.state.requests, request.ID)
+	outcome := completion.Answer.Outcome
+	if outcome == Rejected && request.executions > 0 && c.cfg.isNonIdempotent(request.Class) {
+		c.reportViolation(violation.Refusal, violation.PathBook, request.ID, "refused after an attempt that may have run")
+	}
+	for number := range request.attempts {
+		if attempt := c.state.attempts[attemptKey{request.ID, number}]; attempt != nil {
+			attempt.revoke()
 		}
 	}
-	switch {
-	case abandoned:
-		c.n.Abandoned++
-	case a.Outcome == Served:
-		c.n.Served++
-	case a.Outcome == Rejected:
-		c.n.Rejected++
-	case a.Outcome == Failed:
-		c.n.Failed++
-	case a.Outcome == TimedOut:
-		c.n.TimedOut++
-	}
-	k.answer <- result{Answer: a}
-	if c.cfg.Log.Enabled(c.ctx, slog.LevelDebug) {
-		c.cfg.Log.Debug("settled", "id", k.req.ID, "fn", uint64(k.req.Func), "class", k.req.Class, "outcome", a.Outcome.String(),
-			"abandoned", abandoned, "attempts", k.tries, "left_ms", time.Until(k.req.Deadline).Milliseconds())
-	}
+	c.state.counters.countCompletion(outcome, completion.Abandoned)
+	request.answer <- result{Answer: completion.Answer}
+	c.logCompletion(request, completion)
 	if c.cfg.Completed != nil {
-		c.cfg.Completed(Completion{Request: k.req, Answer: a, Abandoned: abandoned, At: time.Now(), Attempts: k.tries})
+		completion.Request, completion.Attempts, completion.At = request.Request, request.attempts, time.Now()
+		c.cfg.Completed(completion)
 	}
 }
 
-// abandon ends a request whose caller left; expire one that the module left without an answer.
-func (c *Core) abandon(k *call) {
-	if c.requests[k.req.ID] == k {
-		c.complete(k, Answer{Outcome: Failed}, true)
-		c.d.HandleClientGone(c.now(), k.req.ID)
+// logCompletion logs the end of a request at level debug.
+func (c *Core) logCompletion(request *pendingRequest, completion Completion) {
+	if !c.cfg.Log.Enabled(c.ctx, slog.LevelDebug) {
+		return
 	}
+	c.cfg.Log.Debug("settled", "id", request.ID, "fn", uint64(request.Func), "class", request.Class,
+		"outcome", completion.Answer.Outcome.String(), "abandoned", completion.Abandoned,
+		"attempts", request.attempts, "left_ms", time.Until(request.Deadline).Milliseconds())
 }
 
-func (c *Core) expire(k *call) {
-	if c.requests[k.req.ID] == k {
-		c.cfg.Log.Error("answer overdue, ended by the core", "id", k.req.ID)
-		c.complete(k, Answer{Outcome: TimedOut}, false)
-		c.d.HandleClientGone(c.now(), k.req.ID)
+// reportViolation passes a broken invariant to Config.Violated.
+func (c *Core) reportViolation(rule violation.Rule, path violation.Path, requestID, detail string) {
+	if c.cfg.Violated != nil {
+		c.cfg.Violated(string(rule), string(path), requestID, detail)
 	}
 }
