--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -46,8 +46,10 @@
 		assert.Contains(t, said.Text(), "configuration reloaded")
 	}
 	assert.Len(t, keys, 1)
-	for _, broken := range []string{"", `{"listen":"127.0.0.1:1","channel":"127.0.0.1:9"}`,
-		`{"listen":"127.0.0.1:1","channel":"127.0.0.1:2","settings":{"categories":[{"name":"a","aim_ns":0}]}}`} {
+	for _, broken := range []string{
+		"", `{"listen":"127.0.0.1:1","channel":"127.0.0.1:9"}`,
+		`{"listen":"127.0.0.1:1","channel":"127.0.0.1:2","settings":{"categories":[{"name":"a","aim_ns":0}]}}`,
+	} {
 		require.NoError(t, os.WriteFile(path, []byte(broken), 0o600)) // turned down and counted
 		hup <- syscall.SIGHUP
 		require.True(t, said.Scan())
