--- a/webhook/front_test.go
+++ b/webhook/front_test.go
@@ -24,7 +24,7 @@
 	"oakthread/spiffe"
 )
 
-// authority is a trust domain that signs SVIDs into files.
+// authority is a trust domain that writes the SVIDs that it signs to files.
 type authority struct {
 	dir  string
 	cert *x509.Certificate
@@ -53,8 +53,10 @@
 	require.NoError(t, err)
 	raw, err := x509.MarshalPKCS8PrivateKey(key)
 	require.NoError(t, err)
-	require.NoError(t, os.WriteFile(a.path(name+".pem"), pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), 0o600))
-	require.NoError(t, os.WriteFile(a.path(name+".key"), pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: raw}), 0o600))
+	certPEM := pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})
+	keyPEM := pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: raw})
+	require.NoError(t, os.WriteFile(a.path(name+".pem"), certPEM, 0o600))
+	require.NoError(t, os.WriteFile(a.path(name+".key"), keyPEM, 0o600))
 	cert, err := x509.ParseCertificate(der)
 	require.NoError(t, err)
 	return cert, key
@@ -69,9 +71,9 @@
 	return f
 }
 
-// Guards identities over real sockets: an operator's key works only for that operator's SPIFFE ID, a stranger gets no
-// connection, and the daemon's own SVID may be renewed while it serves.
-func TestIdentities(t *testing.T) {
+// Over real sockets an operator's key is valid only under that operator's SPIFFE ID, an unknown
+// identity gets no connection, and the dispatcher's own SVID can be renewed while it serves.
+func TestOperatorIdentityIsEnforced(t *testing.T) {
 	const root = "spiffe://trentvale.example/"
 	ca := newAuthority(t)
 	ca.issue(t, "daemon", root+"oakthread", false)
@@ -82,9 +84,9 @@
 		{Name: "a", Tenant: tenants[0], KeysFile: keys, SPIFFEID: root + "a"},
 		{Name: "b", Tenant: tenants[1], KeysFile: ca.path("keys-b"), SPIFFEID: root + "b"}}}
 	o.SPIFFE.SVID, o.SPIFFE.Key, o.SPIFFE.Bundle = ca.path("daemon.pem"), ca.path("daemon.key"), ca.path("ca.pem")
-	require.NoError(t, o.fill())
-	core := &booker{ran: map[string]int{}, answer: echo}
-	f, err := Open(o, core, classes, tenants, nil, quiet)
+	require.NoError(t, o.applyDefaults())
+	core := newFakeCore()
+	f, err := Open(o, core, classes, tenants, nil, discardLog)
 	require.NoError(t, err)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -94,12 +96,14 @@
 
 	daemon := spiffeid.RequireFromString(root + "oakthread")
 	send := func(src spiffe.Source, key, id string) (int, error) {
-		body := want("path-book", fn, "x")
-		req, err := http.NewRequest("POST", "https://"+ln.Addr().String()+"/webhooks", bytes.NewReader(body))
+		body := requestBody("path-book", testFunction, "x")
+		req, err := http.NewRequest(http.MethodPost, "https://"+ln.Addr().String()+"/webhooks", bytes.NewReader(body))
 		require.NoError(t, err)
 		req.Header = signed(t, key, id, time.Now(), body)
-		c := &http.Client{Transport: &http.Transport{TLSClientConfig: spiffe.ClientTLS(src, daemon), DisableKeepAlives: true}}
-		resp, err := c.Do(req)
+		client := &http.Client{
+			Transport: &http.Transport{TLSClientConfig: spiffe.ClientTLS(src, daemon), DisableKeepAlives: true},
+		}
+		resp, err := client.Do(req)
 		if err != nil {
 			return 0, err
 		}
@@ -119,16 +123,16 @@
 	require.Error(t, err, "the right name, by another authority")
 
 	ca.issue(t, "daemon", root+"oakthread", false)
-	require.NoError(t, f.files.Reload())
+	require.NoError(t, f.svidFiles.Reload())
 	code, err = send(a, secret(1), "m5")
 	require.NoError(t, err)
 	assert.Equal(t, 200, code)
 	require.NoError(t, os.WriteFile(ca.path("daemon.pem"), []byte("half written"), 0o600))
-	require.Error(t, f.files.Reload())
+	require.Error(t, f.svidFiles.Reload())
 	code, err = send(a, secret(1), "m6")
 	require.NoError(t, err)
 	assert.Equal(t, 200, code, "the old identity stays")
-	assert.Equal(t, map[string]int{"m1": 1, "m5": 1, "m6": 1}, core.ran)
+	assert.Equal(t, map[string]int{"m1": 1, "m5": 1, "m6": 1}, core.runs)
 	stop()
 	require.NoError(t, <-done)
 }
