--- a/endpoints/actions.go
+++ b/endpoints/actions.go
@@ -23,11 +23,11 @@
 
 // TakeActions returns what is to be done since the last call.
 func (l *List) TakeActions() Actions {
-	a := l.out
-	l.out = Actions{}
+	a := l.pending
+	l.pending = Actions{}
 	return a
 }
 
 func (l *List) log(format string, args ...any) {
-	l.out.Log = append(l.out.Log, fmt.Sprintf(format, args...))
+	l.pending.Log = append(l.pending.Log, fmt.Sprintf(format, args...))
 }
--- a/endpoints/config.go
+++ b/endpoints/config.go
@@ -16,5 +16,5 @@
 }
 
 const (
-	defaultProbeRate = 300 // probes a second that all dispatchers together send to one box
+	defaultHealthCheckRate = 300 // probes a second that all dispatchers together send to one box
 )
--- a/endpoints/dialer_test.go
+++ b/endpoints/dialer_test.go
@@ -16,7 +16,7 @@
 		d.Failed()
 		a, w := d.Next()
 		seen[a] = true
-		assert.LessOrEqual(t, w, dialFirst)
+		assert.LessOrEqual(t, w, minDialBackoff)
 	}
 	assert.Len(t, seen, 3, "in turn")
 	most := time.Duration(0)
@@ -25,13 +25,13 @@
 		_, w := d.Next()
 		most = max(most, w)
 	}
-	assert.LessOrEqual(t, most, dialMost)
-	assert.Greater(t, most, dialMost/2)
+	assert.LessOrEqual(t, most, maxDialBackoff)
+	assert.Greater(t, most, maxDialBackoff/2)
 	at, _ := d.Next()
 	d.Good()
 	again, wait := d.Next()
 	assert.Equal(t, at, again)
 	assert.Zero(t, wait)
 	_, wait = NewDialer(nil, 0).Next()
-	assert.Equal(t, dialMost, wait)
+	assert.Equal(t, maxDialBackoff, wait)
 }
--- a/endpoints/history.go
+++ b/endpoints/history.go
@@ -13,11 +13,11 @@
 const (
 	// The prior: half a departure in half a day of watching one box. It halves the trust of an entry that nothing is
 	// known of in a day and a half.
-	priorLeaves  = 0.5
-	priorWatched = 12 * time.Hour
+	priorDepartures   = 0.5
+	priorObservedTime = 12 * time.Hour
 	// Beyond so much watching, older history counts less: fleets change their ways.
-	mostWatched = 60 * 24 * time.Hour
-	mostEvents  = 512
+	maxObservedTime = 60 * 24 * time.Hour
+	maxEvents       = 512
 	// An entry of unknown age, as where the clock went back, counts as this old.
 	unknownAge = 30 * 24 * time.Hour
 )
@@ -48,21 +48,21 @@
 	Events          []Event       // the last ones, oldest first
 }
 
-// watch adds time for which n boxes were known to run.
-func (h *History) watch(n int, d time.Duration) {
+// addObservedTime adds time for which n boxes were known to run.
+func (h *History) addObservedTime(n int, d time.Duration) {
 	if d <= 0 || n <= 0 {
 		return
 	}
-	h.Watched += time.Duration(n) * min(d, mostWatched)
-	if h.Watched > mostWatched {
-		f := float64(mostWatched) / float64(h.Watched)
-		h.Watched = mostWatched
+	h.Watched += time.Duration(n) * min(d, maxObservedTime)
+	if h.Watched > maxObservedTime {
+		f := float64(maxObservedTime) / float64(h.Watched)
+		h.Watched = maxObservedTime
 		h.Leaves *= f
 		h.Returns *= f
 	}
 }
 
-func (h *History) add(now time.Time, w balancer.WorkerID, what What) {
+func (h *History) recordEvent(now time.Time, w balancer.WorkerID, what What) {
 	switch what {
 	case Left:
 		h.Leaves++
@@ -70,14 +70,14 @@
 		h.Returns++
 	}
 	h.Events = append(h.Events, Event{now, w, what})
-	if over := len(h.Events) - mostEvents; over > 0 {
+	if over := len(h.Events) - maxEvents; over > 0 {
 		h.Events = append(h.Events[:0:0], h.Events[over:]...)
 	}
 }
 
 // FailureRate is the expected number of departures of one box in an hour.
 func (h *History) FailureRate() float64 {
-	return (priorLeaves + h.Leaves) / (priorWatched + h.Watched).Hours()
+	return (priorDepartures + h.Leaves) / (priorObservedTime + h.Watched).Hours()
 }
 
 // Survival is the chance that a box known to run is still there after age. Departures are taken as a Poisson process
@@ -91,6 +91,6 @@
 	if age <= 0 {
 		return 1
 	}
-	b := float64(priorWatched + h.Watched)
-	return math.Exp(-(priorLeaves + h.Leaves) * math.Log1p(float64(age)/b))
+	b := float64(priorObservedTime + h.Watched)
+	return math.Exp(-(priorDepartures + h.Leaves) * math.Log1p(float64(age)/b))
 }
--- a/endpoints/list.go
+++ b/endpoints/list.go
@@ -14,45 +14,45 @@
 
 type entry struct {
 	Endpoint
-	proof   Verification
-	belief  float64   // trust when the last evidence came
-	at      time.Time // of the last evidence; zero: unknown
-	unknown bool      // its age is not known
-	probeAt time.Time
-	probing bool
-	wait    time.Duration
-	drainAt time.Time // its own word
-	base    float64   // calls a second that it answered us before the start
-	proofs  int       // in the ramp: how often it proved itself, less the setbacks
-	proofAt time.Time
-	set     bool      // it had a setback
-	askAt   time.Time // of the last probe
-	asked   bool      // a probe of it has ended
-	first   bool      // it is among those asked first
-	answers float64   // decaying over paceSpan
-	ansAt   time.Time
-	since   time.Time // of the first answer counted
-	listed  bool      // the module knows it
-	shown   Endpoint
+	verification    Verification
+	confidence      float64   // trust when the last evidence came
+	evidenceAt      time.Time // of the last evidence; zero: unknown
+	ageUnknown      bool      // its age is not known
+	checkDue        time.Time
+	checkInFlight   bool
+	checkBackoff    time.Duration
+	drainReportedAt time.Time // its own word
+	formerRate      float64   // calls a second that it answered us before the start
+	successes       int       // in the ramp: how often it proved itself, less the setbacks
+	successAt       time.Time
+	hadSetback      bool      // it had a setback
+	lastCheckAt     time.Time // of the last probe
+	checkCompleted  bool      // a probe of it has ended
+	initialCheck    bool      // it is among those asked first
+	responses       float64   // decaying over paceSpan
+	responseAt      time.Time
+	firstResponseAt time.Time // of the first answer counted
+	isPublished     bool      // the module knows it
+	published       Endpoint
 }
 
 // List is the list of boxes. Use New; its methods are called from one goroutine at a time.
 type List struct {
-	cfg       Config
-	rng       *rand.Rand
-	boxes     map[balancer.WorkerID]*entry
-	order     []*entry // by id
-	history   History
-	epoch     string
-	cursor    int64
-	confirmed time.Time
-	live      bool // discovery's word is current
-	began     bool // a list was published
-	out       Actions
-	probing   int
-	savedAt   time.Time
-	gate      gate
-	mourned   bool
+	config              Config
+	rng                 *rand.Rand
+	entries             map[balancer.WorkerID]*entry
+	sorted              []*entry // by id
+	history             History
+	epoch               string
+	cursor              int64
+	confirmedAt         time.Time
+	live                bool // discovery's word is current
+	hasPublished        bool // a list was published
+	pending             Actions
+	checksInFlight      int
+	confirmationSavedAt time.Time
+	slowStart           slowStart
+	reportedExhausted   bool
 }
 
 // New makes an empty List.
@@ -62,23 +62,23 @@
 		cfg.MaxWait = time.Second
 	}
 	if cfg.ProbeRate <= 0 {
-		cfg.ProbeRate = defaultProbeRate
+		cfg.ProbeRate = defaultHealthCheckRate
 	}
 	if cfg.Budget <= 0 {
-		cfg.Budget = defaultBudget
+		cfg.Budget = defaultInitialLoadFraction
 	}
-	return &List{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0x726f7374)), boxes: map[balancer.WorkerID]*entry{}}
+	return &List{config: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0x726f7374)), entries: map[balancer.WorkerID]*entry{}}
 }
 
-func (l *List) add(b Endpoint) *entry {
-	e := &entry{Endpoint: b, belief: 1}
-	l.boxes[b.ID] = e
-	i, _ := slices.BinarySearchFunc(l.order, e, byID)
-	l.order = slices.Insert(l.order, i, e)
+func (l *List) insert(b Endpoint) *entry {
+	e := &entry{Endpoint: b, confidence: 1}
+	l.entries[b.ID] = e
+	i, _ := slices.BinarySearchFunc(l.sorted, e, compareByID)
+	l.sorted = slices.Insert(l.sorted, i, e)
 	return e
 }
 
-func byID(a, b *entry) int {
+func compareByID(a, b *entry) int {
 	switch {
 	case a.ID < b.ID:
 		return -1
@@ -92,10 +92,10 @@
 func (l *List) Live() bool        { return l.live }
 func (l *List) Cursor() int64     { return l.cursor }
 func (l *List) Epoch() string     { return l.epoch }
-func (l *List) InSlowStart() bool { return l.gate.on }
+func (l *List) InSlowStart() bool { return l.slowStart.active }
 func (l *List) Usable() (n int) {
-	for _, e := range l.order {
-		if l.usable(e) && e.proof != Draining && e.State == balancer.Active {
+	for _, e := range l.sorted {
+		if l.isUsable(e) && e.verification != Draining && e.State == balancer.Active {
 			n++
 		}
 	}
--- a/endpoints/observe_test.go
+++ b/endpoints/observe_test.go
@@ -67,7 +67,7 @@
 	})
 	require.Equal(t, []int{1}, v.on())
 	from := t0.Add(2 * time.Second)
-	probes(l, v, from, 2*probeMost, always(Answered))
+	probes(l, v, from, 2*maxCheckBackoff, always(Answered))
 	require.Equal(t, []int{1, 2}, v.on())
 	assert.False(t, v[2].Start.Before(from), "as if it had just started")
 }
--- a/endpoints/property_test.go
+++ b/endpoints/property_test.go
@@ -54,9 +54,9 @@
 				l.Observe(now, id, Observation(rapid.IntRange(0, 6).Draw(t, "sign")))
 			case 5:
 				s := Observation(rapid.IntRange(0, 6).Draw(t, "probe"))
-				if l.Probed(now, id, s); s == Drains && l.boxes[id] != nil {
+				if l.Probed(now, id, s); s == Drains && l.entries[id] != nil {
 					banned[id] = now
-				} else if e := l.boxes[id]; (s == Answered || s == Slow) && e != nil && e.State == balancer.Active {
+				} else if e := l.entries[id]; (s == Answered || s == Slow) && e != nil && e.State == balancer.Active {
 					delete(banned, id) // it takes work again, or another box stands there
 				}
 			case 6:
@@ -69,7 +69,7 @@
 			}
 			v.take(l)
 			for id, at := range banned {
-				if b, there := v[id]; there && b.State == balancer.Active && now.Sub(at) < ownWord {
+				if b, there := v[id]; there && b.State == balancer.Active && now.Sub(at) < drainReportTTL {
 					t.Fatalf("box %d is given as on %v after it was told to drain or be gone", id, now.Sub(at))
 				}
 			}
--- a/endpoints/publish.go
+++ b/endpoints/publish.go
@@ -4,59 +4,59 @@
 	"oakthread/balancer"
 )
 
-// usable tells whether the module may be given a box. A box that never answered in this life gets probes alone: a
+// isUsable tells whether the module may be given a box. A box that never answered in this life gets probes alone: a
 // booking sent to a silent address would be lost.
-func (l *List) usable(e *entry) bool {
-	switch e.proof {
+func (l *List) isUsable(e *entry) bool {
+	switch e.verification {
 	case Reported, Verified:
 		return true
 	case Suspect:
-		return e.listed
+		return e.isPublished
 	case Draining:
-		return e.listed || l.live
+		return e.isPublished || l.live
 	}
 	return false
 }
 
-// publish tells the module what has changed in its view of the list, publishOne of one box.
-func (l *List) publish() {
-	for _, e := range l.order {
-		l.publishOne(e)
+// publishAll tells the module what has changed in its view of the list, publishOne of one box.
+func (l *List) publishAll() {
+	for _, e := range l.sorted {
+		l.publishChange(e)
 	}
 }
 
-func (l *List) publishOne(e *entry) {
-	if !l.usable(e) {
-		if e.listed {
-			off := e.shown
+func (l *List) publishChange(e *entry) {
+	if !l.isUsable(e) {
+		if e.isPublished {
+			off := e.published
 			off.State = balancer.Removed
-			l.put(off)
-			e.listed = false
+			l.appendPublication(off)
+			e.isPublished = false
 		}
 		return
 	}
 	b := e.Endpoint
-	if e.proof == Draining {
+	if e.verification == Draining {
 		b.State = balancer.Draining
 	}
-	b.Weight *= l.gate.weight(e)
-	if s := e.shown; !e.listed || s.Addr != b.Addr || s.State != b.State || s.Weight != b.Weight || !s.Start.Equal(b.Start) ||
+	b.Weight *= l.slowStart.weightFactor(e)
+	if s := e.published; !e.isPublished || s.Addr != b.Addr || s.State != b.State || s.Weight != b.Weight || !s.Start.Equal(b.Start) ||
 		s.Zone != b.Zone || s.Kind != b.Kind || s.Cell != b.Cell {
-		l.put(b)
-		e.listed, e.shown = true, b
+		l.appendPublication(b)
+		e.isPublished, e.published = true, b
 	}
 }
 
-// show puts an entry's state out at once, as where it has gone.
-func (l *List) show(e *entry) {
-	l.put(e.Endpoint)
-	e.listed = false
+// publishRemoval puts an entry's state out at once, as where it has gone.
+func (l *List) publishRemoval(e *entry) {
+	l.appendPublication(e.Endpoint)
+	e.isPublished = false
 }
 
-// put adds a box to the change that is being made. The first list of all is a whole one.
-func (l *List) put(b Endpoint) {
-	if n := len(l.out.Publish); n > 0 {
-		p := &l.out.Publish[n-1]
+// appendPublication adds a box to the change that is being made. The first list of all is a whole one.
+func (l *List) appendPublication(b Endpoint) {
+	if n := len(l.pending.Publish); n > 0 {
+		p := &l.pending.Publish[n-1]
 		for i := range p.Endpoints {
 			if p.Endpoints[i].ID == b.ID {
 				p.Endpoints[i] = b
@@ -67,12 +67,12 @@
 		return
 	}
 	kind := balancer.EndpointsDelta
-	if !l.began {
+	if !l.hasPublished {
 		kind = balancer.EndpointsCached
 		if l.live {
 			kind = balancer.EndpointsSnapshot
 		}
 	}
-	l.out.Publish = append(l.out.Publish, Publication{Kind: kind, Endpoints: []Endpoint{b}})
-	l.began = true
+	l.pending.Publish = append(l.pending.Publish, Publication{Kind: kind, Endpoints: []Endpoint{b}})
+	l.hasPublished = true
 }
--- a/endpoints/restore_test.go
+++ b/endpoints/restore_test.go
@@ -24,7 +24,7 @@
 	})
 	assert.Equal(t, []int{1}, v.on())
 	assert.Zero(t, asked[3], "discovery's word on a drain needs no proof")
-	assert.Less(t, l.Confidence(t0.Add(time.Second), 2), leaveOut)
+	assert.Less(t, l.Confidence(t0.Add(time.Second), 2), exclusionThreshold)
 	assert.Equal(t, 1, l.Usable())
 }
 
@@ -74,7 +74,7 @@
 				l.Probed(now, b.ID, Answered)
 			}
 		}
-		assert.LessOrEqual(t, out, probesOut)
+		assert.LessOrEqual(t, out, maxConcurrentChecks)
 	}
 	most := 0
 	for _, by := range perBox {
@@ -82,7 +82,7 @@
 			most = max(most, k)
 		}
 	}
-	assert.LessOrEqual(t, most, 3*defaultProbeRate/10, "at one box in a tenth of a second, from %d dispatchers", n)
+	assert.LessOrEqual(t, most, 3*defaultHealthCheckRate/10, "at one box in a tenth of a second, from %d dispatchers", n)
 }
 
 // Guards against a made-up age: a list from the future is of unknown age.
--- a/endpoints/slowstart.go
+++ b/endpoints/slowstart.go
@@ -12,118 +12,118 @@
 const (
 	// A box that starts has a fifth of its capacity at the least and falls at three times what it can do: 0.6 of what it
 	// did before. The margin is for chance and for boxes that were not fully used.
-	defaultBudget = 0.36
-	rampProofs    = 4                      // each proof doubles a box's budget; after so many it needs none
-	proofGap      = 100 * time.Millisecond // between proofs of one box that count: what the last let through shows by then
-	burstTime     = 60 * time.Millisecond  // of unused budget is saved up
-	calmTime      = 3 * time.Second        // after the ramp, for which calls that were held off may not come in one wave
-	calmRate      = 1.5                    // times the former load that passes meanwhile
-	lookAgain     = 2 * time.Millisecond
-	backPart      = 0.3 // of the former load at which those held off are told to come back
+	defaultInitialLoadFraction = 0.36
+	fullLoadSuccesses          = 4                      // each proof doubles a box's budget; after so many it needs none
+	minSuccessInterval         = 100 * time.Millisecond // between proofs of one box that count: what the last let through shows by then
+	burstWindow                = 60 * time.Millisecond  // of unused budget is saved up
+	recoveryWindow             = 3 * time.Second        // after the ramp, for which calls that were held off may not come in one wave
+	recoveryLoadFactor         = 1.5                    // times the former load that passes meanwhile
+	rateUpdateInterval         = 2 * time.Millisecond
+	retryLoadFraction          = 0.3 // of the former load at which those held off are told to come back
 )
 
-// gate holds the budget. Each dispatcher draws on its own part: what the boxes answered this one before. The parts add up
+// slowStart holds the budget. Each dispatcher draws on its own part: what the boxes answered this one before. The parts add up
 // over any number of dispatchers that restart together, without a word between them.
-type gate struct {
-	on       bool
-	ended    time.Time
-	tokens   float64
-	at       time.Time
-	promised time.Time // the last slot told to a call that was turned away
-	looked   time.Time
-	rate     float64   // calls a second that may pass
-	former   float64   // calls a second before, at all boxes
-	calm     time.Time // the ramp is over, and this the end of the calm after it
+type slowStart struct {
+	active        bool
+	endedAt       time.Time
+	tokens        float64
+	refilledAt    time.Time
+	lastRetrySlot time.Time // the last slot told to a call that was turned away
+	rateUpdatedAt time.Time
+	admissionRate float64   // calls a second that may pass
+	formerRate    float64   // calls a second before, at all boxes
+	recoveryEnd   time.Time // the ramp is over, and this the end of the calm after it
 }
 
-func (g *gate) start(l *List, now time.Time) {
-	for _, e := range l.order {
-		g.former += e.base
+func (g *slowStart) start(l *List, now time.Time) {
+	for _, e := range l.sorted {
+		g.formerRate += e.formerRate
 	}
-	if g.former <= 0 {
+	if g.formerRate <= 0 {
 		return // nothing is known of what boxes bore: the decision module's own limits must do
 	}
-	g.on, g.at = true, now
+	g.active, g.refilledAt = true, now
 	g.tokens = l.rng.Float64() // not all of a fleet's first calls in one moment
 }
 
-func (g *gate) stop() {
-	if g.on {
-		g.on, g.ended = false, g.at
+func (g *slowStart) stop() {
+	if g.active {
+		g.active, g.endedAt = false, g.refilledAt
 	}
 }
 
-// proof lets a box get more; false: it has proved itself in full, or it was too early to count.
-func (g *gate) proof(now time.Time, e *entry) {
-	if g.on && e.proofs < rampProofs && now.Sub(e.proofAt) >= proofGap {
-		e.proofs++
-		e.proofAt = now
+// recordSuccess lets a box get more; false: it has proved itself in full, or it was too early to count.
+func (g *slowStart) recordSuccess(now time.Time, e *entry) {
+	if g.active && e.successes < fullLoadSuccesses && now.Sub(e.successAt) >= minSuccessInterval {
+		e.successes++
+		e.successAt = now
 	}
 }
 
-// setback halves the budget of a box that failed, answers late or is full.
-func (g *gate) setback(now time.Time, e *entry) {
-	if g.on && e.proofs > 0 {
-		e.proofs = max(1, e.proofs-1)
-		e.proofAt, e.set = now, true
+// recordSetback halves the budget of a box that failed, answers late or is full.
+func (g *slowStart) recordSetback(now time.Time, e *entry) {
+	if g.active && e.successes > 0 {
+		e.successes = max(1, e.successes-1)
+		e.successAt, e.hadSetback = now, true
 	}
 }
 
-// weight is the part of its weight that a box counts with: less than all only after a setback, until it has proved
+// weightFactor is the part of its weight that a box counts with: less than all only after a setback, until it has proved
 // itself again, so that the module has it light.
-func (g *gate) weight(e *entry) float64 {
-	if !g.on || !e.set || e.proofs >= rampProofs {
+func (g *slowStart) weightFactor(e *entry) float64 {
+	if !g.active || !e.hadSetback || e.successes >= fullLoadSuccesses {
 		return 1
 	}
-	return float64(e.proofs) / rampProofs
+	return float64(e.successes) / fullLoadSuccesses
 }
 
-// look sums up what may pass. What the boxes asked so far make of the load of as many boxes before holds for all: a
+// updateRate sums up what may pass. What the boxes asked so far make of the load of as many boxes before holds for all: a
 // dispatcher needs no more boxes than bear its load, and others draw other ones.
-func (g *gate) look(l *List, now time.Time) {
-	g.looked = now
+func (g *slowStart) updateRate(l *List, now time.Time) {
+	g.rateUpdatedAt = now
 	asked, sum, proven, open, left := 0.0, 0.0, 0, 0, 0
-	for _, e := range l.order {
-		if !e.asked {
+	for _, e := range l.sorted {
+		if !e.checkCompleted {
 			left++
 			continue
 		}
 		asked += max(e.Weight, 0.1)
-		if e.proofs > 0 && e.proof != Draining && l.usable(e) {
-			sum += max(e.Weight, 0.1) * math.Ldexp(1, e.proofs-1)
+		if e.successes > 0 && e.verification != Draining && l.isUsable(e) {
+			sum += max(e.Weight, 0.1) * math.Ldexp(1, e.successes-1)
 			open++
-			if e.proofs >= rampProofs {
+			if e.successes >= fullLoadSuccesses {
 				proven++
 			}
 		}
 	}
-	g.rate = l.cfg.Budget * g.former * sum / max(asked, 0.1)
-	if g.calm.IsZero() && open > 0 && (g.rate >= calmRate*g.former || left == 0 && 10*proven >= 9*open) {
-		g.calm = now.Add(calmTime)
+	g.admissionRate = l.config.Budget * g.formerRate * sum / max(asked, 0.1)
+	if g.recoveryEnd.IsZero() && open > 0 && (g.admissionRate >= recoveryLoadFactor*g.formerRate || left == 0 && 10*proven >= 9*open) {
+		g.recoveryEnd = now.Add(recoveryWindow)
 		l.log("the ramp is over: %d boxes have proved themselves, %d are still to be asked", proven, left)
 	}
 }
 
 // Admit tells whether a call may be passed on to the module now; else when to come back. It is asked once for each call.
 func (l *List) Admit(now time.Time) (wait time.Duration, ok bool) {
-	g := &l.gate
-	if !g.on {
+	g := &l.slowStart
+	if !g.active {
 		return 0, true
 	}
-	if now.Sub(g.looked) >= lookAgain {
-		g.look(l, now)
+	if now.Sub(g.rateUpdatedAt) >= rateUpdateInterval {
+		g.updateRate(l, now)
 	}
-	rate := g.rate
-	if !g.calm.IsZero() {
-		if now.After(g.calm) {
+	rate := g.admissionRate
+	if !g.recoveryEnd.IsZero() {
+		if now.After(g.recoveryEnd) {
 			g.stop()
 			return 0, true
 		}
-		rate = calmRate * g.former
+		rate = recoveryLoadFactor * g.formerRate
 	}
-	if now.After(g.at) {
-		g.tokens = min(g.tokens+rate*now.Sub(g.at).Seconds(), max(1, rate*burstTime.Seconds()))
-		g.at = now
+	if now.After(g.refilledAt) {
+		g.tokens = min(g.tokens+rate*now.Sub(g.refilledAt).Seconds(), max(1, rate*burstWindow.Seconds()))
+		g.refilledAt = now
 	}
 	if g.tokens >= 1 {
 		g.tokens--
@@ -131,14 +131,14 @@
 	}
 	// Each one turned away is told a slot of its own after the ramp, virtual scheduling as in the generic cell rate
 	// algorithm (ITU-T I.371): those held off come back spread, beside the usual calls, and not in one wave.
-	if soon := now.Add(2 * max(proofGap, l.spread())); g.promised.Before(soon) {
-		g.promised = soon
+	if soon := now.Add(2 * max(minSuccessInterval, l.checkSpread())); g.lastRetrySlot.Before(soon) {
+		g.lastRetrySlot = soon
 	}
-	g.promised = g.promised.Add(time.Duration(float64(time.Second) / (backPart * g.former)))
-	if most := now.Add(l.cfg.MaxWait); g.promised.After(most) {
-		g.promised = most
+	g.lastRetrySlot = g.lastRetrySlot.Add(time.Duration(float64(time.Second) / (retryLoadFraction * g.formerRate)))
+	if most := now.Add(l.config.MaxWait); g.lastRetrySlot.After(most) {
+		g.lastRetrySlot = most
 	}
-	return g.promised.Sub(now), false
+	return g.lastRetrySlot.Sub(now), false
 }
 
 func decay(d, span time.Duration) float64 {
--- a/endpoints/watch.go
+++ b/endpoints/watch.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	ownWord      = 10 * time.Second // a box's word that it drains stands against discovery's, which is seconds late
-	confirmEvery = 5 * time.Second  // the list's age on disk is at most this much too old
+	drainReportTTL           = 10 * time.Second // a box's word that it drains stands against discovery's, which is seconds late
+	confirmationSaveInterval = 5 * time.Second  // the list's age on disk is at most this much too old
 )
 
 // HandleUpdate takes news of discovery. Its word replaces what was kept; what the box itself said lately of draining stands.
@@ -21,115 +21,115 @@
 	if u.Epoch != "" {
 		l.epoch = u.Epoch
 	}
-	l.watched(now)
-	l.cursor, l.out.Save = u.Cursor, true
-	first := l.history.Watched == 0 && len(l.history.Events) == 0 && len(l.order) == 0
+	l.accountObservedTime(now)
+	l.cursor, l.pending.Save = u.Cursor, true
+	first := l.history.Watched == 0 && len(l.history.Events) == 0 && len(l.sorted) == 0
 	named := make(map[balancer.WorkerID]bool, len(u.Endpoints))
 	for _, b := range u.Endpoints {
 		named[b.ID] = true
-		e := l.boxes[b.ID]
+		e := l.entries[b.ID]
 		if b.State == balancer.Removed {
-			l.gone(now, e)
+			l.remove(now, e)
 			continue
 		}
 		b.UpdatedAt = now
 		if e == nil {
-			e = l.add(b)
+			e = l.insert(b)
 			if !first {
-				l.history.add(now, b.ID, Joined)
+				l.history.recordEvent(now, b.ID, Joined)
 			}
 		} else {
 			if !b.Start.Equal(e.Start) || b.Addr != e.Addr { // it starts anew: nothing it proved holds
-				l.history.add(now, b.ID, Restarted)
-				e.drainAt, e.base, e.answers, e.wait, e.ansAt = time.Time{}, 0, 0, 0, time.Time{}
+				l.history.recordEvent(now, b.ID, Restarted)
+				e.drainReportedAt, e.formerRate, e.responses, e.checkBackoff, e.responseAt = time.Time{}, 0, 0, 0, time.Time{}
 				e.VerifiedAt = time.Time{}
 			} else if b.State == balancer.Active && e.State == balancer.Draining {
-				e.drainAt = time.Time{} // a newer word on this very box
+				e.drainReportedAt = time.Time{} // a newer word on this very box
 			}
 			b.VerifiedAt, b.RequestRate = e.VerifiedAt, e.RequestRate
 			if b.State == balancer.Draining && e.State != balancer.Draining {
-				l.history.add(now, b.ID, Drained)
+				l.history.recordEvent(now, b.ID, Drained)
 			}
 			e.Endpoint = b
 		}
 		if b.State == balancer.Draining {
-			l.out.Urgent = true
+			l.pending.Urgent = true
 		}
-		e.proof, e.belief, e.at, e.unknown = Reported, 1, now, false
+		e.verification, e.confidence, e.evidenceAt, e.ageUnknown = Reported, 1, now, false
 	}
 	if u.Full {
-		for _, e := range slices.Clone(l.order) {
+		for _, e := range slices.Clone(l.sorted) {
 			if !named[e.ID] {
-				l.gone(now, e)
+				l.remove(now, e)
 			}
 		}
-		l.confirm(now, true)
-		l.current(now)
+		l.markConfirmed(now, true)
+		l.markLive(now)
 	} else {
-		l.publish()
+		l.publishAll()
 	}
 }
 
-func (l *List) gone(now time.Time, e *entry) {
+func (l *List) remove(now time.Time, e *entry) {
 	if e == nil {
 		return
 	}
-	l.history.add(now, e.ID, Left)
-	l.out.Urgent, l.out.Save = true, true
-	if e.listed {
+	l.history.recordEvent(now, e.ID, Left)
+	l.pending.Urgent, l.pending.Save = true, true
+	if e.isPublished {
 		e.State = balancer.Removed
-		e.proof = Reported
-		l.show(e)
+		e.verification = Reported
+		l.publishRemoval(e)
 	}
-	delete(l.boxes, e.ID)
-	l.order = slices.DeleteFunc(l.order, func(x *entry) bool { return x == e })
+	delete(l.entries, e.ID)
+	l.sorted = slices.DeleteFunc(l.sorted, func(x *entry) bool { return x == e })
 }
 
-// watched counts the time since discovery last confirmed the list as watched.
-func (l *List) watched(now time.Time) {
-	if !l.confirmed.IsZero() && now.After(l.confirmed) {
-		l.history.watch(len(l.order), now.Sub(l.confirmed))
-		l.confirmed = now
+// accountObservedTime counts the time since discovery last confirmed the list as watched.
+func (l *List) accountObservedTime(now time.Time) {
+	if !l.confirmedAt.IsZero() && now.After(l.confirmedAt) {
+		l.history.addObservedTime(len(l.sorted), now.Sub(l.confirmedAt))
+		l.confirmedAt = now
 	}
 }
 
 // ConfirmCurrent takes discovery's word that nothing has changed after the last news: the whole list is as told.
 func (l *List) ConfirmCurrent(now time.Time) {
-	l.watched(now)
-	l.confirm(now, false)
+	l.accountObservedTime(now)
+	l.markConfirmed(now, false)
 	if !l.live {
-		l.current(now)
+		l.markLive(now)
 	}
 }
 
-func (l *List) confirm(now time.Time, full bool) {
-	l.confirmed = now
-	if full || now.Sub(l.savedAt) >= confirmEvery {
-		l.savedAt, l.out.Save = now, true
+func (l *List) markConfirmed(now time.Time, full bool) {
+	l.confirmedAt = now
+	if full || now.Sub(l.confirmationSavedAt) >= confirmationSaveInterval {
+		l.confirmationSavedAt, l.pending.Save = now, true
 	}
 }
 
-// current ends what a kept list needs: every entry counts as told, the ramp is over.
-func (l *List) current(now time.Time) {
-	if !l.live && l.began {
-		l.log("discovery is back: its word on %d boxes replaces the kept list", len(l.order))
+// markLive ends what a kept list needs: every entry counts as told, the ramp is over.
+func (l *List) markLive(now time.Time) {
+	if !l.live && l.hasPublished {
+		l.log("discovery is back: its word on %d boxes replaces the kept list", len(l.sorted))
 	}
-	l.live, l.mourned = true, false
-	l.gate.stop()
-	for _, e := range l.order {
-		if e.State == balancer.Active && !e.drainAt.IsZero() && now.Sub(e.drainAt) < ownWord {
+	l.live, l.reportedExhausted = true, false
+	l.slowStart.stop()
+	for _, e := range l.sorted {
+		if e.State == balancer.Active && !e.drainReportedAt.IsZero() && now.Sub(e.drainReportedAt) < drainReportTTL {
 			continue
 		}
-		e.proof, e.belief, e.at, e.unknown, e.wait = Reported, 1, now, false, 0
+		e.verification, e.confidence, e.evidenceAt, e.ageUnknown, e.checkBackoff = Reported, 1, now, false, 0
 		if e.State == balancer.Draining {
-			e.proof = Draining
+			e.verification = Draining
 		}
 	}
-	if len(l.order) == 0 && !l.began { // an empty list is one, too
-		l.out.Publish = append(l.out.Publish, Publication{Kind: balancer.EndpointsSnapshot})
+	if len(l.sorted) == 0 && !l.hasPublished { // an empty list is one, too
+		l.pending.Publish = append(l.pending.Publish, Publication{Kind: balancer.EndpointsSnapshot})
 	}
-	l.publish()
-	l.began = true
+	l.publishAll()
+	l.hasPublished = true
 }
 
 // WatchLost takes the end of the connection to discovery. The list stays, and ages.
@@ -138,11 +138,11 @@
 		return
 	}
 	l.live = false
-	for _, e := range l.order {
-		if e.proof == Reported {
-			e.proof, e.belief, e.at = Verified, 1, l.confirmed
+	for _, e := range l.sorted {
+		if e.verification == Reported {
+			e.verification, e.confidence, e.evidenceAt = Verified, 1, l.confirmedAt
 		}
-		e.probeAt = time.Time{}
+		e.checkDue = time.Time{}
 	}
 }
 
@@ -150,5 +150,5 @@
 func (l *List) ResetWatch(now time.Time) {
 	l.log("discovery started over: its list is read in full")
 	l.WatchLost(now)
-	l.epoch, l.cursor, l.out.Save = "", 0, true
+	l.epoch, l.cursor, l.pending.Save = "", 0, true
 }
--- a/endpoints/watch_test.go
+++ b/endpoints/watch_test.go
@@ -19,7 +19,7 @@
 	l.ConfirmCurrent(now.Add(100 * time.Millisecond))
 	v.take(l)
 	assert.Equal(t, []int{1}, v.on())
-	asked := probes(l, v, now.Add(time.Second), 2*ownWord, always(Answered))
+	asked := probes(l, v, now.Add(time.Second), 2*drainReportTTL, always(Answered))
 	assert.NotZero(t, asked[2], "asked again when its word has run out")
 	assert.Equal(t, []int{1, 2}, v.on())
 }
--- a/internal/endpointcache/keeper.go
+++ b/internal/endpointcache/keeper.go
@@ -20,11 +20,11 @@
 )
 
 const (
-	probeTime  = 250 * time.Millisecond
-	urgentTime = 30 * time.Millisecond // a drain or an end is on disk within 100 ms of being told
-	calmTime   = time.Second           // all else
-	openAgain  = 30 * time.Second
-	crowded    = 0.9 // share of its cores at work: a box that reports more proves no room
+	healthCheckTimeout = 250 * time.Millisecond
+	urgentSaveDelay    = 30 * time.Millisecond // a drain or an end is on disk within 100 ms of being told
+	saveDelay          = time.Second           // all else
+	reopenInterval     = 30 * time.Second
+	maxUtilization     = 0.9 // share of its cores at work: a box that reports more proves no room
 )
 
 // HealthChecker asks a worker for its load.
@@ -43,35 +43,35 @@
 
 // Syncer has a list follow the world. Make one with NewKeeper, then call Run.
 type Syncer struct {
-	o     Options
-	boxes HealthChecker
-	tell  func(oakthread.EndpointUpdate)
-	log   *slog.Logger
+	options Options
+	checker HealthChecker
+	publish func(oakthread.EndpointUpdate)
+	log     *slog.Logger
 
-	mu   sync.Mutex
-	list *endpoints.List
-	acts endpoints.Actions
+	mu      sync.Mutex
+	list    *endpoints.List
+	pending endpoints.Actions
 
-	kick   chan struct{}
+	wake   chan struct{}
 	probed chan struct{} // to have the loop look again
-	save   chan saving
+	saves  chan saveRequest
 	store  *Store
 	begun  time.Time
 
 	failedWrites atomic.Int64
 }
 
-type saving struct {
-	kept   endpoints.Snapshot
-	urgent bool
-	at     time.Time
+type saveRequest struct {
+	snapshot    endpoints.Snapshot
+	urgent      bool
+	requestedAt time.Time
 }
 
 // NewKeeper opens the file and starts the list from it. It tells one line for whatever is wrong with the file, and goes
 // on with what is sound or without. tell hands news to the core, in order, from one goroutine.
 func NewKeeper(o Options, boxes HealthChecker, tell func(oakthread.EndpointUpdate), now time.Time, log *slog.Logger) *Syncer {
-	k := &Syncer{o: o, boxes: boxes, tell: tell, log: log, list: endpoints.New(o.Roster), kick: make(chan struct{}, 1),
-		save: make(chan saving, 1), begun: now}
+	k := &Syncer{options: o, checker: boxes, publish: tell, log: log, list: endpoints.New(o.Roster), wake: make(chan struct{}, 1),
+		saves: make(chan saveRequest, 1), begun: now}
 	if o.Path == "" {
 		return k
 	}
@@ -88,7 +88,7 @@
 	}
 	if !found.None {
 		k.list.Restore(now, found.Kept)
-		k.acts = k.list.TakeActions()
+		k.pending = k.list.TakeActions()
 	}
 	return k
 }
@@ -99,9 +99,9 @@
 		return
 	}
 	for _, r := range rs {
-		k.list.HandleUpdate(now, update(r, "", cursor))
+		k.list.HandleUpdate(now, toUpdate(r, "", cursor))
 	}
-	k.gather()
+	k.collectActions()
 }
 
 // Cursor and Epoch are where discovery is to go on from.
@@ -115,24 +115,24 @@
 	return k.list.Rows(monotime.Now())
 }
 
-// event runs f on the list and has the loop carry out what comes of it. It returns at once.
-func (k *Syncer) event(f func(now time.Time, l *endpoints.List)) {
+// apply runs f on the list and has the loop carry out what comes of it. It returns at once.
+func (k *Syncer) apply(f func(now time.Time, l *endpoints.List)) {
 	k.mu.Lock()
 	f(monotime.Now(), k.list)
-	k.gather()
+	k.collectActions()
 	k.mu.Unlock()
 }
 
-// gather adds the list's new actions to those not yet carried out. Called with mu held, or before Run.
-func (k *Syncer) gather() {
+// collectActions adds the list's new actions to those not yet carried out. Called with mu held, or before Run.
+func (k *Syncer) collectActions() {
 	a := k.list.TakeActions()
-	k.acts.Publish = append(k.acts.Publish, a.Publish...)
-	k.acts.Probe = append(k.acts.Probe, a.Probe...)
-	k.acts.Log = append(k.acts.Log, a.Log...)
-	k.acts.Save, k.acts.Urgent = k.acts.Save || a.Save, k.acts.Urgent || a.Urgent
+	k.pending.Publish = append(k.pending.Publish, a.Publish...)
+	k.pending.Probe = append(k.pending.Probe, a.Probe...)
+	k.pending.Log = append(k.pending.Log, a.Log...)
+	k.pending.Save, k.pending.Urgent = k.pending.Save || a.Save, k.pending.Urgent || a.Urgent
 	if len(a.Publish)+len(a.Probe)+len(a.Log) > 0 || a.Save || a.Urgent {
 		select {
-		case k.kick <- struct{}{}:
+		case k.wake <- struct{}{}:
 		default:
 		}
 	}
@@ -140,19 +140,19 @@
 
 // Told, Current, Lost and StartedOver are what discovery's side tells, from one goroutine.
 func (k *Syncer) Told(r oakthread.EndpointUpdate, epoch string, cursor int64) {
-	k.event(func(now time.Time, l *endpoints.List) { l.HandleUpdate(now, update(r, epoch, cursor)) })
+	k.apply(func(now time.Time, l *endpoints.List) { l.HandleUpdate(now, toUpdate(r, epoch, cursor)) })
 }
 
-func (k *Syncer) Current()     { k.event(func(now time.Time, l *endpoints.List) { l.ConfirmCurrent(now) }) }
-func (k *Syncer) Lost()        { k.event(func(now time.Time, l *endpoints.List) { l.WatchLost(now) }) }
-func (k *Syncer) StartedOver() { k.event(func(now time.Time, l *endpoints.List) { l.ResetWatch(now) }) }
+func (k *Syncer) Current()     { k.apply(func(now time.Time, l *endpoints.List) { l.ConfirmCurrent(now) }) }
+func (k *Syncer) Lost()        { k.apply(func(now time.Time, l *endpoints.List) { l.WatchLost(now) }) }
+func (k *Syncer) StartedOver() { k.apply(func(now time.Time, l *endpoints.List) { l.ResetWatch(now) }) }
 
 // Admit is the core's gate.
 func (k *Syncer) Admit(*oakthread.Request) (time.Duration, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	wait, ok := k.list.Admit(monotime.Now())
-	k.gather()
+	k.collectActions()
 	return wait, ok
 }
 
@@ -162,10 +162,10 @@
 	if !tells {
 		return
 	}
-	if s == endpoints.Answered && o.Kind == oakthread.ObservedAttempt && o.Class < len(k.o.Aims) && o.Warm && o.Duration > k.o.Aims[o.Class]/2 {
+	if s == endpoints.Answered && o.Kind == oakthread.ObservedAttempt && o.Class < len(k.options.Aims) && o.Warm && o.Duration > k.options.Aims[o.Class]/2 {
 		s = endpoints.Slow
 	}
-	k.event(func(now time.Time, l *endpoints.List) { l.Observe(now, o.Worker, s) })
+	k.apply(func(now time.Time, l *endpoints.List) { l.Observe(now, o.Worker, s) })
 }
 
 // Sign reads the end of an attempt, probe or order: what it shows of the box, if anything.
@@ -187,7 +187,7 @@
 	return 0, false // called off or never written: it shows nothing
 }
 
-func update(r oakthread.EndpointUpdate, epoch string, cursor int64) endpoints.Update {
+func toUpdate(r oakthread.EndpointUpdate, epoch string, cursor int64) endpoints.Update {
 	u := endpoints.Update{Full: r.Kind != balancer.EndpointsDelta, Epoch: epoch, Cursor: cursor}
 	for _, m := range r.Endpoints {
 		u.Endpoints = append(u.Endpoints, endpoints.Endpoint{ID: m.ID, Addr: m.Addr, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, State: m.State,
@@ -204,7 +204,7 @@
 // Run carries out what the list orders until ctx ends; then the list is on disk and the file closed.
 func (k *Syncer) Run(ctx context.Context) {
 	written := make(chan struct{})
-	go func() { defer close(written); k.write() }()
+	go func() { defer close(written); k.runWriter() }()
 	t := time.NewTimer(0)
 	defer t.Stop()
 	for {
@@ -212,12 +212,12 @@
 		now := monotime.Now()
 		if at := k.list.NextDeadline(); !at.IsZero() && !at.After(now) {
 			k.list.Tick(now)
-			k.gather()
+			k.collectActions()
 		}
-		a := k.acts
-		k.acts = endpoints.Actions{}
+		a := k.pending
+		k.pending = endpoints.Actions{}
 		if a.Save || a.Urgent {
-			k.hand(saving{k.list.TakeSnapshot(now), a.Urgent, now})
+			k.requestSave(saveRequest{k.list.TakeSnapshot(now), a.Urgent, now})
 		}
 		next := k.list.NextDeadline()
 		k.mu.Unlock()
@@ -226,13 +226,13 @@
 			for _, b := range p.Endpoints {
 				r.Endpoints = append(r.Endpoints, Member(b))
 			}
-			k.tell(r)
+			k.publish(r)
 		}
 		for _, line := range a.Log {
 			k.log.Info(line)
 		}
 		for _, b := range a.Probe {
-			go k.probe(ctx, b)
+			go k.checkHealth(ctx, b)
 		}
 		wait := time.Hour
 		if !next.IsZero() {
@@ -242,32 +242,32 @@
 		select {
 		case <-ctx.Done():
 			k.mu.Lock()
-			k.hand(saving{k.list.TakeSnapshot(monotime.Now()), true, monotime.Now()})
+			k.requestSave(saveRequest{k.list.TakeSnapshot(monotime.Now()), true, monotime.Now()})
 			k.mu.Unlock()
-			close(k.save)
+			close(k.saves)
 			<-written
 			return
-		case <-k.kick:
+		case <-k.wake:
 		case <-t.C:
 		}
 	}
 }
 
-// hand gives the writer the newest list; one that it has not taken yet is replaced.
-func (k *Syncer) hand(s saving) {
+// requestSave gives the writer the newest list; one that it has not taken yet is replaced.
+func (k *Syncer) requestSave(s saveRequest) {
 	select {
-	case old := <-k.save:
+	case old := <-k.saves:
 		s.urgent = s.urgent || old.urgent
-		s.at = old.at
+		s.requestedAt = old.requestedAt
 	default:
 	}
-	k.save <- s
+	k.saves <- s
 }
 
-func (k *Syncer) probe(ctx context.Context, b endpoints.Endpoint) {
-	in, done := context.WithTimeout(ctx, probeTime)
+func (k *Syncer) checkHealth(ctx context.Context, b endpoints.Endpoint) {
+	in, done := context.WithTimeout(ctx, healthCheckTimeout)
 	defer done()
-	r := k.boxes.HealthCheck(in, Member(b))
+	r := k.checker.HealthCheck(in, Member(b))
 	s, tells := Sign(r.Result, r.Draining)
 	if !tells {
 		s = endpoints.Silent
@@ -275,34 +275,34 @@
 			return
 		}
 	}
-	if i := k.o.Util - 1; s == endpoints.Answered && i >= 0 && i < len(r.Report) && r.Report[i] > crowded {
+	if i := k.options.Util - 1; s == endpoints.Answered && i >= 0 && i < len(r.Report) && r.Report[i] > maxUtilization {
 		s = endpoints.Slow
 	}
-	k.event(func(now time.Time, l *endpoints.List) { l.Probed(now, b.ID, s) })
+	k.apply(func(now time.Time, l *endpoints.List) { l.Probed(now, b.ID, s) })
 }
 
-// write is the writer's goroutine: it coalesces what comes and outlives a disk that is full, gone or damaged. A list that
+// runWriter is the writer's goroutine: it coalesces what comes and outlives a disk that is full, gone or damaged. A list that
 // could not be written is tried again until it or a newer one is on disk.
-func (k *Syncer) write() {
-	w := writer{k: k}
+func (k *Syncer) runWriter() {
+	w := writer{syncer: k}
 	retry := time.NewTimer(time.Hour)
 	defer retry.Stop()
 	for {
 		retry.Stop()
-		if w.owed {
+		if w.pending {
 			retry.Reset(w.backoff.Next())
 		}
 		select {
-		case s, open := <-k.save:
+		case s, open := <-k.saves:
 			if !open {
-				w.end()
+				w.close()
 				return
 			}
-			wait := calmTime
+			wait := saveDelay
 			if s.urgent {
-				wait = urgentTime
+				wait = urgentSaveDelay
 			}
-			w.latest = k.collect(s, s.at.Add(wait))
+			w.latest = k.coalesce(s, s.requestedAt.Add(wait))
 		case <-retry.C:
 		}
 		w.write()
@@ -311,78 +311,78 @@
 
 // writer is what the writer's goroutine holds.
 type writer struct {
-	k       *Syncer
-	latest  saving
-	owed    bool // latest is not on disk
-	backoff neterr.Backoff
-	again   time.Time // the file is not opened before
+	syncer   *Syncer
+	latest   saveRequest
+	pending  bool // latest is not on disk
+	backoff  neterr.Backoff
+	reopenAt time.Time // the file is not opened before
 }
 
 // write brings the latest list to disk, opening the file where that is due.
 func (w *writer) write() {
-	k := w.k
-	if k.o.Path == "" {
+	k := w.syncer
+	if k.options.Path == "" {
 		return
 	}
-	if k.store == nil && !monotime.Now().Before(w.again) {
-		w.again = monotime.Now().Add(openAgain)
-		k.store, _, _ = Open(k.o.Path, k.o.Owner)
+	if k.store == nil && !monotime.Now().Before(w.reopenAt) {
+		w.reopenAt = monotime.Now().Add(reopenInterval)
+		k.store, _, _ = Open(k.options.Path, k.options.Owner)
 	}
 	if k.store == nil {
-		w.owed = true
+		w.pending = true
 		return
 	}
-	if err := k.store.Write(w.latest.kept); err != nil {
-		w.failed(err)
+	if err := k.store.Write(w.latest.snapshot); err != nil {
+		w.recordFailure(err)
 		if errors.Is(err, ErrDamaged) {
 			_ = k.store.Close()
-			k.store, w.again = nil, time.Time{}
+			k.store, w.reopenAt = nil, time.Time{}
 		}
 		return
 	}
-	if w.owed {
-		k.log.Info("kept list written again", "path", k.o.Path)
+	if w.pending {
+		k.log.Info("kept list written again", "path", k.options.Path)
 	}
-	w.owed = false
+	w.pending = false
 	w.backoff.Reset()
 }
 
-func (w *writer) failed(err error) {
-	w.k.failedWrites.Add(1)
-	if !w.owed {
-		w.k.log.Error("kept list not written, the file stays as it was; trying again", "err", err)
+func (w *writer) recordFailure(err error) {
+	w.syncer.failedWrites.Add(1)
+	if !w.pending {
+		w.syncer.log.Error("kept list not written, the file stays as it was; trying again", "err", err)
 	}
-	w.owed = true
+	w.pending = true
 }
 
-// end tries a last time and closes the file.
-func (w *writer) end() {
-	if w.owed {
+// close tries a last time and closes the file.
+func (w *writer) close() {
+	if w.pending {
 		w.write()
 	}
-	if w.k.store == nil {
+	if w.syncer.store == nil {
 		return
 	}
-	if err := w.k.store.Close(); err != nil {
-		w.k.log.Error("list file not closed", "err", err)
+	if err := w.syncer.store.Close(); err != nil {
+		w.syncer.log.Error("list file not closed", "err", err)
 	}
 }
 
 // FailedWrites counts the writes of the list that failed; each is tried again.
 func (k *Syncer) FailedWrites() int64 { return k.failedWrites.Load() }
 
-// collect waits until due for newer lists; an urgent one brings the end nearer.
-func (k *Syncer) collect(s saving, due time.Time) saving {
+// coalesce waits until due for newer lists; an urgent one brings the end nearer.
+func (k *Syncer) coalesce(s saveRequest, due time.Time) saveRequest {
 	t := time.NewTimer(time.Until(due))
 	defer t.Stop()
 	for {
 		select {
-		case x, open := <-k.save:
+		case x, open := <-k.saves:
 			if !open {
 				return s
 			}
 			if x.urgent && !s.urgent {
-				if soon := x.at.Add(urgentTime); soon.Before(due) {
+				if soon := x.requestedAt.Add(urgentSaveDelay); soon.Before(due) {
 					due = soon
 					t.Reset(max(0, time.Until(due)))
 				}
--- a/internal/endpointcache/kept_test.go
+++ b/internal/endpointcache/kept_test.go
@@ -116,9 +116,9 @@
 	raw(t, path, func(tx *bbolt.Tx) error {
 		var h keptpb.Head
 		b := tx.Bucket(headBucket)
-		require.True(t, unseal(b.Get(headKey), &h))
+		require.True(t, unsealRecord(b.Get(headKey), &h))
 		change(&h)
-		sealed, err := seal(&h)
+		sealed, err := sealRecord(&h)
 		require.NoError(t, err)
 		return b.Put(headKey, sealed)
 	})
@@ -135,7 +135,7 @@
 func TestAnUnsoundRecordIsLeftOut(t *testing.T) {
 	path := written(t, 3)
 	raw(t, path, func(tx *bbolt.Tx) error {
-		b := tx.Bucket(boxBucket)
+		b := tx.Bucket(endpointBucket)
 		v := append([]byte(nil), b.Get([]byte{0, 0, 0, 2})...)
 		v[9] ^= 4
 		return b.Put([]byte{0, 0, 0, 2}, v)
@@ -385,7 +385,7 @@
 	k.Told(drain, "e1", 6)
 	assert.Equal(t, balancer.Draining, (<-told).Endpoints[0].State)
 	for {
-		f, err := copied(path)
+		f, err := readCopy(path)
 		if err == nil && len(f.Kept.Endpoints) == 3 && f.Kept.Endpoints[2].State == balancer.Draining {
 			break
 		}
--- a/internal/endpointcache/retry_test.go
+++ b/internal/endpointcache/retry_test.go
@@ -23,24 +23,24 @@
 	require.NoError(t, other.Close())
 	k.store = other // writes on it fail
 
-	w := writer{k: k, latest: saving{kept: sample(3)}}
+	w := writer{syncer: k, latest: saveRequest{snapshot: sample(3)}}
 	w.write()
-	assert.True(t, w.owed)
+	assert.True(t, w.pending)
 	assert.EqualValues(t, 1, k.FailedWrites())
 	k.store = working
 	w.write()
-	assert.False(t, w.owed)
+	assert.False(t, w.pending)
 	assert.EqualValues(t, 1, k.FailedWrites())
 
 	k.store = other
 	ended := make(chan struct{})
-	go func() { defer close(ended); k.write() }()
-	k.hand(saving{kept: sample(5), urgent: true, at: monotime.Now()})
+	go func() { defer close(ended); k.runWriter() }()
+	k.requestSave(saveRequest{snapshot: sample(5), urgent: true, requestedAt: monotime.Now()})
 	for begun := time.Now(); k.FailedWrites() < 4; {
 		require.Less(t, time.Since(begun), 10*time.Second, "one piece of news, and no further try")
 		time.Sleep(time.Millisecond)
 	}
-	close(k.save)
+	close(k.saves)
 	<-ended
 	require.NoError(t, working.Close())
 	f, err := Read(path, "d1")
--- a/internal/endpointcache/store.go
+++ b/internal/endpointcache/store.go
@@ -29,24 +29,24 @@
 // anew as 2.
 const Schema = 2
 
-const openWait = 200 * time.Millisecond
+const lockTimeout = 200 * time.Millisecond
 
 var (
-	headBucket  = []byte("head")
-	boxBucket   = []byte("boxes")
-	eventBucket = []byte("events")
-	headKey     = []byte("head")
+	headBucket     = []byte("head")
+	endpointBucket = []byte("boxes")
+	eventBucket    = []byte("events")
+	headKey        = []byte("head")
 
 	crcTable = crc32.MakeTable(crc32.Castagnoli)
 )
 
 // Errors of a file that is there and cannot be used.
 var (
-	ErrInUse   = errors.New("another process has it open")
-	ErrOwner   = errors.New("it is another dispatcher's")
-	ErrSchema  = errors.New("it was written by a later version")
-	ErrDamaged = errors.New("it is damaged")
-	errNoHead  = errors.New("its head record is missing or damaged")
+	ErrInUse       = errors.New("another process has it open")
+	ErrOwner       = errors.New("it is another dispatcher's")
+	ErrSchema      = errors.New("it was written by a later version")
+	ErrDamaged     = errors.New("it is damaged")
+	errMissingHead = errors.New("its head record is missing or damaged")
 )
 
 // Store is the list's file. One process has it open at a time.
@@ -103,8 +103,8 @@
 		}
 	}
 	var db *bbolt.DB
-	err = guarded(func() (err error) {
-		db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: openWait, ReadOnly: only,
+	err = recoverFaults(func() (err error) {
+		db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout, ReadOnly: only,
 			FreelistType: bbolt.FreelistMapType})
 		if err != nil {
 			return err
@@ -118,7 +118,7 @@
 	case err == nil:
 	case errors.Is(err, berrors.ErrTimeout):
 		err = ErrInUse
-	case errors.Is(err, errNoHead), errors.Is(err, berrors.ErrInvalid), errors.Is(err, berrors.ErrChecksum),
+	case errors.Is(err, errMissingHead), errors.Is(err, berrors.ErrInvalid), errors.Is(err, berrors.ErrChecksum),
 		errors.Is(err, berrors.ErrVersionMismatch), errors.Is(err, ErrDamaged), strings.Contains(err.Error(), "file size too small"):
 		err = fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
@@ -130,7 +130,7 @@
 	}
 	if err != nil {
 		if db != nil {
-			_ = guarded(db.Close)
+			_ = recoverFaults(db.Close)
 		}
 		return nil, Found{None: true}, fmt.Errorf("list file %s: %w", path, err)
 	}
@@ -140,9 +140,9 @@
 // The list of free pages is kept in the file: without it the database walks all pages at each start on a goroutine of its
 // own, where nothing stops a panic over a torn one.
 
-// guarded runs what touches the file. Guards against torn pages: the database answers some with a panic, and a mapped
+// recoverFaults runs what touches the file. Guards against torn pages: the database answers some with a panic, and a mapped
 // page behind the end of a cut file with a fault.
-func guarded(do func() error) (err error) {
+func recoverFaults(do func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
@@ -152,8 +152,8 @@
 	return do()
 }
 
-// seal and unseal put a checksum before a record.
-func seal(m proto.Message) ([]byte, error) {
+// sealRecord and unseal put a checksum before a record.
+func sealRecord(m proto.Message) ([]byte, error) {
 	raw, err := proto.Marshal(m)
 	if err != nil {
 		return nil, err
@@ -161,7 +161,7 @@
 	return append(binary.BigEndian.AppendUint32(nil, crc32.Checksum(raw, crcTable)), raw...), nil
 }
 
-func unseal(raw []byte, m proto.Message) bool {
+func unsealRecord(raw []byte, m proto.Message) bool {
 	return len(raw) >= 4 && crc32.Checksum(raw[4:], crcTable) == binary.BigEndian.Uint32(raw) && proto.Unmarshal(raw[4:], m) == nil
 }
 
@@ -171,50 +171,50 @@
 		return Found{None: true}, nil
 	}
 	var h keptpb.Head
-	if !unseal(head.Get(headKey), &h) {
-		return f, errNoHead
+	if !unsealRecord(head.Get(headKey), &h) {
+		return f, errMissingHead
 	}
 	f.Owner, f.Schema = h.Owner, int(h.Schema)
-	f.Kept = endpoints.Snapshot{Epoch: h.Epoch, Cursor: h.Cursor, Confirmed: moment(h.Confirmed), Saved: moment(h.Saved),
+	f.Kept = endpoints.Snapshot{Epoch: h.Epoch, Cursor: h.Cursor, Confirmed: timeFromNanos(h.Confirmed), Saved: timeFromNanos(h.Saved),
 		History: endpoints.History{Watched: time.Duration(h.Watched), Leaves: h.Leaves, Returns: h.Returns}}
 	if f.Schema > Schema {
 		return f, nil
 	}
-	if b := tx.Bucket(boxBucket); b != nil {
+	if b := tx.Bucket(endpointBucket); b != nil {
 		err = b.ForEach(func(k, raw []byte) error {
 			var x keptpb.Box
-			if !unseal(raw, &x) || x.State < 0 || x.State > int32(balancer.Active) || len(k) != 4 || binary.BigEndian.Uint32(k) != x.Id {
+			if !unsealRecord(raw, &x) || x.State < 0 || x.State > int32(balancer.Active) || len(k) != 4 || binary.BigEndian.Uint32(k) != x.Id {
 				f.Unsound++
 				return nil
 			}
 			f.Kept.Endpoints = append(f.Kept.Endpoints, endpoints.Endpoint{ID: balancer.WorkerID(x.Id), Addr: x.Addr, Zone: int(x.Zone),
-				Kind: int(x.Kind), Cell: int(x.Cell), State: balancer.EndpointState(x.State), Weight: x.Weight, Start: moment(x.Start),
-				UpdatedAt: moment(x.Told), VerifiedAt: moment(x.Proved), RequestRate: x.Pace})
+				Kind: int(x.Kind), Cell: int(x.Cell), State: balancer.EndpointState(x.State), Weight: x.Weight, Start: timeFromNanos(x.Start),
+				UpdatedAt: timeFromNanos(x.Told), VerifiedAt: timeFromNanos(x.Proved), RequestRate: x.Pace})
 			return nil
 		})
 	}
 	if b := tx.Bucket(eventBucket); b != nil && err == nil {
 		err = b.ForEach(func(_, raw []byte) error {
 			var x keptpb.Event
-			if !unseal(raw, &x) || x.What < 0 || x.What > int32(endpoints.Drained) {
+			if !unsealRecord(raw, &x) || x.What < 0 || x.What > int32(endpoints.Drained) {
 				f.Unsound++
 				return nil
 			}
-			f.Kept.History.Events = append(f.Kept.History.Events, endpoints.Event{At: moment(x.At), Worker: balancer.WorkerID(x.Worker), What: endpoints.What(x.What)})
+			f.Kept.History.Events = append(f.Kept.History.Events, endpoints.Event{At: timeFromNanos(x.At), Worker: balancer.WorkerID(x.Worker), What: endpoints.What(x.What)})
 			return nil
 		})
 	}
 	return f, err
 }
 
-func nanos(t time.Time) int64 {
+func nanosFromTime(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
 	}
 	return t.UnixNano()
 }
 
-func moment(n int64) time.Time {
+func timeFromNanos(n int64) time.Time {
 	if n == 0 {
 		return time.Time{}
 	}
@@ -223,7 +223,7 @@
 
 // Write makes the file hold a list, in one transaction that is synced. Only records that differ are written.
 func (s *Store) Write(k endpoints.Snapshot) error {
-	err := guarded(func() error {
+	err := recoverFaults(func() error {
 		return s.db.Update(func(tx *bbolt.Tx) error { return s.write(tx, k) })
 	})
 	if err != nil {
@@ -237,7 +237,7 @@
 	if err != nil {
 		return err
 	}
-	boxes, err := tx.CreateBucketIfNotExists(boxBucket)
+	boxes, err := tx.CreateBucketIfNotExists(endpointBucket)
 	if err != nil {
 		return err
 	}
@@ -249,9 +249,9 @@
 	for _, b := range k.Endpoints {
 		key := binary.BigEndian.AppendUint32(nil, uint32(b.ID))
 		named[string(key)] = true
-		if err := put(boxes, key, &keptpb.Box{Id: uint32(b.ID), Addr: b.Addr, Zone: int32(b.Zone), Kind: int32(b.Kind),
-			Cell: int32(b.Cell), State: int32(b.State), Weight: b.Weight, Start: nanos(b.Start), Told: nanos(b.UpdatedAt),
-			Proved: nanos(b.VerifiedAt), Pace: b.RequestRate}); err != nil {
+		if err := putRecord(boxes, key, &keptpb.Box{Id: uint32(b.ID), Addr: b.Addr, Zone: int32(b.Zone), Kind: int32(b.Kind),
+			Cell: int32(b.Cell), State: int32(b.State), Weight: b.Weight, Start: nanosFromTime(b.Start), Told: nanosFromTime(b.UpdatedAt),
+			Proved: nanosFromTime(b.VerifiedAt), Pace: b.RequestRate}); err != nil {
 			return err
 		}
 	}
@@ -261,13 +261,13 @@
 	// Events are numbered by time, so that those already there are not written again.
 	from := make([]byte, 8)
 	for i, e := range k.History.Events {
-		key := binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint64(nil, uint64(nanos(e.At))), uint32(e.Worker))
+		key := binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint64(nil, uint64(nanosFromTime(e.At))), uint32(e.Worker))
 		key = append(key, byte(e.What))
 		if i == 0 {
 			from = key
 		}
 		if events.Get(key) == nil {
-			if err := put(events, key, &keptpb.Event{At: nanos(e.At), Worker: uint32(e.Worker), What: int32(e.What)}); err != nil {
+			if err := putRecord(events, key, &keptpb.Event{At: nanosFromTime(e.At), Worker: uint32(e.Worker), What: int32(e.What)}); err != nil {
 				return err
 			}
 		}
@@ -275,13 +275,13 @@
 	if err := prune(events, func(key []byte) bool { return len(k.History.Events) > 0 && string(key) >= string(from) }); err != nil {
 		return err
 	}
-	return put(head, headKey, &keptpb.Head{Schema: Schema, Owner: s.owner, Epoch: k.Epoch, Cursor: k.Cursor,
-		Confirmed: nanos(k.Confirmed), Saved: nanos(k.Saved), Watched: int64(k.History.Watched), Leaves: k.History.Leaves,
+	return putRecord(head, headKey, &keptpb.Head{Schema: Schema, Owner: s.owner, Epoch: k.Epoch, Cursor: k.Cursor,
+		Confirmed: nanosFromTime(k.Confirmed), Saved: nanosFromTime(k.Saved), Watched: int64(k.History.Watched), Leaves: k.History.Leaves,
 		Returns: k.History.Returns})
 }
 
-func put(b *bbolt.Bucket, key []byte, m proto.Message) error {
-	raw, err := seal(m)
+func putRecord(b *bbolt.Bucket, key []byte, m proto.Message) error {
+	raw, err := sealRecord(m)
 	if err != nil {
 		return err
 	}
@@ -330,7 +330,7 @@
 }
 
 // Close closes the file.
-func (s *Store) Close() error { return guarded(s.db.Close) }
+func (s *Store) Close() error { return recoverFaults(s.db.Close) }
 
 // Snapshot reads a file that a dispatcher may have open: a copy made while nothing was written. It changes nothing.
 func Snapshot(path string) (f Found, err error) {
@@ -339,7 +339,7 @@
 		return f, err
 	}
 	for range snapshotTries {
-		if f, err = copied(path); err == nil {
+		if f, err = readCopy(path); err == nil {
 			return f, nil
 		}
 	}
@@ -348,7 +348,7 @@
 
 const snapshotTries = 5
 
-func copied(path string) (f Found, err error) {
+func readCopy(path string) (f Found, err error) {
 	before, err := os.Stat(path)
 	if err != nil {
 		return f, err
