--- a/endpoints/actions.go
+++ b/endpoints/actions.go
@@ -6,28 +6,34 @@
 	"oakthread/balancer"
 )
 
-// Actions are what a List wants done. Publish goes to the decision module, in order.
+// Actions are the side effects that a List asks its owner to carry out. Publications are applied in order.
 type Actions struct {
 	Publish []Publication
-	Probe   []Endpoint
-	Save    bool // the list has changed: write it some time
-	Urgent  bool // a box drains or is gone: write it now
+	Probe   []Endpoint // to be health checked; each result is returned by one call of the method for health checks
+	Save    bool       // the list has changed and is to be saved
+	Urgent  bool       // an endpoint drains or was removed: the list is to be saved at once
 	Log     []string
 }
 
-// Publication is a change of the list as the decision module sees it.
+// Publication is a change of the list for the load balancer.
 type Publication struct {
 	Kind      balancer.EndpointUpdateKind
 	Endpoints []Endpoint
 }
 
-// TakeActions returns what is to be done since the last call.
+// TakeActions returns the actions that accumulated since the previous call.
 func (l *List) TakeActions() Actions {
-	a := l.pending
+	actions := l.pending
 	l.pending = Actions{}
-	return a
+	return actions
 }
 
 func (l *List) log(format string, args ...any) {
 	l.pending.Log = append(l.pending.Log, fmt.Sprintf(format, args...))
 }
+
+// requestSave has the list saved, at once where urgent is set.
+func (l *List) requestSave(urgent bool) {
+	l.pending.Save = true
+	l.pending.Urgent = l.pending.Urgent || urgent
+}
--- a/endpoints/confidence.go
+++ b/endpoints/confidence.go
@@ -7,70 +7,103 @@
 )
 
 const (
-	// A box that is there refuses a connection, or stays silent for a probe's time, with these chances. By Bayes' rule
-	// each turns trust t into tq/(tq+1-t).
+	// connectionRefusedLikelihood and timeoutLikelihood are the probabilities that a running worker refuses a connection
+	// or does not answer a health check in time. By Bayes' rule such a failure of likelihood q turns a confidence p
+	// into pq/(pq+1-p).
 	connectionRefusedLikelihood = 0.02
 	timeoutLikelihood           = 0.1
-	maxPriorConfidence          = 0.95                   // of a box that just answered, for it may have died since
-	exclusionThreshold          = 0.05                   // trust below which a box is left out
-	minCheckBackoff             = 100 * time.Millisecond // after a first doubt
-	maxCheckBackoff             = 30 * time.Second       // between probes of a box left out
+
+	// maxPriorConfidence bounds the confidence that a failure is weighed against, since a worker that just answered may
+	// have ended right after.
+	maxPriorConfidence = 0.95
+
+	// exclusionThreshold is the confidence below which an endpoint is excluded.
+	exclusionThreshold = 0.05
+
+	// minCheckBackoff and maxCheckBackoff bound the backoff between health checks of an endpoint that fails.
+	minCheckBackoff = 100 * time.Millisecond
+	maxCheckBackoff = 30 * time.Second
+
+	// divisionGuard keeps the denominator of Bayes' rule positive.
+	divisionGuard = 1e-12
 )
 
-func latest(a, b time.Time) time.Time {
-	if a.After(b) {
-		return a
-	}
-	return b
+// evidence is the last sign that an endpoint's worker is running.
+type evidence struct {
+	confidence float64   // right after the evidence
+	at         time.Time // zero: unknown
+	ageUnknown bool
 }
 
+// age returns the time since service discovery last confirmed the list, or unknownAge.
 func (l *List) age(now time.Time) time.Duration {
-	if l.confirmedAt.IsZero() || l.confirmedAt.After(now) {
+	confirmedAt := l.watch.confirmedAt
+	if confirmedAt.IsZero() || confirmedAt.After(now) {
 		return unknownAge
 	}
-	return now.Sub(l.confirmedAt)
+	return now.Sub(confirmedAt)
 }
 
-// Confidence is the chance that a box is there as the list has it, 0 for one not known.
+// Confidence returns the probability that a worker is running as the list has it, 0 for a worker not on the list.
 func (l *List) Confidence(now time.Time, id balancer.WorkerID) float64 {
-	if e := l.entries[id]; e != nil {
-		return l.confidence(now, e)
+	if entry := l.entries[id]; entry != nil {
+		return l.confidence(now, entry)
 	}
 	return 0
 }
 
-func (l *List) confidence(now time.Time, e *entry) float64 {
-	at := e.evidenceAt
-	if l.live && e.verification == Reported {
+// confidence returns the probability that the endpoint's worker is running. It falls with the age of the evidence.
+func (l *List) confidence(now time.Time, entry *listEntry) float64 {
+	if l.watch.live && entry.verification == Reported {
 		return 1
 	}
-	if e.ageUnknown {
-		return e.confidence * l.history.Survival(unknownAge)
+	age := now.Sub(entry.evidence.at)
+	if entry.evidence.ageUnknown {
+		age = unknownAge
 	}
-	return e.confidence * l.history.Survival(now.Sub(at))
+	return entry.evidence.confidence * l.history.Survival(age)
 }
 
+// meanConfidence returns the mean confidence over all endpoints.
 func (l *List) meanConfidence(now time.Time) float64 {
 	sum := 0.0
-	for _, e := range l.sorted {
-		sum += l.confidence(now, e)
+	for _, entry := range l.sorted {
+		sum += l.confidence(now, entry)
 	}
 	return sum / float64(max(1, len(l.sorted)))
 }
 
-// lowerConfidence applies Bayes' rule to a failure that a box which is there shows with chance q.
-func (l *List) lowerConfidence(now time.Time, e *entry, q float64) {
-	t := min(l.confidence(now, e), maxPriorConfidence)
-	e.confidence, e.evidenceAt, e.ageUnknown = t*q/(t*q+1-t+1e-12), now, false
-	e.checkBackoff = min(max(2*e.checkBackoff, minCheckBackoff), maxCheckBackoff)
-	e.checkDue = now.Add(time.Duration(float64(e.checkBackoff) * (0.5 + l.rng.Float64())))
-	if e.confidence < exclusionThreshold {
-		if e.verification != Excluded {
-			l.pending.Save = true
-		}
-		e.verification = Excluded
-	} else if e.verification != Excluded && e.verification != Draining {
-		e.verification = Suspect
+// lowerConfidence applies Bayes' rule to a failure that a running worker shows with the given likelihood, and schedules
+// the next health check after a growing, jittered backoff.
+func (l *List) lowerConfidence(now time.Time, entry *listEntry, likelihood float64) {
+	prior := min(l.confidence(now, entry), maxPriorConfidence)
+	posterior := prior * likelihood / (prior*likelihood + 1 - prior + divisionGuard)
+	entry.evidence = evidence{confidence: posterior, at: now}
+
+	entry.check.backoff = min(max(2*entry.check.backoff, minCheckBackoff), maxCheckBackoff)
+	jitter := 0.5 + l.rng.Float64()
+	entry.check.dueAt = now.Add(time.Duration(float64(entry.check.backoff) * jitter))
+
+	if posterior < exclusionThreshold {
+		l.exclude(entry)
+	} else if entry.verification != Excluded && entry.verification != Draining {
+		entry.verification = Suspect
 	}
-	l.slowStart.recordSetback(now, e)
+	l.slowStart.recordSetback(now, entry)
+}
+
+// exclude marks an endpoint whose confidence fell below the exclusion threshold.
+func (l *List) exclude(entry *listEntry) {
+	if entry.verification != Excluded {
+		l.requestSave(false)
+	}
+	entry.verification = Excluded
+}
+
+// latest returns the later of two times.
+func latest(a, b time.Time) time.Time {
+	if a.After(b) {
+		return a
+	}
+	return b
 }
--- a/endpoints/dialer.go
+++ b/endpoints/dialer.go
@@ -1,48 +1,55 @@
 package endpoints
 
-// This file owns when and where discovery is asked again. It must never let many dispatchers that lost it together
-// come back together.
-
 import (
 	"math/rand/v2"
 	"time"
 )
 
 const (
+	// minDialBackoff and maxDialBackoff bound the backoff between connection attempts to service discovery.
 	minDialBackoff = 100 * time.Millisecond
 	maxDialBackoff = 5 * time.Second
+
+	// maxBackoffDoublings bounds the exponent of the backoff so that it does not overflow.
+	maxBackoffDoublings = 20
+
+	// dialerStream separates the dialer's random numbers from those of other components with the same seed.
+	dialerStream = 0x6469616c
 )
 
-// Dialer names the discovery address to ask next, in turn, and the wait before: full jitter over an exponential bound
-// ("Exponential Backoff And Jitter", AWS Architecture Blog, 2015). Make one with NewDialer.
+// Dialer selects the service discovery address to connect to next and the wait before it. The wait has full jitter over
+// an exponential backoff, so that many dispatchers that lost service discovery together do not reconnect together
+// ("Exponential Backoff And Jitter", AWS Architecture Blog, 2015). Create one with NewDialer. It is not safe for
+// concurrent use.
 type Dialer struct {
 	addrs      []string
-	next       int
-	last       int
-	failures   int
+	next       int // index of the address to return next
+	last       int // index of the address returned last
+	failures   int // since the last success
 	maxBackoff time.Duration
 	rng        *rand.Rand
 }
 
-// NewDialer asks the addresses in the order given, from a place that differs by seed.
+// NewDialer returns a Dialer that cycles through the addresses in order, starting at a random one.
 func NewDialer(addrs []string, seed uint64) *Dialer {
-	d := &Dialer{addrs: addrs, maxBackoff: maxDialBackoff, rng: rand.New(rand.NewPCG(seed, 0x6469616c))}
+	d := &Dialer{addrs: addrs, maxBackoff: maxDialBackoff, rng: rand.New(rand.NewPCG(seed, dialerStream))}
 	if len(addrs) > 1 {
 		d.next = d.rng.IntN(len(addrs))
 	}
 	return d
 }
 
-// Within bounds the wait between two tries.
-func (d *Dialer) Within(most time.Duration) *Dialer {
-	d.maxBackoff = most
+// Within sets the maximum backoff and returns the Dialer.
+func (d *Dialer) Within(maxBackoff time.Duration) *Dialer {
+	d.maxBackoff = maxBackoff
 	return d
 }
 
-// Move has one other address asked instead of all, at once.
+// Move replaces the addresses by one, which is returned next without a wait.
 func (d *Dialer) Move(addr string) { d.addrs, d.next, d.last, d.failures = []string{addr}, 0, 0, 0 }
 
-// Next is the address to ask, and the wait before it. The first round over all addresses has no backoff but a jitter.
+// Next returns the address to connect to and the wait before it. There is no wait after a success. The backoff doubles
+// with each round of failures over all addresses.
 func (d *Dialer) Next() (addr string, wait time.Duration) {
 	if len(d.addrs) == 0 {
 		return "", maxDialBackoff
@@ -53,15 +60,15 @@
 	if d.failures == 0 {
 		return addr, 0
 	}
-	rounds := min((d.failures-1)/len(d.addrs), 20)
-	bound := min(minDialBackoff<<rounds, d.maxBackoff)
-	return addr, time.Duration(d.rng.Int64N(int64(bound) + 1))
+	doublings := min((d.failures-1)/len(d.addrs), maxBackoffDoublings)
+	backoff := min(minDialBackoff<<doublings, d.maxBackoff)
+	return addr, time.Duration(d.rng.Int64N(int64(backoff) + 1))
 }
 
-// Failed and Good take what became of the last address asked.
+// Failed records that the connection to the last address failed.
 func (d *Dialer) Failed() { d.failures++ }
 
-// Good ends the backoff; the same address is asked first again.
+// Good records that the connection to the last address succeeded. It resets the backoff and returns that address next.
 func (d *Dialer) Good() {
 	d.failures = 0
 	d.next = d.last
--- a/endpoints/endpoint.go
+++ b/endpoints/endpoint.go
@@ -6,30 +6,21 @@
 	"oakthread/balancer"
 )
 
-// Endpoint is an entry of the list: what was told of it, and what it proved.
+// Endpoint is one worker's entry in the list: what service discovery reported about it and what it answered.
 type Endpoint struct {
 	ID               balancer.WorkerID
 	Addr             string
 	Zone, Kind, Cell int
 	State            balancer.EndpointState
 	Weight           float64
-	Start            time.Time // zero: long ago
-	UpdatedAt        time.Time // when discovery last told of a change
-	VerifiedAt       time.Time // when it last answered us
-	RequestRate      float64   // calls a second that it answered us
+	Start            time.Time // when the worker started; zero: unknown, long ago
+	UpdatedAt        time.Time // when service discovery last reported a change of it
+	VerifiedAt       time.Time // when the worker last answered this dispatcher
+	RequestRate      float64   // requests per second that the worker answered for this dispatcher
 }
 
-// Snapshot is a list as it was written to disk.
-type Snapshot struct {
-	Epoch     string
-	Cursor    int64
-	Confirmed time.Time // discovery last said then that the list is current
-	Saved     time.Time
-	Endpoints []Endpoint
-	History   History
-}
-
-// Update is news of discovery. Full: all of the list; a box not in it is gone.
+// Update is a watch event of service discovery. A Full update is the complete list: an endpoint that is not in it has
+// been removed. Otherwise it carries only the endpoints that changed.
 type Update struct {
 	Full      bool
 	Epoch     string
--- a/endpoints/healthcheck.go
+++ b/endpoints/healthcheck.go
@@ -9,78 +9,109 @@
 )
 
 const (
-	maxConcurrentChecks     = 32                     // at a time
-	recheckConfidence       = 0.9                    // trust below which a box in use is asked again while discovery is away
-	overloadRecheckInterval = 250 * time.Millisecond // between probes of a box that turns calls away
+	// maxConcurrentChecks bounds the health checks in flight of one dispatcher.
+	maxConcurrentChecks = 32
+
+	// recheckConfidence is the confidence at which an endpoint in use is checked again while service discovery is
+	// unavailable.
+	recheckConfidence = 0.9
+
+	// minRecheckInterval bounds the rate of those checks when the history has many departures.
+	minRecheckInterval = time.Second
+
+	// overloadRecheckInterval is the least time between health checks of a worker that rejects requests.
+	overloadRecheckInterval = 250 * time.Millisecond
 )
 
-// NextDeadline is when Tick wants to be called at the latest; zero: no need.
-func (l *List) NextDeadline() (at time.Time) {
-	for _, e := range l.sorted {
-		if t, due := l.checkDueAt(e); due && (at.IsZero() || t.Before(at)) {
-			at = t
+// checkState is the schedule of an endpoint's health checks.
+type checkState struct {
+	dueAt     time.Time // zero: when confidence has fallen to recheckConfidence
+	sentAt    time.Time // of the last check
+	inFlight  bool
+	completed bool          // a check has ended since the start
+	initial   bool          // one of the first endpoints to be checked after a restore
+	backoff   time.Duration // grows with each failure
+}
+
+// NextDeadline returns when Tick is to be called at the latest; zero if there is no need.
+func (l *List) NextDeadline() time.Time {
+	var earliest time.Time
+	for _, entry := range l.sorted {
+		dueAt, isScheduled := l.checkDueAt(entry)
+		if isScheduled && (earliest.IsZero() || dueAt.Before(earliest)) {
+			earliest = dueAt
 		}
 	}
-	return at
+	return earliest
 }
 
-// checkDueAt tells when a box is to be probed, if at all.
-func (l *List) checkDueAt(e *entry) (time.Time, bool) {
-	if e.checkInFlight || l.config.Fresh {
+// checkDueAt returns when the endpoint is to be health checked, and false if it is not to be checked.
+func (l *List) checkDueAt(entry *listEntry) (dueAt time.Time, isScheduled bool) {
+	if entry.check.inFlight || l.config.Fresh {
 		return time.Time{}, false
 	}
-	if l.live {
-		return e.checkDue, e.verification == Draining && e.State == balancer.Active
+	if l.watch.live {
+		// Only a worker's own report of draining needs a check: service discovery may not have it.
+		return entry.check.dueAt, entry.verification == Draining && entry.State == balancer.Active
 	}
-	if e.State == balancer.Draining && e.drainReportedAt.IsZero() {
-		return time.Time{}, false // discovery's word on a drain needs no proof
+	if entry.isDrainingByDiscovery() {
+		return time.Time{}, false
 	}
-	if e.checkDue.IsZero() { // in use: asked again when trust has run down
-		return l.recheckAt(e), true
+	if entry.check.dueAt.IsZero() {
+		return l.recheckAt(entry), true
 	}
-	return e.checkDue, true
+	return entry.check.dueAt, true
 }
 
-// recheckAt is when the trust in a box in use will have fallen to restless, by the inverse of Survival.
-func (l *List) recheckAt(e *entry) time.Time {
-	h := &l.history
-	age := float64(priorObservedTime+h.Watched) * (math.Pow(recheckConfidence, -1/(priorDepartures+h.Leaves)) - 1)
-	return e.evidenceAt.Add(max(time.Duration(age), time.Second))
+// recheckAt returns when the confidence in an endpoint in use will have fallen to recheckConfidence, by the inverse of
+// History.Survival.
+func (l *List) recheckAt(entry *listEntry) time.Time {
+	exponent := -1 / (priorDepartures + l.history.Leaves)
+	age := float64(priorObservedTime+l.history.Watched) * (math.Pow(recheckConfidence, exponent) - 1)
+	return entry.evidence.at.Add(max(time.Duration(age), minRecheckInterval))
 }
 
-// Tick has probes sent that are due, in order of their time, a bounded number at a time.
+// Tick starts the health checks that are due, the longest overdue first, up to maxConcurrentChecks in flight.
 func (l *List) Tick(now time.Time) {
-	var due []*entry
-	for _, e := range l.sorted {
-		if t, is := l.checkDueAt(e); is && !t.After(now) {
-			due = append(due, e)
+	var due []*listEntry
+	for _, entry := range l.sorted {
+		if dueAt, isScheduled := l.checkDueAt(entry); isScheduled && !dueAt.After(now) {
+			due = append(due, entry)
 		}
 	}
-	slices.SortStableFunc(due, func(a, b *entry) int { return a.checkDue.Compare(b.checkDue) })
-	for _, e := range due[:min(len(due), max(0, maxConcurrentChecks-l.checksInFlight))] {
-		e.checkInFlight, e.lastCheckAt = true, now
-		e.checkDue = time.Time{}
-		l.checksInFlight++
-		l.pending.Probe = append(l.pending.Probe, e.Endpoint)
+	slices.SortStableFunc(due, func(a, b *listEntry) int { return a.check.dueAt.Compare(b.check.dueAt) })
+	available := max(0, maxConcurrentChecks-l.checksInFlight)
+	for _, entry := range due[:min(len(due), available)] {
+		l.startCheck(now, entry)
 	}
-	l.reportExhaustion(now)
+	l.reportExhaustion()
+}
+
+// startCheck has the endpoint health checked.
+func (l *List) startCheck(now time.Time, entry *listEntry) {
+	entry.check.inFlight = true
+	entry.check.sentAt = now
+	entry.check.dueAt = time.Time{}
+	l.checksInFlight++
+	l.pending.Probe = append(l.pending.Probe, entry.Endpoint)
 }
 
-// reportExhaustion says once that no kept box is left.
-func (l *List) reportExhaustion(now time.Time) {
-	if l.live || l.reportedExhausted || len(l.sorted) == 0 || l.config.Fresh {
+// reportExhaustion logs, once until the watch is live again, that no cached endpoint is left.
+func (l *List) reportExhaustion() {
+	if l.watch.live || l.reportedExhausted || len(l.sorted) == 0 || l.config.Fresh {
 		return
 	}
-	refused := 0
-	for _, e := range l.sorted {
-		switch e.verification {
+	excluded, draining := 0, 0
+	for _, entry := range l.sorted {
+		switch entry.verification {
 		case Excluded:
-			refused++
+			excluded++
 		case Draining:
-		default:
+			draining++
+		case Reported, Unverified, Verified, Suspect:
 			return
 		}
 	}
 	l.reportedExhausted = true
-	l.log("no kept box is left: %d do not answer, %d drain; waiting for discovery", refused, len(l.sorted)-refused)
+	l.log("no kept box is left: %d do not answer, %d drain; waiting for discovery", excluded, draining)
 }
--- a/endpoints/history.go
+++ b/endpoints/history.go
@@ -1,30 +1,33 @@
 package endpoints
 
-// This file owns what the list's own history tells of how long boxes stay: the estimate behind trust. It must never
-// take a figure for certain that rests on little: a prior weighs against it.
-
 import (
 	"math"
+	"slices"
 	"time"
 
 	"oakthread/balancer"
 )
 
 const (
-	// The prior: half a departure in half a day of watching one box. It halves the trust of an entry that nothing is
-	// known of in a day and a half.
+	// priorDepartures and priorObservedTime are the prior of the failure rate: half a departure in twelve hours of
+	// observing one worker. It halves the confidence in an endpoint without history in a day and a half.
 	priorDepartures   = 0.5
 	priorObservedTime = 12 * time.Hour
-	// Beyond so much watching, older history counts less: fleets change their ways.
+
+	// maxObservedTime is the observed time beyond which older history counts less, since failure rates change.
 	maxObservedTime = 60 * 24 * time.Hour
-	maxEvents       = 512
-	// An entry of unknown age, as where the clock went back, counts as this old.
+
+	// maxEvents bounds the events kept.
+	maxEvents = 512
+
+	// unknownAge is the age of an endpoint whose age is unknown, such as after the clock was set back.
 	unknownAge = 30 * 24 * time.Hour
 )
 
-// What happened to a box, by discovery.
+// What is the kind of an Event.
 type What int
 
+// The kinds of an Event, as reported by service discovery.
 const (
 	Joined What = iota
 	Left
@@ -32,65 +35,69 @@
 	Drained
 )
 
+// String returns the name that operators see.
 func (w What) String() string { return [...]string{"joined", "left", "restarted", "drained"}[w] }
 
-// Event is one entry of the history.
+// Event is a change of one worker.
 type Event struct {
 	At     time.Time
 	Worker balancer.WorkerID
 	What   What
 }
 
-// History is what was seen of boxes coming and going. The zero value is ready; its size is bounded.
+// History records how long workers run. The confidence in an endpoint is estimated from it. The zero value is ready to
+// use; its size is bounded.
 type History struct {
-	Watched         time.Duration // summed over the boxes watched
-	Leaves, Returns float64       // departures, and restarts in place
+	Watched         time.Duration // sum over the workers observed
+	Leaves, Returns float64       // departures, and restarts in place; older ones count less
 	Events          []Event       // the last ones, oldest first
 }
 
-// addObservedTime adds time for which n boxes were known to run.
-func (h *History) addObservedTime(n int, d time.Duration) {
-	if d <= 0 || n <= 0 {
+// addObservedTime records that the given number of workers ran for elapsed.
+func (h *History) addObservedTime(workers int, elapsed time.Duration) {
+	if elapsed <= 0 || workers <= 0 {
 		return
 	}
-	h.Watched += time.Duration(n) * min(d, maxObservedTime)
+	h.Watched += time.Duration(workers) * min(elapsed, maxObservedTime)
 	if h.Watched > maxObservedTime {
-		f := float64(maxObservedTime) / float64(h.Watched)
+		factor := float64(maxObservedTime) / float64(h.Watched)
 		h.Watched = maxObservedTime
-		h.Leaves *= f
-		h.Returns *= f
+		h.Leaves *= factor
+		h.Returns *= factor
 	}
 }
 
-func (h *History) recordEvent(now time.Time, w balancer.WorkerID, what What) {
+// recordEvent appends an event and drops the oldest ones beyond maxEvents.
+func (h *History) recordEvent(now time.Time, worker balancer.WorkerID, what What) {
 	switch what {
 	case Left:
 		h.Leaves++
 	case Restarted:
 		h.Returns++
+	case Joined, Drained:
 	}
-	h.Events = append(h.Events, Event{now, w, what})
-	if over := len(h.Events) - maxEvents; over > 0 {
-		h.Events = append(h.Events[:0:0], h.Events[over:]...)
+	h.Events = append(h.Events, Event{At: now, Worker: worker, What: what})
+	if excess := len(h.Events) - maxEvents; excess > 0 {
+		h.Events = slices.Clone(h.Events[excess:])
 	}
 }
 
-// FailureRate is the expected number of departures of one box in an hour.
+// FailureRate returns the expected number of departures of one worker per hour.
 func (h *History) FailureRate() float64 {
 	return (priorDepartures + h.Leaves) / (priorObservedTime + h.Watched).Hours()
 }
 
-// Survival is the chance that a box known to run is still there after age. Departures are taken as a Poisson process
-// whose rate has a Gamma prior; with k departures in T box-hours the rate is Gamma(a+k, b+T), and a life drawn with it
-// has the Lomax tail
+// Survival returns the probability that a worker known to run is still running after age. Departures are modeled as a
+// Poisson process whose rate has a Gamma prior. With k departures in an observed time T the rate is Gamma(a+k, b+T), and
+// the time to departure has the Lomax tail
 //
 //	S(age) = ((b+T) / (b+T+age)) ^ (a+k)
 //
-// (Gelman et al., Bayesian Data Analysis, 3rd ed., 2.6; Lomax, JASA 49, 1954). It falls with age alone, never rises.
+// (Gelman et al., Bayesian Data Analysis, 3rd ed., 2.6; Lomax, JASA 49, 1954). It decreases with age.
 func (h *History) Survival(age time.Duration) float64 {
 	if age <= 0 {
 		return 1
 	}
-	b := float64(priorObservedTime + h.Watched)
-	return math.Exp(-(priorDepartures + h.Leaves) * math.Log1p(float64(age)/b))
+	scale := float64(priorObservedTime + h.Watched)
+	return math.Exp(-(priorDepartures + h.Leaves) * math.Log1p(float64(age)/scale))
 }
--- a/endpoints/list.go
+++ b/endpoints/list.go
@@ -1,103 +1,91 @@
-// Package roster owns the list of planner boxes: what discovery told, when, and what each box has proved since. It lets
-// a dispatcher start from a list kept on disk while discovery is down, and makes of it the list that the decision
-// module is given. A List is one single-threaded state machine: events in with now, actions out; no clock, no
-// goroutine, no I/O. Which box a call goes to is the module's choice, never made here.
+// Package endpoints maintains a dispatcher's list of endpoints: what service discovery reported about each worker and
+// what the worker itself has shown since. It lets a dispatcher start from a cached list while service discovery is
+// unavailable.
+//
+// A List is a single-threaded state machine: methods take events with the current time, TakeActions returns the side
+// effects to carry out. It has no clock, no goroutine and does no I/O. The choice of a worker for a request is the
+// balancer's.
 package endpoints
 
 import (
-	rand "math/rand/v2"
+	"math/rand/v2"
 	"slices"
 	"time"
 
 	"oakthread/balancer"
 )
 
-type entry struct {
-	Endpoint
-	verification    Verification
-	confidence      float64   // trust when the last evidence came
-	evidenceAt      time.Time // of the last evidence; zero: unknown
-	ageUnknown      bool      // its age is not known
-	checkDue        time.Time
-	checkInFlight   bool
-	checkBackoff    time.Duration
-	drainReportedAt time.Time // its own word
-	formerRate      float64   // calls a second that it answered us before the start
-	successes       int       // in the ramp: how often it proved itself, less the setbacks
-	successAt       time.Time
-	hadSetback      bool      // it had a setback
-	lastCheckAt     time.Time // of the last probe
-	checkCompleted  bool      // a probe of it has ended
-	initialCheck    bool      // it is among those asked first
-	responses       float64   // decaying over paceSpan
-	responseAt      time.Time
-	firstResponseAt time.Time // of the first answer counted
-	isPublished     bool      // the module knows it
-	published       Endpoint
-}
+// randStream separates the list's random numbers from those of other components with the same seed.
+const randStream = 0x726f7374
 
-// List is the list of boxes. Use New; its methods are called from one goroutine at a time.
+// List is the list of endpoints. Create one with New. It is not safe for concurrent use.
 type List struct {
-	config              Config
-	rng                 *rand.Rand
-	entries             map[balancer.WorkerID]*entry
-	sorted              []*entry // by id
-	history             History
-	epoch               string
-	cursor              int64
-	confirmedAt         time.Time
-	live                bool // discovery's word is current
-	hasPublished        bool // a list was published
-	pending             Actions
-	checksInFlight      int
-	confirmationSavedAt time.Time
-	slowStart           slowStart
-	reportedExhausted   bool
+	config            Config
+	rng               *rand.Rand
+	entries           map[balancer.WorkerID]*listEntry
+	sorted            []*listEntry // by ID
+	history           History
+	watch             watchState
+	slowStart         slowStart
+	pending           Actions
+	hasPublished      bool // the load balancer has been given a list
+	checksInFlight    int
+	reportedExhausted bool // the log says that no cached endpoint is left
 }
 
-// New makes an empty List.
-func New(cfg Config) *List {
-	cfg.Siblings = max(1, cfg.Siblings)
-	if cfg.MaxWait <= 0 {
-		cfg.MaxWait = time.Second
-	}
-	if cfg.ProbeRate <= 0 {
-		cfg.ProbeRate = defaultHealthCheckRate
+// New returns an empty List.
+func New(config Config) *List {
+	return &List{
+		config:  config.withDefaults(),
+		rng:     rand.New(rand.NewPCG(config.Seed, randStream)),
+		entries: map[balancer.WorkerID]*listEntry{},
 	}
-	if cfg.Budget <= 0 {
-		cfg.Budget = defaultInitialLoadFraction
-	}
-	return &List{config: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0x726f7374)), entries: map[balancer.WorkerID]*entry{}}
 }
 
-func (l *List) insert(b Endpoint) *entry {
-	e := &entry{Endpoint: b, confidence: 1}
-	l.entries[b.ID] = e
-	i, _ := slices.BinarySearchFunc(l.sorted, e, compareByID)
-	l.sorted = slices.Insert(l.sorted, i, e)
-	return e
+// insert adds an endpoint that the list does not have.
+func (l *List) insert(endpoint Endpoint) *listEntry {
+	entry := &listEntry{Endpoint: endpoint, evidence: evidence{confidence: 1}}
+	l.entries[endpoint.ID] = entry
+	i, _ := slices.BinarySearchFunc(l.sorted, entry, compareByID)
+	l.sorted = slices.Insert(l.sorted, i, entry)
+	return entry
 }
 
-func compareByID(a, b *entry) int {
-	switch {
-	case a.ID < b.ID:
-		return -1
-	case a.ID > b.ID:
-		return 1
+// remove takes an endpoint that service discovery no longer has off the list; entry may be nil.
+func (l *List) remove(now time.Time, entry *listEntry) {
+	if entry == nil {
+		return
+	}
+	l.history.recordEvent(now, entry.ID, Left)
+	l.requestSave(true)
+	if entry.isPublished {
+		entry.State = balancer.Removed
+		entry.verification = Reported
+		l.publishRemoval(entry)
 	}
-	return 0
+	delete(l.entries, entry.ID)
+	l.sorted = slices.DeleteFunc(l.sorted, func(other *listEntry) bool { return other == entry })
 }
 
-// Live tells whether discovery's word is current; Cursor and Epoch where it stands.
-func (l *List) Live() bool        { return l.live }
-func (l *List) Cursor() int64     { return l.cursor }
-func (l *List) Epoch() string     { return l.epoch }
+// Live reports whether the list is the current one of service discovery.
+func (l *List) Live() bool { return l.watch.live }
+
+// Cursor returns the number of the last watch event applied.
+func (l *List) Cursor() int64 { return l.watch.cursor }
+
+// Epoch returns the epoch in which service discovery numbers its events.
+func (l *List) Epoch() string { return l.watch.epoch }
+
+// InSlowStart reports whether slow start limits the admission of requests.
 func (l *List) InSlowStart() bool { return l.slowStart.active }
-func (l *List) Usable() (n int) {
-	for _, e := range l.sorted {
-		if l.isUsable(e) && e.verification != Draining && e.State == balancer.Active {
-			n++
+
+// Usable returns the number of endpoints that the load balancer may give new requests.
+func (l *List) Usable() int {
+	count := 0
+	for _, entry := range l.sorted {
+		if l.isUsable(entry) && entry.verification != Draining && entry.State == balancer.Active {
+			count++
 		}
 	}
-	return n
+	return count
 }
--- a/endpoints/observe.go
+++ b/endpoints/observe.go
@@ -6,100 +6,126 @@
 	"oakthread/balancer"
 )
 
-// Observe takes what an attempt or order showed of a box.
-func (l *List) Observe(now time.Time, id balancer.WorkerID, s Observation) {
-	e := l.entries[id]
-	if e == nil {
+// Observe handles what an attempt or a load order showed about a worker.
+func (l *List) Observe(now time.Time, id balancer.WorkerID, observation Observation) {
+	entry := l.entries[id]
+	if entry == nil {
 		return
 	}
-	switch s {
-	case Answered, Slow:
-		if e.responseAt.IsZero() {
-			e.responseAt, e.firstResponseAt = now, now
-		}
-		e.responses = e.responses*decay(now.Sub(e.responseAt), rateWindow) + 1
-		e.responseAt = now
+	if observation.isResponse() {
+		entry.traffic.add(now)
 	}
-	if l.live || l.config.Fresh {
-		if s == Answered || s == Slow {
-			e.VerifiedAt = now
+	if l.watch.live || l.config.Fresh {
+		if observation.isResponse() {
+			entry.VerifiedAt = now
 		}
 		return
 	}
-	l.applyEvidence(now, e, s, false)
-	l.publishChange(e)
+	l.applyEvidence(now, entry, observation, false)
+	l.publishChange(entry)
 }
 
-// Probed takes the end of a probe.
-func (l *List) Probed(now time.Time, id balancer.WorkerID, s Observation) {
-	e := l.entries[id]
-	if e == nil {
+// Probed handles the result of a health check.
+func (l *List) Probed(now time.Time, id balancer.WorkerID, observation Observation) {
+	entry := l.entries[id]
+	if entry == nil {
 		return
 	}
-	e.checkCompleted = true
-	if e.checkInFlight {
-		e.checkInFlight = false
+	entry.check.completed = true
+	if entry.check.inFlight {
+		entry.check.inFlight = false
 		l.checksInFlight--
 	}
-	if l.live && s != Drains {
-		switch {
-		case e.verification != Draining || e.State != balancer.Active:
-		case s == Answered || s == Slow: // it takes work again
-			e.verification, e.drainReportedAt = Reported, time.Time{}
-			l.publishAll()
-		default: // that it drains still stands
-			e.checkDue = now.Add(drainReportTTL)
-		}
+	if l.watch.live && observation != Drains {
+		l.recheckDrain(now, entry, observation)
 		return
 	}
-	l.applyEvidence(now, e, s, true)
-	l.publishChange(e)
+	l.applyEvidence(now, entry, observation, true)
+	l.publishChange(entry)
 }
 
-func (l *List) applyEvidence(now time.Time, e *entry, s Observation, probe bool) {
-	switch s {
-	case Answered, Slow, Broken:
-		if s == Broken && e.verification == Unverified {
-			l.lowerConfidence(now, e, timeoutLikelihood)
-			return
-		}
-		if e.verification == Draining || e.verification == Excluded {
-			if s == Broken || !probe || e.State == balancer.Draining && e.drainReportedAt.IsZero() {
-				return // discovery said that it drains, or the answer is to what was sent before
-			}
-			// Somebody new, it may be: what was there before is void.
-			e.drainReportedAt, e.State, e.successes = time.Time{}, balancer.Active, 0
-			e.Start = now
-		}
-		if s != Broken {
-			e.VerifiedAt = now
-			e.verification, e.confidence, e.evidenceAt, e.ageUnknown, e.checkBackoff = Verified, 1, now, false, 0
-		}
-		switch s {
-		case Answered:
-			l.slowStart.recordSuccess(now, e)
-		case Slow:
-			l.slowStart.recordSetback(now, e)
-		}
-		if l.slowStart.active && e.successes < fullLoadSuccesses && e.checkDue.IsZero() { // calls may prove it sooner
-			round := l.checkInterval(e)
-			e.checkDue = now.Add(round + time.Duration(l.rng.Float64()*float64(round)/4))
-		}
-	case Busy: // full, or it drains: its own word is asked for
-		l.slowStart.recordSetback(now, e)
-		if !e.checkInFlight && e.verification != Draining {
-			e.checkDue = latest(now, e.lastCheckAt.Add(overloadRecheckInterval))
-		}
+// recheckDrain handles, with a live watch, the health check of a worker that itself reported that it drains: an answer
+// ends the drain, anything else has it checked again.
+func (l *List) recheckDrain(now time.Time, entry *listEntry, observation Observation) {
+	if entry.verification != Draining || entry.State != balancer.Active {
+		return
+	}
+	if !observation.isResponse() {
+		entry.check.dueAt = now.Add(drainReportTTL)
+		return
+	}
+	entry.verification, entry.drainReportedAt = Reported, time.Time{}
+	l.publishAll()
+}
+
+// applyEvidence updates the standing of an endpoint by what its worker showed while service discovery is unavailable.
+func (l *List) applyEvidence(now time.Time, entry *listEntry, observation Observation, isHealthCheck bool) {
+	switch observation {
+	case Answered, Slow:
+		l.handleResponse(now, entry, observation, isHealthCheck)
+	case Broken:
+		l.handleBrokenConnection(now, entry)
+	case Busy:
+		l.handleRejection(now, entry)
 	case Drains:
-		if e.verification != Draining {
-			l.log("box %d says that it drains, before discovery does", e.ID)
-			l.pending.Save, l.pending.Urgent = true, true
-		}
-		e.verification, e.drainReportedAt, e.evidenceAt, e.confidence, e.ageUnknown = Draining, now, now, 1, false
-		e.checkDue = now.Add(drainReportTTL)
+		l.handleDrainReport(now, entry)
 	case Refused:
-		l.lowerConfidence(now, e, connectionRefusedLikelihood)
+		l.lowerConfidence(now, entry, connectionRefusedLikelihood)
 	case Silent:
-		l.lowerConfidence(now, e, timeoutLikelihood)
+		l.lowerConfidence(now, entry, timeoutLikelihood)
+	}
+}
+
+// handleResponse records an answer: the worker runs, and slow start gives it more or less load.
+func (l *List) handleResponse(now time.Time, entry *listEntry, observation Observation, isHealthCheck bool) {
+	if entry.verification == Draining || entry.verification == Excluded {
+		if !isHealthCheck || entry.isDrainingByDiscovery() {
+			return // an answer to an earlier request, or service discovery reported the drain
+		}
+		// Another process may have taken the address over, so it counts as just started.
+		entry.drainReportedAt = time.Time{}
+		entry.State = balancer.Active
+		entry.Start = now
+		entry.ramp.successes = 0
+	}
+	entry.VerifiedAt = now
+	entry.setVerified(Verified, now)
+	entry.check.backoff = 0
+	if observation == Slow {
+		l.slowStart.recordSetback(now, entry)
+	} else {
+		l.slowStart.recordSuccess(now, entry)
+	}
+	l.scheduleSlowStartCheck(now, entry)
+}
+
+// handleBrokenConnection handles a connection that broke after it was accepted. It shows that something listens at the
+// address, which is a failure only of an endpoint that never answered.
+func (l *List) handleBrokenConnection(now time.Time, entry *listEntry) {
+	switch entry.verification {
+	case Unverified:
+		l.lowerConfidence(now, entry, timeoutLikelihood)
+	case Reported, Verified, Suspect:
+		l.scheduleSlowStartCheck(now, entry)
+	case Draining, Excluded:
+	}
+}
+
+// handleRejection handles a worker that rejected a request because it is full or drains. A health check finds out which.
+func (l *List) handleRejection(now time.Time, entry *listEntry) {
+	l.slowStart.recordSetback(now, entry)
+	if !entry.check.inFlight && entry.verification != Draining {
+		entry.check.dueAt = latest(now, entry.check.sentAt.Add(overloadRecheckInterval))
+	}
+}
+
+// handleDrainReport handles a worker's own report that it drains.
+func (l *List) handleDrainReport(now time.Time, entry *listEntry) {
+	if entry.verification != Draining {
+		l.log("box %d says that it drains, before discovery does", entry.ID)
+		l.requestSave(true)
 	}
+	entry.setVerified(Draining, now)
+	entry.drainReportedAt = now
+	entry.check.dueAt = now.Add(drainReportTTL)
 }
--- a/endpoints/publish.go
+++ b/endpoints/publish.go
@@ -1,78 +1,94 @@
 package endpoints
 
-import (
-	"oakthread/balancer"
-)
+import "oakthread/balancer"
 
-// isUsable tells whether the module may be given a box. A box that never answered in this life gets probes alone: a
-// booking sent to a silent address would be lost.
-func (l *List) isUsable(e *entry) bool {
-	switch e.verification {
+// isUsable reports whether the load balancer may have the endpoint. A worker that has not answered since the start gets
+// health checks only, since a request sent to an address without a worker would be lost.
+func (l *List) isUsable(entry *listEntry) bool {
+	switch entry.verification {
 	case Reported, Verified:
 		return true
 	case Suspect:
-		return e.isPublished
+		return entry.isPublished
 	case Draining:
-		return e.isPublished || l.live
+		return entry.isPublished || l.watch.live
+	case Unverified, Excluded:
+		return false
 	}
 	return false
 }
 
-// publishAll tells the module what has changed in its view of the list, publishOne of one box.
+// publishAll publishes every endpoint that changed for the load balancer.
 func (l *List) publishAll() {
-	for _, e := range l.sorted {
-		l.publishChange(e)
+	for _, entry := range l.sorted {
+		l.publishChange(entry)
 	}
 }
 
-func (l *List) publishChange(e *entry) {
-	if !l.isUsable(e) {
-		if e.isPublished {
-			off := e.published
-			off.State = balancer.Removed
-			l.appendPublication(off)
-			e.isPublished = false
+// publishChange publishes an endpoint if it changed for the load balancer.
+func (l *List) publishChange(entry *listEntry) {
+	if !l.isUsable(entry) {
+		if entry.isPublished {
+			removed := entry.published
+			removed.State = balancer.Removed
+			l.appendPublication(removed)
+			entry.isPublished = false
 		}
 		return
 	}
-	b := e.Endpoint
-	if e.verification == Draining {
-		b.State = balancer.Draining
+	endpoint := entry.Endpoint
+	if entry.verification == Draining {
+		endpoint.State = balancer.Draining
 	}
-	b.Weight *= l.slowStart.weightFactor(e)
-	if s := e.published; !e.isPublished || s.Addr != b.Addr || s.State != b.State || s.Weight != b.Weight || !s.Start.Equal(b.Start) ||
-		s.Zone != b.Zone || s.Kind != b.Kind || s.Cell != b.Cell {
-		l.appendPublication(b)
-		e.isPublished, e.published = true, b
+	endpoint.Weight *= l.slowStart.weightFactor(entry)
+	if !entry.isPublished || !isSameForBalancer(entry.published, endpoint) {
+		l.appendPublication(endpoint)
+		entry.isPublished, entry.published = true, endpoint
 	}
 }
 
-// publishRemoval puts an entry's state out at once, as where it has gone.
-func (l *List) publishRemoval(e *entry) {
-	l.appendPublication(e.Endpoint)
-	e.isPublished = false
+// isSameForBalancer reports whether two versions of an endpoint agree in all that the load balancer uses.
+func isSameForBalancer(a, b Endpoint) bool {
+	return a.Addr == b.Addr && a.State == b.State && a.Weight == b.Weight && a.Start.Equal(b.Start) &&
+		a.Zone == b.Zone && a.Kind == b.Kind && a.Cell == b.Cell
 }
 
-// appendPublication adds a box to the change that is being made. The first list of all is a whole one.
-func (l *List) appendPublication(b Endpoint) {
-	if n := len(l.pending.Publish); n > 0 {
-		p := &l.pending.Publish[n-1]
-		for i := range p.Endpoints {
-			if p.Endpoints[i].ID == b.ID {
-				p.Endpoints[i] = b
-				return
-			}
-		}
-		p.Endpoints = append(p.Endpoints, b)
+// publishRemoval publishes an entry that leaves the list.
+func (l *List) publishRemoval(entry *listEntry) {
+	l.appendPublication(entry.Endpoint)
+	entry.isPublished = false
+}
+
+// appendPublication adds an endpoint to the pending publication, in place of an earlier version of the same endpoint.
+// The first publication of all is a complete list.
+func (l *List) appendPublication(endpoint Endpoint) {
+	if count := len(l.pending.Publish); count > 0 {
+		l.pending.Publish[count-1].put(endpoint)
 		return
 	}
-	kind := balancer.EndpointsDelta
-	if !l.hasPublished {
-		kind = balancer.EndpointsCached
-		if l.live {
-			kind = balancer.EndpointsSnapshot
+	l.pending.Publish = append(l.pending.Publish, Publication{Kind: l.publicationKind(), Endpoints: []Endpoint{endpoint}})
+	l.hasPublished = true
+}
+
+// publicationKind returns the kind of the next publication.
+func (l *List) publicationKind() balancer.EndpointUpdateKind {
+	switch {
+	case l.hasPublished:
+		return balancer.EndpointsDelta
+	case l.watch.live:
+		return balancer.EndpointsSnapshot
+	default:
+		return balancer.EndpointsCached
+	}
+}
+
+// put adds an endpoint or replaces its earlier version.
+func (p *Publication) put(endpoint Endpoint) {
+	for i := range p.Endpoints {
+		if p.Endpoints[i].ID == endpoint.ID {
+			p.Endpoints[i] = endpoint
+			return
 		}
 	}
-	l.pending.Publish = append(l.pending.Publish, Publication{Kind: kind, Endpoints: []Endpoint{b}})
-	l.hasPublished = true
+	p.Endpoints = append(p.Endpoints, endpoint)
 }
--- a/endpoints/restore.go
+++ b/endpoints/restore.go
@@ -8,80 +8,115 @@
 )
 
 const (
-	immediateChecks     = 3                      // boxes asked at once after a start
-	initialCheckWindow  = 150 * time.Millisecond // and for so long as many as all dispatchers together may ask
-	minInitialChecks    = 8
-	remainingCheckDelay = 600 * time.Millisecond // the others wait until those have proved themselves
+	// immediateChecks is the number of health checks that a restored list sends at once. Three make it likely that one
+	// answers although some workers have left.
+	immediateChecks = 3
+
+	// initialCheckWindow is the time in which the initial health checks are sent, as many as the configured rate of all
+	// dispatchers together allows.
+	initialCheckWindow = 150 * time.Millisecond
+
+	// minInitialChecks bounds the number of initial health checks from below.
+	minInitialChecks = 8
+
+	// remainingCheckDelay postpones the other health checks until the initial ones have completed slow start.
+	remainingCheckDelay = 600 * time.Millisecond
+
+	// confidenceBands is the number of bands by which initial health checks prefer endpoints of higher confidence. Within
+	// a band the order is random and differs between dispatchers.
+	confidenceBands = 4
 )
 
-// Restore starts from a kept list. It must be the first event.
-func (l *List) Restore(now time.Time, k Snapshot) {
-	l.history, l.epoch, l.cursor, l.confirmedAt = k.History, k.Epoch, k.Cursor, k.Confirmed
-	aged := true
-	if k.Confirmed.After(now) || k.Saved.After(now) {
-		aged = false
+// Snapshot is the persistent state of a List.
+type Snapshot struct {
+	Epoch     string
+	Cursor    int64
+	Confirmed time.Time // when service discovery last confirmed that the list is current
+	Saved     time.Time
+	Endpoints []Endpoint
+	History   History
+}
+
+// Restore starts the list from a snapshot. It is the first event of a list that has one.
+func (l *List) Restore(now time.Time, snapshot Snapshot) {
+	l.history = snapshot.History
+	l.watch.epoch, l.watch.cursor, l.watch.confirmedAt = snapshot.Epoch, snapshot.Cursor, snapshot.Confirmed
+	fromFuture := snapshot.Confirmed.After(now) || snapshot.Saved.After(now)
+	if fromFuture {
 		l.log("the clock went back: the kept list is of unknown age and counts as %v old", unknownAge)
 	}
-	for _, b := range k.Endpoints {
-		if b.State == balancer.Removed || l.entries[b.ID] != nil {
+	for _, endpoint := range snapshot.Endpoints {
+		if endpoint.State == balancer.Removed || l.entries[endpoint.ID] != nil {
 			continue
 		}
-		e := l.insert(b)
-		e.verification, e.evidenceAt = Unverified, latest(k.Confirmed, b.VerifiedAt)
-		e.ageUnknown = !aged || e.evidenceAt.IsZero() || e.evidenceAt.After(now)
-		e.checkDue = now.Add(time.Duration(l.rng.Float64() * float64(l.checkSpread())))
-		e.formerRate = b.RequestRate
-		if b.State == balancer.Draining {
-			e.verification = Draining
-		}
+		l.restoreEntry(now, endpoint, fromFuture)
 	}
 	if l.config.Fresh {
-		for _, e := range l.sorted {
-			e.verification, e.confidence, e.evidenceAt, e.ageUnknown = Verified, 1, now, false
+		for _, entry := range l.sorted {
+			entry.setVerified(Verified, now)
 		}
 		l.publishAll()
 		return
 	}
 	l.scheduleInitialChecks(now)
-	l.slowStart.start(l, now)
-	if n := len(l.sorted); n > 0 {
-		l.log("starting from a kept list of %d boxes, %v old, trusted %.2f on the mean", n, l.age(now).Round(time.Second), l.meanConfidence(now))
+	l.startSlowStart(now)
+	if count := len(l.sorted); count > 0 {
+		l.log("starting from a kept list of %d boxes, %v old, trusted %.2f on the mean", count, l.age(now).Round(time.Second),
+			l.meanConfidence(now))
 	}
 }
 
-// checkSpread is the time over which every box is asked once, so that all dispatchers together keep to ProbeRate.
-func (l *List) checkSpread() time.Duration {
-	return time.Duration(float64(l.config.Siblings) / l.config.ProbeRate * float64(time.Second))
+// restoreEntry adds an endpoint of a snapshot and schedules its first health check.
+func (l *List) restoreEntry(now time.Time, endpoint Endpoint, fromFuture bool) {
+	entry := l.insert(endpoint)
+	entry.verification = Unverified
+	if endpoint.State == balancer.Draining {
+		entry.verification = Draining
+	}
+	at := latest(l.watch.confirmedAt, endpoint.VerifiedAt)
+	entry.evidence.at = at
+	entry.evidence.ageUnknown = fromFuture || at.IsZero() || at.After(now)
+	entry.check.dueAt = now.Add(l.randomDelay(l.checkSpread()))
+	entry.ramp.formerRate = endpoint.RequestRate
 }
 
-// scheduleInitialChecks has as many boxes asked first as ProbeRate allows within eagerTime, three of them at once: drawn from the most
-// trusted, other ones at every dispatcher. The rest follow at their pace.
+// scheduleInitialChecks brings forward the health checks of as many endpoints as the configured rate allows within
+// initialCheckWindow, immediateChecks of them at once. Endpoints of higher confidence come first, otherwise the choice
+// is random so that dispatchers check different workers. The other endpoints follow after remainingCheckDelay.
 func (l *List) scheduleInitialChecks(now time.Time) {
-	var es []*entry
-	for _, e := range l.sorted {
-		if e.verification == Unverified {
-			es = append(es, e)
-			e.checkDue = e.checkDue.Add(remainingCheckDelay)
+	var candidates []*listEntry
+	for _, entry := range l.sorted {
+		if entry.verification == Unverified {
+			candidates = append(candidates, entry)
+			entry.check.dueAt = entry.check.dueAt.Add(remainingCheckDelay)
 		}
 	}
-	l.rng.Shuffle(len(es), func(i, j int) { es[i], es[j] = es[j], es[i] })
-	slices.SortStableFunc(es, func(a, b *entry) int {
-		return int(4*l.confidence(now, b)) - int(4*l.confidence(now, a))
+	l.rng.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
+	slices.SortStableFunc(candidates, func(a, b *listEntry) int {
+		return int(confidenceBands*l.confidence(now, b)) - int(confidenceBands*l.confidence(now, a))
 	})
-	most := int(l.config.ProbeRate * initialCheckWindow.Seconds() * float64(len(es)) / float64(l.config.Siblings))
-	for i, e := range es[:min(len(es), max(most, minInitialChecks))] {
-		e.initialCheck = true
-		e.checkDue = now
+	for i, entry := range candidates[:min(len(candidates), l.initialChecks(len(candidates)))] {
+		entry.check.initial = true
+		entry.check.dueAt = now
 		if i >= immediateChecks {
-			e.checkDue = now.Add(time.Duration(l.rng.Float64() * float64(min(initialCheckWindow, l.checkSpread()))))
+			entry.check.dueAt = now.Add(l.randomDelay(min(initialCheckWindow, l.checkSpread())))
 		}
 	}
 }
 
-// checkInterval is the time between probes of one box in the ramp.
-func (l *List) checkInterval(e *entry) time.Duration {
-	if e.initialCheck {
-		return max(minSuccessInterval, min(initialCheckWindow, l.checkSpread()))
-	}
-	return max(minSuccessInterval, l.checkSpread())
+// initialChecks returns how many of the candidates this dispatcher may check within initialCheckWindow.
+func (l *List) initialChecks(candidates int) int {
+	checksPerWorker := l.config.ProbeRate * initialCheckWindow.Seconds()
+	return max(int(checksPerWorker*float64(candidates)/float64(l.config.Siblings)), minInitialChecks)
+}
+
+// checkSpread returns the time over which every endpoint is checked once, so that all dispatchers together keep to the
+// configured rate of health checks.
+func (l *List) checkSpread() time.Duration {
+	return time.Duration(float64(l.config.Siblings) / l.config.ProbeRate * float64(time.Second))
+}
+
+// randomDelay returns a uniformly distributed duration below bound.
+func (l *List) randomDelay(bound time.Duration) time.Duration {
+	return time.Duration(l.rng.Float64() * float64(bound))
 }
--- a/endpoints/slowstart.go
+++ b/endpoints/slowstart.go
@@ -1,149 +1,240 @@
 package endpoints
 
-// This file owns how much a dispatcher that starts from a kept list lets through: a budget that grows with each proof, as
-// in slow start (RFC 5681, 3.1), summed over the boxes that answer. It must never choose a box: what it lets through is
-// the module's to place, and what it turns away is refused at once with a time to come back.
-
 import (
 	"math"
 	"time"
 )
 
 const (
-	// A box that starts has a fifth of its capacity at the least and falls at three times what it can do: 0.6 of what it
-	// did before. The margin is for chance and for boxes that were not fully used.
+	// defaultInitialLoadFraction is the part of its former load that a worker gets at its first success. A worker that
+	// starts has a fifth of its capacity at the least and fails at three times that, 0.6 of what it did before. The
+	// margin to 0.6 is for chance and for workers that were not fully used.
 	defaultInitialLoadFraction = 0.36
-	fullLoadSuccesses          = 4                      // each proof doubles a box's budget; after so many it needs none
-	minSuccessInterval         = 100 * time.Millisecond // between proofs of one box that count: what the last let through shows by then
-	burstWindow                = 60 * time.Millisecond  // of unused budget is saved up
-	recoveryWindow             = 3 * time.Second        // after the ramp, for which calls that were held off may not come in one wave
-	recoveryLoadFactor         = 1.5                    // times the former load that passes meanwhile
-	rateUpdateInterval         = 2 * time.Millisecond
-	retryLoadFraction          = 0.3 // of the former load at which those held off are told to come back
+
+	// fullLoadSuccesses is the number of successes after which a worker is not limited. Each success doubles its load.
+	fullLoadSuccesses = 4
+
+	// minSuccessInterval is the least time between successes of one worker that count: by then the load that the last
+	// one admitted shows its effect.
+	minSuccessInterval = 100 * time.Millisecond
+
+	// burstWindow is the time for which unused admissions are saved up.
+	burstWindow = 60 * time.Millisecond
+
+	// recoveryWindow is the time after slow start for which recoveryLoadFactor times the former load is admitted at the
+	// most, so that the requests rejected before do not return in one wave.
+	recoveryWindow     = 3 * time.Second
+	recoveryLoadFactor = 1.5
+
+	// rateUpdateInterval is the least time between two computations of the admission rate, which visit every endpoint.
+	rateUpdateInterval = 2 * time.Millisecond
+
+	// retryLoadFraction is the part of the former load at which rejected requests are told to return.
+	retryLoadFraction = 0.3
+
+	// minSlowStartWeight is the weight that an endpoint of no weight counts with.
+	minSlowStartWeight = 0.1
+
+	// completedPercent is the part of the answering endpoints that must not be limited any more for slow start to end
+	// once every endpoint has been checked.
+	completedPercent = 90
+
+	// checkJitterDivisor bounds the jitter of the health checks of slow start to a part of their interval.
+	checkJitterDivisor = 4
 )
 
-// slowStart holds the budget. Each dispatcher draws on its own part: what the boxes answered this one before. The parts add up
-// over any number of dispatchers that restart together, without a word between them.
+// slowStart limits the requests that a dispatcher admits after it has started from a cached list. The admission rate
+// grows with each success of a worker, as a congestion window does (RFC 5681, section 3.1), summed over the workers that
+// answer. Each dispatcher uses the share of a worker's capacity that it used before, so that any number of dispatchers
+// that restart together need not coordinate.
 type slowStart struct {
 	active        bool
 	endedAt       time.Time
-	tokens        float64
+	tokens        float64 // requests that may be admitted at refilledAt
 	refilledAt    time.Time
-	lastRetrySlot time.Time // the last slot told to a call that was turned away
+	lastRetrySlot time.Time // the last time at which a rejected request was told to return
 	rateUpdatedAt time.Time
-	admissionRate float64   // calls a second that may pass
-	formerRate    float64   // calls a second before, at all boxes
-	recoveryEnd   time.Time // the ramp is over, and this the end of the calm after it
+	admissionRate float64   // requests per second
+	formerRate    float64   // requests per second of all workers before the start
+	recoveryEnd   time.Time // zero: workers are still limited
 }
 
-func (g *slowStart) start(l *List, now time.Time) {
-	for _, e := range l.sorted {
-		g.formerRate += e.formerRate
-	}
-	if g.formerRate <= 0 {
-		return // nothing is known of what boxes bore: the decision module's own limits must do
-	}
-	g.active, g.refilledAt = true, now
-	g.tokens = l.rng.Float64() // not all of a fleet's first calls in one moment
+// rampState is the progress of one endpoint in slow start.
+type rampState struct {
+	formerRate float64 // requests per second that the worker answered this dispatcher before the start
+	successes  int     // less the setbacks
+	changedAt  time.Time
+	hadSetback bool
 }
 
-func (g *slowStart) stop() {
-	if g.active {
-		g.active, g.endedAt = false, g.refilledAt
+// startSlowStart begins slow start at the load of the cached list. Without a known former load it does nothing, and the
+// load balancer's own limits apply.
+func (l *List) startSlowStart(now time.Time) {
+	s := &l.slowStart
+	for _, entry := range l.sorted {
+		s.formerRate += entry.ramp.formerRate
+	}
+	if s.formerRate <= 0 {
+		return
+	}
+	s.active, s.refilledAt = true, now
+	s.tokens = l.rng.Float64() // dispatchers that restart together do not admit their first requests at one moment
+}
+
+// stop ends slow start.
+func (s *slowStart) stop() {
+	if s.active {
+		s.active, s.endedAt = false, s.refilledAt
 	}
 }
 
-// recordSuccess lets a box get more; false: it has proved itself in full, or it was too early to count.
-func (g *slowStart) recordSuccess(now time.Time, e *entry) {
-	if g.active && e.successes < fullLoadSuccesses && now.Sub(e.successAt) >= minSuccessInterval {
-		e.successes++
-		e.successAt = now
+// recordSuccess doubles the load of a worker that answered in time, unless it is no longer limited or its last change is
+// too recent for the success to count.
+func (s *slowStart) recordSuccess(now time.Time, entry *listEntry) {
+	ramp := &entry.ramp
+	if s.active && ramp.successes < fullLoadSuccesses && now.Sub(ramp.changedAt) >= minSuccessInterval {
+		ramp.successes++
+		ramp.changedAt = now
 	}
 }
 
-// recordSetback halves the budget of a box that failed, answers late or is full.
-func (g *slowStart) recordSetback(now time.Time, e *entry) {
-	if g.active && e.successes > 0 {
-		e.successes = max(1, e.successes-1)
-		e.successAt, e.hadSetback = now, true
+// recordSetback halves the load of a worker that failed, answered late or rejected a request.
+func (s *slowStart) recordSetback(now time.Time, entry *listEntry) {
+	ramp := &entry.ramp
+	if s.active && ramp.successes > 0 {
+		ramp.successes = max(1, ramp.successes-1)
+		ramp.changedAt, ramp.hadSetback = now, true
 	}
 }
 
-// weightFactor is the part of its weight that a box counts with: less than all only after a setback, until it has proved
-// itself again, so that the module has it light.
-func (g *slowStart) weightFactor(e *entry) float64 {
-	if !g.active || !e.hadSetback || e.successes >= fullLoadSuccesses {
+// weightFactor returns the factor of the endpoint's weight for the load balancer. It is below 1 after a setback until
+// the worker is no longer limited.
+func (s *slowStart) weightFactor(entry *listEntry) float64 {
+	if !s.active || !entry.ramp.hadSetback || entry.ramp.successes >= fullLoadSuccesses {
 		return 1
 	}
-	return float64(e.successes) / fullLoadSuccesses
+	return float64(entry.ramp.successes) / fullLoadSuccesses
+}
+
+// scheduleSlowStartCheck schedules the next health check of a limited endpoint that has none scheduled. Attempts may
+// complete its slow start sooner.
+func (l *List) scheduleSlowStartCheck(now time.Time, entry *listEntry) {
+	if !l.slowStart.active || entry.ramp.successes >= fullLoadSuccesses || !entry.check.dueAt.IsZero() {
+		return
+	}
+	interval := l.slowStartCheckInterval(entry)
+	jitter := time.Duration(l.rng.Float64() * float64(interval) / checkJitterDivisor)
+	entry.check.dueAt = now.Add(interval + jitter)
 }
 
-// updateRate sums up what may pass. What the boxes asked so far make of the load of as many boxes before holds for all: a
-// dispatcher needs no more boxes than bear its load, and others draw other ones.
-func (g *slowStart) updateRate(l *List, now time.Time) {
-	g.rateUpdatedAt = now
-	asked, sum, proven, open, left := 0.0, 0.0, 0, 0, 0
-	for _, e := range l.sorted {
-		if !e.checkCompleted {
-			left++
+// slowStartCheckInterval returns the time between the health checks of one endpoint in slow start.
+func (l *List) slowStartCheckInterval(entry *listEntry) time.Duration {
+	interval := l.checkSpread()
+	if entry.check.initial {
+		interval = min(initialCheckWindow, interval)
+	}
+	return max(minSuccessInterval, interval)
+}
+
+// slowStartProgress sums up the slow start of all endpoints.
+type slowStartProgress struct {
+	checkedWeight  float64 // of the endpoints with a completed health check
+	admittedWeight float64 // of the answering ones, doubled by each success after the first
+	unlimited      int     // answering endpoints with full load
+	answering      int
+	unchecked      int
+}
+
+// slowStartProgress returns the progress of the endpoints.
+func (l *List) slowStartProgress() slowStartProgress {
+	var progress slowStartProgress
+	for _, entry := range l.sorted {
+		if !entry.check.completed {
+			progress.unchecked++
+			continue
+		}
+		weight := max(entry.Weight, minSlowStartWeight)
+		progress.checkedWeight += weight
+		successes := entry.ramp.successes
+		if successes == 0 || entry.verification == Draining || !l.isUsable(entry) {
 			continue
 		}
-		asked += max(e.Weight, 0.1)
-		if e.successes > 0 && e.verification != Draining && l.isUsable(e) {
-			sum += max(e.Weight, 0.1) * math.Ldexp(1, e.successes-1)
-			open++
-			if e.successes >= fullLoadSuccesses {
-				proven++
-			}
+		progress.admittedWeight += weight * math.Ldexp(1, successes-1)
+		progress.answering++
+		if successes >= fullLoadSuccesses {
+			progress.unlimited++
 		}
 	}
-	g.admissionRate = l.config.Budget * g.formerRate * sum / max(asked, 0.1)
-	if g.recoveryEnd.IsZero() && open > 0 && (g.admissionRate >= recoveryLoadFactor*g.formerRate || left == 0 && 10*proven >= 9*open) {
-		g.recoveryEnd = now.Add(recoveryWindow)
-		l.log("the ramp is over: %d boxes have proved themselves, %d are still to be asked", proven, left)
+	return progress
+}
+
+// updateAdmissionRate computes the admission rate from the endpoints checked so far. Their share of the former load
+// stands for all endpoints, since a dispatcher needs no more workers than can take its load, and the others check
+// different workers. Slow start passes to recovery when the rate is no longer the limit.
+func (l *List) updateAdmissionRate(now time.Time) {
+	s := &l.slowStart
+	s.rateUpdatedAt = now
+	progress := l.slowStartProgress()
+	s.admissionRate = l.config.Budget * s.formerRate * progress.admittedWeight /
+		max(progress.checkedWeight, minSlowStartWeight)
+	if !s.recoveryEnd.IsZero() || progress.answering == 0 {
+		return
+	}
+	isRateSufficient := s.admissionRate >= recoveryLoadFactor*s.formerRate
+	areMostUnlimited := progress.unchecked == 0 && 100*progress.unlimited >= completedPercent*progress.answering
+	if isRateSufficient || areMostUnlimited {
+		s.recoveryEnd = now.Add(recoveryWindow)
+		l.log("the ramp is over: %d boxes have proved themselves, %d are still to be asked", progress.unlimited,
+			progress.unchecked)
 	}
 }
 
-// Admit tells whether a call may be passed on to the module now; else when to come back. It is asked once for each call.
-func (l *List) Admit(now time.Time) (wait time.Duration, ok bool) {
-	g := &l.slowStart
-	if !g.active {
+// Admit decides whether a request is admitted now. A rejected request is to return after retryAfter. It is called once
+// per request.
+func (l *List) Admit(now time.Time) (retryAfter time.Duration, admitted bool) {
+	s := &l.slowStart
+	if !s.active {
 		return 0, true
 	}
-	if now.Sub(g.rateUpdatedAt) >= rateUpdateInterval {
-		g.updateRate(l, now)
+	if now.Sub(s.rateUpdatedAt) >= rateUpdateInterval {
+		l.updateAdmissionRate(now)
 	}
-	rate := g.admissionRate
-	if !g.recoveryEnd.IsZero() {
-		if now.After(g.recoveryEnd) {
-			g.stop()
+	rate := s.admissionRate
+	if !s.recoveryEnd.IsZero() {
+		if now.After(s.recoveryEnd) {
+			s.stop()
 			return 0, true
 		}
-		rate = recoveryLoadFactor * g.formerRate
-	}
-	if now.After(g.refilledAt) {
-		g.tokens = min(g.tokens+rate*now.Sub(g.refilledAt).Seconds(), max(1, rate*burstWindow.Seconds()))
-		g.refilledAt = now
+		rate = recoveryLoadFactor * s.formerRate
 	}
-	if g.tokens >= 1 {
-		g.tokens--
+	s.refill(now, rate)
+	if s.tokens >= 1 {
+		s.tokens--
 		return 0, true
 	}
-	// Each one turned away is told a slot of its own after the ramp, virtual scheduling as in the generic cell rate
-	// algorithm (ITU-T I.371): those held off come back spread, beside the usual calls, and not in one wave.
-	if soon := now.Add(2 * max(minSuccessInterval, l.checkSpread())); g.lastRetrySlot.Before(soon) {
-		g.lastRetrySlot = soon
-	}
-	g.lastRetrySlot = g.lastRetrySlot.Add(time.Duration(float64(time.Second) / (retryLoadFraction * g.formerRate)))
-	if most := now.Add(l.config.MaxWait); g.lastRetrySlot.After(most) {
-		g.lastRetrySlot = most
-	}
-	return g.lastRetrySlot.Sub(now), false
+	return l.nextRetrySlot(now), false
 }
 
-func decay(d, span time.Duration) float64 {
-	if d <= 0 {
-		return 1
+// refill adds the tokens of the time since the last refill.
+func (s *slowStart) refill(now time.Time, rate float64) {
+	if now.After(s.refilledAt) {
+		capacity := max(1, rate*burstWindow.Seconds())
+		s.tokens = min(s.tokens+rate*now.Sub(s.refilledAt).Seconds(), capacity)
+		s.refilledAt = now
 	}
-	return math.Exp(-float64(d) / float64(span))
+}
+
+// nextRetrySlot returns the wait of a rejected request. Every request gets a slot of its own after slow start, by the
+// virtual scheduling of the generic cell rate algorithm (ITU-T I.371): rejected requests return spread out beside the
+// usual load. No wait exceeds the configured maximum.
+func (l *List) nextRetrySlot(now time.Time) time.Duration {
+	s := &l.slowStart
+	earliest := now.Add(2 * max(minSuccessInterval, l.checkSpread()))
+	slot := latest(s.lastRetrySlot, earliest)
+	slot = slot.Add(time.Duration(float64(time.Second) / (retryLoadFraction * s.formerRate)))
+	if limit := now.Add(l.config.MaxWait); slot.After(limit) {
+		slot = limit
+	}
+	s.lastRetrySlot = slot
+	return slot.Sub(now)
 }
--- a/endpoints/snapshot.go
+++ b/endpoints/snapshot.go
@@ -7,53 +7,55 @@
 	"oakthread/balancer"
 )
 
-const (
-	rateWindow = 10 * time.Second
-)
+// unknownRowAge is the age that a Row has when the age of the evidence is unknown.
+const unknownRowAge time.Duration = -1
 
-// TakeSnapshot is the list as it is to be written.
+// TakeSnapshot returns the state of the list for saving.
 func (l *List) TakeSnapshot(now time.Time) Snapshot {
-	k := Snapshot{Epoch: l.epoch, Cursor: l.cursor, Confirmed: l.confirmedAt, Saved: now, History: l.history}
-	k.History.Events = slices.Clone(l.history.Events)
-	for _, e := range l.sorted {
-		b := e.Endpoint
-		b.RequestRate = max(e.requestRate(now), e.formerRate)
-		if l.live && now.Sub(l.slowStart.endedAt) > rateWindow {
-			b.RequestRate = e.requestRate(now)
-		}
-		if e.verification == Draining {
-			b.State = balancer.Draining
+	snapshot := Snapshot{
+		Epoch: l.watch.epoch, Cursor: l.watch.cursor, Confirmed: l.watch.confirmedAt, Saved: now, History: l.history,
+	}
+	snapshot.History.Events = slices.Clone(l.history.Events)
+	for _, entry := range l.sorted {
+		endpoint := entry.Endpoint
+		endpoint.RequestRate = l.savedRate(now, entry)
+		if entry.verification == Draining {
+			endpoint.State = balancer.Draining
 		}
-		k.Endpoints = append(k.Endpoints, b)
+		snapshot.Endpoints = append(snapshot.Endpoints, endpoint)
 	}
-	return k
+	return snapshot
 }
 
-func (e *entry) requestRate(now time.Time) float64 {
-	if e.responseAt.IsZero() {
-		return 0
+// savedRate returns the request rate to save for an endpoint. Until the rate has been measured for one window after slow
+// start, a lower measurement does not replace the rate before the start: admission was limited, not demand.
+func (l *List) savedRate(now time.Time, entry *listEntry) float64 {
+	measured := entry.traffic.perSecond(now)
+	if l.watch.live && now.Sub(l.slowStart.endedAt) > rateWindow {
+		return measured
 	}
-	seen := max(1-decay(now.Sub(e.firstResponseAt), rateWindow), 0.05) // less than the span has been seen of a young one
-	return e.responses * decay(now.Sub(e.responseAt), rateWindow) / (rateWindow.Seconds() * seen)
+	return max(measured, entry.ramp.formerRate)
 }
 
-// Row is one line of a report on the list.
+// Row is the report on one endpoint.
 type Row struct {
 	Endpoint
-	Trust float64
+	Trust float64 // probability that the worker is running
 	Proof Verification
 	Age   time.Duration // of the last evidence; below 0: unknown
 }
 
-// Rows reports on all boxes, by id.
+// Rows returns the report on all endpoints, ordered by ID.
 func (l *List) Rows(now time.Time) []Row {
 	rows := make([]Row, 0, len(l.sorted))
-	for _, e := range l.sorted {
-		r := Row{Endpoint: e.Endpoint, Trust: l.confidence(now, e), Proof: e.verification, Age: -1}
-		if !e.ageUnknown && !e.evidenceAt.IsZero() {
-			r.Age = now.Sub(e.evidenceAt)
+	for _, entry := range l.sorted {
+		row := Row{
+			Endpoint: entry.Endpoint, Trust: l.confidence(now, entry), Proof: entry.verification, Age: unknownRowAge,
+		}
+		if !entry.evidence.ageUnknown && !entry.evidence.at.IsZero() {
+			row.Age = now.Sub(entry.evidence.at)
 		}
-		rows = append(rows, r)
+		rows = append(rows, row)
 	}
 	return rows
 }
--- a/endpoints/verification.go
+++ b/endpoints/verification.go
@@ -1,30 +1,19 @@
 package endpoints
 
-// Verification is how a box stands with us.
+// Verification is the standing of an endpoint: where the list's knowledge of it comes from and whether that holds.
 type Verification int
 
-func (p Verification) String() string {
-	return [...]string{"told", "unproved", "proven", "doubted", "left out", "draining"}[p]
-}
-
+// The standings of an endpoint.
 const (
-	Reported   Verification = iota // by discovery, which is there
-	Unverified                     // by a kept list alone
-	Verified                       // it answered
-	Suspect                        // it failed us
-	Excluded                       // it failed us until little trust was left
-	Draining                       // it said so itself
+	Reported   Verification = iota // reported by service discovery, whose watch is live
+	Unverified                     // known from a cached list only
+	Verified                       // answered this dispatcher
+	Suspect                        // failed, and some confidence is left
+	Excluded                       // failed until confidence fell below the exclusion threshold
+	Draining                       // reported that it accepts no new work
 )
 
-// Observation is what an attempt, probe or order showed of a box.
-type Observation int
-
-const (
-	Answered Observation = iota // it answered in good time
-	Slow                        // it answered, late
-	Busy                        // 503, never ran: full, or it drains
-	Drains                      // it says that it takes no work
-	Refused                     // nobody listens there
-	Silent                      // nothing came in time
-	Broken                      // cut or failed: somebody is there
-)
+// String returns the name that operators see in reports.
+func (v Verification) String() string {
+	return [...]string{"told", "unproved", "proven", "doubted", "left out", "draining"}[v]
+}
--- a/endpoints/watch.go
+++ b/endpoints/watch.go
@@ -8,147 +8,172 @@
 )
 
 const (
-	drainReportTTL           = 10 * time.Second // a box's word that it drains stands against discovery's, which is seconds late
-	confirmationSaveInterval = 5 * time.Second  // the list's age on disk is at most this much too old
+	// drainReportTTL is the time for which a worker's own report of draining takes precedence over service discovery,
+	// which learns of a drain seconds later. It is also the interval of the health checks of such a worker.
+	drainReportTTL = 10 * time.Second
+
+	// confirmationSaveInterval bounds by how much the saved age of the list is too old.
+	confirmationSaveInterval = 5 * time.Second
 )
 
-// HandleUpdate takes news of discovery. Its word replaces what was kept; what the box itself said lately of draining stands.
-func (l *List) HandleUpdate(now time.Time, u Update) {
-	if u.Epoch != "" && l.epoch != "" && u.Epoch != l.epoch && !u.Full {
-		l.log("discovery speaks of epoch %q where the list is of %q: a change alone is not taken", u.Epoch, l.epoch)
+// watchState is the position of the list in the watch events of service discovery.
+type watchState struct {
+	epoch               string
+	cursor              int64
+	confirmedAt         time.Time // when service discovery last confirmed that the list is current
+	confirmationSavedAt time.Time
+	live                bool // the list is the current one of service discovery
+}
+
+// HandleUpdate applies a watch event. It replaces what was cached, except a worker's own recent report of draining. A
+// partial update of another epoch is ignored, since its numbering is not that of the list.
+func (l *List) HandleUpdate(now time.Time, update Update) {
+	if update.Epoch != "" && l.watch.epoch != "" && update.Epoch != l.watch.epoch && !update.Full {
+		l.log("discovery speaks of epoch %q where the list is of %q: a change alone is not taken", update.Epoch, l.watch.epoch)
 		return
 	}
-	if u.Epoch != "" {
-		l.epoch = u.Epoch
+	if update.Epoch != "" {
+		l.watch.epoch = update.Epoch
 	}
 	l.accountObservedTime(now)
-	l.cursor, l.pending.Save = u.Cursor, true
-	first := l.history.Watched == 0 && len(l.history.Events) == 0 && len(l.sorted) == 0
-	named := make(map[balancer.WorkerID]bool, len(u.Endpoints))
-	for _, b := range u.Endpoints {
-		named[b.ID] = true
-		e := l.entries[b.ID]
-		if b.State == balancer.Removed {
-			l.remove(now, e)
+	l.watch.cursor = update.Cursor
+	l.requestSave(false)
+	isFirstList := l.history.Watched == 0 && len(l.history.Events) == 0 && len(l.sorted) == 0
+	for _, endpoint := range update.Endpoints {
+		if endpoint.State == balancer.Removed {
+			l.remove(now, l.entries[endpoint.ID])
 			continue
 		}
-		b.UpdatedAt = now
-		if e == nil {
-			e = l.insert(b)
-			if !first {
-				l.history.recordEvent(now, b.ID, Joined)
-			}
-		} else {
-			if !b.Start.Equal(e.Start) || b.Addr != e.Addr { // it starts anew: nothing it proved holds
-				l.history.recordEvent(now, b.ID, Restarted)
-				e.drainReportedAt, e.formerRate, e.responses, e.checkBackoff, e.responseAt = time.Time{}, 0, 0, 0, time.Time{}
-				e.VerifiedAt = time.Time{}
-			} else if b.State == balancer.Active && e.State == balancer.Draining {
-				e.drainReportedAt = time.Time{} // a newer word on this very box
-			}
-			b.VerifiedAt, b.RequestRate = e.VerifiedAt, e.RequestRate
-			if b.State == balancer.Draining && e.State != balancer.Draining {
-				l.history.recordEvent(now, b.ID, Drained)
-			}
-			e.Endpoint = b
-		}
-		if b.State == balancer.Draining {
-			l.pending.Urgent = true
-		}
-		e.verification, e.confidence, e.evidenceAt, e.ageUnknown = Reported, 1, now, false
+		l.applyReport(now, endpoint, isFirstList)
 	}
-	if u.Full {
-		for _, e := range slices.Clone(l.sorted) {
-			if !named[e.ID] {
-				l.remove(now, e)
-			}
-		}
-		l.markConfirmed(now, true)
-		l.markLive(now)
-	} else {
+	if !update.Full {
 		l.publishAll()
+		return
 	}
+	l.removeUnlisted(now, update.Endpoints)
+	l.markConfirmed(now, true)
+	l.markLive(now)
 }
 
-func (l *List) remove(now time.Time, e *entry) {
-	if e == nil {
-		return
+// applyReport takes one endpoint of a watch event into the list. The endpoints of the first list of all are not
+// recorded as joining.
+func (l *List) applyReport(now time.Time, endpoint Endpoint, isFirstList bool) {
+	endpoint.UpdatedAt = now
+	entry := l.entries[endpoint.ID]
+	if entry != nil {
+		l.updateEntry(now, entry, endpoint)
+	} else {
+		entry = l.insert(endpoint)
+		if !isFirstList {
+			l.history.recordEvent(now, endpoint.ID, Joined)
+		}
+	}
+	if endpoint.State == balancer.Draining {
+		l.requestSave(true)
+	}
+	entry.setVerified(Reported, now)
+}
+
+// updateEntry replaces what service discovery reported about an endpoint. What the worker showed is kept unless another
+// start time or address says that a new process runs there.
+func (l *List) updateEntry(now time.Time, entry *listEntry, endpoint Endpoint) {
+	switch {
+	case !endpoint.Start.Equal(entry.Start) || endpoint.Addr != entry.Addr:
+		l.history.recordEvent(now, endpoint.ID, Restarted)
+		entry.resetAfterRestart()
+	case endpoint.State == balancer.Active && entry.State == balancer.Draining:
+		entry.drainReportedAt = time.Time{} // newer than the worker's own report
 	}
-	l.history.recordEvent(now, e.ID, Left)
-	l.pending.Urgent, l.pending.Save = true, true
-	if e.isPublished {
-		e.State = balancer.Removed
-		e.verification = Reported
-		l.publishRemoval(e)
+	if endpoint.State == balancer.Draining && entry.State != balancer.Draining {
+		l.history.recordEvent(now, endpoint.ID, Drained)
+	}
+	endpoint.VerifiedAt, endpoint.RequestRate = entry.VerifiedAt, entry.RequestRate
+	entry.Endpoint = endpoint
+}
+
+// removeUnlisted removes every entry that a full list does not name.
+func (l *List) removeUnlisted(now time.Time, listed []Endpoint) {
+	isListed := make(map[balancer.WorkerID]bool, len(listed))
+	for _, endpoint := range listed {
+		isListed[endpoint.ID] = true
+	}
+	for _, entry := range slices.Clone(l.sorted) {
+		if !isListed[entry.ID] {
+			l.remove(now, entry)
+		}
 	}
-	delete(l.entries, e.ID)
-	l.sorted = slices.DeleteFunc(l.sorted, func(x *entry) bool { return x == e })
 }
 
-// accountObservedTime counts the time since discovery last confirmed the list as watched.
+// accountObservedTime adds the time since the last confirmation to the history as time in which all endpoints ran.
 func (l *List) accountObservedTime(now time.Time) {
-	if !l.confirmedAt.IsZero() && now.After(l.confirmedAt) {
-		l.history.addObservedTime(len(l.sorted), now.Sub(l.confirmedAt))
-		l.confirmedAt = now
+	if confirmedAt := l.watch.confirmedAt; !confirmedAt.IsZero() && now.After(confirmedAt) {
+		l.history.addObservedTime(len(l.sorted), now.Sub(confirmedAt))
+		l.watch.confirmedAt = now
 	}
 }
 
-// ConfirmCurrent takes discovery's word that nothing has changed after the last news: the whole list is as told.
+// ConfirmCurrent handles the confirmation of service discovery that nothing changed after the last watch event.
 func (l *List) ConfirmCurrent(now time.Time) {
 	l.accountObservedTime(now)
 	l.markConfirmed(now, false)
-	if !l.live {
+	if !l.watch.live {
 		l.markLive(now)
 	}
 }
 
-func (l *List) markConfirmed(now time.Time, full bool) {
-	l.confirmedAt = now
-	if full || now.Sub(l.confirmationSavedAt) >= confirmationSaveInterval {
-		l.confirmationSavedAt, l.pending.Save = now, true
+// markConfirmed records that service discovery confirmed the list. The list is saved for a full update, otherwise at
+// most once per confirmationSaveInterval.
+func (l *List) markConfirmed(now time.Time, isFull bool) {
+	l.watch.confirmedAt = now
+	if isFull || now.Sub(l.watch.confirmationSavedAt) >= confirmationSaveInterval {
+		l.watch.confirmationSavedAt = now
+		l.requestSave(false)
 	}
 }
 
-// markLive ends what a kept list needs: every entry counts as told, the ramp is over.
+// markLive makes the list the current one of service discovery: every entry counts as reported and slow start ends.
 func (l *List) markLive(now time.Time) {
-	if !l.live && l.hasPublished {
+	if !l.watch.live && l.hasPublished {
 		l.log("discovery is back: its word on %d boxes replaces the kept list", len(l.sorted))
 	}
-	l.live, l.reportedExhausted = true, false
+	l.watch.live, l.reportedExhausted = true, false
 	l.slowStart.stop()
-	for _, e := range l.sorted {
-		if e.State == balancer.Active && !e.drainReportedAt.IsZero() && now.Sub(e.drainReportedAt) < drainReportTTL {
+	for _, entry := range l.sorted {
+		if entry.State == balancer.Active && entry.drainReportHolds(now) {
 			continue
 		}
-		e.verification, e.confidence, e.evidenceAt, e.ageUnknown, e.checkBackoff = Reported, 1, now, false, 0
-		if e.State == balancer.Draining {
-			e.verification = Draining
+		entry.setVerified(Reported, now)
+		entry.check.backoff = 0
+		if entry.State == balancer.Draining {
+			entry.verification = Draining
 		}
 	}
-	if len(l.sorted) == 0 && !l.hasPublished { // an empty list is one, too
+	if len(l.sorted) == 0 && !l.hasPublished { // an empty list is a list, too
 		l.pending.Publish = append(l.pending.Publish, Publication{Kind: balancer.EndpointsSnapshot})
 	}
 	l.publishAll()
 	l.hasPublished = true
 }
 
-// WatchLost takes the end of the connection to discovery. The list stays, and ages.
-func (l *List) WatchLost(now time.Time) {
-	if !l.live {
+// WatchLost handles the end of the connection to service discovery. The list stays in use and its evidence ages.
+func (l *List) WatchLost(_ time.Time) {
+	if !l.watch.live {
 		return
 	}
-	l.live = false
-	for _, e := range l.sorted {
-		if e.verification == Reported {
-			e.verification, e.confidence, e.evidenceAt = Verified, 1, l.confirmedAt
+	l.watch.live = false
+	for _, entry := range l.sorted {
+		if entry.verification == Reported {
+			entry.verification = Verified
+			entry.evidence.confidence, entry.evidence.at = 1, l.watch.confirmedAt
 		}
-		e.checkDue = time.Time{}
+		entry.check.dueAt = time.Time{}
 	}
 }
 
-// ResetWatch forgets the numbering of a discovery that started over. The list stays until it is told anew in full.
+// ResetWatch handles a service discovery that numbers its events anew. The list stays in use until the next full update.
 func (l *List) ResetWatch(now time.Time) {
 	l.log("discovery started over: its list is read in full")
 	l.WatchLost(now)
-	l.epoch, l.cursor, l.pending.Save = "", 0, true
+	l.watch.epoch, l.watch.cursor = "", 0
+	l.requestSave(false)
 }
