--- a/endpoints/actions.go
+++ b/endpoints/actions.go
@@ -6,7 +6,8 @@
 	"oakthread/balancer"
 )
 
-// Actions are the side effects that a List asks its owner to carry out. Publications are applied in order.
+// Actions are the side effects that a List asks its owner to carry out. Publications are applied in
+// order.
 type Actions struct {
 	Publish []Publication
 	Probe   []Endpoint // to be health checked; each result is returned by one call of the method for health checks
--- a/endpoints/confidence.go
+++ b/endpoints/confidence.go
@@ -7,20 +7,21 @@
 )
 
 const (
-	// connectionRefusedLikelihood and timeoutLikelihood are the probabilities that a running worker refuses a connection
-	// or does not answer a health check in time. By Bayes' rule such a failure of likelihood q turns a confidence p
-	// into pq/(pq+1-p).
+	// connectionRefusedLikelihood and timeoutLikelihood are the probabilities that a running worker
+	// refuses a connection or does not answer a health check in time. By Bayes' rule such a failure
+	// of likelihood q turns a confidence p into pq/(pq+1-p).
 	connectionRefusedLikelihood = 0.02
 	timeoutLikelihood           = 0.1
 
-	// maxPriorConfidence bounds the confidence that a failure is weighed against, since a worker that just answered may
-	// have ended right after.
+	// maxPriorConfidence bounds the confidence that a failure is weighed against, since a worker
+	// that just answered may have ended right after.
 	maxPriorConfidence = 0.95
 
 	// exclusionThreshold is the confidence below which an endpoint is excluded.
 	exclusionThreshold = 0.05
 
-	// minCheckBackoff and maxCheckBackoff bound the backoff between health checks of an endpoint that fails.
+	// minCheckBackoff and maxCheckBackoff bound the backoff between health checks of an endpoint
+	// that fails.
 	minCheckBackoff = 100 * time.Millisecond
 	maxCheckBackoff = 30 * time.Second
 
@@ -44,7 +45,8 @@
 	return now.Sub(confirmedAt)
 }
 
-// Confidence returns the probability that a worker is running as the list has it, 0 for a worker not on the list.
+// Confidence returns the probability that a worker is running as the list has it, 0 for a worker
+// not on the list.
 func (l *List) Confidence(now time.Time, id balancer.WorkerID) float64 {
 	if entry := l.entries[id]; entry != nil {
 		return l.confidence(now, entry)
@@ -52,7 +54,8 @@
 	return 0
 }
 
-// confidence returns the probability that the endpoint's worker is running. It falls with the age of the evidence.
+// confidence returns the probability that the endpoint's worker is running. It falls with the age
+// of the evidence.
 func (l *List) confidence(now time.Time, entry *listEntry) float64 {
 	if l.watch.live && entry.verification == Reported {
 		return 1
@@ -73,8 +76,8 @@
 	return sum / float64(max(1, len(l.sorted)))
 }
 
-// lowerConfidence applies Bayes' rule to a failure that a running worker shows with the given likelihood, and schedules
-// the next health check after a growing, jittered backoff.
+// lowerConfidence applies Bayes' rule to a failure that a running worker shows with the given
+// likelihood, and schedules the next health check after a growing, jittered backoff.
 func (l *List) lowerConfidence(now time.Time, entry *listEntry, likelihood float64) {
 	prior := min(l.confidence(now, entry), maxPriorConfidence)
 	posterior := prior * likelihood / (prior*likelihood + 1 - prior + divisionGuard)
--- a/endpoints/config.go
+++ b/endpoints/config.go
@@ -3,7 +3,8 @@
 import "time"
 
 const (
-	// defaultHealthCheckRate is the number of health checks per second that all dispatchers together send to one worker.
+	// defaultHealthCheckRate is the number of health checks per second that all dispatchers
+	// together send to one worker.
 	defaultHealthCheckRate = 300
 
 	// defaultMaxWait bounds the Retry-After of a request that slow start rejects.
@@ -18,8 +19,8 @@
 	Budget    float64       // part of its former load that a worker which may be cold can take; 0: 0.36
 	ProbeRate float64       // health checks per second that all dispatchers together send to one worker; 0: 300
 
-	// Fresh makes cached endpoints count as verified at once and disables health checks. It is the baseline of
-	// experiments.
+	// Fresh makes cached endpoints count as verified at once and disables health checks. It is the
+	// baseline of experiments.
 	Fresh bool
 }
 
--- a/endpoints/dialer.go
+++ b/endpoints/dialer.go
@@ -6,21 +6,23 @@
 )
 
 const (
-	// minDialBackoff and maxDialBackoff bound the backoff between connection attempts to service discovery.
+	// minDialBackoff and maxDialBackoff bound the backoff between connection attempts to service
+	// discovery.
 	minDialBackoff = 100 * time.Millisecond
 	maxDialBackoff = 5 * time.Second
 
 	// maxBackoffDoublings bounds the exponent of the backoff so that it does not overflow.
 	maxBackoffDoublings = 20
 
-	// dialerStream separates the dialer's random numbers from those of other components with the same seed.
+	// dialerStream separates the dialer's random numbers from those of other components with the
+	// same seed.
 	dialerStream = 0x6469616c
 )
 
-// Dialer selects the service discovery address to connect to next and the wait before it. The wait has full jitter over
-// an exponential backoff, so that many dispatchers that lost service discovery together do not reconnect together
-// ("Exponential Backoff And Jitter", AWS Architecture Blog, 2015). Create one with NewDialer. It is not safe for
-// concurrent use.
+// Dialer selects the service discovery address to connect to next and the wait before it. The wait
+// has full jitter over an exponential backoff, so that many dispatchers that lost service discovery
+// together do not reconnect together ("Exponential Backoff And Jitter", AWS Architecture Blog,
+// 2015). Create one with NewDialer. It is not safe for concurrent use.
 type Dialer struct {
 	addrs      []string
 	next       int // index of the address to return next
@@ -48,8 +50,8 @@
 // Move replaces the addresses by one, which is returned next without a wait.
 func (d *Dialer) Move(addr string) { d.addrs, d.next, d.last, d.failures = []string{addr}, 0, 0, 0 }
 
-// Next returns the address to connect to and the wait before it. There is no wait after a success. The backoff doubles
-// with each round of failures over all addresses.
+// Next returns the address to connect to and the wait before it. There is no wait after a success.
+// The backoff doubles with each round of failures over all addresses.
 func (d *Dialer) Next() (addr string, wait time.Duration) {
 	if len(d.addrs) == 0 {
 		return "", maxDialBackoff
@@ -68,7 +70,8 @@
 // Failed records that the connection to the last address failed.
 func (d *Dialer) Failed() { d.failures++ }
 
-// Good records that the connection to the last address succeeded. It resets the backoff and returns that address next.
+// Good records that the connection to the last address succeeded. It resets the backoff and returns
+// that address next.
 func (d *Dialer) Good() {
 	d.failures = 0
 	d.next = d.last
--- a/endpoints/endpoint.go
+++ b/endpoints/endpoint.go
@@ -6,7 +6,8 @@
 	"oakthread/balancer"
 )
 
-// Endpoint is one worker's entry in the list: what service discovery reported about it and what it answered.
+// Endpoint is one worker's entry in the list: what service discovery reported about it and what it
+// answered.
 type Endpoint struct {
 	ID               balancer.WorkerID
 	Addr             string
@@ -19,8 +20,8 @@
 	RequestRate      float64   // requests per second that the worker answered for this dispatcher
 }
 
-// Update is a watch event of service discovery. A Full update is the complete list: an endpoint that is not in it has
-// been removed. Otherwise it carries only the endpoints that changed.
+// Update is a watch event of service discovery. A Full update is the complete list: an endpoint
+// that is not in it has been removed. Otherwise it carries only the endpoints that changed.
 type Update struct {
 	Full      bool
 	Epoch     string
--- a/endpoints/entry.go
+++ b/endpoints/entry.go
@@ -29,12 +29,14 @@
 	e.evidence = evidence{confidence: 1, at: at}
 }
 
-// drainReportHolds reports whether the worker's own report of draining takes precedence over service discovery.
+// drainReportHolds reports whether the worker's own report of draining takes precedence over
+// service discovery.
 func (e *listEntry) drainReportHolds(now time.Time) bool {
 	return !e.drainReportedAt.IsZero() && now.Sub(e.drainReportedAt) < drainReportTTL
 }
 
-// isDrainingByDiscovery reports whether service discovery, not the worker itself, reported the drain.
+// isDrainingByDiscovery reports whether service discovery, not the worker itself, reported the
+// drain.
 func (e *listEntry) isDrainingByDiscovery() bool {
 	return e.State == balancer.Draining && e.drainReportedAt.IsZero()
 }
--- a/endpoints/healthcheck.go
+++ b/endpoints/healthcheck.go
@@ -9,17 +9,18 @@
 )
 
 const (
-	// maxConcurrentChecks bounds the health checks in flight of one dispatcher.
+	// maxConcurrentChecks bounds the health checks that one dispatcher runs at a time.
 	maxConcurrentChecks = 32
 
-	// recheckConfidence is the confidence at which an endpoint in use is checked again while service discovery is
-	// unavailable.
+	// recheckConfidence is the confidence at which an endpoint in use is checked again while
+	// service discovery is unavailable.
 	recheckConfidence = 0.9
 
 	// minRecheckInterval bounds the rate of those checks when the history has many departures.
 	minRecheckInterval = time.Second
 
-	// overloadRecheckInterval is the least time between health checks of a worker that rejects requests.
+	// overloadRecheckInterval is the least time between health checks of a worker that rejects
+	// requests.
 	overloadRecheckInterval = 250 * time.Millisecond
 )
 
@@ -27,7 +28,7 @@
 type checkState struct {
 	dueAt     time.Time // zero: when confidence has fallen to recheckConfidence
 	sentAt    time.Time // of the last check
-	inFlight  bool
+	isRunning bool
 	completed bool          // a check has ended since the start
 	initial   bool          // one of the first endpoints to be checked after a restore
 	backoff   time.Duration // grows with each failure
@@ -45,9 +46,10 @@
 	return earliest
 }
 
-// checkDueAt returns when the endpoint is to be health checked, and false if it is not to be checked.
+// checkDueAt returns when the endpoint is to be health checked, and false if it is not to be
+// checked.
 func (l *List) checkDueAt(entry *listEntry) (dueAt time.Time, isScheduled bool) {
-	if entry.check.inFlight || l.config.Fresh {
+	if entry.check.isRunning || l.config.Fresh {
 		return time.Time{}, false
 	}
 	if l.watch.live {
@@ -63,15 +65,16 @@
 	return entry.check.dueAt, true
 }
 
-// recheckAt returns when the confidence in an endpoint in use will have fallen to recheckConfidence, by the inverse of
-// History.Survival.
+// recheckAt returns when the confidence in an endpoint in use will have fallen to
+// recheckConfidence, by the inverse of History.Survival.
 func (l *List) recheckAt(entry *listEntry) time.Time {
 	exponent := -1 / (priorDepartures + l.history.Leaves)
 	age := float64(priorObservedTime+l.history.Watched) * (math.Pow(recheckConfidence, exponent) - 1)
 	return entry.evidence.at.Add(max(time.Duration(age), minRecheckInterval))
 }
 
-// Tick starts the health checks that are due, the longest overdue first, up to maxConcurrentChecks in flight.
+// Tick starts the health checks that are due, the longest overdue first, as far as
+// maxConcurrentChecks allows.
 func (l *List) Tick(now time.Time) {
 	var due []*listEntry
 	for _, entry := range l.sorted {
@@ -80,7 +83,7 @@
 		}
 	}
 	slices.SortStableFunc(due, func(a, b *listEntry) int { return a.check.dueAt.Compare(b.check.dueAt) })
-	available := max(0, maxConcurrentChecks-l.checksInFlight)
+	available := max(0, maxConcurrentChecks-l.runningChecks)
 	for _, entry := range due[:min(len(due), available)] {
 		l.startCheck(now, entry)
 	}
@@ -89,10 +92,10 @@
 
 // startCheck has the endpoint health checked.
 func (l *List) startCheck(now time.Time, entry *listEntry) {
-	entry.check.inFlight = true
+	entry.check.isRunning = true
 	entry.check.sentAt = now
 	entry.check.dueAt = time.Time{}
-	l.checksInFlight++
+	l.runningChecks++
 	l.pending.Probe = append(l.pending.Probe, entry.Endpoint)
 }
 
--- a/endpoints/history.go
+++ b/endpoints/history.go
@@ -9,18 +9,21 @@
 )
 
 const (
-	// priorDepartures and priorObservedTime are the prior of the failure rate: half a departure in twelve hours of
-	// observing one worker. It halves the confidence in an endpoint without history in a day and a half.
+	// priorDepartures and priorObservedTime are the prior of the failure rate: half a departure in
+	// twelve hours of observing one worker. It halves the confidence in an endpoint without history
+	// in a day and a half.
 	priorDepartures   = 0.5
 	priorObservedTime = 12 * time.Hour
 
-	// maxObservedTime is the observed time beyond which older history counts less, since failure rates change.
+	// maxObservedTime is the observed time beyond which older history counts less, since failure
+	// rates change.
 	maxObservedTime = 60 * 24 * time.Hour
 
 	// maxEvents bounds the events kept.
 	maxEvents = 512
 
-	// unknownAge is the age of an endpoint whose age is unknown, such as after the clock was set back.
+	// unknownAge is the age of an endpoint whose age is unknown, such as after the clock was set
+	// back.
 	unknownAge = 30 * 24 * time.Hour
 )
 
@@ -45,8 +48,8 @@
 	What   What
 }
 
-// History records how long workers run. The confidence in an endpoint is estimated from it. The zero value is ready to
-// use; its size is bounded.
+// History records how long workers run. The confidence in an endpoint is estimated from it. The
+// zero value is ready to use; its size is bounded.
 type History struct {
 	Watched         time.Duration // sum over the workers observed
 	Leaves, Returns float64       // departures, and restarts in place; older ones count less
@@ -87,13 +90,14 @@
 	return (priorDepartures + h.Leaves) / (priorObservedTime + h.Watched).Hours()
 }
 
-// Survival returns the probability that a worker known to run is still running after age. Departures are modeled as a
-// Poisson process whose rate has a Gamma prior. With k departures in an observed time T the rate is Gamma(a+k, b+T), and
-// the time to departure has the Lomax tail
+// Survival returns the probability that a worker known to run is still running after age.
+// Departures are modeled as a Poisson process whose rate has a Gamma prior. With k departures in an
+// observed time T the rate is Gamma(a+k, b+T), and the time to departure has the Lomax tail
 //
 //	S(age) = ((b+T) / (b+T+age)) ^ (a+k)
 //
-// (Gelman et al., Bayesian Data Analysis, 3rd ed., 2.6; Lomax, JASA 49, 1954). It decreases with age.
+// (Gelman et al., Bayesian Data Analysis, 3rd ed., 2.6; Lomax, JASA 49, 1954). It decreases with
+// age.
 func (h *History) Survival(age time.Duration) float64 {
 	if age <= 0 {
 		return 1
--- a/endpoints/list.go
+++ b/endpoints/list.go
@@ -1,10 +1,10 @@
-// Package endpoints maintains a dispatcher's list of endpoints: what service discovery reported about each worker and
-// what the worker itself has shown since. It lets a dispatcher start from a cached list while service discovery is
-// unavailable.
+// Package endpoints maintains a dispatcher's list of endpoints: what service discovery reported
+// about each worker and what the worker itself has shown since. It lets a dispatcher start from a
+// cached list while service discovery is unavailable.
 //
-// A List is a single-threaded state machine: methods take events with the current time, TakeActions returns the side
-// effects to carry out. It has no clock, no goroutine and does no I/O. The choice of a worker for a request is the
-// balancer's.
+// A List is a single-threaded state machine: methods take events with the current time, TakeActions
+// returns the side effects to carry out. It has no clock, no goroutine and does no I/O. The choice
+// of a worker for a request is the balancer's.
 package endpoints
 
 import (
@@ -29,7 +29,7 @@
 	slowStart         slowStart
 	pending           Actions
 	hasPublished      bool // the load balancer has been given a list
-	checksInFlight    int
+	runningChecks     int
 	reportedExhausted bool // the log says that no cached endpoint is left
 }
 
--- a/endpoints/observation.go
+++ b/endpoints/observation.go
@@ -1,6 +1,7 @@
 package endpoints
 
-// Observation is what the result of an attempt, a health check or a load order shows about a worker.
+// Observation is what the result of an attempt, a health check or a load order shows about a
+// worker.
 type Observation int
 
 // The observations of a worker.
--- a/endpoints/observe.go
+++ b/endpoints/observe.go
@@ -32,9 +32,9 @@
 		return
 	}
 	entry.check.completed = true
-	if entry.check.inFlight {
-		entry.check.inFlight = false
-		l.checksInFlight--
+	if entry.check.isRunning {
+		entry.check.isRunning = false
+		l.runningChecks--
 	}
 	if l.watch.live && observation != Drains {
 		l.recheckDrain(now, entry, observation)
@@ -44,8 +44,8 @@
 	l.publishChange(entry)
 }
 
-// recheckDrain handles, with a live watch, the health check of a worker that itself reported that it drains: an answer
-// ends the drain, anything else has it checked again.
+// recheckDrain handles, with a live watch, the health check of a worker that itself reported that
+// it drains: an answer ends the drain, anything else has it checked again.
 func (l *List) recheckDrain(now time.Time, entry *listEntry, observation Observation) {
 	if entry.verification != Draining || entry.State != balancer.Active {
 		return
@@ -58,7 +58,8 @@
 	l.publishAll()
 }
 
-// applyEvidence updates the standing of an endpoint by what its worker showed while service discovery is unavailable.
+// applyEvidence updates the standing of an endpoint by what its worker showed while service
+// discovery is unavailable.
 func (l *List) applyEvidence(now time.Time, entry *listEntry, observation Observation, isHealthCheck bool) {
 	switch observation {
 	case Answered, Slow:
@@ -99,8 +100,8 @@
 	l.scheduleSlowStartCheck(now, entry)
 }
 
-// handleBrokenConnection handles a connection that broke after it was accepted. It shows that something listens at the
-// address, which is a failure only of an endpoint that never answered.
+// handleBrokenConnection handles a connection that broke after it was accepted. It shows that
+// something listens at the address, which is a failure only of an endpoint that never answered.
 func (l *List) handleBrokenConnection(now time.Time, entry *listEntry) {
 	switch entry.verification {
 	case Unverified:
@@ -111,10 +112,11 @@
 	}
 }
 
-// handleRejection handles a worker that rejected a request because it is full or drains. A health check finds out which.
+// handleRejection handles a worker that rejected a request because it is full or drains. A health
+// check finds out which.
 func (l *List) handleRejection(now time.Time, entry *listEntry) {
 	l.slowStart.recordSetback(now, entry)
-	if !entry.check.inFlight && entry.verification != Draining {
+	if !entry.check.isRunning && entry.verification != Draining {
 		entry.check.dueAt = latest(now, entry.check.sentAt.Add(overloadRecheckInterval))
 	}
 }
--- a/endpoints/publish.go
+++ b/endpoints/publish.go
@@ -2,8 +2,9 @@
 
 import "oakthread/balancer"
 
-// isUsable reports whether the load balancer may have the endpoint. A worker that has not answered since the start gets
-// health checks only, since a request sent to an address without a worker would be lost.
+// isUsable reports whether the load balancer may have the endpoint. A worker that has not answered
+// since the start gets health checks only, since a request sent to an address without a worker
+// would be lost.
 func (l *List) isUsable(entry *listEntry) bool {
 	switch entry.verification {
 	case Reported, Verified:
@@ -47,7 +48,8 @@
 	}
 }
 
-// isSameForBalancer reports whether two versions of an endpoint agree in all that the load balancer uses.
+// isSameForBalancer reports whether two versions of an endpoint agree in all that the load balancer
+// uses.
 func isSameForBalancer(a, b Endpoint) bool {
 	return a.Addr == b.Addr && a.State == b.State && a.Weight == b.Weight && a.Start.Equal(b.Start) &&
 		a.Zone == b.Zone && a.Kind == b.Kind && a.Cell == b.Cell
@@ -59,14 +61,15 @@
 	entry.isPublished = false
 }
 
-// appendPublication adds an endpoint to the pending publication, in place of an earlier version of the same endpoint.
-// The first publication of all is a complete list.
+// appendPublication adds an endpoint to the pending publication, in place of an earlier version of
+// the same endpoint. The first publication of all is a complete list.
 func (l *List) appendPublication(endpoint Endpoint) {
 	if count := len(l.pending.Publish); count > 0 {
 		l.pending.Publish[count-1].put(endpoint)
 		return
 	}
-	l.pending.Publish = append(l.pending.Publish, Publication{Kind: l.publicationKind(), Endpoints: []Endpoint{endpoint}})
+	publication := Publication{Kind: l.publicationKind(), Endpoints: []Endpoint{endpoint}}
+	l.pending.Publish = append(l.pending.Publish, publication)
 	l.hasPublished = true
 }
 
--- a/endpoints/responserate.go
+++ b/endpoints/responserate.go
@@ -9,7 +9,8 @@
 	// rateWindow is the time constant of the measured response rates.
 	rateWindow = 10 * time.Second
 
-	// minObservedFraction keeps the estimate of a rate finite when only a small part of the window has been observed.
+	// minObservedFraction keeps the estimate of a rate finite when only a small part of the window
+	// has been observed.
 	minObservedFraction = 0.05
 )
 
@@ -29,7 +30,8 @@
 	r.updatedAt = now
 }
 
-// perSecond returns the estimated responses per second, corrected for the part of the window that was not observed.
+// perSecond returns the estimated responses per second, corrected for the part of the window that
+// was not observed.
 func (r *responseRate) perSecond(now time.Time) float64 {
 	if r.updatedAt.IsZero() {
 		return 0
@@ -38,7 +40,8 @@
 	return r.count * decay(now.Sub(r.updatedAt), rateWindow) / (rateWindow.Seconds() * observed)
 }
 
-// decay returns the weight that remains of a count after elapsed, by an exponential decay with the given time constant.
+// decay returns the weight that remains of a count after elapsed, by an exponential decay with the
+// given time constant.
 func decay(elapsed, timeConstant time.Duration) float64 {
 	if elapsed <= 0 {
 		return 1
--- a/endpoints/restore.go
+++ b/endpoints/restore.go
@@ -8,22 +8,23 @@
 )
 
 const (
-	// immediateChecks is the number of health checks that a restored list sends at once. Three make it likely that one
-	// answers although some workers have left.
+	// immediateChecks is the number of health checks that a restored list sends at once. Three make
+	// it likely that one answers although some workers have left.
 	immediateChecks = 3
 
-	// initialCheckWindow is the time in which the initial health checks are sent, as many as the configured rate of all
-	// dispatchers together allows.
+	// initialCheckWindow is the time in which the initial health checks are sent, as many as the
+	// configured rate of all dispatchers together allows.
 	initialCheckWindow = 150 * time.Millisecond
 
 	// minInitialChecks bounds the number of initial health checks from below.
 	minInitialChecks = 8
 
-	// remainingCheckDelay postpones the other health checks until the initial ones have completed slow start.
+	// remainingCheckDelay postpones the other health checks until the initial ones have completed
+	// slow start.
 	remainingCheckDelay = 600 * time.Millisecond
 
-	// confidenceBands is the number of bands by which initial health checks prefer endpoints of higher confidence. Within
-	// a band the order is random and differs between dispatchers.
+	// confidenceBands is the number of bands by which initial health checks prefer endpoints of
+	// higher confidence. Within a band the order is random and differs between dispatchers.
 	confidenceBands = 4
 )
 
@@ -80,9 +81,10 @@
 	entry.ramp.formerRate = endpoint.RequestRate
 }
 
-// scheduleInitialChecks brings forward the health checks of as many endpoints as the configured rate allows within
-// initialCheckWindow, immediateChecks of them at once. Endpoints of higher confidence come first, otherwise the choice
-// is random so that dispatchers check different workers. The other endpoints follow after remainingCheckDelay.
+// scheduleInitialChecks brings forward the health checks of as many endpoints as the configured
+// rate allows within initialCheckWindow, immediateChecks of them at once. Endpoints of higher
+// confidence come first, otherwise the choice is random so that dispatchers check different
+// workers. The other endpoints follow after remainingCheckDelay.
 func (l *List) scheduleInitialChecks(now time.Time) {
 	var candidates []*listEntry
 	for _, entry := range l.sorted {
@@ -104,14 +106,15 @@
 	}
 }
 
-// initialChecks returns how many of the candidates this dispatcher may check within initialCheckWindow.
+// initialChecks returns how many of the candidates this dispatcher may check within
+// initialCheckWindow.
 func (l *List) initialChecks(candidates int) int {
 	checksPerWorker := l.config.ProbeRate * initialCheckWindow.Seconds()
 	return max(int(checksPerWorker*float64(candidates)/float64(l.config.Siblings)), minInitialChecks)
 }
 
-// checkSpread returns the time over which every endpoint is checked once, so that all dispatchers together keep to the
-// configured rate of health checks.
+// checkSpread returns the time over which every endpoint is checked once, so that all dispatchers
+// together keep to the configured rate of health checks.
 func (l *List) checkSpread() time.Duration {
 	return time.Duration(float64(l.config.Siblings) / l.config.ProbeRate * float64(time.Second))
 }
--- a/endpoints/slowstart.go
+++ b/endpoints/slowstart.go
@@ -6,47 +6,53 @@
 )
 
 const (
-	// defaultInitialLoadFraction is the part of its former load that a worker gets at its first success. A worker that
-	// starts has a fifth of its capacity at the least and fails at three times that, 0.6 of what it did before. The
-	// margin to 0.6 is for chance and for workers that were not fully used.
+	// defaultInitialLoadFraction is the part of its former load that a worker gets at its first
+	// success. A worker that starts has a fifth of its capacity at the least and fails at three
+	// times that, 0.6 of what it did before. The margin to 0.6 is for chance and for workers that
+	// were not fully used.
 	defaultInitialLoadFraction = 0.36
 
-	// fullLoadSuccesses is the number of successes after which a worker is not limited. Each success doubles its load.
+	// fullLoadSuccesses is the number of successes after which a worker is not limited. Each
+	// success doubles its load.
 	fullLoadSuccesses = 4
 
-	// minSuccessInterval is the least time between successes of one worker that count: by then the load that the last
-	// one admitted shows its effect.
+	// minSuccessInterval is the least time between successes of one worker that count: by then the
+	// load that the last one admitted shows its effect.
 	minSuccessInterval = 100 * time.Millisecond
 
 	// burstWindow is the time for which unused admissions are saved up.
 	burstWindow = 60 * time.Millisecond
 
-	// recoveryWindow is the time after slow start for which recoveryLoadFactor times the former load is admitted at the
-	// most, so that the requests rejected before do not return in one wave.
+	// recoveryWindow is the time after slow start for which recoveryLoadFactor times the former
+	// load is admitted at the most, so that the requests rejected before do not return in one wave.
 	recoveryWindow     = 3 * time.Second
 	recoveryLoadFactor = 1.5
 
-	// rateUpdateInterval is the least time between two computations of the admission rate, which visit every endpoint.
+	// rateUpdateInterval is the least time between two computations of the admission rate, which
+	// visit every endpoint.
 	rateUpdateInterval = 2 * time.Millisecond
 
-	// retryLoadFraction is the part of the former load at which rejected requests are told to return.
+	// retryLoadFraction is the part of the former load at which rejected requests are told to
+	// return.
 	retryLoadFraction = 0.3
 
 	// minSlowStartWeight is the weight that an endpoint of no weight counts with.
 	minSlowStartWeight = 0.1
 
-	// completedPercent is the part of the answering endpoints that must not be limited any more for slow start to end
-	// once every endpoint has been checked.
+	// completedPercent is the part of the answering endpoints that must not be limited any more for
+	// slow start to end once every endpoint has been checked.
 	completedPercent = 90
 
-	// checkJitterDivisor bounds the jitter of the health checks of slow start to a part of their interval.
+	// checkJitterDivisor bounds the jitter of the health checks of slow start to a part of their
+	// interval.
 	checkJitterDivisor = 4
 )
 
-// slowStart limits the requests that a dispatcher admits after it has started from a cached list. The admission rate
-// grows with each success of a worker, as a congestion window does (RFC 5681, section 3.1), summed over the workers that
-// answer. Each dispatcher uses the share of a worker's capacity that it used before, so that any number of dispatchers
-// that restart together need not coordinate.
+// slowStart limits the requests that a dispatcher admits after it has started from a cached list.
+// The admission rate grows with each success of a worker, as a congestion window does (RFC 5681,
+// section 3.1), summed over the workers that answer. Each dispatcher uses the share of a worker's
+// capacity that it used before, so that any number of dispatchers that restart together need not
+// coordinate.
 type slowStart struct {
 	active        bool
 	endedAt       time.Time
@@ -67,8 +73,8 @@
 	hadSetback bool
 }
 
-// startSlowStart begins slow start at the load of the cached list. Without a known former load it does nothing, and the
-// load balancer's own limits apply.
+// startSlowStart begins slow start at the load of the cached list. Without a known former load it
+// does nothing, and the load balancer's own limits apply.
 func (l *List) startSlowStart(now time.Time) {
 	s := &l.slowStart
 	for _, entry := range l.sorted {
@@ -88,8 +94,8 @@
 	}
 }
 
-// recordSuccess doubles the load of a worker that answered in time, unless it is no longer limited or its last change is
-// too recent for the success to count.
+// recordSuccess doubles the load of a worker that answered in time, unless it is no longer limited
+// or its last change is too recent for the success to count.
 func (s *slowStart) recordSuccess(now time.Time, entry *listEntry) {
 	ramp := &entry.ramp
 	if s.active && ramp.successes < fullLoadSuccesses && now.Sub(ramp.changedAt) >= minSuccessInterval {
@@ -107,8 +113,8 @@
 	}
 }
 
-// weightFactor returns the factor of the endpoint's weight for the load balancer. It is below 1 after a setback until
-// the worker is no longer limited.
+// weightFactor returns the factor of the endpoint's weight for the load balancer. It is below 1
+// after a setback until the worker is no longer limited.
 func (s *slowStart) weightFactor(entry *listEntry) float64 {
 	if !s.active || !entry.ramp.hadSetback || entry.ramp.successes >= fullLoadSuccesses {
 		return 1
@@ -116,8 +122,8 @@
 	return float64(entry.ramp.successes) / fullLoadSuccesses
 }
 
-// scheduleSlowStartCheck schedules the next health check of a limited endpoint that has none scheduled. Attempts may
-// complete its slow start sooner.
+// scheduleSlowStartCheck schedules the next health check of a limited endpoint that has none
+// scheduled. Attempts may complete its slow start sooner.
 func (l *List) scheduleSlowStartCheck(now time.Time, entry *listEntry) {
 	if !l.slowStart.active || entry.ramp.successes >= fullLoadSuccesses || !entry.check.dueAt.IsZero() {
 		return
@@ -168,9 +174,10 @@
 	return progress
 }
 
-// updateAdmissionRate computes the admission rate from the endpoints checked so far. Their share of the former load
-// stands for all endpoints, since a dispatcher needs no more workers than can take its load, and the others check
-// different workers. Slow start passes to recovery when the rate is no longer the limit.
+// updateAdmissionRate computes the admission rate from the endpoints checked so far. Their share of
+// the former load stands for all endpoints, since a dispatcher needs no more workers than can take
+// its load, and the others check different workers. Slow start passes to recovery when the rate is
+// no longer the limit.
 func (l *List) updateAdmissionRate(now time.Time) {
 	s := &l.slowStart
 	s.rateUpdatedAt = now
@@ -189,8 +196,8 @@
 	}
 }
 
-// Admit decides whether a request is admitted now. A rejected request is to return after retryAfter. It is called once
-// per request.
+// Admit decides whether a request is admitted now. A rejected request is to return after
+// retryAfter. It is called once per request.
 func (l *List) Admit(now time.Time) (retryAfter time.Duration, admitted bool) {
 	s := &l.slowStart
 	if !s.active {
@@ -224,9 +231,9 @@
 	}
 }
 
-// nextRetrySlot returns the wait of a rejected request. Every request gets a slot of its own after slow start, by the
-// virtual scheduling of the generic cell rate algorithm (ITU-T I.371): rejected requests return spread out beside the
-// usual load. No wait exceeds the configured maximum.
+// nextRetrySlot returns the wait of a rejected request. Every request gets a slot of its own after
+// slow start, by the virtual scheduling of the generic cell rate algorithm (ITU-T I.371): rejected
+// requests return spread out beside the usual load. No wait exceeds the configured maximum.
 func (l *List) nextRetrySlot(now time.Time) time.Duration {
 	s := &l.slowStart
 	earliest := now.Add(2 * max(minSuccessInterval, l.checkSpread()))
--- a/endpoints/snapshot.go
+++ b/endpoints/snapshot.go
@@ -27,8 +27,9 @@
 	return snapshot
 }
 
-// savedRate returns the request rate to save for an endpoint. Until the rate has been measured for one window after slow
-// start, a lower measurement does not replace the rate before the start: admission was limited, not demand.
+// savedRate returns the request rate to save for an endpoint. Until the rate has been measured for
+// one window after slow start, a lower measurement does not replace the rate before the start:
+// admission was limited, not demand.
 func (l *List) savedRate(now time.Time, entry *listEntry) float64 {
 	measured := entry.traffic.perSecond(now)
 	if l.watch.live && now.Sub(l.slowStart.endedAt) > rateWindow {
--- a/endpoints/verification.go
+++ b/endpoints/verification.go
@@ -1,6 +1,7 @@
 package endpoints
 
-// Verification is the standing of an endpoint: where the list's knowledge of it comes from and whether that holds.
+// Verification is the standing of an endpoint: where the list's knowledge of it comes from and
+// whether that holds.
 type Verification int
 
 // The standings of an endpoint.
--- a/endpoints/watch.go
+++ b/endpoints/watch.go
@@ -8,8 +8,9 @@
 )
 
 const (
-	// drainReportTTL is the time for which a worker's own report of draining takes precedence over service discovery,
-	// which learns of a drain seconds later. It is also the interval of the health checks of such a worker.
+	// drainReportTTL is the time for which a worker's own report of draining takes precedence over
+	// service discovery, which learns of a drain seconds later. It is also the interval of the
+	// health checks of such a worker.
 	drainReportTTL = 10 * time.Second
 
 	// confirmationSaveInterval bounds by how much the saved age of the list is too old.
@@ -25,8 +26,9 @@
 	live                bool // the list is the current one of service discovery
 }
 
-// HandleUpdate applies a watch event. It replaces what was cached, except a worker's own recent report of draining. A
-// partial update of another epoch is ignored, since its numbering is not that of the list.
+// HandleUpdate applies a watch event. It replaces what was cached, except a worker's own recent
+// report of draining. A partial update of another epoch is ignored, since its numbering is not that
+// of the list.
 func (l *List) HandleUpdate(now time.Time, update Update) {
 	if update.Epoch != "" && l.watch.epoch != "" && update.Epoch != l.watch.epoch && !update.Full {
 		l.log("discovery speaks of epoch %q where the list is of %q: a change alone is not taken", update.Epoch, l.watch.epoch)
@@ -55,8 +57,8 @@
 	l.markLive(now)
 }
 
-// applyReport takes one endpoint of a watch event into the list. The endpoints of the first list of all are not
-// recorded as joining.
+// applyReport takes one endpoint of a watch event into the list. The endpoints of the first list of
+// all are not recorded as joining.
 func (l *List) applyReport(now time.Time, endpoint Endpoint, isFirstList bool) {
 	endpoint.UpdatedAt = now
 	entry := l.entries[endpoint.ID]
@@ -74,8 +76,8 @@
 	entry.setVerified(Reported, now)
 }
 
-// updateEntry replaces what service discovery reported about an endpoint. What the worker showed is kept unless another
-// start time or address says that a new process runs there.
+// updateEntry replaces what service discovery reported about an endpoint. What the worker showed is
+// kept unless another start time or address says that a new process runs there.
 func (l *List) updateEntry(now time.Time, entry *listEntry, endpoint Endpoint) {
 	switch {
 	case !endpoint.Start.Equal(entry.Start) || endpoint.Addr != entry.Addr:
@@ -104,7 +106,8 @@
 	}
 }
 
-// accountObservedTime adds the time since the last confirmation to the history as time in which all endpoints ran.
+// accountObservedTime adds the time since the last confirmation to the history as time in which all
+// endpoints ran.
 func (l *List) accountObservedTime(now time.Time) {
 	if confirmedAt := l.watch.confirmedAt; !confirmedAt.IsZero() && now.After(confirmedAt) {
 		l.history.addObservedTime(len(l.sorted), now.Sub(confirmedAt))
@@ -112,7 +115,8 @@
 	}
 }
 
-// ConfirmCurrent handles the confirmation of service discovery that nothing changed after the last watch event.
+// ConfirmCurrent handles the confirmation of service discovery that nothing changed after the last
+// watch event.
 func (l *List) ConfirmCurrent(now time.Time) {
 	l.accountObservedTime(now)
 	l.markConfirmed(now, false)
@@ -121,8 +125,8 @@
 	}
 }
 
-// markConfirmed records that service discovery confirmed the list. The list is saved for a full update, otherwise at
-// most once per confirmationSaveInterval.
+// markConfirmed records that service discovery confirmed the list. The list is saved for a full
+// update, otherwise at most once per confirmationSaveInterval.
 func (l *List) markConfirmed(now time.Time, isFull bool) {
 	l.watch.confirmedAt = now
 	if isFull || now.Sub(l.watch.confirmationSavedAt) >= confirmationSaveInterval {
@@ -131,7 +135,8 @@
 	}
 }
 
-// markLive makes the list the current one of service discovery: every entry counts as reported and slow start ends.
+// markLive makes the list the current one of service discovery: every entry counts as reported and
+// slow start ends.
 func (l *List) markLive(now time.Time) {
 	if !l.watch.live && l.hasPublished {
 		l.log("discovery is back: its word on %d boxes replaces the kept list", len(l.sorted))
@@ -155,7 +160,8 @@
 	l.hasPublished = true
 }
 
-// WatchLost handles the end of the connection to service discovery. The list stays in use and its evidence ages.
+// WatchLost handles the end of the connection to service discovery. The list stays in use and its
+// evidence ages.
 func (l *List) WatchLost(_ time.Time) {
 	if !l.watch.live {
 		return
@@ -170,7 +176,8 @@
 	}
 }
 
-// ResetWatch handles a service discovery that numbers its events anew. The list stays in use until the next full update.
+// ResetWatch handles a service discovery that numbers its events anew. The list stays in use until
+// the next full update.
 func (l *List) ResetWatch(now time.Time) {
 	l.log("discovery started over: its list is read in full")
 	l.WatchLost(now)
