--- /dev/null
+++ b/endpoints/watch.go
@@ -0,0 +1,186 @@
+package endpoints
+
+import (
+	"slices"
+	"time"
+
+	"oakthread/balancer"
+)
+
+const (
+	// drainReportTTL is the time for which a worker's own report of draining takes precedence over
+	// service discovery, which learns of a drain seconds later. It is also the interval of the
+	// health checks of such a worker.
+	drainReportTTL = 10 * time.Second
+
+	// confirmationSaveInterval bounds by how much the saved age of the list is too old.
+	confirmationSaveInterval = 5 * time.Second
+)
+
+// watchState is the position of the list in the watch events of service discovery.
+type watchState struct {
+	epoch               string
+	cursor              int64
+	confirmedAt         time.Time // when service discovery last confirmed that the list is current
+	confirmationSavedAt time.Time
+	live                bool // the list is the current one of service discovery
+}
+
+// HandleUpdate applies a watch event. It replaces what was cached, except a worker's own recent
+// report of draining. A partial update of another epoch is ignored, since its numbering is not that
+// of the list.
+func (l *List) HandleUpdate(now time.Time, update Update) {
+	if update.Epoch != "" && l.watch.epoch != "" && update.Epoch != l.watch.epoch && !update.Full {
+		l.log("discovery speaks of epoch %q where the list is of %q: a change alone is not taken", update.Epoch, l.watch.epoch)
+		return
+	}
+	if update.Epoch != "" {
+		l.watch.epoch = update.Epoch
+	}
+	l.accountObservedTime(now)
+	l.watch.cursor = update.Cursor
+	l.requestSave(false)
+	isFirstList := l.history.Watched == 0 && len(l.history.Events) == 0 && len(l.sorted) == 0
+	for _, endpoint := range update.Endpoints {
+		if endpoint.State == balancer.Removed {
+			l.remove(now, l.entries[endpoint.ID])
+			continue
+		}
+		l.applyReport(now, endpoint, isFirstList)
+	}
+	if !update.Full {
+		l.publishAll()
+		return
+	}
+	l.removeUnlisted(now, update.Endpoints)
+	l.markConfirmed(now, true)
+	l.markLive(now)
+}
+
+// applyReport takes one endpoint of a watch event into the list. The endpoints of the first list of
+// all are not recorded as joining.
+func (l *List) applyReport(now time.Time, endpoint Endpoint, isFirstList bool) {
+	endpoint.UpdatedAt = now
+	entry := l.entries[endpoint.ID]
+	if entry != nil {
+		l.updateEntry(now, entry, endpoint)
+	} else {
+		entry = l.insert(endpoint)
+		if !isFirstList {
+			l.history.recordEvent(now, endpoint.ID, Joined)
+		}
+	}
+	if endpoint.State == balancer.Draining {
+		l.requestSave(true)
+	}
+	entry.setVerified(Reported, now)
+}
+
+// updateEntry replaces what service discovery reported about an endpoint. What the worker showed is
+// kept unless another start time or address says that a new process runs there.
+func (l *List) updateEntry(now time.Time, entry *listEntry, endpoint Endpoint) {
+	switch {
+	case !endpoint.Start.Equal(entry.Start) || endpoint.Addr != entry.Addr:
+		l.history.recordEvent(now, endpoint.ID, Restarted)
+		entry.resetAfterRestart()
+	case endpoint.State == balancer.Active && entry.State == balancer.Draining:
+		entry.drainReportedAt = time.Time{} // newer than the worker's own report
+	}
+	if endpoint.State == balancer.Draining && entry.State != balancer.Draining {
+		l.history.recordEvent(now, endpoint.ID, Drained)
+	}
+	endpoint.VerifiedAt, endpoint.RequestRate = entry.VerifiedAt, entry.RequestRate
+	entry.Endpoint = endpoint
+}
+
+// removeUnlisted removes every entry that a full list does not name.
+func (l *List) removeUnlisted(now time.Time, listed []Endpoint) {
+	isListed := make(map[balancer.WorkerID]bool, len(listed))
+	for _, endpoint := range listed {
+		isListed[endpoint.ID] = true
+	}
+	for _, entry := range slices.Clone(l.sorted) {
+		if !isListed[entry.ID] {
+			l.remove(now, entry)
+		}
+	}
+}
+
+// accountObservedTime adds the time since the last confirmation to the history as time in which all
+// endpoints ran.
+func (l *List) accountObservedTime(now time.Time) {
+	if confirmedAt := l.watch.confirmedAt; !confirmedAt.IsZero() && now.After(confirmedAt) {
+		l.history.addObservedTime(len(l.sorted), now.Sub(confirmedAt))
+		l.watch.confirmedAt = now
+	}
+}
+
+// ConfirmCurrent handles the confirmation of service discovery that nothing changed after the last
+// watch event.
+func (l *List) ConfirmCurrent(now time.Time) {
+	l.accountObservedTime(now)
+	l.markConfirmed(now, false)
+	if !l.watch.live {
+		l.markLive(now)
+	}
+}
+
+// markConfirmed records that service discovery confirmed the list. The list is saved for a full
+// update, otherwise at most once per confirmationSaveInterval.
+func (l *List) markConfirmed(now time.Time, isFull bool) {
+	l.watch.confirmedAt = now
+	if isFull || now.Sub(l.watch.confirmationSavedAt) >= confirmationSaveInterval {
+		l.watch.confirmationSavedAt = now
+		l.requestSave(false)
+	}
+}
+
+// markLive makes the list the current one of service discovery: every entry counts as reported and
+// slow start ends.
+func (l *List) markLive(now time.Time) {
+	if !l.watch.live && l.hasPublished {
+		l.log("discovery is back: its word on %d boxes replaces the kept list", len(l.sorted))
+	}
+	l.watch.live, l.reportedExhausted = true, false
+	l.slowStart.stop()
+	for _, entry := range l.sorted {
+		if entry.State == balancer.Active && entry.drainReportHolds(now) {
+			continue
+		}
+		entry.setVerified(Reported, now)
+		entry.check.backoff = 0
+		if entry.State == balancer.Draining {
+			entry.verification = Draining
+		}
+	}
+	if len(l.sorted) == 0 && !l.hasPublished { // an empty list is a list, too
+		l.pending.Publish = append(l.pending.Publish, Publication{Kind: balancer.EndpointsSnapshot})
+	}
+	l.publishAll()
+	l.hasPublished = true
+}
+
+// WatchLost handles the end of the connection to service discovery. The list stays in use and its
+// evidence ages.
+func (l *List) WatchLost(_ time.Time) {
+	if !l.watch.live {
+		return
+	}
+	l.watch.live = false
+	for _, entry := range l.sorted {
+		if entry.verification == Reported {
+			entry.verification = Verified
+			entry.evidence.confidence, entry.evidence.at = 1, l.watch.confirmedAt
+		}
+		entry.check.dueAt = time.Time{}
+	}
+}
+
+// ResetWatch handles a service discovery that numbers its events anew. The list stays in use until
+// the next full update.
+func (l *List) ResetWatch(now time.Time) {
+	l.log("discovery started over: its list is read in full")
+	l.WatchLost(now)
+	l.watch.epoch, l.watch.cursor = "", 0
+	l.requestSave(false)
+}
