--- a/internal/platform/channel.go
+++ b/internal/platform/channel.go
@@ -23,29 +23,29 @@
 )
 
 const (
-	channelDial  = time.Second
-	channelQuiet = 2 * time.Second        // a line comes every second; without one the connection is dead
-	channelMost  = 400 * time.Millisecond // between two tries: what is told counts as told 2 s after a break
-	maxLine      = 4 << 20
-	maxDatagram  = 256
-	datagramWait = 256                   // datagrams that may wait to be sent
-	datagramRest = 10 * time.Millisecond // after a failed read
+	watchDialTimeout   = time.Second
+	watchReadTimeout   = 2 * time.Second        // a line comes every second; without one the connection is dead
+	maxWatchRetryDelay = 400 * time.Millisecond // between two tries: what is told counts as told 2 s after a break
+	maxEventBytes      = 4 << 20
+	maxDatagramBytes   = 256
+	sendQueueLength    = 256                   // datagrams that may wait to be sent
+	readErrorPause     = 10 * time.Millisecond // after a failed read
 )
 
 // EndpointWatcher follows the command channel. It implements oakthread.Membership.
 type EndpointWatcher struct {
-	addr   string
-	moved  chan string
-	setup  *wire.Setup
-	known  []Event
-	cursor int64
-	epoch  string
-	dialer *endpoints.Dialer
-	kept   bool   // the list is kept on disk: a numbering may have started over meanwhile
-	bad    string // the last line that cannot be read
-	gap    bool   // one was passed over: the next number is the next there is
-	log    *slog.Logger
-	dial   DialFunc
+	addr           string
+	moves          chan string
+	setup          *wire.Setup
+	initialEvents  []Event
+	cursor         int64
+	epoch          string
+	dialer         *endpoints.Dialer
+	persistent     bool   // the list is kept on disk: a numbering may have started over meanwhile
+	unreadableLine string // the last line that cannot be read
+	skippedLine    bool   // one was passed over: the next number is the next there is
+	log            *slog.Logger
+	dial           DialFunc
 }
 
 // Through puts something between the Channel and the system's sockets; it must be called before Follow.
@@ -59,60 +59,60 @@
 	StartedOver() // the numbering begins anew: the next list is whole
 }
 
-// plain is the feed of a dispatcher that keeps no list.
-type plain func(oakthread.EndpointUpdate)
+// updateFunc is the feed of a dispatcher that keeps no list.
+type updateFunc func(oakthread.EndpointUpdate)
 
-func (p plain) Told(r oakthread.EndpointUpdate, _ string, _ int64) { p(r) }
-func (plain) Current()                                             {}
-func (plain) Lost()                                                {}
-func (plain) StartedOver()                                         {}
+func (p updateFunc) Told(r oakthread.EndpointUpdate, _ string, _ int64) { p(r) }
+func (updateFunc) Current()                                             {}
+func (updateFunc) Lost()                                                {}
+func (updateFunc) StartedOver()                                         {}
 
 // NewChannel follows the channel of a configuration from the events on that it holds.
 func NewChannel(c *Config, log *slog.Logger) *EndpointWatcher {
-	return &EndpointWatcher{addr: c.Channel, moved: make(chan string, 1), setup: c.Setup, known: c.Known, cursor: c.Cursor, log: log, dial: (&net.Dialer{Timeout: channelDial}).DialContext,
-		dialer: endpoints.NewDialer([]string{c.Channel}, c.Seed).Within(channelMost)}
+	return &EndpointWatcher{addr: c.Channel, moves: make(chan string, 1), setup: c.Setup, initialEvents: c.Known, cursor: c.Cursor, log: log, dial: (&net.Dialer{Timeout: watchDialTimeout}).DialContext,
+		dialer: endpoints.NewDialer([]string{c.Channel}, c.Seed).Within(maxWatchRetryDelay)}
 }
 
 // Keep has the channel go on from where a kept list stands, over several addresses in turn, and notice a discovery that
 // started over. It must be called before Follow.
 func (c *EndpointWatcher) Keep(cursor int64, epoch string, d *endpoints.Dialer) {
-	c.cursor, c.epoch, c.dialer, c.kept, c.known = cursor, epoch, d, true, nil
+	c.cursor, c.epoch, c.dialer, c.persistent, c.initialEvents = cursor, epoch, d, true, nil
 }
 
 // Move follows the channel at another address, at once, from the last event known on. It must be called from one
 // goroutine and does not block: of two moves in a row the later one counts.
 func (c *EndpointWatcher) Move(addr string) {
 	select {
-	case <-c.moved:
+	case <-c.moves:
 	default:
 	}
-	c.moved <- addr
+	c.moves <- addr
 }
 
 // Watch tells the events known at the start, then those of the channel, and connects again until ctx ends.
 func (c *EndpointWatcher) Watch(ctx context.Context, tell func(oakthread.EndpointUpdate)) error {
-	return c.Follow(ctx, plain(tell))
+	return c.Follow(ctx, updateFunc(tell))
 }
 
 // Follow is Watch with all that a Feed wants to know.
 func (c *EndpointWatcher) Follow(ctx context.Context, f EndpointHandler) error {
-	for _, ev := range c.known {
+	for _, ev := range c.initialEvents {
 		f.Told(ev.Roster, ev.Epoch, ev.Cursor)
 	}
 	for ctx.Err() == nil {
 		var wait time.Duration
-		if c.addr, wait = c.dialer.Next(); c.pause(ctx, wait) {
+		if c.addr, wait = c.dialer.Next(); c.waitOrMove(ctx, wait) {
 			continue
 		}
 		// An old address may stay silent or refuse: a move ends whatever goes on there.
 		on, off := context.WithCancel(ctx)
 		ended := make(chan error, 1)
-		go func() { ended <- c.follow(on, f) }()
+		go func() { ended <- c.readStream(on, f) }()
 		select {
-		case addr := <-c.moved:
+		case addr := <-c.moves:
 			off()
 			<-ended
-			c.move(addr)
+			c.setAddress(addr)
 			continue
 		case err := <-ended:
 			off()
@@ -121,7 +121,7 @@
 			}
 			f.Lost()
 			c.log.Warn("command channel lost, connecting again", "after", c.cursor, "err", err)
-			if errors.Is(err, errStartedOver) {
+			if errors.Is(err, errDiscoveryRestarted) {
 				c.dialer.Good()
 			} else {
 				c.dialer.Failed()
@@ -131,28 +131,28 @@
 	return ctx.Err()
 }
 
-// pause waits; true: the channel has moved meanwhile.
-func (c *EndpointWatcher) pause(ctx context.Context, wait time.Duration) bool {
+// waitOrMove waits; true: the channel has moved meanwhile.
+func (c *EndpointWatcher) waitOrMove(ctx context.Context, wait time.Duration) bool {
 	t := time.NewTimer(wait)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
-	case addr := <-c.moved:
-		c.move(addr)
+	case addr := <-c.moves:
+		c.setAddress(addr)
 		return true
 	case <-t.C:
 	}
 	return false
 }
 
-func (c *EndpointWatcher) move(addr string) {
+func (c *EndpointWatcher) setAddress(addr string) {
 	c.addr = addr
 	c.dialer.Move(addr)
 	c.log.Info("command channel moved", "to", c.addr, "after", c.cursor)
 }
 
-// follow reads the channel at one address until it fails. Without an address there is nothing to read.
-func (c *EndpointWatcher) follow(ctx context.Context, f EndpointHandler) error {
+// readStream reads the channel at one address until it fails. Without an address there is nothing to read.
+func (c *EndpointWatcher) readStream(ctx context.Context, f EndpointHandler) error {
 	if c.addr == "" {
 		<-ctx.Done()
 		return ctx.Err()
@@ -163,23 +163,23 @@
 	}
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	defer conn.Close()
-	if err := conn.SetDeadline(time.Now().Add(channelQuiet)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(watchReadTimeout)); err != nil {
 		return err
 	}
 	if _, err := fmt.Fprintf(conn, "resume %d\n", c.cursor); err != nil {
 		return err
 	}
 	lines := bufio.NewScanner(conn)
-	lines.Buffer(make([]byte, 0, 4<<10), maxLine)
-	lines.Split(wholeLines)
+	lines.Buffer(make([]byte, 0, 4<<10), maxEventBytes)
+	lines.Split(splitCompleteLines)
 	for first := true; lines.Scan(); {
-		if err := conn.SetDeadline(time.Now().Add(channelQuiet)); err != nil {
+		if err := conn.SetDeadline(time.Now().Add(watchReadTimeout)); err != nil {
 			return err
 		}
 		if len(bytes.TrimSpace(lines.Bytes())) == 0 {
 			continue
 		}
-		if err := c.take(lines.Bytes(), first, f); err != nil {
+		if err := c.handleLine(lines.Bytes(), first, f); err != nil {
 			return err
 		}
 		first = false
@@ -190,56 +190,56 @@
 	return io.EOF
 }
 
-// wholeLines parts lines. Guards against a line cut off by the end of a connection: its beginning may read as
+// splitCompleteLines parts lines. Guards against a line cut off by the end of a connection: its beginning may read as
 // another number.
-func wholeLines(data []byte, _ bool) (int, []byte, error) {
+func splitCompleteLines(data []byte, _ bool) (int, []byte, error) {
 	if i := bytes.IndexByte(data, '\n'); i >= 0 {
 		return i + 1, data[:i], nil
 	}
 	return 0, nil, nil
 }
 
-var errStartedOver = errors.New("discovery started over: its list is read from the first event")
+var errDiscoveryRestarted = errors.New("discovery started over: its list is read from the first event")
 
-// take reads one line. Events seen before are passed over. Numbers that are skipped say that events are missing, and
+// handleLine reads one line. Events seen before are passed over. Numbers that are skipped say that events are missing, and
 // these are asked for again on a new connection; the first event there is the next there is, whatever its number.
 // Where a list is kept, a lower number than ours or another epoch says that discovery started over.
-func (c *EndpointWatcher) take(line []byte, first bool, f EndpointHandler) error {
+func (c *EndpointWatcher) handleLine(line []byte, first bool, f EndpointHandler) error {
 	ev, err := parseEvent(line, c.setup)
 	if err != nil {
 		// It may be the connection's fault. One that comes again is: without it passed over, nothing would be told any more.
-		if c.bad != string(line) {
-			c.bad = string(line)
+		if c.unreadableLine != string(line) {
+			c.unreadableLine = string(line)
 			return fmt.Errorf("line %.80q: %w", line, err)
 		}
-		c.gap = true
+		c.skippedLine = true
 		c.log.Error("discovery's event cannot be read, passed over", "after", c.cursor, "line", fmt.Sprintf("%.80q", line), "err", err)
 		return nil
 	}
-	for _, odd := range ev.Odd {
+	for _, odd := range ev.Invalid {
 		c.log.Error("discovery tells of an executor that cannot be used", "cursor", ev.Cursor, "err", odd)
 	}
-	if c.kept && (ev.Beat && ev.Cursor < c.cursor || ev.Epoch != "" && c.epoch != "" && ev.Epoch != c.epoch) {
+	if c.persistent && (ev.Heartbeat && ev.Cursor < c.cursor || ev.Epoch != "" && c.epoch != "" && ev.Epoch != c.epoch) {
 		c.cursor, c.epoch = 0, ""
 		f.StartedOver()
-		return errStartedOver
+		return errDiscoveryRestarted
 	}
 	if ev.Epoch != "" {
 		c.epoch = ev.Epoch
 	}
-	if c.gap && ev.Cursor > c.cursor {
-		c.gap, first = false, true
-		if ev.Beat {
+	if c.skippedLine && ev.Cursor > c.cursor {
+		c.skippedLine, first = false, true
+		if ev.Heartbeat {
 			c.cursor = ev.Cursor
 		}
 	}
-	if ev.Beat && ev.Cursor > c.cursor || !ev.Beat && !first && ev.Cursor > c.cursor+1 {
+	if ev.Heartbeat && ev.Cursor > c.cursor || !ev.Heartbeat && !first && ev.Cursor > c.cursor+1 {
 		return fmt.Errorf("events after %d are missing, the last is %d", c.cursor, ev.Cursor)
 	}
 	if first {
 		c.dialer.Good()
 	}
-	if ev.Beat {
+	if ev.Heartbeat {
 		if ev.Cursor == c.cursor {
 			f.Current()
 		}
@@ -249,7 +249,7 @@
 		return nil
 	}
 	c.cursor = ev.Cursor
-	if ev.Told {
+	if ev.HasUpdate {
 		f.Told(ev.Roster, c.epoch, c.cursor)
 	}
 	return nil
@@ -257,15 +257,15 @@
 
 // PeerTransport carries messages between dispatchers. It implements oakthread.Peers.
 type PeerTransport struct {
-	conn  *net.UDPConn
-	all   netip.AddrPort
-	peers []netip.AddrPort
-	from  map[netip.AddrPort]int
-	me    int
-	out   chan datagram
-	log   *slog.Logger
+	conn        *net.UDPConn
+	group       netip.AddrPort
+	peers       []netip.AddrPort
+	indexByAddr map[netip.AddrPort]int
+	selfIndex   int
+	sendQueue   chan datagram
+	log         *slog.Logger
 
-	strangers, long atomic.Int64
+	unknownSender, oversized atomic.Int64
 }
 
 // Dropped counts datagrams that were read and handed to nobody: from addresses that are no peer's, and too long.
@@ -273,12 +273,12 @@
 	if p == nil { // the settings allow no messages
 		return 0, 0
 	}
-	return p.strangers.Load(), p.long.Load()
+	return p.unknownSender.Load(), p.oversized.Load()
 }
 
 type datagram struct {
-	to   netip.AddrPort
-	data string
+	address netip.AddrPort
+	data    string
 }
 
 // ListenPeers opens the socket for messages; nil where the settings allow none.
@@ -294,48 +294,48 @@
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	p := &PeerTransport{conn: conn, all: c.PeersAll, peers: c.Peers, from: map[netip.AddrPort]int{},
-		me: c.Setup.Number, out: make(chan datagram, datagramWait), log: log}
+	p := &PeerTransport{conn: conn, group: c.PeersAll, peers: c.Peers, indexByAddr: map[netip.AddrPort]int{},
+		selfIndex: c.Setup.Number, sendQueue: make(chan datagram, sendQueueLength), log: log}
 	for i, a := range c.Peers {
-		p.from[a] = i
+		p.indexByAddr[a] = i
 	}
 	return p, nil
 }
 
 // SendMessage hands a datagram to the socket's goroutine; with too many waiting, it is lost, as any may be.
 func (p *PeerTransport) SendMessage(to int, data string) {
-	if len(data) > maxDatagram {
+	if len(data) > maxDatagramBytes {
 		p.log.Error("message to peers is too long, not sent", "bytes", len(data))
 		return
 	}
 	switch {
-	case to < 0 && p.all.IsValid():
-		p.send(p.all, data)
+	case to < 0 && p.group.IsValid():
+		p.enqueue(p.group, data)
 	case to < 0:
 		for i, a := range p.peers {
-			if i != p.me {
-				p.send(a, data)
+			if i != p.selfIndex {
+				p.enqueue(a, data)
 			}
 		}
-	case to < len(p.peers) && to != p.me:
-		p.send(p.peers[to], data)
+	case to < len(p.peers) && to != p.selfIndex:
+		p.enqueue(p.peers[to], data)
 	}
 }
 
-func (p *PeerTransport) send(to netip.AddrPort, data string) {
+func (p *PeerTransport) enqueue(to netip.AddrPort, data string) {
 	select {
-	case p.out <- datagram{to, data}:
+	case p.sendQueue <- datagram{to, data}:
 	default:
 	}
 }
 
-func (p *PeerTransport) write(ctx context.Context) {
+func (p *PeerTransport) writeQueued(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case d := <-p.out:
-			if _, err := p.conn.WriteToUDPAddrPort([]byte(d.data), d.to); err != nil {
+		case d := <-p.sendQueue:
+			if _, err := p.conn.WriteToUDPAddrPort([]byte(d.data), d.address); err != nil {
 				p.log.Debug("peer socket", "err", err)
 			}
 		}
@@ -344,9 +344,9 @@
 
 // Listen sends what is told and hands on what peers say until ctx ends. A datagram from elsewhere is dropped.
 func (p *PeerTransport) Listen(ctx context.Context, heard func(from int, data string)) error {
-	go p.write(ctx)
+	go p.writeQueued(ctx)
 	defer context.AfterFunc(ctx, func() { p.conn.Close() })()
-	buf := make([]byte, maxDatagram+1)
+	buf := make([]byte, maxDatagramBytes+1)
 	for {
 		n, from, err := p.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
@@ -356,17 +356,17 @@
 			p.log.Debug("peer socket", "err", err) // such as a peer that is down
 			select {
 			case <-ctx.Done():
-			case <-time.After(datagramRest): // one that lasts must not spin
+			case <-time.After(readErrorPause): // one that lasts must not spin
 			}
 			continue
 		}
-		who, known := p.from[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
+		who, known := p.indexByAddr[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 		switch {
-		case !known || who == p.me:
-			p.strangers.Add(1)
+		case !known || who == p.selfIndex:
+			p.unknownSender.Add(1)
 			continue
-		case n > maxDatagram:
-			p.long.Add(1)
+		case n > maxDatagramBytes:
+			p.oversized.Add(1)
 			continue
 		}
 		heard(who, string(buf[:n]))
--- a/internal/platform/clientconn.go
+++ b/internal/platform/clientconn.go
@@ -17,7 +17,7 @@
 	"oakthread/internal/neterr"
 )
 
-const mostAhead = 32 << 10 // bytes read behind a call in hand: a head and a body
+const maxReadAheadBytes = 32 << 10 // bytes read behind a call in hand: a head and a body
 
 var pastDeadline = time.Unix(1, 0) // calls a read off at once
 
@@ -25,72 +25,72 @@
 // one is goes on reading: net/http looks one byte ahead, and behind that byte it does not see the client leave.
 type clientConn struct {
 	net.Conn
-	limiter *connLimiter
-	framer  framer
-	odd     atomic.Bool // a request on it had lengths that contradict each other; nothing after it can be trusted
+	limiter   *connLimiter
+	framer    framer
+	ambiguous atomic.Bool // a request on it had lengths that contradict each other; nothing after it can be trusted
 
-	ahead     bytes.Buffer  // bytes read behind the call in hand, for net/http to read after it
-	aheadErr  error         // what ended that reading, told once the bytes are read
-	aheadDone chan struct{} // closed when a reading ahead has ended; nil: none began
-	whole     int           // requests that have come whole, and of these
-	answered  int           // the answers written
+	buffered         bytes.Buffer  // bytes read behind the call in hand, for net/http to read after it
+	bufferedErr      error         // what ended that reading, told once the bytes are read
+	readAheadDone    chan struct{} // closed when a reading ahead has ended; nil: none began
+	completeRequests int           // requests that have come whole, and of these
+	responsesWritten int           // the answers written
 
-	mu       sync.Mutex
-	deadline time.Time // for reading, as set last
-	limit    bool      // it lay ahead then: it is a limit of time, not what calls a read off
-	evicting bool      // the connection is to be closed by its reader, unless that finds bytes
+	mu             sync.Mutex
+	deadline       time.Time // for reading, as set last
+	isTimeout      bool      // it lay ahead then: it is a limit of time, not what calls a read off
+	closeRequested bool      // the connection is to be closed by its reader, unless that finds bytes
 
 	// Guarded by the limiter's mu.
-	since   time.Time          // when it fell quiet
-	spoke   bool               // a request has been answered on it
-	busy    bool               // a whole call is in hand
-	more    bool               // behind the request in hand, some of the next
-	came    bool               // of a request, some has been read, and its answer has not been written
-	reading bool               // a read is under way: bytes may have left the kernel that are not marked yet
-	left    context.CancelFunc // ends the request in hand: its client has left
-	gone    bool
+	lastActivity    time.Time          // when it fell quiet
+	reused          bool               // a request has been answered on it
+	requestInFlight bool               // a whole call is in hand
+	pipelined       bool               // behind the request in hand, some of the next
+	partlyRead      bool               // of a request, some has been read, and its answer has not been written
+	reading         bool               // a read is under way: bytes may have left the kernel that are not marked yet
+	cancelRequest   context.CancelFunc // ends the request in hand: its client has left
+	closed          bool
 }
 
 type clientConnKey struct{}
 
-// clientConnOf is the connection of a request; nil: not one of a limiter.
-func clientConnOf(ctx context.Context) *clientConn {
+// clientConnFrom is the connection of a request; nil: not one of a limiter.
+func clientConnFrom(ctx context.Context) *clientConn {
 	c, _ := ctx.Value(clientConnKey{}).(*clientConn)
 	return c
 }
 
 // Read is called by one goroutine at a time: the server's, or its look ahead while a call is in hand.
 func (c *clientConn) Read(b []byte) (int, error) {
-	if err := c.endReadAhead(); err != nil {
+	if err := c.stopReadAhead(); err != nil {
 		return 0, err
 	}
 	var n int
 	var err error
 	switch {
-	case c.ahead.Len() > 0:
-		n, _ = c.ahead.Read(b)
-	case c.aheadErr != nil:
-		err, c.aheadErr = c.aheadErr, nil
+	case c.buffered.Len() > 0:
+		n, _ = c.buffered.Read(b)
+	case c.bufferedErr != nil:
+		err, c.bufferedErr = c.bufferedErr, nil
 	default:
 		n, err = c.readSocket(b)
 	}
-	c.follow(b[:n])
-	more := c.whole > c.answered+1 || c.whole > c.answered && !c.framer.between()
-	if left := c.limiter.read(c, n > 0, more); left != nil {
-		c.aheadDone = make(chan struct{})
-		go c.readAhead(c.aheadDone, left)
+	c.trackMessages(b[:n])
+	more := c.completeRequests > c.responsesWritten+1 || c.completeRequests > c.responsesWritten && !c.framer.atBoundary()
+	if left := c.limiter.endRead(c, n > 0, more); left != nil {
+		c.readAheadDone = make(chan struct{})
+		go c.readAhead(c.readAheadDone, left)
 	}
 	return n, err
 }
 
-// endReadAhead ends the reading behind a call: the call is over, or the server's look ahead is called off.
-func (c *clientConn) endReadAhead() error {
-	if c.aheadDone == nil {
+// stopReadAhead ends the reading behind a call: the call is over, or the server's look ahead is called off.
+func (c *clientConn) stopReadAhead() error {
+	if c.readAheadDone == nil {
 		return nil
 	}
 	_ = c.Conn.SetReadDeadline(pastDeadline)
-	<-c.aheadDone
-	c.aheadDone = nil
+	<-c.readAheadDone
+	c.readAheadDone = nil
 	return c.restoreDeadline()
 }
 
@@ -98,7 +98,7 @@
 func (c *clientConn) restoreDeadline() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.evicting {
+	if c.closeRequested {
 		return nil
 	}
 	return c.Conn.SetReadDeadline(c.deadline)
@@ -112,63 +112,63 @@
 		if !errors.Is(err, os.ErrDeadlineExceeded) || n > 0 {
 			return n, err
 		}
-		if !c.isEvicting() {
-			return c.readLate(b)
+		if !c.isCloseRequested() {
+			return c.readAfterTimeout(b)
 		}
-		if c.limiter.closeEvicted(c) {
+		if c.limiter.closeIfUnread(c) {
 			return 0, io.EOF
 		}
-		if err := c.keep(); err != nil {
+		if err := c.cancelClose(); err != nil {
 			return 0, err
 		}
 	}
 }
 
-// follow takes bytes that were read into account.
-func (c *clientConn) follow(b []byte) {
+// trackMessages takes bytes that were read into account.
+func (c *clientConn) trackMessages(b []byte) {
 	for at := 0; at < len(b); {
-		at += c.framer.feed(b[at:])
-		if c.framer.odd {
-			c.odd.Store(true)
+		at += c.framer.consume(b[at:])
+		if c.framer.ambiguous {
+			c.ambiguous.Store(true)
 		}
 		if c.framer.ended {
-			c.whole++
+			c.completeRequests++
 		}
 	}
 }
 
-// evict asks the reader to close the connection, unless it finds bytes.
-func (c *clientConn) evict() {
+// requestClose asks the reader to close the connection, unless it finds bytes.
+func (c *clientConn) requestClose() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.evicting = true
+	c.closeRequested = true
 	_ = c.Conn.SetReadDeadline(pastDeadline)
 }
 
-func (c *clientConn) isEvicting() bool {
+func (c *clientConn) isCloseRequested() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.evicting
+	return c.closeRequested
 }
 
-// keep takes back an evict: something has come.
-func (c *clientConn) keep() error {
+// cancelClose takes back an evict: something has come.
+func (c *clientConn) cancelClose() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.evicting {
+	if !c.closeRequested {
 		return nil
 	}
-	c.evicting = false
+	c.closeRequested = false
 	return c.Conn.SetReadDeadline(c.deadline)
 }
 
-// readLate reads what lies with the kernel when the time to read is over. Guards against a standstill of this process (stopped,
+// readAfterTimeout reads what lies with the kernel when the time to read is over. Guards against a standstill of this process (stopped,
 // or without a core): its timers end before it looks at its sockets, and a request that came meanwhile would be reset. Who
 // sends slowly gains nothing: where nothing lies there, the time is over.
-func (c *clientConn) readLate(b []byte) (int, error) {
+func (c *clientConn) readAfterTimeout(b []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.limit || !unread(c.Conn) {
+	if !c.isTimeout || !hasUnread(c.Conn) {
 		return 0, os.ErrDeadlineExceeded
 	}
 	if err := c.Conn.SetReadDeadline(time.Time{}); err != nil {
@@ -185,14 +185,14 @@
 func (c *clientConn) readAhead(ended chan<- struct{}, left context.CancelFunc) {
 	defer close(ended)
 	b := make([]byte, 1<<10)
-	for c.ahead.Len() < mostAhead {
+	for c.buffered.Len() < maxReadAheadBytes {
 		n, err := neterr.Read(c.Conn, b)
-		c.ahead.Write(b[:n])
+		c.buffered.Write(b[:n])
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			return
 		}
 		if err != nil {
-			c.aheadErr = err
+			c.bufferedErr = err
 			left()
 			return
 		}
@@ -205,8 +205,8 @@
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.deadline, c.limit = t, t.After(time.Now())
-	if c.evicting {
+	c.deadline, c.isTimeout = t, t.After(time.Now())
+	if c.closeRequested {
 		return nil
 	}
 	return c.Conn.SetReadDeadline(t)
@@ -221,6 +221,6 @@
 
 func (c *clientConn) Close() error {
 	err := c.Conn.Close() // before its place is given away, so that no more are open than there are places
-	c.limiter.drop(c)
+	c.limiter.remove(c)
 	return err
 }
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -38,7 +38,7 @@
 	Known      []Event
 	Cursor     int64
 	Setup      *wire.Setup
-	shape      []string // the keys that the file held
+	keys       []string // the keys that the file held
 }
 
 const defaultSockets = 1024
@@ -103,7 +103,7 @@
 	}
 	c := &Config{Name: f.Name, Listen: f.Listen, Cores: f.Limits.Cores, Sockets: f.Limits.Sockets,
 		Memory: int64(f.Limits.MemoryMB * (1 << 20)), PeerListen: f.PeerListen, Channel: f.Channel, Console: f.Console,
-		Cursor: f.Known.Cursor, shape: shape(raw)}
+		Cursor: f.Known.Cursor, keys: configKeys(raw)}
 	if c.Sockets <= 0 {
 		c.Sockets = defaultSockets
 	}
@@ -144,8 +144,8 @@
 		if err != nil {
 			return nil, fmt.Errorf("known.cmds[%d]: %w", i, err)
 		}
-		if len(ev.Odd) > 0 {
-			return nil, fmt.Errorf("known.cmds[%d]: %w", i, ev.Odd[0])
+		if len(ev.Invalid) > 0 {
+			return nil, fmt.Errorf("known.cmds[%d]: %w", i, ev.Invalid[0])
 		}
 		c.Known = append(c.Known, ev)
 		c.Cursor = max(c.Cursor, ev.Cursor)
@@ -155,12 +155,12 @@
 
 // Event is one change of the list of executors. A line with a number alone has only a Cursor.
 type Event struct {
-	Cursor int64
-	Beat   bool
-	Epoch  string  // of the numbering, where discovery tells one
-	Told   bool    // it tells of executors
-	Odd    []error // of those that cannot be used: left out, or draining where their phase is not known
-	Roster oakthread.EndpointUpdate
+	Cursor    int64
+	Heartbeat bool
+	Epoch     string  // of the numbering, where discovery tells one
+	HasUpdate bool    // it tells of executors
+	Invalid   []error // of those that cannot be used: left out, or draining where their phase is not known
+	Roster    oakthread.EndpointUpdate
 }
 
 // eventLine and listedBox are an event as the command channel writes it.
@@ -168,12 +168,12 @@
 	Cursor *int64 `json:"cursor"`
 	Epoch  string `json:"epoch"`
 	Nodes  *struct {
-		Complete bool        `json:"complete"`
-		Members  []listedBox `json:"members"`
+		Complete bool           `json:"complete"`
+		Members  []listedMember `json:"members"`
 	} `json:"nodes"`
 }
 
-type listedBox struct {
+type listedMember struct {
 	ID       string  `json:"id"`
 	HostPort string  `json:"host_port"`
 	Locality string  `json:"locality"`
@@ -188,7 +188,7 @@
 func parseEvent(line []byte, s *wire.Setup) (Event, error) {
 	text := strings.TrimSpace(string(line))
 	if n, err := strconv.ParseInt(text, 10, 64); err == nil && n >= 0 {
-		return Event{Cursor: n, Beat: true}, nil
+		return Event{Cursor: n, Heartbeat: true}, nil
 	}
 	var f eventLine
 	if err := json.Unmarshal([]byte(text), &f); err != nil {
@@ -197,9 +197,9 @@
 	if f.Cursor == nil || *f.Cursor < 0 {
 		return Event{}, errors.New("field cursor is missing")
 	}
-	ev := Event{Cursor: *f.Cursor, Epoch: f.Epoch, Told: true, Roster: oakthread.EndpointUpdate{Kind: balancer.EndpointsDelta}}
+	ev := Event{Cursor: *f.Cursor, Epoch: f.Epoch, HasUpdate: true, Roster: oakthread.EndpointUpdate{Kind: balancer.EndpointsDelta}}
 	if f.Nodes == nil {
-		ev.Told = false
+		ev.HasUpdate = false
 		return ev, nil // an event of a kind not known here: its number counts
 	}
 	if f.Nodes.Complete {
@@ -207,11 +207,11 @@
 	}
 	for i, m := range f.Nodes.Members {
 		if m.ID == "" {
-			ev.Odd = append(ev.Odd, fmt.Errorf("members[%d]: field id is missing", i))
+			ev.Invalid = append(ev.Invalid, fmt.Errorf("members[%d]: field id is missing", i))
 			continue
 		}
-		e := oakthread.Endpoint{ID: WorkerID(m.ID), Addr: m.HostPort, Zone: place(s.Zones, m.Locality),
-			Kind: place(s.Kinds, m.Flavor), Cell: m.Cell, Weight: m.Size}
+		e := oakthread.Endpoint{ID: WorkerID(m.ID), Addr: m.HostPort, Zone: indexOrNext(s.Zones, m.Locality),
+			Kind: indexOrNext(s.Kinds, m.Flavor), Cell: m.Cell, Weight: m.Size}
 		switch m.Phase {
 		case "Ready":
 			e.State = balancer.Active
@@ -221,11 +221,11 @@
 			e.State = balancer.Removed
 		default:
 			e.State = balancer.Draining
-			ev.Odd = append(ev.Odd, fmt.Errorf("members[%d]: phase %q of %q is not known", i, m.Phase, m.ID))
+			ev.Invalid = append(ev.Invalid, fmt.Errorf("members[%d]: phase %q of %q is not known", i, m.Phase, m.ID))
 		}
 		if e.State != balancer.Removed {
 			if _, err := netip.ParseAddrPort(m.HostPort); err != nil {
-				ev.Odd = append(ev.Odd, fmt.Errorf("members[%d]: host_port %q of %q: %w", i, m.HostPort, m.ID, err))
+				ev.Invalid = append(ev.Invalid, fmt.Errorf("members[%d]: host_port %q of %q: %w", i, m.HostPort, m.ID, err))
 				continue
 			}
 		}
@@ -249,8 +249,8 @@
 	return balancer.WorkerID(h.Sum32())
 }
 
-// place is the number of a name in a list of the settings. One not listed gets the number after the last.
-func place(names []string, name string) int {
+// indexOrNext is the number of a name in a list of the settings. One not listed gets the number after the last.
+func indexOrNext(names []string, name string) int {
 	for i, n := range names {
 		if n == name {
 			return i
--- a/internal/platform/conns_test.go
+++ b/internal/platform/conns_test.go
@@ -39,12 +39,12 @@
 		{"HTTP/1.1 200 OK\r\n\r\nabc", true, 0, false},
 	} {
 		for _, cut := range []int{1, 7, len(c.text)} {
-			f, at := framer{answers: c.answers}, 0
+			f, at := framer{responses: c.answers}, 0
 			odd := false
 			for from := 0; from < len(c.text) && !f.ended; from += cut {
 				part := c.text[from:min(from+cut, len(c.text))]
-				at = from + f.feed([]byte(part))
-				odd = odd || f.odd
+				at = from + f.consume([]byte(part))
+				odd = odd || f.ambiguous
 			}
 			assert.Equal(t, c.odd, odd, c.text)
 			assert.Equal(t, c.at > 0, f.ended, c.text)
@@ -55,8 +55,8 @@
 	}
 }
 
-// say writes raw bytes to the front on a connection of its own and returns all that comes back until it is closed.
-func say(t *testing.T, url, text string) string {
+// exchangeRaw writes raw bytes to the front on a connection of its own and returns all that comes back until it is closed.
+func exchangeRaw(t *testing.T, url, text string) string {
 	c, err := net.Dial("tcp", strings.TrimPrefix(url, "http://"))
 	require.NoError(t, err)
 	defer c.Close()
@@ -80,12 +80,12 @@
 	}
 	hidden := "0\r\n\r\n" + head(2, "Content-Length: 0\r\n")
 	for _, lengths := range []string{"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n", "Transfer-Encoding: chunked\r\nContent-Length: 9999\r\n"} {
-		got := say(t, url, head(1, lengths)+hidden)
+		got := exchangeRaw(t, url, head(1, lengths)+hidden)
 		assert.True(t, strings.HasPrefix(got, "HTTP/1.1 400"), got)
 		assert.Equal(t, 1, strings.Count(got, "HTTP/1.1 "), got)
 	}
 	assert.Empty(t, ran, "one of them went on")
-	got := say(t, url, head(3, "Transfer-Encoding: chunked\r\n")+"2\r\nhi\r\n"+hidden)
+	got := exchangeRaw(t, url, head(3, "Transfer-Encoding: chunked\r\n")+"2\r\nhi\r\n"+hidden)
 	assert.True(t, strings.HasPrefix(got, "HTTP/1.1 200"), got)
 	assert.Equal(t, "0000000000000003 hi", <-ran)
 	assert.Empty(t, ran, "what came behind chunks went on")
@@ -129,7 +129,7 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
-	g := newConnLimiter(ln, 2, quiet)
+	g := newConnLimiter(ln, 2, discardLog)
 	accept := func() *clientConn {
 		c, err := net.Dial("tcp", ln.Addr().String())
 		require.NoError(t, err)
@@ -139,33 +139,33 @@
 		return in.(*clientConn)
 	}
 	first, second := accept(), accept()
-	require.True(t, g.take(first))
+	require.True(t, g.beginRequest(first))
 	third := accept()
-	assert.False(t, first.gone, "one with a call in hand gave way")
-	assert.True(t, second.gone)
-	assert.False(t, g.take(second), "a call was taken on a connection that had given way")
-	g.state(first, http.StateIdle)
-	first.since = first.since.Add(-time.Hour)
+	assert.False(t, first.closed, "one with a call in hand gave way")
+	assert.True(t, second.closed)
+	assert.False(t, g.beginRequest(second), "a call was taken on a connection that had given way")
+	g.handleConnState(first, http.StateIdle)
+	first.lastActivity = first.lastActivity.Add(-time.Hour)
 	accept()
-	assert.True(t, first.gone)
-	assert.False(t, third.gone)
+	assert.True(t, first.closed)
+	assert.False(t, third.closed)
 	assert.Len(t, g.conns, 2)
 }
 
-// script is a connection that brings its bytes in one piece and keeps what is written.
-type script struct {
+// scriptedConn is a connection that brings its bytes in one piece and keeps what is written.
+type scriptedConn struct {
 	net.Conn
-	brings, got []byte
+	input, output []byte
 }
 
-func (s *script) Read(b []byte) (int, error) {
-	n := copy(b, s.brings)
-	s.brings = s.brings[n:]
+func (s *scriptedConn) Read(b []byte) (int, error) {
+	n := copy(b, s.input)
+	s.input = s.input[n:]
 	return n, nil
 }
 
-func (s *script) Write(b []byte) (int, error) {
-	s.got = append(s.got, b...)
+func (s *scriptedConn) Write(b []byte) (int, error) {
+	s.output = append(s.output, b...)
 	return len(b), nil
 }
 
@@ -178,12 +178,12 @@
 		again  error
 	}{
 		"alone":       {answer, nil},
-		"second copy": {answer + answer, errUnasked},
-		"noise":       {answer + "~", errUnasked},
-		"no bounds":   {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", errUnasked},
+		"second copy": {answer + answer, errUnsolicitedBytes},
+		"noise":       {answer + "~", errUnsolicitedBytes},
+		"no bounds":   {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", errUnsolicitedBytes},
 	} {
-		s := &script{brings: []byte(c.brings)}
-		k := &conn{Conn: s, framer: framer{answers: true}}
+		s := &scriptedConn{input: []byte(c.brings)}
+		k := &executorConn{Conn: s, framer: framer{responses: true}}
 		_, err := k.Write([]byte("GET"))
 		require.NoError(t, err)
 		b := make([]byte, 4096)
@@ -195,14 +195,14 @@
 		_, err = k.Write([]byte("GET"))
 		assert.Equal(t, c.again, err, name)
 		if c.again != nil {
-			assert.Equal(t, "GET", string(s.got), name)
+			assert.Equal(t, "GET", string(s.output), name)
 		}
 		assert.Equal(t, name != "alone", k.tainted, name)
 	}
 }
 
-// raw is an executor that gives its answers as they are, one for each request that is read whole.
-func raw(t *testing.T, answers ...string) (m string, seen func() int) {
+// rawExecutor is an executor that gives its answers as they are, one for each request that is read whole.
+func rawExecutor(t *testing.T, answers ...string) (m string, seen func() int) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
@@ -254,17 +254,17 @@
 		"101":              {"HTTP/1.1 101 Switching\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\none", balancer.Reset},
 	} {
 		t.Run(name, func(t *testing.T) {
-			addr, seen := raw(t, c.first, ok("two"))
-			f := NewFleet(setup(t), 10)
+			addr, seen := rawExecutor(t, c.first, ok("two"))
+			f := NewFleet(testSettings(t), 10)
 			defer f.Close()
 			ctx, done := context.WithTimeout(t.Context(), 10*time.Second)
 			defer done()
-			r := f.Send(ctx, attempt(member(addr), "x"))
+			r := f.Send(ctx, attemptTo(endpointAt(addr), "x"))
 			assert.Equal(t, c.want, r.Result)
 			if c.want == balancer.OK {
 				assert.Equal(t, "one", string(r.Body))
 			}
-			r = f.Send(ctx, attempt(member(addr), "x"))
+			r = f.Send(ctx, attemptTo(endpointAt(addr), "x"))
 			assert.Equal(t, "two", string(r.Body))
 			assert.Equal(t, 2, seen(), "requests written for two attempts")
 		})
@@ -273,64 +273,64 @@
 
 // Guards the proof that nothing ran: a wait that ended before a connection came up wrote nothing.
 func TestOurTimeEndsBeforeAnythingIsWritten(t *testing.T) {
-	f := NewFleet(setup(t), 1)
-	f.slots <- struct{}{}
-	assert.Equal(t, balancer.NotSent, f.Send(canceled(t), attempt(member("127.0.0.1:1"), "x")).Result)
-	assert.Equal(t, balancer.NotSent, failure(canceled(t), true, context.Canceled))
+	f := NewFleet(testSettings(t), 1)
+	f.socketSlots <- struct{}{}
+	assert.Equal(t, balancer.NotSent, f.Send(canceledContext(t), attemptTo(endpointAt("127.0.0.1:1"), "x")).Result)
+	assert.Equal(t, balancer.NotSent, classifyFailure(canceledContext(t), true, context.Canceled))
 }
 
 // Guards memory on a long day: a Transport made for an executor already forgotten is dropped when unused.
 func TestForgottenExecutorsAreDropped(t *testing.T) {
-	f := NewFleet(setup(t), 1)
-	m := member("127.0.0.1:1")
+	f := NewFleet(testSettings(t), 1)
+	m := endpointAt("127.0.0.1:1")
 	for i := range 20 {
 		m.ID = balancer.WorkerID(i)
-		f.line(m).used = time.Now().Add(-2 * lineKeptFor)
+		f.transportsFor(m).lastUsed = time.Now().Add(-2 * unusedTransportsTTL)
 	}
-	assert.Len(t, f.lines, 1)
+	assert.Len(t, f.executors, 1)
 }
 
 // Guards the last moment: a request that must not be written any more is not, on a new connection nor on a kept one, and
 // what ends so proves that nothing ran.
 func TestRefusedTheFirstByte(t *testing.T) {
-	b := newBox(t, nil)
-	f := NewFleet(setup(t), 10)
+	b := newRecordingExecutor(t, nil)
+	f := NewFleet(testSettings(t), 10)
 	defer f.Close()
-	f.settle = 0 // connections are used again at once
+	f.reuseDelay = 0 // connections are used again at once
 	for _, kept := range []bool{false, true} {
-		a := attempt(member(b.addr()), "x")
+		a := attemptTo(endpointAt(b.addr()), "x")
 		if kept {
 			require.Equal(t, balancer.OK, f.Send(t.Context(), a).Result)
 		}
-		before := len(b.seen())
+		before := len(b.requests())
 		a.BeforeWrite = func() bool { return false }
 		assert.Equal(t, balancer.NotSent, f.Send(t.Context(), a).Result)
 		o := oakthread.LoadOrder{Worker: a.Worker, Key: a.Request.Key, Count: 1, BeforeWrite: a.BeforeWrite}
 		assert.Equal(t, balancer.NotSent, f.Load(t.Context(), o).Result)
-		a.BeforeWrite, a.Request.ID = nil, third
+		a.BeforeWrite, a.Request.ID = nil, thirdID
 		assert.Equal(t, balancer.OK, f.Send(t.Context(), a).Result)
-		assert.Equal(t, []string{third}, b.seen()[before:])
+		assert.Equal(t, []string{thirdID}, b.requests()[before:])
 	}
 }
 
 // Guards the close of the longest idle connection against a request that begins on it just then: whichever comes first,
 // no request is written on a connection that is closed for another's sake.
 func TestIdleConnectionsGiveWayOrServe(t *testing.T) {
-	b := newBox(t, nil)
-	f := NewFleet(setup(t), 1)
+	b := newRecordingExecutor(t, nil)
+	f := NewFleet(testSettings(t), 1)
 	defer f.Close()
-	m := member(b.addr())
-	require.Equal(t, balancer.OK, f.Send(t.Context(), attempt(m, "x")).Result)
-	var k *conn
+	m := endpointAt(b.addr())
+	require.Equal(t, balancer.OK, f.Send(t.Context(), attemptTo(m, "x")).Result)
+	var k *executorConn
 	for c := range f.conns {
 		k = c
 	}
-	require.NoError(t, k.begin())
+	require.NoError(t, k.beginRequest())
 	assert.False(t, k.retire(), "a request has begun on it")
-	k.waiting = false
+	k.responsePending = false
 	require.True(t, k.retire())
-	require.ErrorIs(t, k.begin(), errUnasked, "a request would be written on a connection about to be closed")
+	require.ErrorIs(t, k.beginRequest(), errUnsolicitedBytes, "a request would be written on a connection about to be closed")
 	require.NoError(t, k.Close())
-	require.Equal(t, balancer.OK, f.Send(t.Context(), attempt(m, "x")).Result, "another connection serves it")
-	assert.Len(t, b.seen(), 2)
+	require.Equal(t, balancer.OK, f.Send(t.Context(), attemptTo(m, "x")).Result, "another connection serves it")
+	assert.Len(t, b.requests(), 2)
 }
--- a/internal/platform/crossings_test.go
+++ b/internal/platform/crossings_test.go
@@ -22,8 +22,8 @@
 
 // This file forces clients' leaving and news of boxes to cross with what is on its way.
 
-// leave are the ways in which a client can go while its call is in hand.
-var leave = map[string]func(c *net.TCPConn) error{
+// leaveWays are the ways in which a client can go while its call is in hand.
+var leaveWays = map[string]func(c *net.TCPConn) error{
 	"close":      func(c *net.TCPConn) error { return c.Close() },
 	"reset":      func(c *net.TCPConn) error { _ = c.SetLinger(0); return c.Close() },
 	"half-close": func(c *net.TCPConn) error { return c.CloseWrite() },
@@ -34,7 +34,7 @@
 		return c.Close()
 	},
 	"close behind a whole next request": func(c *net.TCPConn) error {
-		if _, err := io.WriteString(c, text(third, "path-check", "x")); err != nil {
+		if _, err := io.WriteString(c, callText(thirdID, "path-check", "x")); err != nil {
 			return err
 		}
 		return c.Close()
@@ -44,25 +44,25 @@
 // Guards against work for clients that left: a call whose connection to its box comes up only after its client has gone, in
 // whichever way, is never written, also where nothing may be called off; the connection serves the next call.
 func TestNothingIsWrittenForAClientThatLeft(t *testing.T) {
-	for way, leave := range leave {
+	for way, leave := range leaveWays {
 		for _, cancel := range []bool{true, false} {
 			for _, class := range []string{"path-check", "path-book"} {
 				t.Run(fmt.Sprintf("%s, cancel %v, %s", way, cancel, class), func(t *testing.T) {
 					t.Parallel()
-					s := newStage(t, func(x *wire.Setup) { x.Permissions.Cancel = cancel }, nil, newBox(t, nil))
-					s.holdAfter(0)
-					c := s.send(first, class)
-					<-s.came
+					s := newTestbed(t, func(x *wire.Setup) { x.Permissions.Cancel = cancel }, nil, newRecordingExecutor(t, nil))
+					s.holdDialAfter(0)
+					c := s.send(firstID, class)
+					<-s.heldDial
 					require.NoError(t, leave(c))
-					s.gone(first)
-					close(s.goOn)
-					assert.Equal(t, 200, s.ask(second, class))
-					assert.NotContains(t, s.boxes[0].seen(), first)
-					assert.Contains(t, s.boxes[0].seen(), second)
-					assert.LessOrEqual(t, len(s.fleet.slots), 2, "the late connection is used or counted")
-					s.over()
-					s.fleet.Close()
-					for len(s.fleet.slots) > 0 { // each is closed, and its place free
+					s.awaitAbandoned(firstID)
+					close(s.releaseDial)
+					assert.Equal(t, 200, s.call(secondID, class))
+					assert.NotContains(t, s.executors[0].requests(), firstID)
+					assert.Contains(t, s.executors[0].requests(), secondID)
+					assert.LessOrEqual(t, len(s.pool.socketSlots), 2, "the late connection is used or counted")
+					s.close()
+					s.pool.Close()
+					for len(s.pool.socketSlots) > 0 { // each is closed, and its place free
 						runtime.Gosched()
 					}
 				})
@@ -73,43 +73,43 @@
 
 // Guards the same where the close comes in one piece with the call: an attempt may begin with it, and nothing later.
 func TestCallAndCloseInOnePiece(t *testing.T) {
-	s := newStage(t, func(x *wire.Setup) { x.Permissions.Cancel = false }, nil, newBox(t, nil))
-	s.holdAfter(0)
+	s := newTestbed(t, func(x *wire.Setup) { x.Permissions.Cancel = false }, nil, newRecordingExecutor(t, nil))
+	s.holdDialAfter(0)
 	c := s.dial()
-	s.write(c, text(first, "path-book", "x"))
+	s.write(c, callText(firstID, "path-book", "x"))
 	require.NoError(t, c.Close())
 	for ended := int64(0); ended == 0; { // the handler may end before the call is admitted, and no connection be made
-		s.front.Tally(func(_ string, o *Outcomes) { ended += o.Failed.Load() })
+		s.server.Tally(func(_ string, o *Outcomes) { ended += o.Failed.Load() })
 		runtime.Gosched()
 	}
 	s.core.Counters()
-	s.holdAfter(-1)
-	close(s.goOn)
-	assert.Equal(t, 200, s.ask(second, "path-book"))
-	assert.Equal(t, []string{second}, s.boxes[0].seen())
-	s.over()
+	s.holdDialAfter(-1)
+	close(s.releaseDial)
+	assert.Equal(t, 200, s.call(secondID, "path-book"))
+	assert.Equal(t, []string{secondID}, s.executors[0].requests())
+	s.close()
 }
 
 // Guards the second connection of an attempt, made where the first was reset before anything was written on it.
 func TestClientLeavesBeforeTheSecondConnection(t *testing.T) {
-	s := newStage(t, func(x *wire.Setup) { x.Permissions.Cancel = false }, nil, newBox(t, nil))
-	dial, n := s.fleet.reach, 0
-	s.fleet.reach = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	s := newTestbed(t, func(x *wire.Setup) { x.Permissions.Cancel = false }, nil, newRecordingExecutor(t, nil))
+	dial, n := s.pool.dialContext, 0
+	s.pool.dialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dial(ctx, network, addr)
 		if n++; n == 1 && err == nil {
 			return c, c.Close()
 		}
 		return c, err
 	}
-	s.holdAfter(1)
-	c := s.send(first, "path-book")
-	<-s.came
+	s.holdDialAfter(1)
+	c := s.send(firstID, "path-book")
+	<-s.heldDial
 	require.NoError(t, c.Close())
-	s.gone(first)
-	close(s.goOn)
-	assert.Equal(t, 200, s.ask(second, "path-book"))
-	assert.Equal(t, []string{second}, s.boxes[0].seen())
-	s.over()
+	s.awaitAbandoned(firstID)
+	close(s.releaseDial)
+	assert.Equal(t, 200, s.call(secondID, "path-book"))
+	assert.Equal(t, []string{secondID}, s.executors[0].requests())
+	s.close()
 }
 
 // Guards hedges: the first box is silent, a second copy is on its way to the other, and the client leaves before it is
@@ -117,29 +117,29 @@
 func TestClientLeavesBeforeAHedge(t *testing.T) {
 	release := make(chan struct{})
 	silent := func(http.ResponseWriter, *http.Request) { <-release }
-	s := newStage(t, func(x *wire.Setup) { x.Permissions.Cancel, x.Permissions.SecondCopies = false, true }, nil, newBox(t, silent), newBox(t, silent))
+	s := newTestbed(t, func(x *wire.Setup) { x.Permissions.Cancel, x.Permissions.SecondCopies = false, true }, nil, newRecordingExecutor(t, silent), newRecordingExecutor(t, silent))
 	defer close(release)
-	s.holdAfter(1)
-	c := s.send(first, "path-check")
-	held := <-s.came
+	s.holdDialAfter(1)
+	c := s.send(firstID, "path-check")
+	held := <-s.heldDial
 	require.NoError(t, c.Close())
-	s.gone(first)
-	close(s.goOn)
-	to := s.boxes[0]
+	s.awaitAbandoned(firstID)
+	close(s.releaseDial)
+	to := s.executors[0]
 	if held.RemoteAddr().String() != to.addr() {
-		to = s.boxes[1]
+		to = s.executors[1]
 	}
 	ctx, done := context.WithTimeout(t.Context(), 100*time.Millisecond) // so that a write would have come: the next one does
 	defer done()
-	a := attempt(member(to.addr()), "x")
-	a.Worker.ID, a.Request.ID = balancer.WorkerID(1+btoi(to == s.boxes[1])), second
-	s.fleet.Send(ctx, a)
-	assert.NotContains(t, to.seen(), first)
+	a := attemptTo(endpointAt(to.addr()), "x")
+	a.Worker.ID, a.Request.ID = balancer.WorkerID(1+btoi(to == s.executors[1])), secondID
+	s.pool.Send(ctx, a)
+	assert.NotContains(t, to.requests(), firstID)
 }
 
 // lapse makes a function known and lets the belief in its copy lapse, so that the next call waits for an order to load.
-func (s *stage) lapse() {
-	require.Equal(s.t, 200, s.ask(third, "path-check"))
+func (s *testbed) lapse() {
+	require.Equal(s.t, 200, s.call(thirdID, "path-check"))
 	time.Sleep(20 * time.Millisecond) // more than the keep-alive
 }
 
@@ -148,9 +148,9 @@
 }
 
 // orderStage is one on which the next call waits for an order to load, which tells that it has come and waits to go on.
-func orderStage(t *testing.T) (s *stage, ordered, goOn chan bool) {
+func orderStage(t *testing.T) (s *testbed, ordered, goOn chan bool) {
 	ordered, goOn = make(chan bool, 1), make(chan bool)
-	s = newStage(t, shortKeep, nil, newBox(t, func(w http.ResponseWriter, r *http.Request) {
+	s = newTestbed(t, shortKeep, nil, newRecordingExecutor(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPut {
 			ordered <- true
 			<-goOn
@@ -164,14 +164,14 @@
 // Guards calls that wait behind an order to load: the order ends, and the call whose client left is not sent.
 func TestClientLeavesBehindAnOrder(t *testing.T) {
 	s, ordered, goOn := orderStage(t)
-	c := s.send(first, "path-book")
+	c := s.send(firstID, "path-book")
 	<-ordered
 	require.NoError(t, c.Close())
-	s.gone(first)
+	s.awaitAbandoned(firstID)
 	close(goOn)
-	assert.Equal(t, 200, s.ask(second, "path-check"))
-	assert.NotContains(t, s.boxes[0].seen(), first)
-	s.over()
+	assert.Equal(t, 200, s.call(secondID, "path-check"))
+	assert.NotContains(t, s.executors[0].requests(), firstID)
+	s.close()
 }
 
 // Guards drains and restarts against what is on its way: the list tells of a box while the connection for a call comes up,
@@ -185,42 +185,42 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newStage(t, func(x *wire.Setup) { x.Permissions.Cancel = false }, nil, newBox(t, nil), newBox(t, nil))
-			s.holdAfter(0)
-			c := s.send(first, "path-book")
-			held := <-s.came
-			s.list(balancer.EndpointsDelta, func(i int, m *oakthread.Endpoint) {
-				if s.boxes[i].addr() == held.RemoteAddr().String() {
+			s := newTestbed(t, func(x *wire.Setup) { x.Permissions.Cancel = false }, nil, newRecordingExecutor(t, nil), newRecordingExecutor(t, nil))
+			s.holdDialAfter(0)
+			c := s.send(firstID, "path-book")
+			held := <-s.heldDial
+			s.updateEndpoints(balancer.EndpointsDelta, func(i int, m *oakthread.Endpoint) {
+				if s.executors[i].addr() == held.RemoteAddr().String() {
 					change(m)
 				}
 			})
 			mine := held.LocalAddr().String()
-			close(s.goOn)
-			assert.Equal(t, 200, s.read(c))
+			close(s.releaseDial)
+			assert.Equal(t, 200, s.readStatus(c))
 			runs := 0
-			for _, b := range s.boxes {
-				assert.NotContains(t, b.from, mine, "written on the connection that came up late")
-				runs += len(b.seen())
+			for _, b := range s.executors {
+				assert.NotContains(t, b.connections, mine, "written on the connection that came up late")
+				runs += len(b.requests())
 			}
 			assert.Equal(t, 1, runs)
-			s.over()
+			s.close()
 		})
 	}
 }
 
 // Guards the same for orders to load.
 func TestNoOrderIsWrittenToABoxThatDrains(t *testing.T) {
-	s := newStage(t, shortKeep, nil, newBox(t, func(w http.ResponseWriter, r *http.Request) { w.Header().Set("Connection", "close") }))
+	s := newTestbed(t, shortKeep, nil, newRecordingExecutor(t, func(w http.ResponseWriter, r *http.Request) { w.Header().Set("Connection", "close") }))
 	s.lapse()
-	s.holdAfter(0)
-	c := s.send(first, "path-book")
-	<-s.came
-	s.list(balancer.EndpointsDelta, func(_ int, m *oakthread.Endpoint) { m.State = balancer.Draining })
-	close(s.goOn)
-	assert.Equal(t, 503, s.read(c), "no other box is there")
-	s.fleet.HealthCheck(t.Context(), oakthread.Endpoint{ID: 1, Addr: s.boxes[0].addr()})
-	assert.Equal(t, []string{third, "GET"}, s.boxes[0].seen())
-	s.over()
+	s.holdDialAfter(0)
+	c := s.send(firstID, "path-book")
+	<-s.heldDial
+	s.updateEndpoints(balancer.EndpointsDelta, func(_ int, m *oakthread.Endpoint) { m.State = balancer.Draining })
+	close(s.releaseDial)
+	assert.Equal(t, 503, s.readStatus(c), "no other box is there")
+	s.pool.HealthCheck(t.Context(), oakthread.Endpoint{ID: 1, Addr: s.executors[0].addr()})
+	assert.Equal(t, []string{thirdID, "GET"}, s.executors[0].requests())
+	s.close()
 }
 
 // Guards against attempts multiplied by clients that give up early and come again at once, counted at the boxes: one for
@@ -228,16 +228,16 @@
 func TestComingAgainMultipliesNoAttempts(t *testing.T) {
 	came, release := make(chan string, 64), make(chan struct{})
 	silent := func(_ http.ResponseWriter, r *http.Request) { came <- r.Header.Get("X-Hop-Id"); <-release }
-	s := newStage(t, func(x *wire.Setup) { x.Permissions.SecondCopies = true }, nil, newBox(t, silent), newBox(t, silent))
+	s := newTestbed(t, func(x *wire.Setup) { x.Permissions.SecondCopies = true }, nil, newRecordingExecutor(t, silent), newRecordingExecutor(t, silent))
 	defer close(release)
 	for i := range 10 {
 		id := fmt.Sprintf("%016x", 100+i)
 		c := s.send(id, "path-check")
 		assert.Equal(t, id, <-came)
 		require.NoError(t, c.Close())
-		s.gone(id)
+		s.awaitAbandoned(id)
 	}
-	assert.Len(t, append(s.boxes[0].seen(), s.boxes[1].seen()...), 10)
+	assert.Len(t, append(s.executors[0].requests(), s.executors[1].requests()...), 10)
 }
 
 // Guards what a call holds, given back once whether its client's close or its answer comes first: places, sockets, counts.
@@ -247,16 +247,16 @@
 		t.Run(fmt.Sprint("close first: ", closeFirst), func(t *testing.T) {
 			t.Parallel()
 			came, goOn := make(chan bool), make(chan bool)
-			s := newStage(t, func(x *wire.Setup) { x.Permissions.Cancel = false }, nil, newBox(t, func(http.ResponseWriter, *http.Request) { came <- true; <-goOn }))
-			c := s.send(first, "path-book")
+			s := newTestbed(t, func(x *wire.Setup) { x.Permissions.Cancel = false }, nil, newRecordingExecutor(t, func(http.ResponseWriter, *http.Request) { came <- true; <-goOn }))
+			c := s.send(firstID, "path-book")
 			<-came
 			if closeFirst {
 				require.NoError(t, c.Close())
-				s.gone(first)
+				s.awaitAbandoned(firstID)
 				goOn <- true
 			} else {
 				goOn <- true
-				x := <-s.settled
+				x := <-s.completions
 				assert.Equal(t, oakthread.Served, x.Answer.Outcome)
 				require.NoError(t, c.Close())
 			}
@@ -265,15 +265,15 @@
 			}
 			n := s.core.Counters()
 			assert.Equal(t, []int64{1, 1, int64(btoi(!closeFirst)), int64(btoi(closeFirst))}, []int64{n.Accepted, n.Attempts, n.Served, n.Abandoned})
-			assert.Equal(t, []string{first}, s.boxes[0].seen())
-			s.end()
+			assert.Equal(t, []string{firstID}, s.executors[0].requests())
+			s.shutdown()
 			require.NoError(t, <-s.done)
-			assert.Zero(t, s.front.Pending())
-			s.fleet.Close()
-			for len(s.fleet.slots) > 0 { // the last connection is closed behind us
+			assert.Zero(t, s.server.Pending())
+			s.pool.Close()
+			for len(s.pool.socketSlots) > 0 { // the last connection is closed behind us
 				runtime.Gosched()
 			}
-			assert.Empty(t, s.settled)
+			assert.Empty(t, s.completions)
 		})
 	}
 }
@@ -317,9 +317,9 @@
 						in.Close()
 					}
 				}()
-				s := newStage(t, nil, nil)
-				s.core.UpdateEndpoints(oakthread.EndpointUpdate{Kind: balancer.EndpointsSnapshot, Endpoints: []oakthread.Endpoint{member(ln.Addr().String())}})
-				in := s.send(first, "path-book")
+				s := newTestbed(t, nil, nil)
+				s.core.UpdateEndpoints(oakthread.EndpointUpdate{Kind: balancer.EndpointsSnapshot, Endpoints: []oakthread.Endpoint{endpointAt(ln.Addr().String())}})
+				in := s.send(firstID, "path-book")
 				resp, err := http.ReadResponse(bufio.NewReader(in), nil)
 				require.NoError(t, err)
 				got, err := io.ReadAll(resp.Body)
@@ -331,7 +331,7 @@
 					assert.Empty(t, got)
 				}
 				assert.Len(t, runs, 1, "a booking that may have run is not sent again")
-				s.over()
+				s.close()
 			})
 		}
 	}
@@ -377,12 +377,12 @@
 			}()
 		}
 	}()
-	f := NewFleet(setup(t), 10)
+	f := NewFleet(testSettings(t), 10)
 	defer f.Close()
-	f.settle = time.Hour // the machine may be slow
-	f.line(member(ln.Addr().String())).waiting = mostWaiting
+	f.reuseDelay = time.Hour // the machine may be slow
+	f.transportsFor(endpointAt(ln.Addr().String())).queued = maxQueuedRequests
 	for i := range 5 {
-		a := attempt(member(ln.Addr().String()), "x")
+		a := attemptTo(endpointAt(ln.Addr().String()), "x")
 		a.Request.ID = fmt.Sprintf("%016x", i)
 		ctx, done := context.WithTimeout(t.Context(), 10*time.Second)
 		r := f.Send(ctx, a)
@@ -397,60 +397,60 @@
 
 // Guards the wait for a connection to settle: a few requests wait, until their time is over, and the next goes on at once.
 func TestFewRequestsWaitForAConnectionToSettle(t *testing.T) {
-	b := newBox(t, nil)
-	f := NewFleet(setup(t), 10)
+	b := newRecordingExecutor(t, nil)
+	f := NewFleet(testSettings(t), 10)
 	defer f.Close()
-	m := member(b.addr())
-	require.Equal(t, balancer.OK, f.Send(t.Context(), attempt(m, "x")).Result)
-	f.settle = time.Hour
+	m := endpointAt(b.addr())
+	require.Equal(t, balancer.OK, f.Send(t.Context(), attemptTo(m, "x")).Result)
+	f.reuseDelay = time.Hour
 	ctx, stop := context.WithCancel(t.Context())
-	waits := make(chan balancer.Result, mostWaiting)
-	for range mostWaiting {
-		go func() { waits <- f.Send(ctx, attempt(m, "x")).Result }()
+	waits := make(chan balancer.Result, maxQueuedRequests)
+	for range maxQueuedRequests {
+		go func() { waits <- f.Send(ctx, attemptTo(m, "x")).Result }()
 	}
-	for waiting := 0; waiting < mostWaiting; runtime.Gosched() {
+	for waiting := 0; waiting < maxQueuedRequests; runtime.Gosched() {
 		f.mu.Lock()
-		waiting = f.lines[m.ID].waiting
+		waiting = f.executors[m.ID].queued
 		f.mu.Unlock()
 	}
-	assert.Equal(t, balancer.OK, f.Send(t.Context(), attempt(m, "x")).Result)
+	assert.Equal(t, balancer.OK, f.Send(t.Context(), attemptTo(m, "x")).Result)
 	stop()
-	for range mostWaiting {
+	for range maxQueuedRequests {
 		assert.Equal(t, balancer.NotSent, <-waits)
 	}
-	assert.Len(t, b.seen(), 2)
+	assert.Len(t, b.requests(), 2)
 }
 
 // Guards the cost of that: once settled, a connection is used again.
 func TestSettledConnectionsAreUsedAgain(t *testing.T) {
-	b := newBox(t, nil)
-	f := NewFleet(setup(t), 10)
+	b := newRecordingExecutor(t, nil)
+	f := NewFleet(testSettings(t), 10)
 	defer f.Close()
 	for range 5 {
-		f.settle = 0 // as if time had passed
-		require.Equal(t, balancer.OK, f.Send(t.Context(), attempt(member(b.addr()), "x")).Result)
+		f.reuseDelay = 0 // as if time had passed
+		require.Equal(t, balancer.OK, f.Send(t.Context(), attemptTo(endpointAt(b.addr()), "x")).Result)
 	}
-	assert.Len(t, f.slots, 1)
-	assert.Len(t, f.lines[1].lanes, 1)
+	assert.Len(t, f.socketSlots, 1)
+	assert.Len(t, f.executors[1].transports, 1)
 }
 
 // Guards a client that leaves within its body: nothing is sent, and the place is free again.
 func TestClientLeavesWithinItsBody(t *testing.T) {
-	for way, leave := range map[string]func(*net.TCPConn) error{"close": leave["close"], "reset": leave["reset"], "half-close": leave["half-close"]} {
+	for way, leave := range map[string]func(*net.TCPConn) error{"close": leaveWays["close"], "reset": leaveWays["reset"], "half-close": leaveWays["half-close"]} {
 		t.Run(way, func(t *testing.T) {
 			t.Parallel()
-			s := newStage(t, nil, nil, newBox(t, nil))
+			s := newTestbed(t, nil, nil, newRecordingExecutor(t, nil))
 			c := s.dial()
-			call := text(first, "path-book", "a body")
+			call := callText(firstID, "path-book", "a body")
 			s.write(c, call[:len(call)-3])
 			require.NoError(t, leave(c))
-			for s.front.Bad() == 0 {
+			for s.server.Bad() == 0 {
 				runtime.Gosched()
 			}
-			assert.Equal(t, 200, s.ask(second, "path-book"))
-			assert.Equal(t, []string{second}, s.boxes[0].seen())
+			assert.Equal(t, 200, s.call(secondID, "path-book"))
+			assert.Equal(t, []string{secondID}, s.executors[0].requests())
 			assert.Equal(t, int64(1), s.core.Counters().Accepted)
-			s.over()
+			s.close()
 		})
 	}
 }
--- a/internal/platform/ending_test.go
+++ b/internal/platform/ending_test.go
@@ -20,8 +20,8 @@
 
 // This file forces the end of the server to cross with what clients send.
 
-// lateListener is a listener whose Accept waits, from the second connection on, until it may go on.
-type lateListener struct {
+// pausingListener is a listener whose Accept waits, from the second connection on, until it may go on.
+type pausingListener struct {
 	*net.TCPListener
 	mu    sync.Mutex
 	taken int
@@ -30,7 +30,7 @@
 	once  sync.Once
 }
 
-func (l *lateListener) Accept() (net.Conn, error) {
+func (l *pausingListener) Accept() (net.Conn, error) {
 	l.mu.Lock()
 	wait := l.taken > 0
 	l.mu.Unlock()
@@ -44,12 +44,12 @@
 	return c, err
 }
 
-func (l *lateListener) SetDeadline(t time.Time) error {
+func (l *pausingListener) SetDeadline(t time.Time) error {
 	l.once.Do(func() { close(l.ended) })
 	return l.TCPListener.SetDeadline(t)
 }
 
-func (l *lateListener) Close() error {
+func (l *pausingListener) Close() error {
 	l.once.Do(func() { close(l.ended) })
 	return l.TCPListener.Close()
 }
@@ -57,22 +57,22 @@
 // Guards calls in the accept backlog at a planned end: the kernel has accepted their connections, the server has not, and
 // each is answered.
 func TestBacklogIsAnsweredAtTheEnd(t *testing.T) {
-	l := &lateListener{goOn: make(chan struct{}), ended: make(chan struct{})}
-	s := newStage(t, nil, func(in *net.TCPListener) net.Listener { l.TCPListener = in; return l }, newBox(t, nil))
-	require.Equal(t, 200, s.ask(first, "path-book"))
-	in := []*net.TCPConn{s.send(second, "path-book"), s.send(third, "path-check")}
-	s.end()
+	l := &pausingListener{goOn: make(chan struct{}), ended: make(chan struct{})}
+	s := newTestbed(t, nil, func(in *net.TCPListener) net.Listener { l.TCPListener = in; return l }, newRecordingExecutor(t, nil))
+	require.Equal(t, 200, s.call(firstID, "path-book"))
+	in := []*net.TCPConn{s.send(secondID, "path-book"), s.send(thirdID, "path-check")}
+	s.shutdown()
 	<-l.ended
 	close(l.goOn)
 	for _, c := range in {
-		assert.Equal(t, 200, s.read(c))
+		assert.Equal(t, 200, s.readStatus(c))
 	}
 	require.NoError(t, <-s.done)
 }
 
-// lateConn is a connection on which, once the server's look ahead during a first call has been called off, reading waits
+// pausingConn is a connection on which, once the server's look ahead during a first call has been called off, reading waits
 // until it may go on. It tells of such a wait, of bytes read, of its close and of a look at what lies unread.
-type lateConn struct {
+type pausingConn struct {
 	*net.TCPConn
 	came           chan struct{}
 	waits, goOn    chan struct{} // nil: it never waits
@@ -82,7 +82,7 @@
 	wait           bool
 }
 
-func (c *lateConn) Read(b []byte) (int, error) {
+func (c *pausingConn) Read(b []byte) (int, error) {
 	if c.wait {
 		c.wait = false
 		close(c.waits)
@@ -99,12 +99,12 @@
 	return n, err
 }
 
-func (c *lateConn) Close() error {
+func (c *pausingConn) Close() error {
 	c.once.Do(func() { close(c.closed) })
 	return c.TCPConn.Close()
 }
 
-func (c *lateConn) SyscallConn() (syscall.RawConn, error) {
+func (c *pausingConn) SyscallConn() (syscall.RawConn, error) {
 	c.look.Do(func() { close(c.looked) })
 	return c.TCPConn.SyscallConn()
 }
@@ -122,18 +122,18 @@
 	return l.wrap(c.(*net.TCPConn)), nil
 }
 
-// stillConn is a connection on which the time of one read is over before that looks at the socket, as after the process stood
+// expiredConn is a connection on which the time of one read is over before that looks at the socket, as after the process stood
 // still: with bytes that came meanwhile lying there or, where empty, with none.
-type stillConn struct {
+type expiredConn struct {
 	*net.TCPConn
-	still int // the read, from 1 on
-	empty bool
-	reads int
-	came  chan int // how many bytes each read had
+	expireAt int // the read, from 1 on
+	empty    bool
+	reads    int
+	came     chan int // how many bytes each read had
 }
 
-func (c *stillConn) Read(b []byte) (int, error) {
-	if c.reads++; c.reads == c.still {
+func (c *expiredConn) Read(b []byte) (int, error) {
+	if c.reads++; c.reads == c.expireAt {
 		rc, err := c.TCPConn.SyscallConn()
 		if err == nil && !c.empty {
 			err = rc.Read(func(fd uintptr) bool { n, err := unix.IoctlGetInt(int(fd), unix.TIOCINQ); return n > 0 || err != nil })
@@ -163,11 +163,11 @@
 		status int
 	}{{"nothing of it read", 1, false, 200}, {"a part of it read", 2, false, 200}, {"the rest never comes", 2, true, 400}} {
 		t.Run(c.name, func(t *testing.T) {
-			in := &stillConn{still: c.still, empty: c.empty, came: make(chan int, 16)}
-			s := newStage(t, nil, func(l *net.TCPListener) net.Listener {
+			in := &expiredConn{expireAt: c.still, empty: c.empty, came: make(chan int, 16)}
+			s := newTestbed(t, nil, func(l *net.TCPListener) net.Listener {
 				return connListener{l, func(c *net.TCPConn) net.Conn { in.TCPConn = c; return in }}
-			}, newBox(t, nil))
-			client, call := s.dial(), text(second, "path-check", "x")
+			}, newRecordingExecutor(t, nil))
+			client, call := s.dial(), callText(secondID, "path-check", "x")
 			if c.still > 1 {
 				s.write(client, call[:40])
 				require.Equal(t, 40, <-in.came)
@@ -176,8 +176,8 @@
 			if !c.empty {
 				s.write(client, call)
 			}
-			assert.Equal(t, c.status, s.read(client))
-			s.end()
+			assert.Equal(t, c.status, s.readStatus(client))
+			s.shutdown()
 			require.NoError(t, <-s.done)
 		})
 	}
@@ -185,18 +185,18 @@
 
 // Guards a request that lies unread on a kept connection when idle connections are closed: it was taken, and is answered.
 func TestUnreadRequestIsAnsweredAtTheEnd(t *testing.T) {
-	var in *lateConn
-	s := newStage(t, nil, func(l *net.TCPListener) net.Listener {
+	var in *pausingConn
+	s := newTestbed(t, nil, func(l *net.TCPListener) net.Listener {
 		return connListener{l, func(c *net.TCPConn) net.Conn {
-			in = &lateConn{TCPConn: c, waits: make(chan struct{}), goOn: make(chan struct{}), closed: make(chan struct{}), looked: make(chan struct{})}
+			in = &pausingConn{TCPConn: c, waits: make(chan struct{}), goOn: make(chan struct{}), closed: make(chan struct{}), looked: make(chan struct{})}
 			return in
 		}}
-	}, newBox(t, nil))
-	c := s.send(first, "path-book")
-	require.Equal(t, 200, s.read(c))
+	}, newRecordingExecutor(t, nil))
+	c := s.send(firstID, "path-book")
+	require.Equal(t, 200, s.readStatus(c))
 	<-in.waits // the server waits for the next request
-	s.write(c, text(second, "path-book", "x"))
-	s.end()
+	s.write(c, callText(secondID, "path-book", "x"))
+	s.shutdown()
 	select {
 	case <-in.closed:
 		t.Fatal("closed with a request unread on it")
@@ -204,7 +204,7 @@
 	case <-time.After(10 * time.Second):
 	}
 	close(in.goOn)
-	assert.Equal(t, 200, s.read(c))
+	assert.Equal(t, 200, s.readStatus(c))
 	require.NoError(t, <-s.done)
 }
 
@@ -212,21 +212,21 @@
 // connection idle until the head is whole.
 func TestHalfAHeadIsAnsweredAtTheEnd(t *testing.T) {
 	came := make(chan struct{}, 16)
-	s := newStage(t, nil, func(l *net.TCPListener) net.Listener {
+	s := newTestbed(t, nil, func(l *net.TCPListener) net.Listener {
 		return connListener{l, func(c *net.TCPConn) net.Conn {
-			return &lateConn{TCPConn: c, came: came, closed: make(chan struct{}), looked: make(chan struct{})}
+			return &pausingConn{TCPConn: c, came: came, closed: make(chan struct{}), looked: make(chan struct{})}
 		}}
-	}, newBox(t, nil))
-	idle, c := s.send(first, "path-book"), s.send(second, "path-book")
-	require.Equal(t, 200, s.read(idle))
-	require.Equal(t, 200, s.read(c))
+	}, newRecordingExecutor(t, nil))
+	idle, c := s.send(firstID, "path-book"), s.send(secondID, "path-book")
+	require.Equal(t, 200, s.readStatus(idle))
+	require.Equal(t, 200, s.readStatus(c))
 	for len(came) > 0 {
 		<-came
 	}
-	call := text(third, "path-book", "x")
+	call := callText(thirdID, "path-book", "x")
 	s.write(c, call[:40])
 	<-came
-	s.end()
+	s.shutdown()
 	_, err := idle.Read(make([]byte, 1))
 	require.ErrorIs(t, err, io.EOF, "idle connections are closed")
 	select {
@@ -235,7 +235,7 @@
 	case <-time.After(50 * time.Millisecond):
 	}
 	s.write(c, call[40:])
-	assert.Equal(t, 200, s.read(c))
+	assert.Equal(t, 200, s.readStatus(c))
 	require.NoError(t, <-s.done)
 }
 
@@ -243,12 +243,12 @@
 // answer is written and connections are to fall quiet.
 func TestNextRequestInTheBufferIsAnsweredAtTheEnd(t *testing.T) {
 	came, goOn := make(chan bool, 2), make(chan bool)
-	s := newStage(t, nil, nil, newBox(t, func(http.ResponseWriter, *http.Request) { came <- true; <-goOn }))
+	s := newTestbed(t, nil, nil, newRecordingExecutor(t, func(http.ResponseWriter, *http.Request) { came <- true; <-goOn }))
 	c := s.dial()
-	s.write(c, text(first, "path-check", "x")+text(second, "path-check", "x"))
+	s.write(c, callText(firstID, "path-check", "x")+callText(secondID, "path-check", "x"))
 	<-came
-	s.end()
-	for !strings.Contains(<-s.lines, "ending: no new calls") {
+	s.shutdown()
+	for !strings.Contains(<-s.logLines, "ending: no new calls") {
 	}
 	close(goOn)
 	rd := bufio.NewReader(c)
@@ -266,10 +266,10 @@
 // and the server ends only then.
 func TestWaitingCallsAreAnsweredAtTheEnd(t *testing.T) {
 	s, ordered, goOn := orderStage(t)
-	c := s.send(first, "path-book")
+	c := s.send(firstID, "path-book")
 	<-ordered
-	s.end()
-	for !strings.Contains(<-s.lines, "ending: no new calls") {
+	s.shutdown()
+	for !strings.Contains(<-s.logLines, "ending: no new calls") {
 	}
 	select {
 	case err := <-s.done:
@@ -277,7 +277,7 @@
 	case <-time.After(20 * time.Millisecond):
 	}
 	close(goOn)
-	assert.Equal(t, 200, s.read(c))
+	assert.Equal(t, 200, s.readStatus(c))
 	require.NoError(t, <-s.done)
 
 	full := func(w http.ResponseWriter, _ *http.Request) {
@@ -285,12 +285,12 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 	came := make(chan bool, 8)
-	s = newStage(t, nil, nil, newBox(t, func(w http.ResponseWriter, r *http.Request) { full(w, r); came <- true }))
-	c = s.send(first, "path-book")
+	s = newTestbed(t, nil, nil, newRecordingExecutor(t, func(w http.ResponseWriter, r *http.Request) { full(w, r); came <- true }))
+	c = s.send(firstID, "path-book")
 	<-came
 	<-came // now it waits before the third
-	s.end()
-	assert.Equal(t, 503, s.read(c))
+	s.shutdown()
+	assert.Equal(t, 503, s.readStatus(c))
 	require.NoError(t, <-s.done)
-	assert.Len(t, s.boxes[0].seen(), 3)
+	assert.Len(t, s.executors[0].requests(), 3)
 }
--- a/internal/platform/faults_test.go
+++ b/internal/platform/faults_test.go
@@ -49,25 +49,25 @@
 	for _, errno := range transientAcceptErrors {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
-			s := newStage(t, nil, func(in *net.TCPListener) net.Listener {
+			s := newTestbed(t, nil, func(in *net.TCPListener) net.Listener {
 				return &failingListener{TCPListener: in, err: errno}
-			}, newBox(t, nil))
+			}, newRecordingExecutor(t, nil))
 			for i := range 3 {
-				assert.Equal(t, http.StatusOK, s.ask(fmt.Sprintf("%016x", i+1), "path-check"))
+				assert.Equal(t, http.StatusOK, s.call(fmt.Sprintf("%016x", i+1), "path-check"))
 			}
-			s.over()
+			s.close()
 		})
 	}
 }
 
-// askOnce sends one call on a connection of its own and tells whether a whole answer came.
-func askOnce(addr, id string) bool {
+// callOnce sends one call on a connection of its own and tells whether a whole answer came.
+func callOnce(addr, id string) bool {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return false
 	}
 	defer c.Close()
-	if _, err := io.WriteString(c, text(id, "path-check", "x")); err != nil {
+	if _, err := io.WriteString(c, callText(id, "path-check", "x")); err != nil {
 		return false
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -86,9 +86,9 @@
 	)
 	for _, clients := range []int{40, 64, 200} {
 		t.Run(strconv.Itoa(clients), func(t *testing.T) {
-			s := newStage(t, nil, nil, newBox(t, func(http.ResponseWriter, *http.Request) { time.Sleep(takes) }))
+			s := newTestbed(t, nil, nil, newRecordingExecutor(t, func(http.ResponseWriter, *http.Request) { time.Sleep(takes) }))
 			go func() {
-				for range s.settled { // nobody else reads them
+				for range s.completions { // nobody else reads them
 				}
 			}()
 			var next, unanswered atomic.Int64
@@ -96,7 +96,7 @@
 			for range clients {
 				wait.Go(func() {
 					for i := next.Add(1); i <= requests; i = next.Add(1) {
-						if !askOnce(s.addr, fmt.Sprintf("%016x", i)) {
+						if !callOnce(s.addr, fmt.Sprintf("%016x", i)) {
 							unanswered.Add(1)
 						}
 					}
@@ -104,9 +104,9 @@
 			}
 			wait.Wait()
 			assert.Zero(t, unanswered.Load(), "of %d requests", requests)
-			s.over()
+			s.close()
 			s.core.Close()
-			close(s.settled)
+			close(s.completions)
 		})
 	}
 }
@@ -120,26 +120,26 @@
 	)
 	told := make(chan time.Duration, 1)
 	arrived := make(chan time.Time, 1)
-	s := newStage(t, nil, nil, newBox(t, func(_ http.ResponseWriter, r *http.Request) {
+	s := newTestbed(t, nil, nil, newRecordingExecutor(t, func(_ http.ResponseWriter, r *http.Request) {
 		arrived <- time.Now()
 		ms, err := strconv.Atoi(r.Header.Get("X-Budget"))
 		assert.NoError(t, err)
 		told <- time.Duration(ms) * time.Millisecond
 	}))
-	s.holdAfter(0)
+	s.holdDialAfter(0)
 	sent := time.Now()
-	c := s.send(first, "path-check") // the client waits for 4 s
-	<-s.came
+	c := s.send(firstID, "path-check") // the client waits for 4 s
+	<-s.heldDial
 	<-time.After(late - time.Since(sent))
-	close(s.goOn)
-	require.Equal(t, http.StatusOK, s.read(c))
+	close(s.releaseDial)
+	require.Equal(t, http.StatusOK, s.readStatus(c))
 	left := 4*time.Second - (<-arrived).Sub(sent)
 	assert.LessOrEqual(t, <-told, left+slack)
-	s.over()
+	s.close()
 }
 
-// acceptedPair is a connection as a limiter holds it, and its client's end.
-func acceptedPair(t *testing.T, l *connLimiter) (*clientConn, *net.TCPConn) {
+// acceptPair is a connection as a limiter holds it, and its client's end.
+func acceptPair(t *testing.T, l *connLimiter) (*clientConn, *net.TCPConn) {
 	out, err := net.Dial("tcp", l.Addr().String())
 	require.NoError(t, err)
 	t.Cleanup(func() { out.Close() })
@@ -152,19 +152,19 @@
 	in, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { in.Close() })
-	return newConnLimiter(in, places, quiet)
+	return newConnLimiter(in, places, discardLog)
 }
 
-// longQuiet has a connection count as silent for an hour.
-func longQuiet(c *clientConn) {
+// backdateActivity has a connection count as silent for an hour.
+func backdateActivity(c *clientConn) {
 	c.limiter.mu.Lock()
-	c.since = c.since.Add(-time.Hour)
+	c.lastActivity = c.lastActivity.Add(-time.Hour)
 	c.limiter.mu.Unlock()
 }
 
-// waitUnread waits until bytes lie with the kernel.
-func waitUnread(c *clientConn) {
-	for !unread(c.Conn) {
+// awaitUnread waits until bytes lie with the kernel.
+func awaitUnread(c *clientConn) {
+	for !hasUnread(c.Conn) {
 		time.Sleep(time.Millisecond)
 	}
 }
@@ -176,15 +176,15 @@
 	for name, read := range map[string]bool{"unread": false, "read, not taken": true} {
 		t.Run(name, func(t *testing.T) {
 			l := newTestLimiter(t, 1)
-			held, client := acceptedPair(t, l)
+			held, client := acceptPair(t, l)
 			_, err := io.WriteString(client, part)
 			require.NoError(t, err)
-			waitUnread(held)
+			awaitUnread(held)
 			if read {
 				_, err := io.ReadFull(held, make([]byte, len(part)))
 				require.NoError(t, err)
 			}
-			longQuiet(held)
+			backdateActivity(held)
 			next, err := net.Dial("tcp", l.Addr().String())
 			require.NoError(t, err)
 			defer next.Close()
@@ -193,25 +193,25 @@
 			select {
 			case <-accepted:
 				t.Fatal("a connection with a request on it was closed for another")
-			case <-time.After(2 * rulesNewLeast):
+			case <-time.After(2 * minUnusedIdleTime):
 			}
-			assert.False(t, held.gone)
+			assert.False(t, held.closed)
 			require.NoError(t, held.Close())
 			require.NoError(t, <-accepted)
 		})
 	}
 }
 
-// rulesNewLeast is the longest time that a connection must have been quiet before it is closed for another.
-var rulesNewLeast = rules.MinIdleTime(false)
+// minUnusedIdleTime is the longest time that a connection must have been quiet before it is closed for another.
+var minUnusedIdleTime = rules.MinIdleTime(false)
 
-// heldReadConn holds the end of a read back: its bytes have left the kernel, and nobody has counted them.
-type heldReadConn struct {
+// pausedReadConn holds the end of a read back: its bytes have left the kernel, and nobody has counted them.
+type pausedReadConn struct {
 	*net.TCPConn
 	read, goOn chan struct{}
 }
 
-func (c *heldReadConn) Read(b []byte) (int, error) {
+func (c *pausedReadConn) Read(b []byte) (int, error) {
 	n, err := c.TCPConn.Read(b)
 	if n > 0 {
 		close(c.read)
@@ -223,29 +223,29 @@
 // A request whose bytes have just left the kernel, and which nobody has counted yet, keeps its connection.
 func TestNoneGivesWayWhileItIsRead(t *testing.T) {
 	l := newTestLimiter(t, 1)
-	held, client := acceptedPair(t, l)
-	stand := &heldReadConn{TCPConn: held.Conn.(*net.TCPConn), read: make(chan struct{}), goOn: make(chan struct{})}
+	held, client := acceptPair(t, l)
+	stand := &pausedReadConn{TCPConn: held.Conn.(*net.TCPConn), read: make(chan struct{}), goOn: make(chan struct{})}
 	held.Conn = stand
 	got := make(chan error, 1)
 	go func() { _, err := held.Read(make([]byte, 64)); got <- err }()
 	_, err := io.WriteString(client, "POST /call")
 	require.NoError(t, err)
 	<-stand.read
-	longQuiet(held)
+	backdateActivity(held)
 	l.mu.Lock()
 	_, made := l.makeRoom(time.Now())
 	l.mu.Unlock()
 	assert.False(t, made)
 	close(stand.goOn)
 	require.NoError(t, <-got, "the read that had bytes")
-	assert.False(t, held.gone)
-	assert.False(t, held.isEvicting())
+	assert.False(t, held.closed)
+	assert.False(t, held.isCloseRequested())
 }
 
 // A connection that waits in a read with nothing on it is closed by its reader.
 func TestSilentOneGivesWayWhileItIsRead(t *testing.T) {
 	l := newTestLimiter(t, 1)
-	held, client := acceptedPair(t, l)
+	held, client := acceptPair(t, l)
 	got := make(chan error, 1)
 	go func() { _, err := held.Read(make([]byte, 64)); got <- err }()
 	for reading := false; !reading; {
@@ -253,10 +253,10 @@
 		reading = held.reading
 		l.mu.Unlock()
 	}
-	longQuiet(held)
-	next, _ := acceptedPair(t, l)
+	backdateActivity(held)
+	next, _ := acceptPair(t, l)
 	require.ErrorIs(t, <-got, io.EOF)
-	assert.False(t, next.gone)
+	assert.False(t, next.closed)
 	_, err := client.Read(make([]byte, 1))
 	require.ErrorIs(t, err, io.EOF)
 }
@@ -264,38 +264,38 @@
 // A connect that fails for want of this machine's tells nothing of the executor: it is tried again, and where it lasts
 // the attempt never ran.
 func TestShortagesProveNothing(t *testing.T) {
-	b := newBox(t, nil)
+	b := newRecordingExecutor(t, nil)
 	for _, errno := range []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 		syscall.ENETUNREACH, syscall.EPERM, syscall.EAGAIN} {
-		f := NewFleet(setup(t), 10)
-		dial, fails := f.reach, 3
-		f.reach = func(ctx context.Context, network, addr string) (net.Conn, error) {
+		f := NewFleet(testSettings(t), 10)
+		dial, fails := f.dialContext, 3
+		f.dialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 			if fails--; fails >= 0 {
 				return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("connect", errno)}
 			}
 			return dial(ctx, network, addr)
 		}
-		assert.Equal(t, balancer.OK, f.Send(t.Context(), attempt(member(b.addr()), "x")).Result, "%v", errno)
-		assert.EqualValues(t, 3, f.shortages.Load())
+		assert.Equal(t, balancer.OK, f.Send(t.Context(), attemptTo(endpointAt(b.addr()), "x")).Result, "%v", errno)
+		assert.EqualValues(t, 3, f.dialShortages.Load())
 		f.Close()
-		f = NewFleet(setup(t), 10)
-		f.reach = func(_ context.Context, network, _ string) (net.Conn, error) {
+		f = NewFleet(testSettings(t), 10)
+		f.dialContext = func(_ context.Context, network, _ string) (net.Conn, error) {
 			return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("socket", errno)}
 		}
-		assert.Equal(t, balancer.NotSent, f.Send(t.Context(), attempt(member(b.addr()), "x")).Result, "%v", errno)
-		assert.Empty(t, f.slots, "a place is still taken")
+		assert.Equal(t, balancer.NotSent, f.Send(t.Context(), attemptTo(endpointAt(b.addr()), "x")).Result, "%v", errno)
+		assert.Empty(t, f.socketSlots, "a place is still taken")
 	}
 }
 
 // A request whose time was worded long before its first byte is worded anew.
 func TestTimeIsWordedAnew(t *testing.T) {
-	m := message{until: time.Now().Add(time.Second)}
-	assert.Equal(t, rules.Allowed, m.permit(time.Now()))
-	assert.Equal(t, rules.BudgetStale, m.permit(time.Now().Add(-time.Second)))
-	m.begin = func() bool { return false }
-	assert.Equal(t, rules.RequestCompleted, m.permit(time.Now()))
-	assert.Equal(t, rules.RequestCompleted, (&message{begin: m.begin}).permit(time.Time{}))
-	assert.Equal(t, rules.Allowed, (&message{}).permit(time.Time{}), "a message that tells no time is not old")
+	m := executorRequest{deadline: time.Now().Add(time.Second)}
+	assert.Equal(t, rules.Allowed, m.mayWrite(time.Now()))
+	assert.Equal(t, rules.BudgetStale, m.mayWrite(time.Now().Add(-time.Second)))
+	m.beforeWrite = func() bool { return false }
+	assert.Equal(t, rules.RequestCompleted, m.mayWrite(time.Now()))
+	assert.Equal(t, rules.RequestCompleted, (&executorRequest{beforeWrite: m.beforeWrite}).mayWrite(time.Time{}))
+	assert.Equal(t, rules.Allowed, (&executorRequest{}).mayWrite(time.Time{}), "a message that tells no time is not old")
 }
 
 // Found by the soak (seed 118: a burst of clients at a full front): the time of a request counts from its last byte, also
@@ -306,10 +306,10 @@
 		waits = 700 * time.Millisecond
 		slack = 150 * time.Millisecond
 	)
-	l := &lateListener{goOn: make(chan struct{}), ended: make(chan struct{})}
+	l := &pausingListener{goOn: make(chan struct{}), ended: make(chan struct{})}
 	told, arrived := make(chan time.Duration, 1), make(chan time.Time, 1)
-	s := newStage(t, nil, func(in *net.TCPListener) net.Listener { l.TCPListener = in; return l }, newBox(t, func(_ http.ResponseWriter, r *http.Request) {
-		if r.Header.Get("X-Hop-Id") != second {
+	s := newTestbed(t, nil, func(in *net.TCPListener) net.Listener { l.TCPListener = in; return l }, newRecordingExecutor(t, func(_ http.ResponseWriter, r *http.Request) {
+		if r.Header.Get("X-Hop-Id") != secondID {
 			return
 		}
 		arrived <- time.Now()
@@ -317,15 +317,15 @@
 		assert.NoError(t, err)
 		told <- time.Duration(ms) * time.Millisecond
 	}))
-	require.Equal(t, http.StatusOK, s.ask(first, "path-check")) // from now on accepts wait
+	require.Equal(t, http.StatusOK, s.call(firstID, "path-check")) // from now on accepts wait
 	sent := time.Now()
-	c := s.send(second, "path-check") // its client waits for 4 s
+	c := s.send(secondID, "path-check") // its client waits for 4 s
 	<-time.After(waits)
 	close(l.goOn)
-	require.Equal(t, http.StatusOK, s.read(c))
+	require.Equal(t, http.StatusOK, s.readStatus(c))
 	left := 4*time.Second - (<-arrived).Sub(sent)
 	assert.LessOrEqual(t, <-told, left+slack)
-	s.over()
+	s.close()
 }
 
 // Found by the soak (seed 123: executors that answer twice, and a burst): a second answer that lies with the kernel, since
@@ -341,7 +341,7 @@
 	require.NoError(t, err)
 	defer in.Close()
 	const answer = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none"
-	k := &conn{Conn: out, framer: framer{answers: true}}
+	k := &executorConn{Conn: out, framer: framer{responses: true}}
 	_, err = k.Write([]byte("GET"))
 	require.NoError(t, err)
 	_, err = io.WriteString(in, answer)
@@ -351,22 +351,22 @@
 	require.Equal(t, len(answer), n)
 	_, err = io.WriteString(in, answer)
 	require.NoError(t, err)
-	for !unread(out) {
+	for !hasUnread(out) {
 		time.Sleep(time.Millisecond)
 	}
 	_, err = k.Write([]byte("GET"))
-	require.ErrorIs(t, err, errUnasked, "the next request would get the second answer")
+	require.ErrorIs(t, err, errUnsolicitedBytes, "the next request would get the second answer")
 }
 
 // Found by the soak (seed 1031: accepts that fail, and processes that end): nothing is written for a client that left while its
 // request waited with the kernel, and the time of such a request has run on.
 func TestNothingIsWrittenForAClientThatLeftTheBacklog(t *testing.T) {
-	for way, leave := range leave {
+	for way, leave := range leaveWays {
 		t.Run(way, func(t *testing.T) {
 			t.Parallel()
-			l := &lateListener{goOn: make(chan struct{}), ended: make(chan struct{})}
-			s := newStage(t, nil, func(in *net.TCPListener) net.Listener { l.TCPListener = in; return l }, newBox(t, nil))
-			require.Equal(t, http.StatusOK, s.ask(first, "path-check")) // from now on accepts wait
+			l := &pausingListener{goOn: make(chan struct{}), ended: make(chan struct{})}
+			s := newTestbed(t, nil, func(in *net.TCPListener) net.Listener { l.TCPListener = in; return l }, newRecordingExecutor(t, nil))
+			require.Equal(t, http.StatusOK, s.call(firstID, "path-check")) // from now on accepts wait
 			var gone []net.Conn
 			for i := range 20 {
 				c := s.send(fmt.Sprintf("%016x", 0x100+i), "path-book")
@@ -374,10 +374,10 @@
 				require.NoError(t, leave(c))
 			}
 			close(l.goOn)
-			require.Equal(t, http.StatusOK, s.ask(third, "path-check"))
-			s.over()
+			require.Equal(t, http.StatusOK, s.call(thirdID, "path-check"))
+			s.close()
 			for i := range gone {
-				assert.NotContains(t, s.boxes[0].seen(), fmt.Sprintf("%016x", 0x100+i))
+				assert.NotContains(t, s.executors[0].requests(), fmt.Sprintf("%016x", 0x100+i))
 			}
 		})
 	}
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -83,9 +83,9 @@
 		to     string
 		change func(*wire.Setup)
 	}{
-		{name: "served", id: first},
-		{name: "served-chunked-request", id: first, from: length, to: chunks},
-		{name: "served-closing", id: first, from: "Host: x", to: "Host: x\r\nConnection: close"},
+		{name: "served", id: firstID},
+		{name: "served-chunked-request", id: firstID, from: length, to: chunks},
+		{name: "served-closing", id: firstID, from: "Host: x", to: "Host: x\r\nConnection: close"},
 		{name: "refused-with-wait", id: refused},
 		{name: "refused-with-wait-in-milliseconds", id: refused,
 			change: func(s *wire.Setup) { s.Permissions.RetryAfter = true }},
@@ -95,20 +95,20 @@
 		{name: "failed", id: failed},
 		{name: "timed-out", id: held, from: "Patience-Ms: 4000", to: "Patience-Ms: 500"},
 		{name: "duplicate-id", id: held},
-		{name: "bad-function", id: first, from: "7f3a9c21e0b4d655", to: "odd"},
+		{name: "bad-function", id: firstID, from: "7f3a9c21e0b4d655", to: "odd"},
 		{name: "bad-id", id: "odd"},
-		{name: "bad-class", id: first, from: "path-book", to: "odd"},
-		{name: "bad-customer", id: first, from: "Host: x", to: "Host: x\r\nX-Customer: odd"},
-		{name: "bad-patience", id: first, from: "4000", to: "-1"},
-		{name: "bad-extras", id: first, from: "Host: x", to: "Host: x\r\nX-Extras: lanes:two"},
-		{name: "bad-extras-range", id: first, from: "Host: x", to: "Host: x\r\nX-Extras: lanes:0"},
-		{name: "bad-header-twice", id: first, from: "Host: x", to: "Host: x\r\nX-Repeat: 1\r\nX-Repeat: 1"},
-		{name: "bad-two-lengths", id: first, from: length, to: "Content-Length: 1\r\n" + chunks},
-		{name: "bad-request-line", id: first, from: head, to: "POST"},
-		{name: "body-too-long", id: first, from: length,
-			to: fmt.Sprintf("Content-Length: %d\r\n\r\n%s", maxBody+1, strings.Repeat("x", maxBody+1))},
-		{name: "unknown-path", id: first, from: "/trigger", to: "/odd"},
-		{name: "wrong-method", id: first, from: "POST", to: "PUT"},
+		{name: "bad-class", id: firstID, from: "path-book", to: "odd"},
+		{name: "bad-customer", id: firstID, from: "Host: x", to: "Host: x\r\nX-Customer: odd"},
+		{name: "bad-patience", id: firstID, from: "4000", to: "-1"},
+		{name: "bad-extras", id: firstID, from: "Host: x", to: "Host: x\r\nX-Extras: lanes:two"},
+		{name: "bad-extras-range", id: firstID, from: "Host: x", to: "Host: x\r\nX-Extras: lanes:0"},
+		{name: "bad-header-twice", id: firstID, from: "Host: x", to: "Host: x\r\nX-Repeat: 1\r\nX-Repeat: 1"},
+		{name: "bad-two-lengths", id: firstID, from: length, to: "Content-Length: 1\r\n" + chunks},
+		{name: "bad-request-line", id: firstID, from: head, to: "POST"},
+		{name: "body-too-long", id: firstID, from: length,
+			to: fmt.Sprintf("Content-Length: %d\r\n\r\n%s", maxRequestBytes+1, strings.Repeat("x", maxRequestBytes+1))},
+		{name: "unknown-path", id: firstID, from: "/trigger", to: "/odd"},
+		{name: "wrong-method", id: firstID, from: "POST", to: "PUT"},
 		{name: "ping-ready", to: ping},
 		{name: "ping-not-ready", to: ping},
 		{name: "ping-head", to: strings.Replace(ping, "GET", "HEAD", 1)},
@@ -116,7 +116,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			came, goOn := make(chan bool, 1), make(chan bool)
-			s := newStage(t, c.change, nil, newBox(t, func(w http.ResponseWriter, r *http.Request) {
+			s := newTestbed(t, c.change, nil, newRecordingExecutor(t, func(w http.ResponseWriter, r *http.Request) {
 				switch r.Header.Get("X-Hop-Id") {
 				case refused:
 					w.Header().Set("X-No-Effect", "1")
@@ -133,11 +133,11 @@
 				_, _ = io.WriteString(w, "a\x00b\r\n\xff")
 			}))
 			if c.name == "ping-not-ready" {
-				s.front.Gate = func() bool { return false }
+				s.server.Gate = func() bool { return false }
 			}
 			request := c.to
 			if c.id != "" {
-				request = strings.Replace(text(c.id, "path-book", "x"), c.from, c.to, 1)
+				request = strings.Replace(callText(c.id, "path-book", "x"), c.from, c.to, 1)
 			}
 			conn := s.dial()
 			if c.name == "duplicate-id" {
@@ -146,20 +146,20 @@
 				s.write(conn, request)
 				matchGolden(t, "answer-"+c.name, readRaw(t, conn, "POST"))
 				close(goOn)
-				assert.Equal(t, http.StatusOK, s.read(before))
+				assert.Equal(t, http.StatusOK, s.readStatus(before))
 			} else {
 				s.write(conn, request)
 				method, _, _ := strings.Cut(request, " ")
 				matchGolden(t, "answer-"+c.name, readRaw(t, conn, method))
 			}
-			s.over()
+			s.close()
 		})
 	}
 }
 
 // recorder is an executor on a plain socket. It hands on the raw bytes of each request up to its end, and then writes
 // the next of the answers; the last of them again and again.
-func recorder(t *testing.T, answers ...string) (*box, <-chan []byte) {
+func recorder(t *testing.T, answers ...string) (*recordingExecutor, <-chan []byte) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
@@ -196,7 +196,7 @@
 			go serve(c)
 		}
 	}()
-	return &box{Server: &httptest.Server{Listener: ln}}, requests
+	return &recordingExecutor{Server: &httptest.Server{Listener: ln}}, requests
 }
 
 const plainOK = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
@@ -226,20 +226,20 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b, requests := recorder(t, append(c.answers, plainOK)...)
-			s := newStage(t, addKeyed, nil, b)
+			s := newTestbed(t, addKeyed, nil, b)
 			conn := s.dial()
-			request := text("9b1f03aa5c7e2d41", c.class, c.body)
+			request := callText("9b1f03aa5c7e2d41", c.class, c.body)
 			if c.header != "" {
 				request = strings.Replace(request, "Host: x", "Host: x\r\n"+c.header, 1)
 			}
 			s.write(conn, strings.Replace(request, "7f3a", "7F3a", 1)) // the function's case is kept
-			assert.Equal(t, http.StatusOK, s.read(conn))
+			assert.Equal(t, http.StatusOK, s.readStatus(conn))
 			if len(c.answers) > 0 {
 				matchGolden(t, "attempt-"+c.name+"-before", <-requests)
 			}
 			matchGolden(t, "attempt-"+c.name, <-requests)
 			assert.Empty(t, requests, "more was written")
-			s.over()
+			s.close()
 		})
 	}
 }
@@ -252,9 +252,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b, requests := recorder(t, plainOK)
-			f := NewFleet(setup(t), 10)
+			f := NewFleet(testSettings(t), 10)
 			defer f.Close()
-			do(t.Context(), f, oakthread.LoadOrder{Worker: member(b.addr()), Key: "7F3a9c21e0b4d655", Count: 2})
+			do(t.Context(), f, oakthread.LoadOrder{Worker: endpointAt(b.addr()), Key: "7F3a9c21e0b4d655", Count: 2})
 			matchGolden(t, name, <-requests)
 		})
 	}
@@ -301,12 +301,12 @@
 				length += "\r\n" + c.headers
 			}
 			b, _ := recorder(t, "HTTP/1.1 "+c.status+"\r\n"+length+"\r\n\r\n"+c.body)
-			f := NewFleet(setup(t), 10)
+			f := NewFleet(testSettings(t), 10)
 			defer f.Close()
-			m, got := member(b.addr()), reply{}
+			m, got := endpointAt(b.addr()), reply{}
 			switch c.by {
 			case send:
-				a := attempt(m, "x")
+				a := attemptTo(m, "x")
 				a.Deadline = time.Now().Add(10 * time.Second)
 				got = f.Send(t.Context(), a)
 			case load:
@@ -339,8 +339,8 @@
 		asked <- raw.Bytes()
 	}()
 	ctx, stop := context.WithCancel(t.Context())
-	told, done := make(feed, 8), make(chan error, 1)
-	c := NewChannel(&Config{Channel: ln.Addr().String(), Cursor: 41, Setup: setup(t)}, quiet)
+	told, done := make(eventRecorder, 8), make(chan error, 1)
+	c := NewChannel(&Config{Channel: ln.Addr().String(), Cursor: 41, Setup: testSettings(t)}, discardLog)
 	go func() { done <- c.Follow(ctx, told) }()
 	assert.Equal(t, "current", <-told)
 	stop()
@@ -359,18 +359,18 @@
 		odd   string
 		bad   string
 	}{
-		{event: Event{Cursor: 41, Beat: true}},
-		{event: Event{Cursor: 42, Epoch: "e7", Told: true, Roster: of(balancer.EndpointsSnapshot,
+		{event: Event{Cursor: 41, Heartbeat: true}},
+		{event: Event{Cursor: 42, Epoch: "e7", HasUpdate: true, Roster: of(balancer.EndpointsSnapshot,
 			oakthread.Endpoint{ID: 0xc41f7a, Addr: "127.0.0.1:4001", Zone: 1, Cell: 2, State: balancer.Active, Weight: 4,
 				Start: time.UnixMilli(1500)},
 			oakthread.Endpoint{ID: WorkerID("box nine"), Addr: "[::1]:4002", Zone: 2, Kind: 1, Cell: 3,
 				State: balancer.Draining, Weight: 0.5})}},
-		{event: Event{Cursor: 43, Told: true, Roster: of(balancer.EndpointsDelta, oakthread.Endpoint{ID: 0xc41f7a,
+		{event: Event{Cursor: 43, HasUpdate: true, Roster: of(balancer.EndpointsDelta, oakthread.Endpoint{ID: 0xc41f7a,
 			Zone: 2, Kind: 1, State: balancer.Removed})}},
-		{event: Event{Cursor: 44, Told: true, Roster: of(balancer.EndpointsDelta, oakthread.Endpoint{ID: 2,
+		{event: Event{Cursor: 44, HasUpdate: true, Roster: of(balancer.EndpointsDelta, oakthread.Endpoint{ID: 2,
 			Addr: "127.0.0.1:4003", Zone: 2, Kind: 1, State: balancer.Draining, Weight: 1})},
 			odd: `members[0]: phase "Cordoned" of "s-00000002" is not known`},
-		{event: Event{Cursor: 45, Told: true, Roster: of(balancer.EndpointsDelta)},
+		{event: Event{Cursor: 45, HasUpdate: true, Roster: of(balancer.EndpointsDelta)},
 			odd: "members[0]: field id is missing\n" +
 				`members[1]: host_port "nowhere" of "s-00000003": not an ip:port`},
 		{event: Event{Cursor: 46, Roster: of(balancer.EndpointsDelta)}},
@@ -381,16 +381,16 @@
 	lines := strings.Split(strings.TrimSuffix(string(raw), "\n"), "\n")
 	require.Len(t, lines, len(want))
 	for i, w := range want {
-		got, err := parseEvent([]byte(lines[i]), setup(t))
+		got, err := parseEvent([]byte(lines[i]), testSettings(t))
 		if w.bad != "" {
 			assert.ErrorContains(t, err, w.bad, lines[i])
 			continue
 		}
 		require.NoError(t, err, lines[i])
-		if err := errors.Join(got.Odd...); err != nil || w.odd != "" {
+		if err := errors.Join(got.Invalid...); err != nil || w.odd != "" {
 			assert.EqualError(t, err, w.odd, lines[i])
 		}
-		got.Odd = nil
+		got.Invalid = nil
 		assert.Equal(t, w.event, got, lines[i])
 	}
 	assert.Equal(t, balancer.WorkerID(0xf4092e46), WorkerID("box nine"), "the hash of an id that holds no number")
@@ -421,13 +421,13 @@
 		Sockets: 300, PeerListen: "127.0.0.1:7002", PeersAll: netip.MustParseAddrPort("239.1.2.3:7004"),
 		Peers:   []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:7002"), netip.MustParseAddrPort("[::1]:7003")},
 		Channel: "127.0.0.1:7005", Console: "127.0.0.1:7006", Cursor: 5, Setup: s,
-		Known: []Event{{Cursor: 5, Epoch: "e7", Told: true, Roster: oakthread.EndpointUpdate{Kind: balancer.EndpointsSnapshot,
+		Known: []Event{{Cursor: 5, Epoch: "e7", HasUpdate: true, Roster: oakthread.EndpointUpdate{Kind: balancer.EndpointsSnapshot,
 			Endpoints: []oakthread.Endpoint{{ID: 0xc41f7a, Addr: "127.0.0.1:4001", Zone: 1, Kind: 1, Cell: 2,
 				State: balancer.Active, Weight: 4, Start: time.UnixMilli(1500)}}}}}}
 	got, err := parseConfig(raw)
 	require.NoError(t, err)
-	matchGolden(t, "config-shape", []byte(strings.Join(got.shape, "\n")+"\n"))
-	want.shape = got.shape
+	matchGolden(t, "config-shape", []byte(strings.Join(got.keys, "\n")+"\n"))
+	want.keys = got.keys
 	require.Equal(t, want, got)
 	for key, value := range map[string]*bool{"cancel": &p.Cancel, "may_probe": &p.MayProbe, "peers": &p.Peers,
 		"retry_after": &p.RetryAfter, "second_copies": &p.SecondCopies, "load_control": &f.LoadControl,
@@ -520,8 +520,8 @@
 		fmt.Fprintf(&raw, "%s: %q\n", what, buf[:n])
 	}
 	open := func(all netip.AddrPort) (*PeerTransport, chan string) {
-		p, err := ListenPeers(&Config{PeerListen: "127.0.0.1:0", PeersAll: all, Setup: setup(t),
-			Peers: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:9"), oneAddr, twoAddr}}, quiet)
+		p, err := ListenPeers(&Config{PeerListen: "127.0.0.1:0", PeersAll: all, Setup: testSettings(t),
+			Peers: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:9"), oneAddr, twoAddr}}, discardLog)
 		require.NoError(t, err)
 		ctx, stop := context.WithCancel(t.Context())
 		heard, done := make(chan string, 8), make(chan error, 1)
--- a/internal/platform/listen.go
+++ b/internal/platform/listen.go
@@ -16,7 +16,7 @@
 // Listen opens a TCP listener on addr that a second process of the same user may open as well. Errors name the
 // address.
 func Listen(ctx context.Context, addr string) (net.Listener, error) {
-	ln, err := shared.Listen(ctx, "tcp", addr)
+	ln, err := reusePortConfig.Listen(ctx, "tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("listen on %s: %w", addr, err)
 	}
@@ -34,7 +34,7 @@
 
 // ListenPacket opens a UDP socket on addr, shared in the same way.
 func ListenPacket(ctx context.Context, addr string) (*net.UDPConn, error) {
-	pc, err := shared.ListenPacket(ctx, "udp", addr)
+	pc, err := reusePortConfig.ListenPacket(ctx, "udp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("listen on %s: %w", addr, err)
 	}
@@ -65,7 +65,7 @@
 	return n.Dial(plain)
 }
 
-var shared = net.ListenConfig{Control: reusePort}
+var reusePortConfig = net.ListenConfig{Control: reusePort}
 
 func reusePort(_, _ string, c syscall.RawConn) error {
 	var err error
--- a/internal/platform/lists_test.go
+++ b/internal/platform/lists_test.go
@@ -19,22 +19,22 @@
 	"oakthread/balancer"
 )
 
-// discovery is a stand-in whose every connection is the test's to speak on.
-type discovery struct {
+// fakeDiscovery is a stand-in whose every connection is the test's to speak on.
+type fakeDiscovery struct {
 	t     *testing.T
 	ln    net.Listener
-	conns chan watch
+	conns chan fakeWatch
 }
 
-type watch struct {
+type fakeWatch struct {
 	net.Conn
-	asked string
+	request string
 }
 
-func newDiscovery(t *testing.T) *discovery {
+func newDiscovery(t *testing.T) *fakeDiscovery {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	d := &discovery{t, ln, make(chan watch, 64)}
+	d := &fakeDiscovery{t, ln, make(chan fakeWatch, 64)}
 	t.Cleanup(func() { ln.Close() })
 	go func() {
 		for {
@@ -44,39 +44,39 @@
 			}
 			t.Cleanup(func() { c.Close() })
 			line, _ := bufio.NewReader(c).ReadString('\n')
-			d.conns <- watch{c, strings.TrimSpace(line)}
+			d.conns <- fakeWatch{c, strings.TrimSpace(line)}
 		}
 	}()
 	return d
 }
 
-func (d *discovery) addr() string { return d.ln.Addr().String() }
+func (d *fakeDiscovery) addr() string { return d.ln.Addr().String() }
 
-// next is the next connection; it must ask for what comes after number n.
-func (d *discovery) next(n int) watch {
+// nextWatch is the next connection; it must ask for what comes after number n.
+func (d *fakeDiscovery) nextWatch(n int) fakeWatch {
 	d.t.Helper()
 	w := <-d.conns
-	require.Equal(d.t, fmt.Sprintf("resume %d", n), w.asked)
+	require.Equal(d.t, fmt.Sprintf("resume %d", n), w.request)
 	return w
 }
 
-func (w watch) say(t *testing.T, text string) {
+func (w fakeWatch) send(t *testing.T, text string) {
 	_, err := io.WriteString(w, text)
 	require.NoError(t, err)
 }
 
-func event(n int, members string) string {
+func eventLineText(n int, members string) string {
 	return fmt.Sprintf(`{"cursor":%d,"nodes":{"complete":%v,"members":[%s]}}`+"\n", n, n == 1, members)
 }
 
-func listed(id int, phase string) string {
+func memberText(id int, phase string) string {
 	return fmt.Sprintf(`{"id":"s-%08x","host_port":"127.0.0.1:4","phase":%q,"size":1}`, id, phase)
 }
 
-// follow has a channel follow d from number 0.
-func follow(t *testing.T, d *discovery, log io.Writer) (*EndpointWatcher, feed) {
-	c := NewChannel(&Config{Channel: d.addr(), Setup: setup(t)}, slog.New(slog.NewTextHandler(log, nil)))
-	f := make(feed, 64)
+// startWatch has a channel follow d from number 0.
+func startWatch(t *testing.T, d *fakeDiscovery, log io.Writer) (*EndpointWatcher, eventRecorder) {
+	c := NewChannel(&Config{Channel: d.addr(), Setup: testSettings(t)}, slog.New(slog.NewTextHandler(log, nil)))
+	f := make(eventRecorder, 64)
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- c.Follow(ctx, f) }()
@@ -88,25 +88,25 @@
 // meanwhile is told once. One that only beats, with nothing new, is kept.
 func TestSilentWatchIsGivenUpAndAQuietOneKept(t *testing.T) {
 	d := newDiscovery(t)
-	_, f := follow(t, d, io.Discard)
-	w := d.next(0)
-	w.say(t, event(1, listed(1, "Ready")))
+	_, f := startWatch(t, d, io.Discard)
+	w := d.nextWatch(0)
+	w.send(t, eventLineText(1, memberText(1, "Ready")))
 	assert.Equal(t, "told 1 of , 1 boxes, whole true", <-f)
 	for range 5 { // longer than channelQuiet
-		time.Sleep(channelQuiet / 4)
-		w.say(t, "1\n")
+		time.Sleep(watchReadTimeout / 4)
+		w.send(t, "1\n")
 		assert.Equal(t, "current", <-f)
 	}
 	select {
 	case x := <-d.conns:
-		t.Fatal("a healthy quiet watch was torn down, then", x.asked)
+		t.Fatal("a healthy quiet watch was torn down, then", x.request)
 	default:
 	}
 	began := time.Now() // silent from here on
-	w = d.next(1)
-	assert.GreaterOrEqual(t, time.Since(began), channelQuiet/2, "given up too soon")
+	w = d.nextWatch(1)
+	assert.GreaterOrEqual(t, time.Since(began), watchReadTimeout/2, "given up too soon")
 	assert.Equal(t, "lost", <-f)
-	w.say(t, event(2, listed(2, "Ready"))+"2\n")
+	w.send(t, eventLineText(2, memberText(2, "Ready"))+"2\n")
 	assert.Equal(t, "told 2 of , 1 boxes, whole false", <-f)
 	assert.Equal(t, "current", <-f)
 }
@@ -114,20 +114,20 @@
 // Guards events that come in parts, twice or with a gap, and a watch that ends within one.
 func TestEventsInPartsTwiceAndWithAGap(t *testing.T) {
 	d := newDiscovery(t)
-	_, f := follow(t, d, io.Discard)
-	w, one, two := d.next(0), event(1, listed(1, "Ready")), event(2, listed(2, "Ready"))
-	w.say(t, one[:25])
+	_, f := startWatch(t, d, io.Discard)
+	w, one, two := d.nextWatch(0), eventLineText(1, memberText(1, "Ready")), eventLineText(2, memberText(2, "Ready"))
+	w.send(t, one[:25])
 	time.Sleep(10 * time.Millisecond) // two reads, as a rule; in one the test still holds
-	w.say(t, one[25:]+one+two[:30])
+	w.send(t, one[25:]+one+two[:30])
 	assert.Equal(t, "told 1 of , 1 boxes, whole true", <-f)
 	w.Close() // within an event
 	assert.Equal(t, "lost", <-f)
-	w = d.next(1)
-	w.say(t, one+two+event(4, ""))
+	w = d.nextWatch(1)
+	w.send(t, one+two+eventLineText(4, ""))
 	assert.Equal(t, "told 2 of , 1 boxes, whole false", <-f)
 	assert.Equal(t, "lost", <-f, "number 3 is missing")
-	w = d.next(2)
-	w.say(t, event(3, "")+event(4, "")+"4\n")
+	w = d.nextWatch(2)
+	w.send(t, eventLineText(3, "")+eventLineText(4, "")+"4\n")
 	for _, want := range []string{"told 3 of , 0 boxes, whole false", "told 4 of , 0 boxes, whole false", "current"} {
 		assert.Equal(t, want, <-f)
 	}
@@ -137,19 +137,19 @@
 // nothing is lost or told twice.
 func TestMoveWithinAnEvent(t *testing.T) {
 	a, b := newDiscovery(t), newDiscovery(t)
-	c, f := follow(t, a, io.Discard)
-	w, one, two := a.next(0), event(1, listed(1, "Ready")), event(2, listed(2, "Ready"))
-	w.say(t, one+two[:30])
+	c, f := startWatch(t, a, io.Discard)
+	w, one, two := a.nextWatch(0), eventLineText(1, memberText(1, "Ready")), eventLineText(2, memberText(2, "Ready"))
+	w.send(t, one+two[:30])
 	assert.Equal(t, "told 1 of , 1 boxes, whole true", <-f)
 	c.Move(b.addr())
-	w = b.next(1)
-	w.say(t, two)
+	w = b.nextWatch(1)
+	w.send(t, two)
 	assert.Equal(t, "told 2 of , 1 boxes, whole false", <-f)
 	w.Close()
 	assert.Equal(t, "lost", <-f)
 	c.Move(a.addr()) // it waits or connects to b
-	w = a.next(2)
-	w.say(t, "2\n")
+	w = a.nextWatch(2)
+	w.send(t, "2\n")
 	for x := <-f; x != "current"; x = <-f {
 		assert.Equal(t, "lost", x)
 	}
@@ -163,8 +163,8 @@
 		}
 		break
 	}
-	assert.Equal(t, "resume 2", w.asked)
-	w.say(t, event(3, ""))
+	assert.Equal(t, "resume 2", w.request)
+	w.send(t, eventLineText(3, ""))
 	for x := <-f; x != "told 3 of , 0 boxes, whole false"; x = <-f {
 		assert.Contains(t, []string{"lost", "current"}, x)
 	}
@@ -187,23 +187,23 @@
 // line that cannot be read is asked for once more and then passed over, each with one clear line.
 func TestBadEventsEndNoNews(t *testing.T) {
 	d, log := newDiscovery(t), &safeBuffer{}
-	c := NewChannel(&Config{Channel: d.addr(), Setup: setup(t)}, slog.New(slog.NewTextHandler(log, nil)))
-	ev, err := parseEvent([]byte(event(1, listed(1, "Ready")+","+listed(2, "Cordoned")+`,{"id":"s-3","phase":"Ready"},{"phase":"Ready"}`)), setup(t))
+	c := NewChannel(&Config{Channel: d.addr(), Setup: testSettings(t)}, slog.New(slog.NewTextHandler(log, nil)))
+	ev, err := parseEvent([]byte(eventLineText(1, memberText(1, "Ready")+","+memberText(2, "Cordoned")+`,{"id":"s-3","phase":"Ready"},{"phase":"Ready"}`)), testSettings(t))
 	require.NoError(t, err)
 	require.Len(t, ev.Roster.Endpoints, 2)
 	assert.Equal(t, balancer.Draining, ev.Roster.Endpoints[1].State)
-	assert.Len(t, ev.Odd, 3)
-	f := make(feed, 64)
+	assert.Len(t, ev.Invalid, 3)
+	f := make(eventRecorder, 64)
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- c.Follow(ctx, f) }()
 	bad := `{"cursor":2,"nodes":{"members":7}}` + "\n"
-	all := event(1, listed(1, "Ready")+`,{"id":"s-3","phase":"Ready"}`) + bad
-	d.next(0).say(t, all)
+	all := eventLineText(1, memberText(1, "Ready")+`,{"id":"s-3","phase":"Ready"}`) + bad
+	d.nextWatch(0).send(t, all)
 	assert.Equal(t, "told 1 of , 1 boxes, whole true", <-f)
 	assert.Equal(t, "lost", <-f)
-	w := d.next(1)
-	w.say(t, bad+event(3, listed(4, "Ready"))+"3\n")
+	w := d.nextWatch(1)
+	w.send(t, bad+eventLineText(3, memberText(4, "Ready"))+"3\n")
 	assert.Equal(t, "told 3 of , 1 boxes, whole false", <-f)
 	assert.Equal(t, "current", <-f)
 	stop()
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -34,25 +34,25 @@
 "permissions":{"send_cap":3,"cancel":true,"peers":true,"connect_timeout_ns":250000000,"conn_idle_ns":15000000000,"max_retry_after_ns":1500000000},
 "specifics":{"linger_idle_ns":8000000000,"on_miss":"load","load_control":true}}`
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLog = slog.New(slog.DiscardHandler)
 
-func setup(t testing.TB) *wire.Setup {
+func testSettings(t testing.TB) *wire.Setup {
 	s, err := wire.ReadSetup([]byte(settingsText))
 	require.NoError(t, err)
 	return s
 }
 
-func member(addr string) oakthread.Endpoint {
+func endpointAt(addr string) oakthread.Endpoint {
 	return oakthread.Endpoint{ID: 1, Addr: addr, State: balancer.Active, Weight: 1}
 }
 
-func attempt(m oakthread.Endpoint, body string) oakthread.Attempt {
+func attemptTo(m oakthread.Endpoint, body string) oakthread.Attempt {
 	return oakthread.Attempt{Worker: m, Deadline: time.Now().Add(time.Second), Request: &oakthread.Request{
 		ID: "9b1f03aa5c7e2d41", Class: 1, Key: "7F3a9c21e0b4d655", Body: []byte(body)}}
 }
 
 func TestHeadOfACall(t *testing.T) {
-	f := NewFront(nil, setup(t))
+	f := NewFront(nil, testSettings(t))
 	for name, c := range map[string]struct {
 		change, to string
 		bad        bool
@@ -80,7 +80,7 @@
 		if c.change != "" {
 			h.Set(c.change, c.to)
 		}
-		q, err := f.head("7F3a9c21e0b4d655", h, time.Unix(100, 0))
+		q, err := f.parseHeader("7F3a9c21e0b4d655", h, time.Unix(100, 0))
 		assert.Equal(t, c.bad, err != nil, "%s: %v", name, err)
 		if name == "plain" {
 			assert.Equal(t, oakthread.Request{ID: "9b1f03aa5c7e2d41", Class: 1, Func: 0x7f3a9c21e0b4d655, Key: "7F3a9c21e0b4d655",
@@ -89,20 +89,20 @@
 	}
 	for mark, want := range map[string]bool{"": false, "0": false, "false": false, "1": true, "true": true} {
 		h := http.Header{"X-Class": {"path-book"}, "X-Call-Id": {"9b1f03aa5c7e2d41"}, "X-Patience-Ms": {"1500"}, "X-Repeat": {mark}, "X-Dedupe-Key": {"k 1"}}
-		q, err := f.head("7F3a9c21e0b4d655", h, time.Now())
+		q, err := f.parseHeader("7F3a9c21e0b4d655", h, time.Now())
 		require.NoError(t, err)
 		assert.Equal(t, want, q.Retry, mark)
 		assert.Equal(t, "k 1", q.IdempotencyKey)
 		h.Add("X-Dedupe-Key", "k 2")
-		_, err = f.head("7F3a9c21e0b4d655", h, time.Now())
+		_, err = f.parseHeader("7F3a9c21e0b4d655", h, time.Now())
 		assert.ErrorContains(t, err, "X-Dedupe-Key stands there 2 times")
 	}
-	_, err := f.head("no-function", http.Header{}, time.Now())
+	_, err := f.parseHeader("no-function", http.Header{}, time.Now())
 	assert.Error(t, err)
-	_, err = f.head("7F3a9c21e0b4d655", http.Header{"X-Class": {"path-book"}, "X-Patience-Ms": {"1500"},
+	_, err = f.parseHeader("7F3a9c21e0b4d655", http.Header{"X-Class": {"path-book"}, "X-Patience-Ms": {"1500"},
 		"X-Call-Id": {"9b1f03aa5c7e2d41", "9b1f03aa5c7e2d42"}}, time.Now())
 	assert.ErrorContains(t, err, "2 times")
-	assert.Less(t, headerTime+bodyTime, answerOwed, "a head that comes late and a body that never does")
+	assert.Less(t, headerTimeout+bodyTimeout, requestReadTimeout, "a head that comes late and a body that never does")
 }
 
 func TestConfigAndEvents(t *testing.T) {
@@ -120,7 +120,7 @@
 		_, err := parseConfig([]byte(strings.Replace(whole, old, bad, 1)))
 		assert.Error(t, err, bad)
 	}
-	for line, want := range map[string]Event{"41": {Cursor: 41, Beat: true},
+	for line, want := range map[string]Event{"41": {Cursor: 41, Heartbeat: true},
 		`{"cursor":4,"new":{}}`: {Cursor: 4, Roster: oakthread.EndpointUpdate{Kind: balancer.EndpointsDelta}}} {
 		ev, err := parseEvent([]byte(line), c.Setup)
 		require.NoError(t, err, line)
@@ -130,7 +130,7 @@
 
 // Guards against a wrong proof that nothing ran: for a booking that would be a second one.
 func TestWhatAnAnswerProves(t *testing.T) {
-	f := NewFleet(setup(t), 10)
+	f := NewFleet(testSettings(t), 10)
 	for _, c := range []struct {
 		status int
 		header string
@@ -153,13 +153,13 @@
 		if k, v, ok := strings.Cut(c.header, ": "); ok {
 			h.Set(k, v)
 		}
-		r := f.reply(&http.Response{StatusCode: c.status, Header: h}, nil)
+		r := f.parseReply(&http.Response{StatusCode: c.status, Header: h}, nil)
 		assert.Equal(t, c.want, r.Result, "%d %s", c.status, c.header)
 		assert.Equal(t, c.warmth, r.Warmth, "%d %s", c.status, c.header)
 	}
 	for text, want := range map[string][]float64{"queue:7;util:0.61": {7, 0.61}, "cpu:0.5;waiting:1": {1, 0.5},
 		"queue:7": nil, "queue:x;util:1": nil, "queue:-1;util:1": nil, "": nil} {
-		assert.Equal(t, want, f.report(text), text)
+		assert.Equal(t, want, f.parseReport(text), text)
 	}
 }
 
@@ -172,16 +172,16 @@
 		fmt.Fprintf(w, "%s %s %s %s %q %v", r.Method, r.RequestURI, h.Get("X-Hop-Id"), h.Get("X-Thing"), b, append(h["Accept-Encoding"], h["X-Replay-Key"]...))
 	}))
 	defer srv.Close()
-	f := NewFleet(setup(t), 10)
+	f := NewFleet(testSettings(t), 10)
 	defer f.Close()
-	m := member(srv.Listener.Addr().String())
-	r := f.Send(t.Context(), attempt(m, body))
+	m := endpointAt(srv.Listener.Addr().String())
+	r := f.Send(t.Context(), attemptTo(m, body))
 	assert.Equal(t, fmt.Sprintf("POST /c/path-book 9b1f03aa5c7e2d41 7F3a9c21e0b4d655 %q []", body), string(r.Body))
-	a := attempt(m, body)
+	a := attemptTo(m, body)
 	a.Request.IdempotencyKey = "3f:a b;c"
 	r = f.Send(t.Context(), a)
 	assert.Equal(t, fmt.Sprintf("POST /c/path-book 9b1f03aa5c7e2d41 7F3a9c21e0b4d655 %q [3f:a b;c]", body), string(r.Body))
-	r = f.Send(t.Context(), attempt(m, ""))
+	r = f.Send(t.Context(), attemptTo(m, ""))
 	assert.Equal(t, `GET /c/path-book 9b1f03aa5c7e2d41 7F3a9c21e0b4d655 "" []`, string(r.Body), "no body is a GET")
 	o := oakthread.LoadOrder{Worker: m, Key: "7F3a9c21e0b4d655", Count: 2}
 	assert.Equal(t, balancer.OK, f.Load(t.Context(), o).Result)
@@ -219,11 +219,11 @@
 				}()
 			}
 		}()
-		f := NewFleet(setup(t), 10)
-		f.settle = 0 // the second goes on the same connection at once
-		m := member(ln.Addr().String())
-		assert.Equal(t, balancer.OK, f.Send(t.Context(), attempt(m, body)).Result)
-		assert.Equal(t, balancer.Reset, f.Send(t.Context(), attempt(m, body)).Result, "it may have run")
+		f := NewFleet(testSettings(t), 10)
+		f.reuseDelay = 0 // the second goes on the same connection at once
+		m := endpointAt(ln.Addr().String())
+		assert.Equal(t, balancer.OK, f.Send(t.Context(), attemptTo(m, body)).Result)
+		assert.Equal(t, balancer.Reset, f.Send(t.Context(), attemptTo(m, body)).Result, "it may have run")
 		assert.Equal(t, int64(2), seen.Load(), "requests written for two attempts")
 		f.Close()
 	}
@@ -235,12 +235,12 @@
 	require.NoError(t, err)
 	addr := ln.Addr().String()
 	ln.Close()
-	f := NewFleet(setup(t), 1)
-	assert.Equal(t, balancer.ConnectFailed, f.Send(t.Context(), attempt(member(addr), "x")).Result)
-	assert.Empty(t, f.slots, "a failed dial keeps its socket")
-	f.slots <- struct{}{}
-	assert.Equal(t, balancer.NotSent, f.Send(t.Context(), attempt(member(addr), "x")).Result)
-	assert.Equal(t, balancer.Timeout, failure(canceled(t), false, errors.New("cut")))
+	f := NewFleet(testSettings(t), 1)
+	assert.Equal(t, balancer.ConnectFailed, f.Send(t.Context(), attemptTo(endpointAt(addr), "x")).Result)
+	assert.Empty(t, f.socketSlots, "a failed dial keeps its socket")
+	f.socketSlots <- struct{}{}
+	assert.Equal(t, balancer.NotSent, f.Send(t.Context(), attemptTo(endpointAt(addr), "x")).Result)
+	assert.Equal(t, balancer.Timeout, classifyFailure(canceledContext(t), false, errors.New("cut")))
 }
 
 // Guards against blame for an executor whose new connections are reset, while they come up or before anything is
@@ -255,23 +255,23 @@
 		"just up": func(c net.Conn) (net.Conn, error) { return c, c.Close() },
 	} {
 		for resets, want := range []balancer.Result{balancer.OK, balancer.OK, balancer.NotSent} {
-			f := NewFleet(setup(t), 10)
-			dial, dials := f.reach, 0
-			f.reach = func(ctx context.Context, network, addr string) (net.Conn, error) {
+			f := NewFleet(testSettings(t), 10)
+			dial, dials := f.dialContext, 0
+			f.dialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 				c, err := dial(ctx, network, addr)
 				if dials++; err != nil || dials > resets {
 					return c, err
 				}
 				return reset(c)
 			}
-			assert.Equal(t, want, f.Send(t.Context(), attempt(member(srv.Listener.Addr().String()), "x")).Result, "%s, %d", name, resets)
+			assert.Equal(t, want, f.Send(t.Context(), attemptTo(endpointAt(srv.Listener.Addr().String()), "x")).Result, "%s, %d", name, resets)
 			f.Close()
-			assert.Empty(t, f.slots, "a reset connection keeps its socket")
+			assert.Empty(t, f.socketSlots, "a reset connection keeps its socket")
 		}
 	}
 }
 
-func canceled(t *testing.T) context.Context {
+func canceledContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	return ctx
@@ -288,17 +288,17 @@
 	}
 	srv.Start()
 	defer srv.Close()
-	f := NewFleet(setup(t), 10)
+	f := NewFleet(testSettings(t), 10)
 	defer f.Close()
-	f.settle = 0 // connections are used again at once
-	m := member(srv.Listener.Addr().String())
-	f.Send(t.Context(), attempt(m, "x"))
-	f.Send(t.Context(), attempt(m, "x"))
+	f.reuseDelay = 0 // connections are used again at once
+	m := endpointAt(srv.Listener.Addr().String())
+	f.Send(t.Context(), attemptTo(m, "x"))
+	f.Send(t.Context(), attemptTo(m, "x"))
 	assert.Equal(t, int64(1), conns.Load())
 	m.Start = time.Unix(7, 0)
-	f.Send(t.Context(), attempt(m, "x"))
+	f.Send(t.Context(), attemptTo(m, "x"))
 	m.ID = 2
-	f.Send(t.Context(), attempt(m, "x"))
+	f.Send(t.Context(), attemptTo(m, "x"))
 	assert.Equal(t, int64(3), conns.Load())
 }
 
@@ -327,7 +327,7 @@
 	var mu sync.Mutex
 	told := 0
 	ctx, stop := context.WithCancel(t.Context())
-	c := NewChannel(&Config{Channel: ln.Addr().String(), Cursor: 3, Setup: setup(t), Known: []Event{{Cursor: 3}}}, quiet)
+	c := NewChannel(&Config{Channel: ln.Addr().String(), Cursor: 3, Setup: testSettings(t), Known: []Event{{Cursor: 3}}}, discardLog)
 	err = c.Watch(ctx, func(oakthread.EndpointUpdate) {
 		mu.Lock()
 		defer mu.Unlock()
@@ -344,15 +344,15 @@
 	assert.Equal(t, int64(9), c.cursor)
 }
 
-// feed writes down what a channel tells.
-type feed chan string
+// eventRecorder writes down what a channel tells.
+type eventRecorder chan string
 
-func (f feed) Told(r oakthread.EndpointUpdate, epoch string, cursor int64) {
+func (f eventRecorder) Told(r oakthread.EndpointUpdate, epoch string, cursor int64) {
 	f <- fmt.Sprintf("told %d of %s, %d boxes, whole %v", cursor, epoch, len(r.Endpoints), r.Kind == balancer.EndpointsSnapshot)
 }
-func (f feed) Current()     { f <- "current" }
-func (f feed) Lost()        { f <- "lost" }
-func (f feed) StartedOver() { f <- "started over" }
+func (f eventRecorder) Current()     { f <- "current" }
+func (f eventRecorder) Lost()        { f <- "lost" }
+func (f eventRecorder) StartedOver() { f <- "started over" }
 
 // Guards a kept list's numbering: it goes on from its own number; a discovery with a lower one, or of another epoch, is
 // read from the first event, whole; several addresses are asked in turn.
@@ -383,9 +383,9 @@
 	refused, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	refused.Close()
-	c := NewChannel(&Config{Setup: setup(t)}, quiet)
+	c := NewChannel(&Config{Setup: testSettings(t)}, discardLog)
 	c.Keep(41, "e1", endpoints.NewDialer([]string{refused.Addr().String(), ln.Addr().String()}, 1))
-	f, got := make(feed, 64), []string{}
+	f, got := make(eventRecorder, 64), []string{}
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- c.Follow(ctx, f) }()
@@ -404,9 +404,9 @@
 // Guards the rules on datagrams: 256 bytes at most, from known peers alone, known by their address.
 func TestDatagrams(t *testing.T) {
 	open := func(n int) *PeerTransport {
-		s := setup(t)
+		s := testSettings(t)
 		s.Number = n
-		p, err := ListenPeers(&Config{PeerListen: "127.0.0.1:0", Setup: s}, quiet)
+		p, err := ListenPeers(&Config{PeerListen: "127.0.0.1:0", Setup: s}, discardLog)
 		require.NoError(t, err)
 		return p
 	}
@@ -415,7 +415,7 @@
 	for _, p := range []*PeerTransport{a, b, stranger} {
 		p.peers = []netip.AddrPort{addr(a), addr(b)}
 	}
-	b.from = map[netip.AddrPort]int{addr(a): 0, addr(b): 1}
+	b.indexByAddr = map[netip.AddrPort]int{addr(a): 0, addr(b): 1}
 	stranger.SendMessage(1, "who")
 	a.SendMessage(1, strings.Repeat("x", 257))
 	a.SendMessage(-1, "hello")
@@ -431,9 +431,9 @@
 // Guards against bad datagrams: what is too long or comes from nobody's address is dropped and counted, and what is
 // handed on arrives byte for byte.
 func TestBadDatagramsAreCounted(t *testing.T) {
-	s := setup(t)
+	s := testSettings(t)
 	s.Number = 1
-	p, err := ListenPeers(&Config{PeerListen: "127.0.0.1:0", Setup: s}, quiet)
+	p, err := ListenPeers(&Config{PeerListen: "127.0.0.1:0", Setup: s}, discardLog)
 	require.NoError(t, err)
 	dial := func() *net.UDPConn {
 		c, err := net.DialUDP("udp", nil, p.conn.LocalAddr().(*net.UDPAddr))
@@ -442,7 +442,7 @@
 		return c
 	}
 	peer, stranger := dial(), dial()
-	p.from = map[netip.AddrPort]int{peer.LocalAddr().(*net.UDPAddr).AddrPort(): 0}
+	p.indexByAddr = map[netip.AddrPort]int{peer.LocalAddr().(*net.UDPAddr).AddrPort(): 0}
 	for _, x := range []struct {
 		from *net.UDPConn
 		data string
@@ -467,16 +467,16 @@
 func TestChannelsComeBackOneByOne(t *testing.T) {
 	slots := map[time.Duration]int{}
 	for seed := range uint64(80) {
-		c := NewChannel(&Config{Channel: "127.0.0.1:4", Seed: seed, Setup: setup(t)}, quiet)
+		c := NewChannel(&Config{Channel: "127.0.0.1:4", Seed: seed, Setup: testSettings(t)}, discardLog)
 		_, wait := c.dialer.Next()
 		require.Zero(t, wait, "the first connection is made at once")
 		for range 12 {
 			c.dialer.Failed()
 			_, wait = c.dialer.Next()
-			require.LessOrEqual(t, wait, channelMost)
+			require.LessOrEqual(t, wait, maxWatchRetryDelay)
 		}
-		slots[wait/(channelMost/8)]++
-		c.move("127.0.0.1:5")
+		slots[wait/(maxWatchRetryDelay/8)]++
+		c.setAddress("127.0.0.1:5")
 		addr, wait := c.dialer.Next()
 		assert.Equal(t, "127.0.0.1:5", addr)
 		assert.Zero(t, wait, "a move is followed at once")
@@ -498,11 +498,11 @@
 func serve(t *testing.T, linger time.Duration, lines notify, executor http.HandlerFunc) (url string, end func(), done chan error, front *Server) {
 	ex := httptest.NewServer(executor)
 	t.Cleanup(ex.Close)
-	fleet := NewFleet(setup(t), 50)
-	core, err := oakthread.New(oakthread.Config{Settings: setup(t).Decide(), Workers: fleet})
+	fleet := NewFleet(testSettings(t), 50)
+	core, err := oakthread.New(oakthread.Config{Settings: testSettings(t).Decide(), Workers: fleet})
 	require.NoError(t, err)
 	t.Cleanup(core.Close)
-	front = NewFront(core, setup(t))
+	front = NewFront(core, testSettings(t))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	ctx, end := context.WithCancel(t.Context())
@@ -514,7 +514,7 @@
 	resp, err := http.Get(url + "/ping")
 	require.NoError(t, err)
 	assert.Equal(t, 503, resp.StatusCode, "ready before a list was loaded")
-	core.UpdateEndpoints(oakthread.EndpointUpdate{Kind: balancer.EndpointsSnapshot, Endpoints: []oakthread.Endpoint{member(ex.Listener.Addr().String())}})
+	core.UpdateEndpoints(oakthread.EndpointUpdate{Kind: balancer.EndpointsSnapshot, Endpoints: []oakthread.Endpoint{endpointAt(ex.Listener.Addr().String())}})
 	core.Counters()
 	resp, err = http.Get(url + "/ping")
 	require.NoError(t, err)
@@ -556,7 +556,7 @@
 	resp, _, err = post(t, t.Context(), url, "odd", "x")
 	require.NoError(t, err)
 	assert.Equal(t, 400, resp.StatusCode)
-	resp, _, err = post(t, t.Context(), url, "0000000000000002", strings.Repeat("x", maxBody+1))
+	resp, _, err = post(t, t.Context(), url, "0000000000000002", strings.Repeat("x", maxRequestBytes+1))
 	require.NoError(t, err)
 	assert.Equal(t, 413, resp.StatusCode)
 	resp, err = http.Get(url + "/call/x/trigger")
--- a/internal/platform/reload.go
+++ b/internal/platform/reload.go
@@ -10,9 +10,9 @@
 	"slices"
 )
 
-// shape lists the keys of a configuration: those at the top, of settings, of each section of settings, and of any
+// configKeys lists the keys of a configuration: those at the top, of settings, of each section of settings, and of any
 // class, as "settings.categories[].name".
-func shape(raw []byte) []string {
+func configKeys(raw []byte) []string {
 	var top map[string]json.RawMessage
 	if json.Unmarshal(raw, &top) != nil {
 		return nil
@@ -47,13 +47,13 @@
 // Fits tells whether c, read at SIGHUP, may replace was: it holds every key that was held, each class has a
 // deadline and a number of attempts above 0. The error names the file's key and value.
 func (c *Config) Fits(was *Config) error {
-	for _, k := range was.shape {
-		if !slices.Contains(c.shape, k) {
+	for _, k := range was.keys {
+		if !slices.Contains(c.keys, k) {
 			return fmt.Errorf("key %s is missing", k)
 		}
 	}
-	aims, giveUps := slices.Contains(was.shape, "settings.categories[].aim_ns"),
-		slices.Contains(was.shape, "settings.categories[].give_up_ns")
+	aims, giveUps := slices.Contains(was.keys, "settings.categories[].aim_ns"),
+		slices.Contains(was.keys, "settings.categories[].give_up_ns")
 	for _, k := range c.Setup.Categories {
 		if aims && k.Aim <= 0 {
 			return fmt.Errorf("settings.categories %q: aim_ns %d is not above 0", k.Name, k.Aim)
@@ -62,7 +62,7 @@
 			return fmt.Errorf("settings.categories %q: give_up_ns %d is not above 0", k.Name, k.GiveUp)
 		}
 	}
-	if slices.Contains(was.shape, "settings.permissions.send_cap") && c.Setup.Permissions.SendCap <= 0 {
+	if slices.Contains(was.keys, "settings.permissions.send_cap") && c.Setup.Permissions.SendCap <= 0 {
 		return fmt.Errorf("settings.permissions.send_cap %d is not above 0", c.Setup.Permissions.SendCap)
 	}
 	return nil
--- a/internal/platform/socketstate.go
+++ b/internal/platform/socketstate.go
@@ -10,13 +10,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// unread tells whether bytes lie with the kernel that nobody has read.
-func unread(c net.Conn) bool {
-	return socketCount(c, func(fd int) (int, error) { return unix.IoctlGetInt(fd, unix.TIOCINQ) })
+// hasUnread tells whether bytes lie with the kernel that nobody has read.
+func hasUnread(c net.Conn) bool {
+	return socketValuePositive(c, func(fd int) (int, error) { return unix.IoctlGetInt(fd, unix.TIOCINQ) })
 }
 
-// longestAge is beyond what a request may have waited with the kernel.
-const longestAge = time.Minute
+// maxDataAge is beyond what a request may have waited with the kernel.
+const maxDataAge = time.Minute
 
 // lastDataAge is how long ago the last bytes came to a socket, read or not, in whole milliseconds: while this process stood
 // still, or its accepts waited, the kernel's clock went on. 0 where the kernel does not tell (tcp(7), TCP_INFO).
@@ -26,22 +26,22 @@
 		return 0
 	}
 	age := time.Duration(info.Last_data_recv) * time.Millisecond
-	if age > longestAge {
+	if age > maxDataAge {
 		return 0
 	}
 	return age
 }
 
-// hasLeft tells whether the other side has closed its connection, or its sending side, or reset it, whether or not this
+// clientHasClosed tells whether the other side has closed its connection, or its sending side, or reset it, whether or not this
 // process has read up to there; no where the kernel does not tell.
-func hasLeft(c net.Conn) bool {
+func clientHasClosed(c net.Conn) bool {
 	info := tcpInfo(c)
 	return info != nil && info.State != unix.BPF_TCP_ESTABLISHED
 }
 
 // tcpInfo is what the kernel knows of a connection; nil: nothing.
 func tcpInfo(c net.Conn) (info *unix.TCPInfo) {
-	socketCount(c, func(fd int) (int, error) {
+	socketValuePositive(c, func(fd int) (int, error) {
 		known, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 		if err == nil && known.State != 0 {
 			info = known
@@ -51,13 +51,13 @@
 	return info
 }
 
-// ready tells whether a listener has connections that nobody has taken.
-func ready(ln net.Listener) bool {
-	return socketCount(ln, func(fd int) (int, error) { return unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, 0) })
+// hasPendingConn tells whether a listener has connections that nobody has taken.
+func hasPendingConn(ln net.Listener) bool {
+	return socketValuePositive(ln, func(fd int) (int, error) { return unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, 0) })
 }
 
-// socketCount asks a socket's descriptor for a number and tells whether it is above 0; where it cannot be asked, no.
-func socketCount(socket any, count func(fd int) (int, error)) bool {
+// socketValuePositive asks a socket's descriptor for a number and tells whether it is above 0; where it cannot be asked, no.
+func socketValuePositive(socket any, count func(fd int) (int, error)) bool {
 	sc, ok := socket.(syscall.Conn)
 	if !ok {
 		return false
--- a/internal/platform/stage_test.go
+++ b/internal/platform/stage_test.go
@@ -24,16 +24,16 @@
 // This file is the stage on which two events are made to cross, on real sockets: a stand-in or a held connection keeps one
 // side back until the other has happened. docs/design/crossings.md has the table.
 
-// box is an executor that writes down what came whole to it.
-type box struct {
+// recordingExecutor is an executor that writes down what came whole to it.
+type recordingExecutor struct {
 	*httptest.Server
-	mu   sync.Mutex
-	came []string // ids of calls, methods of what else came
-	from []string // the address of the connection that each came on
+	mu          sync.Mutex
+	received    []string // ids of calls, methods of what else came
+	connections []string // the address of the connection that each came on
 }
 
-func newBox(t *testing.T, answer http.HandlerFunc) *box {
-	b := &box{}
+func newRecordingExecutor(t *testing.T, answer http.HandlerFunc) *recordingExecutor {
+	b := &recordingExecutor{}
 	b.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		what := r.Header.Get("X-Hop-Id")
@@ -41,7 +41,7 @@
 			what = r.Method
 		}
 		b.mu.Lock()
-		b.came, b.from = append(b.came, what), append(b.from, r.RemoteAddr)
+		b.received, b.connections = append(b.received, what), append(b.connections, r.RemoteAddr)
 		b.mu.Unlock()
 		if answer != nil {
 			answer(w, r)
@@ -51,61 +51,61 @@
 	return b
 }
 
-func (b *box) addr() string { return b.Listener.Addr().String() }
+func (b *recordingExecutor) addr() string { return b.Listener.Addr().String() }
 
-func (b *box) seen() []string {
+func (b *recordingExecutor) requests() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return append([]string{}, b.came...)
+	return append([]string{}, b.received...)
 }
 
-// stage is a front, a core and a fleet over boxes, with a hold on the connections that the fleet makes.
-type stage struct {
-	t       *testing.T
-	addr    string
-	core    *oakthread.Core
-	fleet   *ExecutorPool
-	front   *Server
-	boxes   []*box
-	settled chan oakthread.Completion
-	end     func()
-	done    chan error
-	lines   notify
-
-	mu   sync.Mutex
-	hold int           // so many connections still pass before one is held; below 0: none is
-	came chan net.Conn // the one held
-	goOn chan struct{}
+// testbed is a front, a core and a fleet over boxes, with a hold on the connections that the fleet makes.
+type testbed struct {
+	t           *testing.T
+	addr        string
+	core        *oakthread.Core
+	pool        *ExecutorPool
+	server      *Server
+	executors   []*recordingExecutor
+	completions chan oakthread.Completion
+	shutdown    func()
+	done        chan error
+	logLines    notify
+
+	mu              sync.Mutex
+	dialsBeforeHold int           // so many connections still pass before one is held; below 0: none is
+	heldDial        chan net.Conn // the one held
+	releaseDial     chan struct{}
 }
 
-// newStage starts one; ln wraps the front's listener, nil: as it is.
-func newStage(t *testing.T, change func(*wire.Setup), ln func(*net.TCPListener) net.Listener, boxes ...*box) *stage {
-	set := setup(t)
+// newTestbed starts one; ln wraps the front's listener, nil: as it is.
+func newTestbed(t *testing.T, change func(*wire.Setup), ln func(*net.TCPListener) net.Listener, boxes ...*recordingExecutor) *testbed {
+	set := testSettings(t)
 	if change != nil {
 		change(set)
 	}
-	s := &stage{t: t, boxes: boxes, settled: make(chan oakthread.Completion, 64), hold: -1, came: make(chan net.Conn, 1),
-		goOn: make(chan struct{}), lines: make(notify, 64), done: make(chan error, 1)}
-	s.fleet = NewFleet(set, 50)
-	dial := s.fleet.reach
-	s.fleet.reach = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	s := &testbed{t: t, executors: boxes, completions: make(chan oakthread.Completion, 64), dialsBeforeHold: -1, heldDial: make(chan net.Conn, 1),
+		releaseDial: make(chan struct{}), logLines: make(notify, 64), done: make(chan error, 1)}
+	s.pool = NewFleet(set, 50)
+	dial := s.pool.dialContext
+	s.pool.dialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dial(ctx, network, addr)
 		s.mu.Lock()
-		held := s.hold == 0
-		s.hold--
+		held := s.dialsBeforeHold == 0
+		s.dialsBeforeHold--
 		s.mu.Unlock()
 		if held {
-			s.came <- c
-			<-s.goOn
+			s.heldDial <- c
+			<-s.releaseDial
 		}
 		return c, err
 	}
 	var err error
-	s.core, err = oakthread.New(oakthread.Config{Settings: set.Decide(), Workers: s.fleet,
-		Completed: func(x oakthread.Completion) { s.settled <- x }})
+	s.core, err = oakthread.New(oakthread.Config{Settings: set.Decide(), Workers: s.pool,
+		Completed: func(x oakthread.Completion) { s.completions <- x }})
 	require.NoError(t, err)
 	t.Cleanup(s.core.Close)
-	s.front = NewFront(s.core, set)
+	s.server = NewFront(s.core, set)
 	in, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	s.addr = in.Addr().String()
@@ -113,18 +113,18 @@
 		in = ln(in.(*net.TCPListener))
 	}
 	ctx, end := context.WithCancel(t.Context())
-	s.end = end
+	s.shutdown = end
 	go func() {
-		s.done <- s.front.Serve(ctx, in, 50, time.Millisecond, 5*time.Second, slog.New(slog.NewTextHandler(s.lines, nil)))
+		s.done <- s.server.Serve(ctx, in, 50, time.Millisecond, 5*time.Second, slog.New(slog.NewTextHandler(s.logLines, nil)))
 	}()
-	s.list(balancer.EndpointsSnapshot, func(int, *oakthread.Endpoint) {})
+	s.updateEndpoints(balancer.EndpointsSnapshot, func(int, *oakthread.Endpoint) {})
 	return s
 }
 
-// list tells of all boxes, as change leaves them.
-func (s *stage) list(kind balancer.EndpointUpdateKind, change func(i int, m *oakthread.Endpoint)) {
+// updateEndpoints tells of all boxes, as change leaves them.
+func (s *testbed) updateEndpoints(kind balancer.EndpointUpdateKind, change func(i int, m *oakthread.Endpoint)) {
 	r := oakthread.EndpointUpdate{Kind: kind}
-	for i, b := range s.boxes {
+	for i, b := range s.executors {
 		m := oakthread.Endpoint{ID: balancer.WorkerID(i + 1), Addr: b.addr(), State: balancer.Active, Weight: 1}
 		change(i, &m)
 		r.Endpoints = append(r.Endpoints, m)
@@ -133,40 +133,40 @@
 	s.core.Counters() // by now the list is taken
 }
 
-func (s *stage) holdAfter(n int) {
+func (s *testbed) holdDialAfter(n int) {
 	s.mu.Lock()
-	s.hold = n
+	s.dialsBeforeHold = n
 	s.mu.Unlock()
 }
 
-func (s *stage) dial() *net.TCPConn {
+func (s *testbed) dial() *net.TCPConn {
 	c, err := net.Dial("tcp", s.addr)
 	require.NoError(s.t, err)
 	s.t.Cleanup(func() { c.Close() })
 	return c.(*net.TCPConn)
 }
 
-// text is a call as it stands on the wire.
-func text(id, class, body string) string {
+// callText is a call as it stands on the wire.
+func callText(id, class, body string) string {
 	return fmt.Sprintf("POST /call/7f3a9c21e0b4d655/trigger HTTP/1.1\r\nHost: x\r\nX-Class: %s\r\nX-Call-Id: %s\r\nX-Patience-Ms: 4000\r\nContent-Length: %d\r\n\r\n%s",
 		class, id, len(body), body)
 }
 
-func (s *stage) write(c net.Conn, text string) {
+func (s *testbed) write(c net.Conn, text string) {
 	_, err := io.WriteString(c, text)
 	require.NoError(s.t, err)
 }
 
-// ask sends a call on a connection of its own and returns the answer's status.
-func (s *stage) ask(id, class string) int { return s.read(s.send(id, class)) }
+// call sends a call on a connection of its own and returns the answer's status.
+func (s *testbed) call(id, class string) int { return s.readStatus(s.send(id, class)) }
 
-func (s *stage) send(id, class string) *net.TCPConn {
+func (s *testbed) send(id, class string) *net.TCPConn {
 	c := s.dial()
-	s.write(c, text(id, class, "x"))
+	s.write(c, callText(id, class, "x"))
 	return c
 }
 
-func (s *stage) read(c net.Conn) int {
+func (s *testbed) readStatus(c net.Conn) int {
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	require.NoError(s.t, err, "an answer that is owed")
 	_, err = io.Copy(io.Discard, resp.Body)
@@ -174,12 +174,12 @@
 	return resp.StatusCode
 }
 
-// gone waits until a call of this id is over for its client's leaving.
-func (s *stage) gone(id string) {
+// awaitAbandoned waits until a call of this id is over for its client's leaving.
+func (s *testbed) awaitAbandoned(id string) {
 	s.t.Helper()
 	for {
 		select {
-		case x := <-s.settled:
+		case x := <-s.completions:
 			if x.Request.ID == id {
 				assert.True(s.t, x.Abandoned, "settled as %v", x.Answer.Outcome)
 				return
@@ -190,12 +190,12 @@
 	}
 }
 
-func (s *stage) over() {
-	s.end()
+func (s *testbed) close() {
+	s.shutdown()
 	require.NoError(s.t, <-s.done)
 }
 
-const first, second, third = "0000000000000001", "0000000000000002", "0000000000000003"
+const firstID, secondID, thirdID = "0000000000000001", "0000000000000002", "0000000000000003"
 
 func btoi(b bool) int {
 	if b {
