--- a/internal/platform/clientconn.go
+++ b/internal/platform/clientconn.go
@@ -1,8 +1,5 @@
 package platform
 
-// This file owns one connection of a client: the bounds of the requests on it, reading on while a call is in hand, and
-// giving the connection up where nothing is under way on it. It must never change a byte or lose one that was read.
-
 import (
 	"bytes"
 	"context"
--- a/internal/platform/connlimiter.go
+++ b/internal/platform/connlimiter.go
@@ -1,23 +1,15 @@
 package platform
 
-// This file owns the number of clients' connections: which of them is closed when all places are taken, when connections
-// are to fall quiet, and at the end. It must never close a connection on which a byte of a request has come and whose
-// answer is owed.
-
 import (
-	"cmp"
 	"context"
 	"errors"
 	"log/slog"
 	"net"
-	"net/http"
-	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
 
 	"oakthread/internal/neterr"
-	"oakthread/rules"
 )
 
 const (
@@ -71,32 +63,6 @@
 	return c, nil
 }
 
-// makeRoom closes the least recently active connection that may be closed, or has its reader close it; made: there is a
-// place now; else wait tells when one may come by time alone, 0: not by that. The caller holds mu.
-func (l *connLimiter) makeRoom(now time.Time) (wait time.Duration, made bool) {
-	idlest, wait := l.longestIdle(now)
-	if idlest == nil {
-		return wait, false
-	}
-	l.requestClose(idlest)
-	return 0, idlest.closed
-}
-
-// waitForRoom waits until something changes, or so long where wait is above 0; the caller holds mu.
-func (l *connLimiter) waitForRoom(wait time.Duration) {
-	if wait > 0 {
-		timer := time.AfterFunc(wait, l.wake)
-		defer timer.Stop()
-	}
-	l.changed.Wait()
-}
-
-func (l *connLimiter) wake() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.changed.Broadcast()
-}
-
 // accept takes a connection from the listener. Errors that pass are tried again, with a bounded backoff.
 func (l *connLimiter) accept() (net.Conn, error) {
 	var backoff neterr.Backoff
@@ -157,63 +123,29 @@
 
 type deadliner interface{ SetDeadline(time.Time) error }
 
-// setKeepAlives, off, closes the connections on which nothing is under way, now and as they fall idle.
-func (l *connLimiter) setKeepAlives(on bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.closeIdle = !on
-	for c := range l.conns {
-		l.closeIfIdle(c)
-	}
-}
-
-// closeIfIdle closes a connection where connections are to be quiet, unless a request has begun to come on it; the caller
-// holds mu.
-func (l *connLimiter) closeIfIdle(c *clientConn) {
-	if l.closeIdle && l.mayClose(c, rules.CloseForDrain, time.Now()).OK() {
-		l.requestClose(c)
-	}
-}
-
-// mayClose asks the rule on closing; the caller holds mu.
-func (l *connLimiter) mayClose(c *clientConn, why rules.CloseCause, now time.Time) rules.Reason {
-	state := c.state(now)
-	if reason := rules.MayCloseClient(state, why); !reason.OK() {
-		return reason
+// makeRoom closes the least recently active connection that may be closed, or has its reader close it; made: there is a
+// place now; else wait tells when one may come by time alone, 0: not by that. The caller holds mu.
+func (l *connLimiter) makeRoom(now time.Time) (wait time.Duration, made bool) {
+	idlest, wait := l.longestIdle(now)
+	if idlest == nil {
+		return wait, false
 	}
-	state.UnreadData = hasUnread(c.Conn) // a system call: asked last
-	return rules.MayCloseClient(state, why)
+	l.requestClose(idlest)
+	return 0, idlest.closed
 }
 
-// requestClose closes a connection on which nothing is under way. While a read is, bytes may have left the kernel that nobody has
-// counted: the reader closes it then, unless it finds some. The caller holds mu.
-func (l *connLimiter) requestClose(c *clientConn) {
-	if c.reading {
-		c.requestClose()
-		return
+// waitForRoom waits until something changes, or so long where wait is above 0; the caller holds mu.
+func (l *connLimiter) waitForRoom(wait time.Duration) {
+	if wait > 0 {
+		timer := time.AfterFunc(wait, l.wake)
+		defer timer.Stop()
 	}
-	l.closeNow(c)
+	l.changed.Wait()
 }
 
-// closeIfUnread closes a connection for its reader, which holds no bytes of it; false: some lie with the kernel.
-func (l *connLimiter) closeIfUnread(c *clientConn) bool {
+func (l *connLimiter) wake() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if c.closed {
-		return true
-	}
-	if c.requestInFlight || c.partlyRead || hasUnread(c.Conn) {
-		l.changed.Broadcast() // another may be closed in its place
-		return false
-	}
-	l.closeNow(c)
-	return true
-}
-
-func (l *connLimiter) closeNow(c *clientConn) {
-	c.closed = true
-	delete(l.conns, c)
-	_ = c.Conn.Close()
 	l.changed.Broadcast()
 }
 
@@ -227,119 +159,3 @@
 	}
 	return len(l.conns) == 0
 }
-
-// longestIdle is the connection that may be closed for another and has been quiet for longest; nil: none, and wait tells
-// when one may become so by time alone, 0: not by that. The caller holds mu.
-func (l *connLimiter) longestIdle(now time.Time) (_ *clientConn, wait time.Duration) {
-	var candidates []*clientConn
-	for c := range l.conns {
-		switch rules.MayCloseClient(c.state(now), rules.CloseForCapacity) {
-		case rules.Allowed:
-			candidates = append(candidates, c)
-		case rules.TooRecent:
-			if rest := max(rules.MinIdleTime(c.reused)-now.Sub(c.lastActivity), time.Millisecond); wait == 0 || rest < wait {
-				wait = rest
-			}
-		}
-	}
-	slices.SortFunc(candidates, func(a, b *clientConn) int { return cmp.Compare(b.weightedIdleTime(now), a.weightedIdleTime(now)) })
-	for _, c := range candidates {
-		if l.mayClose(c, rules.CloseForCapacity, now).OK() { // a system call each: few are asked
-			return c, 0
-		}
-	}
-	return nil, wait
-}
-
-// weightedIdleTime is how long a connection has been quiet, with more weight where nothing was ever answered on it.
-func (c *clientConn) weightedIdleTime(now time.Time) time.Duration {
-	quiet := now.Sub(c.lastActivity)
-	if !c.reused {
-		quiet *= unusedConnWeight
-	}
-	return quiet
-}
-
-// state is what the rule on closing asks, but for what lies with the kernel. The caller holds the limiter's mu.
-func (c *clientConn) state(now time.Time) rules.ClientConn {
-	return rules.ClientConn{RequestInFlight: c.requestInFlight, PartlyRead: c.partlyRead, Reused: c.reused, Idle: now.Sub(c.lastActivity)}
-}
-
-func (l *connLimiter) remove(c *clientConn) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if !c.closed {
-		c.closed = true
-		delete(l.conns, c)
-		l.changed.Broadcast()
-	}
-}
-
-// setCancel marks whose request is in hand: left ends it.
-func (l *connLimiter) setCancel(c *clientConn, left context.CancelFunc) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	c.cancelRequest = left
-}
-
-// isPipelined tells whether more has come behind the request in hand.
-func (l *connLimiter) isPipelined(c *clientConn) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return c.pipelined
-}
-
-// beginRead marks that bytes may leave the kernel before read counts them.
-func (l *connLimiter) beginRead(c *clientConn) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	c.reading = true
-}
-
-// endRead marks the end of a read. some: bytes of a request have come; more: behind another one. Where that one is a call in
-// hand, it returns what ends it.
-func (l *connLimiter) endRead(c *clientConn, some, more bool) context.CancelFunc {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	c.reading = false
-	if !some {
-		return nil
-	}
-	_ = c.cancelClose()
-	c.lastActivity, c.partlyRead, c.pipelined = time.Now(), true, more
-	l.changed.Broadcast() // who waits for this one to be closed looks for another
-	if !c.requestInFlight {
-		return nil
-	}
-	if c.cancelRequest != nil {
-		c.reading = true // by the reading ahead, up to the next read
-	}
-	return c.cancelRequest
-}
-
-// beginRequest marks that a whole call is in hand; false: the connection has been closed.
-func (l *connLimiter) beginRequest(c *clientConn) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	c.requestInFlight = true
-	return !c.closed
-}
-
-// handleConnState follows the server: a request that begins to come is news, and after an answer the connection is quiet.
-func (l *connLimiter) handleConnState(conn net.Conn, s http.ConnState) {
-	c, ok := conn.(*clientConn)
-	if !ok || s != http.StateActive && s != http.StateIdle {
-		return
-	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	c.lastActivity = time.Now()
-	if s == http.StateIdle {
-		c.reused, c.requestInFlight, c.cancelRequest = true, false, nil
-		c.responsesWritten++
-		c.partlyRead = c.completeRequests > c.responsesWritten || !c.framer.atBoundary()
-		c.pipelined = c.completeRequests > c.responsesWritten+1 || c.completeRequests > c.responsesWritten && !c.framer.atBoundary()
-		l.closeIfIdle(c)
-		l.changed.Broadcast()
-	}
-}
--- a/internal/platform/faults_test.go
+++ b/internal/platform/faults_test.go
@@ -40,9 +40,11 @@
 
 // transientAcceptErrors are the errors of accept(2) that pass: of the connection that was to come, of the network below it,
 // or for want of something that others may give back.
-var transientAcceptErrors = []syscall.Errno{syscall.EINTR, syscall.EAGAIN, syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE,
+var transientAcceptErrors = []syscall.Errno{
+	syscall.EINTR, syscall.EAGAIN, syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE,
 	syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN, syscall.ENETUNREACH, syscall.EHOSTDOWN,
-	syscall.EHOSTUNREACH, syscall.ENOPROTOOPT, syscall.EOPNOTSUPP, syscall.ENONET, syscall.ETIMEDOUT, syscall.ECONNRESET}
+	syscall.EHOSTUNREACH, syscall.ENOPROTOOPT, syscall.EOPNOTSUPP, syscall.ENONET, syscall.ETIMEDOUT, syscall.ECONNRESET,
+}
 
 // An accept that fails for a moment ends nothing: the front goes on with the next connection.
 func TestAcceptErrorsEndNothing(t *testing.T) {
@@ -265,8 +267,10 @@
 // the attempt never ran.
 func TestShortagesProveNothing(t *testing.T) {
 	b := newRecordingExecutor(t, nil)
-	for _, errno := range []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
-		syscall.ENETUNREACH, syscall.EPERM, syscall.EAGAIN} {
+	for _, errno := range []syscall.Errno{
+		syscall.EADDRNOTAVAIL, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
+		syscall.ENETUNREACH, syscall.EPERM, syscall.EAGAIN,
+	} {
 		f := NewFleet(testSettings(t), 10)
 		dial, fails := f.dialContext, 3
 		f.dialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
--- a/internal/platform/framing.go
+++ b/internal/platform/framing.go
@@ -1,8 +1,5 @@
 package platform
 
-// This file follows where messages of HTTP/1.1 end in the raw bytes of one direction, beside net/http. It must never change a
-// byte, or say that a message has ended when that cannot be told.
-
 import (
 	"bytes"
 	"net/http"
--- /dev/null
+++ b/internal/platform/golden_config_test.go
@@ -0,0 +1,136 @@
+package platform
+
+import (
+	"bytes"
+	"encoding/json"
+	"maps"
+	"net/netip"
+	"os"
+	"path/filepath"
+	"reflect"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"oakthread"
+	"oakthread/balancer"
+	"oakthread/internal/wire"
+)
+
+func TestConfigurationFileIsReadWhole(t *testing.T) {
+	raw, err := os.ReadFile("testdata/config.json")
+	require.NoError(t, err)
+	s := &wire.Setup{
+		Kinds: []string{"std-2core", "std-4core"}, Number: 1, OverShareWorth: 0.2, Quantum: 501,
+		RegistryMode: "on_request", Siblings: 7, Zone: 9, Zones: []string{"north-room", "south-room"},
+	}
+	s.Categories = slices.Grow(s.Categories, 1)[:1]
+	k := &s.Categories[0]
+	k.Name, k.Idempotency, k.KeyScope = "path-check", "read_like", "zone"
+	k.Aim, k.Credit, k.GiveUp, k.LateWorth, k.Window = 101, 1.02, 103, 1.04, 105
+	s.Customers = slices.Grow(s.Customers, 1)[:1]
+	s.Customers[0].Name, s.Customers[0].Allowance = "ironbridge-haul", 25.5
+	s.Feedback.Fields, s.Feedback.How = []string{"waiting", "cpu"}, "inline"
+	p, q, r, f := &s.Permissions, &s.Prices, &s.Rules, &s.Specifics
+	p.Cancel, p.MayProbe, p.Peers, p.RetryAfter, p.SecondCopies = true, true, true, true, true
+	p.ConnIdle, p.ConnectTimeout, p.MaxRetryAfter, p.OpenCap, p.SendCap = 301, 302, 303, 304, 305
+	q.CrossZone, q.LateFail, q.Origin, q.Peer, q.Probe, q.Waste = 4.01, 4.02, 4.03, 4.04, 4.05, 4.06
+	r.AnswerSlack, r.AskWithin, r.Cold, r.DrainGrace, r.Fall = 601, 602, 603, 604, 605
+	r.OverloadFactor, r.StartCapacity = 6.06, 6.07
+	f.FreeLoads, f.IdleMemory, f.KindMemory, f.LingerIdle = 8.01, 8.02, []float64{803, 804}, 805
+	f.LoadPart, f.LoadSpan, f.OnMiss, f.OrderLimit = 8.06, 807, "miss", 808
+	f.LoadControl, f.NotesPeers, f.WarmNotes = true, true, true
+	want := &Config{
+		Name: "router-3", Listen: "127.0.0.1:7001", Seed: 0x8c1f30d27a5be964, Cores: 1.5, Memory: 96 << 20,
+		Sockets: 300, PeerListen: "127.0.0.1:7002", PeersAll: netip.MustParseAddrPort("239.1.2.3:7004"),
+		Peers:   []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:7002"), netip.MustParseAddrPort("[::1]:7003")},
+		Channel: "127.0.0.1:7005", Console: "127.0.0.1:7006", Cursor: 5, Setup: s,
+		Known: []Event{{Cursor: 5, Epoch: "e7", HasUpdate: true, Roster: oakthread.EndpointUpdate{
+			Kind: balancer.EndpointsSnapshot,
+			Endpoints: []oakthread.Endpoint{{
+				ID: 0xc41f7a, Addr: "127.0.0.1:4001", Zone: 1, Kind: 1, Cell: 2,
+				State: balancer.Active, Weight: 4, Start: time.UnixMilli(1500),
+			}},
+		}}},
+	}
+	got, err := parseConfig(raw)
+	require.NoError(t, err)
+	matchGolden(t, "config-shape", []byte(strings.Join(got.keys, "\n")+"\n"))
+	want.keys = got.keys
+	require.Equal(t, want, got)
+	for key, value := range map[string]*bool{
+		"cancel": &p.Cancel, "may_probe": &p.MayProbe, "peers": &p.Peers,
+		"retry_after": &p.RetryAfter, "second_copies": &p.SecondCopies, "load_control": &f.LoadControl,
+		"notes_peers_in_hand": &f.NotesPeers, "warm_notes": &f.WarmNotes,
+	} { // each alone: all of them are true above
+		got, err := parseConfig(bytes.Replace(raw, []byte(`"`+key+`": true`), []byte(`"`+key+`": false`), 1))
+		require.NoError(t, err)
+		*value = false
+		assert.Equal(t, want, got, key)
+		*value = true
+	}
+}
+
+// TestConfigurationFileHoldsEveryKey compares the file's keys with those that the program knows: of the settings by
+// their type, of the rest by the tags in this package's source.
+func TestConfigurationFileHoldsEveryKey(t *testing.T) {
+	raw, err := os.ReadFile("testdata/config.json")
+	require.NoError(t, err)
+	var file map[string]any
+	require.NoError(t, json.Unmarshal(raw, &file))
+	settings := slices.Collect(maps.Keys(keysOf(file["settings"], "")))
+	assert.ElementsMatch(t, keysOfType(reflect.TypeFor[wire.Setup](), ""), settings)
+	delete(file, "settings")
+	held, known := map[string]bool{"settings": true}, map[string]bool{}
+	for path := range keysOf(file, "") {
+		held[path[strings.LastIndex(path, ".")+1:]] = true
+	}
+	sources, err := filepath.Glob("*.go")
+	require.NoError(t, err)
+	tag := regexp.MustCompile("`json:\"([^\",]+)")
+	for _, name := range sources {
+		text, err := os.ReadFile(name)
+		require.NoError(t, err)
+		for _, m := range tag.FindAllSubmatch(text, -1) {
+			if !strings.HasSuffix(name, "_test.go") {
+				known[string(m[1])] = true
+			}
+		}
+	}
+	assert.Equal(t, known, held)
+}
+
+func keysOf(v any, path string) map[string]bool {
+	keys := map[string]bool{}
+	switch v := v.(type) {
+	case map[string]any:
+		for k, inner := range v {
+			keys[path+"."+k] = true
+			maps.Copy(keys, keysOf(inner, path+"."+k))
+		}
+	case []any:
+		for _, inner := range v {
+			maps.Copy(keys, keysOf(inner, path))
+		}
+	}
+	return keys
+}
+
+func keysOfType(typ reflect.Type, path string) (keys []string) {
+	if typ.Kind() == reflect.Slice {
+		typ = typ.Elem()
+	}
+	if typ.Kind() != reflect.Struct {
+		return nil
+	}
+	for field := range typ.Fields() {
+		key := path + "." + field.Tag.Get("json")
+		keys = append(append(keys, key), keysOfType(field.Type, key)...)
+	}
+	return keys
+}
--- a/internal/platform/reload.go
+++ b/internal/platform/reload.go
@@ -1,8 +1,5 @@
 package platform
 
-// This file owns what a configuration read again at SIGHUP must hold before anything of it is taken. It must never
-// let part of a broken file through: an empty, cut or incomplete file changes nothing.
-
 import (
 	"encoding/json"
 	"fmt"
--- a/internal/platform/socketstate.go
+++ b/internal/platform/socketstate.go
@@ -1,7 +1,5 @@
 package platform
 
-// This file asks the kernel what lies unread in sockets.
-
 import (
 	"net"
 	"syscall"
--- a/internal/platform/stage_test.go
+++ b/internal/platform/stage_test.go
@@ -84,8 +84,10 @@
 	if change != nil {
 		change(set)
 	}
-	s := &testbed{t: t, executors: boxes, completions: make(chan oakthread.Completion, 64), dialsBeforeHold: -1, heldDial: make(chan net.Conn, 1),
-		releaseDial: make(chan struct{}), logLines: make(notify, 64), done: make(chan error, 1)}
+	s := &testbed{
+		t: t, executors: boxes, completions: make(chan oakthread.Completion, 64), dialsBeforeHold: -1, heldDial: make(chan net.Conn, 1),
+		releaseDial: make(chan struct{}), logLines: make(notify, 64), done: make(chan error, 1),
+	}
 	s.pool = NewFleet(set, 50)
 	dial := s.pool.dialContext
 	s.pool.dialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -101,8 +103,10 @@
 		return c, err
 	}
 	var err error
-	s.core, err = oakthread.New(oakthread.Config{Settings: set.Decide(), Workers: s.pool,
-		Completed: func(x oakthread.Completion) { s.completions <- x }})
+	s.core, err = oakthread.New(oakthread.Config{
+		Settings: set.Decide(), Workers: s.pool,
+		Completed: func(x oakthread.Completion) { s.completions <- x },
+	})
 	require.NoError(t, err)
 	t.Cleanup(s.core.Close)
 	s.server = NewFront(s.core, set)
