--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -213,7 +213,7 @@
 		{"../../balancer", "beats", "8", of.beats, 8},
 		{"../../balancer", "helloPeers", "3", of.hello, 3},
 		{"../../balancer", "pairPart", "8", of.pairPart, 8},
-		{"../../outlier", "longest", "8", of.longest, 8},
+		{"../../outlier", "maxEjectionFactor", "8", of.longest, 8},
 		{"../../endpoints", "defaultProbeRate", "300", Letter().ProbeRate, 300},
 	} {
 		assert.Equal(t, c.written, constants(t, c.folder)[c.name], "%s in %s", c.name, c.folder)
--- a/outlier/state.go
+++ b/outlier/state.go
@@ -41,27 +41,27 @@
 
 // State tells what is held of b; pace as at Mark.
 func (j *Detector) State(now int64, b *Stats, z int, pace float64) State {
-	x := State{Status: StatusHealthy, Evidence: "nothing against it", Good: b.seen.lately(now, j.forget()), Bad: j.FailureRate(now, b), Word: b.word, WordAge: -1, Unreachable: b.cold}
-	if b.wordAt > 0 {
-		x.WordAge = now - b.wordAt
+	x := State{Status: StatusHealthy, Evidence: "nothing against it", Good: b.observed.recentlyServed(now, j.evidenceDecay()), Bad: j.FailureRate(now, b), Word: b.gossip, WordAge: -1, Unreachable: b.unreachable}
+	if b.gossipReceivedAt > 0 {
+		x.WordAge = now - b.gossipReceivedAt
 	}
 	switch {
 	case j.ZonePartitioned(z):
-		x.Status, x.Evidence, x.TrialIn = StatusEjected, fmt.Sprintf("zone %d cannot be reached", z), max(0, j.zone(z).next-now)
+		x.Status, x.Evidence, x.TrialIn = StatusEjected, fmt.Sprintf("zone %d cannot be reached", z), max(0, j.zone(z).nextTrial-now)
 	case j.Ejected(b, z):
-		x.Status, x.Evidence, x.TrialIn = StatusEjected, fmt.Sprintf("%d%% of our late calls failed", b.percent()), max(0, b.until-now)
-		if b.cold {
+		x.Status, x.Evidence, x.TrialIn = StatusEjected, fmt.Sprintf("%d%% of our late calls failed", b.percent()), max(0, b.nextTrial-now)
+		if b.unreachable {
 			x.Evidence = "it cannot be reached from here"
 		}
 	case j.ByWords(now, b):
-		x.Status, x.Evidence = StatusEjected, fmt.Sprintf("%d of %d observers were not served", b.word.Bad, b.word.observers())
-		x.TrialIn = max(0, b.trialed+wordAims*j.aim-now)
-	case j.FailureRate(now, b) > failLimit/2:
+		x.Status, x.Evidence = StatusEjected, fmt.Sprintf("%d of %d observers were not served", b.gossip.Bad, b.gossip.observers())
+		x.TrialIn = max(0, b.lastTrial+evidenceFactor*j.objective-now)
+	case j.FailureRate(now, b) > ejectThreshold/2:
 		x.Status, x.Evidence = StatusSuspect, fmt.Sprintf("%d%% of our late calls failed", b.percent())
-	case pace >= slowPace:
+	case pace >= slowThreshold:
 		x.Status, x.Evidence = StatusSuspect, fmt.Sprintf("calls take %.1f times as long as elsewhere", pace)
 	}
-	if x.Status == StatusEjected && b.trialed > 0 && now-b.trialed < j.aim {
+	if x.Status == StatusEjected && b.lastTrial > 0 && now-b.lastTrial < j.objective {
 		x.Status = StatusOnTrial
 	}
 	return x
--- a/outlier/verdict_test.go
+++ b/outlier/verdict_test.go
@@ -27,7 +27,7 @@
 	for j.Ejected(b, 0) {
 		j.RecordSuccess(ms+3*aim, b)
 	}
-	assert.Less(t, j.FailureRate(ms+3*aim, b), failHealed)
+	assert.Less(t, j.FailureRate(ms+3*aim, b), restoreThreshold)
 	assert.Contains(t, j.RecordUnreachable(ms+4*aim, ms+4*aim, b, 0).String(), "ejected")
 	assert.False(t, j.ZonePartitioned(0))
 }
@@ -105,7 +105,7 @@
 			case 2:
 				said := j.RecordResponse(now, b, z)
 				clear(since[z])
-				if j.zonal && (j.ZonePartitioned(z) || b.cold) {
+				if j.perZone && (j.ZonePartitioned(z) || b.unreachable) {
 					t.Fatal("it answered, and it or its zone counts as unreached")
 				}
 				if !said.IsZero() && !strings.Contains(said.String(), "back") {
@@ -118,19 +118,19 @@
 					j.TrialStarted(now, b, z)
 				}
 			}
-			if j.ZonePartitioned(z) && len(since[z]) < zoneRun {
+			if j.ZonePartitioned(z) && len(since[z]) < partitionThreshold {
 				t.Fatalf("zone %d is cut by %d", z, len(since[z]))
 			}
 			if f := j.FailureRate(now, b); f < 0 || f > 1 {
 				t.Fatalf("a share of %v", f)
 			}
-			if j.Ejected(b, z) && !j.ZonePartitioned(z) && !j.TrialDue(now+longest*aim, b, z) {
+			if j.Ejected(b, z) && !j.ZonePartitioned(z) && !j.TrialDue(now+maxEjectionFactor*aim, b, z) {
 				t.Fatal("no trial within the longest time out")
 			}
 		}
 		cuts := 0
 		for z := range 2 {
-			if j.ZonePartitioned(z) != j.zone(z).cut {
+			if j.ZonePartitioned(z) != j.zone(z).partitioned {
 				t.Fatalf("zone %d: cut is told as %v", z, j.ZonePartitioned(z))
 			}
 			if !j.ZonePartitioned(z) {
@@ -139,14 +139,14 @@
 			cuts++
 			due := false
 			for i := z; i < 6; i += 2 {
-				due = due || j.TrialDue(now+2*longest*aim, &boxes[i], z)
+				due = due || j.TrialDue(now+2*maxEjectionFactor*aim, &boxes[i], z)
 			}
 			if !due {
 				t.Fatal("a zone that is cut is never tried")
 			}
 		}
-		if cuts != j.cuts {
-			t.Fatalf("%d zones are cut, %d counted", cuts, j.cuts)
+		if cuts != j.partitions {
+			t.Fatalf("%d zones are cut, %d counted", cuts, j.partitions)
 		}
 	})
 }
--- a/outlier/words_test.go
+++ b/outlier/words_test.go
@@ -63,10 +63,10 @@
 	j.TrialStarted(10*ms, &boxes[10], 0)
 	assert.False(t, j.TrialDue(20*ms, &boxes[10], 0))
 	j.ApplyGossip(20*ms, []GossipEvidence{{&boxes[10], 2, Evidence{Bad: 1}}, {&boxes[9], 2, Evidence{Good: 2}}}, 24)
-	assert.True(t, j.ByWords(15*ms+fadeAims*aim, &boxes[10]), "one observer renews what several found")
+	assert.True(t, j.ByWords(15*ms+gossipFactor*aim, &boxes[10]), "one observer renews what several found")
 	assert.False(t, j.ByWords(20*ms, &boxes[9]), "two bring back what serves them")
 	told[10].Word.Bad = 13
-	assert.Equal(t, 0, out(20*ms+fadeAims*aim), "no word comes any more")
+	assert.Equal(t, 0, out(20*ms+gossipFactor*aim), "no word comes any more")
 	j.ApplyGossip(3000*ms, told, 24)
 	boxes[10].Reset()
 	assert.False(t, j.ByWords(3000*ms, &boxes[10]), "another process")
@@ -103,7 +103,7 @@
 	j.RecordFailure(0, c, Failure)
 	_, says = j.Mark(0, c, 1)
 	assert.True(t, says, "telling changes nothing")
-	_, says = j.Mark(wordAims*aim, c, 1)
+	_, says = j.Mark(evidenceFactor*aim, c, 1)
 	assert.False(t, says, "it fades")
 	d := &Stats{}
 	j.RecordFailure(1, d, Hint)
@@ -160,7 +160,7 @@
 			}
 			out := 0
 			for k := range boxes {
-				served[k] = boxes[k].seen.good > 0 && now-boxes[k].seen.at < aim && boxes[k].seen.at >= boxes[k].since && boxes[k].seen.run == 0
+				served[k] = boxes[k].observed.served > 0 && now-boxes[k].observed.servedAt < aim && boxes[k].observed.servedAt >= boxes[k].gossipEjectedAt && boxes[k].observed.failures == 0
 				if j.ByWords(now, &boxes[k]) {
 					if out++; served[k] {
 						t.Fatalf("box %d serves us, and is left out by words", k)
@@ -172,7 +172,7 @@
 			}
 		}
 		for k := range boxes {
-			if j.ByWords(now+fadeAims*aim, &boxes[k]) {
+			if j.ByWords(now+gossipFactor*aim, &boxes[k]) {
 				t.Fatal("a word that does not fade")
 			}
 		}
