--- /dev/null
+++ b/outlier/gossip.go
@@ -0,0 +1,128 @@
+package outlier
+
+import (
+	"cmp"
+	"slices"
+)
+
+const (
+	// gossipEjectThreshold is the lower bound of the part of observers that were not served above which a worker is ejected: a
+	// call is then more likely to fail than to be served. An ejection by mistake costs less, a load on other workers.
+	gossipEjectThreshold = 0.5
+	// gossipFactor is how long an ejection by gossip outlasts the last evidence for it, in latency objectives: two trials
+	// and the reports that follow them.
+	gossipFactor = 8
+	// capacityDivisor bounds the capacity that gossip may eject: one part in four.
+	capacityDivisor = 4
+)
+
+// gossipState is what other dispatchers reported of one worker.
+type gossipState struct {
+	evidence   Evidence // as last received
+	receivedAt int64    // 0: never
+	ejectedAt  int64    // when the ejection by gossip began
+	renewedAt  int64    // when evidence for the ejection last came; 0: not ejected
+}
+
+// GossipEvidence is the evidence of a digest about one worker.
+type GossipEvidence struct {
+	Box    *Stats
+	Weight float64 // capacity of the worker, in the unit of the total that ApplyGossip is given
+	Word   Evidence
+}
+
+// ApplyGossip applies the evidence of a digest and returns an event for each entry, in order. capacity is the sum over all
+// workers.
+//
+// Workers are ejected in the order of the evidence against them, as long as all that are ejected by gossip, also by earlier
+// digests, make up a quarter of the capacity at the most. Any evidence against an ejected worker renews its ejection, since
+// only one observer at a time tries it. The ejection ends with the first evidence that two observers or more were served,
+// and more than were not.
+func (d *Detector) ApplyGossip(now int64, digest []GossipEvidence, capacity float64) []Event {
+	events := make([]Event, len(digest))
+	for i, entry := range digest {
+		events[i] = d.renewOrRestore(now, entry)
+	}
+	budget := d.gossipBudget(now, capacity)
+	for _, i := range strongestFirst(digest) {
+		entry := digest[i]
+		if !d.shouldEject(now, entry) || budget < entry.Weight {
+			continue
+		}
+		budget -= entry.Weight
+		entry.Box.gossip.renewedAt = now
+		entry.Box.gossip.ejectedAt = now
+		d.gossipEjected = append(d.gossipEjected, entry)
+		events[i] = gossipEvent(EventEjectedByGossip, entry.Word.Bad, entry.Word)
+	}
+	return events
+}
+
+// renewOrRestore stores the evidence about a worker and, where it is ejected by gossip, renews or ends the ejection.
+func (d *Detector) renewOrRestore(now int64, entry GossipEvidence) Event {
+	gossip, evidence := &entry.Box.gossip, entry.Word
+	ejected := d.EjectedByGossip(now, entry.Box)
+	gossip.evidence = evidence
+	gossip.receivedAt = now
+	switch {
+	case !ejected:
+		return Event{}
+	case evidence.Good > max(1, evidence.Bad):
+		gossip.renewedAt = 0
+		return gossipEvent(EventRestoredByGossip, evidence.Good, evidence)
+	case evidence.Bad > 0:
+		gossip.renewedAt = now
+	}
+	return Event{}
+}
+
+// shouldEject reports whether the evidence ejects a worker that is not ejected by gossip yet.
+func (d *Detector) shouldEject(now int64, entry GossipEvidence) bool {
+	evidence := entry.Word
+	return !d.EjectedByGossip(now, entry.Box) && evidence.Bad > 1 && evidence.Share() > gossipEjectThreshold
+}
+
+// gossipBudget drops the workers whose ejection by gossip has ended and returns the capacity that may still be ejected.
+func (d *Detector) gossipBudget(now int64, capacity float64) float64 {
+	ended := func(entry GossipEvidence) bool { return !d.EjectedByGossip(now, entry.Box) }
+	d.gossipEjected = slices.DeleteFunc(d.gossipEjected, ended)
+	budget := capacity / capacityDivisor
+	for _, entry := range d.gossipEjected {
+		budget -= entry.Weight
+	}
+	return budget
+}
+
+// strongestFirst returns the indices of the entries by the evidence against their workers, the strongest first. Entries with
+// equal evidence stay in order.
+func strongestFirst(digest []GossipEvidence) []int {
+	order := make([]int, len(digest))
+	for i := range order {
+		order[i] = i
+	}
+	slices.SortStableFunc(order, func(a, b int) int {
+		return cmp.Compare(digest[b].Word.Share(), digest[a].Word.Share())
+	})
+	return order
+}
+
+// gossipEvent returns an event with the number of observers that agree and of all.
+func gossipEvent(kind EventKind, agreeing uint8, evidence Evidence) Event {
+	return Event{Kind: kind, Agreeing: int(agreeing), Observers: evidence.observers()}
+}
+
+// EjectedByGossip reports whether the evidence of other dispatchers stands against a worker, whatever this dispatcher
+// observed itself.
+func (d *Detector) EjectedByGossip(now int64, stats *Stats) bool {
+	return stats.gossip.renewedAt > 0 && now-stats.gossip.renewedAt < gossipFactor*d.objective
+}
+
+// ByWords reports whether a worker gets no calls but trials because of the evidence of other dispatchers. A call that the
+// worker served for this dispatcher, at most one latency objective before the ejection or after it, overrides the evidence.
+func (d *Detector) ByWords(now int64, stats *Stats) bool {
+	if !d.EjectedByGossip(now, stats) {
+		return false
+	}
+	own := &stats.observed
+	return own.served == 0 || own.servedAt < stats.gossip.ejectedAt-d.objective || own.failures > 0
+}
--- a/outlier/state.go
+++ b/outlier/state.go
@@ -7,10 +7,10 @@
 
 // Statuses.
 const (
-	StatusHealthy Status = iota // nothing against it
+	StatusHealthy Status = iota // nothing is known against it
 	StatusSuspect               // failing or slow, but not ejected
 	StatusEjected               // gets no calls but trials
-	StatusOnTrial               // ejected, and a trial was sent to it lately
+	StatusOnTrial               // ejected, and a trial was sent to it within the last latency objective
 )
 
 // String returns the status as the console shows it.
@@ -28,41 +28,68 @@
 	return fmt.Sprintf("Status(%d)", uint8(s))
 }
 
-// State is what is held of one executor, for operators.
+// State is what is known of one worker, for operators.
 type State struct {
 	Status      Status
-	Evidence    string
-	Good, Bad   float64 // our own calls served lately, decaying, and the part of the latest that failed
+	Evidence    string  // why it has this status, in words
+	Good        float64 // own calls that it served lately, decaying
+	Bad         float64 // decaying mean of the failures of own calls, 0 to 1
 	Word        Evidence
-	WordAge     int64 // of the word; below 0: none
-	TrialIn     int64 // until the next trial; 0 where none is due
-	Unreachable bool
+	WordAge     int64 // nanoseconds since Word was received; negative: never
+	TrialIn     int64 // nanoseconds until the next trial; 0 where it is due, or the worker is not ejected
+	Unreachable bool  // its connections are never established
 }
 
-// State tells what is held of b; pace as at Mark.
-func (j *Detector) State(now int64, b *Stats, z int, pace float64) State {
-	x := State{Status: StatusHealthy, Evidence: "nothing against it", Good: b.observed.recentlyServed(now, j.evidenceDecay()), Bad: j.FailureRate(now, b), Word: b.gossip, WordAge: -1, Unreachable: b.unreachable}
-	if b.gossipReceivedAt > 0 {
-		x.WordAge = now - b.gossipReceivedAt
+// State returns what is known of a worker whose calls take latencyRatio times the mean.
+func (d *Detector) State(now int64, stats *Stats, zoneID int, latencyRatio float64) State {
+	state := State{
+		Good:        stats.observed.recentlyServed(now, d.evidenceDecay()),
+		Bad:         d.FailureRate(now, stats),
+		Word:        stats.gossip.evidence,
+		WordAge:     -1,
+		Unreachable: stats.unreachable,
 	}
+	if stats.gossip.receivedAt > 0 {
+		state.WordAge = now - stats.gossip.receivedAt
+	}
+	state.Status, state.Evidence = d.status(now, stats, zoneID, latencyRatio)
+	if state.Status != StatusEjected {
+		return state
+	}
+	state.TrialIn = max(0, d.trialAt(stats, zoneID)-now)
+	if stats.lastTrial > 0 && now-stats.lastTrial < d.objective {
+		state.Status = StatusOnTrial
+	}
+	return state
+}
+
+// status returns the status of a worker, StatusEjected also while a trial is in progress, and the reason in words.
+func (d *Detector) status(now int64, stats *Stats, zoneID int, latencyRatio float64) (status Status, reason string) {
 	switch {
-	case j.ZonePartitioned(z):
-		x.Status, x.Evidence, x.TrialIn = StatusEjected, fmt.Sprintf("zone %d cannot be reached", z), max(0, j.zone(z).nextTrial-now)
-	case j.Ejected(b, z):
-		x.Status, x.Evidence, x.TrialIn = StatusEjected, fmt.Sprintf("%d%% of our late calls failed", b.percent()), max(0, b.nextTrial-now)
-		if b.unreachable {
-			x.Evidence = "it cannot be reached from here"
-		}
-	case j.ByWords(now, b):
-		x.Status, x.Evidence = StatusEjected, fmt.Sprintf("%d of %d observers were not served", b.gossip.Bad, b.gossip.observers())
-		x.TrialIn = max(0, b.lastTrial+evidenceFactor*j.objective-now)
-	case j.FailureRate(now, b) > ejectThreshold/2:
-		x.Status, x.Evidence = StatusSuspect, fmt.Sprintf("%d%% of our late calls failed", b.percent())
-	case pace >= slowThreshold:
-		x.Status, x.Evidence = StatusSuspect, fmt.Sprintf("calls take %.1f times as long as elsewhere", pace)
+	case d.ZonePartitioned(zoneID):
+		return StatusEjected, fmt.Sprintf("zone %d cannot be reached", zoneID)
+	case d.Ejected(stats, zoneID) && stats.unreachable:
+		return StatusEjected, "it cannot be reached from here"
+	case d.Ejected(stats, zoneID):
+		return StatusEjected, fmt.Sprintf("%d%% of our late calls failed", stats.failurePercent())
+	case d.ByWords(now, stats):
+		evidence := stats.gossip.evidence
+		return StatusEjected, fmt.Sprintf("%d of %d observers were not served", evidence.Bad, evidence.observers())
+	case d.FailureRate(now, stats) > ejectThreshold/2:
+		return StatusSuspect, fmt.Sprintf("%d%% of our late calls failed", stats.failurePercent())
+	case latencyRatio >= slowThreshold:
+		return StatusSuspect, fmt.Sprintf("calls take %.1f times as long as elsewhere", latencyRatio)
 	}
-	if x.Status == StatusEjected && b.lastTrial > 0 && now-b.lastTrial < j.objective {
-		x.Status = StatusOnTrial
+	return StatusHealthy, "nothing against it"
+}
+
+// trialAt returns when the next trial of an ejected worker is due.
+func (d *Detector) trialAt(stats *Stats, zoneID int) int64 {
+	switch {
+	case d.ZonePartitioned(zoneID):
+		return d.zone(zoneID).nextTrial
+	case d.Ejected(stats, zoneID):
+		return stats.nextTrial
 	}
-	return x
+	return stats.lastTrial + d.evidenceLifetime()
 }
--- a/outlier/words_test.go
+++ b/outlier/words_test.go
@@ -160,7 +160,7 @@
 			}
 			out := 0
 			for k := range boxes {
-				served[k] = boxes[k].observed.served > 0 && now-boxes[k].observed.servedAt < aim && boxes[k].observed.servedAt >= boxes[k].gossipEjectedAt && boxes[k].observed.failures == 0
+				served[k] = boxes[k].observed.served > 0 && now-boxes[k].observed.servedAt < aim && boxes[k].observed.servedAt >= boxes[k].gossip.ejectedAt && boxes[k].observed.failures == 0
 				if j.ByWords(now, &boxes[k]) {
 					if out++; served[k] {
 						t.Fatalf("box %d serves us, and is left out by words", k)
--- /dev/null
+++ b/outlier/zone.go
@@ -0,0 +1,125 @@
+package outlier
+
+// partitionThreshold is the number of workers of a zone that must be found unreachable with no response from the zone in
+// between before it counts as partitioned. Where a fifth of all workers fail at random, three in a row have a probability
+// of 1 in 125.
+const partitionThreshold = 3
+
+// zone is what is known of the workers of one zone together.
+type zone struct {
+	lastResponse int64 // when the last response came from the zone
+	unreachable  int   // workers found unreachable since then, each counted once
+	epoch        int   // number of responses; unreachable counts those of one epoch
+
+	partitioned    bool
+	partitionEpoch int   // epoch in which the partition was found
+	nextTrial      int64 // while partitioned: when the next trial of any of its workers is due
+	trialInterval  int64 // time from the next trial to the one after it
+
+	restoredAt  int64 // when the last partition ended
+	healedFrom  int   // epochs [healedFrom, healedUntil) of the last partition that ended: workers found
+	healedUntil int   // unreachable in these were not at fault
+}
+
+// zone returns the state of a zone, creating it where nothing is known of it yet.
+func (d *Detector) zone(zoneID int) *zone {
+	z := d.zones[zoneID]
+	if z == nil {
+		z = &zone{}
+		d.zones[zoneID] = z
+	}
+	return z
+}
+
+// ZonePartitioned reports whether a zone cannot be reached from here.
+func (d *Detector) ZonePartitioned(zoneID int) bool {
+	return d.partitions > 0 && d.zone(zoneID).partitioned
+}
+
+// RecordUnreachable records that the connection for a call sent at sent was never established. It ejects the worker at once,
+// and its zone after partitionThreshold workers in a row. A call sent before the zone's last response says nothing about the
+// zone, and one sent before a partition ended says nothing at all.
+func (d *Detector) RecordUnreachable(now, sent int64, stats *Stats, zoneID int) Event {
+	if !d.perZone {
+		return d.RecordFailure(now, stats, Dead)
+	}
+	z := d.zone(zoneID)
+	if !z.partitioned && sent < z.restoredAt {
+		return Event{}
+	}
+	newlyEjected := d.addFailure(now, stats, Dead)
+	counted := stats.unreachable && stats.unreachableEpoch == z.epoch
+	if !counted && sent >= z.lastResponse {
+		z.unreachable++
+	}
+	stats.unreachable = true
+	stats.unreachableEpoch = z.epoch
+	if !z.partitioned && z.unreachable >= partitionThreshold {
+		d.beginPartition(now, z)
+		return Event{Kind: EventZonePartitioned, Zone: zoneID, Unreachable: z.unreachable}
+	}
+	if !newlyEjected {
+		return Event{}
+	}
+	return Event{Kind: EventEjectedUnreachable}
+}
+
+// beginPartition marks a zone as partitioned and schedules its first trial.
+func (d *Detector) beginPartition(now int64, z *zone) {
+	// A zone that was partitioned a short while ago is flapping: its trial interval keeps growing.
+	if z.trialInterval == 0 || now-z.restoredAt > d.maxTrialInterval() {
+		z.trialInterval = d.objective
+	}
+	z.partitioned = true
+	z.partitionEpoch = z.epoch
+	z.nextTrial = now + z.trialInterval
+	d.partitions++
+}
+
+// RecordResponse records any response of a worker, also a failure: the worker can be reached, and so can its zone. Workers
+// that were found unreachable in the course of a partition are restored with the zone.
+func (d *Detector) RecordResponse(now int64, stats *Stats, zoneID int) (event Event) {
+	if !d.perZone {
+		return Event{}
+	}
+	z := d.zone(zoneID)
+	z.clearIfHealed(stats)
+	if stats.unreachable {
+		if stats.ejected {
+			event = Event{Kind: EventRestoredReachable}
+		}
+		stats.clearUnreachable()
+	}
+	if z.partitioned {
+		d.endPartition(now, z)
+		event = Event{Kind: EventZoneRestored, Zone: zoneID}
+	}
+	z.lastResponse = now
+	z.unreachable = 0
+	z.epoch++
+	return event
+}
+
+// endPartition ends the partition of a zone.
+func (d *Detector) endPartition(now int64, z *zone) {
+	z.partitioned = false
+	z.healedFrom = z.partitionEpoch
+	z.healedUntil = z.epoch + 1
+	z.restoredAt = now
+	d.partitions--
+}
+
+// clearIfHealed restores a worker that was found unreachable in the course of a partition that has ended.
+func (z *zone) clearIfHealed(stats *Stats) {
+	healed := stats.unreachableEpoch >= z.healedFrom && stats.unreachableEpoch < z.healedUntil
+	if stats.unreachable && healed {
+		stats.clearUnreachable()
+	}
+}
+
+// clearUnreachable discards that a worker could not be reached, and the ejection that followed from it.
+func (s *Stats) clearUnreachable() {
+	s.unreachable = false
+	s.ejected = false
+	s.failureRate = 0
+}
