--- a/outlier/detector.go
+++ b/outlier/detector.go
@@ -1,37 +1,44 @@
-// Package outlier detects workers that should get no calls: those whose calls fail, those that cannot be reached from here,
-// and those that other dispatchers report as failing. It distinguishes a failing worker from an unreachable one, and an
-// unreachable worker from a zone that is partitioned from this dispatcher.
+// Package outlier detects workers that should get no calls: those whose calls fail, those that
+// cannot be reached from here, and those that other dispatchers report as failing. It distinguishes
+// a failing worker from an unreachable one, and an unreachable worker from a zone that is
+// partitioned from this dispatcher.
 //
-// The package is a pure state machine: it has no clock, goroutine or I/O, and it chooses no worker. It reports what is known
-// of a worker; package balancer decides what follows from that.
+// The package is a pure state machine: it has no clock, goroutine or I/O, and it chooses no worker.
+// It reports what is known of a worker; package balancer decides what follows from that.
 //
-// Terms follow Envoy's outlier detection: an ejected worker gets no calls except trials, single calls that find out whether it
-// has recovered, and the time until the next trial grows exponentially with each trial that fails.
+// Terms follow Envoy's outlier detection: an ejected worker gets no calls except trials, single
+// calls that find out whether it has recovered, and the time until the next trial grows
+// exponentially with each trial that fails.
 //
-// Times are nanoseconds of the caller's monotonic clock, as in package balancer. A clock that goes back is tolerated. A
-// Detector and its Stats are not safe for concurrent use.
+// Times are nanoseconds of the caller's monotonic clock, as in package balancer. A clock that goes
+// back is tolerated. A Detector and its Stats are not safe for concurrent use.
 package outlier
 
 import "math"
 
 const (
-	// failureStep is the weight of one failure in the decaying mean of failures: two in a row exceed ejectThreshold.
+	// failureStep is the weight of one failure in the decaying mean of failures: two in a row
+	// exceed ejectThreshold.
 	failureStep = 0.4
 	// successDecay is the part of the mean that remains after a success.
 	successDecay = 0.7
-	// ejectThreshold is the mean of failures above which a worker is ejected: most of its latest calls failed.
+	// ejectThreshold is the mean of failures above which a worker is ejected: most of its latest
+	// calls failed.
 	ejectThreshold = 0.5
-	// restoreThreshold is the mean of failures below which an ejected worker is restored: after two successes in a row.
+	// restoreThreshold is the mean of failures below which an ejected worker is restored: after two
+	// successes in a row.
 	restoreThreshold = 0.35
-	// maxEjectionFactor bounds the time between two trials, of a worker and of a zone, in latency objectives: the backoff
-	// doubles three times.
+	// maxEjectionFactor bounds the time between two trials, of a worker and of a zone, in latency
+	// objectives: the backoff doubles three times.
 	maxEjectionFactor = 8
 )
 
-// Longest is the longest time between two trials of an ejected worker, in shortest latency objectives.
+// Longest is the longest time between two trials of an ejected worker, in shortest latency
+// objectives.
 const Longest = maxEjectionFactor
 
-// Weight is how strongly a failure indicates a fault of the worker, as its weight in the decaying mean of failures.
+// Weight is how strongly a failure indicates a fault of the worker, as its weight in the decaying
+// mean of failures.
 type Weight float64
 
 const (
@@ -52,9 +59,10 @@
 	gossipEjected []GossipEvidence // workers ejected by gossip, with the capacity that this takes away
 }
 
-// New returns a Detector. objective is the shortest latency objective in nanoseconds, which scales all intervals. perZone
-// enables the detection of partitioned zones, and has any response prove that its worker can be reached again. It is meant
-// for a fleet of many dispatchers; where there are few, each calls every worker often enough to rely on its own calls.
+// New returns a Detector. objective is the shortest latency objective in nanoseconds, which scales
+// all intervals. perZone enables the detection of partitioned zones, and has any response prove
+// that its worker can be reached again. It is meant for a fleet of many dispatchers; where there
+// are few, each calls every worker often enough to rely on its own calls.
 func New(objective int64, perZone bool) *Detector {
 	return &Detector{objective: max(objective, 1), perZone: perZone, zones: map[int]*zone{}}
 }
@@ -82,8 +90,8 @@
 	gossip           gossipState
 }
 
-// FailureRate returns the decaying mean of the latest failures of a worker, 0 to 1. It decays with time, too, while the worker
-// is not ejected.
+// FailureRate returns the decaying mean of the latest failures of a worker, 0 to 1. It decays with
+// time, too, while the worker is not ejected.
 func (d *Detector) FailureRate(now int64, stats *Stats) float64 {
 	if stats.failureRate > 0 && !stats.ejected {
 		stats.failureRate *= math.Exp(-float64(max(0, now-stats.updatedAt)) / float64(d.maxTrialInterval()))
@@ -92,7 +100,8 @@
 	return stats.failureRate
 }
 
-// RecordFailure records a failed call. The time until the next trial grows each time that a trial fails.
+// RecordFailure records a failed call. The time until the next trial grows each time that a trial
+// fails.
 func (d *Detector) RecordFailure(now int64, stats *Stats, weight Weight) Event {
 	switch weight {
 	case Failure:
@@ -106,8 +115,8 @@
 	return Event{Kind: EventEjectedFailing, FailurePercent: stats.failurePercent()}
 }
 
-// addFailure adds a failure to the mean, ejects the worker or extends its ejection where the mean exceeds the threshold, and
-// reports whether the worker was ejected by this failure.
+// addFailure adds a failure to the mean, ejects the worker or extends its ejection where the mean
+// exceeds the threshold, and reports whether the worker was ejected by this failure.
 func (d *Detector) addFailure(now int64, stats *Stats, weight Weight) bool {
 	wasEjected := stats.ejected
 	d.FailureRate(now, stats)
@@ -142,7 +151,8 @@
 // failurePercent returns the mean of failures as of the last update, in percent, rounded down.
 func (s *Stats) failurePercent() int { return int(100 * s.failureRate) }
 
-// Ejected reports whether a worker gets no calls but trials because of its own failures. Ejection by gossip is ByWords.
+// Ejected reports whether a worker gets no calls but trials because of its own failures. Ejection
+// by gossip is ByWords.
 func (d *Detector) Ejected(stats *Stats, zoneID int) bool {
 	if stats.ejected && stats.unreachable && d.perZone {
 		d.zone(zoneID).clearIfHealed(stats)
--- a/outlier/event.go
+++ b/outlier/event.go
@@ -18,7 +18,8 @@
 	EventRestoredByGossip                    // other dispatchers are served by it again
 )
 
-// Event is what one observation changed in the state of a worker, with the evidence for it. The zero value is no change.
+// Event is what one observation changed in the state of a worker, with the evidence for it. The
+// zero value is no change.
 type Event struct {
 	Kind           EventKind
 	FailurePercent int // decaying mean of failed calls, 0 to 100: EventEjectedFailing, EventRestoredServing
@@ -41,7 +42,8 @@
 	case EventEjectedUnreachable:
 		return "ejected: it cannot be reached"
 	case EventZonePartitioned:
-		return fmt.Sprintf("ejected with zone %d, which is cut off: %d executors in a row cannot be reached", e.Zone, e.Unreachable)
+		const format = "ejected with zone %d, which is cut off: %d executors in a row cannot be reached"
+		return fmt.Sprintf(format, e.Zone, e.Unreachable)
 	case EventEjectedByGossip:
 		return fmt.Sprintf("left out by words: %d of %d observers were not served", e.Agreeing, e.Observers)
 	case EventRestoredServing:
--- a/outlier/event_test.go
+++ b/outlier/event_test.go
@@ -6,26 +6,39 @@
 	"github.com/stretchr/testify/assert"
 )
 
+// TestEventTextsInTheLog pins the texts that operators search for.
 func TestEventTextsInTheLog(t *testing.T) {
-	for want, event := range map[string]Event{
-		"":                                  {},
-		"ejected: 63% of late calls failed": {Kind: EventEjectedFailing, FailurePercent: 63},
-		"ejected: it cannot be reached":     {Kind: EventEjectedUnreachable},
-		"ejected with zone 2, which is cut off: 3 executors in a row cannot be reached": {Kind: EventZonePartitioned, Zone: 2, Unreachable: 3},
-		"left out by words: 3 of 4 observers were not served":                           {Kind: EventEjectedByGossip, Agreeing: 3, Observers: 4},
-		"back: 34% of late calls failed":                                                {Kind: EventRestoredServing, FailurePercent: 34},
-		"back: it can be reached":                                                       {Kind: EventRestoredReachable},
-		"back, and with it zone 2: it can be reached":                                   {Kind: EventZoneRestored, Zone: 2},
-		"back by words: 2 of 3 observers were served":                                   {Kind: EventRestoredByGossip, Agreeing: 2, Observers: 3},
+	for _, c := range []struct {
+		event Event
+		text  string
+	}{
+		{Event{}, ""},
+		{Event{Kind: EventEjectedFailing, FailurePercent: 63}, "ejected: 63% of late calls failed"},
+		{Event{Kind: EventEjectedUnreachable}, "ejected: it cannot be reached"},
+		{
+			Event{Kind: EventZonePartitioned, Zone: 2, Unreachable: 3},
+			"ejected with zone 2, which is cut off: 3 executors in a row cannot be reached",
+		},
+		{
+			Event{Kind: EventEjectedByGossip, Agreeing: 3, Observers: 4},
+			"left out by words: 3 of 4 observers were not served",
+		},
+		{Event{Kind: EventRestoredServing, FailurePercent: 34}, "back: 34% of late calls failed"},
+		{Event{Kind: EventRestoredReachable}, "back: it can be reached"},
+		{Event{Kind: EventZoneRestored, Zone: 2}, "back, and with it zone 2: it can be reached"},
+		{
+			Event{Kind: EventRestoredByGossip, Agreeing: 2, Observers: 3},
+			"back by words: 2 of 3 observers were served",
+		},
 	} {
-		assert.Equal(t, want, event.String())
-		assert.Equal(t, want == "", event.IsZero())
+		assert.Equal(t, c.text, c.event.String())
+		assert.Equal(t, c.text == "", c.event.IsZero())
 	}
 }
 
-// The console and the CLI show these words.
+// TestStatusTextsAtTheConsole pins the words that the console and the CLI show.
 func TestStatusTextsAtTheConsole(t *testing.T) {
-	for status, want := range []string{"well", "suspect", "left out", "on trial"} {
-		assert.Equal(t, want, Status(status).String())
+	for status, text := range []string{"well", "suspect", "left out", "on trial"} {
+		assert.Equal(t, text, Status(status).String())
 	}
 }
--- a/outlier/evidence.go
+++ b/outlier/evidence.go
@@ -6,17 +6,20 @@
 )
 
 const (
-	// maxCount bounds the counts of a Mark (calls) and of Evidence (observers): four bits each on the wire.
+	// maxCount bounds the counts of a Mark (calls) and of Evidence (observers): four bits each on
+	// the wire.
 	maxCount = 15
 	// latencyUnit is the number of units of Mark.Pace in the mean latency: quarters.
 	latencyUnit = 4
-	// slowThreshold is the latency of a worker, in multiples of the mean, from which it is reported.
+	// slowThreshold is the latency of a worker, in multiples of the mean, from which it is
+	// reported.
 	slowThreshold = 2.0
-	// wilsonZ is the number of standard deviations of the confidence interval. At 1.5, three of three observers, five of six
-	// or seven of nine are enough, and two of two are not: where one call in a hundred fails by chance, two observers agree
-	// by chance every few minutes.
+	// wilsonZ is the number of standard deviations of the confidence interval. At 1.5, three of
+	// three observers, five of six or seven of nine are enough, and two of two are not: where one
+	// call in a hundred fails by chance, two observers agree by chance every few minutes.
 	wilsonZ = 1.5
-	// isolationRatio is how many times more workers an observer must find silent than responding to suspect itself.
+	// isolationRatio is how many times more workers an observer must find silent than responding to
+	// suspect itself.
 	isolationRatio = 3
 )
 
@@ -27,16 +30,17 @@
 	Pace uint8 // latency of its calls in quarters of the mean latency of all workers; 0: not slow
 }
 
-// Evidence is the marks of all observers of a worker, each observer counted once whatever its traffic. So no single observer,
-// slow, partitioned or wrong, can have a worker ejected or restored for others.
+// Evidence is the marks of all observers of a worker, each observer counted once whatever its
+// traffic. So no single observer, slow, partitioned or wrong, can have a worker ejected or restored
+// for others.
 type Evidence struct {
 	Good uint8 // observers that the worker served, 0 to 15
 	Bad  uint8 // observers whose latest call to the worker failed, 0 to 15
 	Pace uint8 // median latency in quarters of the mean, where two observers or more reported one; 0: not slow
 }
 
-// Merge combines the marks of several observers, one each. responding is the number of further observers that reported no
-// mark but had a response of the worker.
+// Merge combines the marks of several observers, one each. responding is the number of further
+// observers that reported no mark but had a response of the worker.
 func Merge(marks []Mark, responding int) Evidence {
 	evidence := Evidence{Good: uint8(min(responding, maxCount))}
 	for _, mark := range marks {
@@ -51,8 +55,8 @@
 	return evidence
 }
 
-// medianLatency returns the lower median of the latencies that marks report, in quarters of the mean; 0 where fewer than two
-// observers know one, or it is below slowThreshold.
+// medianLatency returns the lower median of the latencies that marks report, in quarters of the
+// mean; 0 where fewer than two observers know one, or it is below slowThreshold.
 func medianLatency(marks []Mark) uint8 {
 	var latencies []uint8
 	for _, mark := range marks {
@@ -74,8 +78,8 @@
 	return median
 }
 
-// Says reports whether the evidence is worth sending. ejected says that the worker is ejected by gossip, so that evidence in
-// its favour counts too.
+// Says reports whether the evidence is worth sending. ejected says that the worker is ejected by
+// gossip, so that evidence in its favour counts too.
 func (e Evidence) Says(ejected bool) bool {
 	return e.Bad > 1 || e.Pace > 0 || ejected && e.observers() > 0
 }
@@ -83,8 +87,8 @@
 // Slow returns the latency of the worker in multiples of the mean; 0: not reported.
 func (e Evidence) Slow() float64 { return float64(e.Pace) / latencyUnit }
 
-// Share returns the lower bound of the Wilson score interval (Wilson 1927, with z = wilsonZ) for the part of observers that
-// the worker did not serve, 0 to 1.
+// Share returns the lower bound of the Wilson score interval (Wilson 1927, with z = wilsonZ) for
+// the part of observers that the worker did not serve, 0 to 1.
 func (e Evidence) Share() float64 {
 	n := float64(e.Good) + float64(e.Bad)
 	if n == 0 {
@@ -99,10 +103,11 @@
 // observers returns the number of observers that the evidence counts.
 func (e Evidence) observers() int { return int(e.Good) + int(e.Bad) }
 
-// Doubts reports whether an observer that has responses from some workers and finds others silent must attribute this to
-// itself: its reports are then given no weight.
+// Doubts reports whether an observer that has responses from some workers and finds others silent
+// must attribute this to itself: its reports are then given no weight.
 func Doubts(responding, silent int) bool { return silent > 1 && silent >= isolationRatio*responding }
 
-// Silent reports whether so many observers that find a worker silent are enough for all dispatchers. One alone may itself be
-// partitioned or have stalled; of two dispatchers the other one is all there is.
+// Silent reports whether so many observers that find a worker silent are enough for all
+// dispatchers. One alone may itself be partitioned or have stalled; of two dispatchers the other
+// one is all there is.
 func Silent(observers, dispatchers int) bool { return observers >= max(1, min(2, dispatchers-1)) }
--- a/outlier/gossip.go
+++ b/outlier/gossip.go
@@ -6,11 +6,12 @@
 )
 
 const (
-	// gossipEjectThreshold is the lower bound of the part of observers that were not served above which a worker is ejected: a
-	// call is then more likely to fail than to be served. An ejection by mistake costs less, a load on other workers.
+	// gossipEjectThreshold is the lower bound of the part of observers that were not served above
+	// which a worker is ejected: a call is then more likely to fail than to be served. An ejection
+	// by mistake costs less, a load on other workers.
 	gossipEjectThreshold = 0.5
-	// gossipFactor is how long an ejection by gossip outlasts the last evidence for it, in latency objectives: two trials
-	// and the reports that follow them.
+	// gossipFactor is how long an ejection by gossip outlasts the last evidence for it, in latency
+	// objectives: two trials and the reports that follow them.
 	gossipFactor = 8
 	// capacityDivisor bounds the capacity that gossip may eject: one part in four.
 	capacityDivisor = 4
@@ -31,13 +32,14 @@
 	Word   Evidence
 }
 
-// ApplyGossip applies the evidence of a digest and returns an event for each entry, in order. capacity is the sum over all
-// workers.
+// ApplyGossip applies the evidence of a digest and returns an event for each entry, in order.
+// capacity is the sum over all workers.
 //
-// Workers are ejected in the order of the evidence against them, as long as all that are ejected by gossip, also by earlier
-// digests, make up a quarter of the capacity at the most. Any evidence against an ejected worker renews its ejection, since
-// only one observer at a time tries it. The ejection ends with the first evidence that two observers or more were served,
-// and more than were not.
+// Workers are ejected in the order of the evidence against them, as long as all that are ejected by
+// gossip, also by earlier digests, make up a quarter of the capacity at the most. Any evidence
+// against an ejected worker renews its ejection, since only one observer at a time tries it. The
+// ejection ends with the first evidence that two observers or more were served, and more than were
+// not.
 func (d *Detector) ApplyGossip(now int64, digest []GossipEvidence, capacity float64) []Event {
 	events := make([]Event, len(digest))
 	for i, entry := range digest {
@@ -58,7 +60,8 @@
 	return events
 }
 
-// renewOrRestore stores the evidence about a worker and, where it is ejected by gossip, renews or ends the ejection.
+// renewOrRestore stores the evidence about a worker and, where it is ejected by gossip, renews or
+// ends the ejection.
 func (d *Detector) renewOrRestore(now int64, entry GossipEvidence) Event {
 	gossip, evidence := &entry.Box.gossip, entry.Word
 	ejected := d.EjectedByGossip(now, entry.Box)
@@ -82,7 +85,8 @@
 	return !d.EjectedByGossip(now, entry.Box) && evidence.Bad > 1 && evidence.Share() > gossipEjectThreshold
 }
 
-// gossipBudget drops the workers whose ejection by gossip has ended and returns the capacity that may still be ejected.
+// gossipBudget drops the workers whose ejection by gossip has ended and returns the capacity that
+// may still be ejected.
 func (d *Detector) gossipBudget(now int64, capacity float64) float64 {
 	ended := func(entry GossipEvidence) bool { return !d.EjectedByGossip(now, entry.Box) }
 	d.gossipEjected = slices.DeleteFunc(d.gossipEjected, ended)
@@ -93,8 +97,8 @@
 	return budget
 }
 
-// strongestFirst returns the indices of the entries by the evidence against their workers, the strongest first. Entries with
-// equal evidence stay in order.
+// strongestFirst returns the indices of the entries by the evidence against their workers, the
+// strongest first. Entries with equal evidence stay in order.
 func strongestFirst(digest []GossipEvidence) []int {
 	order := make([]int, len(digest))
 	for i := range order {
@@ -111,14 +115,15 @@
 	return Event{Kind: kind, Agreeing: int(agreeing), Observers: evidence.observers()}
 }
 
-// EjectedByGossip reports whether the evidence of other dispatchers stands against a worker, whatever this dispatcher
-// observed itself.
+// EjectedByGossip reports whether the evidence of other dispatchers stands against a worker,
+// whatever this dispatcher observed itself.
 func (d *Detector) EjectedByGossip(now int64, stats *Stats) bool {
 	return stats.gossip.renewedAt > 0 && now-stats.gossip.renewedAt < gossipFactor*d.objective
 }
 
-// ByWords reports whether a worker gets no calls but trials because of the evidence of other dispatchers. A call that the
-// worker served for this dispatcher, at most one latency objective before the ejection or after it, overrides the evidence.
+// ByWords reports whether a worker gets no calls but trials because of the evidence of other
+// dispatchers. A call that the worker served for this dispatcher, at most one latency objective
+// before the ejection or after it, overrides the evidence.
 func (d *Detector) ByWords(now int64, stats *Stats) bool {
 	if !d.EjectedByGossip(now, stats) {
 		return false
--- /dev/null
+++ b/outlier/gossip_test.go
@@ -0,0 +1,170 @@
+package outlier
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"pgregory.net/rapid"
+)
+
+// TestGossipEjectionNeedsSeveralObservers shows that one or two observers are never enough, three
+// that agree are, and observers that were served weigh against them.
+func TestGossipEjectionNeedsSeveralObservers(t *testing.T) {
+	for _, c := range []struct {
+		good, bad uint8
+		ejected   bool
+	}{
+		{0, 1, false},
+		{0, 2, false},
+		{0, 3, true},
+		{1, 4, false},
+		{1, 5, true},
+		{2, 6, false},
+		{2, 7, true},
+		{15, 15, false},
+		{2, 15, true},
+	} {
+		d, stats := New(objective, true), &Stats{}
+		evidence := Evidence{Good: c.good, Bad: c.bad}
+		events := d.ApplyGossip(1, []GossipEvidence{{stats, 1, evidence}}, 100)
+		assert.Equal(t, c.ejected, d.ByWords(1, stats), "%+v: %.2f", c, evidence.Share())
+		assert.Equal(t, c.ejected, !events[0].IsZero(), "%+v", c)
+	}
+}
+
+// TestGossipEjectionIsBounded shows the limits of gossip: own served calls override it, it ejects a
+// quarter of the capacity at the most, it expires, and a restart of the worker ends it.
+func TestGossipEjectionIsBounded(t *testing.T) {
+	d := New(objective, true)
+	workers := make([]Stats, 12)
+	digest := make([]GossipEvidence, len(workers))
+	for i := range workers {
+		digest[i] = GossipEvidence{&workers[i], 2, Evidence{Bad: uint8(3 + i)}}
+	}
+	d.RecordSuccess(0, &workers[11])
+	d.ApplyGossip(10*ms, digest, 24)
+	ejected := func(now int64) (n int) {
+		for i := range workers {
+			if d.ByWords(now, &workers[i]) {
+				n++
+			}
+		}
+		return n
+	}
+	assert.False(t, d.ByWords(10*ms, &workers[11]), "it served us")
+	assert.True(t, d.ByWords(10*ms, &workers[10]))
+	assert.Equal(t, 2, ejected(10*ms), "three of twelve with the strongest evidence, less the one that served us")
+	assert.True(t, d.TrialDue(10*ms, &workers[10], 0), "a trial")
+	d.TrialStarted(10*ms, &workers[10], 0)
+	assert.False(t, d.TrialDue(20*ms, &workers[10], 0))
+	d.ApplyGossip(20*ms, []GossipEvidence{{&workers[10], 2, Evidence{Bad: 1}}, {&workers[9], 2, Evidence{Good: 2}}}, 24)
+	assert.True(t, d.ByWords(15*ms+gossipFactor*objective, &workers[10]), "one observer renews what several found")
+	assert.False(t, d.ByWords(20*ms, &workers[9]), "two observers that were served end it")
+	digest[10].Word.Bad = 13
+	assert.Equal(t, 0, ejected(20*ms+gossipFactor*objective), "no evidence comes any more")
+	d.ApplyGossip(3000*ms, digest, 24)
+	workers[10].Reset()
+	assert.False(t, d.ByWords(3000*ms, &workers[10]), "another process")
+	assert.True(t, d.ByWords(3000*ms, &workers[9]))
+	d.RecordSuccess(3000*ms, &workers[9])
+	assert.False(t, d.ByWords(3000*ms, &workers[9]), "it serves us")
+	d.RecordFailure(3000*ms, &workers[9], Failure)
+	assert.True(t, d.ByWords(3000*ms, &workers[9]), "our own evidence agrees")
+}
+
+// TestGossipInvariantsUnderAnyEvents checks for any order of events that gossip ejects a quarter at
+// the most and no worker that served this dispatcher last, that the marks of one observer eject
+// nothing, and that ejections by gossip expire.
+func TestGossipInvariantsUnderAnyEvents(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		d, workers, now := New(objective, true), make([]Stats, 8), int64(1)
+		served := make([]bool, 8)
+		for range rapid.IntRange(1, 60).Draw(t, "events") {
+			now += rapid.Int64Range(0, 500*ms).Draw(t, "gap")
+			i := rapid.IntRange(0, 7).Draw(t, "worker")
+			switch rapid.IntRange(0, 5).Draw(t, "what") {
+			case 0:
+				d.RecordSuccess(now, &workers[i])
+			case 1:
+				d.RecordFailure(now, &workers[i], Failure)
+			case 2:
+				d.RecordUnreachable(now, now-10*ms, &workers[i], i%2)
+			case 3:
+				d.RecordResponse(now, &workers[i], i%2)
+			case 4:
+				workers[i].Reset()
+			case 5:
+				var digest []GossipEvidence
+				alone := rapid.Bool().Draw(t, "one observer")
+				for k := range workers {
+					mark := Mark{
+						Good: uint8(rapid.IntRange(0, 15).Draw(t, "good")),
+						Bad:  uint8(rapid.IntRange(0, 15).Draw(t, "bad")),
+					}
+					marks := []Mark{mark}
+					if !alone {
+						marks = append(marks, mark, Mark{Good: uint8(rapid.IntRange(0, 1).Draw(t, "other"))})
+					}
+					if evidence := Merge(marks, 0); evidence.Says(false) {
+						digest = append(digest, GossipEvidence{&workers[k], 1, evidence})
+					}
+				}
+				if alone && len(digest) > 0 {
+					t.Fatal("one observer alone is reported")
+				}
+				d.ApplyGossip(now, digest, 8)
+			}
+			ejected := 0
+			for k := range workers {
+				own := &workers[k].observed
+				served[k] = own.served > 0 && now-own.servedAt < objective &&
+					own.servedAt >= workers[k].gossip.ejectedAt && own.failures == 0
+				if d.ByWords(now, &workers[k]) {
+					if ejected++; served[k] {
+						t.Fatalf("worker %d serves us and is ejected by gossip", k)
+					}
+				}
+			}
+			if ejected > 2 {
+				t.Fatalf("%d of 8 are ejected by gossip", ejected)
+			}
+		}
+		for k := range workers {
+			if d.ByWords(now+gossipFactor*objective, &workers[k]) {
+				t.Fatal("an ejection by gossip that does not expire")
+			}
+		}
+	})
+}
+
+// TestSingleObserverNeverDecides plays every mark of one observer beside every two of others: alone
+// it never ejects a worker, nor does it restore one that three were not served by.
+func TestSingleObserverNeverDecides(t *testing.T) {
+	cases := 0
+	for good := range uint8(4) {
+		for bad := range uint8(4) {
+			for _, pace := range []uint8{0, 4, 32, 255} {
+				one := Mark{good, bad, pace}
+				for responding := range 4 {
+					for others := range 9 {
+						cases++
+						marks := []Mark{one, {Good: uint8(others % 3)}, {Good: uint8(others / 3)}}
+						d, stats := New(objective, true), &Stats{}
+						evidence := Merge(marks, responding)
+						d.ApplyGossip(1, []GossipEvidence{{stats, 1, evidence}}, 100)
+						if d.EjectedByGossip(1, stats) {
+							t.Fatalf("%+v alone, %d responding, others %+v: ejected by %+v",
+								one, responding, marks[1:], evidence)
+						}
+						d.ApplyGossip(2, []GossipEvidence{{stats, 1, Evidence{Bad: 3}}}, 100)
+						d.ApplyGossip(3, []GossipEvidence{{stats, 1, Merge([]Mark{one}, 0)}}, 100)
+						if !d.EjectedByGossip(3, stats) {
+							t.Fatalf("%+v alone restores what three were not served by", one)
+						}
+					}
+				}
+			}
+		}
+	}
+	t.Logf("%d cases", cases)
+}
--- a/outlier/state.go
+++ b/outlier/state.go
@@ -63,7 +63,8 @@
 	return state
 }
 
-// status returns the status of a worker, StatusEjected also while a trial is in progress, and the reason in words.
+// status returns the status of a worker, StatusEjected also while a trial is in progress, and the
+// reason in words.
 func (d *Detector) status(now int64, stats *Stats, zoneID int, latencyRatio float64) (status Status, reason string) {
 	switch {
 	case d.ZonePartitioned(zoneID):
--- a/outlier/zone.go
+++ b/outlier/zone.go
@@ -1,8 +1,8 @@
 package outlier
 
-// partitionThreshold is the number of workers of a zone that must be found unreachable with no response from the zone in
-// between before it counts as partitioned. Where a fifth of all workers fail at random, three in a row have a probability
-// of 1 in 125.
+// partitionThreshold is the number of workers of a zone that must be found unreachable with no
+// response from the zone in between before it counts as partitioned. Where a fifth of all workers
+// fail at random, three in a row have a probability of 1 in 125.
 const partitionThreshold = 3
 
 // zone is what is known of the workers of one zone together.
@@ -36,9 +36,10 @@
 	return d.partitions > 0 && d.zone(zoneID).partitioned
 }
 
-// RecordUnreachable records that the connection for a call sent at sent was never established. It ejects the worker at once,
-// and its zone after partitionThreshold workers in a row. A call sent before the zone's last response says nothing about the
-// zone, and one sent before a partition ended says nothing at all.
+// RecordUnreachable records that the connection for a call sent at sent was never established. It
+// ejects the worker at once, and its zone after partitionThreshold workers in a row. A call sent
+// before the zone's last response says nothing about the zone, and one sent before a partition
+// ended says nothing at all.
 func (d *Detector) RecordUnreachable(now, sent int64, stats *Stats, zoneID int) Event {
 	if !d.perZone {
 		return d.RecordFailure(now, stats, Dead)
@@ -76,8 +77,9 @@
 	d.partitions++
 }
 
-// RecordResponse records any response of a worker, also a failure: the worker can be reached, and so can its zone. Workers
-// that were found unreachable in the course of a partition are restored with the zone.
+// RecordResponse records any response of a worker, also a failure: the worker can be reached, and
+// so can its zone. Workers that were found unreachable in the course of a partition are restored
+// with the zone.
 func (d *Detector) RecordResponse(now int64, stats *Stats, zoneID int) (event Event) {
 	if !d.perZone {
 		return Event{}
@@ -109,7 +111,8 @@
 	d.partitions--
 }
 
-// clearIfHealed restores a worker that was found unreachable in the course of a partition that has ended.
+// clearIfHealed restores a worker that was found unreachable in the course of a partition that has
+// ended.
 func (z *zone) clearIfHealed(stats *Stats) {
 	healed := stats.unreachableEpoch >= z.healedFrom && stats.unreachableEpoch < z.healedUntil
 	if stats.unreachable && healed {
@@ -117,7 +120,8 @@
 	}
 }
 
-// clearUnreachable discards that a worker could not be reached, and the ejection that followed from it.
+// clearUnreachable discards that a worker could not be reached, and the ejection that followed from
+// it.
 func (s *Stats) clearUnreachable() {
 	s.unreachable = false
 	s.ejected = false
