--- a/balancer/coldstart.go
+++ b/balancer/coldstart.go
@@ -13,23 +13,23 @@
 	"math"
 )
 
-func (d *Balancer) coldRoom(now int64, w *worker) bool {
-	if !d.isCold(now, w) || d.set.OverloadWindow == 0 {
+func (d *Balancer) slowStartAllows(now int64, w *worker) bool {
+	if !d.isWarmingUp(now, w) || d.set.OverloadWindow == 0 {
 		return true
 	}
-	long := max(d.set.OverloadWindow/coldSlots, d.set.ClockResolution)
-	if slot := (now + long*int64(d.set.DispatcherIndex)/int64(d.set.Dispatchers)) / long; slot != w.coldSlot {
+	long := max(d.set.OverloadWindow/slowStartSlots, d.set.ClockResolution)
+	if slot := (now + long*int64(d.set.DispatcherIndex)/int64(d.set.Dispatchers)) / long; slot != w.slowStartSlot {
 		warm := cmp.Or(d.warm, len(d.list)) // not counted yet: none is cold
-		rate := d.answers * d.fade(now) / d.tau() / float64(max(1, warm))
-		mean := coldMargin * d.set.OverloadFactor * d.grown(now, w) * rate * float64(long)
-		keep := math.Pow(coldKeep, float64(min(slot-w.coldSlot, 1+max(0, now-w.Start)/long)))
-		mean = max(mean, 1/float64(coldSlots*d.set.Dispatchers)) * (1 - keep) / (1 - coldKeep)
-		w.coldSlot, w.coldLeft = slot, int(keep*float64(max(0, w.coldLeft))+mean+d.rng.Float64())
+		rate := d.answers * d.fade(now) / d.decayTime() / float64(max(1, warm))
+		mean := slowStartMargin * d.set.OverloadFactor * d.capacityFraction(now, w) * rate * float64(long)
+		keep := math.Pow(slowStartCarryOver, float64(min(slot-w.slowStartSlot, 1+max(0, now-w.Start)/long)))
+		mean = max(mean, 1/float64(slowStartSlots*d.set.Dispatchers)) * (1 - keep) / (1 - slowStartCarryOver)
+		w.slowStartSlot, w.slowStartTokens = slot, int(keep*float64(max(0, w.slowStartTokens))+mean+d.rng.Float64())
 	}
-	calm := coldCalm * d.set.OverloadFactor * d.grown(now, w) * d.others
-	return w.coldLeft > 0 || w.coldLeft == 0 && now-d.digestAt < 2*d.minAim && d.inflight(now, w) <= calm
+	calm := slowStartIdleShare * d.set.OverloadFactor * d.capacityFraction(now, w) * d.others
+	return w.slowStartTokens > 0 || w.slowStartTokens == 0 && now-d.digestAt < 2*d.minAim && d.inFlightAt(now, w) <= calm
 }
 
-func (d *Balancer) isCold(now int64, w *worker) bool {
+func (d *Balancer) isWarmingUp(now int64, w *worker) bool {
 	return w.Start > 0 && now-w.Start < d.set.SlowStartWindow
 }
--- a/balancer/decide_test.go
+++ b/balancer/decide_test.go
@@ -101,7 +101,7 @@
 // hear makes every worker known by one answered call each.
 func hear(d *Balancer, now int64) {
 	for _, w := range d.list {
-		w.heard = true
+		w.responded = true
 	}
 	d.misses = 0
 }
@@ -146,8 +146,8 @@
 		d, f := start(t, settings(Idempotent, ScopeAll), 3)
 		d.HandleRequest(0, call("a", 0, 1))
 		d.HandleAttemptResult(10*ms, ok("a", f.last["a"]))
-		h := d.funcs[1].at(d.workers[f.last["a"]], false)
-		if (h.until > c.at) != c.held {
+		h := d.funcs[1].holderAt(d.workers[f.last["a"]], false)
+		if (h.validUntil > c.at) != c.held {
 			t.Errorf("at %d ms: believed %v, want %v", c.at/ms, !c.held, c.held)
 		}
 	}
@@ -275,13 +275,13 @@
 			for step := range int64(100) { // everybody wants the cold worker all the time
 				clock := now + step*40*ms
 				if i%7 != 3 { // what a dispatcher of its size gets from warm workers in a long time
-					d.answers, d.answersAt = capacity*workers/float64(i+1)/parts*d.tau()/1e9, clock
+					d.answers, d.answersAt = capacity*workers/float64(i+1)/parts*d.decayTime()/1e9, clock
 				}
 				for k := range 3 {
-					d.choose(clock, &request{Request: call("x", clock, FuncID(k)), class: &d.set.Classes[0],
-						fn: d.function(clock, call("x", clock, FuncID(k)))})
+					d.chooseWorker(clock, &request{Request: call("x", clock, FuncID(k)), class: &d.set.Classes[0],
+						function: d.functionFor(clock, call("x", clock, FuncID(k)))})
 					if w := d.workers[99]; d.eligible(clock, w) {
-						w.coldLeft--
+						w.slowStartTokens--
 						at = append(at, clock)
 					}
 				}
@@ -315,20 +315,20 @@
 		now := int64(0)
 		for i := range 12 { // two answers each, of worker 1 four times as late as the others'
 			w := d.list[i%6]
-			h := d.function(now, call("x", now, FuncID(i))).at(w, true)
-			r := &request{Request: call(fmt.Sprint(i), now, FuncID(i)), class: &d.set.Classes[0], fn: h.fn}
+			h := d.functionFor(now, call("x", now, FuncID(i))).holderAt(w, true)
+			r := &request{Request: call(fmt.Sprint(i), now, FuncID(i)), class: &d.set.Classes[0], function: h.function}
 			took := int64(d.stats[0].mean)
 			if w.Worker == 1 {
 				took *= 4
 			}
-			d.send(now, r, w, false)
+			d.sendAttempt(now, r, w, false)
 			d.HandleAttemptResult(now+took, ok(fmt.Sprint(i), w.Worker))
 		}
-		slow, other := d.load(now+ms, d.workers[1]), d.load(now+ms, d.workers[2])
+		slow, other := d.weightedLoad(now+ms, d.workers[1]), d.weightedLoad(now+ms, d.workers[2])
 		if many <= 5 && slow != other || many > 5 && slow < 2*other {
 			t.Errorf("%d dispatchers: load %.2f at the slow worker, %.2f at another; %d sends", many, slow, other, len(f.sends))
 		}
-		if late := d.load(now+20*d.set.KeepAlive, d.workers[1]); late > 1.1*other {
+		if late := d.weightedLoad(now+20*d.set.KeepAlive, d.workers[1]); late > 1.1*other {
 			t.Errorf("%d dispatchers: long after, load %.2f", many, late)
 		}
 	}
@@ -362,15 +362,15 @@
 			d.warm = 20
 			d.UpdateEndpoints(start, EndpointsDelta, []Endpoint{{Worker: 99, State: Active, Weight: 1, Start: start - 4000*ms}})
 			for at := start; at < start+4000*ms; at += 667 * ms {
-				d.answers, d.answersAt = 0.2*20*d.tau()/1e9, at // 0.2 a second from each warm worker
+				d.answers, d.answersAt = 0.2*20*d.decayTime()/1e9, at // 0.2 a second from each warm worker
 				if c.told {
 					d.digestAt, d.others = at, 2
-					d.workers[99].others, d.workers[99].othersAt = c.inflight, at
+					d.workers[99].peerCalls, d.workers[99].peerCallsAt = c.inflight, at
 				}
-				d.coldRoom(at, d.workers[99]) // others' choices look at it too
+				d.slowStartAllows(at, d.workers[99]) // others' choices look at it too
 			}
 			asked++
-			if d.coldRoom(start+4000*ms, d.workers[99]) {
+			if d.slowStartAllows(start+4000*ms, d.workers[99]) {
 				open++
 			}
 		}
@@ -441,14 +441,14 @@
 			hear(d, 0)
 			rng := rand.New(rand.NewPCG(uint64(i), 5))
 			for _, w := range d.list {
-				w.others, w.othersAt = float64(rng.IntN(5)), ms
+				w.peerCalls, w.peerCallsAt = float64(rng.IntN(5)), ms
 			}
 			d.others = 2
 			for k := range functions {
 				id := fmt.Sprint(k)
 				d.HandleRequest(ms, call(id, ms, FuncID(k)))
 				at[[2]int{k, int(f.last[id])}] = true
-				if w := d.workers[f.last[id]]; w.others > 3 {
+				if w := d.workers[f.last[id]]; w.peerCalls > 3 {
 					heavy[many]++
 				}
 				d.HandleAttemptResult(ms, ok(id, f.last[id]))
@@ -492,7 +492,7 @@
 			}
 			spent += s.PeerPrice * float64(receivers*len(m)) / 256
 		}
-		if limit := 2*tellShare*calls + 1; spent > limit {
+		if limit := 2*gossipCostShare*calls + 1; spent > limit {
 			t.Errorf("%d dispatchers: messages cost %.2f, %.2f earned", size, spent, limit)
 		}
 		if len(f.told) == 0 {
@@ -577,8 +577,8 @@
 	now := int64(5000 * ms)
 	for i := range 60 { // all functions loaded, nothing answered: a queue forms
 		d.HandleRequest(now, Request{ID: fmt.Sprint(i), Class: i % 2, Func: 1, Deadline: now + 3000*ms, Concurrency: 16})
-		if h := d.funcs[1].at(d.list[i%4], true); true {
-			h.until = now + 8000*ms
+		if h := d.funcs[1].holderAt(d.list[i%4], true); true {
+			h.validUntil = now + 8000*ms
 		}
 	}
 	low, high := 0, 0
@@ -832,11 +832,11 @@
 	d, _ := start(b, s, workers)
 	report := aggregate.Message{Report: aggregate.Report{Incarnation: 1, Values: []float64{10, 2}}}
 	for _, w := range d.list {
-		report.Counts = append(report.Counts, aggregate.Count{Worker: tag(w.Worker), N: 3, Heard: true})
+		report.Counts = append(report.Counts, aggregate.Count{Worker: workerTag(w.Worker), N: 3, Heard: true})
 	}
 	for i := range b.N {
-		now := int64(i) * d.minAim / beats
-		if i%beats == 0 { // as often as each of them reports
+		now := int64(i) * d.minAim / maintenanceRounds
+		if i%maintenanceRounds == 0 { // as often as each of them reports
 			b.StopTimer()
 			report.Report.Seq++
 			texts := report.Encode(s.Dispatchers)
@@ -848,7 +848,7 @@
 			b.StartTimer()
 		}
 		m := aggregate.Message{FromLeader: true}
-		d.gather(now, &m)
+		d.fillMessage(now, &m)
 		if len(m.Encode(s.Dispatchers)) == 0 || len(m.Counts) != workers {
 			b.Fatal("the digest lacks workers")
 		}
@@ -863,13 +863,13 @@
 	for i := range 8 {
 		id := fmt.Sprint(i)
 		d.HandleRequest(now, call(id, now, 1))
-		d.workers[f.last[id]].open[len(d.workers[f.last[id]].open)-1].warm = true
+		d.workers[f.last[id]].inFlight[len(d.workers[f.last[id]].inFlight)-1].expectedWarm = true
 	}
-	queued := d.wait(now + ms)
+	queued := d.expectedQueueTime(now + ms)
 	for _, w := range d.list { // every worker answers other calls meanwhile
-		w.lastAnswer = now + 2500*ms
+		w.lastResponseAt = now + 2500*ms
 	}
-	if stuck := d.wait(now + 2600*ms); stuck > queued/2 {
+	if stuck := d.expectedQueueTime(now + 2600*ms); stuck > queued/2 {
 		t.Fatalf("expected time %.0f ms with overdue calls, %.0f ms with queued ones", stuck/1e6, queued/1e6)
 	}
 }
@@ -878,13 +878,13 @@
 func TestTurnedAwayCallsCountAsQueued(t *testing.T) {
 	d, f := start(t, settings(NotIdempotent, ScopeNone), 4)
 	hear(d, 0)
-	before := d.wait(0)
+	before := d.expectedQueueTime(0)
 	for i := range 8 {
 		id := fmt.Sprint(i)
 		d.HandleRequest(0, call(id, 0, FuncID(i)))
 		d.HandleAttemptResult(ms, AttemptResult{ID: id, Worker: f.last[id], Result: QueueFull})
 	}
-	if after := d.wait(2 * ms); after < 1.5*before {
+	if after := d.expectedQueueTime(2 * ms); after < 1.5*before {
 		t.Fatalf("expected time %.0f ms after full answers, %.0f ms before", after/1e6, before/1e6)
 	}
 }
@@ -969,7 +969,7 @@
 	s.Gossip = true
 	a, fa := start(t, s, 60)
 	hear(a, 0)
-	a.words.left, a.pool.left = 1, 1
+	a.words.tokens, a.pool.tokens = 1, 1
 	for i := range 60 {
 		a.HandleRequest(1001*ms, call(fmt.Sprint(i), 1001*ms, FuncID(i)))
 	}
@@ -983,11 +983,11 @@
 	}
 	busy := 0
 	for _, w := range b.list {
-		n := int(w.others) // where a was the hub, b knows the sums; else a reported to b
-		for _, r := range b.reports.by {
+		n := int(w.peerCalls) // where a was the hub, b knows the sums; else a reported to b
+		for _, r := range b.reports.bySender {
 			for i := 0; r != nil && i < len(r.counts); i++ {
-				if c := r.counts[i]; c.w == w {
-					n = max(n, int(c.n))
+				if c := r.counts[i]; c.worker == w {
+					n = max(n, int(c.calls))
 				}
 			}
 		}
@@ -1077,24 +1077,24 @@
 	s := settings(Idempotent, ScopeAll)
 	s.Dispatchers, s.Gossip = 3, true
 	d, _ := start(t, s, 4)
-	calm := d.wait(5000 * ms)
+	calm := d.expectedQueueTime(5000 * ms)
 	d.HandlePeerMessage(5000*ms, 1, digest(d, 5000*ms, []float64{40, 80}, aggregate.Count{Worker: 1, N: 9, Heard: true}, aggregate.Count{Worker: 2, N: 3, Silent: true}))
-	if w := d.wait(5001 * ms); w < 2*calm {
+	if w := d.expectedQueueTime(5001 * ms); w < 2*calm {
 		t.Errorf("expected wait %.0f ms with 80 calls in queue and 40 answers a second, %.0f ms before", w/1e6, calm/1e6)
 	}
-	if d.workers[1].others != 9 || d.silent(5001*ms, d.workers[1]) || !d.silent(5001*ms, d.workers[2]) {
-		t.Errorf("load %.0f at worker 1, silent %v, %v", d.workers[1].others, d.silent(5001*ms, d.workers[1]), d.silent(5001*ms, d.workers[2]))
+	if d.workers[1].peerCalls != 9 || d.isUnresponsive(5001*ms, d.workers[1]) || !d.isUnresponsive(5001*ms, d.workers[2]) {
+		t.Errorf("load %.0f at worker 1, silent %v, %v", d.workers[1].peerCalls, d.isUnresponsive(5001*ms, d.workers[1]), d.isUnresponsive(5001*ms, d.workers[2]))
 	}
 	d.HandlePeerMessage(5010*ms, 1, digest(d, 5010*ms, []float64{40, 0}))
 	for i := range 40 { // what we see ourselves is newer than what was told
 		d.HandleRequest(5020*ms, call(fmt.Sprint(i), 5020*ms, FuncID(i%4)))
 	}
 	for _, w := range d.list {
-		for _, a := range w.open {
-			a.warm = true
+		for _, a := range w.inFlight {
+			a.expectedWarm = true
 		}
 	}
-	if w := d.wait(5030 * ms); w < 2*calm {
+	if w := d.expectedQueueTime(5030 * ms); w < 2*calm {
 		t.Errorf("expected wait %.0f ms with 40 calls of our own in queue, an idle fleet told just before, %.0f ms then", w/1e6, calm/1e6)
 	}
 	d.HandlePeerMessage(5040*ms, 99, digest(d, 5200*ms, []float64{1, 1})) // no such sibling
@@ -1108,8 +1108,8 @@
 	s.Dispatchers, s.Gossip, s.PeerPrice, s.OverloadWindow = 300, true, 0.021, 0
 	s.Classes[0].LatencyObjective = 240 * ms
 	d, f := start(t, s, 118)
-	d.greeted = helloPeers
-	term := hubAims * d.minAim
+	d.greeted = syncPeers
+	term := leaderTermObjectives * d.minAim
 	for at := 10*term + 300*ms; ; at += term {
 		if d.roll.Leader(at) != s.DispatcherIndex {
 			continue
@@ -1121,16 +1121,16 @@
 		}
 		told := len(f.told)
 		for in := at; in < at/term*term+term; in += 30 * ms {
-			d.tell(in)
+			d.sendGossip(in)
 		}
 		if at > 20000*term {
 			t.Fatal("never the hub")
 		}
 		if len(f.told) == told {
-			t.Fatalf("told nothing, with %.1f earned", d.pool.left)
+			t.Fatalf("told nothing, with %.1f earned", d.pool.tokens)
 		}
 		m, ok := aggregate.Decode(f.told[told], 300)
-		if !ok || m.Digest.Sums[0] < 299*7-1 || len(m.Counts) != 1 || m.Counts[0].Worker != 118 || !d.told(at, d.workers[118]) {
+		if !ok || m.Digest.Sums[0] < 299*7-1 || len(m.Counts) != 1 || m.Counts[0].Worker != 118 || !d.isReportedUnresponsive(at, d.workers[118]) {
 			t.Fatalf("told %+v", m)
 		}
 		if len(f.told) > told+1 {
@@ -1153,7 +1153,7 @@
 		var counts []aggregate.Count
 		for w := range lost {
 			counts = append(counts, aggregate.Count{Worker: uint16(w + 1), Silent: true})
-			d.blame(0, d.workers[WorkerID(w+1)], outlier.Dead) // its ejection will have run out
+			d.recordFailure(0, d.workers[WorkerID(w+1)], outlier.Dead) // its ejection will have run out
 		}
 		now := 20000 * ms
 		d.HandlePeerMessage(now, (i+1)%80, digest(d, now, []float64{0, 0}, counts...))
@@ -1162,21 +1162,21 @@
 			d.HandleRequest(now+ms, call(id, now+ms, FuncID(k)))
 			if w := f.last[id]; w <= lost {
 				trials[w]++
-				if k > 0 && len(d.workers[w].open) > 1 {
+				if k > 0 && len(d.workers[w].inFlight) > 1 {
 					t.Fatalf("dispatcher %d: call %d went to worker %d, which nobody hears", i, k, w)
 				}
 			}
 		}
-		later := now + d.minAim/beats
+		later := now + d.minAim/maintenanceRounds
 		d.HandlePeerMessage(later, (i+1)%80, digest(d, later, []float64{0, 0}, aggregate.Count{Worker: 1, N: 1, Silent: true, Heard: true}))
-		d.workers[1].open = nil
+		d.workers[1].inFlight = nil
 		d.HandleRequest(later+ms, call("back", later+ms, 99))
 		if f.last["back"] == 1 {
 			heard++
 		}
 		for _, many := range []int{3, 80} { // of few, each finds out for itself soon
 			d.set.Dispatchers = many
-			if told := d.told(now+3*d.minAim, d.workers[2]); told != (many == 80) {
+			if told := d.isReportedUnresponsive(now+3*d.minAim, d.workers[2]); told != (many == 80) {
 				t.Fatalf("three aims later, %d dispatchers: told silent %v", many, told)
 			}
 		}
@@ -1210,7 +1210,7 @@
 		t.Fatalf("%d sends, answers %v, %d cancels after standing still", len(f.sends), f.answers, f.cancels)
 	}
 	for _, w := range d.list {
-		if x := d.judge.FailureRate(4000*ms, &w.health); d.out(w) || x > 0 {
+		if x := d.judge.FailureRate(4000*ms, &w.outlierStats); d.isEjected(w) || x > 0 {
 			t.Fatalf("worker %d blamed (%.2f)", w.Worker, x)
 		}
 	}
@@ -1263,8 +1263,8 @@
 	}
 	d.HandlePeerMessage(ms, 1, digest(d, ms, []float64{0, 0}, counts...))
 	for k := range 40 {
-		h := d.function(ms, call("", ms, FuncID(k))).at(d.workers[1], true) // believed at a crowded worker
-		h.until = 8000 * ms
+		h := d.functionFor(ms, call("", ms, FuncID(k))).holderAt(d.workers[1], true) // believed at a crowded worker
+		h.validUntil = 8000 * ms
 		d.misses = 1
 		d.HandleRequest(2*ms, call(fmt.Sprint(k), 2*ms, FuncID(k)))
 		if w := f.last[fmt.Sprint(k)]; w <= 4 {
@@ -1284,8 +1284,8 @@
 	for _, text := range []string{"", "A", "AQ", "////////", "AAAAAAA", "\x00\xff", strings.Repeat("A", 400)} {
 		d.HandlePeerMessage(ms, 3, text)
 	}
-	if d.sum(served) != 0 || len(d.funcs) != 1 {
-		t.Fatalf("bad messages were taken: %v, %d functions", d.sum(served), len(d.funcs))
+	if d.fleetSum(completionsColumn) != 0 || len(d.funcs) != 1 {
+		t.Fatalf("bad messages were taken: %v, %d functions", d.fleetSum(completionsColumn), len(d.funcs))
 	}
 	d.UpdateEndpoints(2*ms, EndpointsSnapshot, roster(1))
 	d.HandleRequest(3*ms, call("b", 3*ms, 1))
@@ -1315,7 +1315,7 @@
 	for i := range 90 { // all loaded, nothing answered: a queue forms
 		id := fmt.Sprint(i)
 		d.HandleRequest(now, Request{ID: id, Func: 1, Deadline: now + 3000*ms, Concurrency: 16, Retry: i%3 > 0})
-		d.function(now, call(id, now, 1)).at(d.list[i%4], true).until = now + 8000*ms
+		d.functionFor(now, call(id, now, 1)).holderAt(d.list[i%4], true).validUntil = now + 8000*ms
 	}
 	first, repeat := 0, 0
 	for i := range 90 {
@@ -1337,8 +1337,8 @@
 	d, _ := start(t, settings(Idempotent, ScopeAll), 50)
 	d.UpdateEndpoints(0, EndpointsSnapshot, append(roster(50), Endpoint{Worker: 99, State: Active, Weight: 1, Start: 999 * ms}))
 	d.answers, d.answersAt = 400, 1000*ms // 50 a second from 50 workers: one a second each
-	if d.eligible(1000*ms, d.workers[99]); d.workers[99].coldLeft > 1 {
-		t.Fatalf("%d calls at once to a cold worker", d.workers[99].coldLeft)
+	if d.eligible(1000*ms, d.workers[99]); d.workers[99].slowStartTokens > 1 {
+		t.Fatalf("%d calls at once to a cold worker", d.workers[99].slowStartTokens)
 	}
 }
 
@@ -1350,9 +1350,9 @@
 	d, f := start(t, s, 4)
 	hear(d, 0)
 	now := 5000 * ms
-	d.function(now, Request{Func: 1, Concurrency: 16})
+	d.functionFor(now, Request{Func: 1, Concurrency: 16})
 	for _, w := range d.list {
-		d.funcs[1].at(w, true).until = now + 8000*ms
+		d.funcs[1].holderAt(w, true).validUntil = now + 8000*ms
 	}
 	d.served, d.servedAt = 1e6, now // answers flow, so there is no queue
 	cold, warm := 0, 0
@@ -1413,16 +1413,16 @@
 			t.Fatal("the holder was not taken")
 		}
 		d.HandleAttemptResult(lately+5*ms, AttemptResult{ID: "b", Worker: w.Worker, Result: res})
-		if dead := res != Reset; d.out(w) != dead || (w.holds[0].until == 0) != dead || (f.last["b"] != w.Worker) != dead {
-			t.Fatalf("%d after %d ms: ejected %v, beliefs %v, sent to %d", res, lately/ms, d.out(w), w.holds[0].until, f.last["b"])
+		if dead := res != Reset; d.isEjected(w) != dead || (w.holders[0].validUntil == 0) != dead || (f.last["b"] != w.Worker) != dead {
+			t.Fatalf("%d after %d ms: ejected %v, beliefs %v, sent to %d", res, lately/ms, d.isEjected(w), w.holders[0].validUntil, f.last["b"])
 		}
 		if ejected := d.Ejected(); (len(ejected) == 1 && ejected[0] == w.Worker) != (res != Reset) {
 			t.Errorf("%d: Ejected says %v", res, ejected)
 		}
 		if res == Reset {
 			d.HandleAttemptResult(lately+9*ms, AttemptResult{ID: "b", Attempt: 1, Worker: w.Worker, Result: res})
-			if f.last["b"] == w.Worker || d.out(w) {
-				t.Errorf("cut twice: sent to %d again, ejected %v", f.last["b"], d.out(w))
+			if f.last["b"] == w.Worker || d.isEjected(w) {
+				t.Errorf("cut twice: sent to %d again, ejected %v", f.last["b"], d.isEjected(w))
 			}
 		}
 	}
@@ -1481,7 +1481,7 @@
 		}
 	}
 	for _, w := range d.list {
-		if d.out(w) {
+		if d.isEjected(w) {
 			t.Errorf("worker %d is ejected", w.Worker)
 		}
 	}
@@ -1532,10 +1532,10 @@
 			d.HandleAttemptResult(10*ms, ok(id, f.last[id]))
 		}
 		h := d.funcs[1].holders[0]
-		h.sure = !c.told
+		h.confirmed = !c.told
 		d.HandleRequest(20*ms, call("x", 20*ms, 1))
-		if a := d.reqs["x"].tries[0]; c.told != (a.due-a.sent > 1000*ms) {
-			t.Errorf("%s: due after %d ms", name, (a.due-a.sent)/ms)
+		if a := d.reqs["x"].attempts[0]; c.told != (a.dueAt-a.sentAt > 1000*ms) {
+			t.Errorf("%s: due after %d ms", name, (a.dueAt-a.sentAt)/ms)
 		}
 		other := FuncID(2)
 		if c.hit {
@@ -1692,51 +1692,51 @@
 	s.Dispatchers, s.Gossip = 12, true
 	d, _ := start(t, s, 4)
 	now := 1000000 * ms
-	before := d.load(now, d.workers[1])
-	d.takeWords(now, []aggregate.Mark{{Worker: 1, Good: 3, Pace: 16}, {Worker: 2, Good: 3, Pace: 16}})
-	if l := d.load(now, d.workers[1]); l < 3*before {
+	before := d.weightedLoad(now, d.workers[1])
+	d.applyEvidence(now, []aggregate.Mark{{Worker: 1, Good: 3, Pace: 16}, {Worker: 2, Good: 3, Pace: 16}})
+	if l := d.weightedLoad(now, d.workers[1]); l < 3*before {
 		t.Errorf("load %.1f with calls told to take four times as long, %.1f before", l, before)
 	}
-	if _, says := d.judge.Mark(now, &d.workers[1].health, d.slow(now, d.workers[1])); says {
+	if _, says := d.judge.Mark(now, &d.workers[1].outlierStats, d.relativeLatency(now, d.workers[1])); says {
 		t.Error("it is told on")
 	}
 	d.workers[2].pace, d.workers[2].paceAt = 8, now
-	if l := d.load(now, d.workers[2]); l < 30*before {
+	if l := d.weightedLoad(now, d.workers[2]); l < 30*before {
 		t.Errorf("load %.1f with eight times as long seen here", l)
 	}
-	if l := d.load(now+10*int64(d.tau()), d.workers[1]); l > 1.1*before {
+	if l := d.weightedLoad(now+10*int64(d.decayTime()), d.workers[1]); l > 1.1*before {
 		t.Errorf("load %.1f long after", l)
 	}
 }
 
 // boxed is the same heap as the standard library keeps it.
-type boxed struct{ wakeups }
+type boxed struct{ timerHeap }
 
-func (h *boxed) Len() int           { return len(h.wakeups) }
-func (h *boxed) Less(i, j int) bool { return h.wakeups[i].at < h.wakeups[j].at }
-func (h *boxed) Swap(i, j int)      { h.wakeups[i], h.wakeups[j] = h.wakeups[j], h.wakeups[i] }
-func (h *boxed) Push(x any)         { h.wakeups = append(h.wakeups, x.(wakeup)) }
+func (h *boxed) Len() int           { return len(h.timerHeap) }
+func (h *boxed) Less(i, j int) bool { return h.timerHeap[i].at < h.timerHeap[j].at }
+func (h *boxed) Swap(i, j int)      { h.timerHeap[i], h.timerHeap[j] = h.timerHeap[j], h.timerHeap[i] }
+func (h *boxed) Push(x any)         { h.timerHeap = append(h.timerHeap, x.(timerEntry)) }
 func (h *boxed) Pop() any {
-	n := len(h.wakeups) - 1
-	x := h.wakeups[n]
-	h.wakeups = h.wakeups[:n]
+	n := len(h.timerHeap) - 1
+	x := h.timerHeap[n]
+	h.timerHeap = h.timerHeap[:n]
 	return x
 }
 
 // Wakeups come out as from container/heap, also those of one time: the order of events, and with it every choice, hangs on it.
 func TestWakeupsComeAsFromTheStandardHeap(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	ours, theirs := wakeups{}, &boxed{}
+	ours, theirs := timerHeap{}, &boxed{}
 	for i := range 20_000 {
 		if rng.IntN(5) < 3 || len(ours) == 0 {
-			x := wakeup{int64(rng.IntN(40)), &request{arrived: int64(i)}}
+			x := timerEntry{int64(rng.IntN(40)), &request{arrivedAt: int64(i)}}
 			ours.push(x)
 			heap.Push(theirs, x)
-		} else if got, want := ours.pop(), heap.Pop(theirs).(wakeup); got != want {
-			t.Fatalf("event %d: %d of %d, want %d of %d", i, got.at, got.r.arrived, want.at, want.r.arrived)
+		} else if got, want := ours.pop(), heap.Pop(theirs).(timerEntry); got != want {
+			t.Fatalf("event %d: %d of %d, want %d of %d", i, got.at, got.request.arrivedAt, want.at, want.request.arrivedAt)
 		}
 		if len(ours) > 3000 {
-			ours, theirs.wakeups = ours[:0], theirs.wakeups[:0]
+			ours, theirs.timerHeap = ours[:0], theirs.timerHeap[:0]
 		}
 	}
 }
@@ -1763,7 +1763,7 @@
 		place := f.last["a"]
 		other := place%workers + 1
 		if c.elsewhere {
-			d.believe(ms, d.funcs[funcTag(9)].at(d.workers[other], true))
+			d.confirmHolder(ms, d.funcs[functionTag(9)].holderAt(d.workers[other], true))
 		}
 		full := func(n int, now int64) {
 			d.HandleAttemptResult(now, AttemptResult{ID: "a", Attempt: n, Worker: f.last["a"], Result: QueueFull})
@@ -1788,7 +1788,7 @@
 			t.Fatalf("%+v: a call turned away went on at once: %v", c, f.sends)
 		}
 		again := until(3 * ms)
-		if load := int64(d.loadTime(d.funcs[funcTag(9)])); again == 0 || again > 3*ms+min(load, 3000*ms/int64(s.MaxAttempts)) || f.last["a"] != place {
+		if load := int64(d.expectedLoadTime(d.funcs[functionTag(9)])); again == 0 || again > 3*ms+min(load, 3000*ms/int64(s.MaxAttempts)) || f.last["a"] != place {
 			t.Fatalf("%+v: turned away by %d at 2 ms, it came again at %d ms: %v", c, place, again/ms, f.sends)
 		}
 		full(1, again+ms)
@@ -1809,11 +1809,11 @@
 			s.Dispatchers, s.DispatcherIndex, s.FullScanLimit = 300, i*7, walk
 			d, f := start(t, s, 120)
 			hear(d, 0)
-			d.stats[0] = stat{float64(1000 * ms), float64(500 * ms)}
+			d.stats[0] = latency{float64(1000 * ms), float64(500 * ms)}
 			for k := range functions {
 				r := call(fmt.Sprint(k), 8000*ms, FuncID(5+k*1_000_003))
-				fn := d.function(8000*ms, r)
-				fn.calls, fn.callsAt = 1, 8000*ms // the call at hand is the second
+				fn := d.functionFor(8000*ms, r)
+				fn.recentCalls, fn.recentCallsAt = 1, 8000*ms // the call at hand is the second
 				d.HandleRequest(8000*ms, r)
 				at[[2]int{k, int(f.last[r.ID])}] = true
 			}
--- a/balancer/long_test.go
+++ b/balancer/long_test.go
@@ -23,7 +23,7 @@
 // lookedAt are the workers that the last choice looked at.
 func lookedAt(d *Balancer) (ws []*worker) {
 	for _, w := range d.list {
-		if w.looked == d.turn {
+		if w.examinedIn == d.turn {
 			ws = append(ws, w)
 		}
 	}
@@ -40,10 +40,10 @@
 			id := fmt.Sprint(i)
 			d.HandleRequest(now, call(id, now, FuncID(i%7)))
 			looked := lookedAt(d)
-			if n <= walked {
+			if n <= defaultFullScanLimit {
 				assert.Len(t, looked, n)
 			} else {
-				assert.LessOrEqual(t, len(looked), window+drawn+window, "%d executors", n)
+				assert.LessOrEqual(t, len(looked), ringWindow+sampleSize+ringWindow, "%d executors", n)
 			}
 			assert.Contains(t, looked, d.workers[f.last[id]])
 			d.HandleAttemptResult(now+ms, ok(id, f.last[id]))
@@ -59,8 +59,8 @@
 	hear(d, 0)
 	for fn := range FuncID(50) {
 		w := d.workers[WorkerID(1+fn*191)]
-		h := d.function(0, call("", 0, fn)).at(w, true)
-		d.believe(0, h)
+		h := d.functionFor(0, call("", 0, fn)).holderAt(w, true)
+		d.confirmHolder(0, h)
 	}
 	for fn := range FuncID(50) {
 		id := fmt.Sprint(fn)
@@ -101,8 +101,8 @@
 		d, f := start(t, s, 1900)
 		hear(d, 0)
 		r := call("x", 3000*ms, 5)
-		fn := d.function(3000*ms, r)
-		fn.calls, fn.callsAt = 8, 3000*ms // one a second here, 200 in all: at 0.25 s and a copy's two lanes half taken, 50 places
+		fn := d.functionFor(3000*ms, r)
+		fn.recentCalls, fn.recentCallsAt = 8, 3000*ms // one a second here, 200 in all: at 0.25 s and a copy's two lanes half taken, 50 places
 		d.HandleRequest(3000*ms, r)
 		at[f.last["x"]]++
 	}
@@ -119,8 +119,8 @@
 	at := map[WorkerID]int{}
 	const functions = 19_000
 	for fn := range FuncID(functions) {
-		r := &request{Request: call("x", ms, fn*7919), class: &d.set.Classes[0], fn: &function{id: fn * 7919, lanes: 2}}
-		w, _ := d.choose(ms, r)
+		r := &request{Request: call("x", ms, fn*7919), class: &d.set.Classes[0], function: &function{id: fn * 7919, concurrency: 2}}
+		w, _ := d.chooseWorker(ms, r)
 		at[w.Worker]++
 	}
 	most := 0
@@ -138,13 +138,13 @@
 	hear(d, 0)
 	for i, w := range d.list {
 		if i%10 < 3 {
-			w.others, w.othersAt = 20, 0
+			w.peerCalls, w.peerCallsAt = 20, 0
 		}
 	}
 	crowded := 0
 	for fn := range FuncID(500) {
-		r := &request{Request: call("x", ms, fn), class: &d.set.Classes[0], fn: &function{id: fn, lanes: 2}}
-		if w, _ := d.choose(ms, r); w.others > 0 {
+		r := &request{Request: call("x", ms, fn), class: &d.set.Classes[0], function: &function{id: fn, concurrency: 2}}
+		if w, _ := d.chooseWorker(ms, r); w.peerCalls > 0 {
 			crowded++
 		}
 	}
@@ -158,8 +158,8 @@
 	d, f := start(t, s, 600)
 	hear(d, 0)
 	sick := d.workers[7]
-	d.cut(ms, 0, sick, ConnectFailed)
-	require.True(t, d.out(sick))
+	d.handleConnectionFailure(ms, 0, sick, ConnectFailed)
+	require.True(t, d.isEjected(sick))
 	tried := false
 	for i := range 2000 {
 		now := 2000*ms + int64(i)*5*ms
@@ -170,7 +170,7 @@
 		d.HandleTimer(now+2*ms, f.ref)
 	}
 	assert.True(t, tried)
-	assert.False(t, d.out(sick), "back after trials that went well")
+	assert.False(t, d.isEjected(sick), "back after trials that went well")
 }
 
 // Found by reading: an executor that was first told of as stopped was listed for good but never in the list, and got no call when
@@ -188,12 +188,12 @@
 	for _, n := range []int{3, 300} {
 		d, _ := start(t, settings(IdempotentByKey, ScopeZone), n)
 		r := &request{Request: call("x", 0, 1), class: &d.set.Classes[0]}
-		r.tries = []*attempt{{req: r, w: d.list[0], zone: 9, ran: true}}
-		assert.False(t, d.mayResendAnywhere(ms, r))
+		r.attempts = []*attempt{{request: r, worker: d.list[0], zone: 9, mayHaveRun: true}}
+		assert.False(t, d.mayRetryAnywhere(ms, r))
 		d.list[n-1].Zone = 9
-		assert.True(t, d.mayResendAnywhere(ms, r))
+		assert.True(t, d.mayRetryAnywhere(ms, r))
 		d.set.Classes[0].Idempotency = NotIdempotent
-		assert.False(t, d.mayResendAnywhere(ms, r))
+		assert.False(t, d.mayRetryAnywhere(ms, r))
 	}
 }
 
@@ -210,11 +210,11 @@
 	}
 	d.UpdateEndpoints(ms, EndpointsDelta, news)
 	for fn := range FuncID(50) {
-		r := &request{Request: call("x", ms, fn), class: &d.set.Classes[0], fn: &function{id: fn, lanes: 2}}
-		w, _ := d.choose(ms, r)
+		r := &request{Request: call("x", ms, fn), class: &d.set.Classes[0], function: &function{id: fn, concurrency: 2}}
+		w, _ := d.chooseWorker(ms, r)
 		require.NotNil(t, w)
 		looked := lookedAt(d)
-		assert.GreaterOrEqual(t, len(looked), window+drawn*3/4)
+		assert.GreaterOrEqual(t, len(looked), ringWindow+sampleSize*3/4)
 		for _, w := range looked {
 			assert.Equal(t, Active, w.State)
 		}
@@ -282,12 +282,12 @@
 				m := aggregate.Message{Report: aggregate.Report{Incarnation: 1, Seq: uint8(seq + 1), Values: []float64{1, 1}}, Calls: 9}
 				seq++
 				for range rapid.IntRange(0, 3).Draw(t, "counts") {
-					m.Counts = append(m.Counts, aggregate.Count{Worker: tag(few("counted")), N: 2, Silent: rapid.Bool().Draw(t, "silent"), Heard: true})
+					m.Counts = append(m.Counts, aggregate.Count{Worker: workerTag(few("counted")), N: 2, Silent: rapid.Bool().Draw(t, "silent"), Heard: true})
 				}
-				m.Marks = []aggregate.Mark{{Worker: tag(few("marked")), Bad: 3}}
+				m.Marks = []aggregate.Mark{{Worker: workerTag(few("marked")), Bad: 3}}
 				d.HandlePeerMessage(now, rapid.IntRange(2, 6).Draw(t, "from"), m.Encode(20)[0])
 			case 9:
-				d.HandlePeerMessage(now, 3, digest(d, now, []float64{5, 1}, aggregate.Count{Worker: tag(few("told")), N: 1, Silent: true}))
+				d.HandlePeerMessage(now, 3, digest(d, now, []float64{5, 1}, aggregate.Count{Worker: workerTag(few("told")), N: 1, Silent: true}))
 			}
 			take()
 			sameRounds(t, d, now)
@@ -308,25 +308,25 @@
 	n := 0.0 // the definition of queued, over the whole list
 	for _, w := range d.list {
 		require.True(t, w.listed && w.State != Removed)
-		if !d.well(now, w) {
+		if !d.isHealthy(now, w) {
 			continue
 		}
-		for _, a := range w.open {
-			if st := d.stats[a.req.Class]; a.warm && float64(now-a.sent) < st.mean+queueDevs*st.dev {
+		for _, a := range w.inFlight {
+			if st := d.stats[a.request.Class]; a.expectedWarm && float64(now-a.sentAt) < st.mean+queuedDeviations*st.deviation {
 				n++
 			}
 		}
-		for _, g := range w.ghosts {
-			if g.until > now && g.full {
+		for _, g := range w.recentFailures {
+			if g.until > now && g.queueFull {
 				n++
 			}
 		}
 	}
-	require.Equal(t, n, d.queued(now))
+	require.Equal(t, n, d.queuedCalls(now))
 	for _, hub := range []bool{false, true} {
 		said := func(walk int) (m aggregate.Message) {
 			d.set.FullScanLimit, m.FromLeader = walk, hub
-			d.gather(now, &m)
+			d.fillMessage(now, &m)
 			slices.SortFunc(m.Counts, func(a, b aggregate.Count) int { return cmp.Compare(a.Worker, b.Worker) })
 			slices.SortFunc(m.Marks, func(a, b aggregate.Mark) int { return cmp.Compare(a.Worker, b.Worker) })
 			m.Holders = nil
@@ -354,8 +354,8 @@
 		d.HandleTimer(now+2*ms, f.ref)
 		told += len(f.told)
 		f.told, f.toldTo, f.sends = nil, nil, nil
-		assert.GreaterOrEqual(t, d.words.left, 0.0)
-		assert.GreaterOrEqual(t, d.pool.left, 0.0)
+		assert.GreaterOrEqual(t, d.words.tokens, 0.0)
+		assert.GreaterOrEqual(t, d.pool.tokens, 0.0)
 	}
 	assert.Greater(t, told, 20, "messages in 20 s: what a purse saves up is spent")
 }
@@ -382,7 +382,7 @@
 	}
 	for i := range both[0].list {
 		for _, at := range []int64{11_000 * ms, 11_500 * ms, 30_000 * ms} {
-			assert.Equal(t, both[0].inflight(at, both[0].list[i]), both[1].inflight(at, both[1].list[i]), "executor %d", i+1)
+			assert.Equal(t, both[0].inFlightAt(at, both[0].list[i]), both[1].inFlightAt(at, both[1].list[i]), "executor %d", i+1)
 		}
 	}
 	assert.Equal(t, both[0].others, both[1].others)
--- a/balancer/maintenance.go
+++ b/balancer/maintenance.go
@@ -10,43 +10,43 @@
 	"oakthread/outlier"
 )
 
-// awake finds that we stood still: our bell is late by more than a housekeeping round. Nothing is overdue for
+// detectStall finds that we stood still: our bell is late by more than a housekeeping round. Nothing is overdue for
 // that, and what has come meanwhile is heard before anybody is blamed or anything ended.
-func (d *Balancer) awake(now int64) {
-	if late := now - d.armed; d.armed > 0 && late > d.minAim/beats && d.stoodAt < now {
+func (d *Balancer) detectStall(now int64) {
+	if late := now - d.armed; d.armed > 0 && late > d.minAim/maintenanceRounds && d.stoodAt < now {
 		d.stoodAt = now
-		for _, w := range d.inUse(now) {
-			for _, a := range w.open {
-				a.due += late
+		for _, w := range d.workersInUse(now) {
+			for _, a := range w.inFlight {
+				a.dueAt += late
 			}
 		}
 	}
 }
 
-// beat is the housekeeping round; it stops when nothing has happened for a while.
-func (d *Balancer) beat(now int64) {
-	d.ask(now)
-	d.tell(now)
-	if now-d.sweptAt > d.set.KeepAlive/beats {
+// runMaintenance is the housekeeping round; it stops when nothing has happened for a while.
+func (d *Balancer) runMaintenance(now int64) {
+	d.pollEndpoints(now)
+	d.sendGossip(now)
+	if now-d.sweptAt > d.set.KeepAlive/maintenanceRounds {
 		d.sweptAt = now
-		d.trim(now)
-		d.sweep(now)
+		d.unloadIdleCopies(now)
+		d.sweepState(now)
 	}
 	d.beatAt = 0
 	if now-d.busyAt < 2*outlier.Longest*d.minAim || d.set.PollEndpoints {
-		d.tick(now)
+		d.advanceClock(now)
 	}
 }
 
-type wakeup struct {
-	at int64
-	r  *request // nil: housekeeping
+type timerEntry struct {
+	at      int64
+	request *request // nil: housekeeping
 }
 
-// wakeups is a heap by time, as container/heap keeps one, without a box for each entry.
-type wakeups []wakeup
+// timerHeap is a heap by time, as container/heap keeps one, without a box for each entry.
+type timerHeap []timerEntry
 
-func (h *wakeups) push(x wakeup) {
+func (h *timerHeap) push(x timerEntry) {
 	*h = append(*h, x)
 	for i := len(*h) - 1; i > 0; {
 		up := (i - 1) / 2
@@ -58,7 +58,7 @@
 	}
 }
 
-func (h *wakeups) pop() wakeup {
+func (h *timerHeap) pop() timerEntry {
 	ws := *h
 	n := len(ws) - 1
 	ws[0], ws[n] = ws[n], ws[0]
@@ -77,28 +77,28 @@
 		i = down
 	}
 	x := ws[n]
-	ws[n] = wakeup{}
+	ws[n] = timerEntry{}
 	*h = ws[:n]
 	return x
 }
 
-func since(ts []int64, from int64) []int64 {
+func dropBefore(ts []int64, from int64) []int64 {
 	for len(ts) > 0 && ts[0] < from {
 		ts = ts[1:]
 	}
 	return ts
 }
 
-func (d *Balancer) push(at int64, r *request) { d.heap.push(wakeup{at, r}) }
+func (d *Balancer) schedule(at int64, r *request) { d.heap.push(timerEntry{at, r}) }
 
-func (d *Balancer) wakeAt(r *request, at int64) {
-	r.wake = at
-	if at < r.end(d) {
-		d.push(at, r)
+func (d *Balancer) scheduleRecheck(r *request, at int64) {
+	r.recheckAt = at
+	if at < r.answerBy(d) {
+		d.schedule(at, r)
 	}
 }
 
-func (d *Balancer) arm() {
+func (d *Balancer) armTimer() {
 	if len(d.heap) > 0 && max(d.heap[0].at, d.now) < d.armed {
 		d.armed = max(d.heap[0].at, d.now)
 		d.bell++
@@ -106,18 +106,18 @@
 	}
 }
 
-func (d *Balancer) tick(now int64) {
+func (d *Balancer) advanceClock(now int64) {
 	d.now = max(d.now, now)
-	d.awake(d.now)
+	d.detectStall(d.now)
 	if d.beatAt == 0 {
-		d.beatAt = d.now + d.minAim/beats
-		d.settle(d.now)
-		d.push(d.beatAt, nil)
+		d.beatAt = d.now + d.minAim/maintenanceRounds
+		d.pruneActive(d.now)
+		d.schedule(d.beatAt, nil)
 	}
 }
 
-// log writes a line, of a burst at most logBurst, and one more in each shortest aim.
-func (d *Balancer) log(now int64, format string, args ...any) {
+// logf writes a line, of a burst at most logBurst, and one more in each shortest aim.
+func (d *Balancer) logf(now int64, format string, args ...any) {
 	d.logLeft = min(d.logLeft+float64(now-d.logAt)/float64(d.minAim), logBurst)
 	d.logAt = now
 	if d.logLeft >= 1 {
@@ -128,44 +128,47 @@
 
 const logBurst = 32
 
-// sweep drops what is no longer believed, listed or in flight, so that memory stays bounded.
-func (d *Balancer) sweep(now int64) {
+// sweepState drops what is no longer believed, listed or in flight, so that memory stays bounded.
+func (d *Balancer) sweepState(now int64) {
 	for id, f := range d.funcs {
 		keep := f.holders[:0]
 		for _, h := range f.holders {
-			if h.inflight > 0 || h.until > now || now-h.orderedAt < d.set.LoadOrderTimeout && h.orderedAt > 0 {
+			if h.inFlight > 0 || h.validUntil > now || now-h.orderedAt < d.set.LoadOrderTimeout && h.orderedAt > 0 {
 				keep = append(keep, h)
 			} else {
-				h.w.holds = slices.DeleteFunc(h.w.holds, func(x *holder) bool { return x == h })
+				h.worker.holders = slices.DeleteFunc(h.worker.holders, func(x *holder) bool { return x == h })
 			}
 		}
 		f.holders = keep
-		if len(keep) == 0 && now-f.last > d.set.KeepAlive+int64(d.tau()) {
+		if len(keep) == 0 && now-f.lastRequestAt > d.set.KeepAlive+int64(d.decayTime()) {
 			delete(d.funcs, id)
 		}
 	}
 	// Not all news is told where messages are dear or there are no peers.
-	d.news = slices.DeleteFunc(d.news, func(h *holder) bool { return h.until <= now && h.inflight == 0 && !h.ordered })
-	d.young = slices.DeleteFunc(d.young, func(w *worker) bool { w.young = w.listed && d.isCold(now, w); return !w.young })
+	d.news = slices.DeleteFunc(d.news, func(h *holder) bool { return h.validUntil <= now && h.inFlight == 0 && !h.orderInFlight })
+	d.young = slices.DeleteFunc(d.young, func(w *worker) bool {
+		w.trackedWarmingUp = w.listed && d.isWarmingUp(now, w)
+		return !w.trackedWarmingUp
+	})
 	d.warm = len(d.list) - len(d.young)
 	d.sweepReports(now)
-	for _, w := range d.active() {
-		keep := w.ghosts[:0]
-		for _, g := range w.ghosts {
+	for _, w := range d.activeWorkers() {
+		keep := w.recentFailures[:0]
+		for _, g := range w.recentFailures {
 			if g.until > now {
 				keep = append(keep, g)
 			}
 		}
-		w.ghosts = keep
+		w.recentFailures = keep
 	}
 	for id, w := range d.workers {
 		if len(d.workers) == len(d.list) {
 			break
 		}
-		if !w.listed && len(w.open) == 0 {
+		if !w.listed && len(w.inFlight) == 0 {
 			delete(d.workers, id)
-			if d.tags[tag(id)] == w {
-				delete(d.tags, tag(id))
+			if d.tags[workerTag(id)] == w {
+				delete(d.tags, workerTag(id))
 			}
 		}
 	}
@@ -173,22 +176,22 @@
 
 // HandleTimer takes an expired timer.
 func (d *Balancer) HandleTimer(now int64, ref int64) {
-	d.tick(now)
+	d.advanceClock(now)
 	if ref == d.bell { // by its number, not its time: a host that rounds may ring a little early
 		d.armed = forever
 	}
 	for d.stoodAt < now && len(d.heap) > 0 && d.heap[0].at <= now {
-		r := d.heap.pop().r
+		r := d.heap.pop().request
 		switch {
 		case r == nil:
-			d.beat(now)
-		case r.done || r.stream:
-		case now >= r.end(d):
+			d.runMaintenance(now)
+		case r.done || r.streaming:
+		case now >= r.answerBy(d):
 			d.finish(now, r)
-		case now >= r.wake:
-			r.wake = forever
-			d.overdue(now, r)
+		case now >= r.recheckAt:
+			r.recheckAt = forever
+			d.handleOverdue(now, r)
 		}
 	}
-	d.arm()
+	d.armTimer()
 }
--- a/balancer/ration_test.go
+++ b/balancer/ration_test.go
@@ -17,11 +17,11 @@
 		d.HandleRequest(now, call(id, now, FuncID(1000+i)))
 		d.HandleAttemptResult(now, AttemptResult{ID: id, Worker: f.last[id], Result: Error, Finished: true})
 	}
-	h := d.function(50*ms, call("", 50*ms, 1)).at(d.workers[1], true)
-	if !d.order(50*ms, h, 1) {
+	h := d.functionFor(50*ms, call("", 50*ms, 1)).holderAt(d.workers[1], true)
+	if !d.orderLoad(50*ms, h, 1) {
 		t.Fatal("the free order was not given")
 	}
-	if d.order(51*ms, h, 1) {
+	if d.orderLoad(51*ms, h, 1) {
 		t.Fatal("an order was given for calls of functions that no worker serves")
 	}
 	for i := range 4 { // these count, also the first, whose answer shows that the function is there
@@ -29,7 +29,7 @@
 		d.HandleRequest(now, call(id, now, 2))
 		d.HandleAttemptResult(now+ms, ok(id, f.last[id]))
 	}
-	if !d.order(100*ms, h, 1) {
+	if !d.orderLoad(100*ms, h, 1) {
 		t.Fatal("no order was given for four calls served")
 	}
 }
--- a/balancer/reports_test.go
+++ b/balancer/reports_test.go
@@ -53,7 +53,7 @@
 func (p *plainReports) before() {
 	p.touched, p.swept = map[*worker]bool{}, p.d.sweptAt
 	for _, w := range p.d.workers {
-		p.touched[w] = w.touchedAt != 0
+		p.touched[w] = w.lastActivityAt != 0
 	}
 }
 
@@ -66,11 +66,11 @@
 			delete(p.told, w)
 			continue
 		}
-		if d.sweptAt != p.swept && (long && p.touched[w] || !long && w.inList) {
+		if d.sweptAt != p.swept && (long && p.touched[w] || !long && w.inTable) {
 			t.counts = slices.DeleteFunc(t.counts, func(c plainCount) bool { return now-c.at > 2*d.minAim })
-			t.marks = slices.DeleteFunc(t.marks, func(m plainMark) bool { return now-m.at > hubAims*d.minAim })
+			t.marks = slices.DeleteFunc(t.marks, func(m plainMark) bool { return now-m.at > leaderTermObjectives*d.minAim })
 		}
-		if long && p.touched[w] && w.touchedAt == 0 {
+		if long && p.touched[w] && w.lastActivityAt == 0 {
 			delete(p.told, w)
 		}
 	}
@@ -114,7 +114,7 @@
 		heard++
 	}
 	for _, m := range t.marks {
-		if now-m.at <= hubAims*d.minAim {
+		if now-m.at <= leaderTermObjectives*d.minAim {
 			marks = append(marks, m.mark)
 		}
 	}
@@ -132,7 +132,7 @@
 		}
 	}
 	c.Silent = outlier.Silent(silent, d.set.Dispatchers)
-	stands := d.judge.EjectedByGossip(now, &w.health)
+	stands := d.judge.EjectedByGossip(now, &w.outlierStats)
 	if stands {
 		heard = 0
 	}
@@ -175,10 +175,10 @@
 			p.after(now)
 		}
 		read := func(l letter) {
-			event(func() { d.tick(now) })
+			event(func() { d.advanceClock(now) })
 			m, ok := aggregate.Decode(l.text, s.Dispatchers)
 			require.True(t, ok)
-			before, active := d.shared.Dropped, slices.Clone(d.active())
+			before, active := d.shared.Dropped, slices.Clone(d.activeWorkers())
 			event(func() {
 				d.HandlePeerMessage(now, l.from, l.text)
 				if l.from != s.DispatcherIndex && d.shared.Dropped == before {
@@ -197,11 +197,11 @@
 				}
 				m := aggregate.Message{Calls: 9, Report: aggregate.Report{Incarnation: incs[who], Seq: seqs[who], Values: []float64{1, 1}}}
 				for range rapid.SampledFrom([]int{0, 1, 3, 8, 70}).Draw(t, "counts") {
-					m.Counts = append(m.Counts, aggregate.Count{Worker: tag(few("counted")), N: rapid.IntRange(0, 3).Draw(t, "calls"),
+					m.Counts = append(m.Counts, aggregate.Count{Worker: workerTag(few("counted")), N: rapid.IntRange(0, 3).Draw(t, "calls"),
 						Silent: rapid.Bool().Draw(t, "silent"), Heard: rapid.Bool().Draw(t, "heard")})
 				}
 				for range rapid.IntRange(0, 3).Draw(t, "marks") {
-					m.Marks = append(m.Marks, aggregate.Mark{Worker: tag(few("marked")), Good: uint8(rapid.IntRange(0, 2).Draw(t, "good")),
+					m.Marks = append(m.Marks, aggregate.Mark{Worker: workerTag(few("marked")), Good: uint8(rapid.IntRange(0, 2).Draw(t, "good")),
 						Bad: uint8(rapid.IntRange(0, 2).Draw(t, "bad")), Pace: uint8(rapid.SampledFrom([]int{0, 9}).Draw(t, "pace"))})
 				}
 				for _, text := range m.Encode(s.Dispatchers) {
@@ -217,7 +217,7 @@
 				event(func() { d.HandleTimer(now, f.ref) })
 			case 7:
 				event(func() {
-					d.tick(now)
+					d.advanceClock(now)
 					calls++
 					d.HandleRequest(now, call(fmt.Sprint(calls), now, FuncID(calls%5)))
 				})
@@ -225,7 +225,7 @@
 				if len(f.sends) > 0 {
 					o := f.sends[rapid.IntRange(0, len(f.sends)-1).Draw(t, "ends")]
 					res := Result(rapid.IntRange(0, int(NumResults)-1).Draw(t, "end"))
-					event(func() { d.tick(now) })
+					event(func() { d.advanceClock(now) })
 					event(func() {
 						d.HandleAttemptResult(now, AttemptResult{ID: o.id, Worker: o.w, Result: res, Finished: res == OK, Warmth: WarmHit})
 					})
@@ -235,21 +235,21 @@
 				if rapid.Bool().Draw(t, "restarts") {
 					e.Start = now
 				}
-				event(func() { d.tick(now) })
+				event(func() { d.advanceClock(now) })
 				event(func() { d.UpdateEndpoints(now, EndpointsDelta, []Endpoint{e}) })
 			case 10:
-				event(func() { d.tick(now) })
+				event(func() { d.advanceClock(now) })
 				event(func() {
 					d.UpdateEndpoints(now, EndpointsSnapshot, roster(rapid.SampledFrom([]int{n, n / 2, 1}).Draw(t, "whole")))
 				})
 			case 11:
-				m := aggregate.Message{FromLeader: true, Marks: []aggregate.Mark{{Worker: tag(few("judged")), Bad: 9}}, Digest: aggregate.Digest{
+				m := aggregate.Message{FromLeader: true, Marks: []aggregate.Mark{{Worker: workerTag(few("judged")), Bad: 9}}, Digest: aggregate.Digest{
 					Tick: uint16(now / d.set.ClockResolution), Sums: []float64{9, 9}, MissingSums: []float64{0, 0}, MissingMoved: []float64{0, 0},
 					Covered: aggregate.NewSet(s.Dispatchers), Missing: aggregate.NewSet(s.Dispatchers)}}
 				for range rapid.IntRange(0, 3).Draw(t, "told") {
-					m.Counts = append(m.Counts, aggregate.Count{Worker: tag(few("told of")), N: 2, Silent: rapid.Bool().Draw(t, "mute")})
+					m.Counts = append(m.Counts, aggregate.Count{Worker: workerTag(few("told of")), N: 2, Silent: rapid.Bool().Draw(t, "mute")})
 				}
-				event(func() { d.tick(now) })
+				event(func() { d.advanceClock(now) })
 				event(func() { d.HandlePeerMessage(now, from(), m.Encode(s.Dispatchers)[0]) })
 			}
 			if rapid.Bool().Draw(t, "gathered") { // else more than one thing happens between two digests
@@ -263,11 +263,11 @@
 func sameSums(t *rapid.T, p *plainReports, now int64) {
 	d := p.d
 	d.tallyReports(now)
-	for i, w := range d.active() {
-		c := aggregate.Count{Worker: tag(w.Worker), N: i % 2, Silent: i%3 == 0, Heard: i%2 == 0}
+	for i, w := range d.activeWorkers() {
+		c := aggregate.Count{Worker: workerTag(w.Worker), N: i % 2, Silent: i%3 == 0, Heard: i%2 == 0}
 		want, own, says := c, outlier.Mark{Bad: uint8(i % 4)}, i%4 > 0
 		wantMark, wantSays := p.pooled(now, w, &want, own, says)
-		mark, tells := d.pooled(now, w, &c, own, says)
+		mark, tells := d.mergeReported(now, w, &c, own, says)
 		if c != want || mark != wantMark || tells != wantSays {
 			t.Fatalf("of executor %d: %+v %+v %v, made anew %+v %+v %v", w.Worker, c, mark, tells, want, wantMark, wantSays)
 		}
@@ -293,12 +293,12 @@
 		for from := 1; from < s.Dispatchers; from++ {
 			d.HandlePeerMessage(now, from, report(now, from, 1, 1+from%n, 1+from*7%n, 1+from*13%n))
 		}
-		list, touched, reports := d.list, d.touched, d.reports.by
-		d.list, d.touched, d.reports.by = make([]*worker, len(list)), make([]*worker, len(touched)), make([]*peerReport, s.Dispatchers)
-		d.reports.by[5] = reports[5]
+		list, touched, reports := d.list, d.touched, d.reports.bySender
+		d.list, d.touched, d.reports.bySender = make([]*worker, len(list)), make([]*worker, len(touched)), make([]*peerReport, s.Dispatchers)
+		d.reports.bySender[5] = reports[5]
 		require.Len(t, reports[5].counts, 3)
 		require.True(t, d.HandlePeerMessage(now+ms, 5, report(now+ms, 5, 2, 2, 3)), "%d executors", n)
-		d.list, d.touched, d.reports.by = list, touched, reports
+		d.list, d.touched, d.reports.bySender = list, touched, reports
 		require.Len(t, reports[5].counts, 2)
 		require.Len(t, reports[5].marks, 1)
 	}
--- a/balancer/scale_test.go
+++ b/balancer/scale_test.go
@@ -195,15 +195,15 @@
 				b.ReportAllocs()
 				for b.Loop() {
 					m := aggregate.Message{FromLeader: true}
-					x.d.gather(x.now, &m)
+					x.d.fillMessage(x.now, &m)
 				}
 			})
 			x.collect(b)
 			b.Run(fmt.Sprintf("told/%d_siblings_%d_workers", siblings, workers), func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
-					x.d.pool.left = 10
-					x.d.tell(x.now)
+					x.d.pool.tokens = 10
+					x.d.sendGossip(x.now)
 				}
 			})
 			b.Run(fmt.Sprintf("term/%d_siblings_%d_workers", siblings, workers), func(b *testing.B) {
@@ -211,7 +211,7 @@
 					for i := range siblings - 1 {
 						x.read(b)
 						if i%max(1, (siblings-1)/10) == 0 {
-							x.d.gather(x.now, &aggregate.Message{FromLeader: true})
+							x.d.fillMessage(x.now, &aggregate.Message{FromLeader: true})
 						}
 					}
 				}
@@ -232,16 +232,16 @@
 	s := settings(Idempotent, ScopeAll)
 	s.Dispatchers, s.Gossip, s.PeerPrice = siblings, true, 0.01
 	host := newScaleHost(b, s, workers, 0)
-	x := &senders{d: host.d, now: 1000 * hubAims * s.Classes[0].LatencyObjective}
+	x := &senders{d: host.d, now: 1000 * leaderTermObjectives * s.Classes[0].LatencyObjective}
 	rng := rand.New(rand.NewPCG(uint64(siblings), uint64(workers)))
 	for round := range x.texts {
 		for range siblings {
 			m := aggregate.Message{Calls: 100, Report: aggregate.Report{Incarnation: 1, Seq: uint8(round * 85), Values: []float64{200, 3}}}
 			for range min(workers, 30) {
-				m.Counts = append(m.Counts, aggregate.Count{Worker: tag(WorkerID(1 + rng.IntN(workers))), N: 1 + rng.IntN(3), Heard: true})
+				m.Counts = append(m.Counts, aggregate.Count{Worker: workerTag(WorkerID(1 + rng.IntN(workers))), N: 1 + rng.IntN(3), Heard: true})
 			}
 			for range 3 {
-				m.Holders = append(m.Holders, aggregate.Holder{Func: uint32(1 + rng.IntN(scaleFuncs)), Worker: tag(WorkerID(1 + rng.IntN(workers)))})
+				m.Holders = append(m.Holders, aggregate.Holder{Func: uint32(1 + rng.IntN(scaleFuncs)), Worker: workerTag(WorkerID(1 + rng.IntN(workers)))})
 			}
 			x.texts[round] = append(x.texts[round], m.Encode(siblings))
 		}
@@ -254,7 +254,7 @@
 
 // collect has all reports read in a term in which dispatcher 0 collects, and the clock stand in its last eighth.
 func (x *senders) collect(b *testing.B) {
-	term := hubAims * x.d.minAim
+	term := leaderTermObjectives * x.d.minAim
 	for x.now = (x.now/term + 1) * term; x.d.roll.Leader(x.now) != 0; {
 		x.now += term
 	}
@@ -269,7 +269,7 @@
 func (x *senders) read(b *testing.B) {
 	siblings := len(x.texts[0])
 	from := 1 + x.n%(siblings-1)
-	x.now += hubAims * x.d.minAim / int64(siblings-1)
+	x.now += leaderTermObjectives * x.d.minAim / int64(siblings-1)
 	for _, text := range x.texts[x.n/(siblings-1)%len(x.texts)][from] {
 		if !x.d.HandlePeerMessage(x.now, from, text) {
 			b.Fatal("a report is not read")
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -15,9 +15,10 @@
 )
 
 const (
-	walked     = 256 // executors up to which a list is looked through whole for a choice
-	heardAims  = 2   // shortest aims for which a worker that answered counts as heard, where one asks whether the fault is its own
-	forgetTaus = 20  // tau: the time constant with which a dispatcher that is not heard is forgotten
+	defaultFullScanLimit     = 256 // executors up to which a list is looked through whole for a choice
+	// shortest aims for which a worker that answered counts as heard, where one asks whether the fault is its own
+	recentResponseObjectives = 2
+	forgetDispatcherDecays   = 20  // tau: the time constant with which a dispatcher that is not heard is forgotten
 )
 
 // Balancer decides for one front end. Use New. Its methods must be called from one goroutine, with a clock
@@ -36,16 +37,16 @@
 	list           []*worker // listed and on or draining, in order of arrival
 	on             []*worker // of these, those that are on, as the ring has them
 	funcs          map[uint32]*function
-	stats          []stat // by class: answers of loaded copies
-	loads          stat   // load times beyond the call itself
+	stats          []latency // by class: answers of loaded copies
+	loads          latency   // load times beyond the call itself
 	stress         float64
 	served         float64 // calls answered lately, decaying over two aims
 	servedAt, born int64
 	misses         float64 // share of the last answers that began a load
 	over           float64 // of the last calls, the work beyond the tenants' shares
-	tenants        []tenant
+	tenants        []tenantRate
 	asked          []float64 // by class, share of the last calls
-	heap           wakeups
+	heap           timerHeap
 	armed          int64
 	bell           int64 // number of the armed timer
 	beatAt         int64
@@ -87,35 +88,40 @@
 	logLeft        float64
 }
 
-type stat struct{ mean, dev float64 }
+// initialLatency is what answers of a class are taken to need before any is known.
+func initialLatency(c *Class) latency {
+	return latency{initialLatencyShare * float64(c.LatencyObjective), initialLatencyShare / 2 * float64(c.LatencyObjective)}
+}
+
+type latency struct{ mean, deviation float64 }
 
-func (s *stat) add(x, w float64) {
-	s.dev += w * (math.Abs(x-s.mean) - s.dev)
+func (s *latency) observe(x, w float64) {
+	s.deviation += w * (math.Abs(x-s.mean) - s.deviation)
 	s.mean += w * (x - s.mean)
 }
 
-// fading is what is left of x after some time, with a time constant of tau. Most are 0, and the exponential is dear.
-func fading(x float64, age int64, tau float64) float64 {
+// decayed is what is left of x after some time, with a time constant of tau. Most are 0, and the exponential is dear.
+func decayed(x float64, age int64, tau float64) float64 {
 	if x == 0 {
 		return 0
 	}
 	return x * math.Exp(-float64(age)/tau)
 }
 
-// mix is the finalizer of SplitMix64.
-func mix(x uint64) uint64 {
+// mix64 is the finalizer of SplitMix64.
+func mix64(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// tag and funcTag are short names in messages; two workers of one tag share what is told of it.
-func tag(w WorkerID) uint16 { return uint16(w ^ w>>16) }
+// workerTag and funcTag are short names in messages; two workers of one tag share what is told of it.
+func workerTag(w WorkerID) uint16 { return uint16(w ^ w>>16) }
 
-func funcTag(f FuncID) uint32 { return uint32(f ^ f>>32) }
+func functionTag(f FuncID) uint32 { return uint32(f ^ f>>32) }
 
-// check rejects settings that have no safe reading.
-func (s *Settings) check(host Host) error {
+// validate rejects settings that have no safe reading.
+func (s *Settings) validate(host Host) error {
 	if host == nil {
 		return fmt.Errorf("balancer: host is nil")
 	}
@@ -144,33 +150,34 @@
 
 // New makes a Dispatcher. It knows no workers until Roster is called.
 func New(now int64, s Settings, seed uint64, host Host) (*Balancer, error) {
-	if err := s.check(host); err != nil {
+	if err := s.validate(host); err != nil {
 		return nil, err
 	}
 	d := &Balancer{set: s, host: host, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)), now: now,
 		minAim: forever, reqs: map[string]*request{}, workers: map[WorkerID]*worker{},
 		funcs: map[uint32]*function{}, tags: map[uint16]*worker{}, armed: forever,
-		stress: 1, misses: 1, lost: lostPrior, born: now, stoodAt: now - 1, hedges: 1,
+		stress: 1, misses: 1, lost: minLossProbability, born: now, stoodAt: now - 1, hedges: 1,
 		asked: make([]float64, len(s.Classes))}
 	for i := range s.Classes {
 		c := &s.Classes[i]
 		d.minAim = min(d.minAim, c.LatencyObjective)
 		d.safe = d.safe || c.Idempotency == Idempotent
-		d.stats = append(d.stats, stat{usualTime * float64(c.LatencyObjective), usualTime / 2 * float64(c.LatencyObjective)})
+		d.stats = append(d.stats, initialLatency(c))
 	}
 	d.set.Dispatchers = max(1, s.Dispatchers)
 	d.set.MaxAttempts = max(1, s.MaxAttempts)
-	d.set.FullScanLimit = cmp.Or(s.FullScanLimit, walked)
+	d.set.FullScanLimit = cmp.Or(s.FullScanLimit, defaultFullScanLimit)
 	d.set.ClockResolution = max(s.ClockResolution, 1_000_000)
 	d.set.OverloadFactor = max(s.OverloadFactor, 0)
 	for range s.TenantQuota {
-		d.tenants = append(d.tenants, tenant{})
+		d.tenants = append(d.tenants, tenantRate{})
 	}
-	d.judge = outlier.New(d.minAim, d.many() > 1)
-	d.roll = leader.New(s.DispatcherIndex, d.set.Dispatchers, hubAims*d.minAim)
+	d.judge = outlier.New(d.minAim, d.fleetFactor() > 1)
+	d.roll = leader.New(s.DispatcherIndex, d.set.Dispatchers, leaderTermObjectives*d.minAim)
 	d.shared = aggregate.New(now, aggregate.Settings{DispatcherIndex: s.DispatcherIndex, Dispatchers: d.set.Dispatchers,
-		Values: d.kept() + 2, Passing: 1, Term: hubAims * d.minAim, Tick: d.set.ClockResolution, Forget: forgetTaus * int64(d.tau())})
-	d.loads = stat{usualLoad * float64(d.minAim), usualLoad / 2 * float64(d.minAim)}
+		Values: d.sharedTenants() + 2, Passing: 1, Term: leaderTermObjectives * d.minAim, Tick: d.set.ClockResolution,
+		Forget: forgetDispatcherDecays * int64(d.decayTime())})
+	d.loads = latency{initialLoadTimeShare * float64(d.minAim), initialLoadTimeShare / 2 * float64(d.minAim)}
 	return d, nil
 }
 
@@ -178,7 +185,7 @@
 // keep the class they came with. All are taken or none: an error, for a class without a positive aim or with figures
 // that cannot be read, changes nothing.
 func (d *Balancer) AddClasses(now int64, cs []Class) (int, error) {
-	d.tick(now)
+	d.advanceClock(now)
 	for i, c := range cs {
 		if c.LatencyObjective <= 0 || c.IdempotencyWindow < 0 || c.ClientTimeout < 0 || math.IsNaN(c.PriorityWeight) {
 			return 0, fmt.Errorf("balancer: added class %d: Aim must be above 0, and Window, GiveUp and Worth be read", i)
@@ -186,21 +193,22 @@
 	}
 	first := len(d.set.Classes)
 	d.set.Classes = append(d.set.Classes, cs...) // a request holds its class by pointer: an old array stays its own
-	for _, c := range cs {
+	for i := range cs {
+		c := &cs[i]
 		d.minAim = min(d.minAim, c.LatencyObjective)
 		d.safe = d.safe || c.Idempotency == Idempotent
-		d.stats = append(d.stats, stat{usualTime * float64(c.LatencyObjective), usualTime / 2 * float64(c.LatencyObjective)})
+		d.stats = append(d.stats, initialLatency(c))
 		d.asked = append(d.asked, 0)
 	}
 	d.judge.Pace(d.minAim)
-	d.roll.SetTerm(hubAims * d.minAim)
-	d.arm()
+	d.roll.SetTerm(leaderTermObjectives * d.minAim)
+	d.armTimer()
 	return first, nil
 }
 
 // SetMaxAttempts changes how many attempts a request may have, from now on; at least one.
 func (d *Balancer) SetMaxAttempts(now int64, n int) {
-	d.tick(now)
+	d.advanceClock(now)
 	d.set.MaxAttempts = max(1, n)
-	d.arm()
+	d.armTimer()
 }
