--- a/decide/loadorders.go
+++ b/balancer/loadorders.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // This file owns orders to load and to unload, within the ration.
 
@@ -12,16 +12,16 @@
 
 // trim has copies unloaded that lie idle for half of their time and that all dispatchers, by our part of the
 // answers, call less than once in it: they cost memory, and loads wait for room. Harm: a load more.
-func (d *Dispatcher) trim(now int64) {
-	part := 1 / float64(d.set.Siblings)
+func (d *Balancer) trim(now int64) {
+	part := 1 / float64(d.set.Dispatchers)
 	if all := d.sum(served) * d.view.Scale; now-d.digestAt < 2*d.minAim && all > 0 {
 		part = min(1, max(d.servedNow(now)*1e9/all, leastPart))
 	}
 	for _, w := range d.holding() {
 		for _, h := range d.held(now, w, d.set.KeepAlive/2) {
 			calls := h.fn.calls * math.Exp(-float64(now-h.fn.callsAt)/float64(d.keep())) / part
-			if d.set.Orders && h.sure && h.inflight == 0 && calls < idleCalls {
-				d.host.Drop(w.Worker, h.fn.id)
+			if d.set.LoadOrders && h.sure && h.inflight == 0 && calls < idleCalls {
+				d.host.OrderUnload(w.Worker, h.fn.id)
 				h.until = 0
 			}
 		}
@@ -29,47 +29,47 @@
 }
 
 // loadTook learns what a load takes and, by what it should take, how slow the store is.
-func (d *Dispatcher) loadTook(f *function, x float64) {
+func (d *Balancer) loadTook(f *function, x float64) {
 	usual := cmp.Or(float64(max(0, f.load)), d.loads.mean)
 	d.stress += learnStore * (min(max(x/max(usual, 1), 1), stressMax) - d.stress)
 	d.loads.add(x, learn)
 }
 
-func (d *Dispatcher) loadTime(f *function) float64 {
+func (d *Balancer) loadTime(f *function) float64 {
 	return max(float64(f.load), d.loads.mean) * d.stress
 }
 
 // count takes a call that came at a time as taken, for the ration.
-func (d *Dispatcher) count(at int64) {
-	if d.set.LoadWindow <= 0 {
+func (d *Balancer) count(at int64) {
+	if d.set.LoadQuotaWindow <= 0 {
 		return
 	}
-	d.arrived = since(d.arrived, at-2*d.set.LoadWindow)
+	d.arrived = since(d.arrived, at-2*d.set.LoadQuotaWindow)
 	place, _ := slices.BinarySearch(d.arrived, at)
 	d.arrived = slices.Insert(d.arrived, place, at)
-	d.host.Counted(at)
+	d.host.CountTowardLoadQuota(at)
 }
 
 // order is the one gate of every LOAD: eligibility and the ration (rules 3 and 5).
-func (d *Dispatcher) order(now int64, h *holder, n int) bool {
-	if !d.set.Orders || !d.eligible(now, h.w) {
+func (d *Balancer) order(now int64, h *holder, n int) bool {
+	if !d.set.LoadOrders || !d.eligible(now, h.w) {
 		return false
 	}
-	if d.set.LoadWindow > 0 {
-		d.arrived = since(d.arrived, now-d.set.LoadWindow+1)
-		d.ordered = since(d.ordered, now-d.set.LoadWindow)
-		ration := rules.Ration{Free: d.set.LoadFree, Share: d.set.LoadShare}
-		if !rules.MayOrder(ration, len(d.arrived), len(d.ordered)).OK() {
+	if d.set.LoadQuotaWindow > 0 {
+		d.arrived = since(d.arrived, now-d.set.LoadQuotaWindow+1)
+		d.ordered = since(d.ordered, now-d.set.LoadQuotaWindow)
+		ration := rules.LoadQuota{Base: d.set.LoadQuotaBase, Ratio: d.set.LoadQuotaRatio}
+		if !rules.MayOrderLoad(ration, len(d.arrived), len(d.ordered)).OK() {
 			return false
 		}
 		d.ordered = append(d.ordered, now)
 	}
-	d.host.Load(h.w.Worker, h.fn.id, n)
+	d.host.OrderLoad(h.w.Worker, h.fn.id, n)
 	return true
 }
 
-// Probed takes the answer to a probe.
-func (d *Dispatcher) Probed(now int64, id WorkerID, res Result, rtt int64, rep []float64) {
+// HandleHealthCheck takes the answer to a probe.
+func (d *Balancer) HandleHealthCheck(now int64, id WorkerID, res Result, rtt int64, rep []float64) {
 	d.tick(now)
 	if w := d.workers[id]; w != nil && res == OK {
 		d.report(now, w, rep)
@@ -77,8 +77,8 @@
 	d.arm()
 }
 
-// Loaded takes what came of an order, and lets go the calls that were held for it.
-func (d *Dispatcher) Loaded(now int64, id WorkerID, fid FuncID, copies int, res Result) {
+// HandleLoadResult takes what came of an order, and lets go the calls that were held for it.
+func (d *Balancer) HandleLoadResult(now int64, id WorkerID, fid FuncID, copies int, res Result) {
 	d.tick(now)
 	defer d.arm()
 	w, f := d.workers[id], d.funcs[funcTag(fid)]
@@ -86,7 +86,7 @@
 		return
 	}
 	d.touch(now, w)
-	if res == OK || res == Full || res == Error {
+	if res == OK || res == QueueFull || res == Error {
 		d.answered(now, w)
 	}
 	sent := now
@@ -98,7 +98,7 @@
 			}
 			d.believe(now, h)
 			h.copies = copies
-		} else if res != Reset && res != Moot { // cut off or never written tells nothing of room: it is given again
+		} else if res != Reset && res != NotSent { // cut off or never written tells nothing of room: it is given again
 			h.noOrder = now + d.minAim
 		}
 	}
--- a/core.go
+++ b/core.go
@@ -14,22 +14,22 @@
 	"sync/atomic"
 	"time"
 
-	"oakthread/commons"
-	"oakthread/decide"
+	"oakthread/aggregate"
+	"oakthread/balancer"
+	"oakthread/internal/monotime"
 	"oakthread/internal/mutant"
-	"oakthread/internal/steady"
 	"oakthread/internal/violation"
 	"oakthread/rules"
 )
 
 // Config is what a Core is made of. Workers is needed; the rest has a zero value that works.
 type Config struct {
-	Settings decide.Settings
-	Seed     uint64
-	MaxOpen  int // requests in hand at a time; 0: 4096
-	Workers  Workers
-	Peers    Peers
-	Settled  func(Settlement) // called for every request that is over; must return at once
+	Settings    balancer.Settings
+	Seed        uint64
+	MaxInFlight int // requests in hand at a time; 0: 4096
+	Workers     Workers
+	Peers       Peers
+	Completed   func(Completion) // called for every request that is over; must return at once
 	// Admit is asked once for each request before the module is; false: it is refused at once, with the wait told. It is
 	// called in the loop and must return at once. nil: all pass.
 	Admit    func(*Request) (wait time.Duration, ok bool)
@@ -51,12 +51,12 @@
 
 // Counters count what a Core has done since its start.
 type Counters struct {
-	Taken, Served, Refused, Failed, TimedOut, Abandoned int64
-	TurnedAway                                          int64 // refused by the cap on open requests
-	HeldOff                                             int64 // refused by Config.Admit
-	Attempts, Orders, OrdersHeld                        int64
-	Unread                                              int64                 // messages of peers that cannot be read
-	Ends                                                [decide.Results]int64 // of attempts, by decide.Result
+	Accepted, Served, Rejected, Failed, TimedOut, Abandoned int64
+	RejectedByLimit                                         int64 // refused by the cap on open requests
+	RejectedByAdmission                                     int64 // refused by Config.Admit
+	Attempts, LoadOrders, LoadOrdersWithheld                int64
+	InvalidPeerMessages                                     int64                      // messages of peers that cannot be read
+	AttemptResults                                          [balancer.NumResults]int64 // of attempts, by decide.Result
 }
 
 // Core dispatches requests. Its methods may be called from many goroutines.
@@ -72,23 +72,23 @@
 	cancel  context.CancelFunc
 
 	// Owned by the loop.
-	d       *decide.Dispatcher
-	last    int64
-	later   []func()
-	open    map[string]*call
-	flights map[flightKey]*flight
-	orders  int // given so far
-	members map[decide.WorkerID]member
-	called  map[decide.FuncID]calledKey
-	ration  ration
-	swept   time.Time
-	n       Counters
+	d         *balancer.Balancer
+	last      int64
+	deferred  []func()
+	requests  map[string]*call
+	attempts  map[attemptKey]*inFlightAttempt
+	orders    int // given so far
+	members   map[balancer.WorkerID]member
+	called    map[balancer.FuncID]calledKey
+	ration    loadOrderLimiter
+	lastSweep time.Time
+	n         Counters
 }
 
 // member is a worker on the list, and when it started by the module's clock, as worked out when that was first told: told
 // again, it is the same start, wherever the wall clock has gone meanwhile.
 type member struct {
-	Member
+	Endpoint
 	started int64
 }
 
@@ -105,16 +105,16 @@
 	err error
 }
 
-type flightKey struct {
+type attemptKey struct {
 	id string // "": an order
 	n  int
 }
 
-// flight is one attempt or order to load on its way. It owns whether anything of it was written: once begun it may only
+// inFlightAttempt is one attempt or order to load on its way. It owns whether anything of it was written: once begun it may only
 // be called off, where the settings allow that; until then it is revoked when its caller leaves, its request is over, or
 // its worker drains, goes or starts anew. Guards against a write that crosses one of these: whoever comes first wins.
-type flight struct {
-	worker decide.WorkerID
+type inFlightAttempt struct {
+	worker balancer.WorkerID
 	caller context.Context
 	left   func() bool // nil: only the context tells
 	off    context.CancelCauseFunc
@@ -125,7 +125,7 @@
 
 // begin is asked right before the first byte is written; false: nothing may be written any more. Asked again, for another
 // connection since nothing was written on the first, it answers anew.
-func (f *flight) begin() bool {
+func (f *inFlightAttempt) begin() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.begun = rules.MayWrite(rules.Write{CallerLeft: f.callerLeft(), Revoked: f.revoked}).OK()
@@ -133,10 +133,12 @@
 }
 
 // callerLeft tells whether the caller has left: its context says so, or its connection.
-func (f *flight) callerLeft() bool { return f.caller.Err() != nil || f.left != nil && f.left() }
+func (f *inFlightAttempt) callerLeft() bool {
+	return f.caller.Err() != nil || f.left != nil && f.left()
+}
 
 // revoke has a flight begin no more, and ends it where it has not begun.
-func (f *flight) revoke() {
+func (f *inFlightAttempt) revoke() {
 	f.mu.Lock()
 	f.revoked = true
 	begun := f.begun
@@ -156,19 +158,19 @@
 	if cfg.Workers == nil {
 		return nil, errors.New("oakthread: Config.Workers is nil")
 	}
-	if cfg.MaxOpen <= 0 {
-		cfg.MaxOpen = defaultOpen
+	if cfg.MaxInFlight <= 0 {
+		cfg.MaxInFlight = defaultOpen
 	}
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
 	}
 	c := &Core{cfg: cfg, events: make(chan func(), eventsWait), closing: make(chan struct{}),
-		stopped: make(chan struct{}), open: map[string]*call{}, flights: map[flightKey]*flight{},
-		members: map[decide.WorkerID]member{}, called: map[decide.FuncID]calledKey{}}
+		stopped: make(chan struct{}), requests: map[string]*call{}, attempts: map[attemptKey]*inFlightAttempt{},
+		members: map[balancer.WorkerID]member{}, called: map[balancer.FuncID]calledKey{}}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
-	c.ration.window = time.Duration(cfg.Settings.LoadWindow)
-	c.ration.rule = rules.Ration{Free: cfg.Settings.LoadFree, Share: cfg.Settings.LoadShare}
-	d, err := decide.New(c.now(), cfg.Settings, cfg.Seed, (*host)(c))
+	c.ration.window = time.Duration(cfg.Settings.LoadQuotaWindow)
+	c.ration.rule = rules.LoadQuota{Base: cfg.Settings.LoadQuotaBase, Ratio: cfg.Settings.LoadQuotaRatio}
+	d, err := balancer.New(c.now(), cfg.Settings, cfg.Seed, (*host)(c))
 	if err != nil {
 		return nil, fmt.Errorf("oakthread: %w", err)
 	}
@@ -184,15 +186,15 @@
 		select {
 		case ev := <-c.events:
 			ev()
-			for len(c.later) > 0 { // what the module may not hear within the event that caused it
-				next := c.later
-				c.later = nil
+			for len(c.deferred) > 0 { // what the module may not hear within the event that caused it
+				next := c.deferred
+				c.deferred = nil
 				for _, f := range next {
 					f()
 				}
 			}
 		case <-c.closing:
-			for _, k := range c.open {
+			for _, k := range c.requests {
 				k.answer <- result{err: ErrClosed}
 			}
 			return
@@ -212,7 +214,7 @@
 
 // now is the clock as the module reads it: the process's own, which steps of the wall clock do not reach.
 func (c *Core) now() int64 {
-	c.last = max(c.last, steady.Now().UnixNano())
+	c.last = max(c.last, monotime.Now().UnixNano())
 	return c.last
 }
 
@@ -241,7 +243,7 @@
 
 // AddClasses takes classes that requests may name from now on, all or none, and returns the number of the first;
 // requests in hand keep theirs. The error is the module's, or ErrClosed.
-func (c *Core) AddClasses(ks []decide.Class) (int, error) {
+func (c *Core) AddClasses(ks []balancer.Class) (int, error) {
 	type added struct {
 		n   int
 		err error
@@ -268,14 +270,14 @@
 func (c *Core) SetMaxAttempts(n int) { c.post(func() { c.d.SetMaxAttempts(c.now(), n) }) }
 
 // Ejected lists the workers that the module avoids by its own choice; nil once closed.
-func (c *Core) Ejected() []decide.WorkerID { return look(c, c.d.Ejected) }
+func (c *Core) Ejected() []balancer.WorkerID { return look(c, c.d.Ejected) }
 
-// Shared is what is known of the sums over all dispatchers; the zero View once closed.
-func (c *Core) Shared() commons.View { return look(c, c.d.Shared) }
+// FleetView is what is known of the sums over all dispatchers; the zero View once closed.
+func (c *Core) FleetView() aggregate.View { return look(c, c.d.FleetView) }
 
-// Verdicts lists what is held of each worker and why; nil once closed.
-func (c *Core) Verdicts() []decide.Verdict {
-	return look(c, func() []decide.Verdict { return c.d.Verdicts(c.now()) })
+// WorkerHealth lists what is held of each worker and why; nil once closed.
+func (c *Core) WorkerHealth() []balancer.WorkerHealth {
+	return look(c, func() []balancer.WorkerHealth { return c.d.WorkerHealth(c.now()) })
 }
 
 // look asks the module; the zero value once closed.
@@ -291,14 +293,14 @@
 	return none
 }
 
-// Roster takes news of the workers.
-func (c *Core) Roster(r Roster) { c.post(func() { c.roster(r) }) }
+// UpdateEndpoints takes news of the workers.
+func (c *Core) UpdateEndpoints(r EndpointUpdate) { c.post(func() { c.roster(r) }) }
 
-// Heard takes a message of another dispatcher.
-func (c *Core) Heard(from int, data string) {
+// HandlePeerMessage takes a message of another dispatcher.
+func (c *Core) HandlePeerMessage(from int, data string) {
 	c.post(func() {
-		if !c.d.Peer(c.now(), from, data) {
-			c.n.Unread++
+		if !c.d.HandlePeerMessage(c.now(), from, data) {
+			c.n.InvalidPeerMessages++
 		}
 	})
 }
@@ -341,23 +343,23 @@
 	if k.ctx.Err() != nil {
 		return // its caller has left, and nothing was done for it
 	}
-	if c.open[k.req.ID] != nil {
+	if c.requests[k.req.ID] != nil {
 		k.answer <- result{err: ErrDuplicate}
 		return
 	}
-	c.n.Taken++
+	c.n.Accepted++
 	now := time.Now()
-	if len(c.open) >= c.cfg.MaxOpen {
-		c.n.TurnedAway++
-		c.open[k.req.ID] = k
-		c.book(k, Answer{Outcome: Refused, Wait: time.Duration(c.cfg.Settings.MaxRetryAfter)}, false)
+	if len(c.requests) >= c.cfg.MaxInFlight {
+		c.n.RejectedByLimit++
+		c.requests[k.req.ID] = k
+		c.complete(k, Answer{Outcome: Rejected, RetryAfter: time.Duration(c.cfg.Settings.MaxRetryAfter)}, false)
 		return
 	}
-	c.open[k.req.ID] = k
+	c.requests[k.req.ID] = k
 	if c.cfg.Admit != nil {
 		if wait, ok := c.cfg.Admit(&k.req); !ok {
-			c.n.HeldOff++
-			c.book(k, Answer{Outcome: Refused, Wait: wait}, false)
+			c.n.RejectedByAdmission++
+			c.complete(k, Answer{Outcome: Rejected, RetryAfter: wait}, false)
 			return
 		}
 	}
@@ -369,9 +371,9 @@
 // route asks the module, which answers by calls of the host below: a send, a refusal, or nothing yet.
 func (c *Core) route(k *call) {
 	q := &k.req
-	c.d.Request(c.now(), decide.Request{ID: q.ID, Class: q.Class, Tenant: q.Tenant, Func: q.Func,
-		Deadline: steady.Nanos(q.Deadline), MemoryMB: q.MemoryMB, Lanes: q.Lanes, LoadTime: int64(q.LoadTime),
-		Repeat: q.Repeat})
+	c.d.HandleRequest(c.now(), balancer.Request{ID: q.ID, Class: q.Class, Tenant: q.Tenant, Func: q.Func,
+		Deadline: monotime.Nanos(q.Deadline), MemoryMB: q.MemoryMB, Concurrency: q.Concurrency, LoadTime: int64(q.LoadTime),
+		Retry: q.Retry})
 }
 
 var (
@@ -380,13 +382,13 @@
 )
 
 // send is one attempt, on a goroutine of its own. Its end comes back as an event, exactly once.
-func (c *Core) send(k *call, m Member, until time.Time) {
-	key := flightKey{k.req.ID, k.tries}
+func (c *Core) send(k *call, m Endpoint, until time.Time) {
+	key := attemptKey{k.req.ID, k.tries}
 	ctx, off := context.WithCancelCause(c.ctx)
 	ctx, done := context.WithDeadline(ctx, until)
-	f := &flight{worker: m.ID, caller: k.ctx, left: k.req.Left, off: off}
-	a := Attempt{Request: &k.req, Worker: m, N: k.tries, Until: until, Begin: f.begin}
-	c.flights[key] = f
+	f := &inFlightAttempt{worker: m.ID, caller: k.ctx, left: k.req.CallerGone, off: off}
+	a := Attempt{Request: &k.req, Worker: m, Number: k.tries, Deadline: until, BeforeWrite: f.begin}
+	c.attempts[key] = f
 	k.tries++
 	c.n.Attempts++
 	sent := time.Now()
@@ -394,34 +396,34 @@
 		r := c.cfg.Workers.Send(ctx, a)
 		// The end of our wait hides how an attempt ended only where nothing is known of it. What proves that it never
 		// ran stays a proof.
-		if ctx.Err() != nil && (r.Result == decide.Reset || r.Result == decide.Timeout) {
-			r.Result = decide.Timeout
+		if ctx.Err() != nil && (r.Result == balancer.Reset || r.Result == balancer.Timeout) {
+			r.Result = balancer.Timeout
 			if errors.Is(context.Cause(ctx), errCalledOff) {
-				r.Result = decide.Cancelled
+				r.Result = balancer.Cancelled
 			}
 		}
 		done()
 		off(nil)
-		c.post(func() { c.landed(key, a.Request.Class, m.ID, sent, r) })
+		c.post(func() { c.finishAttempt(key, a.Request.Class, m.ID, sent, r) })
 	}()
 }
 
-// landed takes the end of an attempt. The first good answer is the request's.
-func (c *Core) landed(key flightKey, class int, w decide.WorkerID, sent time.Time, r Reply) {
-	delete(c.flights, key)
-	c.n.Ends[r.Result]++
+// finishAttempt takes the end of an attempt. The first good answer is the request's.
+func (c *Core) finishAttempt(key attemptKey, class int, w balancer.WorkerID, sent time.Time, r Reply) {
+	delete(c.attempts, key)
+	c.n.AttemptResults[r.Result]++
 	took := time.Since(sent)
 	if c.cfg.Observed != nil {
-		c.cfg.Observed(Observation{Worker: w, Class: class, Result: r.Result, Warm: r.Warmth == decide.WarmHit, Took: took})
+		c.cfg.Observed(Observation{Worker: w, Class: class, Result: r.Result, Warm: r.Warmth == balancer.WarmHit, Duration: took})
 	}
-	k := c.open[key.id]
+	k := c.requests[key.id]
 	if c.cfg.Log.Enabled(c.ctx, slog.LevelDebug) {
-		fn := decide.FuncID(0)
+		fn := balancer.FuncID(0)
 		if k != nil {
 			fn = k.req.Func
 		}
 		c.cfg.Log.Debug("attempt ended", "id", key.id, "n", key.n, "worker", uint32(w), "fn", uint64(fn), "class", class,
-			"result", r.Result.String(), "note", int(r.Warmth), "crowd", r.Crowd, "report", fmt.Sprint(r.Report), "ms", took.Milliseconds())
+			"result", r.Result.String(), "note", int(r.Warmth), "crowd", r.ConcurrentRequests, "report", fmt.Sprint(r.Report), "ms", took.Milliseconds())
 	}
 	if k != nil && mayHaveRun(r.Result) {
 		k.ran++
@@ -429,17 +431,17 @@
 			c.violated(violation.Once, violation.PathLanded, key.id, "a second attempt ended that may have run")
 		}
 	}
-	if r.Result == decide.OK && k != nil {
-		c.book(k, Answer{Outcome: Served, Body: r.Body}, false)
+	if r.Result == balancer.OK && k != nil {
+		c.complete(k, Answer{Outcome: Served, Body: r.Body}, false)
 	}
-	c.d.Outcome(c.now(), decide.Outcome{ID: key.id, Attempt: key.n, Worker: w, Result: r.Result,
-		Finished: c.open[key.id] == nil, Warmth: r.Warmth, Crowd: r.Crowd, RTT: int64(took), Report: r.Report})
+	c.d.HandleAttemptResult(c.now(), balancer.AttemptResult{ID: key.id, Attempt: key.n, Worker: w, Result: r.Result,
+		Finished: c.requests[key.id] == nil, Warmth: r.Warmth, ConcurrentRequests: r.ConcurrentRequests, RTT: int64(took), Report: r.Report})
 }
 
 // mayHaveRun tells whether an attempt that ended so may have had its effect.
-func mayHaveRun(r decide.Result) bool {
+func mayHaveRun(r balancer.Result) bool {
 	switch r {
-	case decide.OK, decide.Error, decide.Timeout, decide.Reset, decide.Cancelled:
+	case balancer.OK, balancer.Error, balancer.Timeout, balancer.Reset, balancer.Cancelled:
 		return true
 	}
 	return false
@@ -448,7 +450,7 @@
 // runsOnce tells whether a call must not run twice. Classes that a reload has added are not known here.
 func (c *Core) runsOnce(k *call) bool {
 	classes := c.cfg.Settings.Classes
-	return k.req.Class < len(classes) && classes[k.req.Class].Effect == decide.Unsafe
+	return k.req.Class < len(classes) && classes[k.req.Class].Idempotency == balancer.NotIdempotent
 }
 
 func (c *Core) violated(rule violation.Rule, path violation.Path, id, detail string) {
@@ -458,30 +460,30 @@
 }
 
 // unsent ends an attempt that must not be made: its caller has left, or its worker is not on the list. Nothing was written.
-func (c *Core) unsent(k *call, w decide.WorkerID, r decide.Result) {
+func (c *Core) unsent(k *call, w balancer.WorkerID, r balancer.Result) {
 	n, sent := k.tries, time.Now()
 	k.tries++
-	c.later = append(c.later, func() {
+	c.deferred = append(c.deferred, func() {
 		if k.ctx.Err() != nil {
 			c.abandon(k)
 		}
-		c.n.Ends[r]++
-		c.d.Outcome(c.now(), decide.Outcome{ID: k.req.ID, Attempt: n, Worker: w, Result: r,
-			Finished: c.open[k.req.ID] != k, RTT: int64(time.Since(sent))})
+		c.n.AttemptResults[r]++
+		c.d.HandleAttemptResult(c.now(), balancer.AttemptResult{ID: k.req.ID, Attempt: n, Worker: w, Result: r,
+			Finished: c.requests[k.req.ID] != k, RTT: int64(time.Since(sent))})
 	})
 }
 
-// book gives the final answer and tells the observer. No request is booked twice: it leaves the table here.
-func (c *Core) book(k *call, a Answer, abandoned bool) {
-	if c.open[k.req.ID] != k {
+// complete gives the final answer and tells the observer. No request is booked twice: it leaves the table here.
+func (c *Core) complete(k *call, a Answer, abandoned bool) {
+	if c.requests[k.req.ID] != k {
 		return
 	}
-	delete(c.open, k.req.ID)
-	if a.Outcome == Refused && !abandoned && k.ran > 0 && c.runsOnce(k) {
+	delete(c.requests, k.req.ID)
+	if a.Outcome == Rejected && !abandoned && k.ran > 0 && c.runsOnce(k) {
 		c.violated(violation.Refusal, violation.PathBook, k.req.ID, "refused after an attempt that may have run")
 	}
 	for n := range k.tries {
-		if f := c.flights[flightKey{k.req.ID, n}]; f != nil {
+		if f := c.attempts[attemptKey{k.req.ID, n}]; f != nil {
 			f.revoke()
 		}
 	}
@@ -490,8 +492,8 @@
 		c.n.Abandoned++
 	case a.Outcome == Served:
 		c.n.Served++
-	case a.Outcome == Refused:
-		c.n.Refused++
+	case a.Outcome == Rejected:
+		c.n.Rejected++
 	case a.Outcome == Failed:
 		c.n.Failed++
 	case a.Outcome == TimedOut:
@@ -502,69 +504,69 @@
 		c.cfg.Log.Debug("settled", "id", k.req.ID, "fn", uint64(k.req.Func), "class", k.req.Class, "outcome", a.Outcome.String(),
 			"abandoned", abandoned, "attempts", k.tries, "left_ms", time.Until(k.req.Deadline).Milliseconds())
 	}
-	if c.cfg.Settled != nil {
-		c.cfg.Settled(Settlement{Request: k.req, Answer: a, Abandoned: abandoned, At: time.Now(), Attempts: k.tries})
+	if c.cfg.Completed != nil {
+		c.cfg.Completed(Completion{Request: k.req, Answer: a, Abandoned: abandoned, At: time.Now(), Attempts: k.tries})
 	}
 }
 
 // abandon ends a request whose caller left; expire one that the module left without an answer.
 func (c *Core) abandon(k *call) {
-	if c.open[k.req.ID] == k {
-		c.book(k, Answer{Outcome: Failed}, true)
-		c.d.Gone(c.now(), k.req.ID)
+	if c.requests[k.req.ID] == k {
+		c.complete(k, Answer{Outcome: Failed}, true)
+		c.d.HandleClientGone(c.now(), k.req.ID)
 	}
 }
 
 func (c *Core) expire(k *call) {
-	if c.open[k.req.ID] == k {
+	if c.requests[k.req.ID] == k {
 		c.cfg.Log.Error("answer overdue, ended by the core", "id", k.req.ID)
-		c.book(k, Answer{Outcome: TimedOut}, false)
-		c.d.Gone(c.now(), k.req.ID)
+		c.complete(k, Answer{Outcome: TimedOut}, false)
+		c.d.HandleClientGone(c.now(), k.req.ID)
 	}
 }
 
 // roster keeps the members by id and tells the module. Connections to a worker that left or restarted are void.
-func (c *Core) roster(r Roster) {
-	es := make([]decide.Entry, 0, len(r.Members))
-	named := make(map[decide.WorkerID]bool, len(r.Members))
-	for _, m := range r.Members {
+func (c *Core) roster(r EndpointUpdate) {
+	es := make([]balancer.Endpoint, 0, len(r.Endpoints))
+	named := make(map[balancer.WorkerID]bool, len(r.Endpoints))
+	for _, m := range r.Endpoints {
 		named[m.ID] = true
 		old, known := c.members[m.ID]
 		start := old.started
 		if !known || !old.Start.Equal(m.Start) {
-			start = steady.Started(m.Start)
+			start = monotime.StartTime(m.Start)
 		}
-		if known && (m.State == decide.Off || !old.Start.Equal(m.Start) || old.Addr != m.Addr) {
-			c.cfg.Workers.Forget(m.ID)
+		if known && (m.State == balancer.Removed || !old.Start.Equal(m.Start) || old.Addr != m.Addr) {
+			c.cfg.Workers.CloseConnections(m.ID)
 			c.revoke(m.ID)
 		}
-		if m.State != decide.On {
+		if m.State != balancer.Active {
 			c.revoke(m.ID)
 		}
-		if m.State == decide.Off {
+		if m.State == balancer.Removed {
 			delete(c.members, m.ID)
 		} else {
 			c.members[m.ID] = member{m, start}
 		}
-		es = append(es, decide.Entry{Worker: m.ID, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, State: m.State,
+		es = append(es, balancer.Endpoint{Worker: m.ID, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, State: m.State,
 			Weight: m.Weight, Start: start})
 	}
-	if r.Kind == decide.RosterFull || r.Kind == decide.RosterCached {
+	if r.Kind == balancer.EndpointsSnapshot || r.Kind == balancer.EndpointsCached {
 		for id := range c.members {
 			if !named[id] {
 				delete(c.members, id)
-				c.cfg.Workers.Forget(id)
+				c.cfg.Workers.CloseConnections(id)
 				c.revoke(id)
 			}
 		}
 		c.ready.Store(true)
 	}
-	c.d.Roster(c.now(), r.Kind, es)
+	c.d.UpdateEndpoints(c.now(), r.Kind, es)
 }
 
 // revoke ends what is on its way to a worker that must get nothing new, as far as nothing of it was written.
-func (c *Core) revoke(w decide.WorkerID) {
-	for _, f := range c.flights {
+func (c *Core) revoke(w balancer.WorkerID) {
+	for _, f := range c.attempts {
 		if f.worker == w {
 			f.revoke()
 		}
@@ -573,10 +575,10 @@
 
 // sweep keeps the table of called functions bounded.
 func (c *Core) sweep(now time.Time) {
-	if now.Sub(c.swept) < calledFor/10 {
+	if now.Sub(c.lastSweep) < calledFor/10 {
 		return
 	}
-	c.swept = now
+	c.lastSweep = now
 	for f, k := range c.called {
 		if now.Sub(k.at) > calledFor {
 			delete(c.called, f)
@@ -587,140 +589,140 @@
 // host carries out the module's actions. Its methods run in the loop, within an event.
 type host Core
 
-func (h *host) Send(id string, w decide.WorkerID, until int64) {
+func (h *host) SendAttempt(id string, w balancer.WorkerID, until int64) {
 	c := (*Core)(h)
-	k := c.open[id]
+	k := c.requests[id]
 	if k == nil {
 		return
 	}
 	m, known := c.members[w]
 	if k.ctx.Err() != nil {
-		c.unsent(k, w, decide.Moot)
+		c.unsent(k, w, balancer.NotSent)
 		return
 	}
-	if !known || m.State != decide.On {
-		c.unsent(k, w, decide.ConnectFailed)
+	if !known || m.State != balancer.Active {
+		c.unsent(k, w, balancer.ConnectFailed)
 		return
 	}
 	end := k.req.Deadline
-	if until > 0 && steady.Time(until).Before(end) {
-		end = steady.Time(until)
+	if until > 0 && monotime.Time(until).Before(end) {
+		end = monotime.Time(until)
 	}
-	c.send(k, m.Member, end)
+	c.send(k, m.Endpoint, end)
 }
 
-func (h *host) Cancel(id string, attempt int) {
-	if f := h.flights[flightKey{id, attempt}]; f != nil {
+func (h *host) CancelAttempt(id string, attempt int) {
+	if f := h.attempts[attemptKey{id, attempt}]; f != nil {
 		f.off(errCalledOff)
 	}
 }
 
-func (h *host) Refuse(id string, wait int64) {
-	if k := h.open[id]; k != nil {
-		(*Core)(h).book(k, Answer{Outcome: Refused, Wait: time.Duration(max(wait, 0))}, false)
+func (h *host) Reject(id string, wait int64) {
+	if k := h.requests[id]; k != nil {
+		(*Core)(h).complete(k, Answer{Outcome: Rejected, RetryAfter: time.Duration(max(wait, 0))}, false)
 	}
 }
 
 func (h *host) Fail(id string) {
-	if k := h.open[id]; k != nil {
+	if k := h.requests[id]; k != nil {
 		a := Answer{Outcome: Failed}
-		if slack := time.Duration(4 * h.cfg.Settings.Quantum); time.Until(k.req.Deadline) <= slack {
+		if slack := time.Duration(4 * h.cfg.Settings.ClockResolution); time.Until(k.req.Deadline) <= slack {
 			a.Outcome = TimedOut
 		}
-		(*Core)(h).book(k, a, false)
+		(*Core)(h).complete(k, a, false)
 	}
 }
 
-func (h *host) Load(w decide.WorkerID, f decide.FuncID, n int) {
+func (h *host) OrderLoad(w balancer.WorkerID, f balancer.FuncID, n int) {
 	c := (*Core)(h)
 	m, known := c.members[w]
 	name, asked := c.called[f]
 	var reserved *loadOrder // nil: the order asks only
 	may := known && asked
-	if may = may && (n == 0 || m.State == decide.On); may && n > 0 {
+	if may = may && (n == 0 || m.State == balancer.Active); may && n > 0 {
 		reserved = c.ration.reserve(time.Now())
 		may = reserved != nil
 	}
 	if !may {
-		c.n.OrdersHeld++
-		c.later = append(c.later, func() { c.d.Loaded(c.now(), w, f, 0, decide.Full) })
+		c.n.LoadOrdersWithheld++
+		c.deferred = append(c.deferred, func() { c.d.HandleLoadResult(c.now(), w, f, 0, balancer.QueueFull) })
 		return
 	}
-	c.n.Orders++
-	given, limit := time.Now(), time.Duration(c.cfg.Settings.OrderTimeout)
+	c.n.LoadOrders++
+	given, limit := time.Now(), time.Duration(c.cfg.Settings.LoadOrderTimeout)
 	if limit <= 0 {
 		limit = 10 * time.Second
 	}
 	c.orders++
-	key := flightKey{n: c.orders}
+	key := attemptKey{n: c.orders}
 	ctx, off := context.WithCancelCause(c.ctx)
-	way := &flight{worker: w, caller: c.ctx, off: off}
-	c.flights[key] = way
+	way := &inFlightAttempt{worker: w, caller: c.ctx, off: off}
+	c.attempts[key] = way
 	go func() {
 		ctx, done := context.WithTimeout(ctx, limit)
-		r := c.cfg.Workers.Load(ctx, Order{Worker: m.Member, Func: f, Key: name.key, Count: n, Begin: func() bool {
+		r := c.cfg.Workers.Load(ctx, LoadOrder{Worker: m.Endpoint, Func: f, Key: name.key, Count: n, BeforeWrite: func() bool {
 			return c.ration.write(reserved, time.Now()) && way.begin()
 		}})
-		if r.Result == decide.Moot || r.Result == decide.ConnectFailed { // nothing of it was written
+		if r.Result == balancer.NotSent || r.Result == balancer.ConnectFailed { // nothing of it was written
 			c.ration.release(reserved)
 		}
 		done()
 		off(nil)
 		c.post(func() {
-			delete(c.flights, key)
-			if c.cfg.Observed != nil && r.Result != decide.Timeout { // a load may take longer than we wait
+			delete(c.attempts, key)
+			if c.cfg.Observed != nil && r.Result != balancer.Timeout { // a load may take longer than we wait
 				c.cfg.Observed(Observation{Kind: ObservedOrder, Worker: w, Result: r.Result})
 			}
 			c.cfg.Log.Debug("order ended", "worker", uint32(w), "fn", uint64(f), "copies", r.Copies, "result", r.Result.String(),
 				"ms", time.Since(given).Milliseconds())
-			c.d.Loaded(c.now(), w, f, r.Copies, r.Result)
+			c.d.HandleLoadResult(c.now(), w, f, r.Copies, r.Result)
 		})
 	}()
 }
 
-func (h *host) Drop(w decide.WorkerID, f decide.FuncID) {
+func (h *host) OrderUnload(w balancer.WorkerID, f balancer.FuncID) {
 	c := (*Core)(h)
 	m, known := c.members[w]
 	if name, asked := c.called[f]; known && asked {
 		go func() {
 			ctx, done := context.WithTimeout(c.ctx, probeTime*2)
 			defer done()
-			c.cfg.Workers.Drop(ctx, Order{Worker: m.Member, Func: f, Key: name.key})
+			c.cfg.Workers.Unload(ctx, LoadOrder{Worker: m.Endpoint, Func: f, Key: name.key})
 		}()
 	}
 }
 
-func (h *host) Probe(w decide.WorkerID) {
+func (h *host) HealthCheck(w balancer.WorkerID) {
 	c := (*Core)(h)
 	m, known := c.members[w]
 	if !known {
-		c.later = append(c.later, func() { c.d.Probed(c.now(), w, decide.ConnectFailed, 0, nil) })
+		c.deferred = append(c.deferred, func() { c.d.HandleHealthCheck(c.now(), w, balancer.ConnectFailed, 0, nil) })
 		return
 	}
 	sent := time.Now()
 	go func() {
 		ctx, done := context.WithTimeout(c.ctx, probeTime)
 		defer done()
-		r := c.cfg.Workers.Probe(ctx, m.Member)
-		c.post(func() { c.d.Probed(c.now(), w, r.Result, int64(time.Since(sent)), r.Report) })
+		r := c.cfg.Workers.HealthCheck(ctx, m.Endpoint)
+		c.post(func() { c.d.HandleHealthCheck(c.now(), w, r.Result, int64(time.Since(sent)), r.Report) })
 	}()
 }
 
-func (h *host) Tell(to int, data string) {
+func (h *host) SendPeerMessage(to int, data string) {
 	if h.cfg.Peers != nil {
-		h.cfg.Peers.Tell(to, data)
+		h.cfg.Peers.SendMessage(to, data)
 	}
 }
 
-func (h *host) Timer(delay, ref int64) {
+func (h *host) SetTimer(delay, ref int64) {
 	c := (*Core)(h)
-	time.AfterFunc(time.Duration(delay), func() { c.post(func() { c.d.Timer(c.now(), ref) }) })
+	time.AfterFunc(time.Duration(delay), func() { c.post(func() { c.d.HandleTimer(c.now(), ref) }) })
 }
 
-// Counted has a call count for the ration as the module counts it.
-func (h *host) Counted(at int64) { h.ration.count(steady.Time(at)) }
+// CountTowardLoadQuota has a call count for the ration as the module counts it.
+func (h *host) CountTowardLoadQuota(at int64) { h.ration.count(monotime.Time(at)) }
 
-// Watch has nothing to do: a Membership tells from its start on.
-func (h *host) Watch() {}
+// SubscribeEndpoints has nothing to do: a Membership tells from its start on.
+func (h *host) SubscribeEndpoints() {}
 
 func (h *host) Log(text string) { h.cfg.Log.Info(text) }
--- a/example_test.go
+++ b/example_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"oakthread"
-	"oakthread/decide"
+	"oakthread/balancer"
 	"oakthread/middleware"
 )
 
@@ -18,33 +18,35 @@
 type local struct{}
 
 func (local) Send(_ context.Context, a oakthread.Attempt) oakthread.Reply {
-	if !a.Begin() { // its caller has left meanwhile
-		return oakthread.Reply{Result: decide.Moot}
+	if !a.BeforeWrite() { // its caller has left meanwhile
+		return oakthread.Reply{Result: balancer.NotSent}
 	}
-	return oakthread.Reply{Result: decide.OK, Warmth: decide.WarmHit, Body: []byte(strings.ToUpper(string(a.Request.Body)))}
+	return oakthread.Reply{Result: balancer.OK, Warmth: balancer.WarmHit, Body: []byte(strings.ToUpper(string(a.Request.Body)))}
 }
-func (local) Probe(context.Context, oakthread.Member) oakthread.Reply { return oakthread.Reply{} }
-func (local) Load(context.Context, oakthread.Order) oakthread.Reply   { return oakthread.Reply{} }
-func (local) Drop(context.Context, oakthread.Order)                   {}
-func (local) Forget(decide.WorkerID)                                  {}
+func (local) HealthCheck(context.Context, oakthread.Endpoint) oakthread.Reply {
+	return oakthread.Reply{}
+}
+func (local) Load(context.Context, oakthread.LoadOrder) oakthread.Reply { return oakthread.Reply{} }
+func (local) Unload(context.Context, oakthread.LoadOrder)               {}
+func (local) CloseConnections(balancer.WorkerID)                        {}
 
 // A program dispatches calls behind its own server: the middleware takes the calls, other requests pass on.
 func Example() {
-	core, err := oakthread.New(oakthread.Config{Workers: local{}, Settings: decide.Settings{
-		Classes:     []decide.Class{{Aim: int64(time.Second), GiveUp: int64(3 * time.Second), Worth: 1, Effect: decide.Safe}},
+	core, err := oakthread.New(oakthread.Config{Workers: local{}, Settings: balancer.Settings{
+		Classes:     []balancer.Class{{LatencyObjective: int64(time.Second), ClientTimeout: int64(3 * time.Second), PriorityWeight: 1, Idempotency: balancer.Idempotent}},
 		MaxAttempts: 3, LoadsOnMiss: true, KeepAlive: int64(10 * time.Second)}})
 	if err != nil {
 		panic(err)
 	}
 	defer core.Close()
-	core.Roster(oakthread.Roster{Kind: decide.RosterFull, Members: []oakthread.Member{{ID: 1, State: decide.On, Weight: 1}}})
+	core.UpdateEndpoints(oakthread.EndpointUpdate{Kind: balancer.EndpointsSnapshot, Endpoints: []oakthread.Endpoint{{ID: 1, State: balancer.Active, Weight: 1}}})
 
 	calls := middleware.Dispatch(core, func(r *http.Request) (oakthread.Request, error) {
 		if r.URL.Path != "/upper" {
 			return oakthread.Request{}, middleware.ErrPass
 		}
 		body, err := io.ReadAll(r.Body)
-		return oakthread.Request{ID: "call-1", Tenant: -1, Func: 7, Body: body, Lanes: 1, Deadline: time.Now().Add(3 * time.Second)}, err
+		return oakthread.Request{ID: "call-1", Tenant: -1, Func: 7, Body: body, Concurrency: 1, Deadline: time.Now().Add(3 * time.Second)}, err
 	})
 	server := httptest.NewServer(calls(http.NotFoundHandler()))
 	defer server.Close()
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -11,6 +11,7 @@
 	"math"
 	"math/rand/v2"
 	"os"
+	"path/filepath"
 	"regexp"
 	"slices"
 	"strings"
@@ -19,9 +20,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"oakthread/commons"
-	"oakthread/decide"
-	"oakthread/turns"
+	"oakthread/aggregate"
+	"oakthread/balancer"
+	"oakthread/leader"
 )
 
 // line is a straight line as a Curve.
@@ -30,7 +31,7 @@
 func (l line) At(x float64) float64 { return l.a + l.b*x }
 
 func slope(a, b, base float64) Slope {
-	return Slope{Curve: line{a, b}, Base: base, Spread: 0.1, Command: "oaklab run capacity"}
+	return Slope{Curve: line{a, b}, Base: base, Spread: 0.1, Command: "testbed run capacity"}
 }
 
 // all is a slope for every name that a row asks for.
@@ -60,8 +61,8 @@
 	return Row{}
 }
 
-func filled(n, of int) commons.Set {
-	s := commons.NewSet(of)
+func filled(n, of int) aggregate.NodeSet {
+	s := aggregate.NewSet(of)
 	for i := range n {
 		s.Add(i)
 	}
@@ -71,13 +72,13 @@
 // The arithmetic of lengths is that of the codec, for digests and reports of any shape.
 func TestLengthsAreThoseOfTheCodec(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	check := func(m commons.Message, siblings int, got Packed) {
+	check := func(m aggregate.Message, siblings int, got Packed) {
 		t.Helper()
-		texts := m.Texts(siblings)
-		require.Equal(t, Packed{len(texts[0]), commons.Chars(texts), len(texts)}, got, "%d siblings, %+v", siblings, m)
+		texts := m.Encode(siblings)
+		require.Equal(t, Packed{len(texts[0]), aggregate.Chars(texts), len(texts)}, got, "%d siblings, %+v", siblings, m)
 	}
-	beside := func(m *commons.Message, marks, counts, pairs int) {
-		m.Marks, m.Counts, m.Pairs = make([]commons.Mark, marks), make([]commons.Count, counts), make([]commons.Pair, pairs)
+	beside := func(m *aggregate.Message, marks, counts, pairs int) {
+		m.Marks, m.Counts, m.Holders = make([]aggregate.Mark, marks), make([]aggregate.Count, counts), make([]aggregate.Holder, pairs)
 	}
 	sizes := []int{1, 2, 7, 8, 9, 80, 300, 568, 569, 577, 1000, 1900, 1901}
 	for i := range 4000 {
@@ -87,24 +88,24 @@
 			counts, pairs = 0, 0
 		}
 		row := make([]float64, figs)
-		m := commons.Message{Hub: true, Sum: commons.Digest{Sums: row, Gone: row, Moved: row,
-			Covered: filled(siblings, siblings), Missing: commons.NewSet(siblings)}}
+		m := aggregate.Message{FromLeader: true, Digest: aggregate.Digest{Sums: row, MissingSums: row, MissingMoved: row,
+			Covered: filled(siblings, siblings), Missing: aggregate.NewSet(siblings)}}
 		beside(&m, marks, counts, pairs)
 		d := Digest{Siblings: siblings, Figures: figs, Marks: marks, Counts: counts, Pairs: pairs}
 		if d.Partial = i%2 == 0 && siblings > 1; d.Partial {
-			m.Sum.Covered = filled(siblings-1, siblings)
+			m.Digest.Covered = filled(siblings-1, siblings)
 			if d.Missing = rng.IntN(2) == 0; d.Missing {
-				m.Sum.Missing.Add(siblings - 1)
+				m.Digest.Missing.Add(siblings - 1)
 			}
 		}
 		check(m, siblings, d.Length())
 
 		r := Report{Figures: figs, Quoted: rng.IntN(figs+2) - 1, Marks: marks, Counts: counts, Pairs: pairs}
-		m = commons.Message{Row: commons.Row{Figures: row}}
+		m = aggregate.Message{Report: aggregate.Report{Values: row}}
 		if r.Quoted >= 0 {
-			m.Row.Prev = make([]float64, figs)
+			m.Report.LastCounted = make([]float64, figs)
 			for j := r.Quoted; j < figs; j++ {
-				m.Row.Prev[j] = math.NaN()
+				m.Report.LastCounted[j] = math.NaN()
 			}
 		}
 		beside(&m, marks, counts, pairs)
@@ -139,62 +140,83 @@
 	assert.Equal(t, 1384, Fits(Digest{Figures: 7, Partial: true}, 4000))
 }
 
-// constants are those of the sources that the arithmetic copies, as they are written there.
-func constants(t *testing.T, path string) map[string]string {
+// constants returns the constants of a package's program files by name, each as its source writes the value. A name that
+// stands in two files fails the test.
+func constants(t *testing.T, folder string) map[string]string {
 	t.Helper()
-	set := token.NewFileSet()
-	f, err := parser.ParseFile(set, path, nil, 0)
+	paths, err := filepath.Glob(filepath.Join(folder, "*.go"))
 	require.NoError(t, err)
-	out := map[string]string{}
-	ast.Inspect(f, func(n ast.Node) bool {
-		if g, ok := n.(*ast.GenDecl); ok && g.Tok == token.CONST {
-			for _, s := range g.Specs {
-				v := s.(*ast.ValueSpec)
-				for i, x := range v.Values {
-					var b strings.Builder
-					require.NoError(t, printer.Fprint(&b, set, x))
-					out[v.Names[i].Name] = b.String()
+	values := map[string]string{}
+	for _, path := range paths {
+		if strings.HasSuffix(path, "_test.go") {
+			continue
+		}
+		for name, value := range constantsOfFile(t, path) {
+			assert.NotContains(t, values, name, "%s: declared twice", path)
+			values[name] = value
+		}
+	}
+	return values
+}
+
+func constantsOfFile(t *testing.T, path string) map[string]string {
+	t.Helper()
+	files := token.NewFileSet()
+	file, err := parser.ParseFile(files, path, nil, 0)
+	require.NoError(t, err)
+	values := map[string]string{}
+	for _, declaration := range file.Decls {
+		group, ok := declaration.(*ast.GenDecl)
+		if !ok || group.Tok != token.CONST {
+			continue
+		}
+		for _, spec := range group.Specs {
+			constant := spec.(*ast.ValueSpec)
+			for i, value := range constant.Values {
+				var text strings.Builder
+				require.NoError(t, printer.Fprint(&text, files, value))
+				if name := constant.Names[i].Name; name != "_" {
+					values[name] = text.String()
 				}
 			}
 		}
-		return true
-	})
-	return out
+	}
+	return values
 }
 
 // A constant that changes in the program must change here: figures of the page rest on it.
 func TestSizesAreThoseOfTheSources(t *testing.T) {
 	of := ofProgram()
 	for _, c := range []struct {
-		path, name, written string
-		value, want         float64
+		folder, name, written string
+		value, want           float64
 	}{
-		{"../../commons/message.go", "textMax", "190", of.textMax, 190},
-		{"../../commons/message.go", "marksMax", "12", of.marksMax, 12},
-		{"../../commons/message.go", "figsMax", "15", figuresMost, 15},
-		{"../platform/channel.go", "maxDatagram", "256", of.datagram, 256},
-		{"../platform/channel.go", "datagramWait", "256", of.waiting, 256},
-		{"../platform/channel.go", "maxLine", "4 << 20", of.line, 4 << 20},
-		{"../platform/channel.go", "channelQuiet", "2 * time.Second", of.quiet, 2},
-		{"../platform/channel.go", "channelDial", "time.Second", of.dial, 1},
-		{"../platform/channel.go", "channelMost", "400 * time.Millisecond", of.most, 0.4},
-		{"../platform/fleet.go", "idleShare", "0.6", of.idleShare, 0.6},
-		{"../daemon/daemon.go", "reserved", "20", of.reserved, 20},
-		{"../daemon/daemon.go", "clientSpare", "16", of.clientSpare, 16},
-		{"../daemon/daemon.go", "memoryPart", "0.7", of.memoryPart, 0.7},
-		{"../daemon/daemon.go", "collectAt", "150", of.collectAt, 150},
-		{"../../core.go", "eventsWait", "1024", of.eventsWait, 1024},
-		{"../../decide/decide.go", "tellShare", "0.005", of.tellShare, 0.005},
-		{"../../decide/decide.go", "tellFloor", "0.002", of.tellFloor, 0.002},
-		{"../../decide/decide.go", "purseMax", "10.0", of.purseMax, 10},
-		{"../../decide/decide.go", "hubAims", "2", of.hubAims, 2},
-		{"../../decide/decide.go", "beats", "8", of.beats, 8},
-		{"../../decide/decide.go", "helloPeers", "3", of.hello, 3},
-		{"../../decide/decide.go", "pairPart", "8", of.pairPart, 8},
-		{"../../verdict/verdict.go", "longest", "8", of.longest, 8},
-		{"../../roster/roster.go", "defaultProbeRate", "300", Letter().ProbeRate, 300},
+		{"../../aggregate", "textMax", "190", of.textMax, 190},
+		{"../../aggregate", "marksMax", "12", of.marksMax, 12},
+		{"../../aggregate", "figsMax", "15", figuresMost, 15},
+		{"../platform", "maxDatagram", "256", of.datagram, 256},
+		{"../platform", "datagramWait", "256", of.waiting, 256},
+		{"../platform", "maxLine", "4 << 20", of.line, 4 << 20},
+		{"../platform", "channelQuiet", "2 * time.Second", of.quiet, 2},
+		{"../platform", "channelDial", "time.Second", of.dial, 1},
+		{"../platform", "channelMost", "400 * time.Millisecond", of.most, 0.4},
+		{"../platform", "idleShare", "0.6", of.idleShare, 0.6},
+		{"../daemon", "reserved", "20", of.reserved, 20},
+		{"../daemon", "clientSpare", "16", of.clientSpare, 16},
+		{"../daemon", "memoryPart", "0.7", of.memoryPart, 0.7},
+		{"../daemon", "collectAt", "150", of.collectAt, 150},
+		{"../..", "eventsWait", "1024", of.eventsWait, 1024},
+		{"../../balancer", "tellShare", "0.005", of.tellShare, 0.005},
+		{"../../balancer", "tellFloor", "0.002", of.tellFloor, 0.002},
+		{"../../balancer", "purseMax", "10.0", of.purseMax, 10},
+		{"../../balancer", "hubAims", "2", of.hubAims, 2},
+		{"../../balancer", "beats", "8", of.beats, 8},
+		{"../../balancer", "helloPeers", "3", of.hello, 3},
+		{"../../balancer", "pairPart", "8", of.pairPart, 8},
+		{"../../outlier", "longest", "8", of.longest, 8},
+		{"../../endpoints", "defaultProbeRate", "300", Letter().ProbeRate, 300},
 	} {
-		assert.Equal(t, c.written, constants(t, c.path)[c.name], "%s in %s", c.name, c.path)
+		assert.Equal(t, c.written, constants(t, c.folder)[c.name], "%s in %s", c.name, c.folder)
 		assert.InDelta(t, c.want, c.value, 1e-12, c.name)
 	}
 }
@@ -241,7 +263,7 @@
 		s["cpu.list/"+dim], s["heap/"+dim] = slope(100, 0, 1), slope(1e6, 0, 1)
 	}
 	// Over executors 1,000 at the base of 100 and 96,000 at 9,600; over functions 2 more for each beyond 4,000.
-	s["cpu.list/executors"] = Slope{Curve: line{0, 10}, Base: 100, Spread: 0.2, Command: "oaklab run capacity --only executors"}
+	s["cpu.list/executors"] = Slope{Curve: line{0, 10}, Base: 100, Spread: 0.2, Command: "testbed run capacity --only executors"}
 	s["heap/executors"], s["heap/functions"] = slope(0, 1e4, 100), slope(992_000, 2, 4000)
 	rows := Rows(Letter(), LetterBudgets(), s)
 	for _, c := range []struct {
@@ -281,7 +303,7 @@
 	assert.Equal(t, []string{"cpu.choice/choice"}, choice.Slopes)
 	list := find(t, rows, dispatcher, "processor time: list events")
 	assert.Len(t, list.Slopes, 5)
-	assert.Equal(t, "oaklab run capacity, oaklab run capacity --only executors", list.Command)
+	assert.Equal(t, "testbed run capacity, testbed run capacity --only executors", list.Command)
 	assert.InDelta(t, 0.2, float64(list.Spread), 1e-9)
 	assert.Zero(t, float64(choice.Low), "choices may not count as control")
 
@@ -462,8 +484,8 @@
 		assert.Equal(t, 10, strings.Count(l, "|"), l)
 	}
 	assert.NotContains(t, table, "NaN")
-	assert.Contains(t, table, "| `oaklab run capacity`: heap/*; spread 0.1 |")
-	assert.Contains(t, table, "| `oaklab run capacity`: cpu.read/*, messages.in/*; spread 0.1 |")
+	assert.Contains(t, table, "| `testbed run capacity`: heap/*; spread 0.1 |")
+	assert.Contains(t, table, "| `testbed run capacity`: cpu.read/*, messages.in/*; spread 0.1 |")
 	assert.Equal(t, []string{"a/calls", "b/choice"}, gathered([]string{"b/choice", "a/calls"}))
 	assert.Equal(t, len(all())+2, strings.Count(MarkdownSlopes(all()), "\n"))
 	assert.Equal(t, 2, strings.Count(MarkdownSlopes(Slopes{"x/calls": {}}), "\n"), "a slope without a curve is missing")
@@ -480,7 +502,7 @@
 
 // asked is a dispatcher of the real module before executors that answer each call at once loaded, 60 ms after; it counts what it tells.
 type asked struct {
-	d     *decide.Dispatcher
+	d     *balancer.Balancer
 	now   int64
 	queue []due
 	tell  func(to int, text string)
@@ -498,26 +520,26 @@
 	h.queue = slices.Insert(h.queue, i, due{at, do})
 }
 
-func (h *asked) Send(id string, w decide.WorkerID, _ int64) {
+func (h *asked) SendAttempt(id string, w balancer.WorkerID, _ int64) {
 	n := h.sends[id]
 	h.sends[id]++
 	h.after(60e6, func() {
-		h.d.Outcome(h.now, decide.Outcome{ID: id, Attempt: n, Worker: w, Result: decide.OK, Finished: true, Warmth: decide.WarmHit})
+		h.d.HandleAttemptResult(h.now, balancer.AttemptResult{ID: id, Attempt: n, Worker: w, Result: balancer.OK, Finished: true, Warmth: balancer.WarmHit})
 	})
 }
-func (h *asked) Load(w decide.WorkerID, f decide.FuncID, n int) {
-	h.after(100e6, func() { h.d.Loaded(h.now, w, f, n, decide.OK) })
+func (h *asked) OrderLoad(w balancer.WorkerID, f balancer.FuncID, n int) {
+	h.after(100e6, func() { h.d.HandleLoadResult(h.now, w, f, n, balancer.OK) })
 }
-func (h *asked) Counted(int64)                     {}
-func (h *asked) Timer(delay, ref int64)            { h.after(delay, func() { h.d.Timer(h.now, ref) }) }
-func (h *asked) Tell(to int, text string)          { h.tell(to, text) }
-func (*asked) Cancel(string, int)                  {}
-func (*asked) Refuse(string, int64)                {}
-func (*asked) Fail(string)                         {}
-func (*asked) Drop(decide.WorkerID, decide.FuncID) {}
-func (*asked) Probe(decide.WorkerID)               {}
-func (*asked) Watch()                              {}
-func (*asked) Log(string)                          {}
+func (h *asked) CountTowardLoadQuota(int64)                   {}
+func (h *asked) SetTimer(delay, ref int64)                    { h.after(delay, func() { h.d.HandleTimer(h.now, ref) }) }
+func (h *asked) SendPeerMessage(to int, text string)          { h.tell(to, text) }
+func (*asked) CancelAttempt(string, int)                      {}
+func (*asked) Reject(string, int64)                           {}
+func (*asked) Fail(string)                                    {}
+func (*asked) OrderUnload(balancer.WorkerID, balancer.FuncID) {}
+func (*asked) HealthCheck(balancer.WorkerID)                  {}
+func (*asked) SubscribeEndpoints()                            {}
+func (*asked) Log(string)                                     {}
 
 // run plays events up to a time.
 func run(h *asked, until int64) {
@@ -539,28 +561,28 @@
 		h.tell = func(to int, text string) {
 			if to >= 0 {
 				chars += len(text)
-				if m, ok := commons.Read(text, siblings); ok && !m.GoesOn {
+				if m, ok := aggregate.Decode(text, siblings); ok && !m.Continued {
 					reports++
 				}
 			}
 		}
-		s := decide.Settings{Classes: []decide.Class{{Aim: 400e6, GiveUp: 5e9, Worth: 1, Effect: decide.Safe}},
-			TenantRate: make([]float64, tenants), Number: 3, Siblings: siblings, Quantum: 4e6, MaxAttempts: 5,
-			Peers: true, PeerPrice: Base(Letter()).PeerPrice, KeepAlive: 10e9, LoadsOnMiss: true}
+		s := balancer.Settings{Classes: []balancer.Class{{LatencyObjective: 400e6, ClientTimeout: 5e9, PriorityWeight: 1, Idempotency: balancer.Idempotent}},
+			TenantQuota: make([]float64, tenants), DispatcherIndex: 3, Dispatchers: siblings, ClockResolution: 4e6, MaxAttempts: 5,
+			Gossip: true, PeerPrice: Base(Letter()).PeerPrice, KeepAlive: 10e9, LoadsOnMiss: true}
 		var err error
-		h.d, err = decide.New(h.now, s, 1, h)
+		h.d, err = balancer.New(h.now, s, 1, h)
 		require.NoError(t, err)
-		var es []decide.Entry
+		var es []balancer.Endpoint
 		for i := range executors {
-			es = append(es, decide.Entry{Worker: decide.WorkerID(i + 1), State: decide.On, Weight: 1})
+			es = append(es, balancer.Endpoint{Worker: balancer.WorkerID(i + 1), State: balancer.Active, Weight: 1})
 		}
-		h.d.Roster(h.now, decide.RosterFull, es)
+		h.d.UpdateEndpoints(h.now, balancer.EndpointsSnapshot, es)
 		rng := rand.New(rand.NewPCG(5, uint64(calls)))
 		gap, n := int64(1e9)/int64(calls), 0
 		var call func()
 		call = func() {
 			n++
-			h.d.Request(h.now, decide.Request{ID: fmt.Sprint(n), Func: decide.FuncID(rng.Uint64N(48_000)), Deadline: h.now + 5e9, Lanes: 1})
+			h.d.HandleRequest(h.now, balancer.Request{ID: fmt.Sprint(n), Func: balancer.FuncID(rng.Uint64N(48_000)), Deadline: h.now + 5e9, Concurrency: 1})
 			h.after(gap, call)
 		}
 		h.after(gap, call)
@@ -591,40 +613,40 @@
 		t.Run(fmt.Sprintf("%d siblings, one silent %v", c.siblings, c.silent), func(t *testing.T) {
 			h, texts := &asked{now: 1e18, sends: map[string]int{}}, 0
 			h.tell = func(to int, text string) {
-				if m, ok := commons.Read(text, c.siblings); to < 0 && ok && m.Hub {
+				if m, ok := aggregate.Decode(text, c.siblings); to < 0 && ok && m.FromLeader {
 					texts++
 				}
 			}
 			term := 2 * aim
 			h.now -= h.now % term
-			for turns.New(0, c.siblings, term).Collector(h.now) != 0 {
+			for leader.New(0, c.siblings, term).Leader(h.now) != 0 {
 				h.now += term
 			}
 			h.now -= term // it has lived for a while when its term comes
 			begin := h.now + term
-			s := decide.Settings{Classes: []decide.Class{{Aim: aim, GiveUp: 5e9, Worth: 1, Effect: decide.Safe}}, Siblings: c.siblings,
-				TenantRate: make([]float64, tenants), Quantum: 4e6, MaxAttempts: 5, Peers: true, PeerPrice: price, KeepAlive: 10e9}
+			s := balancer.Settings{Classes: []balancer.Class{{LatencyObjective: aim, ClientTimeout: 5e9, PriorityWeight: 1, Idempotency: balancer.Idempotent}}, Dispatchers: c.siblings,
+				TenantQuota: make([]float64, tenants), ClockResolution: 4e6, MaxAttempts: 5, Gossip: true, PeerPrice: price, KeepAlive: 10e9}
 			var err error
-			h.d, err = decide.New(h.now, s, 1, h)
+			h.d, err = balancer.New(h.now, s, 1, h)
 			require.NoError(t, err)
-			var es []decide.Entry
+			var es []balancer.Endpoint
 			for i := range 60 {
-				es = append(es, decide.Entry{Worker: decide.WorkerID(i + 1), State: decide.On, Weight: 1})
+				es = append(es, balancer.Endpoint{Worker: balancer.WorkerID(i + 1), State: balancer.Active, Weight: 1})
 			}
-			h.d.Roster(h.now, decide.RosterFull, es)
+			h.d.UpdateEndpoints(h.now, balancer.EndpointsSnapshot, es)
 			n := 0
 			var call func()
 			call = func() {
 				n++
-				h.d.Request(h.now, decide.Request{ID: fmt.Sprint(n), Func: decide.FuncID(n), Deadline: h.now + 5e9, Lanes: 1})
+				h.d.HandleRequest(h.now, balancer.Request{ID: fmt.Sprint(n), Func: balancer.FuncID(n), Deadline: h.now + 5e9, Concurrency: 1})
 				h.after(5e6, call)
 			}
 			h.after(1, call)
-			report := commons.Message{Calls: 255, Row: commons.Row{Seq: 1, Figures: make([]float64, tenants+2), Fresh: true}}.Texts(c.siblings)[0]
+			report := aggregate.Message{Calls: 255, Report: aggregate.Report{Seq: 1, Values: make([]float64, tenants+2), Fresh: true}}.Encode(c.siblings)[0]
 			h.after(begin+20e6-h.now, func() {
 				for from := 1; from < c.siblings; from++ {
 					if !c.silent || from != 1 {
-						require.True(t, h.d.Peer(h.now, from, report))
+						require.True(t, h.d.HandlePeerMessage(h.now, from, report))
 					}
 				}
 			})
@@ -635,7 +657,7 @@
 }
 
 // The page says what the package works out: every row that needs no run, and the assumptions. Print them anew with
-// bin/oaklab run capacity.
+// bin/testbed run capacity.
 func TestPageHasTheRowsThatNeedNoRun(t *testing.T) {
 	raw, err := os.ReadFile("../../docs/CAPACITY.md")
 	require.NoError(t, err)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -15,16 +15,16 @@
 	"time"
 
 	"oakthread"
-	"oakthread/decide"
-	"oakthread/internal/console"
+	"oakthread/admin"
+	"oakthread/balancer"
+	"oakthread/endpoints"
+	"oakthread/internal/adminapi"
+	"oakthread/internal/config"
+	"oakthread/internal/endpointcache"
 	"oakthread/internal/h2"
-	"oakthread/internal/kept"
-	"oakthread/internal/opfile"
+	"oakthread/internal/monotime"
 	"oakthread/internal/platform"
-	"oakthread/internal/steady"
 	"oakthread/internal/violation"
-	"oakthread/roster"
-	"oakthread/service"
 	"oakthread/webhook"
 )
 
@@ -43,7 +43,7 @@
 // Options are what a daemon is started with.
 type Options struct {
 	Getenv   func(string) string // names the platform's configuration
-	File     *opfile.File        // the operator's file; nil: none
+	File     *config.File        // the operator's file; nil: none
 	Webhooks *webhook.Options    // nil: no such front
 	Hup      <-chan os.Signal    // each value has it read its configuration anew
 	Log      *slog.Logger
@@ -82,8 +82,8 @@
 		return fmt.Errorf("configuration: %w", err)
 	}
 	parts := oakthread.Config{Settings: cfg.Setup.Decide(), Seed: cfg.Seed, Workers: fleet, Log: log,
-		MaxOpen: cfg.Setup.Permissions.OpenCap}
-	parts.Settings.MaxOpen = cfg.Sockets / 3 // clients hold no more connections, and each has one call
+		MaxInFlight: cfg.Setup.Permissions.OpenCap}
+	parts.Settings.MaxInFlight = cfg.Sockets / 3 // clients hold no more connections, and each has one call
 	if peers != nil {
 		parts.Peers = peers
 	}
@@ -92,27 +92,27 @@
 		found.Found(violation.Rule(rule), violation.Path(path), id, detail)
 	}
 	var hooks *webhook.Front // set before the first call comes
-	parts.Settled = func(s oakthread.Settlement) {
+	parts.Completed = func(s oakthread.Completion) {
 		if hooks != nil {
 			hooks.Settled(s)
 		}
 	}
 	var core *oakthread.Core
-	var front *platform.Front
+	var front *platform.Server
 	var reloads reloaded
-	desk := console.New(console.Sources{
+	desk := adminapi.New(adminapi.Sources{
 		CoreReady: func() bool { return core.Ready() },
-		Tell:      func(r oakthread.Roster) { core.Roster(r) },
-		Figures:   func(ctx context.Context) console.Figures { return figures(ctx, core, front, &reloads) },
+		Tell:      func(r oakthread.EndpointUpdate) { core.UpdateEndpoints(r) },
+		Figures:   func(ctx context.Context) adminapi.Figures { return figures(ctx, core, front, &reloads) },
 		Tally: func(fn func(string, int64, int64, int64)) {
 			front.Tally(func(class string, o *platform.Outcomes) {
 				fn(class, o.Completed.Load(), o.Rejected.Load(), o.Failed.Load())
 			})
 		},
 		Quiet:    func(on bool) { front.SetKeepAlives(!on) },
-		Verdicts: func(ctx context.Context) ([]console.Verdict, bool) { return verdicts(ctx, core) },
-	}, console.BanFile(os.TempDir(), cfg.Listen), platform.WorkerID, log)
-	var keeper *kept.Keeper
+		Verdicts: func(ctx context.Context) ([]adminapi.Verdict, bool) { return verdicts(ctx, core) },
+	}, adminapi.BanFile(os.TempDir(), cfg.Listen), platform.WorkerID, log)
+	var keeper *endpointcache.Syncer
 	if o.File != nil && o.File.List != nil {
 		keeper = keep(o, cfg, fleet, desk.Listed, log)
 		parts.Admit, parts.Observed = keeper.Admit, keeper.Observe
@@ -137,16 +137,16 @@
 		if len(addrs) == 0 && cfg.Channel != "" {
 			addrs = []string{cfg.Channel}
 		}
-		channel.Keep(keeper.Cursor(), keeper.Epoch(), roster.NewDialer(addrs, cfg.Seed))
+		channel.Keep(keeper.Cursor(), keeper.Epoch(), endpoints.NewDialer(addrs, cfg.Seed))
 		written := make(chan struct{})
 		go func() { defer close(written); keeper.Run(beside) }()
 		defer func() { done(); <-written }()
 		go func() { _ = channel.Follow(beside, keeper) }()
 	} else {
-		go func() { _ = oakthread.Membership(channel).Watch(beside, desk.Listed) }()
+		go func() { _ = oakthread.EndpointWatcher(channel).Watch(beside, desk.Listed) }()
 	}
 	if peers != nil {
-		go func() { _ = peers.Listen(beside, core.Heard) }()
+		go func() { _ = peers.Listen(beside, core.HandlePeerMessage) }()
 	}
 	ended, keys := make(chan error, 1), make(chan time.Time, 1)
 	if o.Webhooks == nil {
@@ -198,7 +198,7 @@
 }
 
 // http2 is the HTTP/2 front that the operator's file asks for; nil: none.
-func http2(f *opfile.File) *h2.Options {
+func http2(f *config.File) *h2.Options {
 	if f == nil || f.HTTP2 == nil {
 		return nil
 	}
@@ -206,19 +206,19 @@
 }
 
 // keep opens the kept list that the operator's file asks for.
-func keep(o Options, cfg *platform.Config, fleet *platform.Fleet, tell func(oakthread.Roster), log *slog.Logger) *kept.Keeper {
+func keep(o Options, cfg *platform.Config, fleet *platform.ExecutorPool, tell func(oakthread.EndpointUpdate), log *slog.Logger) *endpointcache.Syncer {
 	l, set := o.File.List, cfg.Setup.Decide()
-	ko := kept.Options{Path: l.Path, Owner: cfg.Name, Util: cfg.Setup.Field("cpu"), Roster: roster.Config{Seed: cfg.Seed,
-		Siblings: max(l.Siblings, set.Siblings), Budget: l.Budget, ProbeRate: l.ProbeRate, MaxWait: l.MaxWait.Duration, Fresh: o.Fresh}}
+	ko := endpointcache.Options{Path: l.Path, Owner: cfg.Name, Util: cfg.Setup.Field("cpu"), Roster: endpoints.Config{Seed: cfg.Seed,
+		Siblings: max(l.Siblings, set.Dispatchers), Budget: l.Budget, ProbeRate: l.ProbeRate, MaxWait: l.MaxWait.Duration, Fresh: o.Fresh}}
 	if l.Siblings > 0 {
 		ko.Roster.Siblings = l.Siblings
 	}
 	for _, c := range set.Classes {
-		ko.Aims = append(ko.Aims, time.Duration(c.Aim))
+		ko.Aims = append(ko.Aims, time.Duration(c.LatencyObjective))
 	}
-	now := steady.Now()
-	k := kept.NewKeeper(ko, fleet, tell, now, log)
-	var known []oakthread.Roster
+	now := monotime.Now()
+	k := endpointcache.NewKeeper(ko, fleet, tell, now, log)
+	var known []oakthread.EndpointUpdate
 	for _, ev := range cfg.Known {
 		known = append(known, ev.Roster)
 	}
@@ -230,7 +230,7 @@
 func serveHooks(ctx context.Context, o *webhook.Options, cfg *platform.Config, core *oakthread.Core, reload <-chan time.Time, ended chan<- error, log *slog.Logger) (*webhook.Front, error) {
 	var classes []webhook.Class
 	for i, c := range cfg.Setup.Decide().Classes {
-		classes = append(classes, webhook.Class{Name: cfg.Setup.Categories[i].Name, GiveUp: time.Duration(c.GiveUp), Effect: c.Effect})
+		classes = append(classes, webhook.Class{Name: cfg.Setup.Categories[i].Name, GiveUp: time.Duration(c.ClientTimeout), Effect: c.Idempotency})
 	}
 	var tenants []string
 	for _, c := range cfg.Setup.Customers {
@@ -256,7 +256,7 @@
 
 // reload reads the configuration anew at each signal and moves the command channel where its address has changed; the
 // webhook front reads its keys. A file that cannot be used changes nothing. Guards against an end by SIGHUP.
-func reload(ctx context.Context, hup <-chan os.Signal, getenv func(string) string, first *platform.Config, channel *platform.Channel, keys chan<- time.Time, n *reloaded, retune func(*platform.Config) error, log *slog.Logger) {
+func reload(ctx context.Context, hup <-chan os.Signal, getenv func(string) string, first *platform.Config, channel *platform.EndpointWatcher, keys chan<- time.Time, n *reloaded, retune func(*platform.Config) error, log *slog.Logger) {
 	at := first.Channel
 	for {
 		select {
@@ -292,17 +292,17 @@
 // tuner carries the classes and attempts of a reload to the core and the front.
 type tuner struct {
 	core    *oakthread.Core
-	front   *platform.Front
-	fleet   *platform.Fleet
-	classes service.Classes
+	front   *platform.Server
+	fleet   *platform.ExecutorPool
+	classes admin.Classes
 }
 
-func newTuner(cfg *platform.Config, core *oakthread.Core, front *platform.Front, fleet *platform.Fleet) *tuner {
+func newTuner(cfg *platform.Config, core *oakthread.Core, front *platform.Server, fleet *platform.ExecutorPool) *tuner {
 	names, rules := classesOf(cfg)
-	return &tuner{core: core, front: front, fleet: fleet, classes: service.NewClasses(names, rules)}
+	return &tuner{core: core, front: front, fleet: fleet, classes: admin.NewClasses(names, rules)}
 }
 
-func classesOf(cfg *platform.Config) (names []string, rules []decide.Class) {
+func classesOf(cfg *platform.Config) (names []string, rules []balancer.Class) {
 	for _, c := range cfg.Setup.Categories {
 		names = append(names, c.Name)
 	}
@@ -329,18 +329,18 @@
 type reloaded struct{ taken, fails atomic.Int64 }
 
 // figures gathers what the console tells beside the classes; the core's part waits no longer than ctx.
-func figures(ctx context.Context, core *oakthread.Core, front *platform.Front, r *reloaded) console.Figures {
-	f := console.Figures{Pending: front.Pending(), Reloads: r.taken.Load(), Fails: r.fails.Load()}
+func figures(ctx context.Context, core *oakthread.Core, front *platform.Server, r *reloaded) adminapi.Figures {
+	f := adminapi.Figures{Pending: front.Pending(), Reloads: r.taken.Load(), Fails: r.fails.Load()}
 	type look struct {
 		n       oakthread.Counters
-		ejected []decide.WorkerID
+		ejected []balancer.WorkerID
 	}
 	got := make(chan look, 1)
 	go func() { got <- look{core.Counters(), core.Ejected()} }()
 	select {
 	case l := <-got:
 		// Attempts less those whose connection was refused.
-		f.Attempts, f.Ejected = l.n.Attempts-l.n.Ends[decide.ConnectFailed], l.ejected
+		f.Attempts, f.Ejected = l.n.Attempts-l.n.AttemptResults[balancer.ConnectFailed], l.ejected
 	case <-ctx.Done():
 		f.Stale = true
 	}
@@ -348,14 +348,14 @@
 }
 
 // verdicts is what the core holds of each executor, in the console's form; false: it did not answer in time.
-func verdicts(ctx context.Context, core *oakthread.Core) ([]console.Verdict, bool) {
-	got := make(chan []decide.Verdict, 1)
-	go func() { got <- core.Verdicts() }()
+func verdicts(ctx context.Context, core *oakthread.Core) ([]adminapi.Verdict, bool) {
+	got := make(chan []balancer.WorkerHealth, 1)
+	go func() { got <- core.WorkerHealth() }()
 	select {
 	case vs := <-got:
-		rows := make([]console.Verdict, 0, len(vs))
+		rows := make([]adminapi.Verdict, 0, len(vs))
 		for _, v := range vs {
-			row := console.Verdict{Executor: v.Worker, Zone: v.Zone, Verdict: v.State.Verdict, Evidence: v.Evidence, Served: v.Good, Failed: v.Bad, Pace: v.Pace,
+			row := adminapi.Verdict{Executor: v.Worker, Zone: v.Zone, Verdict: v.Status.String(), Evidence: v.Evidence, Served: v.Good, Failed: v.Bad, Pace: v.Pace,
 				Observers: [2]int{int(v.Word.Good), int(v.Word.Bad)}, WordAgeMS: -1, TrialInMS: time.Duration(v.TrialIn).Milliseconds(), Unreached: v.Unreachable}
 			if v.WordAge >= 0 {
 				row.WordAgeMS = time.Duration(v.WordAge).Milliseconds()
@@ -380,16 +380,16 @@
 // longest is the longest time that any class of client waits.
 func longest(c oakthread.Config) (most time.Duration) {
 	for _, k := range c.Settings.Classes {
-		most = max(most, time.Duration(k.GiveUp))
+		most = max(most, time.Duration(k.ClientTimeout))
 	}
 	return most
 }
 
 // faults is what counts troubles of the system's.
 type faults struct {
-	front  *platform.Front
-	fleet  *platform.Fleet
-	keeper *kept.Keeper // nil: no list is kept
+	front  *platform.Server
+	fleet  *platform.ExecutorPool
+	keeper *endpointcache.Syncer // nil: no list is kept
 	found  *violation.Recorder
 }
 
@@ -401,11 +401,11 @@
 }
 
 // count logs the counters while calls come, and whether the process or the core's loop stood still.
-func count(ctx context.Context, core *oakthread.Core, front *platform.Front, peers *platform.Datagrams, f faults, log *slog.Logger) {
+func count(ctx context.Context, core *oakthread.Core, front *platform.Server, peers *platform.PeerTransport, f faults, log *slog.Logger) {
 	t := time.NewTicker(lookEvery)
 	defer t.Stop()
 	var told oakthread.Counters
-	stepped := steady.Step()
+	stepped := monotime.Step()
 	seen, next := time.Now(), time.Now().Add(countEvery)
 	for {
 		select {
@@ -415,7 +415,7 @@
 		}
 		woke := time.Now()
 		n := core.Counters()
-		if at := steady.Step(); at-stepped > stepTold || stepped-at > stepTold {
+		if at := monotime.Step(); at-stepped > stepTold || stepped-at > stepTold {
 			log.Warn("the wall clock was stepped", "by", at-stepped, "since_start", at)
 			stepped = at
 		}
@@ -423,7 +423,7 @@
 			log.Warn("stood still", "process", process, "loop", loop)
 		}
 		if peers != nil && log.Enabled(ctx, slog.LevelDebug) {
-			v := core.Shared()
+			v := core.FleetView()
 			likely := make([]float64, 0, len(v.Totals))
 			for _, t := range v.Totals {
 				likely = append(likely, math.Round(10*t.Likely)/10)
@@ -433,12 +433,12 @@
 		if seen = time.Now(); n != told && !seen.Before(next) {
 			told, next = n, seen.Add(countEvery)
 			strangers, long := peers.Dropped()
-			log.Info("counts", "taken", n.Taken, "served", n.Served, "refused", n.Refused, "failed", n.Failed,
-				"timed_out", n.TimedOut, "abandoned", n.Abandoned, "turned_away", n.TurnedAway, "held_off", n.HeldOff,
-				"attempts", n.Attempts, "full", n.Ends[decide.Full], "moot", n.Ends[decide.Moot], "cut", n.Ends[decide.Reset],
-				"unreached", n.Ends[decide.ConnectFailed], "late", n.Ends[decide.Timeout], "errors", n.Ends[decide.Error],
-				"called_off", n.Ends[decide.Cancelled], "orders", n.Orders, "orders_held", n.OrdersHeld, "bad", front.Bad(),
-				"peers_unread", n.Unread, "peers_long", long, "peers_unknown", strangers,
+			log.Info("counts", "taken", n.Accepted, "served", n.Served, "refused", n.Rejected, "failed", n.Failed,
+				"timed_out", n.TimedOut, "abandoned", n.Abandoned, "turned_away", n.RejectedByLimit, "held_off", n.RejectedByAdmission,
+				"attempts", n.Attempts, "full", n.AttemptResults[balancer.QueueFull], "moot", n.AttemptResults[balancer.NotSent], "cut", n.AttemptResults[balancer.Reset],
+				"unreached", n.AttemptResults[balancer.ConnectFailed], "late", n.AttemptResults[balancer.Timeout], "errors", n.AttemptResults[balancer.Error],
+				"called_off", n.AttemptResults[balancer.Cancelled], "orders", n.LoadOrders, "orders_held", n.LoadOrdersWithheld, "bad", front.Bad(),
+				"peers_unread", n.InvalidPeerMessages, "peers_long", long, "peers_unknown", strangers,
 				"accepts_failed", f.front.AcceptsFailed(), "connects_failed", f.fleet.Shortages(), "list_writes_failed", f.listWrites(),
 				"violations", f.found.Sum())
 		}
--- a/internal/kept/kept_test.go
+++ b/internal/endpointcache/kept_test.go
@@ -1,4 +1,4 @@
-package kept
+package endpointcache
 
 import (
 	"bytes"
@@ -21,19 +21,19 @@
 	"go.etcd.io/bbolt"
 
 	"oakthread"
-	"oakthread/decide"
-	"oakthread/internal/kept/keptpb"
-	"oakthread/roster"
+	"oakthread/balancer"
+	"oakthread/endpoints"
+	"oakthread/internal/endpointcache/keptpb"
 )
 
 var t0 = time.Unix(1_800_000_000, 0)
 
-func sample(n int) roster.Kept {
-	k := roster.Kept{Epoch: "e1", Cursor: 41, Confirmed: t0, Saved: t0.Add(time.Second),
-		History: roster.History{Watched: 90 * time.Hour, Leaves: 3, Returns: 1, Events: []roster.Event{{At: t0, Worker: 9, What: roster.Left}}}}
+func sample(n int) endpoints.Snapshot {
+	k := endpoints.Snapshot{Epoch: "e1", Cursor: 41, Confirmed: t0, Saved: t0.Add(time.Second),
+		History: endpoints.History{Watched: 90 * time.Hour, Leaves: 3, Returns: 1, Events: []endpoints.Event{{At: t0, Worker: 9, What: endpoints.Left}}}}
 	for i := range n {
-		k.Boxes = append(k.Boxes, roster.Box{ID: decide.WorkerID(i + 1), Addr: fmt.Sprint("127.0.0.1:", 1+i%60000), Zone: 1, Cell: 2, State: decide.On, Weight: 2,
-			Start: t0.Add(-time.Hour), Told: t0, Proved: t0, Pace: 4.5})
+		k.Endpoints = append(k.Endpoints, endpoints.Endpoint{ID: balancer.WorkerID(i + 1), Addr: fmt.Sprint("127.0.0.1:", 1+i%60000), Zone: 1, Cell: 2, State: balancer.Active, Weight: 2,
+			Start: t0.Add(-time.Hour), UpdatedAt: t0, VerifiedAt: t0, RequestRate: 4.5})
 	}
 	return k
 }
@@ -62,7 +62,7 @@
 	require.NoError(t, s.Close())
 	f, err = Read(path, "d1")
 	require.NoError(t, err)
-	assert.Len(t, f.Kept.Boxes, 2, "what left the list leaves the file")
+	assert.Len(t, f.Kept.Endpoints, 2, "what left the list leaves the file")
 	assert.Empty(t, f.Kept.History.Events)
 	wrong, err := Check(path)
 	require.NoError(t, err)
@@ -88,7 +88,7 @@
 	require.ErrorIs(t, err, ErrInUse)
 	f, err := Snapshot(path)
 	require.NoError(t, err, "reading beside a running dispatcher")
-	assert.Len(t, f.Kept.Boxes, 1)
+	assert.Len(t, f.Kept.Endpoints, 1)
 	require.NoError(t, s.Close())
 
 	head(t, path, func(h *keptpb.Head) { h.Schema = Schema + 1 })
@@ -144,7 +144,7 @@
 	require.NoError(t, err)
 	require.NoError(t, s.Close())
 	assert.Equal(t, 1, found.Unsound)
-	assert.Len(t, found.Kept.Boxes, 2)
+	assert.Len(t, found.Kept.Endpoints, 2)
 	wrong, err := Check(path)
 	require.NoError(t, err)
 	assert.Equal(t, []string{"1 records fail their checksum"}, wrong)
@@ -155,8 +155,8 @@
 func TestDamagedFiles(t *testing.T) {
 	whole, err := os.ReadFile(written(t, 40))
 	require.NoError(t, err)
-	want := map[decide.WorkerID]roster.Box{}
-	for _, b := range sample(40).Boxes {
+	want := map[balancer.WorkerID]endpoints.Endpoint{}
+	for _, b := range sample(40).Endpoints {
 		want[b.ID] = b
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -191,14 +191,14 @@
 			assert.FileExists(t, path+".damaged")
 			aside++
 		}
-		for _, b := range found.Kept.Boxes {
+		for _, b := range found.Kept.Endpoints {
 			assert.Equal(t, want[b.ID], b, "only sound records")
 		}
 		if werr := s.Write(sample(5)); werr == nil {
 			require.NoError(t, s.Close())
 			f, err := Read(path, "d1")
 			require.NoError(t, err)
-			assert.Len(t, f.Kept.Boxes, 5)
+			assert.Len(t, f.Kept.Endpoints, 5)
 		} else {
 			assert.ErrorIs(t, werr, ErrDamaged)
 			_ = s.Close()
@@ -250,8 +250,8 @@
 		for n := 0; ; n++ {
 			k := sample(50)
 			k.Cursor = int64(n)
-			for i := range k.Boxes {
-				k.Boxes[i].Cell = n // all of one write, or none
+			for i := range k.Endpoints {
+				k.Endpoints[i].Cell = n // all of one write, or none
 			}
 			if err := s.Write(k); err != nil {
 				panic(err)
@@ -281,8 +281,8 @@
 		_ = cmd.Wait()
 		f, err := Read(path, "d1")
 		require.NoError(t, err)
-		require.Len(t, f.Kept.Boxes, 50)
-		for _, b := range f.Kept.Boxes {
+		require.Len(t, f.Kept.Endpoints, 50)
+		for _, b := range f.Kept.Endpoints {
 			assert.Equal(t, int(f.Kept.Cursor), b.Cell)
 		}
 	}
@@ -298,7 +298,7 @@
 	assert.Equal(t, "too long: true\nshort: <nil>\nclosed: <nil>\n", string(out))
 	f, err := Read(path, "d1")
 	require.NoError(t, err)
-	assert.Len(t, f.Kept.Boxes, 30)
+	assert.Len(t, f.Kept.Endpoints, 30)
 }
 
 func BenchmarkWrite(b *testing.B) {
@@ -307,34 +307,34 @@
 	defer s.Close()
 	k := sample(60)
 	for n := 0; b.Loop(); n++ {
-		for i := range k.Boxes {
-			k.Boxes[i].Proved = t0.Add(time.Duration(n) * time.Second)
+		for i := range k.Endpoints {
+			k.Endpoints[i].VerifiedAt = t0.Add(time.Duration(n) * time.Second)
 		}
 		require.NoError(b, s.Write(k))
 	}
 }
 
 func BenchmarkObserve(b *testing.B) {
-	k := NewKeeper(Options{Aims: []time.Duration{time.Second}}, nil, func(oakthread.Roster) {}, time.Now(), slog.New(slog.DiscardHandler))
-	full := oakthread.Roster{Kind: decide.RosterFull}
+	k := NewKeeper(Options{Aims: []time.Duration{time.Second}}, nil, func(oakthread.EndpointUpdate) {}, time.Now(), slog.New(slog.DiscardHandler))
+	full := oakthread.EndpointUpdate{Kind: balancer.EndpointsSnapshot}
 	for i := range 60 {
-		full.Members = append(full.Members, oakthread.Member{ID: decide.WorkerID(i), State: decide.On, Weight: 2})
+		full.Endpoints = append(full.Endpoints, oakthread.Endpoint{ID: balancer.WorkerID(i), State: balancer.Active, Weight: 2})
 	}
 	k.Told(full, "", 1)
 	for b.Loop() {
 		k.Admit(nil)
-		k.Observe(oakthread.Observation{Worker: 7, Result: decide.OK, Warm: true, Took: time.Millisecond})
+		k.Observe(oakthread.Observation{Worker: 7, Result: balancer.OK, Warm: true, Duration: time.Millisecond})
 	}
 }
 
 // boxes answers probes by address.
 type boxes struct {
 	mu    sync.Mutex
-	asked map[decide.WorkerID]int
-	as    map[decide.WorkerID]oakthread.Reply
+	asked map[balancer.WorkerID]int
+	as    map[balancer.WorkerID]oakthread.Reply
 }
 
-func (b *boxes) Probe(_ context.Context, m oakthread.Member) oakthread.Reply {
+func (b *boxes) HealthCheck(_ context.Context, m oakthread.Endpoint) oakthread.Reply {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.asked[m.ID]++
@@ -358,9 +358,9 @@
 	return l.Buffer.String()
 }
 
-func running(t *testing.T, o Options, as map[decide.WorkerID]oakthread.Reply) (k *Keeper, told chan oakthread.Roster, log *logged, end func()) {
-	told, log = make(chan oakthread.Roster, 64), &logged{}
-	k = NewKeeper(o, &boxes{asked: map[decide.WorkerID]int{}, as: as}, func(r oakthread.Roster) { told <- r }, time.Now(),
+func running(t *testing.T, o Options, as map[balancer.WorkerID]oakthread.Reply) (k *Syncer, told chan oakthread.EndpointUpdate, log *logged, end func()) {
+	told, log = make(chan oakthread.EndpointUpdate, 64), &logged{}
+	k = NewKeeper(o, &boxes{asked: map[balancer.WorkerID]int{}, as: as}, func(r oakthread.EndpointUpdate) { told <- r }, time.Now(),
 		slog.New(slog.NewTextHandler(log, nil)))
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -371,22 +371,22 @@
 // Guards the wiring: a restart goes from the file by proofs to the core's list, and a drain is on disk at once.
 func TestKeeperRestarts(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list.db")
-	o := Options{Path: path, Owner: "d1", Roster: roster.Config{Siblings: 2}}
+	o := Options{Path: path, Owner: "d1", Roster: endpoints.Config{Siblings: 2}}
 	k, told, _, end := running(t, o, nil)
-	full := oakthread.Roster{Kind: decide.RosterFull}
+	full := oakthread.EndpointUpdate{Kind: balancer.EndpointsSnapshot}
 	for i := 1; i <= 3; i++ {
-		full.Members = append(full.Members, oakthread.Member{ID: decide.WorkerID(i), Addr: "127.0.0.1:91", State: decide.On, Weight: 2})
+		full.Endpoints = append(full.Endpoints, oakthread.Endpoint{ID: balancer.WorkerID(i), Addr: "127.0.0.1:91", State: balancer.Active, Weight: 2})
 	}
 	k.Told(full, "e1", 5)
 	assert.Equal(t, full, <-told)
-	drain := oakthread.Roster{Members: []oakthread.Member{full.Members[2]}}
-	drain.Members[0].State = decide.Draining
+	drain := oakthread.EndpointUpdate{Endpoints: []oakthread.Endpoint{full.Endpoints[2]}}
+	drain.Endpoints[0].State = balancer.Draining
 	asked := time.Now()
 	k.Told(drain, "e1", 6)
-	assert.Equal(t, decide.Draining, (<-told).Members[0].State)
+	assert.Equal(t, balancer.Draining, (<-told).Endpoints[0].State)
 	for {
 		f, err := copied(path)
-		if err == nil && len(f.Kept.Boxes) == 3 && f.Kept.Boxes[2].State == decide.Draining {
+		if err == nil && len(f.Kept.Endpoints) == 3 && f.Kept.Endpoints[2].State == balancer.Draining {
 			break
 		}
 		require.Less(t, time.Since(asked), 10*time.Second)
@@ -394,23 +394,23 @@
 	t.Logf("a drain was on disk %v after it was told", time.Since(asked))
 	end()
 
-	k, told, log, end := running(t, o, map[decide.WorkerID]oakthread.Reply{1: {Result: decide.OK}, 2: {Result: decide.ConnectFailed}, 3: {Result: decide.OK}})
+	k, told, log, end := running(t, o, map[balancer.WorkerID]oakthread.Reply{1: {Result: balancer.OK}, 2: {Result: balancer.ConnectFailed}, 3: {Result: balancer.OK}})
 	assert.Equal(t, int64(6), k.Cursor())
 	assert.Equal(t, "e1", k.Epoch())
 	r := <-told
-	assert.Equal(t, decide.RosterCached, r.Kind)
-	require.Len(t, r.Members, 1)
-	assert.Equal(t, decide.WorkerID(1), r.Members[0].ID)
+	assert.Equal(t, balancer.EndpointsCached, r.Kind)
+	require.Len(t, r.Endpoints, 1)
+	assert.Equal(t, balancer.WorkerID(1), r.Endpoints[0].ID)
 	assert.Contains(t, log.text(), "starting from a kept list of 3 boxes")
-	k.Observe(oakthread.Observation{Worker: 1, Result: decide.ConnectFailed})
-	k.Observe(oakthread.Observation{Worker: 1, Result: decide.ConnectFailed})
+	k.Observe(oakthread.Observation{Worker: 1, Result: balancer.ConnectFailed})
+	k.Observe(oakthread.Observation{Worker: 1, Result: balancer.ConnectFailed})
 	for gone := false; !gone; {
 		r := <-told
-		gone = r.Members[0].ID == 1 && r.Members[0].State == decide.Off
+		gone = r.Endpoints[0].ID == 1 && r.Endpoints[0].State == balancer.Removed
 	}
 	k.Current()
-	for all := map[decide.WorkerID]decide.State{}; all[1] != decide.On || all[2] != decide.On; {
-		for _, m := range (<-told).Members {
+	for all := map[balancer.WorkerID]balancer.EndpointState{}; all[1] != balancer.Active || all[2] != balancer.Active; {
+		for _, m := range (<-told).Endpoints {
 			all[m.ID] = m.State
 		}
 	}
@@ -425,8 +425,8 @@
 	require.NoError(t, err)
 	defer held.Close()
 	k, told, log, end := running(t, Options{Path: path, Owner: "d1"}, nil)
-	k.Told(oakthread.Roster{Kind: decide.RosterFull, Members: []oakthread.Member{{ID: 1, State: decide.On}}}, "", 1)
-	assert.Len(t, (<-told).Members, 1)
+	k.Told(oakthread.EndpointUpdate{Kind: balancer.EndpointsSnapshot, Endpoints: []oakthread.Endpoint{{ID: 1, State: balancer.Active}}}, "", 1)
+	assert.Len(t, (<-told).Endpoints, 1)
 	end()
 	assert.Equal(t, 1, strings.Count(log.text(), "kept list not used"))
 	assert.Contains(t, log.text(), ErrInUse.Error())
@@ -440,16 +440,16 @@
 
 // What an end shows of a box: only what is proved.
 func TestSigns(t *testing.T) {
-	for r, want := range map[decide.Result]roster.Sign{decide.OK: roster.Answered, decide.Miss: roster.Answered, decide.Full: roster.Busy,
-		decide.ConnectFailed: roster.Refused, decide.Timeout: roster.Silent, decide.Error: roster.Broken, decide.Reset: roster.Broken} {
+	for r, want := range map[balancer.Result]endpoints.Observation{balancer.OK: endpoints.Answered, balancer.NotLoaded: endpoints.Answered, balancer.QueueFull: endpoints.Busy,
+		balancer.ConnectFailed: endpoints.Refused, balancer.Timeout: endpoints.Silent, balancer.Error: endpoints.Broken, balancer.Reset: endpoints.Broken} {
 		got, tells := Sign(r, false)
 		assert.True(t, tells)
 		assert.Equal(t, want, got, r)
 	}
-	for _, r := range []decide.Result{decide.Cancelled, decide.Moot} {
+	for _, r := range []balancer.Result{balancer.Cancelled, balancer.NotSent} {
 		_, tells := Sign(r, false)
 		assert.False(t, tells, r)
 	}
-	got, _ := Sign(decide.Error, true)
-	assert.Equal(t, roster.Drains, got)
+	got, _ := Sign(balancer.Error, true)
+	assert.Equal(t, endpoints.Drains, got)
 }
--- a/internal/lab/calibrate_test.go
+++ b/internal/lab/calibrate_test.go
@@ -31,9 +31,9 @@
 	"golang.org/x/sys/unix"
 
 	"oakthread"
-	"oakthread/decide"
-	"oakthread/internal/kept"
-	"oakthread/roster"
+	"oakthread/balancer"
+	"oakthread/endpoints"
+	"oakthread/internal/endpointcache"
 )
 
 // bubbleStart is where the clock of every bubble begins, as package synctest has it.
@@ -53,7 +53,7 @@
 // play is one scripted run before a host: dispatcher 0 of the world. The zero values of its switches are the main comparison.
 type play struct {
 	seed     uint64
-	settings func(*decide.Settings)
+	settings func(*balancer.Settings)
 	asked    int           // calls at dispatcher 0; 0: 240
 	span     time.Duration // of their arrivals; 0: 12 s
 	steady   bool          // no troubles
@@ -79,17 +79,17 @@
 	host    stageHost
 	actions []action
 	calls0  []*simCall // of dispatcher 0
-	ends    [decide.Results]int64
-	proved  map[decide.WorkerID]time.Duration // when each executor last answered, as dispatcher 0's list has it, since the start of the run
+	ends    [balancer.NumResults]int64
+	proved  map[balancer.WorkerID]time.Duration // when each executor last answered, as dispatcher 0's list has it, since the start of the run
 	lost    bool
 }
 
 // stageHost is dispatcher 0, real or hollow.
 type stageHost interface {
-	told(u roster.Update)
+	told(u endpoints.Update)
 	heard(from int, data string)
 	arrive(c *simCall)
-	configure(k decide.Class, attempts int)
+	configure(k balancer.Class, attempts int)
 }
 
 const (
@@ -105,10 +105,10 @@
 	s.actions = append(s.actions, action{s.now.Sub(s.began), fmt.Sprintf(format, args...)})
 }
 
-func (s *stage) prove(rows []roster.Row) {
-	s.proved = map[decide.WorkerID]time.Duration{}
+func (s *stage) prove(rows []endpoints.Row) {
+	s.proved = map[balancer.WorkerID]time.Duration{}
 	for _, r := range rows {
-		s.proved[r.ID] = r.Proved.Sub(s.began)
+		s.proved[r.ID] = r.VerifiedAt.Sub(s.began)
 	}
 }
 
@@ -133,7 +133,7 @@
 	s *stage
 }
 
-func (p peerNode) Tell(to int, data string) { p.s.carry(p.n, to, data) }
+func (p peerNode) SendPeerMessage(to int, data string) { p.s.carry(p.n, to, data) }
 
 // carry takes a message to one or all; about three in a hundred are lost, which ones follows from what they say.
 func (s *stage) carry(from, to int, data string) {
@@ -145,7 +145,7 @@
 		}
 		s.after(peerWay+time.Duration(from*stageNodes+n), func() {
 			if n > 0 {
-				s.nodes[n].d.Peer(s.now.UnixNano(), from, data)
+				s.nodes[n].d.HandlePeerMessage(s.now.UnixNano(), from, data)
 			} else if !s.loses("message") {
 				s.host.heard(from, data)
 			}
@@ -164,14 +164,14 @@
 	}
 	f := fleetFigures()
 	f.Box.Warm, f.Box.Keep = 4*time.Second, 3*time.Second
-	w := &simWorld{f: f, byID: map[decide.WorkerID]*simBox{}, popular: newZipf(40, 0.4), messages: true,
+	w := &simWorld{f: f, byID: map[balancer.WorkerID]*simBox{}, popular: newZipf(40, 0.4), messages: true,
 		lossy: rand.New(rand.NewPCG(p.seed, 3)), load: Load{Rate: stageRate, Models: 40, Zipf: 0.4}}
 	w.now, w.began = start, start
 	s := &stage{simWorld: w, play: p, began: start}
 	for i := range stageBoxes {
 		x := w.add(i, start.Add(-time.Hour))
 		x.zone = i % 2
-		w.listed = append(w.listed, roster.Box{ID: x.id, Zone: x.zone, State: decide.On, Weight: 2, Start: start.Add(-time.Hour)})
+		w.listed = append(w.listed, endpoints.Endpoint{ID: x.id, Zone: x.zone, State: balancer.Active, Weight: 2, Start: start.Add(-time.Hour)})
 	}
 	w.nodes = make([]*simNode, stageNodes)
 	for n := range w.nodes {
@@ -185,10 +185,10 @@
 	return s
 }
 
-func (s *stage) settingsOf(n int) decide.Settings {
+func (s *stage) settingsOf(n int) balancer.Settings {
 	set := s.f.settings(n, stageNodes)
-	set.Peers, set.PeerPrice = true, peerPrice
-	set.LoadFree = 1e6 // the core's second look at orders must not strike: it has a test of its own
+	set.Gossip, set.PeerPrice = true, peerPrice
+	set.LoadQuotaBase = 1e6 // the core's second look at orders must not strike: it has a test of its own
 	if s.settings != nil {
 		s.settings(&set)
 	}
@@ -200,15 +200,15 @@
 // tell has all dispatchers told of the list: whole, or of those boxes alone.
 func (s *stage) tell(which ...int) {
 	s.cursor++
-	u := roster.Update{Full: len(which) == 0, Cursor: s.cursor}
+	u := endpoints.Update{Full: len(which) == 0, Cursor: s.cursor}
 	for i, b := range s.listed {
 		if u.Full || slices.Contains(which, i) {
-			u.Boxes = append(u.Boxes, b)
+			u.Endpoints = append(u.Endpoints, b)
 		}
 	}
 	for i, x := range s.nodes[1:] {
 		s.after(time.Duration(i+1)*stageApart, func() {
-			x.list.Told(s.now, u)
+			x.list.HandleUpdate(s.now, u)
 			x.flush()
 		})
 	}
@@ -269,20 +269,20 @@
 	})
 	s.at(odd(0.66), func() {
 		s.boxes[4].drained = s.now
-		s.listed[4].State = decide.Draining
+		s.listed[4].State = balancer.Draining
 		s.tell(4)
 	})
 	s.at(odd(0.70), func() { // it stands anew
 		s.boxes[4].box, s.boxes[4].drained = NewBox(s.f.Box, s.now), time.Time{}
-		s.listed[4].State, s.listed[4].Start = decide.On, s.now
+		s.listed[4].State, s.listed[4].Start = balancer.Active, s.now
 		s.tell(4)
 	})
 	s.at(odd(0.75), func() { s.listed[0].Weight = 1; s.tell(0) })
-	s.at(odd(0.80), func() { s.listed[5].State = decide.Off; s.tell(5) })
+	s.at(odd(0.80), func() { s.listed[5].State = balancer.Removed; s.tell(5) })
 	s.at(odd(0.82), func() { // a shorter aim than any: all rounds grow shorter
-		s.host.configure(decide.Class{Aim: int64(300 * time.Millisecond), GiveUp: int64(5 * time.Second), Worth: 1, Effect: decide.Safe}, 3)
+		s.host.configure(balancer.Class{LatencyObjective: int64(300 * time.Millisecond), ClientTimeout: int64(5 * time.Second), PriorityWeight: 1, Idempotency: balancer.Idempotent}, 3)
 	})
-	s.at(odd(0.85), func() { s.listed[5].State = decide.On; s.tell() })
+	s.at(odd(0.85), func() { s.listed[5].State = balancer.Active; s.tell() })
 }
 
 // ---- The hollow host.
@@ -310,38 +310,40 @@
 	return s
 }
 
-func (h *hollowHost) told(u roster.Update) {
-	h.list.Told(h.s.now, u)
+func (h *hollowHost) told(u endpoints.Update) {
+	h.list.HandleUpdate(h.s.now, u)
 	h.flush()
 }
 
-func (h *hollowHost) heard(from int, data string) { h.d.Peer(h.s.now.UnixNano(), from, data) }
-func (h *hollowHost) arrive(c *simCall)           { h.simNode.arrive(c) }
+func (h *hollowHost) heard(from int, data string) {
+	h.d.HandlePeerMessage(h.s.now.UnixNano(), from, data)
+}
+func (h *hollowHost) arrive(c *simCall) { h.simNode.arrive(c) }
 
-func (h *hollowHost) configure(k decide.Class, attempts int) {
-	_, err := h.d.AddClasses(h.s.now.UnixNano(), []decide.Class{k})
+func (h *hollowHost) configure(k balancer.Class, attempts int) {
+	_, err := h.d.AddClasses(h.s.now.UnixNano(), []balancer.Class{k})
 	h.s.did("configure %v", err)
 	h.d.SetMaxAttempts(h.s.now.UnixNano(), attempts)
 }
 
-func (h *hollowHost) Send(id string, w decide.WorkerID, until int64) {
+func (h *hollowHost) SendAttempt(id string, w balancer.WorkerID, until int64) {
 	h.s.did("send %s #%d to %d", id, h.open[id].tries, w)
-	h.simNode.Send(id, w, until)
+	h.simNode.SendAttempt(id, w, until)
 }
 
-// Cancel is told of, as at the core, where there is still something to call off.
-func (h *hollowHost) Cancel(id string, attempt int) {
+// CancelAttempt is told of, as at the core, where there is still something to call off.
+func (h *hollowHost) CancelAttempt(id string, attempt int) {
 	if fl := h.flights[simKey{id, attempt}]; fl != nil && !fl.over {
 		h.s.did("cancel %s #%d", id, attempt)
 	}
 	if !h.s.keeps {
-		h.simNode.Cancel(id, attempt)
+		h.simNode.CancelAttempt(id, attempt)
 	}
 }
 
-func (h *hollowHost) Refuse(id string, wait int64) {
+func (h *hollowHost) Reject(id string, wait int64) {
 	h.s.did("refuse %s, come back in %v", id, time.Duration(wait))
-	h.simNode.Refuse(id, wait)
+	h.simNode.Reject(id, wait)
 }
 
 func (h *hollowHost) Fail(id string) {
@@ -349,17 +351,17 @@
 	h.simNode.Fail(id)
 }
 
-func (h *hollowHost) Load(w decide.WorkerID, f decide.FuncID, n int) {
+func (h *hollowHost) OrderLoad(w balancer.WorkerID, f balancer.FuncID, n int) {
 	h.s.did("load %d of %x at %d", n, f, w)
-	h.simNode.Load(w, f, n)
+	h.simNode.OrderLoad(w, f, n)
 }
 
-func (h *hollowHost) Drop(w decide.WorkerID, f decide.FuncID) {
+func (h *hollowHost) OrderUnload(w balancer.WorkerID, f balancer.FuncID) {
 	h.s.did("drop %x at %d", f, w)
-	h.simNode.Drop(w, f)
+	h.simNode.OrderUnload(w, f)
 }
 
-func (h *hollowHost) Tell(to int, data string) {
+func (h *hollowHost) SendPeerMessage(to int, data string) {
 	h.s.did("tell %d %s", to, data)
 	h.s.carry(0, to, data)
 }
@@ -372,7 +374,7 @@
 type realHost struct {
 	s      *stage
 	core   *oakthread.Core
-	keeper *kept.Keeper
+	keeper *endpointcache.Syncer
 	stub   *simNode // dispatcher 0's place in the world: it only remembers which drains it was told of
 	wait   sync.WaitGroup
 
@@ -398,10 +400,10 @@
 	h := &realHost{s: s, stub: s.nodes[0], calls: map[string]*simCall{}, kick: make(chan struct{}, 1)}
 	h.stub.dead = true
 	quiet := slog.New(slog.DiscardHandler)
-	h.keeper = kept.NewKeeper(kept.Options{Roster: roster.Config{Seed: s.seed, Siblings: stageNodes, MaxWait: 1500 * time.Millisecond}, Util: 2,
-		Aims: s.f.aims()}, h, func(r oakthread.Roster) { h.core.Roster(r) }, s.now, quiet)
+	h.keeper = endpointcache.NewKeeper(endpointcache.Options{Roster: endpoints.Config{Seed: s.seed, Siblings: stageNodes, MaxWait: 1500 * time.Millisecond}, Util: 2,
+		Aims: s.f.aims()}, h, func(r oakthread.EndpointUpdate) { h.core.UpdateEndpoints(r) }, s.now, quiet)
 	var err error
-	h.core, err = oakthread.New(oakthread.Config{Settings: s.settingsOf(0), Seed: s.seedOf(0), Workers: h, Peers: h, Settled: h.settled,
+	h.core, err = oakthread.New(oakthread.Config{Settings: s.settingsOf(0), Seed: s.seedOf(0), Workers: h, Peers: h, Completed: h.settled,
 		Admit: h.admit, Observed: h.keeper.Observe, Log: slog.New(&ear{h})})
 	require.NoError(t, err)
 	s.host = h
@@ -413,9 +415,9 @@
 		look(h)
 	}
 	n := h.core.Counters()
-	s.ends = n.Ends
+	s.ends = n.AttemptResults
 	s.prove(h.keeper.Rows())
-	assert.Equal(t, n.Taken, n.Served+n.Refused+n.Failed+n.TimedOut, "calls without an end")
+	assert.Equal(t, n.Accepted, n.Served+n.Rejected+n.Failed+n.TimedOut, "calls without an end")
 	stop()
 	h.core.Close()
 	h.wait.Wait()
@@ -484,19 +486,19 @@
 	h.put(rankRest, func() { h.s.did(format, args...) })
 }
 
-func (h *realHost) told(u roster.Update) {
-	r := oakthread.Roster{Kind: decide.RosterDelta}
+func (h *realHost) told(u endpoints.Update) {
+	r := oakthread.EndpointUpdate{Kind: balancer.EndpointsDelta}
 	if u.Full {
-		r.Kind = decide.RosterFull
+		r.Kind = balancer.EndpointsSnapshot
 	}
-	for _, b := range u.Boxes {
-		r.Members = append(r.Members, kept.Member(b))
+	for _, b := range u.Endpoints {
+		r.Endpoints = append(r.Endpoints, endpointcache.Member(b))
 	}
 	h.keeper.Told(r, "", u.Cursor)
 }
 
-func (h *realHost) configure(k decide.Class, attempts int) {
-	_, err := h.core.AddClasses([]decide.Class{k})
+func (h *realHost) configure(k balancer.Class, attempts int) {
+	_, err := h.core.AddClasses([]balancer.Class{k})
 	h.s.did("configure %v", err)
 	h.core.SetMaxAttempts(attempts)
 }
@@ -508,15 +510,15 @@
 	return h.keeper.Admit(q)
 }
 
-func (h *realHost) heard(from int, data string) { h.core.Heard(from, data) }
+func (h *realHost) heard(from int, data string) { h.core.HandlePeerMessage(from, data) }
 
 func (h *realHost) arrive(c *simCall) {
 	id := c.name + ".0"
 	h.mu.Lock()
 	h.calls[id] = c
 	h.mu.Unlock()
-	q := oakthread.Request{ID: id, Class: c.class, Tenant: -1, Func: decide.FuncID(c.model), Key: fmt.Sprintf("%016x", c.model),
-		Deadline: c.intended.Add(h.s.f.Classes[c.class].GiveUp - 200*time.Millisecond), MemoryMB: 4000, Lanes: h.s.f.Lanes, LoadTime: h.s.f.Load}
+	q := oakthread.Request{ID: id, Class: c.class, Tenant: -1, Func: balancer.FuncID(c.model), Key: fmt.Sprintf("%016x", c.model),
+		Deadline: c.intended.Add(h.s.f.Classes[c.class].GiveUp - 200*time.Millisecond), MemoryMB: 4000, Concurrency: h.s.f.Lanes, LoadTime: h.s.f.Load}
 	h.wait.Go(func() {
 		a, err := h.core.Do(context.Background(), q)
 		c.served, c.ended = err == nil && a.Outcome == oakthread.Served, time.Now()
@@ -524,10 +526,10 @@
 }
 
 // settled tells of the ends that the module ordered.
-func (h *realHost) settled(x oakthread.Settlement) {
+func (h *realHost) settled(x oakthread.Completion) {
 	switch x.Answer.Outcome {
-	case oakthread.Refused:
-		h.did("refuse %s, come back in %v", x.Request.ID, x.Answer.Wait)
+	case oakthread.Rejected:
+		h.did("refuse %s, come back in %v", x.Request.ID, x.Answer.RetryAfter)
 	case oakthread.Failed, oakthread.TimedOut:
 		h.did("fail %s", x.Request.ID)
 	}
@@ -540,8 +542,8 @@
 	number := 0
 	_, _ = fmt.Sscanf(c.name, "0.%d", &number)
 	var written atomic.Bool
-	h.put(8*number+a.N, func() {
-		h.s.did("send %s #%d to %d", a.Request.ID, a.N, a.Worker.ID)
+	h.put(8*number+a.Number, func() {
+		h.s.did("send %s #%d to %d", a.Request.ID, a.Number, a.Worker.ID)
 		h.depart(c, a, &written, got)
 	})
 	select {
@@ -550,7 +552,7 @@
 	case <-ctx.Done():
 	}
 	if context.Cause(ctx).Error() == "called off" {
-		h.did("cancel %s #%d", a.Request.ID, a.N)
+		h.did("cancel %s #%d", a.Request.ID, a.Number)
 	}
 	return overBy(&written)
 }
@@ -558,31 +560,31 @@
 // overBy is what the platform's client makes of an attempt or order that our side ended.
 func overBy(written *atomic.Bool) oakthread.Reply {
 	if written.Load() {
-		return oakthread.Reply{Result: decide.Timeout}
+		return oakthread.Reply{Result: balancer.Timeout}
 	}
-	return oakthread.Reply{Result: decide.Moot}
+	return oakthread.Reply{Result: balancer.NotSent}
 }
 
 // depart is what an attempt meets on its way, as simNode.Send has it: what comes up is asked for right before the first byte.
 func (h *realHost) depart(c *simCall, a oakthread.Attempt, written *atomic.Bool, got chan<- oakthread.Reply) {
 	w, x := h.s.simWorld, h.s.byID[a.Worker.ID]
-	land := func(r decide.Result, warm decide.Warmth, crowd int, rep []float64) {
+	land := func(r balancer.Result, warm balancer.Warmth, crowd int, rep []float64) {
 		if h.s.loses("answer") {
 			return
 		}
-		got <- oakthread.Reply{Result: r, Warmth: warm, Crowd: crowd, Report: rep}
+		got <- oakthread.Reply{Result: r, Warmth: warm, ConcurrentRequests: crowd, Report: rep}
 	}
 	begin := func() bool {
-		written.Store(a.Begin())
+		written.Store(a.BeforeWrite())
 		if !written.Load() {
-			land(decide.Moot, 0, 0, nil)
+			land(balancer.NotSent, 0, 0, nil)
 		}
 		return written.Load()
 	}
 	up, failed := w.way(h.stub, x)
 	switch {
 	case !up:
-		w.after(failed, func() { land(decide.ConnectFailed, 0, 0, nil) })
+		w.after(failed, func() { land(balancer.ConnectFailed, 0, 0, nil) })
 	case !h.s.handshake && !begin():
 	case x.fate != vanishes:
 		w.after(simWay, func() {
@@ -593,20 +595,20 @@
 	}
 }
 
-func (h *realHost) Load(ctx context.Context, o oakthread.Order) oakthread.Reply {
+func (h *realHost) Load(ctx context.Context, o oakthread.LoadOrder) oakthread.Reply {
 	got := make(chan oakthread.Reply, 1)
 	var written atomic.Bool
 	h.put(rankRest, func() {
 		h.s.did("load %d of %x at %d", o.Count, o.Func, o.Worker.ID)
 		w, x := h.s.simWorld, h.s.byID[o.Worker.ID]
-		answered := func(n int, r decide.Result) { got <- oakthread.Reply{Result: r, Copies: n} }
+		answered := func(n int, r balancer.Result) { got <- oakthread.Reply{Result: r, Copies: n} }
 		up, failed := w.way(h.stub, x)
 		if !up {
-			w.after(failed, func() { answered(0, decide.ConnectFailed) })
+			w.after(failed, func() { answered(0, balancer.ConnectFailed) })
 			return
 		}
-		if written.Store(o.Begin()); !written.Load() {
-			answered(0, decide.Moot)
+		if written.Store(o.BeforeWrite()); !written.Load() {
+			answered(0, balancer.NotSent)
 		} else if x.fate != vanishes {
 			w.after(simWay, func() { w.order(x, o.Func, answered) })
 		}
@@ -619,21 +621,21 @@
 	}
 }
 
-func (h *realHost) Drop(_ context.Context, o oakthread.Order) {
+func (h *realHost) Unload(_ context.Context, o oakthread.LoadOrder) {
 	h.put(rankRest, func() {
 		h.s.did("drop %x at %d", o.Func, o.Worker.ID)
 		h.s.drop(h.stub, h.s.byID[o.Worker.ID], o.Func)
 	})
 }
 
-func (h *realHost) Probe(_ context.Context, m oakthread.Member) oakthread.Reply {
+func (h *realHost) HealthCheck(_ context.Context, m oakthread.Endpoint) oakthread.Reply {
 	h.did("probe %d", m.ID)
-	return oakthread.Reply{Result: decide.Timeout}
+	return oakthread.Reply{Result: balancer.Timeout}
 }
 
-func (h *realHost) Forget(decide.WorkerID) {}
+func (h *realHost) CloseConnections(balancer.WorkerID) {}
 
-func (h *realHost) Tell(to int, data string) {
+func (h *realHost) SendMessage(to int, data string) {
 	h.put(rankRest, func() {
 		h.s.did("tell %d %s", to, data)
 		h.s.carry(0, to, data)
@@ -709,13 +711,13 @@
 // Guards against a hollow dispatcher that stands for nothing: whatever the module orders, both hosts do at the same time.
 func TestHostsActAlike(t *testing.T) {
 	total := map[string]int{}
-	var ends [decide.Results]int64
+	var ends [balancer.NumResults]int64
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			real, hollow := playBoth(t, play{seed: seed}, func(h *realHost) {
 				n := h.core.Counters()
-				assert.Zero(t, n.OrdersHeld, "the core's second look struck")
-				assert.Zero(t, n.TurnedAway+n.HeldOff+n.Abandoned+n.Unread)
+				assert.Zero(t, n.LoadOrdersWithheld, "the core's second look struck")
+				assert.Zero(t, n.RejectedByLimit+n.RejectedByAdmission+n.Abandoned+n.InvalidPeerMessages)
 			})
 			assert.Empty(t, firstApart(real.actions, hollow.actions))
 			assert.Empty(t, callsApart(real, hollow))
@@ -730,7 +732,7 @@
 		})
 	}
 	t.Log(total, ends)
-	for _, r := range []decide.Result{decide.OK, decide.Error, decide.Full, decide.ConnectFailed, decide.Cancelled} {
+	for _, r := range []balancer.Result{balancer.OK, balancer.Error, balancer.QueueFull, balancer.ConnectFailed, balancer.Cancelled} {
 		assert.Positive(t, ends[r], "no attempt ended so: %v", r)
 	}
 	for _, k := range []string{"send", "cancel", "refuse", "fail", "load", "drop", "tell", "log", "configure"} {
@@ -750,7 +752,7 @@
 		"a lost change of the list":     func(p *play) { p.lose = "list" },
 		"a second's messages lost":      func(p *play) { p.lose = "message" },
 		"what is called off goes on":    func(p *play) { p.keeps = true },
-		"other settings":                func(p *play) { p.settings = func(s *decide.Settings) { s.WastePrice, s.MaxAttempts = 0.3, 2 } },
+		"other settings":                func(p *play) { p.settings = func(s *balancer.Settings) { s.WastePrice, s.MaxAttempts = 0.3, 2 } },
 	} {
 		t.Run(name, func(t *testing.T) {
 			x := p
@@ -797,8 +799,8 @@
 // By design: the core looks a second time at the ration of orders, with a margin for the way; the module's own look is the
 // hollow host's only one.
 func TestCoreHoldsOrders(t *testing.T) {
-	_, real, hollow := apartBy(t, play{seed: 2, steady: true, settings: func(s *decide.Settings) { s.LoadFree, s.LoadShare = 2, 0.05 }}, func(h *realHost) {
-		assert.Positive(t, h.core.Counters().OrdersHeld)
+	_, real, hollow := apartBy(t, play{seed: 2, steady: true, settings: func(s *balancer.Settings) { s.LoadQuotaBase, s.LoadQuotaRatio = 2, 0.05 }}, func(h *realHost) {
+		assert.Positive(t, h.core.Counters().LoadOrdersWithheld)
 	})
 	a, b := sorted(only(real.actions, hollow.actions)), sorted(only(hollow.actions, real.actions))
 	assert.Equal(t, "load", b[0].kind(), "what the hollow host did first of all that the real one did not")
@@ -815,15 +817,15 @@
 		s.at(sent.Add(simWay/2), func() { // wherever it went
 			for i := range s.listed {
 				if slices.ContainsFunc(s.actions, func(a action) bool { return a.text == fmt.Sprintf("send 0.999.0 #0 to %d", s.listed[i].ID) }) {
-					s.listed[i].State = decide.Draining
+					s.listed[i].State = balancer.Draining
 					s.tell(i)
 				}
 			}
 		})
 	}
-	var ends [decide.Results]int64
-	_, real, hollow := apartBy(t, play{seed: 1, asked: 1, span: 4 * time.Second, steady: true, handshake: true, script: drain}, func(h *realHost) { ends = h.core.Counters().Ends })
-	assert.Equal(t, int64(1), ends[decide.Moot])
+	var ends [balancer.NumResults]int64
+	_, real, hollow := apartBy(t, play{seed: 1, asked: 1, span: 4 * time.Second, steady: true, handshake: true, script: drain}, func(h *realHost) { ends = h.core.Counters().AttemptResults })
+	assert.Equal(t, int64(1), ends[balancer.NotSent])
 	a, b := sorted(only(real.actions, hollow.actions)), only(hollow.actions, real.actions)
 	require.NotEmpty(t, a)
 	assert.Regexp(t, `^send 0\.999\.0 #1 to `, a[0].text)
@@ -859,7 +861,7 @@
 			real, hollow := playBoth(t, p, nil)
 			assert.Empty(t, firstApart(real.actions, hollow.actions))
 			assert.Equal(t, real.ends, hollow.ends)
-			assert.Positive(t, hollow.ends[decide.Cancelled])
+			assert.Positive(t, hollow.ends[balancer.Cancelled])
 			ran := 0
 			for i, c := range real.calls0 {
 				assert.Equal(t, c.ran, hollow.calls0[i].ran, "call %s: runs at executors", c.name)
@@ -869,7 +871,7 @@
 			p.keeps = true
 			left := playHollow(t, p)
 			assert.NotEmpty(t, firstApart(real.actions, left.actions), "a host that lets it go on")
-			assert.Zero(t, left.ends[decide.Cancelled])
+			assert.Zero(t, left.ends[balancer.Cancelled])
 		}
 	})
 	// No connection comes up, and one call is on its way when something ends that. One alone: the core revokes several of one
@@ -877,11 +879,11 @@
 	const sent = 3 * time.Second
 	for name, c := range map[string]struct {
 		left time.Duration // until the call's deadline; 0: its class's
-		then func(*stage, *roster.Box)
+		then func(*stage, *endpoints.Endpoint)
 	}{
-		"its executor drains":     {then: func(_ *stage, b *roster.Box) { b.State = decide.Draining }},
-		"its executor has gone":   {then: func(_ *stage, b *roster.Box) { b.State = decide.Off }},
-		"its executor starts new": {then: func(s *stage, b *roster.Box) { b.Start = s.now }},
+		"its executor drains":     {then: func(_ *stage, b *endpoints.Endpoint) { b.State = balancer.Draining }},
+		"its executor has gone":   {then: func(_ *stage, b *endpoints.Endpoint) { b.State = balancer.Removed }},
+		"its executor starts new": {then: func(s *stage, b *endpoints.Endpoint) { b.Start = s.now }},
 		"its time is over":        {left: 100 * time.Millisecond},
 	} {
 		t.Run("not written, "+name, func(t *testing.T) {
@@ -897,7 +899,7 @@
 					s.host.arrive(call)
 				})
 				s.at(s.began.Add(sent+100*time.Millisecond), func() {
-					i := slices.IndexFunc(s.listed, func(b roster.Box) bool {
+					i := slices.IndexFunc(s.listed, func(b endpoints.Endpoint) bool {
 						return slices.ContainsFunc(s.actions, func(a action) bool { return a.text == fmt.Sprintf("send 0.999.0 #0 to %d", b.ID) })
 					})
 					if require.GreaterOrEqual(t, i, 0); c.then != nil {
@@ -909,8 +911,8 @@
 			real, hollow := playBoth(t, play{seed: 1, asked: 1, span: 4 * time.Second, steady: true, script: script}, nil)
 			assert.Empty(t, firstApart(real.actions, hollow.actions))
 			assert.Equal(t, real.ends, hollow.ends)
-			assert.Equal(t, int64(1), hollow.ends[decide.Moot])
-			assert.Zero(t, hollow.ends[decide.Cancelled]+hollow.ends[decide.Timeout])
+			assert.Equal(t, int64(1), hollow.ends[balancer.NotSent])
+			assert.Zero(t, hollow.ends[balancer.Cancelled]+hollow.ends[balancer.Timeout])
 		})
 	}
 }
@@ -928,7 +930,7 @@
 	real, hollow := playBoth(t, p, nil)
 	assert.Empty(t, firstApart(real.actions, hollow.actions))
 	assert.Equal(t, real.proved, hollow.proved)
-	var on decide.WorkerID
+	var on balancer.WorkerID
 	for _, a := range hollow.actions {
 		if a.at == 6*time.Second && a.kind() == "load" {
 			_, err := fmt.Sscanf(a.text, "load 1 of 4d at %d", &on)
@@ -942,7 +944,7 @@
 // ran (platform.failure), and so does the hollow host, when time or the module ends it.
 func TestHollowProvesWhatWasNotWritten(t *testing.T) {
 	for name, end := range map[string]func(*simNode){
-		"called off":  func(h *simNode) { h.Cancel("0.999.0", 0) },
+		"called off":  func(h *simNode) { h.CancelAttempt("0.999.0", 0) },
 		"out of time": func(h *simNode) { h.flights[simKey{"0.999.0", 0}].timeout() },
 	} {
 		hollow := playHollow(t, play{seed: 1, asked: 1, span: 4 * time.Second, steady: true, script: func(s *stage) {
@@ -955,8 +957,8 @@
 			})
 			s.at(call.intended.Add(simProbe/2), func() { end(s.nodes[0]) })
 		}})
-		assert.Equal(t, int64(1), hollow.ends[decide.Moot], name)
-		assert.Zero(t, hollow.ends[decide.Cancelled]+hollow.ends[decide.Timeout], name)
+		assert.Equal(t, int64(1), hollow.ends[balancer.NotSent], name)
+		assert.Zero(t, hollow.ends[balancer.Cancelled]+hollow.ends[balancer.Timeout], name)
 	}
 }
 
@@ -972,7 +974,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := play{seed: 1, asked: 1, span: 8 * time.Second, steady: true,
-				settings: func(s *decide.Settings) { s.OrderTimeout = int64(limit) },
+				settings: func(s *balancer.Settings) { s.LoadOrderTimeout = int64(limit) },
 				script: func(s *stage) { // a function is served, forgotten and asked for again; its box loses the load
 					for i, at := range []time.Duration{time.Second, 6 * time.Second} {
 						c := &simCall{class: 0, model: 77, intended: s.began.Add(at), name: fmt.Sprintf("0.90%d", i)}
@@ -1026,7 +1028,7 @@
 // Three processes and three hollow dispatchers under the same load: all figures are there, and messages and worth are near.
 func TestCalibrateSmall(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "oakthread")
-	text, err := exec.Command("go", "build", "-o", program, "oakthread/cmd/oakthread").CombinedOutput()
+	text, err := exec.Command("go", "build", "-o", program, "oakthread/cmd/dispatcher").CombinedOutput()
 	require.NoError(t, err, string(text))
 	c := calibration{sizes: []int{3}, calls: 20, functions: 30, warm: 2 * time.Second, span: 3 * time.Second,
 		program: Program{Path: program, Args: []string{"serve"}}}
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -42,7 +42,7 @@
 		defer b.Die()
 		listed = append(listed, listing(b, i, time.Now().Add(-time.Hour), Ready))
 	}
-	disc.Tell(listed...)
+	disc.SendMessage(listed...)
 	if _, err := disc.Listen(net.Addr(1, 0, 9400)); err != nil {
 		return err
 	}
@@ -87,7 +87,7 @@
 	if err := d.Stop(); err != nil {
 		return fmt.Errorf("the dispatcher did not end well: %w", err)
 	}
-	fmt.Fprintf(out, "configuration  %s\noperator's file  %s\nkept list  %s\nlog  %s\nlook at the list: bin/oakthread list show %s\n", d.Config, d.File,
+	fmt.Fprintf(out, "configuration  %s\noperator's file  %s\nkept list  %s\nlog  %s\nlook at the list: bin/dispatcher list show %s\n", d.Config, d.File,
 		filepath.Join(d.Dir, "list.db"), filepath.Join(d.Dir, "log"), filepath.Join(d.Dir, "list.db"))
 	return nil
 }
--- a/internal/lab/keptlist.go
+++ b/internal/lab/keptlist.go
@@ -17,7 +17,7 @@
 	"sync"
 	"time"
 
-	"oakthread/internal/kept"
+	"oakthread/internal/endpointcache"
 )
 
 // Options are those of any experiment.
@@ -274,7 +274,7 @@
 		w.boxes, w.fate = append(w.boxes, b), append(w.fate, fateOf(i))
 		w.listed = append(w.listed, listing(b, i, old, Ready))
 	}
-	w.disc.Tell(w.listed...)
+	w.disc.SendMessage(w.listed...)
 	var peers []string
 	for n := range size.dispatchers {
 		peers = append(peers, net.Addr(arm*3+1, n, 9300))
@@ -377,26 +377,26 @@
 		w.fresh = append(w.fresh, f)
 		news = append(news, gone, listing(f, i, now, Ready))
 	}
-	w.disc.Tell(news...)
+	w.disc.SendMessage(news...)
 	return nil
 }
 
 // ageList makes a kept file older by moving all its times back.
 func ageList(path, owner string, by time.Duration) error {
-	s, found, err := kept.Open(path, owner)
+	s, found, err := endpointcache.Open(path, owner)
 	if err != nil {
 		return err
 	}
-	if found.None || len(found.Kept.Boxes) == 0 {
+	if found.None || len(found.Kept.Endpoints) == 0 {
 		_ = s.Close()
 		return fmt.Errorf("list file %s holds no boxes", path)
 	}
 	k := found.Kept
 	k.Confirmed, k.Saved = k.Confirmed.Add(-by), k.Saved.Add(-by)
-	for i := range k.Boxes {
-		b := &k.Boxes[i]
-		if b.Told = b.Told.Add(-by); !b.Proved.IsZero() {
-			b.Proved = b.Proved.Add(-by)
+	for i := range k.Endpoints {
+		b := &k.Endpoints[i]
+		if b.UpdatedAt = b.UpdatedAt.Add(-by); !b.VerifiedAt.IsZero() {
+			b.VerifiedAt = b.VerifiedAt.Add(-by)
 		}
 	}
 	if err := s.Write(k); err != nil {
@@ -568,7 +568,7 @@
 
 // Scratch makes a folder for a run and returns how to remove it.
 func Scratch(o *Options) (func(), error) {
-	dir, err := os.MkdirTemp("", "oaklab-*")
+	dir, err := os.MkdirTemp("", "testbed-*")
 	if err != nil {
 		return nil, err
 	}
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"oakthread"
-	"oakthread/decide"
+	"oakthread/balancer"
 	"oakthread/internal/wire"
 )
 
@@ -160,7 +160,7 @@
 	Epoch  string  // of the numbering, where discovery tells one
 	Told   bool    // it tells of executors
 	Odd    []error // of those that cannot be used: left out, or draining where their phase is not known
-	Roster oakthread.Roster
+	Roster oakthread.EndpointUpdate
 }
 
 // eventLine and listedBox are an event as the command channel writes it.
@@ -197,33 +197,33 @@
 	if f.Cursor == nil || *f.Cursor < 0 {
 		return Event{}, errors.New("field cursor is missing")
 	}
-	ev := Event{Cursor: *f.Cursor, Epoch: f.Epoch, Told: true, Roster: oakthread.Roster{Kind: decide.RosterDelta}}
+	ev := Event{Cursor: *f.Cursor, Epoch: f.Epoch, Told: true, Roster: oakthread.EndpointUpdate{Kind: balancer.EndpointsDelta}}
 	if f.Nodes == nil {
 		ev.Told = false
 		return ev, nil // an event of a kind not known here: its number counts
 	}
 	if f.Nodes.Complete {
-		ev.Roster.Kind = decide.RosterFull
+		ev.Roster.Kind = balancer.EndpointsSnapshot
 	}
 	for i, m := range f.Nodes.Members {
 		if m.ID == "" {
 			ev.Odd = append(ev.Odd, fmt.Errorf("members[%d]: field id is missing", i))
 			continue
 		}
-		e := oakthread.Member{ID: WorkerID(m.ID), Addr: m.HostPort, Zone: place(s.Zones, m.Locality),
+		e := oakthread.Endpoint{ID: WorkerID(m.ID), Addr: m.HostPort, Zone: place(s.Zones, m.Locality),
 			Kind: place(s.Kinds, m.Flavor), Cell: m.Cell, Weight: m.Size}
 		switch m.Phase {
 		case "Ready":
-			e.State = decide.On
+			e.State = balancer.Active
 		case "Terminating":
-			e.State = decide.Draining
+			e.State = balancer.Draining
 		case "Gone":
-			e.State = decide.Off
+			e.State = balancer.Removed
 		default:
-			e.State = decide.Draining
+			e.State = balancer.Draining
 			ev.Odd = append(ev.Odd, fmt.Errorf("members[%d]: phase %q of %q is not known", i, m.Phase, m.ID))
 		}
-		if e.State != decide.Off {
+		if e.State != balancer.Removed {
 			if _, err := netip.ParseAddrPort(m.HostPort); err != nil {
 				ev.Odd = append(ev.Odd, fmt.Errorf("members[%d]: host_port %q of %q: %w", i, m.HostPort, m.ID, err))
 				continue
@@ -232,21 +232,21 @@
 		if m.UpSince > 0 {
 			e.Start = time.UnixMilli(m.UpSince)
 		}
-		ev.Roster.Members = append(ev.Roster.Members, e)
+		ev.Roster.Endpoints = append(ev.Roster.Endpoints, e)
 	}
 	return ev, nil
 }
 
 // WorkerID is the number behind an id such as s-00c41f7a, the same at every dispatcher; a hash for other forms.
-func WorkerID(id string) decide.WorkerID {
+func WorkerID(id string) balancer.WorkerID {
 	if _, hex, ok := strings.Cut(id, "-"); ok && len(hex) == 8 {
 		if n, err := strconv.ParseUint(hex, 16, 32); err == nil {
-			return decide.WorkerID(n)
+			return balancer.WorkerID(n)
 		}
 	}
 	h := fnv.New32a()
 	h.Write([]byte(id))
-	return decide.WorkerID(h.Sum32())
+	return balancer.WorkerID(h.Sum32())
 }
 
 // place is the number of a name in a list of the settings. One not listed gets the number after the last.
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -22,9 +22,9 @@
 	"github.com/stretchr/testify/require"
 
 	"oakthread"
-	"oakthread/decide"
+	"oakthread/balancer"
+	"oakthread/endpoints"
 	"oakthread/internal/wire"
-	"oakthread/roster"
 )
 
 const settingsText = `{"categories":[{"name":"path-check","aim_ns":400000000,"give_up_ns":5000000000,"credit":1,"idempotency":"read_like"},
@@ -42,12 +42,12 @@
 	return s
 }
 
-func member(addr string) oakthread.Member {
-	return oakthread.Member{ID: 1, Addr: addr, State: decide.On, Weight: 1}
+func member(addr string) oakthread.Endpoint {
+	return oakthread.Endpoint{ID: 1, Addr: addr, State: balancer.Active, Weight: 1}
 }
 
-func attempt(m oakthread.Member, body string) oakthread.Attempt {
-	return oakthread.Attempt{Worker: m, Until: time.Now().Add(time.Second), Request: &oakthread.Request{
+func attempt(m oakthread.Endpoint, body string) oakthread.Attempt {
+	return oakthread.Attempt{Worker: m, Deadline: time.Now().Add(time.Second), Request: &oakthread.Request{
 		ID: "9b1f03aa5c7e2d41", Class: 1, Key: "7F3a9c21e0b4d655", Body: []byte(body)}}
 }
 
@@ -84,14 +84,14 @@
 		assert.Equal(t, c.bad, err != nil, "%s: %v", name, err)
 		if name == "plain" {
 			assert.Equal(t, oakthread.Request{ID: "9b1f03aa5c7e2d41", Class: 1, Func: 0x7f3a9c21e0b4d655, Key: "7F3a9c21e0b4d655",
-				Deadline: time.Unix(101, 3e8), MemoryMB: 512, Lanes: 2, LoadTime: 640 * time.Millisecond}, q)
+				Deadline: time.Unix(101, 3e8), MemoryMB: 512, Concurrency: 2, LoadTime: 640 * time.Millisecond}, q)
 		}
 	}
 	for mark, want := range map[string]bool{"": false, "0": false, "false": false, "1": true, "true": true} {
 		h := http.Header{"X-Class": {"path-book"}, "X-Call-Id": {"9b1f03aa5c7e2d41"}, "X-Patience-Ms": {"1500"}, "X-Repeat": {mark}, "X-Dedupe-Key": {"k 1"}}
 		q, err := f.head("7F3a9c21e0b4d655", h, time.Now())
 		require.NoError(t, err)
-		assert.Equal(t, want, q.Repeat, mark)
+		assert.Equal(t, want, q.Retry, mark)
 		assert.Equal(t, "k 1", q.IdempotencyKey)
 		h.Add("X-Dedupe-Key", "k 2")
 		_, err = f.head("7F3a9c21e0b4d655", h, time.Now())
@@ -113,15 +113,15 @@
 	require.NoError(t, err)
 	assert.Equal(t, int64(3), c.Cursor)
 	assert.Equal(t, uint64(0x8c1f30d27a5be964), c.Seed)
-	assert.Equal(t, oakthread.Roster{Kind: decide.RosterFull, Members: []oakthread.Member{{ID: 0xc41f7a, Addr: "127.0.0.1:4",
-		Zone: 1, Cell: 2, State: decide.On, Weight: 4, Start: time.UnixMilli(5)}}}, c.Known[0].Roster)
+	assert.Equal(t, oakthread.EndpointUpdate{Kind: balancer.EndpointsSnapshot, Endpoints: []oakthread.Endpoint{{ID: 0xc41f7a, Addr: "127.0.0.1:4",
+		Zone: 1, Cell: 2, State: balancer.Active, Weight: 4, Start: time.UnixMilli(5)}}}, c.Known[0].Roster)
 	for old, bad := range map[string]string{`"8c1f`: `"xx`, `"127.0.0.1:2"`: `"nowhere"`, `"127.0.0.1:3"`: `"x"`,
 		`"Ready"`: `"Odd"`, `"127.0.0.1:4"`: `""`, `"settings"`: `"unset"`, `"s-00c41f7a"`: `""`, `{"cursor":2,`: `{`} {
 		_, err := parseConfig([]byte(strings.Replace(whole, old, bad, 1)))
 		assert.Error(t, err, bad)
 	}
 	for line, want := range map[string]Event{"41": {Cursor: 41, Beat: true},
-		`{"cursor":4,"new":{}}`: {Cursor: 4, Roster: oakthread.Roster{Kind: decide.RosterDelta}}} {
+		`{"cursor":4,"new":{}}`: {Cursor: 4, Roster: oakthread.EndpointUpdate{Kind: balancer.EndpointsDelta}}} {
 		ev, err := parseEvent([]byte(line), c.Setup)
 		require.NoError(t, err, line)
 		assert.Equal(t, want, ev)
@@ -134,20 +134,20 @@
 	for _, c := range []struct {
 		status int
 		header string
-		want   decide.Result
-		warmth decide.Warmth
+		want   balancer.Result
+		warmth balancer.Warmth
 	}{
-		{200, "X-Tell: hit", decide.OK, decide.WarmHit},
-		{200, "X-Tell: pending", decide.OK, decide.AwaitedLoad},
-		{404, "X-Tell: spawn_failed", decide.Miss, decide.LoadFailed},
-		{500, "X-Tell: spawn_failed", decide.Error, decide.LoadFailed},
-		{503, "X-No-Effect: 1", decide.Full, 0},
-		{503, "", decide.Error, 0},
-		{503, "X-No-Effect: 0", decide.Error, 0},
-		{504, "X-No-Effect: 1", decide.Moot, 0},
-		{504, "", decide.Error, 0},
-		{429, "X-No-Effect: 1", decide.Error, 0},
-		{302, "", decide.Error, 0},
+		{200, "X-Tell: hit", balancer.OK, balancer.WarmHit},
+		{200, "X-Tell: pending", balancer.OK, balancer.AwaitedLoad},
+		{404, "X-Tell: spawn_failed", balancer.NotLoaded, balancer.LoadFailed},
+		{500, "X-Tell: spawn_failed", balancer.Error, balancer.LoadFailed},
+		{503, "X-No-Effect: 1", balancer.QueueFull, 0},
+		{503, "", balancer.Error, 0},
+		{503, "X-No-Effect: 0", balancer.Error, 0},
+		{504, "X-No-Effect: 1", balancer.NotSent, 0},
+		{504, "", balancer.Error, 0},
+		{429, "X-No-Effect: 1", balancer.Error, 0},
+		{302, "", balancer.Error, 0},
 	} {
 		h := http.Header{}
 		if k, v, ok := strings.Cut(c.header, ": "); ok {
@@ -183,8 +183,8 @@
 	assert.Equal(t, fmt.Sprintf("POST /c/path-book 9b1f03aa5c7e2d41 7F3a9c21e0b4d655 %q [3f:a b;c]", body), string(r.Body))
 	r = f.Send(t.Context(), attempt(m, ""))
 	assert.Equal(t, `GET /c/path-book 9b1f03aa5c7e2d41 7F3a9c21e0b4d655 "" []`, string(r.Body), "no body is a GET")
-	o := oakthread.Order{Worker: m, Key: "7F3a9c21e0b4d655", Count: 2}
-	assert.Equal(t, decide.OK, f.Load(t.Context(), o).Result)
+	o := oakthread.LoadOrder{Worker: m, Key: "7F3a9c21e0b4d655", Count: 2}
+	assert.Equal(t, balancer.OK, f.Load(t.Context(), o).Result)
 }
 
 // Guards against http.Transport's own repeats: on a reused connection that dies once the request is written, it
@@ -222,8 +222,8 @@
 		f := NewFleet(setup(t), 10)
 		f.settle = 0 // the second goes on the same connection at once
 		m := member(ln.Addr().String())
-		assert.Equal(t, decide.OK, f.Send(t.Context(), attempt(m, body)).Result)
-		assert.Equal(t, decide.Reset, f.Send(t.Context(), attempt(m, body)).Result, "it may have run")
+		assert.Equal(t, balancer.OK, f.Send(t.Context(), attempt(m, body)).Result)
+		assert.Equal(t, balancer.Reset, f.Send(t.Context(), attempt(m, body)).Result, "it may have run")
 		assert.Equal(t, int64(2), seen.Load(), "requests written for two attempts")
 		f.Close()
 	}
@@ -236,11 +236,11 @@
 	addr := ln.Addr().String()
 	ln.Close()
 	f := NewFleet(setup(t), 1)
-	assert.Equal(t, decide.ConnectFailed, f.Send(t.Context(), attempt(member(addr), "x")).Result)
+	assert.Equal(t, balancer.ConnectFailed, f.Send(t.Context(), attempt(member(addr), "x")).Result)
 	assert.Empty(t, f.slots, "a failed dial keeps its socket")
 	f.slots <- struct{}{}
-	assert.Equal(t, decide.Moot, f.Send(t.Context(), attempt(member(addr), "x")).Result)
-	assert.Equal(t, decide.Timeout, failure(canceled(t), false, errors.New("cut")))
+	assert.Equal(t, balancer.NotSent, f.Send(t.Context(), attempt(member(addr), "x")).Result)
+	assert.Equal(t, balancer.Timeout, failure(canceled(t), false, errors.New("cut")))
 }
 
 // Guards against blame for an executor whose new connections are reset, while they come up or before anything is
@@ -254,7 +254,7 @@
 		},
 		"just up": func(c net.Conn) (net.Conn, error) { return c, c.Close() },
 	} {
-		for resets, want := range []decide.Result{decide.OK, decide.OK, decide.Moot} {
+		for resets, want := range []balancer.Result{balancer.OK, balancer.OK, balancer.NotSent} {
 			f := NewFleet(setup(t), 10)
 			dial, dials := f.reach, 0
 			f.reach = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -328,7 +328,7 @@
 	told := 0
 	ctx, stop := context.WithCancel(t.Context())
 	c := NewChannel(&Config{Channel: ln.Addr().String(), Cursor: 3, Setup: setup(t), Known: []Event{{Cursor: 3}}}, quiet)
-	err = c.Watch(ctx, func(oakthread.Roster) {
+	err = c.Watch(ctx, func(oakthread.EndpointUpdate) {
 		mu.Lock()
 		defer mu.Unlock()
 		if told++; told == 5 { // the known one, 4, 5, 6, and 9 as the next
@@ -347,8 +347,8 @@
 // feed writes down what a channel tells.
 type feed chan string
 
-func (f feed) Told(r oakthread.Roster, epoch string, cursor int64) {
-	f <- fmt.Sprintf("told %d of %s, %d boxes, whole %v", cursor, epoch, len(r.Members), r.Kind == decide.RosterFull)
+func (f feed) Told(r oakthread.EndpointUpdate, epoch string, cursor int64) {
+	f <- fmt.Sprintf("told %d of %s, %d boxes, whole %v", cursor, epoch, len(r.Endpoints), r.Kind == balancer.EndpointsSnapshot)
 }
 func (f feed) Current()     { f <- "current" }
 func (f feed) Lost()        { f <- "lost" }
@@ -384,7 +384,7 @@
 	require.NoError(t, err)
 	refused.Close()
 	c := NewChannel(&Config{Setup: setup(t)}, quiet)
-	c.Keep(41, "e1", roster.NewDialer([]string{refused.Addr().String(), ln.Addr().String()}, 1))
+	c.Keep(41, "e1", endpoints.NewDialer([]string{refused.Addr().String(), ln.Addr().String()}, 1))
 	f, got := make(feed, 64), []string{}
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan error, 1)
@@ -403,7 +403,7 @@
 
 // Guards the rules on datagrams: 256 bytes at most, from known peers alone, known by their address.
 func TestDatagrams(t *testing.T) {
-	open := func(n int) *Datagrams {
+	open := func(n int) *PeerTransport {
 		s := setup(t)
 		s.Number = n
 		p, err := ListenPeers(&Config{PeerListen: "127.0.0.1:0", Setup: s}, quiet)
@@ -411,16 +411,16 @@
 		return p
 	}
 	a, b, stranger := open(0), open(1), open(2)
-	addr := func(p *Datagrams) netip.AddrPort { return p.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
-	for _, p := range []*Datagrams{a, b, stranger} {
+	addr := func(p *PeerTransport) netip.AddrPort { return p.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
+	for _, p := range []*PeerTransport{a, b, stranger} {
 		p.peers = []netip.AddrPort{addr(a), addr(b)}
 	}
 	b.from = map[netip.AddrPort]int{addr(a): 0, addr(b): 1}
-	stranger.Tell(1, "who")
-	a.Tell(1, strings.Repeat("x", 257))
-	a.Tell(-1, "hello")
+	stranger.SendMessage(1, "who")
+	a.SendMessage(1, strings.Repeat("x", 257))
+	a.SendMessage(-1, "hello")
 	ctx, stop := context.WithCancel(t.Context())
-	for _, p := range []*Datagrams{a, stranger} {
+	for _, p := range []*PeerTransport{a, stranger} {
 		go func() { _ = p.Listen(ctx, func(int, string) {}) }()
 	}
 	var got []string
@@ -495,7 +495,7 @@
 }
 
 // serve starts a front on a socket over one executor; end asks it to stop.
-func serve(t *testing.T, linger time.Duration, lines notify, executor http.HandlerFunc) (url string, end func(), done chan error, front *Front) {
+func serve(t *testing.T, linger time.Duration, lines notify, executor http.HandlerFunc) (url string, end func(), done chan error, front *Server) {
 	ex := httptest.NewServer(executor)
 	t.Cleanup(ex.Close)
 	fleet := NewFleet(setup(t), 50)
@@ -514,7 +514,7 @@
 	resp, err := http.Get(url + "/ping")
 	require.NoError(t, err)
 	assert.Equal(t, 503, resp.StatusCode, "ready before a list was loaded")
-	core.Roster(oakthread.Roster{Kind: decide.RosterFull, Members: []oakthread.Member{member(ex.Listener.Addr().String())}})
+	core.UpdateEndpoints(oakthread.EndpointUpdate{Kind: balancer.EndpointsSnapshot, Endpoints: []oakthread.Endpoint{member(ex.Listener.Addr().String())}})
 	core.Counters()
 	resp, err = http.Get(url + "/ping")
 	require.NoError(t, err)
--- a/oakthread.go
+++ b/oakthread.go
@@ -11,28 +11,28 @@
 	"errors"
 	"time"
 
-	"oakthread/decide"
+	"oakthread/balancer"
 )
 
 // Request is one call. ID, Key, IdempotencyKey and Body are handed on as they are.
 type Request struct {
-	ID       string // new with every try
-	Class    int    // place in the settings' classes
-	Tenant   int    // place in the settings' tenants; -1: none
-	Func     decide.FuncID
-	Key      string // the function as the caller wrote it
-	Body     []byte
-	Deadline time.Time // the caller stops waiting then
-	MemoryMB float64   // of one loaded copy
-	Lanes    int       // calls that a copy runs at a time
-	LoadTime time.Duration
-	Repeat   bool // the caller says that it asked before
+	ID          string // new with every try
+	Class       int    // place in the settings' classes
+	Tenant      int    // place in the settings' tenants; -1: none
+	Func        balancer.FuncID
+	Key         string // the function as the caller wrote it
+	Body        []byte
+	Deadline    time.Time // the caller stops waiting then
+	MemoryMB    float64   // of one loaded copy
+	Concurrency int       // calls that a copy runs at a time
+	LoadTime    time.Duration
+	Retry       bool // the caller says that it asked before
 	// IdempotencyKey is the same for all tries of one call; workers that are given it drop repeats. Handed on as it is.
 	IdempotencyKey string
 	// Left, where set, tells whether the caller has left, as far as its connection shows; it is asked right before the first
 	// byte of each attempt, from any goroutine, and must return at once. A context that has ended says so as well.
-	Left func() bool
-	Ref  string // what the caller knows the request by; for observers alone
+	CallerGone func() bool
+	Ref        string // what the caller knows the request by; for observers alone
 }
 
 // Outcome is how a request ended.
@@ -40,7 +40,7 @@
 
 const (
 	Served   Outcome = iota // Answer.Body is what a worker gave for this request
-	Refused                 // it had no effect; asking again is harmless
+	Rejected                // it had no effect; asking again is harmless
 	Failed                  // it may have had its effect
 	TimedOut                // failed because its time ran out; it may have had its effect
 )
@@ -51,13 +51,13 @@
 
 // Answer is the one final answer to a request.
 type Answer struct {
-	Outcome Outcome
-	Body    []byte
-	Wait    time.Duration // of a refusal: when to come back; 0: no advice
+	Outcome    Outcome
+	Body       []byte
+	RetryAfter time.Duration // of a refusal: when to come back; 0: no advice
 }
 
-// Settlement tells an observer of a request that is over. Abandoned: the caller left before the answer.
-type Settlement struct {
+// Completion tells an observer of a request that is over. Abandoned: the caller left before the answer.
+type Completion struct {
 	Request   Request
 	Answer    Answer
 	Abandoned bool
@@ -72,40 +72,40 @@
 	ErrInvalid   = errors.New("oakthread: request cannot be used")
 )
 
-// Member is a worker as the list of workers tells it. ID is the same at every dispatcher.
-type Member struct {
-	ID               decide.WorkerID
+// Endpoint is a worker as the list of workers tells it. ID is the same at every dispatcher.
+type Endpoint struct {
+	ID               balancer.WorkerID
 	Addr             string // where it listens; may pass to another worker once this one has gone
 	Zone, Kind, Cell int
-	State            decide.State
+	State            balancer.EndpointState
 	Weight           float64
 	Start            time.Time // zero: long ago
 }
 
-// Roster is news of the list of workers.
-type Roster struct {
-	Kind    decide.RosterKind
-	Members []Member
+// EndpointUpdate is news of the list of workers.
+type EndpointUpdate struct {
+	Kind      balancer.EndpointUpdateKind
+	Endpoints []Endpoint
 }
 
 // Attempt is one send of a request to one worker.
 type Attempt struct {
-	Request *Request
-	Worker  Member
-	N       int
-	Until   time.Time
-	Begin   func() bool // as in Order
+	Request     *Request
+	Worker      Endpoint
+	Number      int
+	Deadline    time.Time
+	BeforeWrite func() bool // as in Order
 }
 
 // Reply is the end of an attempt, probe or order. What cannot be told stays zero.
 type Reply struct {
-	Result decide.Result
-	Warmth decide.Warmth
-	Crowd  int       // calls of the same function that the worker held
-	Report []float64 // load report, in the order of the settings
-	Copies int       // of an order: copies that stand loaded
-	Drains bool      // of a probe: the worker says that it takes no work
-	Body   []byte
+	Result             balancer.Result
+	Warmth             balancer.Warmth
+	ConcurrentRequests int       // calls of the same function that the worker held
+	Report             []float64 // load report, in the order of the settings
+	Copies             int       // of an order: copies that stand loaded
+	Draining           bool      // of a probe: the worker says that it takes no work
+	Body               []byte
 }
 
 // ObservedKind is what an Observation is of.
@@ -118,43 +118,43 @@
 
 // Observation tells an observer how an attempt or order ended: what it shows of the worker.
 type Observation struct {
-	Kind   ObservedKind
-	Worker decide.WorkerID
-	Class  int // of an attempt
-	Result decide.Result
-	Warm   bool // the copy was found loaded
-	Drains bool
-	Took   time.Duration
+	Kind     ObservedKind
+	Worker   balancer.WorkerID
+	Class    int // of an attempt
+	Result   balancer.Result
+	Warm     bool // the copy was found loaded
+	Draining bool
+	Duration time.Duration
 }
 
-// Order asks a worker to hold Count copies of a function.
-type Order struct {
-	Worker Member
-	Func   decide.FuncID
+// LoadOrder asks a worker to hold Count copies of a function.
+type LoadOrder struct {
+	Worker Endpoint
+	Func   balancer.FuncID
 	Key    string // as a caller wrote it last
 	Count  int
-	// Begin is asked right before the first byte is written; false: nothing may be written any more, and the end is
+	// BeforeWrite is asked right before the first byte is written; false: nothing may be written any more, and the end is
 	// Moot. Its caller may have left, or its worker begun to drain, while a connection came up. nil: always.
-	Begin func() bool
+	BeforeWrite func() bool
 }
 
 // Workers carries attempts, probes and orders. Each method blocks until its end or that of ctx, is called from
 // many goroutines, and writes at most one request for each call. Send and Load ask Begin before they write it.
 type Workers interface {
 	Send(ctx context.Context, a Attempt) Reply
-	Probe(ctx context.Context, m Member) Reply
-	Load(ctx context.Context, o Order) Reply
-	Drop(ctx context.Context, o Order)
-	Forget(id decide.WorkerID) // the worker has gone or starts anew: its connections are void
+	HealthCheck(ctx context.Context, m Endpoint) Reply
+	Load(ctx context.Context, o LoadOrder) Reply
+	Unload(ctx context.Context, o LoadOrder)
+	CloseConnections(id balancer.WorkerID) // the worker has gone or starts anew: its connections are void
 }
 
-// Membership tells of the list of workers until ctx ends. It calls tell in order, from one goroutine.
-type Membership interface {
-	Watch(ctx context.Context, tell func(Roster)) error
+// EndpointWatcher tells of the list of workers until ctx ends. It calls tell in order, from one goroutine.
+type EndpointWatcher interface {
+	Watch(ctx context.Context, tell func(EndpointUpdate)) error
 }
 
 // Peers carries short messages between dispatchers; they may be lost. Tell must not block; to below 0: all.
 type Peers interface {
-	Tell(to int, data string)
+	SendMessage(to int, data string)
 	Listen(ctx context.Context, heard func(from int, data string)) error
 }
