--- a/balancer/state.go
+++ b/balancer/state.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	defaultFullScanLimit     = 256 // executors up to which a list is looked through whole for a choice
+	defaultFullScanLimit = 256 // executors up to which a list is looked through whole for a choice
 	// shortest aims for which a worker that answered counts as heard, where one asks whether the fault is its own
 	recentResponseObjectives = 2
-	forgetDispatcherDecays   = 20  // tau: the time constant with which a dispatcher that is not heard is forgotten
+	forgetDispatcherDecays   = 20 // tau: the time constant with which a dispatcher that is not heard is forgotten
 )
 
 // Balancer decides for one front end. Use New. Its methods must be called from one goroutine, with a clock
