--- a/internal/config/opfile_test.go
+++ b/internal/config/file_test.go
@@ -12,8 +12,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards operators against guesses: what cannot be used is one line with file, line, key and value.
-func TestWhatCannotBeUsed(t *testing.T) {
+// A key that is unknown or a value that cannot be used is an error of one line with file, line, key
+// and value.
+func TestInvalidFilesAreRejected(t *testing.T) {
 	for text, want := range map[string][]string{
 		"[list]\npath = 3\n":                               {"line 2", "list.path", "path = 3"},
 		"[list]\npath = 'x'\nmax_wait = 'soon'\n":          {"line 3", "list.max_wait", "soon"},
@@ -39,8 +40,8 @@
 		if assert.Error(t, err, text) {
 			assert.Contains(t, err.Error(), "some/op.toml: ")
 			assert.NotContains(t, err.Error(), "\n")
-			for _, w := range want {
-				assert.Contains(t, err.Error(), w, text)
+			for _, part := range want {
+				assert.Contains(t, err.Error(), part, text)
 			}
 		}
 	}
@@ -48,31 +49,39 @@
 	assert.ErrorContains(t, err, "none.toml")
 }
 
-func TestWhatIsRead(t *testing.T) {
-	f, err := Parse("etc/op.toml", "[log]\nformat='json'\nlevel='warn'\n[list]\npath='state/list.db'\ndiscovery=['127.0.0.1:7','127.0.0.1:8']\nmax_wait='2s'\n")
+// Paths are resolved, the log handler is the one configured, and an empty file turns nothing on.
+func TestParsedFile(t *testing.T) {
+	f, err := Parse("etc/op.toml", "[log]\nformat='json'\nlevel='warn'\n"+
+		"[list]\npath='state/list.db'\ndiscovery=['127.0.0.1:7','127.0.0.1:8']\nmax_wait='2s'\n")
 	require.NoError(t, err)
-	assert.Equal(t, &List{Path: "etc/state/list.db", Discovery: []string{"127.0.0.1:7", "127.0.0.1:8"}, MaxWait: Span{2 * time.Second}}, f.List)
+	assert.Equal(t, &List{
+		Path:      "etc/state/list.db",
+		Discovery: []string{"127.0.0.1:7", "127.0.0.1:8"},
+		MaxWait:   Span{2 * time.Second},
+	}, f.List)
 	assert.Nil(t, f.Webhooks)
 	var out bytes.Buffer
 	log := slog.New(f.Handler(&out))
-	log.Info("quiet")
-	log.Warn("heard")
-	assert.Contains(t, out.String(), `"msg":"heard"`)
-	assert.NotContains(t, out.String(), "quiet")
+	log.Info("suppressed")
+	log.Warn("written")
+	assert.Contains(t, out.String(), `"msg":"written"`)
+	assert.NotContains(t, out.String(), "suppressed")
 	f, err = Parse("op.toml", "")
 	require.NoError(t, err)
 	assert.Nil(t, f.List, "an empty file turns nothing on")
 }
 
-// Guards the example that operators start from.
-func TestDeployedExample(t *testing.T) {
+// The example configuration that operators start from is valid and has every section.
+func TestDeployedExampleIsValid(t *testing.T) {
 	path := filepath.Join("..", "..", "deploy", "oakthread.toml")
 	f, err := Read(path)
 	require.NoError(t, err)
 	require.NotNil(t, f.List)
 	raw, err := os.ReadFile(path)
 	require.NoError(t, err)
-	for _, key := range []string{"[log]", "[list]", "[webhooks]", "probe_rate", "budget", "max_wait", "siblings", "discovery"} {
+	for _, key := range []string{
+		"[log]", "[list]", "[webhooks]", "probe_rate", "budget", "max_wait", "siblings", "discovery",
+	} {
 		assert.Contains(t, string(raw), key)
 	}
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -1,7 +1,5 @@
 package config
 
-// This file holds the keys of the operator's file against one that has them all.
-
 import (
 	"encoding"
 	"os"
@@ -17,6 +15,7 @@
 	"oakthread/webhook"
 )
 
+// everyKey returns a file that has every key.
 func everyKey(t *testing.T) string {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("testdata", "every-key.toml"))
@@ -24,9 +23,9 @@
 	return string(raw)
 }
 
-// Every key sets what it set in an earlier build.
-func TestEveryKeyIsRead(t *testing.T) {
-	hooks := webhook.Options{Listen: "127.0.0.1:8443", State: "etc/state/webhooks.db",
+// Every key sets the field that it set in an earlier build.
+func TestEveryKeySetsItsField(t *testing.T) {
+	webhooks := webhook.Options{Listen: "127.0.0.1:8443", State: "etc/state/webhooks.db",
 		Classes: []string{"path-check", "path-book"}, NotifiedClasses: []string{"path-book"}, MaxReceipts: 5000,
 		Operators: []webhook.Operator{
 			{Name: "ironbridge", Tenant: "ironbridge-haul", SPIFFEID: "spiffe://ironbridge.example/hooks",
@@ -34,10 +33,10 @@
 			{Name: "soar", Tenant: "soar-freight", SPIFFEID: "spiffe://soar.example/hooks",
 				KeysFile: "/etc/oakthread/soar", NotifyURL: "https://soar.example/settled"},
 		}}
-	hooks.ReceiptRetention.Duration, hooks.InitialBackoff.Duration = 100*time.Hour, 6*time.Second
-	hooks.MaxBackoff.Duration, hooks.MaxTotalBackoff.Duration = 2*time.Hour, 50*time.Hour
-	hooks.SPIFFE.SVID, hooks.SPIFFE.Bundle = "etc/ids/svid.pem", "etc/ids/bundle.pem"
-	hooks.SPIFFE.Key = "/etc/oakthread/key.pem"
+	webhooks.ReceiptRetention.Duration, webhooks.InitialBackoff.Duration = 100*time.Hour, 6*time.Second
+	webhooks.MaxBackoff.Duration, webhooks.MaxTotalBackoff.Duration = 2*time.Hour, 50*time.Hour
+	webhooks.SPIFFE.SVID, webhooks.SPIFFE.Bundle = "etc/ids/svid.pem", "etc/ids/bundle.pem"
+	webhooks.SPIFFE.Key = "/etc/oakthread/key.pem"
 	f, err := Parse("etc/op.toml", everyKey(t))
 	require.NoError(t, err)
 	assert.Equal(t, &File{
@@ -46,36 +45,37 @@
 		List: &List{Path: "etc/state/list.db", Discovery: []string{"127.0.0.1:7001", "[::1]:7002"}, Siblings: 30,
 			Budget: 0.36, ProbeRate: 300.5, MaxWait: Span{1500 * time.Millisecond}},
 		HTTP2:    &HTTP2{Listen: "127.0.0.1:9095", Connections: 65, Streams: 251},
-		Webhooks: &hooks,
+		Webhooks: &webhooks,
 	}, f)
 }
 
-// keysOf adds the keys that a struct is decoded from, as its tags name them.
+// keysOf adds the keys that a struct is decoded from, by its tags.
 func keysOf(t *testing.T, of reflect.Type, section string, keys map[string]bool) {
 	t.Helper()
 	for i := range of.NumField() {
-		f := of.Field(i)
-		tag := f.Tag.Get("toml")
-		if !f.IsExported() || tag == "-" {
+		field := of.Field(i)
+		tag := field.Tag.Get("toml")
+		if !field.IsExported() || tag == "-" {
 			continue
 		}
-		if !assert.NotEmpty(t, tag, "%s.%s has no key", of, f.Name) {
+		if !assert.NotEmpty(t, tag, "%s.%s has no key", of, field.Name) {
 			continue
 		}
 		key := section + tag
 		keys[key] = true
-		in := f.Type
+		in := field.Type
 		for in.Kind() == reflect.Pointer || in.Kind() == reflect.Slice {
 			in = in.Elem()
 		}
-		if in.Kind() == reflect.Struct && !reflect.PointerTo(in).Implements(reflect.TypeFor[encoding.TextUnmarshaler]()) {
+		isText := reflect.PointerTo(in).Implements(reflect.TypeFor[encoding.TextUnmarshaler]())
+		if in.Kind() == reflect.Struct && !isText {
 			keysOf(t, in, key+".", keys)
 		}
 	}
 }
 
-// The structs have the keys of the file that names them all: none more, none fewer.
-func TestEveryKeyIsNamed(t *testing.T) {
+// The structs have exactly the keys of the file that has every key.
+func TestStructsHaveExactlyTheGoldenKeys(t *testing.T) {
 	want, named := map[string]bool{}, map[string]bool{}
 	keysOf(t, reflect.TypeFor[File](), "", want)
 	meta, err := toml.Decode(everyKey(t), &map[string]any{})
--- /dev/null
+++ b/internal/config/validate.go
@@ -0,0 +1,91 @@
+package config
+
+import (
+	"fmt"
+	"log/slog"
+	"net"
+
+	"github.com/BurntSushi/toml"
+)
+
+// maxHTTP2Limit bounds the limits of the HTTP/2 front: beyond it they limit nothing.
+const maxHTTP2Limit = 10_000
+
+// validate checks the values of the file. It returns the first error, in a fixed order, so that the
+// same file always gives the same error.
+func (f *File) validate(meta toml.MetaData) *keyError {
+	if err := f.Log.validate(); err != nil {
+		return err
+	}
+	if err := f.HTTP2.validate(meta); err != nil {
+		return err
+	}
+	return f.List.validate(meta)
+}
+
+func (l *Log) validate() *keyError {
+	switch l.Format {
+	case "", "text", "json":
+	default:
+		return &keyError{"log.format", l.Format, `is neither "text" nor "json"`}
+	}
+	var level slog.Level
+	if l.Level != "" && level.UnmarshalText([]byte(l.Level)) != nil {
+		return &keyError{"log.level", l.Level, "is none of debug, info, warn, error"}
+	}
+	return nil
+}
+
+func (h *HTTP2) validate(meta toml.MetaData) *keyError {
+	if h == nil {
+		return nil
+	}
+	if !isHostPort(h.Listen) {
+		return &keyError{"http2.listen", h.Listen, "is no address HOST:PORT"}
+	}
+	for _, limit := range []struct {
+		key   string
+		value int
+	}{{"connections", h.Connections}, {"streams", h.Streams}} {
+		if meta.IsDefined("http2", limit.key) && (limit.value < 1 || limit.value > maxHTTP2Limit) {
+			return &keyError{"http2." + limit.key, fmt.Sprint(limit.value), "lies outside 1 to 10000"}
+		}
+	}
+	return nil
+}
+
+func (l *List) validate(meta toml.MetaData) *keyError {
+	if l == nil {
+		return nil
+	}
+	if l.Path == "" {
+		return &keyError{"list.path", "", "is missing: it names the file that the list is kept in"}
+	}
+	for _, address := range l.Discovery {
+		if !isHostPort(address) {
+			return &keyError{"list.discovery", address, "is no address HOST:PORT"}
+		}
+	}
+	for _, setting := range []struct {
+		key              string
+		value, low, high float64
+	}{
+		{"siblings", float64(l.Siblings), 1, 100_000},
+		{"budget", l.Budget, 0.01, 1},
+		{"probe_rate", l.ProbeRate, 1, 10_000},
+		{"max_wait", l.MaxWait.Seconds(), 0.05, 60},
+	} {
+		inRange := setting.value >= setting.low && setting.value <= setting.high // false if not a number
+		if meta.IsDefined("list", setting.key) && !inRange {
+			reason := fmt.Sprintf("lies outside %v to %v", setting.low, setting.high)
+			return &keyError{"list." + setting.key, fmt.Sprint(setting.value), reason}
+		}
+	}
+	return nil
+}
+
+// isHostPort reports whether address has the form HOST:PORT with a port.
+func isHostPort(address string) bool {
+	_, port, err := net.SplitHostPort(address)
+	return err == nil && port != ""
+}
