--- /dev/null
+++ b/internal/loganalysis/seconds.go
@@ -0,0 +1,86 @@
+package loganalysis
+
+import (
+	"maps"
+	"slices"
+)
+
+// numberedAttempts is how many attempts of a call are counted by their number; later ones are
+// counted together with the last.
+const numberedAttempts = 5
+
+// Second is one second of the whole fleet.
+type Second struct {
+	At          int64 // Unix second
+	Attempts    int
+	Full        int                   // attempts that a worker rejected because its queue was full
+	ByNumber    [numberedAttempts]int // attempts by their number in the call
+	Ejections   int                   // in force at its end, over all dispatchers
+	Partitioned int                   // dispatchers that hold a zone to be unreachable at its end
+}
+
+// Seconds returns every second in which an event happened.
+func (l *Ledger) Seconds() []Second {
+	bySecond := map[int64]*Second{}
+	for at := range l.seconds {
+		bySecond[at] = &Second{At: at}
+	}
+	for _, a := range l.attempts {
+		if !a.isLoadOrder {
+			bySecond[a.ended.Unix()].add(a)
+		}
+	}
+	slices.SortStableFunc(l.changes, func(a, b ejectionChange) int { return a.at.Compare(b.at) })
+	inForce := newEjectionState()
+	next := 0
+	var seconds []Second
+	for _, at := range slices.Sorted(maps.Keys(bySecond)) {
+		for next < len(l.changes) && l.changes[next].at.Unix() <= at {
+			inForce.apply(l.changes[next])
+			next++
+		}
+		second := bySecond[at]
+		second.Ejections, second.Partitioned = len(inForce.unreachable), len(inForce.partitioned)
+		seconds = append(seconds, *second)
+	}
+	return seconds
+}
+
+func (s *Second) add(a attempt) {
+	s.Attempts++
+	s.ByNumber[min(a.number, numberedAttempts-1)]++
+	if a.result == resultFull {
+		s.Full++
+	}
+}
+
+// ejection is a worker that a dispatcher has ejected.
+type ejection struct{ dispatcher, worker string }
+
+// ejectionState are the ejections in force at a time.
+type ejectionState struct {
+	unreachable map[ejection]bool // whether the worker was ejected because it cannot be reached
+	partitioned map[string]bool   // dispatchers that hold a zone to be unreachable
+}
+
+func newEjectionState() *ejectionState {
+	return &ejectionState{unreachable: map[ejection]bool{}, partitioned: map[string]bool{}}
+}
+
+func (s *ejectionState) apply(change ejectionChange) {
+	key := ejection{change.dispatcher, change.worker}
+	if change.ejected {
+		s.unreachable[key] = change.unreachable
+		if change.zone {
+			s.partitioned[change.dispatcher] = true
+		}
+		return
+	}
+	if change.zone { // the zone can be reached again, and with it all workers that could not be
+		delete(s.partitioned, change.dispatcher)
+		maps.DeleteFunc(s.unreachable, func(e ejection, unreachable bool) bool {
+			return e.dispatcher == change.dispatcher && unreachable
+		})
+	}
+	delete(s.unreachable, key)
+}
