--- a/internal/knownfailures/main.go
+++ b/internal/knownfailures/main.go
@@ -1,10 +1,12 @@
-// Command knownfailures is the test command: it runs all tests but for those that KNOWN-RED.txt names, at most three that fail
-// for a real fault which is not mended yet. These are run apart and printed with their outcome. It must never pass over a
-// test that the file does not name, nor let a file that cannot be read pass for an empty one.
+// Command knownfailures runs the tests of the module. Tests that KNOWN-RED.txt lists, at most three
+// that fail for a fault which is not yet fixed, are run apart and their result is printed; they do
+// not fail the run. A list that cannot be parsed, or that names a test which does not exist, does.
 //
-// A line of the file is TEST | CAUSE | ISSUE, such as
+// A line of the list is TEST | CAUSE | ISSUE, such as
 //
-//	internal/platform.TestX | the hub forgets a drain | 31
+//	internal/platform.TestX | the watcher forgets a drain | 31
+//
+// Arguments are passed on to go test.
 package main
 
 import (
@@ -15,23 +17,10 @@
 	"os"
 	"os/exec"
 	"path/filepath"
-	"regexp"
 	"slices"
-	"strconv"
 	"strings"
 )
 
-const (
-	listName = "KNOWN-RED.txt"
-	mostRed  = 3
-)
-
-// red is one test that is known to fail.
-type red struct {
-	pkg, test, cause string // pkg is a folder below the root; "" for the root itself
-	issue            int
-}
-
 func main() {
 	if err := run(context.Background(), ".", os.Args[1:], os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "knownfailures:", err)
@@ -39,116 +28,131 @@
 	}
 }
 
-// run tests the module at root; flags are handed to go test.
+// run tests the module at root. flags are passed on to go test.
 func run(ctx context.Context, root string, flags []string, out io.Writer) error {
-	reds, err := read(filepath.Join(root, listName))
+	known, err := readList(filepath.Join(root, listName))
 	if err != nil {
 		return err
 	}
-	list, err := goes(ctx, root, io.Discard, "list", "-f", "{{.ImportPath}} {{.Dir}}", "./...")
+	m := module{root: root, out: out}
+	if err := m.loadPackages(ctx, known); err != nil {
+		return err
+	}
+	if err := m.checkTestsExist(ctx, len(known)); err != nil {
+		return err
+	}
+	err = m.runTests(ctx, flags)
+	m.runKnownFailures(ctx, flags)
+	return err
+}
+
+// module is the module under test.
+type module struct {
+	root   string
+	out    io.Writer                 // receives the output of the tests
+	others []string                  // import paths of the packages without known failures
+	known  map[string][]knownFailure // by import path of the package
+}
+
+// loadPackages lists the packages of the module and assigns the known failures to them.
+func (m *module) loadPackages(ctx context.Context, known []knownFailure) error {
+	list, err := m.goCommand(ctx, io.Discard, "list", "-f", "{{.ImportPath}} {{.Dir}}", "./...")
 	if err != nil {
 		return fmt.Errorf("list packages: %w", err)
 	}
-	whole, err := filepath.Abs(root)
+	root, err := filepath.Abs(m.root)
 	if err != nil {
 		return err
 	}
-	if whole, err = filepath.EvalSymlinks(whole); err != nil {
+	if root, err = filepath.EvalSymlinks(root); err != nil {
 		return err
 	}
-	var others []string
-	by := map[string][]red{}
-	for _, line := range strings.Split(strings.TrimSpace(list), "\n") {
-		path, dir, _ := strings.Cut(line, " ")
-		below, err := filepath.Rel(whole, dir)
+	m.known = map[string][]knownFailure{}
+	for line := range strings.SplitSeq(strings.TrimSpace(list), "\n") {
+		importPath, dir, _ := strings.Cut(line, " ")
+		relative, err := filepath.Rel(root, dir)
 		if err != nil {
 			return err
 		}
-		mine := slices.DeleteFunc(slices.Clone(reds), func(r red) bool { return filepath.Join(".", r.pkg) != below })
-		if len(mine) == 0 {
-			others = append(others, path)
+		failures := inFolder(known, relative)
+		if len(failures) == 0 {
+			m.others = append(m.others, importPath)
 		} else {
-			by[path] = mine
+			m.known[importPath] = failures
 		}
 	}
-	known := 0
-	for path, mine := range by {
-		names, err := goes(ctx, root, io.Discard, "test", "-list", ".", path)
+	return nil
+}
+
+// checkTestsExist returns an error if one of the known failures, whose number is count, is not a
+// test of its package, or its package does not exist.
+func (m *module) checkTestsExist(ctx context.Context, count int) error {
+	for importPath, failures := range m.known {
+		list, err := m.goCommand(ctx, io.Discard, "test", "-list", ".", importPath)
 		if err != nil {
-			return fmt.Errorf("list tests of %s: %w", path, err)
+			return fmt.Errorf("list tests of %s: %w", importPath, err)
 		}
-		for _, r := range mine {
-			if !slices.Contains(strings.Split(names, "\n"), r.test) {
-				return fmt.Errorf("%s: no test bears the name %s in %q", listName, r.test, r.pkg)
+		tests := strings.Split(list, "\n")
+		for _, failure := range failures {
+			if !slices.Contains(tests, failure.test) {
+				return fmt.Errorf("%s: no test bears the name %s in %q", listName, failure.test, failure.folder)
 			}
-			known++
 		}
+		count -= len(failures)
 	}
-	if known < len(reds) {
+	if count > 0 {
 		return fmt.Errorf("%s: a package that it names does not exist", listName)
 	}
-	test := append([]string{"test"}, flags...)
-	if len(others) > 0 {
-		_, err = goes(ctx, root, out, append(test, others...)...)
+	return nil
+}
+
+// runTests runs all tests except for the known failures.
+func (m *module) runTests(ctx context.Context, flags []string) error {
+	var errs []error
+	if len(m.others) > 0 {
+		_, err := m.goTest(ctx, m.out, flags, m.others...)
+		errs = append(errs, err)
 	}
-	for path, mine := range by {
+	for importPath, failures := range m.known {
 		var names []string
-		for _, r := range mine {
-			names = append(names, r.test)
+		for _, failure := range failures {
+			names = append(names, failure.test)
 		}
-		_, failed := goes(ctx, root, out, append(test, "-skip", "^("+strings.Join(names, "|")+")$", path)...)
-		err = errors.Join(err, failed)
+		skip := "^(" + strings.Join(names, "|") + ")$"
+		_, err := m.goTest(ctx, m.out, flags, "-skip", skip, importPath)
+		errs = append(errs, err)
 	}
-	for path, mine := range by {
-		for _, r := range mine {
-			outcome := "fails, as known"
-			if _, failed := goes(ctx, root, io.Discard, append(test, "-run", "^"+r.test+"$", path)...); failed == nil {
-				outcome = "passes now: take its line out"
+	return errors.Join(errs...)
+}
+
+// runKnownFailures runs each known failure and prints its result.
+func (m *module) runKnownFailures(ctx context.Context, flags []string) {
+	for importPath, failures := range m.known {
+		for _, failure := range failures {
+			result := "fails, as known"
+			if _, err := m.goTest(ctx, io.Discard, flags, "-run", "^"+failure.test+"$", importPath); err == nil {
+				result = "passes now: take its line out"
 			}
-			fmt.Fprintf(out, "known red: %s.%s %s (issue %d: %s)\n", r.pkg, r.test, outcome, r.issue, r.cause)
+			fmt.Fprintf(m.out, "known red: %s.%s %s (issue %d: %s)\n",
+				failure.folder, failure.test, result, failure.issue, failure.cause)
 		}
 	}
-	return err
 }
 
-var testName = regexp.MustCompile(`^(?:(.+)\.)?(Test\w*)$`)
-
-// read takes the file of known faults; one that is not there names none.
-func read(path string) (reds []red, err error) {
-	raw, err := os.ReadFile(path)
-	if errors.Is(err, os.ErrNotExist) {
-		return nil, nil
-	}
-	if err != nil {
-		return nil, err
-	}
-	for i, line := range strings.Split(strings.TrimRight(string(raw), "\n"), "\n") {
-		f := strings.Split(line, "|")
-		if len(f) != 3 {
-			return nil, fmt.Errorf("%s:%d: %q: want TEST | CAUSE | ISSUE", listName, i+1, line)
-		}
-		name, cause := testName.FindStringSubmatch(strings.TrimSpace(f[0])), strings.TrimSpace(f[1])
-		issue, err := strconv.Atoi(strings.TrimPrefix(strings.TrimSpace(f[2]), "#"))
-		if name == nil || cause == "" || err != nil || issue <= 0 {
-			return nil, fmt.Errorf("%s:%d: %q: want TEST | CAUSE | ISSUE", listName, i+1, line)
-		}
-		r := red{name[1], name[2], cause, issue}
-		if slices.ContainsFunc(reds, func(x red) bool { return x.pkg == r.pkg && x.test == r.test }) {
-			return nil, fmt.Errorf("%s:%d: %s stands there twice", listName, i+1, strings.TrimSpace(f[0]))
-		}
-		if reds = append(reds, r); len(reds) > mostRed {
-			return nil, fmt.Errorf("%s: more than %d lines", listName, mostRed)
-		}
-	}
-	return reds, nil
+// goTest runs go test with flags and further arguments.
+func (m *module) goTest(ctx context.Context, out io.Writer, flags []string, args ...string) (string, error) {
+	return m.goCommand(ctx, out, slices.Concat([]string{"test"}, flags, args)...)
 }
 
-// goes runs the go command at root and returns what it prints, which goes to out as it comes.
-func goes(ctx context.Context, root string, out io.Writer, args ...string) (string, error) {
+// goCommand runs the go command at the module's root. It returns its output, which is also copied
+// to out while it runs.
+func (m *module) goCommand(ctx context.Context, out io.Writer, args ...string) (string, error) {
 	var text strings.Builder
-	cmd := exec.CommandContext(ctx, "go", args...)
-	cmd.Dir, cmd.Stdout, cmd.Stderr = root, io.MultiWriter(&text, out), os.Stderr
-	if err := cmd.Run(); err != nil {
+	command := exec.CommandContext(ctx, "go", args...)
+	command.Dir = m.root
+	command.Stdout = io.MultiWriter(&text, out)
+	command.Stderr = os.Stderr
+	if err := command.Run(); err != nil {
 		return text.String(), fmt.Errorf("go %s: %w", args[0], err)
 	}
 	return text.String(), nil
