--- a/internal/regression/slope_test.go
+++ b/internal/regression/fit_test.go
@@ -12,17 +12,18 @@
 
 var sizes = []float64{120, 300, 600, 1200, 2400}
 
-// points are of a law with noise in it, three seeds each.
-func points(of func(float64) float64, noise float64, seed uint64, sizes ...float64) (ps []Point) {
+// points returns points of a law with relative noise, three seeds for each size.
+func points(law func(float64) float64, noise float64, seed uint64, sizes ...float64) (ps []Point) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	for _, x := range sizes {
 		for s := range uint64(3) {
-			ps = append(ps, Point{x, of(x) * (1 + noise*(2*rng.Float64()-1)), s + 1})
+			ps = append(ps, Point{x, law(x) * (1 + noise*(2*rng.Float64()-1)), s + 1})
 		}
 	}
 	return ps
 }
 
+// laws returns a law of each shape with two parameters.
 func laws() map[Shape]func(float64) float64 {
 	return map[Shape]func(float64) float64{
 		Constant:  func(float64) float64 { return 740 },
@@ -33,52 +34,53 @@
 	}
 }
 
-func TestEachShapeIsFoundAgain(t *testing.T) {
-	for want, of := range laws() {
+// Points of a law with little noise are fitted by its shape and predict a larger size.
+func TestEachShapeIsSelectedForItsLaw(t *testing.T) {
+	for want, law := range laws() {
 		for seed := range uint64(20) {
-			f, err := Choose(points(of, 0.02, seed, sizes...))
+			f, err := Choose(points(law, 0.02, seed, sizes...))
 			require.NoError(t, err)
 			require.Equal(t, want, f.Shape, "seed %d: %v", seed, f)
-			assert.InDelta(t, of(4800), f.At(4800), 0.06*of(4800), "%v", f)
-			assert.True(t, f.Within(4800, of(4800)), "%v", f)
+			assert.InDelta(t, law(4800), f.At(4800), 0.06*law(4800), "%v", f)
+			assert.True(t, f.Within(4800, law(4800)), "%v", f)
 			assert.Equal(t, []any{120.0, 2400.0, 15}, []any{f.From, f.To, f.Points})
 			assert.InDelta(t, 0.025, f.Spread, 0.025)
 		}
 	}
 }
 
-// A prediction that nothing could break would show nothing.
+// A measurement that does not follow the fitted law is outside the tolerance of the prediction.
 func TestWrongPredictionsFail(t *testing.T) {
-	// A square that the small sizes hide under its straight part.
+	// The small sizes do not show the quadratic term.
 	hidden := func(x float64) float64 { return 1000 + 10*x + 0.0008*x*x }
 	f, err := Choose(points(hidden, 0.02, 1, 120, 200, 300, 400, 600))
 	require.NoError(t, err)
 	require.Equal(t, Linear, f.Shape)
-	assert.True(t, f.Within(1200, hidden(1200)), "not far off yet")
-	assert.False(t, f.Within(9600, hidden(9600)), "%v foretells %g, it is %g", f, f.At(9600), hidden(9600))
+	assert.True(t, f.Within(1200, hidden(1200)), "the quadratic term is still small")
+	assert.False(t, f.Within(9600, hidden(9600)), "%v predicts %g, it is %g", f, f.At(9600), hidden(9600))
 
 	square := func(x float64) float64 { return x * x }
-	ms, _, _, err := means(points(square, 0.02, 1, sizes...))
+	s, err := newSample(points(square, 0.02, 1, sizes...))
 	require.NoError(t, err)
-	line := Linear.fit(ms, 0)
-	line.Spread = 5 // however far its points lie
+	line := Linear.fit(s.means, 0)
+	line.Spread = 5 // the tolerance is bounded all the same
 	assert.False(t, line.Within(4800, square(4800)))
 
-	// Noise of a half has no shape: its room stays at 0.3.
+	// The tolerance for points that are mostly noise stays at 0.3.
 	wild, err := Choose(points(laws()[Linear], 0.9, 3, sizes...))
 	require.NoError(t, err)
-	assert.Equal(t, roomMost, wild.Room())
+	assert.Equal(t, maxTolerance, wild.Room())
 	assert.False(t, wild.Within(4800, 1.4*wild.At(4800)))
 	assert.False(t, wild.Within(4800, math.NaN()))
 
-	// Growth of which the fitted sizes show nothing: none foretold.
+	// Sizes that show no growth predict none.
 	none, err := Choose([]Point{{X: 3}, {X: 30}, {X: 300}})
 	require.NoError(t, err)
 	assert.Equal(t, []bool{true, false}, []bool{none.Within(1900, 0), none.Within(1900, 1)})
 }
 
-// Noise that the seeds show is not taken for growth.
-func TestNoiseIsNoGrowth(t *testing.T) {
+// A constant with noise that shows between the seeds is rarely fitted by a growing shape.
+func TestNoiseIsNotFittedAsGrowth(t *testing.T) {
 	grown := 0
 	for seed := range uint64(50) {
 		f, err := Choose(points(laws()[Constant], 0.2, seed, sizes...))
@@ -90,72 +92,74 @@
 	assert.LessOrEqual(t, grown, 5)
 }
 
-// calls are the sizes at which a figure that fills up is measured.
-var calls = []float64{5, 10, 20, 50, 100}
+// saturatingSizes are sizes at which a saturating value is measured.
+var saturatingSizes = []float64{5, 10, 20, 50, 100}
 
-func TestSaturatingIsFoundAgain(t *testing.T) {
+// Points of a saturating law are fitted by it and predict a larger size.
+func TestSaturatingIsSelectedForItsLaw(t *testing.T) {
 	law := func(x float64) float64 { return 1500 + 26000*(1-math.Exp(-x/40)) }
 	for seed := range uint64(20) {
-		f, err := Choose(points(law, 0.02, seed, calls...))
+		f, err := Choose(points(law, 0.02, seed, saturatingSizes...))
 		require.NoError(t, err)
 		require.Equal(t, Saturating, f.Shape, "seed %d: %v", seed, f)
 		assert.InEpsilon(t, 40, f.C, 0.25, "%v", f)
-		assert.True(t, f.Within(200, law(200)), "seed %d: %v foretells %g, it is %g", seed, f, f.At(200), law(200))
-		assert.False(t, f.Within(200, 2*law(200)), "it can fail")
+		assert.True(t, f.Within(200, law(200)), "seed %d: %v predicts %g, it is %g", seed, f, f.At(200), law(200))
+		assert.False(t, f.Within(200, 2*law(200)), "another value is outside the tolerance")
 	}
 }
 
-// Guards against a shape with a figure more that is taken because it fits closer: of laws that do not bend it is not taken, with
-// noise neither, nor where too few sizes are left to hold it against.
-func TestSaturatingIsTakenOnlyWhereItForetells(t *testing.T) {
-	taken := 0
-	for _, of := range laws() {
+// The saturating shape is not selected because it has a parameter more: rarely for laws that do not
+// saturate, with and without noise, and never if too few sizes can be held out.
+func TestSaturatingIsSelectedOnlyIfItPredictsHeldOutSizes(t *testing.T) {
+	selected := 0
+	for _, law := range laws() {
 		for _, noise := range []float64{0, 0.02, 0.1, 0.3} {
 			for seed := range uint64(25) {
-				for _, xs := range [][]float64{sizes, calls, {5, 10, 20, 50, 100, 200}} {
-					f, err := Choose(points(of, noise, seed, xs...))
+				for _, xs := range [][]float64{sizes, saturatingSizes, {5, 10, 20, 50, 100, 200}} {
+					f, err := Choose(points(law, noise, seed, xs...))
 					require.NoError(t, err)
 					if f.Shape == Saturating {
-						taken++
+						selected++
 					}
 				}
 			}
 		}
 	}
-	assert.LessOrEqual(t, taken, 20, "of 1,500")
+	assert.LessOrEqual(t, selected, 20, "of 1,500")
 
 	law := func(x float64) float64 { return 26000 * (1 - math.Exp(-x/40)) }
 	f, err := Choose(points(law, 0, 1, 5, 20, 50, 100))
 	require.NoError(t, err)
-	assert.NotEqual(t, Saturating, f.Shape, "four sizes: none can be held out")
-	// It bends beyond all that was measured: nothing here can know, and the prediction fails.
+	assert.NotEqual(t, Saturating, f.Shape, "no size of four can be held out")
+	// A law that bends beyond the measured sizes is fitted as linear, and the prediction fails.
 	late := func(x float64) float64 { return 400 + 9*min(x, 110) }
-	f, err = Choose(points(late, 0.01, 1, calls...))
+	f, err = Choose(points(late, 0.01, 1, saturatingSizes...))
 	require.NoError(t, err)
 	assert.Equal(t, Linear, f.Shape)
 	assert.False(t, f.Within(200, late(200)), "%v", f)
-	// A figure that falls again is no saturation either.
-	f, err = Choose(points(func(x float64) float64 { return x * math.Exp(-x/30) }, 0, 1, calls...))
+	// A value that falls again does not saturate.
+	f, err = Choose(points(func(x float64) float64 { return x * math.Exp(-x/30) }, 0, 1, saturatingSizes...))
 	require.NoError(t, err)
 	assert.NotEqual(t, Saturating, f.Shape)
 }
 
-// A figure that is 0 at first must not outweigh those that are not.
-func TestZeroesWeighAsTheSmallest(t *testing.T) {
+// A mean of 0 has the weight of the smallest mean that is not 0.
+func TestZeroMeansDoNotOutweighOthers(t *testing.T) {
 	f, err := Choose([]Point{{120, 0, 1}, {600, 5000, 1}, {1200, 11000, 1}, {2400, 23000, 1}})
 	require.NoError(t, err)
 	assert.InDelta(t, 23000, f.At(2400), 0.2*23000, "%v", f)
 }
 
-// What falls with size has no shape here: nothing is below 0, and the constant shows a wide spread.
-func TestFallingFiguresShowAWideSpread(t *testing.T) {
+// Values that fall with size are fitted by a constant with a wide spread.
+func TestFallingValuesHaveAWideSpread(t *testing.T) {
 	f, err := Choose(points(func(x float64) float64 { return 1e5 / x }, 0, 1, sizes...))
 	require.NoError(t, err)
 	assert.Zero(t, f.B)
 	assert.Greater(t, f.Spread, 0.3)
 }
 
-func TestBadPointsAreNamed(t *testing.T) {
+// Points that cannot be fitted are ErrPoints with the reason.
+func TestInvalidPointsAreRejected(t *testing.T) {
 	for _, c := range []struct {
 		name, want string
 		ps         []Point
@@ -178,8 +182,14 @@
 	}
 }
 
-func TestCrosses(t *testing.T) {
-	for _, f := range []Fit{{Shape: Log, A: 10, B: 90}, {Shape: Linear, A: 2000, B: 46}, {Shape: NLogN, B: 5}, {Shape: Quadratic, A: 3e4, B: 0.7}} {
+// Crosses is the inverse of At, and not ok if the value never reaches the budget.
+func TestCrossesInvertsAt(t *testing.T) {
+	for _, f := range []Fit{
+		{Shape: Log, A: 10, B: 90},
+		{Shape: Linear, A: 2000, B: 46},
+		{Shape: NLogN, B: 5},
+		{Shape: Quadratic, A: 3e4, B: 0.7},
+	} {
 		for _, at := range []float64{3, 120, 1900, 48000} {
 			x, ok := f.Crosses(f.At(at))
 			assert.True(t, ok)
@@ -187,34 +197,36 @@
 		}
 		x, ok := f.Crosses(f.A / 2)
 		assert.True(t, ok)
-		assert.Zero(t, x, "used up at any size")
+		assert.Zero(t, x, "reached at any size")
 	}
-	full := Fit{Shape: Saturating, A: 10, B: 90, C: 40}
+	limited := Fit{Shape: Saturating, A: 10, B: 90, C: 40}
 	for _, at := range []float64{3, 40, 120} {
-		x, ok := full.Crosses(full.At(at))
+		x, ok := limited.Crosses(limited.At(at))
 		assert.True(t, ok)
 		assert.InEpsilon(t, at, x, 1e-6)
 	}
 	for _, budget := range []float64{100, 101} {
-		_, ok := full.Crosses(budget)
-		assert.False(t, ok, "it never has more than 100")
+		_, ok := limited.Crosses(budget)
+		assert.False(t, ok, "the limit is 100")
 	}
 	_, ok := Fit{Shape: Constant, A: 5}.Crosses(6)
 	assert.False(t, ok)
 	_, ok = Fit{Shape: Linear, A: 5}.Crosses(6)
 	assert.False(t, ok, "it does not grow")
 	_, ok = Fit{Shape: Log, A: 5, B: 1e-9}.Crosses(6)
-	assert.False(t, ok, "no size that there is")
+	assert.False(t, ok, "the size is not finite")
 	x, ok := Fit{Shape: Constant, A: 7}.Crosses(6)
 	assert.True(t, ok && x == 0)
 }
 
-func TestFitInWords(t *testing.T) {
+// A fit is printed as a formula and marshaled with the name of its shape.
+func TestFitText(t *testing.T) {
 	f := Fit{Shape: NLogN, A: 1234, B: 0.46, Spread: 0.072, From: 120, To: 9600, Points: 15}
 	assert.Equal(t, "1.23e+03 + 0.46 n log n (n 120..9600, spread 0.072)", f.String())
 	assert.Equal(t, "7 (n 3..300, spread 0)", Fit{A: 7, From: 3, To: 300}.String())
 	assert.Equal(t, "2 n^2 (n 3..300, spread 0)", Fit{Shape: Quadratic, B: 2, From: 3, To: 300}.String())
-	assert.Equal(t, "7 + 90 (1 - exp(-n/40)) (n 5..100, spread 0)", Fit{Shape: Saturating, A: 7, B: 90, C: 40, From: 5, To: 100}.String())
+	saturating := Fit{Shape: Saturating, A: 7, B: 90, C: 40, From: 5, To: 100}
+	assert.Equal(t, "7 + 90 (1 - exp(-n/40)) (n 5..100, spread 0)", saturating.String())
 	raw, err := json.Marshal(Fit{Shape: Saturating, C: 40})
 	require.NoError(t, err)
 	assert.Contains(t, string(raw), `"c":40`)
@@ -225,7 +237,8 @@
 	assert.Equal(t, "unknown", Shape(99).String())
 }
 
-func TestSplitKeepsTheLargestApart(t *testing.T) {
+// The points of the largest size are separated from the others.
+func TestSplitSeparatesTheLargestSize(t *testing.T) {
 	s := Series{Points: []Point{{30, 1, 1}, {300, 3, 1}, {60, 2, 1}, {300, 4, 2}}}
 	fit, last := s.Split()
 	assert.Equal(t, []Point{{30, 1, 1}, {60, 2, 1}}, fit)
