--- a/internal/loganalysis/analysis_test.go
+++ b/internal/loganalysis/analysis_test.go
@@ -23,8 +23,8 @@
 	return &l
 }
 
-// readFleetLogs returns the events of two dispatchers. Both have function 7 loaded, the second while
-// worker 1 holds its model; worker 2 fails and is ejected by the first.
+// readFleetLogs returns the events of two dispatchers. Both have function 7 loaded, the second
+// while worker 1 holds its model; worker 2 fails and is ejected by the first.
 func readFleetLogs(t *testing.T) *Ledger {
 	t.Helper()
 	return read(t, "n0", "n1")
--- a/internal/loganalysis/seconds.go
+++ b/internal/loganalysis/seconds.go
@@ -9,7 +9,7 @@
 // counted together with the last.
 const numberedAttempts = 5
 
-// Second is one second of the whole fleet.
+// Second is one second of the fleet.
 type Second struct {
 	At          int64 // Unix second
 	Attempts    int
--- a/internal/regression/points.go
+++ b/internal/regression/points.go
@@ -12,7 +12,7 @@
 const minSizes = 3
 
 // ErrPoints is returned for points that cannot be fitted.
-var ErrPoints = errors.New("slope: bad points")
+var ErrPoints = errors.New("regression: invalid points")
 
 // Point is a value Y measured at a size X, in a run with a seed.
 type Point struct {
