--- a/internal/cli/health.go
+++ b/internal/cli/health.go
@@ -156,7 +156,8 @@
 		nextCheck = "in " + milliseconds(worker.TrialInMS).String()
 	}
 	fmt.Fprintf(table, "%d\t%d\t%s\t%.1f\t%.0f %%\t%.1f\t%d:%d\t%s\t%s\t%s\n",
-		worker.Executor, worker.Zone, worker.Verdict, worker.Served, 100*worker.Failed, worker.Pace,
+		worker.Executor, worker.Zone, worker.Verdict,
+		worker.Served, 100*worker.Failed, worker.Pace,
 		worker.Observers[0], worker.Observers[1], gossip, nextCheck, worker.Evidence)
 }
 
