--- a/internal/adminapi/server_test.go
+++ b/internal/adminapi/server_test.go
@@ -37,8 +37,10 @@
 			defer f.mu.Unlock()
 			f.updates = append(f.updates, update)
 		},
-		Figures: func(context.Context) Figures { return Figures{Attempts: 7, Pending: 2, Reloads: 1, Fails: 1} },
-		Tally:   func(fn func(string, int64, int64, int64)) { fn("call", 5, 1, 0) },
+		Figures: func(context.Context) Figures {
+			return Figures{Attempts: 7, Pending: 2, Reloads: 1, Fails: 1}
+		},
+		Tally: func(fn func(string, int64, int64, int64)) { fn("call", 5, 1, 0) },
 		Quiet: func(outOfService bool) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
--- a/internal/adminapi/workers.go
+++ b/internal/adminapi/workers.go
@@ -19,8 +19,8 @@
 	Evidence  string            `json:"evidence"`
 	Served    float64           `json:"served_lately"` // own calls that succeeded, decaying
 	Failed    float64           `json:"failed_latest"` // fraction of the latest own calls that failed
-	Pace      float64           `json:"pace"`          // duration of its calls relative to the mean of all workers
-	Observers [2]int            `json:"observers"`     // of the last gossip: dispatchers that were served, and not
+	Pace      float64           `json:"pace"`          // duration of its calls over the mean of all workers
+	Observers [2]int            `json:"observers"`     // of the last gossip: were served, were not
 	WordAgeMS int64             `json:"word_age_ms"`   // age of the last gossip; -1: none
 	TrialInMS int64             `json:"trial_in_ms"`   // time until the next health check; 0: none is due
 	Unreached bool              `json:"unreachable"`   // from this dispatcher
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -42,8 +42,10 @@
 	assert.Equal(t, &File{
 		Path: "etc/op.toml",
 		Log:  Log{Format: "json", Level: "warn"},
-		List: &List{Path: "etc/state/list.db", Discovery: []string{"127.0.0.1:7001", "[::1]:7002"}, Siblings: 30,
-			Budget: 0.36, ProbeRate: 300.5, MaxWait: Span{1500 * time.Millisecond}},
+		List: &List{
+			Path: "etc/state/list.db", Discovery: []string{"127.0.0.1:7001", "[::1]:7002"},
+			Siblings: 30, Budget: 0.36, ProbeRate: 300.5, MaxWait: Span{1500 * time.Millisecond},
+		},
 		HTTP2:    &HTTP2{Listen: "127.0.0.1:9095", Connections: 65, Streams: 251},
 		Webhooks: &webhooks,
 	}, f)
