--- a/webhook/front_test.go
+++ b/webhook/front_test.go
@@ -71,68 +71,89 @@
 	return f
 }
 
-// Over real sockets an operator's key is valid only under that operator's SPIFFE ID, an unknown
-// identity gets no connection, and the dispatcher's own SVID can be renewed while it serves.
-func TestOperatorIdentityIsEnforced(t *testing.T) {
-	const root = "spiffe://trentvale.example/"
-	ca := newAuthority(t)
-	ca.issue(t, "daemon", root+"oakthread", false)
-	keys := ca.path("keys-a")
-	require.NoError(t, os.WriteFile(keys, []byte(secret(1)), 0o600))
+// trustDomain begins the SPIFFE IDs of the test.
+const trustDomain = "spiffe://trentvale.example/"
+
+// identityFront is a front that serves under mTLS to operators a and b, whose keys are secrets 1
+// and 2.
+type identityFront struct {
+	*Front
+	core    *fakeCore
+	address string
+	stop    func() error // waits for the end of Serve and returns its error
+}
+
+func startIdentityFront(t *testing.T, ca *authority) *identityFront {
+	t.Helper()
+	ca.issue(t, "daemon", trustDomain+"oakthread", false)
+	require.NoError(t, os.WriteFile(ca.path("keys-a"), []byte(secret(1)), 0o600))
 	require.NoError(t, os.WriteFile(ca.path("keys-b"), []byte(secret(2)), 0o600))
-	o := &Options{State: ca.path("state.db"), Operators: []Operator{
-		{Name: "a", Tenant: tenants[0], KeysFile: keys, SPIFFEID: root + "a"},
-		{Name: "b", Tenant: tenants[1], KeysFile: ca.path("keys-b"), SPIFFEID: root + "b"}}}
-	o.SPIFFE.SVID, o.SPIFFE.Key, o.SPIFFE.Bundle = ca.path("daemon.pem"), ca.path("daemon.key"), ca.path("ca.pem")
-	require.NoError(t, o.applyDefaults())
+	options := &Options{State: ca.path("state.db"), Operators: []Operator{
+		{Name: "a", Tenant: tenants[0], KeysFile: ca.path("keys-a"), SPIFFEID: trustDomain + "a"},
+		{Name: "b", Tenant: tenants[1], KeysFile: ca.path("keys-b"), SPIFFEID: trustDomain + "b"},
+	}}
+	options.SPIFFE.SVID = ca.path("daemon.pem")
+	options.SPIFFE.Key = ca.path("daemon.key")
+	options.SPIFFE.Bundle = ca.path("ca.pem")
+	require.NoError(t, options.applyDefaults())
 	core := newFakeCore()
-	f, err := Open(o, core, classes, tenants, nil, discardLog)
+	front, err := Open(options, core, classes, tenants, nil, discardLog)
 	require.NoError(t, err)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	ctx, stop := context.WithCancel(t.Context())
-	done := make(chan error, 1)
-	go func() { done <- f.Serve(ctx, ln, nil) }()
+	ctx, cancel := context.WithCancel(t.Context())
+	served := make(chan error, 1)
+	go func() { served <- front.Serve(ctx, ln, nil) }()
+	return &identityFront{Front: front, core: core, address: ln.Addr().String(), stop: func() error {
+		cancel()
+		return <-served
+	}}
+}
 
-	daemon := spiffeid.RequireFromString(root + "oakthread")
-	send := func(src spiffe.Source, key, id string) (int, error) {
-		body := requestBody("path-book", testFunction, "x")
-		req, err := http.NewRequest(http.MethodPost, "https://"+ln.Addr().String()+"/webhooks", bytes.NewReader(body))
-		require.NoError(t, err)
-		req.Header = signed(t, key, id, time.Now(), body)
-		client := &http.Client{
-			Transport: &http.Transport{TLSClientConfig: spiffe.ClientTLS(src, daemon), DisableKeepAlives: true},
-		}
-		resp, err := client.Do(req)
-		if err != nil {
-			return 0, err
-		}
-		resp.Body.Close()
-		return resp.StatusCode, nil
+// send sends a message under an identity, signed by a secret, and returns the status of its answer.
+func (f *identityFront) send(t *testing.T, identity spiffe.Source, secret, id string) (int, error) {
+	t.Helper()
+	body := requestBody("path-book", testFunction, "x")
+	request, err := http.NewRequest(http.MethodPost, "https://"+f.address+"/webhooks", bytes.NewReader(body))
+	require.NoError(t, err)
+	request.Header = signed(t, secret, id, time.Now(), body)
+	tlsConfig := spiffe.ClientTLS(identity, spiffeid.RequireFromString(trustDomain+"oakthread"))
+	client := &http.Client{Transport: &http.Transport{TLSClientConfig: tlsConfig, DisableKeepAlives: true}}
+	response, err := client.Do(request)
+	if err != nil {
+		return 0, err
 	}
-	a, stranger := ca.files(t, "a", root+"a"), ca.files(t, "c", root+"c")
-	code, err := send(a, secret(1), "m1")
+	response.Body.Close()
+	return response.StatusCode, nil
+}
+
+// Over real sockets an operator's key is valid only under that operator's SPIFFE ID, an unknown
+// identity gets no connection, and the dispatcher's own SVID can be renewed while it serves.
+func TestOperatorIdentityIsEnforced(t *testing.T) {
+	ca := newAuthority(t)
+	f := startIdentityFront(t, ca)
+	a, unknown := ca.files(t, "a", trustDomain+"a"), ca.files(t, "c", trustDomain+"c")
+	code, err := f.send(t, a, secret(1), "m1")
 	require.NoError(t, err)
 	assert.Equal(t, 200, code)
-	code, err = send(a, secret(2), "m2")
+	code, err = f.send(t, a, secret(2), "m2")
 	require.NoError(t, err)
 	assert.Equal(t, 403, code, "another operator's key")
-	_, err = send(stranger, secret(1), "m3")
+	_, err = f.send(t, unknown, secret(1), "m3")
 	require.Error(t, err, "an identity that no operator has")
-	_, err = send(newAuthority(t).files(t, "a", root+"a"), secret(1), "m4")
-	require.Error(t, err, "the right name, by another authority")
+	_, err = f.send(t, newAuthority(t).files(t, "a", trustDomain+"a"), secret(1), "m4")
+	require.Error(t, err, "the right identity, by another authority")
 
-	ca.issue(t, "daemon", root+"oakthread", false)
+	ca.issue(t, "daemon", trustDomain+"oakthread", false)
 	require.NoError(t, f.svidFiles.Reload())
-	code, err = send(a, secret(1), "m5")
+	code, err = f.send(t, a, secret(1), "m5")
 	require.NoError(t, err)
 	assert.Equal(t, 200, code)
 	require.NoError(t, os.WriteFile(ca.path("daemon.pem"), []byte("half written"), 0o600))
 	require.Error(t, f.svidFiles.Reload())
-	code, err = send(a, secret(1), "m6")
+	code, err = f.send(t, a, secret(1), "m6")
 	require.NoError(t, err)
 	assert.Equal(t, 200, code, "the old identity stays")
-	assert.Equal(t, map[string]int{"m1": 1, "m5": 1, "m6": 1}, core.runs)
-	stop()
-	require.NoError(t, <-done)
+	assert.Equal(t, map[string]int{"m1": 1, "m5": 1, "m6": 1}, f.core.runs)
+	require.NoError(t, f.stop())
 }
--- a/webhook/handler.go
+++ b/webhook/handler.go
@@ -28,15 +28,8 @@
 	if !ok {
 		return
 	}
-	msg, err := rc.keys.verify(r.Header, body)
-	if err != nil {
-		rc.counters.unauthenticated.Add(1)
-		http.Error(w, "signature is not valid", http.StatusUnauthorized)
-		return
-	}
-	if !peerAllowed(r.TLS, msg.operator) {
-		rc.counters.forbidden.Add(1)
-		http.Error(w, "this identity may not use this key", http.StatusForbidden)
+	msg, ok := rc.authenticate(w, r, body)
+	if !ok {
 		return
 	}
 	request, err := rc.decode(msg)
@@ -61,6 +54,23 @@
 	httpreply.Write(w, exec.answer, nil)
 }
 
+// authenticate verifies the signature of a message, and under mTLS the identity of its sender. If
+// it returns false, the message has been answered.
+func (rc *Receiver) authenticate(w http.ResponseWriter, r *http.Request, body []byte) (_ verifiedMessage, ok bool) {
+	msg, err := rc.keys.verify(r.Header, body)
+	if err != nil {
+		rc.counters.unauthenticated.Add(1)
+		http.Error(w, "signature is not valid", http.StatusUnauthorized)
+		return msg, false
+	}
+	if !peerAllowed(r.TLS, msg.operator) {
+		rc.counters.forbidden.Add(1)
+		http.Error(w, "this identity may not use this key", http.StatusForbidden)
+		return msg, false
+	}
+	return msg, true
+}
+
 // readBody reads the body of a message within bodyTimeout. If it returns false, the message has
 // been answered or its sender has left.
 func (rc *Receiver) readBody(w http.ResponseWriter, r *http.Request) (body []byte, ok bool) {
