--- a/cmd/dispatcher/main_test.go
+++ b/cmd/dispatcher/main_test.go
@@ -293,7 +293,7 @@
 
 	disc.Down()
 	dies.Die()
-	log, end := start("starting from a kept list of 2 boxes")
+	log, end := start(`msg="starting from cached endpoint list" endpoints=2`)
 	ready()
 	for code := 0; code != 200; { // the ramp may hold the first ones off
 		code = ask("/call/7f3a9c21e0b4d655/trigger")
@@ -305,7 +305,7 @@
 	disc.StartOver("e2")
 	b.Phase = lab.Gone
 	disc.SendMessage(b, c)
-	for !strings.Contains(<-log, "discovery is back") {
+	for !strings.Contains(<-log, "endpoint watch restored") {
 	}
 	assert.Equal(t, 200, ask("/call/7f3a9c21e0b4d655/trigger"))
 	end()
--- a/endpoints/actions.go
+++ b/endpoints/actions.go
@@ -1,7 +1,7 @@
 package endpoints
 
 import (
-	"fmt"
+	"log/slog"
 
 	"oakthread/balancer"
 )
@@ -13,7 +13,7 @@
 	Probe   []Endpoint // to be health checked; each result is returned by one call of the method for health checks
 	Save    bool       // the list has changed and is to be saved
 	Urgent  bool       // an endpoint drains or was removed: the list is to be saved at once
-	Log     []string
+	Log     []LogEvent
 }
 
 // Publication is a change of the list for the load balancer.
@@ -22,6 +22,12 @@
 	Endpoints []Endpoint
 }
 
+// LogEvent is a line for the log: a constant message that names the event, and its attributes.
+type LogEvent struct {
+	Message string
+	Attrs   []slog.Attr
+}
+
 // TakeActions returns the actions that accumulated since the previous call.
 func (l *List) TakeActions() Actions {
 	actions := l.pending
@@ -29,8 +35,9 @@
 	return actions
 }
 
-func (l *List) log(format string, args ...any) {
-	l.pending.Log = append(l.pending.Log, fmt.Sprintf(format, args...))
+// log appends an event to the pending log lines.
+func (l *List) log(message string, attrs ...slog.Attr) {
+	l.pending.Log = append(l.pending.Log, LogEvent{Message: message, Attrs: attrs})
 }
 
 // requestSave has the list saved, at once where urgent is set.
--- a/endpoints/healthcheck.go
+++ b/endpoints/healthcheck.go
@@ -1,6 +1,7 @@
 package endpoints
 
 import (
+	"log/slog"
 	"math"
 	"slices"
 	"time"
@@ -116,5 +117,5 @@
 		}
 	}
 	l.reportedExhausted = true
-	l.log("no kept box is left: %d do not answer, %d drain; waiting for discovery", excluded, draining)
+	l.log("no cached endpoint left", slog.Int("excluded", excluded), slog.Int("draining", draining))
 }
--- a/endpoints/observe.go
+++ b/endpoints/observe.go
@@ -1,6 +1,7 @@
 package endpoints
 
 import (
+	"log/slog"
 	"time"
 
 	"oakthread/balancer"
@@ -124,7 +125,7 @@
 // handleDrainReport handles a worker's own report that it drains.
 func (l *List) handleDrainReport(now time.Time, entry *listEntry) {
 	if entry.verification != Draining {
-		l.log("box %d says that it drains, before discovery does", entry.ID)
+		l.log("worker reports draining", slog.Uint64("worker_id", uint64(entry.ID)))
 		l.requestSave(true)
 	}
 	entry.setVerified(Draining, now)
--- a/endpoints/restore.go
+++ b/endpoints/restore.go
@@ -1,6 +1,8 @@
 package endpoints
 
 import (
+	"log/slog"
+	"math"
 	"slices"
 	"time"
 
@@ -44,7 +46,7 @@
 	l.watch.epoch, l.watch.cursor, l.watch.confirmedAt = snapshot.Epoch, snapshot.Cursor, snapshot.Confirmed
 	fromFuture := snapshot.Confirmed.After(now) || snapshot.Saved.After(now)
 	if fromFuture {
-		l.log("the clock went back: the kept list is of unknown age and counts as %v old", unknownAge)
+		l.log("cached endpoint list dated in the future", slog.Duration("assumed_age", unknownAge))
 	}
 	for _, endpoint := range snapshot.Endpoints {
 		if endpoint.State == balancer.Removed || l.entries[endpoint.ID] != nil {
@@ -62,8 +64,9 @@
 	l.scheduleInitialChecks(now)
 	l.startSlowStart(now)
 	if count := len(l.sorted); count > 0 {
-		l.log("starting from a kept list of %d boxes, %v old, trusted %.2f on the mean", count, l.age(now).Round(time.Second),
-			l.meanConfidence(now))
+		l.log("starting from cached endpoint list", slog.Int("endpoints", count),
+			slog.Duration("age", l.age(now).Round(time.Second)),
+			slog.Float64("mean_confidence", math.Round(100*l.meanConfidence(now))/100))
 	}
 }
 
--- a/endpoints/restore_test.go
+++ b/endpoints/restore_test.go
@@ -1,6 +1,7 @@
 package endpoints
 
 import (
+	"log/slog"
 	"testing"
 	"time"
 
@@ -41,7 +42,8 @@
 		}
 		assert.Empty(t, a.Publish)
 		for _, line := range a.Log {
-			if line == "no kept box is left: 2 do not answer, 0 drain; waiting for discovery" {
+			if line.Message == "no cached endpoint left" {
+				assert.Equal(t, []slog.Attr{slog.Int("excluded", 2), slog.Int("draining", 0)}, line.Attrs)
 				said++
 			}
 		}
--- a/endpoints/slowstart.go
+++ b/endpoints/slowstart.go
@@ -1,6 +1,7 @@
 package endpoints
 
 import (
+	"log/slog"
 	"math"
 	"time"
 )
@@ -191,8 +192,7 @@
 	areMostUnlimited := progress.unchecked == 0 && 100*progress.unlimited >= completedPercent*progress.answering
 	if isRateSufficient || areMostUnlimited {
 		s.recoveryEnd = now.Add(recoveryWindow)
-		l.log("the ramp is over: %d boxes have proved themselves, %d are still to be asked", progress.unlimited,
-			progress.unchecked)
+		l.log("slow start completed", slog.Int("unlimited", progress.unlimited), slog.Int("unchecked", progress.unchecked))
 	}
 }
 
--- a/endpoints/watch.go
+++ b/endpoints/watch.go
@@ -1,6 +1,7 @@
 package endpoints
 
 import (
+	"log/slog"
 	"slices"
 	"time"
 
@@ -31,7 +32,8 @@
 // of the list.
 func (l *List) HandleUpdate(now time.Time, update Update) {
 	if update.Epoch != "" && l.watch.epoch != "" && update.Epoch != l.watch.epoch && !update.Full {
-		l.log("discovery speaks of epoch %q where the list is of %q: a change alone is not taken", update.Epoch, l.watch.epoch)
+		l.log("endpoint update of another epoch ignored", slog.String("epoch", update.Epoch),
+			slog.String("list_epoch", l.watch.epoch))
 		return
 	}
 	if update.Epoch != "" {
@@ -139,7 +141,7 @@
 // slow start ends.
 func (l *List) markLive(now time.Time) {
 	if !l.watch.live && l.hasPublished {
-		l.log("discovery is back: its word on %d boxes replaces the kept list", len(l.sorted))
+		l.log("endpoint watch restored", slog.Int("endpoints", len(l.sorted)))
 	}
 	l.watch.live, l.reportedExhausted = true, false
 	l.slowStart.stop()
@@ -179,7 +181,7 @@
 // ResetWatch handles a service discovery that numbers its events anew. The list stays in use until
 // the next full update.
 func (l *List) ResetWatch(now time.Time) {
-	l.log("discovery started over: its list is read in full")
+	l.log("endpoint watch reset, reading the full list")
 	l.WatchLost(now)
 	l.watch.epoch, l.watch.cursor = "", 0
 	l.requestSave(false)
--- a/internal/endpointcache/keeper.go
+++ b/internal/endpointcache/keeper.go
@@ -77,14 +77,15 @@
 	}
 	s, found, err := Open(o.Path, o.Owner)
 	if err != nil {
-		log.Error("kept list not used", "err", err)
+		log.Error("cached endpoint list not used", "error", err)
 	}
 	k.store = s
 	if found.Unsound > 0 {
-		log.Error("kept list read in part", "records_left_out", found.Unsound, "boxes", len(found.Kept.Endpoints))
+		log.Error("cached endpoint list partially read", "corrupt_records", found.Unsound,
+			"endpoints", len(found.Kept.Endpoints))
 	}
 	if found.Schema > 0 && found.Schema < Schema {
-		log.Info("kept list of an older schema, written anew", "schema", found.Schema)
+		log.Info("cached endpoint list of an older schema", "schema", found.Schema)
 	}
 	if !found.None {
 		k.list.Restore(now, found.Kept)
@@ -229,7 +230,7 @@
 			k.publish(r)
 		}
 		for _, line := range a.Log {
-			k.log.Info(line)
+			k.log.LogAttrs(ctx, slog.LevelInfo, line.Message, line.Attrs...)
 		}
 		for _, b := range a.Probe {
 			go k.checkHealth(ctx, b)
@@ -341,7 +342,7 @@
 		return
 	}
 	if w.pending {
-		k.log.Info("kept list written again", "path", k.options.Path)
+		k.log.Info("cached endpoint list saved again", "path", k.options.Path)
 	}
 	w.pending = false
 	w.backoff.Reset()
@@ -350,7 +351,7 @@
 func (w *writer) recordFailure(err error) {
 	w.syncer.failedWrites.Add(1)
 	if !w.pending {
-		w.syncer.log.Error("kept list not written, the file stays as it was; trying again", "err", err)
+		w.syncer.log.Error("cached endpoint list not saved, retrying", "error", err)
 	}
 	w.pending = true
 }
@@ -364,7 +365,7 @@
 		return
 	}
 	if err := w.syncer.store.Close(); err != nil {
-		w.syncer.log.Error("list file not closed", "err", err)
+		w.syncer.log.Error("cached endpoint list not closed", "error", err)
 	}
 }
 
--- a/internal/endpointcache/kept_test.go
+++ b/internal/endpointcache/kept_test.go
@@ -401,7 +401,7 @@
 	assert.Equal(t, balancer.EndpointsCached, r.Kind)
 	require.Len(t, r.Endpoints, 1)
 	assert.Equal(t, balancer.WorkerID(1), r.Endpoints[0].ID)
-	assert.Contains(t, log.text(), "starting from a kept list of 3 boxes")
+	assert.Contains(t, log.text(), `msg="starting from cached endpoint list" endpoints=3`)
 	k.Observe(oakthread.Observation{Worker: 1, Result: balancer.ConnectFailed})
 	k.Observe(oakthread.Observation{Worker: 1, Result: balancer.ConnectFailed})
 	for gone := false; !gone; {
@@ -428,7 +428,7 @@
 	k.Told(oakthread.EndpointUpdate{Kind: balancer.EndpointsSnapshot, Endpoints: []oakthread.Endpoint{{ID: 1, State: balancer.Active}}}, "", 1)
 	assert.Len(t, (<-told).Endpoints, 1)
 	end()
-	assert.Equal(t, 1, strings.Count(log.text(), "kept list not used"))
+	assert.Equal(t, 1, strings.Count(log.text(), "cached endpoint list not used"))
 	assert.Contains(t, log.text(), ErrInUse.Error())
 
 	db, err := bbolt.Open(filepath.Join(t.TempDir(), "ro.db"), 0o600, nil)
