--- /dev/null
+++ b/internal/endpointcache/record.go
@@ -0,0 +1,156 @@
+package endpointcache
+
+import (
+	"encoding/binary"
+	"hash/crc32"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"oakthread/balancer"
+	"oakthread/endpoints"
+	"oakthread/internal/endpointcache/keptpb"
+)
+
+// checksumSize is the length of the checksum before a record, in bytes.
+const checksumSize = 4
+
+var checksumTable = crc32.MakeTable(crc32.Castagnoli)
+
+// sealRecord encodes a record with its checksum before it.
+func sealRecord(record proto.Message) ([]byte, error) {
+	raw, err := proto.Marshal(record)
+	if err != nil {
+		return nil, err
+	}
+	return append(binary.BigEndian.AppendUint32(nil, crc32.Checksum(raw, checksumTable)), raw...), nil
+}
+
+// unsealRecord decodes a record and reports whether its checksum and encoding are valid.
+func unsealRecord(sealed []byte, record proto.Message) bool {
+	if len(sealed) < checksumSize {
+		return false
+	}
+	raw := sealed[checksumSize:]
+	return crc32.Checksum(raw, checksumTable) == binary.BigEndian.Uint32(sealed) && proto.Unmarshal(raw, record) == nil
+}
+
+// endpointKey returns the key of an endpoint's record.
+func endpointKey(id balancer.WorkerID) []byte { return binary.BigEndian.AppendUint32(nil, uint32(id)) }
+
+// encodeEndpoint returns the record of an endpoint.
+func encodeEndpoint(endpoint endpoints.Endpoint) *keptpb.Box {
+	return &keptpb.Box{
+		Id:     uint32(endpoint.ID),
+		Addr:   endpoint.Addr,
+		Zone:   int32(endpoint.Zone),
+		Kind:   int32(endpoint.Kind),
+		Cell:   int32(endpoint.Cell),
+		State:  int32(endpoint.State),
+		Weight: endpoint.Weight,
+		Start:  nanosFromTime(endpoint.Start),
+		Told:   nanosFromTime(endpoint.UpdatedAt),
+		Proved: nanosFromTime(endpoint.VerifiedAt),
+		Pace:   endpoint.RequestRate,
+	}
+}
+
+// decodeEndpoint returns the endpoint of a sealed record, and false if the record is invalid.
+func decodeEndpoint(key, sealed []byte) (endpoints.Endpoint, bool) {
+	var record keptpb.Box
+	if !unsealRecord(sealed, &record) || record.State < 0 || record.State > int32(balancer.Active) {
+		return endpoints.Endpoint{}, false
+	}
+	if string(key) != string(endpointKey(balancer.WorkerID(record.Id))) {
+		return endpoints.Endpoint{}, false
+	}
+	return endpoints.Endpoint{
+		ID:          balancer.WorkerID(record.Id),
+		Addr:        record.Addr,
+		Zone:        int(record.Zone),
+		Kind:        int(record.Kind),
+		Cell:        int(record.Cell),
+		State:       balancer.EndpointState(record.State),
+		Weight:      record.Weight,
+		Start:       timeFromNanos(record.Start),
+		UpdatedAt:   timeFromNanos(record.Told),
+		VerifiedAt:  timeFromNanos(record.Proved),
+		RequestRate: record.Pace,
+	}, true
+}
+
+// eventKey returns the key of an event's record. Keys are ordered by time, so that the records of
+// events already in the file are not written again.
+func eventKey(event endpoints.Event) []byte {
+	key := binary.BigEndian.AppendUint64(nil, uint64(nanosFromTime(event.At)))
+	key = binary.BigEndian.AppendUint32(key, uint32(event.Worker))
+	return append(key, byte(event.What))
+}
+
+// encodeEvent returns the record of an event.
+func encodeEvent(event endpoints.Event) *keptpb.Event {
+	return &keptpb.Event{At: nanosFromTime(event.At), Worker: uint32(event.Worker), What: int32(event.What)}
+}
+
+// decodeEvent returns the event of a sealed record, and false if the record is invalid.
+func decodeEvent(sealed []byte) (endpoints.Event, bool) {
+	var record keptpb.Event
+	if !unsealRecord(sealed, &record) || record.What < 0 || record.What > int32(endpoints.Drained) {
+		return endpoints.Event{}, false
+	}
+	return endpoints.Event{
+		At:     timeFromNanos(record.At),
+		Worker: balancer.WorkerID(record.Worker),
+		What:   endpoints.What(record.What),
+	}, true
+}
+
+// encodeHead returns the head record of a snapshot.
+func encodeHead(owner string, snapshot endpoints.Snapshot) *keptpb.Head {
+	return &keptpb.Head{
+		Schema:    Schema,
+		Owner:     owner,
+		Epoch:     snapshot.Epoch,
+		Cursor:    snapshot.Cursor,
+		Confirmed: nanosFromTime(snapshot.Confirmed),
+		Saved:     nanosFromTime(snapshot.Saved),
+		Watched:   int64(snapshot.History.Watched),
+		Leaves:    snapshot.History.Leaves,
+		Returns:   snapshot.History.Returns,
+	}
+}
+
+// decodeHead returns the contents that a head record describes, without endpoints and events.
+func decodeHead(head *keptpb.Head) Found {
+	return Found{
+		Owner:  head.Owner,
+		Schema: int(head.Schema),
+		Kept: endpoints.Snapshot{
+			Epoch:     head.Epoch,
+			Cursor:    head.Cursor,
+			Confirmed: timeFromNanos(head.Confirmed),
+			Saved:     timeFromNanos(head.Saved),
+			History: endpoints.History{
+				Watched: time.Duration(head.Watched),
+				Leaves:  head.Leaves,
+				Returns: head.Returns,
+			},
+		},
+	}
+}
+
+// nanosFromTime returns a time as Unix nanoseconds, 0 for the zero time.
+func nanosFromTime(t time.Time) int64 {
+	if t.IsZero() {
+		return 0
+	}
+	return t.UnixNano()
+}
+
+// timeFromNanos is the inverse of nanosFromTime.
+func timeFromNanos(nanos int64) time.Time {
+	if nanos == 0 {
+		return time.Time{}
+	}
+	return time.Unix(0, nanos)
+}
