--- a/endpoints/slowstart.go
+++ b/endpoints/slowstart.go
@@ -192,7 +192,8 @@
 	areMostUnlimited := progress.unchecked == 0 && 100*progress.unlimited >= completedPercent*progress.answering
 	if isRateSufficient || areMostUnlimited {
 		s.recoveryEnd = now.Add(recoveryWindow)
-		l.log("slow start completed", slog.Int("unlimited", progress.unlimited), slog.Int("unchecked", progress.unchecked))
+		l.log("slow start completed", slog.Int("unlimited", progress.unlimited),
+			slog.Int("unchecked", progress.unchecked))
 	}
 }
 
--- a/internal/endpointcache/retry_test.go
+++ b/internal/endpointcache/retry_test.go
@@ -16,34 +16,36 @@
 // A list that could not be written is tried again by itself, without further news, and is on disk once that works.
 func TestFailedWritesAreTriedAgain(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list.db")
-	k := NewKeeper(Options{Path: path, Owner: "d1"}, nil, func(oakthread.EndpointUpdate) {}, monotime.Now(), slog.New(slog.DiscardHandler))
-	working := k.store
-	other, _, err := Open(filepath.Join(t.TempDir(), "other.db"), "d1")
+	syncer := NewKeeper(Options{Path: path, Owner: "d1"}, nil, func(oakthread.EndpointUpdate) {}, monotime.Now(),
+		slog.New(slog.DiscardHandler))
+	saver := syncer.saver
+	working := saver.store
+	closed, _, err := Open(filepath.Join(t.TempDir(), "other.db"), "d1")
 	require.NoError(t, err)
-	require.NoError(t, other.Close())
-	k.store = other // writes on it fail
+	require.NoError(t, closed.Close()) // every write to it fails
 
-	w := writer{syncer: k, latest: saveRequest{snapshot: sample(3)}}
-	w.write()
-	assert.True(t, w.pending)
-	assert.EqualValues(t, 1, k.FailedWrites())
-	k.store = working
-	w.write()
-	assert.False(t, w.pending)
-	assert.EqualValues(t, 1, k.FailedWrites())
+	saver.store = closed
+	saver.latest = saveRequest{snapshot: sample(3)}
+	saver.write()
+	assert.True(t, saver.unsaved)
+	assert.EqualValues(t, 1, syncer.FailedWrites())
+	saver.store = working
+	saver.write()
+	assert.False(t, saver.unsaved)
+	assert.EqualValues(t, 1, syncer.FailedWrites())
 
-	k.store = other
+	saver.store = closed
 	ended := make(chan struct{})
-	go func() { defer close(ended); k.runWriter() }()
-	k.requestSave(saveRequest{snapshot: sample(5), urgent: true, requestedAt: monotime.Now()})
-	for begun := time.Now(); k.FailedWrites() < 4; {
-		require.Less(t, time.Since(begun), 10*time.Second, "one piece of news, and no further try")
+	go func() { defer close(ended); saver.run() }()
+	saver.request(saveRequest{snapshot: sample(5), urgent: true, requestedAt: monotime.Now()})
+	for begun := time.Now(); syncer.FailedWrites() < 4; {
+		require.Less(t, time.Since(begun), 10*time.Second, "one request, and no retry")
 		time.Sleep(time.Millisecond)
 	}
-	close(k.saves)
+	close(saver.requests)
 	<-ended
 	require.NoError(t, working.Close())
-	f, err := Read(path, "d1")
+	found, err := Read(path, "d1")
 	require.NoError(t, err)
-	assert.Len(t, f.Kept.Endpoints, 3)
+	assert.Len(t, found.Kept.Endpoints, 3)
 }
--- /dev/null
+++ b/internal/endpointcache/run.go
@@ -0,0 +1,124 @@
+package endpointcache
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"sync"
+	"time"
+
+	"oakthread"
+	"oakthread/endpoints"
+	"oakthread/internal/monotime"
+)
+
+const (
+	healthCheckTimeout = 250 * time.Millisecond
+
+	// maxUtilization is the CPU utilization above which an answered health check counts as slow: the
+	// worker has no capacity for more load.
+	maxUtilization = 0.9
+
+	// idleInterval is the longest sleep of Run, when the list needs no call at any time.
+	idleInterval = time.Hour
+
+	// minTimerInterval keeps Run from spinning when a deadline has just passed.
+	minTimerInterval = time.Millisecond
+)
+
+// Run carries out the list's actions until ctx ends. It returns after the list has been saved, the file
+// closed and every health check ended.
+func (s *Syncer) Run(ctx context.Context) {
+	var background sync.WaitGroup // the saver and the health checks
+	defer background.Wait()
+	background.Go(s.saver.run)
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	for {
+		actions, deadline := s.takeActions()
+		s.carryOut(ctx, actions, &background)
+		timer.Reset(sleepUntil(deadline))
+		select {
+		case <-ctx.Done():
+			s.saveFinal()
+			return
+		case <-s.wake:
+		case <-timer.C:
+		}
+	}
+}
+
+// takeActions gives the list its due tick, requests a save if one is pending, and returns the other
+// pending actions and the time of the next tick.
+func (s *Syncer) takeActions() (actions endpoints.Actions, deadline time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := monotime.Now()
+	if due := s.list.NextDeadline(); !due.IsZero() && !due.After(now) {
+		s.list.Tick(now)
+		s.collectActions()
+	}
+	actions, s.pending = s.pending, endpoints.Actions{}
+	if actions.Save || actions.Urgent {
+		s.saver.request(saveRequest{snapshot: s.list.TakeSnapshot(now), urgent: actions.Urgent, requestedAt: now})
+	}
+	return actions, s.list.NextDeadline()
+}
+
+// carryOut publishes, logs and starts health checks.
+func (s *Syncer) carryOut(ctx context.Context, actions endpoints.Actions, background *sync.WaitGroup) {
+	for _, publication := range actions.Publish {
+		update := oakthread.EndpointUpdate{Kind: publication.Kind}
+		for _, endpoint := range publication.Endpoints {
+			update.Endpoints = append(update.Endpoints, Member(endpoint))
+		}
+		s.publish(update)
+	}
+	for _, event := range actions.Log {
+		s.log.LogAttrs(ctx, slog.LevelInfo, event.Message, event.Attrs...)
+	}
+	for _, endpoint := range actions.Probe {
+		background.Go(func() { s.checkHealth(ctx, endpoint) })
+	}
+}
+
+// sleepUntil returns the time until a deadline, idleInterval if there is none.
+func sleepUntil(deadline time.Time) time.Duration {
+	if deadline.IsZero() {
+		return idleInterval
+	}
+	return max(time.Until(deadline), minTimerInterval)
+}
+
+// saveFinal requests the last save and ends the saver.
+func (s *Syncer) saveFinal() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := monotime.Now()
+	s.saver.request(saveRequest{snapshot: s.list.TakeSnapshot(now), urgent: true, requestedAt: now})
+	close(s.saver.requests)
+}
+
+// checkHealth checks the health of one worker and gives the list the result.
+func (s *Syncer) checkHealth(ctx context.Context, endpoint endpoints.Endpoint) {
+	checkCtx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
+	defer cancel()
+	reply := s.checker.HealthCheck(checkCtx, Member(endpoint))
+	observation, isMeaningful := Sign(reply.Result, reply.Draining)
+	if !isMeaningful {
+		if errors.Is(ctx.Err(), context.Canceled) {
+			return
+		}
+		observation = endpoints.Silent
+	}
+	if observation == endpoints.Answered && s.isOverloaded(reply.Report) {
+		observation = endpoints.Slow
+	}
+	s.apply(func(now time.Time, list *endpoints.List) { list.Probed(now, endpoint.ID, observation) })
+}
+
+// isOverloaded reports whether a load report has a CPU utilization above maxUtilization.
+func (s *Syncer) isOverloaded(report []float64) bool {
+	field := s.options.Util - 1
+	return field >= 0 && field < len(report) && report[field] > maxUtilization
+}
--- /dev/null
+++ b/internal/endpointcache/syncer.go
@@ -0,0 +1,222 @@
+package endpointcache
+
+import (
+	"context"
+	"log/slog"
+	"sync"
+	"time"
+
+	"oakthread"
+	"oakthread/balancer"
+	"oakthread/endpoints"
+	"oakthread/internal/monotime"
+)
+
+// HealthChecker asks a worker for its load.
+type HealthChecker interface {
+	HealthCheck(ctx context.Context, m oakthread.Endpoint) oakthread.Reply
+}
+
+// Options are the settings of the cached list, the [list] section of the operator's file.
+type Options struct {
+	Path   string // of the list's file; "": the list is not saved
+	Owner  string // name of the dispatcher
+	Roster endpoints.Config
+	Aims   []time.Duration // latency objective by class; an answer later than half of it is slow
+	Util   int             // 1 + index of the CPU utilization in a load report; 0: not reported
+}
+
+// Syncer keeps an endpoints.List synchronized with service discovery, attempts and health checks, and
+// carries out its actions. Create one with NewKeeper, then call Run. Its other methods return at once
+// and may be called concurrently.
+type Syncer struct {
+	options Options
+	checker HealthChecker
+	publish func(oakthread.EndpointUpdate)
+	log     *slog.Logger
+	saver   *saver
+	wake    chan struct{} // capacity 1: there are pending actions
+
+	mu      sync.Mutex // guards list and pending
+	list    *endpoints.List
+	pending endpoints.Actions
+}
+
+// NewKeeper opens the file and starts the list from it. A fault of the file is logged, and the list
+// starts from the records that are valid. Run passes updates to publish, in order, from one goroutine.
+func NewKeeper(options Options, checker HealthChecker, publish func(oakthread.EndpointUpdate), now time.Time,
+	log *slog.Logger,
+) *Syncer {
+	s := &Syncer{
+		options: options,
+		checker: checker,
+		publish: publish,
+		log:     log,
+		saver:   newSaver(options.Path, options.Owner, log),
+		wake:    make(chan struct{}, 1),
+		list:    endpoints.New(options.Roster),
+	}
+	if found := s.saver.open(); !found.None {
+		s.list.Restore(now, found.Kept)
+		s.pending = s.list.TakeActions()
+	}
+	return s
+}
+
+// Known applies the updates of the configuration unless the cached list is newer. It is called before
+// Run.
+func (s *Syncer) Known(now time.Time, cursor int64, updates []oakthread.EndpointUpdate) {
+	if len(updates) == 0 || cursor < s.list.Cursor() {
+		return
+	}
+	for _, update := range updates {
+		s.list.HandleUpdate(now, toListUpdate(update, "", cursor))
+	}
+	s.collectActions()
+}
+
+// Cursor returns the number of the watch event after which service discovery is to continue.
+func (s *Syncer) Cursor() int64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.list.Cursor()
+}
+
+// Epoch returns the epoch of the cursor.
+func (s *Syncer) Epoch() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.list.Epoch()
+}
+
+// Rows returns the report on all endpoints.
+func (s *Syncer) Rows() []endpoints.Row {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.list.Rows(monotime.Now())
+}
+
+// FailedWrites returns the number of failed writes of the list. Each is retried.
+func (s *Syncer) FailedWrites() int64 { return s.saver.failures.Load() }
+
+// Told handles a watch event of service discovery.
+func (s *Syncer) Told(update oakthread.EndpointUpdate, epoch string, cursor int64) {
+	s.apply(func(now time.Time, list *endpoints.List) {
+		list.HandleUpdate(now, toListUpdate(update, epoch, cursor))
+	})
+}
+
+// Current handles the confirmation of service discovery that the list is current.
+func (s *Syncer) Current() {
+	s.apply(func(now time.Time, list *endpoints.List) { list.ConfirmCurrent(now) })
+}
+
+// Lost handles the end of the connection to service discovery.
+func (s *Syncer) Lost() {
+	s.apply(func(now time.Time, list *endpoints.List) { list.WatchLost(now) })
+}
+
+// StartedOver handles a service discovery that numbers its events anew.
+func (s *Syncer) StartedOver() {
+	s.apply(func(now time.Time, list *endpoints.List) { list.ResetWatch(now) })
+}
+
+// Admit decides whether a request is admitted now; a rejected one is to return after retryAfter.
+func (s *Syncer) Admit(*oakthread.Request) (retryAfter time.Duration, admitted bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	retryAfter, admitted = s.list.Admit(monotime.Now())
+	s.collectActions()
+	return retryAfter, admitted
+}
+
+// Observe handles the result of an attempt or a load order.
+func (s *Syncer) Observe(result oakthread.Observation) {
+	observation, isMeaningful := Sign(result.Result, result.Draining)
+	if !isMeaningful {
+		return
+	}
+	if observation == endpoints.Answered && s.isLate(result) {
+		observation = endpoints.Slow
+	}
+	s.apply(func(now time.Time, list *endpoints.List) { list.Observe(now, result.Worker, observation) })
+}
+
+// isLate reports whether an attempt on a loaded function took more than half of its latency objective.
+func (s *Syncer) isLate(result oakthread.Observation) bool {
+	return result.Kind == oakthread.ObservedAttempt && result.Class < len(s.options.Aims) && result.Warm &&
+		result.Duration > s.options.Aims[result.Class]/2
+}
+
+// apply runs event on the list and wakes Run to carry out the actions that result.
+func (s *Syncer) apply(event func(now time.Time, list *endpoints.List)) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	event(monotime.Now(), s.list)
+	s.collectActions()
+}
+
+// collectActions adds the list's new actions to the pending ones and wakes Run. It is called with mu
+// held, or before Run.
+func (s *Syncer) collectActions() {
+	actions := s.list.TakeActions()
+	s.pending.Publish = append(s.pending.Publish, actions.Publish...)
+	s.pending.Probe = append(s.pending.Probe, actions.Probe...)
+	s.pending.Log = append(s.pending.Log, actions.Log...)
+	s.pending.Save = s.pending.Save || actions.Save
+	s.pending.Urgent = s.pending.Urgent || actions.Urgent
+	if !hasActions(actions) {
+		return
+	}
+	select {
+	case s.wake <- struct{}{}:
+	default:
+	}
+}
+
+// hasActions reports whether there is anything to carry out.
+func hasActions(actions endpoints.Actions) bool {
+	return len(actions.Publish)+len(actions.Probe)+len(actions.Log) > 0 || actions.Save || actions.Urgent
+}
+
+// toListUpdate converts a watch event for the list.
+func toListUpdate(update oakthread.EndpointUpdate, epoch string, cursor int64) endpoints.Update {
+	converted := endpoints.Update{Full: update.Kind != balancer.EndpointsDelta, Epoch: epoch, Cursor: cursor}
+	for _, endpoint := range update.Endpoints {
+		converted.Endpoints = append(converted.Endpoints, endpoints.Endpoint{
+			ID: endpoint.ID, Addr: endpoint.Addr, Zone: endpoint.Zone, Kind: endpoint.Kind, Cell: endpoint.Cell,
+			State: endpoint.State, Weight: endpoint.Weight, Start: endpoint.Start,
+		})
+	}
+	return converted
+}
+
+// Member returns a list's endpoint as the core has it.
+func Member(endpoint endpoints.Endpoint) oakthread.Endpoint {
+	return oakthread.Endpoint{
+		ID: endpoint.ID, Addr: endpoint.Addr, Zone: endpoint.Zone, Kind: endpoint.Kind, Cell: endpoint.Cell,
+		State: endpoint.State, Weight: endpoint.Weight, Start: endpoint.Start,
+	}
+}
+
+// Sign returns what the result of an attempt, health check or load order shows about the worker, and
+// false if it shows nothing, as where the attempt was canceled or never written.
+func Sign(result balancer.Result, isDraining bool) (observation endpoints.Observation, isMeaningful bool) {
+	if isDraining {
+		return endpoints.Drains, true
+	}
+	switch result {
+	case balancer.OK, balancer.NotLoaded:
+		return endpoints.Answered, true
+	case balancer.QueueFull:
+		return endpoints.Busy, true
+	case balancer.ConnectFailed:
+		return endpoints.Refused, true
+	case balancer.Timeout:
+		return endpoints.Silent, true
+	case balancer.Error, balancer.Reset:
+		return endpoints.Broken, true
+	case balancer.Cancelled, balancer.NotSent:
+	}
+	return 0, false
+}
