--- a/endpoints/dialer_test.go
+++ b/endpoints/dialer_test.go
@@ -7,30 +7,32 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestDialer(t *testing.T) {
-	d := NewDialer([]string{"a", "b", "c"}, 3)
-	first, wait := d.Next()
+// The dialer cycles through its addresses, waits after a full round of failures at most maxDialBackoff, and
+// returns the last address again after a success.
+func TestDialerCyclesAddressesWithBoundedBackoff(t *testing.T) {
+	dialer := NewDialer([]string{"a", "b", "c"}, 3)
+	first, wait := dialer.Next()
 	assert.Zero(t, wait)
 	seen := map[string]bool{first: true}
 	for range 2 {
-		d.Failed()
-		a, w := d.Next()
-		seen[a] = true
-		assert.LessOrEqual(t, w, minDialBackoff)
+		dialer.Failed()
+		addr, backoff := dialer.Next()
+		seen[addr] = true
+		assert.LessOrEqual(t, backoff, minDialBackoff)
 	}
 	assert.Len(t, seen, 3, "in turn")
-	most := time.Duration(0)
+	longest := time.Duration(0)
 	for range 200 {
-		d.Failed()
-		_, w := d.Next()
-		most = max(most, w)
+		dialer.Failed()
+		_, backoff := dialer.Next()
+		longest = max(longest, backoff)
 	}
-	assert.LessOrEqual(t, most, maxDialBackoff)
-	assert.Greater(t, most, maxDialBackoff/2)
-	at, _ := d.Next()
-	d.Good()
-	again, wait := d.Next()
-	assert.Equal(t, at, again)
+	assert.LessOrEqual(t, longest, maxDialBackoff)
+	assert.Greater(t, longest, maxDialBackoff/2)
+	addr, _ := dialer.Next()
+	dialer.Good()
+	again, wait := dialer.Next()
+	assert.Equal(t, addr, again)
 	assert.Zero(t, wait)
 	_, wait = NewDialer(nil, 0).Next()
 	assert.Equal(t, maxDialBackoff, wait)
--- a/endpoints/observe_test.go
+++ b/endpoints/observe_test.go
@@ -10,64 +10,66 @@
 	"oakthread/balancer"
 )
 
-// Guards the 1 s rule before discovery is back: a 503 has the box asked, and its own word on a drain binds at once.
-func TestABoxSaysThatItDrains(t *testing.T) {
-	l, v := New(Config{}), view{}
-	l.Restore(t0, keptList(time.Minute, box(1), box(2)))
-	probes(l, v, t0, time.Second, always(Answered))
-	require.Equal(t, []int{1, 2}, v.on())
-	now := t0.Add(time.Second)
-	l.Observe(now, 2, Busy)
-	l.Tick(now)
-	a := v.take(l)
-	require.Len(t, a.Probe, 1)
-	assert.Equal(t, balancer.WorkerID(2), a.Probe[0].ID)
-	l.Probed(now, 2, Drains)
-	a = v.take(l)
-	assert.Equal(t, []int{1}, v.on())
-	assert.True(t, a.Urgent, "on disk at once")
-	assert.Equal(t, balancer.Draining, l.TakeSnapshot(now).Endpoints[1].State)
+// Without service discovery a 503 has the worker checked, and its own report of draining binds at once.
+func TestOwnDrainReportBindsBeforeDiscovery(t *testing.T) {
+	list, view := New(Config{}), balancerView{}
+	list.Restore(startTime, cachedSnapshot(time.Minute, testEndpoint(1), testEndpoint(2)))
+	runHealthChecks(list, view, startTime, time.Second, answered)
+	require.Equal(t, []int{1, 2}, view.active())
+	now := startTime.Add(time.Second)
+	list.Observe(now, 2, Busy)
+	list.Tick(now)
+	actions := view.take(list)
+	require.Len(t, actions.Probe, 1)
+	assert.Equal(t, balancer.WorkerID(2), actions.Probe[0].ID)
+	list.Probed(now, 2, Drains)
+	actions = view.take(list)
+	assert.Equal(t, []int{1}, view.active())
+	assert.True(t, actions.Urgent, "saved at once")
+	assert.Equal(t, balancer.Draining, list.TakeSnapshot(now).Endpoints[1].State)
 
-	// Discovery is late: its word that the box runs does not undo the box's own for a while.
-	l.HandleUpdate(now, Update{Full: true, Cursor: 8, Endpoints: []Endpoint{box(1), box(2)}})
-	v.take(l)
-	assert.True(t, l.Live())
-	l.ConfirmCurrent(now.Add(time.Second))
-	v.take(l)
-	assert.Equal(t, []int{1, 2}, v.on(), "a newer word on this very box counts")
+	// Service discovery learns of a drain late, so its report does not replace the worker's own for a while.
+	list.HandleUpdate(now, Update{Full: true, Cursor: 8, Endpoints: []Endpoint{testEndpoint(1), testEndpoint(2)}})
+	view.take(list)
+	assert.True(t, list.Live())
+	list.ConfirmCurrent(now.Add(time.Second))
+	view.take(list)
+	assert.Equal(t, []int{1, 2}, view.active(), "a newer report of this worker counts")
 }
 
-// Guards a full box against questions: however many calls it turns away, it is asked four times a second at the most.
-func TestAFullBoxIsAskedRarely(t *testing.T) {
-	l, v := New(Config{}), view{}
-	l.Restore(t0, keptList(time.Minute, box(1)))
-	probes(l, v, t0, 2*time.Second, always(Answered))
-	asked := 0
-	for now := t0.Add(2 * time.Second); now.Before(t0.Add(4 * time.Second)); now = now.Add(5 * time.Millisecond) {
-		l.Observe(now, 1, Busy)
-		l.Tick(now)
-		for _, b := range v.take(l).Probe {
-			asked++
-			l.Probed(now, b.ID, Answered)
+// A full worker is checked four times a second at most, however many requests it rejects.
+func TestOverloadedWorkerIsCheckedRarely(t *testing.T) {
+	list, view := New(Config{}), balancerView{}
+	list.Restore(startTime, cachedSnapshot(time.Minute, testEndpoint(1)))
+	runHealthChecks(list, view, startTime, 2*time.Second, answered)
+	checks := 0
+	from := startTime.Add(2 * time.Second)
+	for now := from; now.Before(from.Add(2 * time.Second)); now = now.Add(5 * time.Millisecond) {
+		list.Observe(now, 1, Busy)
+		list.Tick(now)
+		for _, endpoint := range view.take(list).Probe {
+			checks++
+			list.Probed(now, endpoint.ID, Answered)
 		}
 	}
-	assert.InDelta(t, 8, asked, 1)
-	assert.Equal(t, []int{1}, v.on(), "full is not gone")
+	assert.InDelta(t, 8, checks, 1)
+	assert.Equal(t, []int{1}, view.active(), "a full worker stays on the list")
 }
 
-// Guards against another box at an old address: what answers where a box was left out counts as cold and unproved.
-func TestAddressTakenOver(t *testing.T) {
-	l, v := New(Config{}), view{}
-	l.Restore(t0, keptList(time.Minute, box(1), box(2)))
-	probes(l, v, t0, 2*time.Second, func(b Endpoint) Observation {
-		if b.ID == 2 {
+// A worker that answers at the address of an excluded endpoint may be another one, so it counts as just
+// started.
+func TestExcludedEndpointThatAnswersCountsAsJustStarted(t *testing.T) {
+	list, view := New(Config{}), balancerView{}
+	list.Restore(startTime, cachedSnapshot(time.Minute, testEndpoint(1), testEndpoint(2)))
+	runHealthChecks(list, view, startTime, 2*time.Second, func(endpoint Endpoint) Observation {
+		if endpoint.ID == 2 {
 			return Refused
 		}
 		return Answered
 	})
-	require.Equal(t, []int{1}, v.on())
-	from := t0.Add(2 * time.Second)
-	probes(l, v, from, 2*maxCheckBackoff, always(Answered))
-	require.Equal(t, []int{1, 2}, v.on())
-	assert.False(t, v[2].Start.Before(from), "as if it had just started")
+	require.Equal(t, []int{1}, view.active())
+	from := startTime.Add(2 * time.Second)
+	runHealthChecks(list, view, from, 2*maxCheckBackoff, answered)
+	require.Equal(t, []int{1, 2}, view.active())
+	assert.False(t, view[2].Start.Before(from), "counts as just started")
 }
--- a/endpoints/property_test.go
+++ b/endpoints/property_test.go
@@ -9,86 +9,147 @@
 	"oakthread/balancer"
 )
 
-// Over random orders of all events: no box is given as on once it was told to drain or be gone and nothing newer came;
-// one entry a box; trust within 0..1 and never rising with age alone; the door never opens for more than its tokens.
-func TestRandomOrders(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		l, v, now := New(Config{Seed: rapid.Uint64().Draw(t, "seed"), Siblings: rapid.IntRange(1, 50).Draw(t, "siblings")}), view{}, t0
-		var boxes []Endpoint
-		for i := range rapid.IntRange(0, 5).Draw(t, "kept") {
-			boxes = append(boxes, box(i+1))
+// maxTestID is the highest worker ID that the random events name.
+const maxTestID = 7
+
+// listMachine drives a list by random events, and remembers what the list must not publish as active.
+type listMachine struct {
+	list   *List
+	view   balancerView
+	now    time.Time
+	cursor int64
+
+	// banned holds when a worker was last reported as draining or removed, without a newer report.
+	banned map[balancer.WorkerID]time.Time
+}
+
+// newListMachine returns a machine whose list is restored from a random snapshot.
+func newListMachine(t *rapid.T) *listMachine {
+	config := Config{Seed: rapid.Uint64().Draw(t, "seed"), Siblings: rapid.IntRange(1, 50).Draw(t, "dispatchers")}
+	m := &listMachine{
+		list: New(config), view: balancerView{}, now: startTime, cursor: 7,
+		banned: map[balancer.WorkerID]time.Time{},
+	}
+	var cached []Endpoint
+	for i := range rapid.IntRange(0, 5).Draw(t, "cached") {
+		cached = append(cached, testEndpoint(i+1))
+	}
+	age := time.Duration(rapid.IntRange(-10, 10_000).Draw(t, "age")) * time.Second
+	m.list.Restore(m.now, cachedSnapshot(age, cached...))
+	m.view.take(m.list)
+	return m
+}
+
+// step advances the time and gives the list one random event.
+func (m *listMachine) step(t *rapid.T) {
+	m.now = m.now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "after")) * time.Millisecond)
+	id := balancer.WorkerID(rapid.IntRange(1, maxTestID).Draw(t, "worker"))
+	switch rapid.IntRange(0, 8).Draw(t, "event") {
+	case 0:
+		m.updateOne(id, balancer.EndpointState(rapid.IntRange(0, 2).Draw(t, "state")))
+	case 1:
+		m.updateAll(t)
+	case 2:
+		m.list.ConfirmCurrent(m.now)
+	case 3:
+		m.list.WatchLost(m.now)
+	case 4:
+		m.list.Observe(m.now, id, Observation(rapid.IntRange(0, 6).Draw(t, "observation")))
+	case 5:
+		m.endCheck(id, Observation(rapid.IntRange(0, 6).Draw(t, "check")))
+	case 6:
+		m.list.ResetWatch(m.now)
+		m.cursor = 0
+	case 7:
+		m.list.Admit(m.now)
+	case 8:
+		m.list.Tick(m.now)
+	}
+	m.view.take(m.list)
+}
+
+// updateOne has service discovery report one endpoint.
+func (m *listMachine) updateOne(id balancer.WorkerID, state balancer.EndpointState) {
+	endpoint := testEndpoint(int(id))
+	endpoint.State = state
+	m.cursor++
+	m.list.HandleUpdate(m.now, Update{Cursor: m.cursor, Endpoints: []Endpoint{endpoint}})
+	delete(m.banned, id)
+	if state != balancer.Active {
+		m.banned[id] = m.now
+	}
+}
+
+// updateAll has service discovery report a random complete list.
+func (m *listMachine) updateAll(t *rapid.T) {
+	var all []Endpoint
+	clear(m.banned)
+	for id := 1; id <= maxTestID; id++ {
+		if rapid.Bool().Draw(t, "listed") {
+			all = append(all, testEndpoint(id))
+		} else {
+			m.banned[balancer.WorkerID(id)] = m.now
+		}
+	}
+	m.cursor++
+	m.list.HandleUpdate(m.now, Update{Full: true, Cursor: m.cursor, Endpoints: all})
+}
+
+// endCheck ends a health check. An answer of a worker whose entry is active ends its own drain.
+func (m *listMachine) endCheck(id balancer.WorkerID, observation Observation) {
+	m.list.Probed(m.now, id, observation)
+	entry := m.list.entries[id]
+	if entry == nil {
+		return
+	}
+	switch {
+	case observation == Drains:
+		m.banned[id] = m.now
+	case observation.isResponse() && entry.State == balancer.Active:
+		delete(m.banned, id)
+	}
+}
+
+// checkDrains fails if a worker is published as active within drainReportTTL of a report to the contrary.
+func (m *listMachine) checkDrains(t *rapid.T) {
+	for id, reportedAt := range m.banned {
+		endpoint, isPublished := m.view[id]
+		age := m.now.Sub(reportedAt)
+		if isPublished && endpoint.State == balancer.Active && age < drainReportTTL {
+			t.Fatalf("worker %d is published as active %v after it was reported as draining or removed", id, age)
+		}
+	}
+}
+
+// checkRows fails if a worker is listed twice, has a confidence outside 0..1 or one that grows with age, or
+// is published without being listed.
+func (m *listMachine) checkRows(t *rapid.T) {
+	listed := map[balancer.WorkerID]bool{}
+	for _, row := range m.list.Rows(m.now) {
+		if listed[row.ID] {
+			t.Fatalf("worker %d is listed twice", row.ID)
+		}
+		listed[row.ID] = true
+		later := m.list.Confidence(m.now.Add(time.Hour), row.ID)
+		if !(row.Trust >= 0 && row.Trust <= 1) || later > row.Trust {
+			t.Fatalf("worker %d: confidence %v, an hour later %v", row.ID, row.Trust, later)
+		}
+	}
+	for id := range m.view {
+		if !listed[id] {
+			t.Fatalf("worker %d is published and not listed", id)
 		}
-		l.Restore(now, keptList(time.Duration(rapid.IntRange(-10, 10_000).Draw(t, "age"))*time.Second, boxes...))
-		v.take(l)
-		banned := map[balancer.WorkerID]time.Time{} // told or said that it drains or is gone
-		cursor := int64(7)
+	}
+}
+
+// The invariants of the published list and of confidence hold over random orders of all events.
+func TestInvariantsHoldOverRandomEvents(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		machine := newListMachine(t)
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
-			now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "after")) * time.Millisecond)
-			id := balancer.WorkerID(rapid.IntRange(1, 7).Draw(t, "box"))
-			switch rapid.IntRange(0, 8).Draw(t, "event") {
-			case 0:
-				b := box(int(id))
-				b.State = balancer.EndpointState(rapid.IntRange(0, 2).Draw(t, "state"))
-				cursor++
-				l.HandleUpdate(now, Update{Cursor: cursor, Endpoints: []Endpoint{b}})
-				if delete(banned, id); b.State != balancer.Active {
-					banned[id] = now
-				}
-			case 1:
-				var all []Endpoint
-				clear(banned)
-				for i := 1; i <= 7; i++ {
-					if rapid.Bool().Draw(t, "in") {
-						all = append(all, box(i))
-					} else {
-						banned[balancer.WorkerID(i)] = now
-					}
-				}
-				cursor++
-				l.HandleUpdate(now, Update{Full: true, Cursor: cursor, Endpoints: all})
-			case 2:
-				l.ConfirmCurrent(now)
-			case 3:
-				l.WatchLost(now)
-			case 4:
-				l.Observe(now, id, Observation(rapid.IntRange(0, 6).Draw(t, "sign")))
-			case 5:
-				s := Observation(rapid.IntRange(0, 6).Draw(t, "probe"))
-				if l.Probed(now, id, s); s == Drains && l.entries[id] != nil {
-					banned[id] = now
-				} else if e := l.entries[id]; (s == Answered || s == Slow) && e != nil && e.State == balancer.Active {
-					delete(banned, id) // it takes work again, or another box stands there
-				}
-			case 6:
-				l.ResetWatch(now)
-				cursor = 0
-			case 7:
-				l.Admit(now)
-			case 8:
-				l.Tick(now)
-			}
-			v.take(l)
-			for id, at := range banned {
-				if b, there := v[id]; there && b.State == balancer.Active && now.Sub(at) < drainReportTTL {
-					t.Fatalf("box %d is given as on %v after it was told to drain or be gone", id, now.Sub(at))
-				}
-			}
-			seen := map[balancer.WorkerID]bool{}
-			for _, r := range l.Rows(now) {
-				if seen[r.ID] {
-					t.Fatalf("box %d stands there twice", r.ID)
-				}
-				seen[r.ID] = true
-				later := l.Confidence(now.Add(time.Hour), r.ID)
-				if !(r.Trust >= 0 && r.Trust <= 1) || later > r.Trust {
-					t.Fatalf("box %d: trust %v, an hour later %v", r.ID, r.Trust, later)
-				}
-			}
-			for id := range v {
-				if !seen[id] {
-					t.Fatalf("box %d is given and not in the list", id)
-				}
-			}
+			machine.step(t)
+			machine.checkDrains(t)
+			machine.checkRows(t)
 		}
 	})
 }
--- a/endpoints/restore_test.go
+++ b/endpoints/restore_test.go
@@ -10,88 +10,89 @@
 	"oakthread/balancer"
 )
 
-// Guards the start: nothing is given to the module before a box has answered, then only those that did.
-func TestOnlyProvenBoxesAreGiven(t *testing.T) {
-	l, v := New(Config{Siblings: 3}), view{}
-	gone := box(3)
-	gone.State = balancer.Draining
-	l.Restore(t0, keptList(6*time.Hour, box(1), box(2), gone))
-	assert.Empty(t, l.TakeActions().Publish, "no list before a proof")
-	asked := probes(l, v, t0, time.Second, func(b Endpoint) Observation {
-		if b.ID == 1 {
+// After a restore nothing is published before a worker has answered, then only the workers that did.
+func TestOnlyVerifiedEndpointsArePublished(t *testing.T) {
+	list, view := New(Config{Siblings: 3}), balancerView{}
+	draining := testEndpoint(3)
+	draining.State = balancer.Draining
+	list.Restore(startTime, cachedSnapshot(6*time.Hour, testEndpoint(1), testEndpoint(2), draining))
+	assert.Empty(t, list.TakeActions().Publish, "no list before an answer")
+	checks := runHealthChecks(list, view, startTime, time.Second, func(endpoint Endpoint) Observation {
+		if endpoint.ID == 1 {
 			return Answered
 		}
 		return Refused
 	})
-	assert.Equal(t, []int{1}, v.on())
-	assert.Zero(t, asked[3], "discovery's word on a drain needs no proof")
-	assert.Less(t, l.Confidence(t0.Add(time.Second), 2), exclusionThreshold)
-	assert.Equal(t, 1, l.Usable())
+	assert.Equal(t, []int{1}, view.active())
+	assert.Zero(t, checks[3], "a drain by service discovery needs no check")
+	assert.Less(t, list.Confidence(startTime.Add(time.Second), 2), exclusionThreshold)
+	assert.Equal(t, 1, list.Usable())
 }
 
-// Guards the dispatcher against a list of which nothing is left: it says so, once, and gives out nothing.
-func TestAllGone(t *testing.T) {
-	l := New(Config{})
-	l.Restore(t0, keptList(time.Hour, box(1), box(2)))
-	said := 0
-	for now := t0; now.Before(t0.Add(5 * time.Second)); now = now.Add(5 * time.Millisecond) {
-		l.Tick(now)
-		a := l.TakeActions()
-		for _, b := range a.Probe {
-			l.Probed(now, b.ID, Silent)
+// A list without any endpoint left is logged once, and nothing is published.
+func TestExhaustedListIsLoggedOnceAndNotPublished(t *testing.T) {
+	list := New(Config{})
+	list.Restore(startTime, cachedSnapshot(time.Hour, testEndpoint(1), testEndpoint(2)))
+	logged := 0
+	for now := startTime; now.Before(startTime.Add(5 * time.Second)); now = now.Add(5 * time.Millisecond) {
+		list.Tick(now)
+		actions := list.TakeActions()
+		for _, endpoint := range actions.Probe {
+			list.Probed(now, endpoint.ID, Silent)
 		}
-		assert.Empty(t, a.Publish)
-		for _, line := range a.Log {
-			if line.Message == "no cached endpoint left" {
-				assert.Equal(t, []slog.Attr{slog.Int("excluded", 2), slog.Int("draining", 0)}, line.Attrs)
-				said++
+		assert.Empty(t, actions.Publish)
+		for _, event := range actions.Log {
+			if event.Message == "no cached endpoint left" {
+				assert.Equal(t, []slog.Attr{slog.Int("excluded", 2), slog.Int("draining", 0)}, event.Attrs)
+				logged++
 			}
 		}
 	}
-	assert.Equal(t, 1, said)
+	assert.Equal(t, 1, logged)
 }
 
-// Guards the boxes against a fleet of dispatchers that restarts at once: probes are spread and bounded.
-func TestProbesAreSpread(t *testing.T) {
-	var boxes []Endpoint
+// The health checks of many dispatchers that restart together are spread and bounded at each worker.
+func TestHealthChecksOfRestartingFleetAreSpread(t *testing.T) {
+	var endpoints []Endpoint
 	for i := range 200 {
-		boxes = append(boxes, box(i+1))
+		endpoints = append(endpoints, testEndpoint(i+1))
 	}
-	const n = 60 // dispatchers
-	perBox := map[balancer.WorkerID]map[int]int{}
-	for d := range n {
-		l, v := New(Config{Siblings: n, Seed: uint64(d)}), view{}
-		l.Restore(t0, keptList(time.Hour, boxes...))
-		out := 0
+	const dispatchers = 60
+	const ticksPerInterval = 20 // of 5 ms each: a tenth of a second
+	checksByInterval := map[balancer.WorkerID]map[int]int{}
+	for dispatcher := range dispatchers {
+		list, view := New(Config{Siblings: dispatchers, Seed: uint64(dispatcher)}), balancerView{}
+		list.Restore(startTime, cachedSnapshot(time.Hour, endpoints...))
+		started := 0 // at most in one tick
 		for tick := range 100 {
-			now := t0.Add(time.Duration(tick) * 5 * time.Millisecond)
-			l.Tick(now)
-			ps := v.take(l).Probe
-			out = max(out, len(ps))
-			for _, b := range ps {
-				if perBox[b.ID] == nil {
-					perBox[b.ID] = map[int]int{}
+			now := startTime.Add(time.Duration(tick) * 5 * time.Millisecond)
+			list.Tick(now)
+			checks := view.take(list).Probe
+			started = max(started, len(checks))
+			for _, endpoint := range checks {
+				if checksByInterval[endpoint.ID] == nil {
+					checksByInterval[endpoint.ID] = map[int]int{}
 				}
-				perBox[b.ID][tick/20]++ // in a tenth of a second
-				l.Probed(now, b.ID, Answered)
+				checksByInterval[endpoint.ID][tick/ticksPerInterval]++
+				list.Probed(now, endpoint.ID, Answered)
 			}
 		}
-		assert.LessOrEqual(t, out, maxConcurrentChecks)
+		assert.LessOrEqual(t, started, maxConcurrentChecks)
 	}
-	most := 0
-	for _, by := range perBox {
-		for _, k := range by {
-			most = max(most, k)
+	busiest := 0
+	for _, byInterval := range checksByInterval {
+		for _, count := range byInterval {
+			busiest = max(busiest, count)
 		}
 	}
-	assert.LessOrEqual(t, most, 3*defaultHealthCheckRate/10, "at one box in a tenth of a second, from %d dispatchers", n)
+	assert.LessOrEqual(t, busiest, 3*defaultHealthCheckRate/10, "checks of one worker in a tenth of a second")
 }
 
-// Guards against a made-up age: a list from the future is of unknown age.
-func TestClockWentBack(t *testing.T) {
-	l := New(Config{})
-	l.Restore(t0, keptList(-time.Hour, box(1)))
-	var h History
-	assert.InDelta(t, h.Survival(unknownAge), l.Confidence(t0, 1), 1e-9)
-	assert.Negative(t, l.Rows(t0)[0].Age)
+// A snapshot dated in the future, as after the clock was set back, has an unknown age.
+func TestSnapshotFromTheFutureHasUnknownAge(t *testing.T) {
+	list := New(Config{})
+	list.Restore(startTime, cachedSnapshot(-time.Hour, testEndpoint(1)))
+	var history History
+	assert.InDelta(t, history.Survival(unknownAge), list.Confidence(startTime, 1), 1e-9)
+	assert.Negative(t, list.Rows(startTime)[0].Age)
 }
--- a/endpoints/slowstart_test.go
+++ b/endpoints/slowstart_test.go
@@ -7,50 +7,51 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Guards cold and crowded boxes: what passes the door starts below the cold budget and doubles with proofs alone.
-func TestRamp(t *testing.T) {
-	l, v := New(Config{}), view{}
-	l.Restore(t0, keptList(time.Minute, box(1), box(2)))
-	_, ok := l.Admit(t0)
+// The admission rate starts at a part of the former load, doubles with successes only and halves with
+// setbacks.
+func TestAdmissionRateFollowsSuccessesAndSetbacks(t *testing.T) {
+	list, view := New(Config{}), balancerView{}
+	list.Restore(startTime, cachedSnapshot(time.Minute, testEndpoint(1), testEndpoint(2)))
+	_, ok := list.Admit(startTime)
 	for range 3 { // at most the random first token
-		_, ok = l.Admit(t0)
+		_, ok = list.Admit(startTime)
 	}
-	assert.False(t, ok, "no box has answered")
-	l.Probed(t0, 1, Answered)
-	l.Probed(t0, 2, Answered)
-	v.take(l)
-	passed := func(from time.Time, d time.Duration) (n int) {
-		for now := from; now.Before(from.Add(d)); now = now.Add(time.Millisecond) {
-			if _, ok := l.Admit(now); ok {
-				n++
+	assert.False(t, ok, "no worker has answered")
+	list.Probed(startTime, 1, Answered)
+	list.Probed(startTime, 2, Answered)
+	view.take(list)
+	admitted := func(from time.Time) (count int) {
+		for now := from; now.Before(from.Add(time.Second)); now = now.Add(time.Millisecond) {
+			if _, ok := list.Admit(now); ok {
+				count++
 			}
 		}
-		return n
+		return count
 	}
-	assert.InDelta(t, 2*0.36*10, passed(t0, time.Second), 1.5, "0.36 of what both bore, and no more without proof")
-	now := t0.Add(time.Second)
-	l.Observe(now, 1, Answered)
-	l.Observe(now, 1, Answered) // in the same moment: one proof
-	assert.InDelta(t, 3*0.36*10, passed(now, time.Second), 1.5, "one of them doubled")
+	assert.InDelta(t, 2*0.36*10, admitted(startTime), 1.5, "0.36 of the former load, no more without a success")
+	now := startTime.Add(time.Second)
+	list.Observe(now, 1, Answered)
+	list.Observe(now, 1, Answered) // at the same time: one success
+	assert.InDelta(t, 3*0.36*10, admitted(now), 1.5, "one of them doubled")
 	now = now.Add(time.Second)
-	l.Observe(now, 1, Busy)
-	l.Observe(now, 2, Slow)
-	assert.InDelta(t, 2*0.36*10, passed(now, time.Second), 1.5, "setbacks halve")
-	l.Probed(now, 1, Answered) // any event publishes
-	v.take(l)
-	assert.Less(t, v[2].Weight, box(2).Weight, "and the module has it light until it has proved itself again")
+	list.Observe(now, 1, Busy)
+	list.Observe(now, 2, Slow)
+	assert.InDelta(t, 2*0.36*10, admitted(now), 1.5, "setbacks halve")
+	list.Probed(now, 1, Answered) // any event publishes
+	view.take(list)
+	assert.Less(t, view[2].Weight, testEndpoint(2).Weight, "the weight is reduced until the worker has recovered")
 }
 
-// Guards the promise of a time to come back: those turned away are told different times, none beyond the longest.
-func TestWaitsAreSpread(t *testing.T) {
-	l := New(Config{MaxWait: time.Second})
-	l.Restore(t0, keptList(time.Minute, box(1)))
-	l.Probed(t0, 1, Answered)
+// Rejected requests get different waits, none beyond the configured maximum.
+func TestRetryAfterIsSpreadAndBounded(t *testing.T) {
+	list := New(Config{MaxWait: time.Second})
+	list.Restore(startTime, cachedSnapshot(time.Minute, testEndpoint(1)))
+	list.Probed(startTime, 1, Answered)
 	seen := map[time.Duration]bool{}
 	for range 8 {
-		wait, ok := l.Admit(t0)
+		wait, ok := list.Admit(startTime)
 		if !ok {
-			assert.False(t, seen[wait] && wait < time.Second, "told twice: %v", wait)
+			assert.False(t, seen[wait] && wait < time.Second, "given twice: %v", wait)
 			assert.LessOrEqual(t, wait, time.Second)
 			assert.Positive(t, wait)
 			seen[wait] = true
--- a/endpoints/testing_test.go
+++ b/endpoints/testing_test.go
@@ -7,39 +7,48 @@
 	"oakthread/balancer"
 )
 
-var t0 = time.Unix(1_800_000_000, 0)
+var startTime = time.Unix(1_800_000_000, 0)
 
-func box(id int) Endpoint {
-	return Endpoint{ID: balancer.WorkerID(id), Addr: "127.0.0.1:1", State: balancer.Active, Weight: 2, Start: t0.Add(-time.Hour), RequestRate: 10}
+// testEndpoint returns an active endpoint that started an hour before startTime.
+func testEndpoint(id int) Endpoint {
+	return Endpoint{
+		ID: balancer.WorkerID(id), Addr: "127.0.0.1:1", State: balancer.Active, Weight: 2,
+		Start: startTime.Add(-time.Hour), RequestRate: 10,
+	}
 }
 
-func keptList(age time.Duration, boxes ...Endpoint) Snapshot {
-	return Snapshot{Epoch: "e1", Cursor: 7, Confirmed: t0.Add(-age), Saved: t0.Add(-age), Endpoints: boxes}
+// cachedSnapshot returns a snapshot of the given age at startTime.
+func cachedSnapshot(age time.Duration, endpoints ...Endpoint) Snapshot {
+	saved := startTime.Add(-age)
+	return Snapshot{Epoch: "e1", Cursor: 7, Confirmed: saved, Saved: saved, Endpoints: endpoints}
 }
 
-// view is the list as the module has it, from what was published.
-type view map[balancer.WorkerID]Endpoint
+// balancerView is the list as the load balancer has it, built from the publications.
+type balancerView map[balancer.WorkerID]Endpoint
 
-func (v view) take(l *List) Actions {
-	a := l.TakeActions()
-	for _, p := range a.Publish {
-		if p.Kind != balancer.EndpointsDelta {
+// take applies the list's publications and returns all its actions.
+func (v balancerView) take(list *List) Actions {
+	actions := list.TakeActions()
+	for _, publication := range actions.Publish {
+		if publication.Kind != balancer.EndpointsDelta {
 			clear(v)
 		}
-		for _, b := range p.Endpoints {
-			if b.State == balancer.Removed {
-				delete(v, b.ID)
+		for _, endpoint := range publication.Endpoints {
+			if endpoint.State == balancer.Removed {
+				delete(v, endpoint.ID)
 			} else {
-				v[b.ID] = b
+				v[endpoint.ID] = endpoint
 			}
 		}
 	}
-	return a
+	return actions
 }
 
-func (v view) on() (ids []int) {
-	for id, b := range v {
-		if b.State == balancer.Active {
+// active returns the IDs of the active endpoints in order.
+func (v balancerView) active() []int {
+	var ids []int
+	for id, endpoint := range v {
+		if endpoint.State == balancer.Active {
 			ids = append(ids, int(id))
 		}
 	}
@@ -47,18 +56,22 @@
 	return ids
 }
 
-// probes runs the list's ticks until d has passed and answers every probe by its box.
-func probes(l *List, v view, from time.Time, d time.Duration, answer func(Endpoint) Observation) (asked map[balancer.WorkerID]int) {
-	asked = map[balancer.WorkerID]int{}
-	for now := from; now.Before(from.Add(d)); now = now.Add(5 * time.Millisecond) {
-		l.Tick(now)
-		for _, b := range v.take(l).Probe {
-			asked[b.ID]++
-			l.Probed(now, b.ID, answer(b))
+// runHealthChecks ticks the list for the duration, ends every health check by what observe returns, and
+// returns the number of checks of each worker.
+func runHealthChecks(list *List, view balancerView, from time.Time, duration time.Duration,
+	observe func(Endpoint) Observation,
+) map[balancer.WorkerID]int {
+	checks := map[balancer.WorkerID]int{}
+	for now := from; now.Before(from.Add(duration)); now = now.Add(5 * time.Millisecond) {
+		list.Tick(now)
+		for _, endpoint := range view.take(list).Probe {
+			checks[endpoint.ID]++
+			list.Probed(now, endpoint.ID, observe(endpoint))
 		}
-		v.take(l)
+		view.take(list)
 	}
-	return asked
+	return checks
 }
 
-func always(s Observation) func(Endpoint) Observation { return func(Endpoint) Observation { return s } }
+// answered is the observation of a worker that answers every health check.
+func answered(Endpoint) Observation { return Answered }
--- a/endpoints/watch_test.go
+++ b/endpoints/watch_test.go
@@ -9,122 +9,125 @@
 	"oakthread/balancer"
 )
 
-// Guards against a stale word: a list that is merely confirmed does not bring back what said that it drains.
-func TestConfirmationDoesNotUndoADrain(t *testing.T) {
-	l, v := New(Config{}), view{}
-	l.Restore(t0, keptList(time.Minute, box(1), box(2)))
-	probes(l, v, t0, time.Second, always(Answered))
-	now := t0.Add(time.Second)
-	l.Probed(now, 2, Drains)
-	l.ConfirmCurrent(now.Add(100 * time.Millisecond))
-	v.take(l)
-	assert.Equal(t, []int{1}, v.on())
-	asked := probes(l, v, now.Add(time.Second), 2*drainReportTTL, always(Answered))
-	assert.NotZero(t, asked[2], "asked again when its word has run out")
-	assert.Equal(t, []int{1, 2}, v.on())
+// The confirmation of a list does not end a drain that the worker itself reported.
+func TestConfirmationKeepsOwnDrainReport(t *testing.T) {
+	list, view := New(Config{}), balancerView{}
+	list.Restore(startTime, cachedSnapshot(time.Minute, testEndpoint(1), testEndpoint(2)))
+	runHealthChecks(list, view, startTime, time.Second, answered)
+	now := startTime.Add(time.Second)
+	list.Probed(now, 2, Drains)
+	list.ConfirmCurrent(now.Add(100 * time.Millisecond))
+	view.take(list)
+	assert.Equal(t, []int{1}, view.active())
+	checks := runHealthChecks(list, view, now.Add(time.Second), 2*drainReportTTL, answered)
+	assert.NotZero(t, checks[2], "checked again when its report has expired")
+	assert.Equal(t, []int{1, 2}, view.active())
 }
 
-// Guards what comes with discovery's return: gone boxes leave, fresh ones come with their start, the rest stays as it is.
-func TestDiscoveryReturns(t *testing.T) {
-	l, v := New(Config{}), view{}
-	l.Restore(t0, keptList(time.Hour, box(1), box(2), box(3)))
-	probes(l, v, t0, time.Second, func(b Endpoint) Observation {
-		if b.ID == 3 {
+// When the watch is restored, removed endpoints leave, new ones join with their start time, and the rest
+// is not published anew.
+func TestLiveWatchReplacesCachedList(t *testing.T) {
+	list, view := New(Config{}), balancerView{}
+	list.Restore(startTime, cachedSnapshot(time.Hour, testEndpoint(1), testEndpoint(2), testEndpoint(3)))
+	runHealthChecks(list, view, startTime, time.Second, func(endpoint Endpoint) Observation {
+		if endpoint.ID == 3 {
 			return Silent
 		}
 		return Answered
 	})
-	now := t0.Add(time.Second)
-	fresh := box(9)
-	fresh.Start = now
-	gone := box(2)
-	gone.State = balancer.Removed
-	l.HandleUpdate(now, Update{Cursor: 8, Endpoints: []Endpoint{gone, fresh}})
-	v.take(l)
-	assert.Equal(t, []int{1, 9}, v.on(), "changes count at once")
-	l.ConfirmCurrent(now)
-	a := v.take(l)
-	for _, p := range a.Publish {
-		assert.Equal(t, balancer.EndpointsDelta, p.Kind, "beliefs about those that stayed are kept")
+	now := startTime.Add(time.Second)
+	joined := testEndpoint(9)
+	joined.Start = now
+	removed := testEndpoint(2)
+	removed.State = balancer.Removed
+	list.HandleUpdate(now, Update{Cursor: 8, Endpoints: []Endpoint{removed, joined}})
+	view.take(list)
+	assert.Equal(t, []int{1, 9}, view.active(), "changes apply at once")
+	list.ConfirmCurrent(now)
+	for _, publication := range view.take(list).Publish {
+		assert.Equal(t, balancer.EndpointsDelta, publication.Kind, "the balancer keeps its state of the others")
 	}
-	assert.Equal(t, []int{1, 3, 9}, v.on(), "discovery's word on the rest")
-	assert.Equal(t, now, v[9].Start, "cold by what was told")
-	assert.False(t, l.InSlowStart())
-	var whats []What
-	for _, e := range l.TakeSnapshot(now).History.Events {
-		whats = append(whats, e.What)
+	assert.Equal(t, []int{1, 3, 9}, view.active(), "the others are as service discovery has them")
+	assert.Equal(t, now, view[9].Start, "the reported start time")
+	assert.False(t, list.InSlowStart())
+	var events []What
+	for _, event := range list.TakeSnapshot(now).History.Events {
+		events = append(events, event.What)
 	}
-	assert.Equal(t, []What{Left, Joined}, whats)
-	assert.Equal(t, int64(8), l.Cursor())
+	assert.Equal(t, []What{Left, Joined}, events)
+	assert.Equal(t, int64(8), list.Cursor())
 }
 
-// Guards the numbering: a change under another epoch is not mixed in; after a reset the list comes whole.
-func TestEpochs(t *testing.T) {
-	l, v := New(Config{}), view{}
-	l.HandleUpdate(t0, Update{Full: true, Epoch: "e1", Cursor: 50, Endpoints: []Endpoint{box(1), box(2)}})
-	v.take(l)
-	l.HandleUpdate(t0, Update{Epoch: "e2", Cursor: 51, Endpoints: []Endpoint{box(3)}})
-	v.take(l)
-	assert.Equal(t, []int{1, 2}, v.on())
-	assert.Equal(t, int64(50), l.Cursor())
-	l.ResetWatch(t0)
-	v.take(l)
-	assert.Equal(t, []int{1, 2}, v.on(), "the list stays until it is told anew")
-	l.HandleUpdate(t0, Update{Full: true, Epoch: "e2", Cursor: 1, Endpoints: []Endpoint{box(2), box(3)}})
-	v.take(l)
-	assert.Equal(t, []int{2, 3}, v.on())
-	assert.Equal(t, int64(1), l.Cursor())
-	assert.Equal(t, "e2", l.Epoch())
+// A partial update of another epoch is ignored. After a reset the list stays until the next full update.
+func TestUpdateOfAnotherEpochIsIgnored(t *testing.T) {
+	list, view := New(Config{}), balancerView{}
+	full := []Endpoint{testEndpoint(1), testEndpoint(2)}
+	list.HandleUpdate(startTime, Update{Full: true, Epoch: "e1", Cursor: 50, Endpoints: full})
+	view.take(list)
+	list.HandleUpdate(startTime, Update{Epoch: "e2", Cursor: 51, Endpoints: []Endpoint{testEndpoint(3)}})
+	view.take(list)
+	assert.Equal(t, []int{1, 2}, view.active())
+	assert.Equal(t, int64(50), list.Cursor())
+	list.ResetWatch(startTime)
+	view.take(list)
+	assert.Equal(t, []int{1, 2}, view.active(), "the list stays until the next full update")
+	full = []Endpoint{testEndpoint(2), testEndpoint(3)}
+	list.HandleUpdate(startTime, Update{Full: true, Epoch: "e2", Cursor: 1, Endpoints: full})
+	view.take(list)
+	assert.Equal(t, []int{2, 3}, view.active())
+	assert.Equal(t, int64(1), list.Cursor())
+	assert.Equal(t, "e2", list.Epoch())
 }
 
-// Guards a restart through a discovery that comes back half way, is lost again, and comes back with another epoch: what it
-// told counts at once, the rest lives on by its proofs, and the last word is whole.
-func TestDiscoveryComesAndGoes(t *testing.T) {
-	l, v := New(Config{}), view{}
-	l.Restore(t0, keptList(time.Hour, box(1), box(2), box(3)))
-	probes(l, v, t0, time.Second, always(Answered))
-	now := t0.Add(time.Second)
-	drain := box(2)
-	drain.State = balancer.Draining
-	l.HandleUpdate(now, Update{Cursor: 8, Epoch: "e1", Endpoints: []Endpoint{drain}}) // and then its connection is cut
-	l.WatchLost(now)
-	v.take(l)
-	assert.Equal(t, []int{1, 3}, v.on())
-	assert.False(t, l.Live(), "half of its word is not the whole list")
-	asked := probes(l, v, now, 20*time.Second, always(Answered))
-	assert.Zero(t, asked[2])
-	assert.Equal(t, []int{1, 3}, v.on(), "an answer does not undo discovery's word on a drain")
+// When the watch is lost after a partial update and restored with another epoch, the update applies at
+// once, the other endpoints stay by their own answers, and the full update replaces all.
+func TestInterruptedWatchKeepsVerifiedEndpoints(t *testing.T) {
+	list, view := New(Config{}), balancerView{}
+	list.Restore(startTime, cachedSnapshot(time.Hour, testEndpoint(1), testEndpoint(2), testEndpoint(3)))
+	runHealthChecks(list, view, startTime, time.Second, answered)
+	now := startTime.Add(time.Second)
+	draining := testEndpoint(2)
+	draining.State = balancer.Draining
+	list.HandleUpdate(now, Update{Cursor: 8, Epoch: "e1", Endpoints: []Endpoint{draining}})
+	list.WatchLost(now)
+	view.take(list)
+	assert.Equal(t, []int{1, 3}, view.active())
+	assert.False(t, list.Live(), "a partial update does not make the list current")
+	checks := runHealthChecks(list, view, now, 20*time.Second, answered)
+	assert.Zero(t, checks[2])
+	assert.Equal(t, []int{1, 3}, view.active(), "an answer does not end a drain by service discovery")
 	now = now.Add(20 * time.Second)
-	l.ResetWatch(now)
-	l.HandleUpdate(now, Update{Full: true, Epoch: "e2", Cursor: 1, Endpoints: []Endpoint{box(3), box(4)}})
-	v.take(l)
-	assert.Equal(t, []int{3, 4}, v.on())
-	assert.True(t, l.Live())
-	k := l.TakeSnapshot(now)
-	assert.Equal(t, "e2", k.Epoch)
-	assert.Len(t, k.Endpoints, 2)
+	list.ResetWatch(now)
+	full := []Endpoint{testEndpoint(3), testEndpoint(4)}
+	list.HandleUpdate(now, Update{Full: true, Epoch: "e2", Cursor: 1, Endpoints: full})
+	view.take(list)
+	assert.Equal(t, []int{3, 4}, view.active())
+	assert.True(t, list.Live())
+	snapshot := list.TakeSnapshot(now)
+	assert.Equal(t, "e2", snapshot.Epoch)
+	assert.Len(t, snapshot.Endpoints, 2)
 }
 
-// Guards steady service while discovery is away: boxes without traffic are asked again as trust runs down.
-func TestLostWhileServing(t *testing.T) {
-	l, v := New(Config{}), view{}
-	l.HandleUpdate(t0, Update{Full: true, Cursor: 1, Endpoints: []Endpoint{box(1), box(2)}})
-	v.take(l)
-	l.WatchLost(t0)
-	asked := probes(l, v, t0, time.Second, always(Answered))
-	assert.Empty(t, asked, "just told")
-	for now := t0; now.Before(t0.Add(12 * time.Hour)); now = now.Add(10 * time.Second) {
-		l.Tick(now)
-		for _, b := range v.take(l).Probe {
-			asked[b.ID]++
-			s := Answered
-			if b.ID == 2 {
-				s = Silent
+// While the watch is lost, endpoints without traffic are checked again as confidence falls.
+func TestEndpointsAreRecheckedWhileWatchIsLost(t *testing.T) {
+	list, view := New(Config{}), balancerView{}
+	list.HandleUpdate(startTime, Update{Full: true, Cursor: 1, Endpoints: []Endpoint{testEndpoint(1), testEndpoint(2)}})
+	view.take(list)
+	list.WatchLost(startTime)
+	checks := runHealthChecks(list, view, startTime, time.Second, answered)
+	assert.Empty(t, checks, "just reported")
+	for now := startTime; now.Before(startTime.Add(12 * time.Hour)); now = now.Add(10 * time.Second) {
+		list.Tick(now)
+		for _, endpoint := range view.take(list).Probe {
+			checks[endpoint.ID]++
+			observation := Answered
+			if endpoint.ID == 2 {
+				observation = Silent
 			}
-			l.Probed(now, b.ID, s)
+			list.Probed(now, endpoint.ID, observation)
 		}
-		v.take(l)
+		view.take(list)
 	}
-	assert.Equal(t, []int{1}, v.on())
-	assert.Greater(t, asked[1], 1)
+	assert.Equal(t, []int{1}, view.active())
+	assert.Greater(t, checks[1], 1)
 }
