--- /dev/null
+++ b/internal/endpointcache/durability_test.go
@@ -0,0 +1,207 @@
+package endpointcache
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"os/exec"
+	"os/signal"
+	"path/filepath"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"oakthread/balancer"
+	"oakthread/endpoints"
+)
+
+const (
+	// writerEnv has the test binary write lists to the file it names, until it is killed.
+	writerEnv = "OAKTHREAD_KEPT_WRITER"
+
+	// fullDiskEnv has the test binary write a list to the file it names that a limit on file sizes does
+	// not allow, and another once the limit is gone.
+	fullDiskEnv = "OAKTHREAD_KEPT_FULL"
+
+	pageSize = 4096
+)
+
+func TestMain(m *testing.M) {
+	if path := os.Getenv(fullDiskEnv); path != "" {
+		must(writeToFullDisk(path))
+		return
+	}
+	if path := os.Getenv(writerEnv); path != "" {
+		must(writeWithoutEnd(path))
+		return
+	}
+	os.Exit(m.Run())
+}
+
+// must panics with an error of a child process, whose parent sees that it failed.
+func must(err error) {
+	if err != nil {
+		panic(err)
+	}
+}
+
+// writeToFullDisk writes under a limit on file sizes and without it, and prints the results.
+func writeToFullDisk(path string) error {
+	signal.Ignore(syscall.SIGXFSZ)
+	store, _, err := Open(path, "d1")
+	if err != nil {
+		return err
+	}
+	if err := store.Write(sample(20)); err != nil {
+		return err
+	}
+	var usual syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_FSIZE, &usual); err != nil {
+		return err
+	}
+	small := usual
+	small.Cur = 128 << 10
+	if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &small); err != nil {
+		return err
+	}
+	fmt.Println("too long:", store.Write(sample(20_000)) != nil)
+	if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &usual); err != nil {
+		return err
+	}
+	fmt.Println("short:", store.Write(sample(30)))
+	fmt.Println("closed:", store.Close())
+	return nil
+}
+
+// writeWithoutEnd writes lists whose endpoints all name the number of the write.
+func writeWithoutEnd(path string) error {
+	store, _, err := Open(path, "d1")
+	if err != nil {
+		return err
+	}
+	for n := 0; ; n++ {
+		snapshot := sample(50)
+		snapshot.Cursor = int64(n)
+		for i := range snapshot.Endpoints {
+			snapshot.Endpoints[i].Cell = n
+		}
+		if err := store.Write(snapshot); err != nil {
+			return err
+		}
+		if n == 0 {
+			if _, err := os.Stdout.WriteString("writing\n"); err != nil {
+				return err
+			}
+		}
+	}
+}
+
+// damage returns a copy of a file with one fault: a flipped bit, a cut, or a page of noise or of zeros.
+func damage(rng *rand.Rand, kind int, file []byte) []byte {
+	damaged := append([]byte(nil), file...)
+	switch kind % 4 {
+	case 0:
+		damaged[rng.IntN(len(damaged))] ^= 1 << rng.IntN(8)
+	case 1:
+		damaged = damaged[:rng.IntN(len(damaged))]
+	case 2:
+		at := rng.IntN(len(damaged)/pageSize) * pageSize
+		for i := range pageSize {
+			damaged[at+i] = byte(rng.Uint32())
+		}
+	case 3:
+		at := rng.IntN(len(damaged)/pageSize) * pageSize
+		clear(damaged[at : at+pageSize])
+	}
+	return damaged
+}
+
+// Whatever page of a file is torn or flipped, a start goes on with the valid records or none, and the next
+// list can be written. 400 files are damaged, each in its own way.
+func TestDamagedFiles(t *testing.T) {
+	intact, err := os.ReadFile(writeSample(t, 40))
+	require.NoError(t, err)
+	want := map[balancer.WorkerID]endpoints.Endpoint{}
+	for _, endpoint := range sample(40).Endpoints {
+		want[endpoint.ID] = endpoint
+	}
+	rng := rand.New(rand.NewPCG(1, 2))
+	path := filepath.Join(t.TempDir(), "list.db")
+	replaced := 0
+	for i := range 400 {
+		require.NoError(t, os.WriteFile(path, damage(rng, i, intact), 0o600))
+		if useDamagedFile(t, path, want) {
+			replaced++
+		}
+		require.NoError(t, os.RemoveAll(path))
+	}
+	assert.Positive(t, replaced)
+}
+
+// useDamagedFile opens a damaged file and writes to it, and reports whether Open replaced it.
+func useDamagedFile(t *testing.T, path string, want map[balancer.WorkerID]endpoints.Endpoint) (replaced bool) {
+	t.Helper()
+	store, found, err := Open(path, "d1")
+	if err != nil && store == nil { // such as another owner's name by a flipped bit
+		assert.NotContains(t, err.Error(), "\n")
+		return false
+	}
+	if err != nil {
+		require.ErrorIs(t, err, ErrDamaged)
+		assert.FileExists(t, path+".damaged")
+		replaced = true
+	}
+	for _, endpoint := range found.Kept.Endpoints {
+		assert.Equal(t, want[endpoint.ID], endpoint, "only valid records")
+	}
+	if err := store.Write(sample(5)); err != nil {
+		require.ErrorIs(t, err, ErrDamaged)
+		_ = store.Close()
+		return replaced
+	}
+	require.NoError(t, store.Close())
+	found, err = Read(path, "d1")
+	require.NoError(t, err)
+	assert.Len(t, found.Kept.Endpoints, 5)
+	return replaced
+}
+
+// The file holds one complete list whenever its writer is killed.
+func TestKilledWhileWriting(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "list.db")
+	rng := rand.New(rand.NewPCG(3, 4))
+	for range 12 {
+		cmd := exec.CommandContext(t.Context(), os.Args[0])
+		cmd.Env = append(os.Environ(), writerEnv+"="+path)
+		out, err := cmd.StdoutPipe()
+		require.NoError(t, err)
+		require.NoError(t, cmd.Start())
+		_, err = out.Read(make([]byte, 8))
+		require.NoError(t, err)
+		<-time.After(time.Duration(rng.IntN(40)) * time.Millisecond) // wherever the writer is by then
+		require.NoError(t, cmd.Process.Kill())
+		_ = cmd.Wait()
+		found, err := Read(path, "d1")
+		require.NoError(t, err)
+		require.Len(t, found.Kept.Endpoints, 50)
+		for _, endpoint := range found.Kept.Endpoints {
+			assert.Equal(t, int(found.Kept.Cursor), endpoint.Cell)
+		}
+	}
+}
+
+// On a full disk the write fails and the file stays valid. The next list is written once there is space.
+func TestFullDisk(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "list.db")
+	cmd := exec.CommandContext(t.Context(), os.Args[0])
+	cmd.Env = append(os.Environ(), fullDiskEnv+"="+path)
+	out, err := cmd.CombinedOutput()
+	require.NoError(t, err, string(out))
+	assert.Equal(t, "too long: true\nshort: <nil>\nclosed: <nil>\n", string(out))
+	found, err := Read(path, "d1")
+	require.NoError(t, err)
+	assert.Len(t, found.Kept.Endpoints, 30)
+}
--- a/internal/endpointcache/golden_test.go
+++ b/internal/endpointcache/golden_test.go
@@ -1,7 +1,5 @@
 package endpointcache
 
-// This file holds the kept list's stored form against a file that an earlier build of the program wrote.
-
 import (
 	"errors"
 	"flag"
@@ -29,30 +27,41 @@
 	goldenOwner = "dispatcher-7"
 )
 
-// storedList is what testdata/list.db holds: boxes in every state, events of every kind, no value twice in a record.
+// storedList returns what testdata/list.db, written by an earlier build, holds: endpoints in every state,
+// events of every kind, and no value twice in a record.
 func storedList() endpoints.Snapshot {
-	at := func(n int) time.Time { return t0.Add(time.Duration(n) * (time.Hour + time.Nanosecond)) }
-	return endpoints.Snapshot{Epoch: "epoch-3", Cursor: 1 << 40, Confirmed: at(1), Saved: at(2),
+	at := func(n int) time.Time { return startTime.Add(time.Duration(n) * (time.Hour + time.Nanosecond)) }
+	return endpoints.Snapshot{
+		Epoch: "epoch-3", Cursor: 1 << 40, Confirmed: at(1), Saved: at(2),
 		Endpoints: []endpoints.Endpoint{
-			{ID: 1, Addr: "127.0.0.1:7001", Zone: 6, Kind: 3, Cell: 4, State: balancer.Active, Weight: 5.5, Start: at(-9),
-				UpdatedAt: at(-8), VerifiedAt: at(-7), RequestRate: 6.25},
-			{ID: 12, Addr: "127.0.0.1:7002", Zone: 13, Kind: 14, Cell: 15, State: balancer.Draining, Weight: 16.5,
-				Start: at(-19), UpdatedAt: at(-18), VerifiedAt: at(-17), RequestRate: 17.25},
-			{ID: 23, Addr: "[::1]:7003", Zone: 24, Kind: 25, Cell: 26, State: balancer.Removed, Weight: 27.5, Start: at(-29),
-				UpdatedAt: at(-28), VerifiedAt: at(-27), RequestRate: 28.25},
-			{ID: 34, Addr: "box.example:7004", State: balancer.Active}, // all that may be left out
-			{ID: math.MaxUint32, Addr: "127.0.0.1:7005", Zone: -1, Kind: -2, Cell: -3, State: balancer.Active, Weight: 0.1,
-				Start: time.Unix(0, 1), UpdatedAt: at(-38), VerifiedAt: at(-37), RequestRate: 1e9},
+			{
+				ID: 1, Addr: "127.0.0.1:7001", Zone: 6, Kind: 3, Cell: 4, State: balancer.Active, Weight: 5.5,
+				Start: at(-9), UpdatedAt: at(-8), VerifiedAt: at(-7), RequestRate: 6.25,
+			},
+			{
+				ID: 12, Addr: "127.0.0.1:7002", Zone: 13, Kind: 14, Cell: 15, State: balancer.Draining, Weight: 16.5,
+				Start: at(-19), UpdatedAt: at(-18), VerifiedAt: at(-17), RequestRate: 17.25,
+			},
+			{
+				ID: 23, Addr: "[::1]:7003", Zone: 24, Kind: 25, Cell: 26, State: balancer.Removed, Weight: 27.5,
+				Start: at(-29), UpdatedAt: at(-28), VerifiedAt: at(-27), RequestRate: 28.25,
+			},
+			{ID: 34, Addr: "box.example:7004", State: balancer.Active}, // everything optional left out
+			{
+				ID: math.MaxUint32, Addr: "127.0.0.1:7005", Zone: -1, Kind: -2, Cell: -3, State: balancer.Active,
+				Weight: 0.1, Start: time.Unix(0, 1), UpdatedAt: at(-38), VerifiedAt: at(-37), RequestRate: 1e9,
+			},
 		},
 		History: endpoints.History{Watched: 90*time.Hour + 1, Leaves: 3.5, Returns: 1.25, Events: []endpoints.Event{
 			{At: at(-6), Worker: 1, What: endpoints.Joined},
 			{At: at(-5), Worker: 12, What: endpoints.Left},
 			{At: at(-4), Worker: 23, What: endpoints.Restarted},
 			{At: at(-3), Worker: math.MaxUint32, What: endpoints.Drained},
-		}}}
+		}},
+	}
 }
 
-// copyOf puts a file of testdata where it may be changed.
+// copyOf copies a file of testdata to a temporary folder, where it may be changed, and returns its path.
 func copyOf(t *testing.T, path string) string {
 	t.Helper()
 	raw, err := os.ReadFile(path)
@@ -62,11 +71,11 @@
 	return to
 }
 
-// records are all records of a database that is closed, one a line: bucket, key and value in hex.
+// records returns all records of a database that is not open, one per line: bucket, key and value in hex.
 func records(t *testing.T, path string) string {
 	t.Helper()
 	var b strings.Builder
-	raw(t, path, func(tx *bbolt.Tx) error {
+	updateDatabase(t, path, func(tx *bbolt.Tx) error {
 		return tx.ForEach(func(name []byte, bucket *bbolt.Bucket) error {
 			return bucket.ForEach(func(k, v []byte) error {
 				fmt.Fprintf(&b, "%s %x %x\n", name, k, v)
@@ -77,7 +86,7 @@
 	return b.String()
 }
 
-// storedRecords are the records that the committed file has.
+// storedRecords returns the records of the committed file.
 func storedRecords(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join("testdata", "records.golden")
@@ -89,7 +98,7 @@
 	return string(want)
 }
 
-// writeList writes the list to a file, new or not.
+// writeList writes storedList to a file, new or not.
 func writeList(t *testing.T, path string) {
 	t.Helper()
 	s, _, err := Open(path, goldenOwner)
@@ -98,7 +107,7 @@
 	require.NoError(t, s.Close())
 }
 
-// With -update it makes the database where there is none; one that is there always stays.
+// The committed database exists. With -update it is created if it is missing, and never replaced.
 func TestStoredListIsThere(t *testing.T) {
 	if _, err := os.Stat(goldenList); *updateGolden && errors.Is(err, fs.ErrNotExist) {
 		writeList(t, goldenList)
@@ -106,7 +115,7 @@
 	assert.FileExists(t, goldenList)
 }
 
-// A file of an earlier build is read, with every field of every record.
+// A file of an earlier build is read with every field of every record.
 func TestStoredListIsReadable(t *testing.T) {
 	want := Found{Kept: storedList(), Owner: goldenOwner, Schema: 2}
 	path := copyOf(t, goldenList)
@@ -122,7 +131,7 @@
 	assert.Empty(t, wrong)
 }
 
-// The same list makes the same records, byte for byte: in a new file, and written again over that of an earlier build.
+// The same list gives the same records, byte for byte, in a new file and over that of an earlier build.
 func TestStoredListIsWrittenTheSame(t *testing.T) {
 	want := storedRecords(t)
 	path := copyOf(t, goldenList)
--- /dev/null
+++ b/internal/endpointcache/store_test.go
@@ -0,0 +1,132 @@
+package endpointcache
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"go.etcd.io/bbolt"
+
+	"oakthread/internal/endpointcache/keptpb"
+)
+
+// A file holds the snapshot that was written last, and nothing of those before.
+func TestLastSnapshotIsRead(t *testing.T) {
+	path := writeSample(t, 3)
+	found, err := Read(path, "d1")
+	require.NoError(t, err)
+	assert.Equal(t, Found{Kept: sample(3), Owner: "d1", Schema: Schema}, found)
+
+	store, _, err := Open(path, "d1")
+	require.NoError(t, err)
+	smaller := sample(2)
+	smaller.History.Events = nil
+	require.NoError(t, store.Write(smaller))
+	require.NoError(t, store.Close())
+	found, err = Read(path, "d1")
+	require.NoError(t, err)
+	assert.Len(t, found.Kept.Endpoints, 2, "what left the list leaves the file")
+	assert.Empty(t, found.Kept.History.Events)
+	faults, err := Check(path)
+	require.NoError(t, err)
+	assert.Empty(t, faults)
+}
+
+// The file of another dispatcher is not used and stays as it is.
+func TestFileOfAnotherOwnerIsUnchanged(t *testing.T) {
+	path := writeSample(t, 1)
+	before, err := os.ReadFile(path)
+	require.NoError(t, err)
+	_, found, err := Open(path, "d2")
+	require.ErrorIs(t, err, ErrOwner)
+	assert.True(t, found.None)
+	require.ErrorContains(t, err, `"d1", not "d2"`)
+	after, err := os.ReadFile(path)
+	require.NoError(t, err)
+	assert.Equal(t, before, after)
+}
+
+// A file that is open cannot be opened again, and can be read from a copy.
+func TestOpenFileIsReadFromACopy(t *testing.T) {
+	path := writeSample(t, 1)
+	store, _, err := Open(path, "d1")
+	require.NoError(t, err)
+	_, _, err = Open(path, "d1")
+	require.ErrorIs(t, err, ErrInUse)
+	found, err := Snapshot(path)
+	require.NoError(t, err, "reading beside a running dispatcher")
+	assert.Len(t, found.Kept.Endpoints, 1)
+	require.NoError(t, store.Close())
+}
+
+// A file of a later schema is not used; one of an older schema is read and written in the current one.
+func TestSchemas(t *testing.T) {
+	path := writeSample(t, 1)
+	changeHead(t, path, func(head *keptpb.Head) { head.Schema = Schema + 1 })
+	_, _, err := Open(path, "d1")
+	require.ErrorIs(t, err, ErrSchema)
+
+	changeHead(t, path, func(head *keptpb.Head) { head.Schema = 1 })
+	store, found, err := Open(path, "d1")
+	require.NoError(t, err, "an older one is read")
+	assert.Equal(t, 1, found.Schema)
+	require.NoError(t, store.Write(found.Kept))
+	require.NoError(t, store.Close())
+	found, err = Read(path, "d1")
+	require.NoError(t, err)
+	assert.Equal(t, Schema, found.Schema, "and written in the current one")
+}
+
+// A path that cannot be created or does not exist is an error.
+func TestUnusablePaths(t *testing.T) {
+	file := filepath.Join(t.TempDir(), "a-file")
+	require.NoError(t, os.WriteFile(file, nil, 0o600))
+	_, _, err := Open(filepath.Join(file, "list.db"), "d1")
+	require.Error(t, err, "a path that cannot be created")
+	_, err = Read(filepath.Join(t.TempDir(), "none.db"), "")
+	require.Error(t, err)
+}
+
+// A record with a flipped bit is left out and reported; the others are used.
+func TestCorruptRecordIsLeftOut(t *testing.T) {
+	path := writeSample(t, 3)
+	updateDatabase(t, path, func(tx *bbolt.Tx) error {
+		bucket := tx.Bucket(endpointBucket)
+		sealed := append([]byte(nil), bucket.Get([]byte{0, 0, 0, 2})...)
+		sealed[9] ^= 4
+		return bucket.Put([]byte{0, 0, 0, 2}, sealed)
+	})
+	store, found, err := Open(path, "d1")
+	require.NoError(t, err)
+	require.NoError(t, store.Close())
+	assert.Equal(t, 1, found.Unsound)
+	assert.Len(t, found.Kept.Endpoints, 2)
+	faults, err := Check(path)
+	require.NoError(t, err)
+	assert.Equal(t, []string{"1 records fail their checksum"}, faults)
+}
+
+// A write to a database that is closed is an error.
+func TestWriteToClosedDatabaseFails(t *testing.T) {
+	db, err := bbolt.Open(filepath.Join(t.TempDir(), "ro.db"), 0o600, nil)
+	require.NoError(t, err)
+	store := &Store{db: db, path: "ro.db"}
+	require.NoError(t, db.Close())
+	require.Error(t, store.Write(sample(1)))
+}
+
+func BenchmarkWrite(b *testing.B) {
+	store, _, err := Open(filepath.Join(b.TempDir(), "list.db"), "d1")
+	require.NoError(b, err)
+	defer func() { require.NoError(b, store.Close()) }()
+	snapshot := sample(60)
+	for n := 0; b.Loop(); n++ {
+		for i := range snapshot.Endpoints {
+			snapshot.Endpoints[i].VerifiedAt = startTime.Add(time.Duration(n) * time.Second)
+		}
+		require.NoError(b, store.Write(snapshot))
+	}
+}
--- /dev/null
+++ b/internal/endpointcache/syncer_test.go
@@ -0,0 +1,171 @@
+package endpointcache
+
+import (
+	"context"
+	"log/slog"
+	"path/filepath"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"oakthread"
+	"oakthread/balancer"
+	"oakthread/endpoints"
+)
+
+// fakeChecker answers health checks by worker.
+type fakeChecker struct {
+	mu      sync.Mutex
+	replies map[balancer.WorkerID]oakthread.Reply
+}
+
+func (c *fakeChecker) HealthCheck(_ context.Context, endpoint oakthread.Endpoint) oakthread.Reply {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.replies[endpoint.ID]
+}
+
+// runningSyncer is a Syncer whose Run has been called.
+type runningSyncer struct {
+	*Syncer
+	published chan oakthread.EndpointUpdate
+	log       *logBuffer
+	stop      func() // ends Run and waits for it
+}
+
+// startSyncer runs a Syncer whose health checks end with the given replies.
+func startSyncer(t *testing.T, options Options, replies map[balancer.WorkerID]oakthread.Reply) runningSyncer {
+	t.Helper()
+	published, log := make(chan oakthread.EndpointUpdate, 64), &logBuffer{}
+	syncer := NewKeeper(options, &fakeChecker{replies: replies},
+		func(update oakthread.EndpointUpdate) { published <- update }, time.Now(),
+		slog.New(slog.NewTextHandler(log, nil)))
+	ctx, cancel := context.WithCancel(t.Context())
+	var running sync.WaitGroup
+	running.Go(func() { syncer.Run(ctx) })
+	return runningSyncer{Syncer: syncer, published: published, log: log, stop: func() { cancel(); running.Wait() }}
+}
+
+// waitForDrainOnDisk returns once the file has three endpoints, the third of them draining.
+func waitForDrainOnDisk(t *testing.T, path string) {
+	t.Helper()
+	for begun := time.Now(); ; {
+		found, err := readCopy(path)
+		if err == nil && len(found.Kept.Endpoints) == 3 && found.Kept.Endpoints[2].State == balancer.Draining {
+			return
+		}
+		require.Less(t, time.Since(begun), 10*time.Second)
+	}
+}
+
+// A drain is on disk at once. A restart publishes the endpoints of the file that answer, and the full list
+// when the watch is restored.
+func TestRestartFromFile(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "list.db")
+	options := Options{Path: path, Owner: "d1", Roster: endpoints.Config{Siblings: 2}}
+	syncer := startSyncer(t, options, nil)
+	full := oakthread.EndpointUpdate{Kind: balancer.EndpointsSnapshot}
+	for id := 1; id <= 3; id++ {
+		full.Endpoints = append(full.Endpoints, oakthread.Endpoint{
+			ID: balancer.WorkerID(id), Addr: "127.0.0.1:91", State: balancer.Active, Weight: 2,
+		})
+	}
+	syncer.Told(full, "e1", 5)
+	assert.Equal(t, full, <-syncer.published)
+	drain := oakthread.EndpointUpdate{Endpoints: []oakthread.Endpoint{full.Endpoints[2]}}
+	drain.Endpoints[0].State = balancer.Draining
+	reportedAt := time.Now()
+	syncer.Told(drain, "e1", 6)
+	assert.Equal(t, balancer.Draining, (<-syncer.published).Endpoints[0].State)
+	waitForDrainOnDisk(t, path)
+	t.Logf("a drain was on disk %v after the report", time.Since(reportedAt))
+	syncer.stop()
+
+	syncer = startSyncer(t, options, map[balancer.WorkerID]oakthread.Reply{
+		1: {Result: balancer.OK}, 2: {Result: balancer.ConnectFailed}, 3: {Result: balancer.OK},
+	})
+	assert.Equal(t, int64(6), syncer.Cursor())
+	assert.Equal(t, "e1", syncer.Epoch())
+	cached := <-syncer.published
+	assert.Equal(t, balancer.EndpointsCached, cached.Kind)
+	require.Len(t, cached.Endpoints, 1)
+	assert.Equal(t, balancer.WorkerID(1), cached.Endpoints[0].ID)
+	assert.Contains(t, syncer.log.String(), `msg="starting from cached endpoint list" endpoints=3`)
+
+	syncer.Observe(oakthread.Observation{Worker: 1, Result: balancer.ConnectFailed})
+	syncer.Observe(oakthread.Observation{Worker: 1, Result: balancer.ConnectFailed})
+	for isRemoved := false; !isRemoved; {
+		changed := (<-syncer.published).Endpoints[0]
+		isRemoved = changed.ID == 1 && changed.State == balancer.Removed
+	}
+	syncer.Current()
+	states := map[balancer.WorkerID]balancer.EndpointState{}
+	for states[1] != balancer.Active || states[2] != balancer.Active {
+		for _, endpoint := range (<-syncer.published).Endpoints {
+			states[endpoint.ID] = endpoint.State
+		}
+	}
+	assert.Len(t, syncer.Rows(), 3)
+	syncer.stop()
+}
+
+// A file that cannot be opened is logged once, and the list works without it.
+func TestSyncerWithoutFile(t *testing.T) {
+	path := writeSample(t, 1)
+	held, _, err := Open(path, "d1")
+	require.NoError(t, err)
+	defer func() { require.NoError(t, held.Close()) }()
+	syncer := startSyncer(t, Options{Path: path, Owner: "d1"}, nil)
+	syncer.Told(oakthread.EndpointUpdate{
+		Kind: balancer.EndpointsSnapshot, Endpoints: []oakthread.Endpoint{{ID: 1, State: balancer.Active}},
+	}, "", 1)
+	assert.Len(t, (<-syncer.published).Endpoints, 1)
+	syncer.stop()
+	assert.Equal(t, 1, strings.Count(syncer.log.String(), "cached endpoint list not used"))
+	assert.Contains(t, syncer.log.String(), ErrInUse.Error())
+}
+
+// The result of an attempt shows something about the worker only if the worker caused it.
+func TestObservationsOfResults(t *testing.T) {
+	for result, want := range map[balancer.Result]endpoints.Observation{
+		balancer.OK:            endpoints.Answered,
+		balancer.NotLoaded:     endpoints.Answered,
+		balancer.QueueFull:     endpoints.Busy,
+		balancer.ConnectFailed: endpoints.Refused,
+		balancer.Timeout:       endpoints.Silent,
+		balancer.Error:         endpoints.Broken,
+		balancer.Reset:         endpoints.Broken,
+	} {
+		observation, isMeaningful := Sign(result, false)
+		assert.True(t, isMeaningful)
+		assert.Equal(t, want, observation, result)
+	}
+	for _, result := range []balancer.Result{balancer.Cancelled, balancer.NotSent} {
+		_, isMeaningful := Sign(result, false)
+		assert.False(t, isMeaningful, result)
+	}
+	observation, _ := Sign(balancer.Error, true)
+	assert.Equal(t, endpoints.Drains, observation)
+}
+
+func BenchmarkObserve(b *testing.B) {
+	syncer := NewKeeper(Options{Aims: []time.Duration{time.Second}}, nil, func(oakthread.EndpointUpdate) {},
+		time.Now(), slog.New(slog.DiscardHandler))
+	full := oakthread.EndpointUpdate{Kind: balancer.EndpointsSnapshot}
+	for i := range 60 {
+		full.Endpoints = append(full.Endpoints, oakthread.Endpoint{
+			ID: balancer.WorkerID(i), State: balancer.Active, Weight: 2,
+		})
+	}
+	syncer.Told(full, "", 1)
+	for b.Loop() {
+		syncer.Admit(nil)
+		syncer.Observe(oakthread.Observation{
+			Worker: 7, Result: balancer.OK, Warm: true, Duration: time.Millisecond,
+		})
+	}
+}
