--- a/endpoints/dialer_test.go
+++ b/endpoints/dialer_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// The dialer cycles through its addresses, waits after a full round of failures at most maxDialBackoff, and
-// returns the last address again after a success.
+// The dialer cycles through its addresses, waits after a full round of failures at most
+// maxDialBackoff, and returns the last address again after a success.
 func TestDialerCyclesAddressesWithBoundedBackoff(t *testing.T) {
 	dialer := NewDialer([]string{"a", "b", "c"}, 3)
 	first, wait := dialer.Next()
--- a/endpoints/history.go
+++ b/endpoints/history.go
@@ -19,7 +19,7 @@
 	// rates change.
 	maxObservedTime = 60 * 24 * time.Hour
 
-	// maxEvents bounds the events kept.
+	// maxEvents bounds the number of recorded events.
 	maxEvents = 512
 
 	// unknownAge is the age of an endpoint whose age is unknown, such as after the clock was set
@@ -38,7 +38,7 @@
 	Drained
 )
 
-// String returns the name that operators see.
+// String returns the name of the kind.
 func (w What) String() string { return [...]string{"joined", "left", "restarted", "drained"}[w] }
 
 // Event is a change of one worker.
--- a/endpoints/history_test.go
+++ b/endpoints/history_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// The survival probability follows the prior and the recorded departures; the history stays bounded.
+// The survival probability follows the prior and the recorded departures; the history stays
+// bounded.
 func TestSurvivalFollowsBoundedHistory(t *testing.T) {
 	var history History
 	assert.InDelta(t, 0.5, history.Survival(36*time.Hour), 1e-9, "the prior alone: (12/48)^0.5")
--- a/endpoints/observe_test.go
+++ b/endpoints/observe_test.go
@@ -10,7 +10,8 @@
 	"oakthread/balancer"
 )
 
-// Without service discovery a 503 has the worker checked, and its own report of draining binds at once.
+// Without service discovery a 503 has the worker checked, and its own report of draining binds at
+// once.
 func TestOwnDrainReportBindsBeforeDiscovery(t *testing.T) {
 	list, view := New(Config{}), balancerView{}
 	list.Restore(startTime, cachedSnapshot(time.Minute, testEndpoint(1), testEndpoint(2)))
@@ -28,7 +29,8 @@
 	assert.True(t, actions.Urgent, "saved at once")
 	assert.Equal(t, balancer.Draining, list.TakeSnapshot(now).Endpoints[1].State)
 
-	// Service discovery learns of a drain late, so its report does not replace the worker's own for a while.
+	// Service discovery learns of a drain late, so its report does not replace the worker's own for
+	// a while.
 	list.HandleUpdate(now, Update{Full: true, Cursor: 8, Endpoints: []Endpoint{testEndpoint(1), testEndpoint(2)}})
 	view.take(list)
 	assert.True(t, list.Live())
@@ -56,8 +58,8 @@
 	assert.Equal(t, []int{1}, view.active(), "a full worker stays on the list")
 }
 
-// A worker that answers at the address of an excluded endpoint may be another one, so it counts as just
-// started.
+// A worker that answers at the address of an excluded endpoint may be another one, so it counts as
+// just started.
 func TestExcludedEndpointThatAnswersCountsAsJustStarted(t *testing.T) {
 	list, view := New(Config{}), balancerView{}
 	list.Restore(startTime, cachedSnapshot(time.Minute, testEndpoint(1), testEndpoint(2)))
--- a/endpoints/property_test.go
+++ b/endpoints/property_test.go
@@ -12,7 +12,8 @@
 // maxTestID is the highest worker ID that the random events name.
 const maxTestID = 7
 
-// listMachine drives a list by random events, and remembers what the list must not publish as active.
+// listMachine drives a list by random events, and remembers what the list must not publish as
+// active.
 type listMachine struct {
 	list   *List
 	view   balancerView
@@ -110,7 +111,8 @@
 	}
 }
 
-// checkDrains fails if a worker is published as active within drainReportTTL of a report to the contrary.
+// checkDrains fails if a worker is published as active within drainReportTTL of a report to the
+// contrary.
 func (m *listMachine) checkDrains(t *rapid.T) {
 	for id, reportedAt := range m.banned {
 		endpoint, isPublished := m.view[id]
@@ -121,8 +123,8 @@
 	}
 }
 
-// checkRows fails if a worker is listed twice, has a confidence outside 0..1 or one that grows with age, or
-// is published without being listed.
+// checkRows fails if a worker is listed twice, has a confidence outside 0..1 or one that grows with
+// age, or is published without being listed.
 func (m *listMachine) checkRows(t *rapid.T) {
 	listed := map[balancer.WorkerID]bool{}
 	for _, row := range m.list.Rows(m.now) {
--- a/endpoints/restore.go
+++ b/endpoints/restore.go
@@ -30,16 +30,6 @@
 	confidenceBands = 4
 )
 
-// Snapshot is the persistent state of a List.
-type Snapshot struct {
-	Epoch     string
-	Cursor    int64
-	Confirmed time.Time // when service discovery last confirmed that the list is current
-	Saved     time.Time
-	Endpoints []Endpoint
-	History   History
-}
-
 // Restore starts the list from a snapshot. It is the first event of a list that has one.
 func (l *List) Restore(now time.Time, snapshot Snapshot) {
 	l.history = snapshot.History
--- a/endpoints/restore_test.go
+++ b/endpoints/restore_test.go
@@ -10,7 +10,8 @@
 	"oakthread/balancer"
 )
 
-// After a restore nothing is published before a worker has answered, then only the workers that did.
+// After a restore nothing is published before a worker has answered, then only the workers that
+// did.
 func TestOnlyVerifiedEndpointsArePublished(t *testing.T) {
 	list, view := New(Config{Siblings: 3}), balancerView{}
 	draining := testEndpoint(3)
@@ -51,7 +52,8 @@
 	assert.Equal(t, 1, logged)
 }
 
-// The health checks of many dispatchers that restart together are spread and bounded at each worker.
+// The health checks of many dispatchers that restart together are spread and bounded at each
+// worker.
 func TestHealthChecksOfRestartingFleetAreSpread(t *testing.T) {
 	var endpoints []Endpoint
 	for i := range 200 {
--- a/endpoints/slowstart.go
+++ b/endpoints/slowstart.go
@@ -33,8 +33,7 @@
 	// visit every endpoint.
 	rateUpdateInterval = 2 * time.Millisecond
 
-	// retryLoadFraction is the part of the former load at which rejected requests are told to
-	// return.
+	// retryLoadFraction is the part of the former load at which rejected requests are to return.
 	retryLoadFraction = 0.3
 
 	// minSlowStartWeight is the weight that an endpoint of no weight counts with.
@@ -59,7 +58,7 @@
 	endedAt       time.Time
 	tokens        float64 // requests that may be admitted at refilledAt
 	refilledAt    time.Time
-	lastRetrySlot time.Time // the last time at which a rejected request was told to return
+	lastRetrySlot time.Time // the last time given to a rejected request
 	rateUpdatedAt time.Time
 	admissionRate float64   // requests per second
 	formerRate    float64   // requests per second of all workers before the start
--- a/endpoints/slowstart_test.go
+++ b/endpoints/slowstart_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// The admission rate starts at a part of the former load, doubles with successes only and halves with
-// setbacks.
+// The admission rate starts at a part of the former load, doubles with successes only and halves
+// with setbacks.
 func TestAdmissionRateFollowsSuccessesAndSetbacks(t *testing.T) {
 	list, view := New(Config{}), balancerView{}
 	list.Restore(startTime, cachedSnapshot(time.Minute, testEndpoint(1), testEndpoint(2)))
--- a/endpoints/snapshot.go
+++ b/endpoints/snapshot.go
@@ -7,8 +7,18 @@
 	"oakthread/balancer"
 )
 
-// unknownRowAge is the age that a Row has when the age of the evidence is unknown.
-const unknownRowAge time.Duration = -1
+// unknownEvidenceAge is the reported age of evidence whose age is unknown.
+const unknownEvidenceAge time.Duration = -1
+
+// Snapshot is the persistent state of a List.
+type Snapshot struct {
+	Epoch     string
+	Cursor    int64
+	Confirmed time.Time // when service discovery last confirmed that the list is current
+	Saved     time.Time
+	Endpoints []Endpoint
+	History   History
+}
 
 // TakeSnapshot returns the state of the list for saving.
 func (l *List) TakeSnapshot(now time.Time) Snapshot {
@@ -51,7 +61,10 @@
 	rows := make([]Row, 0, len(l.sorted))
 	for _, entry := range l.sorted {
 		row := Row{
-			Endpoint: entry.Endpoint, Trust: l.confidence(now, entry), Proof: entry.verification, Age: unknownRowAge,
+			Endpoint: entry.Endpoint,
+			Trust:    l.confidence(now, entry),
+			Proof:    entry.verification,
+			Age:      unknownEvidenceAge,
 		}
 		if !entry.evidence.ageUnknown && !entry.evidence.at.IsZero() {
 			row.Age = now.Sub(entry.evidence.at)
--- a/endpoints/testing_test.go
+++ b/endpoints/testing_test.go
@@ -56,8 +56,8 @@
 	return ids
 }
 
-// runHealthChecks ticks the list for the duration, ends every health check by what observe returns, and
-// returns the number of checks of each worker.
+// runHealthChecks ticks the list for the duration, ends every health check by what observe returns,
+// and returns the number of checks of each worker.
 func runHealthChecks(list *List, view balancerView, from time.Time, duration time.Duration,
 	observe func(Endpoint) Observation,
 ) map[balancer.WorkerID]int {
--- a/endpoints/verification.go
+++ b/endpoints/verification.go
@@ -14,7 +14,7 @@
 	Draining                       // reported that it accepts no new work
 )
 
-// String returns the name that operators see in reports.
+// String returns the name of the standing.
 func (v Verification) String() string {
-	return [...]string{"told", "unproved", "proven", "doubted", "left out", "draining"}[v]
+	return [...]string{"reported", "unverified", "verified", "suspect", "excluded", "draining"}[v]
 }
--- a/endpoints/watch.go
+++ b/endpoints/watch.go
@@ -79,7 +79,7 @@
 }
 
 // updateEntry replaces what service discovery reported about an endpoint. What the worker showed is
-// kept unless another start time or address says that a new process runs there.
+// retained unless another start time or address says that a new process runs there.
 func (l *List) updateEntry(now time.Time, entry *listEntry, endpoint Endpoint) {
 	switch {
 	case !endpoint.Start.Equal(entry.Start) || endpoint.Addr != entry.Addr:
--- a/endpoints/watch_test.go
+++ b/endpoints/watch_test.go
@@ -24,8 +24,8 @@
 	assert.Equal(t, []int{1, 2}, view.active())
 }
 
-// When the watch is restored, removed endpoints leave, new ones join with their start time, and the rest
-// is not published anew.
+// When the watch is restored, removed endpoints leave, new ones join with their start time, and the
+// rest is not published anew.
 func TestLiveWatchReplacesCachedList(t *testing.T) {
 	list, view := New(Config{}), balancerView{}
 	list.Restore(startTime, cachedSnapshot(time.Hour, testEndpoint(1), testEndpoint(2), testEndpoint(3)))
@@ -58,7 +58,8 @@
 	assert.Equal(t, int64(8), list.Cursor())
 }
 
-// A partial update of another epoch is ignored. After a reset the list stays until the next full update.
+// A partial update of another epoch is ignored. After a reset the list stays until the next full
+// update.
 func TestUpdateOfAnotherEpochIsIgnored(t *testing.T) {
 	list, view := New(Config{}), balancerView{}
 	full := []Endpoint{testEndpoint(1), testEndpoint(2)}
@@ -79,8 +80,8 @@
 	assert.Equal(t, "e2", list.Epoch())
 }
 
-// When the watch is lost after a partial update and restored with another epoch, the update applies at
-// once, the other endpoints stay by their own answers, and the full update replaces all.
+// When the watch is lost after a partial update and restored with another epoch, the update applies
+// at once, the other endpoints stay by their own answers, and the full update replaces all.
 func TestInterruptedWatchKeepsVerifiedEndpoints(t *testing.T) {
 	list, view := New(Config{}), balancerView{}
 	list.Restore(startTime, cachedSnapshot(time.Hour, testEndpoint(1), testEndpoint(2), testEndpoint(3)))
--- a/internal/endpointcache/durability_test.go
+++ b/internal/endpointcache/durability_test.go
@@ -22,8 +22,8 @@
 	// writerEnv has the test binary write lists to the file it names, until it is killed.
 	writerEnv = "OAKTHREAD_KEPT_WRITER"
 
-	// fullDiskEnv has the test binary write a list to the file it names that a limit on file sizes does
-	// not allow, and another once the limit is gone.
+	// fullDiskEnv has the test binary write a list to the file it names that a limit on file sizes
+	// does not allow, and another once the limit is gone.
 	fullDiskEnv = "OAKTHREAD_KEPT_FULL"
 
 	pageSize = 4096
@@ -99,7 +99,8 @@
 	}
 }
 
-// damage returns a copy of a file with one fault: a flipped bit, a cut, or a page of noise or of zeros.
+// damage returns a copy of a file with one fault: a flipped bit, a cut, or a page of noise or of
+// zeros.
 func damage(rng *rand.Rand, kind int, file []byte) []byte {
 	damaged := append([]byte(nil), file...)
 	switch kind % 4 {
@@ -119,8 +120,8 @@
 	return damaged
 }
 
-// Whatever page of a file is torn or flipped, a start goes on with the valid records or none, and the next
-// list can be written. 400 files are damaged, each in its own way.
+// Whatever page of a file is torn or flipped, a start goes on with the valid records or none, and
+// the next list can be written. 400 files are damaged, each in its own way.
 func TestDamagedFiles(t *testing.T) {
 	intact, err := os.ReadFile(writeSample(t, 40))
 	require.NoError(t, err)
@@ -193,7 +194,8 @@
 	}
 }
 
-// On a full disk the write fails and the file stays valid. The next list is written once there is space.
+// On a full disk the write fails and the file stays valid. The next list is written once there is
+// space.
 func TestFullDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list.db")
 	cmd := exec.CommandContext(t.Context(), os.Args[0])
--- a/internal/endpointcache/golden_test.go
+++ b/internal/endpointcache/golden_test.go
@@ -27,8 +27,8 @@
 	goldenOwner = "dispatcher-7"
 )
 
-// storedList returns what testdata/list.db, written by an earlier build, holds: endpoints in every state,
-// events of every kind, and no value twice in a record.
+// storedList returns what testdata/list.db, written by an earlier build, holds: endpoints in every
+// state, events of every kind, and no value twice in a record.
 func storedList() endpoints.Snapshot {
 	at := func(n int) time.Time { return startTime.Add(time.Duration(n) * (time.Hour + time.Nanosecond)) }
 	return endpoints.Snapshot{
@@ -61,7 +61,8 @@
 	}
 }
 
-// copyOf copies a file of testdata to a temporary folder, where it may be changed, and returns its path.
+// copyOf copies a file of testdata to a temporary folder, where it may be changed, and returns its
+// path.
 func copyOf(t *testing.T, path string) string {
 	t.Helper()
 	raw, err := os.ReadFile(path)
@@ -71,7 +72,8 @@
 	return to
 }
 
-// records returns all records of a database that is not open, one per line: bucket, key and value in hex.
+// records returns all records of a database that is not open, one per line: bucket, key and value
+// in hex.
 func records(t *testing.T, path string) string {
 	t.Helper()
 	var b strings.Builder
@@ -131,7 +133,8 @@
 	assert.Empty(t, wrong)
 }
 
-// The same list gives the same records, byte for byte, in a new file and over that of an earlier build.
+// The same list gives the same records, byte for byte, in a new file and over that of an earlier
+// build.
 func TestStoredListIsWrittenTheSame(t *testing.T) {
 	want := storedRecords(t)
 	path := copyOf(t, goldenList)
--- a/internal/endpointcache/inspect.go
+++ b/internal/endpointcache/inspect.go
@@ -14,8 +14,8 @@
 // errChangedWhileCopied is the error of a copy that may mix two versions of the file.
 var errChangedWhileCopied = errors.New("it was written meanwhile")
 
-// Check reads every record of the file and returns a line for each fault. The database's own check is
-// not used: it runs on a goroutine where a panic over a torn page cannot be recovered.
+// Check reads every record of the file and returns a line for each fault. The database's own check
+// is not used: it runs on a goroutine where a panic over a torn page cannot be recovered.
 func Check(path string) (faults []string, err error) {
 	found, err := Read(path, "")
 	if err != nil {
@@ -35,8 +35,8 @@
 	return faults, nil
 }
 
-// Snapshot reads a file that a dispatcher may have open, from a copy made while nothing was written. It
-// changes nothing.
+// Snapshot reads a file that a dispatcher may have open, from a copy made while nothing was
+// written. It changes nothing.
 func Snapshot(path string) (Found, error) {
 	found, err := Read(path, "")
 	if !errors.Is(err, ErrInUse) {
@@ -50,7 +50,8 @@
 	return found, fmt.Errorf("list file %s: no copy of it is whole, it is written all the time: %w", path, err)
 }
 
-// readCopy reads a temporary copy of the file. It fails if the file was written while it was copied.
+// readCopy reads a temporary copy of the file. It fails if the file was written while it was
+// copied.
 func readCopy(path string) (Found, error) {
 	raw, err := readUnchanged(path)
 	if err != nil {
--- a/internal/endpointcache/run.go
+++ b/internal/endpointcache/run.go
@@ -15,8 +15,8 @@
 const (
 	healthCheckTimeout = 250 * time.Millisecond
 
-	// maxUtilization is the CPU utilization above which an answered health check counts as slow: the
-	// worker has no capacity for more load.
+	// maxUtilization is the CPU utilization above which an answered health check counts as slow:
+	// the worker has no capacity for more load.
 	maxUtilization = 0.9
 
 	// idleInterval is the longest sleep of Run, when the list needs no call at any time.
@@ -26,8 +26,8 @@
 	minTimerInterval = time.Millisecond
 )
 
-// Run carries out the list's actions until ctx ends. It returns after the list has been saved, the file
-// closed and every health check ended.
+// Run carries out the list's actions until ctx ends. It returns after the list has been saved, the
+// file closed and every health check ended.
 func (s *Syncer) Run(ctx context.Context) {
 	var background sync.WaitGroup // the saver and the health checks
 	defer background.Wait()
--- a/internal/endpointcache/saver.go
+++ b/internal/endpointcache/saver.go
@@ -30,8 +30,9 @@
 	requestedAt time.Time
 }
 
-// saver writes snapshots of the list to its file in the background. It coalesces requests and retries a
-// failed write until that snapshot or a newer one is on disk, also when the file has to be reopened.
+// saver writes snapshots of the list to its file in the background. It coalesces requests and
+// retries a failed write until that snapshot or a newer one is on disk, also when the file has to
+// be reopened.
 type saver struct {
 	path, owner string
 	log         *slog.Logger
@@ -71,8 +72,8 @@
 	return found
 }
 
-// request asks for a save. It replaces a request that run has not received yet. It is called from one
-// goroutine at a time.
+// request asks for a save. It replaces a request that run has not received yet. It is called from
+// one goroutine at a time.
 func (s *saver) request(request saveRequest) {
 	select {
 	case replaced := <-s.requests:
@@ -105,7 +106,8 @@
 	}
 }
 
-// coalesce waits for newer requests until the delay of the first one is over, or that of an urgent one.
+// coalesce waits for newer requests until the delay of the first one is over, or that of an urgent
+// one.
 func (s *saver) coalesce(request saveRequest) saveRequest {
 	due := request.requestedAt.Add(saveDelay)
 	if request.urgent {
@@ -162,8 +164,8 @@
 	s.store, _, _ = Open(s.path, s.owner) // the cause was logged at the start or at the failed write
 }
 
-// handleFailure logs the first of several failures in a row, and gives up a damaged file so that the
-// retry replaces it.
+// handleFailure logs the first of several failures in a row, and gives up a damaged file so that
+// the retry replaces it.
 func (s *saver) handleFailure(err error) {
 	s.failures.Add(1)
 	if !s.unsaved {
--- a/internal/endpointcache/saver_test.go
+++ b/internal/endpointcache/saver_test.go
@@ -13,7 +13,8 @@
 	"oakthread/internal/monotime"
 )
 
-// A failed write is retried without further requests, and the list is on disk once a write succeeds.
+// A failed write is retried without further requests, and the list is on disk once a write
+// succeeds.
 func TestFailedWritesAreTriedAgain(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list.db")
 	syncer := NewKeeper(Options{Path: path, Owner: "d1"}, nil, func(oakthread.EndpointUpdate) {}, monotime.Now(),
--- a/internal/endpointcache/store.go
+++ b/internal/endpointcache/store.go
@@ -1,10 +1,10 @@
-// Package endpointcache persists a dispatcher's endpoint list and keeps it synchronized with service
-// discovery, attempts and health checks, so that a dispatcher can start while service discovery is
-// unavailable.
+// Package endpointcache persists a dispatcher's endpoint list and keeps it synchronized with
+// service discovery, attempts and health checks, so that a dispatcher can start while service
+// discovery is unavailable.
 //
-// Store is the file of the list: a bbolt database with one checksummed protobuf record for the head,
-// each endpoint and each event of the history. Syncer runs an endpoints.List and carries out its
-// actions.
+// Store is the file of the list: a bbolt database with one checksummed protobuf record for the
+// head, each endpoint and each event of the history. Syncer runs an endpoints.List and carries out
+// its actions.
 package endpointcache
 
 import (
@@ -22,8 +22,8 @@
 	"oakthread/endpoints"
 )
 
-// Schema is the version of the records' meaning. Schema 1 had no history and no request rates: such a
-// file is read, and written as schema 2.
+// Schema is the version of the records' meaning. Schema 1 had no history and no request rates: such
+// a file is read, and written as schema 2.
 const Schema = 2
 
 const (
@@ -87,8 +87,8 @@
 	return store, found, fmt.Errorf("%w; put aside as %s", err, aside)
 }
 
-// Read reads a file that no process has open, and leaves it as it is. An empty owner reads the file of
-// any dispatcher.
+// Read reads a file that no process has open, and leaves it as it is. An empty owner reads the file
+// of any dispatcher.
 func Read(path, owner string) (Found, error) {
 	store, found, err := open(path, owner, true)
 	if err != nil {
@@ -119,8 +119,8 @@
 
 // openDatabase opens and reads the database. It may return a database beside an error.
 func openDatabase(path string, readOnly bool) (db *bbolt.DB, found Found, err error) {
-	// The list of free pages is kept in the file. Without it the database walks all pages at each start
-	// on a goroutine of its own, where a panic over a torn page cannot be recovered.
+	// The list of free pages is stored in the file. Without it the database walks all pages at each
+	// start on a goroutine of its own, where a panic over a torn page cannot be recovered.
 	options := &bbolt.Options{Timeout: lockTimeout, ReadOnly: readOnly, FreelistType: bbolt.FreelistMapType}
 	err = recoverFaults(func() error {
 		var err error
@@ -174,8 +174,9 @@
 // Close closes the file.
 func (s *Store) Close() error { return recoverFaults(s.db.Close) }
 
-// recoverFaults runs access to the file and returns a panic or memory fault as ErrDamaged. The database
-// panics over some torn pages, and a mapped page behind the end of a truncated file faults.
+// recoverFaults runs access to the file and returns a panic or memory fault as ErrDamaged. The
+// database panics over some torn pages, and a mapped page behind the end of a truncated file
+// faults.
 func recoverFaults(access func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
--- a/internal/endpointcache/store_test.go
+++ b/internal/endpointcache/store_test.go
@@ -62,7 +62,8 @@
 	require.NoError(t, store.Close())
 }
 
-// A file of a later schema is not used; one of an older schema is read and written in the current one.
+// A file of a later schema is not used; one of an older schema is read and written in the current
+// one.
 func TestSchemas(t *testing.T) {
 	path := writeSample(t, 1)
 	changeHead(t, path, func(head *keptpb.Head) { head.Schema = Schema + 1 })
--- a/internal/endpointcache/syncer.go
+++ b/internal/endpointcache/syncer.go
@@ -26,9 +26,9 @@
 	Util   int             // 1 + index of the CPU utilization in a load report; 0: not reported
 }
 
-// Syncer keeps an endpoints.List synchronized with service discovery, attempts and health checks, and
-// carries out its actions. Create one with NewKeeper, then call Run. Its other methods return at once
-// and may be called concurrently.
+// Syncer keeps an endpoints.List synchronized with service discovery, attempts and health checks,
+// and carries out its actions. Create one with NewKeeper, then call Run. Its other methods return
+// at once and may be called concurrently.
 type Syncer struct {
 	options Options
 	checker HealthChecker
@@ -43,7 +43,8 @@
 }
 
 // NewKeeper opens the file and starts the list from it. A fault of the file is logged, and the list
-// starts from the records that are valid. Run passes updates to publish, in order, from one goroutine.
+// starts from the records that are valid. Run passes updates to publish, in order, from one
+// goroutine.
 func NewKeeper(options Options, checker HealthChecker, publish func(oakthread.EndpointUpdate), now time.Time,
 	log *slog.Logger,
 ) *Syncer {
@@ -63,8 +64,8 @@
 	return s
 }
 
-// Known applies the updates of the configuration unless the cached list is newer. It is called before
-// Run.
+// Known applies the updates of the configuration unless the cached list is newer. It is called
+// before Run.
 func (s *Syncer) Known(now time.Time, cursor int64, updates []oakthread.EndpointUpdate) {
 	if len(updates) == 0 || cursor < s.list.Cursor() {
 		return
@@ -142,7 +143,8 @@
 	s.apply(func(now time.Time, list *endpoints.List) { list.Observe(now, result.Worker, observation) })
 }
 
-// isLate reports whether an attempt on a loaded function took more than half of its latency objective.
+// isLate reports whether an attempt on a loaded function took more than half of its latency
+// objective.
 func (s *Syncer) isLate(result oakthread.Observation) bool {
 	return result.Kind == oakthread.ObservedAttempt && result.Class < len(s.options.Aims) && result.Warm &&
 		result.Duration > s.options.Aims[result.Class]/2
@@ -156,8 +158,8 @@
 	s.collectActions()
 }
 
-// collectActions adds the list's new actions to the pending ones and wakes Run. It is called with mu
-// held, or before Run.
+// collectActions adds the list's new actions to the pending ones and wakes Run. It is called with
+// mu held, or before Run.
 func (s *Syncer) collectActions() {
 	actions := s.list.TakeActions()
 	s.pending.Publish = append(s.pending.Publish, actions.Publish...)
@@ -199,8 +201,8 @@
 	}
 }
 
-// Sign returns what the result of an attempt, health check or load order shows about the worker, and
-// false if it shows nothing, as where the attempt was canceled or never written.
+// Sign returns what the result of an attempt, health check or load order shows about the worker,
+// and false if it shows nothing, as where the attempt was canceled or never written.
 func Sign(result balancer.Result, isDraining bool) (observation endpoints.Observation, isMeaningful bool) {
 	if isDraining {
 		return endpoints.Drains, true
--- a/internal/endpointcache/syncer_test.go
+++ b/internal/endpointcache/syncer_test.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// A drain is on disk at once. A restart publishes the endpoints of the file that answer, and the full list
-// when the watch is restored.
+// A drain is on disk at once. A restart publishes the endpoints of the file that answer, and the
+// full list when the watch is restored.
 func TestRestartFromFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list.db")
 	options := Options{Path: path, Owner: "d1", Roster: endpoints.Config{Siblings: 2}}
--- a/internal/endpointcache/transaction.go
+++ b/internal/endpointcache/transaction.go
@@ -18,7 +18,8 @@
 	headKey        = []byte("head")
 )
 
-// readAll reads every record of the file. A file of a later schema is read no further than its head.
+// readAll reads every record of the file. A file of a later schema is read no further than its
+// head.
 func readAll(tx *bbolt.Tx) (Found, error) {
 	bucket := tx.Bucket(headBucket)
 	if bucket == nil {
@@ -70,8 +71,9 @@
 	})
 }
 
-// Write replaces the contents of the file by a snapshot, in one transaction that is synced to disk. Only
-// records that differ are written. An error that wraps ErrDamaged means that the file cannot be used.
+// Write replaces the contents of the file by a snapshot, in one transaction that is synced to disk.
+// Only records that differ are written. An error that wraps ErrDamaged means that the file cannot
+// be used.
 func (s *Store) Write(snapshot endpoints.Snapshot) error {
 	err := recoverFaults(func() error {
 		return s.db.Update(func(tx *bbolt.Tx) error { return writeAll(tx, s.owner, snapshot) })
