--- a/endpoints/actions.go
+++ b/endpoints/actions.go
@@ -10,7 +10,7 @@
 // order.
 type Actions struct {
 	Publish []Publication
-	Probe   []Endpoint // to be health checked; each result is returned by one call of the method for health checks
+	Probe   []Endpoint // to be health checked; the list expects one result for each
 	Save    bool       // the list has changed and is to be saved
 	Urgent  bool       // an endpoint drains or was removed: the list is to be saved at once
 	Log     []LogEvent
--- a/endpoints/config.go
+++ b/endpoints/config.go
@@ -14,10 +14,10 @@
 // Config configures a List. The zero value uses the defaults.
 type Config struct {
 	Seed      uint64        // of the list's random numbers
-	Siblings  int           // dispatchers that may restart together, this one included; below 1: 1
+	Siblings  int           // dispatchers that may restart together, with this one; below 1: 1
 	MaxWait   time.Duration // longest Retry-After of a request that slow start rejects; 0: 1 s
-	Budget    float64       // part of its former load for a worker that may be warming up; 0: 0.36
-	ProbeRate float64       // health checks per second that all dispatchers together send to one worker; 0: 300
+	Budget    float64       // part of its former load that a worker gets first; 0: 0.36
+	ProbeRate float64       // checks per second of one worker by all dispatchers; 0: 300
 
 	// Fresh makes cached endpoints count as verified at once and disables health checks. It is the
 	// baseline of experiments.
--- a/endpoints/observation.go
+++ b/endpoints/observation.go
@@ -12,7 +12,7 @@
 	Drains                      // it reported that it accepts no new work
 	Refused                     // it refused the connection: nothing listens at the address
 	Silent                      // nothing arrived before the timeout
-	Broken                      // the connection was reset or the answer invalid: something listens at the address
+	Broken                      // the connection was reset or the answer invalid
 )
 
 // isResponse reports whether the worker answered the request, in time or late.
--- a/endpoints/snapshot.go
+++ b/endpoints/snapshot.go
@@ -23,7 +23,11 @@
 // TakeSnapshot returns the state of the list for saving.
 func (l *List) TakeSnapshot(now time.Time) Snapshot {
 	snapshot := Snapshot{
-		Epoch: l.watch.epoch, Cursor: l.watch.cursor, Confirmed: l.watch.confirmedAt, Saved: now, History: l.history,
+		Epoch:     l.watch.epoch,
+		Cursor:    l.watch.cursor,
+		Confirmed: l.watch.confirmedAt,
+		Saved:     now,
+		History:   l.history,
 	}
 	snapshot.History.Events = slices.Clone(l.history.Events)
 	for _, entry := range l.sorted {
--- a/internal/endpointcache/golden_test.go
+++ b/internal/endpointcache/golden_test.go
@@ -52,12 +52,15 @@
 				Weight: 0.1, Start: time.Unix(0, 1), UpdatedAt: at(-38), VerifiedAt: at(-37), RequestRate: 1e9,
 			},
 		},
-		History: endpoints.History{Watched: 90*time.Hour + 1, Leaves: 3.5, Returns: 1.25, Events: []endpoints.Event{
-			{At: at(-6), Worker: 1, What: endpoints.Joined},
-			{At: at(-5), Worker: 12, What: endpoints.Left},
-			{At: at(-4), Worker: 23, What: endpoints.Restarted},
-			{At: at(-3), Worker: math.MaxUint32, What: endpoints.Drained},
-		}},
+		History: endpoints.History{
+			Watched: 90*time.Hour + 1, Leaves: 3.5, Returns: 1.25,
+			Events: []endpoints.Event{
+				{At: at(-6), Worker: 1, What: endpoints.Joined},
+				{At: at(-5), Worker: 12, What: endpoints.Left},
+				{At: at(-4), Worker: 23, What: endpoints.Restarted},
+				{At: at(-3), Worker: math.MaxUint32, What: endpoints.Drained},
+			},
+		},
 	}
 }
 
--- a/internal/endpointcache/syncer.go
+++ b/internal/endpointcache/syncer.go
@@ -14,7 +14,7 @@
 
 // HealthChecker asks a worker for its load.
 type HealthChecker interface {
-	HealthCheck(ctx context.Context, m oakthread.Endpoint) oakthread.Reply
+	HealthCheck(ctx context.Context, endpoint oakthread.Endpoint) oakthread.Reply
 }
 
 // Options are the settings of the cached list, the [list] section of the operator's file.
@@ -27,8 +27,8 @@
 }
 
 // Syncer keeps an endpoints.List synchronized with service discovery, attempts and health checks,
-// and carries out its actions. Create one with NewKeeper, then call Run. Its other methods return
-// at once and may be called concurrently.
+// and carries out its actions. Create one, then call Run. Its other methods return at once and may
+// be called concurrently.
 type Syncer struct {
 	options Options
 	checker HealthChecker
@@ -178,7 +178,8 @@
 
 // hasActions reports whether there is anything to carry out.
 func hasActions(actions endpoints.Actions) bool {
-	return len(actions.Publish)+len(actions.Probe)+len(actions.Log) > 0 || actions.Save || actions.Urgent
+	count := len(actions.Publish) + len(actions.Probe) + len(actions.Log)
+	return count > 0 || actions.Save || actions.Urgent
 }
 
 // toListUpdate converts a watch event for the list.
--- a/internal/endpointcache/syncer_test.go
+++ b/internal/endpointcache/syncer_test.go
@@ -153,8 +153,8 @@
 }
 
 func BenchmarkObserve(b *testing.B) {
-	syncer := NewKeeper(Options{Aims: []time.Duration{time.Second}}, nil, func(oakthread.EndpointUpdate) {},
-		time.Now(), slog.New(slog.DiscardHandler))
+	options := Options{Aims: []time.Duration{time.Second}}
+	syncer := NewKeeper(options, nil, func(oakthread.EndpointUpdate) {}, time.Now(), slog.New(slog.DiscardHandler))
 	full := oakthread.EndpointUpdate{Kind: balancer.EndpointsSnapshot}
 	for i := range 60 {
 		full.Endpoints = append(full.Endpoints, oakthread.Endpoint{
