--- a/aggregate/commons_test.go
+++ b/aggregate/commons_test.go
@@ -118,16 +118,16 @@
 	assert.False(t, ts[0].HandleReport(now, 1, Report{Incarnation: 6, Seq: 2, Values: []float64{1, 2}}), "of another size")
 	assert.False(t, ts[0].HandleReport(now, 0, Report{Incarnation: 6, Seq: 2, Values: []float64{1}}), "our own")
 	assert.Equal(t, 5, ts[0].Dropped)
-	h := ts[0].rows[1]
+	h := ts[0].reports[1]
 	for ahead := range 256 { // found at 80 dispatchers: a hub hears one again after any number of reports
-		ts[0].rows[1] = h
+		ts[0].reports[1] = h
 		assert.True(t, ts[0].HandleReport(now+60*term, 1, Report{Incarnation: 6, Seq: h.Seq + uint8(ahead), Values: []float64{4}}), ahead)
 	}
-	ts[0].rows[1] = h
+	ts[0].reports[1] = h
 	d := ts[0].NextDigest(now)
 	require.True(t, ts[1].HandleDigest(now, 0, d))
 	assert.True(t, ts[1].HandleDigest(now+ms, 0, d), "doubled: it changes nothing")
-	assert.Equal(t, now, ts[1].lastAt)
+	assert.Equal(t, now, ts[1].digestAt)
 	early := d
 	early.Tick--
 	assert.False(t, ts[1].HandleDigest(now, 0, early), "late")
@@ -313,9 +313,9 @@
 	}
 	assert.Equal(t, big, big.Truncate(300, 120), "not even the sums")
 	for _, x := range []float64{0, 0.3, 12.5, 819, 7200, 1e6} {
-		assert.InDelta(t, x, small(packed(x)), 0.01+x/4000)
+		assert.InDelta(t, x, decodeValue(encodeValue(x)), 0.01+x/4000)
 	}
-	assert.Zero(t, packed(math.NaN()))
+	assert.Zero(t, encodeValue(math.NaN()))
 }
 
 // Any text ends in a message or in nothing.
@@ -375,7 +375,7 @@
 func TestLengthIsThatOfTheTexts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		siblings := rapid.SampledFrom([]int{3, 80, 300, 1_000, 1_900, 6_000}).Draw(t, "siblings")
-		figures := make([]float64, rapid.IntRange(0, figsMax).Draw(t, "figures"))
+		figures := make([]float64, rapid.IntRange(0, maxValues).Draw(t, "figures"))
 		m := Message{FromLeader: rapid.Bool().Draw(t, "hub"), Continued: rapid.IntRange(0, 3).Draw(t, "goes on") == 0, Report: Report{Values: figures},
 			Marks: make([]Mark, rapid.IntRange(0, 20).Draw(t, "marks")), Counts: make([]Count, rapid.SampledFrom([]int{0, 1, 61, 62, 63, 700}).Draw(t, "counts")),
 			Holders: make([]Holder, rapid.SampledFrom([]int{0, 1, 30, 31, 32, 200}).Draw(t, "pairs"))}
@@ -399,6 +399,6 @@
 		for i := range n {
 			want.Add(i)
 		}
-		assert.Equal(t, want, allOf(n), "of %d", n)
+		assert.Equal(t, want, fullSet(n), "of %d", n)
 	}
 }
--- a/aggregate/golden_test.go
+++ b/aggregate/golden_test.go
@@ -51,10 +51,10 @@
 	figures := upTo(15, func(i int) float64 { return float64(i) * 12.5 })
 	quoted := upTo(15, func(i int) float64 { return []float64{0, nan, 1.5}[i%3] })
 	sums, zeros := []float64{100, 7.5}, []float64{0, 0}
-	whole := Digest{Tick: 513, Sums: sums, MissingSums: zeros, MissingMoved: zeros, Covered: allOf(3), Missing: NewSet(3)}
+	whole := Digest{Tick: 513, Sums: sums, MissingSums: zeros, MissingMoved: zeros, Covered: fullSet(3), Missing: NewSet(3)}
 	short := whole
 	short.Truncated = true
-	wide := Digest{Tick: 1, Sums: figures, MissingSums: figures, MissingMoved: figures, Covered: allOf(300), Missing: setOf(300, 0)}
+	wide := Digest{Tick: 1, Sums: figures, MissingSums: figures, MissingMoved: figures, Covered: fullSet(300), Missing: setOf(300, 0)}
 	wide.Covered[0] = 0xfe
 	row := Report{Incarnation: 200, Seq: 255, Values: []float64{12.5, 0.25}}
 	manyMarks := upTo(14, func(i int) Mark { return Mark{Worker: uint16(i), Good: 20, Bad: 16, Pace: 1} })
--- a/aggregate/message.go
+++ b/aggregate/message.go
@@ -42,24 +42,24 @@
 }
 
 const (
-	textMax = 190 // bytes of a part, so that base64 keeps it under the 256 of the wire
-	version = 2   // in the two low bits of the first byte; an older version drops what it cannot read
-	figsMax = 15
+	maxTextBytes = 190 // bytes of a part, so that base64 keeps it under the 256 of the wire
+	version      = 2   // in the two low bits of the first byte; an older version drops what it cannot read
+	maxValues    = 15
 
-	marksMax  = 12
-	marksHere = 1 << 6 // in the first byte, over version and figures: a byte with their number follows the row or digest
+	maxMarks    = 12
+	marksFollow = 1 << 6 // in the first byte, over version and figures: a byte with their number follows the row or digest
 )
 
 // flags of a part.
 const (
-	flagHello = 1 << iota
-	flagHub
-	flagGoesOn
-	flagPrev  // of a row: Prev follows, a bit for each figure that it has and then these
-	flagFresh // of a row
-	flagPart  // of a digest: Covered follows, else all are
-	flagGone  // of a digest: Gone, Moved and Missing follow
-	flagShort // of a digest
+	flagSyncRequest = 1 << iota
+	flagFromLeader
+	flagContinued
+	flagLastCounted // of a row: Prev follows, a bit for each figure that it has and then these
+	flagFresh       // of a row
+	flagCovered     // of a digest: Covered follows, else all are
+	flagMissing     // of a digest: Gone, Moved and Missing follow
+	flagTruncated   // of a digest
 )
 
 // Chars is the length of all texts together.
@@ -72,7 +72,7 @@
 
 // EncodedLen is what Chars would say of the texts of a message, without writing them.
 func (m Message) EncodedLen(siblings int) (chars int) {
-	room := make([]byte, 0, textMax)
+	room := make([]byte, 0, maxTextBytes)
 	for first := true; first || len(m.Counts)+len(m.Holders) > 0; first = false {
 		raw, n, k := m.start(room, !first, siblings)
 		chars += base64.RawStdEncoding.EncodedLen(len(raw) + 3*n + 6*k)
@@ -89,7 +89,7 @@
 	}
 	short := m
 	short.Counts, short.Holders, short.Digest.Truncated = nil, nil, true
-	room := base64.RawStdEncoding.DecodedLen(min(chars, base64.RawStdEncoding.EncodedLen(textMax)))
+	room := base64.RawStdEncoding.DecodedLen(min(chars, base64.RawStdEncoding.EncodedLen(maxTextBytes)))
 	if room -= base64.RawStdEncoding.DecodedLen(len(short.Encode(siblings)[0])); room < 0 {
 		return m
 	}
@@ -104,7 +104,7 @@
 // Encode packs a message. siblings: of how many dispatchers the sets are.
 func (m Message) Encode(siblings int) (texts []string) {
 	for first := true; first || len(m.Counts)+len(m.Holders) > 0; first = false {
-		raw, n, k := m.start(make([]byte, 0, textMax), !first, siblings)
+		raw, n, k := m.start(make([]byte, 0, maxTextBytes), !first, siblings)
 		for _, c := range m.Counts[:n] {
 			b := byte(min(c.N, 63))
 			if c.Heard {
@@ -134,19 +134,19 @@
 		}
 		return on
 	}
-	set(flagHello, m.SyncRequest)
-	set(flagHub, m.FromLeader)
-	if !set(flagGoesOn, goesOn || m.Continued) {
+	set(flagSyncRequest, m.SyncRequest)
+	set(flagFromLeader, m.FromLeader)
+	if !set(flagContinued, goesOn || m.Continued) {
 		raw = m.first(raw, set, siblings)
-		if marks := m.Marks[:max(0, min(len(m.Marks), marksMax, (textMax-len(raw)-1)/4))]; len(marks) > 0 {
-			raw[0] |= marksHere
+		if marks := m.Marks[:max(0, min(len(m.Marks), maxMarks, (maxTextBytes-len(raw)-1)/4))]; len(marks) > 0 {
+			raw[0] |= marksFollow
 			raw = append(raw, byte(len(marks)))
 			for _, x := range marks {
 				raw = append(binary.BigEndian.AppendUint16(raw, x.Worker), min(x.Good, 15)<<4|min(x.Bad, 15), x.Pace)
 			}
 		}
 	}
-	left := max(0, textMax-len(raw)) // of some thousand dispatchers the sets alone are too long: the host drops such a text
+	left := max(0, maxTextBytes-len(raw)) // of some thousand dispatchers the sets alone are too long: the host drops such a text
 	counts = min(len(m.Counts), left/3, 255)
 	pairs = min(len(m.Holders), (left-3*counts)/6)
 	raw[1], raw[2] = flags, byte(counts)
@@ -156,34 +156,34 @@
 // first writes the row or the digest.
 func (m Message) first(raw []byte, set func(byte, bool) bool, siblings int) []byte {
 	if !m.FromLeader {
-		figs := m.Report.Values[:min(len(m.Report.Values), figsMax)]
+		figs := m.Report.Values[:min(len(m.Report.Values), maxValues)]
 		raw[0] |= byte(len(figs) << 2)
 		raw = append(raw, byte(min(m.Calls, 255)), m.Report.Incarnation, m.Report.Seq)
-		raw = appendFigures(raw, figs)
+		raw = appendValues(raw, figs)
 		set(flagFresh, m.Report.Fresh)
-		if set(flagPrev, m.Report.LastCounted != nil) {
-			has, prev := NewSet(len(figs)), make([]float64, 0, figsMax)
+		if set(flagLastCounted, m.Report.LastCounted != nil) {
+			has, prev := NewSet(len(figs)), make([]float64, 0, maxValues)
 			for i, x := range m.Report.LastCounted[:len(figs)] {
 				if !math.IsNaN(x) {
 					has.Add(i)
 					prev = append(prev, x)
 				}
 			}
-			raw = appendFigures(append(raw, has...), prev)
+			raw = appendValues(append(raw, has...), prev)
 		}
 		return raw
 	}
-	figs := m.Digest.Sums[:min(len(m.Digest.Sums), figsMax)]
+	figs := m.Digest.Sums[:min(len(m.Digest.Sums), maxValues)]
 	raw[0] |= byte(len(figs) << 2)
 	raw = binary.BigEndian.AppendUint16(raw, m.Digest.Tick)
-	raw = appendFigures(raw, figs)
-	set(flagShort, m.Digest.Truncated)
-	if set(flagPart, m.Digest.Covered.Len() < siblings) {
+	raw = appendValues(raw, figs)
+	set(flagTruncated, m.Digest.Truncated)
+	if set(flagCovered, m.Digest.Covered.Len() < siblings) {
 		raw = append(raw, m.Digest.Covered...)
 	}
-	if set(flagGone, m.Digest.Missing.Len() > 0) {
-		raw = appendFigures(raw, m.Digest.MissingSums[:len(figs)])
-		raw = appendFigures(raw, m.Digest.MissingMoved[:len(figs)])
+	if set(flagMissing, m.Digest.Missing.Len() > 0) {
+		raw = appendValues(raw, m.Digest.MissingSums[:len(figs)])
+		raw = appendValues(raw, m.Digest.MissingMoved[:len(figs)])
 		raw = append(raw, m.Digest.Missing...)
 	}
 	return raw
@@ -192,12 +192,12 @@
 // Decode unpacks a text; false: it is cut, of another version or of another size of fleet, and says nothing.
 func Decode(text string, siblings int) (m Message, ok bool) {
 	raw, err := base64.RawStdEncoding.DecodeString(text)
-	if err != nil || len(raw) < 3 || raw[0]&3 != version || raw[0] >= 2*marksHere {
+	if err != nil || len(raw) < 3 || raw[0]&3 != version || raw[0] >= 2*marksFollow {
 		return m, false
 	}
-	marked := raw[0]&marksHere != 0
-	figs, flags, n := int(raw[0]&^marksHere>>2), raw[1], int(raw[2])
-	m.SyncRequest, m.FromLeader, m.Continued = flags&flagHello != 0, flags&flagHub != 0, flags&flagGoesOn != 0
+	marked := raw[0]&marksFollow != 0
+	figs, flags, n := int(raw[0]&^marksFollow>>2), raw[1], int(raw[2])
+	m.SyncRequest, m.FromLeader, m.Continued = flags&flagSyncRequest != 0, flags&flagFromLeader != 0, flags&flagContinued != 0
 	raw = raw[3:]
 	cut := false
 	take := func(n int) []byte {
@@ -212,19 +212,19 @@
 	figures := func() []float64 {
 		out := make([]float64, 0, figs)
 		for b := take(2 * figs); len(b) > 0; b = b[2:] {
-			out = append(out, small(binary.BigEndian.Uint16(b)))
+			out = append(out, decodeValue(binary.BigEndian.Uint16(b)))
 		}
 		return out
 	}
 	quoted := func() (out []float64) {
 		has := NodeSet(take((figs + 7) / 8))
-		if beyond(has, figs) {
+		if hasBeyond(has, figs) {
 			cut = true
 		}
 		for i := range figs {
 			x := math.NaN()
 			if has.Has(i) {
-				x = small(binary.BigEndian.Uint16(take(2)))
+				x = decodeValue(binary.BigEndian.Uint16(take(2)))
 			}
 			out = append(out, x)
 		}
@@ -233,34 +233,34 @@
 	sets := (siblings + 7) / 8
 	switch {
 	case m.Continued:
-		if figs > 0 || marked || flags&^(flagHello|flagHub|flagGoesOn) != 0 {
+		if figs > 0 || marked || flags&^(flagSyncRequest|flagFromLeader|flagContinued) != 0 {
 			return m, false
 		}
 	case m.FromLeader:
-		m.Digest.Truncated = flags&flagShort != 0
+		m.Digest.Truncated = flags&flagTruncated != 0
 		m.Digest.Tick = binary.BigEndian.Uint16(take(2))
 		m.Digest.Sums = figures()
-		if flags&flagPart != 0 {
+		if flags&flagCovered != 0 {
 			m.Digest.Covered = NodeSet(take(sets))
 		} else {
-			m.Digest.Covered = allOf(siblings)
+			m.Digest.Covered = fullSet(siblings)
 		}
-		if flags&flagGone != 0 {
+		if flags&flagMissing != 0 {
 			m.Digest.MissingSums, m.Digest.MissingMoved, m.Digest.Missing = figures(), figures(), NodeSet(take(sets))
 		} else {
 			m.Digest.MissingSums, m.Digest.MissingMoved, m.Digest.Missing = make([]float64, figs), make([]float64, figs), NewSet(siblings)
 		}
-		if flags&(flagPrev|flagFresh) != 0 || beyond(m.Digest.Covered, siblings) || beyond(m.Digest.Missing, siblings) {
+		if flags&(flagLastCounted|flagFresh) != 0 || hasBeyond(m.Digest.Covered, siblings) || hasBeyond(m.Digest.Missing, siblings) {
 			return m, false
 		}
 	default:
 		b := take(3)
 		m.Calls = int(b[0])
 		m.Report = Report{Incarnation: b[1], Seq: b[2], Values: figures(), Fresh: flags&flagFresh != 0}
-		if flags&flagPrev != 0 {
+		if flags&flagLastCounted != 0 {
 			m.Report.LastCounted = quoted()
 		}
-		if flags&(flagPart|flagGone|flagShort) != 0 {
+		if flags&(flagCovered|flagMissing|flagTruncated) != 0 {
 			return m, false
 		}
 	}
@@ -287,7 +287,7 @@
 	return m, true
 }
 
-func beyond(s NodeSet, n int) bool {
+func hasBeyond(s NodeSet, n int) bool {
 	for i := n; i < 8*len(s); i++ {
 		if s.Has(i) {
 			return true
@@ -298,14 +298,14 @@
 
 // Figures are told in sixteen bits: twelve of a number and four of a power of two, in 64ths; 2 million at the most, and
 // within 1 in 4,000.
-func appendFigures(raw []byte, xs []float64) []byte {
+func appendValues(raw []byte, xs []float64) []byte {
 	for _, x := range xs {
-		raw = binary.BigEndian.AppendUint16(raw, packed(x))
+		raw = binary.BigEndian.AppendUint16(raw, encodeValue(x))
 	}
 	return raw
 }
 
-func packed(x float64) uint16 {
+func encodeValue(x float64) uint16 {
 	if !(x > 0) {
 		return 0
 	}
@@ -316,4 +316,4 @@
 	return e<<12 | uint16(math.Min(math.Round(x), 4095))
 }
 
-func small(v uint16) float64 { return float64(v&0xfff) * float64(uint32(1)<<(v>>12)) / 64 }
+func decodeValue(v uint16) float64 { return float64(v&0xfff) * float64(uint32(1)<<(v>>12)) / 64 }
--- a/aggregate/set.go
+++ b/aggregate/set.go
@@ -8,8 +8,8 @@
 // NewSet makes a set for numbers below n.
 func NewSet(n int) NodeSet { return make(NodeSet, (n+7)/8) }
 
-// allOf makes the set of all numbers below n.
-func allOf(n int) NodeSet {
+// fullSet makes the set of all numbers below n.
+func fullSet(n int) NodeSet {
 	s := NewSet(n)
 	for i := range s {
 		s[i] = 0xff
--- a/aggregate/table.go
+++ b/aggregate/table.go
@@ -26,15 +26,15 @@
 	Forget                               int64 // time constant with which what is not heard is forgotten
 }
 
-// termsApart is by how many terms a hub's clock may differ from ours.
-const termsApart = 2
+// maxSkewTerms is by how many terms a hub's clock may differ from ours.
+const maxSkewTerms = 2
 
-// staleTerms without a digest, and nobody is heard.
-const staleTerms = 4
+// staleAfterTerms without a digest, and nobody is heard.
+const staleAfterTerms = 4
 
-// changed is by how much a figure must differ from what it was in the last digest to be quoted, beside its root: less is chance
+// minRelativeChange is by how much a figure must differ from what it was in the last digest to be quoted, beside its root: less is chance
 // in a rate that is a mean over some seconds.
-const changed = 0.1
+const minRelativeChange = 0.1
 
 // Report is one dispatcher's report. Incarnation tells its restarts apart, Seq its reports; both wrap round.
 type Report struct {
@@ -73,50 +73,50 @@
 
 // Aggregator is what one dispatcher holds. Make one with New.
 type Aggregator struct {
-	set  Settings
-	inc  uint8
-	seq  uint8
-	own  []float64
-	rows []heard // as a hub: the last row of each
+	settings    Settings
+	incarnation uint8
+	lastSeq     uint8
+	local       []float64
+	reports     []receivedReport // as a hub: the last row of each
 
-	last     Digest
-	lastAt   int64
-	lastFrom int
-	has      bool      // a digest has come, or was made
-	mine     []float64 // what we added to the last digest that had us
-	counted  bool
-	sent     []float64 // what our last report said
-	Dropped  int       // rows and digests not heeded: doubled, late, of an old incarnation or a foreign term
+	digest      Digest
+	digestAt    int64
+	digestFrom  int
+	hasDigest   bool      // a digest has come, or was made
+	lastCounted []float64 // what we added to the last digest that had us
+	everCounted bool
+	sentValues  []float64 // what our last report said
+	Dropped     int       // rows and digests not heeded: doubled, late, of an old incarnation or a foreign term
 }
 
-type heard struct {
+type receivedReport struct {
 	Report
-	at int64
-	ok bool
+	receivedAt int64
+	valid      bool
 }
 
 // New makes a Table. now tells this incarnation from the one before, if a second lies between.
 func New(now int64, s Settings) *Aggregator {
 	s.Dispatchers, s.Passing = max(1, s.Dispatchers), min(max(0, s.Passing), s.Values)
 	s.Term, s.Tick, s.Forget = max(1, s.Term), max(1, s.Tick), max(1, s.Forget)
-	return &Aggregator{set: s, inc: uint8(now / 1e9), own: make([]float64, s.Values), rows: make([]heard, s.Dispatchers)}
+	return &Aggregator{settings: s, incarnation: uint8(now / 1e9), local: make([]float64, s.Values), reports: make([]receivedReport, s.Dispatchers)}
 }
 
-func (t *Aggregator) tick(now int64) uint16 { return uint16(now / t.set.Tick) }
+func (t *Aggregator) tick(now int64) uint16 { return uint16(now / t.settings.Tick) }
 
 // SetLocal sets our own row.
-func (t *Aggregator) SetLocal(figures []float64) { copy(t.own, figures) }
+func (t *Aggregator) SetLocal(figures []float64) { copy(t.local, figures) }
 
 // NextReport is our row as it is to be sent. It counts once Sent says so.
 func (t *Aggregator) NextReport() Report {
-	r := Report{Incarnation: t.inc, Seq: t.seq + 1, Values: slices.Clone(t.own), Fresh: !t.counted}
-	if !t.counted {
+	r := Report{Incarnation: t.incarnation, Seq: t.lastSeq + 1, Values: slices.Clone(t.local), Fresh: !t.everCounted}
+	if !t.everCounted {
 		return r
 	}
-	all, some := !t.last.Covered.Has(t.set.DispatcherIndex), false
-	prev := slices.Clone(t.mine)
-	for i, x := range t.own {
-		if quoted := all || i < t.set.Values-t.set.Passing && differ(prev[i], x); !quoted {
+	all, some := !t.digest.Covered.Has(t.settings.DispatcherIndex), false
+	prev := slices.Clone(t.lastCounted)
+	for i, x := range t.local {
+		if quoted := all || i < t.settings.Values-t.settings.Passing && differs(prev[i], x); !quoted {
 			prev[i] = math.NaN()
 		} else {
 			some = true
@@ -129,10 +129,10 @@
 }
 
 // ReportSent takes that a report has gone out.
-func (t *Aggregator) ReportSent(r Report) { t.seq, t.sent = r.Seq, r.Values }
+func (t *Aggregator) ReportSent(r Report) { t.lastSeq, t.sentValues = r.Seq, r.Values }
 
-func differ(a, b float64) bool {
-	return math.Abs(a-b) > changed*math.Max(a, b)+1+math.Sqrt(math.Max(a, b))
+func differs(a, b float64) bool {
+	return math.Abs(a-b) > minRelativeChange*math.Max(a, b)+1+math.Sqrt(math.Max(a, b))
 }
 
 // newer tells whether a comes after b, of numbers that wrap round.
@@ -140,55 +140,55 @@
 
 // HandleReport takes a row; false: it is late, doubled, of an incarnation that is over, or nobody's.
 func (t *Aggregator) HandleReport(now int64, from int, r Report) bool {
-	if from < 0 || from >= t.set.Dispatchers || from == t.set.DispatcherIndex || len(r.Values) != t.set.Values || r.LastCounted != nil && len(r.LastCounted) != t.set.Values {
+	if from < 0 || from >= t.settings.Dispatchers || from == t.settings.DispatcherIndex || len(r.Values) != t.settings.Values || r.LastCounted != nil && len(r.LastCounted) != t.settings.Values {
 		t.Dropped++
 		return false
 	}
-	h := &t.rows[from]
+	h := &t.reports[from]
 	// Numbers come round, and a hub hears one again only many terms later: by then nothing old is on its way.
-	if h.ok && now-h.at < termsApart*t.set.Term {
+	if h.valid && now-h.receivedAt < maxSkewTerms*t.settings.Term {
 		if newer(h.Incarnation, r.Incarnation) || h.Incarnation == r.Incarnation && !newer(r.Seq, h.Seq) {
 			t.Dropped++
 			return false
 		}
 	}
-	*h = heard{r, now, true}
+	*h = receivedReport{r, now, true}
 	return true
 }
 
 // NextDigest makes the digest of the hub from the rows of this term, our own and what the last digest remembers. It counts once we
 // are told it, as the others are.
 func (t *Aggregator) NextDigest(now int64) Digest {
-	n, k := t.set.Dispatchers, t.set.Values
+	n, k := t.settings.Dispatchers, t.settings.Values
 	d := Digest{Tick: t.tick(now), Sums: make([]float64, k), MissingSums: make([]float64, k), MissingMoved: make([]float64, k), Covered: NewSet(n), Missing: NewSet(n)}
 	left, growth := make([]float64, k), make([]float64, k) // of the last sums: what those present had not added; what they add now beyond it
 	keep := 0.0
-	if t.has {
-		keep = math.Exp(-float64(max(0, now-t.lastAt)) / float64(t.set.Forget))
-		copy(left, t.last.Sums)
+	if t.hasDigest {
+		keep = math.Exp(-float64(max(0, now-t.digestAt)) / float64(t.settings.Forget))
+		copy(left, t.digest.Sums)
 		for i := range k {
-			d.MissingSums[i], d.MissingMoved[i] = keep*t.last.MissingSums[i], keep*t.last.MissingMoved[i]
+			d.MissingSums[i], d.MissingMoved[i] = keep*t.digest.MissingSums[i], keep*t.digest.MissingMoved[i]
 		}
 	}
 	for i := range n {
 		var r Report
-		switch h := t.rows[i]; {
-		case i == t.set.DispatcherIndex:
-			r = Report{Values: t.own, Fresh: !t.counted}
-			if t.counted {
-				r.LastCounted = t.mine
+		switch h := t.reports[i]; {
+		case i == t.settings.DispatcherIndex:
+			r = Report{Values: t.local, Fresh: !t.everCounted}
+			if t.everCounted {
+				r.LastCounted = t.lastCounted
 			}
-		case h.ok && now-h.at < t.set.Term:
+		case h.valid && now-h.receivedAt < t.settings.Term:
 			r = h.Report
 		default:
-			if t.has && (t.last.Covered.Has(i) || t.last.Missing.Has(i)) {
+			if t.hasDigest && (t.digest.Covered.Has(i) || t.digest.Missing.Has(i)) {
 				d.Missing.Add(i)
 			}
 			continue
 		}
 		d.Covered.Add(i)
-		back := t.has && t.last.Missing.Has(i)
-		was := t.has && t.last.Covered.Has(i) && !r.Fresh
+		back := t.hasDigest && t.digest.Missing.Has(i)
+		was := t.hasDigest && t.digest.Covered.Has(i) && !r.Fresh
 		for j, x := range r.Values {
 			d.Sums[j] += x
 			prev := x
@@ -200,14 +200,14 @@
 				left[j] -= prev
 				growth[j] += x - prev
 			case back && r.Fresh: // it does not know: its part of what is missing
-				d.MissingSums[j] -= t.last.MissingSums[j] * keep / float64(t.last.Missing.Len())
+				d.MissingSums[j] -= t.digest.MissingSums[j] * keep / float64(t.digest.Missing.Len())
 			case back:
 				d.MissingSums[j] -= prev * keep
 			}
 		}
 	}
 	for j := range k {
-		if t.has && d.Missing.Len() > 0 {
+		if t.hasDigest && d.Missing.Len() > 0 {
 			d.MissingSums[j] = max(0, d.MissingSums[j]) + max(0, left[j])
 		} else {
 			d.MissingSums[j] = 0
@@ -219,9 +219,9 @@
 
 // Complete tells whether the rows of this term are most of those that a digest would cover or remember.
 func (t *Aggregator) Complete(now int64) bool {
-	n, want := 1, t.last.Covered.Len()+t.last.Missing.Len()
-	for i := range t.rows {
-		if h := &t.rows[i]; h.ok && now-h.at < t.set.Term {
+	n, want := 1, t.digest.Covered.Len()+t.digest.Missing.Len()
+	for i := range t.reports {
+		if h := &t.reports[i]; h.valid && now-h.receivedAt < t.settings.Term {
 			n++
 		}
 	}
@@ -230,23 +230,23 @@
 
 // HandleDigest takes a digest; false: it is late, doubled, of a clock too far from ours, or of another size.
 func (t *Aggregator) HandleDigest(now int64, from int, d Digest) bool {
-	far := int16(min(termsApart*t.set.Term/t.set.Tick, math.MaxInt16/2))
+	far := int16(min(maxSkewTerms*t.settings.Term/t.settings.Tick, math.MaxInt16/2))
 	away := int16(d.Tick - t.tick(now))
-	since, recent := int16(d.Tick-t.last.Tick), t.has && now-t.lastAt < termsApart*t.set.Term
-	if len(d.Sums) != t.set.Values || away > far || away < -far || recent && (since < 0 || since == 0 && from != t.lastFrom) {
+	since, recent := int16(d.Tick-t.digest.Tick), t.hasDigest && now-t.digestAt < maxSkewTerms*t.settings.Term
+	if len(d.Sums) != t.settings.Values || away > far || away < -far || recent && (since < 0 || since == 0 && from != t.digestFrom) {
 		t.Dropped++
 		return false
 	}
-	if recent && since == 0 && slices.Equal(d.Sums, t.last.Sums) {
+	if recent && since == 0 && slices.Equal(d.Sums, t.digest.Sums) {
 		return true // doubled, or told with more counts beside it
 	}
-	t.last, t.lastAt, t.lastFrom, t.has = d, now, from, true
-	if d.Covered.Has(t.set.DispatcherIndex) {
-		mine := t.sent
-		if from == t.set.DispatcherIndex || mine == nil {
-			mine = t.own
+	t.digest, t.digestAt, t.digestFrom, t.hasDigest = d, now, from, true
+	if d.Covered.Has(t.settings.DispatcherIndex) {
+		mine := t.sentValues
+		if from == t.settings.DispatcherIndex || mine == nil {
+			mine = t.local
 		}
-		t.mine, t.counted = slices.Clone(mine), true
+		t.lastCounted, t.everCounted = slices.Clone(mine), true
 	}
 	return true
 }
@@ -254,27 +254,27 @@
 // View tells the sums as they are known. Who has heard nobody since its start may see all there is or as much as each of the
 // others: its likely total is the geometric mean of the two. by: the figure whose covered part tells the scale of all that is counted beside.
 func (t *Aggregator) View(now int64, by int) View {
-	v := View{Totals: make([]Total, t.set.Values), Heard: 1, Scale: 1, Never: !t.has, Stale: !t.has}
-	if !t.has {
-		v.Covered = slices.Clone(t.own)
-		for i, x := range t.own {
-			v.Totals[i] = Total{Low: x, Likely: x * math.Sqrt(float64(t.set.Dispatchers)), High: x * float64(t.set.Dispatchers)}
+	v := View{Totals: make([]Total, t.settings.Values), Heard: 1, Scale: 1, Never: !t.hasDigest, Stale: !t.hasDigest}
+	if !t.hasDigest {
+		v.Covered = slices.Clone(t.local)
+		for i, x := range t.local {
+			v.Totals[i] = Total{Low: x, Likely: x * math.Sqrt(float64(t.settings.Dispatchers)), High: x * float64(t.settings.Dispatchers)}
 		}
 		return v
 	}
-	v.Covered = t.last.Sums
-	v.Heard, v.Missing, v.Age = t.last.Covered.Len(), t.last.Missing.Len(), max(0, now-t.lastAt)
-	unknown := t.set.Dispatchers - v.Heard - v.Missing
-	keep := math.Exp(-float64(v.Age) / float64(t.set.Forget))
-	v.Stale = v.Age > staleTerms*t.set.Term
-	for i, x := range t.own {
-		sum := t.last.Sums[i]
+	v.Covered = t.digest.Sums
+	v.Heard, v.Missing, v.Age = t.digest.Covered.Len(), t.digest.Missing.Len(), max(0, now-t.digestAt)
+	unknown := t.settings.Dispatchers - v.Heard - v.Missing
+	keep := math.Exp(-float64(v.Age) / float64(t.settings.Forget))
+	v.Stale = v.Age > staleAfterTerms*t.settings.Term
+	for i, x := range t.local {
+		sum := t.digest.Sums[i]
 		was := 0.0
-		if t.counted && (t.last.Covered.Has(t.set.DispatcherIndex) || t.last.Missing.Has(t.set.DispatcherIndex)) {
-			was = t.mine[i]
+		if t.everCounted && (t.digest.Covered.Has(t.settings.DispatcherIndex) || t.digest.Missing.Has(t.settings.DispatcherIndex)) {
+			was = t.lastCounted[i]
 		}
-		others := max(0, sum+t.last.MissingSums[i]-t.last.MissingMoved[i]-was)
-		high := max(0, sum+t.last.MissingSums[i]-was)
+		others := max(0, sum+t.digest.MissingSums[i]-t.digest.MissingMoved[i]-was)
+		high := max(0, sum+t.digest.MissingSums[i]-was)
 		if unknown > 0 && v.Heard > 0 {
 			high += sum / float64(v.Heard) * float64(unknown)
 		}
@@ -286,8 +286,8 @@
 		// Nobody is heard: what has come to us since may be what the others had.
 		v.Totals[i].Likely = max(x, x+keep*max(0, others-max(0, x-was)))
 	}
-	if by >= 0 && by < t.set.Values && t.last.Sums[by] > 0 {
-		v.Scale = max(1, (t.last.Sums[by]+t.last.MissingSums[by]-t.last.MissingMoved[by])/t.last.Sums[by])
+	if by >= 0 && by < t.settings.Values && t.digest.Sums[by] > 0 {
+		v.Scale = max(1, (t.digest.Sums[by]+t.digest.MissingSums[by]-t.digest.MissingMoved[by])/t.digest.Sums[by])
 	}
 	return v
 }
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -191,9 +191,9 @@
 		folder, name, written string
 		value, want           float64
 	}{
-		{"../../aggregate", "textMax", "190", of.textMax, 190},
-		{"../../aggregate", "marksMax", "12", of.marksMax, 12},
-		{"../../aggregate", "figsMax", "15", figuresMost, 15},
+		{"../../aggregate", "maxTextBytes", "190", of.textMax, 190},
+		{"../../aggregate", "maxMarks", "12", of.marksMax, 12},
+		{"../../aggregate", "maxValues", "15", figuresMost, 15},
 		{"../platform", "maxDatagram", "256", of.datagram, 256},
 		{"../platform", "datagramWait", "256", of.waiting, 256},
 		{"../platform", "maxLine", "4 << 20", of.line, 4 << 20},
