--- a/aggregate/commons_test.go
+++ b/aggregate/commons_test.go
@@ -43,7 +43,8 @@
 
 func all(int, int) bool { return true }
 
-// Guards the sums in each case that the unheard may be in: cut off, dead with their calls at the others, and back.
+// Guards the sums in each case that the unheard may be in: cut off, dead with their calls at the
+// others, and back.
 func TestUnheardAreRemembered(t *testing.T) {
 	ts := fleet(4, 1)
 	rate := []float64{100, 10, 40, 50}
@@ -82,7 +83,8 @@
 	assert.InDelta(t, 200, likely(3), 12, "what was missing has come to us: it is not counted twice")
 }
 
-// Guards against a deaf dispatcher's guess: it goes by what it knew, whatever its part of the traffic.
+// Guards against a deaf dispatcher's guess: it goes by what it knew, whatever its part of the
+// traffic.
 func TestDeafRemember(t *testing.T) {
 	ts := fleet(3, 1)
 	now := 1000 * 1000 * ms
@@ -102,7 +104,8 @@
 	assert.Greater(t, ts[0].View(now, 0).Age, 10*term)
 }
 
-// Guards the rows against what networks and restarts do: doubled, late, reordered, of an old incarnation, of a wrong clock.
+// Guards the rows against what networks and restarts do: doubled, late, reordered, of an old
+// incarnation, of a wrong clock.
 func TestRowsAndDigestsOutOfOrder(t *testing.T) {
 	ts := fleet(2, 1)
 	now := 1000 * 1000 * ms
@@ -138,8 +141,8 @@
 	assert.InDelta(t, 4, ts[1].View(now, 0).Totals[0].High, 0.1)
 }
 
-// Every loss and order of three dispatchers' rows and digests over two rounds: no total counts a row twice, nor is it below
-// one's own, and once all hear again for two rounds all agree.
+// Every loss and order of three dispatchers' rows and digests over two rounds: no total counts a
+// row twice, nor is it below one's own, and once all hear again for two rounds all agree.
 func TestExhaustiveSmall(t *testing.T) {
 	rate := []float64{60, 30, 10}
 	own := func(i int) []float64 { return []float64{rate[i]} }
@@ -180,8 +183,8 @@
 	t.Logf("%d runs", states)
 }
 
-// For any cuts, kills with their calls moved, and steady traffic the true total is within the bounds, for all who hear a
-// hub at all; after two rounds with all hearing, all agree within 5 %.
+// For any cuts, kills with their calls moved, and steady traffic the true total is within the
+// bounds, for all who hear a hub at all; after two rounds with all hearing, all agree within 5 %.
 func TestBoundsUnderAnyCut(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 9).Draw(t, "n")
--- a/aggregate/golden_test.go
+++ b/aggregate/golden_test.go
@@ -14,8 +14,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The files in testdata pin the wire form of datagrams between dispatchers. Dispatchers of different builds talk to
-// each other during an upgrade, so the files may change only together with the version of the format.
+// The files in testdata pin the wire form of datagrams between dispatchers. Dispatchers of
+// different builds talk to each other during an upgrade, so the files may change only together with
+// the version of the format.
 var update = flag.Bool("update", false, "write the golden files from the program's output before comparing")
 
 type goldenCase struct {
--- /dev/null
+++ b/aggregate/nodeset.go
@@ -0,0 +1,49 @@
+package aggregate
+
+import "math/bits"
+
+// NodeSet is a set of dispatchers by index, as a bitmap of one bit each, the lowest bit of the
+// first byte for index 0. The zero value is empty and has room for none.
+type NodeSet []byte
+
+// NewSet returns an empty set with room for the indices below n.
+func NewSet(n int) NodeSet { return make(NodeSet, setBytes(n)) }
+
+// setBytes returns the length in bytes of a set with room for the indices below n.
+func setBytes(n int) int { return (n + 7) / 8 }
+
+// fullSet returns the set of all indices below n.
+func fullSet(n int) NodeSet {
+	s := NewSet(n)
+	for i := range s {
+		s[i] = 0xff
+	}
+	if n%8 > 0 {
+		s[len(s)-1] = 1<<(n%8) - 1
+	}
+	return s
+}
+
+// Add adds index i. It panics where the set has no room for it.
+func (s NodeSet) Add(i int) { s[i/8] |= 1 << (i % 8) }
+
+// Has reports whether index i is in the set; it may be any number.
+func (s NodeSet) Has(i int) bool { return i >= 0 && i/8 < len(s) && s[i/8]&(1<<(i%8)) != 0 }
+
+// Len returns the number of indices in the set.
+func (s NodeSet) Len() (n int) {
+	for _, b := range s {
+		n += bits.OnesCount8(b)
+	}
+	return n
+}
+
+// hasBeyond reports whether the set has an index of n or more.
+func (s NodeSet) hasBeyond(n int) bool {
+	for i := n; i < 8*len(s); i++ {
+		if s.Has(i) {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/aggregate/report.go
@@ -0,0 +1,115 @@
+package aggregate
+
+import (
+	"math"
+	"slices"
+)
+
+// minRelativeChange is by how much a value must differ from what the last digest counted to be
+// quoted, besides its root: for a rate averaged over some seconds, smaller differences are chance.
+const minRelativeChange = 0.1
+
+// Report is what one dispatcher reports to the leader.
+type Report struct {
+	Incarnation uint8     // distinguishes restarts of the dispatcher; wraps around
+	Seq         uint8     // numbers the reports of an incarnation; wraps around
+	Values      []float64 // 0 or more, in units of the caller
+	// LastCounted are the values that the last digest counted of this dispatcher. NaN, or nil for
+	// all: about those in Values.
+	LastCounted []float64
+	Fresh       bool // no digest has counted this dispatcher since its start
+}
+
+// receivedReport is the last report of one dispatcher.
+type receivedReport struct {
+	Report
+	receivedAt int64
+	valid      bool // there is one
+}
+
+// NextReport returns the report to be sent next. Pass it to ReportSent once it is sent.
+func (a *Aggregator) NextReport() Report {
+	report := Report{
+		Incarnation: a.incarnation,
+		Seq:         a.lastSeq + 1,
+		Values:      slices.Clone(a.local),
+		Fresh:       !a.everCounted,
+	}
+	if a.everCounted {
+		report.LastCounted = a.quotedValues()
+	}
+	return report
+}
+
+// quotedValues returns what the last digest counted of this dispatcher, NaN for values that are
+// about the same, and nil where all are. Where the last digest does not cover this dispatcher, all
+// values are quoted.
+func (a *Aggregator) quotedValues() []float64 {
+	quoteAll := !a.digest.Covered.Has(a.settings.DispatcherIndex)
+	quotable := a.settings.Values - a.settings.Passing
+	anyQuoted := false
+	quoted := slices.Clone(a.lastCounted)
+	for i, x := range a.local {
+		if quoteAll || i < quotable && differs(quoted[i], x) {
+			anyQuoted = true
+		} else {
+			quoted[i] = math.NaN()
+		}
+	}
+	if !anyQuoted {
+		return nil
+	}
+	return quoted
+}
+
+// ReportSent records that a report was sent.
+func (a *Aggregator) ReportSent(report Report) { a.lastSeq, a.sentValues = report.Seq, report.Values }
+
+// differs reports whether two values differ by more than chance.
+func differs(a, b float64) bool {
+	return math.Abs(a-b) > minRelativeChange*math.Max(a, b)+1+math.Sqrt(math.Max(a, b))
+}
+
+// HandleReport takes the report of the dispatcher with index from. It reports whether the report
+// was accepted; it is not where it is late, duplicate, of a past incarnation, of another size, or
+// of no other dispatcher.
+func (a *Aggregator) HandleReport(now int64, from int, report Report) bool {
+	if !a.wellFormed(from, report) {
+		a.Dropped++
+		return false
+	}
+	last := &a.reports[from]
+	// Sequence numbers wrap around, and a dispatcher may become the leader again after any number
+	// of reports to others. By then no old report is still on its way.
+	recent := last.valid && now-last.receivedAt < maxSkewTerms*a.settings.Term
+	if recent && !report.follows(last.Report) {
+		a.Dropped++
+		return false
+	}
+	*last = receivedReport{report, now, true}
+	return true
+}
+
+// wellFormed reports whether a report comes from another dispatcher of the fleet and has the right
+// number of values.
+func (a *Aggregator) wellFormed(from int, report Report) bool {
+	if from < 0 || from >= a.settings.Dispatchers || from == a.settings.DispatcherIndex {
+		return false
+	}
+	if len(report.Values) != a.settings.Values {
+		return false
+	}
+	return report.LastCounted == nil || len(report.LastCounted) == a.settings.Values
+}
+
+// follows reports whether r was sent after other, by incarnation and sequence.
+func (r Report) follows(other Report) bool {
+	if r.Incarnation == other.Incarnation {
+		return newer(r.Seq, other.Seq)
+	}
+	return !newer(other.Incarnation, r.Incarnation)
+}
+
+// newer reports whether a follows b in numbers that wrap around (serial number arithmetic, RFC
+// 1982).
+func newer(a, b uint8) bool { return a != b && a-b < 128 }
--- a/aggregate/scale_test.go
+++ b/aggregate/scale_test.go
@@ -7,9 +7,10 @@
 
 // This file owns what a digest costs at the size planned. It must never test a behaviour.
 
-// BenchmarkDigest is a term's digest of a fleet with seven tenants' figures and 120 executors counted: made by the collector
-// from all rows, its texts written, all of them read, and the sums viewed; with no dispatcher missing and with one. longest/text
-// and text/digest are the bytes of the longest text and of all; the channel carries 256 bytes a text.
+// BenchmarkDigest is a term's digest of a fleet with seven tenants' figures and 120 executors
+// counted: made by the collector from all rows, its texts written, all of them read, and the sums
+// viewed; with no dispatcher missing and with one. longest/text and text/digest are the bytes of
+// the longest text and of all; the channel carries 256 bytes a text.
 func BenchmarkDigest(b *testing.B) {
 	for _, n := range []int{300, 1_000, 1_900} {
 		for missing := range 2 {
@@ -23,7 +24,8 @@
 	now := 1000 * 1000 * ms
 	own := func(i int) []float64 { return []float64{float64(i), 1, 2, 3, 4, 5, 6, 200, 4} }
 	hub, reader := ts[0], ts[1]
-	// The first term has all; in the second, which stands while the benchmark runs, the last ones are not heard.
+	// The first term has all; in the second, which stands while the benchmark runs, the last ones
+	// are not heard.
 	round(ts, now, 0, own, all)
 	now += term
 	round(ts, now, 0, own, func(from, to int) bool { return from < n-missing && to < n-missing })
--- /dev/null
+++ b/aggregate/view.go
@@ -0,0 +1,109 @@
+package aggregate
+
+import (
+	"math"
+	"slices"
+)
+
+// staleAfterTerms is the number of terms without a digest after which this dispatcher counts as
+// isolated.
+const staleAfterTerms = 4
+
+// Total is the sum of a value over the fleet. The bounds hold whether the missing dispatchers have
+// crashed, so that their calls have moved to others, are partitioned and go on as they were, or
+// have stopped, provided that traffic moves for no other reason.
+type Total struct{ Low, Likely, High float64 }
+
+// View is what a dispatcher knows of the totals.
+type View struct {
+	Totals  []Total
+	Covered []float64 // sums over the dispatchers covered alone: for ratios of values that change quickly
+	Heard   int       // number of dispatchers that the sums cover, this one included
+	Missing int       // number of dispatchers that are missing
+	Age     int64     // nanoseconds since the digest came; 0 where Never
+	Never   bool      // no digest has come since the start of this dispatcher
+	Stale   bool      // no digest has come for some terms, or Never
+	Scale   float64   // ratio of the total to the sum covered, of the value named to Aggregator.View; at least 1
+}
+
+// View returns the totals as they are known. scaleBy is the index of the value that View.Scale is
+// computed from; without such a value Scale is 1.
+func (a *Aggregator) View(now int64, scaleBy int) View {
+	if !a.hasDigest {
+		return a.viewWithoutDigest()
+	}
+	age := max(0, now-a.digestAt)
+	view := View{
+		Totals:  make([]Total, a.settings.Values),
+		Covered: a.digest.Sums,
+		Heard:   a.digest.Covered.Len(),
+		Missing: a.digest.Missing.Len(),
+		Age:     age,
+		Stale:   age > staleAfterTerms*a.settings.Term,
+		Scale:   a.scale(scaleBy),
+	}
+	keep := math.Exp(-float64(age) / float64(a.settings.Forget))
+	for i := range view.Totals {
+		view.Totals[i] = a.total(i, &view, keep)
+	}
+	return view
+}
+
+// viewWithoutDigest returns the view before the first digest. This dispatcher may have all the
+// traffic or as much as each of the others; the likely total is the geometric mean of the two.
+func (a *Aggregator) viewWithoutDigest() View {
+	view := View{
+		Totals:  make([]Total, a.settings.Values),
+		Covered: slices.Clone(a.local),
+		Heard:   1,
+		Never:   true,
+		Stale:   true,
+		Scale:   1,
+	}
+	dispatchers := float64(a.settings.Dispatchers)
+	for i, x := range a.local {
+		view.Totals[i] = Total{Low: x, Likely: x * math.Sqrt(dispatchers), High: x * dispatchers}
+	}
+	return view
+}
+
+// total returns the total of value i. keep is the part of what other dispatchers had that has not
+// decayed, 0 to 1.
+func (a *Aggregator) total(i int, view *View, keep float64) Total {
+	own, sum := a.local[i], a.digest.Sums[i]
+	counted := a.countedInDigest(i)
+	others := max(0, sum+a.digest.MissingSums[i]-a.digest.MissingMoved[i]-counted)
+	othersAtMost := max(0, sum+a.digest.MissingSums[i]-counted)
+	if unknown := a.settings.Dispatchers - view.Heard - view.Missing; unknown > 0 && view.Heard > 0 {
+		othersAtMost += sum / float64(view.Heard) * float64(unknown)
+	}
+	total := Total{Low: own, Likely: own + others, High: own + othersAtMost}
+	if view.Stale {
+		// This dispatcher is isolated: what it has gained since may be what the others had.
+		gained := max(0, own-counted)
+		total.Likely = max(own, own+keep*max(0, others-gained))
+	} else {
+		total.Low = max(own, min(sum, own+others))
+	}
+	return total
+}
+
+// countedInDigest returns what the last digest holds of this dispatcher's value i, in its sums or
+// in those of the missing.
+func (a *Aggregator) countedInDigest(i int) float64 {
+	self := a.settings.DispatcherIndex
+	if a.everCounted && (a.digest.Covered.Has(self) || a.digest.Missing.Has(self)) {
+		return a.lastCounted[i]
+	}
+	return 0
+}
+
+// scale returns the ratio of the total of value i to the sum over the dispatchers covered, 1 or
+// more.
+func (a *Aggregator) scale(i int) float64 {
+	d := &a.digest
+	if i < 0 || i >= a.settings.Values || !(d.Sums[i] > 0) { // also NaN
+		return 1
+	}
+	return max(1, (d.Sums[i]+d.MissingSums[i]-d.MissingMoved[i])/d.Sums[i])
+}
