--- a/aggregate/decode.go
+++ b/aggregate/decode.go
@@ -140,7 +140,7 @@
 			Worker: worker,
 			N:      int(b & countInFlight),
 			Silent: b&countSilent != 0,
-			Heard:  b&countHeard != 0,
+			Heard:  b&countResponded != 0,
 		})
 	}
 	return counts
--- a/aggregate/encode.go
+++ b/aggregate/encode.go
@@ -42,7 +42,7 @@
 	maxInFlight    = 63  // calls of a count
 	maxCounts      = 255 // of one text
 	maxCalls       = 255 // of a report
-	countHeard     = 1 << 6
+	countResponded = 1 << 6
 	countSilent    = 1 << 7
 	countInFlight  = maxInFlight
 	markCountShift = 4
@@ -185,7 +185,7 @@
 	for _, count := range counts {
 		b := byte(min(count.N, maxInFlight))
 		if count.Heard {
-			b |= countHeard
+			b |= countResponded
 		}
 		if count.Silent {
 			b |= countSilent
--- a/aggregate/golden_test.go
+++ b/aggregate/golden_test.go
@@ -20,14 +20,14 @@
 var update = flag.Bool("update", false, "write the golden files from the program's output before comparing")
 
 type goldenCase struct {
-	name     string
-	siblings int
-	message  Message
-	texts    []Message // what the texts decode to, one each; nil: one text that decodes to the message itself
+	name        string
+	dispatchers int
+	message     Message
+	texts       []Message // what the texts decode to, one each; nil: one text that decodes to the message itself
 }
 
-func setOf(siblings int, numbers ...int) NodeSet {
-	s := NewSet(siblings)
+func setOf(dispatchers int, numbers ...int) NodeSet {
+	s := NewSet(dispatchers)
 	for _, i := range numbers {
 		s.Add(i)
 	}
@@ -42,60 +42,126 @@
 }
 
 func goldenCases() []goldenCase {
-	const largest = 4095 << 15 / 64.0 // the largest figure that the format holds
+	const largest = 4095 << 15 / 64.0 // the largest value that the format holds
 	nan := math.NaN()
 	marks := []Mark{{Worker: 7, Good: 15, Pace: 255}, {Worker: 1 << 15, Bad: 9, Pace: 8}}
 	counts := []Count{{1, 5, true, false}, {2, 0, false, true}, {65535, 63, true, true}, {0, 1, false, false}}
-	pairs := []Holder{{1 << 30, 9}, {math.MaxUint32, 65535}, {0, 0}}
+	holders := []Holder{{1 << 30, 9}, {math.MaxUint32, 65535}, {0, 0}}
 	manyCounts := upTo(70, func(i int) Count { return Count{Worker: uint16(i * 900), N: i % 64, Heard: i%2 == 0} })
-	manyPairs := upTo(40, func(i int) Holder { return Holder{Func: uint32(i) << 24, Worker: uint16(i)} })
-	figures := upTo(15, func(i int) float64 { return float64(i) * 12.5 })
+	manyHolders := upTo(40, func(i int) Holder { return Holder{Func: uint32(i) << 24, Worker: uint16(i)} })
+	values := upTo(15, func(i int) float64 { return float64(i) * 12.5 })
 	quoted := upTo(15, func(i int) float64 { return []float64{0, nan, 1.5}[i%3] })
 	sums, zeros := []float64{100, 7.5}, []float64{0, 0}
-	whole := Digest{Tick: 513, Sums: sums, MissingSums: zeros, MissingMoved: zeros, Covered: fullSet(3), Missing: NewSet(3)}
-	short := whole
-	short.Truncated = true
-	wide := Digest{Tick: 1, Sums: figures, MissingSums: figures, MissingMoved: figures, Covered: fullSet(300), Missing: setOf(300, 0)}
+	complete := Digest{
+		Tick: 513, Sums: sums, MissingSums: zeros, MissingMoved: zeros,
+		Covered: fullSet(3), Missing: NewSet(3),
+	}
+	truncated := complete
+	truncated.Truncated = true
+	wide := Digest{
+		Tick: 1, Sums: values, MissingSums: values, MissingMoved: values,
+		Covered: fullSet(300), Missing: setOf(300, 0),
+	}
 	wide.Covered[0] = 0xfe
-	row := Report{Incarnation: 200, Seq: 255, Values: []float64{12.5, 0.25}}
+	sample := Report{Incarnation: 200, Seq: 255, Values: []float64{12.5, 0.25}}
 	manyMarks := upTo(14, func(i int) Mark { return Mark{Worker: uint16(i), Good: 20, Bad: 16, Pace: 1} })
 	mostMarks := upTo(12, func(i int) Mark { return Mark{Worker: uint16(i), Good: 15, Bad: 15, Pace: 1} })
 
 	return []goldenCase{
-		{name: "sync-request", siblings: 3, message: Message{SyncRequest: true, Continued: true}},
-		{name: "holders", siblings: 3, message: Message{Continued: true, Holders: pairs}},
-		{name: "report", siblings: 3, message: Message{Calls: 7, Report: row, Marks: marks, Counts: counts, Holders: pairs}},
-		{name: "report-fresh", siblings: 3, message: Message{Calls: 1, Report: Report{Values: sums, Fresh: true}}},
-		{name: "report-prev", siblings: 3, message: Message{Report: Report{Seq: 1, Values: []float64{0, 1, 25, 2, 3},
-			LastCounted: []float64{0, nan, 50, nan, nan}}, Counts: counts[:1]}},
-		{name: "report-in-three-texts", siblings: 3,
-			message: Message{Calls: 2, Report: row, Counts: manyCounts, Holders: manyPairs},
-			texts: []Message{{Calls: 2, Report: row, Counts: manyCounts[:60]},
-				{Continued: true, Counts: manyCounts[60:], Holders: manyPairs[:26]}, {Continued: true, Holders: manyPairs[26:]}}},
-		{name: "digest-complete", siblings: 3,
-			message: Message{FromLeader: true, Digest: whole, Marks: marks, Counts: counts, Holders: pairs}},
-		{name: "digest-missing", siblings: 12, message: Message{FromLeader: true, Counts: counts,
-			Digest: Digest{Tick: 65535, Sums: sums, MissingSums: []float64{40, 0}, MissingMoved: []float64{8, 0},
-				Covered: setOf(12, 0, 3, 11), Missing: setOf(12, 1, 8)}}},
-		{name: "digest-uncovered", siblings: 9, message: Message{FromLeader: true,
-			Digest: Digest{Sums: sums, MissingSums: zeros, MissingMoved: zeros, Covered: setOf(9, 8), Missing: NewSet(9)}}},
-		{name: "digest-short", siblings: 3,
-			message: Message{FromLeader: true, Digest: whole, Marks: marks, Counts: counts, Holders: pairs}.Truncate(3, 40),
-			texts:   []Message{{FromLeader: true, Digest: short, Marks: marks, Counts: counts[:1]}}},
-		{name: "digest-in-two-texts", siblings: 3, message: Message{FromLeader: true, Digest: whole, Counts: manyCounts},
-			texts: []Message{{FromLeader: true, Digest: whole, Counts: manyCounts[:60]},
-				{FromLeader: true, Continued: true, Counts: manyCounts[60:]}}},
-		{name: "digest-of-300-dispatchers", siblings: 300, message: Message{FromLeader: true, Digest: wide, Marks: mostMarks},
-			texts: []Message{{FromLeader: true, Digest: wide, Marks: mostMarks[:4]}}},
-		{name: "report-of-15-figures-and-12-marks", siblings: 3,
-			message: Message{Calls: 255, Report: Report{Values: figures, LastCounted: quoted}, Marks: mostMarks}},
-		{name: "report-beyond-bounds", siblings: 3, message: Message{Calls: 300, Marks: manyMarks,
-			Report: Report{Values: append(slices.Clone(figures), 1)}, Counts: []Count{{Worker: 1, N: 64}}},
-			texts: []Message{{Calls: 255, Marks: mostMarks, Report: Report{Values: figures},
-				Counts: []Count{{Worker: 1, N: 63}}}}},
-		{name: "report-of-extreme-figures", siblings: 3,
-			message: Message{Report: Report{Values: []float64{0, -1, nan, 1 / 64., 4095 / 64., 64, largest, 1e9, 0.001}}},
-			texts:   []Message{{Report: Report{Values: []float64{0, 0, 0, 1 / 64., 4095 / 64., 64, largest, largest, 0}}}}},
+		{name: "sync-request", dispatchers: 3, message: Message{SyncRequest: true, Continued: true}},
+		{name: "holders", dispatchers: 3, message: Message{Continued: true, Holders: holders}},
+		{
+			name: "report", dispatchers: 3,
+			message: Message{Calls: 7, Report: sample, Marks: marks, Counts: counts, Holders: holders},
+		},
+		{name: "report-fresh", dispatchers: 3, message: Message{Calls: 1, Report: Report{Values: sums, Fresh: true}}},
+		{
+			name: "report-prev", dispatchers: 3,
+			message: Message{
+				Report: Report{
+					Seq: 1, Values: []float64{0, 1, 25, 2, 3},
+					LastCounted: []float64{0, nan, 50, nan, nan},
+				},
+				Counts: counts[:1],
+			},
+		},
+		{
+			name: "report-in-three-texts", dispatchers: 3,
+			message: Message{Calls: 2, Report: sample, Counts: manyCounts, Holders: manyHolders},
+			texts: []Message{
+				{Calls: 2, Report: sample, Counts: manyCounts[:60]},
+				{Continued: true, Counts: manyCounts[60:], Holders: manyHolders[:26]},
+				{Continued: true, Holders: manyHolders[26:]},
+			},
+		},
+		{
+			name: "digest-complete", dispatchers: 3,
+			message: Message{FromLeader: true, Digest: complete, Marks: marks, Counts: counts, Holders: holders},
+		},
+		{
+			name: "digest-missing", dispatchers: 12,
+			message: Message{
+				FromLeader: true, Counts: counts,
+				Digest: Digest{
+					Tick: 65535, Sums: sums, MissingSums: []float64{40, 0}, MissingMoved: []float64{8, 0},
+					Covered: setOf(12, 0, 3, 11), Missing: setOf(12, 1, 8),
+				},
+			},
+		},
+		{
+			name: "digest-uncovered", dispatchers: 9,
+			message: Message{
+				FromLeader: true,
+				Digest: Digest{
+					Sums: sums, MissingSums: zeros, MissingMoved: zeros,
+					Covered: setOf(9, 8), Missing: NewSet(9),
+				},
+			},
+		},
+		{
+			name: "digest-short", dispatchers: 3,
+			message: Message{
+				FromLeader: true, Digest: complete, Marks: marks, Counts: counts, Holders: holders,
+			}.Truncate(3, 40),
+			texts: []Message{{FromLeader: true, Digest: truncated, Marks: marks, Counts: counts[:1]}},
+		},
+		{
+			name: "digest-in-two-texts", dispatchers: 3,
+			message: Message{FromLeader: true, Digest: complete, Counts: manyCounts},
+			texts: []Message{
+				{FromLeader: true, Digest: complete, Counts: manyCounts[:60]},
+				{FromLeader: true, Continued: true, Counts: manyCounts[60:]},
+			},
+		},
+		{
+			name: "digest-of-300-dispatchers", dispatchers: 300,
+			message: Message{FromLeader: true, Digest: wide, Marks: mostMarks},
+			texts:   []Message{{FromLeader: true, Digest: wide, Marks: mostMarks[:4]}},
+		},
+		{
+			name: "report-of-15-figures-and-12-marks", dispatchers: 3,
+			message: Message{Calls: 255, Report: Report{Values: values, LastCounted: quoted}, Marks: mostMarks},
+		},
+		{
+			name: "report-beyond-bounds", dispatchers: 3,
+			message: Message{
+				Calls: 300, Marks: manyMarks, Counts: []Count{{Worker: 1, N: 64}},
+				Report: Report{Values: append(slices.Clone(values), 1)},
+			},
+			texts: []Message{{
+				Calls: 255, Marks: mostMarks, Counts: []Count{{Worker: 1, N: 63}},
+				Report: Report{Values: values},
+			}},
+		},
+		{
+			name: "report-of-extreme-figures", dispatchers: 3,
+			message: Message{Report: Report{
+				Values: []float64{0, -1, nan, 1 / 64., 4095 / 64., 64, largest, 1e9, 0.001},
+			}},
+			texts: []Message{{Report: Report{
+				Values: []float64{0, 0, 0, 1 / 64., 4095 / 64., 64, largest, largest, 0},
+			}}},
+		},
 	}
 }
 
@@ -118,8 +184,8 @@
 	return slices.DeleteFunc(lines, func(line string) bool { return strings.HasPrefix(line, "#") })
 }
 
-// comparable replaces NaN, which differs from itself, by a figure that no text holds.
-func comparable(m Message) Message {
+// withoutNaN replaces NaN, which differs from itself, by a figure that no text holds.
+func withoutNaN(m Message) Message {
 	m.Report.LastCounted = slices.Clone(m.Report.LastCounted)
 	for i, x := range m.Report.LastCounted {
 		if math.IsNaN(x) {
@@ -139,7 +205,7 @@
 	var paths []string
 	eachGoldenCase(t, func(t *testing.T, c goldenCase) {
 		paths = append(paths, c.path())
-		texts := c.message.Encode(c.siblings)
+		texts := c.message.Encode(c.dispatchers)
 		if *update {
 			text := "# " + c.name + "\n" + strings.Join(texts, "\n") + "\n"
 			require.NoError(t, os.WriteFile(c.path(), []byte(text), 0o644))
@@ -159,9 +225,9 @@
 		texts := c.golden(t)
 		require.Len(t, texts, len(want))
 		for i, text := range texts {
-			got, ok := Decode(text, c.siblings)
+			got, ok := Decode(text, c.dispatchers)
 			require.True(t, ok, text)
-			assert.Equal(t, comparable(want[i]), comparable(got))
+			assert.Equal(t, withoutNaN(want[i]), withoutNaN(got))
 		}
 	})
 }
@@ -169,23 +235,23 @@
 func TestGoldenDatagramsAreUnchangedByDecodingAndEncoding(t *testing.T) {
 	eachGoldenCase(t, func(t *testing.T, c goldenCase) {
 		for _, text := range c.golden(t) {
-			m, ok := Decode(text, c.siblings)
+			m, ok := Decode(text, c.dispatchers)
 			require.True(t, ok, text)
-			assert.Equal(t, []string{text}, m.Encode(c.siblings))
+			assert.Equal(t, []string{text}, m.Encode(c.dispatchers))
 		}
 	})
 }
 
-// The header is version and number of figures, flags, and number of counts, a byte each.
+// The header is version and number of values, flags, and number of counts, a byte each.
 func TestGoldenDatagramsWithChangedHeaderDecodeDifferently(t *testing.T) {
 	eachGoldenCase(t, func(t *testing.T, c goldenCase) {
 		for i, text := range c.golden(t) {
 			raw, err := base64.RawStdEncoding.DecodeString(text)
 			require.NoError(t, err)
-			want := comparable(c.decoded()[i])
+			want := withoutNaN(c.decoded()[i])
 			differs := func(changed []byte, how string, at int) {
-				m, ok := Decode(base64.RawStdEncoding.EncodeToString(changed), c.siblings)
-				if ok && assert.ObjectsAreEqual(want, comparable(m)) {
+				m, ok := Decode(base64.RawStdEncoding.EncodeToString(changed), c.dispatchers)
+				if ok && assert.ObjectsAreEqual(want, withoutNaN(m)) {
 					t.Errorf("text %d decodes to the same value with header byte %d %s", i, at, how)
 				}
 			}
