--- a/ring/ring.go
+++ b/ring/ring.go
@@ -12,7 +12,7 @@
 	"slices"
 )
 
-// tokens is how many points a member has on the circle. Measured at 9,600 members, over all keys (TestShares; members numbered in
+// tokensPerMember is how many points a member has on the circle. Measured at 9,600 members, over all keys (TestShares; members numbered in
 // turn and three lists of random ids): the share of windows that a member has, least to largest, over the mean.
 //
 //	tokens   windows of 16   windows of 32   bytes a member has in points
@@ -23,29 +23,29 @@
 //
 // Two are hardly more even than one. Eight double what a change of the list costs for a fifth less at the top, and who is in too
 // many windows is left out of some for its load anyway. A look-up costs much the same with any of these.
-const tokens = 4
+const tokensPerMember = 4
 
 // Ring is a set of members, each with a value. The zero value is empty. Not safe for concurrent use: Window may sort.
 type Ring[T any] struct {
-	slots   map[uint32]int32 // of each member, by id
-	members []member[T]      // by slot
-	free    []int32          // slots of no member and no token
-	gone    []int32          // slots of no member, of which tokens are left
-	points  []point          // of all tokens, by position; complete once settled
-	added   []point          // not among points yet, unsorted
+	slots        map[uint32]int32 // of each member, by id
+	members      []member[T]      // by slot
+	freeSlots    []int32          // slots of no member and no token
+	removedSlots []int32          // slots of no member, of which tokens are left
+	points       []point          // of all tokens, by position; complete once settled
+	pending      []point          // not among points yet, unsorted
 }
 
 type member[T any] struct {
-	value T
-	there bool
-	last  int32 // scratch of settle: the index of the token of it met last
+	value     T
+	present   bool
+	lastPoint int32 // scratch of settle: the index of the token of it met last
 }
 
 // point is where a token of a member stands. No two are at one position: position is a bijection.
 type point struct {
-	at   uint64
-	slot int32
-	back int32 // how many points before this one the last token of the same member stands, round the circle
+	position uint64
+	slot     int32
+	distance int32 // how many points before this one the last token of the same member stands, round the circle
 }
 
 // Len is the number of members.
@@ -58,8 +58,8 @@
 		return false
 	}
 	var s int32
-	if n := len(r.free); n > 0 {
-		s, r.free = r.free[n-1], r.free[:n-1]
+	if n := len(r.freeSlots); n > 0 {
+		s, r.freeSlots = r.freeSlots[n-1], r.freeSlots[:n-1]
 	} else {
 		s, r.members = int32(len(r.members)), append(r.members, member[T]{})
 	}
@@ -67,9 +67,9 @@
 		r.slots = map[uint32]int32{}
 	}
 	r.slots[id] = s
-	r.members[s] = member[T]{value: v, there: true}
-	for i := range uint64(tokens) {
-		r.added = append(r.added, point{at: position(uint64(id)*tokens + i), slot: s})
+	r.members[s] = member[T]{value: v, present: true}
+	for i := range uint64(tokensPerMember) {
+		r.pending = append(r.pending, point{position: hashPosition(uint64(id)*tokensPerMember + i), slot: s})
 	}
 	return true
 }
@@ -82,9 +82,9 @@
 	}
 	delete(r.slots, id)
 	r.members[s] = member[T]{}
-	r.gone = append(r.gone, s)
-	if len(r.gone) > 64+len(r.slots) { // else members that come and go without a look-up would pile up
-		r.settle()
+	r.removedSlots = append(r.removedSlots, s)
+	if len(r.removedSlots) > 64+len(r.slots) { // else members that come and go without a look-up would pile up
+		r.rebuild()
 	}
 	return true
 }
@@ -93,18 +93,18 @@
 // no more. It takes O(log Len + skip + n), and O(Len) more where members have come or gone since the last one. It allocates
 // nothing where out has room and no member has come since.
 func (r *Ring[T]) Window(out []T, key uint64, skip, n int) []T {
-	r.settle()
+	r.rebuild()
 	skip = max(skip, 0)
 	n = min(n, len(r.slots)-skip)
 	if n <= 0 {
 		return out
 	}
-	i := r.search(position(^key))
+	i := r.firstAtOrAfter(hashPosition(^key))
 	for walked := int32(0); n > 0; walked++ {
 		if i == len(r.points) {
 			i = 0
 		}
-		if p := &r.points[i]; p.back > walked { // the first token of its member on this walk
+		if p := &r.points[i]; p.distance > walked { // the first token of its member on this walk
 			if skip > 0 {
 				skip--
 			} else {
@@ -117,11 +117,11 @@
 	return out
 }
 
-// search is the index of the first point at or after a position, len(points) where there is none.
-func (r *Ring[T]) search(at uint64) int {
+// firstAtOrAfter is the index of the first point at or after a position, len(points) where there is none.
+func (r *Ring[T]) firstAtOrAfter(at uint64) int {
 	low, high := 0, len(r.points)
 	for low < high {
-		if mid := int(uint(low+high) / 2); r.points[mid].at < at {
+		if mid := int(uint(low+high) / 2); r.points[mid].position < at {
 			low = mid + 1
 		} else {
 			high = mid
@@ -130,45 +130,45 @@
 	return low
 }
 
-// settle brings points up to date, in O(Len) and what sorting the tokens added takes.
-func (r *Ring[T]) settle() {
-	if len(r.added)+len(r.gone) == 0 {
+// rebuild brings points up to date, in O(Len) and what sorting the tokens added takes.
+func (r *Ring[T]) rebuild() {
+	if len(r.pending)+len(r.removedSlots) == 0 {
 		return
 	}
-	if len(r.gone) > 0 {
-		gone := func(p point) bool { return !r.members[p.slot].there }
-		r.points, r.added = slices.DeleteFunc(r.points, gone), slices.DeleteFunc(r.added, gone)
-		r.free, r.gone = append(r.free, r.gone...), r.gone[:0]
+	if len(r.removedSlots) > 0 {
+		gone := func(p point) bool { return !r.members[p.slot].present }
+		r.points, r.pending = slices.DeleteFunc(r.points, gone), slices.DeleteFunc(r.pending, gone)
+		r.freeSlots, r.removedSlots = append(r.freeSlots, r.removedSlots...), r.removedSlots[:0]
 	}
-	slices.SortFunc(r.added, func(a, b point) int { return cmp.Compare(a.at, b.at) })
-	old, more := len(r.points), len(r.added)
+	slices.SortFunc(r.pending, func(a, b point) int { return cmp.Compare(a.position, b.position) })
+	old, more := len(r.points), len(r.pending)
 	r.points = slices.Grow(r.points, more)[:old+more]
 	for to := old + more - 1; more > 0; to-- { // merged from the back, in place
-		if old > 0 && r.points[old-1].at > r.added[more-1].at {
+		if old > 0 && r.points[old-1].position > r.pending[more-1].position {
 			old--
 			r.points[to] = r.points[old]
 		} else {
 			more--
-			r.points[to] = r.added[more]
+			r.points[to] = r.pending[more]
 		}
 	}
-	r.added = r.added[:0]
-	if cap(r.added) > len(r.points)/4 {
-		r.added = nil // a first list, not a change of it
+	r.pending = r.pending[:0]
+	if cap(r.pending) > len(r.points)/4 {
+		r.pending = nil // a first list, not a change of it
 	}
 	for i, p := range r.points {
-		r.members[p.slot].last = int32(i - len(r.points))
+		r.members[p.slot].lastPoint = int32(i - len(r.points))
 	}
 	for i := range r.points {
 		p := &r.points[i]
 		m := &r.members[p.slot]
-		p.back, m.last = int32(i)-m.last, int32(i)
+		p.distance, m.lastPoint = int32(i)-m.lastPoint, int32(i)
 	}
 }
 
-// position is output x of the SplitMix64 generator seeded with 0 (Steele, Lea, Flood, OOPSLA 2014). Members' tokens are numbered
+// hashPosition is output x of the SplitMix64 generator seeded with 0 (Steele, Lea, Flood, OOPSLA 2014). Members' tokens are numbered
 // below 2^34, keys are turned round, so that small numbers of both don't meet.
-func position(x uint64) uint64 {
+func hashPosition(x uint64) uint64 {
 	x = (x + 1) * 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/ring/ring_test.go
+++ b/ring/ring_test.go
@@ -27,7 +27,7 @@
 	var ps []point
 	for _, id := range ids {
 		for i := range tokens {
-			ps = append(ps, point{position(uint64(id)*uint64(tokens) + uint64(i)), id})
+			ps = append(ps, point{hashPosition(uint64(id)*uint64(tokens) + uint64(i)), id})
 		}
 	}
 	slices.SortFunc(ps, func(a, b point) int { return cmp.Compare(a.at, b.at) })
@@ -39,7 +39,7 @@
 
 func (m model) window(key uint64, skip, n int) []uint32 {
 	i := 0
-	for i < len(m.at) && m.at[i] < position(^key) {
+	for i < len(m.at) && m.at[i] < hashPosition(^key) {
 		i++
 	}
 	return m.from(i, skip, n)
@@ -159,8 +159,8 @@
 		assert.Empty(t, r.Window(nil, 1, bounds[0], bounds[1]), bounds)
 	}
 	assert.Len(t, r.Window(nil, 1, -3, math.MaxInt), 2)
-	for i := range uint64(tokens) { // a key at the point of a token
-		assert.Equal(t, []string{"c"}, r.Window(nil, ^(7*tokens+i), 0, 1))
+	for i := range uint64(tokensPerMember) { // a key at the point of a token
+		assert.Equal(t, []string{"c"}, r.Window(nil, ^(7*tokensPerMember+i), 0, 1))
 	}
 	out := r.Window([]string{"kept"}, 1, 0, 2)
 	assert.Equal(t, "kept", out[0])
@@ -235,7 +235,7 @@
 			}
 		}
 		require.Equal(t, len(ids), r.Len())
-		m := modelOf(ids, tokens)
+		m := modelOf(ids, tokensPerMember)
 		for range 5 {
 			key, skip := rapid.Uint64().Draw(t, "key"), rapid.IntRange(0, 70).Draw(t, "skip")
 			w := rapid.IntRange(0, 70).Draw(t, "n")
@@ -292,13 +292,13 @@
 		for _, id := range shuffled(part, uint64(i)) {
 			require.True(t, r.Remove(id))
 		}
-		m := modelOf(rest, tokens)
+		m := modelOf(rest, tokensPerMember)
 		for key := range uint64(50) {
 			same(t, m.window(key, 0, 32), r.Window(nil, key, 0, 32))
 		}
 		fill(r, shuffled(part, uint64(i)+9))
 	}
-	m, rng, out := modelOf(all, tokens), rand.New(rand.NewPCG(3, 3)), make([]uint32, 0, 64)
+	m, rng, out := modelOf(all, tokensPerMember), rand.New(rand.NewPCG(3, 3)), make([]uint32, 0, 64)
 	for range 200 {
 		key, skip, n := rng.Uint64(), rng.IntN(64), rng.IntN(64)
 		checkWindow(t, r, all, key, skip, n)
@@ -315,9 +315,9 @@
 		r.Add(100+i, i)
 		r.Remove(100 + i)
 		require.LessOrEqual(t, len(r.members), 300)
-		require.LessOrEqual(t, len(r.points)+len(r.added), 300*tokens)
+		require.LessOrEqual(t, len(r.points)+len(r.pending), 300*tokensPerMember)
 	}
-	same(t, modelOf(numbered(100), tokens).window(1, 0, 100), r.Window(nil, 1, 0, 100))
+	same(t, modelOf(numbered(100), tokensPerMember).window(1, 0, 100), r.Window(nil, 1, 0, 100))
 }
 
 // Each of the 64 sets of six members, from it each order of up to four events (one comes or goes, each tried twice; a look-up):
@@ -333,7 +333,7 @@
 			}
 		}
 		for key := range want[set] {
-			want[set][key] = modelOf(ids, tokens).window(uint64(key), key%3, 3)
+			want[set][key] = modelOf(ids, tokensPerMember).window(uint64(key), key%3, 3)
 		}
 	}
 	cases, out := 0, make([]uint32, 0, members)
@@ -406,7 +406,7 @@
 				}
 				low, high := modelOf(ids, perMember).shares(len(ids), n)
 				t.Logf("%d tokens, windows of %d, list %d: a member's share %.2f to %.2f of the mean", perMember, n, seed, low, high)
-				if perMember == tokens {
+				if perMember == tokensPerMember {
 					assert.Greater(t, low, least)
 					assert.Less(t, high, most)
 				}
