--- a/rules/rules.go
+++ b/rules/rules.go
@@ -52,18 +52,18 @@
 const (
 	// idleLeast: a request may cross the close of an idle connection within 50 ms, and is then sent again once (protocol
 	// page). Twice that leaves room for a busy machine.
-	idleLeast = 100 * time.Millisecond
+	minIdleReused = 100 * time.Millisecond
 	// newLeast: a new connection is opened for a request, which may still be on its way.
-	newLeast = 250 * time.Millisecond
+	minIdleNew = 250 * time.Millisecond
 )
 
 // MinIdleTime is how long a connection must have been quiet before it is closed for another; answered: it has carried a
 // request before.
 func MinIdleTime(answered bool) time.Duration {
 	if answered {
-		return idleLeast
+		return minIdleReused
 	}
-	return newLeast
+	return minIdleNew
 }
 
 // ClientConn is what is known of a client's connection.
@@ -90,9 +90,9 @@
 	return Allowed
 }
 
-// mostWorded is how long before its first byte a request may have been worded: the time that it tells the worker may be
+// maxBudgetAge is how long before its first byte a request may have been worded: the time that it tells the worker may be
 // too much by 0.15 s at most (operators' terms), of which a part is kept for the way.
-const mostWorded = 100 * time.Millisecond
+const maxBudgetAge = 100 * time.Millisecond
 
 // Write is a request about to be written to a worker.
 type Write struct {
@@ -108,20 +108,20 @@
 		return CallerLeft
 	case w.Revoked && !mutant.On(mutant.Revoked) && !mutant.On(mutant.CallerLeft): // a request is over when its client leaves
 		return RequestCompleted
-	case w.BudgetAge > mostWorded:
+	case w.BudgetAge > maxBudgetAge:
 		return BudgetStale
 	}
 	return Allowed
 }
 
-// toldTooMuch is what a planted fault adds.
-const toldTooMuch = time.Second
+// plantedExtraTime is what a planted fault adds.
+const plantedExtraTime = time.Second
 
 // RemainingMillis is what a worker is told of the time that the client has left when its request is written, in whole
 // milliseconds, 1 at the least.
 func RemainingMillis(left time.Duration) int64 {
 	if mutant.On(mutant.TimeTold) {
-		left += toldTooMuch
+		left += plantedExtraTime
 	}
 	return max(1, left.Milliseconds())
 }
--- a/rules/rules_test.go
+++ b/rules/rules_test.go
@@ -18,10 +18,10 @@
 		{ClientConn{Idle: long, RequestInFlight: true}, CloseForCapacity, RequestInFlight},
 		{ClientConn{Idle: long, PartlyRead: true}, CloseForCapacity, RequestPartlyRead},
 		{ClientConn{Idle: long, UnreadData: true}, CloseForCapacity, UnreadData},
-		{ClientConn{Idle: idleLeast, Reused: true}, CloseForCapacity, Allowed},
-		{ClientConn{Idle: idleLeast}, CloseForCapacity, TooRecent},
-		{ClientConn{Idle: newLeast}, CloseForCapacity, Allowed},
-		{ClientConn{Idle: idleLeast - 1, Reused: true}, CloseForCapacity, TooRecent},
+		{ClientConn{Idle: minIdleReused, Reused: true}, CloseForCapacity, Allowed},
+		{ClientConn{Idle: minIdleReused}, CloseForCapacity, TooRecent},
+		{ClientConn{Idle: minIdleNew}, CloseForCapacity, Allowed},
+		{ClientConn{Idle: minIdleReused - 1, Reused: true}, CloseForCapacity, TooRecent},
 		{ClientConn{}, CloseForDrain, Allowed},
 		{ClientConn{RequestInFlight: true}, CloseForDrain, RequestInFlight},
 		{ClientConn{PartlyRead: true}, CloseForDrain, RequestPartlyRead},
@@ -35,8 +35,8 @@
 	assert.Equal(t, Allowed, MayWrite(Write{}))
 	assert.Equal(t, CallerLeft, MayWrite(Write{CallerLeft: true, Revoked: true}))
 	assert.Equal(t, RequestCompleted, MayWrite(Write{Revoked: true}))
-	assert.Equal(t, Allowed, MayWrite(Write{BudgetAge: mostWorded}))
-	assert.Equal(t, BudgetStale, MayWrite(Write{BudgetAge: mostWorded + 1}))
+	assert.Equal(t, Allowed, MayWrite(Write{BudgetAge: maxBudgetAge}))
+	assert.Equal(t, BudgetStale, MayWrite(Write{BudgetAge: maxBudgetAge + 1}))
 }
 
 func TestMayRepeat(t *testing.T) {
