--- a/rules/rules_test.go
+++ b/rules/rules_test.go
@@ -10,9 +10,9 @@
 func TestMayCloseClient(t *testing.T) {
 	long := time.Minute
 	for _, c := range []struct {
-		conn ClientConn
-		why  CloseCause
-		want Reason
+		conn  ClientConn
+		cause CloseCause
+		want  Reason
 	}{
 		{ClientConn{Idle: long}, CloseForCapacity, Allowed},
 		{ClientConn{Idle: long, RequestInFlight: true}, CloseForCapacity, RequestInFlight},
@@ -27,7 +27,7 @@
 		{ClientConn{PartlyRead: true}, CloseForDrain, RequestPartlyRead},
 		{ClientConn{UnreadData: true}, CloseForDrain, UnreadData},
 	} {
-		assert.Equal(t, c.want, MayCloseClient(c.conn, c.why), "%+v %v", c.conn, c.why)
+		assert.Equal(t, c.want, MayCloseClient(c.conn, c.cause), "%+v %v", c.conn, c.cause)
 	}
 }
 
@@ -39,40 +39,45 @@
 	assert.Equal(t, BudgetStale, MayWrite(Write{BudgetAge: maxBudgetAge + 1}))
 }
 
-func TestMayRepeat(t *testing.T) {
+func TestMayRetry(t *testing.T) {
 	assert.Equal(t, Allowed, MayRetry(Retry{Attempts: 1, MaxAttempts: 2}))
 	assert.Equal(t, NoAttemptsLeft, MayRetry(Retry{Attempts: 2, MaxAttempts: 2}))
 	assert.Equal(t, RequestCompleted, MayRetry(Retry{Completed: true, MaxAttempts: 2}))
 	assert.Equal(t, DeadlineReached, MayRetry(Retry{DeadlineReached: true, MaxAttempts: 2}))
-	for _, out := range []bool{false, true} {
-		for _, ran := range []bool{false, true} {
-			for _, barred := range []bool{false, true} {
-				for _, second := range []bool{false, true} {
-					e := PriorAttempt{InFlight: out, MayHaveRun: ran, NotRetryable: barred}
+}
+
+// TestMayRetryAfter plays every prior attempt, with hedging and without.
+func TestMayRetryAfter(t *testing.T) {
+	both := []bool{false, true}
+	for _, inFlight := range both {
+		for _, mayHaveRun := range both {
+			for _, notRetryable := range both {
+				for _, hedging := range both {
+					attempt := PriorAttempt{InFlight: inFlight, MayHaveRun: mayHaveRun, NotRetryable: notRetryable}
 					want := Allowed
 					switch {
-					case out && !second:
+					case inFlight && !hedging:
 						want = AttemptInFlight
-					case ran && barred:
+					case mayHaveRun && notRetryable:
 						want = MayHaveRun
 					}
-					assert.Equal(t, want, MayRetryAfter(e, second), "%+v %v", e, second)
-					assert.Equal(t, ran && barred, !MayReject(e).OK(), "%+v", e)
+					assert.Equal(t, want, MayRetryAfter(attempt, hedging), "%+v %v", attempt, hedging)
+					assert.Equal(t, mayHaveRun && notRetryable, !MayReject(attempt).OK(), "%+v", attempt)
 				}
 			}
 		}
 	}
 }
 
-func TestMayOrder(t *testing.T) {
-	r := LoadQuota{Base: 2, Ratio: 0.25}
-	assert.Equal(t, Allowed, MayOrderLoad(r, 0, 1))
-	assert.Equal(t, LoadQuotaExhausted, MayOrderLoad(r, 0, 2))
-	assert.Equal(t, Allowed, MayOrderLoad(r, 4, 2))
-	assert.Equal(t, LoadQuotaExhausted, MayOrderLoad(r, 3, 2))
+func TestMayOrderLoad(t *testing.T) {
+	quota := LoadQuota{Base: 2, Ratio: 0.25}
+	assert.Equal(t, Allowed, MayOrderLoad(quota, 0, 1))
+	assert.Equal(t, LoadQuotaExhausted, MayOrderLoad(quota, 0, 2))
+	assert.Equal(t, Allowed, MayOrderLoad(quota, 4, 2))
+	assert.Equal(t, LoadQuotaExhausted, MayOrderLoad(quota, 3, 2))
 }
 
-func TestMayUseAWorkersConnection(t *testing.T) {
+func TestWorkerConnections(t *testing.T) {
 	assert.Equal(t, Allowed, MayReuseWorker(WorkerConn{}))
 	assert.Equal(t, ConnectionTainted, MayReuseWorker(WorkerConn{Tainted: true, ResponsePending: true}))
 	assert.Equal(t, ResponsePending, MayReuseWorker(WorkerConn{ResponsePending: true}))
@@ -80,10 +85,18 @@
 	assert.Equal(t, ResponsePending, MayCloseWorker(WorkerConn{ResponsePending: true}))
 }
 
-func TestReasonsHaveTexts(t *testing.T) {
+// TestReasonTexts pins the texts that logs and counters show.
+func TestReasonTexts(t *testing.T) {
+	texts := []string{
+		"allowed", "call in hand", "request begun", "bytes unread", "too recent", "caller left", "request over",
+		"time told is over", "may have run", "attempt out", "no attempts left", "out of time", "ration spent",
+		"answer awaited", "connection spent",
+	}
 	for r := Allowed; r <= ConnectionTainted; r++ {
 		assert.NotEmpty(t, r.String())
+		assert.Equal(t, texts[r], r.String())
 	}
+	assert.Len(t, texts, int(ConnectionTainted)+1)
 	assert.True(t, Allowed.OK())
 	assert.False(t, CallerLeft.OK())
 }
