--- a/internal/platform/answer.go
+++ b/internal/platform/answer.go
@@ -10,42 +10,57 @@
 	"oakthread/internal/httpreply"
 )
 
-// writeAnswer encodes the answer, once.
-func (f *Server) writeAnswer(w http.ResponseWriter, a oakthread.Answer, err error) {
-	if f.sendsRetryAfter && err == nil && a.Outcome == oakthread.Rejected && a.RetryAfter > 0 {
-		w.Header().Set("X-Come-Back-Ms", strconv.FormatInt(int64((a.RetryAfter+time.Millisecond-1)/time.Millisecond), 10))
-	}
-	httpreply.Write(w, a, err)
+// Outcomes counts the responses of one class: completed (200), rejected (429, 503) and failed (any other).
+type Outcomes struct{ Completed, Rejected, Failed atomic.Int64 }
+
+// Tally calls fn for each class that has had a response, by the name that clients use.
+func (s *Server) Tally(fn func(class string, outcomes *Outcomes)) {
+	s.outcomes.Range(func(class, outcomes any) bool {
+		fn(class.(string), outcomes.(*Outcomes))
+		return true
+	})
 }
 
-// announceClose says that the connection ends with this answer, where connections are to be quiet and no further request has begun
-// to come on it.
-func (f *Server) announceClose(w http.ResponseWriter, r *http.Request) {
-	if g := clientConnFrom(r.Context()); f.keepAlivesDisabled.Load() && (g == nil || !g.limiter.isPipelined(g)) {
-		w.Header().Set("Connection", "close")
+// countOutcome counts a response of a class.
+func (s *Server) countOutcome(class string, status int) {
+	counted, ok := s.outcomes.Load(class)
+	if !ok {
+		counted, _ = s.outcomes.LoadOrStore(class, new(Outcomes))
+	}
+	outcomes := counted.(*Outcomes)
+	switch status {
+	case http.StatusOK:
+		outcomes.Completed.Add(1)
+	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
+		outcomes.Rejected.Add(1)
+	default:
+		outcomes.Failed.Add(1)
 	}
 }
 
-// Outcomes counts the answers of one class: served (200), refused (429, 503) and failed (any other).
-type Outcomes struct{ Completed, Rejected, Failed atomic.Int64 }
+// writeAnswer writes the core's answer, or its error.
+func (s *Server) writeAnswer(w http.ResponseWriter, answer oakthread.Answer, err error) {
+	rejected := err == nil && answer.Outcome == oakthread.Rejected
+	if s.sendsRetryAfter && rejected && answer.RetryAfter > 0 {
+		millis := int64((answer.RetryAfter + time.Millisecond - 1) / time.Millisecond)
+		w.Header().Set(retryAfterMillisHeader, strconv.FormatInt(millis, 10))
+	}
+	httpreply.Write(w, answer, err)
+}
 
-// Tally calls fn for each class that has had an answer, by the name the client gave.
-func (f *Server) Tally(fn func(class string, o *Outcomes)) {
-	f.outcomes.Range(func(k, v any) bool { fn(k.(string), v.(*Outcomes)); return true })
+// rejectMalformed rejects a request that cannot be read and ends the connection, since what follows on it
+// cannot be trusted.
+func (s *Server) rejectMalformed(w http.ResponseWriter, status int, err error) {
+	s.malformed.Add(1)
+	w.Header().Set("Connection", "close")
+	http.Error(w, err.Error(), status)
 }
 
-func (f *Server) countOutcome(class string, status int) {
-	v, ok := f.outcomes.Load(class)
-	if !ok {
-		v, _ = f.outcomes.LoadOrStore(class, new(Outcomes))
-	}
-	o := v.(*Outcomes)
-	switch {
-	case status == http.StatusOK:
-		o.Completed.Add(1)
-	case status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable:
-		o.Rejected.Add(1)
-	default:
-		o.Failed.Add(1)
+// announceClose has the connection end with this response if keep-alives are disabled, unless a further
+// request has begun to arrive on it.
+func (s *Server) announceClose(w http.ResponseWriter, r *http.Request) {
+	conn := clientConnFrom(r.Context())
+	if s.keepAlivesDisabled.Load() && (conn == nil || !conn.limiter.isPipelined(conn)) {
+		w.Header().Set("Connection", "close")
 	}
 }
--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -7,22 +7,28 @@
 	"oakthread"
 )
 
-// Send is one attempt: at most one request written.
-func (f *ExecutorPool) Send(ctx context.Context, a oakthread.Attempt) oakthread.Reply {
-	h := http.Header{"X-Hop-Id": {a.Request.ID}, "X-Thing": {a.Request.Key}, "User-Agent": {""}}
-	if a.Request.IdempotencyKey != "" {
-		h.Set("X-Replay-Key", a.Request.IdempotencyKey)
+// Send makes one attempt. At most one request is written for it.
+func (p *ExecutorPool) Send(ctx context.Context, attempt oakthread.Attempt) oakthread.Reply {
+	call := attempt.Request
+	header := withoutUserAgent()
+	header.Set(requestIDHeader, call.ID)
+	header.Set(functionHeader, call.Key)
+	if call.IdempotencyKey != "" {
+		header.Set(executorKeyHeader, call.IdempotencyKey)
 	}
 	method := http.MethodPost
-	if len(a.Request.Body) == 0 {
+	if len(call.Body) == 0 {
 		method = http.MethodGet
 	}
-	resp, body, unsent, err := f.roundTrip(ctx, a.Worker, executorRequest{
-		method: method, path: "/c/" + (*f.classNames.Load())[a.Request.Class], header: h,
-		body: a.Request.Body, deadline: a.Deadline, beforeWrite: a.BeforeWrite,
+	response, unsent, err := p.roundTrip(ctx, attempt.Worker, executorRequest{
+		method: method, path: executorCallPath + (*p.classNames.Load())[call.Class], header: header, body: call.Body,
+		deadline: attempt.Deadline, beforeWrite: attempt.BeforeWrite,
 	})
 	if err != nil {
 		return oakthread.Reply{Result: classifyFailure(ctx, unsent, err)}
 	}
-	return f.parseReply(resp, body)
+	return p.parseReply(response)
 }
+
+// withoutUserAgent returns a header that keeps net/http from adding its own User-Agent.
+func withoutUserAgent() http.Header { return http.Header{userAgentHeader: {""}} }
--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -47,7 +47,7 @@
 		if k, v, ok := strings.Cut(c.header, ": "); ok {
 			h.Set(k, v)
 		}
-		r := f.parseReply(&http.Response{StatusCode: c.status, Header: h}, nil)
+		r := f.parseReply(executorResponse{status: c.status, header: h})
 		assert.Equal(t, c.want, r.Result, "%d %s", c.status, c.header)
 		assert.Equal(t, c.warmth, r.Warmth, "%d %s", c.status, c.header)
 	}
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -12,28 +12,30 @@
 	"oakthread/internal/wire"
 )
 
-// Config is what the platform tells a dispatcher.
+// defaultSockets is the limit on sockets where the file names none.
+const defaultSockets = 1024
+
+// Config is the configuration that the platform gives a dispatcher at its start.
 type Config struct {
 	Name       string
 	Listen     string
 	Seed       uint64
 	Cores      float64
-	Memory     int64 // bytes; 0: no limit told
+	Memory     int64 // bytes; 0: no limit is given
 	Sockets    int
 	PeerListen string
 	Peers      []netip.AddrPort // by number
 	PeersAll   netip.AddrPort
 	Channel    string
-	Console    string // where the operators' console listens; "" for none
+	Console    string // address of the operators' console; "": there is none
 	Known      []Event
-	Cursor     int64
+	Cursor     int64 // of the last event in Known
 	Setup      *wire.Setup
-	keys       []string // the keys that the file held
+	keys       []string // the keys that the file holds
 }
 
-const defaultSockets = 1024
-
-// Load reads the file that ROUTER_CONFIG names; ROUTER_NAME and ROUTER_LISTEN fill what it leaves out.
+// Load reads the file that ROUTER_CONFIG names. ROUTER_NAME, ROUTER_LISTEN and ROUTER_CONSOLE stand for
+// what it leaves out. Errors are of one line and begin with "configuration:".
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv("ROUTER_CONFIG")
 	if path == "" {
@@ -43,10 +45,24 @@
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	c, err := parseConfig(raw)
+	config, err := parseConfig(raw)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
+	config.applyEnv(getenv)
+	if config.Console != "" {
+		if _, _, err := net.SplitHostPort(config.Console); err != nil {
+			return nil, fmt.Errorf("configuration: console: %w", err)
+		}
+	}
+	if _, _, err := net.SplitHostPort(config.Listen); err != nil {
+		return nil, fmt.Errorf("configuration: listen: %w", err)
+	}
+	return config, nil
+}
+
+// applyEnv fills what the file leaves out from the environment.
+func (c *Config) applyEnv(getenv func(string) string) {
 	if c.Name == "" {
 		c.Name = getenv("ROUTER_NAME")
 	}
@@ -56,91 +72,117 @@
 	if c.Console == "" {
 		c.Console = getenv("ROUTER_CONSOLE")
 	}
-	if c.Console != "" {
-		if _, _, err := net.SplitHostPort(c.Console); err != nil {
-			return nil, fmt.Errorf("configuration: console: %w", err)
-		}
-	}
-	if _, _, err := net.SplitHostPort(c.Listen); err != nil {
-		return nil, fmt.Errorf("configuration: listen: %w", err)
-	}
-	return c, nil
 }
 
+// configFile is the configuration as the file writes it.
+type configFile struct {
+	Name   string `json:"name"`
+	Listen string `json:"listen"`
+	Seed   string `json:"seed"`
+	Limits struct {
+		Cores    float64 `json:"cores"`
+		MemoryMB float64 `json:"memory_mb"`
+		Sockets  int     `json:"sockets"`
+	} `json:"limits"`
+	PeerListen string   `json:"peer_listen"`
+	Peers      []string `json:"peers"`
+	PeersAll   string   `json:"peers_all"`
+	Channel    string   `json:"channel"`
+	Console    string   `json:"console"`
+	Known      struct {
+		Cursor int64             `json:"cursor"`
+		Cmds   []json.RawMessage `json:"cmds"`
+	} `json:"known"`
+	Settings json.RawMessage `json:"settings"`
+}
+
+// parseConfig decodes and checks a configuration file. What cannot be used is an error.
 func parseConfig(raw []byte) (*Config, error) {
-	var f struct {
-		Name   string `json:"name"`
-		Listen string `json:"listen"`
-		Seed   string `json:"seed"`
-		Limits struct {
-			Cores    float64 `json:"cores"`
-			MemoryMB float64 `json:"memory_mb"`
-			Sockets  int     `json:"sockets"`
-		} `json:"limits"`
-		PeerListen string   `json:"peer_listen"`
-		Peers      []string `json:"peers"`
-		PeersAll   string   `json:"peers_all"`
-		Channel    string   `json:"channel"`
-		Console    string   `json:"console"`
-		Known      struct {
-			Cursor int64             `json:"cursor"`
-			Cmds   []json.RawMessage `json:"cmds"`
-		} `json:"known"`
-		Settings json.RawMessage `json:"settings"`
-	}
-	if err := json.Unmarshal(raw, &f); err != nil {
+	var file configFile
+	if err := json.Unmarshal(raw, &file); err != nil {
 		return nil, err
 	}
-	c := &Config{
-		Name: f.Name, Listen: f.Listen, Cores: f.Limits.Cores, Sockets: f.Limits.Sockets,
-		Memory: int64(f.Limits.MemoryMB * (1 << 20)), PeerListen: f.PeerListen, Channel: f.Channel, Console: f.Console,
-		Cursor: f.Known.Cursor, keys: configKeys(raw),
+	config := &Config{
+		Name: file.Name, Listen: file.Listen, Cores: file.Limits.Cores, Sockets: file.Limits.Sockets,
+		Memory: int64(file.Limits.MemoryMB * (1 << 20)), PeerListen: file.PeerListen, Channel: file.Channel,
+		Console: file.Console, Cursor: file.Known.Cursor, keys: configKeys(raw),
 	}
-	if c.Sockets <= 0 {
-		c.Sockets = defaultSockets
+	if config.Sockets <= 0 {
+		config.Sockets = defaultSockets
 	}
-	var err error
-	if f.Seed != "" {
-		if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-			return nil, fmt.Errorf("seed: %q is not a hexadecimal number", f.Seed)
+	for _, parse := range []func(*configFile) error{
+		config.parseSeed, config.parseSettings, config.parsePeers, config.checkChannel, config.parseKnown,
+	} {
+		if err := parse(&file); err != nil {
+			return nil, err
 		}
 	}
-	if len(f.Settings) == 0 {
-		return nil, errors.New("settings are missing")
+	return config, nil
+}
+
+func (c *Config) parseSeed(file *configFile) (err error) {
+	if file.Seed == "" {
+		return nil
 	}
-	if c.Setup, err = wire.ReadSetup(f.Settings); err != nil {
-		return nil, err
+	if c.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
+		return fmt.Errorf("seed: %q is not a hexadecimal number", file.Seed)
+	}
+	return nil
+}
+
+func (c *Config) parseSettings(file *configFile) (err error) {
+	if len(file.Settings) == 0 {
+		return errors.New("settings are missing")
+	}
+	if c.Setup, err = wire.ReadSetup(file.Settings); err != nil {
+		return err
 	}
 	if len(c.Setup.Categories) == 0 {
-		return nil, errors.New("settings: categories are missing")
+		return errors.New("settings: categories are missing")
 	}
-	for i, p := range f.Peers {
-		a, err := netip.ParseAddrPort(p)
+	return nil
+}
+
+func (c *Config) parsePeers(file *configFile) (err error) {
+	for i, text := range file.Peers {
+		addr, err := netip.ParseAddrPort(text)
 		if err != nil {
-			return nil, fmt.Errorf("peers[%d]: %w", i, err)
+			return fmt.Errorf("peers[%d]: %w", i, err)
 		}
-		c.Peers = append(c.Peers, a)
+		c.Peers = append(c.Peers, addr)
 	}
-	if f.PeersAll != "" {
-		if c.PeersAll, err = netip.ParseAddrPort(f.PeersAll); err != nil {
-			return nil, fmt.Errorf("peers_all: %w", err)
-		}
+	if file.PeersAll == "" {
+		return nil
 	}
-	if c.Channel != "" {
-		if _, _, err := net.SplitHostPort(c.Channel); err != nil {
-			return nil, fmt.Errorf("channel: %w", err)
-		}
+	if c.PeersAll, err = netip.ParseAddrPort(file.PeersAll); err != nil {
+		return fmt.Errorf("peers_all: %w", err)
+	}
+	return nil
+}
+
+func (c *Config) checkChannel(*configFile) error {
+	if c.Channel == "" {
+		return nil
+	}
+	if _, _, err := net.SplitHostPort(c.Channel); err != nil {
+		return fmt.Errorf("channel: %w", err)
 	}
-	for i, raw := range f.Known.Cmds {
-		ev, err := parseEvent(raw, c.Setup)
+	return nil
+}
+
+// parseKnown decodes the events known at the start. Unlike on the channel, each must be usable as it
+// stands.
+func (c *Config) parseKnown(file *configFile) error {
+	for i, raw := range file.Known.Cmds {
+		event, err := parseEvent(raw, c.Setup)
 		if err != nil {
-			return nil, fmt.Errorf("known.cmds[%d]: %w", i, err)
+			return fmt.Errorf("known.cmds[%d]: %w", i, err)
 		}
-		if len(ev.Invalid) > 0 {
-			return nil, fmt.Errorf("known.cmds[%d]: %w", i, ev.Invalid[0])
+		if len(event.Invalid) > 0 {
+			return fmt.Errorf("known.cmds[%d]: %w", i, event.Invalid[0])
 		}
-		c.Known = append(c.Known, ev)
-		c.Cursor = max(c.Cursor, ev.Cursor)
+		c.Known = append(c.Known, event)
+		c.Cursor = max(c.Cursor, event.Cursor)
 	}
-	return c, nil
+	return nil
 }
--- a/internal/platform/connclose.go
+++ b/internal/platform/connclose.go
@@ -8,109 +8,103 @@
 	"oakthread/rules"
 )
 
-// setKeepAlives, off, closes the connections on which nothing is under way, now and as they fall idle.
+// setKeepAlives, when off, closes the connections on which nothing is under way, now and as they become
+// idle.
 func (l *connLimiter) setKeepAlives(on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.closeIdle = !on
-	for c := range l.conns {
-		l.closeIfIdle(c)
+	for conn := range l.conns {
+		l.closeIfIdle(conn)
 	}
 }
 
-// closeIfIdle closes a connection where connections are to be quiet, unless a request has begun to come on it; the caller
-// holds mu.
-func (l *connLimiter) closeIfIdle(c *clientConn) {
-	if l.closeIdle && l.mayClose(c, rules.CloseForDrain, time.Now()).OK() {
-		l.requestClose(c)
+// closeIfIdle closes a connection if idle ones are to be closed, unless a request has begun to arrive on
+// it. The caller holds mu.
+func (l *connLimiter) closeIfIdle(conn *clientConn) {
+	if l.closeIdle && l.mayClose(conn, rules.CloseForDrain, time.Now()).OK() {
+		l.closeUnread(conn)
 	}
 }
 
-// mayClose asks the rule on closing; the caller holds mu.
-func (l *connLimiter) mayClose(c *clientConn, why rules.CloseCause, now time.Time) rules.Reason {
-	state := c.state(now)
-	if reason := rules.MayCloseClient(state, why); !reason.OK() {
+// mayClose decides whether a connection may be closed. The caller holds mu.
+func (l *connLimiter) mayClose(conn *clientConn, cause rules.CloseCause, now time.Time) rules.Reason {
+	state := conn.state(now)
+	if reason := rules.MayCloseClient(state, cause); !reason.OK() {
 		return reason
 	}
-	state.UnreadData = hasUnread(c.Conn) // a system call: asked last
-	return rules.MayCloseClient(state, why)
+	state.UnreadData = hasUnread(conn.Conn) // costs a system call, hence last
+	return rules.MayCloseClient(state, cause)
 }
 
-// requestClose closes a connection on which nothing is under way. While a read is, bytes may have left the kernel that nobody has
-// counted: the reader closes it then, unless it finds some. The caller holds mu.
-func (l *connLimiter) requestClose(c *clientConn) {
-	if c.reading {
-		c.requestClose()
+// closeUnread closes a connection on which nothing is under way. During a read, bytes may have left the
+// kernel that have not been counted: the reader closes the connection then, unless it finds some. The
+// caller holds mu.
+func (l *connLimiter) closeUnread(conn *clientConn) {
+	if conn.reading {
+		conn.requestClose()
 		return
 	}
-	l.closeNow(c)
+	l.closeNow(conn)
 }
 
-// closeIfUnread closes a connection for its reader, which holds no bytes of it; false: some lie with the kernel.
-func (l *connLimiter) closeIfUnread(c *clientConn) bool {
+// closeIfEmpty closes a connection for its reader, which holds no bytes of it. It reports false if a
+// request is under way or the kernel holds bytes.
+func (l *connLimiter) closeIfEmpty(conn *clientConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if c.closed {
+	if conn.closed {
 		return true
 	}
-	if c.requestInFlight || c.partlyRead || hasUnread(c.Conn) {
+	if conn.requestInFlight || conn.partlyRead || hasUnread(conn.Conn) {
 		l.changed.Broadcast() // another may be closed in its place
 		return false
 	}
-	l.closeNow(c)
+	l.closeNow(conn)
 	return true
 }
 
-func (l *connLimiter) closeNow(c *clientConn) {
-	c.closed = true
-	delete(l.conns, c)
-	_ = c.Conn.Close()
+// closeNow closes a connection and frees its place. The caller holds mu.
+func (l *connLimiter) closeNow(conn *clientConn) {
+	conn.closed = true
+	delete(l.conns, conn)
+	_ = conn.Conn.Close()
 	l.changed.Broadcast()
 }
 
-func (l *connLimiter) remove(c *clientConn) {
+// remove frees the place of a connection that the server has closed.
+func (l *connLimiter) remove(conn *clientConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !c.closed {
-		c.closed = true
-		delete(l.conns, c)
+	if !conn.closed {
+		conn.closed = true
+		delete(l.conns, conn)
 		l.changed.Broadcast()
 	}
 }
 
-// longestIdle is the connection that may be closed for another and has been quiet for longest; nil: none, and wait tells
-// when one may become so by time alone, 0: not by that. The caller holds mu.
-func (l *connLimiter) longestIdle(now time.Time) (_ *clientConn, wait time.Duration) {
+// longestIdle returns the connection that may be closed for another and has been idle for longest. If there
+// is none, wait is the time until one becomes so by time alone, 0 if none does. The caller holds mu.
+func (l *connLimiter) longestIdle(now time.Time) (conn *clientConn, wait time.Duration) {
 	var candidates []*clientConn
-	for c := range l.conns {
-		switch rules.MayCloseClient(c.state(now), rules.CloseForCapacity) {
+	for conn := range l.conns {
+		switch rules.MayCloseClient(conn.state(now), rules.CloseForCapacity) {
 		case rules.Allowed:
-			candidates = append(candidates, c)
+			candidates = append(candidates, conn)
 		case rules.TooRecent:
-			if rest := max(rules.MinIdleTime(c.reused)-now.Sub(c.lastActivity), time.Millisecond); wait == 0 || rest < wait {
+			rest := max(rules.MinIdleTime(conn.reused)-now.Sub(conn.lastActivity), time.Millisecond)
+			if wait == 0 || rest < wait {
 				wait = rest
 			}
 		}
 	}
-	slices.SortFunc(candidates, func(a, b *clientConn) int { return cmp.Compare(b.weightedIdleTime(now), a.weightedIdleTime(now)) })
-	for _, c := range candidates {
-		if l.mayClose(c, rules.CloseForCapacity, now).OK() { // a system call each: few are asked
-			return c, 0
+	slices.SortFunc(candidates, func(a, b *clientConn) int {
+		return cmp.Compare(b.weightedIdleTime(now), a.weightedIdleTime(now))
+	})
+	for _, conn := range candidates {
+		if l.mayClose(conn, rules.CloseForCapacity, now).OK() { // a system call each, hence in order
+			return conn, 0
 		}
 	}
 	return nil, wait
 }
-
-// weightedIdleTime is how long a connection has been quiet, with more weight where nothing was ever answered on it.
-func (c *clientConn) weightedIdleTime(now time.Time) time.Duration {
-	quiet := now.Sub(c.lastActivity)
-	if !c.reused {
-		quiet *= unusedConnWeight
-	}
-	return quiet
-}
-
-// state is what the rule on closing asks, but for what lies with the kernel. The caller holds the limiter's mu.
-func (c *clientConn) state(now time.Time) rules.ClientConn {
-	return rules.ClientConn{RequestInFlight: c.requestInFlight, PartlyRead: c.partlyRead, Reused: c.reused, Idle: now.Sub(c.lastActivity)}
-}
--- a/internal/platform/event.go
+++ b/internal/platform/event.go
@@ -15,17 +15,20 @@
 	"oakthread/internal/wire"
 )
 
-// Event is one change of the list of executors. A line with a number alone has only a Cursor.
+// Event is one line of the command channel: a change of the endpoint list, or a heartbeat, which consists
+// of the number of the last event.
 type Event struct {
 	Cursor    int64
 	Heartbeat bool
-	Epoch     string  // of the numbering, where discovery tells one
-	HasUpdate bool    // it tells of executors
-	Invalid   []error // of those that cannot be used: left out, or draining where their phase is not known
-	Roster    oakthread.EndpointUpdate
+	Epoch     string // of the numbering; "" where discovery sends none
+	HasUpdate bool   // the event is of a known kind and Roster holds its change
+	// Invalid has an error for each member that was left out, or that counts as draining because its
+	// phase is unknown.
+	Invalid []error
+	Roster  oakthread.EndpointUpdate
 }
 
-// eventLine and listedBox are an event as the command channel writes it.
+// eventLine is an event as the command channel writes it.
 type eventLine struct {
 	Cursor *int64 `json:"cursor"`
 	Epoch  string `json:"epoch"`
@@ -35,6 +38,7 @@
 	} `json:"nodes"`
 }
 
+// listedMember is an executor as the command channel writes it.
 type listedMember struct {
 	ID       string  `json:"id"`
 	HostPort string  `json:"host_port"`
@@ -46,77 +50,90 @@
 	UpSince  int64   `json:"up_since_ms"`
 }
 
+// memberStates are the phases of executors that are known.
+var memberStates = map[string]balancer.EndpointState{
+	"Ready": balancer.Active, "Terminating": balancer.Draining, "Gone": balancer.Removed,
+}
+
 // parseEvent decodes a line of the command channel.
-func parseEvent(line []byte, s *wire.Setup) (Event, error) {
+func parseEvent(line []byte, settings *wire.Setup) (Event, error) {
 	text := strings.TrimSpace(string(line))
-	if n, err := strconv.ParseInt(text, 10, 64); err == nil && n >= 0 {
-		return Event{Cursor: n, Heartbeat: true}, nil
+	if number, err := strconv.ParseInt(text, 10, 64); err == nil && number >= 0 {
+		return Event{Cursor: number, Heartbeat: true}, nil
 	}
-	var f eventLine
-	if err := json.Unmarshal([]byte(text), &f); err != nil {
+	var decoded eventLine
+	if err := json.Unmarshal([]byte(text), &decoded); err != nil {
 		return Event{}, err
 	}
-	if f.Cursor == nil || *f.Cursor < 0 {
+	if decoded.Cursor == nil || *decoded.Cursor < 0 {
 		return Event{}, errors.New("field cursor is missing")
 	}
-	ev := Event{Cursor: *f.Cursor, Epoch: f.Epoch, HasUpdate: true, Roster: oakthread.EndpointUpdate{Kind: balancer.EndpointsDelta}}
-	if f.Nodes == nil {
-		ev.HasUpdate = false
-		return ev, nil // an event of a kind not known here: its number counts
+	event := Event{
+		Cursor: *decoded.Cursor, Epoch: decoded.Epoch, HasUpdate: decoded.Nodes != nil,
+		Roster: oakthread.EndpointUpdate{Kind: balancer.EndpointsDelta},
 	}
-	if f.Nodes.Complete {
-		ev.Roster.Kind = balancer.EndpointsSnapshot
+	if decoded.Nodes == nil {
+		return event, nil // of an unknown kind: only its number counts
 	}
-	for i, m := range f.Nodes.Members {
-		if m.ID == "" {
-			ev.Invalid = append(ev.Invalid, fmt.Errorf("members[%d]: field id is missing", i))
-			continue
-		}
-		e := oakthread.Endpoint{
-			ID: WorkerID(m.ID), Addr: m.HostPort, Zone: indexOrNext(s.Zones, m.Locality),
-			Kind: indexOrNext(s.Kinds, m.Flavor), Cell: m.Cell, Weight: m.Size,
-		}
-		switch m.Phase {
-		case "Ready":
-			e.State = balancer.Active
-		case "Terminating":
-			e.State = balancer.Draining
-		case "Gone":
-			e.State = balancer.Removed
-		default:
-			e.State = balancer.Draining
-			ev.Invalid = append(ev.Invalid, fmt.Errorf("members[%d]: phase %q of %q is not known", i, m.Phase, m.ID))
-		}
-		if e.State != balancer.Removed {
-			if _, err := netip.ParseAddrPort(m.HostPort); err != nil {
-				ev.Invalid = append(ev.Invalid, fmt.Errorf("members[%d]: host_port %q of %q: %w", i, m.HostPort, m.ID, err))
-				continue
-			}
-		}
-		if m.UpSince > 0 {
-			e.Start = time.UnixMilli(m.UpSince)
+	if decoded.Nodes.Complete {
+		event.Roster.Kind = balancer.EndpointsSnapshot
+	}
+	for i, member := range decoded.Nodes.Members {
+		event.addMember(i, member, settings)
+	}
+	return event, nil
+}
+
+// addMember adds the executor at an index of the event, or the reason why it cannot be used.
+func (e *Event) addMember(index int, member listedMember, settings *wire.Setup) {
+	if member.ID == "" {
+		e.reject(index, errors.New("field id is missing"))
+		return
+	}
+	state, known := memberStates[member.Phase]
+	if !known {
+		state = balancer.Draining
+		e.reject(index, fmt.Errorf("phase %q of %q is not known", member.Phase, member.ID))
+	}
+	if state != balancer.Removed {
+		if _, err := netip.ParseAddrPort(member.HostPort); err != nil {
+			e.reject(index, fmt.Errorf("host_port %q of %q: %w", member.HostPort, member.ID, err))
+			return
 		}
-		ev.Roster.Endpoints = append(ev.Roster.Endpoints, e)
 	}
-	return ev, nil
+	endpoint := oakthread.Endpoint{
+		ID: WorkerID(member.ID), Addr: member.HostPort, Zone: indexOrNext(settings.Zones, member.Locality),
+		Kind: indexOrNext(settings.Kinds, member.Flavor), Cell: member.Cell, State: state, Weight: member.Size,
+	}
+	if member.UpSince > 0 {
+		endpoint.Start = time.UnixMilli(member.UpSince)
+	}
+	e.Roster.Endpoints = append(e.Roster.Endpoints, endpoint)
+}
+
+// reject notes why the member at an index cannot be used as it stands.
+func (e *Event) reject(index int, err error) {
+	e.Invalid = append(e.Invalid, fmt.Errorf("members[%d]: %w", index, err))
 }
 
-// WorkerID is the number behind an id such as s-00c41f7a, the same at every dispatcher; a hash for other forms.
+// WorkerID returns the number in an id such as s-00c41f7a, and a hash (32-bit FNV-1a) of an id of another
+// form. It is the same at every dispatcher.
 func WorkerID(id string) balancer.WorkerID {
 	if _, hex, ok := strings.Cut(id, "-"); ok && len(hex) == 8 {
 		if n, err := strconv.ParseUint(hex, 16, 32); err == nil {
 			return balancer.WorkerID(n)
 		}
 	}
-	h := fnv.New32a()
-	h.Write([]byte(id))
-	return balancer.WorkerID(h.Sum32())
+	hash := fnv.New32a()
+	hash.Write([]byte(id))
+	return balancer.WorkerID(hash.Sum32())
 }
 
-// indexOrNext is the number of a name in a list of the settings. One not listed gets the number after the last.
+// indexOrNext returns the index of a name in a list of the settings, or the first unused index if the
+// name is not listed.
 func indexOrNext(names []string, name string) int {
-	for i, n := range names {
-		if n == name {
+	for i, listed := range names {
+		if listed == name {
 			return i
 		}
 	}
--- a/internal/platform/executorconn.go
+++ b/internal/platform/executorconn.go
@@ -11,24 +11,26 @@
 	"oakthread/rules"
 )
 
-// executorConn is a connection to an executor. It counts the bytes written, so that a failure tells whether any of a request
-// had left, and follows the answers. Guards against bytes behind an answer, a second copy or noise: http.Transport
-// would read them as the answer to the next request. A connection that brought any carries no further request.
+// executorConn is a connection to an executor. It counts the bytes written, so that a failure shows
+// whether any of a request was sent, and it follows the bounds of responses. http.Transport would read
+// bytes behind a response, such as a second copy of it, as the response to the next request; a connection
+// on which such bytes arrived is tainted and carries no further request.
 type executorConn struct {
 	net.Conn
 	pool         *ExecutorPool
 	closeOnce    sync.Once
-	reuseDelay   time.Duration // after an answer, before the next request
-	bytesWritten atomic.Int64  // bytes whose writing has begun and did not fail
+	reuseDelay   time.Duration // between a response and the next request
+	bytesWritten atomic.Int64  // bytes whose writing has begun and has not failed
 
 	mu              sync.Mutex
 	framer          framer
-	responsePending bool      // a request was begun, and its answer has not ended
-	lastResponse    time.Time // when the last answer ended
+	responsePending bool      // a request was begun and its response has not ended
+	lastResponse    time.Time // when the last response ended, at first when the connection was opened
 	tainted         bool
-	mayWrite        func() rules.Reason // asked before the next request's first byte; nil: no need
+	mayWrite        func() rules.Reason // asked before the first byte of the next request; nil: always allowed
 }
 
+// idleTime returns how long the connection has been idle, 0 while a response is pending.
 func (c *executorConn) idleTime() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -38,7 +40,8 @@
 	return time.Since(c.lastResponse)
 }
 
-// retire has a connection carry no further request; false: one has begun meanwhile, and it must stay open.
+// retire has the connection carry no further request. It reports false if a request has begun on it,
+// which keeps it open.
 func (c *executorConn) retire() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -49,45 +52,51 @@
 	return true
 }
 
-// state is what the rules on this connection ask; the caller holds mu.
+// state returns what the rules on this connection depend on. The caller holds mu.
 func (c *executorConn) state() rules.WorkerConn {
 	return rules.WorkerConn{ResponsePending: c.responsePending, Tainted: c.tainted}
 }
 
-// isTainted tells that the connection must carry no further request.
+// isTainted reports whether the connection must carry no further request.
 func (c *executorConn) isTainted() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.tainted
 }
 
+// setMayWrite sets the check that is made before the first byte of the next request.
+func (c *executorConn) setMayWrite(check func() rules.Reason) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.mayWrite = check
+}
+
+// Write writes part of a request. It returns errUnsolicitedBytes on a tainted connection and a
+// notPermittedError if the request must not be written any more.
 func (c *executorConn) Write(b []byte) (int, error) {
 	if err := c.beginRequest(); err != nil {
 		return 0, err
 	}
-	// Counted before it is done: a failure seen meanwhile must not pass for a proof that nothing left.
+	// Counted before the write: a failure seen meanwhile must not pass for proof that nothing was sent.
 	c.bytesWritten.Add(int64(len(b)))
 	n, err := neterr.Write(c.Conn, b)
 	c.bytesWritten.Add(int64(n - len(b)))
 	return n, err
 }
 
-// beginRequest readies the connection for a request, unless it must carry none or the request must not be written any more.
+// beginRequest readies the connection for a request, unless it must carry none or the request must not be
+// written any more.
 func (c *executorConn) beginRequest() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if rest := c.reuseDelay - time.Since(c.lastResponse); !c.responsePending && rest > 0 && c.framer.lineCount > 0 {
-		c.mu.Unlock()
-		time.Sleep(rest)
-		c.mu.Lock()
-	}
-	if !c.responsePending && c.framer.lineCount > 0 && hasUnread(c.Conn) {
-		c.tainted = true // bytes behind an answer, which this process has not come to read
+	c.awaitReuseDelay()
+	if !c.responsePending && c.hasResponded() && hasUnread(c.Conn) {
+		c.tainted = true
 	}
 	switch rules.MayReuseWorker(c.state()) {
 	case rules.ConnectionTainted:
 		return errUnsolicitedBytes
-	case rules.ResponsePending: // the rest of a request; after an answer whose end is not seen here, another one
+	case rules.ResponsePending: // the rest of a request, or the next one behind a response without a visible end
 		return nil
 	}
 	if c.mayWrite != nil {
@@ -99,44 +108,72 @@
 	return nil
 }
 
-func (c *executorConn) Read(b []byte) (int, error) {
-	c.mu.Lock()
-	dead := c.tainted && !c.responsePending
+// awaitReuseDelay waits until the reuse delay after the last response is over. The caller holds mu, which
+// is released meanwhile.
+func (c *executorConn) awaitReuseDelay() {
+	rest := c.reuseDelay - time.Since(c.lastResponse)
+	if c.responsePending || rest <= 0 || !c.hasResponded() {
+		return
+	}
 	c.mu.Unlock()
-	if dead {
+	time.Sleep(rest)
+	c.mu.Lock()
+}
+
+// hasResponded reports whether the connection has brought a response. The caller holds mu.
+func (c *executorConn) hasResponded() bool { return c.framer.lineCount > 0 }
+
+// Read reads part of a response. Bytes that belong to none are dropped with errUnsolicitedBytes, and the
+// connection is tainted.
+func (c *executorConn) Read(b []byte) (int, error) {
+	if c.isRetired() {
 		return 0, errUnsolicitedBytes
 	}
 	n, err := neterr.Read(c.Conn, b)
-	c.mu.Lock()
-	defer c.mu.Unlock()
 	if n == 0 {
 		return n, err
 	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if !c.responsePending && !mutant.On(mutant.ReuseSpent) {
 		c.tainted = true
 		return 0, errUnsolicitedBytes
 	}
-	used := c.framer.consume(b[:n])
+	accepted, boundsErr := c.followResponse(b[:n])
+	if boundsErr != nil {
+		return 0, boundsErr
+	}
+	return accepted, err
+}
+
+// isRetired reports whether the connection is tainted and no response is pending on it.
+func (c *executorConn) isRetired() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.tainted && !c.responsePending
+}
+
+// followResponse returns how many of the bytes read belong to the pending response. It taints the
+// connection if more bytes follow, or if the end of the response cannot be seen, and returns
+// errResponseUnbounded if the lengths in its head contradict each other. The caller holds mu.
+func (c *executorConn) followResponse(b []byte) (int, error) {
+	used := c.framer.consume(b)
 	switch {
 	case c.framer.ambiguous:
 		c.tainted = true
 		return 0, errResponseUnbounded
 	case c.framer.ended:
 		c.responsePending, c.lastResponse = false, time.Now()
-		c.tainted = c.tainted || used < n
+		c.tainted = c.tainted || used < len(b)
 	case c.framer.inBody && c.framer.bodyLeft == unknownLength:
-		c.tainted = true // its end is not seen here
+		c.tainted = true
 	}
-	return used, err
+	return used, nil
 }
 
+// Close closes the connection and frees its socket slot, once.
 func (c *executorConn) Close() error {
 	err := c.Conn.Close()
-	c.closeOnce.Do(func() {
-		c.pool.connsMu.Lock()
-		delete(c.pool.conns, c)
-		c.pool.connsMu.Unlock()
-		<-c.pool.socketSlots
-	})
+	c.closeOnce.Do(func() { c.pool.untrack(c) })
 	return err
 }
--- a/internal/platform/executorpool.go
+++ b/internal/platform/executorpool.go
@@ -16,121 +16,174 @@
 	"oakthread/internal/wire"
 )
 
+const (
+	// idleTimeoutRatio is the part of an executor's idle timeout after which the pool closes a
+	// connection itself, so that few requests meet one that the executor is about to close.
+	idleTimeoutRatio = 0.6
+	// minIdleTime is how long a connection must have been idle before it is closed for another. One
+	// that was used more recently is likely to be used again.
+	minIdleTime = 100 * time.Millisecond
+	// reuseDelay is the time between the end of a response and the next request on its connection.
+	// Unsolicited bytes, such as a second response, arrive within it.
+	reuseDelay = 10 * time.Millisecond
+)
+
 var _ oakthread.Workers = (*ExecutorPool)(nil)
 
-// ExecutorPool carries attempts, probes and orders to executors. It implements oakthread.Workers.
+// ExecutorPool carries attempts, health checks and load orders to executors. It implements
+// oakthread.Workers. Each executor has transports of its own, so that a connection is never used for
+// another executor that has taken over its address; one limit on sockets holds over all of them.
 type ExecutorPool struct {
-	Log            *slog.Logger             // tells of connections at level debug; nil: nothing. Set before use
+	// Log receives connection events at level debug; nil disables them. It must be set before first use.
+	Log            *slog.Logger
 	classNames     atomic.Pointer[[]string] // by number, escaped for a path; only grows
 	reportFields   []string
 	connectTimeout time.Duration
 	dialContext    DialFunc
 	idleTimeout    time.Duration
 	reuseDelay     time.Duration
-	socketSlots    chan struct{} // one for each open connection
-	responseMemory atomic.Int64  // bytes that answers may yet take
-	mu             sync.Mutex
-	executors      map[balancer.WorkerID]*executorTransports
+	socketSlots    chan struct{} // holds one element for each open connection
+	responseMemory atomic.Int64  // bytes that responses may still take
+	dialShortages  atomic.Int64  // connects that failed for lack of local resources
+	logLimit       neterr.LogLimit
 
-	dialShortages atomic.Int64 // connects that failed for want of this machine's
-	logLimit      neterr.LogLimit
+	mu        sync.Mutex
+	executors map[balancer.WorkerID]*executorTransports
 
-	connsMu sync.Mutex // guards conns; taken after mu, before a connection's own
+	connsMu sync.Mutex // taken after mu and before a connection's own lock
 	conns   map[*executorConn]struct{}
 }
 
-// NewFleet makes a Fleet that holds at most sockets connections.
-func NewFleet(s *wire.Setup, sockets int) *ExecutorPool {
-	f := &ExecutorPool{
-		connectTimeout: s.ConnectTimeout(), executors: map[balancer.WorkerID]*executorTransports{}, conns: map[*executorConn]struct{}{},
-		socketSlots: make(chan struct{}, sockets), dialContext: (&net.Dialer{}).DialContext,
-		idleTimeout: time.Duration(idleTimeoutRatio * float64(s.ConnIdle())), reuseDelay: reuseDelay,
+// NewFleet returns a pool that holds at most sockets connections at a time.
+func NewFleet(settings *wire.Setup, sockets int) *ExecutorPool {
+	p := &ExecutorPool{
+		connectTimeout: settings.ConnectTimeout(),
+		dialContext:    (&net.Dialer{}).DialContext,
+		idleTimeout:    time.Duration(idleTimeoutRatio * float64(settings.ConnIdle())),
+		reuseDelay:     reuseDelay,
+		socketSlots:    make(chan struct{}, sockets),
+		executors:      map[balancer.WorkerID]*executorTransports{},
+		conns:          map[*executorConn]struct{}{},
 	}
 	var names []string
-	for _, c := range s.Categories {
-		names = append(names, c.Name)
+	for _, class := range settings.Categories {
+		names = append(names, class.Name)
 	}
-	f.Classes(names)
-	if s.Feedback.How != "off" {
-		f.reportFields = s.Feedback.Fields
+	p.Classes(names)
+	if settings.Feedback.How != "off" {
+		p.reportFields = settings.Feedback.Fields
 	}
-	f.responseMemory.Store(maxBufferedResponseBytes)
-	return f
+	p.responseMemory.Store(maxBufferedResponseBytes)
+	return p
 }
 
-// Through puts something between the Fleet and the system's sockets; it must be called before the first use.
-func (f *ExecutorPool) Through(n Network) { f.dialContext = n.dial(f.dialContext) }
+// Through has the pool dial through network. It must be called before first use.
+func (p *ExecutorPool) Through(network Network) { p.dialContext = network.dial(p.dialContext) }
 
-// Classes names the classes by number from now on, for the executors' paths; it must hold every number in use.
-func (f *ExecutorPool) Classes(names []string) {
+// Classes sets the names of classes by number, as they stand in executors' paths. The list must hold
+// every number in use.
+func (p *ExecutorPool) Classes(names []string) {
 	escaped := make([]string, len(names))
-	for i, n := range names {
-		escaped[i] = url.PathEscape(n)
+	for i, name := range names {
+		escaped[i] = url.PathEscape(name)
 	}
-	f.classNames.Store(&escaped)
+	p.classNames.Store(&escaped)
 }
 
-// CloseConnections drops the connections to an executor that has gone or starts anew.
-func (f *ExecutorPool) CloseConnections(id balancer.WorkerID) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if l := f.executors[id]; l != nil {
-		delete(f.executors, id)
-		l.closeIdle()
+// Shortages returns how many connects failed for lack of local resources and were retried.
+func (p *ExecutorPool) Shortages() int64 { return p.dialShortages.Load() }
+
+// CloseConnections closes the idle connections to an executor that was removed or has restarted, and
+// forgets its transports.
+func (p *ExecutorPool) CloseConnections(id balancer.WorkerID) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if executor := p.executors[id]; executor != nil {
+		delete(p.executors, id)
+		executor.closeIdle()
 	}
 }
 
 // Close closes all idle connections.
-func (f *ExecutorPool) Close() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, l := range f.executors {
-		l.closeIdle()
+func (p *ExecutorPool) Close() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, executor := range p.executors {
+		executor.closeIdle()
 	}
 }
 
-// dial opens a counted connection, within the settings' time.
-func (f *ExecutorPool) dial(ctx context.Context, network, addr string) (net.Conn, error) {
-	ctx, done := context.WithTimeout(ctx, f.connectTimeout)
-	defer done()
-	select {
-	case f.socketSlots <- struct{}{}:
-	default:
-		f.closeLongestIdle()
-		select {
-		case f.socketSlots <- struct{}{}:
-		case <-ctx.Done():
-			return nil, errNoSocketSlot
-		}
+// dial opens a connection within the connect timeout and takes a socket slot for it. Errors of the
+// connect are wrapped in dialError.
+func (p *ExecutorPool) dial(ctx context.Context, network, addr string) (net.Conn, error) {
+	ctx, cancel := context.WithTimeout(ctx, p.connectTimeout)
+	defer cancel()
+	if err := p.acquireSlot(ctx); err != nil {
+		return nil, err
 	}
-	c, err := f.connect(ctx, network, addr)
-	if f.Log != nil && f.Log.Enabled(ctx, slog.LevelDebug) {
-		f.Log.Debug("dialed", "addr", addr, "err", err)
+	conn, err := p.dialWithRetry(ctx, network, addr)
+	if p.Log != nil && p.Log.Enabled(ctx, slog.LevelDebug) {
+		p.Log.Debug("dialed", "addr", addr, "err", err)
 	}
 	if err != nil {
-		<-f.socketSlots
+		<-p.socketSlots
 		return nil, dialError{err}
 	}
-	k := &executorConn{Conn: c, pool: f, reuseDelay: f.reuseDelay, framer: framer{responses: true}, lastResponse: time.Now()}
-	f.connsMu.Lock()
-	f.conns[k] = struct{}{}
-	f.connsMu.Unlock()
-	return k, nil
+	return p.track(conn), nil
 }
 
-// connect connects, again while only a shortage of this machine's keeps it from that: it tells nothing of the executor.
-func (f *ExecutorPool) connect(ctx context.Context, network, addr string) (net.Conn, error) {
+// acquireSlot takes a socket slot, for which it closes an idle connection if there is none left. It
+// returns errNoSocketSlot when ctx ends first.
+func (p *ExecutorPool) acquireSlot(ctx context.Context) error {
+	select {
+	case p.socketSlots <- struct{}{}:
+		return nil
+	default:
+	}
+	p.closeLongestIdle()
+	select {
+	case p.socketSlots <- struct{}{}:
+		return nil
+	case <-ctx.Done():
+		return errNoSocketSlot
+	}
+}
+
+// track wraps a new connection that holds a socket slot, and lists it as open.
+func (p *ExecutorPool) track(conn net.Conn) *executorConn {
+	tracked := &executorConn{
+		Conn: conn, pool: p, reuseDelay: p.reuseDelay,
+		framer: framer{responses: true}, lastResponse: time.Now(),
+	}
+	p.connsMu.Lock()
+	defer p.connsMu.Unlock()
+	p.conns[tracked] = struct{}{}
+	return tracked
+}
+
+// untrack removes a closed connection and frees its socket slot.
+func (p *ExecutorPool) untrack(conn *executorConn) {
+	p.connsMu.Lock()
+	delete(p.conns, conn)
+	p.connsMu.Unlock()
+	<-p.socketSlots
+}
+
+// dialWithRetry connects, and retries with backoff while the connect fails for lack of local
+// resources, which says nothing about the executor. Once ctx has ended, it returns errLocalShortage
+// joined with the last error.
+func (p *ExecutorPool) dialWithRetry(ctx context.Context, network, addr string) (net.Conn, error) {
 	var backoff neterr.Backoff
 	for {
-		c, err := f.dialContext(ctx, network, addr)
+		conn, err := p.dialContext(ctx, network, addr)
 		if err == nil || !neterr.IsShortage(err) {
-			return c, err
+			return conn, err
 		}
-		f.dialShortages.Add(1)
-		if suppressed, ok := f.logLimit.Allow(time.Now()); ok && f.Log != nil {
-			f.Log.Warn("connect failed for want of this machine's", "addr", addr, "err", err, "suppressed", suppressed)
+		p.dialShortages.Add(1)
+		if suppressed, ok := p.logLimit.Allow(time.Now()); ok && p.Log != nil {
+			p.Log.Warn("connect failed for want of this machine's", "addr", addr, "err", err, "suppressed", suppressed)
 		}
-		f.closeLongestIdle()
+		p.closeLongestIdle()
 		select {
 		case <-time.After(backoff.Next()):
 		case <-ctx.Done():
@@ -139,20 +192,17 @@
 	}
 }
 
-// Shortages counts the connects that failed for want of this machine's and were tried again.
-func (f *ExecutorPool) Shortages() int64 { return f.dialShortages.Load() }
-
-// closeLongestIdle closes the connection that has been idle for longest.
-func (f *ExecutorPool) closeLongestIdle() {
+// closeLongestIdle closes the connection that has been idle for longest, if that is over minIdleTime.
+func (p *ExecutorPool) closeLongestIdle() {
 	var longest *executorConn
-	most := minIdleTime
-	f.connsMu.Lock()
-	for c := range f.conns {
-		if idle := c.idleTime(); idle > most {
-			longest, most = c, idle
+	longestIdle := minIdleTime
+	p.connsMu.Lock()
+	for conn := range p.conns {
+		if idle := conn.idleTime(); idle > longestIdle {
+			longest, longestIdle = conn, idle
 		}
 	}
-	f.connsMu.Unlock()
+	p.connsMu.Unlock()
 	if longest != nil && longest.retire() {
 		_ = longest.Close()
 	}
--- a/internal/platform/faults_test.go
+++ b/internal/platform/faults_test.go
@@ -235,7 +235,7 @@
 	<-stand.read
 	backdateActivity(held)
 	l.mu.Lock()
-	_, made := l.makeRoom(time.Now())
+	made, _ := l.makeRoom(time.Now())
 	l.mu.Unlock()
 	assert.False(t, made)
 	close(stand.goOn)
--- a/internal/platform/framing.go
+++ b/internal/platform/framing.go
@@ -8,101 +8,135 @@
 )
 
 const (
-	maxKeptLineBytes = 128 // bytes kept of a line of a head: what bounds a message fits
-	unknownLength    = -1  // a length that was not told, or an end that cannot be told
+	// maxKeptLineBytes is how much of a header line is kept; the headers that bound a message fit.
+	maxKeptLineBytes = 128
+	// unknownLength is a length that was not given, or a body whose end cannot be seen.
+	unknownLength = -1
 )
 
-// framer follows the bounds of HTTP/1.1 messages in the bytes of one direction. Guards against two readings of one
-// message: net/http drops Content-Length where Transfer-Encoding stands beside it, and reads on in what follows an
-// answer as if it were the next.
+// framer follows the bounds of HTTP/1.1 messages (RFC 9112, section 6) in the bytes of one direction,
+// beside net/http. It detects messages that two parsers may read differently: net/http ignores a
+// Content-Length beside Transfer-Encoding, and reads what follows a response as the next response.
 type framer struct {
-	responses bool // follows answers, not requests
+	responses bool // follows responses rather than requests
 
-	line            []byte
-	lineCount       int
-	contentLength   int64 // as told in this head
-	transferEncoded bool  // a Transfer-Encoding stands in this head
-	ambiguous       bool  // the head's lengths contradict each other or cannot be read
+	line            []byte // the line that is being read, up to maxKeptLineBytes
+	lineCount       int    // lines of this head so far
 	status          int
-	bodyLeft        int64 // of the body; uncounted: up to the end of the connection
-	inBody          bool
-	ended           bool // the message that feed saw last has ended
+	contentLength   int64 // unknownLength: the head has none so far
+	transferEncoded bool  // the head has a Transfer-Encoding
+	ambiguous       bool  // the lengths in the head contradict each other or cannot be read
+
+	inBody   bool
+	bodyLeft int64 // bytes of the body still to come; unknownLength: up to the end of the connection
+	ended    bool  // the message of the last consume has ended
 }
 
-// consume takes bytes up to the end of a message and returns how many these were.
+// consume follows bytes up to the end of a message and returns how many belong to it.
 func (f *framer) consume(b []byte) (n int) {
 	if f.ended || f.line == nil {
 		*f = framer{responses: f.responses, line: f.line[:0], contentLength: unknownLength}
 	}
 	for n < len(b) && !f.ended {
 		if f.inBody {
-			if f.bodyLeft == unknownLength {
-				return len(b)
-			}
-			k := min(int64(len(b)-n), f.bodyLeft)
-			n, f.bodyLeft = n+int(k), f.bodyLeft-k
-			f.ended = f.bodyLeft == 0
-			continue
-		}
-		part, _, whole := bytes.Cut(b[n:], []byte{'\n'})
-		f.line = append(f.line, part[:min(len(part), max(0, maxKeptLineBytes-len(f.line)))]...)
-		n += len(part)
-		if whole {
-			n++
-			f.parseLine(strings.TrimRight(string(f.line), "\r"))
-			f.line = f.line[:0]
+			n += f.consumeBody(b[n:])
+		} else {
+			n += f.consumeLine(b[n:])
 		}
 	}
 	return n
 }
 
-// atBoundary tells that of the next message nothing has come.
+// consumeBody follows bytes of a body and returns how many belong to it.
+func (f *framer) consumeBody(b []byte) int {
+	if f.bodyLeft == unknownLength {
+		return len(b)
+	}
+	n := min(int64(len(b)), f.bodyLeft)
+	f.bodyLeft -= n
+	f.ended = f.bodyLeft == 0
+	return int(n)
+}
+
+// consumeLine follows bytes of a head up to the end of a line and returns how many these are.
+func (f *framer) consumeLine(b []byte) int {
+	part, _, complete := bytes.Cut(b, []byte{'\n'})
+	f.line = append(f.line, part[:min(len(part), max(0, maxKeptLineBytes-len(f.line)))]...)
+	if !complete {
+		return len(part)
+	}
+	f.parseLine(strings.TrimRight(string(f.line), "\r"))
+	f.line = f.line[:0]
+	return len(part) + 1
+}
+
+// atBoundary reports whether nothing of the next message has been seen.
 func (f *framer) atBoundary() bool {
 	return f.ended || f.lineCount == 0 && len(f.line) == 0 && !f.inBody
 }
 
-// parseLine reads a line of a head; the empty one ends it.
+// parseLine reads a line of a head, which an empty line ends.
 func (f *framer) parseLine(line string) {
 	f.lineCount++
-	if line == "" {
-		if f.lineCount == 1 { // empty lines before a message
-			f.lineCount = 0
-			return
-		}
+	switch {
+	case line == "" && f.lineCount == 1: // empty lines may precede a message
+		f.lineCount = 0
+	case line == "":
 		f.endHead()
-		return
+	case f.lineCount == 1:
+		f.parseStartLine(line)
+	default:
+		f.parseField(line)
 	}
-	if f.lineCount == 1 {
-		if _, rest, ok := strings.Cut(line, " "); ok && f.responses {
-			f.status, _ = strconv.Atoi(rest[:min(3, len(rest))])
-		}
-		return
+}
+
+// parseStartLine reads the status of a response.
+func (f *framer) parseStartLine(line string) {
+	if _, rest, ok := strings.Cut(line, " "); ok && f.responses {
+		f.status, _ = strconv.Atoi(rest[:min(3, len(rest))])
 	}
+}
+
+// parseField reads a header that bounds the message.
+func (f *framer) parseField(line string) {
 	name, value, _ := strings.Cut(line, ":")
 	switch strings.ToLower(strings.TrimSpace(name)) {
 	case "transfer-encoding":
 		f.transferEncoded = true
 	case "content-length":
-		v, err := strconv.ParseInt(strings.TrimSpace(value), 10, 64)
-		f.ambiguous = f.ambiguous || err != nil || v < 0 || f.contentLength != unknownLength && f.contentLength != v
-		f.contentLength = v
+		length, err := strconv.ParseInt(strings.TrimSpace(value), 10, 64)
+		differs := f.contentLength != unknownLength && f.contentLength != length
+		f.ambiguous = f.ambiguous || err != nil || length < 0 || differs
+		f.contentLength = length
 	}
 }
 
-// endHead ends a head and tells what follows it.
+// endHead ends a head and determines the body that follows it.
 func (f *framer) endHead() {
+	if f.isInterim() {
+		*f = framer{responses: true, line: f.line, contentLength: unknownLength} // the final response follows
+		return
+	}
 	f.ambiguous = f.ambiguous || f.transferEncoded && f.contentLength != unknownLength
-	f.bodyLeft = f.contentLength
+	f.bodyLeft = f.bodyLength()
+	f.inBody, f.ended = true, f.bodyLeft == 0
+}
+
+// isInterim reports whether the head is that of a 1xx response, which a final one follows. After a 101
+// the connection carries no further messages.
+func (f *framer) isInterim() bool {
+	return f.responses && f.status/100 == 1 && f.status != http.StatusSwitchingProtocols
+}
+
+// bodyLength returns the length of the body behind the head, or unknownLength.
+func (f *framer) bodyLength() int64 {
 	switch {
-	case f.responses && f.status/100 == 1 && f.status != http.StatusSwitchingProtocols:
-		*f = framer{responses: true, line: f.line, contentLength: unknownLength} // the answer itself is still to come
-		return
 	case f.responses && (f.status == http.StatusNoContent || f.status == http.StatusNotModified):
-		f.bodyLeft = 0
-	case f.transferEncoded || f.ambiguous || f.responses && f.contentLength == unknownLength:
-		f.bodyLeft = unknownLength
-	case f.contentLength == unknownLength:
-		f.bodyLeft = 0
+		return 0
+	case f.transferEncoded || f.ambiguous:
+		return unknownLength
+	case f.contentLength == unknownLength && !f.responses:
+		return 0
 	}
-	f.inBody, f.ended = true, f.bodyLeft == 0
+	return f.contentLength
 }
--- a/internal/platform/healthcheck.go
+++ b/internal/platform/healthcheck.go
@@ -8,18 +8,18 @@
 	"oakthread/balancer"
 )
 
-// HealthCheck asks an executor for its load.
-func (f *ExecutorPool) HealthCheck(ctx context.Context, m oakthread.Endpoint) oakthread.Reply {
-	resp, _, unsent, err := f.roundTrip(ctx, m, executorRequest{method: http.MethodGet, path: "/busy", header: withoutUserAgent()})
+// HealthCheck asks an executor for its load. A 503 means that the executor drains.
+func (p *ExecutorPool) HealthCheck(ctx context.Context, endpoint oakthread.Endpoint) oakthread.Reply {
+	response, unsent, err := p.roundTrip(ctx, endpoint, executorRequest{
+		method: http.MethodGet, path: executorHealthPath, header: withoutUserAgent(),
+	})
 	if err != nil {
 		return oakthread.Reply{Result: classifyFailure(ctx, unsent, err)}
 	}
-	r := f.parseReply(resp, nil)
-	if r.Result != balancer.OK {
-		r.Result, r.Draining = balancer.Error, resp.StatusCode == http.StatusServiceUnavailable
+	response.body = nil
+	reply := p.parseReply(response)
+	if reply.Result != balancer.OK {
+		reply.Result, reply.Draining = balancer.Error, response.status == http.StatusServiceUnavailable
 	}
-	return r
+	return reply
 }
-
-// withoutUserAgent is a head without net/http's own User-Agent.
-func withoutUserAgent() http.Header { return http.Header{"User-Agent": {""}} }
--- a/internal/platform/listen.go
+++ b/internal/platform/listen.go
@@ -9,8 +9,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// Listen opens a TCP listener on addr that a second process of the same user may open as well. Errors name the
-// address.
+// reusePortConfig opens sockets with SO_REUSEPORT, so that a new version of the dispatcher can listen on
+// the same addresses beside the old one during a handover. The kernel lets only sockets of the same user
+// share a port (socket(7)).
+var reusePortConfig = net.ListenConfig{Control: setReusePort}
+
+// Listen opens a TCP listener on addr that a second process of the same user may open as well. Errors name
+// the address.
 func Listen(ctx context.Context, addr string) (net.Listener, error) {
 	ln, err := reusePortConfig.Listen(ctx, "tcp", addr)
 	if err != nil {
@@ -19,32 +24,32 @@
 	return ln, nil
 }
 
-// ListenThrough is Listen for the clients' side, with what stands between.
-func ListenThrough(ctx context.Context, n Network, addr string) (net.Listener, error) {
+// ListenThrough is Listen for the clients' side, behind network.
+func ListenThrough(ctx context.Context, network Network, addr string) (net.Listener, error) {
 	ln, err := Listen(ctx, addr)
 	if err != nil {
 		return nil, err
 	}
-	return n.listener(ln), nil
+	return network.listener(ln), nil
 }
 
-// ListenPacket opens a UDP socket on addr, shared in the same way.
+// ListenPacket opens a UDP socket on addr that a second process of the same user may open as well.
 func ListenPacket(ctx context.Context, addr string) (*net.UDPConn, error) {
-	pc, err := reusePortConfig.ListenPacket(ctx, "udp", addr)
+	conn, err := reusePortConfig.ListenPacket(ctx, "udp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("listen on %s: %w", addr, err)
 	}
-	return pc.(*net.UDPConn), nil
+	return conn.(*net.UDPConn), nil
 }
 
-var reusePortConfig = net.ListenConfig{Control: reusePort}
-
-func reusePort(_, _ string, c syscall.RawConn) error {
-	var err error
-	if e := c.Control(func(fd uintptr) {
-		err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
-	}); e != nil {
-		return e
+// setReusePort sets SO_REUSEPORT on a socket before it is bound.
+func setReusePort(_, _ string, conn syscall.RawConn) error {
+	var optionErr error
+	err := conn.Control(func(fd uintptr) {
+		optionErr = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
+	})
+	if err != nil {
+		return err
 	}
-	return err
+	return optionErr
 }
--- a/internal/platform/loadorder.go
+++ b/internal/platform/loadorder.go
@@ -9,17 +9,27 @@
 	"oakthread"
 )
 
-// Load orders copies of a function. 500 is a failed load, 503 no room.
-func (f *ExecutorPool) Load(ctx context.Context, o oakthread.LoadOrder) oakthread.Reply {
-	path := "/c/" + url.PathEscape(o.Key) + "/" + strconv.Itoa(o.Count)
-	resp, _, unsent, err := f.roundTrip(ctx, o.Worker, executorRequest{method: http.MethodPut, path: path, header: withoutUserAgent(), beforeWrite: o.BeforeWrite})
+// Load orders an executor to load copies of a function. A 500 is a failed load, a 503 a lack of capacity.
+func (p *ExecutorPool) Load(ctx context.Context, order oakthread.LoadOrder) oakthread.Reply {
+	response, unsent, err := p.roundTrip(ctx, order.Worker, executorRequest{
+		method: http.MethodPut, path: functionPath(order) + "/" + strconv.Itoa(order.Count),
+		header: withoutUserAgent(), beforeWrite: order.BeforeWrite,
+	})
 	if err != nil {
 		return oakthread.Reply{Result: classifyFailure(ctx, unsent, err)}
 	}
-	return f.parseReply(resp, nil)
+	response.body = nil
+	return p.parseReply(response)
 }
 
-// Unload unloads the idle copies of a function; nothing is learned of it.
-func (f *ExecutorPool) Unload(ctx context.Context, o oakthread.LoadOrder) {
-	_, _, _, _ = f.roundTrip(ctx, o.Worker, executorRequest{method: http.MethodDelete, path: "/c/" + url.PathEscape(o.Key), header: withoutUserAgent()})
+// Unload orders an executor to unload the idle copies of a function. Its response carries no information.
+func (p *ExecutorPool) Unload(ctx context.Context, order oakthread.LoadOrder) {
+	_, _, _ = p.roundTrip(ctx, order.Worker, executorRequest{
+		method: http.MethodDelete, path: functionPath(order), header: withoutUserAgent(),
+	})
+}
+
+// functionPath returns the path of an order's function at an executor.
+func functionPath(order oakthread.LoadOrder) string {
+	return executorCallPath + url.PathEscape(order.Key)
 }
--- a/internal/platform/loadreport.go
+++ b/internal/platform/loadreport.go
@@ -7,49 +7,49 @@
 	"strings"
 )
 
-// reportAliases are the names that load reports use on sockets for the settings' fields.
+// reportAliases are the names that load reports on sockets use for the fields named in the settings.
 var reportAliases = map[string]string{
-	"active": "inflight", "waiting": "queue", "cpu": "util", "avg_ms": "latency_ms",
-	"rps": "qps", "err_rps": "eps",
+	"active": "inflight", "waiting": "queue", "cpu": "util", "avg_ms": "latency_ms", "rps": "qps", "err_rps": "eps",
 }
 
-// parseReport reads a load report such as inflight:7;util:0.61 in the order of the settings; one that lacks a field
-// or holds what is no number is no report.
-func (f *ExecutorPool) parseReport(text string) []float64 {
-	if text == "" || len(f.reportFields) == 0 {
+// parseReport reads a load report such as "inflight:7;util:0.61" and returns its values in the order of
+// the settings. It returns nil if a field is missing or a value is not a number.
+func (p *ExecutorPool) parseReport(text string) []float64 {
+	if text == "" || len(p.reportFields) == 0 {
 		return nil
 	}
-	vs, err := parseFigures(text)
+	byName, err := parseFigures(text)
 	if err != nil {
 		return nil
 	}
-	out := make([]float64, 0, len(f.reportFields))
-	for _, n := range f.reportFields {
-		v, ok := vs[n]
+	values := make([]float64, 0, len(p.reportFields))
+	for _, field := range p.reportFields {
+		value, ok := byName[field]
 		if !ok {
-			v, ok = vs[reportAliases[n]]
+			value, ok = byName[reportAliases[field]]
 		}
 		if !ok {
 			return nil
 		}
-		out = append(out, v)
+		values = append(values, value)
 	}
-	return out
+	return values
 }
 
-// parseFigures reads name:number pairs parted by semicolons.
+// parseFigures reads pairs of the form name:number that are separated by semicolons. Numbers are finite
+// and not negative.
 func parseFigures(text string) (map[string]float64, error) {
-	out := map[string]float64{}
+	values := map[string]float64{}
 	for _, part := range strings.Split(text, ";") {
 		if part = strings.TrimSpace(part); part == "" {
 			continue
 		}
-		name, num, ok := strings.Cut(part, ":")
-		v, err := strconv.ParseFloat(strings.TrimSpace(num), 64)
-		if !ok || err != nil || math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
+		name, number, ok := strings.Cut(part, ":")
+		value, err := strconv.ParseFloat(strings.TrimSpace(number), 64)
+		if !ok || err != nil || math.IsNaN(value) || math.IsInf(value, 0) || value < 0 {
 			return nil, fmt.Errorf("%q is no figure", part)
 		}
-		out[strings.TrimSpace(name)] = v
+		values[strings.TrimSpace(name)] = value
 	}
-	return out, nil
+	return values, nil
 }
--- a/internal/platform/network.go
+++ b/internal/platform/network.go
@@ -8,13 +8,16 @@
 // DialFunc opens a connection, as net.Dialer.DialContext does.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Network is what stands between the dispatcher and the system's sockets. The zero value is nothing: the program's own. The
-// laboratory's nodes put faults there.
+// Network stands between the dispatcher and the system's sockets, for fault injection. The zero value uses
+// the sockets as they are.
 type Network struct {
-	Listener func(net.Listener) net.Listener // of the clients; must keep SetDeadline and SyscallConn
-	Dial     func(DialFunc) DialFunc         // to executors and to discovery
+	// Listener wraps the listener of the clients. The result must have SetDeadline and SyscallConn.
+	Listener func(net.Listener) net.Listener
+	// Dial wraps the connects to executors and to discovery.
+	Dial func(DialFunc) DialFunc
 }
 
+// listener returns a listener as it stands behind the network.
 func (n Network) listener(ln net.Listener) net.Listener {
 	if n.Listener == nil {
 		return ln
@@ -22,6 +25,7 @@
 	return n.Listener(ln)
 }
 
+// dial returns a DialFunc as it stands behind the network.
 func (n Network) dial(plain DialFunc) DialFunc {
 	if n.Dial == nil {
 		return plain
--- a/internal/platform/peertransport.go
+++ b/internal/platform/peertransport.go
@@ -7,60 +7,73 @@
 	"log/slog"
 	"net"
 	"net/netip"
+	"sync"
 	"sync/atomic"
 	"time"
 )
 
-// PeerTransport carries messages between dispatchers. It implements oakthread.Peers.
+const (
+	maxDatagramBytes = 256
+	// sendQueueLength is how many datagrams may wait to be sent. Further ones are dropped.
+	sendQueueLength = 256
+	// readErrorPause follows a failed read, so that an error that persists does not spin.
+	readErrorPause = 10 * time.Millisecond
+)
+
+// PeerTransport carries messages between dispatchers as UDP datagrams of at most maxDatagramBytes. It
+// implements oakthread.Peers.
 type PeerTransport struct {
 	conn        *net.UDPConn
-	group       netip.AddrPort
+	group       netip.AddrPort // reaches all peers; the zero value: each is written to on its own
 	peers       []netip.AddrPort
 	indexByAddr map[netip.AddrPort]int
 	selfIndex   int
 	sendQueue   chan datagram
 	log         *slog.Logger
 
-	unknownSender, oversized atomic.Int64
+	unknownSender, oversized atomic.Int64 // datagrams that were dropped
 }
 
+// datagram is a message that waits to be sent.
 type datagram struct {
 	address netip.AddrPort
 	data    string
 }
 
-// ListenPeers opens the socket for messages; nil where the settings allow none.
-func ListenPeers(c *Config, log *slog.Logger) (*PeerTransport, error) {
-	if !c.Setup.Permissions.Peers || c.PeerListen == "" {
+// ListenPeers opens the socket for messages. It returns nil if the settings permit none.
+func ListenPeers(config *Config, log *slog.Logger) (*PeerTransport, error) {
+	if !config.Setup.Permissions.Peers || config.PeerListen == "" {
 		return nil, nil
 	}
-	a, err := netip.ParseAddrPort(c.PeerListen)
+	addr, err := netip.ParseAddrPort(config.PeerListen)
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	conn, err := ListenPacket(context.Background(), a.String())
+	conn, err := ListenPacket(context.Background(), addr.String())
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
 	p := &PeerTransport{
-		conn: conn, group: c.PeersAll, peers: c.Peers, indexByAddr: map[netip.AddrPort]int{},
-		selfIndex: c.Setup.Number, sendQueue: make(chan datagram, sendQueueLength), log: log,
+		conn: conn, group: config.PeersAll, peers: config.Peers, indexByAddr: map[netip.AddrPort]int{},
+		selfIndex: config.Setup.Number, sendQueue: make(chan datagram, sendQueueLength), log: log,
 	}
-	for i, a := range c.Peers {
-		p.indexByAddr[a] = i
+	for i, peer := range config.Peers {
+		p.indexByAddr[peer] = i
 	}
 	return p, nil
 }
 
-// Dropped counts datagrams that were read and handed to nobody: from addresses that are no peer's, and too long.
+// Dropped returns how many datagrams were read and dropped: from addresses of no peer, and too long. A nil
+// transport has dropped none.
 func (p *PeerTransport) Dropped() (strangers, long int64) {
-	if p == nil { // the settings allow no messages
+	if p == nil {
 		return 0, 0
 	}
 	return p.unknownSender.Load(), p.oversized.Load()
 }
 
-// SendMessage hands a datagram to the socket's goroutine; with too many waiting, it is lost, as any may be.
+// SendMessage queues a message to the peer of an index, or to all peers if that is negative. It does not
+// block: a message that is too long, or that finds the queue full, is dropped.
 func (p *PeerTransport) SendMessage(to int, data string) {
 	if len(data) > maxDatagramBytes {
 		p.log.Error("message to peers is too long, not sent", "bytes", len(data))
@@ -70,9 +83,9 @@
 	case to < 0 && p.group.IsValid():
 		p.enqueue(p.group, data)
 	case to < 0:
-		for i, a := range p.peers {
+		for i, peer := range p.peers {
 			if i != p.selfIndex {
-				p.enqueue(a, data)
+				p.enqueue(peer, data)
 			}
 		}
 	case to < len(p.peers) && to != p.selfIndex:
@@ -80,6 +93,7 @@
 	}
 }
 
+// enqueue queues a datagram, or drops it if the queue is full.
 func (p *PeerTransport) enqueue(to netip.AddrPort, data string) {
 	select {
 	case p.sendQueue <- datagram{to, data}:
@@ -87,46 +101,65 @@
 	}
 }
 
+// Listen sends queued messages and calls handle with those of peers until ctx ends, and closes the socket.
+// Datagrams from other addresses, and longer ones, are dropped.
+func (p *PeerTransport) Listen(ctx context.Context, handle func(from int, data string)) error {
+	writeCtx, stopWriting := context.WithCancel(ctx)
+	var writer sync.WaitGroup
+	defer writer.Wait()
+	defer stopWriting()
+	writer.Go(func() { p.writeQueued(writeCtx) })
+	defer context.AfterFunc(ctx, func() { _ = p.conn.Close() })()
+	buffer := make([]byte, maxDatagramBytes+1)
+	for {
+		n, from, err := p.conn.ReadFromUDPAddrPort(buffer)
+		if errors.Is(err, net.ErrClosed) {
+			return ctx.Err()
+		}
+		if err != nil { // such as a peer that is down
+			p.handleReadError(ctx, err)
+			continue
+		}
+		if sender, ok := p.accept(from, n); ok {
+			handle(sender, string(buffer[:n]))
+		}
+	}
+}
+
+// writeQueued sends queued datagrams until ctx ends.
 func (p *PeerTransport) writeQueued(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case d := <-p.sendQueue:
-			if _, err := p.conn.WriteToUDPAddrPort([]byte(d.data), d.address); err != nil {
+		case next := <-p.sendQueue:
+			if _, err := p.conn.WriteToUDPAddrPort([]byte(next.data), next.address); err != nil {
 				p.log.Debug("peer socket", "err", err)
 			}
 		}
 	}
 }
 
-// Listen sends what is told and hands on what peers say until ctx ends. A datagram from elsewhere is dropped.
-func (p *PeerTransport) Listen(ctx context.Context, heard func(from int, data string)) error {
-	go p.writeQueued(ctx)
-	defer context.AfterFunc(ctx, func() { p.conn.Close() })()
-	buf := make([]byte, maxDatagramBytes+1)
-	for {
-		n, from, err := p.conn.ReadFromUDPAddrPort(buf)
-		if errors.Is(err, net.ErrClosed) {
-			return ctx.Err()
-		}
-		if err != nil {
-			p.log.Debug("peer socket", "err", err) // such as a peer that is down
-			select {
-			case <-ctx.Done():
-			case <-time.After(readErrorPause): // one that lasts must not spin
-			}
-			continue
-		}
-		who, known := p.indexByAddr[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
-		switch {
-		case !known || who == p.selfIndex:
-			p.unknownSender.Add(1)
-			continue
-		case n > maxDatagramBytes:
-			p.oversized.Add(1)
-			continue
-		}
-		heard(who, string(buf[:n]))
+// handleReadError logs a failed read and pauses.
+func (p *PeerTransport) handleReadError(ctx context.Context, err error) {
+	p.log.Debug("peer socket", "err", err)
+	select {
+	case <-ctx.Done():
+	case <-time.After(readErrorPause):
+	}
+}
+
+// accept returns the index of the peer that sent a datagram of n bytes. It reports false, and counts the
+// datagram as dropped, if it is from no peer or too long.
+func (p *PeerTransport) accept(from netip.AddrPort, n int) (sender int, ok bool) {
+	sender, known := p.indexByAddr[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
+	switch {
+	case !known || sender == p.selfIndex:
+		p.unknownSender.Add(1)
+		return 0, false
+	case n > maxDatagramBytes:
+		p.oversized.Add(1)
+		return 0, false
 	}
+	return sender, true
 }
--- a/internal/platform/reload.go
+++ b/internal/platform/reload.go
@@ -7,59 +7,65 @@
 	"slices"
 )
 
-// configKeys lists the keys of a configuration: those at the top, of settings, of each section of settings, and of any
-// class, as "settings.categories[].name".
+// configKeys returns the sorted keys of a configuration file: those at the top, of settings, of each
+// section of settings, and of the objects in its lists, such as "settings.categories[].name".
 func configKeys(raw []byte) []string {
 	var top map[string]json.RawMessage
 	if json.Unmarshal(raw, &top) != nil {
 		return nil
 	}
 	keys := map[string]bool{}
-	for k := range top {
-		keys[k] = true
+	for key := range top {
+		keys[key] = true
 	}
-	var set map[string]json.RawMessage
-	if json.Unmarshal(top["settings"], &set) == nil {
-		for k, v := range set {
-			keys["settings."+k] = true
-			var inner map[string]json.RawMessage
-			if json.Unmarshal(v, &inner) == nil {
-				for j := range inner {
-					keys["settings."+k+"."+j] = true
-				}
-			}
-			var list []map[string]json.RawMessage
-			if json.Unmarshal(v, &list) == nil {
-				for _, m := range list {
-					for j := range m {
-						keys["settings."+k+"[]."+j] = true
-					}
-				}
-			}
+	var settings map[string]json.RawMessage
+	if json.Unmarshal(top["settings"], &settings) == nil {
+		for key, value := range settings {
+			keys["settings."+key] = true
+			addSectionKeys(keys, "settings."+key, value)
 		}
 	}
 	return slices.Sorted(maps.Keys(keys))
 }
 
-// Fits tells whether c, read at SIGHUP, may replace was: it holds every key that was held, each class has a
-// deadline and a number of attempts above 0. The error names the file's key and value.
-func (c *Config) Fits(was *Config) error {
-	for _, k := range was.keys {
-		if !slices.Contains(c.keys, k) {
-			return fmt.Errorf("key %s is missing", k)
+// addSectionKeys adds the keys of a section of the settings, which is an object or a list of objects.
+func addSectionKeys(keys map[string]bool, path string, value json.RawMessage) {
+	var object map[string]json.RawMessage
+	if json.Unmarshal(value, &object) == nil {
+		for key := range object {
+			keys[path+"."+key] = true
+		}
+	}
+	var list []map[string]json.RawMessage
+	if json.Unmarshal(value, &list) == nil {
+		for _, object := range list {
+			for key := range object {
+				keys[path+"[]."+key] = true
+			}
+		}
+	}
+}
+
+// Fits returns an error unless c, read at SIGHUP, may replace previous: it must hold every key that
+// previous holds, and each class a deadline and each call a number of attempts above 0. A file that is
+// empty or was cut off thus changes nothing. The error names the file's key and value.
+func (c *Config) Fits(previous *Config) error {
+	for _, key := range previous.keys {
+		if !slices.Contains(c.keys, key) {
+			return fmt.Errorf("key %s is missing", key)
 		}
 	}
-	aims, giveUps := slices.Contains(was.keys, "settings.categories[].aim_ns"),
-		slices.Contains(was.keys, "settings.categories[].give_up_ns")
-	for _, k := range c.Setup.Categories {
-		if aims && k.Aim <= 0 {
-			return fmt.Errorf("settings.categories %q: aim_ns %d is not above 0", k.Name, k.Aim)
+	hasAim := slices.Contains(previous.keys, "settings.categories[].aim_ns")
+	hasGiveUp := slices.Contains(previous.keys, "settings.categories[].give_up_ns")
+	for _, class := range c.Setup.Categories {
+		if hasAim && class.Aim <= 0 {
+			return fmt.Errorf("settings.categories %q: aim_ns %d is not above 0", class.Name, class.Aim)
 		}
-		if giveUps && k.GiveUp <= 0 {
-			return fmt.Errorf("settings.categories %q: give_up_ns %d is not above 0", k.Name, k.GiveUp)
+		if hasGiveUp && class.GiveUp <= 0 {
+			return fmt.Errorf("settings.categories %q: give_up_ns %d is not above 0", class.Name, class.GiveUp)
 		}
 	}
-	if slices.Contains(was.keys, "settings.permissions.send_cap") && c.Setup.Permissions.SendCap <= 0 {
+	if slices.Contains(previous.keys, "settings.permissions.send_cap") && c.Setup.Permissions.SendCap <= 0 {
 		return fmt.Errorf("settings.permissions.send_cap %d is not above 0", c.Setup.Permissions.SendCap)
 	}
 	return nil
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -13,85 +13,150 @@
 	"oakthread/balancer"
 )
 
-// arrivalTime is when the last bytes of a request came that there are by now: it may have waited with the kernel, for a place or
-// for this process. A body that is still to come makes it no later: its client's time then ends a little early.
+const (
+	maxRequestBytes  = 16 << 10
+	maxClientTimeout = time.Hour
+	// responseTimeReserve is kept back of a client's timeout for the way of the response, and at most
+	// responseTimeReserveRatio of the timeout. On a crowded core either way may take tens of milliseconds.
+	responseTimeReserve      = 200 * time.Millisecond
+	responseTimeReserveRatio = 0.2
+
+	// Higher figures in X-Extras are rejected: no model has them.
+	maxConcurrency = 1 << 10
+	maxMemoryMB    = 1 << 24
+	maxLoadTime    = time.Hour
+)
+
+// singleHeaders must not be repeated in a request: which of the values counts would be anyone's guess.
+var singleHeaders = [...]string{
+	callIDHeader, classHeader, customerHeader, patienceHeader, extrasHeader, idempotencyKeyHeader, retryHeader,
+}
+
+// arrivalTime returns when the last bytes of a request arrived that are there by now. The request may have
+// waited in the kernel for a place, or for this process. A body that is still to come makes it no later, so
+// that its deadline is a little early.
 func arrivalTime(r *http.Request) time.Time {
 	now := time.Now()
-	if c := clientConnFrom(r.Context()); c != nil {
-		return now.Add(-lastDataAge(c.Conn))
+	if conn := clientConnFrom(r.Context()); conn != nil {
+		return now.Add(-lastDataAge(conn.Conn))
 	}
 	return now
 }
 
-// readRequest decodes a call into the Core's value, once.
-func (f *Server) readRequest(w http.ResponseWriter, r *http.Request, now time.Time) (q oakthread.Request, status int, err error) {
-	q, err = f.parseHeader(r.PathValue("key"), r.Header, now)
+// readRequest reads a request that arrived at a time. If it returns an error, status is that of the
+// response.
+func (s *Server) readRequest(
+	w http.ResponseWriter, r *http.Request, arrived time.Time,
+) (request oakthread.Request, status int, err error) {
+	request, err = s.parseHeader(r.PathValue("key"), r.Header, arrived)
 	if err != nil {
-		return q, http.StatusBadRequest, err
+		return request, http.StatusBadRequest, err
 	}
 	if r.ContentLength > maxRequestBytes {
-		return q, http.StatusRequestEntityTooLarge, fmt.Errorf("body is over %d bytes", maxRequestBytes)
+		return request, http.StatusRequestEntityTooLarge, fmt.Errorf("body is over %d bytes", maxRequestBytes)
 	}
-	q.Body, err = io.ReadAll(http.MaxBytesReader(w, r.Body, maxRequestBytes))
-	var long *http.MaxBytesError
-	if errors.As(err, &long) {
-		return q, http.StatusRequestEntityTooLarge, fmt.Errorf("body is over %d bytes", maxRequestBytes)
+	request.Body, err = io.ReadAll(http.MaxBytesReader(w, r.Body, maxRequestBytes))
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
+		return request, http.StatusRequestEntityTooLarge, fmt.Errorf("body is over %d bytes", maxRequestBytes)
 	}
-	return q, http.StatusBadRequest, err
+	return request, http.StatusBadRequest, err
 }
 
-func (f *Server) parseHeader(key string, h http.Header, now time.Time) (q oakthread.Request, err error) {
-	for _, name := range [...]string{"X-Call-Id", "X-Class", "X-Customer", "X-Patience-Ms", "X-Extras", idempotencyKeyHeader, retryHeader} {
-		if len(h[name]) > 1 { // which of them counts is anyone's guess
-			return q, fmt.Errorf("%s stands there %d times", name, len(h[name]))
+// parseHeader reads a request without its body: key is the function in its path.
+func (s *Server) parseHeader(
+	key string, header http.Header, arrived time.Time,
+) (request oakthread.Request, err error) {
+	for _, name := range singleHeaders {
+		if len(header[name]) > 1 {
+			return request, fmt.Errorf("%s stands there %d times", name, len(header[name]))
 		}
 	}
-	n, err := parseHex16(key)
+	if err := parseIDs(&request, key, header); err != nil {
+		return request, err
+	}
+	if err := s.parseClass(&request, header); err != nil {
+		return request, err
+	}
+	timeout, err := parseTimeout(header)
+	if err != nil {
+		return request, err
+	}
+	// The client's clock has run since it wrote its last byte, and the response must be complete when it
+	// expires.
+	reserve := min(responseTimeReserve, time.Duration(responseTimeReserveRatio*float64(timeout)))
+	request.Deadline = arrived.Add(timeout - reserve)
+	if err := parseExtras(&request, header); err != nil {
+		return request, err
+	}
+	request.IdempotencyKey = header.Get(idempotencyKeyHeader)
+	request.Retry = isRetry(header)
+	return request, nil
+}
+
+// parseIDs reads the function and the id of a request.
+func parseIDs(request *oakthread.Request, key string, header http.Header) error {
+	function, err := parseHex16(key)
 	if err != nil {
-		return q, fmt.Errorf("function %q: want 16 hex digits", key)
+		return fmt.Errorf("function %q: want 16 hex digits", key)
 	}
-	q.Key, q.Func, q.ID, q.Tenant = key, balancer.FuncID(n), h.Get("X-Call-Id"), -1
-	if _, err = parseHex16(q.ID); err != nil {
-		return q, fmt.Errorf("X-Call-Id %q: want 16 hex digits", q.ID)
+	request.Key, request.Func, request.ID = key, balancer.FuncID(function), header.Get(callIDHeader)
+	if _, err := parseHex16(request.ID); err != nil {
+		return fmt.Errorf("X-Call-Id %q: want 16 hex digits", request.ID)
 	}
-	class, ok := (*f.classNumbers.Load())[h.Get("X-Class")]
+	return nil
+}
+
+// parseClass reads the class and the tenant of a request; without a customer, the tenant is -1.
+func (s *Server) parseClass(request *oakthread.Request, header http.Header) error {
+	class, ok := (*s.classNumbers.Load())[header.Get(classHeader)]
 	if !ok {
-		return q, fmt.Errorf("X-Class %q: not in the settings", h.Get("X-Class"))
+		return fmt.Errorf("X-Class %q: not in the settings", header.Get(classHeader))
 	}
-	q.Class = class
-	if name := h.Get("X-Customer"); name != "" {
-		if q.Tenant, ok = f.tenantNumbers[name]; !ok {
-			return q, fmt.Errorf("X-Customer %q: not in the settings", name)
+	request.Class, request.Tenant = class, -1
+	if customer := header.Get(customerHeader); customer != "" {
+		if request.Tenant, ok = s.tenantNumbers[customer]; !ok {
+			return fmt.Errorf("X-Customer %q: not in the settings", customer)
 		}
 	}
-	ms, err := strconv.ParseFloat(h.Get("X-Patience-Ms"), 64)
-	if err != nil || !(ms > 0) || ms > float64(maxClientTimeout/time.Millisecond) {
-		return q, fmt.Errorf("X-Patience-Ms %q: want milliseconds above 0", h.Get("X-Patience-Ms"))
+	return nil
+}
+
+// parseTimeout reads how long the client waits for its response.
+func parseTimeout(header http.Header) (time.Duration, error) {
+	millis, err := strconv.ParseFloat(header.Get(patienceHeader), 64)
+	if err != nil || !(millis > 0) || millis > float64(maxClientTimeout/time.Millisecond) { // NaN is not above 0
+		return 0, fmt.Errorf("X-Patience-Ms %q: want milliseconds above 0", header.Get(patienceHeader))
 	}
-	// The clock ran from when the client wrote its last byte, and the answer must have come whole when it ends. On a
-	// crowded core either way may take tens of milliseconds.
-	patience := time.Duration(ms * float64(time.Millisecond))
-	q.Deadline = now.Add(patience - min(responseTimeReserve, time.Duration(responseTimeReserveRatio*float64(patience))))
-	extras, err := parseFigures(h.Get("X-Extras"))
+	return time.Duration(millis * float64(time.Millisecond)), nil
+}
+
+// parseExtras reads what the client says of the function: its concurrency, memory and time to load.
+func parseExtras(request *oakthread.Request, header http.Header) error {
+	extras, err := parseFigures(header.Get(extrasHeader))
 	if err != nil {
-		return q, fmt.Errorf("X-Extras: %w", err)
+		return fmt.Errorf("X-Extras: %w", err)
 	}
-	lanes, told := extras["lanes"]
-	if told && lanes < 1 || lanes > maxConcurrency || extras["memory_mb"] > maxMemoryMB ||
+	concurrency, given := extras["lanes"]
+	if given && concurrency < 1 || concurrency > maxConcurrency || extras["memory_mb"] > maxMemoryMB ||
 		extras["load_ms"] > float64(maxLoadTime/time.Millisecond) {
-		return q, fmt.Errorf("X-Extras %q: a figure is out of range", h.Get("X-Extras"))
+		return fmt.Errorf("X-Extras %q: a figure is out of range", header.Get(extrasHeader))
 	}
-	q.IdempotencyKey = h.Get(idempotencyKeyHeader)
-	switch h.Get(retryHeader) {
+	request.MemoryMB, request.Concurrency = extras["memory_mb"], int(concurrency)
+	request.LoadTime = time.Duration(extras["load_ms"] * float64(time.Millisecond))
+	return nil
+}
+
+// isRetry reports whether the client marks the request as a retry.
+func isRetry(header http.Header) bool {
+	switch header.Get(retryHeader) {
 	case "", "0", "false":
-	default:
-		q.Retry = true
+		return false
 	}
-	q.MemoryMB, q.Concurrency = extras["memory_mb"], int(lanes)
-	q.LoadTime = time.Duration(extras["load_ms"] * float64(time.Millisecond))
-	return q, nil
+	return true
 }
 
+// parseHex16 reads a number of exactly 16 hex digits.
 func parseHex16(s string) (uint64, error) {
 	if len(s) != 16 || strings.ContainsAny(s, "+-_") {
 		return 0, strconv.ErrSyntax
--- a/internal/platform/response.go
+++ b/internal/platform/response.go
@@ -10,64 +10,103 @@
 	"oakthread/balancer"
 )
 
-// readBody reads an answer's body. Guards against answers without end or beyond all memory, and against one cut off
-// that looks whole: its end must be told.
-func (f *ExecutorPool) readBody(resp *http.Response) ([]byte, error) {
-	if resp.StatusCode == http.StatusSwitchingProtocols || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
+const (
+	maxResponseBytes = 1 << 20
+	// initialResponseBuffer is the memory that any response may take. Beyond it a response counts
+	// against maxBufferedResponseBytes.
+	initialResponseBuffer = 16 << 10
+	// maxBufferedResponseBytes limits the memory of all larger responses together.
+	maxBufferedResponseBytes = 4 << 20
+	// minBufferGrowth is the least number of bytes by which the buffer of a response grows.
+	minBufferGrowth = 1 << 10
+	// maxConcurrentRequests is the highest X-Same that is used; more says nothing further.
+	maxConcurrentRequests = 30
+)
+
+// executorResponse is a complete response of an executor.
+type executorResponse struct {
+	status int
+	header http.Header
+	body   []byte
+}
+
+// readResponse reads a response to its end and closes its body.
+func (p *ExecutorPool) readResponse(response *http.Response) (executorResponse, error) {
+	body, err := p.readBody(response)
+	response.Body.Close()
+	return executorResponse{status: response.StatusCode, header: response.Header, body: body}, err
+}
+
+// readBody reads the body of a response within the limits on memory. The length must be known from the
+// head or from chunks, else a body that was cut off would pass for a complete one.
+func (p *ExecutorPool) readBody(response *http.Response) ([]byte, error) {
+	unbounded := response.ContentLength < 0 && len(response.TransferEncoding) == 0
+	if response.StatusCode == http.StatusSwitchingProtocols || unbounded {
 		return nil, errResponseUnbounded
 	}
-	if resp.ContentLength > maxResponseBytes {
+	if response.ContentLength > maxResponseBytes {
 		return nil, errResponseTooLarge
 	}
-	counted := int64(0)
-	defer func() { f.responseMemory.Add(counted) }()
-	got := make([]byte, 0, min(max(resp.ContentLength, 0)+1, initialResponseBuffer))
+	reserved := int64(0)
+	defer func() { p.responseMemory.Add(reserved) }()
+	body := make([]byte, 0, min(max(response.ContentLength, 0)+1, initialResponseBuffer))
 	for {
-		n, err := resp.Body.Read(got[len(got):cap(got)])
-		got = got[:len(got)+n]
+		n, err := response.Body.Read(body[len(body):cap(body)])
+		body = body[:len(body)+n]
 		if errors.Is(err, io.EOF) {
-			return got, nil
+			return body, nil
 		}
 		if err != nil {
 			return nil, err
 		}
-		if len(got) < cap(got) {
+		if len(body) < cap(body) {
 			continue
 		}
-		more := int64(max(cap(got), 1<<10))
-		counted += more
-		if f.responseMemory.Add(-more) < 0 || len(got) > maxResponseBytes {
+		growth := int64(max(cap(body), minBufferGrowth))
+		reserved += growth
+		if p.responseMemory.Add(-growth) < 0 || len(body) > maxResponseBytes {
 			return nil, errResponseTooLarge
 		}
-		got = append(make([]byte, 0, int64(cap(got))+more), got...)
+		body = append(make([]byte, 0, int64(cap(body))+growth), body...)
 	}
 }
 
+// warmthByName holds the values of X-Tell, which says whether the function was loaded.
 var warmthByName = map[string]balancer.Warmth{
 	"hit": balancer.WarmHit, "spawn": balancer.BeganLoad,
 	"pending": balancer.AwaitedLoad, "spawn_failed": balancer.LoadFailed,
 }
 
-// parseReply reads an executor's answer. Only a 404, and a 503 or 504 that says so, prove that nothing ran.
-func (f *ExecutorPool) parseReply(resp *http.Response, body []byte) oakthread.Reply {
-	h := resp.Header
-	r := oakthread.Reply{Result: balancer.Error, Warmth: warmthByName[h.Get("X-Tell")], Report: f.parseReport(h.Get("X-Report"))}
-	if n, err := strconv.Atoi(h.Get("X-Same")); err == nil && n > 0 {
-		r.ConcurrentRequests = min(n, 30)
-	}
-	if n, err := strconv.Atoi(h.Get("X-N")); err == nil && n > 0 {
-		r.Copies = n
+// parseReply translates an executor's response. Only a 404, and a 503 or 504 with X-No-Effect, prove that
+// nothing ran.
+func (p *ExecutorPool) parseReply(response executorResponse) oakthread.Reply {
+	header := response.header
+	reply := oakthread.Reply{
+		Result: balancer.Error,
+		Warmth: warmthByName[header.Get(warmthHeader)],
+		Report: p.parseReport(header.Get(loadReportHeader)),
 	}
-	noEffect := h.Get("X-No-Effect") == "1"
+	reply.ConcurrentRequests = min(positiveInt(header.Get(concurrentHeader)), maxConcurrentRequests)
+	reply.Copies = positiveInt(header.Get(copiesHeader))
+	noEffect := header.Get(noEffectHeader) == "1"
 	switch {
-	case resp.StatusCode == http.StatusOK:
-		r.Result, r.Body = balancer.OK, body
-	case resp.StatusCode == http.StatusNotFound:
-		r.Result = balancer.NotLoaded
-	case resp.StatusCode == http.StatusServiceUnavailable && noEffect:
-		r.Result = balancer.QueueFull
-	case resp.StatusCode == http.StatusGatewayTimeout && noEffect:
-		r.Result = balancer.NotSent
+	case response.status == http.StatusOK:
+		reply.Result, reply.Body = balancer.OK, response.body
+	case response.status == http.StatusNotFound:
+		reply.Result = balancer.NotLoaded
+	case response.status == http.StatusServiceUnavailable && noEffect:
+		reply.Result = balancer.QueueFull
+	case response.status == http.StatusGatewayTimeout && noEffect:
+		reply.Result = balancer.NotSent
+	}
+	return reply
+}
+
+// positiveInt returns the number in a header's value, 0 if there is none above 0.
+func positiveInt(value string) int {
+	n, err := strconv.Atoi(value)
+	if err != nil {
+		return 0
 	}
-	return r
+	return max(n, 0)
 }
--- a/internal/platform/roundtrip.go
+++ b/internal/platform/roundtrip.go
@@ -16,112 +16,127 @@
 	"oakthread/rules"
 )
 
-const (
-	maxResponseBytes         = 1 << 20                // bytes of an executor's answer
-	initialResponseBuffer    = 16 << 10               // up to here an answer is not counted
-	maxBufferedResponseBytes = 4 << 20                // bytes of all greater answers together
-	maxIdlePerTransport      = 64                     // a burst's connections are kept: a handshake costs both sides more than a socket
-	idleTimeoutRatio         = 0.6                    // of the time after which an executor closes an idle connection, we do
-	minIdleTime              = 100 * time.Millisecond // a connection used later than this does not give way
-	reuseDelay               = 10 * time.Millisecond  // after an answer, before the next request: what belongs to none shows by then
-	maxQueuedRequests        = 8                      // requests that wait for a connection to an executor to settle
-	maxTransportsPerExecutor = 16                     // Transports for one executor
-	unusedTransportsTTL      = time.Minute            // an executor's Transports that nothing uses
-
-	budgetHeader = "X-Budget" // milliseconds that the client has left
-)
-
 // executorRequest is one request to an executor.
 type executorRequest struct {
 	method, path string
 	header       http.Header
 	body         []byte
-	deadline     time.Time   // what is left up to then is told as X-Budget; zero: nothing is told
-	beforeWrite  func() bool // asked right before the first byte is written; nil: no need to ask
+	deadline     time.Time   // the time left until then is sent as X-Budget; zero: none is sent
+	beforeWrite  func() bool // asked right before the first byte is written; nil: always allowed
 }
 
-// setBudget words what is left in a head that is about to be written.
-func (g *executorRequest) setBudget(head http.Header) {
-	if !g.deadline.IsZero() {
-		head.Set(budgetHeader, strconv.FormatInt(rules.RemainingMillis(time.Until(g.deadline)), 10))
+// setBudget sets the time left in a head that is about to be written.
+func (r *executorRequest) setBudget(head http.Header) {
+	if !r.deadline.IsZero() {
+		head.Set(budgetHeader, strconv.FormatInt(rules.RemainingMillis(time.Until(r.deadline)), 10))
 	}
 }
 
-// mayWrite is asked right before the first byte of a message worded at a time.
-func (g *executorRequest) mayWrite(worded time.Time) rules.Reason {
-	w := rules.Write{Revoked: g.beforeWrite != nil && !g.beforeWrite()}
-	if !g.deadline.IsZero() {
-		w.BudgetAge = time.Since(worded)
+// mayWrite decides right before the first byte whether the request may be written with the budget that
+// was set at budgetTime.
+func (r *executorRequest) mayWrite(budgetTime time.Time) rules.Reason {
+	write := rules.Write{Revoked: r.beforeWrite != nil && !r.beforeWrite()}
+	if !r.deadline.IsZero() {
+		write.BudgetAge = time.Since(budgetTime)
 	}
-	return rules.MayWrite(w)
+	return rules.MayWrite(write)
 }
 
-// nonReplayableBody is a body that http.Transport can neither rewind nor take for absent, so that it never sends a
-// request a second time on its own: a repeat would be a second booking. A PUT or DELETE is not repeated anyway,
-// and with such an empty body would be sent in chunks.
-func nonReplayableBody(method string, b []byte) io.ReadCloser {
-	if len(b) == 0 && method != http.MethodGet {
+// nonReplayableBody returns a body that http.Transport can neither rewind nor take for absent, so that it
+// never sends a request a second time by itself, which could run it twice. It does not replay an empty
+// PUT or DELETE anyway, and would send one with such a body in chunks.
+func nonReplayableBody(method string, body []byte) io.ReadCloser {
+	if len(body) == 0 && method != http.MethodGet {
 		return http.NoBody
 	}
-	return io.NopCloser(struct{ io.Reader }{bytes.NewReader(b)})
+	return io.NopCloser(struct{ io.Reader }{bytes.NewReader(body)})
+}
+
+// exchange is one try at writing a request and reading its response.
+type exchange struct {
+	request       *executorRequest
+	header        http.Header
+	conn          *executorConn // nil until the transport has assigned one
+	reused        bool          // conn has carried requests before
+	writtenBefore int64         // bytes written on conn before this request
+}
+
+// newRequest returns the request for the transport. It is traced by handleGotConn.
+func (x *exchange) newRequest(ctx context.Context, addr string) *http.Request {
+	request := &http.Request{
+		Method: x.request.method, URL: &url.URL{Scheme: "http", Host: addr, Opaque: x.request.path}, Host: addr,
+		Header: x.header, Body: nonReplayableBody(x.request.method, x.request.body),
+		ContentLength: int64(len(x.request.body)),
+	}
+	return request.WithContext(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: x.handleGotConn}))
+}
+
+// handleGotConn notes the connection that the transport has assigned, before it writes the head. The
+// budget is set here rather than earlier because the connection may have taken long to be established.
+func (x *exchange) handleGotConn(info httptrace.GotConnInfo) {
+	x.conn, _ = info.Conn.(*executorConn)
+	if x.conn == nil {
+		return
+	}
+	x.writtenBefore, x.reused = x.conn.bytesWritten.Load(), info.Reused
+	budgetTime := time.Now()
+	x.request.setBudget(x.header)
+	x.conn.setMayWrite(func() rules.Reason { return x.request.mayWrite(budgetTime) })
 }
 
-// roundTrip writes one request and reads its whole answer. unsent: nothing of the request was written. Whether it may be written
-// is asked right before its first byte is, and a connection that comes up late stays for the next.
-func (f *ExecutorPool) roundTrip(ctx context.Context, m oakthread.Endpoint, g executorRequest) (resp *http.Response, got []byte, unsent bool, err error) {
-	for try := 0; ; try++ {
+// abort closes the connection of a failed exchange, so that nothing more is written on it whatever goes
+// on in the transport, and reports whether nothing of the request was written.
+func (x *exchange) abort() (unsent bool) {
+	if x.conn == nil {
+		return true
+	}
+	_ = x.conn.Close()
+	return x.conn.bytesWritten.Load() == x.writtenBefore
+}
+
+// isRetryable reports whether a failed exchange may be tried on another connection: the executor closed
+// an idle connection, or reset a new one, before anything was written on it.
+func (x *exchange) isRetryable(unsent bool, err error) bool {
+	if x.conn == nil {
+		return errors.Is(err, syscall.ECONNRESET)
+	}
+	return unsent
+}
+
+// roundTrip writes one request and reads its whole response. It retries once, on another connection, if
+// nothing was written on the first. unsent reports that no byte of the request was written. Whether the
+// request may be written is decided right before its first byte; a connection that is established too late
+// for it is kept for the next.
+func (p *ExecutorPool) roundTrip(
+	ctx context.Context, endpoint oakthread.Endpoint, request executorRequest,
+) (response executorResponse, unsent bool, err error) {
+	for first := true; ; first = false {
 		if ctx.Err() != nil {
-			return nil, nil, true, ctx.Err()
+			return executorResponse{}, true, ctx.Err()
 		}
-		var c *executorConn
-		var before int64
-		reused := false
-		head := g.header.Clone()
-		req := &http.Request{
-			Method: g.method, URL: &url.URL{Scheme: "http", Host: m.Addr, Opaque: g.path}, Host: m.Addr,
-			Header: head, Body: nonReplayableBody(g.method, g.body), ContentLength: int64(len(g.body)),
-		}
-		gotConn := func(i httptrace.GotConnInfo) {
-			if c, _ = i.Conn.(*executorConn); c == nil {
-				return
-			}
-			before, reused = c.bytesWritten.Load(), i.Reused
-			// What is left is told now that the connection is there, and not before: it may come up late. http.Transport
-			// writes the head after this call.
-			worded := time.Now()
-			g.setBudget(head)
-			c.mu.Lock()
-			c.mayWrite = func() rules.Reason { return g.mayWrite(worded) }
-			c.mu.Unlock()
-		}
-		req = req.WithContext(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: gotConn}))
-		l, x := f.acquireTransport(ctx, m)
-		resp, err = x.RoundTrip(req)
+		x := &exchange{request: &request, header: request.header.Clone()}
+		executor, transport := p.acquireTransport(ctx, endpoint)
+		reply, err := transport.RoundTrip(x.newRequest(ctx, endpoint.Addr))
 		if err == nil {
-			got, err = f.readBody(resp)
-			resp.Body.Close()
-			f.mu.Lock()
-			x.lastResponse = time.Now()
-			f.mu.Unlock()
-			if c != nil && c.isTainted() {
-				_ = c.Close()
-			}
-			return resp, got, false, err
+			response, err = p.readResponse(reply)
+			p.finishExchange(x, transport)
+			return response, false, err
 		}
-		if c != nil {
-			_ = c.Close() // nothing is written on it any more, whatever goes on in the Transport
+		unsent = x.abort()
+		if !first || ctx.Err() != nil || !x.isRetryable(unsent, err) {
+			return executorResponse{}, unsent, err
 		}
-		unsent = c == nil || c.bytesWritten.Load() == before
-		// The executor had closed an idle connection, or reset a new one, before anything was written on it: another
-		// will do.
-		if try == 0 && ctx.Err() == nil && (c != nil && unsent || c == nil && errors.Is(err, syscall.ECONNRESET)) {
-			if reused {
-				f.mu.Lock()
-				l.closeIdle()
-				f.mu.Unlock()
-			}
-			continue
+		if x.reused {
+			p.closeIdle(executor)
 		}
-		return nil, nil, unsent, err
+	}
+}
+
+// finishExchange notes the end of a response and closes its connection if that must carry no further
+// request.
+func (p *ExecutorPool) finishExchange(x *exchange, transport *pooledTransport) {
+	p.markResponse(transport)
+	if x.conn != nil && x.conn.isTainted() {
+		_ = x.conn.Close()
 	}
 }
--- a/internal/platform/serve.go
+++ b/internal/platform/serve.go
@@ -14,62 +14,98 @@
 	"oakthread/internal/violation"
 )
 
-// Serve runs an HTTP server on ln, which holds at most conns connections, until ctx ends. Then it goes on taking
-// calls for linger, since clients learn late, answers all it has taken, and returns nil. longest is the least time
-// given to those.
-func (f *Server) Serve(ctx context.Context, ln net.Listener, conns int, linger, longest time.Duration, log *slog.Logger) error {
-	held := newConnLimiter(ln, conns, log)
-	srv := &http.Server{
-		Handler: f, ReadHeaderTimeout: headerTimeout, IdleTimeout: clientIdleTimeout, ConnState: held.handleConnState,
-		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-			return context.WithValue(ctx, clientConnKey{}, c)
-		},
-		MaxHeaderBytes: 16 << 10, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelWarn),
-	}
-	f.limiter.Store(held)
-	failed := make(chan error, 1)
-	go func() { failed <- srv.Serve(held) }()
+const (
+	clientIdleTimeout = 5 * time.Second // clients close after 4 s; the connections left are dead
+	// headerTimeout and bodyTimeout bound the time from connecting to a complete head and from there to a
+	// complete body. Together they are below requestReadTimeout.
+	headerTimeout = 1500 * time.Millisecond
+	bodyTimeout   = 1200 * time.Millisecond
+	// requestReadTimeout is the time by which the platform requires a rejection or a close of a client that
+	// never sends a complete request.
+	requestReadTimeout = 3 * time.Second
+	// maxRequestHeaderBytes limits the head of a client's request.
+	maxRequestHeaderBytes = 16 << 10
+)
+
+// Serve serves ln, with at most conns connections, until ctx ends. It then drains: it accepts requests for
+// linger, since clients learn late, answers all it has read, and returns nil. Requests in flight get at
+// least the time longest. It returns context.DeadlineExceeded if some are left without a response.
+func (s *Server) Serve(
+	ctx context.Context, ln net.Listener, conns int, linger, longest time.Duration, log *slog.Logger,
+) error {
+	limiter := newConnLimiter(ln, conns, log)
+	httpServer := s.newHTTPServer(limiter, log)
+	s.limiter.Store(limiter)
+	served := make(chan error, 1)
+	go func() { served <- httpServer.Serve(limiter) }() // ends with the listener, at the latest on Close
 	select {
-	case err := <-failed:
+	case err := <-served:
 		return err
 	case <-ctx.Done():
 	}
-	f.draining.Store(true)
+	s.draining.Store(true)
 	if mutant.On(mutant.EndsAtOnce) {
 		linger = 0
-		held.setKeepAlives(false)
+		limiter.setKeepAlives(false)
 	}
 	log.Info("ending: still taking calls", "for", linger)
 	select {
-	case err := <-failed:
+	case err := <-served:
 		return err
 	case <-time.After(linger):
 	}
-	log.Info("ending: no new calls", "open", f.inFlight.Load())
-	last := time.Now().Add(longest)
-	if taken := monotime.Time(f.latestDeadline.Load()).Add(linger); taken.After(last) {
-		last = taken
+	log.Info("ending: no new calls", "open", s.inFlight.Load())
+	drainCtx, cancel := context.WithDeadline(context.Background(), s.drainDeadline(linger, longest))
+	defer cancel()
+	defer func() { _ = httpServer.Close() }()
+	return s.drain(drainCtx, limiter, served)
+}
+
+// newHTTPServer returns the HTTP server for the connections of a limiter.
+func (s *Server) newHTTPServer(limiter *connLimiter, log *slog.Logger) *http.Server {
+	return &http.Server{
+		Handler:           s,
+		ReadHeaderTimeout: headerTimeout,
+		IdleTimeout:       clientIdleTimeout,
+		MaxHeaderBytes:    maxRequestHeaderBytes,
+		ConnState:         limiter.handleConnState,
+		ConnContext: func(ctx context.Context, conn net.Conn) context.Context {
+			return context.WithValue(ctx, clientConnKey{}, conn)
+		},
+		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelWarn),
 	}
-	end, done := context.WithDeadline(context.Background(), last)
-	defer done()
-	defer srv.Close()
-	// What the kernel has accepted is taken; then connections end as nothing is under way on them. http.Server.Shutdown
-	// would reset the backlog and close kept connections on which half a head has come.
-	f.keepAlivesDisabled.Store(true)
-	if err := held.stopAccepting(); err != nil {
+}
+
+// drainDeadline returns when a drain gives up: linger after the latest deadline of a request, and not
+// before longest is over.
+func (s *Server) drainDeadline(linger, longest time.Duration) time.Time {
+	deadline := time.Now().Add(longest)
+	if latest := monotime.Time(s.latestDeadline.Load()).Add(linger); latest.After(deadline) {
+		return latest
+	}
+	return deadline
+}
+
+// drain accepts what the kernel has accepted and closes connections as nothing is under way on them, until
+// none is left or ctx ends. http.Server.Shutdown would reset the backlog and close kept connections on
+// which part of a head has arrived.
+func (s *Server) drain(ctx context.Context, limiter *connLimiter, served <-chan error) error {
+	s.keepAlivesDisabled.Store(true)
+	if err := limiter.stopAccepting(); err != nil {
 		return fmt.Errorf("end the listener: %w", err)
 	}
 	select {
-	case err := <-failed:
+	case err := <-served:
 		if !errors.Is(err, errAcceptStopped) {
 			return err
 		}
-	case <-end.Done():
+	case <-ctx.Done():
 	}
-	held.setKeepAlives(false)
-	if !held.waitUntilEmpty(end) && f.inFlight.Load() > 0 {
-		f.reportViolation(violation.Answered, violation.PathEnd, "", fmt.Sprintf("%d calls are left without an answer", f.inFlight.Load()))
+	limiter.setKeepAlives(false)
+	if !limiter.waitUntilEmpty(ctx) && s.inFlight.Load() > 0 {
+		s.reportViolation(violation.Answered, violation.PathEnd, "",
+			fmt.Sprintf("%d calls are left without an answer", s.inFlight.Load()))
 		return context.DeadlineExceeded
 	}
-	return nil // but for connections on which no call was under way
+	return nil // connections without a request in flight may be left
 }
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -16,176 +16,174 @@
 	"oakthread/internal/wire"
 )
 
-const (
-	maxRequestBytes          = 16 << 10
-	maxClientTimeout         = time.Hour
-	responseTimeReserve      = 200 * time.Millisecond  // kept back of a client's patience for the answer's way, at most
-	responseTimeReserveRatio = 0.2                     // and at most this part of it
-	clientIdleTimeout        = 5 * time.Second         // clients close after 4 s; the rest are dead
-	headerTimeout            = 1500 * time.Millisecond // from connecting to a whole head
-	bodyTimeout              = 1200 * time.Millisecond // from there to a whole body: both lie within answerOwed
-	requestReadTimeout       = 3 * time.Second         // by then a client that never sends a whole call is owed its refusal or close
-	maxResponseDelay         = 500 * time.Millisecond  // an answer so much past its time is as good as none
-	maxConcurrency           = 1 << 10                 // figures beyond these are no model's
-	maxMemoryMB              = 1 << 24                 // MB
-	maxLoadTime              = time.Hour
-
-	idempotencyKeyHeader = "X-Dedupe-Key" // of a call whose class is keyed
-	retryHeader          = "X-Repeat"     // where clients mark their repeats
-)
+// maxResponseDelay is how far past its deadline a response is as good as none.
+const maxResponseDelay = 500 * time.Millisecond
+
+// errAmbiguousLengths rejects a request that other parsers may bound differently.
+var errAmbiguousLengths = errors.New("the lengths of a request on this connection contradict each other")
 
-// Server serves the platform's clients. It implements http.Handler.
+// Server serves the platform's clients over HTTP/1.1. It implements http.Handler.
 type Server struct {
+	// Violated, if set before Serve, is called for each rule that is found broken.
+	Violated func(rule, path, id, detail string)
+	// Gate, if set before Serve, makes readiness fail while it returns false.
+	Gate func() bool
+
 	core               *oakthread.Core
-	classNumbers       atomic.Pointer[map[string]int] // by name, the class number that new calls take
+	mux                *http.ServeMux
+	classNumbers       atomic.Pointer[map[string]int] // by name, for new requests
 	tenantNumbers      map[string]int
-	sendsRetryAfter    bool
-	inFlight           atomic.Int64 // calls in the handler
-	malformed          atomic.Int64 // calls that could not be read
-	latestDeadline     atomic.Int64 // nanoseconds of the process's clock: the latest deadline taken
+	sendsRetryAfter    bool         // rejections carry Retry-After in milliseconds as well
+	inFlight           atomic.Int64 // requests in the handler
+	malformed          atomic.Int64 // requests that could not be read
+	latestDeadline     atomic.Int64 // of all requests, in nanoseconds of package monotime
 	draining           atomic.Bool
-	keepAlivesDisabled atomic.Bool // each connection ends with its answer
-	mux                *http.ServeMux
-	outcomes           sync.Map // class name → *Outcomes
+	keepAlivesDisabled atomic.Bool // each connection ends with its response
+	outcomes           sync.Map    // class name → *Outcomes
 	limiter            atomic.Pointer[connLimiter]
-
-	// Violated, where set before Serve, is told of rules found broken.
-	Violated func(rule, path, id, detail string)
-
-	// Gate, where set before Serve, has the front say no to readiness while it returns false.
-	Gate func() bool
 }
 
-// NewFront makes the front of a Core.
-func NewFront(core *oakthread.Core, s *wire.Setup) *Server {
-	f := &Server{core: core, tenantNumbers: map[string]int{}, sendsRetryAfter: s.Permissions.RetryAfter, mux: http.NewServeMux()}
-	classes := map[string]int{}
-	for i, c := range s.Categories {
-		classes[c.Name] = i
+// NewFront returns a server for the requests of core.
+func NewFront(core *oakthread.Core, settings *wire.Setup) *Server {
+	s := &Server{
+		core: core, tenantNumbers: map[string]int{}, sendsRetryAfter: settings.Permissions.RetryAfter,
+		mux: http.NewServeMux(),
 	}
-	f.classNumbers.Store(&classes)
-	for i, c := range s.Customers {
-		f.tenantNumbers[c.Name] = i
+	classNumbers := map[string]int{}
+	for i, class := range settings.Categories {
+		classNumbers[class.Name] = i
 	}
-	f.mux.HandleFunc("POST /call/{key}/trigger", f.handleCall)
-	f.mux.HandleFunc("GET /ping", f.handlePing)
-	return f
+	s.classNumbers.Store(&classNumbers)
+	for i, customer := range settings.Customers {
+		s.tenantNumbers[customer.Name] = i
+	}
+	s.mux.HandleFunc("POST /call/{key}/trigger", s.handleCall)
+	s.mux.HandleFunc("GET /ping", s.handlePing)
+	return s
 }
 
-// Classes has new calls take the class numbers of names from now on; calls in hand keep theirs. names must not be
-// changed afterwards.
-func (f *Server) Classes(names map[string]int) { f.classNumbers.Store(&names) }
+// Classes sets the class numbers by name for new requests; those in flight keep theirs. The map must not
+// be changed afterwards.
+func (s *Server) Classes(numbers map[string]int) { s.classNumbers.Store(&numbers) }
+
+// Pending returns the number of requests that have been read and not been answered.
+func (s *Server) Pending() int64 { return s.inFlight.Load() }
 
-// Pending is the number of calls taken and not yet answered.
-func (f *Server) Pending() int64 { return f.inFlight.Load() }
+// Bad returns the number of requests that could not be read.
+func (s *Server) Bad() int64 { return s.malformed.Load() }
 
-// AcceptsFailed counts the accepts that failed and were tried again.
-func (f *Server) AcceptsFailed() int64 {
-	if held := f.limiter.Load(); held != nil {
-		return held.acceptFailures.Load()
+// AcceptsFailed returns the number of accepts that failed and were retried.
+func (s *Server) AcceptsFailed() int64 {
+	if limiter := s.limiter.Load(); limiter != nil {
+		return limiter.acceptFailures.Load()
 	}
 	return 0
 }
 
-// Bad counts the calls that could not be read.
-func (f *Server) Bad() int64 { return f.malformed.Load() }
-
-// SetKeepAlives, off, closes idle connections of clients and ends each other one after its answer; on, keeps them again.
-// It takes effect once Serve runs.
-func (f *Server) SetKeepAlives(on bool) {
-	if f.draining.Load() {
-		return // the end sees to that
+// SetKeepAlives, when off, closes the idle connections of clients and ends every other one after its
+// response. It takes effect once Serve runs and until the server drains.
+func (s *Server) SetKeepAlives(on bool) {
+	if s.draining.Load() {
+		return
 	}
-	f.keepAlivesDisabled.Store(!on)
-	if held := f.limiter.Load(); held != nil {
-		held.setKeepAlives(on)
+	s.keepAlivesDisabled.Store(!on)
+	if limiter := s.limiter.Load(); limiter != nil {
+		limiter.setKeepAlives(on)
 	}
 }
 
-func (f *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	g := clientConnFrom(r.Context())
-	if g != nil {
-		ctx, left := context.WithCancel(r.Context())
-		defer left()
-		g.limiter.setCancel(g, left)
+// ServeHTTP rejects what cannot be trusted and passes everything else to its handler.
+func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	conn := clientConnFrom(r.Context())
+	if conn != nil {
+		ctx, cancelRequest := context.WithCancel(r.Context())
+		defer cancelRequest()
+		conn.limiter.setCancel(conn, cancelRequest)
 		r = r.WithContext(ctx)
 	}
-	if g != nil && g.ambiguous.Load() {
-		f.rejectMalformed(w, http.StatusBadRequest, errAmbiguousLengths) // the rest may be read as other requests
+	if conn != nil && conn.ambiguous.Load() {
+		s.rejectMalformed(w, http.StatusBadRequest, errAmbiguousLengths)
 		return
 	}
 	if r.ContentLength != 0 {
-		// Against bodies that never end, here and where the server reads what a handler left.
+		// Bounds bodies without end, also where the server reads what a handler has left.
 		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyTimeout))
-	} else if g != nil && !g.limiter.beginRequest(g) {
-		f.reportViolation(violation.Answered, violation.PathTake, r.Header.Get("X-Call-Id"), "its connection was closed before it was taken")
-		panic(http.ErrAbortHandler)
+	} else {
+		s.beginRequest(conn, r.Header.Get(callIDHeader))
 	}
-	if len(r.TransferEncoding) > 0 { // its end is the server's word alone: nothing behind it is read
+	if len(r.TransferEncoding) > 0 { // only the server knows where it ends: nothing behind it is read
 		w.Header().Set("Connection", "close")
 	}
-	if _, known := f.mux.Handler(r); known == "" {
-		f.malformed.Add(1)
+	if _, pattern := s.mux.Handler(r); pattern == "" {
+		s.malformed.Add(1)
 		w.Header().Set("Connection", "close")
 	}
-	f.mux.ServeHTTP(w, r)
+	s.mux.ServeHTTP(w, r)
 }
 
-var errAmbiguousLengths = errors.New("the lengths of a request on this connection contradict each other")
-
-// rejectMalformed answers what cannot be read and ends the connection: what comes behind it is not to be trusted.
-func (f *Server) rejectMalformed(w http.ResponseWriter, status int, err error) {
-	f.malformed.Add(1)
-	w.Header().Set("Connection", "close")
-	http.Error(w, err.Error(), status)
+// beginRequest notes that a complete request is in flight on its connection, which is nil for one that is
+// not of a limiter. It aborts the handler if the connection has been closed.
+func (s *Server) beginRequest(conn *clientConn, requestID string) {
+	if conn == nil || conn.limiter.beginRequest(conn) {
+		return
+	}
+	s.reportViolation(violation.Answered, violation.PathTake, requestID,
+		"its connection was closed before it was taken")
+	panic(http.ErrAbortHandler)
 }
 
-// handlePing tells the platform's front that calls may come: not before a list is loaded, nor once we are to end.
-func (f *Server) handlePing(w http.ResponseWriter, r *http.Request) {
-	f.announceClose(w, r)
-	if !f.core.Ready() || f.draining.Load() || f.Gate != nil && !f.Gate() {
+// handlePing reports readiness: the endpoint list is loaded and the server does not drain.
+func (s *Server) handlePing(w http.ResponseWriter, r *http.Request) {
+	s.announceClose(w, r)
+	if !s.core.Ready() || s.draining.Load() || s.Gate != nil && !s.Gate() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// handleCall is the chain of a call on this side: take in, then the Core's stages, then relay.
-func (f *Server) handleCall(w http.ResponseWriter, r *http.Request) {
-	f.inFlight.Add(1)
-	defer f.inFlight.Add(-1)
+// handleCall reads a request, passes it to the core and writes the answer.
+func (s *Server) handleCall(w http.ResponseWriter, r *http.Request) {
+	s.inFlight.Add(1)
+	defer s.inFlight.Add(-1)
 	began := time.Now()
-	q, status, err := f.readRequest(w, r, arrivalTime(r))
+	request, status, err := s.readRequest(w, r, arrivalTime(r))
 	if err != nil {
-		f.rejectMalformed(w, status, err)
+		s.rejectMalformed(w, status, err)
 		return
 	}
-	if g := clientConnFrom(r.Context()); g != nil && r.ContentLength != 0 {
-		if g.ambiguous.Load() { // seen while the body came
-			f.rejectMalformed(w, http.StatusBadRequest, errAmbiguousLengths)
+	conn := clientConnFrom(r.Context())
+	if conn != nil && r.ContentLength != 0 {
+		if conn.ambiguous.Load() { // found while the body arrived
+			s.rejectMalformed(w, http.StatusBadRequest, errAmbiguousLengths)
 			return
 		}
-		if !g.limiter.beginRequest(g) {
-			f.reportViolation(violation.Answered, violation.PathTake, q.ID, "its connection was closed before it was taken")
-			panic(http.ErrAbortHandler)
-		}
+		s.beginRequest(conn, request.ID)
 		_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
 	}
-	for end, old := monotime.Nanos(q.Deadline), f.latestDeadline.Load(); end > old && !f.latestDeadline.CompareAndSwap(old, end); {
-		old = f.latestDeadline.Load()
+	s.noteDeadline(request.Deadline)
+	if conn != nil {
+		request.CallerGone = func() bool { return clientHasClosed(conn.Conn) }
 	}
-	if c := clientConnFrom(r.Context()); c != nil {
-		q.CallerGone = func() bool { return clientHasClosed(c.Conn) }
+	answer, err := s.core.Do(r.Context(), request)
+	s.announceClose(w, r)
+	if late := time.Since(request.Deadline); err == nil && began.Before(request.Deadline) && late > maxResponseDelay {
+		s.reportViolation(violation.InTime, violation.PathBook, request.ID,
+			fmt.Sprintf("answered %v after its time", late.Round(time.Millisecond)))
 	}
-	a, err := f.core.Do(r.Context(), q)
-	f.announceClose(w, r)
-	if over := time.Since(q.Deadline); err == nil && began.Before(q.Deadline) && over > maxResponseDelay {
-		f.reportViolation(violation.InTime, violation.PathBook, q.ID, fmt.Sprintf("answered %v after its time", over.Round(time.Millisecond)))
+	s.writeAnswer(w, answer, err)
+	s.countOutcome(r.Header.Get(classHeader), httpreply.Status(answer, err))
+}
+
+// noteDeadline raises the latest deadline, up to which a drain waits.
+func (s *Server) noteDeadline(deadline time.Time) {
+	nanos, latest := monotime.Nanos(deadline), s.latestDeadline.Load()
+	for nanos > latest && !s.latestDeadline.CompareAndSwap(latest, nanos) {
+		latest = s.latestDeadline.Load()
 	}
-	f.writeAnswer(w, a, err)
-	f.countOutcome(r.Header.Get("X-Class"), httpreply.Status(a, err))
 }
 
-func (f *Server) reportViolation(rule violation.Rule, path violation.Path, id, detail string) {
-	if f.Violated != nil {
-		f.Violated(string(rule), string(path), id, detail)
+// reportViolation calls Violated for a rule that is found broken.
+func (s *Server) reportViolation(rule violation.Rule, path violation.Path, id, detail string) {
+	if s.Violated != nil {
+		s.Violated(string(rule), string(path), id, detail)
 	}
 }
--- a/internal/platform/socketstate.go
+++ b/internal/platform/socketstate.go
@@ -8,18 +8,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// hasUnread tells whether bytes lie with the kernel that nobody has read.
-func hasUnread(c net.Conn) bool {
-	return socketValuePositive(c, func(fd int) (int, error) { return unix.IoctlGetInt(fd, unix.TIOCINQ) })
-}
-
-// maxDataAge is beyond what a request may have waited with the kernel.
+// maxDataAge is the greatest age of data that is believed: no request waits in the kernel for longer.
 const maxDataAge = time.Minute
 
-// lastDataAge is how long ago the last bytes came to a socket, read or not, in whole milliseconds: while this process stood
-// still, or its accepts waited, the kernel's clock went on. 0 where the kernel does not tell (tcp(7), TCP_INFO).
-func lastDataAge(c net.Conn) time.Duration {
-	info := tcpInfo(c)
+// hasUnread reports whether the kernel holds bytes of a connection that have not been read.
+func hasUnread(conn net.Conn) bool {
+	return socketValuePositive(conn, func(fd int) (int, error) { return unix.IoctlGetInt(fd, unix.TIOCINQ) })
+}
+
+// lastDataAge returns how long ago the last bytes arrived at a socket, read or not, in whole milliseconds.
+// The kernel measures it also while this process does not run or its accepts wait. It is 0 where the kernel
+// does not tell (tcp(7), TCP_INFO).
+func lastDataAge(conn net.Conn) time.Duration {
+	info := tcpInfo(conn)
 	if info == nil {
 		return 0
 	}
@@ -30,16 +31,16 @@
 	return age
 }
 
-// clientHasClosed tells whether the other side has closed its connection, or its sending side, or reset it, whether or not this
-// process has read up to there; no where the kernel does not tell.
-func clientHasClosed(c net.Conn) bool {
-	info := tcpInfo(c)
+// clientHasClosed reports whether the other side has closed the connection or its sending side, or has
+// reset it, whether or not this process has read up to there. It is false where the kernel does not tell.
+func clientHasClosed(conn net.Conn) bool {
+	info := tcpInfo(conn)
 	return info != nil && info.State != unix.BPF_TCP_ESTABLISHED
 }
 
-// tcpInfo is what the kernel knows of a connection; nil: nothing.
-func tcpInfo(c net.Conn) (info *unix.TCPInfo) {
-	socketValuePositive(c, func(fd int) (int, error) {
+// tcpInfo returns what the kernel knows of a connection, nil if nothing.
+func tcpInfo(conn net.Conn) (info *unix.TCPInfo) {
+	socketValuePositive(conn, func(fd int) (int, error) {
 		known, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 		if err == nil && known.State != 0 {
 			info = known
@@ -49,24 +50,27 @@
 	return info
 }
 
-// hasPendingConn tells whether a listener has connections that nobody has taken.
+// hasPendingConn reports whether a listener has connections that have not been accepted.
 func hasPendingConn(ln net.Listener) bool {
-	return socketValuePositive(ln, func(fd int) (int, error) { return unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, 0) })
+	return socketValuePositive(ln, func(fd int) (int, error) {
+		return unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, 0)
+	})
 }
 
-// socketValuePositive asks a socket's descriptor for a number and tells whether it is above 0; where it cannot be asked, no.
-func socketValuePositive(socket any, count func(fd int) (int, error)) bool {
-	sc, ok := socket.(syscall.Conn)
+// socketValuePositive reports whether a value that query reads from a socket's descriptor is above 0. It is
+// false where the socket has no descriptor or query fails.
+func socketValuePositive(socket any, query func(fd int) (int, error)) bool {
+	withDescriptor, ok := socket.(syscall.Conn)
 	if !ok {
 		return false
 	}
-	rc, err := sc.SyscallConn()
+	raw, err := withDescriptor.SyscallConn()
 	if err != nil {
 		return false
 	}
-	n := 0
-	if rc.Control(func(fd uintptr) { n, err = count(int(fd)) }) != nil {
+	value := 0
+	if raw.Control(func(fd uintptr) { value, err = query(int(fd)) }) != nil {
 		return false
 	}
-	return err == nil && n > 0
+	return err == nil && value > 0
 }
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -17,143 +17,175 @@
 )
 
 const (
-	watchDialTimeout   = time.Second
-	watchReadTimeout   = 2 * time.Second        // a line comes every second; without one the connection is dead
-	maxWatchRetryDelay = 400 * time.Millisecond // between two tries: what is told counts as told 2 s after a break
+	watchDialTimeout = time.Second
+	// watchReadTimeout ends a connection on which nothing arrives: discovery writes a line every second.
+	watchReadTimeout = 2 * time.Second
+	// maxWatchRetryDelay bounds the pause between two connects: a change counts as known 2 s after the
+	// connection was lost.
+	maxWatchRetryDelay = 400 * time.Millisecond
 	maxEventBytes      = 4 << 20
-	maxDatagramBytes   = 256
-	sendQueueLength    = 256                   // datagrams that may wait to be sent
-	readErrorPause     = 10 * time.Millisecond // after a failed read
+	// initialEventBytes is the size of the read buffer before a longer line arrives.
+	initialEventBytes = 4 << 10
 )
 
-// EndpointWatcher follows the command channel. It implements oakthread.Membership.
-type EndpointWatcher struct {
-	addr           string
-	moves          chan string
-	setup          *wire.Setup
-	initialEvents  []Event
-	cursor         int64
-	epoch          string
-	dialer         *endpoints.Dialer
-	persistent     bool   // the list is kept on disk: a numbering may have started over meanwhile
-	unreadableLine string // the last line that cannot be read
-	skippedLine    bool   // one was passed over: the next number is the next there is
-	log            *slog.Logger
-	dial           DialFunc
-}
+// errDiscoveryRestarted reports that discovery numbers its events anew.
+var errDiscoveryRestarted = errors.New("discovery started over: its list is read from the first event")
 
-// EndpointHandler takes what the channel tells, in order, from one goroutine.
+// EndpointHandler handles what the command channel brings, in order, from one goroutine.
 type EndpointHandler interface {
+	// Told handles a change of the endpoint list and the number of its event.
 	Told(r oakthread.EndpointUpdate, epoch string, cursor int64)
-	Current()     // nothing has changed after the last news
-	Lost()        // the connection has ended
-	StartedOver() // the numbering begins anew: the next list is whole
+	// Current handles a heartbeat: nothing has changed since the last event.
+	Current()
+	// Lost handles the end of a connection.
+	Lost()
+	// StartedOver handles a restart of the numbering: the next update holds the complete list.
+	StartedOver()
 }
 
-// updateFunc is the feed of a dispatcher that keeps no list.
+// updateFunc is the EndpointHandler of a dispatcher that stores no list.
 type updateFunc func(oakthread.EndpointUpdate)
 
-func (p updateFunc) Told(r oakthread.EndpointUpdate, _ string, _ int64) { p(r) }
+func (f updateFunc) Told(r oakthread.EndpointUpdate, _ string, _ int64) { f(r) }
 func (updateFunc) Current()                                             {}
 func (updateFunc) Lost()                                                {}
 func (updateFunc) StartedOver()                                         {}
 
-// NewChannel follows the channel of a configuration from the events on that it holds.
-func NewChannel(c *Config, log *slog.Logger) *EndpointWatcher {
+// EndpointWatcher follows the command channel, on which discovery writes the endpoint list and its
+// changes. Each event is handled once and in order; the watch resumes after the last one on a new
+// connection. It implements oakthread.EndpointWatcher.
+type EndpointWatcher struct {
+	addr           string
+	moves          chan string
+	settings       *wire.Setup
+	initialEvents  []Event
+	cursor         int64 // of the last event that was handled
+	epoch          string
+	dialer         *endpoints.Dialer
+	persistent     bool   // the list is stored on disk, so that discovery may have restarted meanwhile
+	unreadableLine string // the last line that could not be read
+	skippedLine    bool   // such a line was skipped: the next event is accepted whatever its number
+	log            *slog.Logger
+	dial           DialFunc
+}
+
+// NewChannel returns a watcher of the channel named in config, which resumes after the events known there.
+func NewChannel(config *Config, log *slog.Logger) *EndpointWatcher {
 	return &EndpointWatcher{
-		addr: c.Channel, moves: make(chan string, 1), setup: c.Setup, initialEvents: c.Known, cursor: c.Cursor, log: log, dial: (&net.Dialer{Timeout: watchDialTimeout}).DialContext,
-		dialer: endpoints.NewDialer([]string{c.Channel}, c.Seed).Within(maxWatchRetryDelay),
+		addr: config.Channel, moves: make(chan string, 1), settings: config.Setup,
+		initialEvents: config.Known, cursor: config.Cursor, log: log,
+		dial:   (&net.Dialer{Timeout: watchDialTimeout}).DialContext,
+		dialer: endpoints.NewDialer([]string{config.Channel}, config.Seed).Within(maxWatchRetryDelay),
 	}
 }
 
-// Through puts something between the Channel and the system's sockets; it must be called before Follow.
-func (c *EndpointWatcher) Through(n Network) { c.dial = n.dial(c.dial) }
+// Through has the watcher dial through network. It must be called before Follow.
+func (w *EndpointWatcher) Through(network Network) { w.dial = network.dial(w.dial) }
 
-// Keep has the channel go on from where a kept list stands, over several addresses in turn, and notice a discovery that
-// started over. It must be called before Follow.
-func (c *EndpointWatcher) Keep(cursor int64, epoch string, d *endpoints.Dialer) {
-	c.cursor, c.epoch, c.dialer, c.persistent, c.initialEvents = cursor, epoch, d, true, nil
+// Keep has the watch resume after the event of a stored list, try several addresses in turn, and detect a
+// discovery that has restarted. It must be called before Follow.
+func (w *EndpointWatcher) Keep(cursor int64, epoch string, dialer *endpoints.Dialer) {
+	w.cursor, w.epoch, w.dialer, w.persistent, w.initialEvents = cursor, epoch, dialer, true, nil
 }
 
-// Move follows the channel at another address, at once, from the last event known on. It must be called from one
-// goroutine and does not block: of two moves in a row the later one counts.
-func (c *EndpointWatcher) Move(addr string) {
+// Move continues the watch at another address, at once and after the last event known. It does not block;
+// of two moves in a row the later one counts. It must be called from one goroutine.
+func (w *EndpointWatcher) Move(addr string) {
 	select {
-	case <-c.moves:
+	case <-w.moves:
 	default:
 	}
-	c.moves <- addr
+	w.moves <- addr
 }
 
-// Watch tells the events known at the start, then those of the channel, and connects again until ctx ends.
-func (c *EndpointWatcher) Watch(ctx context.Context, tell func(oakthread.EndpointUpdate)) error {
-	return c.Follow(ctx, updateFunc(tell))
+// Watch calls update with the events known at the start and then with those of the channel, until ctx
+// ends.
+func (w *EndpointWatcher) Watch(ctx context.Context, update func(oakthread.EndpointUpdate)) error {
+	return w.Follow(ctx, updateFunc(update))
 }
 
-// Follow is Watch with all that a Feed wants to know.
-func (c *EndpointWatcher) Follow(ctx context.Context, f EndpointHandler) error {
-	for _, ev := range c.initialEvents {
-		f.Told(ev.Roster, ev.Epoch, ev.Cursor)
+// Follow handles the events known at the start and then those of the channel, and reconnects, until ctx
+// ends. It returns the error of ctx.
+func (w *EndpointWatcher) Follow(ctx context.Context, handler EndpointHandler) error {
+	for _, event := range w.initialEvents {
+		handler.Told(event.Roster, event.Epoch, event.Cursor)
 	}
 	for ctx.Err() == nil {
-		var wait time.Duration
-		if c.addr, wait = c.dialer.Next(); c.waitOrMove(ctx, wait) {
+		var delay time.Duration
+		w.addr, delay = w.dialer.Next()
+		if moved := w.waitOrMove(ctx, delay); moved {
 			continue
 		}
-		// An old address may stay silent or refuse: a move ends whatever goes on there.
-		on, off := context.WithCancel(ctx)
-		ended := make(chan error, 1)
-		go func() { ended <- c.readStream(on, f) }()
-		select {
-		case addr := <-c.moves:
-			off()
-			<-ended
-			c.setAddress(addr)
+		moved, err := w.readUntilMove(ctx, handler)
+		if moved {
 			continue
-		case err := <-ended:
-			off()
-			if ctx.Err() != nil {
-				return ctx.Err()
-			}
-			f.Lost()
-			c.log.Warn("command channel lost, connecting again", "after", c.cursor, "err", err)
-			if errors.Is(err, errDiscoveryRestarted) {
-				c.dialer.Good()
-			} else {
-				c.dialer.Failed()
-			}
 		}
+		if ctx.Err() != nil {
+			return ctx.Err()
+		}
+		w.handleLoss(err, handler)
 	}
 	return ctx.Err()
 }
 
-// waitOrMove waits; true: the channel has moved meanwhile.
-func (c *EndpointWatcher) waitOrMove(ctx context.Context, wait time.Duration) bool {
-	t := time.NewTimer(wait)
-	defer t.Stop()
+// waitOrMove waits, and reports whether the watch was moved meanwhile.
+func (w *EndpointWatcher) waitOrMove(ctx context.Context, delay time.Duration) (moved bool) {
+	timer := time.NewTimer(delay)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case addr := <-c.moves:
-		c.setAddress(addr)
+	case addr := <-w.moves:
+		w.setAddress(addr)
 		return true
-	case <-t.C:
+	case <-timer.C:
 	}
 	return false
 }
 
-func (c *EndpointWatcher) setAddress(addr string) {
-	c.addr = addr
-	c.dialer.Move(addr)
-	c.log.Info("command channel moved", "to", c.addr, "after", c.cursor)
+// readUntilMove reads one connection until it fails or the watch is moved. A move cancels whatever goes
+// on at the old address, which may be silent or refuse connections.
+func (w *EndpointWatcher) readUntilMove(ctx context.Context, handler EndpointHandler) (moved bool, err error) {
+	streamCtx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	ended := make(chan error, 1)
+	go func() { ended <- w.readStream(streamCtx, handler) }()
+	select {
+	case addr := <-w.moves:
+		cancel()
+		<-ended
+		w.setAddress(addr)
+		return true, nil
+	case err := <-ended:
+		return false, err
+	}
+}
+
+// handleLoss handles the end of a connection.
+func (w *EndpointWatcher) handleLoss(err error, handler EndpointHandler) {
+	handler.Lost()
+	w.log.Warn("command channel lost, connecting again", "after", w.cursor, "err", err)
+	if errors.Is(err, errDiscoveryRestarted) {
+		w.dialer.Good()
+	} else {
+		w.dialer.Failed()
+	}
+}
+
+// setAddress moves the watch to an address.
+func (w *EndpointWatcher) setAddress(addr string) {
+	w.addr = addr
+	w.dialer.Move(addr)
+	w.log.Info("command channel moved", "to", w.addr, "after", w.cursor)
 }
 
-// readStream reads the channel at one address until it fails. Without an address there is nothing to read.
-func (c *EndpointWatcher) readStream(ctx context.Context, f EndpointHandler) error {
-	if c.addr == "" {
+// readStream reads the channel at one address until it fails or ctx ends. Without an address it only
+// waits for ctx.
+func (w *EndpointWatcher) readStream(ctx context.Context, handler EndpointHandler) error {
+	if w.addr == "" {
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	conn, err := c.dial(ctx, "tcp", c.addr)
+	conn, err := w.dial(ctx, "tcp", w.addr)
 	if err != nil {
 		return err
 	}
@@ -162,11 +194,17 @@
 	if err := conn.SetDeadline(time.Now().Add(watchReadTimeout)); err != nil {
 		return err
 	}
-	if _, err := fmt.Fprintf(conn, "resume %d\n", c.cursor); err != nil {
+	if _, err := fmt.Fprintf(conn, "resume %d\n", w.cursor); err != nil {
 		return err
 	}
+	return w.readLines(conn, handler)
+}
+
+// readLines handles the lines of a connection until it ends. Each has to arrive within watchReadTimeout
+// of the one before.
+func (w *EndpointWatcher) readLines(conn net.Conn, handler EndpointHandler) error {
 	lines := bufio.NewScanner(conn)
-	lines.Buffer(make([]byte, 0, 4<<10), maxEventBytes)
+	lines.Buffer(make([]byte, 0, initialEventBytes), maxEventBytes)
 	lines.Split(splitCompleteLines)
 	for first := true; lines.Scan(); {
 		if err := conn.SetDeadline(time.Now().Add(watchReadTimeout)); err != nil {
@@ -175,7 +213,7 @@
 		if len(bytes.TrimSpace(lines.Bytes())) == 0 {
 			continue
 		}
-		if err := c.handleLine(lines.Bytes(), first, f); err != nil {
+		if err := w.handleLine(lines.Bytes(), first, handler); err != nil {
 			return err
 		}
 		first = false
@@ -186,67 +224,11 @@
 	return io.EOF
 }
 
-// splitCompleteLines parts lines. Guards against a line cut off by the end of a connection: its beginning may read as
-// another number.
-func splitCompleteLines(data []byte, _ bool) (int, []byte, error) {
+// splitCompleteLines is a bufio.SplitFunc that drops a line cut off by the end of the connection, whose
+// beginning may read as another number.
+func splitCompleteLines(data []byte, _ bool) (advance int, token []byte, err error) {
 	if i := bytes.IndexByte(data, '\n'); i >= 0 {
 		return i + 1, data[:i], nil
 	}
 	return 0, nil, nil
 }
-
-var errDiscoveryRestarted = errors.New("discovery started over: its list is read from the first event")
-
-// handleLine reads one line. Events seen before are passed over. Numbers that are skipped say that events are missing, and
-// these are asked for again on a new connection; the first event there is the next there is, whatever its number.
-// Where a list is kept, a lower number than ours or another epoch says that discovery started over.
-func (c *EndpointWatcher) handleLine(line []byte, first bool, f EndpointHandler) error {
-	ev, err := parseEvent(line, c.setup)
-	if err != nil {
-		// It may be the connection's fault. One that comes again is: without it passed over, nothing would be told any more.
-		if c.unreadableLine != string(line) {
-			c.unreadableLine = string(line)
-			return fmt.Errorf("line %.80q: %w", line, err)
-		}
-		c.skippedLine = true
-		c.log.Error("discovery's event cannot be read, passed over", "after", c.cursor, "line", fmt.Sprintf("%.80q", line), "err", err)
-		return nil
-	}
-	for _, odd := range ev.Invalid {
-		c.log.Error("discovery tells of an executor that cannot be used", "cursor", ev.Cursor, "err", odd)
-	}
-	if c.persistent && (ev.Heartbeat && ev.Cursor < c.cursor || ev.Epoch != "" && c.epoch != "" && ev.Epoch != c.epoch) {
-		c.cursor, c.epoch = 0, ""
-		f.StartedOver()
-		return errDiscoveryRestarted
-	}
-	if ev.Epoch != "" {
-		c.epoch = ev.Epoch
-	}
-	if c.skippedLine && ev.Cursor > c.cursor {
-		c.skippedLine, first = false, true
-		if ev.Heartbeat {
-			c.cursor = ev.Cursor
-		}
-	}
-	if ev.Heartbeat && ev.Cursor > c.cursor || !ev.Heartbeat && !first && ev.Cursor > c.cursor+1 {
-		return fmt.Errorf("events after %d are missing, the last is %d", c.cursor, ev.Cursor)
-	}
-	if first {
-		c.dialer.Good()
-	}
-	if ev.Heartbeat {
-		if ev.Cursor == c.cursor {
-			f.Current()
-		}
-		return nil
-	}
-	if ev.Cursor <= c.cursor {
-		return nil
-	}
-	c.cursor = ev.Cursor
-	if ev.HasUpdate {
-		f.Told(ev.Roster, c.epoch, c.cursor)
-	}
-	return nil
-}
--- /dev/null
+++ b/internal/platform/watchevents.go
@@ -0,0 +1,88 @@
+package platform
+
+import "fmt"
+
+// handleLine handles one line of the channel; first says that it is the first of its connection. Events
+// that were handled before are ignored. An error ends the connection: numbers that are skipped mean that
+// events are missing, which are requested again on a new one. The first event there is accepted whatever
+// its number, since discovery has no earlier one.
+func (w *EndpointWatcher) handleLine(line []byte, first bool, handler EndpointHandler) error {
+	event, err := parseEvent(line, w.settings)
+	if err != nil {
+		return w.handleUnreadable(line, err)
+	}
+	for _, invalid := range event.Invalid {
+		w.log.Error("discovery tells of an executor that cannot be used", "cursor", event.Cursor, "err", invalid)
+	}
+	if w.isRestart(event) {
+		w.cursor, w.epoch = 0, ""
+		handler.StartedOver()
+		return errDiscoveryRestarted
+	}
+	if event.Epoch != "" {
+		w.epoch = event.Epoch
+	}
+	if w.skippedLine && event.Cursor > w.cursor {
+		w.skippedLine, first = false, true
+		if event.Heartbeat {
+			w.cursor = event.Cursor
+		}
+	}
+	if w.hasGapBefore(event, first) {
+		return fmt.Errorf("events after %d are missing, the last is %d", w.cursor, event.Cursor)
+	}
+	if first {
+		w.dialer.Good()
+	}
+	w.deliver(event, handler)
+	return nil
+}
+
+// handleUnreadable handles a line that cannot be read. The connection may be at fault, so that the line is
+// requested once more; one that is unreadable again is skipped, else no later event would be handled.
+func (w *EndpointWatcher) handleUnreadable(line []byte, err error) error {
+	if w.unreadableLine != string(line) {
+		w.unreadableLine = string(line)
+		return fmt.Errorf("line %.80q: %w", line, err)
+	}
+	w.skippedLine = true
+	w.log.Error("discovery's event cannot be read, passed over",
+		"after", w.cursor, "line", fmt.Sprintf("%.80q", line), "err", err)
+	return nil
+}
+
+// isRestart reports whether discovery has restarted since a list was stored: its last number is lower than
+// ours, or its epoch is another one.
+func (w *EndpointWatcher) isRestart(event Event) bool {
+	if !w.persistent {
+		return false
+	}
+	lowerNumber := event.Heartbeat && event.Cursor < w.cursor
+	otherEpoch := event.Epoch != "" && w.epoch != "" && event.Epoch != w.epoch
+	return lowerNumber || otherEpoch
+}
+
+// hasGapBefore reports whether events between the last one handled and this one are missing.
+func (w *EndpointWatcher) hasGapBefore(event Event, first bool) bool {
+	if event.Heartbeat {
+		return event.Cursor > w.cursor
+	}
+	return !first && event.Cursor > w.cursor+1
+}
+
+// deliver hands an event to the handler, unless it was handled before.
+func (w *EndpointWatcher) deliver(event Event, handler EndpointHandler) {
+	if event.Heartbeat {
+		if event.Cursor == w.cursor {
+			handler.Current()
+		}
+		return
+	}
+	if event.Cursor <= w.cursor {
+		return
+	}
+	w.cursor = event.Cursor
+	if event.HasUpdate {
+		handler.Told(event.Roster, w.epoch, w.cursor)
+	}
+}
