--- a/cmd/dispatcher/crossings_test.go
+++ b/cmd/dispatcher/crossings_test.go
@@ -82,11 +82,11 @@
 	}()
 	<-came
 	require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
-	until(t, log, "ending: still taking calls")
+	until(t, log, "drain started")
 	require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, cmd.Process.Signal(syscall.SIGHUP))
 	until(t, log, "configuration reloaded")
-	until(t, log, "ending: no new calls")
+	until(t, log, "drain stopped accepting")
 	require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
 	close(goOn)
 	assert.Equal(t, 200, <-got)
--- a/cmd/dispatcher/main_test.go
+++ b/cmd/dispatcher/main_test.go
@@ -136,7 +136,7 @@
 	}()
 	<-came
 	require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
-	until("ending: no new calls")
+	until("drain stopped accepting")
 	close(goOn)
 	assert.Equal(t, 200, <-got)
 	until("msg=ended")
@@ -187,7 +187,7 @@
 		}
 	}
 	hup("{", "configuration not reloaded, the old one stays")
-	hup(config(now), "command channel moved")
+	hup(config(now), "endpoint watch moved")
 	assert.Equal(t, "new resume 7", <-asked)
 	require.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
 	for log.Scan() {
--- a/internal/platform/accept.go
+++ b/internal/platform/accept.go
@@ -56,7 +56,7 @@
 	l.acceptFailures.Add(1)
 	if suppressed, ok := l.logLimit.Allow(time.Now()); ok {
 		l.log.Warn("accept failed, trying again",
-			"kind", neterr.Classify(err).String(), "err", err, "suppressed", suppressed)
+			"kind", neterr.Classify(err).String(), "error", err, "suppressed", suppressed)
 	}
 	return false, nil
 }
--- a/internal/platform/ending_test.go
+++ b/internal/platform/ending_test.go
@@ -248,7 +248,7 @@
 	s.write(c, callText(firstID, "path-check", "x")+callText(secondID, "path-check", "x"))
 	<-came
 	s.shutdown()
-	for !strings.Contains(<-s.logLines, "ending: no new calls") {
+	for !strings.Contains(<-s.logLines, "drain stopped accepting") {
 	}
 	close(goOn)
 	rd := bufio.NewReader(c)
@@ -269,7 +269,7 @@
 	c := s.send(firstID, "path-book")
 	<-ordered
 	s.shutdown()
-	for !strings.Contains(<-s.logLines, "ending: no new calls") {
+	for !strings.Contains(<-s.logLines, "drain stopped accepting") {
 	}
 	select {
 	case err := <-s.done:
--- a/internal/platform/executorpool.go
+++ b/internal/platform/executorpool.go
@@ -123,7 +123,7 @@
 	}
 	conn, err := p.dialWithRetry(ctx, network, addr)
 	if p.Log != nil && p.Log.Enabled(ctx, slog.LevelDebug) {
-		p.Log.Debug("dialed", "addr", addr, "err", err)
+		p.Log.Debug("dialed", "addr", addr, "error", err)
 	}
 	if err != nil {
 		<-p.socketSlots
@@ -181,7 +181,7 @@
 		}
 		p.dialShortages.Add(1)
 		if suppressed, ok := p.logLimit.Allow(time.Now()); ok && p.Log != nil {
-			p.Log.Warn("connect failed for want of this machine's", "addr", addr, "err", err, "suppressed", suppressed)
+			p.Log.Warn("connect failed for lack of local resources", "addr", addr, "error", err, "suppressed", suppressed)
 		}
 		p.closeLongestIdle()
 		select {
--- a/internal/platform/lists_test.go
+++ b/internal/platform/lists_test.go
@@ -208,7 +208,7 @@
 	assert.Equal(t, "current", <-f)
 	stop()
 	<-done
-	for text, n := range map[string]int{"executor that cannot be used": 1, "passed over": 1, `members[1]: host_port`: 1} {
+	for text, n := range map[string]int{"unusable executor": 1, "event skipped": 1, `members[1]: host_port`: 1} {
 		assert.Equal(t, n, strings.Count(log.String(), text), log.String())
 	}
 }
--- a/internal/platform/peertransport.go
+++ b/internal/platform/peertransport.go
@@ -76,7 +76,7 @@
 // block: a message that is too long, or that finds the queue full, is dropped.
 func (p *PeerTransport) SendMessage(to int, data string) {
 	if len(data) > maxDatagramBytes {
-		p.log.Error("message to peers is too long, not sent", "bytes", len(data))
+		p.log.Error("peer message too long, dropped", "bytes", len(data))
 		return
 	}
 	switch {
@@ -134,7 +134,7 @@
 			return
 		case next := <-p.sendQueue:
 			if _, err := p.conn.WriteToUDPAddrPort([]byte(next.data), next.address); err != nil {
-				p.log.Debug("peer socket", "err", err)
+				p.log.Debug("peer send failed", "error", err)
 			}
 		}
 	}
@@ -142,7 +142,7 @@
 
 // handleReadError logs a failed read and pauses.
 func (p *PeerTransport) handleReadError(ctx context.Context, err error) {
-	p.log.Debug("peer socket", "err", err)
+	p.log.Debug("peer receive failed", "error", err)
 	select {
 	case <-ctx.Done():
 	case <-time.After(readErrorPause):
--- a/internal/platform/serve.go
+++ b/internal/platform/serve.go
@@ -48,13 +48,13 @@
 		linger = 0
 		limiter.setKeepAlives(false)
 	}
-	log.Info("ending: still taking calls", "for", linger)
+	log.Info("drain started", "linger", linger)
 	select {
 	case err := <-served:
 		return err
 	case <-time.After(linger):
 	}
-	log.Info("ending: no new calls", "open", s.inFlight.Load())
+	log.Info("drain stopped accepting", "in_flight", s.inFlight.Load())
 	drainCtx, cancel := context.WithDeadline(context.Background(), s.drainDeadline(linger, longest))
 	defer cancel()
 	defer func() { _ = httpServer.Close() }()
--- a/internal/platform/server_test.go
+++ b/internal/platform/server_test.go
@@ -118,7 +118,7 @@
 	go call("0000000000000001")
 	<-came
 	end()
-	assert.Contains(t, <-lines, "ending: still taking calls")
+	assert.Contains(t, <-lines, "drain started")
 	go call("0000000000000002")
 	<-came
 	select {
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -163,7 +163,7 @@
 // handleLoss handles the end of a connection.
 func (w *EndpointWatcher) handleLoss(err error, handler EndpointHandler) {
 	handler.Lost()
-	w.log.Warn("command channel lost, connecting again", "after", w.cursor, "err", err)
+	w.log.Warn("endpoint watch lost, reconnecting", "cursor", w.cursor, "error", err)
 	if errors.Is(err, errDiscoveryRestarted) {
 		w.dialer.Good()
 	} else {
@@ -175,7 +175,7 @@
 func (w *EndpointWatcher) setAddress(addr string) {
 	w.addr = addr
 	w.dialer.Move(addr)
-	w.log.Info("command channel moved", "to", w.addr, "after", w.cursor)
+	w.log.Info("endpoint watch moved", "addr", w.addr, "cursor", w.cursor)
 }
 
 // readStream reads the channel at one address until it fails or ctx ends. Without an address it only
--- a/internal/platform/watchevents.go
+++ b/internal/platform/watchevents.go
@@ -12,7 +12,7 @@
 		return w.handleUnreadable(line, err)
 	}
 	for _, invalid := range event.Invalid {
-		w.log.Error("discovery tells of an executor that cannot be used", "cursor", event.Cursor, "err", invalid)
+		w.log.Error("unusable executor in discovery event", "cursor", event.Cursor, "error", invalid)
 	}
 	if w.isRestart(event) {
 		w.cursor, w.epoch = 0, ""
@@ -46,8 +46,8 @@
 		return fmt.Errorf("line %.80q: %w", line, err)
 	}
 	w.skippedLine = true
-	w.log.Error("discovery's event cannot be read, passed over",
-		"after", w.cursor, "line", fmt.Sprintf("%.80q", line), "err", err)
+	w.log.Error("unreadable discovery event skipped",
+		"cursor", w.cursor, "line", fmt.Sprintf("%.80q", line), "error", err)
 	return nil
 }
 
