--- a/internal/h2/h2.go
+++ b/internal/h2/h2.go
@@ -1,6 +1,5 @@
-// Package h2 is the front for HTTP/2 without TLS, by prior knowledge (RFC 9113, 3.3). It owns the server and its end; the
-// calls themselves are read and answered by the same handler as on the platform's port. It must never take a stream past
-// the allowance at a drain, nor end one that it took without its answer.
+// Package h2 serves HTTP/2 without TLS, by prior knowledge (RFC 9113, section 3.3). Requests are read and
+// answered by the same handler as on the platform's port.
 package h2
 
 import (
@@ -16,25 +15,29 @@
 	"oakthread/internal/neterr"
 )
 
-// Options are the operator's [http2] section.
-type Options struct {
-	Listen  string
-	Conns   int // held at a time; 0: 64
-	Streams int // open at a time on one connection; 0: 250
-}
-
 const (
 	defaultConns   = 64
 	defaultStreams = 250
-	readTime       = 2 * time.Second  // for a preface, and for a whole request
-	pingAfter      = 15 * time.Second // without a frame: a connection that died without a word shows
-	pingTime       = 5 * time.Second
-	stallTime      = 5 * time.Second // a reader that takes no byte for so long ends its connection
-	idleTime       = time.Minute
-	window         = 64 << 10 // bytes of requests that one connection may have under way
+
+	readTimeout     = 2 * time.Second  // for a connection preface, and for a complete request
+	pingInterval    = 15 * time.Second // without a frame, after which a ping detects a dead connection
+	pingTimeout     = 5 * time.Second
+	writeTimeout    = 5 * time.Second // a client that accepts no byte for this long loses its connection
+	connIdleTimeout = time.Minute
+
+	maxHeaderBytes = 16 << 10
+	// receiveWindowBytes limits the bytes of requests in transit on one connection.
+	receiveWindowBytes = 64 << 10
 )
 
-// Places is how many connections the front holds.
+// Options are the operator's [http2] section.
+type Options struct {
+	Listen  string
+	Conns   int // limit on open connections; 0: 64
+	Streams int // limit on concurrent streams of one connection; 0: 250
+}
+
+// Places returns the limit on open connections.
 func (o Options) Places() int {
 	if o.Conns <= 0 {
 		return defaultConns
@@ -42,51 +45,82 @@
 	return o.Conns
 }
 
-// Serve serves until ctx ends. Then it goes on taking streams for linger, tells clients to go away, answers all it has
-// taken within longest, and returns nil.
-func Serve(ctx context.Context, ln net.Listener, calls http.Handler, o Options, linger, longest time.Duration, log *slog.Logger) error {
+// maxStreams returns the limit on concurrent streams of one connection.
+func (o Options) maxStreams() int {
 	if o.Streams <= 0 {
-		o.Streams = defaultStreams
+		return defaultStreams
 	}
-	only := &http.Protocols{}
-	only.SetUnencryptedHTTP2(true)
-	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { calls.ServeHTTP(stream{w}, r) }), Protocols: only, ReadHeaderTimeout: readTime, IdleTimeout: idleTime, MaxHeaderBytes: 16 << 10,
-		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelWarn),
-		HTTP2: &http.HTTP2Config{MaxConcurrentStreams: o.Streams, MaxReceiveBufferPerConnection: window, MaxReceiveBufferPerStream: window,
-			SendPingTimeout: pingAfter, PingTimeout: pingTime, WriteByteTimeout: stallTime}}
-	failed := make(chan error, 1)
-	go func() { failed <- srv.Serve(netutil.LimitListener(neterr.NewListener(ln, log), o.Places())) }()
+	return o.Streams
+}
+
+// Serve serves ln until ctx ends. It then drains: it accepts streams for linger, sends GOAWAY, answers the
+// streams it has accepted within longest, and returns nil.
+func Serve(
+	ctx context.Context, ln net.Listener, handler http.Handler, options Options,
+	linger, longest time.Duration, log *slog.Logger,
+) error {
+	server := newServer(handler, options, log)
+	served := make(chan error, 1)
+	go func() { // ends with the listener, which Shutdown and Close close
+		served <- server.Serve(netutil.LimitListener(neterr.NewListener(ln, log), options.Places()))
+	}()
 	for _, wait := range []<-chan struct{}{ctx.Done(), after(ctx, linger)} {
 		select {
-		case err := <-failed:
+		case err := <-served:
 			return err
 		case <-wait:
 		}
 	}
-	log.Info("http2: going away, no new streams")
-	end, done := context.WithTimeout(context.Background(), longest)
-	defer done()
-	err := srv.Shutdown(end)
+	log.Info("http2 drain started")
+	drainCtx, cancel := context.WithTimeout(context.Background(), longest)
+	defer cancel()
+	err := server.Shutdown(drainCtx)
 	if errors.Is(err, context.DeadlineExceeded) {
-		err = srv.Close() // what is left open has no stream under way
+		return server.Close() // no stream is in flight on the connections left
 	}
 	return err
 }
 
-// stream is the answer on one stream. A call that cannot be read ends its connection on HTTP/1, where what comes behind it
-// is not to be trusted; here the other streams have nothing to do with it.
-type stream struct{ http.ResponseWriter }
+// newServer returns a server that speaks HTTP/2 by prior knowledge only.
+func newServer(handler http.Handler, options Options, log *slog.Logger) *http.Server {
+	protocols := &http.Protocols{}
+	protocols.SetUnencryptedHTTP2(true)
+	return &http.Server{
+		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			handler.ServeHTTP(streamWriter{w}, r)
+		}),
+		Protocols:         protocols,
+		ReadHeaderTimeout: readTimeout,
+		IdleTimeout:       connIdleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ErrorLog:          slog.NewLogLogger(log.Handler(), slog.LevelWarn),
+		HTTP2: &http.HTTP2Config{
+			MaxConcurrentStreams:          options.maxStreams(),
+			MaxReceiveBufferPerConnection: receiveWindowBytes,
+			MaxReceiveBufferPerStream:     receiveWindowBytes,
+			SendPingTimeout:               pingInterval,
+			PingTimeout:                   pingTimeout,
+			WriteByteTimeout:              writeTimeout,
+		},
+	}
+}
+
+// streamWriter writes the response of one stream. It drops the Connection header with which the handler
+// ends an HTTP/1.1 connection behind a malformed request: the other streams are not affected by it.
+type streamWriter struct{ http.ResponseWriter }
 
-func (s stream) Unwrap() http.ResponseWriter { return s.ResponseWriter }
+// Unwrap returns the writer below, for http.ResponseController.
+func (s streamWriter) Unwrap() http.ResponseWriter { return s.ResponseWriter }
 
-func (s stream) WriteHeader(code int) {
+// WriteHeader writes the head of the response.
+func (s streamWriter) WriteHeader(code int) {
 	s.Header().Del("Connection")
 	s.ResponseWriter.WriteHeader(code)
 }
 
-// after is closed linger after ctx has ended.
+// after returns a channel that is closed linger after ctx has ended.
 func after(ctx context.Context, linger time.Duration) <-chan struct{} {
-	c := make(chan struct{})
-	context.AfterFunc(ctx, func() { time.AfterFunc(linger, func() { close(c) }) })
-	return c
+	ended := make(chan struct{})
+	context.AfterFunc(ctx, func() { time.AfterFunc(linger, func() { close(ended) }) })
+	return ended
 }
--- a/internal/h2/h2_test.go
+++ b/internal/h2/h2_test.go
@@ -19,51 +19,53 @@
 	"golang.org/x/net/http2"
 )
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLog = slog.New(slog.DiscardHandler)
 
-// serving runs the front before a handler; end tells it to drain and returns what Serve did.
-func serving(t *testing.T, h http.Handler, o Options) (addr string, end func() <-chan error) {
+// startServer serves a handler. end starts the drain and returns the result of Serve.
+func startServer(t *testing.T, handler http.Handler, options Options) (addr string, end func() <-chan error) {
+	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan error, 1)
-	go func() { done <- Serve(ctx, ln, h, o, time.Millisecond, 20*time.Second, quiet) }()
+	go func() { done <- Serve(ctx, ln, handler, options, time.Millisecond, 20*time.Second, discardLog) }()
 	return ln.Addr().String(), func() <-chan error { stop(); return done }
 }
 
-func client() *http.Client {
-	return &http.Client{Transport: &http2.Transport{AllowHTTP: true, DialTLSContext: func(ctx context.Context, network, addr string, _ *tls.Config) (net.Conn, error) {
+// newClient returns a client that speaks HTTP/2 by prior knowledge.
+func newClient() *http.Client {
+	dial := func(ctx context.Context, network, addr string, _ *tls.Config) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, network, addr)
-	}}}
+	}
+	return &http.Client{Transport: &http2.Transport{AllowHTTP: true, DialTLSContext: dial}}
 }
 
-// Guards multiplexing and drains: many streams share a connection, all that were taken are answered after the notice to go
-// away, and nothing new is taken.
-func TestDrainAnswersAllTaken(t *testing.T) {
+// Many streams share a connection. A drain answers all that were accepted after its GOAWAY, and accepts no new one.
+func TestDrainAnswersAcceptedStreams(t *testing.T) {
 	const calls = 40
-	came, goOn, conns := make(chan bool, calls), make(chan bool), make(chan string, calls)
-	addr, end := serving(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	arrived, release, conns := make(chan bool, calls), make(chan bool), make(chan string, calls)
+	addr, end := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		conns <- r.RemoteAddr + r.Proto
-		came <- true
-		<-goOn
+		arrived <- true
+		<-release
 		_, _ = io.Copy(w, r.Body)
 	}), Options{})
-	c := client()
+	client := newClient()
 	got := make(chan string, calls)
 	for i := range calls {
 		go func() {
-			resp, err := c.Post("http://"+addr+"/call", "", bytes.NewReader([]byte(fmt.Sprint("slot ", i))))
+			resp, err := client.Post("http://"+addr+"/call", "", bytes.NewReader([]byte(fmt.Sprint("slot ", i))))
 			if err != nil {
 				got <- err.Error()
 				return
 			}
 			defer resp.Body.Close()
-			b, _ := io.ReadAll(resp.Body)
-			got <- string(b)
+			body, _ := io.ReadAll(resp.Body)
+			got <- string(body)
 		}()
 	}
 	for range calls {
-		<-came
+		<-arrived
 	}
 	first := <-conns
 	assert.Contains(t, first, "HTTP/2.0")
@@ -78,7 +80,7 @@
 		}
 		conn.Close()
 	}
-	close(goOn)
+	close(release)
 	seen := map[string]bool{}
 	for range calls {
 		seen[<-got] = true
@@ -87,59 +89,63 @@
 		assert.True(t, seen[fmt.Sprint("slot ", i)], i)
 	}
 	require.NoError(t, <-done)
-	_, err := client().Get("http://" + addr + "/call")
+	_, err := newClient().Get("http://" + addr + "/call")
 	require.Error(t, err, "nothing new")
 }
 
-// Guards boxes against calls whose caller left: a reset ends the call's context while others on the connection go on.
-func TestResetEndsItsCallAlone(t *testing.T) {
-	came, left, goOn := make(chan string, 2), make(chan bool), make(chan bool)
-	addr, end := serving(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		came <- r.URL.Path
-		if r.URL.Path == "/leaves" {
+// A reset of a stream cancels its request, while other streams of the connection go on.
+func TestResetCancelsOnlyItsRequest(t *testing.T) {
+	arrived, cancelled, release := make(chan string, 2), make(chan bool), make(chan bool)
+	addr, end := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		arrived <- r.URL.Path
+		if r.URL.Path == "/cancelled" {
 			<-r.Context().Done()
-			close(left)
+			close(cancelled)
 			return
 		}
-		<-goOn
+		<-release
 	}), Options{})
-	c := client()
-	ctx, leave := context.WithCancel(t.Context())
+	client := newClient()
+	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
-		req, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/leaves", nil)
-		_, _ = c.Do(req)
+		req, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/cancelled", nil)
+		_, _ = client.Do(req)
 	}()
-	stays := make(chan int, 1)
+	completed := make(chan int, 1)
 	go func() {
-		if resp, err := c.Get("http://" + addr + "/stays"); assert.NoError(t, err) {
-			stays <- resp.StatusCode
+		if resp, err := client.Get("http://" + addr + "/completed"); assert.NoError(t, err) {
+			completed <- resp.StatusCode
 		}
 	}()
-	<-came
-	<-came
-	leave()
-	<-left
-	close(goOn)
-	assert.Equal(t, 200, <-stays)
-	c.CloseIdleConnections()
+	<-arrived
+	<-arrived
+	cancel()
+	<-cancelled
+	close(release)
+	assert.Equal(t, 200, <-completed)
+	client.CloseIdleConnections()
 	require.NoError(t, <-end())
 }
 
-// Guards the port: HTTP/1 and half a preface end clearly, and no handler sees them.
-func TestWhatIsNotHTTP2(t *testing.T) {
+// HTTP/1.1, an upgrade and part of a preface end their connection, and reach no handler.
+func TestOtherProtocolsReachNoHandler(t *testing.T) {
 	seen := make(chan bool, 8)
-	addr, end := serving(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { seen <- true }), Options{})
-	for _, say := range []string{"GET /call HTTP/1.1\r\nHost: a\r\n\r\n", "GET / HTTP/1.1\r\nHost: a\r\nConnection: Upgrade, HTTP2-Settings\r\nUpgrade: h2c\r\nHTTP2-Settings: AAMAAABk\r\n\r\n",
-		"PRI * HTTP/2.0\r\n\r\nSM"} {
+	addr, end := startServer(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { seen <- true }), Options{})
+	for _, text := range []string{
+		"GET /call HTTP/1.1\r\nHost: a\r\n\r\n",
+		"GET / HTTP/1.1\r\nHost: a\r\nConnection: Upgrade, HTTP2-Settings\r\nUpgrade: h2c\r\n" +
+			"HTTP2-Settings: AAMAAABk\r\n\r\n",
+		"PRI * HTTP/2.0\r\n\r\nSM",
+	} {
 		conn, err := net.Dial("tcp", addr)
 		require.NoError(t, err)
-		_, err = io.WriteString(conn, say)
+		_, err = io.WriteString(conn, text)
 		require.NoError(t, err)
 		if err := conn.(*net.TCPConn).CloseWrite(); !errors.Is(err, syscall.ENOTCONN) { // the server may have ended it first
 			require.NoError(t, err)
 		}
-		b, _ := io.ReadAll(conn) // it ends
-		assert.NotContains(t, string(b), "200 OK")
+		response, _ := io.ReadAll(conn) // returns once the server has closed
+		assert.NotContains(t, string(response), "200 OK")
 		conn.Close()
 	}
 	assert.Empty(t, seen)
