--- a/internal/h2/h2_test.go
+++ b/internal/h2/h2_test.go
@@ -40,6 +40,16 @@
 	return &http.Client{Transport: &http2.Transport{AllowHTTP: true, DialTLSContext: dial}}
 }
 
+// getStatus requests a URL and returns the status of the response.
+func getStatus(client *http.Client, url string) (int, error) {
+	resp, err := client.Get(url)
+	if err != nil {
+		return 0, err
+	}
+	defer resp.Body.Close()
+	return resp.StatusCode, nil
+}
+
 // Many streams share a connection. A drain answers all that were accepted after its GOAWAY, and accepts no new one.
 func TestDrainAnswersAcceptedStreams(t *testing.T) {
 	const calls = 40
@@ -89,7 +99,7 @@
 		assert.True(t, seen[fmt.Sprint("slot ", i)], i)
 	}
 	require.NoError(t, <-done)
-	_, err := newClient().Get("http://" + addr + "/call")
+	_, err := getStatus(newClient(), "http://"+addr+"/call")
 	require.Error(t, err, "nothing new")
 }
 
@@ -109,12 +119,14 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
 		req, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/cancelled", nil)
-		_, _ = client.Do(req)
+		if resp, err := client.Do(req); err == nil {
+			resp.Body.Close()
+		}
 	}()
 	completed := make(chan int, 1)
 	go func() {
-		if resp, err := client.Get("http://" + addr + "/completed"); assert.NoError(t, err) {
-			completed <- resp.StatusCode
+		if status, err := getStatus(client, "http://"+addr+"/completed"); assert.NoError(t, err) {
+			completed <- status
 		}
 	}()
 	<-arrived
@@ -141,7 +153,8 @@
 		require.NoError(t, err)
 		_, err = io.WriteString(conn, text)
 		require.NoError(t, err)
-		if err := conn.(*net.TCPConn).CloseWrite(); !errors.Is(err, syscall.ENOTCONN) { // the server may have ended it first
+		// The server may have closed the connection first.
+		if err := conn.(*net.TCPConn).CloseWrite(); !errors.Is(err, syscall.ENOTCONN) {
 			require.NoError(t, err)
 		}
 		response, _ := io.ReadAll(conn) // returns once the server has closed
