--- a/internal/h2/h2_test.go
+++ b/internal/h2/h2_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"context"
-	"crypto/tls"
 	"errors"
 	"fmt"
 	"io"
@@ -16,7 +15,6 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-	"golang.org/x/net/http2"
 )
 
 var discardLog = slog.New(slog.DiscardHandler)
@@ -34,10 +32,9 @@
 
 // newClient returns a client that speaks HTTP/2 by prior knowledge.
 func newClient() *http.Client {
-	dial := func(ctx context.Context, network, addr string, _ *tls.Config) (net.Conn, error) {
-		return (&net.Dialer{}).DialContext(ctx, network, addr)
-	}
-	return &http.Client{Transport: &http2.Transport{AllowHTTP: true, DialTLSContext: dial}}
+	protocols := &http.Protocols{}
+	protocols.SetUnencryptedHTTP2(true)
+	return &http.Client{Transport: &http.Transport{Protocols: protocols}}
 }
 
 // getStatus requests a URL and returns the status of the response.
--- a/internal/h2/streamlimit/decision.go
+++ b/internal/h2/streamlimit/decision.go
@@ -31,11 +31,11 @@
 	Draining            Reason = "asked to go away"
 )
 
-// ConnID identifies a connection, StreamID a stream on it.
-type (
-	ConnID   uint64
-	StreamID uint32
-)
+// ConnID identifies a connection.
+type ConnID uint64
+
+// StreamID identifies a stream of a connection.
+type StreamID uint32
 
 // Action is a decision on a connection that HandleTimer makes.
 type Action struct {
