--- /dev/null
+++ b/internal/wire/balancersettings.go
@@ -0,0 +1,95 @@
+package wire
+
+import "oakthread/balancer"
+
+// The idempotency of classes, and the scope of their idempotency keys, by their names on the wire.
+var (
+	idempotencies = map[string]balancer.Idempotency{
+		"read_like": balancer.Idempotent, "idempotency_key": balancer.IdempotentByKey,
+	}
+	idempotencyScopes = map[string]balancer.IdempotencyScope{
+		"all": balancer.ScopeAll, "zone": balancer.ScopeZone, "cell": balancer.ScopeCell,
+	}
+)
+
+// Decide translates the deployment's settings into the balancer's.
+func (s *Setup) Decide() balancer.Settings {
+	settings := balancer.Settings{
+		OverQuotaWeight: s.OverShareWorth, DispatcherIndex: s.Number, Dispatchers: s.Siblings, Zone: s.Zone,
+		ClockResolution: s.Quantum, PollEndpoints: s.RegistryMode == "on_request",
+		InflightField: s.Field("active"), QueueField: s.Field("waiting"),
+		ReportOnHealthCheck: s.Feedback.How == "on_probe",
+	}
+	s.addPermissions(&settings)
+	s.addPrices(&settings)
+	s.addRules(&settings)
+	s.addSpecifics(&settings)
+	s.addClasses(&settings)
+	for _, customer := range s.Customers {
+		settings.TenantQuota = append(settings.TenantQuota, customer.Allowance)
+	}
+	return settings
+}
+
+// addPermissions translates what the dispatcher may do.
+func (s *Setup) addPermissions(settings *balancer.Settings) {
+	permissions := &s.Permissions
+	settings.MaxAttempts = permissions.SendCap
+	settings.Hedging = permissions.SecondCopies
+	settings.HealthChecks = permissions.MayProbe
+	settings.Cancellation = permissions.Cancel
+	settings.Gossip = permissions.Peers
+	settings.SendsRetryAfter = permissions.RetryAfter
+	settings.MaxRetryAfter = permissions.MaxRetryAfter
+}
+
+// addPrices translates the prices of what the dispatcher does.
+func (s *Setup) addPrices(settings *balancer.Settings) {
+	prices := &s.Prices
+	settings.CrossZonePrice = prices.CrossZone
+	settings.WastePrice = prices.Waste
+	settings.ProbePrice = prices.Probe
+	settings.PeerPrice = prices.Peer
+	settings.LateFailurePrice = prices.LateFail
+	settings.OriginPrice = prices.Origin
+}
+
+// addRules translates the rules of timing and of slow start.
+func (s *Setup) addRules(settings *balancer.Settings) {
+	rules := &s.Rules
+	settings.PollInterval = rules.AskWithin
+	settings.ResponseSlack = rules.AnswerSlack
+	settings.DrainGrace = rules.DrainGrace
+	settings.SlowStartWindow = rules.Cold
+	settings.OverloadWindow = rules.Fall
+	settings.OverloadFactor = rules.OverloadFactor
+	settings.SlowStartCapacity = rules.StartCapacity
+}
+
+// addSpecifics translates the rules on loading functions.
+func (s *Setup) addSpecifics(settings *balancer.Settings) {
+	specifics := &s.Specifics
+	settings.LoadOrders = specifics.LoadControl
+	settings.LoadsOnMiss = specifics.OnMiss != "miss"
+	settings.ReportsWarmth = specifics.WarmNotes
+	settings.ReportsConcurrency = specifics.NotesPeers
+	settings.KeepAlive = specifics.LingerIdle
+	settings.LoadQuotaWindow = specifics.LoadSpan
+	settings.LoadOrderTimeout = specifics.OrderLimit
+	settings.LoadQuotaBase = specifics.FreeLoads
+	settings.LoadQuotaRatio = specifics.LoadPart
+	settings.MemoryPrice = specifics.IdleMemory
+	settings.KindMemoryMB = specifics.KindMemory
+}
+
+// addClasses translates the classes of requests.
+func (s *Setup) addClasses(settings *balancer.Settings) {
+	for i := range s.Categories {
+		category := &s.Categories[i]
+		settings.Classes = append(settings.Classes, balancer.Class{
+			LatencyObjective: category.Aim, ClientTimeout: category.GiveUp, IdempotencyWindow: category.Window,
+			PriorityWeight: category.Credit, LatePriorityWeight: category.LateWorth,
+			Idempotency: idempotencies[category.Idempotency], IdempotencyScope: idempotencyScopes[category.KeyScope],
+		})
+	}
+}
--- a/internal/wire/setup.go
+++ b/internal/wire/setup.go
@@ -5,12 +5,10 @@
 	"fmt"
 	"slices"
 	"time"
-
-	"oakthread/balancer"
 )
 
 // Setup is the settings object of a deployment, the same on the simulator's wire and in a dispatcher's
-// configuration; unknown keys are left out. Spans are nanoseconds, as told.
+// configuration. Unknown keys are ignored. Durations are in nanoseconds, as on the wire.
 type Setup struct {
 	Categories []struct {
 		Name        string  `json:"name"`
@@ -91,44 +89,16 @@
 	return s, nil
 }
 
-// ConnectTimeout and ConnIdle are how long a connection may take to come up, and how long it may lie idle.
+// ConnectTimeout returns how long the connect to a worker may take.
 func (s *Setup) ConnectTimeout() time.Duration { return time.Duration(s.Permissions.ConnectTimeout) }
-func (s *Setup) ConnIdle() time.Duration       { return time.Duration(s.Permissions.ConnIdle) }
 
-// Field is 1 + the place of a figure in a load report; 0: it is not reported.
+// ConnIdle returns how long a worker keeps an idle connection open.
+func (s *Setup) ConnIdle() time.Duration { return time.Duration(s.Permissions.ConnIdle) }
+
+// Field returns 1 + the index of a field in load reports, 0 if it is not reported.
 func (s *Setup) Field(name string) int {
 	if s.Feedback.How == "off" {
 		return 0
 	}
 	return 1 + slices.Index(s.Feedback.Fields, name)
 }
-
-// Decide puts the deployment's names for settings into the decision module's.
-func (s *Setup) Decide() balancer.Settings {
-	effects := map[string]balancer.Idempotency{"read_like": balancer.Idempotent, "idempotency_key": balancer.IdempotentByKey}
-	scopes := map[string]balancer.IdempotencyScope{"all": balancer.ScopeAll, "zone": balancer.ScopeZone, "cell": balancer.ScopeCell}
-	p, q, r, f := s.Permissions, s.Prices, s.Rules, s.Specifics
-	d := balancer.Settings{
-		OverQuotaWeight: s.OverShareWorth, DispatcherIndex: s.Number, Dispatchers: s.Siblings, Zone: s.Zone, ClockResolution: s.Quantum,
-		MaxAttempts: p.SendCap, Hedging: p.SecondCopies, HealthChecks: p.MayProbe, Cancellation: p.Cancel,
-		Gossip: p.Peers, SendsRetryAfter: p.RetryAfter, MaxRetryAfter: p.MaxRetryAfter,
-		ReportOnHealthCheck: s.Feedback.How == "on_probe",
-		PollEndpoints:       s.RegistryMode == "on_request", PollInterval: r.AskWithin,
-		ResponseSlack: r.AnswerSlack, DrainGrace: r.DrainGrace, SlowStartWindow: r.Cold, OverloadWindow: r.Fall,
-		OverloadFactor: r.OverloadFactor, SlowStartCapacity: r.StartCapacity,
-		LoadOrders: f.LoadControl, LoadsOnMiss: f.OnMiss != "miss", ReportsWarmth: f.WarmNotes, ReportsConcurrency: f.NotesPeers,
-		KeepAlive: f.LingerIdle, LoadQuotaWindow: f.LoadSpan, LoadOrderTimeout: f.OrderLimit,
-		LoadQuotaBase: f.FreeLoads, LoadQuotaRatio: f.LoadPart, MemoryPrice: f.IdleMemory, KindMemoryMB: f.KindMemory,
-		CrossZonePrice: q.CrossZone, WastePrice: q.Waste, ProbePrice: q.Probe, PeerPrice: q.Peer,
-		LateFailurePrice: q.LateFail, OriginPrice: q.Origin,
-	}
-	for _, c := range s.Categories {
-		d.Classes = append(d.Classes, balancer.Class{LatencyObjective: c.Aim, ClientTimeout: c.GiveUp, IdempotencyWindow: c.Window, PriorityWeight: c.Credit,
-			LatePriorityWeight: c.LateWorth, Idempotency: effects[c.Idempotency], IdempotencyScope: scopes[c.KeyScope]})
-	}
-	for _, c := range s.Customers {
-		d.TenantQuota = append(d.TenantQuota, c.Allowance)
-	}
-	d.InflightField, d.QueueField = s.Field("active"), s.Field("waiting")
-	return d
-}
