--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -23,7 +23,7 @@
 )
 
 // Guards against a wrong proof that nothing ran: for a booking that would be a second one.
-func TestWhatAnAnswerProves(t *testing.T) {
+func TestParseReply(t *testing.T) {
 	f := NewFleet(testSettings(t), 10)
 	for _, c := range []struct {
 		status int
@@ -60,7 +60,7 @@
 }
 
 // Guards against a change on the way: id, class, key and body reach the executor as they came.
-func TestCallGoesOnUnchanged(t *testing.T) {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	body := string([]byte{0, 255, '\r', '\n', 0x80})
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
@@ -85,7 +85,7 @@
 
 // Guards against http.Transport's own repeats: on a reused connection that dies once the request is written, it
 // would send a bodiless GET again, and a booking would run twice.
-func TestOneAttemptIsOneRequest(t *testing.T) {
+func TestAttemptWritesOneRequest(t *testing.T) {
 	for _, body := range []string{"", "book"} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
@@ -126,7 +126,7 @@
 }
 
 // Guards against blame for what never left: a refused connection and a want of sockets are proofs, each its own.
-func TestNothingSent(t *testing.T) {
+func TestUnsentAttemptsAreClassified(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	addr := ln.Addr().String()
@@ -141,7 +141,7 @@
 
 // Guards against blame for an executor whose new connections are reset, while they come up or before anything is
 // written on them: another one is tried at once, once, and what ends here proves that nothing ran and that it lives.
-func TestNewConnectionsAreReset(t *testing.T) {
+func TestResetNewConnectionIsRetriedOnce(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	defer srv.Close()
 	for name, reset := range map[string]func(net.Conn) (net.Conn, error){
@@ -168,7 +168,7 @@
 }
 
 // Guards against the connections of an executor that has gone serving its successor at the same address.
-func TestAddressIsReused(t *testing.T) {
+func TestReusedAddressGetsNewConnections(t *testing.T) {
 	var conns atomic.Int64
 	srv := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	srv.Config.ConnState = func(_ net.Conn, s http.ConnState) {
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -12,7 +12,7 @@
 	"oakthread/balancer"
 )
 
-func TestConfigAndEvents(t *testing.T) {
+func TestParseConfigAndEvents(t *testing.T) {
 	whole := `{"name":"n3","listen":"127.0.0.1:1","seed":"8c1f30d27a5be964","peers":["127.0.0.1:2"],"channel":"127.0.0.1:3",
 		"known":{"cursor":3,"cmds":[{"cursor":2,"nodes":{"complete":true,"members":[{"id":"s-00c41f7a","host_port":"127.0.0.1:4",
 		"locality":"south-room","flavor":"std-2core","cell":2,"phase":"Ready","size":4,"up_since_ms":5}]}}]},"settings":` + settingsText + `}`
--- a/internal/platform/conns_test.go
+++ b/internal/platform/conns_test.go
@@ -19,7 +19,7 @@
 )
 
 // Guards the one reading of a message's bounds, however the bytes are cut.
-func TestFramer(t *testing.T) {
+func TestFramerFindsMessageBounds(t *testing.T) {
 	for _, c := range []struct {
 		text    string
 		answers bool
@@ -68,7 +68,7 @@
 
 // Guards against a request hidden in the body of another: neither goes on, and the connection ends. Chunks alone are a
 // body like any other, but nothing behind them is read.
-func TestHiddenRequest(t *testing.T) {
+func TestSmuggledRequestsAreRejected(t *testing.T) {
 	ran := make(chan string, 8)
 	url, end, done, _ := serve(t, time.Millisecond, make(notify, 8), func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
@@ -95,7 +95,7 @@
 
 // Guards usual clients against those that open connections and say nothing: these give way, one with a call in hand
 // never does.
-func TestQuietConnectionsGiveWay(t *testing.T) {
+func TestIdleConnectionsAreClosedForNewOnes(t *testing.T) {
 	came, goOn := make(chan bool), make(chan bool)
 	url, end, done, _ := serve(t, time.Millisecond, make(notify, 8), func(w http.ResponseWriter, r *http.Request) {
 		came <- true
@@ -125,7 +125,7 @@
 
 // Guards the choice of who gives way, without a server's time limits: a full house lets a new connection in at once, and
 // the one closed is the longest quiet of those without a call in hand.
-func TestWhoGivesWay(t *testing.T) {
+func TestLongestIdleConnectionIsClosed(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
@@ -171,7 +171,7 @@
 
 // Guards the next request, whenever http.Transport looks: of bytes behind an answer none is handed on, and nothing more
 // is written on their connection.
-func TestUnaskedBytesEndAConnection(t *testing.T) {
+func TestUnsolicitedBytesTaintAConnection(t *testing.T) {
 	const answer = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none"
 	for name, c := range map[string]struct {
 		brings string
@@ -233,7 +233,7 @@
 }
 
 // Guards against an answer that is another request's, or none: what comes behind an answer is never read as the next.
-func TestAnswersThatBringTooMuch(t *testing.T) {
+func TestExcessResponseBytesReachNoRequest(t *testing.T) {
 	ok := func(body string) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	}
@@ -272,7 +272,7 @@
 }
 
 // Guards the proof that nothing ran: a wait that ended before a connection came up wrote nothing.
-func TestOurTimeEndsBeforeAnythingIsWritten(t *testing.T) {
+func TestTimeoutBeforeAnyWriteIsNotSent(t *testing.T) {
 	f := NewFleet(testSettings(t), 1)
 	f.socketSlots <- struct{}{}
 	assert.Equal(t, balancer.NotSent, f.Send(canceledContext(t), attemptTo(endpointAt("127.0.0.1:1"), "x")).Result)
@@ -280,7 +280,7 @@
 }
 
 // Guards memory on a long day: a Transport made for an executor already forgotten is dropped when unused.
-func TestForgottenExecutorsAreDropped(t *testing.T) {
+func TestUnusedTransportsAreDropped(t *testing.T) {
 	f := NewFleet(testSettings(t), 1)
 	m := endpointAt("127.0.0.1:1")
 	for i := range 20 {
@@ -292,7 +292,7 @@
 
 // Guards the last moment: a request that must not be written any more is not, on a new connection nor on a kept one, and
 // what ends so proves that nothing ran.
-func TestRefusedTheFirstByte(t *testing.T) {
+func TestRevokedRequestsAreNotWritten(t *testing.T) {
 	b := newRecordingExecutor(t, nil)
 	f := NewFleet(testSettings(t), 10)
 	defer f.Close()
@@ -315,7 +315,7 @@
 
 // Guards the close of the longest idle connection against a request that begins on it just then: whichever comes first,
 // no request is written on a connection that is closed for another's sake.
-func TestIdleConnectionsGiveWayOrServe(t *testing.T) {
+func TestRetiredConnectionsCarryNoRequest(t *testing.T) {
 	b := newRecordingExecutor(t, nil)
 	f := NewFleet(testSettings(t), 1)
 	defer f.Close()
--- a/internal/platform/crossings_test.go
+++ b/internal/platform/crossings_test.go
@@ -43,7 +43,7 @@
 
 // Guards against work for clients that left: a call whose connection to its box comes up only after its client has gone, in
 // whichever way, is never written, also where nothing may be called off; the connection serves the next call.
-func TestNothingIsWrittenForAClientThatLeft(t *testing.T) {
+func TestNothingIsWrittenForADisconnectedClient(t *testing.T) {
 	for way, leave := range leaveWays {
 		for _, cancel := range []bool{true, false} {
 			for _, class := range []string{"path-check", "path-book"} {
@@ -72,7 +72,7 @@
 }
 
 // Guards the same where the close comes in one piece with the call: an attempt may begin with it, and nothing later.
-func TestCallAndCloseInOnePiece(t *testing.T) {
+func TestRequestAndCloseInOneSegment(t *testing.T) {
 	s := newTestbed(t, func(x *wire.Setup) { x.Permissions.Cancel = false }, nil, newRecordingExecutor(t, nil))
 	s.holdDialAfter(0)
 	c := s.dial()
@@ -91,7 +91,7 @@
 }
 
 // Guards the second connection of an attempt, made where the first was reset before anything was written on it.
-func TestClientLeavesBeforeTheSecondConnection(t *testing.T) {
+func TestClientDisconnectsBeforeTheSecondConnection(t *testing.T) {
 	s := newTestbed(t, func(x *wire.Setup) { x.Permissions.Cancel = false }, nil, newRecordingExecutor(t, nil))
 	dial, n := s.pool.dialContext, 0
 	s.pool.dialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -114,7 +114,7 @@
 
 // Guards hedges: the first box is silent, a second copy is on its way to the other, and the client leaves before it is
 // written.
-func TestClientLeavesBeforeAHedge(t *testing.T) {
+func TestClientDisconnectsBeforeAHedge(t *testing.T) {
 	release := make(chan struct{})
 	silent := func(http.ResponseWriter, *http.Request) { <-release }
 	s := newTestbed(t, func(x *wire.Setup) { x.Permissions.Cancel, x.Permissions.SecondCopies = false, true }, nil, newRecordingExecutor(t, silent), newRecordingExecutor(t, silent))
@@ -137,33 +137,33 @@
 	assert.NotContains(t, to.requests(), firstID)
 }
 
-// lapse makes a function known and lets the belief in its copy lapse, so that the next call waits for an order to load.
-func (s *testbed) lapse() {
+// expireWarmth makes a function known and lets the belief in its copy lapse, so that the next call waits for an order to load.
+func (s *testbed) expireWarmth() {
 	require.Equal(s.t, 200, s.call(thirdID, "path-check"))
 	time.Sleep(20 * time.Millisecond) // more than the keep-alive
 }
 
-func shortKeep(x *wire.Setup) {
+func withShortKeepAlive(x *wire.Setup) {
 	x.Specifics.LingerIdle, x.Permissions.Cancel = int64(10*time.Millisecond), false
 }
 
-// orderStage is one on which the next call waits for an order to load, which tells that it has come and waits to go on.
-func orderStage(t *testing.T) (s *testbed, ordered, goOn chan bool) {
+// newLoadOrderTestbed is one on which the next call waits for an order to load, which tells that it has come and waits to go on.
+func newLoadOrderTestbed(t *testing.T) (s *testbed, ordered, goOn chan bool) {
 	ordered, goOn = make(chan bool, 1), make(chan bool)
-	s = newTestbed(t, shortKeep, nil, newRecordingExecutor(t, func(w http.ResponseWriter, r *http.Request) {
+	s = newTestbed(t, withShortKeepAlive, nil, newRecordingExecutor(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPut {
 			ordered <- true
 			<-goOn
 			w.Header().Set("X-N", "1")
 		}
 	}))
-	s.lapse()
+	s.expireWarmth()
 	return s, ordered, goOn
 }
 
 // Guards calls that wait behind an order to load: the order ends, and the call whose client left is not sent.
-func TestClientLeavesBehindAnOrder(t *testing.T) {
-	s, ordered, goOn := orderStage(t)
+func TestClientDisconnectsDuringALoadOrder(t *testing.T) {
+	s, ordered, goOn := newLoadOrderTestbed(t)
 	c := s.send(firstID, "path-book")
 	<-ordered
 	require.NoError(t, c.Close())
@@ -176,7 +176,7 @@
 
 // Guards drains and restarts against what is on its way: the list tells of a box while the connection for a call comes up,
 // and nothing is written on that connection. The call goes elsewhere, once.
-func TestNothingIsWrittenToABoxThatIsToGetNothing(t *testing.T) {
+func TestDrainingWorkerGetsNoNewAttempt(t *testing.T) {
 	for name, change := range map[string]func(m *oakthread.Endpoint){
 		"drains":     func(m *oakthread.Endpoint) { m.State = balancer.Draining },
 		"is gone":    func(m *oakthread.Endpoint) { m.State = balancer.Removed },
@@ -209,9 +209,9 @@
 }
 
 // Guards the same for orders to load.
-func TestNoOrderIsWrittenToABoxThatDrains(t *testing.T) {
-	s := newTestbed(t, shortKeep, nil, newRecordingExecutor(t, func(w http.ResponseWriter, r *http.Request) { w.Header().Set("Connection", "close") }))
-	s.lapse()
+func TestDrainingWorkerGetsNoLoadOrder(t *testing.T) {
+	s := newTestbed(t, withShortKeepAlive, nil, newRecordingExecutor(t, func(w http.ResponseWriter, r *http.Request) { w.Header().Set("Connection", "close") }))
+	s.expireWarmth()
 	s.holdDialAfter(0)
 	c := s.send(firstID, "path-book")
 	<-s.heldDial
@@ -225,7 +225,7 @@
 
 // Guards against attempts multiplied by clients that give up early and come again at once, counted at the boxes: one for
 // each time they came.
-func TestComingAgainMultipliesNoAttempts(t *testing.T) {
+func TestClientRetriesDoNotMultiplyAttempts(t *testing.T) {
 	came, release := make(chan string, 64), make(chan struct{})
 	silent := func(_ http.ResponseWriter, r *http.Request) { came <- r.Header.Get("X-Hop-Id"); <-release }
 	s := newTestbed(t, func(x *wire.Setup) { x.Permissions.SecondCopies = true }, nil, newRecordingExecutor(t, silent), newRecordingExecutor(t, silent))
@@ -242,7 +242,7 @@
 
 // Guards what a call holds, given back once whether its client's close or its answer comes first: places, sockets, counts.
 // A booking that was written is not written again, and its late end is still learnt.
-func TestLeftCallIsGivenBackOnce(t *testing.T) {
+func TestDisconnectedRequestIsCompletedOnce(t *testing.T) {
 	for _, closeFirst := range []bool{true, false} {
 		t.Run(fmt.Sprint("close first: ", closeFirst), func(t *testing.T) {
 			t.Parallel()
@@ -280,7 +280,7 @@
 
 // Guards against a cut answer that passes for a whole one: cut in head or body, by a close or a reset, in chunks or not, it
 // is no answer, and a booking that may have run is told as failed. A reset behind a whole answer cuts nothing.
-func TestCutAnswersReachNoClient(t *testing.T) {
+func TestTruncatedResponsesReachNoClient(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer string
 		want   int
@@ -339,7 +339,7 @@
 
 // Guards against a second answer that comes late, when the next call has been taken by the same box: that call goes on
 // another connection, gets its own answer, and the one that brought too much carries nothing more.
-func TestLateSecondAnswerIsNobodys(t *testing.T) {
+func TestLateSecondResponseIsDiscarded(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
@@ -396,7 +396,7 @@
 }
 
 // Guards the wait for a connection to settle: a few requests wait, until their time is over, and the next goes on at once.
-func TestFewRequestsWaitForAConnectionToSettle(t *testing.T) {
+func TestQueueForAReusableConnectionIsBounded(t *testing.T) {
 	b := newRecordingExecutor(t, nil)
 	f := NewFleet(testSettings(t), 10)
 	defer f.Close()
@@ -422,7 +422,7 @@
 }
 
 // Guards the cost of that: once settled, a connection is used again.
-func TestSettledConnectionsAreUsedAgain(t *testing.T) {
+func TestConnectionsAreReusedAfterTheDelay(t *testing.T) {
 	b := newRecordingExecutor(t, nil)
 	f := NewFleet(testSettings(t), 10)
 	defer f.Close()
@@ -435,7 +435,7 @@
 }
 
 // Guards a client that leaves within its body: nothing is sent, and the place is free again.
-func TestClientLeavesWithinItsBody(t *testing.T) {
+func TestClientDisconnectsWithinItsBody(t *testing.T) {
 	for way, leave := range map[string]func(*net.TCPConn) error{"close": leaveWays["close"], "reset": leaveWays["reset"], "half-close": leaveWays["half-close"]} {
 		t.Run(way, func(t *testing.T) {
 			t.Parallel()
--- a/internal/platform/ending_test.go
+++ b/internal/platform/ending_test.go
@@ -23,47 +23,47 @@
 // pausingListener is a listener whose Accept waits, from the second connection on, until it may go on.
 type pausingListener struct {
 	*net.TCPListener
-	mu    sync.Mutex
-	taken int
-	goOn  chan struct{}
-	ended chan struct{} // the server has begun to end it
-	once  sync.Once
+	mu       sync.Mutex
+	accepted int
+	resume   chan struct{}
+	stopped  chan struct{} // the server has begun to end it
+	once     sync.Once
 }
 
 func (l *pausingListener) Accept() (net.Conn, error) {
 	l.mu.Lock()
-	wait := l.taken > 0
+	wait := l.accepted > 0
 	l.mu.Unlock()
 	if wait {
-		<-l.goOn
+		<-l.resume
 	}
 	c, err := l.TCPListener.Accept()
 	l.mu.Lock()
-	l.taken += btoi(err == nil)
+	l.accepted += btoi(err == nil)
 	l.mu.Unlock()
 	return c, err
 }
 
 func (l *pausingListener) SetDeadline(t time.Time) error {
-	l.once.Do(func() { close(l.ended) })
+	l.once.Do(func() { close(l.stopped) })
 	return l.TCPListener.SetDeadline(t)
 }
 
 func (l *pausingListener) Close() error {
-	l.once.Do(func() { close(l.ended) })
+	l.once.Do(func() { close(l.stopped) })
 	return l.TCPListener.Close()
 }
 
 // Guards calls in the accept backlog at a planned end: the kernel has accepted their connections, the server has not, and
 // each is answered.
-func TestBacklogIsAnsweredAtTheEnd(t *testing.T) {
-	l := &pausingListener{goOn: make(chan struct{}), ended: make(chan struct{})}
+func TestDrainAnswersTheBacklog(t *testing.T) {
+	l := &pausingListener{resume: make(chan struct{}), stopped: make(chan struct{})}
 	s := newTestbed(t, nil, func(in *net.TCPListener) net.Listener { l.TCPListener = in; return l }, newRecordingExecutor(t, nil))
 	require.Equal(t, 200, s.call(firstID, "path-book"))
 	in := []*net.TCPConn{s.send(secondID, "path-book"), s.send(thirdID, "path-check")}
 	s.shutdown()
-	<-l.ended
-	close(l.goOn)
+	<-l.stopped
+	close(l.resume)
 	for _, c := range in {
 		assert.Equal(t, 200, s.readStatus(c))
 	}
@@ -74,38 +74,38 @@
 // until it may go on. It tells of such a wait, of bytes read, of its close and of a look at what lies unread.
 type pausingConn struct {
 	*net.TCPConn
-	came           chan struct{}
-	waits, goOn    chan struct{} // nil: it never waits
-	closed, looked chan struct{}
-	once, look     sync.Once
-	first          sync.Once
-	wait           bool
+	reads                  chan struct{}
+	paused, resume         chan struct{} // nil: it never waits
+	closed, inspected      chan struct{}
+	closeOnce, inspectOnce sync.Once
+	pauseOnce              sync.Once
+	pauseNext              bool
 }
 
 func (c *pausingConn) Read(b []byte) (int, error) {
-	if c.wait {
-		c.wait = false
-		close(c.waits)
-		<-c.goOn
+	if c.pauseNext {
+		c.pauseNext = false
+		close(c.paused)
+		<-c.resume
 	}
 	n, err := c.TCPConn.Read(b)
-	if c.goOn != nil && errors.Is(err, os.ErrDeadlineExceeded) {
-		c.first.Do(func() { c.wait = true })
+	if c.resume != nil && errors.Is(err, os.ErrDeadlineExceeded) {
+		c.pauseOnce.Do(func() { c.pauseNext = true })
 	}
 	select {
-	case c.came <- struct{}{}:
+	case c.reads <- struct{}{}:
 	default:
 	}
 	return n, err
 }
 
 func (c *pausingConn) Close() error {
-	c.once.Do(func() { close(c.closed) })
+	c.closeOnce.Do(func() { close(c.closed) })
 	return c.TCPConn.Close()
 }
 
 func (c *pausingConn) SyscallConn() (syscall.RawConn, error) {
-	c.look.Do(func() { close(c.looked) })
+	c.inspectOnce.Do(func() { close(c.inspected) })
 	return c.TCPConn.SyscallConn()
 }
 
@@ -126,14 +126,14 @@
 // still: with bytes that came meanwhile lying there or, where empty, with none.
 type expiredConn struct {
 	*net.TCPConn
-	expireAt int // the read, from 1 on
-	empty    bool
-	reads    int
-	came     chan int // how many bytes each read had
+	expireAt  int // the read, from 1 on
+	empty     bool
+	readCount int
+	readSizes chan int // how many bytes each read had
 }
 
 func (c *expiredConn) Read(b []byte) (int, error) {
-	if c.reads++; c.reads == c.expireAt {
+	if c.readCount++; c.readCount == c.expireAt {
 		rc, err := c.TCPConn.SyscallConn()
 		if err == nil && !c.empty {
 			err = rc.Read(func(fd uintptr) bool { n, err := unix.IoctlGetInt(int(fd), unix.TIOCINQ); return n > 0 || err != nil })
@@ -147,7 +147,7 @@
 	}
 	n, err := c.TCPConn.Read(b)
 	select {
-	case c.came <- n:
+	case c.readSizes <- n:
 	default:
 	}
 	return n, err
@@ -155,7 +155,7 @@
 
 // Found in CI: a dispatcher that stood still for 2 s reset a connection on which a request lay, for its timers ended before it
 // looked at its sockets; a head that had come in part was a 400. Where nothing lies there, the time is over as before.
-func TestRequestThatCameWhileStandingStill(t *testing.T) {
+func TestRequestThatArrivedDuringAStallIsAnswered(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		still  int
@@ -163,14 +163,14 @@
 		status int
 	}{{"nothing of it read", 1, false, 200}, {"a part of it read", 2, false, 200}, {"the rest never comes", 2, true, 400}} {
 		t.Run(c.name, func(t *testing.T) {
-			in := &expiredConn{expireAt: c.still, empty: c.empty, came: make(chan int, 16)}
+			in := &expiredConn{expireAt: c.still, empty: c.empty, readSizes: make(chan int, 16)}
 			s := newTestbed(t, nil, func(l *net.TCPListener) net.Listener {
 				return connListener{l, func(c *net.TCPConn) net.Conn { in.TCPConn = c; return in }}
 			}, newRecordingExecutor(t, nil))
 			client, call := s.dial(), callText(secondID, "path-check", "x")
 			if c.still > 1 {
 				s.write(client, call[:40])
-				require.Equal(t, 40, <-in.came)
+				require.Equal(t, 40, <-in.readSizes)
 				call = call[40:]
 			}
 			if !c.empty {
@@ -184,37 +184,37 @@
 }
 
 // Guards a request that lies unread on a kept connection when idle connections are closed: it was taken, and is answered.
-func TestUnreadRequestIsAnsweredAtTheEnd(t *testing.T) {
+func TestDrainAnswersAnUnreadRequest(t *testing.T) {
 	var in *pausingConn
 	s := newTestbed(t, nil, func(l *net.TCPListener) net.Listener {
 		return connListener{l, func(c *net.TCPConn) net.Conn {
-			in = &pausingConn{TCPConn: c, waits: make(chan struct{}), goOn: make(chan struct{}), closed: make(chan struct{}), looked: make(chan struct{})}
+			in = &pausingConn{TCPConn: c, paused: make(chan struct{}), resume: make(chan struct{}), closed: make(chan struct{}), inspected: make(chan struct{})}
 			return in
 		}}
 	}, newRecordingExecutor(t, nil))
 	c := s.send(firstID, "path-book")
 	require.Equal(t, 200, s.readStatus(c))
-	<-in.waits // the server waits for the next request
+	<-in.paused // the server waits for the next request
 	s.write(c, callText(secondID, "path-book", "x"))
 	s.shutdown()
 	select {
 	case <-in.closed:
 		t.Fatal("closed with a request unread on it")
-	case <-in.looked:
+	case <-in.inspected:
 	case <-time.After(10 * time.Second):
 	}
-	close(in.goOn)
+	close(in.resume)
 	assert.Equal(t, 200, s.readStatus(c))
 	require.NoError(t, <-s.done)
 }
 
 // Guards a request that has come in part on a kept connection when idle connections are closed: net/http calls such a
 // connection idle until the head is whole.
-func TestHalfAHeadIsAnsweredAtTheEnd(t *testing.T) {
+func TestDrainAnswersAPartlyReadRequest(t *testing.T) {
 	came := make(chan struct{}, 16)
 	s := newTestbed(t, nil, func(l *net.TCPListener) net.Listener {
 		return connListener{l, func(c *net.TCPConn) net.Conn {
-			return &pausingConn{TCPConn: c, came: came, closed: make(chan struct{}), looked: make(chan struct{})}
+			return &pausingConn{TCPConn: c, reads: came, closed: make(chan struct{}), inspected: make(chan struct{})}
 		}}
 	}, newRecordingExecutor(t, nil))
 	idle, c := s.send(firstID, "path-book"), s.send(secondID, "path-book")
@@ -241,7 +241,7 @@
 
 // Guards a request sent before the answer to the one before it, in one segment: it lies in the server's buffer when that
 // answer is written and connections are to fall quiet.
-func TestNextRequestInTheBufferIsAnsweredAtTheEnd(t *testing.T) {
+func TestDrainAnswersAPipelinedRequest(t *testing.T) {
 	came, goOn := make(chan bool, 2), make(chan bool)
 	s := newTestbed(t, nil, nil, newRecordingExecutor(t, func(http.ResponseWriter, *http.Request) { came <- true; <-goOn }))
 	c := s.dial()
@@ -264,8 +264,8 @@
 
 // Guards calls that wait at a planned end, one behind an order to load and one between two attempts: each gets its answer,
 // and the server ends only then.
-func TestWaitingCallsAreAnsweredAtTheEnd(t *testing.T) {
-	s, ordered, goOn := orderStage(t)
+func TestDrainAnswersQueuedRequests(t *testing.T) {
+	s, ordered, goOn := newLoadOrderTestbed(t)
 	c := s.send(firstID, "path-book")
 	<-ordered
 	s.shutdown()
--- a/internal/platform/faults_test.go
+++ b/internal/platform/faults_test.go
@@ -47,7 +47,7 @@
 }
 
 // An accept that fails for a moment ends nothing: the front goes on with the next connection.
-func TestAcceptErrorsEndNothing(t *testing.T) {
+func TestTransientAcceptErrorsAreRetried(t *testing.T) {
 	for _, errno := range transientAcceptErrors {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
@@ -81,7 +81,7 @@
 }
 
 // Every request gets an answer while more clients ask at once than the front has places, each on a new connection.
-func TestFullFrontAnswersEveryRequest(t *testing.T) {
+func TestFullServerAnswersEveryRequest(t *testing.T) {
 	const (
 		requests = 2000
 		takes    = 5 * time.Millisecond
@@ -115,7 +115,7 @@
 
 // An executor is told at most the time that the client has left when the request is written, however late its connection
 // came up.
-func TestBudgetIsWhatIsLeftWhenWritten(t *testing.T) {
+func TestBudgetIsTheTimeLeftAtTheWrite(t *testing.T) {
 	const (
 		late  = 600 * time.Millisecond
 		slack = 150 * time.Millisecond
@@ -173,7 +173,7 @@
 
 // No connection is closed for another on which a byte of a request has come, whether it was read or not: the other waits
 // until one has its answer.
-func TestNoneGivesWayWithARequestOnIt(t *testing.T) {
+func TestConnectionWithARequestIsNotClosed(t *testing.T) {
 	const part = "POST /call"
 	for name, read := range map[string]bool{"unread": false, "read, not taken": true} {
 		t.Run(name, func(t *testing.T) {
@@ -210,42 +210,42 @@
 // pausedReadConn holds the end of a read back: its bytes have left the kernel, and nobody has counted them.
 type pausedReadConn struct {
 	*net.TCPConn
-	read, goOn chan struct{}
+	bytesRead, resume chan struct{}
 }
 
 func (c *pausedReadConn) Read(b []byte) (int, error) {
 	n, err := c.TCPConn.Read(b)
 	if n > 0 {
-		close(c.read)
-		<-c.goOn
+		close(c.bytesRead)
+		<-c.resume
 	}
 	return n, err
 }
 
 // A request whose bytes have just left the kernel, and which nobody has counted yet, keeps its connection.
-func TestNoneGivesWayWhileItIsRead(t *testing.T) {
+func TestConnectionBeingReadIsNotClosed(t *testing.T) {
 	l := newTestLimiter(t, 1)
 	held, client := acceptPair(t, l)
-	stand := &pausedReadConn{TCPConn: held.Conn.(*net.TCPConn), read: make(chan struct{}), goOn: make(chan struct{})}
+	stand := &pausedReadConn{TCPConn: held.Conn.(*net.TCPConn), bytesRead: make(chan struct{}), resume: make(chan struct{})}
 	held.Conn = stand
 	got := make(chan error, 1)
 	go func() { _, err := held.Read(make([]byte, 64)); got <- err }()
 	_, err := io.WriteString(client, "POST /call")
 	require.NoError(t, err)
-	<-stand.read
+	<-stand.bytesRead
 	backdateActivity(held)
 	l.mu.Lock()
 	made, _ := l.makeRoom(time.Now())
 	l.mu.Unlock()
 	assert.False(t, made)
-	close(stand.goOn)
+	close(stand.resume)
 	require.NoError(t, <-got, "the read that had bytes")
 	assert.False(t, held.closed)
 	assert.False(t, held.isCloseRequested())
 }
 
 // A connection that waits in a read with nothing on it is closed by its reader.
-func TestSilentOneGivesWayWhileItIsRead(t *testing.T) {
+func TestSilentConnectionIsClosedByItsReader(t *testing.T) {
 	l := newTestLimiter(t, 1)
 	held, client := acceptPair(t, l)
 	got := make(chan error, 1)
@@ -265,7 +265,7 @@
 
 // A connect that fails for want of this machine's tells nothing of the executor: it is tried again, and where it lasts
 // the attempt never ran.
-func TestShortagesProveNothing(t *testing.T) {
+func TestLocalShortagesBlameNoExecutor(t *testing.T) {
 	b := newRecordingExecutor(t, nil)
 	for _, errno := range []syscall.Errno{
 		syscall.EADDRNOTAVAIL, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
@@ -292,7 +292,7 @@
 }
 
 // A request whose time was worded long before its first byte is worded anew.
-func TestTimeIsWordedAnew(t *testing.T) {
+func TestStaleBudgetIsNotWritten(t *testing.T) {
 	m := executorRequest{deadline: time.Now().Add(time.Second)}
 	assert.Equal(t, rules.Allowed, m.mayWrite(time.Now()))
 	assert.Equal(t, rules.BudgetStale, m.mayWrite(time.Now().Add(-time.Second)))
@@ -305,12 +305,12 @@
 // Found by the soak (seed 118: a burst of clients at a full front): the time of a request counts from its last byte, also
 // while it waits with the kernel until the front takes its connection. It was counted from when it was read, and executors
 // were told more than the client had left.
-func TestTimeCountsFromTheLastByte(t *testing.T) {
+func TestDeadlineCountsFromTheLastByte(t *testing.T) {
 	const (
 		waits = 700 * time.Millisecond
 		slack = 150 * time.Millisecond
 	)
-	l := &pausingListener{goOn: make(chan struct{}), ended: make(chan struct{})}
+	l := &pausingListener{resume: make(chan struct{}), stopped: make(chan struct{})}
 	told, arrived := make(chan time.Duration, 1), make(chan time.Time, 1)
 	s := newTestbed(t, nil, func(in *net.TCPListener) net.Listener { l.TCPListener = in; return l }, newRecordingExecutor(t, func(_ http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("X-Hop-Id") != secondID {
@@ -325,7 +325,7 @@
 	sent := time.Now()
 	c := s.send(secondID, "path-check") // its client waits for 4 s
 	<-time.After(waits)
-	close(l.goOn)
+	close(l.resume)
 	require.Equal(t, http.StatusOK, s.readStatus(c))
 	left := 4*time.Second - (<-arrived).Sub(sent)
 	assert.LessOrEqual(t, <-told, left+slack)
@@ -334,7 +334,7 @@
 
 // Found by the soak (seed 123: executors that answer twice, and a burst): a second answer that lies with the kernel, since
 // this process has not come to read it, is not read as the answer to the next request.
-func TestSecondAnswerWithTheKernelEndsAConnection(t *testing.T) {
+func TestUnreadSecondResponseTaintsAConnection(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
@@ -364,11 +364,11 @@
 
 // Found by the soak (seed 1031: accepts that fail, and processes that end): nothing is written for a client that left while its
 // request waited with the kernel, and the time of such a request has run on.
-func TestNothingIsWrittenForAClientThatLeftTheBacklog(t *testing.T) {
+func TestNothingIsWrittenForAClientGoneFromTheBacklog(t *testing.T) {
 	for way, leave := range leaveWays {
 		t.Run(way, func(t *testing.T) {
 			t.Parallel()
-			l := &pausingListener{goOn: make(chan struct{}), ended: make(chan struct{})}
+			l := &pausingListener{resume: make(chan struct{}), stopped: make(chan struct{})}
 			s := newTestbed(t, nil, func(in *net.TCPListener) net.Listener { l.TCPListener = in; return l }, newRecordingExecutor(t, nil))
 			require.Equal(t, http.StatusOK, s.call(firstID, "path-check")) // from now on accepts wait
 			var gone []net.Conn
@@ -377,7 +377,7 @@
 				gone = append(gone, c)
 				require.NoError(t, leave(c))
 			}
-			close(l.goOn)
+			close(l.resume)
 			require.Equal(t, http.StatusOK, s.call(thirdID, "path-check"))
 			s.close()
 			for i := range gone {
--- a/internal/platform/lists_test.go
+++ b/internal/platform/lists_test.go
@@ -86,7 +86,7 @@
 
 // Guards against a watch that falls silent, open and without a word: it is given up within channelQuiet, and what came
 // meanwhile is told once. One that only beats, with nothing new, is kept.
-func TestSilentWatchIsGivenUpAndAQuietOneKept(t *testing.T) {
+func TestSilentWatchReconnectsAndAnIdleOneStays(t *testing.T) {
 	d := newDiscovery(t)
 	_, f := startWatch(t, d, io.Discard)
 	w := d.nextWatch(0)
@@ -112,7 +112,7 @@
 }
 
 // Guards events that come in parts, twice or with a gap, and a watch that ends within one.
-func TestEventsInPartsTwiceAndWithAGap(t *testing.T) {
+func TestPartialRepeatedAndMissingEvents(t *testing.T) {
 	d := newDiscovery(t)
 	_, f := startWatch(t, d, io.Discard)
 	w, one, two := d.nextWatch(0), eventLineText(1, memberText(1, "Ready")), eventLineText(2, memberText(2, "Ready"))
@@ -135,7 +135,7 @@
 
 // Guards a move of discovery, as SIGHUP brings it, while an event is being read, while connecting again, and back again:
 // nothing is lost or told twice.
-func TestMoveWithinAnEvent(t *testing.T) {
+func TestMoveLosesAndRepeatsNoEvent(t *testing.T) {
 	a, b := newDiscovery(t), newDiscovery(t)
 	c, f := startWatch(t, a, io.Discard)
 	w, one, two := a.nextWatch(0), eventLineText(1, memberText(1, "Ready")), eventLineText(2, memberText(2, "Ready"))
@@ -185,7 +185,7 @@
 
 // Guards against one bad event that ends all news: an executor that cannot be used is left out or counts as draining, a
 // line that cannot be read is asked for once more and then passed over, each with one clear line.
-func TestBadEventsEndNoNews(t *testing.T) {
+func TestInvalidEventsDoNotEndTheWatch(t *testing.T) {
 	d, log := newDiscovery(t), &safeBuffer{}
 	c := NewChannel(&Config{Channel: d.addr(), Setup: testSettings(t)}, slog.New(slog.NewTextHandler(log, nil)))
 	ev, err := parseEvent([]byte(eventLineText(1, memberText(1, "Ready")+","+memberText(2, "Cordoned")+`,{"id":"s-3","phase":"Ready"},{"phase":"Ready"}`)), testSettings(t))
--- a/internal/platform/peertransport_test.go
+++ b/internal/platform/peertransport_test.go
@@ -13,7 +13,7 @@
 )
 
 // Guards the rules on datagrams: 256 bytes at most, from known peers alone, known by their address.
-func TestDatagrams(t *testing.T) {
+func TestMessagesGoToKnownPeersOnly(t *testing.T) {
 	open := func(n int) *PeerTransport {
 		s := testSettings(t)
 		s.Number = n
@@ -41,7 +41,7 @@
 
 // Guards against bad datagrams: what is too long or comes from nobody's address is dropped and counted, and what is
 // handed on arrives byte for byte.
-func TestBadDatagramsAreCounted(t *testing.T) {
+func TestInvalidDatagramsAreCounted(t *testing.T) {
 	s := testSettings(t)
 	s.Number = 1
 	p, err := ListenPeers(&Config{PeerListen: "127.0.0.1:0", Setup: s}, discardLog)
--- a/internal/platform/request_test.go
+++ b/internal/platform/request_test.go
@@ -11,7 +11,7 @@
 	"oakthread"
 )
 
-func TestHeadOfACall(t *testing.T) {
+func TestParseHeader(t *testing.T) {
 	f := NewFront(nil, testSettings(t))
 	for name, c := range map[string]struct {
 		change, to string
--- a/internal/platform/server_test.go
+++ b/internal/platform/server_test.go
@@ -72,7 +72,7 @@
 
 // Guards the whole path: the answer is the executor's; what is malformed is a 4xx, counted, and harms nothing; a
 // refusal comes at once and says when to come back, in milliseconds only where the settings allow.
-func TestFrontAnswers(t *testing.T) {
+func TestServerAnswers(t *testing.T) {
 	url, end, done, front := serve(t, time.Millisecond, make(notify, 8), func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("X-Hop-Id") == "00000000000000ff" {
 			w.Header().Set("X-No-Effect", "1")
@@ -104,7 +104,7 @@
 
 // Guards what was taken over a planned end: calls that come while clients have not heard are served, each taken
 // call is answered, and only then does the server end.
-func TestEndAnswersAllTaken(t *testing.T) {
+func TestDrainAnswersAllRequests(t *testing.T) {
 	came, goOn := make(chan bool, 2), make(chan bool)
 	lines := make(notify, 8)
 	url, end, done, _ := serve(t, 3*time.Second, lines, func(w http.ResponseWriter, r *http.Request) { came <- true; <-goOn })
@@ -132,7 +132,7 @@
 }
 
 // Guards against work for clients that left: the executor sees its connection closed.
-func TestClientLeaves(t *testing.T) {
+func TestClientDisconnectCancelsTheAttempt(t *testing.T) {
 	came, left := make(chan bool, 1), make(chan bool, 1)
 	url, end, done, _ := serve(t, time.Millisecond, make(notify, 8), func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -151,7 +151,7 @@
 
 // Guards out of service: readiness says no while the gate is shut, an idle kept connection is closed, an answer in
 // hand still comes whole and ends its connection, and counts go by class; back in service, it says yes again.
-func TestOutOfService(t *testing.T) {
+func TestOutOfServiceServerClosesIdleConnections(t *testing.T) {
 	url, end, done, front := serve(t, time.Millisecond, make(notify, 8), func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(w, r.Body)
 	})
--- a/internal/platform/watch_test.go
+++ b/internal/platform/watch_test.go
@@ -20,7 +20,7 @@
 )
 
 // Guards against lost or doubled news over a broken channel: it resumes after the last event and skips known ones.
-func TestChannelResumes(t *testing.T) {
+func TestWatchResumesAfterTheLastEvent(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
@@ -78,7 +78,7 @@
 
 // Guards a kept list's numbering: it goes on from its own number; a discovery with a lower one, or of another epoch, is
 // read from the first event, whole; several addresses are asked in turn.
-func TestChannelOfAKeptList(t *testing.T) {
+func TestWatchOfAStoredList(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
@@ -127,7 +127,7 @@
 
 // Guards against a herd at discovery: dispatchers that lost it together do not come back together, and none waits for
 // longer than what is told may be late.
-func TestChannelsComeBackOneByOne(t *testing.T) {
+func TestReconnectsAreSpread(t *testing.T) {
 	slots := map[time.Duration]int{}
 	for seed := range uint64(80) {
 		c := NewChannel(&Config{Channel: "127.0.0.1:4", Seed: seed, Setup: testSettings(t)}, discardLog)
