--- a/attempt.go
+++ b/attempt.go
@@ -5,9 +5,10 @@
 	"errors"
 	"fmt"
 	"log/slog"
+	"time"
+
 	"oakthread/balancer"
 	"oakthread/internal/violation"
-	"time"
 )
 
 // attemptKey identifies an attempt by its request and its number among the attempts of that
--- a/clock_test.go
+++ b/clock_test.go
@@ -5,11 +5,12 @@
 import (
 	"context"
 	"fmt"
-	"oakthread/balancer"
-	"oakthread/internal/fault/wallclock"
 	"testing"
 	"time"
 
+	"oakthread/balancer"
+	"oakthread/internal/fault/wallclock"
+
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 )
@@ -42,8 +43,8 @@
 func (w slowWorkers) Unload(context.Context, LoadOrder)  {}
 func (w slowWorkers) CloseConnections(balancer.WorkerID) {}
 
-// A step of the wall clock, either way and with calls in hand, changes nothing: calls are served as before, and one that a
-// worker never answers ends at its deadline.
+// A step of the wall clock, either way and with calls in hand, changes nothing: calls are served as
+// before, and one that a worker never answers ends at its deadline.
 func TestStepsOfTheWallClock(t *testing.T) {
 	const (
 		patience = 2 * time.Second
--- a/cmd/simadapter/handlers.go
+++ b/cmd/simadapter/handlers.go
@@ -220,7 +220,8 @@
 	if err != nil {
 		return fmt.Errorf("warmed: field target_fn: %q is not a function id", e.Fn)
 	}
-	target.HandleLoadResult(s.now, balancer.WorkerID(e.Runner), balancer.FuncID(function), e.HowMany, parseResult(e.How))
+	worker, result := balancer.WorkerID(e.Runner), parseResult(e.How)
+	target.HandleLoadResult(s.now, worker, balancer.FuncID(function), e.HowMany, result)
 	return nil
 }
 
--- a/cmd/simadapter/instance.go
+++ b/cmd/simadapter/instance.go
@@ -42,7 +42,8 @@
 
 // OrderLoad writes an order to hold so many copies of a function.
 func (i *instance) OrderLoad(worker balancer.WorkerID, function balancer.FuncID, copies int) {
-	i.out.Open("keep_loaded", i.name).Fn(uint64(function)).Int("how_many", int64(copies)).Int("runner", int64(worker)).End()
+	i.out.Open("keep_loaded", i.name).Fn(uint64(function))
+	i.out.Int("how_many", int64(copies)).Int("runner", int64(worker)).End()
 }
 
 // OrderUnload writes an order to unload a function.
--- a/config.go
+++ b/config.go
@@ -3,8 +3,9 @@
 import (
 	"errors"
 	"log/slog"
-	"oakthread/balancer"
 	"time"
+
+	"oakthread/balancer"
 )
 
 // Config holds the parts that a Core is built from. Workers is required; the other fields have
@@ -39,8 +40,7 @@
 const (
 	// defaultMaxInFlight is the value of a MaxInFlight of zero.
 	defaultMaxInFlight = 4096
-	// eventQueueSize is the number of events that wait for the event loop before a sender blocks.
-	// It covers a burst of results that arrive during one slow event, such as an endpoint snapshot.
+	// eventQueueSize is the number of events that may wait for the event loop before post blocks.
 	eventQueueSize = 1024
 )
 
--- a/core.go
+++ b/core.go
@@ -3,10 +3,11 @@
 import (
 	"context"
 	"fmt"
-	"oakthread/balancer"
-	"oakthread/internal/monotime"
 	"sync"
 	"sync/atomic"
+
+	"oakthread/balancer"
+	"oakthread/internal/monotime"
 )
 
 // Core dispatches requests to workers. A single goroutine, the event loop, owns the balancer and
--- a/core_test.go
+++ b/core_test.go
@@ -2,13 +2,14 @@
 
 import (
 	"context"
-	"oakthread/aggregate"
-	"oakthread/balancer"
-	"oakthread/rules"
 	"strings"
 	"testing"
 	"time"
 
+	"oakthread/aggregate"
+	"oakthread/balancer"
+	"oakthread/rules"
+
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 )
@@ -122,7 +123,8 @@
 	assert.True(t, (<-settled).Abandoned)
 }
 
-// Guards against an answer that never comes: the deadline ends the request and calls off the attempt.
+// Guards against an answer that never comes: the deadline ends the request and calls off the
+// attempt.
 func TestDeadlineIsAnswered(t *testing.T) {
 	s := newStand()
 	core := testCore(t, s, nil)
@@ -154,7 +156,8 @@
 	require.ErrorIs(t, err, ErrClosed)
 }
 
-// Guards the drain rule: after the news no send, retry or order goes to a worker that drains or is gone.
+// Guards the drain rule: after the news no send, retry or order goes to a worker that drains or is
+// gone.
 func TestDrainReachesSendsRetriesAndOrders(t *testing.T) {
 	s := newStand()
 	core := testCore(t, s, nil)
@@ -175,7 +178,8 @@
 	assert.Equal(t, balancer.WorkerID(2), <-s.forgot, "connections of a worker that has gone are kept")
 }
 
-// Guards the rule on loads at the time when the order leaves, and that none names a function nobody called.
+// Guards the rule on loads at the time when the order leaves, and that none names a function nobody
+// called.
 func TestOrdersAreRationed(t *testing.T) {
 	r := loadOrderLimiter{window: 5 * time.Second, quota: rules.LoadQuota{Base: 2, Ratio: 0.5}}
 	at := func(ms int) time.Time { return time.Unix(100, 0).Add(time.Duration(ms) * time.Millisecond) }
@@ -191,8 +195,9 @@
 	}
 	assert.Equal(t, []bool{true, true, false, true, false, false, true}, got)
 
-	// An order whose connection comes up late is asked again when its first byte leaves: calls that earned it have left
-	// the window by then. One of which nothing was written makes room for another.
+	// An order whose connection comes up late is asked again when its first byte leaves: calls that
+	// earned it have left the window by then. One of which nothing was written makes room for
+	// another.
 	r = loadOrderLimiter{window: 5 * time.Second, quota: rules.LoadQuota{Base: 1, Ratio: 0.5}}
 	r.count(at(2))
 	r.count(at(0)) // told late, since its function was not known before
@@ -230,8 +235,8 @@
 	assert.True(t, core.Ready())
 }
 
-// Guards what stands before the module: a request that is held off is refused at once with the wait told, no worker sees
-// it, and ends of attempts are shown to the observer.
+// Guards what stands before the module: a request that is held off is refused at once with the wait
+// told, no worker sees it, and ends of attempts are shown to the observer.
 func TestHeldOff(t *testing.T) {
 	s := newStand()
 	pass, seen := true, make(chan Observation, 4)
@@ -256,8 +261,8 @@
 	assert.Equal(t, int64(1), n.Rejected)
 }
 
-// A class added while running is taken by new requests with its own rules: here a safe one is sent again after a
-// reset, where the first class, which may have run, fails.
+// A class added while running is taken by new requests with its own rules: here a safe one is sent
+// again after a reset, where the first class, which may have run, fails.
 func TestAddedClassBindsNewRequests(t *testing.T) {
 	s := newStand()
 	c := testCore(t, s, nil)
@@ -281,8 +286,8 @@
 	assert.Equal(t, Failed, a.Outcome, "the first class may have run: no repeat")
 }
 
-// Guards against messages that cannot be read: cut, of another version, from nobody's number, or about workers that are
-// not listed. They are counted, change nothing, and the next call is served.
+// Guards against messages that cannot be read: cut, of another version, from nobody's number, or
+// about workers that are not listed. They are counted, change nothing, and the next call is served.
 func TestMessagesThatCannotBeRead(t *testing.T) {
 	s := newStand()
 	c := testCore(t, s, func(cfg *Config) { cfg.Settings.Gossip, cfg.Settings.Dispatchers = true, 3 })
@@ -304,7 +309,8 @@
 	assert.Equal(t, Served, a.Outcome)
 }
 
-// late is a fleet in which an attempt has not begun until it may go on, as while a connection comes up.
+// late is a fleet in which an attempt has not begun until it may go on, as while a connection comes
+// up.
 type late struct {
 	*stand
 	goOn  chan struct{}
@@ -322,8 +328,9 @@
 	return Reply{Result: balancer.OK}
 }
 
-// Guards the write that crosses a leaving which the loop has yet to hear of: the loop is kept busy, the caller leaves, and
-// its attempt is refused the first byte. What has begun is not refused afterwards.
+// Guards the write that crosses a leaving which the loop has yet to hear of: the loop is kept busy,
+// the caller leaves, and its attempt is refused the first byte. What has begun is not refused
+// afterwards.
 func TestNothingBeginsForACallerThatLeft(t *testing.T) {
 	l := &late{newStand(), make(chan struct{}), make(chan bool, 4)}
 	stands, goOn := make(chan bool), make(chan bool)
@@ -371,8 +378,8 @@
 	assert.Equal(t, int64(1), core.Counters().Accepted)
 }
 
-// Guards the wait between two attempts: its caller leaves, and the attempt that was due is not made. A second call waits
-// as long after it, so that the first one's turn has passed.
+// Guards the wait between two attempts: its caller leaves, and the attempt that was due is not
+// made. A second call waits as long after it, so that the first one's turn has passed.
 func TestCallerLeavesInBackoff(t *testing.T) {
 	s := newStand()
 	settled := make(chan Completion, 4)
--- a/endpoints.go
+++ b/endpoints.go
@@ -2,9 +2,10 @@
 
 import (
 	"context"
+	"time"
+
 	"oakthread/balancer"
 	"oakthread/internal/monotime"
-	"time"
 )
 
 // Endpoint is the entry of a worker in the endpoint list.
--- a/example_test.go
+++ b/example_test.go
@@ -6,11 +6,12 @@
 	"io"
 	"net/http"
 	"net/http/httptest"
+	"strings"
+	"time"
+
 	"oakthread"
 	"oakthread/balancer"
 	"oakthread/middleware"
-	"strings"
-	"time"
 )
 
 // local runs calls in this process; a real one carries them to workers on other machines.
@@ -30,7 +31,8 @@
 func (local) Unload(context.Context, oakthread.LoadOrder)               {}
 func (local) CloseConnections(balancer.WorkerID)                        {}
 
-// A program dispatches calls behind its own server: the middleware takes the calls, other requests pass on.
+// A program dispatches calls behind its own server: the middleware takes the calls, other requests
+// pass on.
 func Example() {
 	core, err := oakthread.New(oakthread.Config{Workers: local{}, Settings: balancer.Settings{
 		Classes:     []balancer.Class{{LatencyObjective: int64(time.Second), ClientTimeout: int64(3 * time.Second), PriorityWeight: 1, Idempotency: balancer.Idempotent}},
--- a/host.go
+++ b/host.go
@@ -2,9 +2,10 @@
 
 import (
 	"context"
+	"time"
+
 	"oakthread/balancer"
 	"oakthread/internal/monotime"
-	"time"
 )
 
 // healthCheckTimeout limits a health check. A worker that does not answer within it counts as not
--- a/invariants_test.go
+++ b/invariants_test.go
@@ -35,7 +35,8 @@
 	return names
 }
 
-// The page of invariants names functions and tests that are there, and leaves out no rule and no path.
+// The page of invariants names functions and tests that are there, and leaves out no rule and no
+// path.
 func TestInvariantsPage(t *testing.T) {
 	text, err := os.ReadFile("docs/design/invariants.md")
 	require.NoError(t, err)
--- a/loadorder.go
+++ b/loadorder.go
@@ -2,8 +2,9 @@
 
 import (
 	"context"
-	"oakthread/balancer"
 	"time"
+
+	"oakthread/balancer"
 )
 
 const (
--- a/loadorderlimiter.go
+++ b/loadorderlimiter.go
@@ -1,11 +1,12 @@
 package oakthread
 
 import (
-	"oakthread/balancer"
-	"oakthread/rules"
 	"slices"
 	"sync"
 	"time"
+
+	"oakthread/balancer"
+	"oakthread/rules"
 )
 
 // loadQuotaMargin is the time that a load order may spend on its way to the worker. Both ends of
--- a/oakthread.go
+++ b/oakthread.go
@@ -10,8 +10,9 @@
 
 import (
 	"errors"
-	"oakthread/balancer"
 	"time"
+
+	"oakthread/balancer"
 )
 
 // Errors that Core.Do returns besides that of its context.
--- a/request.go
+++ b/request.go
@@ -3,10 +3,11 @@
 import (
 	"context"
 	"log/slog"
+	"time"
+
 	"oakthread/balancer"
 	"oakthread/internal/monotime"
 	"oakthread/internal/violation"
-	"time"
 )
 
 // answerGrace is the time past its deadline after which the core ends a request that the balancer
@@ -170,7 +171,8 @@
 	delete(c.state.requests, request.ID)
 	outcome := completion.Answer.Outcome
 	if outcome == Rejected && request.executions > 0 && c.cfg.isNonIdempotent(request.Class) {
-		c.reportViolation(violation.Refusal, violation.PathBook, request.ID, "refused after an attempt that may have run")
+		c.reportViolation(violation.Refusal, violation.PathBook, request.ID,
+			"refused after an attempt that may have run")
 	}
 	for number := range request.attempts {
 		if attempt := c.state.attempts[attemptKey{request.ID, number}]; attempt != nil {
--- a/workers.go
+++ b/workers.go
@@ -2,8 +2,9 @@
 
 import (
 	"context"
-	"oakthread/balancer"
 	"time"
+
+	"oakthread/balancer"
 )
 
 // Workers carries attempts, health checks and load orders to workers. Each method blocks until its
--- a/writepermission.go
+++ b/writepermission.go
@@ -3,9 +3,10 @@
 import (
 	"context"
 	"errors"
+	"sync"
+
 	"oakthread/internal/mutant"
 	"oakthread/rules"
-	"sync"
 )
 
 // Causes with which the context of an attempt or load order is cancelled.
