--- a/internal/daemon/consoledata.go
+++ b/internal/daemon/consoledata.go
@@ -10,44 +10,72 @@
 	"oakthread/internal/platform"
 )
 
-// figures gathers what the console tells beside the classes; the core's part waits no longer than ctx.
-func figures(ctx context.Context, core *oakthread.Core, front *platform.Server, r *reloaded) adminapi.Figures {
-	f := adminapi.Figures{Pending: front.Pending(), Reloads: r.taken.Load(), Fails: r.fails.Load()}
-	type look struct {
-		n       oakthread.Counters
-		ejected []balancer.WorkerID
+// answersByClass calls report with the served, rejected and failed requests of each class.
+func (d *daemon) answersByClass(report func(class string, served, rejected, failed int64)) {
+	d.server.Tally(func(class string, outcomes *platform.Outcomes) {
+		report(class, outcomes.Completed.Load(), outcomes.Rejected.Load(), outcomes.Failed.Load())
+	})
+}
+
+// consoleFigures returns the totals that the console shows besides the answers. Those of the core
+// are marked stale if it does not answer before ctx ends.
+func (d *daemon) consoleFigures(ctx context.Context) adminapi.Figures {
+	figures := adminapi.Figures{
+		Pending: d.server.Pending(),
+		Reloads: d.reloader.succeeded.Load(),
+		Fails:   d.reloader.failed.Load(),
 	}
-	got := make(chan look, 1)
-	go func() { got <- look{core.Counters(), core.Ejected()} }()
+	type coreFigures struct {
+		counters oakthread.Counters
+		ejected  []balancer.WorkerID
+	}
+	answer := make(chan coreFigures, 1)
+	go func() { answer <- coreFigures{d.core.Counters(), d.core.Ejected()} }() // ends when the core answers or closes
 	select {
-	case l := <-got:
-		// Attempts less those whose connection was refused.
-		f.Attempts, f.Ejected = l.n.Attempts-l.n.AttemptResults[balancer.ConnectFailed], l.ejected
+	case of := <-answer:
+		// Of an attempt whose connection failed, nothing was written.
+		figures.Attempts = of.counters.Attempts - of.counters.AttemptResults[balancer.ConnectFailed]
+		figures.Ejected = of.ejected
 	case <-ctx.Done():
-		f.Stale = true
+		figures.Stale = true
 	}
-	return f
+	return figures
 }
 
-// verdicts is what the core holds of each executor, in the console's form; false: it did not answer in time.
-func verdicts(ctx context.Context, core *oakthread.Core) ([]adminapi.Verdict, bool) {
-	got := make(chan []balancer.WorkerHealth, 1)
-	go func() { got <- core.WorkerHealth() }()
+// workerHealth returns the health of each worker in the form of the console, and false if the core
+// does not answer before ctx ends.
+func workerHealth(ctx context.Context, core *oakthread.Core) ([]adminapi.Verdict, bool) {
+	answer := make(chan []balancer.WorkerHealth, 1)
+	go func() { answer <- core.WorkerHealth() }() // ends when the core answers or closes
 	select {
-	case vs := <-got:
-		rows := make([]adminapi.Verdict, 0, len(vs))
-		for _, v := range vs {
-			row := adminapi.Verdict{
-				Executor: v.Worker, Zone: v.Zone, Verdict: v.State.Verdict, Evidence: v.Evidence, Served: v.Good, Failed: v.Bad, Pace: v.Pace,
-				Observers: [2]int{int(v.Word.Good), int(v.Word.Bad)}, WordAgeMS: -1, TrialInMS: time.Duration(v.TrialIn).Milliseconds(), Unreached: v.Unreachable,
-			}
-			if v.WordAge >= 0 {
-				row.WordAgeMS = time.Duration(v.WordAge).Milliseconds()
-			}
-			rows = append(rows, row)
+	case workers := <-answer:
+		rows := make([]adminapi.Verdict, 0, len(workers))
+		for _, worker := range workers {
+			rows = append(rows, consoleRow(worker))
 		}
 		return rows, true
 	case <-ctx.Done():
 		return nil, false
 	}
 }
+
+// consoleRow returns the health of a worker in the form of the console.
+func consoleRow(worker balancer.WorkerHealth) adminapi.Verdict {
+	row := adminapi.Verdict{
+		Executor:  worker.Worker,
+		Zone:      worker.Zone,
+		Verdict:   worker.Verdict,
+		Evidence:  worker.Evidence,
+		Served:    worker.Good,
+		Failed:    worker.Bad,
+		Pace:      worker.Pace,
+		Observers: [2]int{int(worker.Word.Good), int(worker.Word.Bad)},
+		WordAgeMS: -1,
+		TrialInMS: time.Duration(worker.TrialIn).Milliseconds(),
+		Unreached: worker.Unreachable,
+	}
+	if worker.WordAge >= 0 {
+		row.WordAgeMS = time.Duration(worker.WordAge).Milliseconds()
+	}
+	return row
+}
--- /dev/null
+++ b/internal/daemon/counters.go
@@ -0,0 +1,47 @@
+package daemon
+
+import (
+	"oakthread"
+	"oakthread/balancer"
+)
+
+// logCounters logs the counters of the core and of the parts around it.
+func (m *monitor) logCounters(counters oakthread.Counters) {
+	results := &counters.AttemptResults
+	unknownPeers, oversized := m.peers.Dropped()
+	m.log.Info("counts",
+		"taken", counters.Accepted,
+		"served", counters.Served,
+		"refused", counters.Rejected,
+		"failed", counters.Failed,
+		"timed_out", counters.TimedOut,
+		"abandoned", counters.Abandoned,
+		"turned_away", counters.RejectedByLimit,
+		"held_off", counters.RejectedByAdmission,
+		"attempts", counters.Attempts,
+		"full", results[balancer.QueueFull],
+		"moot", results[balancer.NotSent],
+		"cut", results[balancer.Reset],
+		"unreached", results[balancer.ConnectFailed],
+		"late", results[balancer.Timeout],
+		"errors", results[balancer.Error],
+		"called_off", results[balancer.Cancelled],
+		"orders", counters.LoadOrders,
+		"orders_held", counters.LoadOrdersWithheld,
+		"bad", m.server.Bad(),
+		"peers_unread", counters.InvalidPeerMessages,
+		"peers_long", oversized,
+		"peers_unknown", unknownPeers,
+		"accepts_failed", m.server.AcceptsFailed(),
+		"connects_failed", m.workers.Shortages(),
+		"list_writes_failed", m.failedCacheWrites(),
+		"violations", m.violations.Sum())
+}
+
+// failedCacheWrites returns the failed writes of the endpoint cache, or zero if there is none.
+func (m *monitor) failedCacheWrites() int64 {
+	if m.endpointCache == nil {
+		return 0
+	}
+	return m.endpointCache.FailedWrites()
+}
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -17,46 +17,62 @@
 	"oakthread/internal/platform"
 )
 
-// Guards the one signal for both: the configuration is read, and the webhook front is asked to read its keys, also where
-// it has yet to answer an earlier signal.
-func TestReloadDoesBoth(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "config.json")
-	require.NoError(t, os.WriteFile(path, []byte(`{"listen":"127.0.0.1:1","channel":"127.0.0.1:2","settings":{"categories":[{"name":"a","aim_ns":1}]}}`), 0o600))
-	getenv := func(k string) string {
-		if k == "ROUTER_CONFIG" {
-			return path
-		}
-		return ""
-	}
+// configFile returns the path of a configuration file with the given text, and the environment that
+// names it.
+func configFile(t *testing.T, text string) (path string, getenv func(string) string) {
+	t.Helper()
+	path = filepath.Join(t.TempDir(), "config.json")
+	writeFile(t, path, text)
+	return path, func(name string) string { return map[string]string{"ROUTER_CONFIG": path}[name] }
+}
+
+func writeFile(t *testing.T, path, text string) {
+	t.Helper()
+	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
+}
+
+// A signal reloads the configuration and asks the webhook server to read its keys, also if the
+// server has yet to do so after an earlier signal. Configurations that cannot be used are counted.
+func TestReloadReadsConfigurationAndWebhookKeys(t *testing.T) {
+	path, getenv := configFile(t, `{"listen":"127.0.0.1:1","channel":"127.0.0.1:2",`+
+		`"settings":{"categories":[{"name":"a","aim_ns":1}]}}`)
 	cfg, err := platform.Load(getenv)
 	require.NoError(t, err)
-	hup, keys := make(chan os.Signal), make(chan time.Time, 1)
-	log, end := io.Pipe()
-	said := bufio.NewScanner(log)
+	logReader, logWriter := io.Pipe()
+	logLines := bufio.NewScanner(logReader)
+	signals := make(chan os.Signal)
+	r := &reloader{
+		signals:     signals,
+		getenv:      getenv,
+		initial:     cfg,
+		watcher:     platform.NewChannel(cfg, slog.New(slog.DiscardHandler)),
+		webhookKeys: make(chan time.Time, 1),
+		log:         slog.New(slog.NewTextHandler(logWriter, nil)),
+	}
 	ctx, stop := context.WithCancel(t.Context())
-	done := make(chan bool)
-	var n reloaded
+	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		reload(ctx, hup, getenv, cfg, platform.NewChannel(cfg, slog.New(slog.DiscardHandler)), keys, &n, nil, slog.New(slog.NewTextHandler(end, nil)))
+		r.run(ctx)
 	}()
 	for range 2 {
-		hup <- syscall.SIGHUP
-		require.True(t, said.Scan())
-		assert.Contains(t, said.Text(), "configuration reloaded")
+		signals <- syscall.SIGHUP
+		require.True(t, logLines.Scan())
+		assert.Contains(t, logLines.Text(), "configuration reloaded")
 	}
-	assert.Len(t, keys, 1)
-	for _, broken := range []string{
-		"", `{"listen":"127.0.0.1:1","channel":"127.0.0.1:9"}`,
+	assert.Len(t, r.webhookKeys, 1)
+	for _, invalid := range []string{
+		"",
+		`{"listen":"127.0.0.1:1","channel":"127.0.0.1:9"}`,
 		`{"listen":"127.0.0.1:1","channel":"127.0.0.1:2","settings":{"categories":[{"name":"a","aim_ns":0}]}}`,
 	} {
-		require.NoError(t, os.WriteFile(path, []byte(broken), 0o600)) // turned down and counted
-		hup <- syscall.SIGHUP
-		require.True(t, said.Scan())
-		assert.Contains(t, said.Text(), "configuration not reloaded", broken)
+		writeFile(t, path, invalid)
+		signals <- syscall.SIGHUP
+		require.True(t, logLines.Scan())
+		assert.Contains(t, logLines.Text(), "configuration not reloaded", invalid)
 	}
 	stop()
 	<-done
-	assert.Equal(t, int64(2), n.taken.Load())
-	assert.Equal(t, int64(3), n.fails.Load())
+	assert.Equal(t, int64(2), r.succeeded.Load())
+	assert.Equal(t, int64(3), r.failed.Load())
 }
--- a/internal/daemon/endpointcache.go
+++ b/internal/daemon/endpointcache.go
@@ -1,35 +1,45 @@
 package daemon
 
 import (
-	"log/slog"
 	"time"
 
 	"oakthread"
 	"oakthread/endpoints"
 	"oakthread/internal/endpointcache"
 	"oakthread/internal/monotime"
-	"oakthread/internal/platform"
 )
 
-// keep opens the kept list that the operator's file asks for.
-func keep(o Options, cfg *platform.Config, fleet *platform.ExecutorPool, tell func(oakthread.EndpointUpdate), log *slog.Logger) *endpointcache.Syncer {
-	l, set := o.File.List, cfg.Setup.Decide()
-	ko := endpointcache.Options{Path: l.Path, Owner: cfg.Name, Util: cfg.Setup.Field("cpu"), Roster: endpoints.Config{
-		Seed:     cfg.Seed,
-		Siblings: max(l.Siblings, set.Dispatchers), Budget: l.Budget, ProbeRate: l.ProbeRate, MaxWait: l.MaxWait.Duration, Fresh: o.Fresh,
-	}}
-	if l.Siblings > 0 {
-		ko.Roster.Siblings = l.Siblings
+// newEndpointCache opens the cached endpoint list that the operator's file asks for. It starts with
+// the endpoints of the configuration.
+func (d *daemon) newEndpointCache() *endpointcache.Syncer {
+	list := d.options.File.List
+	settings := d.cfg.Setup.Decide()
+	dispatchers := list.Siblings
+	if dispatchers <= 0 {
+		dispatchers = max(dispatchers, settings.Dispatchers)
 	}
-	for _, c := range set.Classes {
-		ko.Aims = append(ko.Aims, time.Duration(c.LatencyObjective))
+	options := endpointcache.Options{
+		Path:  list.Path,
+		Owner: d.cfg.Name,
+		Util:  d.cfg.Setup.Field("cpu"),
+		Roster: endpoints.Config{
+			Seed:      d.cfg.Seed,
+			Siblings:  dispatchers,
+			Budget:    list.Budget,
+			ProbeRate: list.ProbeRate,
+			MaxWait:   list.MaxWait.Duration,
+			Fresh:     d.options.Fresh,
+		},
+	}
+	for _, class := range settings.Classes {
+		options.Aims = append(options.Aims, time.Duration(class.LatencyObjective))
 	}
 	now := monotime.Now()
-	k := endpointcache.NewKeeper(ko, fleet, tell, now, log)
+	cache := endpointcache.NewKeeper(options, d.workers, d.console.Listed, now, d.log)
 	var known []oakthread.EndpointUpdate
-	for _, ev := range cfg.Known {
-		known = append(known, ev.Roster)
+	for _, event := range d.cfg.Known {
+		known = append(known, event.Roster)
 	}
-	k.Known(now, cfg.Cursor, known)
-	return k
+	cache.Known(now, d.cfg.Cursor, known)
+	return cache
 }
--- /dev/null
+++ b/internal/daemon/http2options.go
@@ -0,0 +1,15 @@
+package daemon
+
+import (
+	"oakthread/internal/config"
+	"oakthread/internal/h2"
+)
+
+// http2Options returns the options of the HTTP/2 server that the operator's file asks for, or nil
+// if it asks for none.
+func http2Options(file *config.File) *h2.Options {
+	if file == nil || file.HTTP2 == nil {
+		return nil
+	}
+	return &h2.Options{Listen: file.HTTP2.Listen, Conns: file.HTTP2.Connections, Streams: file.HTTP2.Streams}
+}
--- a/internal/daemon/monitor.go
+++ b/internal/daemon/monitor.go
@@ -8,69 +8,94 @@
 	"time"
 
 	"oakthread"
-	"oakthread/balancer"
-	"oakthread/internal/endpointcache"
 	"oakthread/internal/monotime"
-	"oakthread/internal/platform"
-	"oakthread/internal/violation"
 )
 
-// faults is what counts troubles of the system's.
-type faults struct {
-	front  *platform.Server
-	fleet  *platform.ExecutorPool
-	keeper *endpointcache.Syncer // nil: no list is kept
-	found  *violation.Recorder
+const (
+	// monitorInterval is the time between two looks at the event loop and the clocks.
+	monitorInterval = time.Second
+	// counterInterval is the least time between two log lines of counters.
+	counterInterval = 10 * time.Second
+	// stallThreshold is the delay of the process or the event loop that is logged. Clients notice a
+	// delay this long.
+	stallThreshold = 300 * time.Millisecond
+	// clockStepThreshold is the step of the wall clock that is logged.
+	clockStepThreshold = 100 * time.Millisecond
+)
+
+// monitor logs the counters, stalls of the process and steps of the wall clock.
+type monitor struct {
+	parts
+	log *slog.Logger
+
+	logged     oakthread.Counters // as last logged
+	nextLog    time.Time
+	lastLook   time.Time
+	loggedStep time.Duration // of the wall clock since the start, as last logged
 }
 
-func (f faults) listWrites() int64 {
-	if f.keeper == nil {
-		return 0
-	}
-	return f.keeper.FailedWrites()
+// newMonitor returns a monitor of the parts of a daemon.
+func newMonitor(d *daemon) *monitor {
+	return &monitor{parts: d.parts, log: d.log}
 }
 
-// count logs the counters while calls come, and whether the process or the core's loop stood still.
-func count(ctx context.Context, core *oakthread.Core, front *platform.Server, peers *platform.PeerTransport, f faults, log *slog.Logger) {
-	t := time.NewTicker(lookEvery)
-	defer t.Stop()
-	var told oakthread.Counters
-	stepped := monotime.Step()
-	seen, next := time.Now(), time.Now().Add(countEvery)
+// run looks at the daemon at every interval until ctx ends.
+func (m *monitor) run(ctx context.Context) {
+	ticker := time.NewTicker(monitorInterval)
+	defer ticker.Stop()
+	m.loggedStep = monotime.Step()
+	m.lastLook = time.Now()
+	m.nextLog = time.Now().Add(counterInterval)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.C:
-		}
-		woke := time.Now()
-		n := core.Counters()
-		if at := monotime.Step(); at-stepped > stepTold || stepped-at > stepTold {
-			log.Warn("the wall clock was stepped", "by", at-stepped, "since_start", at)
-			stepped = at
-		}
-		if process, loop := woke.Sub(seen)-lookEvery, time.Since(woke); process > still || loop > still {
-			log.Warn("stood still", "process", process, "loop", loop)
-		}
-		if peers != nil && log.Enabled(ctx, slog.LevelDebug) {
-			v := core.FleetView()
-			likely := make([]float64, 0, len(v.Totals))
-			for _, t := range v.Totals {
-				likely = append(likely, math.Round(10*t.Likely)/10)
-			}
-			log.Debug("shared", "heard", v.Heard, "missing", v.Missing, "age", time.Duration(v.Age), "never", v.Never, "likely", fmt.Sprint(likely))
-		}
-		if seen = time.Now(); n != told && !seen.Before(next) {
-			told, next = n, seen.Add(countEvery)
-			strangers, long := peers.Dropped()
-			log.Info("counts", "taken", n.Accepted, "served", n.Served, "refused", n.Rejected, "failed", n.Failed,
-				"timed_out", n.TimedOut, "abandoned", n.Abandoned, "turned_away", n.RejectedByLimit, "held_off", n.RejectedByAdmission,
-				"attempts", n.Attempts, "full", n.AttemptResults[balancer.QueueFull], "moot", n.AttemptResults[balancer.NotSent], "cut", n.AttemptResults[balancer.Reset],
-				"unreached", n.AttemptResults[balancer.ConnectFailed], "late", n.AttemptResults[balancer.Timeout], "errors", n.AttemptResults[balancer.Error],
-				"called_off", n.AttemptResults[balancer.Cancelled], "orders", n.LoadOrders, "orders_held", n.LoadOrdersWithheld, "bad", front.Bad(),
-				"peers_unread", n.InvalidPeerMessages, "peers_long", long, "peers_unknown", strangers,
-				"accepts_failed", f.front.AcceptsFailed(), "connects_failed", f.fleet.Shortages(), "list_writes_failed", f.listWrites(),
-				"violations", f.found.Sum())
+		case <-ticker.C:
+			m.look(ctx)
 		}
 	}
 }
+
+// look logs what has changed since the last look.
+func (m *monitor) look(ctx context.Context) {
+	woken := time.Now()
+	counters := m.core.Counters()
+	m.detectClockStep()
+	m.detectStall(woken.Sub(m.lastLook)-monitorInterval, time.Since(woken))
+	if m.peers != nil && m.log.Enabled(ctx, slog.LevelDebug) {
+		m.logFleetView()
+	}
+	m.lastLook = time.Now()
+	if counters != m.logged && !m.lastLook.Before(m.nextLog) {
+		m.logged, m.nextLog = counters, m.lastLook.Add(counterInterval)
+		m.logCounters(counters)
+	}
+}
+
+// detectClockStep logs a step of the wall clock.
+func (m *monitor) detectClockStep() {
+	step := monotime.Step()
+	if (step - m.loggedStep).Abs() > clockStepThreshold {
+		m.log.Warn("wall clock stepped", "step", step-m.loggedStep, "since_start", step)
+		m.loggedStep = step
+	}
+}
+
+// detectStall logs a stall of the process, which woke late, or of the event loop, which answered
+// late.
+func (m *monitor) detectStall(processDelay, loopDelay time.Duration) {
+	if processDelay > stallThreshold || loopDelay > stallThreshold {
+		m.log.Warn("event loop stalled", "process_delay", processDelay, "loop_delay", loopDelay)
+	}
+}
+
+// logFleetView logs the aggregated load of all dispatchers.
+func (m *monitor) logFleetView() {
+	view := m.core.FleetView()
+	likely := make([]float64, 0, len(view.Totals))
+	for _, total := range view.Totals {
+		likely = append(likely, math.Round(10*total.Likely)/10)
+	}
+	m.log.Debug("shared", "heard", view.Heard, "missing", view.Missing, "age", time.Duration(view.Age),
+		"never", view.Never, "likely", fmt.Sprint(likely))
+}
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -10,40 +10,81 @@
 	"oakthread/internal/platform"
 )
 
-// reload reads the configuration anew at each signal and moves the command channel where its address has changed; the
-// webhook front reads its keys. A file that cannot be used changes nothing. Guards against an end by SIGHUP.
-func reload(ctx context.Context, hup <-chan os.Signal, getenv func(string) string, first *platform.Config, channel *platform.EndpointWatcher, keys chan<- time.Time, n *reloaded, retune func(*platform.Config) error, log *slog.Logger) {
-	at := first.Channel
+// reloader reads the configuration again at each signal. A file that cannot be used changes
+// nothing.
+type reloader struct {
+	signals <-chan os.Signal
+	getenv  func(string) string
+	initial *platform.Config // of the start, which a reloaded one has to fit
+	watcher *platform.EndpointWatcher
+	// webhookKeys asks the webhook server to read its keys again.
+	webhookKeys chan time.Time
+	// apply puts the classes and the number of attempts of a reloaded configuration in force; nil
+	// applies none.
+	apply func(*platform.Config) error
+	log   *slog.Logger
+
+	succeeded, failed atomic.Int64 // reloads so far
+}
+
+// newReloader returns the reloader of a daemon, which as yet applies no classes.
+func newReloader(d *daemon) *reloader {
+	return &reloader{
+		signals:     d.options.Hup,
+		getenv:      d.options.Getenv,
+		initial:     d.cfg,
+		watcher:     d.watcher,
+		webhookKeys: make(chan time.Time, 1),
+		log:         d.log,
+	}
+}
+
+// run reloads at each signal until ctx ends.
+func (r *reloader) run(ctx context.Context) {
+	watched := r.initial.Channel
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-hup:
-		}
-		select {
-		case keys <- time.Now():
-		default: // it has yet to read them after an earlier signal
-		}
-		cfg, err := platform.Load(getenv)
-		if err == nil {
-			err = cfg.Fits(first)
-		}
-		if err == nil && retune != nil {
-			err = retune(cfg)
+		case <-r.signals:
 		}
+		r.reloadWebhookKeys()
+		cfg, err := r.reload()
 		if err != nil {
-			n.fails.Add(1)
-			log.Error("configuration not reloaded, the old one stays", "file", getenv("ROUTER_CONFIG"), "err", err)
+			r.failed.Add(1)
+			r.log.Error("configuration not reloaded, the old one stays",
+				"file", r.getenv("ROUTER_CONFIG"), "error", err)
 			continue
 		}
-		n.taken.Add(1)
-		log.Info("configuration reloaded", "channel", cfg.Channel)
-		if cfg.Channel != at {
-			at = cfg.Channel
-			channel.Move(at)
+		r.succeeded.Add(1)
+		r.log.Info("configuration reloaded", "channel", cfg.Channel)
+		if cfg.Channel != watched {
+			watched = cfg.Channel
+			r.watcher.Move(watched)
 		}
 	}
 }
 
-// reloaded counts the files taken and turned down at SIGHUP.
-type reloaded struct{ taken, fails atomic.Int64 }
+// reloadWebhookKeys asks the webhook server to read its keys, unless it has yet to do so after an
+// earlier signal.
+func (r *reloader) reloadWebhookKeys() {
+	select {
+	case r.webhookKeys <- time.Now():
+	default:
+	}
+}
+
+// reload reads the configuration and applies its classes.
+func (r *reloader) reload() (*platform.Config, error) {
+	cfg, err := platform.Load(r.getenv)
+	if err != nil {
+		return nil, err
+	}
+	if err := cfg.Fits(r.initial); err != nil {
+		return nil, err
+	}
+	if r.apply == nil {
+		return cfg, nil
+	}
+	return cfg, r.apply(cfg)
+}
--- /dev/null
+++ b/internal/daemon/start.go
@@ -0,0 +1,103 @@
+package daemon
+
+import (
+	"context"
+	"fmt"
+	"net"
+
+	"oakthread"
+	"oakthread/endpoints"
+	"oakthread/internal/h2"
+	"oakthread/internal/platform"
+)
+
+// start opens the listeners and starts the goroutines of the daemon. It returns the listener for
+// clients, which serve uses. The webhook and HTTP/2 servers end with ctx and report it on their
+// channels; the rest ends with d.background.
+func (d *daemon) start(ctx context.Context) (net.Listener, error) {
+	listener, err := platform.ListenThrough(ctx, d.options.Network, d.cfg.Listen)
+	if err != nil {
+		return nil, fmt.Errorf("configuration: listen: %w", err)
+	}
+	d.startEndpointWatch()
+	if d.peers != nil {
+		go func() { _ = d.peers.Listen(d.background, d.core.HandlePeerMessage) }()
+	}
+	d.reloader = newReloader(d)
+	if err := d.startWebhooks(ctx); err != nil {
+		return nil, err
+	}
+	d.server = platform.NewFront(d.core, d.cfg.Setup)
+	d.server.Gate = d.console.Ready
+	d.server.Violated = d.recordViolation
+	d.reloader.apply = newClassTuner(d.cfg, d.core, d.server, d.workers).apply
+	go d.reloader.run(d.background)
+	if err := d.startConsole(ctx); err != nil {
+		return nil, err
+	}
+	go newMonitor(d).run(d.background)
+	if err := d.startHTTP2(ctx); err != nil {
+		return nil, err
+	}
+	return listener, nil
+}
+
+// startEndpointWatch starts to follow the endpoint list, through the endpoint cache if there is
+// one. close waits for the cache.
+func (d *daemon) startEndpointWatch() {
+	d.watcher = platform.NewChannel(d.cfg, d.log)
+	d.watcher.Through(d.options.Network)
+	if d.endpointCache == nil {
+		go func() { _ = oakthread.EndpointWatcher(d.watcher).Watch(d.background, d.console.Listed) }()
+		return
+	}
+	addrs := d.options.File.List.Discovery
+	if len(addrs) == 0 && d.cfg.Channel != "" {
+		addrs = []string{d.cfg.Channel}
+	}
+	dialer := endpoints.NewDialer(addrs, d.cfg.Seed)
+	d.watcher.Keep(d.endpointCache.Cursor(), d.endpointCache.Epoch(), dialer)
+	d.cacheClosed = make(chan struct{})
+	go func() {
+		defer close(d.cacheClosed)
+		d.endpointCache.Run(d.background)
+	}()
+	go func() { _ = d.watcher.Follow(d.background, d.endpointCache) }()
+}
+
+// startConsole starts the operators' console, if the configuration names an address for it.
+func (d *daemon) startConsole(ctx context.Context) error {
+	if d.cfg.Console == "" {
+		return nil
+	}
+	listener, err := platform.Listen(ctx, d.cfg.Console)
+	if err != nil {
+		return fmt.Errorf("configuration: console: %w", err)
+	}
+	d.log.Info("console: serving", "listen", d.cfg.Console)
+	go func() {
+		if err := d.console.Serve(d.background, listener); err != nil {
+			d.log.Error("console: ended", "error", err)
+		}
+	}()
+	return nil
+}
+
+// startHTTP2 starts the HTTP/2 server, if the operator's file asks for it. Its end comes on
+// d.http2Ended.
+func (d *daemon) startHTTP2(ctx context.Context) error {
+	options := http2Options(d.options.File)
+	if options == nil {
+		d.http2Ended <- nil
+		return nil
+	}
+	listener, err := platform.Listen(ctx, options.Listen)
+	if err != nil {
+		return fmt.Errorf("http2: %w", err)
+	}
+	d.log.Info("http2: serving", "listen", options.Listen)
+	go func() {
+		d.http2Ended <- h2.Serve(ctx, listener, d.server, *options, linger, d.drainTimeout(), d.log)
+	}()
+	return nil
+}
--- a/internal/daemon/webhooks.go
+++ b/internal/daemon/webhooks.go
@@ -3,38 +3,57 @@
 import (
 	"context"
 	"fmt"
-	"log/slog"
 	"time"
 
-	"oakthread"
 	"oakthread/internal/platform"
 	"oakthread/webhook"
 )
 
-// serveHooks opens the webhook front and serves it until ctx ends; its end comes on ended.
-func serveHooks(ctx context.Context, o *webhook.Options, cfg *platform.Config, core *oakthread.Core, reload <-chan time.Time, ended chan<- error, log *slog.Logger) (*webhook.Front, error) {
-	var classes []webhook.Class
-	for i, c := range cfg.Setup.Decide().Classes {
-		classes = append(classes, webhook.Class{Name: cfg.Setup.Categories[i].Name, GiveUp: time.Duration(c.ClientTimeout), Effect: c.Idempotency})
-	}
-	var tenants []string
-	for _, c := range cfg.Setup.Customers {
-		tenants = append(tenants, c.Name)
+// startWebhooks opens the webhook server, if the options ask for it, and serves it until ctx ends.
+// Its end comes on d.webhooksEnded.
+func (d *daemon) startWebhooks(ctx context.Context) error {
+	options := d.options.Webhooks
+	if options == nil {
+		d.webhooksEnded <- nil
+		return nil
 	}
-	hooks, err := webhook.Open(o, core, classes, tenants, nil, log)
+	front, err := webhook.Open(options, d.core, webhookClasses(d.cfg), tenantNames(d.cfg), nil, d.log)
 	if err != nil {
-		return nil, err
+		return err
 	}
-	ln, err := platform.Listen(ctx, o.Listen)
+	listener, err := platform.Listen(ctx, options.Listen)
 	if err != nil {
-		return nil, fmt.Errorf("webhooks: %w", err)
+		return fmt.Errorf("webhooks: %w", err)
 	}
+	d.webhooks = front
 	go func() {
-		err := hooks.Serve(ctx, ln, reload)
+		err := front.Serve(ctx, listener, d.reloader.webhookKeys)
 		if err != nil {
-			log.Error("webhooks: front ended", "err", err)
+			d.log.Error("webhooks: front ended", "error", err)
 		}
-		ended <- err
+		d.webhooksEnded <- err
 	}()
-	return hooks, nil
+	return nil
+}
+
+// webhookClasses returns the classes of the configuration as the webhook server needs them.
+func webhookClasses(cfg *platform.Config) []webhook.Class {
+	var classes []webhook.Class
+	for i, class := range cfg.Setup.Decide().Classes {
+		classes = append(classes, webhook.Class{
+			Name:   cfg.Setup.Categories[i].Name,
+			GiveUp: time.Duration(class.ClientTimeout),
+			Effect: class.Idempotency,
+		})
+	}
+	return classes
+}
+
+// tenantNames returns the names of the tenants by their index.
+func tenantNames(cfg *platform.Config) []string {
+	var names []string
+	for _, customer := range cfg.Setup.Customers {
+		names = append(names, customer.Name)
+	}
+	return names
 }
