--- /dev/null
+++ b/loadorderlimiter_test.go
@@ -0,0 +1,63 @@
+package oakthread
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"oakthread/rules"
+)
+
+// atMillis returns a time so many milliseconds into the test.
+func atMillis(ms int) time.Time {
+	return time.Unix(100, 0).Add(time.Duration(ms) * time.Millisecond)
+}
+
+// Load orders stay within the quota when they are given and when their first byte is written, and name only functions that
+// have been requested.
+func TestOrdersAreRationed(t *testing.T) {
+	t.Run("when given", func(t *testing.T) {
+		limiter := loadOrderLimiter{window: 5 * time.Second, quota: rules.LoadQuota{Base: 2, Ratio: 0.5}}
+		for _, order := range []struct {
+			ms, requests int
+			allowed      bool
+		}{
+			{0, 0, true}, {1, 0, true}, {2, 0, false}, {3, 2, true}, {4, 0, false}, {5100, 0, false}, {5400, 0, true},
+		} {
+			for range order.requests {
+				limiter.count(atMillis(order.ms))
+			}
+			assert.Equal(t, order.allowed, limiter.reserve(atMillis(order.ms)) != nil, "after %d ms", order.ms)
+		}
+	})
+	t.Run("when written", func(t *testing.T) {
+		limiter := loadOrderLimiter{window: 5 * time.Second, quota: rules.LoadQuota{Base: 1, Ratio: 0.5}}
+		limiter.count(atMillis(2))
+		limiter.count(atMillis(0)) // counted late, since its function was not known before
+		assert.Equal(t, []time.Time{atMillis(0), atMillis(2)}, limiter.requests)
+		first, late := limiter.reserve(atMillis(4000)), limiter.reserve(atMillis(4000))
+		require.NotNil(t, first)
+		require.NotNil(t, late)
+		assert.True(t, limiter.write(first, atMillis(4100)))
+		assert.False(t, limiter.write(late, atMillis(5000)), "the requests that allowed it have left the window")
+		limiter.release(late)
+		assert.Nil(t, limiter.reserve(atMillis(5000)))
+		limiter.release(first)
+		assert.NotNil(t, limiter.reserve(atMillis(5000)))
+		assert.True(t, limiter.write(nil, atMillis(5000)), "an order of zero copies is not limited")
+		limiter.count(atMillis(60_000))
+		assert.Len(t, limiter.requests, 1, "requests that have left the window are forgotten")
+	})
+	t.Run("for requested functions only", func(t *testing.T) {
+		workers := newFakeWorkers()
+		core := newTestCore(t, workers, nil)
+		core.post(func() {
+			host{core}.OrderLoad(1, 99, 1)
+			host{core}.OrderUnload(1, 99)
+		})
+		assert.Equal(t, int64(1), core.Counters().LoadOrdersWithheld)
+		assert.Empty(t, workers.orders)
+	})
+}
--- /dev/null
+++ b/writepermission_test.go
@@ -0,0 +1,53 @@
+package oakthread
+
+import (
+	"context"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// A caller leaves while the event loop is busy and has not seen it: the write of its attempt is denied all the same.
+func TestWriteIsDeniedAfterCallerLeft(t *testing.T) {
+	workers := &blockedWorkers{newFakeWorkers(), make(chan struct{}), make(chan bool, 4)}
+	loopBlocked, unblockLoop := make(chan struct{}), make(chan struct{})
+	core := newTestCore(t, workers.fakeWorkers, func(cfg *Config) {
+		cfg.Workers = workers
+		cfg.Completed = func(completion Completion) {
+			if completion.Request.ID == "blocks the loop" {
+				loopBlocked <- struct{}{}
+				<-unblockLoop
+			}
+		}
+	})
+	ctx, leave := context.WithCancel(t.Context())
+	ended := make(chan error, 1)
+	go func() {
+		_, err := core.Do(ctx, testRequest("a"))
+		ended <- err
+	}()
+	<-workers.sent
+	blocking := testRequest("blocks the loop")
+	blocking.Deadline = time.Now().Add(-time.Second) // completes at once
+	go func() { _, _ = core.Do(t.Context(), blocking) }()
+	<-loopBlocked
+	leave()
+	require.ErrorIs(t, <-ended, context.Canceled)
+	close(workers.unblock)
+	assert.False(t, <-workers.allowed, "written for a caller that has left")
+	unblockLoop <- struct{}{}
+	assert.Zero(t, core.Counters().Served)
+}
+
+// A revocation after the first byte does not cancel the attempt, but denies the write on another connection.
+func TestRevocationAfterFirstByte(t *testing.T) {
+	permission := &writePermission{
+		caller: t.Context(),
+		cancel: func(error) { t.Error("cancelled after the first byte") },
+	}
+	require.True(t, permission.begin())
+	permission.revoke()
+	assert.False(t, permission.begin(), "asked again for another connection")
+}
