--- a/clock_test.go
+++ b/clock_test.go
@@ -15,82 +15,105 @@
 	"github.com/stretchr/testify/require"
 )
 
-// slowWorkers answer each attempt after some time, or never where it is silent.
+// slowWorkers answer each attempt after a delay, or never if they are silent.
 type slowWorkers struct {
-	takes  time.Duration
+	delay  time.Duration
 	silent bool
 }
 
-func (w slowWorkers) Send(ctx context.Context, a Attempt) Reply {
-	if !a.BeforeWrite() {
+func (w slowWorkers) Send(ctx context.Context, attempt Attempt) Reply {
+	if !attempt.BeforeWrite() {
 		return Reply{Result: balancer.NotSent}
 	}
-	wait := time.After(w.takes)
+	answer := time.After(w.delay)
 	if w.silent {
-		wait = nil
+		answer = nil
 	}
 	select {
-	case <-wait:
-		return Reply{Result: balancer.OK, Warmth: balancer.WarmHit, Body: []byte(a.Request.ID)}
+	case <-answer:
+		return Reply{Result: balancer.OK, Warmth: balancer.WarmHit, Body: []byte(attempt.Request.ID)}
 	case <-ctx.Done():
 		return Reply{Result: balancer.Timeout}
 	}
 }
+
 func (w slowWorkers) HealthCheck(context.Context, Endpoint) Reply { return Reply{Result: balancer.OK} }
+
 func (w slowWorkers) Load(context.Context, LoadOrder) Reply {
 	return Reply{Result: balancer.OK, Copies: 1}
 }
+
 func (w slowWorkers) Unload(context.Context, LoadOrder)  {}
 func (w slowWorkers) CloseConnections(balancer.WorkerID) {}
 
-// A step of the wall clock, either way and with calls in hand, changes nothing: calls are served as
-// before, and one that a worker never answers ends at its deadline.
+// clientTimeout is the deadline of the requests of the clock tests.
+const clientTimeout = 2 * time.Second
+
+// newCoreOf returns a Core with one active worker.
+func newCoreOf(t *testing.T, workers Workers) *Core {
+	t.Helper()
+	core, err := New(Config{Workers: workers, Settings: balancer.Settings{
+		Classes: []balancer.Class{{
+			LatencyObjective: int64(400 * time.Millisecond),
+			ClientTimeout:    int64(clientTimeout),
+			PriorityWeight:   1,
+			Idempotency:      balancer.NotIdempotent,
+		}},
+		MaxAttempts:     3,
+		ClockResolution: int64(4 * time.Millisecond),
+	}})
+	require.NoError(t, err)
+	t.Cleanup(core.Close)
+	core.UpdateEndpoints(EndpointUpdate{Kind: balancer.EndpointsSnapshot, Endpoints: []Endpoint{
+		{ID: 1, Addr: "127.0.0.1:1", State: balancer.Active, Weight: 1},
+	}})
+	return core
+}
+
+// timedAnswer is an answer and the time that it took.
+type timedAnswer struct {
+	Answer
+
+	took time.Duration
+}
+
+// timedRequest sends a request and waits for its answer.
+func timedRequest(t *testing.T, core *Core, id string) timedAnswer {
+	t.Helper()
+	began := time.Now()
+	answer, err := core.Do(t.Context(), Request{ID: id, Tenant: -1, Func: 1, Deadline: began.Add(clientTimeout)})
+	assert.NoError(t, err)
+	return timedAnswer{answer, time.Since(began)}
+}
+
+// A step of the wall clock in either direction, with a request in flight, changes nothing: requests
+// are served as before, and one that a worker never answers ends at its deadline.
 func TestStepsOfTheWallClock(t *testing.T) {
 	const (
-		patience = 2 * time.Second
-		takes    = 10 * time.Millisecond
-		slack    = 500 * time.Millisecond
+		delay = 10 * time.Millisecond
+		slack = 500 * time.Millisecond
 	)
-	for _, by := range []time.Duration{-time.Hour, -5 * time.Second, 5 * time.Second, time.Hour} {
-		t.Run(by.String(), func(t *testing.T) {
+	for _, step := range []time.Duration{-time.Hour, -5 * time.Second, 5 * time.Second, time.Hour} {
+		t.Run(step.String(), func(t *testing.T) {
 			t.Cleanup(func() { require.NoError(t, wallclock.Set(0)) })
-			classes := []balancer.Class{{LatencyObjective: int64(400 * time.Millisecond), ClientTimeout: int64(patience), PriorityWeight: 1, Idempotency: balancer.NotIdempotent}}
-			served, err := New(Config{Workers: slowWorkers{takes: takes}, Settings: balancer.Settings{Classes: classes, MaxAttempts: 3, ClockResolution: int64(4 * time.Millisecond)}})
-			require.NoError(t, err)
-			defer served.Close()
-			silent, err := New(Config{Workers: slowWorkers{silent: true}, Settings: balancer.Settings{Classes: classes, MaxAttempts: 3, ClockResolution: int64(4 * time.Millisecond)}})
-			require.NoError(t, err)
-			defer silent.Close()
-			for _, c := range []*Core{served, silent} {
-				c.UpdateEndpoints(EndpointUpdate{Kind: balancer.EndpointsSnapshot, Endpoints: []Endpoint{{ID: 1, Addr: "127.0.0.1:1", State: balancer.Active, Weight: 1}}})
-			}
-			ask := func(c *Core, id string) (Answer, time.Duration) {
-				begun := time.Now()
-				a, err := c.Do(t.Context(), Request{ID: id, Tenant: -1, Func: 1, Deadline: begun.Add(patience)})
-				require.NoError(t, err)
-				return a, time.Since(begun)
-			}
+			served := newCoreOf(t, slowWorkers{delay: delay})
+			silent := newCoreOf(t, slowWorkers{silent: true})
 			for i := range 5 {
-				a, _ := ask(served, fmt.Sprintf("before %d", i))
-				require.Equal(t, Served, a.Outcome)
-			}
-			type end struct {
-				a    Answer
-				took time.Duration
+				require.Equal(t, Served, timedRequest(t, served, fmt.Sprintf("before %d", i)).Outcome)
 			}
-			inHand := make(chan end, 1)
-			go func() { a, took := ask(silent, "in hand"); inHand <- end{a, took} }()
-			for silent.Counters().Attempts == 0 { // until it is out
+			inFlight := make(chan timedAnswer, 1)
+			go func() { inFlight <- timedRequest(t, silent, "in flight") }()
+			for silent.Counters().Attempts == 0 { // until it is sent
 			}
-			require.NoError(t, wallclock.Set(by))
+			require.NoError(t, wallclock.Set(step))
 			for i := range 20 {
-				a, took := ask(served, fmt.Sprintf("after %d", i))
-				assert.Equal(t, Served, a.Outcome)
-				assert.Less(t, took, slack)
+				answer := timedRequest(t, served, fmt.Sprintf("after %d", i))
+				assert.Equal(t, Served, answer.Outcome)
+				assert.Less(t, answer.took, slack)
 			}
-			e := <-inHand
-			assert.Equal(t, TimedOut, e.a.Outcome)
-			assert.InDelta(t, patience, e.took, float64(slack))
+			unanswered := <-inFlight
+			assert.Equal(t, TimedOut, unanswered.Outcome)
+			assert.InDelta(t, clientTimeout, unanswered.took, float64(slack))
 		})
 	}
 }
--- a/core_test.go
+++ b/core_test.go
@@ -28,8 +28,8 @@
 	assert.True(t, core.Ready())
 }
 
-// After an update no attempt, retry or load order goes to a worker that drains, and the connections to one that is removed
-// are closed.
+// After an update no attempt, retry or load order goes to a worker that drains, and the connections
+// to one that is removed are closed.
 func TestDrainReachesSendsRetriesAndOrders(t *testing.T) {
 	workers := newFakeWorkers()
 	core := newTestCore(t, workers, nil)
@@ -53,8 +53,8 @@
 	assert.Equal(t, balancer.WorkerID(2), <-workers.closed, "connections of a removed worker stay open")
 }
 
-// A class that is added binds new requests by its own rules: an idempotent one is sent again after a reset, where a
-// request of the first class, which may have run, fails.
+// A class that is added binds new requests by its own rules: an idempotent one is sent again after
+// a reset, where a request of the first class, which may have run, fails.
 func TestAddedClassBindsNewRequests(t *testing.T) {
 	workers := newFakeWorkers()
 	core := newTestCore(t, workers, nil)
@@ -77,8 +77,8 @@
 	assert.Equal(t, Failed, answer.Outcome, "a request of the first class may have run and is not repeated")
 }
 
-// Messages that are cut, of another version, from an unknown dispatcher or about unlisted workers are counted and change
-// nothing: the next request is served.
+// Messages that are cut, of another version, from an unknown dispatcher or about unlisted workers
+// are counted and change nothing: the next request is served.
 func TestInvalidPeerMessagesAreCounted(t *testing.T) {
 	workers := newFakeWorkers()
 	core := newTestCore(t, workers, func(cfg *Config) {
@@ -109,8 +109,8 @@
 	assert.Equal(t, Served, answer.Outcome)
 }
 
-// Config.Admit rejects a request with a Retry-After before any worker sees it, and Config.Observed sees the end of each
-// attempt.
+// Config.Admit rejects a request with a Retry-After before any worker sees it, and Config.Observed
+// sees the end of each attempt.
 func TestAdmitRejectsAndObservedSeesAttempts(t *testing.T) {
 	workers := newFakeWorkers()
 	admits, observed := true, make(chan Observation, 4)
--- a/loadorderlimiter_test.go
+++ b/loadorderlimiter_test.go
@@ -15,8 +15,8 @@
 	return time.Unix(100, 0).Add(time.Duration(ms) * time.Millisecond)
 }
 
-// Load orders stay within the quota when they are given and when their first byte is written, and name only functions that
-// have been requested.
+// Load orders stay within the quota when they are given and when their first byte is written, and
+// name only functions that have been requested.
 func TestOrdersAreRationed(t *testing.T) {
 	t.Run("when given", func(t *testing.T) {
 		limiter := loadOrderLimiter{window: 5 * time.Second, quota: rules.LoadQuota{Base: 2, Ratio: 0.5}}
--- a/middleware/echomw/echomw.go
+++ b/middleware/echomw/echomw.go
@@ -1,6 +1,4 @@
-// Package echomw is the middleware for the Echo framework.
-//
-// It owns the translation between the two kinds of middleware and must never do more than that.
+// Package echomw adapts package middleware to the Echo framework.
 package echomw
 
 import (
@@ -9,7 +7,7 @@
 	"oakthread/middleware"
 )
 
-// Dispatch sends the requests that read makes calls of to the core; Echo's other handlers get the rest.
+// Dispatch returns middleware.Dispatch as Echo middleware.
 func Dispatch(core middleware.Doer, read middleware.Reader) echo.MiddlewareFunc {
 	return echo.WrapMiddleware(middleware.Dispatch(core, read))
 }
--- a/middleware/middleware.go
+++ b/middleware/middleware.go
@@ -1,7 +1,5 @@
-// Package middleware puts the core into a program's own HTTP server: requests that are calls go to a worker, all
-// others pass on.
-//
-// It owns nothing but the passage; it must never read a body that it passes on.
+// Package middleware adds a dispatcher to an HTTP server: requests that call a function are
+// dispatched to a worker, all others pass on to the next handler unread.
 package middleware
 
 import (
@@ -13,31 +11,34 @@
 	"oakthread/internal/httpreply"
 )
 
-// Doer is the Core as the middleware sees it.
+// Doer dispatches a request. It is implemented by oakthread.Core.
 type Doer interface {
-	Do(ctx context.Context, q oakthread.Request) (oakthread.Answer, error)
+	Do(ctx context.Context, request oakthread.Request) (oakthread.Answer, error)
 }
 
-// ErrPass says that a request is no call: it goes to the next handler.
+// ErrPass is returned by a Reader for an HTTP request that calls no function. It passes to the next
+// handler.
 var ErrPass = errors.New("middleware: not a call")
 
-// Reader makes a call of a request. ErrPass passes it on; any other error is answered with 400.
+// Reader makes a request to dispatch from an HTTP request. ErrPass passes the HTTP request on; any
+// other error is answered with status 400 and the text of the error.
 type Reader func(r *http.Request) (oakthread.Request, error)
 
-// Dispatch is the middleware. A caller that leaves gives its call up.
+// Dispatch returns the middleware. A request is abandoned when its client closes the connection.
 func Dispatch(core Doer, read Reader) func(http.Handler) http.Handler {
 	return func(next http.Handler) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			q, err := read(r)
-			switch {
-			case errors.Is(err, ErrPass):
+			request, err := read(r)
+			if errors.Is(err, ErrPass) {
 				next.ServeHTTP(w, r)
-			case err != nil:
+				return
+			}
+			if err != nil {
 				http.Error(w, err.Error(), http.StatusBadRequest)
-			default:
-				a, err := core.Do(r.Context(), q)
-				httpreply.Write(w, a, err)
+				return
 			}
+			answer, err := core.Do(r.Context(), request)
+			httpreply.Write(w, answer, err)
 		})
 	}
 }
--- a/middleware/middleware_test.go
+++ b/middleware/middleware_test.go
@@ -17,51 +17,63 @@
 	"oakthread/middleware/echomw"
 )
 
-type core struct {
-	a   oakthread.Answer
-	err error
+// fakeCore gives every request the same answer.
+type fakeCore struct {
+	answer oakthread.Answer
+	err    error
 }
 
-func (c core) Do(context.Context, oakthread.Request) (oakthread.Answer, error) { return c.a, c.err }
+func (c fakeCore) Do(context.Context, oakthread.Request) (oakthread.Answer, error) {
+	return c.answer, c.err
+}
 
+// read dispatches calls of /call, finds those of /invalid malformed and passes on all others.
 func read(r *http.Request) (oakthread.Request, error) {
 	switch r.URL.Path {
 	case "/call":
 		return oakthread.Request{ID: "a"}, nil
-	case "/odd":
-		return oakthread.Request{}, errors.New("odd")
+	case "/invalid":
+		return oakthread.Request{}, errors.New("invalid")
 	}
 	return oakthread.Request{}, middleware.ErrPass
 }
 
-// Guards the table of answers, the same through net/http and through Echo, and that other requests pass on.
-func TestAnswers(t *testing.T) {
-	for _, c := range []struct {
-		path string
-		core core
-		want string
+// Answers and errors have the same HTTP responses through net/http and through Echo, and other
+// requests pass on.
+func TestResponseOfEachAnswer(t *testing.T) {
+	for _, test := range []struct {
+		name, path string
+		core       fakeCore
+		want       string // status, body and Retry-After
 	}{
-		{"/call", core{a: oakthread.Answer{Body: []byte("out")}}, "200 out "},
-		{"/call", core{a: oakthread.Answer{Outcome: oakthread.Rejected, RetryAfter: 1100 * time.Millisecond}}, "503  2"},
-		{"/call", core{a: oakthread.Answer{Outcome: oakthread.Rejected}}, "503  "},
-		{"/call", core{a: oakthread.Answer{Outcome: oakthread.Failed}}, "502  "},
-		{"/call", core{a: oakthread.Answer{Outcome: oakthread.TimedOut}}, "504  "},
-		{"/call", core{err: oakthread.ErrDuplicate}, "409  "},
-		{"/call", core{err: oakthread.ErrInvalid}, "400  "},
-		{"/call", core{err: oakthread.ErrClosed}, "502  "},
-		{"/odd", core{}, "400 odd\n "},
-		{"/other", core{}, "200 next "},
+		{"served", "/call", fakeCore{answer: oakthread.Answer{Body: []byte("out")}}, "200 out "},
+		{
+			"rejected with Retry-After", "/call",
+			fakeCore{answer: oakthread.Answer{Outcome: oakthread.Rejected, RetryAfter: 1100 * time.Millisecond}},
+			"503  2",
+		},
+		{"rejected", "/call", fakeCore{answer: oakthread.Answer{Outcome: oakthread.Rejected}}, "503  "},
+		{"failed", "/call", fakeCore{answer: oakthread.Answer{Outcome: oakthread.Failed}}, "502  "},
+		{"timed out", "/call", fakeCore{answer: oakthread.Answer{Outcome: oakthread.TimedOut}}, "504  "},
+		{"duplicate", "/call", fakeCore{err: oakthread.ErrDuplicate}, "409  "},
+		{"invalid request", "/call", fakeCore{err: oakthread.ErrInvalid}, "400  "},
+		{"closed", "/call", fakeCore{err: oakthread.ErrClosed}, "502  "},
+		{"malformed call", "/invalid", fakeCore{}, "400 invalid\n "},
+		{"no call", "/other", fakeCore{}, "200 next "},
 	} {
-		plain := middleware.Dispatch(c.core, read)(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		plain := middleware.Dispatch(test.core, read)(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			fmt.Fprint(w, "next")
 		}))
-		e := echo.New()
-		e.Use(echomw.Dispatch(c.core, read))
-		e.GET("/*", func(c echo.Context) error { return c.String(200, "next") })
-		for _, h := range []http.Handler{plain, e} {
-			w := httptest.NewRecorder()
-			h.ServeHTTP(w, httptest.NewRequest("GET", c.path, nil))
-			assert.Equal(t, c.want, fmt.Sprintf("%d %s %s", w.Code, w.Body, w.Header().Get("Retry-After")), "%T", h)
+		router := echo.New()
+		router.Use(echomw.Dispatch(test.core, read))
+		router.GET("/*", func(c echo.Context) error { return c.String(http.StatusOK, "next") })
+		for framework, handler := range map[string]http.Handler{"net/http": plain, "echo": router} {
+			t.Run(test.name+"/"+framework, func(t *testing.T) {
+				recorder := httptest.NewRecorder()
+				handler.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, test.path, nil))
+				retryAfter := recorder.Header().Get("Retry-After")
+				assert.Equal(t, test.want, fmt.Sprintf("%d %s %s", recorder.Code, recorder.Body, retryAfter))
+			})
 		}
 	}
 }
--- a/request_test.go
+++ b/request_test.go
@@ -74,8 +74,8 @@
 	require.Error(t, <-workers.ended)
 }
 
-// Requests are not accepted with the id of one in flight, beyond the limit, with an unknown class, and once the Core is
-// closed. Close ends the request in flight.
+// Requests are not accepted with the id of one in flight, beyond the limit, with an unknown class,
+// and once the Core is closed. Close ends the request in flight.
 func TestRequestsThatAreNotAccepted(t *testing.T) {
 	workers := newFakeWorkers()
 	core := newTestCore(t, workers, func(cfg *Config) { cfg.MaxInFlight = 1 })
@@ -113,8 +113,8 @@
 	assert.Equal(t, int64(1), core.Counters().Accepted)
 }
 
-// A caller that leaves between two attempts gets no further one. A second request waits through the same backoff, so that
-// the time of the first one's attempt has passed.
+// A caller that leaves between two attempts gets no further one. A second request waits through the
+// same backoff, so that the time of the first one's attempt has passed.
 func TestCallerLeavesInBackoff(t *testing.T) {
 	workers, completed := newFakeWorkers(), make(chan Completion, 4)
 	core := newTestCore(t, workers, func(cfg *Config) {
--- a/spiffe/spiffe.go
+++ b/spiffe/spiffe.go
@@ -1,8 +1,6 @@
-// Package spiffe gives the webhook front its identities: mutual TLS with X.509 SVIDs from files or from any source
-// of go-spiffe, such as a Workload API client.
-//
-// It owns the files' reload and the reading of a peer's ID. It must never accept a peer without an ID that the
-// caller named.
+// Package spiffe configures mutual TLS with X.509 SVIDs, from files or from any source of
+// go-spiffe, such as a client of the Workload API. Peers are accepted only by the SPIFFE IDs that
+// the caller names.
 package spiffe
 
 import (
@@ -20,44 +18,46 @@
 	"github.com/spiffe/go-spiffe/v2/svid/x509svid"
 )
 
-// Source is where an identity and the bundles to check others come from.
+// Source supplies the own SVID and the trust bundles that verify those of peers.
 type Source interface {
 	x509svid.Source
 	x509bundle.Source
 }
 
-// Files is a Source of PEM files. Reload may be called while connections come and go.
+// Files is a Source that reads PEM files. It is safe for concurrent use.
 type Files struct {
-	svid, key, bundle string
-	now               atomic.Pointer[identity]
+	svidPath, keyPath, bundlePath string
+
+	current atomic.Pointer[identity]
 }
 
+// identity is what one reading of the files has found.
 type identity struct {
 	svid   *x509svid.SVID
 	bundle *x509bundle.Bundle
 }
 
-// NewFiles reads an SVID, its key, and the bundle of its trust domain.
-func NewFiles(svid, key, bundle string) (*Files, error) {
-	f := &Files{svid: svid, key: key, bundle: bundle}
+// NewFiles reads an SVID, its key and the trust bundle of its trust domain from files.
+func NewFiles(svidPath, keyPath, bundlePath string) (*Files, error) {
+	f := &Files{svidPath: svidPath, keyPath: keyPath, bundlePath: bundlePath}
 	return f, f.Reload()
 }
 
-// Reload reads the files again. An error leaves the identity in force as it is.
+// Reload reads the files again. On an error the identity of the last reading stays in force.
 func (f *Files) Reload() error {
-	s, err := x509svid.Load(f.svid, f.key)
+	svid, err := x509svid.Load(f.svidPath, f.keyPath)
 	if err != nil {
 		return fmt.Errorf("spiffe: %w", err)
 	}
-	b, err := x509bundle.Load(s.ID.TrustDomain(), f.bundle)
+	bundle, err := x509bundle.Load(svid.ID.TrustDomain(), f.bundlePath)
 	if err != nil {
 		return fmt.Errorf("spiffe: %w", err)
 	}
-	f.now.Store(&identity{s, b})
+	f.current.Store(&identity{svid, bundle})
 	return nil
 }
 
-// Watch reloads at every tick until ctx ends.
+// Watch reloads the files at each tick until ctx ends, and logs errors.
 func (f *Files) Watch(ctx context.Context, ticks <-chan time.Time, log *slog.Logger) {
 	for {
 		select {
@@ -65,38 +65,39 @@
 			return
 		case <-ticks:
 			if err := f.Reload(); err != nil {
-				log.Error("SVID not reloaded, the old one stays", "err", err)
+				log.Error("SVID not reloaded, the old one stays", "error", err)
 			}
 		}
 	}
 }
 
 // GetX509SVID implements x509svid.Source.
-func (f *Files) GetX509SVID() (*x509svid.SVID, error) { return f.now.Load().svid, nil }
+func (f *Files) GetX509SVID() (*x509svid.SVID, error) { return f.current.Load().svid, nil }
 
 // GetX509BundleForTrustDomain implements x509bundle.Source.
-func (f *Files) GetX509BundleForTrustDomain(td spiffeid.TrustDomain) (*x509bundle.Bundle, error) {
-	return f.now.Load().bundle.GetX509BundleForTrustDomain(td)
+func (f *Files) GetX509BundleForTrustDomain(domain spiffeid.TrustDomain) (*x509bundle.Bundle, error) {
+	return f.current.Load().bundle.GetX509BundleForTrustDomain(domain)
 }
 
-// ServerTLS takes connections of the named identities alone.
-func ServerTLS(s Source, ids ...spiffeid.ID) *tls.Config {
-	c := tlsconfig.MTLSServerConfig(s, s, tlsconfig.AuthorizeOneOf(ids...))
-	c.MinVersion = tls.VersionTLS12
-	return c
+// ServerTLS returns a configuration that accepts only connections from the named identities.
+func ServerTLS(source Source, ids ...spiffeid.ID) *tls.Config {
+	cfg := tlsconfig.MTLSServerConfig(source, source, tlsconfig.AuthorizeOneOf(ids...))
+	cfg.MinVersion = tls.VersionTLS12
+	return cfg
 }
 
-// ClientTLS connects to the named identities alone.
-func ClientTLS(s Source, ids ...spiffeid.ID) *tls.Config {
-	c := tlsconfig.MTLSClientConfig(s, s, tlsconfig.AuthorizeOneOf(ids...))
-	c.MinVersion = tls.VersionTLS12
-	return c
+// ClientTLS returns a configuration that connects only to the named identities.
+func ClientTLS(source Source, ids ...spiffeid.ID) *tls.Config {
+	cfg := tlsconfig.MTLSClientConfig(source, source, tlsconfig.AuthorizeOneOf(ids...))
+	cfg.MinVersion = tls.VersionTLS12
+	return cfg
 }
 
-// Peer is the identity at the other end of a connection that one of the above configurations verified.
-func Peer(t *tls.ConnectionState) (spiffeid.ID, error) {
-	if t == nil || len(t.PeerCertificates) == 0 {
+// Peer returns the identity of the peer of a connection that ServerTLS or ClientTLS has verified.
+// It is an error if the connection has no peer certificate.
+func Peer(state *tls.ConnectionState) (spiffeid.ID, error) {
+	if state == nil || len(state.PeerCertificates) == 0 {
 		return spiffeid.ID{}, errors.New("spiffe: the peer showed no certificate")
 	}
-	return x509svid.IDFromCert(t.PeerCertificates[0])
+	return x509svid.IDFromCert(state.PeerCertificates[0])
 }
--- a/workers_test.go
+++ b/workers_test.go
@@ -10,7 +10,8 @@
 	"oakthread/balancer"
 )
 
-// fakeWorkers are workers in memory: each attempt waits for a reply on replies, or for the end of its context.
+// fakeWorkers are workers in memory: each attempt waits for a reply on replies, or for the end of
+// its context.
 type fakeWorkers struct {
 	sent    chan Attempt
 	ended   chan error // causes with which the contexts of attempts ended
@@ -81,7 +82,8 @@
 	}
 }
 
-// newTestCore returns a Core with one class, which is not idempotent, and one active worker. change may alter its Config.
+// newTestCore returns a Core with one class, which is not idempotent, and one active worker. change
+// may alter its Config.
 func newTestCore(t *testing.T, workers *fakeWorkers, change func(*Config)) *Core {
 	t.Helper()
 	cfg := Config{Workers: workers, Settings: balancer.Settings{
@@ -117,7 +119,8 @@
 	}
 }
 
-// blockedWorkers are workers whose attempts write only once the test allows it, as while a connection is established.
+// blockedWorkers are workers whose attempts write only once the test allows it, as while a
+// connection is established.
 type blockedWorkers struct {
 	*fakeWorkers
 
--- a/writepermission_test.go
+++ b/writepermission_test.go
@@ -9,7 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A caller leaves while the event loop is busy and has not seen it: the write of its attempt is denied all the same.
+// A caller leaves while the event loop is busy and has not seen it: the write of its attempt is
+// denied all the same.
 func TestWriteIsDeniedAfterCallerLeft(t *testing.T) {
 	workers := &blockedWorkers{newFakeWorkers(), make(chan struct{}), make(chan bool, 4)}
 	loopBlocked, unblockLoop := make(chan struct{}), make(chan struct{})
@@ -41,7 +42,8 @@
 	assert.Zero(t, core.Counters().Served)
 }
 
-// A revocation after the first byte does not cancel the attempt, but denies the write on another connection.
+// A revocation after the first byte does not cancel the attempt, but denies the write on another
+// connection.
 func TestRevocationAfterFirstByte(t *testing.T) {
 	permission := &writePermission{
 		caller: t.Context(),
