--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -1,119 +1,129 @@
 package balancer
 
-// This file owns which new calls are refused at once. What is in flight over what is answered is the time
-// that a new call will take (Little's law): it shows a queue as it forms, before any answer is late. Calls
-// that this leaves no time are refused at once.
-
-import (
-	"math"
+// The thresholds of admission. New requests of the least priority are rejected from the first value on, all
+// from the second: half of the calls take longer than the mean.
+const (
+	rejectFirstWait      = 0.5  // expected response time as a share of the latency objective
+	rejectAllWait        = 0.9  // the same
+	rejectFirstOccupancy = 0.7  // requests in hand as a share of the most
+	rejectAllOccupancy   = 0.95 // the same
 )
 
-// shouldReject tells whether a new call is turned away, before anything is done for it: first what is over its
-// tenant's share or needs a load, by the shortest aim, then the classes worth least for their work, by the
-// mean aim. Guards against loads that hold the slots of other calls while the store is slow.
-func (d *Balancer) shouldReject(now int64, q Request) bool {
-	// Repeats that clients mark go with what is over a share: clients that repeat at once must not crowd out
-	// first tries; nor do they count as asked within it. May harm a call refused for no fault of its own.
-	f := d.funcs[functionTag(q.Func)]
-	over := q.Retry || d.rng.Float64() < d.overQuotaShare(now, q.Tenant) || f == nil || !f.copyExpectedElsewhere(now, nil)
-	d.over -= classMixWeight * d.over
-	for i := range d.asked {
-		d.asked[i] -= classMixWeight * d.asked[i]
+// classMixWeight is the weight of a request in the mix of classes: about the last hundred count.
+const classMixWeight = 0.01
+
+// admission holds what decides whether a new request is rejected at once.
+type admission struct {
+	completions decayingCounter   // answers, over two shortest latency objectives
+	tenantCalls []decayingCounter // by tenant, over decayTime
+	mix         workMix
+}
+
+// workMix is the work of recent requests, in nanoseconds of response time a request.
+type workMix struct {
+	overQuota float64   // beyond the tenants' quotas, or of functions without a copy
+	byClass   []float64 // the rest
+}
+
+// observe takes in the work of one request.
+func (m *workMix) observe(class int, overQuota bool, work float64) {
+	m.overQuota -= classMixWeight * m.overQuota
+	for i := range m.byClass {
+		m.byClass[i] -= classMixWeight * m.byClass[i]
 	}
-	if over {
-		d.over += classMixWeight * d.stats[q.Class].mean
+	if overQuota {
+		m.overQuota += classMixWeight * work
 	} else {
-		d.asked[q.Class] += classMixWeight * d.stats[q.Class].mean
-	}
-	below, own, all, worth, aim := d.over, 0.0, d.over, 0.0, 0.0
-	for i, w := range d.asked {
-		v, mine := d.priorityPerWork(i), d.priorityPerWork(q.Class)
-		all, worth, aim = all+w, worth+w*v, aim+w*v*float64(d.set.Classes[i].LatencyObjective)
-		if v < mine {
-			below += w
-		} else if v == mine {
-			own += w
-		}
-	}
-	if aim /= worth; over || worth <= 0 { // else the mean aim of the worth that is asked for
-		aim = float64(d.minAim)
+		m.byClass[class] += classMixWeight * work
 	}
-	if over {
-		below, own = 0, d.over
-	}
-	rank := (below + d.rng.Float64()*own) / max(all, 1)
-	// Room for open calls is like time: once it is full, calls are turned away whatever their worth.
-	late := d.expectedQueueTime(now) > aim*(rejectFirstWait+(rejectAllWait-rejectFirstWait)*rank)
-	room := float64(d.set.MaxInFlight) * (rejectFirstOccupancy + (rejectAllOccupancy-rejectFirstOccupancy)*rank)
-	full := d.set.MaxInFlight > 0 && float64(len(d.reqs)) > room
-	return now-d.born > 2*d.minAim && (late || full)
 }
 
-// priorityPerWork is a class's worth for its work.
-func (d *Balancer) priorityPerWork(class int) float64 {
-	return d.set.Classes[class].PriorityWeight / d.stats[class].mean
+// demand is the recent work as a request of one class sees it.
+type demand struct {
+	below     float64 // of lower priority
+	equal     float64 // of the same
+	total     float64
+	priority  float64 // sum of the work times its priority
+	objective float64 // sum of the same times the latency objective
 }
 
-// expectedQueueTime is the time that calls at loaded copies take now (a load is no queue): of all dispatchers, where a
-// digest tells it, else ours, with a few calls of usual length added so that chance does not decide.
-func (d *Balancer) expectedQueueTime(now int64) float64 {
-	n, rate, usual := d.queuedCalls(now), d.completionRate(now), 0.0
-	for i, st := range d.stats { // what answers took lately, bounded: else who refuses all would never stop
-		usual = max(usual, st.mean*float64(d.minAim)/float64(d.set.Classes[i].LatencyObjective))
+// shouldReject reports whether a new request is rejected before anything is done for it. The expected
+// response time shows a queue as it forms, before any answer is late (Little's law). First rejected are
+// requests over their tenant's quota or that need a load, by the shortest latency objective, then the classes
+// of the least priority for their work, by the mean objective. A load occupies the slots of other calls while
+// the store is slow.
+func (b *Balancer) shouldReject(now int64, q Request) bool {
+	overQuota := b.countsOverQuota(now, q)
+	b.admission.mix.observe(q.Class, overQuota, b.latencies[q.Class].mean)
+	seen := b.demandSeenBy(q.Class)
+	objective := seen.objective / seen.priority
+	if overQuota || seen.priority <= 0 {
+		objective = float64(b.shortestObjective)
+	}
+	if overQuota {
+		seen.below, seen.equal = 0, b.admission.mix.overQuota
 	}
-	usual = max(initialLatencyShare, min(rejectFirstWait, usual/float64(d.minAim))) * float64(d.minAim)
-	own := (n + waitPriorCalls) / (rate + waitPriorCalls/usual)
-	if all := d.fleetSum(completionsColumn); now-d.digestAt < 2*d.minAim && all > 0 {
-		return max(own, (d.fleetSum(queuedColumn)+waitPriorCalls)/(all/1e9+waitPriorCalls/usual))
+	rank := (seen.below + b.rng.Float64()*seen.equal) / max(seen.total, 1)
+	late := b.expectedQueueTime(now) > objective*(rejectFirstWait+(rejectAllWait-rejectFirstWait)*rank)
+	return now-b.startedAt > 2*b.shortestObjective && (late || b.isFull(rank))
+}
+
+// countsOverQuota reports whether a request is among the first to be rejected. So is one that the client
+// marks as a retry: clients that retry at once must not crowd out first attempts, nor do retries count toward
+// the tenant's rate.
+func (b *Balancer) countsOverQuota(now int64, q Request) bool {
+	if q.Retry || b.rng.Float64() < b.overQuotaShare(now, q.Tenant) {
+		return true
 	}
-	return own
+	f := b.holders.lookup(q.Func)
+	return f == nil || !f.copyExpectedElsewhere(now, nil)
 }
 
-func (d *Balancer) queuedCalls(now int64) (n float64) {
-	for _, w := range d.workersInUse(now) {
-		if w.listed && d.isHealthy(now, w) {
-			for _, a := range w.inFlight {
-				// What is out for long is stuck, or its answer is lost: no sign of a queue.
-				if st := d.stats[a.request.Class]; a.expectedWarm && float64(now-a.sentAt) < st.mean+queuedDeviations*st.deviation {
-					n++
-				}
-			}
-			for _, g := range w.recentFailures { // turned away from a full queue: as good as in it
-				if g.until > now && g.queueFull {
-					n++
-				}
-			}
+// isFull reports whether the requests in hand leave no room for one of a rank between 0 and 1. Once it is
+// full, requests are rejected whatever their priority.
+func (b *Balancer) isFull(rank float64) bool {
+	limit := float64(b.settings.MaxInFlight) * (rejectFirstOccupancy + (rejectAllOccupancy-rejectFirstOccupancy)*rank)
+	return b.settings.MaxInFlight > 0 && float64(len(b.requests)) > limit
+}
+
+// demandSeenBy returns the recent work as a request of a class sees it.
+func (b *Balancer) demandSeenBy(class int) demand {
+	mix := &b.admission.mix
+	own := b.priorityPerWork(class)
+	seen := demand{below: mix.overQuota, total: mix.overQuota}
+	for i, work := range mix.byClass {
+		priority := b.priorityPerWork(i)
+		seen.total += work
+		seen.priority += work * priority
+		seen.objective += work * priority * float64(b.settings.Classes[i].LatencyObjective)
+		if priority < own {
+			seen.below += work
+		} else if priority == own {
+			seen.equal += work
 		}
 	}
-	return n
+	return seen
 }
 
-// completionRate is our answer rate, per nanosecond.
-func (d *Balancer) completionRate(now int64) float64 {
-	return d.served * math.Exp(-float64(now-d.servedAt)/float64(2*d.minAim)) / float64(2*d.minAim)
+// priorityPerWork returns the priority weight of a class over the work that one of its requests takes.
+func (b *Balancer) priorityPerWork(class int) float64 {
+	return b.settings.Classes[class].PriorityWeight / b.latencies[class].mean
 }
 
-// overQuotaShare is the part of a tenant's calls, at all dispatchers, that goes beyond its share. What is not heard
-// counts as it was when last heard; who never heard anybody takes the middle of what may be. Where messages
-// are not allowed all are taken to see as much as we do.
-func (d *Balancer) overQuotaShare(now int64, tenant int) float64 {
-	if tenant < 0 || tenant >= len(d.tenants) || d.set.TenantQuota[tenant] <= 0 {
+// overQuotaShare returns the share of a tenant's requests, at all dispatchers, that is beyond its quota, and
+// counts one request of it. A dispatcher that is not heard of counts with its last figure; where messages are
+// not allowed all are taken to see as much as this one.
+func (b *Balancer) overQuotaShare(now int64, tenant int) float64 {
+	if tenant < 0 || tenant >= len(b.admission.tenantCalls) || b.settings.TenantQuota[tenant] <= 0 {
 		return 0
 	}
-	t := &d.tenants[tenant]
-	f := math.Exp(-float64(now-t.at) / d.decayTime())
-	t.calls, t.at = t.calls*f+1, now
-	rate := t.calls / d.decayTime() * 1e9
-	if !d.set.Gossip {
-		rate *= float64(d.set.Dispatchers)
-	} else if tenant < len(d.view.Totals)-2 {
-		rate = max(rate, d.view.Totals[tenant].Likely)
+	calls := &b.admission.tenantCalls[tenant]
+	calls.add(now, b.decayTime())
+	rate := calls.value / b.decayTime() * 1e9
+	if !b.settings.Gossip {
+		rate *= float64(b.settings.Dispatchers)
+	} else if tenant < len(b.gossip.view.Totals)-fleetColumns {
+		rate = max(rate, b.gossip.view.Totals[tenant].Likely)
 	}
-	return max(0, 1-d.set.TenantQuota[tenant]/rate)
-}
-
-// tenantRate counts a tenant's calls lately, decaying over tau.
-type tenantRate struct {
-	calls float64
-	at    int64
+	return max(0, 1-b.settings.TenantQuota[tenant]/rate)
 }
--- a/balancer/api.go
+++ b/balancer/api.go
@@ -1,91 +1,62 @@
 package balancer
 
-// WorkerID names a worker; FuncID a function. Times are nanoseconds of the host's clock.
 type (
-	WorkerID         uint32
-	FuncID           uint64
-	Idempotency      int // what a repeat of a call may do
-	IdempotencyScope int // which workers drop repeats of a keyed call
+	// WorkerID identifies a worker.
+	WorkerID uint32
+	// FuncID identifies a function.
+	FuncID uint64
+	// Idempotency says what a repeat of a call may do.
+	Idempotency int
+	// IdempotencyScope says which workers drop repeats of a call with an idempotency key.
+	IdempotencyScope int
 )
 
+// The kinds of idempotency. The zero value is the cautious one.
 const (
-	NotIdempotent Idempotency = iota // the zero value is the cautious one
+	NotIdempotent Idempotency = iota
 	IdempotentByKey
 	Idempotent
 )
 
+// The scopes of an idempotency key: no worker, or those of the cell, of the zone, or all.
 const (
-	ScopeNone IdempotencyScope = iota // no worker is known to drop repeats
+	ScopeNone IdempotencyScope = iota
 	ScopeCell
 	ScopeZone
 	ScopeAll
 )
 
-// Class is a class of request. Aim is the wanted time, GiveUp the client's whole patience.
-type Class struct {
-	LatencyObjective, ClientTimeout, IdempotencyWindow int64
-	PriorityWeight, LatePriorityWeight                 float64
-	Idempotency                                        Idempotency
-	IdempotencyScope                                   IdempotencyScope
-}
-
-// Settings are what the deployment tells at start. Zero values are read in the cautious way.
-type Settings struct {
-	Classes                      []Class
-	TenantQuota                  []float64 // requests a second within each tenant's share, all dispatchers together
-	OverQuotaWeight              float64   // part of its worth that a request over its tenant's share keeps
-	DispatcherIndex, Dispatchers int       // this dispatcher's number, and how many there are
-	Zone                         int
-	ClockResolution              int64 // least time between two events' clocks
-
-	MaxAttempts                                                  int
-	FullScanLimit                                                int  // lists up to so long are looked through whole for a choice; 0: 256
-	MaxInFlight                                                  int  // calls that can be in hand at a time; 0: no limit
-	Hedging, HealthChecks, Cancellation, Gossip, SendsRetryAfter bool // Tells: a refusal's wait reaches clients
-	MaxRetryAfter                                                int64
-
-	InflightField, QueueField int  // 1 + place in a load report; 0: not reported
-	ReportOnHealthCheck       bool // reports come only with probes
-	PollEndpoints             bool // the roster must be asked for; else it is pushed
-	PollInterval              int64
-
-	ResponseSlack, DrainGrace, SlowStartWindow, OverloadWindow int64
-	OverloadFactor, SlowStartCapacity                          float64
-
-	LoadOrders, LoadsOnMiss, ReportsWarmth, ReportsConcurrency bool
-	KeepAlive, LoadQuotaWindow, LoadOrderTimeout               int64
-	LoadQuotaBase, LoadQuotaRatio, MemoryPrice                 float64
-	KindMemoryMB                                               []float64
-	CrossZonePrice, WastePrice, ProbePrice                     float64
-	PeerPrice, LateFailurePrice, OriginPrice                   float64
-}
-
-// EndpointUpdateKind tells how to read a Roster event.
+// EndpointUpdateKind says how to read an update of the endpoint list.
 type EndpointUpdateKind int
 
 const (
-	EndpointsDelta       EndpointUpdateKind = iota // only the entries that changed
-	EndpointsSnapshot                              // all of the list; a worker not in it is gone
-	EndpointsCached                                // all of the list as it was last known; may be old
-	EndpointsUnavailable                           // asking failed; no entries
+	// EndpointsDelta holds only the entries that changed.
+	EndpointsDelta EndpointUpdateKind = iota
+	// EndpointsSnapshot holds the complete list; a worker that is not in it is gone.
+	EndpointsSnapshot
+	// EndpointsCached holds the complete list as it was last known; it may be old.
+	EndpointsCached
+	// EndpointsUnavailable says that polling failed; it has no entries.
+	EndpointsUnavailable
 )
 
-// EndpointState is what the roster says of a worker.
+// EndpointState is what the endpoint list says of a worker.
 type EndpointState int
 
+// The states of an endpoint.
 const (
 	Removed EndpointState = iota
 	Draining
 	Active
 )
 
-// Endpoint is one worker of the roster. Start 0: it started long ago.
+// Endpoint is the entry of one worker in the list.
 type Endpoint struct {
 	Worker           WorkerID
 	Zone, Kind, Cell int
 	State            EndpointState
 	Weight           float64
-	Start            int64
+	Start            int64 // when it started; 0: long ago
 }
 
 // Request is a client's call. The client stops waiting at Deadline.
@@ -95,14 +66,15 @@
 	Func          FuncID
 	Deadline      int64
 	MemoryMB      float64
-	Concurrency   int
-	LoadTime      int64 // usual time of a load; 0: not told
-	Retry         bool
+	Concurrency   int   // requests that one copy of the function serves at a time
+	LoadTime      int64 // usual time of a load; 0: not stated
+	Retry         bool  // the client marks it as a retry of an earlier request
 }
 
-// Result is how an attempt, probe or order ended.
+// Result is how an attempt, health check or load order ended.
 type Result int
 
+// The results.
 const (
 	OK Result = iota
 	Error
@@ -116,6 +88,7 @@
 	NumResults // how many there are
 )
 
+// String returns the name that logs and journals carry.
 func (r Result) String() string {
 	if r < 0 || r >= NumResults {
 		return "unknown"
@@ -123,9 +96,10 @@
 	return [...]string{"ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot", "miss"}[r]
 }
 
-// Warmth is what an answer tells of the copy it found.
+// Warmth is what an answer says of the copy that it found.
 type Warmth int
 
+// The kinds of warmth: not stated, a loaded copy, a load that the call began or waited for, or that failed.
 const (
 	WarmthUnknown Warmth = iota
 	WarmHit
@@ -134,33 +108,46 @@
 	LoadFailed
 )
 
-// AttemptResult is the end of an attempt. Finished: nothing more is owed for the request.
+// AttemptResult is the end of an attempt.
 type AttemptResult struct {
-	ID                 string
-	Attempt            int
+	ID                 string // of the request
+	Attempt            int    // its index among the attempts of the request
 	Worker             WorkerID
 	Result             Result
-	Finished           bool
+	Finished           bool // no answer is owed for the request any more
 	Warmth             Warmth
-	ConcurrentRequests int // requests for the function that the worker held, where told
+	ConcurrentRequests int // requests for the function that the worker held, where reported
 	RTT                int64
-	Report             []float64
+	Report             []float64 // load report
 }
 
-// Host carries out the actions. Calls are made from within the event that causes them.
+// Host carries out the actions of a Balancer. Its methods are called from within the event that causes them.
 type Host interface {
-	SendAttempt(id string, w WorkerID, until int64) // until 0: as long as the client waits
+	// SendAttempt sends the next attempt of a request; until 0: it may take as long as the client waits.
+	SendAttempt(id string, w WorkerID, until int64)
+	// CancelAttempt gives up an attempt that is in flight.
 	CancelAttempt(id string, attempt int)
+	// Reject is a final answer after which the client may try again, after a wait in nanoseconds.
 	Reject(id string, wait int64)
+	// Fail is a final answer after which the call may have run.
 	Fail(id string)
+	// OrderLoad orders copies of a function at a worker.
 	OrderLoad(w WorkerID, f FuncID, count int)
+	// OrderUnload orders all idle copies of a function at a worker to be unloaded.
 	OrderUnload(w WorkerID, f FuncID)
+	// HealthCheck asks a worker for a sign of life.
 	HealthCheck(w WorkerID)
-	SendPeerMessage(to int, data string) // to one other dispatcher by its number, to all if below 0; 256 bytes at most
+	// SendPeerMessage sends a datagram of up to 256 bytes to one other dispatcher by its index, or to all if
+	// the index is below 0.
+	SendPeerMessage(to int, data string)
+	// SetTimer has HandleTimer called with ref after a delay in nanoseconds.
 	SetTimer(delay int64, ref int64)
-	// CountTowardLoadQuota tells that a call, which came at a time, counts as taken for the ration of orders. The platform counts no calls
-	// of functions that do not exist, so one counts once a worker has served its function.
+	// CountTowardLoadQuota takes that a call that came at a time counts toward the quota of load orders. The
+	// platform counts no calls of functions that do not exist, so one counts once a worker has served its
+	// function.
 	CountTowardLoadQuota(at int64)
-	SubscribeEndpoints() // subscribe to the roster
+	// SubscribeEndpoints asks for the endpoint list and its updates.
+	SubscribeEndpoints()
+	// Log writes a line for operators.
 	Log(text string)
 }
--- /dev/null
+++ b/balancer/candidates.go
@@ -0,0 +1,69 @@
+package balancer
+
+import "math"
+
+const (
+	// ringWindow is how many places on the ring a choice in a long list examines, and how many holders at most.
+	ringWindow = 16
+	// targetConcurrencyUse is the share of a copy's concurrency that is used on average where a function has
+	// as many places as it needs.
+	targetConcurrencyUse = 0.5
+)
+
+// examinedWorkers is what a choice examines.
+type examinedWorkers struct {
+	workers        []*worker
+	preferred      int     // the first so many are the function's places
+	representative int     // the first so many stand for the whole list
+	placesShare    float64 // of the function's places that it needs
+}
+
+// workersToExamine returns the workers that a choice examines: of a short list all. Of a long one a window of
+// the ring that is the same at all dispatchers (a hot function has several windows, each dispatcher one of
+// them), a random sample, and believed holders; the lightest worker and those due for a trial are found only
+// among these.
+func (b *Balancer) workersToExamine(now int64, r *request) examinedWorkers {
+	places := b.placesNeeded(now, r)
+	if count := len(b.endpoints.listed); !b.endpoints.isLong() {
+		return examinedWorkers{b.endpoints.listed, count, count, places / float64(count)}
+	}
+	windows, key := max(1, math.Ceil(places/ringWindow)), uint64(r.function.id)
+	if own := mix64(key^uint64(b.settings.DispatcherIndex+1)) % uint64(windows); own > 0 {
+		key = mix64(key + own)
+	}
+	workers := b.endpoints.ring.Window(b.choice.examined[:0], mix64(key), 0, ringWindow)
+	preferred := len(workers)
+	workers = b.endpoints.appendSample(workers, b.rng)
+	representative := len(workers)
+	workers = b.appendHolders(workers, r.function.holders)
+	b.choice.examined = workers
+	return examinedWorkers{workers, preferred, representative, places / (windows * ringWindow)}
+}
+
+// appendHolders appends the workers of a bounded number of holders, from a random one on.
+func (b *Balancer) appendHolders(workers []*worker, holders []*holder) []*worker {
+	first := b.rng.IntN(len(holders) + 1)
+	for i := range min(len(holders), ringWindow) {
+		workers = append(workers, holders[(first+i)%len(holders)].worker)
+	}
+	return workers
+}
+
+// placesNeeded returns how many workers the calls of a function need, by Little's law: what this dispatcher
+// sends, taken for the share of every one, at the targeted use of one copy each. The call at hand does not
+// count, nor, of many dispatchers, what may be chance: else functions that each calls once or twice would look
+// hot to all.
+func (b *Balancer) placesNeeded(now int64, r *request) float64 {
+	f := r.function
+	window := float64(b.callRateWindow())
+	// A dispatcher that started lately has seen less than a window.
+	observed := window * (1 - math.Exp(-float64(now-b.startedAt+b.shortestObjective/2)/window))
+	calls := f.recentCalls.valueAt(now, window)
+	calls = max(0, calls-(1-1/b.fleetFactor())*math.Sqrt(calls))
+	perPlace := targetConcurrencyUse * float64(f.concurrency)
+	return calls / observed * float64(b.settings.Dispatchers) * b.latencies[r.Class].mean / perPlace
+}
+
+// callRateWindow returns the time constant, in nanoseconds, over which the calls of a function and the pace of
+// a worker are averaged.
+func (b *Balancer) callRateWindow() int64 { return max(b.settings.KeepAlive, b.shortestObjective) }
--- a/balancer/choose.go
+++ b/balancer/choose.go
@@ -1,207 +1,220 @@
 package balancer
 
-// This file owns the choice of a worker. The lightest holder with free lanes within ε of the lightest
-// worker; else the lightest holder within ε; else the lightest worker. The middle of the loads stands for
-// the others.
+import "math"
 
-import (
-	"math"
-	"slices"
+const (
+	// minLoadSlack is the least slack of a choice: a holder may carry this much more than the lightest worker,
+	// as a share of it (Bunt et al., Table 4).
+	minLoadSlack = 1.0
+	// loadPriceScale is the price of a load and of idle memory at which the share of loads counts as it is;
+	// at higher prices it counts for more.
+	loadPriceScale = 0.012
+	// similarLoadTolerance is how much heavier than the median a worker may be and still count as good as the
+	// lightest.
+	similarLoadTolerance = 0.25
+	// wellInformedDispatchers is the number of dispatchers of which each still sees enough of every worker by
+	// itself.
+	wellInformedDispatchers = 5.0
+	// failedOrderPenalty divides the score of a worker that had no room for a load just now.
+	failedOrderPenalty = 1e9
 )
 
-func (d *Balancer) chooseWorker(now int64, r *request) (best *worker, trial bool) {
-	d.turn++
-	all, well, lost, homes := 0, 0, 0, 0
-	d.can, d.sorted = d.can[:0], d.sorted[:0]
-	looked, home, fair, places := d.candidates(now, r)
-	for i, w := range looked {
-		if w.examinedIn == d.turn || !d.eligible(now, w) || !d.mayRetryAt(now, r, w) {
+// choiceState is the scratch of a choice.
+type choiceState struct {
+	number     int       // of the choice
+	examined   []*worker // in a long list
+	candidates []*worker // that may take the call
+	loads      []float64 // of which the median is taken
+}
+
+// candidateSet is what a choice knows of its candidates.
+type candidateSet struct {
+	preferred   int     // the first so many candidates stand in the function's ring window
+	total       int     // eligible workers
+	healthy     int     // of these
+	unreachable int     // of these: that no dispatcher reaches
+	trial       *worker // due for the attempt that ends or renews its ejection
+	medianLoad  float64
+	minLoad     float64
+}
+
+// chooseWorker chooses a worker for the next attempt of a request, or nil if none is eligible; trial is set
+// if the attempt tests a worker whose ejection has run out. The rule is Load/Affinity (Bunt et al.): the
+// lightest holder with free capacity within a slack of the lightest worker, else the lightest holder within
+// it, else the lightest worker.
+func (b *Balancer) chooseWorker(now int64, r *request) (best *worker, trial bool) {
+	b.choice.number++
+	examined := b.workersToExamine(now, r)
+	set := b.examine(now, r, examined)
+	if set.trial != nil {
+		return set.trial, true
+	}
+	if set.total == 0 {
+		return nil, false
+	}
+	set.medianLoad = median(b.choice.loads)
+	set.minLoad = b.excludeUnhealthy(now, r, set)
+	slack := max(minLoadSlack, b.loads.expected(r.function)/b.latencies[r.Class].mean)
+	if holders := b.holdersWithin(now, r.function, b.loadBase(set)*(1+slack)); len(holders) > 0 {
+		return b.lightestHolder(now, holders, set.medianLoad), false
+	}
+	limit := (1 + min(slack, similarLoadTolerance*b.fleetFactor())) * max(set.minLoad, set.medianLoad)
+	return b.preferredWorker(now, r.function, set.preferred, limit, examined.placesShare), false
+}
+
+// examine collects the eligible workers with their loads as candidates. It stops at a worker that is due for
+// a trial.
+func (b *Balancer) examine(now int64, r *request, examined examinedWorkers) (set candidateSet) {
+	number := b.choice.number
+	b.choice.candidates, b.choice.loads = b.choice.candidates[:0], b.choice.loads[:0]
+	for i, w := range examined.workers {
+		if w.examinedIn == number || !b.eligible(now, w) || !b.mayRetryAt(now, r, w) {
 			continue
 		}
-		all++
-		w.examinedIn, w.choiceHealthy = d.turn, d.isHealthy(now, w)
-		if w.choiceHealthy {
-			well++
-		} else if d.trialDue(now, w, r) {
-			return w, true // an ejection has run out: one call that is safe to repeat ends or renews it
-		} else if d.isUnreachableByAll(now, w) {
-			lost++
+		set.total++
+		w.examinedIn, w.choiceHealthy = number, b.isHealthy(now, w)
+		switch {
+		case w.choiceHealthy:
+			set.healthy++
+		case b.trialDue(now, w, r):
+			set.trial = w
+			return set
+		case b.isUnreachableByAll(now, w):
+			set.unreachable++
 		}
-		w.candidateIn, w.choiceLoad = d.turn, d.weightedLoad(now, w)
-		if d.can = append(d.can, w); i < home {
-			homes = len(d.can)
+		w.candidateIn, w.choiceLoad = number, b.weightedLoad(now, w)
+		b.choice.candidates = append(b.choice.candidates, w)
+		if i < examined.preferred {
+			set.preferred = len(b.choice.candidates)
 		}
-		if i < fair {
-			d.sorted = append(d.sorted, w.choiceLoad)
+		if i < examined.representative {
+			b.choice.loads = append(b.choice.loads, w.choiceLoad)
 		}
 	}
-	if all == 0 {
-		return nil, false
-	}
-	mid, low := median(d.sorted), math.Inf(1)
-	// Ejection is capped: if half look sick, the judgement is distrusted and load alone decides. It is not
-	// ours alone of those that no dispatcher hears, nor of a zone that is cut off: either may be over half.
-	trust := 2*well > all-lost || 2*well == all-lost && well > 1
-	for _, w := range d.can {
-		if !w.choiceHealthy && (trust || lost < all && d.isUnreachableByAll(now, w)) {
+	return set
+}
+
+// excludeUnhealthy takes the unhealthy workers out of the candidates, adjusts the loads of unknown and of
+// already tried ones, and returns the lightest load.
+func (b *Balancer) excludeUnhealthy(now int64, r *request, set candidateSet) (minLoad float64) {
+	trusted := set.ejectionsTrusted()
+	minLoad = math.Inf(1)
+	for _, w := range b.choice.candidates {
+		if !w.choiceHealthy && (trusted || set.unreachable < set.total && b.isUnreachableByAll(now, w)) {
 			w.candidateIn--
 			continue
 		}
 		if !w.responded {
-			w.choiceLoad = max(w.choiceLoad, mid)
+			w.choiceLoad = max(w.choiceLoad, set.medianLoad)
 		}
-		if r.triedAt(w) { // another worker first: what failed there may fail there again, save for one cut
-			w.choiceLoad += float64(d.set.MaxAttempts) * (mid + 1)
+		if r.triedAt(w) { // what failed there may fail there again
+			w.choiceLoad += float64(b.settings.MaxAttempts) * (set.medianLoad + 1)
 		}
-		low = min(low, w.choiceLoad)
+		minLoad = min(minLoad, w.choiceLoad)
 	}
-	// Where loads are frequent, copies are too many: ε then starts from the middle load, for a worker below
-	// the middle has idle cores and being lighter than that buys less than a copy costs. Where nearly all is
-	// found loaded it starts from the lightest, as in the paper, and functions spread. A slow store makes
-	// loads dear: ε widens with it, so that busy holders are waited for.
-	dear := max(d.set.OriginPrice+d.set.MemoryPrice, loadPriceScale) / loadPriceScale
-	base := low + max(0, mid-low)*min(1, d.misses*dear)
-	// ε is what a load costs, in calls: up to that a busy holder is the shorter way.
-	eps := max(epsilon, d.expectedLoadTime(r.function)/d.stats[r.Class].mean)
-	var free, full []*worker
-	for _, h := range r.function.holders {
-		w := h.worker
-		if w.candidateIn != d.turn || w.choiceLoad > base*(1+eps) {
+	return minLoad
+}
+
+// ejectionsTrusted reports whether enough candidates are healthy for the unhealthy ones to be left out. If
+// half look faulty, the fault is likely our own, and load alone decides. Workers that no dispatcher reaches do
+// not count: more than half may be cut off.
+func (s *candidateSet) ejectionsTrusted() bool {
+	reachable := s.total - s.unreachable
+	return 2*s.healthy > reachable || 2*s.healthy == reachable && s.healthy > 1
+}
+
+// loadBase returns the load from which the slack for holders counts. Where nearly all calls find a loaded copy
+// it is the lightest load, as in the paper, and functions spread. Where loads are frequent there are too many
+// copies, and it moves up to the median: a worker below the median has idle cores, so that being lighter saves
+// less than a copy costs.
+func (b *Balancer) loadBase(set candidateSet) float64 {
+	price := max(b.settings.OriginPrice+b.settings.MemoryPrice, loadPriceScale) / loadPriceScale
+	return set.minLoad + max(0, set.medianLoad-set.minLoad)*min(1, b.loads.share*price)
+}
+
+// holdersWithin lists the candidates up to a load that hold a copy with free capacity or, if there are none,
+// those at which a copy is expected.
+func (b *Balancer) holdersWithin(now int64, f *function, limit float64) []*worker {
+	var free, busy []*worker
+	for _, h := range f.holders {
+		if h.worker.candidateIn != b.choice.number || h.worker.choiceLoad > limit {
 			continue
 		}
-		if h.validUntil > now && h.confirmed && h.inFlight < h.copies*r.function.concurrency {
-			free = append(free, w)
+		if h.hasFreeCapacity(now) {
+			free = append(free, h.worker)
 		} else if h.copyExpected(now) {
-			full = append(full, w)
+			busy = append(busy, h.worker)
 		}
 	}
 	if len(free) == 0 {
-		free = full
+		return busy
 	}
-	if len(free) > 0 {
-		return d.lightestHolder(now, free, mid), false
-	}
-	// No holder will do: the lightest. Workers about as light as it are alike, and among them a hash of
-	// function and worker decides, so that dispatchers load a function in one place. Each of many sees little
-	// of any worker's load, and somebody has likely loaded the function in its place: the more there are, the
-	// further alike reaches, up to ε. A function that needs more places has as many of them, ranked by a hash
-	// of each dispatcher's own.
-	bar, top := (1+min(eps, similarLoadTolerance*d.fleetFactor()))*max(low, mid), 0.0
-	for i := 0; i < len(d.can) && (i < homes || best == nil); i++ {
-		w := d.can[i]
-		if w.candidateIn == d.turn && w.choiceLoad <= bar {
-			u := hashRank(r.function.id, w.Worker)
-			x := rendezvousScore(u, w.Weight*d.capacityFraction(now, w))
-			if u > 1-places {
-				x += rendezvousScore(hashRank(r.function.id^FuncID(mix64(uint64(d.set.DispatcherIndex+1))), w.Worker), 1e6)
-			}
-			if h := r.function.holderAt(w, false); h != nil && h.orderBackoffUntil > now {
-				x /= 1e9 // it had no room just now
-			}
-			if best == nil || x > top {
-				best, top = w, x
-			}
-		}
-	}
-	return best, false
+	return free
 }
 
-// candidates are what a choice looks at: of a short list all; of a long one first a window of the ring, the
-// same at all dispatchers (a hot function has several, each dispatcher one of them), then some drawn, so far
-// they stand for all, and believed holders. Harm: the lightest, and trials due, are found only among these.
-func (d *Balancer) candidates(now int64, r *request) (ws []*worker, home, fair int, places float64) {
-	places = d.placesNeeded(now, r)
-	if n := len(d.list); n <= d.set.FullScanLimit {
-		return d.list, n, n, places / float64(n)
-	}
-	windows, key := max(1, math.Ceil(places/ringWindow)), uint64(r.function.id)
-	if own := mix64(key^uint64(d.set.DispatcherIndex+1)) % uint64(windows); own > 0 {
-		key = mix64(key + own)
+// lightestHolder returns the lightest of some holders. What is known of other dispatchers' calls is known to
+// all of them alike and grows old: the older it is, the wider the range of loads from which one is drawn, lest
+// all dispatchers meet at the lightest.
+func (b *Balancer) lightestHolder(now int64, holders []*worker, medianLoad float64) (best *worker) {
+	minLoad, count := math.Inf(1), 0
+	for _, w := range holders {
+		minLoad = min(minLoad, w.choiceLoad)
 	}
-	ws = d.ring.Window(d.near[:0], mix64(key), 0, ringWindow)
-	home, ws = len(ws), d.appendSample(ws)
-	fair, hs := len(ws), r.function.holders
-	for i, from := 0, d.rng.IntN(len(hs)+1); i < min(len(hs), ringWindow); i++ {
-		ws = append(ws, hs[(from+i)%len(hs)].worker)
+	staleness := 1 - math.Exp(-float64(2*(now-b.gossip.digestAt))/float64(b.shortestObjective))
+	limit := max(minLoad, staleness*medianLoad) * (1 + similarLoadTolerance*staleness)
+	for _, w := range holders {
+		if w.choiceLoad > limit {
+			continue
+		}
+		count++
+		if b.rng.IntN(count) == 0 {
+			best = w
+		}
 	}
-	d.near = ws
-	return ws, home, fair, places / (windows * ringWindow)
+	return best
 }
 
-// lightestHolder is the lightest holder. What is known of others grows old, and is known to all alike: if all took
-// the very lightest they would meet there, so the older it is, the more of about its load are drawn from.
-func (d *Balancer) lightestHolder(now int64, ws []*worker, mid float64) (best *worker) {
-	low, n := math.Inf(1), 0
-	for _, w := range ws {
-		low = min(low, w.choiceLoad)
-	}
-	old := 1 - math.Exp(-float64(2*(now-d.digestAt))/float64(d.minAim))
-	bar := max(low, old*mid) * (1 + similarLoadTolerance*old)
-	for _, w := range ws {
-		if w.choiceLoad <= bar {
-			if n++; d.rng.IntN(n) == 0 {
-				best = w
-			}
+// preferredWorker returns the candidate up to a load that ranks highest for a function, of its ring window if
+// that has one. Dispatchers rank alike, so that they load a function in one place; each sees little of the
+// load of any worker, and the more of them there are, the wider the range of loads that count as alike. Of a
+// function that needs more places, a share of the workers is ranked by each dispatcher for itself.
+func (b *Balancer) preferredWorker(now int64, f *function, preferred int, limit, placesShare float64) (best *worker) {
+	topScore := 0.0
+	for i, w := range b.choice.candidates {
+		if i >= preferred && best != nil {
+			break
+		}
+		if w.candidateIn != b.choice.number || w.choiceLoad > limit {
+			continue
+		}
+		if score := b.placementScore(now, f, w, placesShare); best == nil || score > topScore {
+			best, topScore = w, score
 		}
 	}
 	return best
 }
 
-// fleetFactor is by how much the dispatchers are more than few.
-func (d *Balancer) fleetFactor() float64 {
-	return max(1, float64(d.set.Dispatchers)/wellInformedDispatchers)
-}
-
-// placesNeeded is how many workers the calls of a function need, by Little's law: what we send, taken for every
-// dispatcher's share, at half of the lanes of one copy each. The call at hand does not count, nor, where many
-// dispatch, what may be chance: of functions called once or twice by each everyone would think them hot.
-func (d *Balancer) placesNeeded(now int64, r *request) float64 {
-	f := r.function
-	keep := float64(d.callRateWindow())
-	long := keep * (1 - math.Exp(-float64(now-d.born+d.minAim/2)/keep)) // a new one has seen less
-	n := f.recentCalls * math.Exp(-float64(now-f.recentCallsAt)/keep)
-	n = max(0, n-(1-1/d.fleetFactor())*math.Sqrt(n))
-	return n / long * float64(d.set.Dispatchers) * d.stats[r.Class].mean / (targetConcurrencyUse * float64(f.concurrency))
-}
-
-func (d *Balancer) callRateWindow() int64 { return max(d.set.KeepAlive, d.minAim) }
-
-// eligible is the one gate of every send and order: listed, not draining, in the cold budget (rules 3, 4).
-func (d *Balancer) eligible(now int64, w *worker) bool {
-	return w.listed && w.State == Active && d.slowStartAllows(now, w)
-}
-
-// appendSample appends workers drawn from those that are on, some perhaps twice: in a release a third of a list may be draining.
-func (d *Balancer) appendSample(ws []*worker) []*worker {
-	for range min(sampleSize, len(d.on)) {
-		ws = append(ws, d.on[d.rng.IntN(len(d.on))])
+// placementScore ranks a worker as the place to load a function.
+func (b *Balancer) placementScore(now int64, f *function, w *worker, placesShare float64) float64 {
+	rank := hashRank(f.id, w.Worker)
+	score := rendezvousScore(rank, w.Weight*b.capacityFraction(now, w))
+	if rank > 1-placesShare {
+		score += rendezvousScore(hashRank(b.ownPlacementKey(f.id), w.Worker), placementRankWeight)
 	}
-	return ws
-}
-
-// sampleWorkers are workers that stand for all: of a short list all, of a long one some drawn; good until the next choice.
-func (d *Balancer) sampleWorkers() []*worker {
-	if len(d.list) <= d.set.FullScanLimit {
-		return d.list
+	if h := f.holderAt(w, false); h != nil && h.orderBackoffUntil > now {
+		score /= failedOrderPenalty
 	}
-	d.near = d.appendSample(d.near[:0])
-	return d.near
+	return score
 }
 
-// hashRank is the rank of a worker for a function, between 0 and 1, the same at every dispatcher.
-func hashRank(f FuncID, w WorkerID) float64 {
-	return (float64(mix64(uint64(f)^uint64(w)*0x9e3779b97f4a7c15)>>11) + 0.5) / (1 << 53)
+// fleetFactor returns by how much the dispatchers are more than those of which each is well informed by
+// itself; 1 for few.
+func (b *Balancer) fleetFactor() float64 {
+	return max(1, float64(b.settings.Dispatchers)/wellInformedDispatchers)
 }
 
-// rendezvousScore makes of such a rank one in which the larger a worker is, the more functions rank it first (weighted rendezvous
-// hashing).
-func rendezvousScore(u, weight float64) float64 { return max(weight, 1e-9) / -math.Log(u) }
-
-// median is the median, which a few crowded workers do not move; 0 of none.
-func median(xs []float64) float64 {
-	if len(xs) == 0 {
-		return 0
-	}
-	slices.Sort(xs)
-	return (xs[len(xs)/2] + xs[(len(xs)-1)/2]) / 2
+// eligible reports whether w may get attempts and load orders: it is listed, not draining and within its
+// slow-start budget. Every attempt and every load order passes it (rules 3 and 4).
+func (b *Balancer) eligible(now int64, w *worker) bool {
+	return w.listed && w.State == Active && b.slowStartAllows(now, w)
 }
--- a/balancer/decide_test.go
+++ b/balancer/decide_test.go
@@ -100,10 +100,10 @@
 
 // hear makes every worker known by one answered call each.
 func hear(d *Balancer, now int64) {
-	for _, w := range d.list {
+	for _, w := range d.endpoints.listed {
 		w.responded = true
 	}
-	d.misses = 0
+	d.loads.share = 0
 }
 
 func TestHolderWithFreeLanesFirst(t *testing.T) {
@@ -146,7 +146,7 @@
 		d, f := start(t, settings(Idempotent, ScopeAll), 3)
 		d.HandleRequest(0, call("a", 0, 1))
 		d.HandleAttemptResult(10*ms, ok("a", f.last["a"]))
-		h := d.funcs[1].holderAt(d.workers[f.last["a"]], false)
+		h := d.holders.functions[1].holderAt(d.endpoints.byID[f.last["a"]], false)
 		if (h.validUntil > c.at) != c.held {
 			t.Errorf("at %d ms: believed %v, want %v", c.at/ms, !c.held, c.held)
 		}
@@ -270,17 +270,17 @@
 			}
 			d.UpdateEndpoints(0, EndpointsSnapshot, roster(workers))
 			hear(d, 0)
-			d.warm = workers
+			d.slowStart.warmWorkers = workers
 			d.UpdateEndpoints(now, EndpointsSnapshot, append(roster(workers), Endpoint{Worker: 99, State: Active, Weight: 1, Start: now}))
 			for step := range int64(100) { // everybody wants the cold worker all the time
 				clock := now + step*40*ms
 				if i%7 != 3 { // what a dispatcher of its size gets from warm workers in a long time
-					d.answers, d.answersAt = capacity*workers/float64(i+1)/parts*d.decayTime()/1e9, clock
+					d.slowStart.warmAnswers.value, d.slowStart.warmAnswers.at = capacity*workers/float64(i+1)/parts*d.decayTime()/1e9, clock
 				}
 				for k := range 3 {
-					d.chooseWorker(clock, &request{Request: call("x", clock, FuncID(k)), class: &d.set.Classes[0],
-						function: d.functionFor(clock, call("x", clock, FuncID(k)))})
-					if w := d.workers[99]; d.eligible(clock, w) {
+					d.chooseWorker(clock, &request{Request: call("x", clock, FuncID(k)), class: &d.settings.Classes[0],
+						function: d.holders.functionFor(clock, call("x", clock, FuncID(k)))})
+					if w := d.endpoints.byID[99]; d.eligible(clock, w) {
 						w.slowStartTokens--
 						at = append(at, clock)
 					}
@@ -314,21 +314,21 @@
 		hear(d, 0)
 		now := int64(0)
 		for i := range 12 { // two answers each, of worker 1 four times as late as the others'
-			w := d.list[i%6]
-			h := d.functionFor(now, call("x", now, FuncID(i))).holderAt(w, true)
-			r := &request{Request: call(fmt.Sprint(i), now, FuncID(i)), class: &d.set.Classes[0], function: h.function}
-			took := int64(d.stats[0].mean)
+			w := d.endpoints.listed[i%6]
+			h := d.holders.functionFor(now, call("x", now, FuncID(i))).holderAt(w, true)
+			r := &request{Request: call(fmt.Sprint(i), now, FuncID(i)), class: &d.settings.Classes[0], function: h.function}
+			took := int64(d.latencies[0].mean)
 			if w.Worker == 1 {
 				took *= 4
 			}
 			d.sendAttempt(now, r, w, false)
 			d.HandleAttemptResult(now+took, ok(fmt.Sprint(i), w.Worker))
 		}
-		slow, other := d.weightedLoad(now+ms, d.workers[1]), d.weightedLoad(now+ms, d.workers[2])
+		slow, other := d.weightedLoad(now+ms, d.endpoints.byID[1]), d.weightedLoad(now+ms, d.endpoints.byID[2])
 		if many <= 5 && slow != other || many > 5 && slow < 2*other {
 			t.Errorf("%d dispatchers: load %.2f at the slow worker, %.2f at another; %d sends", many, slow, other, len(f.sends))
 		}
-		if late := d.weightedLoad(now+20*d.set.KeepAlive, d.workers[1]); late > 1.1*other {
+		if late := d.weightedLoad(now+20*d.settings.KeepAlive, d.endpoints.byID[1]); late > 1.1*other {
 			t.Errorf("%d dispatchers: long after, load %.2f", many, late)
 		}
 	}
@@ -359,18 +359,18 @@
 			}
 			start := int64(20000 * ms)
 			d.UpdateEndpoints(0, EndpointsSnapshot, roster(20))
-			d.warm = 20
+			d.slowStart.warmWorkers = 20
 			d.UpdateEndpoints(start, EndpointsDelta, []Endpoint{{Worker: 99, State: Active, Weight: 1, Start: start - 4000*ms}})
 			for at := start; at < start+4000*ms; at += 667 * ms {
-				d.answers, d.answersAt = 0.2*20*d.decayTime()/1e9, at // 0.2 a second from each warm worker
+				d.slowStart.warmAnswers.value, d.slowStart.warmAnswers.at = 0.2*20*d.decayTime()/1e9, at // 0.2 a second from each warm worker
 				if c.told {
-					d.digestAt, d.others = at, 2
-					d.workers[99].peerCalls, d.workers[99].peerCallsAt = c.inflight, at
+					d.gossip.digestAt, d.endpoints.medianPeerCalls = at, 2
+					d.endpoints.byID[99].peerCalls, d.endpoints.byID[99].peerCallsAt = c.inflight, at
 				}
-				d.slowStartAllows(at, d.workers[99]) // others' choices look at it too
+				d.slowStartAllows(at, d.endpoints.byID[99]) // others' choices look at it too
 			}
 			asked++
-			if d.slowStartAllows(start+4000*ms, d.workers[99]) {
+			if d.slowStartAllows(start+4000*ms, d.endpoints.byID[99]) {
 				open++
 			}
 		}
@@ -440,15 +440,15 @@
 			d, f := start(t, s, workers)
 			hear(d, 0)
 			rng := rand.New(rand.NewPCG(uint64(i), 5))
-			for _, w := range d.list {
+			for _, w := range d.endpoints.listed {
 				w.peerCalls, w.peerCallsAt = float64(rng.IntN(5)), ms
 			}
-			d.others = 2
+			d.endpoints.medianPeerCalls = 2
 			for k := range functions {
 				id := fmt.Sprint(k)
 				d.HandleRequest(ms, call(id, ms, FuncID(k)))
 				at[[2]int{k, int(f.last[id])}] = true
-				if w := d.workers[f.last[id]]; w.peerCalls > 3 {
+				if w := d.endpoints.byID[f.last[id]]; w.peerCalls > 3 {
 					heavy[many]++
 				}
 				d.HandleAttemptResult(ms, ok(id, f.last[id]))
@@ -577,7 +577,7 @@
 	now := int64(5000 * ms)
 	for i := range 60 { // all functions loaded, nothing answered: a queue forms
 		d.HandleRequest(now, Request{ID: fmt.Sprint(i), Class: i % 2, Func: 1, Deadline: now + 3000*ms, Concurrency: 16})
-		if h := d.funcs[1].holderAt(d.list[i%4], true); true {
+		if h := d.holders.functions[1].holderAt(d.endpoints.listed[i%4], true); true {
 			h.validUntil = now + 8000*ms
 		}
 	}
@@ -598,12 +598,12 @@
 
 // digest is what a hub tells that has heard of all.
 func digest(d *Balancer, now int64, sums []float64, counts ...aggregate.Count) string {
-	m := aggregate.Message{FromLeader: true, Counts: counts, Digest: aggregate.Digest{Tick: uint16(now / d.set.ClockResolution), Sums: sums,
-		Covered: aggregate.NewSet(d.set.Dispatchers)}}
-	for i := range d.set.Dispatchers {
+	m := aggregate.Message{FromLeader: true, Counts: counts, Digest: aggregate.Digest{Tick: uint16(now / d.settings.ClockResolution), Sums: sums,
+		Covered: aggregate.NewSet(d.settings.Dispatchers)}}
+	for i := range d.settings.Dispatchers {
 		m.Digest.Covered.Add(i)
 	}
-	return m.Encode(d.set.Dispatchers)[0]
+	return m.Encode(d.settings.Dispatchers)[0]
 }
 
 // TestRulesUnderRandomEvents checks the rules from outside over seeded random days, hostile ones too.
@@ -744,8 +744,8 @@
 			d.UpdateEndpoints(now, EndpointsSnapshot, []Endpoint{{Worker: WorkerID(i + 10), State: Active}, {Worker: WorkerID(i + 11), State: Active}})
 		}
 	}
-	if len(d.reqs) > 0 || len(d.funcs) > 3000 || len(d.workers) > 10 || len(d.heap) > 5000 {
-		t.Fatalf("%d requests, %d functions, %d workers, %d timers kept", len(d.reqs), len(d.funcs), len(d.workers), len(d.heap))
+	if len(d.requests) > 0 || len(d.holders.functions) > 3000 || len(d.endpoints.byID) > 10 || len(d.timers.entries) > 5000 {
+		t.Fatalf("%d requests, %d functions, %d workers, %d timers kept", len(d.requests), len(d.holders.functions), len(d.endpoints.byID), len(d.timers.entries))
 	}
 }
 
@@ -831,11 +831,11 @@
 func benchRound(b *testing.B, s Settings, workers int) {
 	d, _ := start(b, s, workers)
 	report := aggregate.Message{Report: aggregate.Report{Incarnation: 1, Values: []float64{10, 2}}}
-	for _, w := range d.list {
+	for _, w := range d.endpoints.listed {
 		report.Counts = append(report.Counts, aggregate.Count{Worker: workerTag(w.Worker), N: 3, Heard: true})
 	}
 	for i := range b.N {
-		now := int64(i) * d.minAim / maintenanceRounds
+		now := int64(i) * d.shortestObjective / maintenanceRounds
 		if i%maintenanceRounds == 0 { // as often as each of them reports
 			b.StopTimer()
 			report.Report.Seq++
@@ -863,10 +863,10 @@
 	for i := range 8 {
 		id := fmt.Sprint(i)
 		d.HandleRequest(now, call(id, now, 1))
-		d.workers[f.last[id]].inFlight[len(d.workers[f.last[id]].inFlight)-1].expectedWarm = true
+		d.endpoints.byID[f.last[id]].inFlight[len(d.endpoints.byID[f.last[id]].inFlight)-1].expectedWarm = true
 	}
 	queued := d.expectedQueueTime(now + ms)
-	for _, w := range d.list { // every worker answers other calls meanwhile
+	for _, w := range d.endpoints.listed { // every worker answers other calls meanwhile
 		w.lastResponseAt = now + 2500*ms
 	}
 	if stuck := d.expectedQueueTime(now + 2600*ms); stuck > queued/2 {
@@ -896,7 +896,7 @@
 		hear(d, 0)
 		d.HandleRequest(0, call("a", 0, 1))
 		d.HandleAttemptResult(10*ms, ok("a", f.last["a"]))
-		d.stress = stress
+		d.loads.slowdown = stress
 		on := map[WorkerID]bool{}
 		for i := range 8 {
 			id := fmt.Sprint("b", i)
@@ -969,7 +969,7 @@
 	s.Gossip = true
 	a, fa := start(t, s, 60)
 	hear(a, 0)
-	a.words.tokens, a.pool.tokens = 1, 1
+	a.gossip.reportBudget.tokens, a.gossip.digestBudget.tokens = 1, 1
 	for i := range 60 {
 		a.HandleRequest(1001*ms, call(fmt.Sprint(i), 1001*ms, FuncID(i)))
 	}
@@ -982,9 +982,9 @@
 		b.HandlePeerMessage(1210*ms, 1, m)
 	}
 	busy := 0
-	for _, w := range b.list {
+	for _, w := range b.endpoints.listed {
 		n := int(w.peerCalls) // where a was the hub, b knows the sums; else a reported to b
-		for _, r := range b.reports.bySender {
+		for _, r := range b.gossip.reports.bySender {
 			for i := 0; r != nil && i < len(r.counts); i++ {
 				if c := r.counts[i]; c.worker == w {
 					n = max(n, int(c.calls))
@@ -993,8 +993,8 @@
 		}
 		busy += n
 	}
-	if len(a.news) > 0 || len(b.funcs) != 60 || busy != 60 {
-		t.Fatalf("%d holders left to tell, %d functions and %d calls known to the peer", len(a.news), len(b.funcs), busy)
+	if len(a.gossip.announcements) > 0 || len(b.holders.functions) != 60 || busy != 60 {
+		t.Fatalf("%d holders left to tell, %d functions and %d calls known to the peer", len(a.gossip.announcements), len(b.holders.functions), busy)
 	}
 }
 
@@ -1059,16 +1059,16 @@
 		}
 	}
 	round(false)
-	calm := d.overdueDevs()
+	calm := d.losses.overdueDeviations()
 	for range 30 {
 		round(true)
 	}
-	lossy := d.overdueDevs()
+	lossy := d.losses.overdueDeviations()
 	for range 30 {
 		round(false)
 	}
-	if lossy > 0.7*calm || d.overdueDevs() < 0.9*calm {
-		t.Fatalf("overdue past %.1f deviations before, %.1f with a fifth lost, %.1f after", calm, lossy, d.overdueDevs())
+	if lossy > 0.7*calm || d.losses.overdueDeviations() < 0.9*calm {
+		t.Fatalf("overdue past %.1f deviations before, %.1f with a fifth lost, %.1f after", calm, lossy, d.losses.overdueDeviations())
 	}
 }
 
@@ -1082,14 +1082,14 @@
 	if w := d.expectedQueueTime(5001 * ms); w < 2*calm {
 		t.Errorf("expected wait %.0f ms with 80 calls in queue and 40 answers a second, %.0f ms before", w/1e6, calm/1e6)
 	}
-	if d.workers[1].peerCalls != 9 || d.isUnresponsive(5001*ms, d.workers[1]) || !d.isUnresponsive(5001*ms, d.workers[2]) {
-		t.Errorf("load %.0f at worker 1, silent %v, %v", d.workers[1].peerCalls, d.isUnresponsive(5001*ms, d.workers[1]), d.isUnresponsive(5001*ms, d.workers[2]))
+	if d.endpoints.byID[1].peerCalls != 9 || d.isUnresponsive(5001*ms, d.endpoints.byID[1]) || !d.isUnresponsive(5001*ms, d.endpoints.byID[2]) {
+		t.Errorf("load %.0f at worker 1, silent %v, %v", d.endpoints.byID[1].peerCalls, d.isUnresponsive(5001*ms, d.endpoints.byID[1]), d.isUnresponsive(5001*ms, d.endpoints.byID[2]))
 	}
 	d.HandlePeerMessage(5010*ms, 1, digest(d, 5010*ms, []float64{40, 0}))
 	for i := range 40 { // what we see ourselves is newer than what was told
 		d.HandleRequest(5020*ms, call(fmt.Sprint(i), 5020*ms, FuncID(i%4)))
 	}
-	for _, w := range d.list {
+	for _, w := range d.endpoints.listed {
 		for _, a := range w.inFlight {
 			a.expectedWarm = true
 		}
@@ -1108,10 +1108,10 @@
 	s.Dispatchers, s.Gossip, s.PeerPrice, s.OverloadWindow = 300, true, 0.021, 0
 	s.Classes[0].LatencyObjective = 240 * ms
 	d, f := start(t, s, 118)
-	d.greeted = syncPeers
-	term := leaderTermObjectives * d.minAim
+	d.gossip.syncRequests = syncPeers
+	term := leaderTermObjectives * d.shortestObjective
 	for at := 10*term + 300*ms; ; at += term {
-		if d.roll.Leader(at) != s.DispatcherIndex {
+		if d.gossip.elector.Leader(at) != s.DispatcherIndex {
 			continue
 		}
 		for from := 1; from < 300; from++ { // each took some three calls
@@ -1127,10 +1127,10 @@
 			t.Fatal("never the hub")
 		}
 		if len(f.told) == told {
-			t.Fatalf("told nothing, with %.1f earned", d.pool.tokens)
+			t.Fatalf("told nothing, with %.1f earned", d.gossip.digestBudget.tokens)
 		}
 		m, ok := aggregate.Decode(f.told[told], 300)
-		if !ok || m.Digest.Sums[0] < 299*7-1 || len(m.Counts) != 1 || m.Counts[0].Worker != 118 || !d.isReportedUnresponsive(at, d.workers[118]) {
+		if !ok || m.Digest.Sums[0] < 299*7-1 || len(m.Counts) != 1 || m.Counts[0].Worker != 118 || !d.isReportedUnresponsive(at, d.endpoints.byID[118]) {
 			t.Fatalf("told %+v", m)
 		}
 		if len(f.told) > told+1 {
@@ -1153,7 +1153,7 @@
 		var counts []aggregate.Count
 		for w := range lost {
 			counts = append(counts, aggregate.Count{Worker: uint16(w + 1), Silent: true})
-			d.recordFailure(0, d.workers[WorkerID(w+1)], outlier.Dead) // its ejection will have run out
+			d.recordFailure(0, d.endpoints.byID[WorkerID(w+1)], outlier.Dead) // its ejection will have run out
 		}
 		now := 20000 * ms
 		d.HandlePeerMessage(now, (i+1)%80, digest(d, now, []float64{0, 0}, counts...))
@@ -1162,21 +1162,21 @@
 			d.HandleRequest(now+ms, call(id, now+ms, FuncID(k)))
 			if w := f.last[id]; w <= lost {
 				trials[w]++
-				if k > 0 && len(d.workers[w].inFlight) > 1 {
+				if k > 0 && len(d.endpoints.byID[w].inFlight) > 1 {
 					t.Fatalf("dispatcher %d: call %d went to worker %d, which nobody hears", i, k, w)
 				}
 			}
 		}
-		later := now + d.minAim/maintenanceRounds
+		later := now + d.shortestObjective/maintenanceRounds
 		d.HandlePeerMessage(later, (i+1)%80, digest(d, later, []float64{0, 0}, aggregate.Count{Worker: 1, N: 1, Silent: true, Heard: true}))
-		d.workers[1].inFlight = nil
+		d.endpoints.byID[1].inFlight = nil
 		d.HandleRequest(later+ms, call("back", later+ms, 99))
 		if f.last["back"] == 1 {
 			heard++
 		}
 		for _, many := range []int{3, 80} { // of few, each finds out for itself soon
-			d.set.Dispatchers = many
-			if told := d.isReportedUnresponsive(now+3*d.minAim, d.workers[2]); told != (many == 80) {
+			d.settings.Dispatchers = many
+			if told := d.isReportedUnresponsive(now+3*d.shortestObjective, d.endpoints.byID[2]); told != (many == 80) {
 				t.Fatalf("three aims later, %d dispatchers: told silent %v", many, told)
 			}
 		}
@@ -1209,8 +1209,8 @@
 	if len(f.sends) != 8 || len(f.answers) > 0 || f.cancels > 0 {
 		t.Fatalf("%d sends, answers %v, %d cancels after standing still", len(f.sends), f.answers, f.cancels)
 	}
-	for _, w := range d.list {
-		if x := d.judge.FailureRate(4000*ms, &w.outlierStats); d.isEjected(w) || x > 0 {
+	for _, w := range d.endpoints.listed {
+		if x := d.outliers.FailureRate(4000*ms, &w.outlierStats); d.isEjected(w) || x > 0 {
 			t.Fatalf("worker %d blamed (%.2f)", w.Worker, x)
 		}
 	}
@@ -1263,9 +1263,9 @@
 	}
 	d.HandlePeerMessage(ms, 1, digest(d, ms, []float64{0, 0}, counts...))
 	for k := range 40 {
-		h := d.functionFor(ms, call("", ms, FuncID(k))).holderAt(d.workers[1], true) // believed at a crowded worker
+		h := d.holders.functionFor(ms, call("", ms, FuncID(k))).holderAt(d.endpoints.byID[1], true) // believed at a crowded worker
 		h.validUntil = 8000 * ms
-		d.misses = 1
+		d.loads.share = 1
 		d.HandleRequest(2*ms, call(fmt.Sprint(k), 2*ms, FuncID(k)))
 		if w := f.last[fmt.Sprint(k)]; w <= 4 {
 			t.Fatalf("function %d sent to worker %d, which holds 50 calls where most hold 4", k, w)
@@ -1284,8 +1284,8 @@
 	for _, text := range []string{"", "A", "AQ", "////////", "AAAAAAA", "\x00\xff", strings.Repeat("A", 400)} {
 		d.HandlePeerMessage(ms, 3, text)
 	}
-	if d.fleetSum(completionsColumn) != 0 || len(d.funcs) != 1 {
-		t.Fatalf("bad messages were taken: %v, %d functions", d.fleetSum(completionsColumn), len(d.funcs))
+	if d.fleetSum(completionsColumn) != 0 || len(d.holders.functions) != 1 {
+		t.Fatalf("bad messages were taken: %v, %d functions", d.fleetSum(completionsColumn), len(d.holders.functions))
 	}
 	d.UpdateEndpoints(2*ms, EndpointsSnapshot, roster(1))
 	d.HandleRequest(3*ms, call("b", 3*ms, 1))
@@ -1315,7 +1315,7 @@
 	for i := range 90 { // all loaded, nothing answered: a queue forms
 		id := fmt.Sprint(i)
 		d.HandleRequest(now, Request{ID: id, Func: 1, Deadline: now + 3000*ms, Concurrency: 16, Retry: i%3 > 0})
-		d.functionFor(now, call(id, now, 1)).holderAt(d.list[i%4], true).validUntil = now + 8000*ms
+		d.holders.functionFor(now, call(id, now, 1)).holderAt(d.endpoints.listed[i%4], true).validUntil = now + 8000*ms
 	}
 	first, repeat := 0, 0
 	for i := range 90 {
@@ -1336,9 +1336,9 @@
 func TestColdBudgetBeforeTheFirstCount(t *testing.T) {
 	d, _ := start(t, settings(Idempotent, ScopeAll), 50)
 	d.UpdateEndpoints(0, EndpointsSnapshot, append(roster(50), Endpoint{Worker: 99, State: Active, Weight: 1, Start: 999 * ms}))
-	d.answers, d.answersAt = 400, 1000*ms // 50 a second from 50 workers: one a second each
-	if d.eligible(1000*ms, d.workers[99]); d.workers[99].slowStartTokens > 1 {
-		t.Fatalf("%d calls at once to a cold worker", d.workers[99].slowStartTokens)
+	d.slowStart.warmAnswers.value, d.slowStart.warmAnswers.at = 400, 1000*ms // 50 a second from 50 workers: one a second each
+	if d.eligible(1000*ms, d.endpoints.byID[99]); d.endpoints.byID[99].slowStartTokens > 1 {
+		t.Fatalf("%d calls at once to a cold worker", d.endpoints.byID[99].slowStartTokens)
 	}
 }
 
@@ -1350,11 +1350,11 @@
 	d, f := start(t, s, 4)
 	hear(d, 0)
 	now := 5000 * ms
-	d.functionFor(now, Request{Func: 1, Concurrency: 16})
-	for _, w := range d.list {
-		d.funcs[1].holderAt(w, true).validUntil = now + 8000*ms
+	d.holders.functionFor(now, Request{Func: 1, Concurrency: 16})
+	for _, w := range d.endpoints.listed {
+		d.holders.functions[1].holderAt(w, true).validUntil = now + 8000*ms
 	}
-	d.served, d.servedAt = 1e6, now // answers flow, so there is no queue
+	d.admission.completions.value, d.admission.completions.at = 1e6, now // answers flow, so there is no queue
 	cold, warm := 0, 0
 	for i := range 100 {
 		fn := FuncID(1)
@@ -1370,8 +1370,8 @@
 			}
 		}
 	}
-	if cold == 0 || warm > cold/2 || len(d.reqs) > 90 {
-		t.Fatalf("refused %d that need a load and %d loaded, %d are open", cold, warm, len(d.reqs))
+	if cold == 0 || warm > cold/2 || len(d.requests) > 90 {
+		t.Fatalf("refused %d that need a load and %d loaded, %d are open", cold, warm, len(d.requests))
 	}
 }
 
@@ -1405,7 +1405,7 @@
 		d, f := start(t, settings(Idempotent, ScopeAll), 4)
 		hear(d, 0)
 		d.HandleRequest(0, call("a", 0, 1))
-		w := d.workers[f.last["a"]]
+		w := d.endpoints.byID[f.last["a"]]
 		d.HandleAttemptResult(10*ms, ok("a", w.Worker))
 		awake(d, f, 20*ms, lately)
 		d.HandleRequest(lately, call("b", lately, 1))
@@ -1480,7 +1480,7 @@
 			d.HandleAttemptResult(now+ms, AttemptResult{ID: id, Attempt: try, Worker: f.last[id], Result: Error})
 		}
 	}
-	for _, w := range d.list {
+	for _, w := range d.endpoints.listed {
 		if d.isEjected(w) {
 			t.Errorf("worker %d is ejected", w.Worker)
 		}
@@ -1531,10 +1531,10 @@
 			d.HandleRequest(0, call(id, 0, fn))
 			d.HandleAttemptResult(10*ms, ok(id, f.last[id]))
 		}
-		h := d.funcs[1].holders[0]
+		h := d.holders.functions[1].holders[0]
 		h.confirmed = !c.told
 		d.HandleRequest(20*ms, call("x", 20*ms, 1))
-		if a := d.reqs["x"].attempts[0]; c.told != (a.dueAt-a.sentAt > 1000*ms) {
+		if a := d.requests["x"].attempts[0]; c.told != (a.dueAt-a.sentAt > 1000*ms) {
 			t.Errorf("%s: due after %d ms", name, (a.dueAt-a.sentAt)/ms)
 		}
 		other := FuncID(2)
@@ -1544,10 +1544,10 @@
 		d.HandleRequest(30*ms, call("y", 30*ms, other))
 		d.HandleAttemptResult(40*ms, ok("y", f.last["y"]))
 		awake(d, f, 60*ms, 2900*ms)
-		before := d.lost
+		before := d.losses.probability
 		d.HandleAttemptResult(2900*ms, AttemptResult{ID: "x", Worker: 1, Result: Timeout, Finished: true})
-		if (d.lost > before) != c.lost {
-			t.Errorf("%s: share of lost answers %v, before %v", name, d.lost, before)
+		if (d.losses.probability > before) != c.lost {
+			t.Errorf("%s: share of lost answers %v, before %v", name, d.losses.probability, before)
 		}
 	}
 }
@@ -1567,7 +1567,7 @@
 		s := settings(Idempotent, ScopeAll)
 		d, f := start(t, s, 1)
 		hear(d, 0)
-		d.set.Classes[0].LatencyObjective = c.aim // learned times stay
+		d.settings.Classes[0].LatencyObjective = c.aim // learned times stay
 		for i, fn := range []FuncID{1, 2} {
 			id := fmt.Sprint("a", i)
 			d.HandleRequest(0, call(id, 0, fn))
@@ -1692,19 +1692,19 @@
 	s.Dispatchers, s.Gossip = 12, true
 	d, _ := start(t, s, 4)
 	now := 1000000 * ms
-	before := d.weightedLoad(now, d.workers[1])
+	before := d.weightedLoad(now, d.endpoints.byID[1])
 	d.applyEvidence(now, []aggregate.Mark{{Worker: 1, Good: 3, Pace: 16}, {Worker: 2, Good: 3, Pace: 16}})
-	if l := d.weightedLoad(now, d.workers[1]); l < 3*before {
+	if l := d.weightedLoad(now, d.endpoints.byID[1]); l < 3*before {
 		t.Errorf("load %.1f with calls told to take four times as long, %.1f before", l, before)
 	}
-	if _, says := d.judge.Mark(now, &d.workers[1].outlierStats, d.relativeLatency(now, d.workers[1])); says {
+	if _, says := d.outliers.Mark(now, &d.endpoints.byID[1].outlierStats, d.relativeLatency(now, d.endpoints.byID[1])); says {
 		t.Error("it is told on")
 	}
-	d.workers[2].pace, d.workers[2].paceAt = 8, now
-	if l := d.weightedLoad(now, d.workers[2]); l < 30*before {
+	d.endpoints.byID[2].pace, d.endpoints.byID[2].paceAt = 8, now
+	if l := d.weightedLoad(now, d.endpoints.byID[2]); l < 30*before {
 		t.Errorf("load %.1f with eight times as long seen here", l)
 	}
-	if l := d.weightedLoad(now+10*int64(d.decayTime()), d.workers[1]); l > 1.1*before {
+	if l := d.weightedLoad(now+10*int64(d.decayTime()), d.endpoints.byID[1]); l > 1.1*before {
 		t.Errorf("load %.1f long after", l)
 	}
 }
@@ -1763,7 +1763,7 @@
 		place := f.last["a"]
 		other := place%workers + 1
 		if c.elsewhere {
-			d.confirmHolder(ms, d.funcs[functionTag(9)].holderAt(d.workers[other], true))
+			d.confirmHolder(ms, d.holders.functions[functionTag(9)].holderAt(d.endpoints.byID[other], true))
 		}
 		full := func(n int, now int64) {
 			d.HandleAttemptResult(now, AttemptResult{ID: "a", Attempt: n, Worker: f.last["a"], Result: QueueFull})
@@ -1788,7 +1788,7 @@
 			t.Fatalf("%+v: a call turned away went on at once: %v", c, f.sends)
 		}
 		again := until(3 * ms)
-		if load := int64(d.expectedLoadTime(d.funcs[functionTag(9)])); again == 0 || again > 3*ms+min(load, 3000*ms/int64(s.MaxAttempts)) || f.last["a"] != place {
+		if load := int64(d.loads.expected(d.holders.functions[functionTag(9)])); again == 0 || again > 3*ms+min(load, 3000*ms/int64(s.MaxAttempts)) || f.last["a"] != place {
 			t.Fatalf("%+v: turned away by %d at 2 ms, it came again at %d ms: %v", c, place, again/ms, f.sends)
 		}
 		full(1, again+ms)
@@ -1809,11 +1809,11 @@
 			s.Dispatchers, s.DispatcherIndex, s.FullScanLimit = 300, i*7, walk
 			d, f := start(t, s, 120)
 			hear(d, 0)
-			d.stats[0] = latency{float64(1000 * ms), float64(500 * ms)}
+			d.latencies[0] = latency{float64(1000 * ms), float64(500 * ms)}
 			for k := range functions {
 				r := call(fmt.Sprint(k), 8000*ms, FuncID(5+k*1_000_003))
-				fn := d.functionFor(8000*ms, r)
-				fn.recentCalls, fn.recentCallsAt = 1, 8000*ms // the call at hand is the second
+				fn := d.holders.functionFor(8000*ms, r)
+				fn.recentCalls = decayingCounter{1, 8000 * ms} // the call at hand is the second
 				d.HandleRequest(8000*ms, r)
 				at[[2]int{k, int(f.last[r.ID])}] = true
 			}
--- /dev/null
+++ b/balancer/endpoints.go
@@ -0,0 +1,192 @@
+package balancer
+
+import (
+	"math/rand/v2"
+	"slices"
+
+	"oakthread/ring"
+)
+
+const (
+	// defaultFullScanLimit is the length up to which a list is scanned in full for each choice.
+	defaultFullScanLimit = 256
+	// sampleSize is how many workers are drawn to stand for a long list. With ringWindow others, one of them
+	// is of the lightest tenth in 28 choices of 29.
+	sampleSize = 16
+)
+
+// endpointTable holds the workers and, of a long list, those that a choice or a round has to look at.
+type endpointTable struct {
+	fullScanLimit int
+	byID          map[WorkerID]*worker // also removed ones with attempts in flight
+	byTag         map[uint16]*worker
+	listed        []*worker // active or draining, in order of arrival
+	active        []*worker // of these the active ones, as the ring has them
+	ring          ring.Ring[*worker]
+
+	inUse       []*worker // with attempts of ours in flight or failed just now
+	recent      []*worker // that something concerned lately
+	withHolders []*worker // that may be believed to hold copies
+	sampled     []*worker // scratch of a sample
+
+	medianPeerCalls float64 // of the calls in flight from other dispatchers at a worker
+}
+
+// newEndpointTable returns an empty table.
+func newEndpointTable(fullScanLimit int) endpointTable {
+	return endpointTable{fullScanLimit: fullScanLimit, byID: map[WorkerID]*worker{}, byTag: map[uint16]*worker{}}
+}
+
+// isLong reports whether the list is too long to be scanned in full.
+func (t *endpointTable) isLong() bool { return len(t.listed) > t.fullScanLimit }
+
+// apply takes an entry of the endpoint list and returns its worker. A worker that restarted begins anew.
+func (t *endpointTable) apply(now int64, endpoint Endpoint) *worker {
+	w := t.byID[endpoint.Worker]
+	if w == nil {
+		w = &worker{pace: 1}
+		t.byID[endpoint.Worker], t.byTag[workerTag(endpoint.Worker)] = w, w
+	} else if endpoint.Start != w.Start && endpoint.Start > 0 {
+		w.forgetCopies()
+		w.slowStartSlot = 0
+		w.outlierStats.Reset()
+	}
+	w.Endpoint, w.listed = endpoint, endpoint.State != Removed
+	if w.listed && !w.inTable {
+		w.inTable, t.listed = true, append(t.listed, w)
+		t.markActive(now, w)
+	}
+	if endpoint.State != Active && t.ring.Remove(uint32(w.Worker)) {
+		t.active = slices.DeleteFunc(t.active, func(other *worker) bool { return other == w })
+	} else if endpoint.State == Active && t.ring.Add(uint32(w.Worker), w) {
+		t.active = append(t.active, w)
+	}
+	return w
+}
+
+// retain unlists the workers that a complete list does not name.
+func (t *endpointTable) retain(endpoints []Endpoint) {
+	named := make(map[WorkerID]bool, len(endpoints))
+	for _, endpoint := range endpoints {
+		named[endpoint.Worker] = true
+	}
+	for _, w := range t.listed {
+		w.listed = w.listed && named[w.Worker]
+	}
+}
+
+// dropUnlisted takes the workers that are no longer listed out of the list and of the ring.
+func (t *endpointTable) dropUnlisted() {
+	listed := t.listed[:0]
+	for _, w := range t.listed {
+		if w.listed {
+			listed = append(listed, w)
+			continue
+		}
+		w.inTable = false
+		t.ring.Remove(uint32(w.Worker))
+		w.forgetCopies()
+	}
+	t.listed = listed
+	t.active = slices.DeleteFunc(t.active, func(w *worker) bool { return !w.listed })
+}
+
+// sweep forgets the workers that are neither listed nor in use.
+func (t *endpointTable) sweep() {
+	for id, w := range t.byID {
+		if len(t.byID) == len(t.listed) {
+			return
+		}
+		if w.listed || len(w.inFlight) > 0 {
+			continue
+		}
+		delete(t.byID, id)
+		if t.byTag[workerTag(id)] == w {
+			delete(t.byTag, workerTag(id))
+		}
+	}
+}
+
+// markActive takes that a call, a response or a message concerns a listed worker.
+func (t *endpointTable) markActive(now int64, w *worker) {
+	if !w.listed {
+		return
+	}
+	if w.lastActivityAt == 0 {
+		t.recent = append(t.recent, w)
+	}
+	w.lastActivityAt = max(now, 1)
+	t.trackHolders(w)
+}
+
+// markInUse takes that an attempt of ours is in flight at a worker, or has just ended there.
+func (t *endpointTable) markInUse(now int64, w *worker) {
+	t.markActive(now, w)
+	if !w.trackedInUse {
+		w.trackedInUse, t.inUse = true, append(t.inUse, w)
+	}
+}
+
+// workersInUse lists the workers, listed or not, with attempts of ours in flight or counted as such.
+func (t *endpointTable) workersInUse(now int64) []*worker {
+	t.inUse = slices.DeleteFunc(t.inUse, func(w *worker) bool {
+		w.trackedInUse = len(w.inFlight) > 0 || w.failuresAt(now) > 0
+		return !w.trackedInUse
+	})
+	return t.inUse
+}
+
+// activeWorkers lists the workers of which there may be something to report: of a short list all, of a long
+// one those that something concerned lately, so that a round costs what was done and not what is listed.
+func (t *endpointTable) activeWorkers() []*worker {
+	if !t.isLong() {
+		return t.listed
+	}
+	return t.recent
+}
+
+// isActive reports whether activeWorkers lists w.
+func (t *endpointTable) isActive(w *worker) bool {
+	if !t.isLong() {
+		return w.inTable
+	}
+	return w.lastActivityAt != 0
+}
+
+// trackHolders takes that w may come to be believed to hold copies.
+func (t *endpointTable) trackHolders(w *worker) {
+	if !w.trackedHolder {
+		w.trackedHolder, t.withHolders = true, append(t.withHolders, w)
+	}
+}
+
+// workersWithHolders lists the workers that may be believed to hold copies: of a short list all.
+func (t *endpointTable) workersWithHolders() []*worker {
+	if !t.isLong() {
+		return t.listed
+	}
+	t.withHolders = slices.DeleteFunc(t.withHolders, func(w *worker) bool {
+		w.trackedHolder = w.listed && len(w.holders) > 0
+		return !w.trackedHolder
+	})
+	return t.withHolders
+}
+
+// sample lists workers that stand for all: of a short list all, of a long one some drawn at random. The
+// result is valid until the next sample or choice.
+func (t *endpointTable) sample(rng *rand.Rand) []*worker {
+	if !t.isLong() {
+		return t.listed
+	}
+	t.sampled = t.appendSample(t.sampled[:0], rng)
+	return t.sampled
+}
+
+// appendSample appends workers drawn from the active ones, some perhaps twice. Draining ones are left out: in
+// a rollout they may be a third of the list.
+func (t *endpointTable) appendSample(workers []*worker, rng *rand.Rand) []*worker {
+	for range min(sampleSize, len(t.active)) {
+		workers = append(workers, t.active[rng.IntN(len(t.active))])
+	}
+	return workers
+}
--- /dev/null
+++ b/balancer/endpointupdate.go
@@ -0,0 +1,54 @@
+package balancer
+
+// endpointPoller keeps a list that must be polled for up to date.
+type endpointPoller struct {
+	subscribed bool
+	nextAt     int64 // when the host may be asked again
+}
+
+// pollEndpoints asks the host for the list if it must be polled for; after failures again at a bounded rate.
+func (b *Balancer) pollEndpoints(now int64) {
+	if !b.settings.PollEndpoints || b.poller.subscribed || now < b.poller.nextAt {
+		return
+	}
+	b.poller.nextAt = now + max(b.settings.PollInterval/4, b.shortestObjective)
+	b.poller.subscribed = true
+	b.host.SubscribeEndpoints()
+}
+
+// UpdateEndpoints takes changes of the endpoint list.
+func (b *Balancer) UpdateEndpoints(now int64, kind EndpointUpdateKind, endpoints []Endpoint) {
+	b.advanceClock(now)
+	defer b.armTimer()
+	b.poller.received(now, kind)
+	for _, endpoint := range endpoints {
+		w := b.endpoints.apply(b.now, endpoint)
+		b.slowStart.track(b.now, w)
+	}
+	if kind == EndpointsSnapshot || kind == EndpointsCached {
+		b.endpoints.retain(endpoints)
+	}
+	b.endpoints.dropUnlisted()
+	b.pruneActive(now)
+	b.pollEndpoints(now)
+	b.recheckUnsentRequests(now)
+}
+
+// received takes the outcome of a poll. A cached list does not end the wait for a fresh one.
+func (p *endpointPoller) received(now int64, kind EndpointUpdateKind) {
+	if kind == EndpointsUnavailable {
+		p.subscribed = false
+		return
+	}
+	p.nextAt = now
+	p.subscribed = p.subscribed || kind != EndpointsCached
+}
+
+// recheckUnsentRequests has the requests that wait for a worker looked at as soon as their timers fire.
+func (b *Balancer) recheckUnsentRequests(now int64) {
+	for _, entry := range b.timers.entries {
+		if r := entry.request; r != nil && len(r.attempts) == 0 && !r.done {
+			r.recheckAt = now
+		}
+	}
+}
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -112,6 +112,6 @@
 	for _, kind := range []string{"sync request", "holders", "digest", "report with Prev", "report"} {
 		assert.Positive(t, kinds[kind], kind)
 	}
-	assert.Zero(t, d.shared.Dropped, "rows and digests not taken")
+	assert.Zero(t, d.gossip.aggregator.Dropped, "rows and digests not taken")
 	assert.False(t, d.FleetView().Never, "a digest was taken")
 }
--- /dev/null
+++ b/balancer/gossip.go
@@ -0,0 +1,170 @@
+package balancer
+
+import (
+	"oakthread/aggregate"
+	"oakthread/leader"
+)
+
+const (
+	// leaderTermObjectives is how many shortest latency objectives a leader's term lasts: a dead leader is
+	// missed no longer.
+	leaderTermObjectives = 2
+	// syncPeers is how many dispatchers one that started asks for their holders.
+	syncPeers = 3
+	// forgetDispatcherDecays is the time constant, in decayTime, with which a dispatcher that is not heard of
+	// is forgotten.
+	forgetDispatcherDecays = 20
+)
+
+// The columns of a dispatcher's figures: calls a second of each shared tenant, followed by these.
+const (
+	completionsColumn = 0 // answers a second
+	queuedColumn      = 1 // calls in a queue
+	fleetColumns      = 2
+	// maxSharedTenants is how many tenants' figures are shared: a report holds no more.
+	maxSharedTenants = 13
+)
+
+// gossip holds what this dispatcher tells others and what it has from them. One dispatcher, another in each
+// term, is the leader: all others report to it alone, and it sends the sums to all as a digest. So messages
+// grow with the number of dispatchers and not with its square. They carry hints only: nothing breaks if they
+// are lost.
+type gossip struct {
+	elector    *leader.Elector
+	aggregator *aggregate.Aggregator // of the figures of all dispatchers
+	view       aggregate.View        // of these as of the last round
+	reports    reports               // of other dispatchers, while we lead
+
+	reportBudget     tokenBucket
+	digestBudget     tokenBucket
+	callsSinceReport int
+	announcements    []*holder // new holders that the next message tells of
+	syncRequests     int       // dispatchers asked for their holders since the start
+	lastCounts       int       // counts in the last message, to allocate as many
+
+	digestAt     int64 // when the last full digest came
+	fullDigestAt int64 // the same, where the list is long
+}
+
+// earn adds what one call may cost in messages.
+func (g *gossip) earn() {
+	g.reportBudget.refill(gossipCostShare)
+	g.digestBudget.refill(gossipCostShare)
+	g.callsSinceReport++
+}
+
+// requestSync asks some other dispatchers, after the start, for the holders that they know of.
+func (b *Balancer) requestSync() {
+	others := b.settings.Dispatchers - 1
+	for ; b.gossip.syncRequests < min(syncPeers, others); b.gossip.syncRequests++ {
+		peer := (b.settings.DispatcherIndex + 1 + b.rng.IntN(others)) % b.settings.Dispatchers
+		b.host.SendPeerMessage(peer, aggregate.Message{SyncRequest: true, Continued: true}.Encode(0)[0])
+	}
+}
+
+// sendGossip sends a report to the leader or, if that is this dispatcher, a digest to all, once the budget
+// allows it.
+func (b *Balancer) sendGossip(now int64) {
+	if !b.settings.Gossip || b.settings.Dispatchers < 2 {
+		return
+	}
+	b.requestSync()
+	leading := b.gossip.elector.Leader(now)
+	m := aggregate.Message{FromLeader: leading == b.settings.DispatcherIndex, Calls: b.gossip.callsSinceReport}
+	b.gossip.aggregator.SetLocal(b.localFigures(now))
+	b.updateView(now)
+	if m.FromLeader && b.awaitsReports(now) {
+		return
+	}
+	out := b.channelTo(leading)
+	if b.endpoints.isLong() && !out.budget.coversLast() { // not worth filling yet
+		return
+	}
+	b.fillMessage(now, &m)
+	if len(m.Counts)+len(m.Holders) == 0 {
+		return
+	}
+	if m.FromLeader && b.termElapsed(now) > b.leaderTerm()*3/4 && b.gossip.view.Stale {
+		m = m.Truncate(b.settings.Dispatchers, out.affordableBytes()) // a full one is too expensive
+	}
+	if !out.spend(m.EncodedLen(b.settings.Dispatchers)) {
+		return
+	}
+	b.gossip.announcements, b.gossip.callsSinceReport = b.gossip.announcements[:0], 0
+	b.sendParts(out.receiver, m)
+	if m.FromLeader {
+		b.handleDigest(now, leading, m)
+	} else {
+		b.gossip.aggregator.ReportSent(m.Report)
+	}
+}
+
+// awaitsReports reports whether the leader waits for more reports before it sends a digest.
+func (b *Balancer) awaitsReports(now int64) bool {
+	elapsed := b.termElapsed(now)
+	if elapsed < b.shortestObjective*2/maintenanceRounds || now-b.startedAt < b.shortestObjective {
+		return true
+	}
+	return b.fleetFactor() > 1 && elapsed < b.leaderTerm()/2 && !b.gossip.aggregator.Complete(now)
+}
+
+// leaderTerm returns the length of a leader's term in nanoseconds.
+func (b *Balancer) leaderTerm() int64 { return leaderTermObjectives * b.shortestObjective }
+
+// termElapsed returns how long the term has lasted.
+func (b *Balancer) termElapsed(now int64) int64 { return now % b.leaderTerm() }
+
+// sendParts sends a message in as many datagrams as it needs.
+func (b *Balancer) sendParts(receiver int, m aggregate.Message) {
+	for _, part := range m.Encode(b.settings.Dispatchers) {
+		b.host.SendPeerMessage(receiver, part)
+	}
+}
+
+// updateView takes the sums as the aggregator has them now.
+func (b *Balancer) updateView(now int64) {
+	b.gossip.view = b.gossip.aggregator.View(now, b.sharedTenants()+completionsColumn)
+}
+
+// sharedTenants returns how many tenants' figures are shared.
+func (b *Balancer) sharedTenants() int { return min(len(b.admission.tenantCalls), maxSharedTenants) }
+
+// localFigures returns the figures of this dispatcher.
+func (b *Balancer) localFigures(now int64) []float64 {
+	figures := make([]float64, 0, maxSharedTenants+fleetColumns)
+	for i := range b.sharedTenants() {
+		calls := b.admission.tenantCalls[i].valueAt(now, b.decayTime())
+		figures = append(figures, calls/b.decayTime()*1e9)
+	}
+	return append(figures, b.completionRate(now)*1e9, b.queuedCalls(now))
+}
+
+// fleetSum returns the sum of a column over the dispatchers that the last digest covers, or 0 if there was
+// none. The others are left out: a queue passes sooner than they are forgotten.
+func (b *Balancer) fleetSum(column int) float64 {
+	if i := b.sharedTenants() + column; i < len(b.gossip.view.Covered) {
+		return b.gossip.view.Covered[i]
+	}
+	return 0
+}
+
+// FleetView returns what is known of the sums over all dispatchers, as of the last round. It changes nothing.
+func (b *Balancer) FleetView() aggregate.View { return b.gossip.view }
+
+// queueAnnouncement has the next message tell of a holder.
+func (b *Balancer) queueAnnouncement(now int64, h *holder) {
+	if b.settings.Gossip {
+		h.announcedAt = now
+		b.gossip.announcements = append(b.gossip.announcements, h)
+	}
+}
+
+// announce tells others of a new holder at once; where the list is long, only when the budget covers the cost
+// of the last message, as one message for each call may be too expensive.
+func (b *Balancer) announce(now int64, h *holder) {
+	b.queueAnnouncement(now, h)
+	budget := &b.gossip.reportBudget
+	if !b.endpoints.isLong() || budget.tokens >= budget.lastCost {
+		b.sendGossip(now)
+	}
+}
--- a/balancer/load.go
+++ b/balancer/load.go
@@ -1,153 +1,101 @@
 package balancer
 
-// This file owns how heavy each worker counts: calls in flight, reports, pace, and failed calls that stay
-// for a while.
-
 import (
 	"math"
-	"slices"
 
 	"oakthread/outlier"
 )
 
-// weightedLoad is our requests in flight plus one, with those of other dispatchers where reports or peers tell them,
-// over the part of its capacity that a cold worker has, heavier for one whose calls fail and, where one of
-// many dispatchers has too few calls there to see its queue, for one that takes longer than the others.
-func (d *Balancer) weightedLoad(now int64, w *worker) float64 {
-	l := (d.inFlightAt(now, w) + 1) / (d.capacityFraction(now, w) * max(w.Weight, 0.1))
-	l *= 1 + (1-1/d.fleetFactor())*d.latencyPenalty(now, w)
-	return l * (1 + failureRatePenalty*d.judge.FailureRate(now, &w.outlierStats))
-}
+const (
+	loadReportWeight = 0.5 // weight of a load report, which is late and noisy
+	paceWeight       = 0.3 // weight of an answer in a worker's pace: one of many dispatchers gets few
+	// maxPace bounds the pace of a worker: one call that was stuck is no reason to avoid it.
+	maxPace = 8.0
+	// failureRatePenalty is how many times its load a worker carries more if all its calls fail.
+	failureRatePenalty = 4.0
+	// minWeight is the least weight of a worker: one without a weight still takes some calls.
+	minWeight = 0.1
+)
 
-func (d *Balancer) inFlightAt(now int64, w *worker) float64 {
-	n := float64(len(w.inFlight))
-	for _, g := range w.recentFailures {
-		if g.until > now {
-			n++
-		}
-	}
-	d.applyFullDigest(w)
-	// What was seen there fades to what is seen elsewhere: one not heard from lately counts at the middle.
-	return n + d.others + decayed(w.peerCalls-d.others, now-w.peerCallsAt, d.decayTime())
+// weightedLoad returns the load by which workers are compared: the calls in flight plus one over the capacity,
+// higher for a worker whose calls fail. Where one of many dispatchers has too few calls at a worker to see its
+// queue, it is higher also for one that takes longer than others.
+func (b *Balancer) weightedLoad(now int64, w *worker) float64 {
+	load := (b.inFlightAt(now, w) + 1) / (b.capacityFraction(now, w) * max(w.Weight, minWeight))
+	load *= 1 + (1-1/b.fleetFactor())*b.latencyPenalty(now, w)
+	return load * (1 + failureRatePenalty*b.outliers.FailureRate(now, &w.outlierStats))
 }
 
-// capacityFraction is the part of its capacity that a worker has: 1, or what the slowest told growth gives a cold one.
-func (d *Balancer) capacityFraction(now int64, w *worker) float64 {
-	if !d.isWarmingUp(now, w) {
-		return 1
-	}
-	c := min(max(d.set.SlowStartCapacity, 0.05), 1)
-	return c + (1-c)*float64(max(0, now-w.Start))/float64(d.set.SlowStartWindow)
+// inFlightAt returns the calls in flight at a worker, ours and those that reports or digests tell of. What is
+// known of others' calls fades to the median: a worker not heard of lately counts as one in the middle.
+func (b *Balancer) inFlightAt(now int64, w *worker) float64 {
+	own := float64(len(w.inFlight) + w.failuresAt(now))
+	b.applyFullDigest(w)
+	median := b.endpoints.medianPeerCalls
+	return own + median + decayed(w.peerCalls-median, now-w.peerCallsAt, b.decayTime())
 }
 
-// recordLoadReport reads a load report: what a worker holds beyond our own requests; where only what waits there is
-// told, many dispatchers go by that, for few of their own calls are there. A report never decides alone.
-func (d *Balancer) recordLoadReport(now int64, w *worker, rep []float64) {
-	i := d.set.InflightField - 1
-	if i < 0 && d.fleetFactor() > 1 {
-		i = d.set.QueueField - 1
+// recordLoadReport takes the load report that came with a response: what a worker holds beyond our own calls.
+// One of many dispatchers, which has few calls there, goes by the queue if nothing else is reported.
+func (b *Balancer) recordLoadReport(now int64, w *worker, report []float64) {
+	field := b.settings.InflightField - 1
+	if field < 0 && b.fleetFactor() > 1 {
+		field = b.settings.QueueField - 1
 	}
-	if i < 0 || i >= len(rep) || !(rep[i] >= 0) || math.IsInf(rep[i], 0) {
+	if field < 0 || field >= len(report) || !(report[field] >= 0) || math.IsInf(report[field], 0) {
 		return
 	}
-	n := max(0, rep[i]-float64(len(w.inFlight)))
-	if d.applyFullDigest(w); float64(now-w.peerCallsAt) > d.decayTime() {
-		w.peerCalls = n
+	calls := max(0, report[field]-float64(len(w.inFlight)))
+	b.applyFullDigest(w)
+	if float64(now-w.peerCallsAt) > b.decayTime() {
+		w.peerCalls = calls
 	}
-	w.peerCalls += loadReportWeight * (n - w.peerCalls)
+	w.peerCalls += loadReportWeight * (calls - w.peerCalls)
 	w.peerCallsAt = now
-	// The middle, each worker once: by answers, the crowded ones would count most, and none would look heavy.
-	d.sorted = d.sorted[:0]
-	for _, x := range d.sampleWorkers() {
-		if d.applyFullDigest(x); x.peerCallsAt > 0 && float64(now-x.peerCallsAt) < d.decayTime() {
-			d.sorted = append(d.sorted, x.peerCalls)
-		}
-	}
-	d.others = median(d.sorted)
-}
-
-// decayTime is for how long what was learned holds, more or less: as long as the longest ejection.
-func (d *Balancer) decayTime() float64 { return float64(outlier.Longest * d.minAim) }
-
-func (d *Balancer) fade(now int64) float64 {
-	return math.Exp(-float64(now-d.answersAt) / d.decayTime())
-}
-
-// markActive takes that a call, an answer or a message concerns w, where it is listed.
-func (d *Balancer) markActive(now int64, w *worker) {
-	if !w.listed {
-		return
-	}
-	if w.lastActivityAt == 0 {
-		d.touched = append(d.touched, w)
-	}
-	w.lastActivityAt = max(now, 1)
-	d.trackHolders(w)
+	b.updateMedianPeerCalls(now)
 }
 
-// markInUse takes that a call of ours is out at w, or has just ended there.
-func (d *Balancer) markInUse(now int64, w *worker) {
-	d.markActive(now, w)
-	if !w.trackedInUse {
-		w.trackedInUse, d.used = true, append(d.used, w)
-	}
-}
-
-// workersInUse lists the workers, listed or not, with calls of ours out or failed calls that count as out.
-func (d *Balancer) workersInUse(now int64) []*worker {
-	d.used = slices.DeleteFunc(d.used, func(w *worker) bool {
-		w.trackedInUse = len(w.inFlight) > 0 || slices.ContainsFunc(w.recentFailures, func(g recentFailure) bool { return g.until > now })
-		return !w.trackedInUse
-	})
-	return d.used
-}
-
-// activeWorkers lists the workers of which there may be something to tell: of a short list all; of a long one those touched lately
-// or out, so that a round costs what was done and not what is listed.
-func (d *Balancer) activeWorkers() []*worker {
-	if len(d.list) <= d.set.FullScanLimit {
-		return d.list
+// updateMedianPeerCalls takes the median of what is known lately. Each worker counts once: by responses the
+// crowded ones would count most, and none would look heavy.
+func (b *Balancer) updateMedianPeerCalls(now int64) {
+	calls := b.choice.loads[:0]
+	for _, w := range b.endpoints.sample(b.rng) {
+		b.applyFullDigest(w)
+		if w.peerCallsAt > 0 && float64(now-w.peerCallsAt) < b.decayTime() {
+			calls = append(calls, w.peerCalls)
+		}
 	}
-	return d.touched
+	b.choice.loads = calls
+	b.endpoints.medianPeerCalls = median(calls)
 }
 
-// isActive tells whether active lists w.
-func (d *Balancer) isActive(w *worker) bool {
-	if len(d.list) <= d.set.FullScanLimit {
-		return w.inTable
+// applyFullDigest takes that a worker which the last full digest of a long list left out is idle for others.
+// That is done when the worker is looked at rather than for the whole list.
+func (b *Balancer) applyFullDigest(w *worker) {
+	if w.peerCallsAt < b.gossip.fullDigestAt {
+		w.peerCalls, w.peerCallsAt = 0, b.gossip.fullDigestAt
 	}
-	return w.lastActivityAt != 0
 }
 
-// pruneActive leaves out of touched what is not listed, and what there has been nothing to tell of for some time.
-func (d *Balancer) pruneActive(now int64) {
-	d.touched = slices.DeleteFunc(d.touched, func(w *worker) bool {
-		_, says := d.judge.Mark(now, &w.outlierStats, d.relativeLatency(now, w))
-		if w.listed && (now-w.lastActivityAt < recentResponseObjectives*d.minAim || len(w.inFlight) > 0 || d.isEjected(w) || says) {
-			return false
-		}
-		if w.lastActivityAt = 0; len(d.list) > d.set.FullScanLimit { // all of it is too old to count
-			w.reported = reportedState{voidThrough: d.reports.messages}
-		}
-		return true
-	})
+// latencyPenalty returns the share by which a worker counts as heavier for its pace, by our own calls or as
+// others report it, whichever is more.
+func (b *Balancer) latencyPenalty(now int64, w *worker) float64 {
+	own := decayed(w.pace*w.pace-1, now-w.paceAt, float64(b.callRateWindow()))
+	return max(own, decayed(max(0, w.peerPace*w.peerPace-1), now-w.peerPaceAt, b.decayTime()))
 }
 
-// applyFullDigest has w know that a whole digest has told nothing of it since: it is idle for others. In a long list that is
-// found when it is asked for, and not set at all that the digest leaves out.
-func (d *Balancer) applyFullDigest(w *worker) {
-	if w.peerCallsAt < d.wholeAt {
-		w.peerCalls, w.peerCallsAt = 0, d.wholeAt
-	}
+// relativeLatency returns the pace of a worker by our own calls, which decays to 1.
+func (b *Balancer) relativeLatency(now int64, w *worker) float64 {
+	return 1 + decayed(w.pace-1, now-w.paceAt, float64(b.callRateWindow()))
 }
 
-// latencyPenalty is how much heavier w counts for its pace, by our own calls or by what others tell of theirs, whichever is more.
-func (d *Balancer) latencyPenalty(now int64, w *worker) float64 {
-	own := decayed(w.pace*w.pace-1, now-w.paceAt, float64(d.callRateWindow()))
-	return max(own, decayed(max(0, w.peerPace*w.peerPace-1), now-w.peerPaceAt, d.decayTime()))
+// observePace learns the pace of a worker from the response time of a loaded copy and the mean of all.
+func (w *worker) observePace(now int64, responseTime, mean float64) {
+	pace := min(max(responseTime/max(mean, 1), 1), maxPace)
+	w.pace += paceWeight * (pace - w.pace)
+	w.paceAt = now
 }
 
-// relativeLatency is how many times longer calls at w's loaded copies take than at all, fading to 1.
-func (d *Balancer) relativeLatency(now int64, w *worker) float64 {
-	return 1 + decayed(w.pace-1, now-w.paceAt, float64(d.callRateWindow()))
-}
+// decayTime returns the time constant, in nanoseconds, with which most that was learned is forgotten: as long
+// as the longest ejection.
+func (b *Balancer) decayTime() float64 { return float64(outlier.Longest * b.shortestObjective) }
--- a/balancer/loadorders.go
+++ b/balancer/loadorders.go
@@ -1,115 +1,116 @@
 package balancer
 
-// This file owns orders to load and to unload, within the ration.
-
-import (
-	"cmp"
-	"math"
-	"slices"
-
-	"oakthread/rules"
+const (
+	// minCallsPerKeepAlive is the number of calls expected within the keep-alive below which a copy is not
+	// worth its memory.
+	minCallsPerKeepAlive = 0.8
+	// minTrafficShare is the least share of all answers that this dispatcher takes for its own: a small one is
+	// known only roughly.
+	minTrafficShare = 0.02
 )
 
-// unloadIdleCopies has copies unloaded that lie idle for half of their time and that all dispatchers, by our part of the
-// answers, call less than once in it: they cost memory, and loads wait for room. Harm: a load more.
-func (d *Balancer) unloadIdleCopies(now int64) {
-	part := 1 / float64(d.set.Dispatchers)
-	if all := d.fleetSum(completionsColumn) * d.view.Scale; now-d.digestAt < 2*d.minAim && all > 0 {
-		part = min(1, max(d.completionRate(now)*1e9/all, minTrafficShare))
-	}
-	for _, w := range d.workersWithHolders() {
-		for _, h := range d.holdersExpiringWithin(now, w, d.set.KeepAlive/2) {
-			calls := h.function.recentCalls * math.Exp(-float64(now-h.function.recentCallsAt)/float64(d.callRateWindow())) / part
-			if d.set.LoadOrders && h.confirmed && h.inFlight == 0 && calls < minCallsPerKeepAlive {
-				d.host.OrderUnload(w.Worker, h.function.id)
-				h.validUntil = 0
-			}
-		}
+// orderLoad orders copies of a holder's function, if its worker may get them and the quota allows it, and
+// reports whether it did. Every load order passes it (rules 3 and 5).
+func (b *Balancer) orderLoad(now int64, h *holder, copies int) bool {
+	if !b.settings.LoadOrders || !b.eligible(now, h.worker) || !b.loadQuota.take(now) {
+		return false
 	}
+	b.host.OrderLoad(h.worker.Worker, h.function.id, copies)
+	return true
 }
 
-// recordLoadTime learns what a load takes and, by what it should take, how slow the store is.
-func (d *Balancer) recordLoadTime(f *function, x float64) {
-	usual := cmp.Or(float64(max(0, f.loadTime)), d.loads.mean)
-	d.stress += storeSlowdownWeight * (min(max(x/max(usual, 1), 1), maxStoreSlowdown) - d.stress)
-	d.loads.observe(x, loadTimeWeight)
-}
-
-func (d *Balancer) expectedLoadTime(f *function) float64 {
-	return max(float64(f.loadTime), d.loads.mean) * d.stress
-}
-
-// countTowardLoadQuota takes a call that came at a time as taken, for the ration.
-func (d *Balancer) countTowardLoadQuota(at int64) {
-	if d.set.LoadQuotaWindow <= 0 {
+// countTowardLoadQuota counts a call as taken for the quota of load orders.
+func (b *Balancer) countTowardLoadQuota(arrivedAt int64) {
+	if b.loadQuota.window <= 0 {
 		return
 	}
-	d.arrived = dropBefore(d.arrived, at-2*d.set.LoadQuotaWindow)
-	place, _ := slices.BinarySearch(d.arrived, at)
-	d.arrived = slices.Insert(d.arrived, place, at)
-	d.host.CountTowardLoadQuota(at)
+	b.loadQuota.recordCall(arrivedAt)
+	b.host.CountTowardLoadQuota(arrivedAt)
 }
 
-// orderLoad is the one gate of every LOAD: eligibility and the ration (rules 3 and 5).
-func (d *Balancer) orderLoad(now int64, h *holder, n int) bool {
-	if !d.set.LoadOrders || !d.eligible(now, h.worker) {
-		return false
-	}
-	if d.set.LoadQuotaWindow > 0 {
-		d.arrived = dropBefore(d.arrived, now-d.set.LoadQuotaWindow+1)
-		d.ordered = dropBefore(d.ordered, now-d.set.LoadQuotaWindow)
-		ration := rules.LoadQuota{Base: d.set.LoadQuotaBase, Ratio: d.set.LoadQuotaRatio}
-		if !rules.MayOrderLoad(ration, len(d.arrived), len(d.ordered)).OK() {
-			return false
+// unloadIdleCopies orders unloads of copies that have been idle for half of the keep-alive and that all
+// dispatchers, by our share of the answers, call less than once in it: they take memory for which loads wait.
+// A call that comes nevertheless costs one load more.
+func (b *Balancer) unloadIdleCopies(now int64) {
+	share := b.trafficShare(now)
+	for _, w := range b.endpoints.workersWithHolders() {
+		for _, h := range b.holders.expiringWithin(now, w, b.settings.KeepAlive/2) {
+			calls := h.function.recentCalls.valueAt(now, float64(b.callRateWindow())) / share
+			if b.settings.LoadOrders && h.confirmed && h.inFlight == 0 && calls < minCallsPerKeepAlive {
+				b.host.OrderUnload(w.Worker, h.function.id)
+				h.validUntil = 0
+			}
 		}
-		d.ordered = append(d.ordered, now)
 	}
-	d.host.OrderLoad(h.worker.Worker, h.function.id, n)
-	return true
 }
 
-// HandleHealthCheck takes the answer to a probe.
-func (d *Balancer) HandleHealthCheck(now int64, id WorkerID, res Result, rtt int64, rep []float64) {
-	d.advanceClock(now)
-	if w := d.workers[id]; w != nil && res == OK {
-		d.recordLoadReport(now, w, rep)
+// trafficShare returns this dispatcher's share of all answers, by the last digest, or an equal one.
+func (b *Balancer) trafficShare(now int64) float64 {
+	all := b.fleetSum(completionsColumn) * b.gossip.view.Scale
+	if now-b.gossip.digestAt >= 2*b.shortestObjective || all <= 0 {
+		return 1 / float64(b.settings.Dispatchers)
 	}
-	d.armTimer()
+	return min(1, max(b.completionRate(now)*1e9/all, minTrafficShare))
 }
 
-// HandleLoadResult takes what came of an order, and lets go the calls that were held for it.
-func (d *Balancer) HandleLoadResult(now int64, id WorkerID, fid FuncID, copies int, res Result) {
-	d.advanceClock(now)
-	defer d.armTimer()
-	w, f := d.workers[id], d.funcs[functionTag(fid)]
+// HandleHealthCheck takes the result of a health check, with the load report that came with it.
+func (b *Balancer) HandleHealthCheck(now int64, id WorkerID, result Result, rtt int64, report []float64) {
+	b.advanceClock(now)
+	if w := b.endpoints.byID[id]; w != nil && result == OK {
+		b.recordLoadReport(now, w, report)
+	}
+	b.armTimer()
+}
+
+// HandleLoadResult takes the result of a load order and dispatches the requests that waited for it.
+func (b *Balancer) HandleLoadResult(now int64, id WorkerID, functionID FuncID, copies int, result Result) {
+	b.advanceClock(now)
+	defer b.armTimer()
+	w, f := b.endpoints.byID[id], b.holders.lookup(functionID)
 	if w == nil || f == nil {
 		return
 	}
-	d.markActive(now, w)
-	if res == OK || res == QueueFull || res == Error {
-		d.recordResponse(now, w)
+	b.endpoints.markActive(now, w)
+	if result == OK || result == QueueFull || result == Error {
+		b.recordResponse(now, w)
 	}
-	sent := now
+	sentAt := now
 	if h := f.holderAt(w, false); h != nil {
-		h.orderInFlight, sent = false, h.orderedAt
-		if copies > 0 {
-			if took := float64(now - h.orderedAt); h.orderedAt > 0 && took > float64(f.loadTime)/2 {
-				d.recordLoadTime(f, took)
-			}
-			d.confirmHolder(now, h)
-			h.copies = copies
-		} else if res != Reset && res != NotSent { // cut off or never written tells nothing of room: it is given again
-			h.orderBackoffUntil = now + d.minAim
+		sentAt = h.orderedAt
+		b.finishLoadOrder(now, h, copies, result)
+	}
+	if result == ConnectFailed || result == Reset {
+		b.handleConnectionFailure(now, sentAt, w, result)
+	}
+	b.dispatchWaiting(now, f)
+}
+
+// finishLoadOrder learns from the result of a load order. One that was reset or never sent says nothing of the
+// worker's room, and may be given again at once.
+func (b *Balancer) finishLoadOrder(now int64, h *holder, copies int, result Result) {
+	h.orderInFlight = false
+	if copies <= 0 {
+		if result != Reset && result != NotSent {
+			h.orderBackoffUntil = now + b.shortestObjective
 		}
+		return
 	}
-	if res == ConnectFailed || res == Reset {
-		d.handleConnectionFailure(now, sent, w, res)
+	// An order that ended much sooner than a load takes found the copy loaded.
+	duration := float64(now - h.orderedAt)
+	if h.orderedAt > 0 && duration > float64(h.function.loadTime)/2 {
+		b.loads.observe(h.function, duration)
 	}
-	held := f.waiting
+	b.confirmHolder(now, h)
+	h.copies = copies
+}
+
+// dispatchWaiting dispatches the requests that were held here for a load of f.
+func (b *Balancer) dispatchWaiting(now int64, f *function) {
+	waiting := f.waiting
 	f.waiting = nil
-	for _, r := range held {
+	for _, r := range waiting {
 		if !r.done && len(r.attempts) == 0 {
-			d.dispatch(now, r)
+			b.dispatch(now, r)
 		}
 	}
 }
--- a/balancer/long_test.go
+++ b/balancer/long_test.go
@@ -22,8 +22,8 @@
 
 // lookedAt are the workers that the last choice looked at.
 func lookedAt(d *Balancer) (ws []*worker) {
-	for _, w := range d.list {
-		if w.examinedIn == d.turn {
+	for _, w := range d.endpoints.listed {
+		if w.examinedIn == d.choice.number {
 			ws = append(ws, w)
 		}
 	}
@@ -45,7 +45,7 @@
 			} else {
 				assert.LessOrEqual(t, len(looked), ringWindow+sampleSize+ringWindow, "%d executors", n)
 			}
-			assert.Contains(t, looked, d.workers[f.last[id]])
+			assert.Contains(t, looked, d.endpoints.byID[f.last[id]])
 			d.HandleAttemptResult(now+ms, ok(id, f.last[id]))
 		}
 	}
@@ -58,8 +58,8 @@
 	d, f := start(t, s, 9600)
 	hear(d, 0)
 	for fn := range FuncID(50) {
-		w := d.workers[WorkerID(1+fn*191)]
-		h := d.functionFor(0, call("", 0, fn)).holderAt(w, true)
+		w := d.endpoints.byID[WorkerID(1+fn*191)]
+		h := d.holders.functionFor(0, call("", 0, fn)).holderAt(w, true)
 		d.confirmHolder(0, h)
 	}
 	for fn := range FuncID(50) {
@@ -101,8 +101,8 @@
 		d, f := start(t, s, 1900)
 		hear(d, 0)
 		r := call("x", 3000*ms, 5)
-		fn := d.functionFor(3000*ms, r)
-		fn.recentCalls, fn.recentCallsAt = 8, 3000*ms // one a second here, 200 in all: at 0.25 s and a copy's two lanes half taken, 50 places
+		fn := d.holders.functionFor(3000*ms, r)
+		fn.recentCalls = decayingCounter{8, 3000 * ms} // one a second here, 200 in all: at 0.25 s and a copy's two lanes half taken, 50 places
 		d.HandleRequest(3000*ms, r)
 		at[f.last["x"]]++
 	}
@@ -119,7 +119,7 @@
 	at := map[WorkerID]int{}
 	const functions = 19_000
 	for fn := range FuncID(functions) {
-		r := &request{Request: call("x", ms, fn*7919), class: &d.set.Classes[0], function: &function{id: fn * 7919, concurrency: 2}}
+		r := &request{Request: call("x", ms, fn*7919), class: &d.settings.Classes[0], function: &function{id: fn * 7919, concurrency: 2}}
 		w, _ := d.chooseWorker(ms, r)
 		at[w.Worker]++
 	}
@@ -136,14 +136,14 @@
 	s := settings(Idempotent, ScopeAll)
 	d, _ := start(t, s, 1900)
 	hear(d, 0)
-	for i, w := range d.list {
+	for i, w := range d.endpoints.listed {
 		if i%10 < 3 {
 			w.peerCalls, w.peerCallsAt = 20, 0
 		}
 	}
 	crowded := 0
 	for fn := range FuncID(500) {
-		r := &request{Request: call("x", ms, fn), class: &d.set.Classes[0], function: &function{id: fn, concurrency: 2}}
+		r := &request{Request: call("x", ms, fn), class: &d.settings.Classes[0], function: &function{id: fn, concurrency: 2}}
 		if w, _ := d.chooseWorker(ms, r); w.peerCalls > 0 {
 			crowded++
 		}
@@ -157,7 +157,7 @@
 	s.Dispatchers, s.LoadsOnMiss = 1, false
 	d, f := start(t, s, 600)
 	hear(d, 0)
-	sick := d.workers[7]
+	sick := d.endpoints.byID[7]
 	d.handleConnectionFailure(ms, 0, sick, ConnectFailed)
 	require.True(t, d.isEjected(sick))
 	tried := false
@@ -187,12 +187,12 @@
 func TestLongListFindsAnywhereToResend(t *testing.T) {
 	for _, n := range []int{3, 300} {
 		d, _ := start(t, settings(IdempotentByKey, ScopeZone), n)
-		r := &request{Request: call("x", 0, 1), class: &d.set.Classes[0]}
-		r.attempts = []*attempt{{request: r, worker: d.list[0], zone: 9, mayHaveRun: true}}
+		r := &request{Request: call("x", 0, 1), class: &d.settings.Classes[0]}
+		r.attempts = []*attempt{{request: r, worker: d.endpoints.listed[0], zone: 9, mayHaveRun: true}}
 		assert.False(t, d.mayRetryAnywhere(ms, r))
-		d.list[n-1].Zone = 9
+		d.endpoints.listed[n-1].Zone = 9
 		assert.True(t, d.mayRetryAnywhere(ms, r))
-		d.set.Classes[0].Idempotency = NotIdempotent
+		d.settings.Classes[0].Idempotency = NotIdempotent
 		assert.False(t, d.mayRetryAnywhere(ms, r))
 	}
 }
@@ -210,7 +210,7 @@
 	}
 	d.UpdateEndpoints(ms, EndpointsDelta, news)
 	for fn := range FuncID(50) {
-		r := &request{Request: call("x", ms, fn), class: &d.set.Classes[0], function: &function{id: fn, concurrency: 2}}
+		r := &request{Request: call("x", ms, fn), class: &d.settings.Classes[0], function: &function{id: fn, concurrency: 2}}
 		w, _ := d.chooseWorker(ms, r)
 		require.NotNil(t, w)
 		looked := lookedAt(d)
@@ -244,7 +244,7 @@
 		tries, now, seq := map[string]int{}, began, 0
 		take := func() {
 			for _, x := range f.sends {
-				w := d.workers[x.w]
+				w := d.endpoints.byID[x.w]
 				require.True(t, w != nil && w.listed && w.State == Active, "sent to %d", x.w)
 				out = append(out, flight{x.id, tries[x.id], x.w})
 				tries[x.id]++
@@ -298,21 +298,21 @@
 // sameRounds compares what a dispatcher finds by what was touched with what it finds in the whole list.
 func sameRounds(t require.TestingT, d *Balancer, now int64) {
 	on := 0
-	for _, w := range d.list {
+	for _, w := range d.endpoints.listed {
 		if w.State == Active {
 			on++
 		}
 	}
-	require.Equal(t, on, d.ring.Len())
-	require.Len(t, d.on, on)
+	require.Equal(t, on, d.endpoints.ring.Len())
+	require.Len(t, d.endpoints.active, on)
 	n := 0.0 // the definition of queued, over the whole list
-	for _, w := range d.list {
+	for _, w := range d.endpoints.listed {
 		require.True(t, w.listed && w.State != Removed)
 		if !d.isHealthy(now, w) {
 			continue
 		}
 		for _, a := range w.inFlight {
-			if st := d.stats[a.request.Class]; a.expectedWarm && float64(now-a.sentAt) < st.mean+queuedDeviations*st.deviation {
+			if st := d.latencies[a.request.Class]; a.expectedWarm && float64(now-a.sentAt) < st.mean+queuedDeviations*st.deviation {
 				n++
 			}
 		}
@@ -325,7 +325,7 @@
 	require.Equal(t, n, d.queuedCalls(now))
 	for _, hub := range []bool{false, true} {
 		said := func(walk int) (m aggregate.Message) {
-			d.set.FullScanLimit, m.FromLeader = walk, hub
+			d.endpoints.fullScanLimit, m.FromLeader = walk, hub
 			d.fillMessage(now, &m)
 			slices.SortFunc(m.Counts, func(a, b aggregate.Count) int { return cmp.Compare(a.Worker, b.Worker) })
 			slices.SortFunc(m.Marks, func(a, b aggregate.Mark) int { return cmp.Compare(a.Worker, b.Worker) })
@@ -333,7 +333,7 @@
 			return m
 		}
 		part, whole := said(walkNever), said(walkWhole)
-		d.set.FullScanLimit = walkNever
+		d.endpoints.fullScanLimit = walkNever
 		require.Equal(t, whole.Counts, part.Counts, "hub %v", hub)
 		require.Equal(t, whole.Marks, part.Marks, "hub %v", hub)
 	}
@@ -354,8 +354,8 @@
 		d.HandleTimer(now+2*ms, f.ref)
 		told += len(f.told)
 		f.told, f.toldTo, f.sends = nil, nil, nil
-		assert.GreaterOrEqual(t, d.words.tokens, 0.0)
-		assert.GreaterOrEqual(t, d.pool.tokens, 0.0)
+		assert.GreaterOrEqual(t, d.gossip.reportBudget.tokens, 0.0)
+		assert.GreaterOrEqual(t, d.gossip.digestBudget.tokens, 0.0)
 	}
 	assert.Greater(t, told, 20, "messages in 20 s: what a purse saves up is spent")
 }
@@ -380,10 +380,10 @@
 			require.True(t, d.HandlePeerMessage(told.at, 3, digest(d, told.at, []float64{5, 1}, counts...)))
 		}
 	}
-	for i := range both[0].list {
+	for i := range both[0].endpoints.listed {
 		for _, at := range []int64{11_000 * ms, 11_500 * ms, 30_000 * ms} {
-			assert.Equal(t, both[0].inFlightAt(at, both[0].list[i]), both[1].inFlightAt(at, both[1].list[i]), "executor %d", i+1)
+			assert.Equal(t, both[0].inFlightAt(at, both[0].endpoints.listed[i]), both[1].inFlightAt(at, both[1].endpoints.listed[i]), "executor %d", i+1)
 		}
 	}
-	assert.Equal(t, both[0].others, both[1].others)
+	assert.Equal(t, both[0].endpoints.medianPeerCalls, both[1].endpoints.medianPeerCalls)
 }
--- a/balancer/maintenance.go
+++ b/balancer/maintenance.go
@@ -1,197 +1,136 @@
 package balancer
 
-// This file owns time: timers, the regular round, a standstill of the process, and the sweep that bounds
-// memory.
-
 import (
-	"fmt"
 	"slices"
 
 	"oakthread/outlier"
 )
 
-// detectStall finds that we stood still: our bell is late by more than a housekeeping round. Nothing is overdue for
-// that, and what has come meanwhile is heard before anybody is blamed or anything ended.
-func (d *Balancer) detectStall(now int64) {
-	if late := now - d.armed; d.armed > 0 && late > d.minAim/maintenanceRounds && d.stoodAt < now {
-		d.stoodAt = now
-		for _, w := range d.workersInUse(now) {
-			for _, a := range w.inFlight {
-				a.dueAt += late
-			}
-		}
-	}
-}
+const (
+	// maintenanceRounds is how many maintenance rounds there are in the shortest latency objective.
+	maintenanceRounds = 8
+	// idleObjectives is after how many shortest latency objectives without a request the rounds stop.
+	idleObjectives = 2 * outlier.Longest
+)
 
-// runMaintenance is the housekeeping round; it stops when nothing has happened for a while.
-func (d *Balancer) runMaintenance(now int64) {
-	d.pollEndpoints(now)
-	d.sendGossip(now)
-	if now-d.sweptAt > d.set.KeepAlive/maintenanceRounds {
-		d.sweptAt = now
-		d.unloadIdleCopies(now)
-		d.sweepState(now)
-	}
-	d.beatAt = 0
-	if now-d.busyAt < 2*outlier.Longest*d.minAim || d.set.PollEndpoints {
-		d.advanceClock(now)
+// advanceClock takes the time of an event, detects a stall, and schedules the next maintenance round.
+func (b *Balancer) advanceClock(now int64) {
+	b.now = max(b.now, now)
+	b.excuseStall(b.now)
+	if b.timers.maintenanceAt == 0 {
+		b.timers.maintenanceAt = b.now + b.shortestObjective/maintenanceRounds
+		b.pruneActive(b.now)
+		b.schedule(b.timers.maintenanceAt, nil)
 	}
 }
 
-type timerEntry struct {
-	at      int64
-	request *request // nil: housekeeping
-}
-
-// timerHeap is a heap by time, as container/heap keeps one, without a box for each entry.
-type timerHeap []timerEntry
-
-func (h *timerHeap) push(x timerEntry) {
-	*h = append(*h, x)
-	for i := len(*h) - 1; i > 0; {
-		up := (i - 1) / 2
-		if (*h)[i].at >= (*h)[up].at {
-			return
+// excuseStall gives all attempts the time for which the process stood still: no worker is to blame for that.
+func (b *Balancer) excuseStall(now int64) {
+	late, stalled := b.timers.detectStall(now, b.shortestObjective/maintenanceRounds)
+	if !stalled {
+		return
+	}
+	for _, w := range b.endpoints.workersInUse(now) {
+		for _, a := range w.inFlight {
+			a.dueAt += late
 		}
-		(*h)[i], (*h)[up] = (*h)[up], (*h)[i]
-		i = up
 	}
 }
 
-func (h *timerHeap) pop() timerEntry {
-	ws := *h
-	n := len(ws) - 1
-	ws[0], ws[n] = ws[n], ws[0]
-	for i := 0; ; {
-		down := 2*i + 1
-		if down >= n {
-			break
-		}
-		if right := down + 1; right < n && ws[right].at < ws[down].at {
-			down = right
-		}
-		if ws[down].at >= ws[i].at {
+// HandleTimer takes that the host's timer of a generation has fired.
+func (b *Balancer) HandleTimer(now int64, generation int64) {
+	b.advanceClock(now)
+	b.timers.expired(generation)
+	for {
+		entry, due := b.timers.popDue(now)
+		if !due {
 			break
 		}
-		ws[i], ws[down] = ws[down], ws[i]
-		i = down
+		b.handleDue(now, entry.request)
 	}
-	x := ws[n]
-	ws[n] = timerEntry{}
-	*h = ws[:n]
-	return x
+	b.armTimer()
 }
 
-func dropBefore(ts []int64, from int64) []int64 {
-	for len(ts) > 0 && ts[0] < from {
-		ts = ts[1:]
+// handleDue looks at a request whose time has come; nil stands for maintenance.
+func (b *Balancer) handleDue(now int64, r *request) {
+	switch {
+	case r == nil:
+		b.runMaintenance(now)
+	case r.done || r.streaming:
+	case now >= b.answerBy(r):
+		b.finish(now, r)
+	case now >= r.recheckAt:
+		r.recheckAt = noDeadline
+		b.handleOverdue(now, r)
 	}
-	return ts
 }
 
-func (d *Balancer) schedule(at int64, r *request) { d.heap.push(timerEntry{at, r}) }
+// schedule has a request, or with nil the maintenance, looked at when a time comes.
+func (b *Balancer) schedule(at int64, r *request) { b.timers.entries.push(timerEntry{at, r}) }
 
-func (d *Balancer) scheduleRecheck(r *request, at int64) {
+// scheduleRecheck has a request looked at again at a time, unless it must be answered before.
+func (b *Balancer) scheduleRecheck(r *request, at int64) {
 	r.recheckAt = at
-	if at < r.answerBy(d) {
-		d.schedule(at, r)
+	if at < b.answerBy(r) {
+		b.schedule(at, r)
 	}
 }
 
-func (d *Balancer) armTimer() {
-	if len(d.heap) > 0 && max(d.heap[0].at, d.now) < d.armed {
-		d.armed = max(d.heap[0].at, d.now)
-		d.bell++
-		d.host.SetTimer(max(d.armed-d.now, 1), d.bell)
+// armTimer sets the host's timer for the first entry, if that is due before the timer fires.
+func (b *Balancer) armTimer() {
+	if delay, changed := b.timers.rearm(b.now); changed {
+		b.host.SetTimer(delay, b.timers.generation)
 	}
 }
 
-func (d *Balancer) advanceClock(now int64) {
-	d.now = max(d.now, now)
-	d.detectStall(d.now)
-	if d.beatAt == 0 {
-		d.beatAt = d.now + d.minAim/maintenanceRounds
-		d.pruneActive(d.now)
-		d.schedule(d.beatAt, nil)
+// runMaintenance runs one maintenance round. The rounds stop when no request has come for a while.
+func (b *Balancer) runMaintenance(now int64) {
+	b.pollEndpoints(now)
+	b.sendGossip(now)
+	if now-b.timers.sweptAt > b.settings.KeepAlive/maintenanceRounds {
+		b.timers.sweptAt = now
+		b.unloadIdleCopies(now)
+		b.sweep(now)
+	}
+	b.timers.maintenanceAt = 0
+	if now-b.timers.lastRequestAt < idleObjectives*b.shortestObjective || b.settings.PollEndpoints {
+		b.advanceClock(now)
 	}
 }
 
-// logf writes a line, of a burst at most logBurst, and one more in each shortest aim.
-func (d *Balancer) logf(now int64, format string, args ...any) {
-	d.logLeft = min(d.logLeft+float64(now-d.logAt)/float64(d.minAim), logBurst)
-	d.logAt = now
-	if d.logLeft >= 1 {
-		d.logLeft--
-		d.host.Log(fmt.Sprintf(format, args...))
+// sweep drops what is no longer believed, listed or in flight, so that memory stays bounded.
+func (b *Balancer) sweep(now int64) {
+	b.holders.sweep(now, b.settings.LoadOrderTimeout, b.settings.KeepAlive+int64(b.decayTime()))
+	// Not all announcements are sent where messages are expensive or there are no other dispatchers.
+	b.gossip.announcements = slices.DeleteFunc(b.gossip.announcements, func(h *holder) bool {
+		return !h.copyExpected(now)
+	})
+	b.slowStart.sweep(now, len(b.endpoints.listed))
+	b.gossip.reports.sweep(now, b.shortestObjective, &b.endpoints)
+	for _, w := range b.endpoints.activeWorkers() {
+		w.dropOldFailures(now)
 	}
+	b.endpoints.sweep()
 }
 
-const logBurst = 32
-
-// sweepState drops what is no longer believed, listed or in flight, so that memory stays bounded.
-func (d *Balancer) sweepState(now int64) {
-	for id, f := range d.funcs {
-		keep := f.holders[:0]
-		for _, h := range f.holders {
-			if h.inFlight > 0 || h.validUntil > now || now-h.orderedAt < d.set.LoadOrderTimeout && h.orderedAt > 0 {
-				keep = append(keep, h)
-			} else {
-				h.worker.holders = slices.DeleteFunc(h.worker.holders, func(x *holder) bool { return x == h })
-			}
+// pruneActive takes workers off the active ones that are not listed, or of which there has been nothing to
+// report for some time. In a long list, what others reported of such a worker is too old to count.
+func (b *Balancer) pruneActive(now int64) {
+	b.endpoints.recent = slices.DeleteFunc(b.endpoints.recent, func(w *worker) bool {
+		if b.hasActivity(now, w) && w.listed {
+			return false
 		}
-		f.holders = keep
-		if len(keep) == 0 && now-f.lastRequestAt > d.set.KeepAlive+int64(d.decayTime()) {
-			delete(d.funcs, id)
+		w.lastActivityAt = 0
+		if b.endpoints.isLong() {
+			w.reported = reportedState{voidThrough: b.gossip.reports.messages}
 		}
-	}
-	// Not all news is told where messages are dear or there are no peers.
-	d.news = slices.DeleteFunc(d.news, func(h *holder) bool { return h.validUntil <= now && h.inFlight == 0 && !h.orderInFlight })
-	d.young = slices.DeleteFunc(d.young, func(w *worker) bool {
-		w.trackedWarmingUp = w.listed && d.isWarmingUp(now, w)
-		return !w.trackedWarmingUp
+		return true
 	})
-	d.warm = len(d.list) - len(d.young)
-	d.sweepReports(now)
-	for _, w := range d.activeWorkers() {
-		keep := w.recentFailures[:0]
-		for _, g := range w.recentFailures {
-			if g.until > now {
-				keep = append(keep, g)
-			}
-		}
-		w.recentFailures = keep
-	}
-	for id, w := range d.workers {
-		if len(d.workers) == len(d.list) {
-			break
-		}
-		if !w.listed && len(w.inFlight) == 0 {
-			delete(d.workers, id)
-			if d.tags[workerTag(id)] == w {
-				delete(d.tags, workerTag(id))
-			}
-		}
-	}
 }
 
-// HandleTimer takes an expired timer.
-func (d *Balancer) HandleTimer(now int64, ref int64) {
-	d.advanceClock(now)
-	if ref == d.bell { // by its number, not its time: a host that rounds may ring a little early
-		d.armed = forever
-	}
-	for d.stoodAt < now && len(d.heap) > 0 && d.heap[0].at <= now {
-		r := d.heap.pop().request
-		switch {
-		case r == nil:
-			d.runMaintenance(now)
-		case r.done || r.streaming:
-		case now >= r.answerBy(d):
-			d.finish(now, r)
-		case now >= r.recheckAt:
-			r.recheckAt = forever
-			d.handleOverdue(now, r)
-		}
-	}
-	d.armTimer()
+// hasActivity reports whether there is something to report of a worker.
+func (b *Balancer) hasActivity(now int64, w *worker) bool {
+	_, marked := b.outliers.Mark(now, &w.outlierStats, b.relativeLatency(now, w))
+	recent := now-w.lastActivityAt < recentResponseObjectives*b.shortestObjective
+	return recent || len(w.inFlight) > 0 || b.isEjected(w) || marked
 }
--- a/balancer/ration_test.go
+++ b/balancer/ration_test.go
@@ -17,7 +17,7 @@
 		d.HandleRequest(now, call(id, now, FuncID(1000+i)))
 		d.HandleAttemptResult(now, AttemptResult{ID: id, Worker: f.last[id], Result: Error, Finished: true})
 	}
-	h := d.functionFor(50*ms, call("", 50*ms, 1)).holderAt(d.workers[1], true)
+	h := d.holders.functionFor(50*ms, call("", 50*ms, 1)).holderAt(d.endpoints.byID[1], true)
 	if !d.orderLoad(50*ms, h, 1) {
 		t.Fatal("the free order was not given")
 	}
--- a/balancer/reports_test.go
+++ b/balancer/reports_test.go
@@ -51,8 +51,8 @@
 
 // before notes what is listed as touched before an event.
 func (p *plainReports) before() {
-	p.touched, p.swept = map[*worker]bool{}, p.d.sweptAt
-	for _, w := range p.d.workers {
+	p.touched, p.swept = map[*worker]bool{}, p.d.timers.sweptAt
+	for _, w := range p.d.endpoints.byID {
 		p.touched[w] = w.lastActivityAt != 0
 	}
 }
@@ -60,15 +60,15 @@
 // after follows what rounds do to what is held: a sweep drops what is old, and a long list what has not been touched for long.
 func (p *plainReports) after(now int64) {
 	d := p.d
-	long := len(d.list) > d.set.FullScanLimit
+	long := len(d.endpoints.listed) > d.endpoints.fullScanLimit
 	for w, t := range p.told {
-		if d.workers[w.Worker] != w {
+		if d.endpoints.byID[w.Worker] != w {
 			delete(p.told, w)
 			continue
 		}
-		if d.sweptAt != p.swept && (long && p.touched[w] || !long && w.inTable) {
-			t.counts = slices.DeleteFunc(t.counts, func(c plainCount) bool { return now-c.at > 2*d.minAim })
-			t.marks = slices.DeleteFunc(t.marks, func(m plainMark) bool { return now-m.at > leaderTermObjectives*d.minAim })
+		if d.timers.sweptAt != p.swept && (long && p.touched[w] || !long && w.inTable) {
+			t.counts = slices.DeleteFunc(t.counts, func(c plainCount) bool { return now-c.at > 2*d.shortestObjective })
+			t.marks = slices.DeleteFunc(t.marks, func(m plainMark) bool { return now-m.at > leaderTermObjectives*d.shortestObjective })
 		}
 		if long && p.touched[w] && w.lastActivityAt == 0 {
 			delete(p.told, w)
@@ -87,13 +87,13 @@
 		}
 	}
 	for _, x := range m.Marks {
-		if w := d.tags[x.Worker]; w != nil {
+		if w := d.endpoints.byTag[x.Worker]; w != nil {
 			t := p.of(w)
 			t.marks = append(t.marks, plainMark{from, now, outlier.Mark{Good: x.Good, Bad: x.Bad, Pace: x.Pace}})
 		}
 	}
 	for _, c := range m.Counts {
-		if w := d.tags[c.Worker]; w != nil {
+		if w := d.endpoints.byTag[c.Worker]; w != nil {
 			t := p.of(w)
 			t.counts = slices.DeleteFunc(t.counts, func(x plainCount) bool { return x.from == from })
 			t.counts = append(t.counts, plainCount{from, now, c.N, c.Silent, c.Heard})
@@ -114,12 +114,12 @@
 		heard++
 	}
 	for _, m := range t.marks {
-		if now-m.at <= leaderTermObjectives*d.minAim {
+		if now-m.at <= leaderTermObjectives*d.shortestObjective {
 			marks = append(marks, m.mark)
 		}
 	}
 	for _, x := range t.counts {
-		if now-x.at >= d.minAim {
+		if now-x.at >= d.shortestObjective {
 			continue
 		}
 		c.N += x.n
@@ -131,8 +131,8 @@
 			heard++
 		}
 	}
-	c.Silent = outlier.Silent(silent, d.set.Dispatchers)
-	stands := d.judge.EjectedByGossip(now, &w.outlierStats)
+	c.Silent = outlier.Silent(silent, d.settings.Dispatchers)
+	stands := d.outliers.EjectedByGossip(now, &w.outlierStats)
 	if stands {
 		heard = 0
 	}
@@ -178,10 +178,10 @@
 			event(func() { d.advanceClock(now) })
 			m, ok := aggregate.Decode(l.text, s.Dispatchers)
 			require.True(t, ok)
-			before, active := d.shared.Dropped, slices.Clone(d.activeWorkers())
+			before, active := d.gossip.aggregator.Dropped, slices.Clone(d.endpoints.activeWorkers())
 			event(func() {
 				d.HandlePeerMessage(now, l.from, l.text)
-				if l.from != s.DispatcherIndex && d.shared.Dropped == before {
+				if l.from != s.DispatcherIndex && d.gossip.aggregator.Dropped == before {
 					p.read(now, l.from, m, active)
 				}
 			})
@@ -244,7 +244,7 @@
 				})
 			case 11:
 				m := aggregate.Message{FromLeader: true, Marks: []aggregate.Mark{{Worker: workerTag(few("judged")), Bad: 9}}, Digest: aggregate.Digest{
-					Tick: uint16(now / d.set.ClockResolution), Sums: []float64{9, 9}, MissingSums: []float64{0, 0}, MissingMoved: []float64{0, 0},
+					Tick: uint16(now / d.settings.ClockResolution), Sums: []float64{9, 9}, MissingSums: []float64{0, 0}, MissingMoved: []float64{0, 0},
 					Covered: aggregate.NewSet(s.Dispatchers), Missing: aggregate.NewSet(s.Dispatchers)}}
 				for range rapid.IntRange(0, 3).Draw(t, "told") {
 					m.Counts = append(m.Counts, aggregate.Count{Worker: workerTag(few("told of")), N: 2, Silent: rapid.Bool().Draw(t, "mute")})
@@ -262,8 +262,8 @@
 // sameSums compares what a digest would say of each executor that it looks at.
 func sameSums(t *rapid.T, p *plainReports, now int64) {
 	d := p.d
-	d.tallyReports(now)
-	for i, w := range d.activeWorkers() {
+	d.gossip.reports.gatherMarks(now, d.shortestObjective)
+	for i, w := range d.endpoints.activeWorkers() {
 		c := aggregate.Count{Worker: workerTag(w.Worker), N: i % 2, Silent: i%3 == 0, Heard: i%2 == 0}
 		want, own, says := c, outlier.Mark{Bad: uint8(i % 4)}, i%4 > 0
 		wantMark, wantSays := p.pooled(now, w, &want, own, says)
@@ -293,12 +293,12 @@
 		for from := 1; from < s.Dispatchers; from++ {
 			d.HandlePeerMessage(now, from, report(now, from, 1, 1+from%n, 1+from*7%n, 1+from*13%n))
 		}
-		list, touched, reports := d.list, d.touched, d.reports.bySender
-		d.list, d.touched, d.reports.bySender = make([]*worker, len(list)), make([]*worker, len(touched)), make([]*peerReport, s.Dispatchers)
-		d.reports.bySender[5] = reports[5]
+		list, touched, reports := d.endpoints.listed, d.endpoints.recent, d.gossip.reports.bySender
+		d.endpoints.listed, d.endpoints.recent, d.gossip.reports.bySender = make([]*worker, len(list)), make([]*worker, len(touched)), make([]*peerReport, s.Dispatchers)
+		d.gossip.reports.bySender[5] = reports[5]
 		require.Len(t, reports[5].counts, 3)
 		require.True(t, d.HandlePeerMessage(now+ms, 5, report(now+ms, 5, 2, 2, 3)), "%d executors", n)
-		d.list, d.touched, d.reports.bySender = list, touched, reports
+		d.endpoints.listed, d.endpoints.recent, d.gossip.reports.bySender = list, touched, reports
 		require.Len(t, reports[5].counts, 2)
 		require.Len(t, reports[5].marks, 1)
 	}
--- /dev/null
+++ b/balancer/request.go
@@ -0,0 +1,68 @@
+package balancer
+
+// request is one call in hand.
+type request struct {
+	Request
+	class           *Class
+	function        *function
+	attempts        []*attempt
+	inlineAttempts  [2]*attempt // storage that attempts begins with
+	arrivedAt       int64
+	recheckAt       int64
+	streaming       bool // its first byte has gone to the client
+	done            bool
+	orderedLoad     bool // a load was ordered for it
+	countedForQuota bool // it counts toward the quota of load orders
+}
+
+// attempt is one send of a request to a worker.
+type attempt struct {
+	request       *request
+	worker        *worker
+	holder        *holder
+	index         int // among the attempts of the request
+	sentAt, dueAt int64
+	zone, cell    int
+	inFlight      bool
+	mayHaveRun    bool // until its result proves otherwise
+	trial         bool // tests a worker whose ejection has run out
+	expectedWarm  bool // the copy was believed to be loaded
+	excused       bool // its result says nothing of the worker, which may be tried once more
+}
+
+// holdTimeShare is the share of a request's time for which it waits here for a load; after that it waits
+// where the load is.
+const holdTimeShare = 0.4
+
+// holdDeadline returns when a request that waits here for a load is sent at the latest.
+func (r *request) holdDeadline() int64 {
+	return r.arrivedAt + int64(holdTimeShare*float64(r.Deadline-r.arrivedAt))
+}
+
+// answerBy returns when a request must be answered at the latest: a little before its deadline.
+func (b *Balancer) answerBy(r *request) int64 { return r.Deadline - 2*b.settings.ClockResolution }
+
+// lastInFlight returns the last attempt that is in flight, or nil.
+func (r *request) lastInFlight() (last *attempt) {
+	for _, a := range r.attempts {
+		if a.inFlight {
+			last = a
+		}
+	}
+	return last
+}
+
+// triedAt reports whether a worker had its chance: an attempt ended there, or two that are excused.
+func (r *request) triedAt(w *worker) bool {
+	excused := 0
+	for _, a := range r.attempts {
+		if a.worker != w {
+			continue
+		}
+		if !a.excused {
+			return true
+		}
+		excused++
+	}
+	return excused > 1
+}
--- a/balancer/scale_test.go
+++ b/balancer/scale_test.go
@@ -88,7 +88,7 @@
 }
 
 func newScaleHost(b *testing.B, s Settings, workers int, law float64) *scaleHost {
-	x := &scaleHost{rng: rand.New(rand.NewPCG(1, uint64(workers))), copies: make([][]scaleCopy, scaleFuncs), inHand: map[string]scaleCall{}, due: forever}
+	x := &scaleHost{rng: rand.New(rand.NewPCG(1, uint64(workers))), copies: make([][]scaleCopy, scaleFuncs), inHand: map[string]scaleCall{}, due: noDeadline}
 	sum := 0.0
 	for i := range scaleFuncs {
 		sum += math.Pow(float64(i+1), -law)
@@ -110,7 +110,7 @@
 func (x *scaleHost) step() {
 	x.now += scaleStep
 	for x.due <= x.now {
-		x.due = forever
+		x.due = noDeadline
 		x.d.HandleTimer(x.now, x.ref)
 	}
 	slot := &x.ring[x.now/scaleStep%int64(len(x.ring))]
@@ -142,7 +142,7 @@
 		warmth = AwaitedLoad
 	}
 	c = &x.copies[f][i]
-	c.until = max(x.now, c.from) + x.d.set.KeepAlive
+	c.until = max(x.now, c.from) + x.d.settings.KeepAlive
 	return c, warmth
 }
 
@@ -202,7 +202,7 @@
 			b.Run(fmt.Sprintf("told/%d_siblings_%d_workers", siblings, workers), func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
-					x.d.pool.tokens = 10
+					x.d.gossip.digestBudget.tokens = 10
 					x.d.sendGossip(x.now)
 				}
 			})
@@ -254,8 +254,8 @@
 
 // collect has all reports read in a term in which dispatcher 0 collects, and the clock stand in its last eighth.
 func (x *senders) collect(b *testing.B) {
-	term := leaderTermObjectives * x.d.minAim
-	for x.now = (x.now/term + 1) * term; x.d.roll.Leader(x.now) != 0; {
+	term := leaderTermObjectives * x.d.shortestObjective
+	for x.now = (x.now/term + 1) * term; x.d.gossip.elector.Leader(x.now) != 0; {
 		x.now += term
 	}
 	at := x.now
@@ -269,7 +269,7 @@
 func (x *senders) read(b *testing.B) {
 	siblings := len(x.texts[0])
 	from := 1 + x.n%(siblings-1)
-	x.now += leaderTermObjectives * x.d.minAim / int64(siblings-1)
+	x.now += leaderTermObjectives * x.d.shortestObjective / int64(siblings-1)
 	for _, text := range x.texts[x.n/(siblings-1)%len(x.texts)][from] {
 		if !x.d.HandlePeerMessage(x.now, from, text) {
 			b.Fatal("a report is not read")
