--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -1,7 +1,7 @@
 package balancer
 
-// The thresholds of admission. New requests of the least priority are rejected from the first value on, all
-// from the second: half of the calls take longer than the mean.
+// The thresholds of admission. New requests of the least priority are rejected from the first value
+// on, all from the second: half of the calls take longer than the mean.
 const (
 	rejectFirstWait      = 0.5  // expected response time as a share of the latency objective
 	rejectAllWait        = 0.9  // the same
@@ -47,11 +47,11 @@
 	objective float64 // sum of the same times the latency objective
 }
 
-// shouldReject reports whether a new request is rejected before anything is done for it. The expected
-// response time shows a queue as it forms, before any answer is late (Little's law). First rejected are
-// requests over their tenant's quota or that need a load, by the shortest latency objective, then the classes
-// of the least priority for their work, by the mean objective. A load occupies the slots of other calls while
-// the store is slow.
+// shouldReject reports whether a new request is rejected before anything is done for it. The
+// expected response time shows a queue as it forms, before any answer is late (Little's law). First
+// rejected are requests over their tenant's quota or that need a load, by the shortest latency
+// objective, then the classes of the least priority for their work, by the mean objective. A load
+// occupies the slots of other calls while the store is slow.
 func (b *Balancer) shouldReject(now int64, q Request) bool {
 	overQuota := b.countsOverQuota(now, q)
 	b.admission.mix.observe(q.Class, overQuota, b.latencies[q.Class].mean)
@@ -68,9 +68,9 @@
 	return now-b.startedAt > 2*b.shortestObjective && (late || b.isFull(rank))
 }
 
-// countsOverQuota reports whether a request is among the first to be rejected. So is one that the client
-// marks as a retry: clients that retry at once must not crowd out first attempts, nor do retries count toward
-// the tenant's rate.
+// countsOverQuota reports whether a request is among the first to be rejected. So is one that the
+// client marks as a retry: clients that retry at once must not crowd out first attempts, nor do
+// retries count toward the tenant's rate.
 func (b *Balancer) countsOverQuota(now int64, q Request) bool {
 	if q.Retry || b.rng.Float64() < b.overQuotaShare(now, q.Tenant) {
 		return true
@@ -79,8 +79,8 @@
 	return f == nil || !f.copyExpectedElsewhere(now, nil)
 }
 
-// isFull reports whether the requests in hand leave no room for one of a rank between 0 and 1. Once it is
-// full, requests are rejected whatever their priority.
+// isFull reports whether the requests in hand leave no room for one of a rank between 0 and 1. Once
+// it is full, requests are rejected whatever their priority.
 func (b *Balancer) isFull(rank float64) bool {
 	limit := float64(b.settings.MaxInFlight) * (rejectFirstOccupancy + (rejectAllOccupancy-rejectFirstOccupancy)*rank)
 	return b.settings.MaxInFlight > 0 && float64(len(b.requests)) > limit
@@ -105,14 +105,15 @@
 	return seen
 }
 
-// priorityPerWork returns the priority weight of a class over the work that one of its requests takes.
+// priorityPerWork returns the priority weight of a class over the work that one of its requests
+// takes.
 func (b *Balancer) priorityPerWork(class int) float64 {
 	return b.settings.Classes[class].PriorityWeight / b.latencies[class].mean
 }
 
-// overQuotaShare returns the share of a tenant's requests, at all dispatchers, that is beyond its quota, and
-// counts one request of it. A dispatcher that is not heard of counts with its last figure; where messages are
-// not allowed all are taken to see as much as this one.
+// overQuotaShare returns the share of a tenant's requests, at all dispatchers, that is beyond its
+// quota, and counts one request of it. A dispatcher that no longer reports counts with its last
+// figure; where messages are not allowed all are taken to see as much as this one.
 func (b *Balancer) overQuotaShare(now int64, tenant int) float64 {
 	if tenant < 0 || tenant >= len(b.admission.tenantCalls) || b.settings.TenantQuota[tenant] <= 0 {
 		return 0
--- a/balancer/api.go
+++ b/balancer/api.go
@@ -32,7 +32,7 @@
 const (
 	// EndpointsDelta holds only the entries that changed.
 	EndpointsDelta EndpointUpdateKind = iota
-	// EndpointsSnapshot holds the complete list; a worker that is not in it is gone.
+	// EndpointsSnapshot holds the complete list; a worker that is not in it was removed.
 	EndpointsSnapshot
 	// EndpointsCached holds the complete list as it was last known; it may be old.
 	EndpointsCached
@@ -99,7 +99,8 @@
 // Warmth is what an answer says of the copy that it found.
 type Warmth int
 
-// The kinds of warmth: not stated, a loaded copy, a load that the call began or waited for, or that failed.
+// The kinds of warmth: not stated, a loaded copy, a load that the call began or waited for, or that
+// failed.
 const (
 	WarmthUnknown Warmth = iota
 	WarmHit
@@ -121,9 +122,11 @@
 	Report             []float64 // load report
 }
 
-// Host carries out the actions of a Balancer. Its methods are called from within the event that causes them.
+// Host carries out the actions of a Balancer. Its methods are called from within the event that
+// causes them.
 type Host interface {
-	// SendAttempt sends the next attempt of a request; until 0: it may take as long as the client waits.
+	// SendAttempt sends the next attempt of a request; until 0: it may take as long as the client
+	// waits.
 	SendAttempt(id string, w WorkerID, until int64)
 	// CancelAttempt gives up an attempt that is in flight.
 	CancelAttempt(id string, attempt int)
@@ -137,14 +140,14 @@
 	OrderUnload(w WorkerID, f FuncID)
 	// HealthCheck asks a worker for a sign of life.
 	HealthCheck(w WorkerID)
-	// SendPeerMessage sends a datagram of up to 256 bytes to one other dispatcher by its index, or to all if
-	// the index is below 0.
+	// SendPeerMessage sends a datagram of up to 256 bytes to one other dispatcher by its index, or
+	// to all if the index is below 0.
 	SendPeerMessage(to int, data string)
 	// SetTimer has HandleTimer called with ref after a delay in nanoseconds.
 	SetTimer(delay int64, ref int64)
-	// CountTowardLoadQuota takes that a call that came at a time counts toward the quota of load orders. The
-	// platform counts no calls of functions that do not exist, so one counts once a worker has served its
-	// function.
+	// CountTowardLoadQuota takes that a call that came at a time counts toward the quota of load
+	// orders. The platform counts no calls of functions that do not exist, so one counts once a
+	// worker has served its function.
 	CountTowardLoadQuota(at int64)
 	// SubscribeEndpoints asks for the endpoint list and its updates.
 	SubscribeEndpoints()
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -11,8 +11,9 @@
 	"oakthread/rules"
 )
 
-// Balancer decides for one dispatcher. Use New. Its methods must be called from one goroutine, with a clock
-// that does not go back. What concerns a request, worker or attempt that it does not know is ignored.
+// Balancer decides for one dispatcher. Use New. Its methods must be called from one goroutine, with
+// a clock that does not go back. What concerns a request, worker or attempt that it does not know
+// is ignored.
 type Balancer struct {
 	settings           Settings
 	host               Host
@@ -42,8 +43,8 @@
 	logs   logLimiter
 }
 
-// New returns a Balancer that knows no workers yet. It returns an error for settings that have no safe
-// reading.
+// New returns a Balancer that knows no workers yet. It returns an error for settings that have no
+// safe reading.
 func New(now int64, s Settings, seed uint64, host Host) (*Balancer, error) {
 	if host == nil {
 		return nil, fmt.Errorf("balancer: host is nil")
@@ -99,8 +100,8 @@
 	}
 }
 
-// appendClasses takes classes into the settings and prepares what is held by class. A request holds its class
-// by pointer, so that the classes it points to stay as they are.
+// appendClasses takes classes into the settings and prepares what is held by class. A request holds
+// its class by pointer, so that the classes it points to stay as they are.
 func (b *Balancer) appendClasses(classes []Class) {
 	b.settings.Classes = append(b.settings.Classes, classes...)
 	for i := range classes {
@@ -112,9 +113,9 @@
 	}
 }
 
-// AddClasses takes classes that requests may name from now on and returns the number of the first; requests in
-// hand keep the class they came with. All are taken or none: an error, for a class without a positive latency
-// objective or with figures that cannot be read, changes nothing.
+// AddClasses takes classes that requests may name from now on and returns the number of the first;
+// requests in hand keep the class they came with. All are taken or none: an error, for a class
+// without a positive latency objective or with figures that cannot be read, changes nothing.
 func (b *Balancer) AddClasses(now int64, classes []Class) (int, error) {
 	b.advanceClock(now)
 	for i := range classes {
--- a/balancer/candidates.go
+++ b/balancer/candidates.go
@@ -3,10 +3,11 @@
 import "math"
 
 const (
-	// ringWindow is how many places on the ring a choice in a long list examines, and how many holders at most.
+	// ringWindow is how many places on the ring a choice in a long list examines, and how many
+	// holders at most.
 	ringWindow = 16
-	// targetConcurrencyUse is the share of a copy's concurrency that is used on average where a function has
-	// as many places as it needs.
+	// targetConcurrencyUse is the share of a copy's concurrency that is used on average where a
+	// function has as many places as it needs.
 	targetConcurrencyUse = 0.5
 )
 
@@ -14,14 +15,14 @@
 type examinedWorkers struct {
 	workers        []*worker
 	preferred      int     // the first so many are the function's places
-	representative int     // the first so many stand for the whole list
+	representative int     // the first so many represent the list
 	placesShare    float64 // of the function's places that it needs
 }
 
-// workersToExamine returns the workers that a choice examines: of a short list all. Of a long one a window of
-// the ring that is the same at all dispatchers (a hot function has several windows, each dispatcher one of
-// them), a random sample, and believed holders; the lightest worker and those due for a trial are found only
-// among these.
+// workersToExamine returns the workers that a choice examines: of a short list all. Of a long one a
+// window of the ring that is the same at all dispatchers (a hot function has several windows, each
+// dispatcher one of them), a random sample, and believed holders; the lightest worker and those due
+// for a trial are found only among these.
 func (b *Balancer) workersToExamine(now int64, r *request) examinedWorkers {
 	places := b.placesNeeded(now, r)
 	if count := len(b.endpoints.listed); !b.endpoints.isLong() {
@@ -49,10 +50,10 @@
 	return workers
 }
 
-// placesNeeded returns how many workers the calls of a function need, by Little's law: what this dispatcher
-// sends, taken for the share of every one, at the targeted use of one copy each. The call at hand does not
-// count, nor, of many dispatchers, what may be chance: else functions that each calls once or twice would look
-// hot to all.
+// placesNeeded returns how many workers the calls of a function need, by Little's law: what this
+// dispatcher sends, taken for the share of every one, at the targeted use of one copy each. The
+// call at hand does not count, nor, of many dispatchers, what may be chance: else functions that
+// each calls once or twice would look hot to all.
 func (b *Balancer) placesNeeded(now int64, r *request) float64 {
 	f := r.function
 	window := float64(b.callRateWindow())
@@ -64,6 +65,6 @@
 	return calls / observed * float64(b.settings.Dispatchers) * b.latencies[r.Class].mean / perPlace
 }
 
-// callRateWindow returns the time constant, in nanoseconds, over which the calls of a function and the pace of
-// a worker are averaged.
+// callRateWindow returns the time constant, in nanoseconds, over which the calls of a function and
+// the pace of a worker are averaged.
 func (b *Balancer) callRateWindow() int64 { return max(b.settings.KeepAlive, b.shortestObjective) }
--- a/balancer/choose.go
+++ b/balancer/choose.go
@@ -3,17 +3,17 @@
 import "math"
 
 const (
-	// minLoadSlack is the least slack of a choice: a holder may carry this much more than the lightest worker,
-	// as a share of it (Bunt et al., Table 4).
+	// minLoadSlack is the least slack of a choice: a holder may carry this much more than the
+	// lightest worker, as a share of it (Bunt et al., Table 4).
 	minLoadSlack = 1.0
-	// loadPriceScale is the price of a load and of idle memory at which the share of loads counts as it is;
-	// at higher prices it counts for more.
+	// loadPriceScale is the price of a load and of idle memory at which the share of loads counts
+	// as it is; at higher prices it counts for more.
 	loadPriceScale = 0.012
-	// similarLoadTolerance is how much heavier than the median a worker may be and still count as good as the
-	// lightest.
+	// similarLoadTolerance is how much heavier than the median a worker may be and still count as
+	// good as the lightest.
 	similarLoadTolerance = 0.25
-	// wellInformedDispatchers is the number of dispatchers of which each still sees enough of every worker by
-	// itself.
+	// wellInformedDispatchers is the number of dispatchers of which each still sees enough of every
+	// worker by itself.
 	wellInformedDispatchers = 5.0
 	// failedOrderPenalty divides the score of a worker that had no room for a load just now.
 	failedOrderPenalty = 1e9
@@ -38,10 +38,10 @@
 	minLoad     float64
 }
 
-// chooseWorker chooses a worker for the next attempt of a request, or nil if none is eligible; trial is set
-// if the attempt tests a worker whose ejection has run out. The rule is Load/Affinity (Bunt et al.): the
-// lightest holder with free capacity within a slack of the lightest worker, else the lightest holder within
-// it, else the lightest worker.
+// chooseWorker chooses a worker for the next attempt of a request, or nil if none is eligible;
+// trial is set if the attempt tests a worker whose ejection has run out. The rule is Load/Affinity
+// (Bunt et al.): the lightest holder with free capacity within a slack of the lightest worker, else
+// the lightest holder within it, else the lightest worker.
 func (b *Balancer) chooseWorker(now int64, r *request) (best *worker, trial bool) {
 	b.choice.number++
 	examined := b.workersToExamine(now, r)
@@ -62,8 +62,8 @@
 	return b.preferredWorker(now, r.function, set.preferred, limit, examined.placesShare), false
 }
 
-// examine collects the eligible workers with their loads as candidates. It stops at a worker that is due for
-// a trial.
+// examine collects the eligible workers with their loads as candidates. It stops at a worker that
+// is due for a trial.
 func (b *Balancer) examine(now int64, r *request, examined examinedWorkers) (set candidateSet) {
 	number := b.choice.number
 	b.choice.candidates, b.choice.loads = b.choice.candidates[:0], b.choice.loads[:0]
@@ -94,8 +94,8 @@
 	return set
 }
 
-// excludeUnhealthy takes the unhealthy workers out of the candidates, adjusts the loads of unknown and of
-// already tried ones, and returns the lightest load.
+// excludeUnhealthy takes the unhealthy workers out of the candidates, adjusts the loads of unknown
+// and of already tried ones, and returns the lightest load.
 func (b *Balancer) excludeUnhealthy(now int64, r *request, set candidateSet) (minLoad float64) {
 	trusted := set.ejectionsTrusted()
 	minLoad = math.Inf(1)
@@ -115,25 +115,25 @@
 	return minLoad
 }
 
-// ejectionsTrusted reports whether enough candidates are healthy for the unhealthy ones to be left out. If
-// half look faulty, the fault is likely our own, and load alone decides. Workers that no dispatcher reaches do
-// not count: more than half may be cut off.
+// ejectionsTrusted reports whether enough candidates are healthy for the unhealthy ones to be left
+// out. If half look faulty, the fault is likely our own, and load alone decides. Workers that no
+// dispatcher reaches do not count: more than half may be cut off.
 func (s *candidateSet) ejectionsTrusted() bool {
 	reachable := s.total - s.unreachable
 	return 2*s.healthy > reachable || 2*s.healthy == reachable && s.healthy > 1
 }
 
-// loadBase returns the load from which the slack for holders counts. Where nearly all calls find a loaded copy
-// it is the lightest load, as in the paper, and functions spread. Where loads are frequent there are too many
-// copies, and it moves up to the median: a worker below the median has idle cores, so that being lighter saves
-// less than a copy costs.
+// loadBase returns the load from which the slack for holders counts. Where nearly all calls find a
+// loaded copy it is the lightest load, as in the paper, and functions spread. Where loads are
+// frequent there are too many copies, and it moves up to the median: a worker below the median has
+// idle cores, so that being lighter saves less than a copy costs.
 func (b *Balancer) loadBase(set candidateSet) float64 {
 	price := max(b.settings.OriginPrice+b.settings.MemoryPrice, loadPriceScale) / loadPriceScale
 	return set.minLoad + max(0, set.medianLoad-set.minLoad)*min(1, b.loads.share*price)
 }
 
-// holdersWithin lists the candidates up to a load that hold a copy with free capacity or, if there are none,
-// those at which a copy is expected.
+// holdersWithin lists the candidates up to a load that hold a copy with free capacity or, if there
+// are none, those at which a copy is expected.
 func (b *Balancer) holdersWithin(now int64, f *function, limit float64) []*worker {
 	var free, busy []*worker
 	for _, h := range f.holders {
@@ -152,9 +152,9 @@
 	return free
 }
 
-// lightestHolder returns the lightest of some holders. What is known of other dispatchers' calls is known to
-// all of them alike and grows old: the older it is, the wider the range of loads from which one is drawn, lest
-// all dispatchers meet at the lightest.
+// lightestHolder returns the lightest of some holders. What is known of other dispatchers' calls is
+// known to all of them alike and grows old: the older it is, the wider the range of loads from
+// which one is drawn, lest all dispatchers meet at the lightest.
 func (b *Balancer) lightestHolder(now int64, holders []*worker, medianLoad float64) (best *worker) {
 	minLoad, count := math.Inf(1), 0
 	for _, w := range holders {
@@ -174,10 +174,11 @@
 	return best
 }
 
-// preferredWorker returns the candidate up to a load that ranks highest for a function, of its ring window if
-// that has one. Dispatchers rank alike, so that they load a function in one place; each sees little of the
-// load of any worker, and the more of them there are, the wider the range of loads that count as alike. Of a
-// function that needs more places, a share of the workers is ranked by each dispatcher for itself.
+// preferredWorker returns the candidate up to a load that ranks highest for a function, of its ring
+// window if that has one. Dispatchers rank alike, so that they load a function in one place; each
+// sees little of the load of any worker, and the more of them there are, the wider the range of
+// loads that count as alike. Of a function that needs more places, a share of the workers is ranked
+// by each dispatcher for itself.
 func (b *Balancer) preferredWorker(now int64, f *function, preferred int, limit, placesShare float64) (best *worker) {
 	topScore := 0.0
 	for i, w := range b.choice.candidates {
@@ -207,14 +208,14 @@
 	return score
 }
 
-// fleetFactor returns by how much the dispatchers are more than those of which each is well informed by
-// itself; 1 for few.
+// fleetFactor returns by how much the dispatchers are more than those of which each is well
+// informed by itself; 1 for few.
 func (b *Balancer) fleetFactor() float64 {
 	return max(1, float64(b.settings.Dispatchers)/wellInformedDispatchers)
 }
 
-// eligible reports whether w may get attempts and load orders: it is listed, not draining and within its
-// slow-start budget. Every attempt and every load order passes it (rules 3 and 4).
+// eligible reports whether w may get attempts and load orders: it is listed, not draining and
+// within its slow-start budget. Every attempt and every load order passes it (rules 3 and 4).
 func (b *Balancer) eligible(now int64, w *worker) bool {
 	return w.listed && w.State == Active && b.slowStartAllows(now, w)
 }
--- a/balancer/decide_test.go
+++ b/balancer/decide_test.go
@@ -98,8 +98,9 @@
 	}
 }
 
-// hear makes every worker known by one answered call each.
-func hear(d *Balancer, now int64) {
+// markAllResponded has every worker count as one that has responded, and no recent call as one that
+// needed a load.
+func markAllResponded(d *Balancer) {
 	for _, w := range d.endpoints.listed {
 		w.responded = true
 	}
@@ -108,7 +109,7 @@
 
 func TestHolderWithFreeLanesFirst(t *testing.T) {
 	d, f := start(t, settings(Idempotent, ScopeAll), 4)
-	hear(d, 0)
+	markAllResponded(d)
 	d.HandleRequest(0, call("a", 0, 1))
 	d.HandleAttemptResult(10*ms, ok("a", f.last["a"]))
 	for i := range 20 {
@@ -124,7 +125,7 @@
 
 func TestFullHolderOverEpsilonIsPassedOver(t *testing.T) {
 	d, f := start(t, settings(Idempotent, ScopeAll), 4)
-	hear(d, 0)
+	markAllResponded(d)
 	d.HandleRequest(0, call("a", 0, 1))
 	d.HandleAttemptResult(10*ms, ok("a", f.last["a"]))
 	used := map[WorkerID]bool{}
@@ -225,7 +226,8 @@
 	}
 }
 
-// A bell that rings a little before its time must not stop the timers: found by a hunt as lost requests.
+// A bell that rings a little before its time must not stop the timers: found by a hunt as lost
+// requests.
 func TestEarlyBellArmsAgain(t *testing.T) {
 	d, f := start(t, settings(Idempotent, ScopeAll), 0)
 	d.HandleRequest(0, call("a", 0, 1))
@@ -248,8 +250,9 @@
 	t.Fatal("never answered")
 }
 
-// Found at full size: "one call is always allowed" at each of 200 dispatchers pushed a cold worker over. Many
-// dispatchers with unequal traffic, some fresh from a restart, send it less than the multiple in any window.
+// Found at full size: "one call is always allowed" at each of 200 dispatchers pushed a cold worker
+// over. Many dispatchers with unequal traffic, some fresh from a restart, send it less than the
+// multiple in any window.
 func TestColdBudget(t *testing.T) {
 	for _, size := range []int{1, 3, 40, 200} {
 		s := settings(Idempotent, ScopeAll)
@@ -269,7 +272,7 @@
 				t.Fatal(err)
 			}
 			d.UpdateEndpoints(0, EndpointsSnapshot, roster(workers))
-			hear(d, 0)
+			markAllResponded(d)
 			d.slowStart.warmWorkers = workers
 			d.UpdateEndpoints(now, EndpointsSnapshot, append(roster(workers), Endpoint{Worker: 99, State: Active, Weight: 1, Start: now}))
 			for step := range int64(100) { // everybody wants the cold worker all the time
@@ -304,14 +307,14 @@
 	}
 }
 
-// Found with 80 dispatchers: a slow worker looked as light as the others to each, which had one call there in some
-// seconds, and its calls ran into their deadlines. Of few, each sees its queue.
+// Found with 80 dispatchers: a slow worker looked as light as the others to each, which had one
+// call there in some seconds, and its calls ran into their deadlines. Of few, each sees its queue.
 func TestSlowWorkerIsHeavierWhereManyDispatch(t *testing.T) {
 	for _, many := range []int{1, 5, 80, 300} {
 		s := settings(Idempotent, ScopeAll)
 		s.Dispatchers = many
 		d, f := start(t, s, 6)
-		hear(d, 0)
+		markAllResponded(d)
 		now := int64(0)
 		for i := range 12 { // two answers each, of worker 1 four times as late as the others'
 			w := d.endpoints.listed[i%6]
@@ -334,9 +337,10 @@
 	}
 }
 
-// Found with 80 dispatchers: each drew a tenth of a call a second for a cold worker and lost it, as it wanted to send
-// one in eight seconds; replaced workers stood idle while the rest were full. A draw is kept for a while, and where
-// the hub tells that little is in flight there, one more is free in each slot.
+// Found with 80 dispatchers: each drew a tenth of a call a second for a cold worker and lost it, as
+// it wanted to send one in eight seconds; replaced workers stood idle while the rest were full. A
+// draw is kept for a while, and where the hub tells that little is in flight there, one more is
+// free in each slot.
 func TestSparseCallsReachAColdWorker(t *testing.T) {
 	for _, c := range []struct {
 		name                  string
@@ -382,7 +386,7 @@
 
 func TestUnheardWorkerGetsFirstCalls(t *testing.T) {
 	d, f := start(t, settings(Idempotent, ScopeAll), 3)
-	hear(d, 0)
+	markAllResponded(d)
 	d.UpdateEndpoints(ms, EndpointsDelta, []Endpoint{{Worker: 9, State: Active, Weight: 1}})
 	n := 0
 	for i := range 60 {
@@ -398,7 +402,8 @@
 	}
 }
 
-// Found at full size: with nothing known of each other, every dispatcher loaded its own copy of everything.
+// Found at full size: with nothing known of each other, every dispatcher loaded its own copy of
+// everything.
 func TestStrangersLoadInOnePlace(t *testing.T) {
 	s := settings(Idempotent, ScopeAll)
 	s.Dispatchers = 50
@@ -426,8 +431,9 @@
 	}
 }
 
-// Found with 80 dispatchers: each saw little of any worker's load, and each left out others as too heavy, so that one
-// function in two was loaded where it stood elsewhere. Few dispatchers see enough to go by the load.
+// Found with 80 dispatchers: each saw little of any worker's load, and each left out others as too
+// heavy, so that one function in two was loaded where it stood elsewhere. Few dispatchers see
+// enough to go by the load.
 func TestUnequalViewsOfManyLoadInOnePlace(t *testing.T) {
 	const workers, functions = 40, 40
 	copies, heavy := map[int]int{}, map[int]int{}
@@ -438,7 +444,7 @@
 		for i := range min(many, 80) {
 			s.DispatcherIndex = i
 			d, f := start(t, s, workers)
-			hear(d, 0)
+			markAllResponded(d)
 			rng := rand.New(rand.NewPCG(uint64(i), 5))
 			for _, w := range d.endpoints.listed {
 				w.peerCalls, w.peerCallsAt = float64(rng.IntN(5)), ms
@@ -468,8 +474,8 @@
 	}
 }
 
-// Found at full size: every dispatcher told every other several times a second, and the day was cut off. What one
-// dispatcher sends is bounded by its calls and by the number of its receivers.
+// Found at full size: every dispatcher told every other several times a second, and the day was cut
+// off. What one dispatcher sends is bounded by its calls and by the number of its receivers.
 func TestMessagesAreBounded(t *testing.T) {
 	for _, size := range []int{3, 250} {
 		s := settings(Idempotent, ScopeAll)
@@ -504,7 +510,7 @@
 func TestFastErrorsDoNotDraw(t *testing.T) {
 	s := settings(NotIdempotent, ScopeNone)
 	d, f := start(t, s, 4)
-	hear(d, 0)
+	markAllResponded(d)
 	bad := 0
 	for i := range 100 {
 		now := int64(i) * 20 * ms
@@ -524,7 +530,7 @@
 
 func TestSilentWorkerIsPassedOver(t *testing.T) {
 	d, f := start(t, settings(Idempotent, ScopeAll), 4)
-	hear(d, 0)
+	markAllResponded(d)
 	d.HandleRequest(0, call("a", 0, 1))
 	quiet := f.last["a"]
 	for i := range 400 {
@@ -573,7 +579,7 @@
 	s.Classes = append(s.Classes, s.Classes[0])
 	s.Classes[1].PriorityWeight = 5
 	d, f := start(t, s, 4)
-	hear(d, 0)
+	markAllResponded(d)
 	now := int64(5000 * ms)
 	for i := range 60 { // all functions loaded, nothing answered: a queue forms
 		d.HandleRequest(now, Request{ID: fmt.Sprint(i), Class: i % 2, Func: 1, Deadline: now + 3000*ms, Concurrency: 16})
@@ -606,7 +612,8 @@
 	return m.Encode(d.settings.Dispatchers)[0]
 }
 
-// TestRulesUnderRandomEvents checks the rules from outside over seeded random days, hostile ones too.
+// TestRulesUnderRandomEvents checks the rules from outside over seeded random days, hostile ones
+// too.
 func TestRulesUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(120) {
 		rng := rand.New(rand.NewPCG(seed%60, 1))
@@ -769,8 +776,8 @@
 	}
 }
 
-// TestModuleSize keeps each file of the module to one decision's size: 300 lines of 140 columns. The limit of 910 lines over
-// the files named under policy was withdrawn by the operators.
+// TestModuleSize keeps each file of the module to one decision's size: 300 lines of 140 columns.
+// The limit of 910 lines over the files named under policy was withdrawn by the operators.
 func TestModuleSize(t *testing.T) {
 	const mostLines, mostColumns = 300, 140
 	files, err := filepath.Glob("*.go")
@@ -797,8 +804,8 @@
 	}
 }
 
-// BenchmarkDecision is one call with its answer and what timers it sets; BenchmarkRound the digest of a hub that holds
-// the reports of all others.
+// BenchmarkDecision is one call with its answer and what timers it sets; BenchmarkRound the digest
+// of a hub that holds the reports of all others.
 func BenchmarkDecision(b *testing.B) { bySize(b, benchDecision) }
 func BenchmarkRound(b *testing.B)    { bySize(b, benchRound) }
 
@@ -855,10 +862,11 @@
 	}
 }
 
-// Found in iad616b: calls stuck for seconds were read as a queue, and half of the traffic was refused.
+// Found in iad616b: calls stuck for seconds were read as a queue, and half of the traffic was
+// refused.
 func TestStuckCallsAreNoQueue(t *testing.T) {
 	d, f := start(t, settings(Idempotent, ScopeAll), 4)
-	hear(d, 0)
+	markAllResponded(d)
 	now := int64(1000 * ms)
 	for i := range 8 {
 		id := fmt.Sprint(i)
@@ -877,7 +885,7 @@
 // Found in i7067a9: calls turned away from full queues must count as queued.
 func TestTurnedAwayCallsCountAsQueued(t *testing.T) {
 	d, f := start(t, settings(NotIdempotent, ScopeNone), 4)
-	hear(d, 0)
+	markAllResponded(d)
 	before := d.expectedQueueTime(0)
 	for i := range 8 {
 		id := fmt.Sprint(i)
@@ -893,7 +901,7 @@
 func TestSlowStoreCallsForPatience(t *testing.T) {
 	used := func(stress float64) int {
 		d, f := start(t, settings(Idempotent, ScopeAll), 6)
-		hear(d, 0)
+		markAllResponded(d)
 		d.HandleRequest(0, call("a", 0, 1))
 		d.HandleAttemptResult(10*ms, ok("a", f.last["a"]))
 		d.loads.slowdown = stress
@@ -938,8 +946,8 @@
 	}
 }
 
-// Found in an ablation on reykjavik-tracking: a second copy of a keyed call stays bound to the window of the first, also
-// when the first turns out not to have run.
+// Found in an ablation on reykjavik-tracking: a second copy of a keyed call stays bound to the
+// window of the first, also when the first turns out not to have run.
 func TestWindowCountsFromTheFirstOfTwoCopies(t *testing.T) {
 	for _, c := range []struct {
 		at     int64
@@ -963,12 +971,13 @@
 	}
 }
 
-// With many busy workers the counts fill a message; new holders must still be told, and nothing pile up.
+// With many busy workers the counts fill a message; new holders must still be told, and nothing
+// pile up.
 func TestLargeFleetTellsItsHolders(t *testing.T) {
 	s := settings(Idempotent, ScopeAll)
 	s.Gossip = true
 	a, fa := start(t, s, 60)
-	hear(a, 0)
+	markAllResponded(a)
 	a.gossip.reportBudget.tokens, a.gossip.digestBudget.tokens = 1, 1
 	for i := range 60 {
 		a.HandleRequest(1001*ms, call(fmt.Sprint(i), 1001*ms, FuncID(i)))
@@ -998,7 +1007,8 @@
 	}
 }
 
-// A roster that must be asked for is asked for at start, and again after failures at a bounded rate.
+// A roster that must be asked for is asked for at start, and again after failures at a bounded
+// rate.
 func TestRosterIsAskedForAgainAfterFailure(t *testing.T) {
 	s := settings(Idempotent, ScopeAll)
 	s.PollEndpoints, s.PollInterval = true, 8000*ms
@@ -1035,10 +1045,11 @@
 	}
 }
 
-// Found at full size: answers that never come from workers that answer others. The more are lost, the sooner a copy.
+// Found at full size: answers that never come from workers that answer others. The more are lost,
+// the sooner a copy.
 func TestLostAnswersBringCopiesSooner(t *testing.T) {
 	d, f := start(t, settings(Idempotent, ScopeAll), 1)
-	hear(d, 0)
+	markAllResponded(d)
 	now := int64(0)
 	round := func(lost bool) {
 		awake(d, f, now, now+4000*ms)
@@ -1072,7 +1083,8 @@
 	}
 }
 
-// Reports are summed at the hub and the sums reach all: overload is seen by a dispatcher with little traffic.
+// Reports are summed at the hub and the sums reach all: overload is seen by a dispatcher with
+// little traffic.
 func TestHubTellsTheQueueToAll(t *testing.T) {
 	s := settings(Idempotent, ScopeAll)
 	s.Dispatchers, s.Gossip = 3, true
@@ -1101,8 +1113,9 @@
 	d.HandlePeerMessage(5000*ms, 1, "AAAA")
 }
 
-// Found with 300 dispatchers: a digest of all workers cost more than a hub may save up, so one was sent in a whole day, and
-// nothing was shared. Where none has come for some terms a hub tells the sums, and what is silent.
+// Found with 300 dispatchers: a digest of all workers cost more than a hub may save up, so one was
+// sent in a whole day, and nothing was shared. Where none has come for some terms a hub tells the
+// sums, and what is silent.
 func TestHubOfManyTellsWhatItCanPayFor(t *testing.T) {
 	s := settings(Idempotent, ScopeAll)
 	s.Dispatchers, s.Gossip, s.PeerPrice, s.OverloadWindow = 300, true, 0.021, 0
@@ -1140,8 +1153,9 @@
 	}
 }
 
-// Found with 80 dispatchers and a zone of more than half of the workers lost: over half looked sick, so the judgement
-// was distrusted and calls went there again, and each dispatcher tried each of them over and over by itself.
+// Found with 80 dispatchers and a zone of more than half of the workers lost: over half looked
+// sick, so the judgement was distrusted and calls went there again, and each dispatcher tried each
+// of them over and over by itself.
 func TestLostZoneIsTriedByFew(t *testing.T) {
 	const workers, lost = 10, 7
 	trials, heard := map[WorkerID]int{}, 0
@@ -1149,7 +1163,7 @@
 		s := settings(Idempotent, ScopeAll)
 		s.Dispatchers, s.DispatcherIndex, s.Gossip = 80, i, true
 		d, f := start(t, s, workers)
-		hear(d, 0)
+		markAllResponded(d)
 		var counts []aggregate.Count
 		for w := range lost {
 			counts = append(counts, aggregate.Count{Worker: uint16(w + 1), Silent: true})
@@ -1191,11 +1205,12 @@
 	}
 }
 
-// Found at full size: a dispatcher that stands still for two seconds finds its bell and all answers at once. The bell
-// comes first: nobody may be blamed, nothing sent again or ended before the answers are heard.
+// Found at full size: a dispatcher that stands still for two seconds finds its bell and all answers
+// at once. The bell comes first: nobody may be blamed, nothing sent again or ended before the
+// answers are heard.
 func TestOwnStallIsNobodysFault(t *testing.T) {
 	d, f := start(t, settings(Idempotent, ScopeAll), 4)
-	hear(d, 0)
+	markAllResponded(d)
 	awake(d, f, 0, 1000*ms)
 	for i := range 8 {
 		d.HandleRequest(1000*ms, call(fmt.Sprint(i), 1000*ms, FuncID(i)))
@@ -1222,8 +1237,8 @@
 	}
 }
 
-// Found at full size: 50 dispatchers had one first choice for a hot function. It has as many as its calls need, and a
-// function that each of them calls once keeps one.
+// Found at full size: 50 dispatchers had one first choice for a hot function. It has as many as its
+// calls need, and a function that each of them calls once keeps one.
 func TestHotFunctionHasItsPlaces(t *testing.T) {
 	s := settings(Idempotent, ScopeAll)
 	s.Dispatchers = 50
@@ -1247,12 +1262,13 @@
 	}
 }
 
-// Found at full size: a few workers with fifty calls made all look light by the mean. The middle is not moved by them.
+// Found at full size: a few workers with fifty calls made all look light by the mean. The middle is
+// not moved by them.
 func TestFewCrowdedWorkersDoNotHideEachOther(t *testing.T) {
 	s := settings(Idempotent, ScopeAll)
 	s.Dispatchers, s.Gossip = 50, true
 	d, f := start(t, s, 10)
-	hear(d, 0)
+	markAllResponded(d)
 	var counts []aggregate.Count
 	for i := 1; i <= 10; i++ {
 		n := 4
@@ -1307,10 +1323,11 @@
 	awake(zero, newFake(), 3000*ms, 4000*ms)
 }
 
-// Found at full size: clients that repeat at once. When calls queue, marked repeats are refused before first tries.
+// Found at full size: clients that repeat at once. When calls queue, marked repeats are refused
+// before first tries.
 func TestRepeatsDoNotCrowdOutFirstTries(t *testing.T) {
 	d, f := start(t, settings(Idempotent, ScopeAll), 4)
-	hear(d, 0)
+	markAllResponded(d)
 	now := int64(5000 * ms)
 	for i := range 90 { // all loaded, nothing answered: a queue forms
 		id := fmt.Sprint(i)
@@ -1332,7 +1349,8 @@
 	}
 }
 
-// Found by reading: before the warm workers were first counted, what all of them answer was taken for what one does.
+// Found by reading: before the warm workers were first counted, what all of them answer was taken
+// for what one does.
 func TestColdBudgetBeforeTheFirstCount(t *testing.T) {
 	d, _ := start(t, settings(Idempotent, ScopeAll), 50)
 	d.UpdateEndpoints(0, EndpointsSnapshot, append(roster(50), Endpoint{Worker: 99, State: Active, Weight: 1, Start: 999 * ms}))
@@ -1342,13 +1360,13 @@
 	}
 }
 
-// Guards against loads that crowd out loaded copies: near the limit of open calls, what needs a load is turned
-// away first, and the rest only when hardly any room is left.
+// Guards against loads that crowd out loaded copies: near the limit of open calls, what needs a
+// load is turned away first, and the rest only when hardly any room is left.
 func TestRoomGoesToLoadedFunctionsFirst(t *testing.T) {
 	s := settings(Idempotent, ScopeAll)
 	s.MaxInFlight = 100
 	d, f := start(t, s, 4)
-	hear(d, 0)
+	markAllResponded(d)
 	now := 5000 * ms
 	d.holders.functionFor(now, Request{Func: 1, Concurrency: 16})
 	for _, w := range d.endpoints.listed {
@@ -1375,11 +1393,12 @@
 	}
 }
 
-// Guards against loads that cost more than the wait they spare: a busy holder is kept up to what a load takes.
+// Guards against loads that cost more than the wait they spare: a busy holder is kept up to what a
+// load takes.
 func TestDearLoadsKeepTheHolder(t *testing.T) {
 	used := func(load int64) int {
 		d, f := start(t, settings(Idempotent, ScopeAll), 4)
-		hear(d, 0)
+		markAllResponded(d)
 		on := map[WorkerID]bool{}
 		for i := range 10 {
 			q := call(fmt.Sprint(i), 0, 1)
@@ -1397,13 +1416,13 @@
 	}
 }
 
-// Guards against cut connections passing for a dead worker: ejected, it would lose its calls and all beliefs about it.
-// Where connections are cut everywhere, all would be out in turn. The call goes to the copy again, once. A refused
-// connection tells of a death at once.
+// Guards against cut connections passing for a dead worker: ejected, it would lose its calls and
+// all beliefs about it. Where connections are cut everywhere, all would be out in turn. The call
+// goes to the copy again, once. A refused connection tells of a death at once.
 func TestCutConnectionsEjectNobody(t *testing.T) {
 	for lately, res := range map[int64]Result{100 * ms: Reset, 1500 * ms: Reset, 1501 * ms: ConnectFailed} {
 		d, f := start(t, settings(Idempotent, ScopeAll), 4)
-		hear(d, 0)
+		markAllResponded(d)
 		d.HandleRequest(0, call("a", 0, 1))
 		w := d.endpoints.byID[f.last["a"]]
 		d.HandleAttemptResult(10*ms, ok("a", w.Worker))
@@ -1428,11 +1447,12 @@
 	}
 }
 
-// Guards against workers' queues that fill with calls for copies still loading: such calls wait here, one order
-// loads, and its end sends them. A load that outlasts their patience gets them all the same, in time.
+// Guards against workers' queues that fill with calls for copies still loading: such calls wait
+// here, one order loads, and its end sends them. A load that outlasts their patience gets them all
+// the same, in time.
 func TestCallsWaitHereForALoad(t *testing.T) {
 	d, f := start(t, settings(Idempotent, ScopeAll), 3)
-	hear(d, 0)
+	markAllResponded(d)
 	d.HandleRequest(0, call("a", 0, 1))
 	if len(f.sends) != 1 || len(f.loads) != 0 {
 		t.Fatal("a function that no worker has served was ordered")
@@ -1465,11 +1485,11 @@
 	}
 }
 
-// Guards healthy workers against calls of functions that do not exist: such errors come from any worker alike. And the
-// calls go round no more than twice.
+// Guards healthy workers against calls of functions that do not exist: such errors come from any
+// worker alike. And the calls go round no more than twice.
 func TestUnknownFunctionsBlameNobody(t *testing.T) {
 	d, f := start(t, settings(Idempotent, ScopeAll), 3)
-	hear(d, 0)
+	markAllResponded(d)
 	for i := range 4 {
 		now, id := int64(i)*20*ms, fmt.Sprint(i)
 		d.HandleRequest(now, call(id, now, FuncID(i)))
@@ -1487,11 +1507,11 @@
 	}
 }
 
-// Guards memory, which idle copies cost and loads wait for: one that is hardly called goes after half the keep-alive,
-// one that is called now and then stays, and so does one with a call out.
+// Guards memory, which idle copies cost and loads wait for: one that is hardly called goes after
+// half the keep-alive, one that is called now and then stays, and so does one with a call out.
 func TestIdleCopiesAreUnloaded(t *testing.T) {
 	d, f := start(t, settings(Idempotent, ScopeAll), 3)
-	hear(d, 0)
+	markAllResponded(d)
 	for now := int64(0); now < 3000*ms; now += 500 * ms {
 		for _, fn := range []FuncID{1, 2, 3} {
 			if fn == 1 && now > 0 {
@@ -1511,9 +1531,10 @@
 	}
 }
 
-// Guards against loads that pass for lost answers. A copy that only a peer told of may be loading, and one believed to
-// stand may have been pushed out; either way the worker answers others. Taken for lost, such calls would bring copies
-// of themselves ever sooner, and these more loads. An answer is lost where the copy answered others meanwhile.
+// Guards against loads that pass for lost answers. A copy that only a peer told of may be loading,
+// and one believed to stand may have been pushed out; either way the worker answers others. Taken
+// for lost, such calls would bring copies of themselves ever sooner, and these more loads. An
+// answer is lost where the copy answered others meanwhile.
 func TestLoadsAreNoLostAnswers(t *testing.T) {
 	for name, c := range map[string]struct {
 		told, hit, lost bool
@@ -1525,7 +1546,7 @@
 		s := settings(Idempotent, ScopeAll)
 		s.LoadsOnMiss = false // nothing is held for an order
 		d, f := start(t, s, 1)
-		hear(d, 0)
+		markAllResponded(d)
 		for i, fn := range []FuncID{1, 2} {
 			id := fmt.Sprint("a", i)
 			d.HandleRequest(0, call(id, 0, fn))
@@ -1552,8 +1573,9 @@
 	}
 }
 
-// Guards against calls that wait to their end for an answer that is lost, where one worker alone holds the copy: the
-// same is asked again. Not before the copy has answered others, nor once a copy of the call cannot come in time.
+// Guards against calls that wait to their end for an answer that is lost, where one worker alone
+// holds the copy: the same is asked again. Not before the copy has answered others, nor once a copy
+// of the call cannot come in time.
 func TestLostAnswerIsAskedForAgain(t *testing.T) {
 	for name, c := range map[string]struct {
 		aim   int64
@@ -1566,7 +1588,7 @@
 	} {
 		s := settings(Idempotent, ScopeAll)
 		d, f := start(t, s, 1)
-		hear(d, 0)
+		markAllResponded(d)
 		d.settings.Classes[0].LatencyObjective = c.aim // learned times stay
 		for i, fn := range []FuncID{1, 2} {
 			id := fmt.Sprint("a", i)
@@ -1592,14 +1614,15 @@
 	}
 }
 
-// Guards against an order that was cut off, or never written, passing for a worker without room: its calls would be
-// sent to wait there, or load elsewhere. It is given again, within the ration; after a no the call is sent.
+// Guards against an order that was cut off, or never written, passing for a worker without room:
+// its calls would be sent to wait there, or load elsewhere. It is given again, within the ration;
+// after a no the call is sent.
 func TestOrdersCutOffAreGivenAgain(t *testing.T) {
 	for res, orders := range map[Result]int{Reset: 3, NotSent: 3, QueueFull: 1, Error: 1} {
 		s := settings(Idempotent, ScopeAll)
 		s.LoadQuotaWindow, s.LoadQuotaBase = 5000*ms, 3
 		d, f := start(t, s, 1)
-		hear(d, 0)
+		markAllResponded(d)
 		d.HandleRequest(0, call("a", 0, 1))
 		d.HandleAttemptResult(10*ms, ok("a", 1))
 		now := 9000 * ms // the belief has lapsed
@@ -1614,9 +1637,10 @@
 	}
 }
 
-// Found at full size (300 dispatchers, a zone cut off for 6 s): each learnt about 70 executors one by one, at a call each,
-// tried them over and over, and took 11 s and more to use them again. After three of them in a row the zone is left out,
-// few calls are spent on it, and its first answer brings all back at once.
+// Found at full size (300 dispatchers, a zone cut off for 6 s): each learnt about 70 executors one
+// by one, at a call each, tried them over and over, and took 11 s and more to use them again. After
+// three of them in a row the zone is left out, few calls are spent on it, and its first answer
+// brings all back at once.
 func TestZoneCutOffIsLearntAndForgottenAsOne(t *testing.T) {
 	const cutAt, healAt, end, workers = 2000 * ms, 8000 * ms, 11000 * ms, 40
 	for seed := range uint64(4) {
@@ -1685,8 +1709,8 @@
 	}
 }
 
-// Found by reading: what others told of a worker's pace was told on as if seen, so that it never faded. It weighs here, is told
-// to nobody, and what we saw ourselves is not made less by it.
+// Found by reading: what others told of a worker's pace was told on as if seen, so that it never
+// faded. It weighs here, is told to nobody, and what we saw ourselves is not made less by it.
 func TestToldPaceIsNotToldOn(t *testing.T) {
 	s := settings(Idempotent, ScopeAll)
 	s.Dispatchers, s.Gossip = 12, true
@@ -1723,7 +1747,8 @@
 	return x
 }
 
-// Wakeups come out as from container/heap, also those of one time: the order of events, and with it every choice, hangs on it.
+// Wakeups come out as from container/heap, also those of one time: the order of events, and with it
+// every choice, hangs on it.
 func TestWakeupsComeAsFromTheStandardHeap(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	ours, theirs := timerHeap{}, &boxed{}
@@ -1741,9 +1766,10 @@
 	}
 }
 
-// A call that a full executor turns away comes again after a wait, no longer than a load takes nor than lets its attempts spread
-// over its time, to the same place once more, and only then goes elsewhere: if many dispatchers went on at once, each would load
-// the function in a further place and fill that queue too. It goes on at once where a copy is expected elsewhere, and where few
+// A call that a full executor turns away comes again after a wait, no longer than a load takes nor
+// than lets its attempts spread over its time, to the same place once more, and only then goes
+// elsewhere: if many dispatchers went on at once, each would load the function in a further place
+// and fill that queue too. It goes on at once where a copy is expected elsewhere, and where few
 // dispatch.
 func TestFullPlaceIsWaitedForWhereManyDispatch(t *testing.T) {
 	const workers = 20
@@ -1758,7 +1784,7 @@
 		s := settings(Idempotent, ScopeAll)
 		s.Dispatchers, s.FullScanLimit = c.siblings, c.walk
 		d, f := start(t, s, workers)
-		hear(d, 0)
+		markAllResponded(d)
 		d.HandleRequest(ms, call("a", ms, 9))
 		place := f.last["a"]
 		other := place%workers + 1
@@ -1798,8 +1824,9 @@
 	}
 }
 
-// A function that each of many dispatchers met twice lately is loaded in few places, also while answers are slow since queues
-// are long: else each takes chance, or clients that come again, for a hot function, and makes it a place of its own.
+// A function that each of many dispatchers met twice lately is loaded in few places, also while
+// answers are slow since queues are long: else each takes chance, or clients that come again, for a
+// hot function, and makes it a place of its own.
 func TestChanceMakesNoFunctionHot(t *testing.T) {
 	for _, walk := range []int{walkWhole, walkNever} {
 		const functions = 20
@@ -1808,7 +1835,7 @@
 			s := settings(Idempotent, ScopeAll)
 			s.Dispatchers, s.DispatcherIndex, s.FullScanLimit = 300, i*7, walk
 			d, f := start(t, s, 120)
-			hear(d, 0)
+			markAllResponded(d)
 			d.latencies[0] = latency{float64(1000 * ms), float64(500 * ms)}
 			for k := range functions {
 				r := call(fmt.Sprint(k), 8000*ms, FuncID(5+k*1_000_003))
--- a/balancer/dispatch.go
+++ b/balancer/dispatch.go
@@ -29,7 +29,13 @@
 // acceptRequest takes a request in hand.
 func (b *Balancer) acceptRequest(now int64, q Request) *request {
 	f := b.holders.functionFor(now, q)
-	r := &request{Request: q, class: &b.settings.Classes[q.Class], arrivedAt: now, function: f, countedForQuota: f.served}
+	r := &request{
+		Request:         q,
+		class:           &b.settings.Classes[q.Class],
+		function:        f,
+		arrivedAt:       now,
+		countedForQuota: f.served,
+	}
 	r.attempts = r.inlineAttempts[:0]
 	b.requests[q.ID] = r
 	if r.countedForQuota {
@@ -55,8 +61,8 @@
 	}
 }
 
-// awaitWorker has a request for which there is no worker looked at again, or ends it if none may come: one
-// that was never sent ends early, so that its client can go elsewhere.
+// awaitWorker has a request for which there is no worker looked at again, or ends it if none may
+// come: one that was never sent ends early, so that its client can go elsewhere.
 func (b *Balancer) awaitWorker(now int64, r *request) {
 	hopeless := now >= r.holdDeadline()
 	if len(r.attempts) > 0 {
@@ -69,10 +75,10 @@
 	b.scheduleRecheck(r, now+max(b.shortestObjective/maintenanceRounds/2, b.settings.ClockResolution))
 }
 
-// holdForLoad has a copy loaded by order and holds the request here until it is loaded; it reports whether it
-// does. That keeps the bounded queues of workers free of calls that wait for a slow store, and costs a round
-// trip. A copy that only a peer reported is ordered too: it may still be loading. A function that no worker
-// has served is never ordered: it may not exist.
+// holdForLoad has a copy loaded by order and holds the request here until it is loaded; it reports
+// whether it does. That keeps the bounded queues of workers free of calls that wait for a slow
+// store, and costs a round trip. A copy that only a peer reported is ordered too: it may still be
+// loading. A function that no worker has served is never ordered: it may not exist.
 func (b *Balancer) holdForLoad(now int64, r *request, w *worker) bool {
 	if !b.settings.LoadsOnMiss || !r.function.served || len(r.attempts) > 0 || now >= r.holdDeadline() {
 		return false
@@ -82,7 +88,7 @@
 		return false
 	}
 	if !h.orderInFlight {
-		if !b.orderLoad(now, h, 1) {
+		if !b.orderLoad(now, h) {
 			return false
 		}
 		r.orderedLoad = h.validUntil <= now
@@ -96,13 +102,23 @@
 	return true
 }
 
-// sendAttempt sends an attempt of r to a worker. A request that may be retried is looked at again when the
-// attempt is overdue.
+// sendAttempt sends an attempt of r to a worker. A request that may be retried is looked at again
+// when the attempt is overdue.
 func (b *Balancer) sendAttempt(now int64, r *request, w *worker, trial bool) {
 	h := r.function.holderAt(w, true)
 	a := &attempt{
-		request: r, worker: w, holder: h, index: len(r.attempts), sentAt: now, dueAt: now + b.timeUntilOverdue(now, r, h),
-		zone: w.Zone, cell: w.Cell, inFlight: true, mayHaveRun: true, trial: trial, expectedWarm: h.validUntil > now,
+		request:      r,
+		worker:       w,
+		holder:       h,
+		index:        len(r.attempts),
+		sentAt:       now,
+		dueAt:        now + b.timeUntilOverdue(now, r, h),
+		zone:         w.Zone,
+		cell:         w.Cell,
+		inFlight:     true,
+		mayHaveRun:   true,
+		trial:        trial,
+		expectedWarm: h.validUntil > now,
 	}
 	h.inFlight++
 	r.attempts = append(r.attempts, a)
@@ -121,8 +137,8 @@
 	}
 }
 
-// timeUntilOverdue returns the time, in nanoseconds, after which an attempt is more likely lost than delayed.
-// A copy that only a peer reported may still be loading.
+// timeUntilOverdue returns the time, in nanoseconds, after which an attempt is more likely lost
+// than delayed. A copy that only a peer reported may still be loading.
 func (b *Balancer) timeUntilOverdue(now int64, r *request, h *holder) int64 {
 	responseTime, deviations := b.latencies[r.Class], b.losses.overdueDeviations()
 	due := responseTime.mean + deviations*responseTime.deviation
@@ -165,7 +181,8 @@
 	b.armTimer()
 }
 
-// HandleFirstByte binds a request to the stream of an attempt: it has no deadline and no retries from now on.
+// HandleFirstByte binds a request to the stream of an attempt: it has no deadline and no retries
+// from now on.
 func (b *Balancer) HandleFirstByte(now int64, id string, attempt int) {
 	b.advanceClock(now)
 	if r := b.requests[id]; r != nil {
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -10,12 +10,13 @@
 const (
 	// defaultFullScanLimit is the length up to which a list is scanned in full for each choice.
 	defaultFullScanLimit = 256
-	// sampleSize is how many workers are drawn to stand for a long list. With ringWindow others, one of them
-	// is of the lightest tenth in 28 choices of 29.
+	// sampleSize is how many workers are drawn to stand for a long list. With ringWindow others,
+	// one of them is of the lightest tenth in 28 choices of 29.
 	sampleSize = 16
 )
 
-// endpointTable holds the workers and, of a long list, those that a choice or a round has to look at.
+// endpointTable holds the workers and, of a long list, those that a choice or a round has to look
+// at.
 type endpointTable struct {
 	fullScanLimit int
 	byID          map[WorkerID]*worker // also removed ones with attempts in flight
@@ -40,7 +41,8 @@
 // isLong reports whether the list is too long to be scanned in full.
 func (t *endpointTable) isLong() bool { return len(t.listed) > t.fullScanLimit }
 
-// apply takes an entry of the endpoint list and returns its worker. A worker that restarted begins anew.
+// apply takes an entry of the endpoint list and returns its worker. A worker that restarted begins
+// anew.
 func (t *endpointTable) apply(now int64, endpoint Endpoint) *worker {
 	w := t.byID[endpoint.Worker]
 	if w == nil {
@@ -127,7 +129,8 @@
 	}
 }
 
-// workersInUse lists the workers, listed or not, with attempts of ours in flight or counted as such.
+// workersInUse lists the workers, listed or not, with attempts of ours in flight or counted as
+// such.
 func (t *endpointTable) workersInUse(now int64) []*worker {
 	t.inUse = slices.DeleteFunc(t.inUse, func(w *worker) bool {
 		w.trackedInUse = len(w.inFlight) > 0 || w.failuresAt(now) > 0
@@ -136,8 +139,9 @@
 	return t.inUse
 }
 
-// activeWorkers lists the workers of which there may be something to report: of a short list all, of a long
-// one those that something concerned lately, so that a round costs what was done and not what is listed.
+// activeWorkers lists the workers of which there may be something to report: of a short list all,
+// of a long one those that something concerned lately, so that a round costs what was done and not
+// what is listed.
 func (t *endpointTable) activeWorkers() []*worker {
 	if !t.isLong() {
 		return t.listed
@@ -172,8 +176,8 @@
 	return t.withHolders
 }
 
-// sample lists workers that stand for all: of a short list all, of a long one some drawn at random. The
-// result is valid until the next sample or choice.
+// sample lists workers that stand for all: of a short list all, of a long one some drawn at random.
+// The result is valid until the next sample or choice.
 func (t *endpointTable) sample(rng *rand.Rand) []*worker {
 	if !t.isLong() {
 		return t.listed
@@ -182,8 +186,8 @@
 	return t.sampled
 }
 
-// appendSample appends workers drawn from the active ones, some perhaps twice. Draining ones are left out: in
-// a rollout they may be a third of the list.
+// appendSample appends workers drawn from the active ones, some perhaps twice. Draining ones are
+// left out: in a rollout they may be a third of the list.
 func (t *endpointTable) appendSample(workers []*worker, rng *rand.Rand) []*worker {
 	for range min(sampleSize, len(t.active)) {
 		workers = append(workers, t.active[rng.IntN(len(t.active))])
--- a/balancer/endpointupdate.go
+++ b/balancer/endpointupdate.go
@@ -6,7 +6,8 @@
 	nextAt     int64 // when the host may be asked again
 }
 
-// pollEndpoints asks the host for the list if it must be polled for; after failures again at a bounded rate.
+// pollEndpoints asks the host for the list if it must be polled for; after failures again at a
+// bounded rate.
 func (b *Balancer) pollEndpoints(now int64) {
 	if !b.settings.PollEndpoints || b.poller.subscribed || now < b.poller.nextAt {
 		return
@@ -44,7 +45,8 @@
 	p.subscribed = p.subscribed || kind != EndpointsCached
 }
 
-// recheckUnsentRequests has the requests that wait for a worker looked at as soon as their timers fire.
+// recheckUnsentRequests has the requests that wait for a worker looked at as soon as their timers
+// fire.
 func (b *Balancer) recheckUnsentRequests(now int64) {
 	for _, entry := range b.timers.entries {
 		if r := entry.request; r != nil && len(r.attempts) == 0 && !r.done {
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -24,9 +24,10 @@
 	return s
 }
 
-// peerDatagrams runs dispatcher 0 of three for 12 seconds of simulated time, six terms, and returns what it told, a line
-// of destination and text each, and when. Calls fail at worker 2, some are never answered, and the other two
-// dispatchers send it reports, digests and a request for its holders.
+// peerDatagrams runs dispatcher 0 of three for 12 seconds of simulated time, six terms, and returns
+// what it told, a line of destination and text each, and when. Calls fail at worker 2, some are
+// never answered, and the other two dispatchers send it reports, digests and a request for its
+// holders.
 func peerDatagrams(t *testing.T) (lines []string, times []int64) {
 	t.Helper()
 	s := peerSettings(0)
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	// leaderTermObjectives is how many shortest latency objectives a leader's term lasts: a dead leader is
-	// missed no longer.
+	// leaderTermObjectives is how many shortest latency objectives a leader's term lasts: a dead
+	// leader is missed no longer.
 	leaderTermObjectives = 2
 	// syncPeers is how many dispatchers one that started asks for their holders.
 	syncPeers = 3
-	// forgetDispatcherDecays is the time constant, in decayTime, with which a dispatcher that is not heard of
-	// is forgotten.
+	// forgetDispatcherDecays is the time constant, in decayTime, with which a dispatcher that no
+	// longer reports is forgotten.
 	forgetDispatcherDecays = 20
 )
 
@@ -25,10 +25,10 @@
 	maxSharedTenants = 13
 )
 
-// gossip holds what this dispatcher tells others and what it has from them. One dispatcher, another in each
-// term, is the leader: all others report to it alone, and it sends the sums to all as a digest. So messages
-// grow with the number of dispatchers and not with its square. They carry hints only: nothing breaks if they
-// are lost.
+// gossip holds what this dispatcher sends to others and what it has from them. One dispatcher,
+// another in each term, is the leader: all others report to it alone, and it sends the sums to all
+// as a digest. So messages grow with the number of dispatchers and not with its square. They carry
+// hints only: nothing breaks if they are lost.
 type gossip struct {
 	elector    *leader.Elector
 	aggregator *aggregate.Aggregator // of the figures of all dispatchers
@@ -38,7 +38,7 @@
 	reportBudget     tokenBucket
 	digestBudget     tokenBucket
 	callsSinceReport int
-	announcements    []*holder // new holders that the next message tells of
+	announcements    []*holder // new holders that the next message announces
 	syncRequests     int       // dispatchers asked for their holders since the start
 	lastCounts       int       // counts in the last message, to allocate as many
 
@@ -62,8 +62,8 @@
 	}
 }
 
-// sendGossip sends a report to the leader or, if that is this dispatcher, a digest to all, once the budget
-// allows it.
+// sendGossip sends a report to the leader or, if that is this dispatcher, a digest to all, once the
+// budget allows it.
 func (b *Balancer) sendGossip(now int64) {
 	if !b.settings.Gossip || b.settings.Dispatchers < 2 {
 		return
@@ -77,7 +77,7 @@
 		return
 	}
 	out := b.channelTo(leading)
-	if b.endpoints.isLong() && !out.budget.coversLast() { // not worth filling yet
+	if b.endpoints.isLong() && !out.budget.coversLast() { // filling it would be wasted
 		return
 	}
 	b.fillMessage(now, &m)
@@ -139,8 +139,8 @@
 	return append(figures, b.completionRate(now)*1e9, b.queuedCalls(now))
 }
 
-// fleetSum returns the sum of a column over the dispatchers that the last digest covers, or 0 if there was
-// none. The others are left out: a queue passes sooner than they are forgotten.
+// fleetSum returns the sum of a column over the dispatchers that the last digest covers, or 0 if
+// there was none. The others are left out: a queue passes sooner than they are forgotten.
 func (b *Balancer) fleetSum(column int) float64 {
 	if i := b.sharedTenants() + column; i < len(b.gossip.view.Covered) {
 		return b.gossip.view.Covered[i]
@@ -148,10 +148,11 @@
 	return 0
 }
 
-// FleetView returns what is known of the sums over all dispatchers, as of the last round. It changes nothing.
+// FleetView returns what is known of the sums over all dispatchers, as of the last round. It
+// changes nothing.
 func (b *Balancer) FleetView() aggregate.View { return b.gossip.view }
 
-// queueAnnouncement has the next message tell of a holder.
+// queueAnnouncement has the next message announce a holder.
 func (b *Balancer) queueAnnouncement(now int64, h *holder) {
 	if b.settings.Gossip {
 		h.announcedAt = now
@@ -159,8 +160,8 @@
 	}
 }
 
-// announce tells others of a new holder at once; where the list is long, only when the budget covers the cost
-// of the last message, as one message for each call may be too expensive.
+// announce reports a new holder to others at once; where the list is long, only when the budget
+// covers the cost of the last message, as one message for each call may be too expensive.
 func (b *Balancer) announce(now int64, h *holder) {
 	b.queueAnnouncement(now, h)
 	budget := &b.gossip.reportBudget
--- a/balancer/gossipbudget.go
+++ b/balancer/gossipbudget.go
@@ -1,9 +1,11 @@
 package balancer
 
 const (
-	// gossipCostShare is what a call may cost in reports, and again in digests, as a share of its worth.
+	// gossipCostShare is what a call may cost in reports, and again in digests, as a share of its
+	// priority weight.
 	gossipCostShare = 0.005
-	// minMessagePrice is the price assumed where a lower one is configured: each message is read by its receiver.
+	// minMessagePrice is the price assumed where a lower one is configured: each message is read by
+	// its receiver.
 	minMessagePrice = 0.002
 	// maxGossipBudget bounds what may be saved up for messages, in calls.
 	maxGossipBudget = 10.0
@@ -11,7 +13,7 @@
 	pricedBytes = 256
 )
 
-// tokenBucket limits what is spent on messages. Its unit is the worth of one call.
+// tokenBucket limits what is spent on messages. Its unit is the priority weight of one call.
 type tokenBucket struct {
 	tokens   float64
 	lastCost float64 // of the last message, sent or not
@@ -20,7 +22,8 @@
 // refill adds tokens, up to the most that may be saved.
 func (t *tokenBucket) refill(tokens float64) { t.tokens = min(t.tokens+tokens, maxGossipBudget) }
 
-// coversLast reports whether the tokens cover a message like the last one, or are as many as they can be.
+// coversLast reports whether the tokens cover a message like the last one, or are as many as they
+// can be.
 func (t *tokenBucket) coversLast() bool { return t.tokens >= min(t.lastCost, maxGossipBudget) }
 
 // gossipChannel is where a message goes and what pays for it.
@@ -30,7 +33,8 @@
 	pricePerByte float64 // for all receivers
 }
 
-// channelTo returns the channel of a report to the leader or, if that is this dispatcher, of a digest to all.
+// channelTo returns the channel of a report to the leader or, if that is this dispatcher, of a
+// digest to all.
 func (b *Balancer) channelTo(leader int) gossipChannel {
 	receivers := 1
 	channel := gossipChannel{budget: &b.gossip.reportBudget, receiver: leader}
--- a/balancer/gossipmessage.go
+++ b/balancer/gossipmessage.go
@@ -7,11 +7,12 @@
 	"oakthread/outlier"
 )
 
-// countsPerHolder is how many workers a message tells of for each new holder: others guess holders by the
-// hash, so that the counts come first.
+// countsPerHolder is how many workers a message reports for each new holder: others guess holders
+// by the hash, so that the counts come first.
 const countsPerHolder = 8
 
-// fillMessage fills a report with what this dispatcher has and, for a digest, with what others reported.
+// fillMessage fills a report with what this dispatcher has and, for a digest, with what others
+// reported.
 func (b *Balancer) fillMessage(now int64, m *aggregate.Message) {
 	if m.FromLeader {
 		m.Digest = b.gossip.aggregator.NextDigest(now)
@@ -32,7 +33,8 @@
 	b.appendAnnouncements(now, m)
 }
 
-// doubtsItself reports whether so many workers look faulty that the fault is likely this dispatcher's own.
+// doubtsItself reports whether so many workers look faulty that the fault is likely this
+// dispatcher's own.
 func (b *Balancer) doubtsItself(now int64, workers []*worker) bool {
 	responded, silent := 0, 0
 	for _, w := range workers {
@@ -45,7 +47,8 @@
 	return outlier.Doubts(responded, silent)
 }
 
-// appendWorker appends what there is to tell of a worker. Faults are told only if this dispatcher is sure.
+// appendWorker appends what there is to report of a worker. Faults are reported only if this
+// dispatcher is sure.
 func (b *Balancer) appendWorker(now int64, m *aggregate.Message, w *worker, sure bool) {
 	overdue := w.hasOverdueAttempt(now)
 	count := aggregate.Count{
@@ -83,7 +86,7 @@
 	}
 }
 
-// announcement returns the form in which messages tell of a holder.
+// announcement returns the form in which messages carry a holder.
 func (h *holder) announcement() aggregate.Holder {
 	return aggregate.Holder{Func: functionTag(h.function.id), Worker: workerTag(h.worker.Worker)}
 }
--- a/balancer/gossipreceive.go
+++ b/balancer/gossipreceive.go
@@ -5,8 +5,8 @@
 	"oakthread/outlier"
 )
 
-// HandlePeerMessage takes a message from another dispatcher. It returns false, and changes nothing, if the
-// message cannot be read or its sender does not exist.
+// HandlePeerMessage takes a message from another dispatcher. It returns false, and changes nothing,
+// if the message cannot be read or its sender does not exist.
 func (b *Balancer) HandlePeerMessage(now int64, from int, data string) bool {
 	b.advanceClock(now)
 	defer b.armTimer()
@@ -45,8 +45,8 @@
 	b.sendParts(receiver, out)
 }
 
-// handleHolderAnnouncement takes a holder that another dispatcher tells of. The leader passes on what it did
-// not know.
+// handleHolderAnnouncement takes a holder that another dispatcher reports. The leader passes on
+// what it did not know.
 func (b *Balancer) handleHolderAnnouncement(now int64, announcement aggregate.Holder, pass bool) {
 	w := b.endpoints.byTag[announcement.Worker]
 	if w == nil || !w.listed {
@@ -63,8 +63,8 @@
 	h.validUntil = max(h.validUntil, now+b.settings.KeepAlive)
 }
 
-// handleDigest takes the sums over all dispatchers. The first part of a full digest says that the workers it
-// leaves out are idle.
+// handleDigest takes the sums over all dispatchers. The first part of a full digest says that the
+// workers it leaves out are idle.
 func (b *Balancer) handleDigest(now int64, from int, m aggregate.Message) {
 	if !m.Continued {
 		if !b.gossip.aggregator.HandleDigest(now, from, m.Digest) {
@@ -107,9 +107,9 @@
 	}
 }
 
-// applyCount takes what a digest tells of one worker. A truncated digest lists only silent workers. A full one
-// gives the calls of the dispatchers that it covers; the others are taken to have as many there, by their
-// share of the answers.
+// applyCount takes what a digest reports of one worker. A truncated digest lists only silent
+// workers. A full one gives the calls of the dispatchers that it covers; the others are taken to
+// have as many there, by their share of the answers.
 func (b *Balancer) applyCount(now int64, w *worker, count aggregate.Count, truncated bool) {
 	if truncated {
 		w.reportedSilentAt = now
@@ -123,7 +123,7 @@
 	}
 }
 
-// applyEvidence takes what a digest tells of workers whose calls fail or take long.
+// applyEvidence takes what a digest reports of workers whose calls fail or take long.
 func (b *Balancer) applyEvidence(now int64, marks []aggregate.Mark) {
 	if len(marks) == 0 {
 		return
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -2,8 +2,8 @@
 
 import "oakthread/outlier"
 
-// recentResponseObjectives is how many shortest latency objectives a worker that responded counts as heard
-// for, when a dispatcher asks whether a fault is its own.
+// recentResponseObjectives is how many shortest latency objectives a worker that responded counts
+// as responsive, when a dispatcher asks whether a fault is its own.
 const recentResponseObjectives = 2
 
 // isHealthy reports whether a worker is neither ejected nor unresponsive.
@@ -19,28 +19,31 @@
 	return b.isUnreachableByAll(now, w) || w.hasOverdueAttempt(now)
 }
 
-// isUnreachableByAll reports whether no dispatcher is served by a worker, or none on our side of a partition.
+// isUnreachableByAll reports whether no dispatcher is served by a worker, or none on our side of a
+// partition.
 func (b *Balancer) isUnreachableByAll(now int64, w *worker) bool {
 	return b.isReportedUnresponsive(now, w) || b.outliers.ZonePartitioned(w.Zone)
 }
 
-// isReportedUnresponsive reports whether digests say that others are not served by a worker, or that several
-// found it silent and none had a response, and we had none either. One of many dispatchers is slow to find out
-// by itself, and the leaders to come may be down, so that a report holds the longer the more there are.
+// isReportedUnresponsive reports whether digests say that others are not served by a worker, or
+// that several found it silent and none had a response, and we had none either. One of many
+// dispatchers is slow to find out by itself, and the leaders to come may be down, so that a report
+// holds the longer the more there are.
 func (b *Balancer) isReportedUnresponsive(now int64, w *worker) bool {
 	silent := w.reportedSilentAt > 0 && w.lastResponseAt < w.reportedSilentAt-b.shortestObjective &&
 		float64(now-w.reportedSilentAt) < min(b.decayTime(), 2*b.fleetFactor()*float64(b.shortestObjective))
 	return silent || b.outliers.ByWords(now, &w.outlierStats)
 }
 
-// hasOverdueAttempt reports whether the oldest attempt at a worker is overdue and nothing was heard since it
-// was sent.
+// hasOverdueAttempt reports whether the oldest attempt at a worker is overdue and it has not
+// responded since that was sent.
 func (w *worker) hasOverdueAttempt(now int64) bool {
 	return len(w.inFlight) > 0 && now > w.inFlight[0].dueAt && w.lastResponseAt <= w.inFlight[0].sentAt
 }
 
-// trialDue reports whether r may be sent to an unhealthy worker as a trial. A worker that no dispatcher
-// reaches is tried by a few of them in turn, one that is reported to serve nobody by one.
+// trialDue reports whether r may be sent to an unhealthy worker as a trial. A worker that no
+// dispatcher reaches is tried by a few of them in turn, one that is reported to serve nobody by
+// one.
 func (b *Balancer) trialDue(now int64, w *worker, r *request) bool {
 	assigned := int(wellInformedDispatchers)
 	if b.outliers.ByWords(now, &w.outlierStats) {
@@ -56,8 +59,9 @@
 	return !b.isReportedUnresponsive(now, w) || b.gossip.elector.Assigned(now, key, assigned)
 }
 
-// handleConnectionFailure takes a connection that failed to come up or was reset under a call. A reset alone
-// shows no fault of the worker: some networks reset everywhere, and all workers would be ejected in turn.
+// handleConnectionFailure takes a connection that failed to come up or was reset under a call. A
+// reset alone shows no fault of the worker: some networks reset everywhere, and all workers would
+// be ejected in turn.
 func (b *Balancer) handleConnectionFailure(now, sentAt int64, w *worker, result Result) {
 	if result == Reset {
 		b.recordFailure(now, w, outlier.Hint)
@@ -88,8 +92,8 @@
 	}
 }
 
-// Ejected lists the listed workers that the module avoids by its own choice (ejected, past their failures), in
-// the order of the list. It changes nothing.
+// Ejected lists the listed workers that the module avoids by its own choice (ejected, past their
+// failures), in the order of the list. It changes nothing.
 func (b *Balancer) Ejected() []WorkerID {
 	var ejected []WorkerID
 	for _, w := range b.endpoints.listed {
@@ -109,14 +113,15 @@
 	outlier.State
 }
 
-// WorkerHealth lists the health of each listed worker, in the order of the list. It changes no decision.
+// WorkerHealth lists the health of each listed worker, in the order of the list. It changes no
+// decision.
 func (b *Balancer) WorkerHealth(now int64) (all []WorkerHealth) {
 	for _, w := range b.endpoints.listed {
 		pace := b.relativeLatency(now, w)
 		silent := b.isReportedUnresponsive(now, w) && !b.outliers.ByWords(now, &w.outlierStats)
 		health := WorkerHealth{w.Worker, w.Zone, pace, silent, b.outliers.State(now, &w.outlierStats, w.Zone, pace)}
-		if health.Silent && health.State.Verdict == "well" {
-			health.State.Verdict = "left out"
+		if health.Silent && health.Verdict == "well" {
+			health.Verdict = "left out"
 			health.Evidence = "several found it silent, and nobody had an answer"
 		}
 		all = append(all, health)
--- a/balancer/hedge.go
+++ b/balancer/hedge.go
@@ -15,9 +15,10 @@
 	h.tokens = min(h.tokens+hedgeBudgetRatio+lossProbability, 1/hedgeBudgetRatio)
 }
 
-// handleOverdue looks at a request whose attempt has been in flight for longer than is usual: its worker may
-// be silent or very slow, a message lost, or a load stuck. Against a silent worker it acts at once; against one
-// that answers others it draws on the hedge budget, since when all are slow hedges are wasted work.
+// handleOverdue looks at a request whose attempt has been in flight for longer than is usual: its
+// worker may be silent or very slow, a message lost, or a load stuck. Against a silent worker it
+// acts at once; against one that answers others it draws on the hedge budget, since when all are
+// slow hedges are wasted work.
 func (b *Balancer) handleOverdue(now int64, r *request) {
 	last := r.lastInFlight()
 	if last == nil {
@@ -47,9 +48,9 @@
 	}
 }
 
-// deferHedge has a request whose worker answers others looked at again later, and reports whether it does: the
-// worker gets more time the fewer answers are lost, the budget may be spent, or the answer would be too late
-// for its objective.
+// deferHedge has a request whose worker answers others looked at again later, and reports whether
+// it does: the worker gets more time the fewer answers are lost, the budget may be spent, or the
+// answer would be too late for its objective.
 func (b *Balancer) deferHedge(now int64, r *request, last *attempt) bool {
 	tolerance := slowWorkerTolerance - (slowWorkerTolerance-1)*min(1, b.losses.probability/hedgeBudgetRatio)
 	if slowAt := last.sentAt + int64(tolerance*float64(last.dueAt-last.sentAt)); now < slowAt {
@@ -64,9 +65,9 @@
 	return false
 }
 
-// chooseHedgeWorker returns the worker for a hedge, or nil. If the copy of the last attempt answered others
-// meanwhile, the answer is lost, and the same worker is asked again unless another one has a copy: elsewhere
-// the call would wait for a load.
+// chooseHedgeWorker returns the worker for a hedge, or nil. If the copy of the last attempt
+// answered others meanwhile, the answer is lost, and the same worker is asked again unless another
+// one has a copy: elsewhere the call would wait for a load.
 func (b *Balancer) chooseHedgeWorker(now int64, r *request, last *attempt, silent bool) *worker {
 	w, _ := b.chooseWorker(now, r)
 	answerLost := !silent && last.holder.lastWarmHitAt > last.sentAt &&
--- a/balancer/holders.go
+++ b/balancer/holders.go
@@ -37,7 +37,8 @@
 	return h.validUntil > now || h.inFlight > 0 || h.orderInFlight
 }
 
-// hasFreeCapacity reports whether a copy that the worker itself confirmed can take one more call at once.
+// hasFreeCapacity reports whether a copy that the worker itself confirmed can take one more call at
+// once.
 func (h *holder) hasFreeCapacity(now int64) bool {
 	return h.validUntil > now && h.confirmed && h.inFlight < h.copies*h.function.concurrency
 }
@@ -69,14 +70,15 @@
 	return h
 }
 
-// hasConfirmedCopy reports whether a worker, which may be nil, has itself confirmed that it holds a copy.
+// hasConfirmedCopy reports whether a worker, which may be nil, has itself confirmed that it holds a
+// copy.
 func (f *function) hasConfirmedCopy(now int64, w *worker) bool {
 	h := f.holderAt(w, false)
 	return h != nil && h.validUntil > now && h.confirmed
 }
 
-// copyExpectedElsewhere reports whether a copy is expected at a holder other than the given one, which may be
-// nil.
+// copyExpectedElsewhere reports whether a copy is expected at a holder other than the given one,
+// which may be nil.
 func (f *function) copyExpectedElsewhere(now int64, except *holder) bool {
 	return slices.ContainsFunc(f.holders, func(h *holder) bool { return h != except && h.copyExpected(now) })
 }
@@ -114,8 +116,8 @@
 	return f
 }
 
-// functionByTag returns the function with a tag. One that only other dispatchers have called gets the tag as
-// its ID until it is called here.
+// functionByTag returns the function with a tag. One that only other dispatchers have called gets
+// the tag as its ID until it is called here.
 func (t *holderTable) functionByTag(now int64, tag uint32) *function {
 	f := t.functions[tag]
 	if f == nil {
@@ -125,8 +127,8 @@
 	return f
 }
 
-// expiringWithin lists the holders at w whose belief ends within a time, by function ID, so that nothing
-// depends on the order of a map. The result is valid until the next call.
+// expiringWithin lists the holders at w whose belief ends within a time, by function ID, so that
+// nothing depends on the order of a map. The result is valid until the next call.
 func (t *holderTable) expiringWithin(now int64, w *worker, within int64) []*holder {
 	expiring := t.expiring[:0]
 	for _, h := range w.holders {
@@ -149,8 +151,8 @@
 	}
 }
 
-// confirmHolder takes that the worker itself showed that it holds a copy, and has it announced to the other
-// dispatchers if that has not been done for half of the keep-alive.
+// confirmHolder takes that the worker itself showed that it holds a copy, and has it announced to
+// the other dispatchers if that has not been done for half of the keep-alive.
 func (b *Balancer) confirmHolder(now int64, h *holder) {
 	if h.validUntil <= now {
 		h.copies = 1
--- a/balancer/loadorders.go
+++ b/balancer/loadorders.go
@@ -1,21 +1,21 @@
 package balancer
 
 const (
-	// minCallsPerKeepAlive is the number of calls expected within the keep-alive below which a copy is not
-	// worth its memory.
+	// minCallsPerKeepAlive is the number of calls expected within the keep-alive below which a copy
+	// does not justify its memory.
 	minCallsPerKeepAlive = 0.8
-	// minTrafficShare is the least share of all answers that this dispatcher takes for its own: a small one is
-	// known only roughly.
+	// minTrafficShare is the least share of all answers that this dispatcher takes for its own: a
+	// small one is known only roughly.
 	minTrafficShare = 0.02
 )
 
-// orderLoad orders copies of a holder's function, if its worker may get them and the quota allows it, and
-// reports whether it did. Every load order passes it (rules 3 and 5).
-func (b *Balancer) orderLoad(now int64, h *holder, copies int) bool {
+// orderLoad orders a copy of a holder's function, if its worker may get one and the quota allows
+// it, and reports whether it did. Every load order passes it (rules 3 and 5).
+func (b *Balancer) orderLoad(now int64, h *holder) bool {
 	if !b.settings.LoadOrders || !b.eligible(now, h.worker) || !b.loadQuota.take(now) {
 		return false
 	}
-	b.host.OrderLoad(h.worker.Worker, h.function.id, copies)
+	b.host.OrderLoad(h.worker.Worker, h.function.id, 1)
 	return true
 }
 
@@ -28,9 +28,9 @@
 	b.host.CountTowardLoadQuota(arrivedAt)
 }
 
-// unloadIdleCopies orders unloads of copies that have been idle for half of the keep-alive and that all
-// dispatchers, by our share of the answers, call less than once in it: they take memory for which loads wait.
-// A call that comes nevertheless costs one load more.
+// unloadIdleCopies orders unloads of copies that have been idle for half of the keep-alive and that
+// all dispatchers, by our share of the answers, call less than once in it: they take memory for
+// which loads wait. A call that comes nevertheless costs one load more.
 func (b *Balancer) unloadIdleCopies(now int64) {
 	share := b.trafficShare(now)
 	for _, w := range b.endpoints.workersWithHolders() {
@@ -85,8 +85,8 @@
 	b.dispatchWaiting(now, f)
 }
 
-// finishLoadOrder learns from the result of a load order. One that was reset or never sent says nothing of the
-// worker's room, and may be given again at once.
+// finishLoadOrder learns from the result of a load order. One that was reset or never sent says
+// nothing of the worker's room, and may be given again at once.
 func (b *Balancer) finishLoadOrder(now int64, h *holder, copies int, result Result) {
 	h.orderInFlight = false
 	if copies <= 0 {
--- a/balancer/loadquota.go
+++ b/balancer/loadquota.go
@@ -6,7 +6,8 @@
 	"oakthread/rules"
 )
 
-// loadQuota is the platform's quota of load orders: a base and a share of the calls taken in a sliding window.
+// loadQuota is the platform's quota of load orders: a base and a share of the calls taken in a
+// sliding window.
 type loadQuota struct {
 	window   int64 // nanoseconds; 0: orders are not limited
 	limits   rules.LoadQuota
@@ -14,8 +15,8 @@
 	orders   []int64 // when orders were given, ascending
 }
 
-// recordCall counts a call that arrived at a time, which may lie before that of the call counted last. Calls
-// of two windows are held since that time may lie a window back.
+// recordCall counts a call that arrived at a time, which may lie before that of the call counted
+// last. Calls of two windows are held since that time may lie a window back.
 func (q *loadQuota) recordCall(arrivedAt int64) {
 	q.arrivals = dropBefore(q.arrivals, arrivedAt-2*q.window)
 	index, _ := slices.BinarySearch(q.arrivals, arrivedAt)
--- a/balancer/loadtime.go
+++ b/balancer/loadtime.go
@@ -6,10 +6,11 @@
 	loadTimeWeight      = 0.1  // weight of a load in the mean load time: about the last ten count
 	loadShareWeight     = 0.02 // weight of an answer in the share of loads: loads are rare, so about fifty count
 	storeSlowdownWeight = 0.2  // weight of a load in the store's slowdown: few loads show a sudden change
-	// maxStoreSlowdown bounds the slowdown: a store this much slower than stated is as good as none.
+	// maxStoreSlowdown bounds the slowdown: a store this much slower than stated is as good as
+	// none.
 	maxStoreSlowdown = 8.0
-	// initialLoadTimeShare is the load time assumed before any is known, as a share of the shortest latency
-	// objective; its deviation is half of it.
+	// initialLoadTimeShare is the load time assumed before any is known, as a share of the shortest
+	// latency objective; its deviation is half of it.
 	initialLoadTimeShare = 0.5
 )
 
@@ -27,7 +28,8 @@
 	return loadModel{duration: latency{mean, deviation}, slowdown: 1, share: 1}
 }
 
-// observe learns the duration of a load, in nanoseconds, and from the stated one how slow the store is.
+// observe learns the duration of a load, in nanoseconds, and from the stated one how slow the store
+// is.
 func (m *loadModel) observe(f *function, duration float64) {
 	stated := cmp.Or(float64(max(0, f.loadTime)), m.duration.mean)
 	slowdown := min(max(duration/max(stated, 1), 1), maxStoreSlowdown)
--- a/balancer/long_test.go
+++ b/balancer/long_test.go
@@ -15,8 +15,9 @@
 	"oakthread/aggregate"
 )
 
-// This file owns the tests of choices in lists too long to be walked: what they look at, that they leave out nobody whom a rule
-// needs, and that rounds over what was touched lately say what rounds over the whole list would. Bounds are counts, not times.
+// This file owns the tests of choices in lists too long to be walked: what they look at, that they
+// leave out nobody whom a rule needs, and that rounds over what was touched lately say what rounds
+// over the whole list would. Bounds are counts, not times.
 
 const walkWhole, walkNever = math.MaxInt, -1 // of Settings.Walk
 
@@ -51,12 +52,13 @@
 	}
 }
 
-// The mechanism's first clause in a list of any length: the copy that is believed to stand is found.
+// The mechanism's first clause in a list of any length: the copy that is believed to stand is
+// found.
 func TestLongListFindsTheHolder(t *testing.T) {
 	s := settings(Idempotent, ScopeAll)
 	s.Dispatchers = 300
 	d, f := start(t, s, 9600)
-	hear(d, 0)
+	markAllResponded(d)
 	for fn := range FuncID(50) {
 		w := d.endpoints.byID[WorkerID(1+fn*191)]
 		h := d.holders.functionFor(0, call("", 0, fn)).holderAt(w, true)
@@ -69,8 +71,8 @@
 	}
 }
 
-// Dispatchers that know nothing of each other load a function in one place, as where the whole list is walked, also where each
-// lacks other executors of the list.
+// Dispatchers that know nothing of each other load a function in one place, as where the whole list
+// is walked, also where each lacks other executors of the list.
 func TestLongListStrangersLoadInOnePlace(t *testing.T) {
 	places := func(walk int) (n int) {
 		at := map[[2]int]bool{} // function and executor
@@ -80,7 +82,7 @@
 			d, f := start(t, s, 1900)
 			gone := WorkerID(1 + (i*997)%1900)
 			d.UpdateEndpoints(0, EndpointsDelta, []Endpoint{{Worker: gone, State: Removed}})
-			hear(d, 0)
+			markAllResponded(d)
 			for fn := range 20 {
 				d.HandleRequest(ms, call(fmt.Sprint(fn), ms, FuncID(77+fn*1_000_003)))
 				at[[2]int{fn, int(f.last[fmt.Sprint(fn)])}] = true
@@ -99,7 +101,7 @@
 		s := settings(Idempotent, ScopeAll)
 		s.Dispatchers, s.DispatcherIndex = 200, i*2
 		d, f := start(t, s, 1900)
-		hear(d, 0)
+		markAllResponded(d)
 		r := call("x", 3000*ms, 5)
 		fn := d.holders.functionFor(3000*ms, r)
 		fn.recentCalls = decayingCounter{8, 3000 * ms} // one a second here, 200 in all: at 0.25 s and a copy's two lanes half taken, 50 places
@@ -110,12 +112,13 @@
 	assert.Less(t, len(at), 120)
 }
 
-// Functions spread over the executors: no executor is the place of far more than its part, and few of none.
+// Functions spread over the executors: no executor is the place of far more than its part, and few
+// of none.
 func TestLongListPlacesAreEven(t *testing.T) {
 	s := settings(Idempotent, ScopeAll)
 	s.Dispatchers = 300
 	d, _ := start(t, s, 1900)
-	hear(d, 0)
+	markAllResponded(d)
 	at := map[WorkerID]int{}
 	const functions = 19_000
 	for fn := range FuncID(functions) {
@@ -135,7 +138,7 @@
 func TestLongListLeavesOutTheCrowded(t *testing.T) {
 	s := settings(Idempotent, ScopeAll)
 	d, _ := start(t, s, 1900)
-	hear(d, 0)
+	markAllResponded(d)
 	for i, w := range d.endpoints.listed {
 		if i%10 < 3 {
 			w.peerCalls, w.peerCallsAt = 20, 0
@@ -156,7 +159,7 @@
 	s := settings(Idempotent, ScopeAll)
 	s.Dispatchers, s.LoadsOnMiss = 1, false
 	d, f := start(t, s, 600)
-	hear(d, 0)
+	markAllResponded(d)
 	sick := d.endpoints.byID[7]
 	d.handleConnectionFailure(ms, 0, sick, ConnectFailed)
 	require.True(t, d.isEjected(sick))
@@ -173,8 +176,8 @@
 	assert.False(t, d.isEjected(sick), "back after trials that went well")
 }
 
-// Found by reading: an executor that was first told of as stopped was listed for good but never in the list, and got no call when
-// it came on.
+// Found by reading: an executor that was first told of as stopped was listed for good but never in
+// the list, and got no call when it came on.
 func TestStoppedExecutorComesOn(t *testing.T) {
 	d, f := start(t, settings(Idempotent, ScopeAll), 0)
 	d.UpdateEndpoints(0, EndpointsDelta, []Endpoint{{Worker: 5, State: Removed, Weight: 1}})
@@ -183,7 +186,8 @@
 	assert.Equal(t, WorkerID(5), f.last["x"])
 }
 
-// A class with keys may be repeated in its own group alone: the one executor left there is found, however long the list.
+// A class with keys may be repeated in its own group alone: the one executor left there is found,
+// however long the list.
 func TestLongListFindsAnywhereToResend(t *testing.T) {
 	for _, n := range []int{3, 300} {
 		d, _ := start(t, settings(IdempotentByKey, ScopeZone), n)
@@ -197,13 +201,14 @@
 	}
 }
 
-// Found at full size: with lists taken for long from 129 executors on, the days of a release fell (roll 0.48 to 0.31, herd 0.90 to 0.66),
-// where old ones may drain beside new ones (the cause was reasoned, not played alone): no look goes to one that drains.
+// Found at full size: with lists taken for long from 129 executors on, the days of a release fell
+// (roll 0.48 to 0.31, herd 0.90 to 0.66), where old ones may drain beside new ones (the cause was
+// reasoned, not played alone): no look goes to one that drains.
 func TestLongListLooksAtNoneThatDrains(t *testing.T) {
 	s := settings(Idempotent, ScopeAll)
 	s.Dispatchers = 300
 	d, _ := start(t, s, 900)
-	hear(d, 0)
+	markAllResponded(d)
 	var news []Endpoint
 	for i := range 600 {
 		news = append(news, Endpoint{Worker: WorkerID(1 + i), State: Draining, Weight: 1})
@@ -221,8 +226,9 @@
 	}
 }
 
-// What is gathered from a part of the list is what the whole would give, over any events: calls, ends of all kinds, lists whole
-// and in parts, restarts, drains, reports and digests of others, and silence.
+// What is gathered from a part of the list is what the whole would give, over any events: calls,
+// ends of all kinds, lists whole and in parts, restarts, drains, reports and digests of others, and
+// silence.
 func TestRoundsOverAPartMissNobody(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{3, 17, 64, 129, 400, 1900}).Draw(t, "executors")
@@ -295,7 +301,8 @@
 	})
 }
 
-// sameRounds compares what a dispatcher finds by what was touched with what it finds in the whole list.
+// sameRounds compares what a dispatcher finds by what was touched with what it finds in the whole
+// list.
 func sameRounds(t require.TestingT, d *Balancer, now int64) {
 	on := 0
 	for _, w := range d.endpoints.listed {
@@ -360,7 +367,8 @@
 	assert.Greater(t, told, 20, "messages in 20 s: what a purse saves up is spent")
 }
 
-// A digest tells the same of every executor whether those that it leaves out are set at once or found idle when they are asked for.
+// A digest tells the same of every executor whether those that it leaves out are set at once or
+// found idle when they are asked for.
 func TestLongListDigestLeavesOutWhoIsIdle(t *testing.T) {
 	s := settings(Idempotent, ScopeAll)
 	s.Dispatchers, s.Gossip = 20, true
--- a/balancer/loss.go
+++ b/balancer/loss.go
@@ -3,36 +3,38 @@
 import "math"
 
 const (
-	// minLossProbability is the probability assumed before anything is known, and the least assumed later:
-	// an estimate of zero would never hedge.
+	// minLossProbability is the probability assumed before anything is known, and the least assumed
+	// later: an estimate of zero would never hedge.
 	minLossProbability = 0.02
-	// exponentialDeviation is the mean absolute deviation of an exponential distribution in units of its
-	// mean, 2/e. The tail of response times is read as exponential.
+	// exponentialDeviation is the mean absolute deviation of an exponential distribution in units
+	// of its mean, 2/e. The tail of response times is read as exponential.
 	exponentialDeviation = 0.74
 )
 
-// lossEstimator estimates how often the answer to an attempt is lost although its worker answers others.
+// lossEstimator estimates how often the answer to an attempt is lost although its worker answers
+// others.
 type lossEstimator struct {
 	probability float64
 }
 
-// overdueDeviations returns how many deviations past the mean response time an attempt is as likely lost as
-// delayed. The more answers are lost, the sooner a hedge is sent; at the minimum it is about four. Where the
-// tail of the response times is longer than exponential, hedges go out too early.
+// overdueDeviations returns how many deviations past the mean response time an attempt is as likely
+// lost as delayed. The more answers are lost, the sooner a hedge is sent; at the minimum it is
+// about four. Where the tail of the response times is longer than exponential, hedges go out too
+// early.
 func (e *lossEstimator) overdueDeviations() float64 {
 	return max(0, (-math.Log(e.probability)-1)/exponentialDeviation)
 }
 
-// lossProbability returns the probability that an outstanding attempt has been lost rather than delayed,
-// given its age in nanoseconds and the response times of its class.
+// lossProbability returns the probability that an outstanding attempt has been lost rather than
+// delayed, given its age in nanoseconds and the response times of its class.
 func (e *lossEstimator) lossProbability(age int64, responseTime latency) float64 {
 	deviations := (float64(age) - responseTime.mean) / max(responseTime.deviation, 1)
 	delayed := (1 - e.probability) * math.Exp(min(0, -1-exponentialDeviation*deviations))
 	return e.probability / (e.probability + delayed)
 }
 
-// observe learns from an attempt that ended: 0 for one that was answered, else the probability that its
-// answer was lost.
+// observe learns from an attempt that ended: 0 for one that was answered, else the probability that
+// its answer was lost.
 func (e *lossEstimator) observe(lost float64) {
 	e.probability = max(minLossProbability, e.probability+latencyWeight*(lost-e.probability))
 }
--- a/balancer/maintenance.go
+++ b/balancer/maintenance.go
@@ -9,11 +9,13 @@
 const (
 	// maintenanceRounds is how many maintenance rounds there are in the shortest latency objective.
 	maintenanceRounds = 8
-	// idleObjectives is after how many shortest latency objectives without a request the rounds stop.
+	// idleObjectives is after how many shortest latency objectives without a request the rounds
+	// stop.
 	idleObjectives = 2 * outlier.Longest
 )
 
-// advanceClock takes the time of an event, detects a stall, and schedules the next maintenance round.
+// advanceClock takes the time of an event, detects a stall, and schedules the next maintenance
+// round.
 func (b *Balancer) advanceClock(now int64) {
 	b.now = max(b.now, now)
 	b.excuseStall(b.now)
@@ -24,7 +26,8 @@
 	}
 }
 
-// excuseStall gives all attempts the time for which the process stood still: no worker is to blame for that.
+// excuseStall gives all attempts the time for which the process stood still: no worker is to blame
+// for that.
 func (b *Balancer) excuseStall(now int64) {
 	late, stalled := b.timers.detectStall(now, b.shortestObjective/maintenanceRounds)
 	if !stalled {
@@ -101,7 +104,8 @@
 // sweep drops what is no longer believed, listed or in flight, so that memory stays bounded.
 func (b *Balancer) sweep(now int64) {
 	b.holders.sweep(now, b.settings.LoadOrderTimeout, b.settings.KeepAlive+int64(b.decayTime()))
-	// Not all announcements are sent where messages are expensive or there are no other dispatchers.
+	// Not all announcements are sent where messages are expensive or there are no other
+	// dispatchers.
 	b.gossip.announcements = slices.DeleteFunc(b.gossip.announcements, func(h *holder) bool {
 		return !h.copyExpected(now)
 	})
@@ -113,8 +117,9 @@
 	b.endpoints.sweep()
 }
 
-// pruneActive takes workers off the active ones that are not listed, or of which there has been nothing to
-// report for some time. In a long list, what others reported of such a worker is too old to count.
+// pruneActive takes workers off the active ones that are not listed, or of which there has been
+// nothing to report for some time. In a long list, what others reported of such a worker is too old
+// to count.
 func (b *Balancer) pruneActive(now int64) {
 	b.endpoints.recent = slices.DeleteFunc(b.endpoints.recent, func(w *worker) bool {
 		if b.hasActivity(now, w) && w.listed {
--- a/balancer/queuetime.go
+++ b/balancer/queuetime.go
@@ -1,16 +1,17 @@
 package balancer
 
 const (
-	// waitPriorCalls is how many calls of usual length are added to the queue and to the answers, so that
-	// chance does not decide.
+	// waitPriorCalls is how many calls of usual length are added to the queue and to the answers,
+	// so that chance does not decide.
 	waitPriorCalls = 4
-	// queuedDeviations is how many deviations past the mean a call counts as queued: one that is out for longer
-	// is stuck, or its answer is lost.
+	// queuedDeviations is how many deviations past the mean a call counts as queued: one that is
+	// out for longer is stuck, or its answer is lost.
 	queuedDeviations = 1.5
-	// initialLatencyShare is the response time assumed before any is known, as a share of the latency
-	// objective; its deviation is half of it.
+	// initialLatencyShare is the response time assumed before any is known, as a share of the
+	// latency objective; its deviation is half of it.
 	initialLatencyShare = 0.25
-	// latencyWeight is the weight of an answer in the mean response time, and in the share of lost ones.
+	// latencyWeight is the weight of an answer in the mean response time, and in the share of lost
+	// ones.
 	latencyWeight = 0.05
 )
 
@@ -20,9 +21,9 @@
 	return latency{initialLatencyShare * objective, initialLatencyShare / 2 * objective}
 }
 
-// expectedQueueTime returns the time, in nanoseconds, that calls at loaded copies take now, by Little's law:
-// calls in flight over the rate of completions. It is that of all dispatchers where a digest tells it and this
-// is more than our own. Calls that wait for a load are not counted.
+// expectedQueueTime returns the time, in nanoseconds, that calls at loaded copies take now, by
+// Little's law: calls in flight over the rate of completions. It is that of all dispatchers where a
+// digest has it and this is more than our own. Calls that wait for a load are not counted.
 func (b *Balancer) expectedQueueTime(now int64) float64 {
 	usual := b.usualResponseTime()
 	own := (b.queuedCalls(now) + waitPriorCalls) / (b.completionRate(now) + waitPriorCalls/usual)
@@ -33,8 +34,8 @@
 	return max(own, (b.fleetSum(queuedColumn)+waitPriorCalls)/(completions/1e9+waitPriorCalls/usual))
 }
 
-// usualResponseTime returns the time that answers took lately in the slowest class, scaled to the shortest
-// latency objective. It is bounded: else a dispatcher that rejects all would never stop.
+// usualResponseTime returns the time that answers took lately in the slowest class, scaled to the
+// shortest latency objective. It is bounded: else a dispatcher that rejects all would never stop.
 func (b *Balancer) usualResponseTime() float64 {
 	shortest, usual := float64(b.shortestObjective), 0.0
 	for i, l := range b.latencies {
@@ -43,8 +44,8 @@
 	return max(initialLatencyShare, min(rejectFirstWait, usual/shortest)) * shortest
 }
 
-// queuedCalls returns the number of our calls that are in flight at healthy workers or were rejected there
-// just now by a full queue, which is as good as in it.
+// queuedCalls returns the number of our calls that are in flight at healthy workers or were
+// rejected there just now by a full queue, which is as good as in it.
 func (b *Balancer) queuedCalls(now int64) (count float64) {
 	for _, w := range b.endpoints.workersInUse(now) {
 		if !w.listed || !b.isHealthy(now, w) {
--- a/balancer/ration_test.go
+++ b/balancer/ration_test.go
@@ -5,23 +5,23 @@
 	"testing"
 )
 
-// Calls of functions that no worker serves earn no orders to load: the platform does not count them as taken. Found on a
-// day of clients that call functions which do not exist.
+// Calls of functions that no worker serves earn no orders to load: the platform does not count them
+// as taken. Found on a day of clients that call functions which do not exist.
 func TestCallsOfUnknownFunctionsEarnNoOrders(t *testing.T) {
 	s := settings(Idempotent, ScopeAll)
 	s.LoadQuotaWindow, s.LoadQuotaBase, s.LoadQuotaRatio = 5000*ms, 1, 0.25
 	d, f := start(t, s, 4)
-	hear(d, 0)
+	markAllResponded(d)
 	for i := range 40 {
 		id, now := fmt.Sprint("unknown", i), int64(i)*ms
 		d.HandleRequest(now, call(id, now, FuncID(1000+i)))
 		d.HandleAttemptResult(now, AttemptResult{ID: id, Worker: f.last[id], Result: Error, Finished: true})
 	}
 	h := d.holders.functionFor(50*ms, call("", 50*ms, 1)).holderAt(d.endpoints.byID[1], true)
-	if !d.orderLoad(50*ms, h, 1) {
+	if !d.orderLoad(50*ms, h) {
 		t.Fatal("the free order was not given")
 	}
-	if d.orderLoad(51*ms, h, 1) {
+	if d.orderLoad(51*ms, h) {
 		t.Fatal("an order was given for calls of functions that no worker serves")
 	}
 	for i := range 4 { // these count, also the first, whose answer shows that the function is there
@@ -29,7 +29,7 @@
 		d.HandleRequest(now, call(id, now, 2))
 		d.HandleAttemptResult(now+ms, ok(id, f.last[id]))
 	}
-	if !d.orderLoad(100*ms, h, 1) {
+	if !d.orderLoad(100*ms, h) {
 		t.Fatal("no order was given for four calls served")
 	}
 }
--- a/balancer/reportedstate.go
+++ b/balancer/reportedstate.go
@@ -5,17 +5,17 @@
 	"oakthread/outlier"
 )
 
-// reportedState is what others reported of one worker: sums of the counts that are no older than the shortest
-// latency objective, and scratch.
+// reportedState is what others reported of one worker: sums of the counts that are no older than
+// the shortest latency objective, and scratch.
 type reportedState struct {
 	calls             int
 	silent, responded int // dispatchers that find it silent, or had a response
-	voidThrough       int // what the messages up to this one told of it is void
+	voidThrough       int // what the messages up to this one reported of it is void
 
 	message, index    int // a message that is being read, and where in its report the worker's count is
 	round, markedBy   int // of gathering, and one more than the dispatcher whose marks are gathered
 	marks             []outlier.Mark
-	respondedWithMark int // of those that had a response, the ones that told a mark as well
+	respondedWithMark int // of those that had a response, the ones that reported a mark as well
 }
 
 // include takes a count into its worker's sums.
@@ -52,8 +52,8 @@
 	return s
 }
 
-// mergeReported adds what others reported of w to our own count, and merges all marks, one of each observer.
-// It is called once in a round for each worker.
+// mergeReported adds what others reported of w to our own count, and merges all marks, one of each
+// observer. It is called once in a round for each worker.
 func (b *Balancer) mergeReported(
 	now int64, w *worker, count *aggregate.Count, own outlier.Mark, marked bool,
 ) (outlier.Mark, bool) {
@@ -71,7 +71,7 @@
 	count.Heard = count.Heard || state.responded > 0
 	count.Silent = outlier.Silent(silent, b.settings.Dispatchers)
 	ejected := b.outliers.EjectedByGossip(now, &w.outlierStats)
-	if ejected { // a response may be of before: marks tell who was served since
+	if ejected { // a response may be older than the ejection: marks show who was served since
 		responded = 0
 	}
 	merged := outlier.Merge(state.marks, responded)
--- a/balancer/reports.go
+++ b/balancer/reports.go
@@ -7,10 +7,10 @@
 	"oakthread/outlier"
 )
 
-// reports holds the last reports of the other dispatchers while this one leads. They are held by sender, so
-// that reading one costs what it tells and what its sender told before, whatever else is held. The sums by
-// worker are whole numbers, raised when a count is included and lowered by the same when it is excluded:
-// replaced, too old, or void with its worker.
+// reports holds the last reports of the other dispatchers while this one leads. They are held by
+// sender, so that the cost of reading one depends on its own length and its predecessor's, whatever
+// else is stored. The sums by worker are whole numbers, raised when a count is included and lowered
+// by the same when it is excluded: replaced, too old, or void with its worker.
 type reports struct {
 	dispatchers int
 	bySender    []*peerReport   // by dispatcher; nil: none, or none at all
@@ -19,7 +19,7 @@
 	round       int             // of gathering marks
 }
 
-// peerReport is what one other dispatcher told of workers in its last report.
+// peerReport is what one other dispatcher reported of workers last.
 type peerReport struct {
 	counts []peerCount // one of each worker
 	marks  []peerMark
@@ -31,17 +31,17 @@
 	at            int64
 }
 
-// peerCount is what a dispatcher told of the calls and the responses of a worker.
+// peerCount is what a dispatcher reported of the calls and the responses of a worker.
 type peerCount struct {
 	worker            *worker
 	at                int64
-	message           int // number of the message that told it
+	message           int // number of the message that carried it
 	calls             int32
 	silent, responded bool
 	included          bool // in the sums of its worker
 }
 
-// peerMark is what a dispatcher told of the failures and the pace of a worker.
+// peerMark is what a dispatcher reported of the failures and the pace of a worker.
 type peerMark struct {
 	worker  *worker
 	at      int64
@@ -49,7 +49,7 @@
 	mark    outlier.Mark
 }
 
-// handle takes what a report tells of workers, in place of what its sender told before. A continuation of a
+// handle takes what a report has of workers, in place of its sender's last one. A continuation of a
 // report adds to it.
 func (rs *reports) handle(now int64, from int, m aggregate.Message, table *endpointTable) {
 	if rs.bySender == nil {
@@ -82,8 +82,8 @@
 			continue
 		}
 		table.markActive(now, w)
-		told := outlier.Mark{Good: mark.Good, Bad: mark.Bad, Pace: mark.Pace}
-		r.marks = append(r.marks, peerMark{w, now, message, told})
+		received := outlier.Mark{Good: mark.Good, Bad: mark.Bad, Pace: mark.Pace}
+		r.marks = append(r.marks, peerMark{w, now, message, received})
 	}
 }
 
@@ -93,14 +93,19 @@
 		state := &r.counts[i].worker.reported
 		state.message, state.index = message, i
 	}
-	for _, told := range counts {
-		w := table.byTag[told.Worker]
+	for _, received := range counts {
+		w := table.byTag[received.Worker]
 		if w == nil {
 			continue
 		}
 		table.markActive(now, w)
 		count := peerCount{
-			worker: w, at: now, message: message, calls: int32(told.N), silent: told.Silent, responded: told.Heard,
+			worker:    w,
+			at:        now,
+			message:   message,
+			calls:     int32(received.N),
+			silent:    received.Silent,
+			responded: received.Heard,
 		}
 		state := &w.reported
 		if state.message == message {
@@ -182,8 +187,8 @@
 	}
 }
 
-// gatherMarks brings all sums up to date and gathers the marks of each worker for one digest. It looks only at
-// the reports that tell any.
+// gatherMarks brings all sums up to date and gathers the marks of each worker for one digest. It
+// looks only at the reports that have any.
 func (rs *reports) gatherMarks(now, shortestObjective int64) {
 	rs.expire(now, shortestObjective)
 	rs.round++
@@ -194,8 +199,8 @@
 	}
 }
 
-// gatherMarks gathers the marks of one report up to an age, and counts the workers that its sender marks
-// although they responded to it.
+// gatherMarks gathers the marks of one report up to an age, and counts the workers that its sender
+// marks although they responded to it.
 func (r *peerReport) gatherMarks(now, maxAge int64, round, sender int) {
 	for i := range r.marks {
 		m := &r.marks[i]
--- a/balancer/reports_test.go
+++ b/balancer/reports_test.go
@@ -12,10 +12,12 @@
 	"oakthread/outlier"
 )
 
-// This file owns the tests of how reports of others are held and added up: that a digest says what one would that is made anew from
-// all that each worker was ever told of, and that reading a report looks at nothing that others told. It must never bound a time.
+// This file owns the tests of how reports of others are held and added up: that a digest says what
+// one would that is made anew from all that each worker was ever told of, and that reading a report
+// looks at nothing that others told. It must never bound a time.
 
-// plainReports holds what others told by worker and not by who told it, and adds up anew each time: the plain model.
+// plainReports holds what others told by worker and not by who told it, and adds up anew each time:
+// the plain model.
 type plainReports struct {
 	d       *Balancer
 	told    map[*worker]*plainTold
@@ -57,7 +59,8 @@
 	}
 }
 
-// after follows what rounds do to what is held: a sweep drops what is old, and a long list what has not been touched for long.
+// after follows what rounds do to what is held: a sweep drops what is old, and a long list what has
+// not been touched for long.
 func (p *plainReports) after(now int64) {
 	d := p.d
 	long := len(d.endpoints.listed) > d.endpoints.fullScanLimit
@@ -140,9 +143,9 @@
 	return outlier.Mark(word), word.Says(stands)
 }
 
-// What a digest says of each executor is what the plain model says, over any events: reports in several texts, lost, doubled, late
-// and of restarted dispatchers, executors told of twice in a text, digests, lists whole and in parts, restarts, calls, and time in which
-// all grows old.
+// What a digest says of each executor is what the plain model says, over any events: reports in
+// several texts, lost, doubled, late and of restarted dispatchers, executors told of twice in a
+// text, digests, lists whole and in parts, restarts, calls, and time in which all grows old.
 func TestReportsAddUpAsAnew(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{3, 17, 64, 300, 960}).Draw(t, "executors")
@@ -274,14 +277,15 @@
 	}
 }
 
-// Reading a report looks at nothing that others told and at no list: all of that is made unreadable while the report is read. So it
-// costs what it tells and what its sender told before, whatever a collector holds.
+// Reading a report looks at nothing that others told and at no list: all of that is made unreadable
+// while the report is read. So it costs what it tells and what its sender told before, whatever a
+// collector holds.
 func TestReportCostsWhatItTells(t *testing.T) {
 	for _, n := range []int{120, 9600} {
 		s := settings(Idempotent, ScopeAll)
 		s.Dispatchers, s.Gossip = 1900, true
 		d, _ := start(t, s, n)
-		report := func(now int64, from int, seq uint8, workers ...int) string {
+		report := func(from int, seq uint8, workers ...int) string {
 			m := aggregate.Message{Report: aggregate.Report{Incarnation: 1, Seq: seq, Values: []float64{1, 1}},
 				Marks: []aggregate.Mark{{Worker: uint16(workers[0]), Bad: 3}}}
 			for _, w := range workers {
@@ -291,13 +295,13 @@
 		}
 		now := 100_000 * ms
 		for from := 1; from < s.Dispatchers; from++ {
-			d.HandlePeerMessage(now, from, report(now, from, 1, 1+from%n, 1+from*7%n, 1+from*13%n))
+			d.HandlePeerMessage(now, from, report(from, 1, 1+from%n, 1+from*7%n, 1+from*13%n))
 		}
 		list, touched, reports := d.endpoints.listed, d.endpoints.recent, d.gossip.reports.bySender
 		d.endpoints.listed, d.endpoints.recent, d.gossip.reports.bySender = make([]*worker, len(list)), make([]*worker, len(touched)), make([]*peerReport, s.Dispatchers)
 		d.gossip.reports.bySender[5] = reports[5]
 		require.Len(t, reports[5].counts, 3)
-		require.True(t, d.HandlePeerMessage(now+ms, 5, report(now+ms, 5, 2, 2, 3)), "%d executors", n)
+		require.True(t, d.HandlePeerMessage(now+ms, 5, report(5, 2, 2, 3)), "%d executors", n)
 		d.endpoints.listed, d.endpoints.recent, d.gossip.reports.bySender = list, touched, reports
 		require.Len(t, reports[5].counts, 2)
 		require.Len(t, reports[5].marks, 1)
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -9,7 +9,7 @@
 	inlineAttempts  [2]*attempt // storage that attempts begins with
 	arrivedAt       int64
 	recheckAt       int64
-	streaming       bool // its first byte has gone to the client
+	streaming       bool // its first byte was sent to the client
 	done            bool
 	orderedLoad     bool // a load was ordered for it
 	countedForQuota bool // it counts toward the quota of load orders
@@ -30,8 +30,8 @@
 	excused       bool // its result says nothing of the worker, which may be tried once more
 }
 
-// holdTimeShare is the share of a request's time for which it waits here for a load; after that it waits
-// where the load is.
+// holdTimeShare is the share of a request's time for which it waits here for a load; after that it
+// waits where the load is.
 const holdTimeShare = 0.4
 
 // holdDeadline returns when a request that waits here for a load is sent at the latest.
--- a/balancer/result.go
+++ b/balancer/result.go
@@ -2,7 +2,8 @@
 
 import "oakthread/outlier"
 
-// HandleAttemptResult takes the result of an attempt, learns from it, and ends or continues its request.
+// HandleAttemptResult takes the result of an attempt, learns from it, and ends or continues its
+// request.
 func (b *Balancer) HandleAttemptResult(now int64, result AttemptResult) {
 	b.advanceClock(now)
 	defer b.armTimer()
@@ -27,8 +28,8 @@
 	b.continueRequest(now, a, result)
 }
 
-// isExcused reports whether a result says nothing of its worker: the connection was reset, or a full queue
-// rejected the call of one of many dispatchers.
+// isExcused reports whether a result says nothing of its worker: the connection was reset, or a
+// full queue rejected the call of one of many dispatchers.
 func (b *Balancer) isExcused(result Result) bool {
 	return result == Reset || result == NotSent || result == QueueFull && b.fleetFactor() > 1
 }
@@ -58,20 +59,20 @@
 	b.dispatch(now, r)
 }
 
-// isUnknownFunction reports whether an error suggests that no worker knows the function: it is the second one,
-// and nobody has served it.
+// isUnknownFunction reports whether an error suggests that no worker knows the function: it is the
+// second one, and nobody has served it.
 func isUnknownFunction(r *request, result AttemptResult) bool {
 	failed := result.Result == Error && result.Warmth != LoadFailed
 	return failed && !r.function.served && len(r.attempts) > 1
 }
 
-// retryWithLoadOrder orders the load that a worker lacks where workers do not load by themselves, and sends
-// the request there again; it reports whether it did.
+// retryWithLoadOrder orders the load that a worker lacks where workers do not load by themselves,
+// and sends the request there again; it reports whether it did.
 func (b *Balancer) retryWithLoadOrder(now int64, a *attempt, result AttemptResult) bool {
 	if result.Result != NotLoaded || b.settings.LoadsOnMiss || result.Warmth == LoadFailed {
 		return false
 	}
-	if !b.orderLoad(now, a.holder, 1) {
+	if !b.orderLoad(now, a.holder) {
 		return false
 	}
 	a.holder.orderedAt = now
@@ -82,9 +83,10 @@
 	return true
 }
 
-// backOff lets a request that a full queue rejected wait, and reports whether it does. A queue needs time to
-// drain, and at once others are full too. If calls of many dispatchers went where no copy is expected, their
-// loads would fill those queues as well: such calls wait no longer than a load takes.
+// backOff lets a request that a full queue rejected wait, and reports whether it does. A queue
+// needs time to drain, and at once others are full too. If calls of many dispatchers went where no
+// copy is expected, their loads would fill those queues as well: such calls wait no longer than a
+// load takes.
 func (b *Balancer) backOff(now int64, a *attempt, result AttemptResult) bool {
 	r := a.request
 	onlyHolder := b.fleetFactor() > 1 && !r.function.copyExpectedElsewhere(now, a.holder)
@@ -103,7 +105,8 @@
 // learnFromResult learns response times, holders and faults from the result of an attempt.
 func (b *Balancer) learnFromResult(now int64, a *attempt, result AttemptResult) {
 	if result.Result != OK && result.Result != NotSent && result.Result != Cancelled {
-		// A failure must not make a worker look light: it stays in its load for a usual response time.
+		// A failure must not make a worker look light: it stays in its load for a usual response
+		// time.
 		until := now + int64(b.latencies[a.request.Class].mean)
 		a.worker.recentFailures = append(a.worker.recentFailures, recentFailure{until, result.Result == QueueFull})
 	}
@@ -143,23 +146,23 @@
 	b.confirmHolder(now, a.holder)
 }
 
-// learnResponseTime learns from the time that an answer took: the load time if the call began a load, the
-// response time if it found a loaded copy.
+// learnResponseTime learns from the time that an answer took: the load time if the call began a
+// load, the response time if it found a loaded copy.
 func (b *Balancer) learnResponseTime(now int64, a *attempt, warmth Warmth) {
 	responseTime, usual := float64(now-a.sentAt), &b.latencies[a.request.Class]
 	switch warmth {
 	case BeganLoad:
 		b.loads.observe(a.holder.function, max(0, responseTime-usual.mean))
 	case AwaitedLoad:
-	default: // a loaded copy, or nothing was told of it
+	default: // a loaded copy, or not stated
 		a.worker.observePace(now, responseTime, usual.mean)
 		usual.observe(responseTime, latencyWeight)
 		a.holder.lastWarmHitAt = now
 	}
 }
 
-// learnFromFailure learns from an answer that was an error or a rejection. An error for a function that
-// nobody has served is only a hint: no worker may know it.
+// learnFromFailure learns from an answer that was an error or a rejection. An error for a function
+// that nobody has served is only a hint: no worker may know it.
 func (b *Balancer) learnFromFailure(now int64, a *attempt, result AttemptResult) {
 	b.recordResponse(now, a.worker)
 	switch {
@@ -175,8 +178,8 @@
 	}
 }
 
-// learnFromSilence learns from an attempt that ended without an answer. The answer is lost rather than late if
-// the same copy answered others meanwhile; a copy that was unloaded may be loading.
+// learnFromSilence learns from an attempt that ended without an answer. The answer is lost rather
+// than late if the same copy answered others meanwhile; a copy that was unloaded may be loading.
 func (b *Balancer) learnFromSilence(now int64, a *attempt, result Result) {
 	if a.expectedWarm && now > a.dueAt && a.holder.lastWarmHitAt > a.sentAt {
 		b.losses.observe(b.losses.lossProbability(now-a.sentAt, b.latencies[a.request.Class]))
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -2,8 +2,8 @@
 
 import "oakthread/rules"
 
-// mayRetryAt reports whether a request may be sent to a worker, again if it was sent before. Every attempt
-// passes it (rule 2).
+// mayRetryAt reports whether a request may be sent to a worker, again if it was sent before. Every
+// attempt passes it (rule 2).
 func (b *Balancer) mayRetryAt(now int64, r *request, w *worker) bool {
 	call := rules.Retry{
 		Completed:       r.done || r.streaming,
@@ -27,8 +27,8 @@
 	return true
 }
 
-// mayReject reports whether a request may be rejected, after which the client may send it anew to any worker
-// (rule 2).
+// mayReject reports whether a request may be rejected, after which the client may send it anew to
+// any worker (rule 2).
 func (b *Balancer) mayReject(now int64, r *request) bool {
 	for _, a := range r.attempts {
 		safe := b.repeatsSafely(now, a, r.class.IdempotencyScope == ScopeAll)
@@ -39,8 +39,8 @@
 	return !r.streaming
 }
 
-// repeatsSafely reports whether a repeat of an attempt does no harm if the attempt has run. One with an
-// idempotency key must reach the workers that know the key within its window.
+// repeatsSafely reports whether a repeat of an attempt does no harm if the attempt has run. One
+// with an idempotency key must reach the workers that know the key within its window.
 func (b *Balancer) repeatsSafely(now int64, a *attempt, keyKnown bool) bool {
 	class := a.request.class
 	switch class.Idempotency {
@@ -69,8 +69,8 @@
 	return false
 }
 
-// mayRetryAnywhere reports whether a request may be sent to any listed worker; true if there is none, since
-// one may come. Only with an idempotency key does it depend on the worker.
+// mayRetryAnywhere reports whether a request may be sent to any listed worker; true if there is
+// none, since one may come. Only with an idempotency key does it depend on the worker.
 func (b *Balancer) mayRetryAnywhere(now int64, r *request) bool {
 	for _, w := range b.endpoints.listed {
 		if b.mayRetryAt(now, r, w) || r.class.Idempotency != IdempotentByKey {
--- a/balancer/scale_test.go
+++ b/balancer/scale_test.go
@@ -11,7 +11,8 @@
 	"oakthread/aggregate"
 )
 
-// This file owns what a choice costs at the size planned. It must never test a behaviour, nor read a clock of its own.
+// This file owns what a choice costs at the size planned. It must never test a behaviour, nor read
+// a clock of its own.
 
 const (
 	scaleFuncs    = 48_000
@@ -22,8 +23,9 @@
 	scaleWarm     = 2000     // calls before those that count: more than the keep-alive
 )
 
-// BenchmarkChoice is one call with the answer and the timers that are due meanwhile: a step of 5 ms of the clock, over the
-// executors in the list, with functions drawn evenly and by a Zipf law. Siblings are silent: words read are not part of it.
+// BenchmarkChoice is one call with the answer and the timers that are due meanwhile: a step of 5 ms
+// of the clock, over the executors in the list, with functions drawn evenly and by a Zipf law.
+// Siblings are silent: words read are not part of it.
 func BenchmarkChoice(b *testing.B) {
 	for _, workers := range []int{120, 600, 2_400, 9_600} {
 		for _, law := range []struct {
@@ -53,8 +55,9 @@
 	}
 }
 
-// scaleHost answers what one dispatcher sends, at its own pace: executors have room for every copy and call. Its own part of
-// the cost is a ring of slots of the clock, and a short list of copies for each function.
+// scaleHost answers what one dispatcher sends, at its own pace: executors have room for every copy
+// and call. Its own part of the cost is a ring of slots of the clock, and a short list of copies
+// for each function.
 type scaleHost struct {
 	d                    *Balancer
 	rng                  *rand.Rand
@@ -129,7 +132,8 @@
 	x.d.HandleRequest(x.now, call(id, x.now, FuncID(f+1)))
 }
 
-// copy is the copy of a function at a worker, begun if there is none; it stands from now on for the keep-alive.
+// copy is the copy of a function at a worker, begun if there is none; it stands from now on for the
+// keep-alive.
 func (x *scaleHost) copy(f int, w WorkerID) (c *scaleCopy, warmth Warmth) {
 	x.copies[f] = slices.DeleteFunc(x.copies[f], func(c scaleCopy) bool { return c.until <= x.now })
 	i := slices.IndexFunc(x.copies[f], func(c scaleCopy) bool { return c.worker == w })
@@ -178,8 +182,9 @@
 func (x *scaleHost) SubscribeEndpoints()         {}
 func (x *scaleHost) Log(string)                  {}
 
-// BenchmarkReport is a report read by a collector that holds reports of all its siblings, each of which tells of up to 30 executors;
-// what a digest costs to gather then, and to tell or find too dear late in a term; and a term: all reports read, and ten digests gathered meanwhile.
+// BenchmarkReport is a report read by a collector that holds reports of all its siblings, each of
+// which tells of up to 30 executors; what a digest costs to gather then, and to tell or find too
+// dear late in a term; and a term: all reports read, and ten digests gathered meanwhile.
 func BenchmarkReport(b *testing.B) {
 	for _, siblings := range []int{60, 300, 1_000, 1_900} {
 		for _, workers := range []int{120, 960, 9_600} {
@@ -252,7 +257,8 @@
 	return x
 }
 
-// collect has all reports read in a term in which dispatcher 0 collects, and the clock stand in its last eighth.
+// collect has all reports read in a term in which dispatcher 0 collects, and the clock stand in its
+// last eighth.
 func (x *senders) collect(b *testing.B) {
 	term := leaderTermObjectives * x.d.shortestObjective
 	for x.now = (x.now/term + 1) * term; x.d.gossip.elector.Leader(x.now) != 0; {
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -5,8 +5,8 @@
 	"math"
 )
 
-// minClockResolution is the least resolution assumed of the host's clock, one millisecond: that of the
-// platform's messages.
+// minClockResolution is the least resolution assumed of the host's clock, one millisecond: that of
+// the platform's messages.
 const minClockResolution int64 = 1_000_000
 
 // Class is a class of request. Times are nanoseconds.
@@ -30,8 +30,8 @@
 	return c.IdempotencyWindow >= 0 && c.ClientTimeout >= 0 && !math.IsNaN(c.PriorityWeight)
 }
 
-// Settings are what the deployment states at the start. Times are nanoseconds. Zero values are read in the
-// cautious way.
+// Settings are what the deployment states at the start. Times are nanoseconds. Zero values are read
+// in the cautious way.
 type Settings struct {
 	Classes         []Class
 	TenantQuota     []float64 // requests a second by tenant, at all dispatchers together; 0: no limit
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -7,23 +7,24 @@
 )
 
 const (
-	// slowStartSlots is the number of draws within the overload window. A window overlaps one slot more, and
-	// one draw may be rounded up.
+	// slowStartSlots is the number of draws within the overload window. A window overlaps one slot
+	// more, and one draw may be rounded up.
 	slowStartSlots = 3
-	// slowStartMargin is the share of the overload budget that is drawn; the rest covers chance, bursts and
-	// unequal traffic.
+	// slowStartMargin is the share of the overload budget that is drawn; the rest covers chance,
+	// bursts and unequal traffic.
 	slowStartMargin = 0.35
 	// slowStartCarryOver is the share of unused tokens that the next slot keeps.
 	slowStartCarryOver = 0.7
-	// slowStartIdleShare is the share of the overload factor times the median load up to which a worker
-	// counts as idle enough for one call more in each slot.
+	// slowStartIdleShare is the share of the overload factor times the median load up to which a
+	// worker counts as idle enough for one call more in each slot.
 	slowStartIdleShare = 0.5
 )
 
-// slowStart limits the calls to workers that started lately. All dispatchers together may send such a worker
-// the configured multiple of what it can do. Each draws for itself, slot by slot, a whole number of tokens
-// whose mean is its share of that: the rate at which warm workers answer it is its share of what one worker
-// can do, whatever its share of the traffic. Dispatchers that know nothing draw one token together in a slot.
+// slowStart limits the calls to workers that started lately. All dispatchers together may send such
+// a worker the configured multiple of what it can do. Each draws for itself, slot by slot, an
+// integer number of tokens whose mean is its share of that: the rate at which warm workers answer
+// it is its share of what one worker can do, whatever its share of the traffic. Dispatchers that
+// know nothing draw one token together in a slot.
 type slowStart struct {
 	window      int64           // nanoseconds from its start in which a worker warms up
 	warmAnswers decayingCounter // from workers that are not warming up
@@ -52,8 +53,8 @@
 	s.warmWorkers = listed - len(s.warmingUp)
 }
 
-// capacityFraction returns the share of its capacity that a worker has: 1, or while it warms up what the
-// slowest growth that the settings allow for has reached.
+// capacityFraction returns the share of its capacity that a worker has: 1, or while it warms up
+// what the slowest growth that the settings allow for has reached.
 func (b *Balancer) capacityFraction(now int64, w *worker) float64 {
 	if !b.slowStart.isWarmingUp(now, w) {
 		return 1
@@ -79,9 +80,9 @@
 	return now-b.gossip.digestAt < 2*b.shortestObjective && b.inFlightAt(now, w) <= idle
 }
 
-// drawSlowStartTokens draws the tokens of a new slot. A share of those left over is kept, for one dispatcher
-// of many seldom draws any and seldom has a call for the worker; with those kept all shares still sum to less
-// than the budget.
+// drawSlowStartTokens draws the tokens of a new slot. A share of those left over is carried over,
+// for one dispatcher of many seldom draws any and seldom has a call for the worker; with those all
+// shares still sum to less than the budget.
 func (b *Balancer) drawSlowStartTokens(now int64, w *worker, slot, slotLength int64) {
 	warmWorkers := cmp.Or(b.slowStart.warmWorkers, len(b.endpoints.listed))
 	rate := b.slowStart.warmAnswers.valueAt(now, b.decayTime()) / b.decayTime() / float64(max(1, warmWorkers))
--- a/balancer/stats.go
+++ b/balancer/stats.go
@@ -8,8 +8,8 @@
 // noDeadline is a time that never comes.
 const noDeadline = int64(math.MaxInt64)
 
-// latency holds exponentially weighted running means of a duration and of its absolute deviation, in
-// nanoseconds.
+// latency holds exponentially weighted running means of a duration and of its absolute deviation,
+// in nanoseconds.
 type latency struct{ mean, deviation float64 }
 
 // observe takes in one duration, weighted against all earlier ones.
@@ -24,8 +24,8 @@
 	at    int64
 }
 
-// valueAt returns the count at a time. The argument timeConstant is the age, in nanoseconds, at which an
-// event counts 1/e.
+// valueAt returns the count at a time. The argument timeConstant is the age, in nanoseconds, at
+// which an event counts 1/e.
 func (c *decayingCounter) valueAt(now int64, timeConstant float64) float64 {
 	return c.value * math.Exp(-float64(now-c.at)/timeConstant)
 }
@@ -36,8 +36,8 @@
 	c.at = now
 }
 
-// decayed returns what is left of a value of the given age, in nanoseconds. The exponential is skipped for
-// zero, which most values are.
+// decayed returns what is left of a value of the given age, in nanoseconds. The exponential is
+// skipped for zero, which most values are.
 func decayed(value float64, age int64, timeConstant float64) float64 {
 	if value == 0 {
 		return 0
@@ -45,8 +45,8 @@
 	return value * math.Exp(-float64(age)/timeConstant)
 }
 
-// median sorts values and returns their median, or 0 if there are none. Loads are compared with the median
-// because a few crowded workers do not move it.
+// median sorts values and returns their median, or 0 if there are none. Loads are compared with the
+// median because a few crowded workers do not move it.
 func median(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -17,8 +17,8 @@
 	sweptAt       int64
 }
 
-// rearm returns the delay, in nanoseconds, after which the host is to fire a new timer; changed is false if
-// the one that is set fires early enough.
+// rearm returns the delay, in nanoseconds, after which the host is to fire a new timer; changed is
+// false if the one that is set fires early enough.
 func (q *timerQueue) rearm(now int64) (delay int64, changed bool) {
 	if len(q.entries) == 0 {
 		return 0, false
@@ -32,16 +32,16 @@
 	return max(deadline-now, 1), true
 }
 
-// expired takes that the host's timer of a generation has fired. Generations are compared rather than times
-// because a host that rounds may fire a little early.
+// expired takes that the host's timer of a generation has fired. Generations are compared rather
+// than times because a host that rounds may fire a little early.
 func (q *timerQueue) expired(generation int64) {
 	if generation == q.generation {
 		q.deadline = noDeadline
 	}
 }
 
-// detectStall reports by how much the timer is late if that shows that the process stood still. One stall is
-// reported once an instant.
+// detectStall reports by how much the timer is late if that shows that the process stood still. One
+// stall is reported once an instant.
 func (q *timerQueue) detectStall(now, tolerance int64) (late int64, stalled bool) {
 	late = now - q.deadline
 	if q.deadline <= 0 || late <= tolerance || q.stalledAt >= now {
@@ -51,8 +51,8 @@
 	return late, true
 }
 
-// popDue removes the first entry that is due. At the instant of a stall nothing is due: what came meanwhile
-// is read before anything is given up.
+// popDue removes the first entry that is due. At the instant of a stall nothing is due: what came
+// meanwhile is read before anything is given up.
 func (q *timerQueue) popDue(now int64) (entry timerEntry, due bool) {
 	if q.stalledAt >= now || len(q.entries) == 0 || q.entries[0].at > now {
 		return timerEntry{}, false
@@ -60,8 +60,8 @@
 	return q.entries.pop(), true
 }
 
-// timerHeap is a binary heap by time that orders entries as container/heap does, without an allocation for
-// each entry.
+// timerHeap is a binary heap by time that orders entries as container/heap does, without an
+// allocation for each entry.
 type timerHeap []timerEntry
 
 // push adds an entry.
--- a/balancer/worker.go
+++ b/balancer/worker.go
@@ -2,8 +2,8 @@
 
 import "oakthread/outlier"
 
-// worker is what is known of one worker. The fields that each choice reads stand first: in a long list a
-// candidate is in no cache.
+// worker is what is known of one worker. The fields that each choice reads stand first: in a long
+// list a candidate is in no cache.
 type worker struct {
 	Endpoint
 	candidate
@@ -29,8 +29,8 @@
 	reported reportedState
 }
 
-// candidate is the state of a worker within one choice. A choice is known by its number, so that nothing has
-// to be reset between choices.
+// candidate is the state of a worker within one choice. A choice is known by its number, so that
+// nothing has to be reset between choices.
 type candidate struct {
 	examinedIn    int // the last choice that examined the worker
 	candidateIn   int // the last choice that may take it
@@ -53,7 +53,8 @@
 	queueFull bool // rejected by a full queue
 }
 
-// removeAttempt removes and returns an attempt in flight, or returns nil if there is no such attempt.
+// removeAttempt removes and returns an attempt in flight, or returns nil if there is no such
+// attempt.
 func (w *worker) removeAttempt(requestID string, index int) *attempt {
 	for i, a := range w.inFlight {
 		if a.request.ID == requestID && a.index == index {
@@ -85,8 +86,8 @@
 	w.recentFailures = recent
 }
 
-// forgetCopies ends the belief that a worker holds any copies, after it restarted, left the list or could not
-// be reached.
+// forgetCopies ends the belief that a worker holds any copies, after it restarted, left the list or
+// could not be reached.
 func (w *worker) forgetCopies() {
 	for _, h := range w.holders {
 		h.validUntil, h.copies, h.confirmed = 0, 1, false
