--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -120,7 +120,8 @@
 	b.advanceClock(now)
 	for i := range classes {
 		if !classes[i].isValid() {
-			return 0, fmt.Errorf("balancer: added class %d: Aim must be above 0, and Window, GiveUp and Worth be read", i)
+			const format = "balancer: added class %d: Aim must be above 0, and Window, GiveUp and Worth be read"
+			return 0, fmt.Errorf(format, i)
 		}
 	}
 	first := len(b.settings.Classes)
--- /dev/null
+++ b/balancer/timers_test.go
@@ -0,0 +1,68 @@
+package balancer
+
+import (
+	"container/heap"
+	"math/rand/v2"
+	"testing"
+)
+
+// A bell that rings a little before its time must not stop the timers: found by a hunt as lost
+// requests.
+func TestEarlyBellArmsAgain(t *testing.T) {
+	d, f := start(t, settings(Idempotent, ScopeAll), 0)
+	d.HandleRequest(0, call("a", 0, 1))
+	now := int64(0)
+	for range 2000 {
+		delay := f.timers[len(f.timers)-1]
+		f.timers = f.timers[:0]
+		if delay > 1000 {
+			delay -= 334
+		}
+		now += delay
+		d.HandleTimer(now, f.ref)
+		if f.answers["a"] != "" {
+			return
+		}
+		if len(f.timers) == 0 {
+			t.Fatalf("no timer after a bell at %d ms", now/ms)
+		}
+	}
+	t.Fatal("never answered")
+}
+
+// boxed is the same heap as the standard library keeps it.
+type boxed struct{ timerHeap }
+
+func (h *boxed) Len() int { return len(h.timerHeap) }
+
+func (h *boxed) Less(i, j int) bool { return h.timerHeap[i].at < h.timerHeap[j].at }
+
+func (h *boxed) Swap(i, j int) { h.timerHeap[i], h.timerHeap[j] = h.timerHeap[j], h.timerHeap[i] }
+
+func (h *boxed) Push(x any) { h.timerHeap = append(h.timerHeap, x.(timerEntry)) }
+
+func (h *boxed) Pop() any {
+	n := len(h.timerHeap) - 1
+	x := h.timerHeap[n]
+	h.timerHeap = h.timerHeap[:n]
+	return x
+}
+
+// Wakeups come out as from container/heap, also those of one time: the order of events, and with it
+// every choice, hangs on it.
+func TestWakeupsComeAsFromTheStandardHeap(t *testing.T) {
+	rng := rand.New(rand.NewPCG(1, 2))
+	ours, theirs := timerHeap{}, &boxed{}
+	for i := range 20_000 {
+		if rng.IntN(5) < 3 || len(ours) == 0 {
+			x := timerEntry{int64(rng.IntN(40)), &request{arrivedAt: int64(i)}}
+			ours.push(x)
+			heap.Push(theirs, x)
+		} else if got, want := ours.pop(), heap.Pop(theirs).(timerEntry); got != want {
+			t.Fatalf("event %d: %d of %d, want %d of %d", i, got.at, got.request.arrivedAt, want.at, want.request.arrivedAt)
+		}
+		if len(ours) > 3000 {
+			ours, theirs.timerHeap = ours[:0], theirs.timerHeap[:0]
+		}
+	}
+}
