--- a/balancer/gossipreceive.go
+++ b/balancer/gossipreceive.go
@@ -144,8 +144,8 @@
 			w.peerPace, w.peerPaceAt = min(word.Slow(), maxPace), now
 		}
 	}
-	for i, change := range b.outliers.ApplyGossip(now, evidence, b.endpoints.totalWeight()) {
-		b.logHealthChange(now, workers[i], change)
+	for i, event := range b.outliers.ApplyGossip(now, evidence, b.endpoints.totalWeight()) {
+		b.logHealthChange(now, workers[i], event)
 	}
 }
 
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -85,10 +85,10 @@
 	b.logHealthChange(now, w, b.outliers.RecordFailure(now, &w.outlierStats, weight))
 }
 
-// logHealthChange logs what the outlier detector changed of a worker; an empty text is no change.
-func (b *Balancer) logHealthChange(now int64, w *worker, text string) {
-	if text != "" {
-		b.logf(now, "worker %d %s", w.Worker, text)
+// logHealthChange logs what the outlier detector changed of a worker; the zero event is no change.
+func (b *Balancer) logHealthChange(now int64, w *worker, event outlier.Event) {
+	if !event.IsZero() {
+		b.logf(now, "worker %d %s", w.Worker, event)
 	}
 }
 
@@ -120,8 +120,8 @@
 		pace := b.relativeLatency(now, w)
 		silent := b.isReportedUnresponsive(now, w) && !b.outliers.ByWords(now, &w.outlierStats)
 		health := WorkerHealth{w.Worker, w.Zone, pace, silent, b.outliers.State(now, &w.outlierStats, w.Zone, pace)}
-		if health.Silent && health.Verdict == "well" {
-			health.Verdict = "left out"
+		if health.Silent && health.Status == outlier.StatusHealthy {
+			health.Status = outlier.StatusEjected
 			health.Evidence = "several found it silent, and nobody had an answer"
 		}
 		all = append(all, health)
--- /dev/null
+++ b/endpoints.go
@@ -0,0 +1,113 @@
+package oakthread
+
+import (
+	"context"
+	"oakthread/balancer"
+	"oakthread/internal/monotime"
+	"time"
+)
+
+// Endpoint is the entry of a worker in the endpoint list.
+type Endpoint struct {
+	ID     balancer.WorkerID // the same at every dispatcher
+	Addr   string            // where the worker listens; may be given to another worker once this one is removed
+	Zone   int
+	Kind   int // of hardware
+	Cell   int
+	State  balancer.EndpointState
+	Weight float64
+	Start  time.Time // of the worker process; zero means long ago
+}
+
+// EndpointUpdate is a change of the endpoint list, or a snapshot of it.
+type EndpointUpdate struct {
+	Kind      balancer.EndpointUpdateKind
+	Endpoints []Endpoint
+}
+
+// replacesList reports whether the update names every endpoint there is.
+func (u EndpointUpdate) replacesList() bool {
+	return u.Kind == balancer.EndpointsSnapshot || u.Kind == balancer.EndpointsCached
+}
+
+// EndpointWatcher watches the endpoint list.
+type EndpointWatcher interface {
+	// Watch passes each update to handle, in order and from one goroutine, until ctx ends.
+	Watch(ctx context.Context, handle func(EndpointUpdate)) error
+}
+
+// listedEndpoint is an endpoint and the start of its worker in nanoseconds of the process clock.
+// The start is converted once, when it is first received: a repeated entry keeps it even if the
+// wall clock has been stepped in between.
+type listedEndpoint struct {
+	Endpoint
+
+	started int64
+}
+
+// UpdateEndpoints applies an update of the endpoint list.
+func (c *Core) UpdateEndpoints(update EndpointUpdate) {
+	c.post(func() { c.applyEndpoints(update) })
+}
+
+// applyEndpoints applies an update to the table of endpoints and passes it to the balancer.
+func (c *Core) applyEndpoints(update EndpointUpdate) {
+	entries := make([]balancer.Endpoint, 0, len(update.Endpoints))
+	for _, endpoint := range update.Endpoints {
+		started := c.applyEndpoint(endpoint)
+		entries = append(entries, balancer.Endpoint{
+			Worker: endpoint.ID,
+			Zone:   endpoint.Zone,
+			Kind:   endpoint.Kind,
+			Cell:   endpoint.Cell,
+			State:  endpoint.State,
+			Weight: endpoint.Weight,
+			Start:  started,
+		})
+	}
+	if update.replacesList() {
+		c.removeUnlisted(update.Endpoints)
+		c.ready.Store(true)
+	}
+	c.state.balancer.UpdateEndpoints(c.now(), update.Kind, entries)
+}
+
+// applyEndpoint applies one entry and returns the start of its worker. Connections to a worker that
+// was removed, has restarted or has moved are closed, and what is on its way to a worker that is
+// not active is revoked.
+func (c *Core) applyEndpoint(endpoint Endpoint) (started int64) {
+	known, listed := c.state.endpoints[endpoint.ID]
+	restarted := !known.Start.Equal(endpoint.Start)
+	started = known.started
+	if !listed || restarted {
+		started = monotime.StartTime(endpoint.Start)
+	}
+	if listed && (restarted || endpoint.State == balancer.Removed || known.Addr != endpoint.Addr) {
+		c.cfg.Workers.CloseConnections(endpoint.ID)
+		c.revokeWorker(endpoint.ID)
+	}
+	if endpoint.State != balancer.Active {
+		c.revokeWorker(endpoint.ID)
+	}
+	if endpoint.State == balancer.Removed {
+		delete(c.state.endpoints, endpoint.ID)
+	} else {
+		c.state.endpoints[endpoint.ID] = listedEndpoint{endpoint, started}
+	}
+	return started
+}
+
+// removeUnlisted removes the endpoints that a snapshot does not name.
+func (c *Core) removeUnlisted(snapshot []Endpoint) {
+	listed := make(map[balancer.WorkerID]bool, len(snapshot))
+	for _, endpoint := range snapshot {
+		listed[endpoint.ID] = true
+	}
+	for id := range c.state.endpoints {
+		if !listed[id] {
+			delete(c.state.endpoints, id)
+			c.cfg.Workers.CloseConnections(id)
+			c.revokeWorker(id)
+		}
+	}
+}
