--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -12,8 +12,8 @@
 // classMixWeight is the weight of a request in the mix of classes: about the last hundred count.
 const classMixWeight = 0.01
 
-// admission holds what decides whether a new request is rejected at once.
-type admission struct {
+// admissionState holds what decides whether a new request is rejected at once.
+type admissionState struct {
 	completions decayingCounter   // answers, over two shortest latency objectives
 	tenantCalls []decayingCounter // by tenant, over decayTime
 	mix         workMix
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -23,21 +23,21 @@
 	shortestObjective  int64 // of the latency objectives of all classes
 	hasIdempotentClass bool  // requests of such classes make the trials
 
-	requests  map[string]*request // in hand, by ID
+	requests  map[string]*requestState // in hand, by ID
 	endpoints endpointTable
 	poller    endpointPoller
 	holders   holderTable
 	choice    choiceState
 
-	admission admission
+	admission admissionState
 	latencies []latency // response times of loaded copies, by class
 	losses    lossEstimator
 	hedges    hedgeBudget
 	outliers  *outlier.Detector
-	slowStart slowStart
+	slowStart slowStartState
 	loads     loadModel
 	loadQuota loadQuota
-	gossip    gossip
+	gossip    gossipState
 
 	timers timerQueue
 	logs   logLimiter
@@ -62,13 +62,13 @@
 		now:               now,
 		startedAt:         now,
 		shortestObjective: noDeadline,
-		requests:          map[string]*request{},
+		requests:          map[string]*requestState{},
 		endpoints:         newEndpointTable(s.FullScanLimit),
-		holders:           holderTable{functions: map[uint32]*function{}},
-		admission:         admission{tenantCalls: make([]decayingCounter, len(s.TenantQuota))},
+		holders:           holderTable{functions: map[uint32]*functionState{}},
+		admission:         admissionState{tenantCalls: make([]decayingCounter, len(s.TenantQuota))},
 		losses:            lossEstimator{probability: minLossProbability},
 		hedges:            hedgeBudget{tokens: 1},
-		slowStart:         slowStart{window: s.SlowStartWindow},
+		slowStart:         slowStartState{window: s.SlowStartWindow},
 		loadQuota: loadQuota{
 			window: s.LoadQuotaWindow,
 			limits: rules.LoadQuota{Base: s.LoadQuotaBase, Ratio: s.LoadQuotaRatio},
@@ -83,9 +83,9 @@
 }
 
 // newGossip returns the state of gossip before any message.
-func (b *Balancer) newGossip(now int64) gossip {
+func (b *Balancer) newGossip(now int64) gossipState {
 	s := &b.settings
-	return gossip{
+	return gossipState{
 		elector: leader.New(s.DispatcherIndex, s.Dispatchers, b.leaderTerm()),
 		aggregator: aggregate.New(now, aggregate.Settings{
 			DispatcherIndex: s.DispatcherIndex,
--- a/balancer/candidates.go
+++ b/balancer/candidates.go
@@ -13,7 +13,7 @@
 
 // examinedWorkers is what a choice examines.
 type examinedWorkers struct {
-	workers        []*worker
+	workers        []*workerState
 	preferred      int     // the first so many are the function's places
 	representative int     // the first so many represent the list
 	placesShare    float64 // of the function's places that it needs
@@ -23,7 +23,7 @@
 // window of the ring that is the same at all dispatchers (a hot function has several windows, each
 // dispatcher one of them), a random sample, and believed holders; the lightest worker and those due
 // for a trial are found only among these.
-func (b *Balancer) workersToExamine(now int64, r *request) examinedWorkers {
+func (b *Balancer) workersToExamine(now int64, r *requestState) examinedWorkers {
 	places := b.placesNeeded(now, r)
 	if count := len(b.endpoints.listed); !b.endpoints.isLong() {
 		return examinedWorkers{b.endpoints.listed, count, count, places / float64(count)}
@@ -42,7 +42,7 @@
 }
 
 // appendHolders appends the workers of a bounded number of holders, from a random one on.
-func (b *Balancer) appendHolders(workers []*worker, holders []*holder) []*worker {
+func (b *Balancer) appendHolders(workers []*workerState, holders []*holderState) []*workerState {
 	first := b.rng.IntN(len(holders) + 1)
 	for i := range min(len(holders), ringWindow) {
 		workers = append(workers, holders[(first+i)%len(holders)].worker)
@@ -54,7 +54,7 @@
 // dispatcher sends, taken for the share of every one, at the targeted use of one copy each. The
 // call at hand does not count, nor, of many dispatchers, what may be chance: else functions that
 // each calls once or twice would look hot to all.
-func (b *Balancer) placesNeeded(now int64, r *request) float64 {
+func (b *Balancer) placesNeeded(now int64, r *requestState) float64 {
 	f := r.function
 	window := float64(b.callRateWindow())
 	// A dispatcher that started lately has seen less than a window.
--- a/balancer/choose.go
+++ b/balancer/choose.go
@@ -21,19 +21,19 @@
 
 // choiceState is the scratch of a choice.
 type choiceState struct {
-	number     int       // of the choice
-	examined   []*worker // in a long list
-	candidates []*worker // that may take the call
-	loads      []float64 // of which the median is taken
+	number     int            // of the choice
+	examined   []*workerState // in a long list
+	candidates []*workerState // that may take the call
+	loads      []float64      // of which the median is taken
 }
 
 // candidateSet is what a choice knows of its candidates.
 type candidateSet struct {
-	preferred   int     // the first so many candidates stand in the function's ring window
-	total       int     // eligible workers
-	healthy     int     // of these
-	unreachable int     // of these: that no dispatcher reaches
-	trial       *worker // due for the attempt that ends or renews its ejection
+	preferred   int          // the first so many candidates stand in the function's ring window
+	total       int          // eligible workers
+	healthy     int          // of these
+	unreachable int          // of these: that no dispatcher reaches
+	trial       *workerState // due for the attempt that ends or renews its ejection
 	medianLoad  float64
 	minLoad     float64
 }
@@ -42,7 +42,7 @@
 // trial is set if the attempt tests a worker whose ejection has run out. The rule is Load/Affinity
 // (Bunt et al.): the lightest holder with free capacity within a slack of the lightest worker, else
 // the lightest holder within it, else the lightest worker.
-func (b *Balancer) chooseWorker(now int64, r *request) (best *worker, trial bool) {
+func (b *Balancer) chooseWorker(now int64, r *requestState) (best *workerState, trial bool) {
 	b.choice.number++
 	examined := b.workersToExamine(now, r)
 	set := b.examine(now, r, examined)
@@ -64,7 +64,7 @@
 
 // examine collects the eligible workers with their loads as candidates. It stops at a worker that
 // is due for a trial.
-func (b *Balancer) examine(now int64, r *request, examined examinedWorkers) (set candidateSet) {
+func (b *Balancer) examine(now int64, r *requestState, examined examinedWorkers) (set candidateSet) {
 	number := b.choice.number
 	b.choice.candidates, b.choice.loads = b.choice.candidates[:0], b.choice.loads[:0]
 	for i, w := range examined.workers {
@@ -96,7 +96,7 @@
 
 // excludeUnhealthy takes the unhealthy workers out of the candidates, adjusts the loads of unknown
 // and of already tried ones, and returns the lightest load.
-func (b *Balancer) excludeUnhealthy(now int64, r *request, set candidateSet) (minLoad float64) {
+func (b *Balancer) excludeUnhealthy(now int64, r *requestState, set candidateSet) (minLoad float64) {
 	trusted := set.ejectionsTrusted()
 	minLoad = math.Inf(1)
 	for _, w := range b.choice.candidates {
@@ -134,8 +134,8 @@
 
 // holdersWithin lists the candidates up to a load that hold a copy with free capacity or, if there
 // are none, those at which a copy is expected.
-func (b *Balancer) holdersWithin(now int64, f *function, limit float64) []*worker {
-	var free, busy []*worker
+func (b *Balancer) holdersWithin(now int64, f *functionState, limit float64) []*workerState {
+	var free, busy []*workerState
 	for _, h := range f.holders {
 		if h.worker.candidateIn != b.choice.number || h.worker.choiceLoad > limit {
 			continue
@@ -155,7 +155,7 @@
 // lightestHolder returns the lightest of some holders. What is known of other dispatchers' calls is
 // known to all of them alike and grows old: the older it is, the wider the range of loads from
 // which one is drawn, lest all dispatchers meet at the lightest.
-func (b *Balancer) lightestHolder(now int64, holders []*worker, medianLoad float64) (best *worker) {
+func (b *Balancer) lightestHolder(now int64, holders []*workerState, medianLoad float64) (best *workerState) {
 	minLoad, count := math.Inf(1), 0
 	for _, w := range holders {
 		minLoad = min(minLoad, w.choiceLoad)
@@ -179,7 +179,7 @@
 // sees little of the load of any worker, and the more of them there are, the wider the range of
 // loads that count as alike. Of a function that needs more places, a share of the workers is ranked
 // by each dispatcher for itself.
-func (b *Balancer) preferredWorker(now int64, f *function, preferred int, limit, placesShare float64) (best *worker) {
+func (b *Balancer) preferredWorker(now int64, f *functionState, preferred int, limit, placesShare float64) (best *workerState) {
 	topScore := 0.0
 	for i, w := range b.choice.candidates {
 		if i >= preferred && best != nil {
@@ -196,7 +196,7 @@
 }
 
 // placementScore ranks a worker as the place to load a function.
-func (b *Balancer) placementScore(now int64, f *function, w *worker, placesShare float64) float64 {
+func (b *Balancer) placementScore(now int64, f *functionState, w *workerState, placesShare float64) float64 {
 	rank := hashRank(f.id, w.Worker)
 	score := rendezvousScore(rank, w.Weight*b.capacityFraction(now, w))
 	if rank > 1-placesShare {
@@ -216,6 +216,6 @@
 
 // eligible reports whether w may get attempts and load orders: it is listed, not draining and
 // within its slow-start budget. Every attempt and every load order passes it (rules 3 and 4).
-func (b *Balancer) eligible(now int64, w *worker) bool {
+func (b *Balancer) eligible(now int64, w *workerState) bool {
 	return w.listed && w.State == Active && b.slowStartAllows(now, w)
 }
--- a/balancer/choose_test.go
+++ b/balancer/choose_test.go
@@ -66,7 +66,7 @@
 		for i := range 12 { // two answers each, of worker 1 four times as late as the others'
 			w := d.endpoints.listed[i%6]
 			h := d.holders.functionFor(now, testRequest("x", now, FuncID(i))).holderAt(w, true)
-			r := &request{Request: testRequest(fmt.Sprint(i), now, FuncID(i)), class: &d.settings.Classes[0], function: h.function}
+			r := &requestState{Request: testRequest(fmt.Sprint(i), now, FuncID(i)), class: &d.settings.Classes[0], function: h.function}
 			took := int64(d.latencies[0].mean)
 			if w.Worker == 1 {
 				took *= 4
--- a/balancer/dispatch.go
+++ b/balancer/dispatch.go
@@ -27,9 +27,9 @@
 }
 
 // acceptRequest takes a request in hand.
-func (b *Balancer) acceptRequest(now int64, q Request) *request {
+func (b *Balancer) acceptRequest(now int64, q Request) *requestState {
 	f := b.holders.functionFor(now, q)
-	r := &request{
+	r := &requestState{
 		Request:         q,
 		class:           &b.settings.Classes[q.Class],
 		function:        f,
@@ -46,7 +46,7 @@
 }
 
 // dispatch sends r to the chosen worker, holds it for a load, or has it looked at again.
-func (b *Balancer) dispatch(now int64, r *request) {
+func (b *Balancer) dispatch(now int64, r *requestState) {
 	if now >= b.answerBy(r) || len(r.attempts) >= b.settings.MaxAttempts {
 		b.finish(now, r)
 		return
@@ -63,7 +63,7 @@
 
 // awaitWorker has a request for which there is no worker looked at again, or ends it if none may
 // come: one that was never sent ends early, so that its client can go elsewhere.
-func (b *Balancer) awaitWorker(now int64, r *request) {
+func (b *Balancer) awaitWorker(now int64, r *requestState) {
 	hopeless := now >= r.holdDeadline()
 	if len(r.attempts) > 0 {
 		hopeless = !b.mayRetryAnywhere(now, r)
@@ -79,7 +79,7 @@
 // whether it does. That keeps the bounded queues of workers free of calls that wait for a slow
 // store, and costs a round trip. A copy that only a peer reported is ordered too: it may still be
 // loading. A function that no worker has served is never ordered: it may not exist.
-func (b *Balancer) holdForLoad(now int64, r *request, w *worker) bool {
+func (b *Balancer) holdForLoad(now int64, r *requestState, w *workerState) bool {
 	if !b.settings.LoadsOnMiss || !r.function.served || len(r.attempts) > 0 || now >= r.holdDeadline() {
 		return false
 	}
@@ -104,9 +104,9 @@
 
 // sendAttempt sends an attempt of r to a worker. A request that may be retried is looked at again
 // when the attempt is overdue.
-func (b *Balancer) sendAttempt(now int64, r *request, w *worker, trial bool) {
+func (b *Balancer) sendAttempt(now int64, r *requestState, w *workerState, trial bool) {
 	h := r.function.holderAt(w, true)
-	a := &attempt{
+	a := &attemptState{
 		request:      r,
 		worker:       w,
 		holder:       h,
@@ -139,7 +139,7 @@
 
 // timeUntilOverdue returns the time, in nanoseconds, after which an attempt is more likely lost
 // than delayed. A copy that only a peer reported may still be loading.
-func (b *Balancer) timeUntilOverdue(now int64, r *request, h *holder) int64 {
+func (b *Balancer) timeUntilOverdue(now int64, r *requestState, h *holderState) int64 {
 	responseTime, deviations := b.latencies[r.Class], b.losses.overdueDeviations()
 	due := responseTime.mean + deviations*responseTime.deviation
 	if h.validUntil <= now || !h.confirmed {
@@ -149,7 +149,7 @@
 }
 
 // finish gives the one final answer: rejected if the client may safely try again, else failed.
-func (b *Balancer) finish(now int64, r *request) {
+func (b *Balancer) finish(now int64, r *requestState) {
 	if b.mayReject(now, r) {
 		b.host.Reject(r.ID, b.settings.MaxRetryAfter)
 	} else {
@@ -159,7 +159,7 @@
 }
 
 // endRequest drops a request that is over and cancels its attempts in flight.
-func (b *Balancer) endRequest(r *request) {
+func (b *Balancer) endRequest(r *requestState) {
 	if r.done {
 		return
 	}
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -19,23 +19,23 @@
 // at.
 type endpointTable struct {
 	fullScanLimit int
-	byID          map[WorkerID]*worker // also removed ones with attempts in flight
-	byTag         map[uint16]*worker
-	listed        []*worker // active or draining, in order of arrival
-	active        []*worker // of these the active ones, as the ring has them
-	ring          ring.Ring[*worker]
+	byID          map[WorkerID]*workerState // also removed ones with attempts in flight
+	byTag         map[uint16]*workerState
+	listed        []*workerState // active or draining, in order of arrival
+	active        []*workerState // of these the active ones, as the ring has them
+	ring          ring.Ring[*workerState]
 
-	inUse       []*worker // with attempts of ours in flight or failed just now
-	recent      []*worker // that something concerned lately
-	withHolders []*worker // that may be believed to hold copies
-	sampled     []*worker // scratch of a sample
+	inUse       []*workerState // with attempts of ours in flight or failed just now
+	recent      []*workerState // that something concerned lately
+	withHolders []*workerState // that may be believed to hold copies
+	sampled     []*workerState // scratch of a sample
 
 	medianPeerCalls float64 // of the calls in flight from other dispatchers at a worker
 }
 
 // newEndpointTable returns an empty table.
 func newEndpointTable(fullScanLimit int) endpointTable {
-	return endpointTable{fullScanLimit: fullScanLimit, byID: map[WorkerID]*worker{}, byTag: map[uint16]*worker{}}
+	return endpointTable{fullScanLimit: fullScanLimit, byID: map[WorkerID]*workerState{}, byTag: map[uint16]*workerState{}}
 }
 
 // isLong reports whether the list is too long to be scanned in full.
@@ -43,10 +43,10 @@
 
 // apply takes an entry of the endpoint list and returns its worker. A worker that restarted begins
 // anew.
-func (t *endpointTable) apply(now int64, endpoint Endpoint) *worker {
+func (t *endpointTable) apply(now int64, endpoint Endpoint) *workerState {
 	w := t.byID[endpoint.Worker]
 	if w == nil {
-		w = &worker{pace: 1}
+		w = &workerState{pace: 1}
 		t.byID[endpoint.Worker], t.byTag[workerTag(endpoint.Worker)] = w, w
 	} else if endpoint.Start != w.Start && endpoint.Start > 0 {
 		w.forgetCopies()
@@ -59,7 +59,7 @@
 		t.markActive(now, w)
 	}
 	if endpoint.State != Active && t.ring.Remove(uint32(w.Worker)) {
-		t.active = slices.DeleteFunc(t.active, func(other *worker) bool { return other == w })
+		t.active = slices.DeleteFunc(t.active, func(other *workerState) bool { return other == w })
 	} else if endpoint.State == Active && t.ring.Add(uint32(w.Worker), w) {
 		t.active = append(t.active, w)
 	}
@@ -90,7 +90,7 @@
 		w.forgetCopies()
 	}
 	t.listed = listed
-	t.active = slices.DeleteFunc(t.active, func(w *worker) bool { return !w.listed })
+	t.active = slices.DeleteFunc(t.active, func(w *workerState) bool { return !w.listed })
 }
 
 // sweep forgets the workers that are neither listed nor in use.
@@ -110,7 +110,7 @@
 }
 
 // markActive takes that a call, a response or a message concerns a listed worker.
-func (t *endpointTable) markActive(now int64, w *worker) {
+func (t *endpointTable) markActive(now int64, w *workerState) {
 	if !w.listed {
 		return
 	}
@@ -122,7 +122,7 @@
 }
 
 // markInUse takes that an attempt of ours is in flight at a worker, or has just ended there.
-func (t *endpointTable) markInUse(now int64, w *worker) {
+func (t *endpointTable) markInUse(now int64, w *workerState) {
 	t.markActive(now, w)
 	if !w.trackedInUse {
 		w.trackedInUse, t.inUse = true, append(t.inUse, w)
@@ -131,8 +131,8 @@
 
 // workersInUse lists the workers, listed or not, with attempts of ours in flight or counted as
 // such.
-func (t *endpointTable) workersInUse(now int64) []*worker {
-	t.inUse = slices.DeleteFunc(t.inUse, func(w *worker) bool {
+func (t *endpointTable) workersInUse(now int64) []*workerState {
+	t.inUse = slices.DeleteFunc(t.inUse, func(w *workerState) bool {
 		w.trackedInUse = len(w.inFlight) > 0 || w.failuresAt(now) > 0
 		return !w.trackedInUse
 	})
@@ -142,7 +142,7 @@
 // activeWorkers lists the workers of which there may be something to report: of a short list all,
 // of a long one those that something concerned lately, so that a round costs what was done and not
 // what is listed.
-func (t *endpointTable) activeWorkers() []*worker {
+func (t *endpointTable) activeWorkers() []*workerState {
 	if !t.isLong() {
 		return t.listed
 	}
@@ -150,7 +150,7 @@
 }
 
 // isActive reports whether activeWorkers lists w.
-func (t *endpointTable) isActive(w *worker) bool {
+func (t *endpointTable) isActive(w *workerState) bool {
 	if !t.isLong() {
 		return w.inTable
 	}
@@ -158,18 +158,18 @@
 }
 
 // trackHolders takes that w may come to be believed to hold copies.
-func (t *endpointTable) trackHolders(w *worker) {
+func (t *endpointTable) trackHolders(w *workerState) {
 	if !w.trackedHolder {
 		w.trackedHolder, t.withHolders = true, append(t.withHolders, w)
 	}
 }
 
 // workersWithHolders lists the workers that may be believed to hold copies: of a short list all.
-func (t *endpointTable) workersWithHolders() []*worker {
+func (t *endpointTable) workersWithHolders() []*workerState {
 	if !t.isLong() {
 		return t.listed
 	}
-	t.withHolders = slices.DeleteFunc(t.withHolders, func(w *worker) bool {
+	t.withHolders = slices.DeleteFunc(t.withHolders, func(w *workerState) bool {
 		w.trackedHolder = w.listed && len(w.holders) > 0
 		return !w.trackedHolder
 	})
@@ -178,7 +178,7 @@
 
 // sample lists workers that stand for all: of a short list all, of a long one some drawn at random.
 // The result is valid until the next sample or choice.
-func (t *endpointTable) sample(rng *rand.Rand) []*worker {
+func (t *endpointTable) sample(rng *rand.Rand) []*workerState {
 	if !t.isLong() {
 		return t.listed
 	}
@@ -188,7 +188,7 @@
 
 // appendSample appends workers drawn from the active ones, some perhaps twice. Draining ones are
 // left out: in a rollout they may be a third of the list.
-func (t *endpointTable) appendSample(workers []*worker, rng *rand.Rand) []*worker {
+func (t *endpointTable) appendSample(workers []*workerState, rng *rand.Rand) []*workerState {
 	for range min(sampleSize, len(t.active)) {
 		workers = append(workers, t.active[rng.IntN(len(t.active))])
 	}
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -25,11 +25,11 @@
 	maxSharedTenants = 13
 )
 
-// gossip holds what this dispatcher sends to others and what it has from them. One dispatcher,
+// gossipState holds what this dispatcher sends to others and what it has from them. One dispatcher,
 // another in each term, is the leader: all others report to it alone, and it sends the sums to all
 // as a digest. So messages grow with the number of dispatchers and not with its square. They carry
 // hints only: nothing breaks if they are lost.
-type gossip struct {
+type gossipState struct {
 	elector    *leader.Elector
 	aggregator *aggregate.Aggregator // of the figures of all dispatchers
 	view       aggregate.View        // of these as of the last round
@@ -38,16 +38,16 @@
 	reportBudget     tokenBucket
 	digestBudget     tokenBucket
 	callsSinceReport int
-	announcements    []*holder // new holders that the next message announces
-	syncRequests     int       // dispatchers asked for their holders since the start
-	lastCounts       int       // counts in the last message, to allocate as many
+	announcements    []*holderState // new holders that the next message announces
+	syncRequests     int            // dispatchers asked for their holders since the start
+	lastCounts       int            // counts in the last message, to allocate as many
 
 	digestAt     int64 // when the last full digest came
 	fullDigestAt int64 // the same, where the list is long
 }
 
 // earn adds what one call may cost in messages.
-func (g *gossip) earn() {
+func (g *gossipState) earn() {
 	g.reportBudget.refill(gossipCostShare)
 	g.digestBudget.refill(gossipCostShare)
 	g.callsSinceReport++
@@ -153,7 +153,7 @@
 func (b *Balancer) FleetView() aggregate.View { return b.gossip.view }
 
 // queueAnnouncement has the next message announce a holder.
-func (b *Balancer) queueAnnouncement(now int64, h *holder) {
+func (b *Balancer) queueAnnouncement(now int64, h *holderState) {
 	if b.settings.Gossip {
 		h.announcedAt = now
 		b.gossip.announcements = append(b.gossip.announcements, h)
@@ -162,7 +162,7 @@
 
 // announce reports a new holder to others at once; where the list is long, only when the budget
 // covers the cost of the last message, as one message for each call may be too expensive.
-func (b *Balancer) announce(now int64, h *holder) {
+func (b *Balancer) announce(now int64, h *holderState) {
 	b.queueAnnouncement(now, h)
 	budget := &b.gossip.reportBudget
 	if !b.endpoints.isLong() || budget.tokens >= budget.lastCost {
--- a/balancer/gossipmessage.go
+++ b/balancer/gossipmessage.go
@@ -35,7 +35,7 @@
 
 // doubtsItself reports whether so many workers look faulty that the fault is likely this
 // dispatcher's own.
-func (b *Balancer) doubtsItself(now int64, workers []*worker) bool {
+func (b *Balancer) doubtsItself(now int64, workers []*workerState) bool {
 	responded, silent := 0, 0
 	for _, w := range workers {
 		if b.isEjected(w) || w.hasOverdueAttempt(now) {
@@ -49,7 +49,7 @@
 
 // appendWorker appends what there is to report of a worker. Faults are reported only if this
 // dispatcher is sure.
-func (b *Balancer) appendWorker(now int64, m *aggregate.Message, w *worker, sure bool) {
+func (b *Balancer) appendWorker(now int64, m *aggregate.Message, w *workerState, sure bool) {
 	overdue := w.hasOverdueAttempt(now)
 	count := aggregate.Count{
 		Worker: workerTag(w.Worker), N: len(w.inFlight),
@@ -87,6 +87,6 @@
 }
 
 // announcement returns the form in which messages carry a holder.
-func (h *holder) announcement() aggregate.Holder {
+func (h *holderState) announcement() aggregate.Holder {
 	return aggregate.Holder{Func: functionTag(h.function.id), Worker: workerTag(h.worker.Worker)}
 }
--- a/balancer/gossipreceive.go
+++ b/balancer/gossipreceive.go
@@ -110,7 +110,7 @@
 // applyCount takes what a digest reports of one worker. A truncated digest lists only silent
 // workers. A full one gives the calls of the dispatchers that it covers; the others are taken to
 // have as many there, by their share of the answers.
-func (b *Balancer) applyCount(now int64, w *worker, count aggregate.Count, truncated bool) {
+func (b *Balancer) applyCount(now int64, w *workerState, count aggregate.Count, truncated bool) {
 	if truncated {
 		w.reportedSilentAt = now
 		return
@@ -129,7 +129,7 @@
 		return
 	}
 	var evidence []outlier.GossipEvidence
-	var workers []*worker
+	var workers []*workerState
 	for _, mark := range marks {
 		w := b.endpoints.byTag[mark.Worker]
 		if w == nil || !w.listed {
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -7,21 +7,21 @@
 const recentResponseObjectives = 2
 
 // isHealthy reports whether a worker is neither ejected nor unresponsive.
-func (b *Balancer) isHealthy(now int64, w *worker) bool {
+func (b *Balancer) isHealthy(now int64, w *workerState) bool {
 	return !b.isEjected(w) && !b.isUnresponsive(now, w)
 }
 
 // isEjected reports whether this dispatcher has ejected a worker for its failures.
-func (b *Balancer) isEjected(w *worker) bool { return b.outliers.Ejected(&w.outlierStats, w.Zone) }
+func (b *Balancer) isEjected(w *workerState) bool { return b.outliers.Ejected(&w.outlierStats, w.Zone) }
 
 // isUnresponsive reports whether a worker does not respond, by what we see or what others report.
-func (b *Balancer) isUnresponsive(now int64, w *worker) bool {
+func (b *Balancer) isUnresponsive(now int64, w *workerState) bool {
 	return b.isUnreachableByAll(now, w) || w.hasOverdueAttempt(now)
 }
 
 // isUnreachableByAll reports whether no dispatcher is served by a worker, or none on our side of a
 // partition.
-func (b *Balancer) isUnreachableByAll(now int64, w *worker) bool {
+func (b *Balancer) isUnreachableByAll(now int64, w *workerState) bool {
 	return b.isReportedUnresponsive(now, w) || b.outliers.ZonePartitioned(w.Zone)
 }
 
@@ -29,7 +29,7 @@
 // that several found it silent and none had a response, and we had none either. One of many
 // dispatchers is slow to find out by itself, and the leaders to come may be down, so that a report
 // holds the longer the more there are.
-func (b *Balancer) isReportedUnresponsive(now int64, w *worker) bool {
+func (b *Balancer) isReportedUnresponsive(now int64, w *workerState) bool {
 	silent := w.reportedSilentAt > 0 && w.lastResponseAt < w.reportedSilentAt-b.shortestObjective &&
 		float64(now-w.reportedSilentAt) < min(b.decayTime(), 2*b.fleetFactor()*float64(b.shortestObjective))
 	return silent || b.outliers.ByWords(now, &w.outlierStats)
@@ -37,14 +37,14 @@
 
 // hasOverdueAttempt reports whether the oldest attempt at a worker is overdue and it has not
 // responded since that was sent.
-func (w *worker) hasOverdueAttempt(now int64) bool {
+func (w *workerState) hasOverdueAttempt(now int64) bool {
 	return len(w.inFlight) > 0 && now > w.inFlight[0].dueAt && w.lastResponseAt <= w.inFlight[0].sentAt
 }
 
 // trialDue reports whether r may be sent to an unhealthy worker as a trial. A worker that no
 // dispatcher reaches is tried by a few of them in turn, one that is reported to serve nobody by
 // one.
-func (b *Balancer) trialDue(now int64, w *worker, r *request) bool {
+func (b *Balancer) trialDue(now int64, w *workerState, r *requestState) bool {
 	assigned := int(wellInformedDispatchers)
 	if b.outliers.ByWords(now, &w.outlierStats) {
 		assigned = 1
@@ -62,7 +62,7 @@
 // handleConnectionFailure takes a connection that failed to come up or was reset under a call. A
 // reset alone shows no fault of the worker: some networks reset everywhere, and all workers would
 // be ejected in turn.
-func (b *Balancer) handleConnectionFailure(now, sentAt int64, w *worker, result Result) {
+func (b *Balancer) handleConnectionFailure(now, sentAt int64, w *workerState, result Result) {
 	if result == Reset {
 		b.recordFailure(now, w, outlier.Hint)
 		return
@@ -75,18 +75,18 @@
 }
 
 // recordResponse takes that a worker responded, well or not, so that it can be reached.
-func (b *Balancer) recordResponse(now int64, w *worker) {
+func (b *Balancer) recordResponse(now int64, w *workerState) {
 	w.lastResponseAt = now
 	b.logHealthChange(now, w, b.outliers.RecordResponse(now, &w.outlierStats, w.Zone))
 }
 
 // recordFailure takes a failure that a worker is blamed for.
-func (b *Balancer) recordFailure(now int64, w *worker, weight outlier.Weight) {
+func (b *Balancer) recordFailure(now int64, w *workerState, weight outlier.Weight) {
 	b.logHealthChange(now, w, b.outliers.RecordFailure(now, &w.outlierStats, weight))
 }
 
 // logHealthChange logs what the outlier detector changed of a worker; the zero event is no change.
-func (b *Balancer) logHealthChange(now int64, w *worker, event outlier.Event) {
+func (b *Balancer) logHealthChange(now int64, w *workerState, event outlier.Event) {
 	if !event.IsZero() {
 		b.logf(now, "worker %d %s", w.Worker, event)
 	}
--- a/balancer/hedge.go
+++ b/balancer/hedge.go
@@ -19,7 +19,7 @@
 // worker may be silent or very slow, a message lost, or a load stuck. Against a silent worker it
 // acts at once; against one that answers others it draws on the hedge budget, since when all are
 // slow hedges are wasted work.
-func (b *Balancer) handleOverdue(now int64, r *request) {
+func (b *Balancer) handleOverdue(now int64, r *requestState) {
 	last := r.lastInFlight()
 	if last == nil {
 		b.dispatch(now, r)
@@ -51,7 +51,7 @@
 // deferHedge has a request whose worker answers others looked at again later, and reports whether
 // it does: the worker gets more time the fewer answers are lost, the budget may be spent, or the
 // answer would be too late for its objective.
-func (b *Balancer) deferHedge(now int64, r *request, last *attempt) bool {
+func (b *Balancer) deferHedge(now int64, r *requestState, last *attemptState) bool {
 	tolerance := slowWorkerTolerance - (slowWorkerTolerance-1)*min(1, b.losses.probability/hedgeBudgetRatio)
 	if slowAt := last.sentAt + int64(tolerance*float64(last.dueAt-last.sentAt)); now < slowAt {
 		b.scheduleRecheck(r, slowAt)
@@ -68,7 +68,7 @@
 // chooseHedgeWorker returns the worker for a hedge, or nil. If the copy of the last attempt
 // answered others meanwhile, the answer is lost, and the same worker is asked again unless another
 // one has a copy: elsewhere the call would wait for a load.
-func (b *Balancer) chooseHedgeWorker(now int64, r *request, last *attempt, silent bool) *worker {
+func (b *Balancer) chooseHedgeWorker(now int64, r *requestState, last *attemptState, silent bool) *workerState {
 	w, _ := b.chooseWorker(now, r)
 	answerLost := !silent && last.holder.lastWarmHitAt > last.sentAt &&
 		b.mayRetryAt(now, r, last.worker) && b.eligible(now, last.worker)
--- a/balancer/load.go
+++ b/balancer/load.go
@@ -20,7 +20,7 @@
 // weightedLoad returns the load by which workers are compared: the calls in flight plus one over
 // the capacity, higher for a worker whose calls fail. Where one of many dispatchers has too few
 // calls at a worker to see its queue, it is higher also for one that takes longer than others.
-func (b *Balancer) weightedLoad(now int64, w *worker) float64 {
+func (b *Balancer) weightedLoad(now int64, w *workerState) float64 {
 	load := (b.inFlightAt(now, w) + 1) / (b.capacityFraction(now, w) * max(w.Weight, minWeight))
 	load *= 1 + (1-1/b.fleetFactor())*b.latencyPenalty(now, w)
 	return load * (1 + failureRatePenalty*b.outliers.FailureRate(now, &w.outlierStats))
@@ -29,7 +29,7 @@
 // inFlightAt returns the calls in flight at a worker, ours and those of load reports and digests.
 // What is known of others' calls decays to the median: a worker without a recent report counts as
 // average.
-func (b *Balancer) inFlightAt(now int64, w *worker) float64 {
+func (b *Balancer) inFlightAt(now int64, w *workerState) float64 {
 	own := float64(len(w.inFlight) + w.failuresAt(now))
 	b.applyFullDigest(w)
 	median := b.endpoints.medianPeerCalls
@@ -39,7 +39,7 @@
 // recordLoadReport takes the load report that came with a response: what a worker holds beyond our
 // own calls. One of many dispatchers, which has few calls there, goes by the queue if nothing else
 // is reported.
-func (b *Balancer) recordLoadReport(now int64, w *worker, report []float64) {
+func (b *Balancer) recordLoadReport(now int64, w *workerState, report []float64) {
 	field := b.settings.InflightField - 1
 	if field < 0 && b.fleetFactor() > 1 {
 		field = b.settings.QueueField - 1
@@ -73,7 +73,7 @@
 
 // applyFullDigest takes that a worker which the last full digest of a long list left out is idle
 // for others. That is done when the worker is looked at rather than for all of the list.
-func (b *Balancer) applyFullDigest(w *worker) {
+func (b *Balancer) applyFullDigest(w *workerState) {
 	if w.peerCallsAt < b.gossip.fullDigestAt {
 		w.peerCalls, w.peerCallsAt = 0, b.gossip.fullDigestAt
 	}
@@ -81,19 +81,19 @@
 
 // latencyPenalty returns the share by which a worker counts as heavier for its pace, by our own
 // calls or as others report it, whichever is more.
-func (b *Balancer) latencyPenalty(now int64, w *worker) float64 {
+func (b *Balancer) latencyPenalty(now int64, w *workerState) float64 {
 	own := decayed(w.pace*w.pace-1, now-w.paceAt, float64(b.callRateWindow()))
 	return max(own, decayed(max(0, w.peerPace*w.peerPace-1), now-w.peerPaceAt, b.decayTime()))
 }
 
 // relativeLatency returns the pace of a worker by our own calls, which decays to 1.
-func (b *Balancer) relativeLatency(now int64, w *worker) float64 {
+func (b *Balancer) relativeLatency(now int64, w *workerState) float64 {
 	return 1 + decayed(w.pace-1, now-w.paceAt, float64(b.callRateWindow()))
 }
 
 // observePace learns the pace of a worker from the response time of a loaded copy and the mean of
 // all.
-func (w *worker) observePace(now int64, responseTime, mean float64) {
+func (w *workerState) observePace(now int64, responseTime, mean float64) {
 	pace := min(max(responseTime/max(mean, 1), 1), maxPace)
 	w.pace += paceWeight * (pace - w.pace)
 	w.paceAt = now
--- a/balancer/loadorders.go
+++ b/balancer/loadorders.go
@@ -11,7 +11,7 @@
 
 // orderLoad orders a copy of a holder's function, if its worker may get one and the quota allows
 // it, and reports whether it did. Every load order passes it (rules 3 and 5).
-func (b *Balancer) orderLoad(now int64, h *holder) bool {
+func (b *Balancer) orderLoad(now int64, h *holderState) bool {
 	if !b.settings.LoadOrders || !b.eligible(now, h.worker) || !b.loadQuota.take(now) {
 		return false
 	}
@@ -87,7 +87,7 @@
 
 // finishLoadOrder learns from the result of a load order. One that was reset or never sent says
 // nothing of the worker's room, and may be given again at once.
-func (b *Balancer) finishLoadOrder(now int64, h *holder, copies int, result Result) {
+func (b *Balancer) finishLoadOrder(now int64, h *holderState, copies int, result Result) {
 	h.orderInFlight = false
 	if copies <= 0 {
 		if result != Reset && result != NotSent {
@@ -105,7 +105,7 @@
 }
 
 // dispatchWaiting dispatches the requests that were held here for a load of f.
-func (b *Balancer) dispatchWaiting(now int64, f *function) {
+func (b *Balancer) dispatchWaiting(now int64, f *functionState) {
 	waiting := f.waiting
 	f.waiting = nil
 	for _, r := range waiting {
--- a/balancer/loadtime.go
+++ b/balancer/loadtime.go
@@ -30,7 +30,7 @@
 
 // observe learns the duration of a load, in nanoseconds, and from the stated one how slow the store
 // is.
-func (m *loadModel) observe(f *function, duration float64) {
+func (m *loadModel) observe(f *functionState, duration float64) {
 	stated := cmp.Or(float64(max(0, f.loadTime)), m.duration.mean)
 	slowdown := min(max(duration/max(stated, 1), 1), maxStoreSlowdown)
 	m.slowdown += storeSlowdownWeight * (slowdown - m.slowdown)
@@ -52,6 +52,6 @@
 }
 
 // expected returns the time, in nanoseconds, that a load of f is expected to take.
-func (m *loadModel) expected(f *function) float64 {
+func (m *loadModel) expected(f *functionState) float64 {
 	return max(float64(f.loadTime), m.duration.mean) * m.slowdown
 }
--- a/balancer/longlist_test.go
+++ b/balancer/longlist_test.go
@@ -22,7 +22,7 @@
 const scanAlways, scanNever = math.MaxInt, -1 // of Settings.Walk
 
 // examinedWorkersOf are the workers that the last choice looked at.
-func examinedWorkersOf(d *Balancer) (ws []*worker) {
+func examinedWorkersOf(d *Balancer) (ws []*workerState) {
 	for _, w := range d.endpoints.listed {
 		if w.examinedIn == d.choice.number {
 			ws = append(ws, w)
@@ -122,7 +122,7 @@
 	at := map[WorkerID]int{}
 	const functions = 19_000
 	for fn := range FuncID(functions) {
-		r := &request{Request: testRequest("x", ms, fn*7919), class: &d.settings.Classes[0], function: &function{id: fn * 7919, concurrency: 2}}
+		r := &requestState{Request: testRequest("x", ms, fn*7919), class: &d.settings.Classes[0], function: &functionState{id: fn * 7919, concurrency: 2}}
 		w, _ := d.chooseWorker(ms, r)
 		at[w.Worker]++
 	}
@@ -146,7 +146,7 @@
 	}
 	crowded := 0
 	for fn := range FuncID(500) {
-		r := &request{Request: testRequest("x", ms, fn), class: &d.settings.Classes[0], function: &function{id: fn, concurrency: 2}}
+		r := &requestState{Request: testRequest("x", ms, fn), class: &d.settings.Classes[0], function: &functionState{id: fn, concurrency: 2}}
 		if w, _ := d.chooseWorker(ms, r); w.peerCalls > 0 {
 			crowded++
 		}
@@ -191,8 +191,8 @@
 func TestLongListRetryFindsTheOneWorkerLeft(t *testing.T) {
 	for _, n := range []int{3, 300} {
 		d, _ := newTestBalancer(t, testSettings(IdempotentByKey, ScopeZone), n)
-		r := &request{Request: testRequest("x", 0, 1), class: &d.settings.Classes[0]}
-		r.attempts = []*attempt{{request: r, worker: d.endpoints.listed[0], zone: 9, mayHaveRun: true}}
+		r := &requestState{Request: testRequest("x", 0, 1), class: &d.settings.Classes[0]}
+		r.attempts = []*attemptState{{request: r, worker: d.endpoints.listed[0], zone: 9, mayHaveRun: true}}
 		assert.False(t, d.mayRetryAnywhere(ms, r))
 		d.endpoints.listed[n-1].Zone = 9
 		assert.True(t, d.mayRetryAnywhere(ms, r))
@@ -215,7 +215,7 @@
 	}
 	d.UpdateEndpoints(ms, EndpointsDelta, news)
 	for fn := range FuncID(50) {
-		r := &request{Request: testRequest("x", ms, fn), class: &d.settings.Classes[0], function: &function{id: fn, concurrency: 2}}
+		r := &requestState{Request: testRequest("x", ms, fn), class: &d.settings.Classes[0], function: &functionState{id: fn, concurrency: 2}}
 		w, _ := d.chooseWorker(ms, r)
 		require.NotNil(t, w)
 		looked := examinedWorkersOf(d)
--- a/balancer/maintenance.go
+++ b/balancer/maintenance.go
@@ -55,7 +55,7 @@
 }
 
 // handleDue looks at a request whose time has come; nil stands for maintenance.
-func (b *Balancer) handleDue(now int64, r *request) {
+func (b *Balancer) handleDue(now int64, r *requestState) {
 	switch {
 	case r == nil:
 		b.runMaintenance(now)
@@ -69,10 +69,10 @@
 }
 
 // schedule has a request, or with nil the maintenance, looked at when a time comes.
-func (b *Balancer) schedule(at int64, r *request) { b.timers.entries.push(timerEntry{at, r}) }
+func (b *Balancer) schedule(at int64, r *requestState) { b.timers.entries.push(timerEntry{at, r}) }
 
 // scheduleRecheck has a request looked at again at a time, unless it must be answered before.
-func (b *Balancer) scheduleRecheck(r *request, at int64) {
+func (b *Balancer) scheduleRecheck(r *requestState, at int64) {
 	r.recheckAt = at
 	if at < b.answerBy(r) {
 		b.schedule(at, r)
@@ -106,7 +106,7 @@
 	b.holders.sweep(now, b.settings.LoadOrderTimeout, b.settings.KeepAlive+int64(b.decayTime()))
 	// Not all announcements are sent where messages are expensive or there are no other
 	// dispatchers.
-	b.gossip.announcements = slices.DeleteFunc(b.gossip.announcements, func(h *holder) bool {
+	b.gossip.announcements = slices.DeleteFunc(b.gossip.announcements, func(h *holderState) bool {
 		return !h.copyExpected(now)
 	})
 	b.slowStart.sweep(now, len(b.endpoints.listed))
@@ -121,7 +121,7 @@
 // nothing to report for some time. In a long list, what others reported of such a worker is too old
 // to count.
 func (b *Balancer) pruneActive(now int64) {
-	b.endpoints.recent = slices.DeleteFunc(b.endpoints.recent, func(w *worker) bool {
+	b.endpoints.recent = slices.DeleteFunc(b.endpoints.recent, func(w *workerState) bool {
 		if b.hasActivity(now, w) && w.listed {
 			return false
 		}
@@ -134,7 +134,7 @@
 }
 
 // hasActivity reports whether there is something to report of a worker.
-func (b *Balancer) hasActivity(now int64, w *worker) bool {
+func (b *Balancer) hasActivity(now int64, w *workerState) bool {
 	_, marked := b.outliers.Mark(now, &w.outlierStats, b.relativeLatency(now, w))
 	recent := now-w.lastActivityAt < recentResponseObjectives*b.shortestObjective
 	return recent || len(w.inFlight) > 0 || b.isEjected(w) || marked
--- a/balancer/queuetime.go
+++ b/balancer/queuetime.go
@@ -66,7 +66,7 @@
 }
 
 // isQueued reports whether an attempt in flight counts as part of a queue.
-func (b *Balancer) isQueued(now int64, a *attempt) bool {
+func (b *Balancer) isQueued(now int64, a *attemptState) bool {
 	responseTime := b.latencies[a.request.Class]
 	return a.expectedWarm && float64(now-a.sentAt) < responseTime.mean+queuedDeviations*responseTime.deviation
 }
--- a/balancer/reportedstate.go
+++ b/balancer/reportedstate.go
@@ -55,7 +55,7 @@
 // mergeReported adds what others reported of w to our own count, and merges all marks, one of each
 // observer. It is called once in a round for each worker.
 func (b *Balancer) mergeReported(
-	now int64, w *worker, count *aggregate.Count, own outlier.Mark, marked bool,
+	now int64, w *workerState, count *aggregate.Count, own outlier.Mark, marked bool,
 ) (outlier.Mark, bool) {
 	state := w.reported.forRound(b.gossip.reports.round)
 	silent, responded := state.silent, state.responded-state.respondedWithMark
--- a/balancer/reports.go
+++ b/balancer/reports.go
@@ -33,7 +33,7 @@
 
 // peerCount is what a dispatcher reported of the calls and the responses of a worker.
 type peerCount struct {
-	worker            *worker
+	worker            *workerState
 	at                int64
 	message           int // number of the message that carried it
 	calls             int32
@@ -43,7 +43,7 @@
 
 // peerMark is what a dispatcher reported of the failures and the pace of a worker.
 type peerMark struct {
-	worker  *worker
+	worker  *workerState
 	at      int64
 	message int
 	mark    outlier.Mark
@@ -64,7 +64,7 @@
 		rs.bySender[from] = r
 	}
 	if !m.Continued {
-		r.retain(func(w *worker, _ int64, _ int) bool { return !table.isActive(w) })
+		r.retain(func(w *workerState, _ int64, _ int) bool { return !table.isActive(w) })
 	}
 	rs.messages++
 	r.addMarks(now, rs.messages, m.Marks, table)
@@ -120,7 +120,7 @@
 }
 
 // retain drops all but what is of use, by the worker, the time and the number of the message.
-func (r *peerReport) retain(useful func(w *worker, at int64, message int) bool) {
+func (r *peerReport) retain(useful func(w *workerState, at int64, message int) bool) {
 	r.counts = slices.DeleteFunc(r.counts, func(c peerCount) bool {
 		if useful(c.worker, c.at, c.message) {
 			return false
@@ -171,7 +171,7 @@
 		if r == nil {
 			continue
 		}
-		r.retain(func(w *worker, at int64, message int) bool {
+		r.retain(func(w *workerState, at int64, message int) bool {
 			old := now-at > leaderTermObjectives*shortestObjective && table.isActive(w)
 			forgotten := !w.listed && len(w.inFlight) == 0 // by the sweep of the workers
 			return !old && message > w.reported.voidThrough && !forgotten
--- a/balancer/reports_test.go
+++ b/balancer/reports_test.go
@@ -20,8 +20,8 @@
 // the plain model.
 type reportModel struct {
 	balancer  *Balancer
-	byWorker  map[*worker]*modelState
-	wasActive map[*worker]bool // before the event at hand
+	byWorker  map[*workerState]*modelState
+	wasActive map[*workerState]bool // before the event at hand
 	sweptAt   int64
 }
 
@@ -44,7 +44,7 @@
 	mark outlier.Mark
 }
 
-func (p *reportModel) state(w *worker) *modelState {
+func (p *reportModel) state(w *workerState) *modelState {
 	if p.byWorker[w] == nil {
 		p.byWorker[w] = &modelState{}
 	}
@@ -53,7 +53,7 @@
 
 // before notes what is listed as touched before an event.
 func (p *reportModel) before() {
-	p.wasActive, p.sweptAt = map[*worker]bool{}, p.balancer.timers.sweptAt
+	p.wasActive, p.sweptAt = map[*workerState]bool{}, p.balancer.timers.sweptAt
 	for _, w := range p.balancer.endpoints.byID {
 		p.wasActive[w] = w.lastActivityAt != 0
 	}
@@ -80,7 +80,7 @@
 }
 
 // handle takes a text of a report that the dispatcher heeds; active: what it listed as such before.
-func (p *reportModel) handle(now int64, from int, m aggregate.Message, active []*worker) {
+func (p *reportModel) handle(now int64, from int, m aggregate.Message, active []*workerState) {
 	d := p.balancer
 	if !m.Continued {
 		for _, w := range active {
@@ -105,7 +105,7 @@
 }
 
 // merged is the definition of what a digest says of w.
-func (p *reportModel) merged(now int64, w *worker, c *aggregate.Count, own outlier.Mark, says bool) (outlier.Mark, bool) {
+func (p *reportModel) merged(now int64, w *workerState, c *aggregate.Count, own outlier.Mark, says bool) (outlier.Mark, bool) {
 	d, t := p.balancer, p.state(w)
 	silent, heard, marks := 0, 0, []outlier.Mark(nil)
 	if c.Silent {
@@ -158,7 +158,7 @@
 		d, err := New(began, s, 7, f)
 		require.NoError(t, err)
 		d.UpdateEndpoints(began, EndpointsSnapshot, activeEndpoints(n))
-		p := &reportModel{balancer: d, byWorker: map[*worker]*modelState{}}
+		p := &reportModel{balancer: d, byWorker: map[*workerState]*modelState{}}
 		type letter struct {
 			from int
 			text string
@@ -298,7 +298,7 @@
 			d.HandlePeerMessage(now, from, report(from, 1, 1+from%n, 1+from*7%n, 1+from*13%n))
 		}
 		list, touched, reports := d.endpoints.listed, d.endpoints.recent, d.gossip.reports.bySender
-		d.endpoints.listed, d.endpoints.recent, d.gossip.reports.bySender = make([]*worker, len(list)), make([]*worker, len(touched)), make([]*peerReport, s.Dispatchers)
+		d.endpoints.listed, d.endpoints.recent, d.gossip.reports.bySender = make([]*workerState, len(list)), make([]*workerState, len(touched)), make([]*peerReport, s.Dispatchers)
 		d.gossip.reports.bySender[5] = reports[5]
 		require.Len(t, reports[5].counts, 3)
 		require.True(t, d.HandlePeerMessage(now+ms, 5, report(5, 2, 2, 3)), "%d executors", n)
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -1,12 +1,12 @@
 package balancer
 
-// request is one call in hand.
-type request struct {
+// requestState is one call in hand.
+type requestState struct {
 	Request
 	class           *Class
-	function        *function
-	attempts        []*attempt
-	inlineAttempts  [2]*attempt // storage that attempts begins with
+	function        *functionState
+	attempts        []*attemptState
+	inlineAttempts  [2]*attemptState // storage that attempts begins with
 	arrivedAt       int64
 	recheckAt       int64
 	streaming       bool // its first byte was sent to the client
@@ -15,11 +15,11 @@
 	countedForQuota bool // it counts toward the quota of load orders
 }
 
-// attempt is one send of a request to a worker.
-type attempt struct {
-	request       *request
-	worker        *worker
-	holder        *holder
+// attemptState is one send of a request to a worker.
+type attemptState struct {
+	request       *requestState
+	worker        *workerState
+	holder        *holderState
 	index         int // among the attempts of the request
 	sentAt, dueAt int64
 	zone, cell    int
@@ -35,15 +35,15 @@
 const holdTimeShare = 0.4
 
 // holdDeadline returns when a request that waits here for a load is sent at the latest.
-func (r *request) holdDeadline() int64 {
+func (r *requestState) holdDeadline() int64 {
 	return r.arrivedAt + int64(holdTimeShare*float64(r.Deadline-r.arrivedAt))
 }
 
 // answerBy returns when a request must be answered at the latest: a little before its deadline.
-func (b *Balancer) answerBy(r *request) int64 { return r.Deadline - 2*b.settings.ClockResolution }
+func (b *Balancer) answerBy(r *requestState) int64 { return r.Deadline - 2*b.settings.ClockResolution }
 
 // lastInFlight returns the last attempt that is in flight, or nil.
-func (r *request) lastInFlight() (last *attempt) {
+func (r *requestState) lastInFlight() (last *attemptState) {
 	for _, a := range r.attempts {
 		if a.inFlight {
 			last = a
@@ -53,7 +53,7 @@
 }
 
 // triedAt reports whether a worker had its chance: an attempt ended there, or two that are excused.
-func (r *request) triedAt(w *worker) bool {
+func (r *requestState) triedAt(w *workerState) bool {
 	excused := 0
 	for _, a := range r.attempts {
 		if a.worker != w {
--- a/balancer/result.go
+++ b/balancer/result.go
@@ -40,7 +40,7 @@
 }
 
 // continueRequest ends the request of an attempt that has ended, or tries it again.
-func (b *Balancer) continueRequest(now int64, a *attempt, result AttemptResult) {
+func (b *Balancer) continueRequest(now int64, a *attemptState, result AttemptResult) {
 	r := a.request
 	if result.Finished || r.done {
 		b.endRequest(r)
@@ -61,14 +61,14 @@
 
 // isUnknownFunction reports whether an error suggests that no worker knows the function: it is the
 // second one, and nobody has served it.
-func isUnknownFunction(r *request, result AttemptResult) bool {
+func isUnknownFunction(r *requestState, result AttemptResult) bool {
 	failed := result.Result == Error && result.Warmth != LoadFailed
 	return failed && !r.function.served && len(r.attempts) > 1
 }
 
 // retryWithLoadOrder orders the load that a worker lacks where workers do not load by themselves,
 // and sends the request there again; it reports whether it did.
-func (b *Balancer) retryWithLoadOrder(now int64, a *attempt, result AttemptResult) bool {
+func (b *Balancer) retryWithLoadOrder(now int64, a *attemptState, result AttemptResult) bool {
 	if result.Result != NotLoaded || b.settings.LoadsOnMiss || result.Warmth == LoadFailed {
 		return false
 	}
@@ -87,7 +87,7 @@
 // needs time to drain, and at once others are full too. If calls of many dispatchers went where no
 // copy is expected, their loads would fill those queues as well: such calls wait no longer than a
 // load takes.
-func (b *Balancer) backOff(now int64, a *attempt, result AttemptResult) bool {
+func (b *Balancer) backOff(now int64, a *attemptState, result AttemptResult) bool {
 	r := a.request
 	onlyHolder := b.fleetFactor() > 1 && !r.function.copyExpectedElsewhere(now, a.holder)
 	if result.Result != QueueFull || !onlyHolder && len(r.attempts) < 2 {
@@ -103,7 +103,7 @@
 }
 
 // learnFromResult learns response times, holders and faults from the result of an attempt.
-func (b *Balancer) learnFromResult(now int64, a *attempt, result AttemptResult) {
+func (b *Balancer) learnFromResult(now int64, a *attemptState, result AttemptResult) {
 	if result.Result != OK && result.Result != NotSent && result.Result != Cancelled {
 		// A failure must not make a worker look light: it stays in its load for a usual response
 		// time.
@@ -124,7 +124,7 @@
 }
 
 // learnFromAnswer learns from a successful attempt.
-func (b *Balancer) learnFromAnswer(now int64, a *attempt, warmth Warmth) {
+func (b *Balancer) learnFromAnswer(now int64, a *attemptState, warmth Warmth) {
 	w, r := a.worker, a.request
 	b.recordResponse(now, w)
 	b.losses.observe(0)
@@ -148,7 +148,7 @@
 
 // learnResponseTime learns from the time that an answer took: the load time if the call began a
 // load, the response time if it found a loaded copy.
-func (b *Balancer) learnResponseTime(now int64, a *attempt, warmth Warmth) {
+func (b *Balancer) learnResponseTime(now int64, a *attemptState, warmth Warmth) {
 	responseTime, usual := float64(now-a.sentAt), &b.latencies[a.request.Class]
 	switch warmth {
 	case BeganLoad:
@@ -163,7 +163,7 @@
 
 // learnFromFailure learns from an answer that was an error or a rejection. An error for a function
 // that nobody has served is only a hint: no worker may know it.
-func (b *Balancer) learnFromFailure(now int64, a *attempt, result AttemptResult) {
+func (b *Balancer) learnFromFailure(now int64, a *attemptState, result AttemptResult) {
 	b.recordResponse(now, a.worker)
 	switch {
 	case result.Warmth == LoadFailed:
@@ -180,7 +180,7 @@
 
 // learnFromSilence learns from an attempt that ended without an answer. The answer is lost rather
 // than late if the same copy answered others meanwhile; a copy that was unloaded may be loading.
-func (b *Balancer) learnFromSilence(now int64, a *attempt, result Result) {
+func (b *Balancer) learnFromSilence(now int64, a *attemptState, result Result) {
 	if a.expectedWarm && now > a.dueAt && a.holder.lastWarmHitAt > a.sentAt {
 		b.losses.observe(b.losses.lossProbability(now-a.sentAt, b.latencies[a.request.Class]))
 	}
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -20,33 +20,33 @@
 	slowStartIdleShare = 0.5
 )
 
-// slowStart limits the calls to workers that started lately. All dispatchers together may send such
+// slowStartState limits the calls to workers that started lately. All dispatchers together may send such
 // a worker the configured multiple of what it can do. Each draws for itself, slot by slot, an
 // integer number of tokens whose mean is its share of that: the rate at which warm workers answer
 // it is its share of what one worker can do, whatever its share of the traffic. Dispatchers that
 // know nothing draw one token together in a slot.
-type slowStart struct {
+type slowStartState struct {
 	window      int64           // nanoseconds from its start in which a worker warms up
 	warmAnswers decayingCounter // from workers that are not warming up
 	warmWorkers int             // listed ones that are not warming up; 0: not counted yet
-	warmingUp   []*worker       // listed ones that are, or were at the last sweep
+	warmingUp   []*workerState  // listed ones that are, or were at the last sweep
 }
 
 // isWarmingUp reports whether a worker started so lately that it has not reached its full capacity.
-func (s *slowStart) isWarmingUp(now int64, w *worker) bool {
+func (s *slowStartState) isWarmingUp(now int64, w *workerState) bool {
 	return w.Start > 0 && now-w.Start < s.window
 }
 
 // track takes note of a worker that is warming up.
-func (s *slowStart) track(now int64, w *worker) {
+func (s *slowStartState) track(now int64, w *workerState) {
 	if !w.trackedWarmingUp && s.isWarmingUp(now, w) {
 		w.trackedWarmingUp, s.warmingUp = true, append(s.warmingUp, w)
 	}
 }
 
 // sweep forgets the workers that have warmed up, and counts the warm ones of a list.
-func (s *slowStart) sweep(now int64, listed int) {
-	s.warmingUp = slices.DeleteFunc(s.warmingUp, func(w *worker) bool {
+func (s *slowStartState) sweep(now int64, listed int) {
+	s.warmingUp = slices.DeleteFunc(s.warmingUp, func(w *workerState) bool {
 		w.trackedWarmingUp = w.listed && s.isWarmingUp(now, w)
 		return !w.trackedWarmingUp
 	})
@@ -55,7 +55,7 @@
 
 // capacityFraction returns the share of its capacity that a worker has: 1, or while it warms up
 // what the slowest growth that the settings allow for has reached.
-func (b *Balancer) capacityFraction(now int64, w *worker) float64 {
+func (b *Balancer) capacityFraction(now int64, w *workerState) float64 {
 	if !b.slowStart.isWarmingUp(now, w) {
 		return 1
 	}
@@ -64,7 +64,7 @@
 }
 
 // slowStartAllows reports whether the slow-start budget of a worker has room for one more call.
-func (b *Balancer) slowStartAllows(now int64, w *worker) bool {
+func (b *Balancer) slowStartAllows(now int64, w *workerState) bool {
 	if !b.slowStart.isWarmingUp(now, w) || b.settings.OverloadWindow == 0 {
 		return true
 	}
@@ -83,7 +83,7 @@
 // drawSlowStartTokens draws the tokens of a new slot. A share of those left over is carried over,
 // for one dispatcher of many seldom draws any and seldom has a call for the worker; with those all
 // shares still sum to less than the budget.
-func (b *Balancer) drawSlowStartTokens(now int64, w *worker, slot, slotLength int64) {
+func (b *Balancer) drawSlowStartTokens(now int64, w *workerState, slot, slotLength int64) {
 	warmWorkers := cmp.Or(b.slowStart.warmWorkers, len(b.endpoints.listed))
 	rate := b.slowStart.warmAnswers.valueAt(now, b.decayTime()) / b.decayTime() / float64(max(1, warmWorkers))
 	mean := slowStartMargin * b.settings.OverloadFactor * b.capacityFraction(now, w) * rate * float64(slotLength)
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -35,7 +35,7 @@
 					d.slowStart.warmAnswers.value, d.slowStart.warmAnswers.at = capacity*workers/float64(i+1)/parts*d.decayTime()/1e9, clock
 				}
 				for k := range 3 {
-					d.chooseWorker(clock, &request{Request: testRequest("x", clock, FuncID(k)), class: &d.settings.Classes[0],
+					d.chooseWorker(clock, &requestState{Request: testRequest("x", clock, FuncID(k)), class: &d.settings.Classes[0],
 						function: d.holders.functionFor(clock, testRequest("x", clock, FuncID(k)))})
 					if w := d.endpoints.byID[99]; d.eligible(clock, w) {
 						w.slowStartTokens--
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -3,7 +3,7 @@
 // timerEntry is a time at which a request is to be looked at again.
 type timerEntry struct {
 	at      int64
-	request *request // nil: maintenance
+	request *requestState // nil: maintenance
 }
 
 // timerQueue holds the times at which something is due, and the state of the host's one timer.
--- a/balancer/worker.go
+++ b/balancer/worker.go
@@ -2,14 +2,14 @@
 
 import "oakthread/outlier"
 
-// worker is what is known of one worker. The fields that each choice reads stand first: in a long
+// workerState is what is known of one worker. The fields that each choice reads stand first: in a long
 // list a candidate is in no cache.
-type worker struct {
+type workerState struct {
 	Endpoint
 	candidate
 	listed         bool            // the endpoint list has it
 	responded      bool            // it has responded since it was listed or restarted
-	inFlight       []*attempt      // in order of sending
+	inFlight       []*attemptState // in order of sending
 	recentFailures []recentFailure // count as in flight for a while
 	lastResponseAt int64
 
@@ -25,7 +25,7 @@
 	slowStartSlot   int64 // for which tokens were last drawn
 	slowStartTokens int
 	tracking
-	holders  []*holder
+	holders  []*holderState
 	reported reportedState
 }
 
@@ -55,7 +55,7 @@
 
 // removeAttempt removes and returns an attempt in flight, or returns nil if there is no such
 // attempt.
-func (w *worker) removeAttempt(requestID string, index int) *attempt {
+func (w *workerState) removeAttempt(requestID string, index int) *attemptState {
 	for i, a := range w.inFlight {
 		if a.request.ID == requestID && a.index == index {
 			w.inFlight = append(w.inFlight[:i], w.inFlight[i+1:]...)
@@ -66,7 +66,7 @@
 }
 
 // failuresAt returns the number of failed attempts that count as in flight at a time.
-func (w *worker) failuresAt(now int64) (count int) {
+func (w *workerState) failuresAt(now int64) (count int) {
 	for _, failure := range w.recentFailures {
 		if failure.until > now {
 			count++
@@ -76,7 +76,7 @@
 }
 
 // dropOldFailures forgets the failed attempts that no longer count.
-func (w *worker) dropOldFailures(now int64) {
+func (w *workerState) dropOldFailures(now int64) {
 	recent := w.recentFailures[:0]
 	for _, failure := range w.recentFailures {
 		if failure.until > now {
@@ -88,7 +88,7 @@
 
 // forgetCopies ends the belief that a worker holds any copies, after it restarted, left the list or
 // could not be reached.
-func (w *worker) forgetCopies() {
+func (w *workerState) forgetCopies() {
 	for _, h := range w.holders {
 		h.validUntil, h.copies, h.confirmed = 0, 1, false
 	}
