--- a/balancer/scale_test.go
+++ b/balancer/scale_test.go
@@ -11,7 +11,8 @@
 	"oakthread/aggregate"
 )
 
-// This file owns what a choice costs at the size planned. It must never test a behaviour, nor read a clock of its own.
+// This file owns what a choice costs at the size planned. It must never test a behaviour, nor read
+// a clock of its own.
 
 const (
 	scaleFuncs    = 48_000
@@ -22,8 +23,9 @@
 	scaleWarm     = 2000     // calls before those that count: more than the keep-alive
 )
 
-// BenchmarkChoice is one call with the answer and the timers that are due meanwhile: a step of 5 ms of the clock, over the
-// executors in the list, with functions drawn evenly and by a Zipf law. Siblings are silent: words read are not part of it.
+// BenchmarkChoice is one call with the answer and the timers that are due meanwhile: a step of 5 ms
+// of the clock, over the executors in the list, with functions drawn evenly and by a Zipf law.
+// Siblings are silent: words read are not part of it.
 func BenchmarkChoice(b *testing.B) {
 	for _, workers := range []int{120, 600, 2_400, 9_600} {
 		for _, law := range []struct {
@@ -31,7 +33,7 @@
 			s    float64
 		}{{"even", 0}, {"zipf", 1.1}} {
 			b.Run(fmt.Sprintf("%d_workers_%s", workers, law.name), func(b *testing.B) {
-				s := settings(Idempotent, ScopeAll)
+				s := testSettings(Idempotent, ScopeAll)
 				s.Dispatchers, s.Gossip, s.PeerPrice = scaleSiblings, true, 0.01
 				x := newScaleHost(b, s, workers, law.s)
 				for range scaleWarm {
@@ -53,8 +55,9 @@
 	}
 }
 
-// scaleHost answers what one dispatcher sends, at its own pace: executors have room for every copy and call. Its own part of
-// the cost is a ring of slots of the clock, and a short list of copies for each function.
+// scaleHost answers what one dispatcher sends, at its own pace: executors have room for every copy
+// and call. Its own part of the cost is a ring of slots of the clock, and a short list of copies
+// for each function.
 type scaleHost struct {
 	d                    *Balancer
 	rng                  *rand.Rand
@@ -88,7 +91,7 @@
 }
 
 func newScaleHost(b *testing.B, s Settings, workers int, law float64) *scaleHost {
-	x := &scaleHost{rng: rand.New(rand.NewPCG(1, uint64(workers))), copies: make([][]scaleCopy, scaleFuncs), inHand: map[string]scaleCall{}, due: forever}
+	x := &scaleHost{rng: rand.New(rand.NewPCG(1, uint64(workers))), copies: make([][]scaleCopy, scaleFuncs), inHand: map[string]scaleCall{}, due: noDeadline}
 	sum := 0.0
 	for i := range scaleFuncs {
 		sum += math.Pow(float64(i+1), -law)
@@ -102,7 +105,7 @@
 		b.Fatal(err)
 	}
 	x.d = d
-	d.UpdateEndpoints(0, EndpointsSnapshot, roster(workers))
+	d.UpdateEndpoints(0, EndpointsSnapshot, activeEndpoints(workers))
 	return x
 }
 
@@ -110,7 +113,7 @@
 func (x *scaleHost) step() {
 	x.now += scaleStep
 	for x.due <= x.now {
-		x.due = forever
+		x.due = noDeadline
 		x.d.HandleTimer(x.now, x.ref)
 	}
 	slot := &x.ring[x.now/scaleStep%int64(len(x.ring))]
@@ -126,10 +129,11 @@
 	f := sort.SearchFloat64s(x.sums, x.rng.Float64()*x.sums[len(x.sums)-1])
 	x.inHand[id] = scaleCall{fn: f}
 	x.calls++
-	x.d.HandleRequest(x.now, call(id, x.now, FuncID(f+1)))
+	x.d.HandleRequest(x.now, testRequest(id, x.now, FuncID(f+1)))
 }
 
-// copy is the copy of a function at a worker, begun if there is none; it stands from now on for the keep-alive.
+// copy is the copy of a function at a worker, begun if there is none; it stands from now on for the
+// keep-alive.
 func (x *scaleHost) copy(f int, w WorkerID) (c *scaleCopy, warmth Warmth) {
 	x.copies[f] = slices.DeleteFunc(x.copies[f], func(c scaleCopy) bool { return c.until <= x.now })
 	i := slices.IndexFunc(x.copies[f], func(c scaleCopy) bool { return c.worker == w })
@@ -142,7 +146,7 @@
 		warmth = AwaitedLoad
 	}
 	c = &x.copies[f][i]
-	c.until = max(x.now, c.from) + x.d.set.KeepAlive
+	c.until = max(x.now, c.from) + x.d.settings.KeepAlive
 	return c, warmth
 }
 
@@ -178,8 +182,9 @@
 func (x *scaleHost) SubscribeEndpoints()         {}
 func (x *scaleHost) Log(string)                  {}
 
-// BenchmarkReport is a report read by a collector that holds reports of all its siblings, each of which tells of up to 30 executors;
-// what a digest costs to gather then, and to tell or find too dear late in a term; and a term: all reports read, and ten digests gathered meanwhile.
+// BenchmarkReport is a report read by a collector that holds reports of all its siblings, each of
+// which tells of up to 30 executors; what a digest costs to gather then, and to tell or find too
+// dear late in a term; and a term: all reports read, and ten digests gathered meanwhile.
 func BenchmarkReport(b *testing.B) {
 	for _, siblings := range []int{60, 300, 1_000, 1_900} {
 		for _, workers := range []int{120, 960, 9_600} {
@@ -202,7 +207,7 @@
 			b.Run(fmt.Sprintf("told/%d_siblings_%d_workers", siblings, workers), func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
-					x.d.pool.tokens = 10
+					x.d.gossip.digestBudget.tokens = 10
 					x.d.sendGossip(x.now)
 				}
 			})
@@ -229,7 +234,7 @@
 }
 
 func newSenders(b *testing.B, siblings, workers int) *senders {
-	s := settings(Idempotent, ScopeAll)
+	s := testSettings(Idempotent, ScopeAll)
 	s.Dispatchers, s.Gossip, s.PeerPrice = siblings, true, 0.01
 	host := newScaleHost(b, s, workers, 0)
 	x := &senders{d: host.d, now: 1000 * leaderTermObjectives * s.Classes[0].LatencyObjective}
@@ -252,10 +257,11 @@
 	return x
 }
 
-// collect has all reports read in a term in which dispatcher 0 collects, and the clock stand in its last eighth.
+// collect has all reports read in a term in which dispatcher 0 collects, and the clock stand in its
+// last eighth.
 func (x *senders) collect(b *testing.B) {
-	term := leaderTermObjectives * x.d.minAim
-	for x.now = (x.now/term + 1) * term; x.d.roll.Leader(x.now) != 0; {
+	term := leaderTermObjectives * x.d.shortestObjective
+	for x.now = (x.now/term + 1) * term; x.d.gossip.elector.Leader(x.now) != 0; {
 		x.now += term
 	}
 	at := x.now
@@ -269,7 +275,7 @@
 func (x *senders) read(b *testing.B) {
 	siblings := len(x.texts[0])
 	from := 1 + x.n%(siblings-1)
-	x.now += leaderTermObjectives * x.d.minAim / int64(siblings-1)
+	x.now += leaderTermObjectives * x.d.shortestObjective / int64(siblings-1)
 	for _, text := range x.texts[x.n/(siblings-1)%len(x.texts)][from] {
 		if !x.d.HandlePeerMessage(x.now, from, text) {
 			b.Fatal("a report is not read")
