--- a/internal/platform/accept_test.go
+++ b/internal/platform/accept_test.go
@@ -36,7 +36,8 @@
 var transientAcceptErrors = []syscall.Errno{
 	syscall.EINTR, syscall.EAGAIN, syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE,
 	syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN, syscall.ENETUNREACH,
-	syscall.EHOSTDOWN, syscall.EHOSTUNREACH, syscall.ENOPROTOOPT, syscall.EOPNOTSUPP, syscall.ENONET, syscall.ETIMEDOUT, syscall.ECONNRESET,
+	syscall.EHOSTDOWN, syscall.EHOSTUNREACH, syscall.ENOPROTOOPT, syscall.EOPNOTSUPP, syscall.ENONET,
+	syscall.ETIMEDOUT, syscall.ECONNRESET,
 }
 
 // After a transient error of an accept the server accepts the next connection.
--- a/internal/platform/connlimiter_test.go
+++ b/internal/platform/connlimiter_test.go
@@ -14,41 +14,45 @@
 	"oakthread/rules"
 )
 
-// acceptPair is a connection as a limiter holds it, and its client's end.
-func acceptPair(t *testing.T, l *connLimiter) (*clientConn, *net.TCPConn) {
-	out, err := net.Dial("tcp", l.Addr().String())
+// acceptPair returns a connection as a limiter holds it, and its client's end.
+func acceptPair(t *testing.T, limiter *connLimiter) (accepted *clientConn, client *net.TCPConn) {
+	t.Helper()
+	dialed, err := net.Dial("tcp", limiter.Addr().String())
 	require.NoError(t, err)
-	t.Cleanup(func() { out.Close() })
-	in, err := l.Accept()
+	t.Cleanup(func() { dialed.Close() })
+	conn, err := limiter.Accept()
 	require.NoError(t, err)
-	return in.(*clientConn), out.(*net.TCPConn)
+	return conn.(*clientConn), dialed.(*net.TCPConn)
 }
 
+// newTestLimiter returns a limiter that holds at most places connections.
 func newTestLimiter(t *testing.T, places int) *connLimiter {
-	in, err := net.Listen("tcp", "127.0.0.1:0")
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	t.Cleanup(func() { in.Close() })
-	return newConnLimiter(in, places, discardLog)
+	t.Cleanup(func() { ln.Close() })
+	return newConnLimiter(ln, places, discardLog)
 }
 
-// backdateActivity has a connection count as silent for an hour.
-func backdateActivity(c *clientConn) {
-	c.limiter.mu.Lock()
-	c.lastActivity = c.lastActivity.Add(-time.Hour)
-	c.limiter.mu.Unlock()
+// backdateActivity makes a connection an hour more idle.
+func backdateActivity(conn *clientConn) {
+	conn.limiter.mu.Lock()
+	defer conn.limiter.mu.Unlock()
+	conn.lastActivity = conn.lastActivity.Add(-time.Hour)
 }
 
-// awaitUnread waits until bytes lie with the kernel.
-func awaitUnread(c *clientConn) {
-	for !hasUnread(c.Conn) {
+// awaitUnread waits until the kernel holds unread bytes of a connection.
+func awaitUnread(conn net.Conn) {
+	for !hasUnread(conn) {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// minUnusedIdleTime is the longest time that a connection must have been quiet before it is closed for another.
+// minUnusedIdleTime is the longest time for which a connection must be idle before it is closed for another.
 var minUnusedIdleTime = rules.MinIdleTime(false)
 
-// pausedReadConn holds the end of a read back: its bytes have left the kernel, and nobody has counted them.
+// pausedReadConn is a connection whose reads wait for resume once their bytes have left the kernel and have not been
+// counted.
 type pausedReadConn struct {
 	*net.TCPConn
 	bytesRead, resume chan struct{}
@@ -63,86 +67,85 @@
 	return n, err
 }
 
-// Guards usual clients against those that open connections and say nothing: these give way, one with a call in hand
-// never does.
+// Clients that open connections and send nothing do not keep others out: their connections are closed, and one with
+// a request in flight is not.
 func TestIdleConnectionsAreClosedForNewOnes(t *testing.T) {
-	came, goOn := make(chan bool), make(chan bool)
-	url, end, done, _ := serve(t, time.Millisecond, make(notify, 8), func(w http.ResponseWriter, r *http.Request) {
-		came <- true
-		<-goOn
+	arrived, release := make(chan bool), make(chan bool)
+	s := startServer(t, time.Millisecond, make(notify, 8), func(http.ResponseWriter, *http.Request) {
+		arrived <- true
+		<-release
 	})
-	got := make(chan int, 1)
+	status := make(chan int, 1)
 	go func() {
-		if resp, _, err := post(t, t.Context(), url, "0000000000000001", "x"); assert.NoError(t, err) {
-			got <- resp.StatusCode
+		if resp, _, err := post(t.Context(), t, s.url, "0000000000000001", "x"); assert.NoError(t, err) {
+			status <- resp.StatusCode
 		}
 	}()
-	<-came
-	for range 60 { // the front holds 50
-		c, err := net.Dial("tcp", strings.TrimPrefix(url, "http://"))
+	<-arrived
+	for range 60 { // the server holds 50
+		conn, err := net.Dial("tcp", strings.TrimPrefix(s.url, "http://"))
 		require.NoError(t, err)
-		defer c.Close()
+		defer conn.Close()
 	}
-	alone := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	resp, err := alone.Get(url + "/ping")
+	newConn := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+	resp, err := newConn.Get(s.url + "/ping")
 	require.NoError(t, err)
+	defer resp.Body.Close()
 	assert.Equal(t, 200, resp.StatusCode)
-	goOn <- true
-	assert.Equal(t, 200, <-got)
-	end()
-	require.NoError(t, <-done)
+	release <- true
+	assert.Equal(t, 200, <-status)
+	s.shutdown()
+	require.NoError(t, <-s.done)
+	assert.Zero(t, s.server.Pending())
 }
 
-// Guards the choice of who gives way, without a server's time limits: a full house lets a new connection in at once, and
-// the one closed is the longest quiet of those without a call in hand.
+// A full limiter accepts a new connection at once, and closes the one that has been idle for longest of those
+// without a request in flight.
 func TestLongestIdleConnectionIsClosed(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	defer ln.Close()
-	g := newConnLimiter(ln, 2, discardLog)
+	limiter := newTestLimiter(t, 2)
 	accept := func() *clientConn {
-		c, err := net.Dial("tcp", ln.Addr().String())
+		conn, err := net.Dial("tcp", limiter.Addr().String())
 		require.NoError(t, err)
-		t.Cleanup(func() { c.Close() })
-		in, err := g.Accept()
+		t.Cleanup(func() { conn.Close() })
+		accepted, err := limiter.Accept()
 		require.NoError(t, err)
-		return in.(*clientConn)
+		return accepted.(*clientConn)
 	}
 	first, second := accept(), accept()
-	require.True(t, g.beginRequest(first))
+	require.True(t, limiter.beginRequest(first))
 	third := accept()
-	assert.False(t, first.closed, "one with a call in hand gave way")
+	assert.False(t, first.closed, "one with a request in flight was closed")
 	assert.True(t, second.closed)
-	assert.False(t, g.beginRequest(second), "a call was taken on a connection that had given way")
-	g.handleConnState(first, http.StateIdle)
-	first.lastActivity = first.lastActivity.Add(-time.Hour)
+	assert.False(t, limiter.beginRequest(second), "a request began on a closed connection")
+	limiter.handleConnState(first, http.StateIdle)
+	backdateActivity(first)
 	accept()
 	assert.True(t, first.closed)
 	assert.False(t, third.closed)
-	assert.Len(t, g.conns, 2)
+	assert.Len(t, limiter.conns, 2)
 }
 
-// No connection is closed for another on which a byte of a request has come, whether it was read or not: the other waits
-// until one has its answer.
+// A connection on which a byte of a request has arrived, whether read or not, is not closed for another: that one
+// waits.
 func TestConnectionWithARequestIsNotClosed(t *testing.T) {
 	const part = "POST /call"
-	for name, read := range map[string]bool{"unread": false, "read, not taken": true} {
+	for name, read := range map[string]bool{"unread": false, "read, incomplete": true} {
 		t.Run(name, func(t *testing.T) {
-			l := newTestLimiter(t, 1)
-			held, client := acceptPair(t, l)
+			limiter := newTestLimiter(t, 1)
+			held, client := acceptPair(t, limiter)
 			_, err := io.WriteString(client, part)
 			require.NoError(t, err)
-			awaitUnread(held)
+			awaitUnread(held.Conn)
 			if read {
 				_, err := io.ReadFull(held, make([]byte, len(part)))
 				require.NoError(t, err)
 			}
 			backdateActivity(held)
-			next, err := net.Dial("tcp", l.Addr().String())
+			next, err := net.Dial("tcp", limiter.Addr().String())
 			require.NoError(t, err)
 			defer next.Close()
 			accepted := make(chan error, 1)
-			go func() { _, err := l.Accept(); accepted <- err }()
+			go func() { _, err := limiter.Accept(); accepted <- err }()
 			select {
 			case <-accepted:
 				t.Fatal("a connection with a request on it was closed for another")
@@ -155,41 +158,43 @@
 	}
 }
 
-// A request whose bytes have just left the kernel, and which nobody has counted yet, keeps its connection.
+// A connection is not closed while bytes of a request have left the kernel and have not been counted.
 func TestConnectionBeingReadIsNotClosed(t *testing.T) {
-	l := newTestLimiter(t, 1)
-	held, client := acceptPair(t, l)
-	stand := &pausedReadConn{TCPConn: held.Conn.(*net.TCPConn), bytesRead: make(chan struct{}), resume: make(chan struct{})}
-	held.Conn = stand
+	limiter := newTestLimiter(t, 1)
+	held, client := acceptPair(t, limiter)
+	paused := &pausedReadConn{
+		TCPConn: held.Conn.(*net.TCPConn), bytesRead: make(chan struct{}), resume: make(chan struct{}),
+	}
+	held.Conn = paused
 	got := make(chan error, 1)
 	go func() { _, err := held.Read(make([]byte, 64)); got <- err }()
 	_, err := io.WriteString(client, "POST /call")
 	require.NoError(t, err)
-	<-stand.bytesRead
+	<-paused.bytesRead
 	backdateActivity(held)
-	l.mu.Lock()
-	made, _ := l.makeRoom(time.Now())
-	l.mu.Unlock()
+	limiter.mu.Lock()
+	made, _ := limiter.makeRoom(time.Now())
+	limiter.mu.Unlock()
 	assert.False(t, made)
-	close(stand.resume)
+	close(paused.resume)
 	require.NoError(t, <-got, "the read that had bytes")
 	assert.False(t, held.closed)
 	assert.False(t, held.isCloseRequested())
 }
 
-// A connection that waits in a read with nothing on it is closed by its reader.
+// A connection that waits in a read for a first byte is closed by its reader.
 func TestSilentConnectionIsClosedByItsReader(t *testing.T) {
-	l := newTestLimiter(t, 1)
-	held, client := acceptPair(t, l)
+	limiter := newTestLimiter(t, 1)
+	held, client := acceptPair(t, limiter)
 	got := make(chan error, 1)
 	go func() { _, err := held.Read(make([]byte, 64)); got <- err }()
 	for reading := false; !reading; {
-		l.mu.Lock()
+		limiter.mu.Lock()
 		reading = held.reading
-		l.mu.Unlock()
+		limiter.mu.Unlock()
 	}
 	backdateActivity(held)
-	next, _ := acceptPair(t, l)
+	next, _ := acceptPair(t, limiter)
 	require.ErrorIs(t, <-got, io.EOF)
 	assert.False(t, next.closed)
 	_, err := client.Read(make([]byte, 1))
--- a/internal/platform/fakediscovery_test.go
+++ b/internal/platform/fakediscovery_test.go
@@ -15,32 +15,35 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fakeDiscovery is a stand-in whose every connection is the test's to speak on.
+// fakeDiscovery is a discovery service on whose connections the test writes.
 type fakeDiscovery struct {
 	t     *testing.T
 	ln    net.Listener
 	conns chan fakeWatch
 }
 
+// fakeWatch is one connection of a watcher, and the line that it sent.
 type fakeWatch struct {
 	net.Conn
 	request string
 }
 
+// newDiscovery starts a discovery service.
 func newDiscovery(t *testing.T) *fakeDiscovery {
+	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	d := &fakeDiscovery{t, ln, make(chan fakeWatch, 64)}
 	t.Cleanup(func() { ln.Close() })
 	go func() {
 		for {
-			c, err := ln.Accept()
+			conn, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			t.Cleanup(func() { c.Close() })
-			line, _ := bufio.NewReader(c).ReadString('\n')
-			d.conns <- fakeWatch{c, strings.TrimSpace(line)}
+			t.Cleanup(func() { conn.Close() })
+			line, _ := bufio.NewReader(conn).ReadString('\n')
+			d.conns <- fakeWatch{conn, strings.TrimSpace(line)}
 		}
 	}()
 	return d
@@ -48,38 +51,45 @@
 
 func (d *fakeDiscovery) addr() string { return d.ln.Addr().String() }
 
-// nextWatch is the next connection; it must ask for what comes after number n.
-func (d *fakeDiscovery) nextWatch(n int) fakeWatch {
+// nextWatch returns the next connection, which must resume after the event of a number.
+func (d *fakeDiscovery) nextWatch(cursor int) fakeWatch {
 	d.t.Helper()
-	w := <-d.conns
-	require.Equal(d.t, fmt.Sprintf("resume %d", n), w.request)
-	return w
+	watch := <-d.conns
+	require.Equal(d.t, fmt.Sprintf("resume %d", cursor), watch.request)
+	return watch
 }
 
+// send writes lines to the watcher.
 func (w fakeWatch) send(t *testing.T, text string) {
+	t.Helper()
 	_, err := io.WriteString(w, text)
 	require.NoError(t, err)
 }
 
-func eventLineText(n int, members string) string {
-	return fmt.Sprintf(`{"cursor":%d,"nodes":{"complete":%v,"members":[%s]}}`+"\n", n, n == 1, members)
+// eventLineText returns the line of an event; the first one holds the complete list.
+func eventLineText(cursor int, members string) string {
+	return fmt.Sprintf(`{"cursor":%d,"nodes":{"complete":%v,"members":[%s]}}`+"\n", cursor, cursor == 1, members)
 }
 
+// memberText returns a member of an event.
 func memberText(id int, phase string) string {
 	return fmt.Sprintf(`{"id":"s-%08x","host_port":"127.0.0.1:4","phase":%q,"size":1}`, id, phase)
 }
 
-// startWatch has a channel follow d from number 0.
-func startWatch(t *testing.T, d *fakeDiscovery, log io.Writer) (*EndpointWatcher, eventRecorder) {
-	c := NewChannel(&Config{Channel: d.addr(), Setup: testSettings(t)}, slog.New(slog.NewTextHandler(log, nil)))
-	f := make(eventRecorder, 64)
+// startWatch follows a discovery service from its first event on.
+func startWatch(t *testing.T, discovery *fakeDiscovery, log io.Writer) (*EndpointWatcher, eventRecorder) {
+	t.Helper()
+	watcher := NewChannel(&Config{Channel: discovery.addr(), Setup: testSettings(t)},
+		slog.New(slog.NewTextHandler(log, nil)))
+	events := make(eventRecorder, 64)
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan error, 1)
-	go func() { done <- c.Follow(ctx, f) }()
+	go func() { done <- watcher.Follow(ctx, events) }()
 	t.Cleanup(func() { stop(); <-done })
-	return c, f
+	return watcher, events
 }
 
+// safeBuffer is a buffer for logs that are written by another goroutine.
 type safeBuffer struct {
 	mu sync.Mutex
 	bytes.Buffer
@@ -91,4 +101,8 @@
 	return b.Buffer.Write(p)
 }
 
-func (b *safeBuffer) String() string { b.mu.Lock(); defer b.mu.Unlock(); return b.Buffer.String() }
+func (b *safeBuffer) String() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.Buffer.String()
+}
--- a/internal/platform/framing_test.go
+++ b/internal/platform/framing_test.go
@@ -13,13 +13,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards the one reading of a message's bounds, however the bytes are cut.
+// The bounds of a message are found however its bytes are split.
 func TestFramerFindsMessageBounds(t *testing.T) {
 	for _, c := range []struct {
-		text    string
-		answers bool
-		at      int // bytes up to the end of the first message; 0: no end is seen
-		odd     bool
+		text      string
+		responses bool
+		at        int // bytes up to the end of the first message; 0: no end is seen
+		ambiguous bool
 	}{
 		{"POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nabcGET", false, 41, false},
 		{"GET / HTTP/1.1\r\nHost: x\r\n\r\nGET", false, 27, false},
@@ -34,14 +34,13 @@
 		{"HTTP/1.1 200 OK\r\n\r\nabc", true, 0, false},
 	} {
 		for _, cut := range []int{1, 7, len(c.text)} {
-			f, at := framer{responses: c.answers}, 0
-			odd := false
+			f, at, ambiguous := framer{responses: c.responses}, 0, false
 			for from := 0; from < len(c.text) && !f.ended; from += cut {
 				part := c.text[from:min(from+cut, len(c.text))]
 				at = from + f.consume([]byte(part))
-				odd = odd || f.ambiguous
+				ambiguous = ambiguous || f.ambiguous
 			}
-			assert.Equal(t, c.odd, odd, c.text)
+			assert.Equal(t, c.ambiguous, ambiguous, c.text)
 			assert.Equal(t, c.at > 0, f.ended, c.text)
 			if f.ended {
 				assert.Equal(t, c.at, at, "cut %d: %q", cut, c.text)
@@ -50,40 +49,45 @@
 	}
 }
 
-// exchangeRaw writes raw bytes to the front on a connection of its own and returns all that comes back until it is closed.
+// exchangeRaw writes text to a server on a connection of its own and returns what arrives until it is closed.
 func exchangeRaw(t *testing.T, url, text string) string {
-	c, err := net.Dial("tcp", strings.TrimPrefix(url, "http://"))
+	t.Helper()
+	conn, err := net.Dial("tcp", strings.TrimPrefix(url, "http://"))
 	require.NoError(t, err)
-	defer c.Close()
-	_, err = io.WriteString(c, text)
+	defer conn.Close()
+	_, err = io.WriteString(conn, text)
 	require.NoError(t, err)
-	got, _ := io.ReadAll(c)
+	got, _ := io.ReadAll(conn)
 	return string(got)
 }
 
-// Guards against a request hidden in the body of another: neither goes on, and the connection ends. Chunks alone are a
-// body like any other, but nothing behind them is read.
+// A request hidden in the body of another by ambiguous lengths is rejected with it, and the connection ends. Chunks
+// alone are a body like any other, but nothing behind them is read.
 func TestSmuggledRequestsAreRejected(t *testing.T) {
 	ran := make(chan string, 8)
-	url, end, done, _ := serve(t, time.Millisecond, make(notify, 8), func(w http.ResponseWriter, r *http.Request) {
-		b, _ := io.ReadAll(r.Body)
-		ran <- r.Header.Get("X-Hop-Id") + " " + string(b)
+	s := startServer(t, time.Millisecond, make(notify, 8), func(_ http.ResponseWriter, r *http.Request) {
+		body, _ := io.ReadAll(r.Body)
+		ran <- r.Header.Get("X-Hop-Id") + " " + string(body)
 	})
 	head := func(id int, lengths string) string {
-		return fmt.Sprintf("POST /call/7f3a9c21e0b4d655/trigger HTTP/1.1\r\nHost: x\r\nX-Class: path-check\r\nX-Customer: ironbridge-haul\r\nX-Call-Id: %016x\r\n"+
+		return fmt.Sprintf("POST /call/7f3a9c21e0b4d655/trigger HTTP/1.1\r\nHost: x\r\nX-Class: path-check\r\n"+
+			"X-Customer: ironbridge-haul\r\nX-Call-Id: %016x\r\n"+
 			"X-Patience-Ms: 3000\r\n%s\r\n", id, lengths)
 	}
 	hidden := "0\r\n\r\n" + head(2, "Content-Length: 0\r\n")
-	for _, lengths := range []string{"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n", "Transfer-Encoding: chunked\r\nContent-Length: 9999\r\n"} {
-		got := exchangeRaw(t, url, head(1, lengths)+hidden)
+	for _, lengths := range []string{
+		"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n",
+		"Transfer-Encoding: chunked\r\nContent-Length: 9999\r\n",
+	} {
+		got := exchangeRaw(t, s.url, head(1, lengths)+hidden)
 		assert.True(t, strings.HasPrefix(got, "HTTP/1.1 400"), got)
 		assert.Equal(t, 1, strings.Count(got, "HTTP/1.1 "), got)
 	}
-	assert.Empty(t, ran, "one of them went on")
-	got := exchangeRaw(t, url, head(3, "Transfer-Encoding: chunked\r\n")+"2\r\nhi\r\n"+hidden)
+	assert.Empty(t, ran, "one of them was forwarded")
+	got := exchangeRaw(t, s.url, head(3, "Transfer-Encoding: chunked\r\n")+"2\r\nhi\r\n"+hidden)
 	assert.True(t, strings.HasPrefix(got, "HTTP/1.1 200"), got)
 	assert.Equal(t, "0000000000000003 hi", <-ran)
-	assert.Empty(t, ran, "what came behind chunks went on")
-	end()
-	require.NoError(t, <-done)
+	assert.Empty(t, ran, "what followed the chunks was forwarded")
+	s.shutdown()
+	require.NoError(t, <-s.done)
 }
--- a/internal/platform/watchstream_test.go
+++ b/internal/platform/watchstream_test.go
@@ -14,115 +14,122 @@
 	"oakthread/balancer"
 )
 
-// Guards against a watch that falls silent, open and without a word: it is given up within channelQuiet, and what came
-// meanwhile is told once. One that only beats, with nothing new, is kept.
+// A watch that falls silent is given up within watchReadTimeout, and what has happened meanwhile is handled once. One
+// on which only heartbeats arrive is kept.
 func TestSilentWatchReconnectsAndAnIdleOneStays(t *testing.T) {
-	d := newDiscovery(t)
-	_, f := startWatch(t, d, io.Discard)
-	w := d.nextWatch(0)
-	w.send(t, eventLineText(1, memberText(1, "Ready")))
-	assert.Equal(t, "told 1 of , 1 boxes, whole true", <-f)
-	for range 5 { // longer than channelQuiet
+	discovery := newDiscovery(t)
+	_, events := startWatch(t, discovery, io.Discard)
+	watch := discovery.nextWatch(0)
+	watch.send(t, eventLineText(1, memberText(1, "Ready")))
+	assert.Equal(t, "update 1 of , 1 endpoints, complete true", <-events)
+	for range 5 { // longer than watchReadTimeout
 		time.Sleep(watchReadTimeout / 4)
-		w.send(t, "1\n")
-		assert.Equal(t, "current", <-f)
+		watch.send(t, "1\n")
+		assert.Equal(t, "current", <-events)
 	}
 	select {
-	case x := <-d.conns:
-		t.Fatal("a healthy quiet watch was torn down, then", x.request)
+	case watch := <-discovery.conns:
+		t.Fatal("a healthy idle watch was given up, then", watch.request)
 	default:
 	}
 	began := time.Now() // silent from here on
-	w = d.nextWatch(1)
+	watch = discovery.nextWatch(1)
 	assert.GreaterOrEqual(t, time.Since(began), watchReadTimeout/2, "given up too soon")
-	assert.Equal(t, "lost", <-f)
-	w.send(t, eventLineText(2, memberText(2, "Ready"))+"2\n")
-	assert.Equal(t, "told 2 of , 1 boxes, whole false", <-f)
-	assert.Equal(t, "current", <-f)
+	assert.Equal(t, "lost", <-events)
+	watch.send(t, eventLineText(2, memberText(2, "Ready"))+"2\n")
+	assert.Equal(t, "update 2 of , 1 endpoints, complete false", <-events)
+	assert.Equal(t, "current", <-events)
 }
 
-// Guards events that come in parts, twice or with a gap, and a watch that ends within one.
+// Events that arrive in parts, twice or with a gap, or are cut off, are each handled once and in order.
 func TestPartialRepeatedAndMissingEvents(t *testing.T) {
-	d := newDiscovery(t)
-	_, f := startWatch(t, d, io.Discard)
-	w, one, two := d.nextWatch(0), eventLineText(1, memberText(1, "Ready")), eventLineText(2, memberText(2, "Ready"))
-	w.send(t, one[:25])
-	time.Sleep(10 * time.Millisecond) // two reads, as a rule; in one the test still holds
-	w.send(t, one[25:]+one+two[:30])
-	assert.Equal(t, "told 1 of , 1 boxes, whole true", <-f)
-	w.Close() // within an event
-	assert.Equal(t, "lost", <-f)
-	w = d.nextWatch(1)
-	w.send(t, one+two+eventLineText(4, ""))
-	assert.Equal(t, "told 2 of , 1 boxes, whole false", <-f)
-	assert.Equal(t, "lost", <-f, "number 3 is missing")
-	w = d.nextWatch(2)
-	w.send(t, eventLineText(3, "")+eventLineText(4, "")+"4\n")
-	for _, want := range []string{"told 3 of , 0 boxes, whole false", "told 4 of , 0 boxes, whole false", "current"} {
-		assert.Equal(t, want, <-f)
+	discovery := newDiscovery(t)
+	_, events := startWatch(t, discovery, io.Discard)
+	one, two := eventLineText(1, memberText(1, "Ready")), eventLineText(2, memberText(2, "Ready"))
+	watch := discovery.nextWatch(0)
+	watch.send(t, one[:25])
+	time.Sleep(10 * time.Millisecond) // two reads as a rule; the test holds in one as well
+	watch.send(t, one[25:]+one+two[:30])
+	assert.Equal(t, "update 1 of , 1 endpoints, complete true", <-events)
+	watch.Close() // within an event
+	assert.Equal(t, "lost", <-events)
+	watch = discovery.nextWatch(1)
+	watch.send(t, one+two+eventLineText(4, ""))
+	assert.Equal(t, "update 2 of , 1 endpoints, complete false", <-events)
+	assert.Equal(t, "lost", <-events, "number 3 is missing")
+	watch = discovery.nextWatch(2)
+	watch.send(t, eventLineText(3, "")+eventLineText(4, "")+"4\n")
+	for _, want := range []string{
+		"update 3 of , 0 endpoints, complete false", "update 4 of , 0 endpoints, complete false", "current",
+	} {
+		assert.Equal(t, want, <-events)
 	}
 }
 
-// Guards a move of discovery, as SIGHUP brings it, while an event is being read, while connecting again, and back again:
-// nothing is lost or told twice.
+// A move of the watch, as by SIGHUP, loses and repeats no event: within an event, while reconnecting, and back
+// again.
 func TestMoveLosesAndRepeatsNoEvent(t *testing.T) {
-	a, b := newDiscovery(t), newDiscovery(t)
-	c, f := startWatch(t, a, io.Discard)
-	w, one, two := a.nextWatch(0), eventLineText(1, memberText(1, "Ready")), eventLineText(2, memberText(2, "Ready"))
-	w.send(t, one+two[:30])
-	assert.Equal(t, "told 1 of , 1 boxes, whole true", <-f)
-	c.Move(b.addr())
-	w = b.nextWatch(1)
-	w.send(t, two)
-	assert.Equal(t, "told 2 of , 1 boxes, whole false", <-f)
-	w.Close()
-	assert.Equal(t, "lost", <-f)
-	c.Move(a.addr()) // it waits or connects to b
-	w = a.nextWatch(2)
-	w.send(t, "2\n")
-	for x := <-f; x != "current"; x = <-f {
-		assert.Equal(t, "lost", x)
+	first, second := newDiscovery(t), newDiscovery(t)
+	watcher, events := startWatch(t, first, io.Discard)
+	one, two := eventLineText(1, memberText(1, "Ready")), eventLineText(2, memberText(2, "Ready"))
+	watch := first.nextWatch(0)
+	watch.send(t, one+two[:30])
+	assert.Equal(t, "update 1 of , 1 endpoints, complete true", <-events)
+	watcher.Move(second.addr())
+	watch = second.nextWatch(1)
+	watch.send(t, two)
+	assert.Equal(t, "update 2 of , 1 endpoints, complete false", <-events)
+	watch.Close()
+	assert.Equal(t, "lost", <-events)
+	watcher.Move(first.addr()) // while it waits or connects to the second
+	watch = first.nextWatch(2)
+	watch.send(t, "2\n")
+	for event := <-events; event != "current"; event = <-events {
+		assert.Equal(t, "lost", event)
 	}
-	c.Move(b.addr())
-	c.Move(a.addr()) // back before anybody looked: the later one counts
+	watcher.Move(second.addr())
+	watcher.Move(first.addr()) // at once: the later one counts
 	for {
 		select {
-		case w = <-a.conns:
-		case w = <-b.conns:
+		case watch = <-first.conns:
+		case watch = <-second.conns:
 			continue
 		}
 		break
 	}
-	assert.Equal(t, "resume 2", w.request)
-	w.send(t, eventLineText(3, ""))
-	for x := <-f; x != "told 3 of , 0 boxes, whole false"; x = <-f {
-		assert.Contains(t, []string{"lost", "current"}, x)
+	assert.Equal(t, "resume 2", watch.request)
+	watch.send(t, eventLineText(3, ""))
+	for event := <-events; event != "update 3 of , 0 endpoints, complete false"; event = <-events {
+		assert.Contains(t, []string{"lost", "current"}, event)
 	}
 }
 
-// Guards against one bad event that ends all news: an executor that cannot be used is left out or counts as draining, a
-// line that cannot be read is asked for once more and then passed over, each with one clear line.
+// Invalid events do not end the watch: an executor that cannot be used is left out or counts as draining, and a line
+// that cannot be read is requested once more and then skipped. Each is logged once.
 func TestInvalidEventsDoNotEndTheWatch(t *testing.T) {
-	d, log := newDiscovery(t), &safeBuffer{}
-	c := NewChannel(&Config{Channel: d.addr(), Setup: testSettings(t)}, slog.New(slog.NewTextHandler(log, nil)))
-	ev, err := parseEvent([]byte(eventLineText(1, memberText(1, "Ready")+","+memberText(2, "Cordoned")+`,{"id":"s-3","phase":"Ready"},{"phase":"Ready"}`)), testSettings(t))
+	discovery, log := newDiscovery(t), &safeBuffer{}
+	watcher := NewChannel(&Config{Channel: discovery.addr(), Setup: testSettings(t)},
+		slog.New(slog.NewTextHandler(log, nil)))
+	members := memberText(1, "Ready") + "," + memberText(2, "Cordoned") +
+		`,{"id":"s-3","phase":"Ready"},{"phase":"Ready"}`
+	event, err := parseEvent([]byte(eventLineText(1, members)), testSettings(t))
 	require.NoError(t, err)
-	require.Len(t, ev.Roster.Endpoints, 2)
-	assert.Equal(t, balancer.Draining, ev.Roster.Endpoints[1].State)
-	assert.Len(t, ev.Invalid, 3)
-	f := make(eventRecorder, 64)
+	require.Len(t, event.Roster.Endpoints, 2)
+	assert.Equal(t, balancer.Draining, event.Roster.Endpoints[1].State)
+	assert.Len(t, event.Invalid, 3)
+	events := make(eventRecorder, 64)
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan error, 1)
-	go func() { done <- c.Follow(ctx, f) }()
-	bad := `{"cursor":2,"nodes":{"members":7}}` + "\n"
-	all := eventLineText(1, memberText(1, "Ready")+`,{"id":"s-3","phase":"Ready"}`) + bad
-	d.nextWatch(0).send(t, all)
-	assert.Equal(t, "told 1 of , 1 boxes, whole true", <-f)
-	assert.Equal(t, "lost", <-f)
-	w := d.nextWatch(1)
-	w.send(t, bad+eventLineText(3, memberText(4, "Ready"))+"3\n")
-	assert.Equal(t, "told 3 of , 1 boxes, whole false", <-f)
-	assert.Equal(t, "current", <-f)
+	go func() { done <- watcher.Follow(ctx, events) }()
+	unreadable := `{"cursor":2,"nodes":{"members":7}}` + "\n"
+	all := eventLineText(1, memberText(1, "Ready")+`,{"id":"s-3","phase":"Ready"}`) + unreadable
+	discovery.nextWatch(0).send(t, all)
+	assert.Equal(t, "update 1 of , 1 endpoints, complete true", <-events)
+	assert.Equal(t, "lost", <-events)
+	watch := discovery.nextWatch(1)
+	watch.send(t, unreadable+eventLineText(3, memberText(4, "Ready"))+"3\n")
+	assert.Equal(t, "update 3 of , 1 endpoints, complete false", <-events)
+	assert.Equal(t, "current", <-events)
 	stop()
 	<-done
 	for text, n := range map[string]int{"unusable executor": 1, "event skipped": 1, `members[1]: host_port`: 1} {
