--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -22,9 +22,10 @@
 	"oakthread/balancer"
 )
 
-// Guards against a wrong proof that nothing ran: for a booking that would be a second one.
+// A reply counts as proof that nothing ran only where the protocol says so: else a non-idempotent call could run
+// twice.
 func TestParseReply(t *testing.T) {
-	f := NewFleet(testSettings(t), 10)
+	pool := NewFleet(testSettings(t), 10)
 	for _, c := range []struct {
 		status int
 		header string
@@ -43,151 +44,155 @@
 		{429, "X-No-Effect: 1", balancer.Error, 0},
 		{302, "", balancer.Error, 0},
 	} {
-		h := http.Header{}
-		if k, v, ok := strings.Cut(c.header, ": "); ok {
-			h.Set(k, v)
+		header := http.Header{}
+		if name, value, ok := strings.Cut(c.header, ": "); ok {
+			header.Set(name, value)
 		}
-		r := f.parseReply(executorResponse{status: c.status, header: h})
-		assert.Equal(t, c.want, r.Result, "%d %s", c.status, c.header)
-		assert.Equal(t, c.warmth, r.Warmth, "%d %s", c.status, c.header)
+		reply := pool.parseReply(executorResponse{status: c.status, header: header})
+		assert.Equal(t, c.want, reply.Result, "%d %s", c.status, c.header)
+		assert.Equal(t, c.warmth, reply.Warmth, "%d %s", c.status, c.header)
 	}
 	for text, want := range map[string][]float64{
 		"queue:7;util:0.61": {7, 0.61}, "cpu:0.5;waiting:1": {1, 0.5},
 		"queue:7": nil, "queue:x;util:1": nil, "queue:-1;util:1": nil, "": nil,
 	} {
-		assert.Equal(t, want, f.parseReport(text), text)
+		assert.Equal(t, want, pool.parseReport(text), text)
 	}
 }
 
-// Guards against a change on the way: id, class, key and body reach the executor as they came.
+// Id, class, key and body reach the executor unchanged.
 func TestRequestIsForwardedUnchanged(t *testing.T) {
 	body := string([]byte{0, 255, '\r', '\n', 0x80})
-	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		b, _ := io.ReadAll(r.Body)
-		h := r.Header
-		fmt.Fprintf(w, "%s %s %s %s %q %v", r.Method, r.RequestURI, h.Get("X-Hop-Id"), h.Get("X-Thing"), b, append(h["Accept-Encoding"], h["X-Replay-Key"]...))
+	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		received, _ := io.ReadAll(r.Body)
+		header := r.Header
+		fmt.Fprintf(w, "%s %s %s %s %q %v", r.Method, r.RequestURI, header.Get("X-Hop-Id"), header.Get("X-Thing"),
+			received, append(header["Accept-Encoding"], header["X-Replay-Key"]...))
 	}))
-	defer srv.Close()
-	f := NewFleet(testSettings(t), 10)
-	defer f.Close()
-	m := endpointAt(srv.Listener.Addr().String())
-	r := f.Send(t.Context(), attemptTo(m, body))
-	assert.Equal(t, fmt.Sprintf("POST /c/path-book 9b1f03aa5c7e2d41 7F3a9c21e0b4d655 %q []", body), string(r.Body))
-	a := attemptTo(m, body)
-	a.Request.IdempotencyKey = "3f:a b;c"
-	r = f.Send(t.Context(), a)
-	assert.Equal(t, fmt.Sprintf("POST /c/path-book 9b1f03aa5c7e2d41 7F3a9c21e0b4d655 %q [3f:a b;c]", body), string(r.Body))
-	r = f.Send(t.Context(), attemptTo(m, ""))
-	assert.Equal(t, `GET /c/path-book 9b1f03aa5c7e2d41 7F3a9c21e0b4d655 "" []`, string(r.Body), "no body is a GET")
-	o := oakthread.LoadOrder{Worker: m, Key: "7F3a9c21e0b4d655", Count: 2}
-	assert.Equal(t, balancer.OK, f.Load(t.Context(), o).Result)
+	defer backend.Close()
+	pool := NewFleet(testSettings(t), 10)
+	defer pool.Close()
+	endpoint := endpointAt(backend.Listener.Addr().String())
+	reply := pool.Send(t.Context(), attemptTo(endpoint, body))
+	assert.Equal(t, fmt.Sprintf("POST /c/path-book 9b1f03aa5c7e2d41 7F3a9c21e0b4d655 %q []", body), string(reply.Body))
+	attempt := attemptTo(endpoint, body)
+	attempt.Request.IdempotencyKey = "3f:a b;c"
+	reply = pool.Send(t.Context(), attempt)
+	assert.Equal(t, fmt.Sprintf("POST /c/path-book 9b1f03aa5c7e2d41 7F3a9c21e0b4d655 %q [3f:a b;c]", body),
+		string(reply.Body))
+	reply = pool.Send(t.Context(), attemptTo(endpoint, ""))
+	assert.Equal(t, `GET /c/path-book 9b1f03aa5c7e2d41 7F3a9c21e0b4d655 "" []`, string(reply.Body), "no body is a GET")
+	order := oakthread.LoadOrder{Worker: endpoint, Key: "7F3a9c21e0b4d655", Count: 2}
+	assert.Equal(t, balancer.OK, pool.Load(t.Context(), order).Result)
 }
 
-// Guards against http.Transport's own repeats: on a reused connection that dies once the request is written, it
-// would send a bodiless GET again, and a booking would run twice.
+// http.Transport does not replay a request by itself. On a reused connection that ends once the request is written
+// it would send a GET without a body again, and a non-idempotent call would run twice.
 func TestAttemptWritesOneRequest(t *testing.T) {
 	for _, body := range []string{"", "book"} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		defer ln.Close()
-		var seen atomic.Int64
+		var requests atomic.Int64
 		go func() {
 			for {
-				c, err := ln.Accept()
+				conn, err := ln.Accept()
 				if err != nil {
 					return
 				}
 				go func() {
-					defer c.Close()
-					rd := bufio.NewReader(c)
+					defer conn.Close()
+					reader := bufio.NewReader(conn)
 					for n := 0; ; n++ {
-						r, err := http.ReadRequest(rd)
+						r, err := http.ReadRequest(reader)
 						if err != nil {
 							return
 						}
 						_, _ = io.Copy(io.Discard, r.Body)
-						seen.Add(1)
+						requests.Add(1)
 						if n == 1 {
-							return // it has the whole request, and dies
+							return // with the complete second request
 						}
-						_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+						_, _ = io.WriteString(conn, plainOK)
 					}
 				}()
 			}
 		}()
-		f := NewFleet(testSettings(t), 10)
-		f.reuseDelay = 0 // the second goes on the same connection at once
-		m := endpointAt(ln.Addr().String())
-		assert.Equal(t, balancer.OK, f.Send(t.Context(), attemptTo(m, body)).Result)
-		assert.Equal(t, balancer.Reset, f.Send(t.Context(), attemptTo(m, body)).Result, "it may have run")
-		assert.Equal(t, int64(2), seen.Load(), "requests written for two attempts")
-		f.Close()
+		pool := NewFleet(testSettings(t), 10)
+		pool.reuseDelay = 0 // the second uses the same connection at once
+		endpoint := endpointAt(ln.Addr().String())
+		assert.Equal(t, balancer.OK, pool.Send(t.Context(), attemptTo(endpoint, body)).Result)
+		assert.Equal(t, balancer.Reset, pool.Send(t.Context(), attemptTo(endpoint, body)).Result, "it may have run")
+		assert.Equal(t, int64(2), requests.Load(), "requests written for two attempts")
+		pool.Close()
 	}
 }
 
-// Guards against blame for what never left: a refused connection and a want of sockets are proofs, each its own.
+// A refused connection, a lack of sockets and a timeout are each classified by what they prove.
 func TestUnsentAttemptsAreClassified(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	addr := ln.Addr().String()
 	ln.Close()
-	f := NewFleet(testSettings(t), 1)
-	assert.Equal(t, balancer.ConnectFailed, f.Send(t.Context(), attemptTo(endpointAt(addr), "x")).Result)
-	assert.Empty(t, f.socketSlots, "a failed dial keeps its socket")
-	f.socketSlots <- struct{}{}
-	assert.Equal(t, balancer.NotSent, f.Send(t.Context(), attemptTo(endpointAt(addr), "x")).Result)
+	pool := NewFleet(testSettings(t), 1)
+	assert.Equal(t, balancer.ConnectFailed, pool.Send(t.Context(), attemptTo(endpointAt(addr), "x")).Result)
+	assert.Empty(t, pool.socketSlots, "a failed dial keeps its slot")
+	pool.socketSlots <- struct{}{}
+	assert.Equal(t, balancer.NotSent, pool.Send(t.Context(), attemptTo(endpointAt(addr), "x")).Result)
 	assert.Equal(t, balancer.Timeout, classifyFailure(canceledContext(t), false, errors.New("cut")))
 }
 
-// Guards against blame for an executor whose new connections are reset, while they come up or before anything is
-// written on them: another one is tried at once, once, and what ends here proves that nothing ran and that it lives.
+// A new connection that is reset, while it is established or before anything is written on it, is replaced once and
+// at once. If that one is reset as well, the result says that nothing ran and that the executor is reachable.
 func TestResetNewConnectionIsRetriedOnce(t *testing.T) {
-	srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
-	defer srv.Close()
+	backend := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
+	defer backend.Close()
+	addr := backend.Listener.Addr().String()
 	for name, reset := range map[string]func(net.Conn) (net.Conn, error){
-		"coming up": func(c net.Conn) (net.Conn, error) {
-			return nil, errors.Join(&net.OpError{Op: "dial", Err: syscall.ECONNRESET}, c.Close())
+		"during the connect": func(conn net.Conn) (net.Conn, error) {
+			return nil, errors.Join(&net.OpError{Op: "dial", Err: syscall.ECONNRESET}, conn.Close())
 		},
-		"just up": func(c net.Conn) (net.Conn, error) { return c, c.Close() },
+		"after the connect": func(conn net.Conn) (net.Conn, error) { return conn, conn.Close() },
 	} {
 		for resets, want := range []balancer.Result{balancer.OK, balancer.OK, balancer.NotSent} {
-			f := NewFleet(testSettings(t), 10)
-			dial, dials := f.dialContext, 0
-			f.dialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
-				c, err := dial(ctx, network, addr)
+			pool := NewFleet(testSettings(t), 10)
+			dial, dials := pool.dialContext, 0
+			pool.dialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+				conn, err := dial(ctx, network, addr)
 				if dials++; err != nil || dials > resets {
-					return c, err
+					return conn, err
 				}
-				return reset(c)
+				return reset(conn)
 			}
-			assert.Equal(t, want, f.Send(t.Context(), attemptTo(endpointAt(srv.Listener.Addr().String()), "x")).Result, "%s, %d", name, resets)
-			f.Close()
-			assert.Empty(t, f.socketSlots, "a reset connection keeps its socket")
+			reply := pool.Send(t.Context(), attemptTo(endpointAt(addr), "x"))
+			assert.Equal(t, want, reply.Result, "%s, %d", name, resets)
+			pool.Close()
+			assert.Empty(t, pool.socketSlots, "a reset connection keeps its slot")
 		}
 	}
 }
 
-// Guards against the connections of an executor that has gone serving its successor at the same address.
+// The connections of an executor are not used for its successor at the same address.
 func TestReusedAddressGetsNewConnections(t *testing.T) {
 	var conns atomic.Int64
-	srv := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
-	srv.Config.ConnState = func(_ net.Conn, s http.ConnState) {
-		if s == http.StateNew {
+	backend := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
+	backend.Config.ConnState = func(_ net.Conn, state http.ConnState) {
+		if state == http.StateNew {
 			conns.Add(1)
 		}
 	}
-	srv.Start()
-	defer srv.Close()
-	f := NewFleet(testSettings(t), 10)
-	defer f.Close()
-	f.reuseDelay = 0 // connections are used again at once
-	m := endpointAt(srv.Listener.Addr().String())
-	f.Send(t.Context(), attemptTo(m, "x"))
-	f.Send(t.Context(), attemptTo(m, "x"))
+	backend.Start()
+	defer backend.Close()
+	pool := NewFleet(testSettings(t), 10)
+	defer pool.Close()
+	pool.reuseDelay = 0 // connections are used again at once
+	endpoint := endpointAt(backend.Listener.Addr().String())
+	pool.Send(t.Context(), attemptTo(endpoint, "x"))
+	pool.Send(t.Context(), attemptTo(endpoint, "x"))
 	assert.Equal(t, int64(1), conns.Load())
-	m.Start = time.Unix(7, 0)
-	f.Send(t.Context(), attemptTo(m, "x"))
-	m.ID = 2
-	f.Send(t.Context(), attemptTo(m, "x"))
+	endpoint.Start = time.Unix(7, 0)
+	pool.Send(t.Context(), attemptTo(endpoint, "x"))
+	endpoint.ID = 2
+	pool.Send(t.Context(), attemptTo(endpoint, "x"))
 	assert.Equal(t, int64(3), conns.Load())
 }
--- a/internal/platform/executorpool_test.go
+++ b/internal/platform/executorpool_test.go
@@ -16,111 +16,114 @@
 	"oakthread/balancer"
 )
 
-// Guards the proof that nothing ran: a wait that ended before a connection came up wrote nothing.
+// An attempt that times out before a connection is established is classified as not sent.
 func TestTimeoutBeforeAnyWriteIsNotSent(t *testing.T) {
-	f := NewFleet(testSettings(t), 1)
-	f.socketSlots <- struct{}{}
-	assert.Equal(t, balancer.NotSent, f.Send(canceledContext(t), attemptTo(endpointAt("127.0.0.1:1"), "x")).Result)
+	pool := NewFleet(testSettings(t), 1)
+	pool.socketSlots <- struct{}{}
+	attempt := attemptTo(endpointAt("127.0.0.1:1"), "x")
+	assert.Equal(t, balancer.NotSent, pool.Send(canceledContext(t), attempt).Result)
 	assert.Equal(t, balancer.NotSent, classifyFailure(canceledContext(t), true, context.Canceled))
 }
 
-// Guards memory on a long day: a Transport made for an executor already forgotten is dropped when unused.
+// Transports that were created for a removed executor are dropped once they are unused for long.
 func TestUnusedTransportsAreDropped(t *testing.T) {
-	f := NewFleet(testSettings(t), 1)
-	m := endpointAt("127.0.0.1:1")
+	pool := NewFleet(testSettings(t), 1)
+	endpoint := endpointAt("127.0.0.1:1")
 	for i := range 20 {
-		m.ID = balancer.WorkerID(i)
-		f.transportsFor(m).lastUsed = time.Now().Add(-2 * unusedTransportsTTL)
+		endpoint.ID = balancer.WorkerID(i)
+		pool.transportsFor(endpoint).lastUsed = time.Now().Add(-2 * unusedTransportsTTL)
 	}
-	assert.Len(t, f.executors, 1)
+	assert.Len(t, pool.executors, 1)
 }
 
-// Guards the last moment: a request that must not be written any more is not, on a new connection nor on a kept one, and
-// what ends so proves that nothing ran.
+// A request that is revoked right before its first byte is not written, on a new connection nor on a reused one, and
+// is classified as not sent.
 func TestRevokedRequestsAreNotWritten(t *testing.T) {
-	b := newRecordingExecutor(t, nil)
-	f := NewFleet(testSettings(t), 10)
-	defer f.Close()
-	f.reuseDelay = 0 // connections are used again at once
-	for _, kept := range []bool{false, true} {
-		a := attemptTo(endpointAt(b.addr()), "x")
-		if kept {
-			require.Equal(t, balancer.OK, f.Send(t.Context(), a).Result)
+	executor := newRecordingExecutor(t, nil)
+	pool := NewFleet(testSettings(t), 10)
+	defer pool.Close()
+	pool.reuseDelay = 0 // connections are used again at once
+	for _, reused := range []bool{false, true} {
+		attempt := attemptTo(endpointAt(executor.addr()), "x")
+		if reused {
+			require.Equal(t, balancer.OK, pool.Send(t.Context(), attempt).Result)
 		}
-		before := len(b.requests())
-		a.BeforeWrite = func() bool { return false }
-		assert.Equal(t, balancer.NotSent, f.Send(t.Context(), a).Result)
-		o := oakthread.LoadOrder{Worker: a.Worker, Key: a.Request.Key, Count: 1, BeforeWrite: a.BeforeWrite}
-		assert.Equal(t, balancer.NotSent, f.Load(t.Context(), o).Result)
-		a.BeforeWrite, a.Request.ID = nil, thirdID
-		assert.Equal(t, balancer.OK, f.Send(t.Context(), a).Result)
-		assert.Equal(t, []string{thirdID}, b.requests()[before:])
+		before := len(executor.requests())
+		attempt.BeforeWrite = func() bool { return false }
+		assert.Equal(t, balancer.NotSent, pool.Send(t.Context(), attempt).Result)
+		order := oakthread.LoadOrder{Worker: attempt.Worker, Key: attempt.Request.Key, Count: 1, BeforeWrite: attempt.BeforeWrite}
+		assert.Equal(t, balancer.NotSent, pool.Load(t.Context(), order).Result)
+		attempt.BeforeWrite, attempt.Request.ID = nil, thirdID
+		assert.Equal(t, balancer.OK, pool.Send(t.Context(), attempt).Result)
+		assert.Equal(t, []string{thirdID}, executor.requests()[before:])
 	}
 }
 
-// A connect that fails for want of this machine's tells nothing of the executor: it is tried again, and where it lasts
-// the attempt never ran.
+// A connect that fails for lack of local resources says nothing of the executor: it is retried, and if that lasts,
+// the attempt is classified as not sent.
 func TestLocalShortagesBlameNoExecutor(t *testing.T) {
-	b := newRecordingExecutor(t, nil)
+	executor := newRecordingExecutor(t, nil)
 	for _, errno := range []syscall.Errno{
 		syscall.EADDRNOTAVAIL, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 		syscall.ENETUNREACH, syscall.EPERM, syscall.EAGAIN,
 	} {
-		f := NewFleet(testSettings(t), 10)
-		dial, fails := f.dialContext, 3
-		f.dialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
-			if fails--; fails >= 0 {
+		pool := NewFleet(testSettings(t), 10)
+		dial, failures := pool.dialContext, 3
+		pool.dialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+			if failures--; failures >= 0 {
 				return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("connect", errno)}
 			}
 			return dial(ctx, network, addr)
 		}
-		assert.Equal(t, balancer.OK, f.Send(t.Context(), attemptTo(endpointAt(b.addr()), "x")).Result, "%v", errno)
-		assert.EqualValues(t, 3, f.dialShortages.Load())
-		f.Close()
-		f = NewFleet(testSettings(t), 10)
-		f.dialContext = func(_ context.Context, network, _ string) (net.Conn, error) {
+		reply := pool.Send(t.Context(), attemptTo(endpointAt(executor.addr()), "x"))
+		assert.Equal(t, balancer.OK, reply.Result, "%v", errno)
+		assert.EqualValues(t, 3, pool.dialShortages.Load())
+		pool.Close()
+		pool = NewFleet(testSettings(t), 10)
+		pool.dialContext = func(_ context.Context, network, _ string) (net.Conn, error) {
 			return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("socket", errno)}
 		}
-		assert.Equal(t, balancer.NotSent, f.Send(t.Context(), attemptTo(endpointAt(b.addr()), "x")).Result, "%v", errno)
-		assert.Empty(t, f.socketSlots, "a place is still taken")
+		reply = pool.Send(t.Context(), attemptTo(endpointAt(executor.addr()), "x"))
+		assert.Equal(t, balancer.NotSent, reply.Result, "%v", errno)
+		assert.Empty(t, pool.socketSlots, "a failed dial keeps its slot")
 	}
 }
 
-// Guards the wait for a connection to settle: a few requests wait, until their time is over, and the next goes on at once.
+// A few requests wait for a connection's reuse delay, until their deadlines; the next gets a connection at once.
 func TestQueueForAReusableConnectionIsBounded(t *testing.T) {
-	b := newRecordingExecutor(t, nil)
-	f := NewFleet(testSettings(t), 10)
-	defer f.Close()
-	m := endpointAt(b.addr())
-	require.Equal(t, balancer.OK, f.Send(t.Context(), attemptTo(m, "x")).Result)
-	f.reuseDelay = time.Hour
+	executor := newRecordingExecutor(t, nil)
+	pool := NewFleet(testSettings(t), 10)
+	defer pool.Close()
+	endpoint := endpointAt(executor.addr())
+	require.Equal(t, balancer.OK, pool.Send(t.Context(), attemptTo(endpoint, "x")).Result)
+	pool.reuseDelay = time.Hour
 	ctx, stop := context.WithCancel(t.Context())
-	waits := make(chan balancer.Result, maxQueuedRequests)
+	results := make(chan balancer.Result, maxQueuedRequests)
 	for range maxQueuedRequests {
-		go func() { waits <- f.Send(ctx, attemptTo(m, "x")).Result }()
+		go func() { results <- pool.Send(ctx, attemptTo(endpoint, "x")).Result }()
 	}
-	for waiting := 0; waiting < maxQueuedRequests; runtime.Gosched() {
-		f.mu.Lock()
-		waiting = f.executors[m.ID].queued
-		f.mu.Unlock()
+	for queued := 0; queued < maxQueuedRequests; runtime.Gosched() {
+		pool.mu.Lock()
+		queued = pool.executors[endpoint.ID].queued
+		pool.mu.Unlock()
 	}
-	assert.Equal(t, balancer.OK, f.Send(t.Context(), attemptTo(m, "x")).Result)
+	assert.Equal(t, balancer.OK, pool.Send(t.Context(), attemptTo(endpoint, "x")).Result)
 	stop()
 	for range maxQueuedRequests {
-		assert.Equal(t, balancer.NotSent, <-waits)
+		assert.Equal(t, balancer.NotSent, <-results)
 	}
-	assert.Len(t, b.requests(), 2)
+	assert.Len(t, executor.requests(), 2)
 }
 
-// Guards the cost of that: once settled, a connection is used again.
+// A connection is reused once its delay is over.
 func TestConnectionsAreReusedAfterTheDelay(t *testing.T) {
-	b := newRecordingExecutor(t, nil)
-	f := NewFleet(testSettings(t), 10)
-	defer f.Close()
+	executor := newRecordingExecutor(t, nil)
+	pool := NewFleet(testSettings(t), 10)
+	defer pool.Close()
 	for range 5 {
-		f.reuseDelay = 0 // as if time had passed
-		require.Equal(t, balancer.OK, f.Send(t.Context(), attemptTo(endpointAt(b.addr()), "x")).Result)
+		pool.reuseDelay = 0 // as if the delay were over
+		require.Equal(t, balancer.OK, pool.Send(t.Context(), attemptTo(endpointAt(executor.addr()), "x")).Result)
 	}
-	assert.Len(t, f.socketSlots, 1)
-	assert.Len(t, f.executors[1].transports, 1)
+	assert.Len(t, pool.socketSlots, 1)
+	assert.Len(t, pool.executors[1].transports, 1)
 }
--- a/internal/platform/golden_config_test.go
+++ b/internal/platform/golden_config_test.go
@@ -22,34 +22,37 @@
 	"oakthread/internal/wire"
 )
 
+// Every value of the configuration file is read.
 func TestConfigurationFileIsReadWhole(t *testing.T) {
 	raw, err := os.ReadFile("testdata/config.json")
 	require.NoError(t, err)
-	s := &wire.Setup{
+	settings := &wire.Setup{
 		Kinds: []string{"std-2core", "std-4core"}, Number: 1, OverShareWorth: 0.2, Quantum: 501,
 		RegistryMode: "on_request", Siblings: 7, Zone: 9, Zones: []string{"north-room", "south-room"},
 	}
-	s.Categories = slices.Grow(s.Categories, 1)[:1]
-	k := &s.Categories[0]
-	k.Name, k.Idempotency, k.KeyScope = "path-check", "read_like", "zone"
-	k.Aim, k.Credit, k.GiveUp, k.LateWorth, k.Window = 101, 1.02, 103, 1.04, 105
-	s.Customers = slices.Grow(s.Customers, 1)[:1]
-	s.Customers[0].Name, s.Customers[0].Allowance = "ironbridge-haul", 25.5
-	s.Feedback.Fields, s.Feedback.How = []string{"waiting", "cpu"}, "inline"
-	p, q, r, f := &s.Permissions, &s.Prices, &s.Rules, &s.Specifics
-	p.Cancel, p.MayProbe, p.Peers, p.RetryAfter, p.SecondCopies = true, true, true, true, true
-	p.ConnIdle, p.ConnectTimeout, p.MaxRetryAfter, p.OpenCap, p.SendCap = 301, 302, 303, 304, 305
-	q.CrossZone, q.LateFail, q.Origin, q.Peer, q.Probe, q.Waste = 4.01, 4.02, 4.03, 4.04, 4.05, 4.06
-	r.AnswerSlack, r.AskWithin, r.Cold, r.DrainGrace, r.Fall = 601, 602, 603, 604, 605
-	r.OverloadFactor, r.StartCapacity = 6.06, 6.07
-	f.FreeLoads, f.IdleMemory, f.KindMemory, f.LingerIdle = 8.01, 8.02, []float64{803, 804}, 805
-	f.LoadPart, f.LoadSpan, f.OnMiss, f.OrderLimit = 8.06, 807, "miss", 808
-	f.LoadControl, f.NotesPeers, f.WarmNotes = true, true, true
+	settings.Categories = slices.Grow(settings.Categories, 1)[:1]
+	category := &settings.Categories[0]
+	category.Name, category.Idempotency, category.KeyScope = "path-check", "read_like", "zone"
+	category.Aim, category.Credit, category.GiveUp, category.LateWorth, category.Window = 101, 1.02, 103, 1.04, 105
+	settings.Customers = slices.Grow(settings.Customers, 1)[:1]
+	settings.Customers[0].Name, settings.Customers[0].Allowance = "ironbridge-haul", 25.5
+	settings.Feedback.Fields, settings.Feedback.How = []string{"waiting", "cpu"}, "inline"
+	permissions, prices, rules, specifics := &settings.Permissions, &settings.Prices, &settings.Rules, &settings.Specifics
+	permissions.Cancel, permissions.MayProbe, permissions.Peers = true, true, true
+	permissions.RetryAfter, permissions.SecondCopies = true, true
+	permissions.ConnIdle, permissions.ConnectTimeout, permissions.MaxRetryAfter = 301, 302, 303
+	permissions.OpenCap, permissions.SendCap = 304, 305
+	prices.CrossZone, prices.LateFail, prices.Origin, prices.Peer, prices.Probe, prices.Waste = 4.01, 4.02, 4.03, 4.04, 4.05, 4.06
+	rules.AnswerSlack, rules.AskWithin, rules.Cold, rules.DrainGrace, rules.Fall = 601, 602, 603, 604, 605
+	rules.OverloadFactor, rules.StartCapacity = 6.06, 6.07
+	specifics.FreeLoads, specifics.IdleMemory, specifics.KindMemory, specifics.LingerIdle = 8.01, 8.02, []float64{803, 804}, 805
+	specifics.LoadPart, specifics.LoadSpan, specifics.OnMiss, specifics.OrderLimit = 8.06, 807, "miss", 808
+	specifics.LoadControl, specifics.NotesPeers, specifics.WarmNotes = true, true, true
 	want := &Config{
 		Name: "router-3", Listen: "127.0.0.1:7001", Seed: 0x8c1f30d27a5be964, Cores: 1.5, Memory: 96 << 20,
 		Sockets: 300, PeerListen: "127.0.0.1:7002", PeersAll: netip.MustParseAddrPort("239.1.2.3:7004"),
 		Peers:   []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:7002"), netip.MustParseAddrPort("[::1]:7003")},
-		Channel: "127.0.0.1:7005", Console: "127.0.0.1:7006", Cursor: 5, Setup: s,
+		Channel: "127.0.0.1:7005", Console: "127.0.0.1:7006", Cursor: 5, Setup: settings,
 		Known: []Event{{Cursor: 5, Epoch: "e7", HasUpdate: true, Roster: oakthread.EndpointUpdate{
 			Kind: balancer.EndpointsSnapshot,
 			Endpoints: []oakthread.Endpoint{{
@@ -64,9 +67,9 @@
 	want.keys = got.keys
 	require.Equal(t, want, got)
 	for key, value := range map[string]*bool{
-		"cancel": &p.Cancel, "may_probe": &p.MayProbe, "peers": &p.Peers,
-		"retry_after": &p.RetryAfter, "second_copies": &p.SecondCopies, "load_control": &f.LoadControl,
-		"notes_peers_in_hand": &f.NotesPeers, "warm_notes": &f.WarmNotes,
+		"cancel": &permissions.Cancel, "may_probe": &permissions.MayProbe, "peers": &permissions.Peers,
+		"retry_after": &permissions.RetryAfter, "second_copies": &permissions.SecondCopies, "load_control": &specifics.LoadControl,
+		"notes_peers_in_hand": &specifics.NotesPeers, "warm_notes": &specifics.WarmNotes,
 	} { // each alone: all of them are true above
 		got, err := parseConfig(bytes.Replace(raw, []byte(`"`+key+`": true`), []byte(`"`+key+`": false`), 1))
 		require.NoError(t, err)
@@ -83,12 +86,12 @@
 	require.NoError(t, err)
 	var file map[string]any
 	require.NoError(t, json.Unmarshal(raw, &file))
-	settings := slices.Collect(maps.Keys(keysOf(file["settings"], "")))
-	assert.ElementsMatch(t, keysOfType(reflect.TypeFor[wire.Setup](), ""), settings)
+	settingsKeys := slices.Collect(maps.Keys(keysOf(file["settings"], "")))
+	assert.ElementsMatch(t, keysOfType(reflect.TypeFor[wire.Setup](), ""), settingsKeys)
 	delete(file, "settings")
-	held, known := map[string]bool{"settings": true}, map[string]bool{}
+	inFile, known := map[string]bool{"settings": true}, map[string]bool{}
 	for path := range keysOf(file, "") {
-		held[path[strings.LastIndex(path, ".")+1:]] = true
+		inFile[path[strings.LastIndex(path, ".")+1:]] = true
 	}
 	sources, err := filepath.Glob("*.go")
 	require.NoError(t, err)
@@ -96,15 +99,16 @@
 	for _, name := range sources {
 		text, err := os.ReadFile(name)
 		require.NoError(t, err)
-		for _, m := range tag.FindAllSubmatch(text, -1) {
+		for _, match := range tag.FindAllSubmatch(text, -1) {
 			if !strings.HasSuffix(name, "_test.go") {
-				known[string(m[1])] = true
+				known[string(match[1])] = true
 			}
 		}
 	}
-	assert.Equal(t, known, held)
+	assert.Equal(t, known, inFile)
 }
 
+// keysOf returns the paths of all keys in decoded JSON. Objects of a list count as one.
 func keysOf(v any, path string) map[string]bool {
 	keys := map[string]bool{}
 	switch v := v.(type) {
@@ -121,6 +125,7 @@
 	return keys
 }
 
+// keysOfType returns the paths of all keys that JSON of a type may have.
 func keysOfType(typ reflect.Type, path string) (keys []string) {
 	if typ.Kind() == reflect.Slice {
 		typ = typ.Elem()
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -61,6 +61,7 @@
 	var raw bytes.Buffer
 	resp, err := http.ReadResponse(bufio.NewReader(io.TeeReader(conn, &raw)), &http.Request{Method: method})
 	require.NoError(t, err)
+	defer resp.Body.Close()
 	_, err = io.Copy(io.Discard, resp.Body)
 	require.NoError(t, err)
 	return raw.Bytes()
@@ -115,7 +116,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			arrived, release := make(chan bool, 1), make(chan bool)
-			s := newTestbed(t, testbedOptions{settings: c.change}, newRecordingExecutor(t, func(w http.ResponseWriter, r *http.Request) {
+			executor := newRecordingExecutor(t, func(w http.ResponseWriter, r *http.Request) {
 				switch r.Header.Get("X-Hop-Id") {
 				case refused:
 					w.Header().Set("X-No-Effect", "1")
@@ -130,7 +131,8 @@
 					}
 				}
 				_, _ = io.WriteString(w, "a\x00b\r\n\xff")
-			}))
+			})
+			s := newTestbed(t, testbedOptions{settings: c.change}, executor)
 			if c.name == "ping-not-ready" {
 				s.server.Gate = func() bool { return false }
 			}
@@ -156,21 +158,22 @@
 	}
 }
 
-// recorder is an executor on a plain socket. It hands on the raw bytes of each request up to its end, and then writes
-// the next of the answers; the last of them again and again.
-func recorder(t *testing.T, answers ...string) (*recordingExecutor, <-chan []byte) {
+// newRawRecorder starts an executor that sends the raw bytes of each request, and then writes the next of its answers;
+// the last of them again and again.
+func newRawRecorder(t *testing.T, answers ...string) (*recordingExecutor, <-chan []byte) {
+	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
 	requests, next := make(chan []byte, 16), make(chan string, len(answers))
-	for _, a := range answers {
-		next <- a
+	for _, answer := range answers {
+		next <- answer
 	}
-	serve := func(c net.Conn) {
-		defer c.Close()
+	serve := func(conn net.Conn) {
+		defer conn.Close()
 		var raw bytes.Buffer
-		for rd := bufio.NewReader(io.TeeReader(c, &raw)); ; raw.Reset() {
-			r, err := http.ReadRequest(rd)
+		for reader := bufio.NewReader(io.TeeReader(conn, &raw)); ; raw.Reset() {
+			r, err := http.ReadRequest(reader)
 			if err != nil {
 				return
 			}
@@ -181,32 +184,33 @@
 			case answer = <-next:
 			default:
 			}
-			if _, err := io.WriteString(c, answer); err != nil || !strings.Contains(answer, "Length") {
+			if _, err := io.WriteString(conn, answer); err != nil || !strings.Contains(answer, "Length") {
 				return
 			}
 		}
 	}
 	go func() {
 		for {
-			c, err := ln.Accept()
+			conn, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			go serve(c)
+			go serve(conn)
 		}
 	}()
 	return &recordingExecutor{Server: &httptest.Server{Listener: ln}}, requests
 }
 
+// plainOK is an empty 200.
 const plainOK = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
 // TestAttemptsMatchGoldenFiles follows calls from a client's socket to the executor's.
 func TestAttemptsMatchGoldenFiles(t *testing.T) {
-	addKeyed := func(s *wire.Setup) {
-		k := s.Categories[0]
-		k.Name, k.Idempotency, k.KeyScope = "path pay/1", "idempotency_key", "all"
-		s.Categories = append(s.Categories, k)
-		s.Specifics.LoadControl = false // attempts alone
+	addKeyed := func(settings *wire.Setup) {
+		category := settings.Categories[0]
+		category.Name, category.Idempotency, category.KeyScope = "path pay/1", "idempotency_key", "all"
+		settings.Categories = append(settings.Categories, category)
+		settings.Specifics.LoadControl = false // attempts alone
 	}
 	noEffect := "HTTP/1.1 504 Gateway Timeout\r\nX-No-Effect: 1\r\nContent-Length: 0\r\n\r\n"
 	for _, c := range []struct {
@@ -226,8 +230,8 @@
 		{name: "second", class: "path-check", body: "x", answers: []string{noEffect, plainOK}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b, requests := recorder(t, append(c.answers, plainOK)...)
-			s := newTestbed(t, testbedOptions{settings: addKeyed}, b)
+			executor, requests := newRawRecorder(t, append(c.answers, plainOK)...)
+			s := newTestbed(t, testbedOptions{settings: addKeyed}, executor)
 			conn := s.dial()
 			request := callText("9b1f03aa5c7e2d41", c.class, c.body)
 			if c.header != "" {
@@ -245,22 +249,27 @@
 	}
 }
 
+// What is written for load orders and health checks is that of the golden files.
 func TestOrdersAndProbesMatchGoldenFiles(t *testing.T) {
 	for name, do := range map[string]func(context.Context, *ExecutorPool, oakthread.LoadOrder){
-		"load":  func(ctx context.Context, f *ExecutorPool, o oakthread.LoadOrder) { f.Load(ctx, o) },
-		"drop":  func(ctx context.Context, f *ExecutorPool, o oakthread.LoadOrder) { f.Unload(ctx, o) },
-		"probe": func(ctx context.Context, f *ExecutorPool, o oakthread.LoadOrder) { f.HealthCheck(ctx, o.Worker) },
+		"load": func(ctx context.Context, pool *ExecutorPool, order oakthread.LoadOrder) { pool.Load(ctx, order) },
+		"drop": func(ctx context.Context, pool *ExecutorPool, order oakthread.LoadOrder) { pool.Unload(ctx, order) },
+		"probe": func(ctx context.Context, pool *ExecutorPool, order oakthread.LoadOrder) {
+			pool.HealthCheck(ctx, order.Worker)
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b, requests := recorder(t, plainOK)
-			f := NewFleet(testSettings(t), 10)
-			defer f.Close()
-			do(t.Context(), f, oakthread.LoadOrder{Worker: endpointAt(b.addr()), Key: "7F3a9c21e0b4d655", Count: 2})
+			executor, requests := newRawRecorder(t, plainOK)
+			pool := NewFleet(testSettings(t), 10)
+			defer pool.Close()
+			order := oakthread.LoadOrder{Worker: endpointAt(executor.addr()), Key: "7F3a9c21e0b4d655", Count: 2}
+			do(t.Context(), pool, order)
 			matchGolden(t, name, <-requests)
 		})
 	}
 }
 
+// Each kind of response of an executor is read.
 func TestExecutorAnswersAreRead(t *testing.T) {
 	const send, load, probe = "send", "load", "probe"
 	type reply = oakthread.Reply
@@ -286,8 +295,14 @@
 			reply{Result: balancer.OK, ConcurrentRequests: 30, Copies: 2, Body: none},
 		},
 		{send, "200 OK", "X-No-Effect: 1", "", reply{Result: balancer.OK, Body: none}},
-		{send, "404 Not Found", "X-Report: queue:7;util:0.61", "gone", reply{Result: balancer.NotLoaded, Report: report}},
-		{send, "404 Not Found", "X-Tell: spawn_failed", "", reply{Result: balancer.NotLoaded, Warmth: balancer.LoadFailed}},
+		{
+			send, "404 Not Found", "X-Report: queue:7;util:0.61", "gone",
+			reply{Result: balancer.NotLoaded, Report: report},
+		},
+		{
+			send, "404 Not Found", "X-Tell: spawn_failed", "",
+			reply{Result: balancer.NotLoaded, Warmth: balancer.LoadFailed},
+		},
 		{send, "503 Full", "X-No-Effect: 1\r\nX-Same: 4", "", reply{Result: balancer.QueueFull, ConcurrentRequests: 4}},
 		{send, "503 Full", "", "", reply{Result: balancer.Error}},
 		{send, "504 Late", "X-No-Effect: 1", "", reply{Result: balancer.NotSent}},
@@ -311,19 +326,19 @@
 			if c.headers != "" {
 				length += "\r\n" + c.headers
 			}
-			b, _ := recorder(t, "HTTP/1.1 "+c.status+"\r\n"+length+"\r\n\r\n"+c.body)
-			f := NewFleet(testSettings(t), 10)
-			defer f.Close()
-			m, got := endpointAt(b.addr()), reply{}
+			executor, _ := newRawRecorder(t, "HTTP/1.1 "+c.status+"\r\n"+length+"\r\n\r\n"+c.body)
+			pool := NewFleet(testSettings(t), 10)
+			defer pool.Close()
+			endpoint, got := endpointAt(executor.addr()), reply{}
 			switch c.by {
 			case send:
-				a := attemptTo(m, "x")
-				a.Deadline = time.Now().Add(10 * time.Second)
-				got = f.Send(t.Context(), a)
+				attempt := attemptTo(endpoint, "x")
+				attempt.Deadline = time.Now().Add(10 * time.Second)
+				got = pool.Send(t.Context(), attempt)
 			case load:
-				got = f.Load(t.Context(), oakthread.LoadOrder{Worker: m, Key: "7F3a9c21e0b4d655", Count: 2})
+				got = pool.Load(t.Context(), oakthread.LoadOrder{Worker: endpoint, Key: "7F3a9c21e0b4d655", Count: 2})
 			case probe:
-				got = f.HealthCheck(t.Context(), m)
+				got = pool.HealthCheck(t.Context(), endpoint)
 			}
 			assert.Equal(t, c.want, got)
 		})
--- a/internal/platform/helpers_test.go
+++ b/internal/platform/helpers_test.go
@@ -13,32 +13,41 @@
 	"oakthread/internal/wire"
 )
 
-const settingsText = `{"categories":[{"name":"path-check","aim_ns":400000000,"give_up_ns":5000000000,"credit":1,"idempotency":"read_like"},
+// settingsText is the settings object of the tests: path-check may run twice, path-book must not.
+const settingsText = `{"categories":[
+{"name":"path-check","aim_ns":400000000,"give_up_ns":5000000000,"credit":1,"idempotency":"read_like"},
 {"name":"path-book","aim_ns":750000000,"give_up_ns":4000000000,"credit":5,"idempotency":"non_idempotent"}],
 "customers":[{"name":"ironbridge-haul","allowance_per_s":25}],"feedback":{"fields":["waiting","cpu"],"how":"inline"},
 "kinds":["std-2core"],"zones":["north-room","south-room"],"my_number":0,"siblings":2,"quantum_ns":4000000,
-"permissions":{"send_cap":3,"cancel":true,"peers":true,"connect_timeout_ns":250000000,"conn_idle_ns":15000000000,"max_retry_after_ns":1500000000},
+"permissions":{"send_cap":3,"cancel":true,"peers":true,"connect_timeout_ns":250000000,
+"conn_idle_ns":15000000000,"max_retry_after_ns":1500000000},
 "specifics":{"linger_idle_ns":8000000000,"on_miss":"load","load_control":true}}`
 
 var discardLog = slog.New(slog.DiscardHandler)
 
+// testSettings returns settings of its own for each call.
 func testSettings(t testing.TB) *wire.Setup {
-	s, err := wire.ReadSetup([]byte(settingsText))
+	t.Helper()
+	settings, err := wire.ReadSetup([]byte(settingsText))
 	require.NoError(t, err)
-	return s
+	return settings
 }
 
+// endpointAt returns worker 1 at an address.
 func endpointAt(addr string) oakthread.Endpoint {
 	return oakthread.Endpoint{ID: 1, Addr: addr, State: balancer.Active, Weight: 1}
 }
 
-func attemptTo(m oakthread.Endpoint, body string) oakthread.Attempt {
-	return oakthread.Attempt{Worker: m, Deadline: time.Now().Add(time.Second), Request: &oakthread.Request{
+// attemptTo returns an attempt of a path-book call, with a second until its deadline.
+func attemptTo(endpoint oakthread.Endpoint, body string) oakthread.Attempt {
+	return oakthread.Attempt{Worker: endpoint, Deadline: time.Now().Add(time.Second), Request: &oakthread.Request{
 		ID: "9b1f03aa5c7e2d41", Class: 1, Key: "7F3a9c21e0b4d655", Body: []byte(body),
 	}}
 }
 
+// canceledContext returns a context that has ended.
 func canceledContext(t *testing.T) context.Context {
+	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	return ctx
--- a/internal/platform/listen_test.go
+++ b/internal/platform/listen_test.go
@@ -6,32 +6,32 @@
 	"testing"
 )
 
-// A new version opens the same addresses while the old one still holds them.
+// A second process of the same user, such as a new version, can listen on the addresses of the first.
 func TestListenTwiceOnOneAddress(t *testing.T) {
 	ctx := context.Background()
-	a, err := Listen(ctx, "127.0.0.1:0")
+	first, err := Listen(ctx, "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer a.Close()
-	b, err := Listen(ctx, a.Addr().String())
+	defer first.Close()
+	second, err := Listen(ctx, first.Addr().String())
 	if err != nil {
-		t.Fatalf("second listener on %s: %v", a.Addr(), err)
+		t.Fatalf("second listener on %s: %v", first.Addr(), err)
 	}
-	defer b.Close()
-	u, err := ListenPacket(ctx, "127.0.0.1:0")
+	defer second.Close()
+	firstPacket, err := ListenPacket(ctx, "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer u.Close()
-	v, err := ListenPacket(ctx, u.LocalAddr().String())
+	defer func() { _ = firstPacket.Close() }()
+	secondPacket, err := ListenPacket(ctx, firstPacket.LocalAddr().String())
 	if err != nil {
-		t.Fatalf("second datagram socket on %s: %v", u.LocalAddr(), err)
+		t.Fatalf("second datagram socket on %s: %v", firstPacket.LocalAddr(), err)
 	}
-	defer v.Close()
-	// Plain sockets still cannot take the port.
-	if c, err := net.Listen("tcp", a.Addr().String()); err == nil {
-		c.Close()
-		t.Fatalf("a socket without SO_REUSEPORT took %s", a.Addr())
+	defer func() { _ = secondPacket.Close() }()
+	// Sockets without the option still cannot take the port.
+	if plain, err := net.Listen("tcp", first.Addr().String()); err == nil {
+		plain.Close()
+		t.Fatalf("a socket without SO_REUSEPORT took %s", first.Addr())
 	}
 }
--- a/internal/platform/peertransport_test.go
+++ b/internal/platform/peertransport_test.go
@@ -12,63 +12,70 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards the rules on datagrams: 256 bytes at most, from known peers alone, known by their address.
+// newPeerTransport returns the transport of the dispatcher with an index.
+func newPeerTransport(t *testing.T, index int) *PeerTransport {
+	t.Helper()
+	settings := testSettings(t)
+	settings.Number = index
+	transport, err := ListenPeers(&Config{PeerListen: "127.0.0.1:0", Setup: settings}, discardLog)
+	require.NoError(t, err)
+	return transport
+}
+
+// Messages of at most 256 bytes reach peers, which are known by their address; others are dropped.
 func TestMessagesGoToKnownPeersOnly(t *testing.T) {
-	open := func(n int) *PeerTransport {
-		s := testSettings(t)
-		s.Number = n
-		p, err := ListenPeers(&Config{PeerListen: "127.0.0.1:0", Setup: s}, discardLog)
-		require.NoError(t, err)
-		return p
-	}
-	a, b, stranger := open(0), open(1), open(2)
+	sender, receiver, stranger := newPeerTransport(t, 0), newPeerTransport(t, 1), newPeerTransport(t, 2)
 	addr := func(p *PeerTransport) netip.AddrPort { return p.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
-	for _, p := range []*PeerTransport{a, b, stranger} {
-		p.peers = []netip.AddrPort{addr(a), addr(b)}
+	for _, transport := range []*PeerTransport{sender, receiver, stranger} {
+		transport.peers = []netip.AddrPort{addr(sender), addr(receiver)}
 	}
-	b.indexByAddr = map[netip.AddrPort]int{addr(a): 0, addr(b): 1}
+	receiver.indexByAddr = map[netip.AddrPort]int{addr(sender): 0, addr(receiver): 1}
 	stranger.SendMessage(1, "who")
-	a.SendMessage(1, strings.Repeat("x", 257))
-	a.SendMessage(-1, "hello")
+	sender.SendMessage(1, strings.Repeat("x", 257))
+	sender.SendMessage(-1, "hello")
 	ctx, stop := context.WithCancel(t.Context())
-	for _, p := range []*PeerTransport{a, stranger} {
-		go func() { _ = p.Listen(ctx, func(int, string) {}) }()
+	for _, transport := range []*PeerTransport{sender, stranger} {
+		go func() { _ = transport.Listen(ctx, func(int, string) {}) }()
 	}
 	var got []string
-	_ = b.Listen(ctx, func(from int, data string) { got = append(got, fmt.Sprint(from, data)); stop() })
+	_ = receiver.Listen(ctx, func(from int, data string) { got = append(got, fmt.Sprint(from, data)); stop() })
 	assert.Equal(t, []string{"0hello"}, got)
 }
 
-// Guards against bad datagrams: what is too long or comes from nobody's address is dropped and counted, and what is
-// handed on arrives byte for byte.
+// Datagrams that are too long, or from no peer's address, are dropped and counted. Others arrive unchanged.
 func TestInvalidDatagramsAreCounted(t *testing.T) {
-	s := testSettings(t)
-	s.Number = 1
-	p, err := ListenPeers(&Config{PeerListen: "127.0.0.1:0", Setup: s}, discardLog)
-	require.NoError(t, err)
+	transport := newPeerTransport(t, 1)
 	dial := func() *net.UDPConn {
-		c, err := net.DialUDP("udp", nil, p.conn.LocalAddr().(*net.UDPAddr))
+		conn, err := net.DialUDP("udp", nil, transport.conn.LocalAddr().(*net.UDPAddr))
 		require.NoError(t, err)
-		t.Cleanup(func() { c.Close() })
-		return c
+		t.Cleanup(func() { _ = conn.Close() })
+		return conn
 	}
 	peer, stranger := dial(), dial()
-	p.indexByAddr = map[netip.AddrPort]int{peer.LocalAddr().(*net.UDPAddr).AddrPort(): 0}
-	for _, x := range []struct {
+	transport.indexByAddr = map[netip.AddrPort]int{peer.LocalAddr().(*net.UDPAddr).AddrPort(): 0}
+	for _, message := range []struct {
 		from *net.UDPConn
 		data string
-	}{{stranger, "AAAA"}, {peer, strings.Repeat("x", 257)}, {peer, strings.Repeat("x", 9000)}, {peer, ""}, {stranger, ""}, {peer, "last"}} {
-		_, err := x.from.Write([]byte(x.data))
+	}{
+		{stranger, "AAAA"},
+		{peer, strings.Repeat("x", 257)},
+		{peer, strings.Repeat("x", 9000)},
+		{peer, ""},
+		{stranger, ""},
+		{peer, "last"},
+	} {
+		_, err := message.from.Write([]byte(message.data))
 		require.NoError(t, err)
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	var got []string
-	_ = p.Listen(ctx, func(from int, data string) {
+	_ = transport.Listen(ctx, func(from int, data string) {
+		assert.Zero(t, from)
 		if got = append(got, data); data == "last" {
 			stop()
 		}
 	})
 	assert.Equal(t, []string{"", "last"}, got)
-	strangers, long := p.Dropped()
+	strangers, long := transport.Dropped()
 	assert.Equal(t, [2]int64{2, 2}, [2]int64{strangers, long})
 }
