--- a/cmd/dispatcher/fleet_test.go
+++ b/cmd/dispatcher/fleet_test.go
@@ -14,17 +14,19 @@
 	"oakthread/internal/lab"
 )
 
-// underTest is this program, or an older one, to see a test fail there.
+// underTest returns this program, or the older one that OAKTHREAD_BEFORE names, to see a test fail
+// there.
 func underTest() lab.Program {
-	if was := os.Getenv("OAKTHREAD_BEFORE"); was != "" {
-		return lab.Program{Path: was, Args: []string{"serve"}}
+	if path := os.Getenv("OAKTHREAD_BEFORE"); path != "" {
+		return lab.Program{Path: path, Args: []string{"serve"}}
 	}
 	return lab.Program{Path: os.Args[0], Args: []string{"serve"}, Env: []string{asProgram + "=1"}}
 }
 
-// fleet starts dispatchers as processes of this program, each way between processes through a relay
-// of its own.
+// fleet starts dispatchers as processes of this program, with a relay on each connection between
+// processes.
 func fleet(t *testing.T, size lab.RigSize) *lab.Rig {
+	t.Helper()
 	net, err := lab.ClaimNet()
 	require.NoError(t, err)
 	t.Cleanup(net.Close)
@@ -32,171 +34,199 @@
 	if size.Figures == nil {
 		size.Figures = lab.PlannerFigures()
 	}
-	r, err := lab.NewRig(net, t.TempDir(), size)
+	rig, err := lab.NewRig(net, t.TempDir(), size)
 	require.NoError(t, err)
-	t.Cleanup(r.Close)
-	ready, done := context.WithTimeout(t.Context(), 30*time.Second)
-	defer done()
-	require.NoError(t, r.Start(ready, nil))
-	return r
+	t.Cleanup(rig.Close)
+	ready, cancel := context.WithTimeout(t.Context(), 30*time.Second)
+	defer cancel()
+	require.NoError(t, rig.Start(ready, nil))
+	return rig
 }
 
-// span lets time pass; a run that is broken off ends.
-func span(t *testing.T, d time.Duration) time.Time {
+// span lets time pass, over which the fleet is measured, and returns its end. It ends the test with
+// its context.
+func span(t *testing.T, duration time.Duration) time.Time {
+	t.Helper()
 	select {
 	case <-t.Context().Done():
 		t.Fatal(t.Context().Err())
-	case <-time.After(d):
+	case <-time.After(duration):
 	}
 	return time.Now()
 }
 
-// sound ends a run: nothing is lost, doubled or sent where it must not go, and every process ends
-// well.
-func sound(t *testing.T, r *lab.Rig) {
-	r.Quiet()
-	assert.Zero(t, r.Check(nil).Sum(), "%+v", r.Check(nil))
-	assert.NoError(t, r.Stop())
+// assertSound ends a run and checks that nothing was lost, duplicated or sent where it must not go,
+// and that every process shut down well.
+func assertSound(t *testing.T, rig *lab.Rig) {
+	t.Helper()
+	rig.Quiet()
+	assert.Zero(t, rig.Check(nil).Sum(), "%+v", rig.Check(nil))
+	assert.NoError(t, rig.Stop())
 }
 
-// Found at full size: a zone that is cut off was learnt box by box, tried all the time, and used
-// again only long after its end. Six processes, a third of the boxes cut for 3 s: few handshakes
-// are lost in the second half, and from 2 s after the end all is as before.
-func TestFleetComesBackFromACut(t *testing.T) {
-	r := fleet(t, lab.RigSize{Dispatchers: 6, Boxes: 48, Zones: 3, Seed: 3, Load: lab.Load{Rate: 60, Models: 200, Zipf: 0.4, Retries: 1}})
-	r.Send(t.Context(), nil)
+// allPairs selects the connections between all dispatchers.
+func allPairs(_, _ int) bool { return true }
+
+// A third of the workers is cut off for 3 s: few handshakes are lost in the second half, since the
+// zone is recognized as unreachable, and from 2 s after the end all is as before.
+func TestFleetRecoversFromPartition(t *testing.T) {
+	rig := fleet(t, lab.RigSize{
+		Dispatchers: 6, Boxes: 48, Zones: 3, Seed: 3,
+		Load: lab.Load{Rate: 60, Models: 200, Zipf: 0.4, Retries: 1},
+	})
+	rig.Send(t.Context(), nil)
 	began := span(t, 1500*time.Millisecond)
 	cutAt := span(t, 1500*time.Millisecond)
-	cross := func(_, box int) bool { return box%3 == 0 }
-	r.Words.Set(lab.Lost, func(_, _ int) bool { return true })
-	require.NoError(t, r.Ways.Between(lab.Cut, 0, cross))
-	first, counts := lab.Swallowed()
+	isCut := func(_, worker int) bool { return worker%3 == 0 }
+	rig.Words.Set(lab.Lost, allPairs)
+	require.NoError(t, rig.Ways.Between(lab.Cut, 0, isCut))
+	atStart, counted := lab.Swallowed()
 	span(t, 1500*time.Millisecond)
-	half, _ := lab.Swallowed()
+	atHalf, _ := lab.Swallowed()
 	span(t, 1500*time.Millisecond)
-	last, _ := lab.Swallowed()
-	r.Words.Set(lab.Wire{}, func(_, _ int) bool { return true })
-	require.NoError(t, r.Ways.Between(lab.Open, 0, cross))
+	atEnd, _ := lab.Swallowed()
+	rig.Words.Set(lab.Wire{}, allPairs)
+	require.NoError(t, rig.Ways.Between(lab.Open, 0, isCut))
 	after := span(t, 2*time.Second)
 	end := span(t, 1500*time.Millisecond)
-	r.Quiet()
-	t.Logf("handshakes swallowed: %d, then %d", half-first, last-half)
-	if counts { // tests of other packages swallow a few themselves
-		assert.Less(t, float64(last-half), float64(half-first)/3+20, "handshakes lost in the second half of the cut")
+	rig.Quiet()
+	t.Logf("handshakes swallowed: %d, then %d", atHalf-atStart, atEnd-atHalf)
+	if counted { // tests of other packages lose a few as well
+		limit := float64(atHalf-atStart)/3 + 20
+		assert.Less(t, float64(atEnd-atHalf), limit, "handshakes lost in the second half of the cut")
 	}
-	calm, again := lab.Served(r.Calls(nil), began, cutAt, nil), lab.Served(r.Calls(nil), after, end, nil)
-	assert.Greater(t, again, 0.95*calm, "served, of those before")
-	_, full := r.Between(after, end)
+	servedBefore := lab.Served(rig.Calls(nil), began, cutAt, nil)
+	servedAfter := lab.Served(rig.Calls(nil), after, end, nil)
+	assert.Greater(t, servedAfter, 0.95*servedBefore, "served, of those before")
+	_, full := rig.Between(after, end)
 	assert.Less(t, full, 30, "turned away from 2 s after on")
-	back := 0
-	for i, b := range r.Boxes {
-		calls, _ := b.Seen()
-		for _, s := range calls {
-			if i%3 == 0 && s.At.After(after) && s.Took {
-				back++
+	atCutWorkers := 0
+	for i, worker := range rig.Boxes {
+		calls, _ := worker.Seen()
+		for _, call := range calls {
+			if isCut(0, i) && call.At.After(after) && call.Took {
+				atCutWorkers++
 			}
 		}
 	}
-	assert.Greater(t, back, 20, "calls at the boxes that were cut off")
-	sound(t, r)
+	assert.Greater(t, atCutWorkers, 20, "calls at the boxes that were cut off")
+	assertSound(t, rig)
 }
 
-// Guards fresh boxes against the sum of what all processes send: with 20 and with 30, under uneven
-// traffic, a part of them just restarted and a part not heard, boxes are replaced by cold ones and
-// get no more than is put down to chance, counted at the boxes.
+// Workers that have just started get no more calls from all dispatchers together than the slow
+// start allows, counted at the workers: with 20 and with 30 dispatchers, under uneven traffic, a
+// part of them restarted and a part not heard.
 func TestColdBoxesBearTheSumOfAll(t *testing.T) {
-	for _, n := range []int{20, 30} {
-		t.Run(fmt.Sprint(n, " processes"), func(t *testing.T) {
-			f := lab.PlannerFigures()
-			for i := range f.Classes { // so that a box's budget is some dozens of calls
-				f.Classes[i].Work *= 5
+	for _, dispatchers := range []int{20, 30} {
+		t.Run(fmt.Sprint(dispatchers, " processes"), func(t *testing.T) {
+			figures := lab.PlannerFigures()
+			for i := range figures.Classes { // so that the budget of a worker is some dozens of calls
+				figures.Classes[i].Work *= 5
+			}
+			figures.Box.Cores, figures.Box.Queue = 2, 24
+			rate := func(dispatcher int) float64 {
+				return 230 / float64(dispatchers) * []float64{0.25, 0.25, 0.5, 3}[dispatcher%4]
 			}
-			f.Box.Cores, f.Box.Queue = 2, 24
-			r := fleet(t, lab.RigSize{
-				Dispatchers: n, Boxes: 12, Zones: 2, Seed: uint64(n), Figures: f,
-				Load: lab.Load{Models: 60, Zipf: 0.8, Retries: 1}, Rate: func(d int) float64 { return 230 / float64(n) * []float64{0.25, 0.25, 0.5, 3}[d%4] },
+			rig := fleet(t, lab.RigSize{
+				Dispatchers: dispatchers, Boxes: 12, Zones: 2, Seed: uint64(dispatchers), Figures: figures,
+				Load: lab.Load{Models: 60, Zipf: 0.8, Retries: 1}, Rate: rate,
 			})
-			r.Send(t.Context(), nil)
+			rig.Send(t.Context(), nil)
 			span(t, 3*time.Second)
-			restarted := func(d int) bool { return d%5 == 0 }
-			for d, x := range r.Nodes {
-				if restarted(d) {
-					require.NoError(t, x.Kill())
+			restarted := func(dispatcher int) bool { return dispatcher%5 == 0 }
+			for i, dispatcher := range rig.Nodes {
+				if restarted(i) {
+					require.NoError(t, dispatcher.Kill())
 				}
 			}
-			r.Words.Set(lab.Lost, func(from, to int) bool { return from%5 == 1 || to%5 == 2 })
-			for i := range 4 {
-				require.NoError(t, r.Replace(3*i))
+			rig.Words.Set(lab.Lost, func(from, to int) bool { return from%5 == 1 || to%5 == 2 })
+			replaced := []int{0, 3, 6, 9}
+			for _, worker := range replaced {
+				require.NoError(t, rig.Replace(worker))
 			}
-			r.Told(func(box int) bool { return box%3 == 0 })
-			require.NoError(t, r.Start(t.Context(), restarted))
-			span(t, f.Box.Warm)
-			r.Quiet()
-			all := 0
-			for i := range 4 {
-				b := r.Boxes[3*i]
-				seen, _ := b.Seen()
-				most := lab.ColdLoad(f, time.UnixMilli(r.Listed[3*i].UpSince), seen)
-				t.Logf("box %d: %d calls, at most %.2f of what is put down to chance", 3*i, len(seen), most)
-				assert.Less(t, most, 1.0, "box %d", 3*i)
-				all += len(seen)
+			rig.Told(func(worker int) bool { return worker%3 == 0 })
+			require.NoError(t, rig.Start(t.Context(), restarted))
+			span(t, figures.Box.Warm)
+			rig.Quiet()
+			calls := 0
+			for _, worker := range replaced {
+				seen, _ := rig.Boxes[worker].Seen()
+				load := lab.ColdLoad(figures, time.UnixMilli(rig.Listed[worker].UpSince), seen)
+				t.Logf("box %d: %d calls, at most %.2f of what is put down to chance", worker, len(seen), load)
+				assert.Less(t, load, 1.0, "box %d", worker)
+				calls += len(seen)
 			}
-			assert.Greater(t, all, 20, "fresh boxes are hardly used")
-			assert.NoError(t, r.Stop())
+			assert.Greater(t, calls, 20, "fresh boxes are hardly used")
+			assert.NoError(t, rig.Stop())
 		})
 	}
 }
 
-// Guards a quiet day on which four in ten of what is loaded come in a new version at once: no storm
-// of loads, orders within the ration, calls served on, and the old copies go. Counted at the boxes.
+// Four in ten of the loaded functions come in a new version at once, on a quiet day: there is no
+// storm of loads, the load orders stay within the quota, calls are served as before, and the old
+// copies are unloaded. Counted at the workers.
 func TestNewVersionsOnAQuietDay(t *testing.T) {
-	const n, boxes, models = 6, 8, 40
-	f := lab.PlannerFigures()
-	f.Box.Keep = 3 * time.Second
+	const dispatchers, workers, models = 6, 8, 40
+	figures := lab.PlannerFigures()
+	figures.Box.Keep = 3 * time.Second
 	load := lab.Load{Rate: 20, Models: models, Zipf: 0.6, Retries: 1}
-	r := fleet(t, lab.RigSize{Dispatchers: n, Boxes: boxes, Seed: 14, Figures: f, Load: load})
+	rig := fleet(t, lab.RigSize{Dispatchers: dispatchers, Boxes: workers, Seed: 14, Figures: figures, Load: load})
 	load.NewAt = time.Now().Add(4 * time.Second)
-	for _, c := range r.Called {
-		c.Renew(load.NewAt)
+	for _, client := range rig.Called {
+		client.Renew(load.NewAt)
 	}
-	r.Send(t.Context(), nil)
+	rig.Send(t.Context(), nil)
 	span(t, time.Until(load.NewAt))
-	span(t, 2*f.Box.Keep)
-	r.Quiet()
+	span(t, 2*figures.Box.Keep)
+	rig.Quiet()
+	renewed, loads := countLoads(t, rig, load, models)
+	t.Logf("%d loads of %d new versions", loads, renewed)
+	assert.Greater(t, renewed, models/4)
+	assert.Less(t, loads, 3*renewed, "loads of new versions")
+	assertLoadQuota(t, rig, dispatchers)
+	before := lab.Served(rig.Calls(nil), load.NewAt.Add(-2*time.Second), load.NewAt, nil)
+	after := lab.Served(rig.Calls(nil), load.NewAt, load.NewAt.Add(2*figures.Box.Keep), nil)
+	t.Logf("served %.3f before, %.3f after", before, after)
+	assert.Greater(t, after, before-0.05)
+	assertSound(t, rig)
+}
+
+// countLoads returns the models that have a new version and the loads of those at all workers, and
+// checks that no worker holds the old version any more.
+func countLoads(t *testing.T, rig *lab.Rig, load lab.Load, models int) (renewed, loads int) {
+	t.Helper()
 	end := time.Now()
-	loads, fresh := 0, 0
 	for rank := range models {
-		was, is := load.Version(rank)
-		if was == is {
+		before, after := load.Version(rank)
+		if before == after {
 			continue
 		}
-		fresh++
-		for i, b := range r.Boxes {
-			b.Change(func(x *lab.Box) {
-				loads += x.Loads(is)
-				assert.False(t, x.Holds(end, was), "box %d still holds the old version of model %d", i, rank)
+		renewed++
+		for i, worker := range rig.Boxes {
+			worker.Change(func(box *lab.Box) {
+				loads += box.Loads(after)
+				assert.False(t, box.Holds(end, before), "box %d still holds the old version of model %d", i, rank)
 			})
 		}
 	}
-	t.Logf("%d loads of %d new versions", loads, fresh)
-	assert.Greater(t, fresh, models/4)
-	assert.Less(t, loads, 3*fresh, "loads of new versions")
+	return renewed, loads
+}
+
+// assertLoadQuota checks that the load orders of all dispatchers stay within the quota of all.
+func assertLoadQuota(t *testing.T, rig *lab.Rig, dispatchers float64) {
+	t.Helper()
 	var orders, calls []time.Time
-	for _, b := range r.Boxes {
-		_, os := b.Seen()
-		orders = append(orders, os...)
+	for _, worker := range rig.Boxes {
+		_, seen := worker.Seen()
+		orders = append(orders, seen...)
 	}
-	for _, c := range r.Calls(nil) {
-		for _, x := range c.Tries {
-			calls = append(calls, x.Sent)
+	for _, call := range rig.Calls(nil) {
+		for _, attempt := range call.Tries {
+			calls = append(calls, attempt.Sent)
 		}
 	}
 	slices.SortFunc(orders, time.Time.Compare)
 	slices.SortFunc(calls, time.Time.Compare)
-	assert.Zero(t, lab.OverRation(orders, calls, 5*time.Second, 6*n, 0.3, 0.15), "orders beyond the ration of all")
-	before := lab.Served(r.Calls(nil), load.NewAt.Add(-2*time.Second), load.NewAt, nil)
-	after := lab.Served(r.Calls(nil), load.NewAt, load.NewAt.Add(2*f.Box.Keep), nil)
-	t.Logf("served %.3f before, %.3f after", before, after)
-	assert.Greater(t, after, before-0.05)
-	sound(t, r)
+	beyond := lab.OverRation(orders, calls, 5*time.Second, 6*dispatchers, 0.3, 0.15)
+	assert.Zero(t, beyond, "orders beyond the ration of all")
 }
--- a/cmd/dispatcher/helpers_test.go
+++ b/cmd/dispatcher/helpers_test.go
@@ -26,8 +26,10 @@
 
 // Environment variables of the test binary.
 const (
-	asProgram   = "OAKTHREAD_AS_PROGRAM"  // if set, the binary is the program itself, so that signals and exit codes are real
-	descriptors = "OAKTHREAD_DESCRIPTORS" // the limit of file descriptors of the program
+	// asProgram, if set, makes the binary the program itself, so that signals and exit codes are real.
+	asProgram = "OAKTHREAD_AS_PROGRAM"
+	// descriptors is the limit of file descriptors of the program.
+	descriptors = "OAKTHREAD_DESCRIPTORS"
 )
 
 const (
--- a/cmd/dispatcher/longlist_test.go
+++ b/cmd/dispatcher/longlist_test.go
@@ -11,137 +11,221 @@
 	"oakthread/internal/lab"
 )
 
-// A list too long to be walked for a choice, in four real processes: models have their copies in
-// few places, though no process looks at more than a part of the list and no word about holders
-// passes between them, and a zone that is cut off from half of the processes and heals costs
-// neither a rule nor the service of the others.
+// The endpoint list is too long to be scanned for each choice, in four processes. Copies of a model
+// are in few places, though no process looks at more than a part of the list and no gossip about
+// holders passes between them. A zone that is cut off from half of the processes, and heals, breaks
+// no rule and costs the others no calls.
 func TestLongListThroughACut(t *testing.T) {
-	const models, boxes = 40, 272
-	r := fleet(t, lab.RigSize{Dispatchers: 4, Boxes: boxes, Zones: 4, Seed: 6, Load: lab.Load{Rate: 50, Models: models, Retries: 1}})
-	r.Words.Set(lab.Lost, func(_, _ int) bool { return true })
-	r.Send(t.Context(), nil)
+	const models, workers = 40, 272
+	rig := fleet(t, lab.RigSize{
+		Dispatchers: 4, Boxes: workers, Zones: 4, Seed: 6,
+		Load: lab.Load{Rate: 50, Models: models, Retries: 1},
+	})
+	rig.Words.Set(lab.Lost, allPairs)
+	rig.Send(t.Context(), nil)
 	from := span(t, 3*time.Second)
 	cutAt := span(t, 2*time.Second)
-	cross := func(n, box int) bool { return n < 2 && box%4 == 0 }
-	require.NoError(t, r.Ways.Between(lab.Cut, 0, cross))
+	isCut := func(dispatcher, worker int) bool { return dispatcher < 2 && worker%4 == 0 }
+	require.NoError(t, rig.Ways.Between(lab.Cut, 0, isCut))
 	span(t, 2*time.Second)
-	require.NoError(t, r.Ways.Between(lab.Open, 0, cross))
+	require.NoError(t, rig.Ways.Between(lab.Open, 0, isCut))
 	healed := time.Now()
 	after := span(t, 1500*time.Millisecond)
 	end := span(t, 2*time.Second)
-	r.Quiet()
-	uncut := func(n int) bool { return n >= 2 }
-	calm, meanwhile, again := lab.Served(r.Calls(nil), from, cutAt, nil), lab.Served(r.Calls(uncut), cutAt, healed, nil), lab.Served(r.Calls(nil), after, end, nil)
-	places, used := map[[2]uint64]bool{}, map[int]bool{}
-	for i, b := range r.Boxes {
-		calls, _ := b.Seen()
-		for _, s := range calls {
-			if s.Took && !s.At.Before(from) && s.At.Before(cutAt) {
-				places[[2]uint64{s.Model, uint64(i)}], used[i] = true, true
+	rig.Quiet()
+	notCut := func(dispatcher int) bool { return dispatcher >= 2 }
+	before := lab.Served(rig.Calls(nil), from, cutAt, nil)
+	during := lab.Served(rig.Calls(notCut), cutAt, healed, nil)
+	again := lab.Served(rig.Calls(nil), after, end, nil)
+	places, used := modelPlaces(rig, from, cutAt)
+	t.Logf("served %.3f before, %.3f at those not cut off meanwhile, %.3f after; "+
+		"%d models in %d places at %d of %d boxes",
+		before, during, again, models, places, used, workers)
+	assert.Greater(t, before, 0.95)
+	assert.Greater(t, during, 0.9)
+	assert.Greater(t, again, 0.95*before)
+	assert.Less(t, places, 2*models, "places of models: a window of each dispatcher's own gives four")
+	assertSound(t, rig)
+}
+
+// modelPlaces returns the pairs of a model and a worker that served it in a time, and the workers
+// among them.
+func modelPlaces(rig *lab.Rig, from, until time.Time) (places, workers int) {
+	type place struct {
+		model  uint64
+		worker int
+	}
+	served, used := map[place]bool{}, map[int]bool{}
+	for i, worker := range rig.Boxes {
+		calls, _ := worker.Seen()
+		for _, call := range calls {
+			if call.Took && !call.At.Before(from) && call.At.Before(until) {
+				served[place{call.Model, i}] = true
+				used[i] = true
 			}
 		}
 	}
-	t.Logf("served %.3f before, %.3f at those not cut off meanwhile, %.3f after; %d models in %d places at %d of %d boxes", calm, meanwhile, again, models, len(places), len(used), boxes)
-	assert.Greater(t, calm, 0.95)
-	assert.Greater(t, meanwhile, 0.9)
-	assert.Greater(t, again, 0.95*calm)
-	assert.Less(t, len(places), 2*models, "places of models: a window of each dispatcher's own gives four")
-	sound(t, r)
+	return len(served), len(used)
+}
+
+// release is a rolling release of a long endpoint list: a third of the workers drain in steps while
+// as many new ones are added, and two dispatchers restart.
+type release struct {
+	*lab.Rig
+
+	figures *lab.Figures
+
+	began, over         time.Time // of the steps
+	after, end          time.Time // of the measurement after them
+	restartsAt, readyAt [releaseDispatchers]time.Time
 }
 
-// A release in a list too long to be walked for a choice, in four real processes: a third of 300
-// boxes drains in steps while as many new, cold ones come, told by discovery, and two of the
-// processes are restarted meanwhile by planned ends, their clients going on. No rule is breached by
-// it, calls are served as in calm times, and who is new takes its share. Functions change, so that
-// places are found all the while. That no look is wasted on executors that drain can't be told
-// here, nor that the list is not walked whole (served alike without either):
-// TestLongListLooksAtNoneThatDrains in decide has it.
+const (
+	releaseDispatchers = 4
+	releaseWorkers     = 300
+	releaseSteps       = 5
+	releaseStep        = 20 // workers that are added in a step
+)
+
+// isDrained reports whether a worker drains in the release.
+func isDrained(worker int) bool { return worker < releaseWorkers && worker%3 == 0 }
+
+// isAdded reports whether a worker is added in the release.
+func isAdded(worker int) bool { return worker >= releaseWorkers }
+
+// A release with a list too long to be scanned for each choice, in four processes: a third of 300
+// workers drains in steps while as many cold ones are added, and two of the processes restart,
+// their clients going on. It breaks no rule, calls are served as before, and the new workers take
+// their share. Functions change, so that workers are chosen for them all the time. That no choice
+// looks at workers that drain, and that the list is not scanned, cannot be seen here, since calls
+// are served alike; TestLongListLooksAtNoneThatDrains in package balancer shows it.
 func TestReleaseInALongList(t *testing.T) {
-	const boxes, steps, step = 300, 5, 20
-	f := lab.PlannerFigures()
-	for i := range f.Classes { // so that a new box bears some ten calls in the time in which too many push it over
-		f.Classes[i].Work *= 10
+	figures := lab.PlannerFigures()
+	for i := range figures.Classes { // so that a new worker bears some ten calls before it is overloaded
+		figures.Classes[i].Work *= 10
 	}
-	f.Box.Cores, f.Box.Queue, f.Box.Warm = 1, 16, 3*time.Second
-	r := fleet(t, lab.RigSize{
-		Dispatchers: 4, Boxes: boxes, Later: steps * step, Zones: 4, Seed: 9, Figures: f,
+	figures.Box.Cores, figures.Box.Queue, figures.Box.Warm = 1, 16, 3*time.Second
+	rig := fleet(t, lab.RigSize{
+		Dispatchers: releaseDispatchers, Boxes: releaseWorkers, Later: releaseSteps * releaseStep,
+		Zones: 4, Seed: 9, Figures: figures,
 		Load: lab.Load{Rate: 50, Models: 150, Zipf: 0.4, Turn: 3 * time.Second, Retries: 2},
 	})
-	drained := func(box int) bool { return box < boxes && box%3 == 0 }
-	fresh := func(box int) bool { return box >= boxes }
+	r := &release{Rig: rig, figures: figures}
 	r.Send(t.Context(), nil)
 	from := span(t, time.Second)
-	began := span(t, 2*time.Second)
-	var ends, ready [4]time.Time // of each process that is restarted
+	r.began = span(t, 2*time.Second)
+	r.play(t)
+	r.over = time.Now()
+	r.after = span(t, 1500*time.Millisecond)
+	r.end = span(t, 2*time.Second)
+	r.Quiet()
+
+	calls := r.callsToRunning()
+	before := lab.Served(calls, from, r.began, nil)
+	during := lab.Served(calls, r.began, r.over, nil)
+	after := lab.Served(calls, r.after, r.end, nil)
+	seen := r.seenByWorkers()
+	t.Logf("served %.3f before, %.3f during a release of %s, %.3f after; %d path-books ran during it; "+
+		"then %d of %d calls came to new boxes, %d to drained ones; "+
+		"cold ones had at most %.2f of what is put down to chance; %d requests crossed a planned end's close",
+		before, during, r.over.Sub(r.began), after, seen.bookings,
+		seen.toAdded, seen.afterwards, seen.toDrained, seen.maxColdLoad, r.crossed())
+	assert.Greater(t, before, 0.95)
+	assert.Greater(t, during, 0.95*before)
+	assert.Greater(t, after, 0.95*before)
+	assert.Greater(t, seen.bookings, 50)
+	assert.Greater(t, float64(seen.toAdded), 0.12*float64(seen.afterwards), "a third of the boxes that are on are new")
+	assert.Zero(t, seen.toDrained, "calls that came to drained boxes at the end")
+	assert.Less(t, seen.maxColdLoad, 1.0, "cold boxes")
+	assertSound(t, r.Rig)
+}
+
+// play goes through the steps of the release and waits for the dispatchers that restart.
+func (r *release) play(t *testing.T) {
+	t.Helper()
+	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
+	defer cancel()
 	restarted := make(chan error, 2)
-	soon, done := context.WithTimeout(t.Context(), 30*time.Second)
-	defer done()
-	for s := range steps {
-		require.NoError(t, r.Join(step))
-		r.Drain(func(box int) bool { return drained(box) && box/(boxes/steps) == s })
-		if n := s; n == 1 || n == 3 {
-			ends[n] = time.Now()
+	for step := range releaseSteps {
+		require.NoError(t, r.Join(releaseStep))
+		r.Drain(func(worker int) bool {
+			return isDrained(worker) && worker/(releaseWorkers/releaseSteps) == step
+		})
+		if dispatcher := step; dispatcher == 1 || dispatcher == 3 {
+			r.restartsAt[dispatcher] = time.Now()
 			go func() {
-				err := r.Restart(soon, n)
-				ready[n] = time.Now()
+				err := r.Restart(ctx, dispatcher)
+				r.readyAt[dispatcher] = time.Now()
 				restarted <- err
 			}()
 		}
 		span(t, 700*time.Millisecond)
 	}
-	for range 2 {
+	for range cap(restarted) {
 		require.NoError(t, <-restarted)
 	}
-	over := time.Now()
-	after := span(t, 1500*time.Millisecond)
-	end := span(t, 2*time.Second)
-	r.Quiet()
+}
 
-	var there []*lab.Call // to processes that had not been told to end, or were ready again
-	for n := range r.Nodes {
-		for _, c := range r.Calls(func(i int) bool { return i == n }) {
-			if c.Intended.Before(ends[n]) || !c.Intended.Before(ready[n]) {
-				there = append(there, c)
+// callsToRunning returns the calls to dispatchers that had not been told to restart, or were ready
+// again.
+func (r *release) callsToRunning() []*lab.Call {
+	var running []*lab.Call
+	for dispatcher := range r.Nodes {
+		for _, call := range r.Calls(func(i int) bool { return i == dispatcher }) {
+			if call.Intended.Before(r.restartsAt[dispatcher]) || !call.Intended.Before(r.readyAt[dispatcher]) {
+				running = append(running, call)
 			}
 		}
 	}
-	calm, meanwhile, again := lab.Served(there, from, began, nil), lab.Served(there, began, over, nil), lab.Served(there, after, end, nil)
-	came, new, late, books, crossed, most := 0, 0, 0, 0, 0, 0.0
-	for _, c := range r.Calls(nil) {
-		for _, x := range c.Tries {
-			if x.Crossed {
+	return running
+}
+
+// crossed returns the attempts that crossed the close of their connection by a graceful shutdown.
+func (r *release) crossed() int {
+	crossed := 0
+	for _, call := range r.Calls(nil) {
+		for _, attempt := range call.Tries {
+			if attempt.Crossed {
 				crossed++
 			}
 		}
 	}
-	for i, b := range r.Boxes {
-		seen, _ := b.Seen()
-		if fresh(i) {
-			most = max(most, lab.ColdLoad(f, time.UnixMilli(r.Listed[i].UpSince), seen))
+	return crossed
+}
+
+// workerView is what the workers saw of a release.
+type workerView struct {
+	bookings    int     // calls that must not run twice, served during the release
+	afterwards  int     // calls after the release
+	toAdded     int     // those at workers that were added
+	toDrained   int     // those at workers that had drained
+	maxColdLoad float64 // greatest load of an added worker, relative to the slow start
+}
+
+// seenByWorkers returns what the workers saw of the release.
+func (r *release) seenByWorkers() workerView {
+	var view workerView
+	for i, worker := range r.Boxes {
+		seen, _ := worker.Seen()
+		if isAdded(i) {
+			load := lab.ColdLoad(r.figures, time.UnixMilli(r.Listed[i].UpSince), seen)
+			view.maxColdLoad = max(view.maxColdLoad, load)
 		}
-		for _, s := range seen {
+		for _, call := range seen {
+			during := !call.At.Before(r.began) && call.At.Before(r.over)
 			switch {
-			case !s.At.Before(began) && s.At.Before(over) && s.Took && f.Classes[s.Class].Once:
-				books++
-			case !s.At.Before(after) && s.At.Before(end):
-				came++
-				if fresh(i) {
-					new++
+			case during && call.Took && r.figures.Classes[call.Class].Once:
+				view.bookings++
+			case !call.At.Before(r.after) && call.At.Before(r.end):
+				view.afterwards++
+				if isAdded(i) {
+					view.toAdded++
 				}
-				if drained(i) {
-					late++
+				if isDrained(i) {
+					view.toDrained++
 				}
 			}
 		}
 	}
-	t.Logf("served %.3f before, %.3f during a release of %s, %.3f after; %d path-books ran during it; then %d of %d calls came to new boxes, %d to drained ones; cold ones had at most %.2f of what is put down to chance; %d requests crossed a planned end's close",
-		calm, meanwhile, over.Sub(began), again, books, new, came, late, most, crossed)
-	assert.Greater(t, calm, 0.95)
-	assert.Greater(t, meanwhile, 0.95*calm)
-	assert.Greater(t, again, 0.95*calm)
-	assert.Greater(t, books, 50)
-	assert.Greater(t, float64(new), 0.12*float64(came), "a third of the boxes that are on are new")
-	assert.Zero(t, late, "calls that came to drained boxes at the end")
-	assert.Less(t, most, 1.0, "cold boxes")
-	sound(t, r)
+	return view
 }
--- a/cmd/dispatcher/main.go
+++ b/cmd/dispatcher/main.go
@@ -1,4 +1,4 @@
-// Command dispatcher runs the dispatcher as a daemon; package cli has its command line.
+// Command dispatcher runs the dispatcher as a daemon. Package cli defines its command line.
 package main
 
 import (
@@ -12,12 +12,13 @@
 )
 
 func main() {
-	// First of all: a SIGHUP that nobody waits for ends a program, also one that is still starting.
+	// Before anything else, since a SIGHUP that is not caught ends the process, also during its start.
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	err := cli.Run(ctx, cli.Env{Getenv: os.Getenv, Hup: hup, Out: os.Stdout, Err: os.Stderr}, os.Args[1:])
+	env := cli.Env{Getenv: os.Getenv, Hup: hup, Out: os.Stdout, Err: os.Stderr}
+	err := cli.Run(ctx, env, os.Args[1:])
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "oakthread:", err)
 	}
