--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -52,10 +52,10 @@
 // rejected are requests over their tenant's quota or that need a load, by the shortest latency
 // objective, then the classes of the least priority for their work, by the mean objective. A load
 // occupies the slots of other calls while the store is slow.
-func (b *Balancer) shouldReject(now int64, q Request) bool {
-	overQuota := b.countsOverQuota(now, q)
-	b.admission.mix.observe(q.Class, overQuota, b.latencies[q.Class].mean)
-	seen := b.demandSeenBy(q.Class)
+func (b *Balancer) shouldReject(now int64, request Request) bool {
+	overQuota := b.countsOverQuota(now, request)
+	b.admission.mix.observe(request.Class, overQuota, b.latencies[request.Class].mean)
+	seen := b.demandSeenBy(request.Class)
 	objective := seen.objective / seen.priority
 	if overQuota || seen.priority <= 0 {
 		objective = float64(b.shortestObjective)
@@ -71,12 +71,12 @@
 // countsOverQuota reports whether a request is among the first to be rejected. So is one that the
 // client marks as a retry: clients that retry at once must not crowd out first attempts, nor do
 // retries count toward the tenant's rate.
-func (b *Balancer) countsOverQuota(now int64, q Request) bool {
-	if q.Retry || b.rng.Float64() < b.overQuotaShare(now, q.Tenant) {
+func (b *Balancer) countsOverQuota(now int64, request Request) bool {
+	if request.Retry || b.rng.Float64() < b.overQuotaShare(now, request.Tenant) {
 		return true
 	}
-	f := b.holders.lookup(q.Func)
-	return f == nil || !f.copyExpectedElsewhere(now, nil)
+	function := b.holders.lookup(request.Func)
+	return function == nil || !function.copyExpectedElsewhere(now, nil)
 }
 
 // isFull reports whether the requests in hand leave no room for one of a rank between 0 and 1. Once
--- a/balancer/api.go
+++ b/balancer/api.go
@@ -127,7 +127,7 @@
 type Host interface {
 	// SendAttempt sends the next attempt of a request; until 0: it may take as long as the client
 	// waits.
-	SendAttempt(id string, w WorkerID, until int64)
+	SendAttempt(id string, worker WorkerID, until int64)
 	// CancelAttempt gives up an attempt that is in flight.
 	CancelAttempt(id string, attempt int)
 	// Reject is a final answer after which the client may try again, after a wait in nanoseconds.
@@ -135,11 +135,11 @@
 	// Fail is a final answer after which the call may have run.
 	Fail(id string)
 	// OrderLoad orders copies of a function at a worker.
-	OrderLoad(w WorkerID, f FuncID, count int)
+	OrderLoad(worker WorkerID, function FuncID, count int)
 	// OrderUnload orders all idle copies of a function at a worker to be unloaded.
-	OrderUnload(w WorkerID, f FuncID)
+	OrderUnload(worker WorkerID, function FuncID)
 	// HealthCheck asks a worker for a sign of life.
-	HealthCheck(w WorkerID)
+	HealthCheck(worker WorkerID)
 	// SendPeerMessage sends a datagram of up to 256 bytes to one other dispatcher by its index, or
 	// to all if the index is below 0.
 	SendPeerMessage(to int, data string)
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -45,33 +45,33 @@
 
 // New returns a Balancer that knows no workers yet. It returns an error for settings that have no
 // safe reading.
-func New(now int64, s Settings, seed uint64, host Host) (*Balancer, error) {
+func New(now int64, settings Settings, seed uint64, host Host) (*Balancer, error) {
 	if host == nil {
 		return nil, fmt.Errorf("balancer: host is nil")
 	}
-	if err := s.validate(); err != nil {
+	if err := settings.validate(); err != nil {
 		return nil, err
 	}
-	s.setDefaults()
-	classes := s.Classes
-	s.Classes = s.Classes[:0:0]
+	settings.setDefaults()
+	classes := settings.Classes
+	settings.Classes = settings.Classes[:0:0]
 	b := &Balancer{
-		settings:          s,
+		settings:          settings,
 		host:              host,
 		rng:               rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
 		now:               now,
 		startedAt:         now,
 		shortestObjective: noDeadline,
 		requests:          map[string]*requestState{},
-		endpoints:         newEndpointTable(s.FullScanLimit),
+		endpoints:         newEndpointTable(settings.FullScanLimit),
 		holders:           holderTable{functions: map[uint32]*functionState{}},
-		admission:         admissionState{tenantCalls: make([]decayingCounter, len(s.TenantQuota))},
+		admission:         admissionState{tenantCalls: make([]decayingCounter, len(settings.TenantQuota))},
 		losses:            lossEstimator{probability: minLossProbability},
 		hedges:            hedgeBudget{tokens: 1},
-		slowStart:         slowStartState{window: s.SlowStartWindow},
+		slowStart:         slowStartState{window: settings.SlowStartWindow},
 		loadQuota: loadQuota{
-			window: s.LoadQuotaWindow,
-			limits: rules.LoadQuota{Base: s.LoadQuotaBase, Ratio: s.LoadQuotaRatio},
+			window: settings.LoadQuotaWindow,
+			limits: rules.LoadQuota{Base: settings.LoadQuotaBase, Ratio: settings.LoadQuotaRatio},
 		},
 		timers: timerQueue{deadline: noDeadline, stalledAt: now - 1},
 	}
--- a/balancer/candidates.go
+++ b/balancer/candidates.go
@@ -23,12 +23,12 @@
 // window of the ring that is the same at all dispatchers (a hot function has several windows, each
 // dispatcher one of them), a random sample, and believed holders; the lightest worker and those due
 // for a trial are found only among these.
-func (b *Balancer) workersToExamine(now int64, r *requestState) examinedWorkers {
-	places := b.placesNeeded(now, r)
+func (b *Balancer) workersToExamine(now int64, request *requestState) examinedWorkers {
+	places := b.placesNeeded(now, request)
 	if count := len(b.endpoints.listed); !b.endpoints.isLong() {
 		return examinedWorkers{b.endpoints.listed, count, count, places / float64(count)}
 	}
-	windows, key := max(1, math.Ceil(places/ringWindow)), uint64(r.function.id)
+	windows, key := max(1, math.Ceil(places/ringWindow)), uint64(request.function.id)
 	if own := mix64(key^uint64(b.settings.DispatcherIndex+1)) % uint64(windows); own > 0 {
 		key = mix64(key + own)
 	}
@@ -36,7 +36,7 @@
 	preferred := len(workers)
 	workers = b.endpoints.appendSample(workers, b.rng)
 	representative := len(workers)
-	workers = b.appendHolders(workers, r.function.holders)
+	workers = b.appendHolders(workers, request.function.holders)
 	b.choice.examined = workers
 	return examinedWorkers{workers, preferred, representative, places / (windows * ringWindow)}
 }
@@ -54,15 +54,15 @@
 // dispatcher sends, taken for the share of every one, at the targeted use of one copy each. The
 // call at hand does not count, nor, of many dispatchers, what may be chance: else functions that
 // each calls once or twice would look hot to all.
-func (b *Balancer) placesNeeded(now int64, r *requestState) float64 {
-	f := r.function
+func (b *Balancer) placesNeeded(now int64, request *requestState) float64 {
+	function := request.function
 	window := float64(b.callRateWindow())
 	// A dispatcher that started lately has seen less than a window.
 	observed := window * (1 - math.Exp(-float64(now-b.startedAt+b.shortestObjective/2)/window))
-	calls := f.recentCalls.valueAt(now, window)
+	calls := function.recentCalls.valueAt(now, window)
 	calls = max(0, calls-(1-1/b.fleetFactor())*math.Sqrt(calls))
-	perPlace := targetConcurrencyUse * float64(f.concurrency)
-	return calls / observed * float64(b.settings.Dispatchers) * b.latencies[r.Class].mean / perPlace
+	perPlace := targetConcurrencyUse * float64(function.concurrency)
+	return calls / observed * float64(b.settings.Dispatchers) * b.latencies[request.Class].mean / perPlace
 }
 
 // callRateWindow returns the time constant, in nanoseconds, over which the calls of a function and
--- a/balancer/choose.go
+++ b/balancer/choose.go
@@ -42,10 +42,10 @@
 // trial is set if the attempt tests a worker whose ejection has run out. The rule is Load/Affinity
 // (Bunt et al.): the lightest holder with free capacity within a slack of the lightest worker, else
 // the lightest holder within it, else the lightest worker.
-func (b *Balancer) chooseWorker(now int64, r *requestState) (best *workerState, trial bool) {
+func (b *Balancer) chooseWorker(now int64, request *requestState) (best *workerState, trial bool) {
 	b.choice.number++
-	examined := b.workersToExamine(now, r)
-	set := b.examine(now, r, examined)
+	examined := b.workersToExamine(now, request)
+	set := b.examine(now, request, examined)
 	if set.trial != nil {
 		return set.trial, true
 	}
@@ -53,42 +53,42 @@
 		return nil, false
 	}
 	set.medianLoad = median(b.choice.loads)
-	set.minLoad = b.excludeUnhealthy(now, r, set)
-	slack := max(minLoadSlack, b.loads.expected(r.function)/b.latencies[r.Class].mean)
-	if holders := b.holdersWithin(now, r.function, b.loadBase(set)*(1+slack)); len(holders) > 0 {
+	set.minLoad = b.excludeUnhealthy(now, request, set)
+	slack := max(minLoadSlack, b.loads.expected(request.function)/b.latencies[request.Class].mean)
+	if holders := b.holdersWithin(now, request.function, b.loadBase(set)*(1+slack)); len(holders) > 0 {
 		return b.lightestHolder(now, holders, set.medianLoad), false
 	}
 	limit := (1 + min(slack, similarLoadTolerance*b.fleetFactor())) * max(set.minLoad, set.medianLoad)
-	return b.preferredWorker(now, r.function, set.preferred, limit, examined.placesShare), false
+	return b.preferredWorker(now, request.function, set.preferred, limit, examined.placesShare), false
 }
 
 // examine collects the eligible workers with their loads as candidates. It stops at a worker that
 // is due for a trial.
-func (b *Balancer) examine(now int64, r *requestState, examined examinedWorkers) (set candidateSet) {
+func (b *Balancer) examine(now int64, request *requestState, examined examinedWorkers) (set candidateSet) {
 	number := b.choice.number
 	b.choice.candidates, b.choice.loads = b.choice.candidates[:0], b.choice.loads[:0]
-	for i, w := range examined.workers {
-		if w.examinedIn == number || !b.eligible(now, w) || !b.mayRetryAt(now, r, w) {
+	for i, worker := range examined.workers {
+		if worker.examinedIn == number || !b.eligible(now, worker) || !b.mayRetryAt(now, request, worker) {
 			continue
 		}
 		set.total++
-		w.examinedIn, w.choiceHealthy = number, b.isHealthy(now, w)
+		worker.examinedIn, worker.choiceHealthy = number, b.isHealthy(now, worker)
 		switch {
-		case w.choiceHealthy:
+		case worker.choiceHealthy:
 			set.healthy++
-		case b.trialDue(now, w, r):
-			set.trial = w
+		case b.trialDue(now, worker, request):
+			set.trial = worker
 			return set
-		case b.isUnreachableByAll(now, w):
+		case b.isUnreachableByAll(now, worker):
 			set.unreachable++
 		}
-		w.candidateIn, w.choiceLoad = number, b.weightedLoad(now, w)
-		b.choice.candidates = append(b.choice.candidates, w)
+		worker.candidateIn, worker.choiceLoad = number, b.weightedLoad(now, worker)
+		b.choice.candidates = append(b.choice.candidates, worker)
 		if i < examined.preferred {
 			set.preferred = len(b.choice.candidates)
 		}
 		if i < examined.representative {
-			b.choice.loads = append(b.choice.loads, w.choiceLoad)
+			b.choice.loads = append(b.choice.loads, worker.choiceLoad)
 		}
 	}
 	return set
@@ -96,21 +96,21 @@
 
 // excludeUnhealthy takes the unhealthy workers out of the candidates, adjusts the loads of unknown
 // and of already tried ones, and returns the lightest load.
-func (b *Balancer) excludeUnhealthy(now int64, r *requestState, set candidateSet) (minLoad float64) {
+func (b *Balancer) excludeUnhealthy(now int64, request *requestState, set candidateSet) (minLoad float64) {
 	trusted := set.ejectionsTrusted()
 	minLoad = math.Inf(1)
-	for _, w := range b.choice.candidates {
-		if !w.choiceHealthy && (trusted || set.unreachable < set.total && b.isUnreachableByAll(now, w)) {
-			w.candidateIn--
+	for _, worker := range b.choice.candidates {
+		if !worker.choiceHealthy && (trusted || set.unreachable < set.total && b.isUnreachableByAll(now, worker)) {
+			worker.candidateIn--
 			continue
 		}
-		if !w.responded {
-			w.choiceLoad = max(w.choiceLoad, set.medianLoad)
+		if !worker.responded {
+			worker.choiceLoad = max(worker.choiceLoad, set.medianLoad)
 		}
-		if r.triedAt(w) { // what failed there may fail there again
-			w.choiceLoad += float64(b.settings.MaxAttempts) * (set.medianLoad + 1)
+		if request.triedAt(worker) { // what failed there may fail there again
+			worker.choiceLoad += float64(b.settings.MaxAttempts) * (set.medianLoad + 1)
 		}
-		minLoad = min(minLoad, w.choiceLoad)
+		minLoad = min(minLoad, worker.choiceLoad)
 	}
 	return minLoad
 }
@@ -134,16 +134,16 @@
 
 // holdersWithin lists the candidates up to a load that hold a copy with free capacity or, if there
 // are none, those at which a copy is expected.
-func (b *Balancer) holdersWithin(now int64, f *functionState, limit float64) []*workerState {
+func (b *Balancer) holdersWithin(now int64, function *functionState, limit float64) []*workerState {
 	var free, busy []*workerState
-	for _, h := range f.holders {
-		if h.worker.candidateIn != b.choice.number || h.worker.choiceLoad > limit {
+	for _, holder := range function.holders {
+		if holder.worker.candidateIn != b.choice.number || holder.worker.choiceLoad > limit {
 			continue
 		}
-		if h.hasFreeCapacity(now) {
-			free = append(free, h.worker)
-		} else if h.copyExpected(now) {
-			busy = append(busy, h.worker)
+		if holder.hasFreeCapacity(now) {
+			free = append(free, holder.worker)
+		} else if holder.copyExpected(now) {
+			busy = append(busy, holder.worker)
 		}
 	}
 	if len(free) == 0 {
@@ -157,18 +157,18 @@
 // which one is drawn, lest all dispatchers meet at the lightest.
 func (b *Balancer) lightestHolder(now int64, holders []*workerState, medianLoad float64) (best *workerState) {
 	minLoad, count := math.Inf(1), 0
-	for _, w := range holders {
-		minLoad = min(minLoad, w.choiceLoad)
+	for _, worker := range holders {
+		minLoad = min(minLoad, worker.choiceLoad)
 	}
 	staleness := 1 - math.Exp(-float64(2*(now-b.gossip.digestAt))/float64(b.shortestObjective))
 	limit := max(minLoad, staleness*medianLoad) * (1 + similarLoadTolerance*staleness)
-	for _, w := range holders {
-		if w.choiceLoad > limit {
+	for _, worker := range holders {
+		if worker.choiceLoad > limit {
 			continue
 		}
 		count++
 		if b.rng.IntN(count) == 0 {
-			best = w
+			best = worker
 		}
 	}
 	return best
@@ -179,30 +179,32 @@
 // sees little of the load of any worker, and the more of them there are, the wider the range of
 // loads that count as alike. Of a function that needs more places, a share of the workers is ranked
 // by each dispatcher for itself.
-func (b *Balancer) preferredWorker(now int64, f *functionState, preferred int, limit, placesShare float64) (best *workerState) {
+func (b *Balancer) preferredWorker(now int64, function *functionState, preferred int, limit,
+	placesShare float64) (best *workerState) {
 	topScore := 0.0
-	for i, w := range b.choice.candidates {
+	for i, worker := range b.choice.candidates {
 		if i >= preferred && best != nil {
 			break
 		}
-		if w.candidateIn != b.choice.number || w.choiceLoad > limit {
+		if worker.candidateIn != b.choice.number || worker.choiceLoad > limit {
 			continue
 		}
-		if score := b.placementScore(now, f, w, placesShare); best == nil || score > topScore {
-			best, topScore = w, score
+		if score := b.placementScore(now, function, worker, placesShare); best == nil || score > topScore {
+			best, topScore = worker, score
 		}
 	}
 	return best
 }
 
 // placementScore ranks a worker as the place to load a function.
-func (b *Balancer) placementScore(now int64, f *functionState, w *workerState, placesShare float64) float64 {
-	rank := hashRank(f.id, w.Worker)
-	score := rendezvousScore(rank, w.Weight*b.capacityFraction(now, w))
+func (b *Balancer) placementScore(now int64, function *functionState, worker *workerState,
+	placesShare float64) float64 {
+	rank := hashRank(function.id, worker.Worker)
+	score := rendezvousScore(rank, worker.Weight*b.capacityFraction(now, worker))
 	if rank > 1-placesShare {
-		score += rendezvousScore(hashRank(b.ownPlacementKey(f.id), w.Worker), placementRankWeight)
+		score += rendezvousScore(hashRank(b.ownPlacementKey(function.id), worker.Worker), placementRankWeight)
 	}
-	if h := f.holderAt(w, false); h != nil && h.orderBackoffUntil > now {
+	if holder := function.holderAt(worker, false); holder != nil && holder.orderBackoffUntil > now {
 		score /= failedOrderPenalty
 	}
 	return score
@@ -216,6 +218,6 @@
 
 // eligible reports whether w may get attempts and load orders: it is listed, not draining and
 // within its slow-start budget. Every attempt and every load order passes it (rules 3 and 4).
-func (b *Balancer) eligible(now int64, w *workerState) bool {
-	return w.listed && w.State == Active && b.slowStartAllows(now, w)
+func (b *Balancer) eligible(now int64, worker *workerState) bool {
+	return worker.listed && worker.State == Active && b.slowStartAllows(now, worker)
 }
--- a/balancer/choose_test.go
+++ b/balancer/choose_test.go
@@ -8,31 +8,31 @@
 )
 
 func TestHolderWithFreeCapacityIsChosenFirst(t *testing.T) {
-	d, f := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 4)
-	markAllResponded(d)
-	d.HandleRequest(0, testRequest("a", 0, 1))
-	d.HandleAttemptResult(10*ms, successful("a", f.lastWorker["a"]))
+	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 4)
+	markAllResponded(balancer)
+	balancer.HandleRequest(0, testRequest("a", 0, 1))
+	balancer.HandleAttemptResult(10*ms, successful("a", host.lastWorker["a"]))
 	for i := range 20 {
 		id := fmt.Sprint("b", i)
 		now := int64(20+i) * ms
-		d.HandleRequest(now, testRequest(id, now, 1))
-		if f.lastWorker[id] != f.lastWorker["a"] {
-			t.Fatalf("call %d went to %d, the holder is %d", i, f.lastWorker[id], f.lastWorker["a"])
+		balancer.HandleRequest(now, testRequest(id, now, 1))
+		if host.lastWorker[id] != host.lastWorker["a"] {
+			t.Fatalf("call %d went to %d, the holder is %d", i, host.lastWorker[id], host.lastWorker["a"])
 		}
-		d.HandleAttemptResult(now+ms/2, successful(id, f.lastWorker[id]))
+		balancer.HandleAttemptResult(now+ms/2, successful(id, host.lastWorker[id]))
 	}
 }
 
 func TestBusyHolderBeyondSlackIsPassedOver(t *testing.T) {
-	d, f := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 4)
-	markAllResponded(d)
-	d.HandleRequest(0, testRequest("a", 0, 1))
-	d.HandleAttemptResult(10*ms, successful("a", f.lastWorker["a"]))
+	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 4)
+	markAllResponded(balancer)
+	balancer.HandleRequest(0, testRequest("a", 0, 1))
+	balancer.HandleAttemptResult(10*ms, successful("a", host.lastWorker["a"]))
 	used := map[WorkerID]bool{}
 	for i := range 12 {
 		id := fmt.Sprint("b", i)
-		d.HandleRequest(20*ms, testRequest(id, 20*ms, 1))
-		used[f.lastWorker[id]] = true
+		balancer.HandleRequest(20*ms, testRequest(id, 20*ms, 1))
+		used[host.lastWorker[id]] = true
 	}
 	if len(used) < 2 {
 		t.Fatal("a hot function stayed on one worker")
@@ -44,11 +44,11 @@
 		at   int64
 		held bool
 	}{{8009 * ms, true}, {8011 * ms, false}} {
-		d, f := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 3)
-		d.HandleRequest(0, testRequest("a", 0, 1))
-		d.HandleAttemptResult(10*ms, successful("a", f.lastWorker["a"]))
-		h := d.holders.functions[1].holderAt(d.endpoints.byID[f.lastWorker["a"]], false)
-		if (h.validUntil > c.at) != c.held {
+		balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 3)
+		balancer.HandleRequest(0, testRequest("a", 0, 1))
+		balancer.HandleAttemptResult(10*ms, successful("a", host.lastWorker["a"]))
+		holder := balancer.holders.functions[1].holderAt(balancer.endpoints.byID[host.lastWorker["a"]], false)
+		if (holder.validUntil > c.at) != c.held {
 			t.Errorf("at %d ms: believed %v, want %v", c.at/ms, !c.held, c.held)
 		}
 	}
@@ -58,44 +58,48 @@
 // call there in some seconds, and its calls ran into their deadlines. Of few, each sees its queue.
 func TestSlowWorkerWeighsMoreAmongManyDispatchers(t *testing.T) {
 	for _, many := range []int{1, 5, 80, 300} {
-		s := testSettings(Idempotent, ScopeAll)
-		s.Dispatchers = many
-		d, f := newTestBalancer(t, s, 6)
-		markAllResponded(d)
+		settings := testSettings(Idempotent, ScopeAll)
+		settings.Dispatchers = many
+		balancer, host := newTestBalancer(t, settings, 6)
+		markAllResponded(balancer)
 		now := int64(0)
 		for i := range 12 { // two answers each, of worker 1 four times as late as the others'
-			w := d.endpoints.listed[i%6]
-			h := d.holders.functionFor(now, testRequest("x", now, FuncID(i))).holderAt(w, true)
-			r := &requestState{Request: testRequest(fmt.Sprint(i), now, FuncID(i)), class: &d.settings.Classes[0], function: h.function}
-			took := int64(d.latencies[0].mean)
-			if w.Worker == 1 {
+			worker := balancer.endpoints.listed[i%6]
+			holder := balancer.holders.functionFor(now, testRequest("x", now, FuncID(i))).holderAt(worker, true)
+			request := &requestState{Request: testRequest(fmt.Sprint(i), now, FuncID(i)),
+				class: &balancer.settings.Classes[0], function: holder.function}
+			took := int64(balancer.latencies[0].mean)
+			if worker.Worker == 1 {
 				took *= 4
 			}
-			d.sendAttempt(now, r, w, false)
-			d.HandleAttemptResult(now+took, successful(fmt.Sprint(i), w.Worker))
+			balancer.sendAttempt(now, request, worker, false)
+			balancer.HandleAttemptResult(now+took, successful(fmt.Sprint(i), worker.Worker))
 		}
-		slow, other := d.weightedLoad(now+ms, d.endpoints.byID[1]), d.weightedLoad(now+ms, d.endpoints.byID[2])
+		slow, other := balancer.weightedLoad(now+ms, balancer.endpoints.byID[1]), balancer.weightedLoad(now+ms,
+			balancer.endpoints.byID[2])
 		if many <= 5 && slow != other || many > 5 && slow < 2*other {
-			t.Errorf("%d dispatchers: load %.2f at the slow worker, %.2f at another; %d sends", many, slow, other, len(f.attempts))
+			t.Errorf("%d dispatchers: load %.2f at the slow worker, %.2f at another; %d sends", many, slow, other,
+				len(host.attempts))
 		}
-		if late := d.weightedLoad(now+20*d.settings.KeepAlive, d.endpoints.byID[1]); late > 1.1*other {
+		if late := balancer.weightedLoad(now+20*balancer.settings.KeepAlive,
+			balancer.endpoints.byID[1]); late > 1.1*other {
 			t.Errorf("%d dispatchers: long after, load %.2f", many, late)
 		}
 	}
 }
 
 func TestUnknownWorkerGetsFirstCalls(t *testing.T) {
-	d, f := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 3)
-	markAllResponded(d)
-	d.UpdateEndpoints(ms, EndpointsDelta, []Endpoint{{Worker: 9, State: Active, Weight: 1}})
+	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 3)
+	markAllResponded(balancer)
+	balancer.UpdateEndpoints(ms, EndpointsDelta, []Endpoint{{Worker: 9, State: Active, Weight: 1}})
 	n := 0
 	for i := range 60 {
 		id := fmt.Sprint(i)
-		d.HandleRequest(int64(i)*ms, testRequest(id, int64(i)*ms, FuncID(i+1)))
-		if f.lastWorker[id] == 9 {
+		balancer.HandleRequest(int64(i)*ms, testRequest(id, int64(i)*ms, FuncID(i+1)))
+		if host.lastWorker[id] == 9 {
 			n++
 		}
-		d.HandleAttemptResult(int64(i)*ms, successful(id, f.lastWorker[id]))
+		balancer.HandleAttemptResult(int64(i)*ms, successful(id, host.lastWorker[id]))
 	}
 	if n < 3 || n > 30 {
 		t.Fatalf("%d of 60 calls to a worker not heard from", n)
@@ -103,19 +107,19 @@
 }
 
 func TestFastErrorsDoNotAttractCalls(t *testing.T) {
-	s := testSettings(NotIdempotent, ScopeNone)
-	d, f := newTestBalancer(t, s, 4)
-	markAllResponded(d)
+	settings := testSettings(NotIdempotent, ScopeNone)
+	balancer, host := newTestBalancer(t, settings, 4)
+	markAllResponded(balancer)
 	bad := 0
 	for i := range 100 {
 		now := int64(i) * 20 * ms
 		id := fmt.Sprint(i)
-		d.HandleRequest(now, testRequest(id, now, FuncID(i)))
-		if w := f.lastWorker[id]; w == 2 {
+		balancer.HandleRequest(now, testRequest(id, now, FuncID(i)))
+		if worker := host.lastWorker[id]; worker == 2 {
 			bad++
-			d.HandleAttemptResult(now+ms, AttemptResult{ID: id, Worker: w, Result: Error})
+			balancer.HandleAttemptResult(now+ms, AttemptResult{ID: id, Worker: worker, Result: Error})
 		} else {
-			d.HandleAttemptResult(now+15*ms, successful(id, w))
+			balancer.HandleAttemptResult(now+15*ms, successful(id, worker))
 		}
 	}
 	if bad > 10 {
@@ -126,16 +130,16 @@
 // A slow store widens ε: full holders are waited for instead of loading elsewhere.
 func TestSlowStoreWidensTheSlack(t *testing.T) {
 	used := func(stress float64) int {
-		d, f := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 6)
-		markAllResponded(d)
-		d.HandleRequest(0, testRequest("a", 0, 1))
-		d.HandleAttemptResult(10*ms, successful("a", f.lastWorker["a"]))
-		d.loads.slowdown = stress
+		balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 6)
+		markAllResponded(balancer)
+		balancer.HandleRequest(0, testRequest("a", 0, 1))
+		balancer.HandleAttemptResult(10*ms, successful("a", host.lastWorker["a"]))
+		balancer.loads.slowdown = stress
 		on := map[WorkerID]bool{}
 		for i := range 8 {
 			id := fmt.Sprint("b", i)
-			d.HandleRequest(20*ms, testRequest(id, 20*ms, 1))
-			on[f.lastWorker[id]] = true
+			balancer.HandleRequest(20*ms, testRequest(id, 20*ms, 1))
+			on[host.lastWorker[id]] = true
 		}
 		return len(on)
 	}
@@ -147,10 +151,10 @@
 // Found at full size: a few workers with fifty calls made all look light by the mean. The middle is
 // not moved by them.
 func TestCrowdedWorkersDoNotHideEachOther(t *testing.T) {
-	s := testSettings(Idempotent, ScopeAll)
-	s.Dispatchers, s.Gossip = 50, true
-	d, f := newTestBalancer(t, s, 10)
-	markAllResponded(d)
+	settings := testSettings(Idempotent, ScopeAll)
+	settings.Dispatchers, settings.Gossip = 50, true
+	balancer, host := newTestBalancer(t, settings, 10)
+	markAllResponded(balancer)
 	var counts []aggregate.Count
 	for i := 1; i <= 10; i++ {
 		n := 4
@@ -159,14 +163,16 @@
 		}
 		counts = append(counts, aggregate.Count{Worker: uint16(i), N: n, Heard: true})
 	}
-	d.HandlePeerMessage(ms, 1, encodedDigest(d, ms, []float64{0, 0}, counts...))
+	balancer.HandlePeerMessage(ms, 1, encodedDigest(balancer, ms, []float64{0, 0}, counts...))
 	for k := range 40 {
-		h := d.holders.functionFor(ms, testRequest("", ms, FuncID(k))).holderAt(d.endpoints.byID[1], true) // believed at a crowded worker
-		h.validUntil = 8000 * ms
-		d.loads.share = 1
-		d.HandleRequest(2*ms, testRequest(fmt.Sprint(k), 2*ms, FuncID(k)))
-		if w := f.lastWorker[fmt.Sprint(k)]; w <= 4 {
-			t.Fatalf("function %d sent to worker %d, which holds 50 calls where most hold 4", k, w)
+		// believed at a crowded worker
+		holder := balancer.holders.functionFor(ms,
+			testRequest("", ms, FuncID(k))).holderAt(balancer.endpoints.byID[1], true)
+		holder.validUntil = 8000 * ms
+		balancer.loads.share = 1
+		balancer.HandleRequest(2*ms, testRequest(fmt.Sprint(k), 2*ms, FuncID(k)))
+		if worker := host.lastWorker[fmt.Sprint(k)]; worker <= 4 {
+			t.Fatalf("function %d sent to worker %d, which holds 50 calls where most hold 4", k, worker)
 		}
 	}
 }
@@ -175,16 +181,16 @@
 // load takes.
 func TestExpensiveLoadsKeepTheHolder(t *testing.T) {
 	used := func(load int64) int {
-		d, f := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 4)
-		markAllResponded(d)
+		balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 4)
+		markAllResponded(balancer)
 		on := map[WorkerID]bool{}
 		for i := range 10 {
-			q := testRequest(fmt.Sprint(i), 0, 1)
-			q.LoadTime = load
-			d.HandleRequest(0, q)
-			on[f.lastWorker[q.ID]] = true
+			request := testRequest(fmt.Sprint(i), 0, 1)
+			request.LoadTime = load
+			balancer.HandleRequest(0, request)
+			on[host.lastWorker[request.ID]] = true
 			if i == 0 {
-				d.HandleAttemptResult(10*ms, successful("0", f.lastWorker["0"]))
+				balancer.HandleAttemptResult(10*ms, successful("0", host.lastWorker["0"]))
 			}
 		}
 		return len(on)
--- a/balancer/dispatch.go
+++ b/balancer/dispatch.go
@@ -1,173 +1,174 @@
 package balancer
 
 // HandleRequest takes a call. Exactly one final answer follows before its deadline.
-func (b *Balancer) HandleRequest(now int64, q Request) {
+func (b *Balancer) HandleRequest(now int64, request Request) {
 	b.advanceClock(now)
-	if b.requests[q.ID] != nil {
+	if b.requests[request.ID] != nil {
 		return
 	}
-	if q.Class < 0 || q.Class >= len(b.settings.Classes) {
-		b.host.Reject(q.ID, 0)
+	if request.Class < 0 || request.Class >= len(b.settings.Classes) {
+		b.host.Reject(request.ID, 0)
 		return
 	}
 	b.timers.lastRequestAt = now
 	b.gossip.earn()
 	b.hedges.earn(b.losses.probability)
-	if b.shouldReject(now, q) {
-		if f := b.holders.lookup(q.Func); f != nil && f.served {
+	if b.shouldReject(now, request) {
+		if function := b.holders.lookup(request.Func); function != nil && function.served {
 			b.countTowardLoadQuota(now)
 		}
-		b.host.Reject(q.ID, b.settings.MaxRetryAfter)
+		b.host.Reject(request.ID, b.settings.MaxRetryAfter)
 		return
 	}
-	r := b.acceptRequest(now, q)
-	b.dispatch(now, r)
-	r.function.recentCalls.add(now, float64(b.callRateWindow()))
+	accepted := b.acceptRequest(now, request)
+	b.dispatch(now, accepted)
+	accepted.function.recentCalls.add(now, float64(b.callRateWindow()))
 	b.armTimer()
 }
 
 // acceptRequest takes a request in hand.
-func (b *Balancer) acceptRequest(now int64, q Request) *requestState {
-	f := b.holders.functionFor(now, q)
-	r := &requestState{
-		Request:         q,
-		class:           &b.settings.Classes[q.Class],
-		function:        f,
+func (b *Balancer) acceptRequest(now int64, request Request) *requestState {
+	function := b.holders.functionFor(now, request)
+	accepted := &requestState{
+		Request:         request,
+		class:           &b.settings.Classes[request.Class],
+		function:        function,
 		arrivedAt:       now,
-		countedForQuota: f.served,
+		countedForQuota: function.served,
 	}
-	r.attempts = r.inlineAttempts[:0]
-	b.requests[q.ID] = r
-	if r.countedForQuota {
+	accepted.attempts = accepted.inlineAttempts[:0]
+	b.requests[request.ID] = accepted
+	if accepted.countedForQuota {
 		b.countTowardLoadQuota(now)
 	}
-	b.schedule(b.answerBy(r), r)
-	return r
+	b.schedule(b.answerBy(accepted), accepted)
+	return accepted
 }
 
 // dispatch sends r to the chosen worker, holds it for a load, or has it looked at again.
-func (b *Balancer) dispatch(now int64, r *requestState) {
-	if now >= b.answerBy(r) || len(r.attempts) >= b.settings.MaxAttempts {
-		b.finish(now, r)
+func (b *Balancer) dispatch(now int64, request *requestState) {
+	if now >= b.answerBy(request) || len(request.attempts) >= b.settings.MaxAttempts {
+		b.finish(now, request)
 		return
 	}
-	w, trial := b.chooseWorker(now, r)
-	if w == nil {
-		b.awaitWorker(now, r)
+	worker, trial := b.chooseWorker(now, request)
+	if worker == nil {
+		b.awaitWorker(now, request)
 		return
 	}
-	if trial || !b.holdForLoad(now, r, w) {
-		b.sendAttempt(now, r, w, trial)
+	if trial || !b.holdForLoad(now, request, worker) {
+		b.sendAttempt(now, request, worker, trial)
 	}
 }
 
 // awaitWorker has a request for which there is no worker looked at again, or ends it if none may
 // come: one that was never sent ends early, so that its client can go elsewhere.
-func (b *Balancer) awaitWorker(now int64, r *requestState) {
-	hopeless := now >= r.holdDeadline()
-	if len(r.attempts) > 0 {
-		hopeless = !b.mayRetryAnywhere(now, r)
+func (b *Balancer) awaitWorker(now int64, request *requestState) {
+	hopeless := now >= request.holdDeadline()
+	if len(request.attempts) > 0 {
+		hopeless = !b.mayRetryAnywhere(now, request)
 	}
 	if hopeless {
-		b.finish(now, r)
+		b.finish(now, request)
 		return
 	}
-	b.scheduleRecheck(r, now+max(b.shortestObjective/maintenanceRounds/2, b.settings.ClockResolution))
+	b.scheduleRecheck(request, now+max(b.shortestObjective/maintenanceRounds/2, b.settings.ClockResolution))
 }
 
 // holdForLoad has a copy loaded by order and holds the request here until it is loaded; it reports
 // whether it does. That keeps the bounded queues of workers free of calls that wait for a slow
 // store, and costs a round trip. A copy that only a peer reported is ordered too: it may still be
 // loading. A function that no worker has served is never ordered: it may not exist.
-func (b *Balancer) holdForLoad(now int64, r *requestState, w *workerState) bool {
-	if !b.settings.LoadsOnMiss || !r.function.served || len(r.attempts) > 0 || now >= r.holdDeadline() {
+func (b *Balancer) holdForLoad(now int64, request *requestState, worker *workerState) bool {
+	if !b.settings.LoadsOnMiss || !request.function.served || len(request.attempts) > 0 ||
+		now >= request.holdDeadline() {
 		return false
 	}
-	h := r.function.holderAt(w, true)
-	if h.validUntil > now && h.confirmed || h.orderBackoffUntil > now {
+	holder := request.function.holderAt(worker, true)
+	if holder.validUntil > now && holder.confirmed || holder.orderBackoffUntil > now {
 		return false
 	}
-	if !h.orderInFlight {
-		if !b.orderLoad(now, h) {
+	if !holder.orderInFlight {
+		if !b.orderLoad(now, holder) {
 			return false
 		}
-		r.orderedLoad = h.validUntil <= now
-		h.orderInFlight, h.orderedAt = true, now
-		if h.validUntil <= now {
-			b.announce(now, h)
+		request.orderedLoad = holder.validUntil <= now
+		holder.orderInFlight, holder.orderedAt = true, now
+		if holder.validUntil <= now {
+			b.announce(now, holder)
 		}
 	}
-	r.function.waiting = append(r.function.waiting, r)
-	b.scheduleRecheck(r, r.holdDeadline())
+	request.function.waiting = append(request.function.waiting, request)
+	b.scheduleRecheck(request, request.holdDeadline())
 	return true
 }
 
 // sendAttempt sends an attempt of r to a worker. A request that may be retried is looked at again
 // when the attempt is overdue.
-func (b *Balancer) sendAttempt(now int64, r *requestState, w *workerState, trial bool) {
-	h := r.function.holderAt(w, true)
-	a := &attemptState{
-		request:      r,
-		worker:       w,
-		holder:       h,
-		index:        len(r.attempts),
+func (b *Balancer) sendAttempt(now int64, request *requestState, worker *workerState, trial bool) {
+	holder := request.function.holderAt(worker, true)
+	attempt := &attemptState{
+		request:      request,
+		worker:       worker,
+		holder:       holder,
+		index:        len(request.attempts),
 		sentAt:       now,
-		dueAt:        now + b.timeUntilOverdue(now, r, h),
-		zone:         w.Zone,
-		cell:         w.Cell,
+		dueAt:        now + b.timeUntilOverdue(now, request, holder),
+		zone:         worker.Zone,
+		cell:         worker.Cell,
 		inFlight:     true,
 		mayHaveRun:   true,
 		trial:        trial,
-		expectedWarm: h.validUntil > now,
+		expectedWarm: holder.validUntil > now,
 	}
-	h.inFlight++
-	r.attempts = append(r.attempts, a)
-	w.inFlight = append(w.inFlight, a)
-	b.endpoints.markInUse(now, w)
-	if !a.expectedWarm && h.inFlight == 1 {
-		b.announce(now, h)
+	holder.inFlight++
+	request.attempts = append(request.attempts, attempt)
+	worker.inFlight = append(worker.inFlight, attempt)
+	b.endpoints.markInUse(now, worker)
+	if !attempt.expectedWarm && holder.inFlight == 1 {
+		b.announce(now, holder)
 	}
-	w.slowStartTokens--
+	worker.slowStartTokens--
 	if trial {
-		b.outliers.TrialStarted(now, &w.outlierStats, w.Zone)
+		b.outliers.TrialStarted(now, &worker.outlierStats, worker.Zone)
 	}
-	b.host.SendAttempt(r.ID, w.Worker, 0)
-	if r.class.Idempotency != NotIdempotent {
-		b.scheduleRecheck(r, a.dueAt)
+	b.host.SendAttempt(request.ID, worker.Worker, 0)
+	if request.class.Idempotency != NotIdempotent {
+		b.scheduleRecheck(request, attempt.dueAt)
 	}
 }
 
 // timeUntilOverdue returns the time, in nanoseconds, after which an attempt is more likely lost
 // than delayed. A copy that only a peer reported may still be loading.
-func (b *Balancer) timeUntilOverdue(now int64, r *requestState, h *holderState) int64 {
-	responseTime, deviations := b.latencies[r.Class], b.losses.overdueDeviations()
+func (b *Balancer) timeUntilOverdue(now int64, request *requestState, holder *holderState) int64 {
+	responseTime, deviations := b.latencies[request.Class], b.losses.overdueDeviations()
 	due := responseTime.mean + deviations*responseTime.deviation
-	if h.validUntil <= now || !h.confirmed {
-		due += b.loads.expected(r.function) + deviations*b.loads.duration.deviation
+	if holder.validUntil <= now || !holder.confirmed {
+		due += b.loads.expected(request.function) + deviations*b.loads.duration.deviation
 	}
 	return int64(due)
 }
 
 // finish gives the one final answer: rejected if the client may safely try again, else failed.
-func (b *Balancer) finish(now int64, r *requestState) {
-	if b.mayReject(now, r) {
-		b.host.Reject(r.ID, b.settings.MaxRetryAfter)
+func (b *Balancer) finish(now int64, request *requestState) {
+	if b.mayReject(now, request) {
+		b.host.Reject(request.ID, b.settings.MaxRetryAfter)
 	} else {
-		b.host.Fail(r.ID)
+		b.host.Fail(request.ID)
 	}
-	b.endRequest(r)
+	b.endRequest(request)
 }
 
 // endRequest drops a request that is over and cancels its attempts in flight.
-func (b *Balancer) endRequest(r *requestState) {
-	if r.done {
+func (b *Balancer) endRequest(request *requestState) {
+	if request.done {
 		return
 	}
-	r.done = true
-	delete(b.requests, r.ID)
-	for _, a := range r.attempts {
-		if a.inFlight && b.settings.Cancellation && !r.streaming {
-			b.host.CancelAttempt(r.ID, a.index)
+	request.done = true
+	delete(b.requests, request.ID)
+	for _, attempt := range request.attempts {
+		if attempt.inFlight && b.settings.Cancellation && !request.streaming {
+			b.host.CancelAttempt(request.ID, attempt.index)
 		}
 	}
 }
@@ -175,8 +176,8 @@
 // HandleClientGone ends a request whose client left.
 func (b *Balancer) HandleClientGone(now int64, id string) {
 	b.advanceClock(now)
-	if r := b.requests[id]; r != nil {
-		b.endRequest(r)
+	if request := b.requests[id]; request != nil {
+		b.endRequest(request)
 	}
 	b.armTimer()
 }
@@ -185,10 +186,10 @@
 // from now on.
 func (b *Balancer) HandleFirstByte(now int64, id string, attempt int) {
 	b.advanceClock(now)
-	if r := b.requests[id]; r != nil {
-		r.streaming = true
-		if attempt >= 0 && attempt < len(r.attempts) {
-			r.attempts[attempt].worker.lastResponseAt = now
+	if request := b.requests[id]; request != nil {
+		request.streaming = true
+		if attempt >= 0 && attempt < len(request.attempts) {
+			request.attempts[attempt].worker.lastResponseAt = now
 		}
 	}
 	b.armTimer()
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -35,7 +35,8 @@
 
 // newEndpointTable returns an empty table.
 func newEndpointTable(fullScanLimit int) endpointTable {
-	return endpointTable{fullScanLimit: fullScanLimit, byID: map[WorkerID]*workerState{}, byTag: map[uint16]*workerState{}}
+	return endpointTable{fullScanLimit: fullScanLimit, byID: map[WorkerID]*workerState{},
+		byTag: map[uint16]*workerState{}}
 }
 
 // isLong reports whether the list is too long to be scanned in full.
@@ -44,26 +45,26 @@
 // apply takes an entry of the endpoint list and returns its worker. A worker that restarted begins
 // anew.
 func (t *endpointTable) apply(now int64, endpoint Endpoint) *workerState {
-	w := t.byID[endpoint.Worker]
-	if w == nil {
-		w = &workerState{pace: 1}
-		t.byID[endpoint.Worker], t.byTag[workerTag(endpoint.Worker)] = w, w
-	} else if endpoint.Start != w.Start && endpoint.Start > 0 {
-		w.forgetCopies()
-		w.slowStartSlot = 0
-		w.outlierStats.Reset()
-	}
-	w.Endpoint, w.listed = endpoint, endpoint.State != Removed
-	if w.listed && !w.inTable {
-		w.inTable, t.listed = true, append(t.listed, w)
-		t.markActive(now, w)
-	}
-	if endpoint.State != Active && t.ring.Remove(uint32(w.Worker)) {
-		t.active = slices.DeleteFunc(t.active, func(other *workerState) bool { return other == w })
-	} else if endpoint.State == Active && t.ring.Add(uint32(w.Worker), w) {
-		t.active = append(t.active, w)
-	}
-	return w
+	worker := t.byID[endpoint.Worker]
+	if worker == nil {
+		worker = &workerState{pace: 1}
+		t.byID[endpoint.Worker], t.byTag[workerTag(endpoint.Worker)] = worker, worker
+	} else if endpoint.Start != worker.Start && endpoint.Start > 0 {
+		worker.forgetCopies()
+		worker.slowStartSlot = 0
+		worker.outlierStats.Reset()
+	}
+	worker.Endpoint, worker.listed = endpoint, endpoint.State != Removed
+	if worker.listed && !worker.inTable {
+		worker.inTable, t.listed = true, append(t.listed, worker)
+		t.markActive(now, worker)
+	}
+	if endpoint.State != Active && t.ring.Remove(uint32(worker.Worker)) {
+		t.active = slices.DeleteFunc(t.active, func(other *workerState) bool { return other == worker })
+	} else if endpoint.State == Active && t.ring.Add(uint32(worker.Worker), worker) {
+		t.active = append(t.active, worker)
+	}
+	return worker
 }
 
 // retain unlists the workers that a complete list does not name.
@@ -72,69 +73,69 @@
 	for _, endpoint := range endpoints {
 		named[endpoint.Worker] = true
 	}
-	for _, w := range t.listed {
-		w.listed = w.listed && named[w.Worker]
+	for _, worker := range t.listed {
+		worker.listed = worker.listed && named[worker.Worker]
 	}
 }
 
 // dropUnlisted takes the workers that are no longer listed out of the list and of the ring.
 func (t *endpointTable) dropUnlisted() {
 	listed := t.listed[:0]
-	for _, w := range t.listed {
-		if w.listed {
-			listed = append(listed, w)
+	for _, worker := range t.listed {
+		if worker.listed {
+			listed = append(listed, worker)
 			continue
 		}
-		w.inTable = false
-		t.ring.Remove(uint32(w.Worker))
-		w.forgetCopies()
+		worker.inTable = false
+		t.ring.Remove(uint32(worker.Worker))
+		worker.forgetCopies()
 	}
 	t.listed = listed
-	t.active = slices.DeleteFunc(t.active, func(w *workerState) bool { return !w.listed })
+	t.active = slices.DeleteFunc(t.active, func(worker *workerState) bool { return !worker.listed })
 }
 
 // sweep forgets the workers that are neither listed nor in use.
 func (t *endpointTable) sweep() {
-	for id, w := range t.byID {
+	for id, worker := range t.byID {
 		if len(t.byID) == len(t.listed) {
 			return
 		}
-		if w.listed || len(w.inFlight) > 0 {
+		if worker.listed || len(worker.inFlight) > 0 {
 			continue
 		}
 		delete(t.byID, id)
-		if t.byTag[workerTag(id)] == w {
+		if t.byTag[workerTag(id)] == worker {
 			delete(t.byTag, workerTag(id))
 		}
 	}
 }
 
 // markActive takes that a call, a response or a message concerns a listed worker.
-func (t *endpointTable) markActive(now int64, w *workerState) {
-	if !w.listed {
+func (t *endpointTable) markActive(now int64, worker *workerState) {
+	if !worker.listed {
 		return
 	}
-	if w.lastActivityAt == 0 {
-		t.recent = append(t.recent, w)
+	if worker.lastActivityAt == 0 {
+		t.recent = append(t.recent, worker)
 	}
-	w.lastActivityAt = max(now, 1)
-	t.trackHolders(w)
+	worker.lastActivityAt = max(now, 1)
+	t.trackHolders(worker)
 }
 
 // markInUse takes that an attempt of ours is in flight at a worker, or has just ended there.
-func (t *endpointTable) markInUse(now int64, w *workerState) {
-	t.markActive(now, w)
-	if !w.trackedInUse {
-		w.trackedInUse, t.inUse = true, append(t.inUse, w)
+func (t *endpointTable) markInUse(now int64, worker *workerState) {
+	t.markActive(now, worker)
+	if !worker.trackedInUse {
+		worker.trackedInUse, t.inUse = true, append(t.inUse, worker)
 	}
 }
 
 // workersInUse lists the workers, listed or not, with attempts of ours in flight or counted as
 // such.
 func (t *endpointTable) workersInUse(now int64) []*workerState {
-	t.inUse = slices.DeleteFunc(t.inUse, func(w *workerState) bool {
-		w.trackedInUse = len(w.inFlight) > 0 || w.failuresAt(now) > 0
-		return !w.trackedInUse
+	t.inUse = slices.DeleteFunc(t.inUse, func(worker *workerState) bool {
+		worker.trackedInUse = len(worker.inFlight) > 0 || worker.failuresAt(now) > 0
+		return !worker.trackedInUse
 	})
 	return t.inUse
 }
@@ -150,17 +151,17 @@
 }
 
 // isActive reports whether activeWorkers lists w.
-func (t *endpointTable) isActive(w *workerState) bool {
+func (t *endpointTable) isActive(worker *workerState) bool {
 	if !t.isLong() {
-		return w.inTable
+		return worker.inTable
 	}
-	return w.lastActivityAt != 0
+	return worker.lastActivityAt != 0
 }
 
 // trackHolders takes that w may come to be believed to hold copies.
-func (t *endpointTable) trackHolders(w *workerState) {
-	if !w.trackedHolder {
-		w.trackedHolder, t.withHolders = true, append(t.withHolders, w)
+func (t *endpointTable) trackHolders(worker *workerState) {
+	if !worker.trackedHolder {
+		worker.trackedHolder, t.withHolders = true, append(t.withHolders, worker)
 	}
 }
 
@@ -169,9 +170,9 @@
 	if !t.isLong() {
 		return t.listed
 	}
-	t.withHolders = slices.DeleteFunc(t.withHolders, func(w *workerState) bool {
-		w.trackedHolder = w.listed && len(w.holders) > 0
-		return !w.trackedHolder
+	t.withHolders = slices.DeleteFunc(t.withHolders, func(worker *workerState) bool {
+		worker.trackedHolder = worker.listed && len(worker.holders) > 0
+		return !worker.trackedHolder
 	})
 	return t.withHolders
 }
--- a/balancer/endpointupdate.go
+++ b/balancer/endpointupdate.go
@@ -23,8 +23,8 @@
 	defer b.armTimer()
 	b.poller.received(now, kind)
 	for _, endpoint := range endpoints {
-		w := b.endpoints.apply(b.now, endpoint)
-		b.slowStart.track(b.now, w)
+		worker := b.endpoints.apply(b.now, endpoint)
+		b.slowStart.track(b.now, worker)
 	}
 	if kind == EndpointsSnapshot || kind == EndpointsCached {
 		b.endpoints.retain(endpoints)
@@ -49,8 +49,8 @@
 // fire.
 func (b *Balancer) recheckUnsentRequests(now int64) {
 	for _, entry := range b.timers.entries {
-		if r := entry.request; r != nil && len(r.attempts) == 0 && !r.done {
-			r.recheckAt = now
+		if request := entry.request; request != nil && len(request.attempts) == 0 && !request.done {
+			request.recheckAt = now
 		}
 	}
 }
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -29,18 +29,21 @@
 	const second = int64(1e9)
 	host := &printer{}
 	d, err := balancer.New(0, balancer.Settings{
-		Classes:     []balancer.Class{{LatencyObjective: second, ClientTimeout: 3 * second, PriorityWeight: 1, Idempotency: balancer.Idempotent}},
+		Classes: []balancer.Class{{LatencyObjective: second, ClientTimeout: 3 * second, PriorityWeight: 1,
+			Idempotency: balancer.Idempotent}},
 		MaxAttempts: 3, KeepAlive: 10 * second, LoadsOnMiss: true,
 	}, 42, host)
 	if err != nil {
 		panic(err)
 	}
-	d.UpdateEndpoints(0, balancer.EndpointsSnapshot, []balancer.Endpoint{{Worker: 1, State: balancer.Active}, {Worker: 2, State: balancer.Active}})
+	d.UpdateEndpoints(0, balancer.EndpointsSnapshot,
+		[]balancer.Endpoint{{Worker: 1, State: balancer.Active}, {Worker: 2, State: balancer.Active}})
 	d.HandleRequest(0, balancer.Request{ID: "call", Func: 7, Deadline: 3 * second, Concurrency: 1})
 	first := host.worker
 	d.HandleAttemptResult(second/10, balancer.AttemptResult{ID: "call", Worker: first, Result: balancer.ConnectFailed})
 	fmt.Println("another worker:", host.worker != first)
-	d.HandleAttemptResult(second/5, balancer.AttemptResult{ID: "call", Attempt: 1, Worker: host.worker, Result: balancer.OK, Finished: true})
+	d.HandleAttemptResult(second/5, balancer.AttemptResult{ID: "call", Attempt: 1, Worker: host.worker,
+		Result: balancer.OK, Finished: true})
 	// Output:
 	// send call
 	// send call
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -19,9 +19,10 @@
 const peerDatagramsFile = "testdata/peer-datagrams.golden"
 
 func peerSettings(number int) Settings {
-	s := testSettings(Idempotent, ScopeAll)
-	s.DispatcherIndex, s.Dispatchers, s.Gossip, s.TenantQuota = number, 3, true, []float64{50}
-	return s
+	settings := testSettings(Idempotent, ScopeAll)
+	settings.DispatcherIndex, settings.Dispatchers, settings.Gossip = number, 3, true
+	settings.TenantQuota = []float64{50}
+	return settings
 }
 
 // peerDatagrams runs dispatcher 0 of three for 12 seconds of simulated time, six terms, and returns
@@ -30,37 +31,40 @@
 // holders.
 func peerDatagrams(t *testing.T) (lines []string, times []int64) {
 	t.Helper()
-	s := peerSettings(0)
-	d, f := newTestBalancer(t, s, 6)
+	settings := peerSettings(0)
+	balancer, host := newTestBalancer(t, settings, 6)
 	for i := range 600 {
 		now, id := int64(i)*20*ms, fmt.Sprint(i)
-		d.HandleRequest(now, testRequest(id, now, FuncID(i%5)))
+		balancer.HandleRequest(now, testRequest(id, now, FuncID(i%5)))
 		if i%40 != 39 {
-			answer := successful(id, f.lastWorker[id])
+			answer := successful(id, host.lastWorker[id])
 			if answer.Worker == 2 {
-				d.HandleAttemptResult(now+4*ms, AttemptResult{ID: id, Worker: 2, Result: Error})
-				answer.Attempt, answer.Worker = 1, f.lastWorker[id]
+				balancer.HandleAttemptResult(now+4*ms, AttemptResult{ID: id, Worker: 2, Result: Error})
+				answer.Attempt, answer.Worker = 1, host.lastWorker[id]
 			}
-			d.HandleAttemptResult(now+5*ms, answer)
+			balancer.HandleAttemptResult(now+5*ms, answer)
 		}
 		if i%50 == 25 {
-			for from := 1; from < s.Dispatchers; from++ {
+			for from := 1; from < settings.Dispatchers; from++ {
 				report := aggregate.Message{Calls: 20, Marks: []aggregate.Mark{{Worker: 2, Bad: 3}},
-					Report:  aggregate.Report{Incarnation: 1, Seq: uint8(i / 50), Values: []float64{12.5, 20, 3}, Fresh: i < 100},
+					Report: aggregate.Report{Incarnation: 1, Seq: uint8(i / 50), Values: []float64{12.5, 20, 3},
+						Fresh: i < 100},
 					Counts:  []aggregate.Count{{Worker: 4, N: from, Heard: true}, {Worker: 5, Silent: true}},
 					Holders: []aggregate.Holder{{Func: uint32(100 + from), Worker: 6}}}
-				d.HandlePeerMessage(now+6*ms, from, report.Encode(s.Dispatchers)[0])
+				balancer.HandlePeerMessage(now+6*ms, from, report.Encode(settings.Dispatchers)[0])
 			}
 		}
 		if i%100 == 60 {
-			d.HandlePeerMessage(now+7*ms, 1, encodedDigest(d, now+7*ms, []float64{60, 60, 5}, aggregate.Count{Worker: 1, N: 3, Heard: true}))
+			balancer.HandlePeerMessage(now+7*ms, 1,
+				encodedDigest(balancer, now+7*ms, []float64{60, 60, 5}, aggregate.Count{Worker: 1, N: 3, Heard: true}))
 		}
 		if i == 300 {
-			d.HandlePeerMessage(now+8*ms, 2, aggregate.Message{SyncRequest: true, Continued: true}.Encode(s.Dispatchers)[0])
+			balancer.HandlePeerMessage(now+8*ms, 2,
+				aggregate.Message{SyncRequest: true, Continued: true}.Encode(settings.Dispatchers)[0])
 		}
-		d.HandleTimer(now+10*ms, f.timerRef)
-		for n := len(lines); n < len(f.messages); n++ {
-			lines, times = append(lines, fmt.Sprint(f.receivers[n], " ", f.messages[n])), append(times, now+10*ms)
+		balancer.HandleTimer(now+10*ms, host.timerRef)
+		for n := len(lines); n < len(host.messages); n++ {
+			lines, times = append(lines, fmt.Sprint(host.receivers[n], " ", host.messages[n])), append(times, now+10*ms)
 		}
 	}
 	return lines, times
@@ -85,34 +89,34 @@
 	_, times := peerDatagrams(t)
 	lines := goldenPeerDatagrams(t)
 	require.Len(t, lines, len(times))
-	s := peerSettings(1)
-	d, _ := newTestBalancer(t, s, 6)
+	settings := peerSettings(1)
+	balancer, _ := newTestBalancer(t, settings, 6)
 	kinds := map[string]int{}
 	for i, line := range lines {
 		to, text, found := strings.Cut(line, " ")
 		require.True(t, found, line)
 		number, err := strconv.Atoi(to)
 		require.NoError(t, err)
-		m, readable := aggregate.Decode(text, s.Dispatchers)
+		message, readable := aggregate.Decode(text, settings.Dispatchers)
 		require.True(t, readable, line)
 		switch {
-		case m.SyncRequest:
+		case message.SyncRequest:
 			kinds["sync request"]++
-		case m.Continued:
+		case message.Continued:
 			kinds["holders"]++
-		case m.FromLeader:
+		case message.FromLeader:
 			kinds["digest"]++
 			assert.Equal(t, -1, number, "a digest goes to all")
-		case m.Report.LastCounted != nil:
+		case message.Report.LastCounted != nil:
 			kinds["report with Prev"]++
 		default:
 			kinds["report"]++
 		}
-		assert.True(t, d.HandlePeerMessage(times[i], 0, text), line)
+		assert.True(t, balancer.HandlePeerMessage(times[i], 0, text), line)
 	}
 	for _, kind := range []string{"sync request", "holders", "digest", "report with Prev", "report"} {
 		assert.Positive(t, kinds[kind], kind)
 	}
-	assert.Zero(t, d.gossip.aggregator.Dropped, "rows and digests not taken")
-	assert.False(t, d.FleetView().Never, "a digest was taken")
+	assert.Zero(t, balancer.gossip.aggregator.Dropped, "rows and digests not taken")
+	assert.False(t, balancer.FleetView().Never, "a digest was taken")
 }
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -70,32 +70,32 @@
 	}
 	b.requestSync()
 	leading := b.gossip.elector.Leader(now)
-	m := aggregate.Message{FromLeader: leading == b.settings.DispatcherIndex, Calls: b.gossip.callsSinceReport}
+	message := aggregate.Message{FromLeader: leading == b.settings.DispatcherIndex, Calls: b.gossip.callsSinceReport}
 	b.gossip.aggregator.SetLocal(b.localFigures(now))
 	b.updateView(now)
-	if m.FromLeader && b.awaitsReports(now) {
+	if message.FromLeader && b.awaitsReports(now) {
 		return
 	}
 	out := b.channelTo(leading)
 	if b.endpoints.isLong() && !out.budget.coversLast() { // filling it would be wasted
 		return
 	}
-	b.fillMessage(now, &m)
-	if len(m.Counts)+len(m.Holders) == 0 {
+	b.fillMessage(now, &message)
+	if len(message.Counts)+len(message.Holders) == 0 {
 		return
 	}
-	if m.FromLeader && b.termElapsed(now) > b.leaderTerm()*3/4 && b.gossip.view.Stale {
-		m = m.Truncate(b.settings.Dispatchers, out.affordableBytes()) // a full one is too expensive
+	if message.FromLeader && b.termElapsed(now) > b.leaderTerm()*3/4 && b.gossip.view.Stale {
+		message = message.Truncate(b.settings.Dispatchers, out.affordableBytes()) // a full one is too expensive
 	}
-	if !out.spend(m.EncodedLen(b.settings.Dispatchers)) {
+	if !out.spend(message.EncodedLen(b.settings.Dispatchers)) {
 		return
 	}
 	b.gossip.announcements, b.gossip.callsSinceReport = b.gossip.announcements[:0], 0
-	b.sendParts(out.receiver, m)
-	if m.FromLeader {
-		b.handleDigest(now, leading, m)
+	b.sendParts(out.receiver, message)
+	if message.FromLeader {
+		b.handleDigest(now, leading, message)
 	} else {
-		b.gossip.aggregator.ReportSent(m.Report)
+		b.gossip.aggregator.ReportSent(message.Report)
 	}
 }
 
@@ -115,8 +115,8 @@
 func (b *Balancer) termElapsed(now int64) int64 { return now % b.leaderTerm() }
 
 // sendParts sends a message in as many datagrams as it needs.
-func (b *Balancer) sendParts(receiver int, m aggregate.Message) {
-	for _, part := range m.Encode(b.settings.Dispatchers) {
+func (b *Balancer) sendParts(receiver int, message aggregate.Message) {
+	for _, part := range message.Encode(b.settings.Dispatchers) {
 		b.host.SendPeerMessage(receiver, part)
 	}
 }
@@ -153,17 +153,17 @@
 func (b *Balancer) FleetView() aggregate.View { return b.gossip.view }
 
 // queueAnnouncement has the next message announce a holder.
-func (b *Balancer) queueAnnouncement(now int64, h *holderState) {
+func (b *Balancer) queueAnnouncement(now int64, holder *holderState) {
 	if b.settings.Gossip {
-		h.announcedAt = now
-		b.gossip.announcements = append(b.gossip.announcements, h)
+		holder.announcedAt = now
+		b.gossip.announcements = append(b.gossip.announcements, holder)
 	}
 }
 
 // announce reports a new holder to others at once; where the list is long, only when the budget
 // covers the cost of the last message, as one message for each call may be too expensive.
-func (b *Balancer) announce(now int64, h *holderState) {
-	b.queueAnnouncement(now, h)
+func (b *Balancer) announce(now int64, holder *holderState) {
+	b.queueAnnouncement(now, holder)
 	budget := &b.gossip.reportBudget
 	if !b.endpoints.isLong() || budget.tokens >= budget.lastCost {
 		b.sendGossip(now)
--- a/balancer/gossipmessage.go
+++ b/balancer/gossipmessage.go
@@ -13,34 +13,34 @@
 
 // fillMessage fills a report with what this dispatcher has and, for a digest, with what others
 // reported.
-func (b *Balancer) fillMessage(now int64, m *aggregate.Message) {
-	if m.FromLeader {
-		m.Digest = b.gossip.aggregator.NextDigest(now)
+func (b *Balancer) fillMessage(now int64, message *aggregate.Message) {
+	if message.FromLeader {
+		message.Digest = b.gossip.aggregator.NextDigest(now)
 		b.gossip.reports.gatherMarks(now, b.shortestObjective)
 	} else {
-		m.Report = b.gossip.aggregator.NextReport()
+		message.Report = b.gossip.aggregator.NextReport()
 	}
 	workers := b.endpoints.activeWorkers()
 	sure := !b.doubtsItself(now, workers)
-	for _, w := range workers {
-		b.appendWorker(now, m, w, sure)
+	for _, worker := range workers {
+		b.appendWorker(now, message, worker, sure)
 	}
-	b.gossip.lastCounts = len(m.Counts)
+	b.gossip.lastCounts = len(message.Counts)
 	// A message has room for about a dozen marks.
-	slices.SortStableFunc(m.Marks, func(first, second aggregate.Mark) int {
+	slices.SortStableFunc(message.Marks, func(first, second aggregate.Mark) int {
 		return int(second.Bad) - int(first.Bad)
 	})
-	b.appendAnnouncements(now, m)
+	b.appendAnnouncements(now, message)
 }
 
 // doubtsItself reports whether so many workers look faulty that the fault is likely this
 // dispatcher's own.
 func (b *Balancer) doubtsItself(now int64, workers []*workerState) bool {
 	responded, silent := 0, 0
-	for _, w := range workers {
-		if b.isEjected(w) || w.hasOverdueAttempt(now) {
+	for _, worker := range workers {
+		if b.isEjected(worker) || worker.hasOverdueAttempt(now) {
 			silent++
-		} else if now-w.lastResponseAt < recentResponseObjectives*b.shortestObjective {
+		} else if now-worker.lastResponseAt < recentResponseObjectives*b.shortestObjective {
 			responded++
 		}
 	}
@@ -49,39 +49,40 @@
 
 // appendWorker appends what there is to report of a worker. Faults are reported only if this
 // dispatcher is sure.
-func (b *Balancer) appendWorker(now int64, m *aggregate.Message, w *workerState, sure bool) {
-	overdue := w.hasOverdueAttempt(now)
+func (b *Balancer) appendWorker(now int64, message *aggregate.Message, worker *workerState, sure bool) {
+	overdue := worker.hasOverdueAttempt(now)
 	count := aggregate.Count{
-		Worker: workerTag(w.Worker), N: len(w.inFlight),
-		Silent: sure && (overdue || b.isEjected(w)),
-		Heard:  now-w.lastResponseAt < b.shortestObjective, // a worker is found silent over about as long
+		Worker: workerTag(worker.Worker), N: len(worker.inFlight),
+		Silent: sure && (overdue || b.isEjected(worker)),
+		Heard:  now-worker.lastResponseAt < b.shortestObjective, // a worker is found silent over about as long
 	}
 	if overdue { // what is stuck on its way is no load there
 		count.N = 0
 	}
-	mark, marked := b.outliers.Mark(now, &w.outlierStats, b.relativeLatency(now, w))
+	mark, marked := b.outliers.Mark(now, &worker.outlierStats, b.relativeLatency(now, worker))
 	marked = marked && sure
-	if m.FromLeader {
-		mark, marked = b.mergeReported(now, w, &count, mark, marked)
+	if message.FromLeader {
+		mark, marked = b.mergeReported(now, worker, &count, mark, marked)
 	}
 	if marked {
-		m.Marks = append(m.Marks, aggregate.Mark{Worker: count.Worker, Good: mark.Good, Bad: mark.Bad, Pace: mark.Pace})
+		message.Marks = append(message.Marks, aggregate.Mark{Worker: count.Worker, Good: mark.Good, Bad: mark.Bad,
+			Pace: mark.Pace})
 	}
 	if count.N == 0 && !count.Silent && !count.Heard {
 		return
 	}
-	if m.Counts == nil {
-		m.Counts = make([]aggregate.Count, 0, max(b.gossip.lastCounts, 8))
+	if message.Counts == nil {
+		message.Counts = make([]aggregate.Count, 0, max(b.gossip.lastCounts, 8))
 	}
-	m.Counts = append(m.Counts, count)
+	message.Counts = append(message.Counts, count)
 }
 
 // appendAnnouncements appends new holders, as many as there is room for.
-func (b *Balancer) appendAnnouncements(now int64, m *aggregate.Message) {
-	limit := syncPeers + len(m.Counts)/countsPerHolder
-	for _, h := range b.gossip.announcements {
-		if len(m.Holders) < limit && (h.validUntil > now || h.inFlight > 0) {
-			m.Holders = append(m.Holders, h.announcement())
+func (b *Balancer) appendAnnouncements(now int64, message *aggregate.Message) {
+	limit := syncPeers + len(message.Counts)/countsPerHolder
+	for _, holder := range b.gossip.announcements {
+		if len(message.Holders) < limit && (holder.validUntil > now || holder.inFlight > 0) {
+			message.Holders = append(message.Holders, holder.announcement())
 		}
 	}
 }
--- a/balancer/gossipreceive.go
+++ b/balancer/gossipreceive.go
@@ -10,36 +10,36 @@
 func (b *Balancer) HandlePeerMessage(now int64, from int, data string) bool {
 	b.advanceClock(now)
 	defer b.armTimer()
-	m, ok := aggregate.Decode(data, b.settings.Dispatchers)
+	message, ok := aggregate.Decode(data, b.settings.Dispatchers)
 	if !ok || from < 0 || from >= b.settings.Dispatchers || from == b.settings.DispatcherIndex {
 		return false
 	}
-	if m.SyncRequest {
+	if message.SyncRequest {
 		b.sendHolders(now, from)
 	}
-	for _, announcement := range m.Holders {
-		b.handleHolderAnnouncement(now, announcement, !m.FromLeader && !m.Continued)
+	for _, announcement := range message.Holders {
+		b.handleHolderAnnouncement(now, announcement, !message.FromLeader && !message.Continued)
 	}
-	if m.FromLeader {
-		b.handleDigest(now, from, m)
+	if message.FromLeader {
+		b.handleDigest(now, from, message)
 		return true
 	}
-	if !m.Continued {
-		if !b.gossip.aggregator.HandleReport(now, from, m.Report) {
+	if !message.Continued {
+		if !b.gossip.aggregator.HandleReport(now, from, message.Report) {
 			return true // duplicate, late, or of before its sender's restart
 		}
-		b.gossip.digestBudget.refill(gossipCostShare * float64(m.Calls))
+		b.gossip.digestBudget.refill(gossipCostShare * float64(message.Calls))
 	}
-	b.gossip.reports.handle(now, from, m, &b.endpoints)
+	b.gossip.reports.handle(now, from, message, &b.endpoints)
 	return true
 }
 
 // sendHolders sends all holders that are believed in to a dispatcher that has started.
 func (b *Balancer) sendHolders(now int64, receiver int) {
 	out := aggregate.Message{Continued: true}
-	for _, w := range b.endpoints.listed {
-		for _, h := range b.holders.expiringWithin(now, w, noDeadline) {
-			out.Holders = append(out.Holders, h.announcement())
+	for _, worker := range b.endpoints.listed {
+		for _, holder := range b.holders.expiringWithin(now, worker, noDeadline) {
+			out.Holders = append(out.Holders, holder.announcement())
 		}
 	}
 	b.sendParts(receiver, out)
@@ -48,53 +48,53 @@
 // handleHolderAnnouncement takes a holder that another dispatcher reports. The leader passes on
 // what it did not know.
 func (b *Balancer) handleHolderAnnouncement(now int64, announcement aggregate.Holder, pass bool) {
-	w := b.endpoints.byTag[announcement.Worker]
-	if w == nil || !w.listed {
+	worker := b.endpoints.byTag[announcement.Worker]
+	if worker == nil || !worker.listed {
 		return
 	}
-	h := b.holders.functionByTag(now, announcement.Func).holderAt(w, true)
-	b.endpoints.trackHolders(w)
-	if h.validUntil <= now {
-		h.confirmed = false
+	holder := b.holders.functionByTag(now, announcement.Func).holderAt(worker, true)
+	b.endpoints.trackHolders(worker)
+	if holder.validUntil <= now {
+		holder.confirmed = false
 		if pass {
-			b.gossip.announcements = append(b.gossip.announcements, h)
+			b.gossip.announcements = append(b.gossip.announcements, holder)
 		}
 	}
-	h.validUntil = max(h.validUntil, now+b.settings.KeepAlive)
+	holder.validUntil = max(holder.validUntil, now+b.settings.KeepAlive)
 }
 
 // handleDigest takes the sums over all dispatchers. The first part of a full digest says that the
 // workers it leaves out are idle.
-func (b *Balancer) handleDigest(now int64, from int, m aggregate.Message) {
-	if !m.Continued {
-		if !b.gossip.aggregator.HandleDigest(now, from, m.Digest) {
+func (b *Balancer) handleDigest(now int64, from int, message aggregate.Message) {
+	if !message.Continued {
+		if !b.gossip.aggregator.HandleDigest(now, from, message.Digest) {
 			return
 		}
-		b.beginDigest(now, m)
+		b.beginDigest(now, message)
 	}
-	for _, count := range m.Counts {
-		if w := b.endpoints.byTag[count.Worker]; w != nil && w.listed {
-			b.applyCount(now, w, count, m.Digest.Truncated)
+	for _, count := range message.Counts {
+		if worker := b.endpoints.byTag[count.Worker]; worker != nil && worker.listed {
+			b.applyCount(now, worker, count, message.Digest.Truncated)
 		}
 	}
 	calls := b.choice.loads[:0]
-	for _, w := range b.endpoints.sample(b.rng) {
-		b.applyFullDigest(w)
-		calls = append(calls, w.peerCalls)
+	for _, worker := range b.endpoints.sample(b.rng) {
+		b.applyFullDigest(worker)
+		calls = append(calls, worker.peerCalls)
 	}
 	b.choice.loads = calls
 	b.endpoints.medianPeerCalls = median(calls)
 }
 
 // beginDigest takes the first part of a digest.
-func (b *Balancer) beginDigest(now int64, m aggregate.Message) {
+func (b *Balancer) beginDigest(now int64, message aggregate.Message) {
 	b.updateView(now)
 	// Of few dispatchers, one lost digest would change who takes part more often than a death does.
 	if b.fleetFactor() > 1 {
-		b.gossip.elector.ObserveDigest(now, m.Digest.Covered)
+		b.gossip.elector.ObserveDigest(now, message.Digest.Covered)
 	}
-	b.applyEvidence(now, m.Marks)
-	if m.Digest.Truncated {
+	b.applyEvidence(now, message.Marks)
+	if message.Digest.Truncated {
 		return
 	}
 	b.gossip.digestAt = now
@@ -102,24 +102,24 @@
 		b.gossip.fullDigestAt = now
 		return
 	}
-	for _, w := range b.endpoints.listed {
-		w.peerCalls, w.peerCallsAt = 0, now
+	for _, worker := range b.endpoints.listed {
+		worker.peerCalls, worker.peerCallsAt = 0, now
 	}
 }
 
 // applyCount takes what a digest reports of one worker. A truncated digest lists only silent
 // workers. A full one gives the calls of the dispatchers that it covers; the others are taken to
 // have as many there, by their share of the answers.
-func (b *Balancer) applyCount(now int64, w *workerState, count aggregate.Count, truncated bool) {
+func (b *Balancer) applyCount(now int64, worker *workerState, count aggregate.Count, truncated bool) {
 	if truncated {
-		w.reportedSilentAt = now
+		worker.reportedSilentAt = now
 		return
 	}
 	calls := float64(count.N) * max(1, b.gossip.view.Scale)
-	w.peerCalls, w.peerCallsAt = max(0, calls-float64(len(w.inFlight))), now
-	w.reportedSilentAt = 0
+	worker.peerCalls, worker.peerCallsAt = max(0, calls-float64(len(worker.inFlight))), now
+	worker.reportedSilentAt = 0
 	if count.Silent && !count.Heard {
-		w.reportedSilentAt = now
+		worker.reportedSilentAt = now
 	}
 }
 
@@ -131,17 +131,17 @@
 	var evidence []outlier.GossipEvidence
 	var workers []*workerState
 	for _, mark := range marks {
-		w := b.endpoints.byTag[mark.Worker]
-		if w == nil || !w.listed {
+		worker := b.endpoints.byTag[mark.Worker]
+		if worker == nil || !worker.listed {
 			continue
 		}
 		word := outlier.Evidence(outlier.Mark{Good: mark.Good, Bad: mark.Bad, Pace: mark.Pace})
-		b.endpoints.markActive(now, w)
-		weight := max(w.Weight, minWeight)
-		evidence = append(evidence, outlier.GossipEvidence{Box: &w.outlierStats, Weight: weight, Word: word})
-		workers = append(workers, w)
+		b.endpoints.markActive(now, worker)
+		weight := max(worker.Weight, minWeight)
+		evidence = append(evidence, outlier.GossipEvidence{Box: &worker.outlierStats, Weight: weight, Word: word})
+		workers = append(workers, worker)
 		if word.Pace > 0 {
-			w.peerPace, w.peerPaceAt = min(word.Slow(), maxPace), now
+			worker.peerPace, worker.peerPaceAt = min(word.Slow(), maxPace), now
 		}
 	}
 	for i, event := range b.outliers.ApplyGossip(now, evidence, b.endpoints.totalWeight()) {
@@ -151,8 +151,8 @@
 
 // totalWeight returns the sum of the weights of all listed workers.
 func (t *endpointTable) totalWeight() (total float64) {
-	for _, w := range t.listed {
-		total += max(w.Weight, minWeight)
+	for _, worker := range t.listed {
+		total += max(worker.Weight, minWeight)
 	}
 	return total
 }
--- a/balancer/health_test.go
+++ b/balancer/health_test.go
@@ -9,23 +9,24 @@
 )
 
 func TestSilentWorkerGetsNoCalls(t *testing.T) {
-	d, f := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 4)
-	markAllResponded(d)
-	d.HandleRequest(0, testRequest("a", 0, 1))
-	quiet := f.lastWorker["a"]
+	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 4)
+	markAllResponded(balancer)
+	balancer.HandleRequest(0, testRequest("a", 0, 1))
+	quiet := host.lastWorker["a"]
 	for i := range 400 {
 		now := int64(i) * 10 * ms
 		id := fmt.Sprint(i)
-		d.HandleRequest(now, testRequest(id, now, 1))
-		if f.lastWorker[id] != quiet {
-			d.HandleAttemptResult(now+5*ms, successful(id, f.lastWorker[id]))
+		balancer.HandleRequest(now, testRequest(id, now, 1))
+		if host.lastWorker[id] != quiet {
+			balancer.HandleAttemptResult(now+5*ms, successful(id, host.lastWorker[id]))
 		} else if now > 2500*ms {
 			t.Fatalf("call at %d ms to a worker silent since the start", now/ms)
 		}
-		if w := f.lastWorker["a"]; w != quiet {
-			d.HandleAttemptResult(now+5*ms, AttemptResult{ID: "a", Attempt: 1, Worker: w, Result: OK, Finished: true})
+		if worker := host.lastWorker["a"]; worker != quiet {
+			balancer.HandleAttemptResult(now+5*ms,
+				AttemptResult{ID: "a", Attempt: 1, Worker: worker, Result: OK, Finished: true})
 		}
-		d.HandleTimer(now+6*ms, f.timerRef)
+		balancer.HandleTimer(now+6*ms, host.timerRef)
 	}
 }
 
@@ -36,44 +37,48 @@
 	const workers, lost = 10, 7
 	trials, heard := map[WorkerID]int{}, 0
 	for i := range 80 {
-		s := testSettings(Idempotent, ScopeAll)
-		s.Dispatchers, s.DispatcherIndex, s.Gossip = 80, i, true
-		d, f := newTestBalancer(t, s, workers)
-		markAllResponded(d)
+		settings := testSettings(Idempotent, ScopeAll)
+		settings.Dispatchers, settings.DispatcherIndex, settings.Gossip = 80, i, true
+		balancer, host := newTestBalancer(t, settings, workers)
+		markAllResponded(balancer)
 		var counts []aggregate.Count
 		for w := range lost {
 			counts = append(counts, aggregate.Count{Worker: uint16(w + 1), Silent: true})
-			d.recordFailure(0, d.endpoints.byID[WorkerID(w+1)], outlier.Dead) // its ejection will have run out
+			// its ejection will have run out
+			balancer.recordFailure(0, balancer.endpoints.byID[WorkerID(w+1)], outlier.Dead)
 		}
 		now := 20000 * ms
-		d.HandlePeerMessage(now, (i+1)%80, encodedDigest(d, now, []float64{0, 0}, counts...))
+		balancer.HandlePeerMessage(now, (i+1)%80, encodedDigest(balancer, now, []float64{0, 0}, counts...))
 		for k := range 20 {
 			id := fmt.Sprint(k)
-			d.HandleRequest(now+ms, testRequest(id, now+ms, FuncID(k)))
-			if w := f.lastWorker[id]; w <= lost {
-				trials[w]++
-				if k > 0 && len(d.endpoints.byID[w].inFlight) > 1 {
-					t.Fatalf("dispatcher %d: call %d went to worker %d, which nobody hears", i, k, w)
+			balancer.HandleRequest(now+ms, testRequest(id, now+ms, FuncID(k)))
+			if worker := host.lastWorker[id]; worker <= lost {
+				trials[worker]++
+				if k > 0 && len(balancer.endpoints.byID[worker].inFlight) > 1 {
+					t.Fatalf("dispatcher %d: call %d went to worker %d, which nobody hears", i, k, worker)
 				}
 			}
 		}
-		later := now + d.shortestObjective/maintenanceRounds
-		d.HandlePeerMessage(later, (i+1)%80, encodedDigest(d, later, []float64{0, 0}, aggregate.Count{Worker: 1, N: 1, Silent: true, Heard: true}))
-		d.endpoints.byID[1].inFlight = nil
-		d.HandleRequest(later+ms, testRequest("back", later+ms, 99))
-		if f.lastWorker["back"] == 1 {
+		later := now + balancer.shortestObjective/maintenanceRounds
+		balancer.HandlePeerMessage(later, (i+1)%80,
+			encodedDigest(balancer, later, []float64{0, 0},
+				aggregate.Count{Worker: 1, N: 1, Silent: true, Heard: true}))
+		balancer.endpoints.byID[1].inFlight = nil
+		balancer.HandleRequest(later+ms, testRequest("back", later+ms, 99))
+		if host.lastWorker["back"] == 1 {
 			heard++
 		}
 		for _, many := range []int{3, 80} { // of few, each finds out for itself soon
-			d.settings.Dispatchers = many
-			if told := d.isReportedUnresponsive(now+3*d.shortestObjective, d.endpoints.byID[2]); told != (many == 80) {
+			balancer.settings.Dispatchers = many
+			if told := balancer.isReportedUnresponsive(now+3*balancer.shortestObjective,
+				balancer.endpoints.byID[2]); told != (many == 80) {
 				t.Fatalf("three aims later, %d dispatchers: told silent %v", many, told)
 			}
 		}
 	}
-	for w := WorkerID(1); w <= lost; w++ {
-		if trials[w] < 1 || trials[w] > 8 {
-			t.Errorf("%d of 80 dispatchers tried worker %d, want some five", trials[w], w)
+	for worker := WorkerID(1); worker <= lost; worker++ {
+		if trials[worker] < 1 || trials[worker] > 8 {
+			t.Errorf("%d of 80 dispatchers tried worker %d, want some five", trials[worker], worker)
 		}
 	}
 	if heard < 70 {
@@ -85,30 +90,31 @@
 // at once. The bell comes first: nobody may be blamed, nothing sent again or ended before the
 // answers are heard.
 func TestStallBlamesNoWorker(t *testing.T) {
-	d, f := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 4)
-	markAllResponded(d)
-	fireTimers(d, f, 0, 1000*ms)
+	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 4)
+	markAllResponded(balancer)
+	fireTimers(balancer, host, 0, 1000*ms)
 	for i := range 8 {
-		d.HandleRequest(1000*ms, testRequest(fmt.Sprint(i), 1000*ms, FuncID(i)))
+		balancer.HandleRequest(1000*ms, testRequest(fmt.Sprint(i), 1000*ms, FuncID(i)))
 	}
-	fireTimers(d, f, 1000*ms, 1100*ms)
-	d.HandleTimer(3995*ms, f.timerRef) // 2.9 s later, inside the last moments of the calls
+	fireTimers(balancer, host, 1000*ms, 1100*ms)
+	balancer.HandleTimer(3995*ms, host.timerRef) // 2.9 s later, inside the last moments of the calls
 	for i := range 8 {
 		id := fmt.Sprint(i)
-		d.HandleAttemptResult(3995*ms, successful(id, f.lastWorker[id]))
+		balancer.HandleAttemptResult(3995*ms, successful(id, host.lastWorker[id]))
 	}
-	if len(f.attempts) != 8 || len(f.answers) > 0 || f.cancellations > 0 {
-		t.Fatalf("%d sends, answers %v, %d cancels after standing still", len(f.attempts), f.answers, f.cancellations)
+	if len(host.attempts) != 8 || len(host.answers) > 0 || host.cancellations > 0 {
+		t.Fatalf("%d sends, answers %v, %d cancels after standing still", len(host.attempts), host.answers,
+			host.cancellations)
 	}
-	for _, w := range d.endpoints.listed {
-		if x := d.outliers.FailureRate(4000*ms, &w.outlierStats); d.isEjected(w) || x > 0 {
-			t.Fatalf("worker %d blamed (%.2f)", w.Worker, x)
+	for _, worker := range balancer.endpoints.listed {
+		if x := balancer.outliers.FailureRate(4000*ms, &worker.outlierStats); balancer.isEjected(worker) || x > 0 {
+			t.Fatalf("worker %d blamed (%.2f)", worker.Worker, x)
 		}
 	}
-	d.HandleRequest(3996*ms, testRequest("late", 3996*ms, 1))
-	fireTimers(d, f, 3997*ms, 6990*ms)
-	d.HandleTimer(6992*ms, f.timerRef)
-	if f.answers["late"] == "" {
+	balancer.HandleRequest(3996*ms, testRequest("late", 3996*ms, 1))
+	fireTimers(balancer, host, 3997*ms, 6990*ms)
+	balancer.HandleTimer(6992*ms, host.timerRef)
+	if host.answers["late"] == "" {
 		t.Fatal("no final answer after a stall")
 	}
 }
@@ -118,27 +124,30 @@
 // goes to the copy again, once. A refused connection tells of a death at once.
 func TestResetConnectionsEjectNoWorker(t *testing.T) {
 	for lately, res := range map[int64]Result{100 * ms: Reset, 1500 * ms: Reset, 1501 * ms: ConnectFailed} {
-		d, f := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 4)
-		markAllResponded(d)
-		d.HandleRequest(0, testRequest("a", 0, 1))
-		w := d.endpoints.byID[f.lastWorker["a"]]
-		d.HandleAttemptResult(10*ms, successful("a", w.Worker))
-		fireTimers(d, f, 20*ms, lately)
-		d.HandleRequest(lately, testRequest("b", lately, 1))
-		if f.lastWorker["b"] != w.Worker {
+		balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 4)
+		markAllResponded(balancer)
+		balancer.HandleRequest(0, testRequest("a", 0, 1))
+		worker := balancer.endpoints.byID[host.lastWorker["a"]]
+		balancer.HandleAttemptResult(10*ms, successful("a", worker.Worker))
+		fireTimers(balancer, host, 20*ms, lately)
+		balancer.HandleRequest(lately, testRequest("b", lately, 1))
+		if host.lastWorker["b"] != worker.Worker {
 			t.Fatal("the holder was not taken")
 		}
-		d.HandleAttemptResult(lately+5*ms, AttemptResult{ID: "b", Worker: w.Worker, Result: res})
-		if dead := res != Reset; d.isEjected(w) != dead || (w.holders[0].validUntil == 0) != dead || (f.lastWorker["b"] != w.Worker) != dead {
-			t.Fatalf("%d after %d ms: ejected %v, beliefs %v, sent to %d", res, lately/ms, d.isEjected(w), w.holders[0].validUntil, f.lastWorker["b"])
+		balancer.HandleAttemptResult(lately+5*ms, AttemptResult{ID: "b", Worker: worker.Worker, Result: res})
+		if dead := res != Reset; balancer.isEjected(worker) != dead || (worker.holders[0].validUntil == 0) != dead ||
+			(host.lastWorker["b"] != worker.Worker) != dead {
+			t.Fatalf("%d after %d ms: ejected %v, beliefs %v, sent to %d", res, lately/ms, balancer.isEjected(worker),
+				worker.holders[0].validUntil, host.lastWorker["b"])
 		}
-		if ejected := d.Ejected(); (len(ejected) == 1 && ejected[0] == w.Worker) != (res != Reset) {
+		if ejected := balancer.Ejected(); (len(ejected) == 1 && ejected[0] == worker.Worker) != (res != Reset) {
 			t.Errorf("%d: Ejected says %v", res, ejected)
 		}
 		if res == Reset {
-			d.HandleAttemptResult(lately+9*ms, AttemptResult{ID: "b", Attempt: 1, Worker: w.Worker, Result: res})
-			if f.lastWorker["b"] == w.Worker || d.isEjected(w) {
-				t.Errorf("cut twice: sent to %d again, ejected %v", f.lastWorker["b"], d.isEjected(w))
+			balancer.HandleAttemptResult(lately+9*ms,
+				AttemptResult{ID: "b", Attempt: 1, Worker: worker.Worker, Result: res})
+			if host.lastWorker["b"] == worker.Worker || balancer.isEjected(worker) {
+				t.Errorf("cut twice: sent to %d again, ejected %v", host.lastWorker["b"], balancer.isEjected(worker))
 			}
 		}
 	}
@@ -151,18 +160,18 @@
 func TestPartitionedZoneIsEjectedAndRestoredAsOne(t *testing.T) {
 	const cutAt, healAt, end, workers = 2000 * ms, 8000 * ms, 11000 * ms, 40
 	for seed := range uint64(4) {
-		s := testSettings(Idempotent, ScopeAll)
-		s.Dispatchers, s.DispatcherIndex, s.Classes[0].LatencyObjective = 80, int(seed), 240*ms
-		f := newFakeHost()
-		d, err := New(0, s, seed, f)
+		settings := testSettings(Idempotent, ScopeAll)
+		settings.Dispatchers, settings.DispatcherIndex, settings.Classes[0].LatencyObjective = 80, int(seed), 240*ms
+		host := newFakeHost()
+		balancer, err := New(0, settings, seed, host)
 		if err != nil {
 			t.Fatal(err)
 		}
-		es := activeEndpoints(workers)
-		for i := range es {
-			es[i].Zone = i % 2
+		endpoints := activeEndpoints(workers)
+		for i := range endpoints {
+			endpoints[i].Zone = i % 2
 		}
-		d.UpdateEndpoints(0, EndpointsSnapshot, es)
+		balancer.UpdateEndpoints(0, EndpointsSnapshot, endpoints)
 		type flight struct {
 			at int64
 			o  AttemptResult
@@ -172,39 +181,39 @@
 		seen, early, lateFails, back := 0, 0, 0, 0
 		for now := int64(0); now < end; now += 5 * ms {
 			if now%(100*ms) == 0 {
-				fn := FuncID(now/(100*ms)%25 + 1)
+				function := FuncID(now/(100*ms)%25 + 1)
 				if now >= healAt { // held nowhere: its place is any worker's
-					fn += FuncID(now)
+					function += FuncID(now)
 				}
-				d.HandleRequest(now, testRequest(fmt.Sprint(now/ms), now, fn))
+				balancer.HandleRequest(now, testRequest(fmt.Sprint(now/ms), now, function))
 			}
 			for i := 0; i < len(out); {
 				if x := out[i]; x.at <= now {
 					out = append(out[:i], out[i+1:]...)
-					d.HandleAttemptResult(now, x.o)
+					balancer.HandleAttemptResult(now, x.o)
 				} else {
 					i++
 				}
 			}
-			if f.timerRef > 0 {
-				d.HandleTimer(now, f.timerRef)
+			if host.timerRef > 0 {
+				balancer.HandleTimer(now, host.timerRef)
 			}
-			for ; seen < len(f.attempts); seen++ {
-				x := f.attempts[seen]
-				at, o := now+40*ms, successful(x.id, x.worker)
-				o.Attempt = tries[x.id]
-				tries[x.id]++
-				if cut := x.worker%2 == 0 && now >= cutAt && now < healAt; cut {
-					at, o.Result, o.Finished, o.Warmth = now+250*ms, ConnectFailed, false, WarmthUnknown
+			for ; seen < len(host.attempts); seen++ {
+				attempt := host.attempts[seen]
+				at, result := now+40*ms, successful(attempt.id, attempt.worker)
+				result.Attempt = tries[attempt.id]
+				tries[attempt.id]++
+				if cut := attempt.worker%2 == 0 && now >= cutAt && now < healAt; cut {
+					at, result.Result, result.Finished, result.Warmth = now+250*ms, ConnectFailed, false, WarmthUnknown
 					if now < cutAt+1000*ms {
 						early++
 					} else {
 						lateFails++
 					}
-				} else if x.worker%2 == 0 && now >= healAt+2000*ms {
+				} else if attempt.worker%2 == 0 && now >= healAt+2000*ms {
 					back++
 				}
-				out = append(out, flight{at, o})
+				out = append(out, flight{at, result})
 			}
 		}
 		if early > 8 || lateFails > 8 {
--- a/balancer/hedge_test.go
+++ b/balancer/hedge_test.go
@@ -8,38 +8,39 @@
 // Found at full size: answers that never come from workers that answer others. The more are lost,
 // the sooner a copy.
 func TestLostAnswersHedgeSooner(t *testing.T) {
-	d, f := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 1)
-	markAllResponded(d)
+	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 1)
+	markAllResponded(balancer)
 	now := int64(0)
 	round := func(lost bool) {
-		fireTimers(d, f, now, now+4000*ms)
+		fireTimers(balancer, host, now, now+4000*ms)
 		now += 4000 * ms
 		for i := range 5 {
 			id := fmt.Sprint(now, i)
-			d.HandleRequest(now, testRequest(id, now, 1))
+			balancer.HandleRequest(now, testRequest(id, now, 1))
 			if i == 0 && lost {
-				w := f.lastWorker[id]
+				worker := host.lastWorker[id]
 				defer func() {
-					fireTimers(d, f, now, now+2900*ms)
+					fireTimers(balancer, host, now, now+2900*ms)
 					now += 2900 * ms
-					d.HandleAttemptResult(now, AttemptResult{ID: id, Worker: w, Result: Timeout})
+					balancer.HandleAttemptResult(now, AttemptResult{ID: id, Worker: worker, Result: Timeout})
 				}()
 				continue
 			}
-			d.HandleAttemptResult(now+int64(100+100*i)*ms, successful(id, f.lastWorker[id]))
+			balancer.HandleAttemptResult(now+int64(100+100*i)*ms, successful(id, host.lastWorker[id]))
 		}
 	}
 	round(false)
-	calm := d.losses.overdueDeviations()
+	calm := balancer.losses.overdueDeviations()
 	for range 30 {
 		round(true)
 	}
-	lossy := d.losses.overdueDeviations()
+	lossy := balancer.losses.overdueDeviations()
 	for range 30 {
 		round(false)
 	}
-	if lossy > 0.7*calm || d.losses.overdueDeviations() < 0.9*calm {
-		t.Fatalf("overdue past %.1f deviations before, %.1f with a fifth lost, %.1f after", calm, lossy, d.losses.overdueDeviations())
+	if lossy > 0.7*calm || balancer.losses.overdueDeviations() < 0.9*calm {
+		t.Fatalf("overdue past %.1f deviations before, %.1f with a fifth lost, %.1f after", calm, lossy,
+			balancer.losses.overdueDeviations())
 	}
 }
 
@@ -55,32 +56,32 @@
 		"another function's did":   {},
 		"a peer told of the copy":  {told: true},
 	} {
-		s := testSettings(Idempotent, ScopeAll)
-		s.LoadsOnMiss = false // nothing is held for an order
-		d, f := newTestBalancer(t, s, 1)
-		markAllResponded(d)
-		for i, fn := range []FuncID{1, 2} {
+		settings := testSettings(Idempotent, ScopeAll)
+		settings.LoadsOnMiss = false // nothing is held for an order
+		balancer, host := newTestBalancer(t, settings, 1)
+		markAllResponded(balancer)
+		for i, function := range []FuncID{1, 2} {
 			id := fmt.Sprint("a", i)
-			d.HandleRequest(0, testRequest(id, 0, fn))
-			d.HandleAttemptResult(10*ms, successful(id, f.lastWorker[id]))
+			balancer.HandleRequest(0, testRequest(id, 0, function))
+			balancer.HandleAttemptResult(10*ms, successful(id, host.lastWorker[id]))
 		}
-		h := d.holders.functions[1].holders[0]
-		h.confirmed = !c.told
-		d.HandleRequest(20*ms, testRequest("x", 20*ms, 1))
-		if a := d.requests["x"].attempts[0]; c.told != (a.dueAt-a.sentAt > 1000*ms) {
-			t.Errorf("%s: due after %d ms", name, (a.dueAt-a.sentAt)/ms)
+		holder := balancer.holders.functions[1].holders[0]
+		holder.confirmed = !c.told
+		balancer.HandleRequest(20*ms, testRequest("x", 20*ms, 1))
+		if attempt := balancer.requests["x"].attempts[0]; c.told != (attempt.dueAt-attempt.sentAt > 1000*ms) {
+			t.Errorf("%s: due after %d ms", name, (attempt.dueAt-attempt.sentAt)/ms)
 		}
 		other := FuncID(2)
 		if c.hit {
 			other = 1
 		}
-		d.HandleRequest(30*ms, testRequest("y", 30*ms, other))
-		d.HandleAttemptResult(40*ms, successful("y", f.lastWorker["y"]))
-		fireTimers(d, f, 60*ms, 2900*ms)
-		before := d.losses.probability
-		d.HandleAttemptResult(2900*ms, AttemptResult{ID: "x", Worker: 1, Result: Timeout, Finished: true})
-		if (d.losses.probability > before) != c.lost {
-			t.Errorf("%s: share of lost answers %v, before %v", name, d.losses.probability, before)
+		balancer.HandleRequest(30*ms, testRequest("y", 30*ms, other))
+		balancer.HandleAttemptResult(40*ms, successful("y", host.lastWorker["y"]))
+		fireTimers(balancer, host, 60*ms, 2900*ms)
+		before := balancer.losses.probability
+		balancer.HandleAttemptResult(2900*ms, AttemptResult{ID: "x", Worker: 1, Result: Timeout, Finished: true})
+		if (balancer.losses.probability > before) != c.lost {
+			t.Errorf("%s: share of lost answers %v, before %v", name, balancer.losses.probability, before)
 		}
 	}
 }
@@ -98,25 +99,25 @@
 		"another copy does":       {1500 * ms, 2, 1},
 		"too late to be in time":  {700 * ms, 1, 1},
 	} {
-		s := testSettings(Idempotent, ScopeAll)
-		d, f := newTestBalancer(t, s, 1)
-		markAllResponded(d)
-		d.settings.Classes[0].LatencyObjective = c.aim // learned times stay
-		for i, fn := range []FuncID{1, 2} {
+		settings := testSettings(Idempotent, ScopeAll)
+		balancer, host := newTestBalancer(t, settings, 1)
+		markAllResponded(balancer)
+		balancer.settings.Classes[0].LatencyObjective = c.aim // learned times stay
+		for i, function := range []FuncID{1, 2} {
 			id := fmt.Sprint("a", i)
-			d.HandleRequest(0, testRequest(id, 0, fn))
-			d.HandleAttemptResult(10*ms, successful(id, f.lastWorker[id]))
+			balancer.HandleRequest(0, testRequest(id, 0, function))
+			balancer.HandleAttemptResult(10*ms, successful(id, host.lastWorker[id]))
 		}
-		d.HandleRequest(20*ms, testRequest("x", 20*ms, 1))
+		balancer.HandleRequest(20*ms, testRequest("x", 20*ms, 1))
 		for i := range 140 {
 			now, id := int64(30+20*i)*ms, fmt.Sprint("y", i)
-			d.HandleTimer(now, f.timerRef)
-			d.HandleRequest(now, testRequest(id, now, c.other))
-			d.HandleAttemptResult(now+5*ms, successful(id, f.lastWorker[id]))
+			balancer.HandleTimer(now, host.timerRef)
+			balancer.HandleRequest(now, testRequest(id, now, c.other))
+			balancer.HandleAttemptResult(now+5*ms, successful(id, host.lastWorker[id]))
 		}
 		n := 0
-		for _, x := range f.attempts {
-			if x.id == "x" {
+		for _, attempt := range host.attempts {
+			if attempt.id == "x" {
 				n++
 			}
 		}
--- a/balancer/holders.go
+++ b/balancer/holders.go
@@ -55,42 +55,45 @@
 }
 
 // holderAt returns the function's holder at a worker; if there is none it adds one or returns nil.
-func (f *functionState) holderAt(w *workerState, add bool) *holderState {
-	for _, h := range f.holders {
-		if h.worker == w {
-			return h
+func (f *functionState) holderAt(worker *workerState, add bool) *holderState {
+	for _, holder := range f.holders {
+		if holder.worker == worker {
+			return holder
 		}
 	}
 	if !add {
 		return nil
 	}
-	h := &holderState{function: f, worker: w, copies: 1}
-	f.holders = append(f.holders, h)
-	w.holders = append(w.holders, h)
-	return h
+	added := &holderState{function: f, worker: worker, copies: 1}
+	f.holders = append(f.holders, added)
+	worker.holders = append(worker.holders, added)
+	return added
 }
 
 // hasConfirmedCopy reports whether a worker, which may be nil, has itself confirmed that it holds a
 // copy.
-func (f *functionState) hasConfirmedCopy(now int64, w *workerState) bool {
-	h := f.holderAt(w, false)
-	return h != nil && h.validUntil > now && h.confirmed
+func (f *functionState) hasConfirmedCopy(now int64, worker *workerState) bool {
+	holder := f.holderAt(worker, false)
+	return holder != nil && holder.validUntil > now && holder.confirmed
 }
 
 // copyExpectedElsewhere reports whether a copy is expected at a holder other than the given one,
 // which may be nil.
 func (f *functionState) copyExpectedElsewhere(now int64, except *holderState) bool {
-	return slices.ContainsFunc(f.holders, func(h *holderState) bool { return h != except && h.copyExpected(now) })
+	return slices.ContainsFunc(f.holders, func(holder *holderState) bool {
+		return holder != except &&
+			holder.copyExpected(now)
+	})
 }
 
 // dropObsoleteHolders forgets the holders of which nothing is believed any more.
 func (f *functionState) dropObsoleteHolders(now, orderTimeout int64) {
 	current := f.holders[:0]
-	for _, h := range f.holders {
-		if h.isObsolete(now, orderTimeout) {
-			h.detach()
+	for _, holder := range f.holders {
+		if holder.isObsolete(now, orderTimeout) {
+			holder.detach()
 		} else {
-			current = append(current, h)
+			current = append(current, holder)
 		}
 	}
 	f.holders = current
@@ -106,34 +109,35 @@
 func (t *holderTable) lookup(id FuncID) *functionState { return t.functions[functionTag(id)] }
 
 // functionFor returns the function that a request calls, as the request describes it.
-func (t *holderTable) functionFor(now int64, q Request) *functionState {
-	f := t.lookup(q.Func)
-	if f == nil {
-		f = &functionState{}
-		t.functions[functionTag(q.Func)] = f
+func (t *holderTable) functionFor(now int64, request Request) *functionState {
+	function := t.lookup(request.Func)
+	if function == nil {
+		function = &functionState{}
+		t.functions[functionTag(request.Func)] = function
 	}
-	f.id, f.concurrency, f.loadTime, f.lastRequestAt = q.Func, max(1, q.Concurrency), q.LoadTime, now
-	return f
+	function.id, function.concurrency, function.loadTime, function.lastRequestAt = request.Func, max(1,
+		request.Concurrency), request.LoadTime, now
+	return function
 }
 
 // functionByTag returns the function with a tag. One that only other dispatchers have called gets
 // the tag as its ID until it is called here.
 func (t *holderTable) functionByTag(now int64, tag uint32) *functionState {
-	f := t.functions[tag]
-	if f == nil {
-		f = &functionState{concurrency: 1, lastRequestAt: now, id: FuncID(tag)}
-		t.functions[tag] = f
+	function := t.functions[tag]
+	if function == nil {
+		function = &functionState{concurrency: 1, lastRequestAt: now, id: FuncID(tag)}
+		t.functions[tag] = function
 	}
-	return f
+	return function
 }
 
 // expiringWithin lists the holders at w whose belief ends within a time, by function ID, so that
 // nothing depends on the order of a map. The result is valid until the next call.
-func (t *holderTable) expiringWithin(now int64, w *workerState, within int64) []*holderState {
+func (t *holderTable) expiringWithin(now int64, worker *workerState, within int64) []*holderState {
 	expiring := t.expiring[:0]
-	for _, h := range w.holders {
-		if h.validUntil > now && h.validUntil-now < within {
-			expiring = append(expiring, h)
+	for _, holder := range worker.holders {
+		if holder.validUntil > now && holder.validUntil-now < within {
+			expiring = append(expiring, holder)
 		}
 	}
 	slices.SortFunc(expiring, func(a, b *holderState) int { return cmp.Compare(a.function.id, b.function.id) })
@@ -143,9 +147,9 @@
 
 // sweep forgets obsolete holders, and functions without holders that were not called for a time.
 func (t *holderTable) sweep(now, orderTimeout, keepFunctions int64) {
-	for tag, f := range t.functions {
-		f.dropObsoleteHolders(now, orderTimeout)
-		if len(f.holders) == 0 && now-f.lastRequestAt > keepFunctions {
+	for tag, function := range t.functions {
+		function.dropObsoleteHolders(now, orderTimeout)
+		if len(function.holders) == 0 && now-function.lastRequestAt > keepFunctions {
 			delete(t.functions, tag)
 		}
 	}
@@ -153,12 +157,12 @@
 
 // confirmHolder takes that the worker itself showed that it holds a copy, and has it announced to
 // the other dispatchers if that has not been done for half of the keep-alive.
-func (b *Balancer) confirmHolder(now int64, h *holderState) {
-	if h.validUntil <= now {
-		h.copies = 1
+func (b *Balancer) confirmHolder(now int64, holder *holderState) {
+	if holder.validUntil <= now {
+		holder.copies = 1
 	}
-	h.validUntil, h.confirmed = now+b.settings.KeepAlive, true
-	if now-h.announcedAt > b.settings.KeepAlive/2 {
-		b.queueAnnouncement(now, h)
+	holder.validUntil, holder.confirmed = now+b.settings.KeepAlive, true
+	if now-holder.announcedAt > b.settings.KeepAlive/2 {
+		b.queueAnnouncement(now, holder)
 	}
 }
--- a/balancer/load.go
+++ b/balancer/load.go
@@ -20,26 +20,26 @@
 // weightedLoad returns the load by which workers are compared: the calls in flight plus one over
 // the capacity, higher for a worker whose calls fail. Where one of many dispatchers has too few
 // calls at a worker to see its queue, it is higher also for one that takes longer than others.
-func (b *Balancer) weightedLoad(now int64, w *workerState) float64 {
-	load := (b.inFlightAt(now, w) + 1) / (b.capacityFraction(now, w) * max(w.Weight, minWeight))
-	load *= 1 + (1-1/b.fleetFactor())*b.latencyPenalty(now, w)
-	return load * (1 + failureRatePenalty*b.outliers.FailureRate(now, &w.outlierStats))
+func (b *Balancer) weightedLoad(now int64, worker *workerState) float64 {
+	load := (b.inFlightAt(now, worker) + 1) / (b.capacityFraction(now, worker) * max(worker.Weight, minWeight))
+	load *= 1 + (1-1/b.fleetFactor())*b.latencyPenalty(now, worker)
+	return load * (1 + failureRatePenalty*b.outliers.FailureRate(now, &worker.outlierStats))
 }
 
 // inFlightAt returns the calls in flight at a worker, ours and those of load reports and digests.
 // What is known of others' calls decays to the median: a worker without a recent report counts as
 // average.
-func (b *Balancer) inFlightAt(now int64, w *workerState) float64 {
-	own := float64(len(w.inFlight) + w.failuresAt(now))
-	b.applyFullDigest(w)
+func (b *Balancer) inFlightAt(now int64, worker *workerState) float64 {
+	own := float64(len(worker.inFlight) + worker.failuresAt(now))
+	b.applyFullDigest(worker)
 	median := b.endpoints.medianPeerCalls
-	return own + median + decayed(w.peerCalls-median, now-w.peerCallsAt, b.decayTime())
+	return own + median + decayed(worker.peerCalls-median, now-worker.peerCallsAt, b.decayTime())
 }
 
 // recordLoadReport takes the load report that came with a response: what a worker holds beyond our
 // own calls. One of many dispatchers, which has few calls there, goes by the queue if nothing else
 // is reported.
-func (b *Balancer) recordLoadReport(now int64, w *workerState, report []float64) {
+func (b *Balancer) recordLoadReport(now int64, worker *workerState, report []float64) {
 	field := b.settings.InflightField - 1
 	if field < 0 && b.fleetFactor() > 1 {
 		field = b.settings.QueueField - 1
@@ -47,13 +47,13 @@
 	if field < 0 || field >= len(report) || !(report[field] >= 0) || math.IsInf(report[field], 0) {
 		return
 	}
-	calls := max(0, report[field]-float64(len(w.inFlight)))
-	b.applyFullDigest(w)
-	if float64(now-w.peerCallsAt) > b.decayTime() {
-		w.peerCalls = calls
+	calls := max(0, report[field]-float64(len(worker.inFlight)))
+	b.applyFullDigest(worker)
+	if float64(now-worker.peerCallsAt) > b.decayTime() {
+		worker.peerCalls = calls
 	}
-	w.peerCalls += loadReportWeight * (calls - w.peerCalls)
-	w.peerCallsAt = now
+	worker.peerCalls += loadReportWeight * (calls - worker.peerCalls)
+	worker.peerCallsAt = now
 	b.updateMedianPeerCalls(now)
 }
 
@@ -61,10 +61,10 @@
 // responses the crowded ones would count most, and none would look heavy.
 func (b *Balancer) updateMedianPeerCalls(now int64) {
 	calls := b.choice.loads[:0]
-	for _, w := range b.endpoints.sample(b.rng) {
-		b.applyFullDigest(w)
-		if w.peerCallsAt > 0 && float64(now-w.peerCallsAt) < b.decayTime() {
-			calls = append(calls, w.peerCalls)
+	for _, worker := range b.endpoints.sample(b.rng) {
+		b.applyFullDigest(worker)
+		if worker.peerCallsAt > 0 && float64(now-worker.peerCallsAt) < b.decayTime() {
+			calls = append(calls, worker.peerCalls)
 		}
 	}
 	b.choice.loads = calls
@@ -73,22 +73,22 @@
 
 // applyFullDigest takes that a worker which the last full digest of a long list left out is idle
 // for others. That is done when the worker is looked at rather than for all of the list.
-func (b *Balancer) applyFullDigest(w *workerState) {
-	if w.peerCallsAt < b.gossip.fullDigestAt {
-		w.peerCalls, w.peerCallsAt = 0, b.gossip.fullDigestAt
+func (b *Balancer) applyFullDigest(worker *workerState) {
+	if worker.peerCallsAt < b.gossip.fullDigestAt {
+		worker.peerCalls, worker.peerCallsAt = 0, b.gossip.fullDigestAt
 	}
 }
 
 // latencyPenalty returns the share by which a worker counts as heavier for its pace, by our own
 // calls or as others report it, whichever is more.
-func (b *Balancer) latencyPenalty(now int64, w *workerState) float64 {
-	own := decayed(w.pace*w.pace-1, now-w.paceAt, float64(b.callRateWindow()))
-	return max(own, decayed(max(0, w.peerPace*w.peerPace-1), now-w.peerPaceAt, b.decayTime()))
+func (b *Balancer) latencyPenalty(now int64, worker *workerState) float64 {
+	own := decayed(worker.pace*worker.pace-1, now-worker.paceAt, float64(b.callRateWindow()))
+	return max(own, decayed(max(0, worker.peerPace*worker.peerPace-1), now-worker.peerPaceAt, b.decayTime()))
 }
 
 // relativeLatency returns the pace of a worker by our own calls, which decays to 1.
-func (b *Balancer) relativeLatency(now int64, w *workerState) float64 {
-	return 1 + decayed(w.pace-1, now-w.paceAt, float64(b.callRateWindow()))
+func (b *Balancer) relativeLatency(now int64, worker *workerState) float64 {
+	return 1 + decayed(worker.pace-1, now-worker.paceAt, float64(b.callRateWindow()))
 }
 
 // observePace learns the pace of a worker from the response time of a loaded copy and the mean of
--- a/balancer/loadorders.go
+++ b/balancer/loadorders.go
@@ -11,11 +11,11 @@
 
 // orderLoad orders a copy of a holder's function, if its worker may get one and the quota allows
 // it, and reports whether it did. Every load order passes it (rules 3 and 5).
-func (b *Balancer) orderLoad(now int64, h *holderState) bool {
-	if !b.settings.LoadOrders || !b.eligible(now, h.worker) || !b.loadQuota.take(now) {
+func (b *Balancer) orderLoad(now int64, holder *holderState) bool {
+	if !b.settings.LoadOrders || !b.eligible(now, holder.worker) || !b.loadQuota.take(now) {
 		return false
 	}
-	b.host.OrderLoad(h.worker.Worker, h.function.id, 1)
+	b.host.OrderLoad(holder.worker.Worker, holder.function.id, 1)
 	return true
 }
 
@@ -33,12 +33,12 @@
 // which loads wait. A call that comes nevertheless costs one load more.
 func (b *Balancer) unloadIdleCopies(now int64) {
 	share := b.trafficShare(now)
-	for _, w := range b.endpoints.workersWithHolders() {
-		for _, h := range b.holders.expiringWithin(now, w, b.settings.KeepAlive/2) {
-			calls := h.function.recentCalls.valueAt(now, float64(b.callRateWindow())) / share
-			if b.settings.LoadOrders && h.confirmed && h.inFlight == 0 && calls < minCallsPerKeepAlive {
-				b.host.OrderUnload(w.Worker, h.function.id)
-				h.validUntil = 0
+	for _, worker := range b.endpoints.workersWithHolders() {
+		for _, holder := range b.holders.expiringWithin(now, worker, b.settings.KeepAlive/2) {
+			calls := holder.function.recentCalls.valueAt(now, float64(b.callRateWindow())) / share
+			if b.settings.LoadOrders && holder.confirmed && holder.inFlight == 0 && calls < minCallsPerKeepAlive {
+				b.host.OrderUnload(worker.Worker, holder.function.id)
+				holder.validUntil = 0
 			}
 		}
 	}
@@ -56,8 +56,8 @@
 // HandleHealthCheck takes the result of a health check, with the load report that came with it.
 func (b *Balancer) HandleHealthCheck(now int64, id WorkerID, result Result, rtt int64, report []float64) {
 	b.advanceClock(now)
-	if w := b.endpoints.byID[id]; w != nil && result == OK {
-		b.recordLoadReport(now, w, report)
+	if worker := b.endpoints.byID[id]; worker != nil && result == OK {
+		b.recordLoadReport(now, worker, report)
 	}
 	b.armTimer()
 }
@@ -66,51 +66,51 @@
 func (b *Balancer) HandleLoadResult(now int64, id WorkerID, functionID FuncID, copies int, result Result) {
 	b.advanceClock(now)
 	defer b.armTimer()
-	w, f := b.endpoints.byID[id], b.holders.lookup(functionID)
-	if w == nil || f == nil {
+	worker, function := b.endpoints.byID[id], b.holders.lookup(functionID)
+	if worker == nil || function == nil {
 		return
 	}
-	b.endpoints.markActive(now, w)
+	b.endpoints.markActive(now, worker)
 	if result == OK || result == QueueFull || result == Error {
-		b.recordResponse(now, w)
+		b.recordResponse(now, worker)
 	}
 	sentAt := now
-	if h := f.holderAt(w, false); h != nil {
-		sentAt = h.orderedAt
-		b.finishLoadOrder(now, h, copies, result)
+	if holder := function.holderAt(worker, false); holder != nil {
+		sentAt = holder.orderedAt
+		b.finishLoadOrder(now, holder, copies, result)
 	}
 	if result == ConnectFailed || result == Reset {
-		b.handleConnectionFailure(now, sentAt, w, result)
+		b.handleConnectionFailure(now, sentAt, worker, result)
 	}
-	b.dispatchWaiting(now, f)
+	b.dispatchWaiting(now, function)
 }
 
 // finishLoadOrder learns from the result of a load order. One that was reset or never sent says
 // nothing of the worker's room, and may be given again at once.
-func (b *Balancer) finishLoadOrder(now int64, h *holderState, copies int, result Result) {
-	h.orderInFlight = false
+func (b *Balancer) finishLoadOrder(now int64, holder *holderState, copies int, result Result) {
+	holder.orderInFlight = false
 	if copies <= 0 {
 		if result != Reset && result != NotSent {
-			h.orderBackoffUntil = now + b.shortestObjective
+			holder.orderBackoffUntil = now + b.shortestObjective
 		}
 		return
 	}
 	// An order that ended much sooner than a load takes found the copy loaded.
-	duration := float64(now - h.orderedAt)
-	if h.orderedAt > 0 && duration > float64(h.function.loadTime)/2 {
-		b.loads.observe(h.function, duration)
+	duration := float64(now - holder.orderedAt)
+	if holder.orderedAt > 0 && duration > float64(holder.function.loadTime)/2 {
+		b.loads.observe(holder.function, duration)
 	}
-	b.confirmHolder(now, h)
-	h.copies = copies
+	b.confirmHolder(now, holder)
+	holder.copies = copies
 }
 
 // dispatchWaiting dispatches the requests that were held here for a load of f.
-func (b *Balancer) dispatchWaiting(now int64, f *functionState) {
-	waiting := f.waiting
-	f.waiting = nil
-	for _, r := range waiting {
-		if !r.done && len(r.attempts) == 0 {
-			b.dispatch(now, r)
+func (b *Balancer) dispatchWaiting(now int64, function *functionState) {
+	waiting := function.waiting
+	function.waiting = nil
+	for _, request := range waiting {
+		if !request.done && len(request.attempts) == 0 {
+			b.dispatch(now, request)
 		}
 	}
 }
--- a/balancer/loadorders_test.go
+++ b/balancer/loadorders_test.go
@@ -6,16 +6,16 @@
 )
 
 func TestLoadOrdersKeepTheQuota(t *testing.T) {
-	s := testSettings(Idempotent, ScopeAll)
-	s.LoadQuotaWindow, s.LoadQuotaBase, s.LoadsOnMiss = 1000*ms, 2, false
-	d, f := newTestBalancer(t, s, 4)
+	settings := testSettings(Idempotent, ScopeAll)
+	settings.LoadQuotaWindow, settings.LoadQuotaBase, settings.LoadsOnMiss = 1000*ms, 2, false
+	balancer, host := newTestBalancer(t, settings, 4)
 	for i := range 10 {
 		id := fmt.Sprint(i)
-		d.HandleRequest(int64(i)*ms, testRequest(id, int64(i)*ms, FuncID(i)))
-		d.HandleAttemptResult(int64(i)*ms, AttemptResult{ID: id, Worker: f.lastWorker[id], Result: NotLoaded})
+		balancer.HandleRequest(int64(i)*ms, testRequest(id, int64(i)*ms, FuncID(i)))
+		balancer.HandleAttemptResult(int64(i)*ms, AttemptResult{ID: id, Worker: host.lastWorker[id], Result: NotLoaded})
 	}
-	if len(f.loadOrders) != 2 {
-		t.Fatalf("%d loads ordered, 2 allowed", len(f.loadOrders))
+	if len(host.loadOrders) != 2 {
+		t.Fatalf("%d loads ordered, 2 allowed", len(host.loadOrders))
 	}
 }
 
@@ -23,36 +23,36 @@
 // here, one order loads, and its end sends them. A load that outlasts their patience gets them all
 // the same, in time.
 func TestCallsWaitForALoadAtTheDispatcher(t *testing.T) {
-	d, f := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 3)
-	markAllResponded(d)
-	d.HandleRequest(0, testRequest("a", 0, 1))
-	if len(f.attempts) != 1 || len(f.loadOrders) != 0 {
+	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 3)
+	markAllResponded(balancer)
+	balancer.HandleRequest(0, testRequest("a", 0, 1))
+	if len(host.attempts) != 1 || len(host.loadOrders) != 0 {
 		t.Fatal("a function that no worker has served was ordered")
 	}
-	d.HandleAttemptResult(10*ms, successful("a", f.lastWorker["a"]))
+	balancer.HandleAttemptResult(10*ms, successful("a", host.lastWorker["a"]))
 	now := 9000 * ms // the belief has lapsed
-	fireTimers(d, f, 20*ms, now)
+	fireTimers(balancer, host, 20*ms, now)
 	for _, id := range []string{"b", "c"} {
-		d.HandleRequest(now, testRequest(id, now, 1))
+		balancer.HandleRequest(now, testRequest(id, now, 1))
 	}
-	if len(f.attempts) != 1 || len(f.loadOrders) != 1 {
-		t.Fatalf("%d sends, %d orders", len(f.attempts), len(f.loadOrders))
+	if len(host.attempts) != 1 || len(host.loadOrders) != 1 {
+		t.Fatalf("%d sends, %d orders", len(host.attempts), len(host.loadOrders))
 	}
-	d.HandleLoadResult(now+600*ms, f.loadOrders[0], 1, 1, OK)
-	if f.lastWorker["b"] != f.loadOrders[0] || f.lastWorker["c"] != f.loadOrders[0] {
-		t.Fatalf("sent %v, loaded at %v", f.lastWorker, f.loadOrders)
+	balancer.HandleLoadResult(now+600*ms, host.loadOrders[0], 1, 1, OK)
+	if host.lastWorker["b"] != host.loadOrders[0] || host.lastWorker["c"] != host.loadOrders[0] {
+		t.Fatalf("sent %v, loaded at %v", host.lastWorker, host.loadOrders)
 	}
-	d.HandleAttemptResult(now+610*ms, successful("b", f.lastWorker["b"]))
-	d.HandleAttemptResult(now+610*ms, successful("c", f.lastWorker["c"]))
+	balancer.HandleAttemptResult(now+610*ms, successful("b", host.lastWorker["b"]))
+	balancer.HandleAttemptResult(now+610*ms, successful("c", host.lastWorker["c"]))
 	now = 19000 * ms
-	fireTimers(d, f, 9700*ms, now)
-	d.HandleRequest(now, testRequest("d", now, 1))
-	fireTimers(d, f, now, now+1180*ms)
-	if f.lastWorker["d"] != 0 {
+	fireTimers(balancer, host, 9700*ms, now)
+	balancer.HandleRequest(now, testRequest("d", now, 1))
+	fireTimers(balancer, host, now, now+1180*ms)
+	if host.lastWorker["d"] != 0 {
 		t.Fatal("not held")
 	}
-	fireTimers(d, f, now+1200*ms, now+1220*ms)
-	if f.lastWorker["d"] == 0 {
+	fireTimers(balancer, host, now+1200*ms, now+1220*ms)
+	if host.lastWorker["d"] == 0 {
 		t.Fatal("held beyond its part of the time")
 	}
 }
@@ -60,24 +60,24 @@
 // Guards memory, which idle copies cost and loads wait for: one that is hardly called goes after
 // half the keep-alive, one that is called now and then stays, and so does one with a call out.
 func TestIdleCopiesAreUnloaded(t *testing.T) {
-	d, f := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 3)
-	markAllResponded(d)
+	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 3)
+	markAllResponded(balancer)
 	for now := int64(0); now < 3000*ms; now += 500 * ms {
-		for _, fn := range []FuncID{1, 2, 3} {
-			if fn == 1 && now > 0 {
+		for _, function := range []FuncID{1, 2, 3} {
+			if function == 1 && now > 0 {
 				continue
 			}
-			id := fmt.Sprint(fn, "-", now)
-			d.HandleRequest(now, testRequest(id, now, fn))
-			if fn != 3 {
-				d.HandleAttemptResult(now+20*ms, successful(id, f.lastWorker[id]))
+			id := fmt.Sprint(function, "-", now)
+			balancer.HandleRequest(now, testRequest(id, now, function))
+			if function != 3 {
+				balancer.HandleAttemptResult(now+20*ms, successful(id, host.lastWorker[id]))
 			}
 		}
-		fireTimers(d, f, now+20*ms, now+480*ms)
+		fireTimers(balancer, host, now+20*ms, now+480*ms)
 	}
-	fireTimers(d, f, 3000*ms, 7900*ms)
-	if fmt.Sprint(f.unloadOrders) != "[1]" {
-		t.Errorf("unloaded %v", f.unloadOrders)
+	fireTimers(balancer, host, 3000*ms, 7900*ms)
+	if fmt.Sprint(host.unloadOrders) != "[1]" {
+		t.Errorf("unloaded %v", host.unloadOrders)
 	}
 }
 
@@ -86,20 +86,20 @@
 // after a no the call is sent.
 func TestInterruptedLoadOrdersAreRepeated(t *testing.T) {
 	for res, orders := range map[Result]int{Reset: 3, NotSent: 3, QueueFull: 1, Error: 1} {
-		s := testSettings(Idempotent, ScopeAll)
-		s.LoadQuotaWindow, s.LoadQuotaBase = 5000*ms, 3
-		d, f := newTestBalancer(t, s, 1)
-		markAllResponded(d)
-		d.HandleRequest(0, testRequest("a", 0, 1))
-		d.HandleAttemptResult(10*ms, successful("a", 1))
+		settings := testSettings(Idempotent, ScopeAll)
+		settings.LoadQuotaWindow, settings.LoadQuotaBase = 5000*ms, 3
+		balancer, host := newTestBalancer(t, settings, 1)
+		markAllResponded(balancer)
+		balancer.HandleRequest(0, testRequest("a", 0, 1))
+		balancer.HandleAttemptResult(10*ms, successful("a", 1))
 		now := 9000 * ms // the belief has lapsed
-		fireTimers(d, f, 20*ms, now)
-		d.HandleRequest(now, testRequest("b", now, 1))
+		fireTimers(balancer, host, 20*ms, now)
+		balancer.HandleRequest(now, testRequest("b", now, 1))
 		for i := range int64(4) {
-			d.HandleLoadResult(now+i*ms, 1, 1, 0, res)
+			balancer.HandleLoadResult(now+i*ms, 1, 1, 0, res)
 		}
-		if len(f.loadOrders) != orders || len(f.attempts) != 2 {
-			t.Errorf("order ended with %d: %d orders, %d sends", res, len(f.loadOrders), len(f.attempts))
+		if len(host.loadOrders) != orders || len(host.attempts) != 2 {
+			t.Errorf("order ended with %d: %d orders, %d sends", res, len(host.loadOrders), len(host.attempts))
 		}
 	}
 }
@@ -107,28 +107,29 @@
 // Calls of functions that no worker serves earn no orders to load: the platform does not count them
 // as taken. Found on a day of clients that call functions which do not exist.
 func TestCallsOfUnknownFunctionsEarnNoLoadOrders(t *testing.T) {
-	s := testSettings(Idempotent, ScopeAll)
-	s.LoadQuotaWindow, s.LoadQuotaBase, s.LoadQuotaRatio = 5000*ms, 1, 0.25
-	d, f := newTestBalancer(t, s, 4)
-	markAllResponded(d)
+	settings := testSettings(Idempotent, ScopeAll)
+	settings.LoadQuotaWindow, settings.LoadQuotaBase, settings.LoadQuotaRatio = 5000*ms, 1, 0.25
+	balancer, host := newTestBalancer(t, settings, 4)
+	markAllResponded(balancer)
 	for i := range 40 {
 		id, now := fmt.Sprint("unknown", i), int64(i)*ms
-		d.HandleRequest(now, testRequest(id, now, FuncID(1000+i)))
-		d.HandleAttemptResult(now, AttemptResult{ID: id, Worker: f.lastWorker[id], Result: Error, Finished: true})
+		balancer.HandleRequest(now, testRequest(id, now, FuncID(1000+i)))
+		balancer.HandleAttemptResult(now, AttemptResult{ID: id, Worker: host.lastWorker[id], Result: Error,
+			Finished: true})
 	}
-	h := d.holders.functionFor(50*ms, testRequest("", 50*ms, 1)).holderAt(d.endpoints.byID[1], true)
-	if !d.orderLoad(50*ms, h) {
+	holder := balancer.holders.functionFor(50*ms, testRequest("", 50*ms, 1)).holderAt(balancer.endpoints.byID[1], true)
+	if !balancer.orderLoad(50*ms, holder) {
 		t.Fatal("the free order was not given")
 	}
-	if d.orderLoad(51*ms, h) {
+	if balancer.orderLoad(51*ms, holder) {
 		t.Fatal("an order was given for calls of functions that no worker serves")
 	}
 	for i := range 4 { // these count, also the first, whose answer shows that the function is there
 		id, now := fmt.Sprint("known", i), int64(60+10*i)*ms
-		d.HandleRequest(now, testRequest(id, now, 2))
-		d.HandleAttemptResult(now+ms, successful(id, f.lastWorker[id]))
+		balancer.HandleRequest(now, testRequest(id, now, 2))
+		balancer.HandleAttemptResult(now+ms, successful(id, host.lastWorker[id]))
 	}
-	if !d.orderLoad(100*ms, h) {
+	if !balancer.orderLoad(100*ms, holder) {
 		t.Fatal("no order was given for four calls served")
 	}
 }
--- a/balancer/loadtime.go
+++ b/balancer/loadtime.go
@@ -30,8 +30,8 @@
 
 // observe learns the duration of a load, in nanoseconds, and from the stated one how slow the store
 // is.
-func (m *loadModel) observe(f *functionState, duration float64) {
-	stated := cmp.Or(float64(max(0, f.loadTime)), m.duration.mean)
+func (m *loadModel) observe(function *functionState, duration float64) {
+	stated := cmp.Or(float64(max(0, function.loadTime)), m.duration.mean)
 	slowdown := min(max(duration/max(stated, 1), 1), maxStoreSlowdown)
 	m.slowdown += storeSlowdownWeight * (slowdown - m.slowdown)
 	m.duration.observe(duration, loadTimeWeight)
@@ -52,6 +52,6 @@
 }
 
 // expected returns the time, in nanoseconds, that a load of f is expected to take.
-func (m *loadModel) expected(f *functionState) float64 {
-	return max(float64(f.loadTime), m.duration.mean) * m.slowdown
+func (m *loadModel) expected(function *functionState) float64 {
+	return max(float64(function.loadTime), m.duration.mean) * m.slowdown
 }
--- a/balancer/longlist_test.go
+++ b/balancer/longlist_test.go
@@ -22,32 +22,32 @@
 const scanAlways, scanNever = math.MaxInt, -1 // of Settings.Walk
 
 // examinedWorkersOf are the workers that the last choice looked at.
-func examinedWorkersOf(d *Balancer) (ws []*workerState) {
-	for _, w := range d.endpoints.listed {
-		if w.examinedIn == d.choice.number {
-			ws = append(ws, w)
+func examinedWorkersOf(balancer *Balancer) (workers []*workerState) {
+	for _, worker := range balancer.endpoints.listed {
+		if worker.examinedIn == balancer.choice.number {
+			workers = append(workers, worker)
 		}
 	}
-	return ws
+	return workers
 }
 
 func TestChoiceExaminesABoundedNumberInALongList(t *testing.T) {
 	for _, n := range []int{3, 120, 256, 257, 600, 1900, 9600} {
-		s := testSettings(Idempotent, ScopeAll)
-		s.Dispatchers, s.LoadsOnMiss = 300, false
-		d, f := newTestBalancer(t, s, n)
+		settings := testSettings(Idempotent, ScopeAll)
+		settings.Dispatchers, settings.LoadsOnMiss = 300, false
+		balancer, host := newTestBalancer(t, settings, n)
 		for i := range 200 {
 			now := int64(i) * 5 * ms
 			id := fmt.Sprint(i)
-			d.HandleRequest(now, testRequest(id, now, FuncID(i%7)))
-			looked := examinedWorkersOf(d)
+			balancer.HandleRequest(now, testRequest(id, now, FuncID(i%7)))
+			looked := examinedWorkersOf(balancer)
 			if n <= defaultFullScanLimit {
 				assert.Len(t, looked, n)
 			} else {
 				assert.LessOrEqual(t, len(looked), ringWindow+sampleSize+ringWindow, "%d executors", n)
 			}
-			assert.Contains(t, looked, d.endpoints.byID[f.lastWorker[id]])
-			d.HandleAttemptResult(now+ms, successful(id, f.lastWorker[id]))
+			assert.Contains(t, looked, balancer.endpoints.byID[host.lastWorker[id]])
+			balancer.HandleAttemptResult(now+ms, successful(id, host.lastWorker[id]))
 		}
 	}
 }
@@ -55,19 +55,19 @@
 // The mechanism's first clause in a list of any length: the copy that is believed to stand is
 // found.
 func TestLongListChoiceFindsTheHolder(t *testing.T) {
-	s := testSettings(Idempotent, ScopeAll)
-	s.Dispatchers = 300
-	d, f := newTestBalancer(t, s, 9600)
-	markAllResponded(d)
-	for fn := range FuncID(50) {
-		w := d.endpoints.byID[WorkerID(1+fn*191)]
-		h := d.holders.functionFor(0, testRequest("", 0, fn)).holderAt(w, true)
-		d.confirmHolder(0, h)
+	settings := testSettings(Idempotent, ScopeAll)
+	settings.Dispatchers = 300
+	balancer, host := newTestBalancer(t, settings, 9600)
+	markAllResponded(balancer)
+	for function := range FuncID(50) {
+		worker := balancer.endpoints.byID[WorkerID(1+function*191)]
+		holder := balancer.holders.functionFor(0, testRequest("", 0, function)).holderAt(worker, true)
+		balancer.confirmHolder(0, holder)
 	}
-	for fn := range FuncID(50) {
-		id := fmt.Sprint(fn)
-		d.HandleRequest(ms, testRequest(id, ms, fn))
-		assert.Equal(t, WorkerID(1+fn*191), f.lastWorker[id])
+	for function := range FuncID(50) {
+		id := fmt.Sprint(function)
+		balancer.HandleRequest(ms, testRequest(id, ms, function))
+		assert.Equal(t, WorkerID(1+function*191), host.lastWorker[id])
 	}
 }
 
@@ -77,15 +77,15 @@
 	places := func(walk int) (n int) {
 		at := map[[2]int]bool{} // function and executor
 		for i := range 40 {
-			s := testSettings(Idempotent, ScopeAll)
-			s.Dispatchers, s.DispatcherIndex, s.FullScanLimit = 300, i, walk
-			d, f := newTestBalancer(t, s, 1900)
+			settings := testSettings(Idempotent, ScopeAll)
+			settings.Dispatchers, settings.DispatcherIndex, settings.FullScanLimit = 300, i, walk
+			balancer, host := newTestBalancer(t, settings, 1900)
 			gone := WorkerID(1 + (i*997)%1900)
-			d.UpdateEndpoints(0, EndpointsDelta, []Endpoint{{Worker: gone, State: Removed}})
-			markAllResponded(d)
+			balancer.UpdateEndpoints(0, EndpointsDelta, []Endpoint{{Worker: gone, State: Removed}})
+			markAllResponded(balancer)
 			for fn := range 20 {
-				d.HandleRequest(ms, testRequest(fmt.Sprint(fn), ms, FuncID(77+fn*1_000_003)))
-				at[[2]int{fn, int(f.lastWorker[fmt.Sprint(fn)])}] = true
+				balancer.HandleRequest(ms, testRequest(fmt.Sprint(fn), ms, FuncID(77+fn*1_000_003)))
+				at[[2]int{fn, int(host.lastWorker[fmt.Sprint(fn)])}] = true
 			}
 		}
 		return len(at)
@@ -98,15 +98,16 @@
 func TestLongListHotFunctionSpreads(t *testing.T) {
 	at := map[WorkerID]int{}
 	for i := range 100 {
-		s := testSettings(Idempotent, ScopeAll)
-		s.Dispatchers, s.DispatcherIndex = 200, i*2
-		d, f := newTestBalancer(t, s, 1900)
-		markAllResponded(d)
-		r := testRequest("x", 3000*ms, 5)
-		fn := d.holders.functionFor(3000*ms, r)
-		fn.recentCalls = decayingCounter{8, 3000 * ms} // one a second here, 200 in all: at 0.25 s and a copy's two lanes half taken, 50 places
-		d.HandleRequest(3000*ms, r)
-		at[f.lastWorker["x"]]++
+		settings := testSettings(Idempotent, ScopeAll)
+		settings.Dispatchers, settings.DispatcherIndex = 200, i*2
+		balancer, host := newTestBalancer(t, settings, 1900)
+		markAllResponded(balancer)
+		request := testRequest("x", 3000*ms, 5)
+		function := balancer.holders.functionFor(3000*ms, request)
+		// one a second here, 200 in all: at 0.25 s and a copy's two lanes half taken, 50 places
+		function.recentCalls = decayingCounter{8, 3000 * ms}
+		balancer.HandleRequest(3000*ms, request)
+		at[host.lastWorker["x"]]++
 	}
 	assert.Greater(t, len(at), 25, "places of a function that needs some 50")
 	assert.Less(t, len(at), 120)
@@ -115,16 +116,17 @@
 // Functions spread over the executors: no executor is the place of far more than its part, and few
 // of none.
 func TestLongListPlacesAreEven(t *testing.T) {
-	s := testSettings(Idempotent, ScopeAll)
-	s.Dispatchers = 300
-	d, _ := newTestBalancer(t, s, 1900)
-	markAllResponded(d)
+	settings := testSettings(Idempotent, ScopeAll)
+	settings.Dispatchers = 300
+	balancer, _ := newTestBalancer(t, settings, 1900)
+	markAllResponded(balancer)
 	at := map[WorkerID]int{}
 	const functions = 19_000
-	for fn := range FuncID(functions) {
-		r := &requestState{Request: testRequest("x", ms, fn*7919), class: &d.settings.Classes[0], function: &functionState{id: fn * 7919, concurrency: 2}}
-		w, _ := d.chooseWorker(ms, r)
-		at[w.Worker]++
+	for function := range FuncID(functions) {
+		request := &requestState{Request: testRequest("x", ms, function*7919), class: &balancer.settings.Classes[0],
+			function: &functionState{id: function * 7919, concurrency: 2}}
+		worker, _ := balancer.chooseWorker(ms, request)
+		at[worker.Worker]++
 	}
 	most := 0
 	for _, n := range at {
@@ -136,18 +138,19 @@
 
 // Busy executors are left to others: with three in ten crowded hardly a call goes to one of these.
 func TestLongListChoiceAvoidsCrowdedWorkers(t *testing.T) {
-	s := testSettings(Idempotent, ScopeAll)
-	d, _ := newTestBalancer(t, s, 1900)
-	markAllResponded(d)
-	for i, w := range d.endpoints.listed {
+	settings := testSettings(Idempotent, ScopeAll)
+	balancer, _ := newTestBalancer(t, settings, 1900)
+	markAllResponded(balancer)
+	for i, worker := range balancer.endpoints.listed {
 		if i%10 < 3 {
-			w.peerCalls, w.peerCallsAt = 20, 0
+			worker.peerCalls, worker.peerCallsAt = 20, 0
 		}
 	}
 	crowded := 0
-	for fn := range FuncID(500) {
-		r := &requestState{Request: testRequest("x", ms, fn), class: &d.settings.Classes[0], function: &functionState{id: fn, concurrency: 2}}
-		if w, _ := d.chooseWorker(ms, r); w.peerCalls > 0 {
+	for function := range FuncID(500) {
+		request := &requestState{Request: testRequest("x", ms, function), class: &balancer.settings.Classes[0],
+			function: &functionState{id: function, concurrency: 2}}
+		if worker, _ := balancer.chooseWorker(ms, request); worker.peerCalls > 0 {
 			crowded++
 		}
 	}
@@ -156,48 +159,49 @@
 
 // An executor that is out gets its trial also in a long list, as soon as it is drawn.
 func TestLongListTrialsReachEjectedWorkers(t *testing.T) {
-	s := testSettings(Idempotent, ScopeAll)
-	s.Dispatchers, s.LoadsOnMiss = 1, false
-	d, f := newTestBalancer(t, s, 600)
-	markAllResponded(d)
-	sick := d.endpoints.byID[7]
-	d.handleConnectionFailure(ms, 0, sick, ConnectFailed)
-	require.True(t, d.isEjected(sick))
+	settings := testSettings(Idempotent, ScopeAll)
+	settings.Dispatchers, settings.LoadsOnMiss = 1, false
+	balancer, host := newTestBalancer(t, settings, 600)
+	markAllResponded(balancer)
+	sick := balancer.endpoints.byID[7]
+	balancer.handleConnectionFailure(ms, 0, sick, ConnectFailed)
+	require.True(t, balancer.isEjected(sick))
 	tried := false
 	for i := range 2000 {
 		now := 2000*ms + int64(i)*5*ms
 		id := fmt.Sprint(i)
-		d.HandleRequest(now, testRequest(id, now, FuncID(i)))
-		tried = tried || f.lastWorker[id] == 7
-		d.HandleAttemptResult(now+ms, successful(id, f.lastWorker[id]))
-		d.HandleTimer(now+2*ms, f.timerRef)
+		balancer.HandleRequest(now, testRequest(id, now, FuncID(i)))
+		tried = tried || host.lastWorker[id] == 7
+		balancer.HandleAttemptResult(now+ms, successful(id, host.lastWorker[id]))
+		balancer.HandleTimer(now+2*ms, host.timerRef)
 	}
 	assert.True(t, tried)
-	assert.False(t, d.isEjected(sick), "back after trials that went well")
+	assert.False(t, balancer.isEjected(sick), "back after trials that went well")
 }
 
 // Found by reading: an executor that was first told of as stopped was listed for good but never in
 // the list, and got no call when it came on.
 func TestWorkerListedAsRemovedFirstBecomesActive(t *testing.T) {
-	d, f := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 0)
-	d.UpdateEndpoints(0, EndpointsDelta, []Endpoint{{Worker: 5, State: Removed, Weight: 1}})
-	d.UpdateEndpoints(ms, EndpointsDelta, []Endpoint{{Worker: 5, State: Active, Weight: 1}})
-	d.HandleRequest(2*ms, testRequest("x", 2*ms, 1))
-	assert.Equal(t, WorkerID(5), f.lastWorker["x"])
+	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 0)
+	balancer.UpdateEndpoints(0, EndpointsDelta, []Endpoint{{Worker: 5, State: Removed, Weight: 1}})
+	balancer.UpdateEndpoints(ms, EndpointsDelta, []Endpoint{{Worker: 5, State: Active, Weight: 1}})
+	balancer.HandleRequest(2*ms, testRequest("x", 2*ms, 1))
+	assert.Equal(t, WorkerID(5), host.lastWorker["x"])
 }
 
 // A class with keys may be repeated in its own group alone: the one executor left there is found,
 // however long the list.
 func TestLongListRetryFindsTheOneWorkerLeft(t *testing.T) {
 	for _, n := range []int{3, 300} {
-		d, _ := newTestBalancer(t, testSettings(IdempotentByKey, ScopeZone), n)
-		r := &requestState{Request: testRequest("x", 0, 1), class: &d.settings.Classes[0]}
-		r.attempts = []*attemptState{{request: r, worker: d.endpoints.listed[0], zone: 9, mayHaveRun: true}}
-		assert.False(t, d.mayRetryAnywhere(ms, r))
-		d.endpoints.listed[n-1].Zone = 9
-		assert.True(t, d.mayRetryAnywhere(ms, r))
-		d.settings.Classes[0].Idempotency = NotIdempotent
-		assert.False(t, d.mayRetryAnywhere(ms, r))
+		balancer, _ := newTestBalancer(t, testSettings(IdempotentByKey, ScopeZone), n)
+		request := &requestState{Request: testRequest("x", 0, 1), class: &balancer.settings.Classes[0]}
+		request.attempts = []*attemptState{{request: request, worker: balancer.endpoints.listed[0], zone: 9,
+			mayHaveRun: true}}
+		assert.False(t, balancer.mayRetryAnywhere(ms, request))
+		balancer.endpoints.listed[n-1].Zone = 9
+		assert.True(t, balancer.mayRetryAnywhere(ms, request))
+		balancer.settings.Classes[0].Idempotency = NotIdempotent
+		assert.False(t, balancer.mayRetryAnywhere(ms, request))
 	}
 }
 
@@ -205,20 +209,21 @@
 // (roll 0.48 to 0.31, herd 0.90 to 0.66), where old ones may drain beside new ones (the cause was
 // reasoned, not played alone): no look goes to one that drains.
 func TestLongListSamplesNoDrainingWorker(t *testing.T) {
-	s := testSettings(Idempotent, ScopeAll)
-	s.Dispatchers = 300
-	d, _ := newTestBalancer(t, s, 900)
-	markAllResponded(d)
+	settings := testSettings(Idempotent, ScopeAll)
+	settings.Dispatchers = 300
+	balancer, _ := newTestBalancer(t, settings, 900)
+	markAllResponded(balancer)
 	var news []Endpoint
 	for i := range 600 {
 		news = append(news, Endpoint{Worker: WorkerID(1 + i), State: Draining, Weight: 1})
 	}
-	d.UpdateEndpoints(ms, EndpointsDelta, news)
-	for fn := range FuncID(50) {
-		r := &requestState{Request: testRequest("x", ms, fn), class: &d.settings.Classes[0], function: &functionState{id: fn, concurrency: 2}}
-		w, _ := d.chooseWorker(ms, r)
-		require.NotNil(t, w)
-		looked := examinedWorkersOf(d)
+	balancer.UpdateEndpoints(ms, EndpointsDelta, news)
+	for function := range FuncID(50) {
+		request := &requestState{Request: testRequest("x", ms, function), class: &balancer.settings.Classes[0],
+			function: &functionState{id: function, concurrency: 2}}
+		worker, _ := balancer.chooseWorker(ms, request)
+		require.NotNil(t, worker)
+		looked := examinedWorkersOf(balancer)
 		assert.GreaterOrEqual(t, len(looked), ringWindow+sampleSize*3/4)
 		for _, w := range looked {
 			assert.Equal(t, Active, w.State)
@@ -232,15 +237,15 @@
 func TestRoundsOverActiveWorkersMissNone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{3, 17, 64, 129, 400, 1900}).Draw(t, "executors")
-		s := testSettings(Idempotency(rapid.IntRange(0, 2).Draw(t, "effect")), ScopeAll)
-		s.Dispatchers, s.DispatcherIndex, s.Gossip, s.FullScanLimit = 20, 1, true, scanNever
-		s.QueueField = 1
-		s.LoadsOnMiss = rapid.Bool().Draw(t, "orders")
-		f := newFakeHost()
+		settings := testSettings(Idempotency(rapid.IntRange(0, 2).Draw(t, "effect")), ScopeAll)
+		settings.Dispatchers, settings.DispatcherIndex, settings.Gossip, settings.FullScanLimit = 20, 1, true, scanNever
+		settings.QueueField = 1
+		settings.LoadsOnMiss = rapid.Bool().Draw(t, "orders")
+		host := newFakeHost()
 		const began = 100_000 * ms
-		d, err := New(began, s, 7, f)
+		balancer, err := New(began, settings, 7, host)
 		require.NoError(t, err)
-		d.UpdateEndpoints(began, EndpointsSnapshot, activeEndpoints(n))
+		balancer.UpdateEndpoints(began, EndpointsSnapshot, activeEndpoints(n))
 		type flight struct {
 			id string
 			n  int
@@ -249,98 +254,109 @@
 		var out []flight
 		tries, now, seq := map[string]int{}, began, 0
 		take := func() {
-			for _, x := range f.attempts {
-				w := d.endpoints.byID[x.worker]
-				require.True(t, w != nil && w.listed && w.State == Active, "sent to %d", x.worker)
-				out = append(out, flight{x.id, tries[x.id], x.worker})
-				tries[x.id]++
+			for _, attempt := range host.attempts {
+				worker := balancer.endpoints.byID[attempt.worker]
+				require.True(t, worker != nil && worker.listed && worker.State == Active, "sent to %d", attempt.worker)
+				out = append(out, flight{attempt.id, tries[attempt.id], attempt.worker})
+				tries[attempt.id]++
 			}
-			f.attempts, f.messages, f.receivers = nil, nil, nil
+			host.attempts, host.messages, host.receivers = nil, nil, nil
 		}
 		few := func(label string) WorkerID { // of some, so that events meet; of large fleets others too
 			return WorkerID(1 + rapid.IntRange(0, min(n, 40)-1).Draw(t, label)*max(1, n/40))
 		}
 		for range rapid.IntRange(20, 60).Draw(t, "events") {
 			now += rapid.SampledFrom([]int64{ms, 20 * ms, 130 * ms, 900 * ms, 4100 * ms}).Draw(t, "later")
-			d.HandleTimer(now, f.timerRef)
+			balancer.HandleTimer(now, host.timerRef)
 			take()
 			switch rapid.IntRange(0, 9).Draw(t, "event") {
 			case 0, 1, 2:
 				seq++
-				d.HandleRequest(now, testRequest(fmt.Sprint(seq), now, FuncID(rapid.IntRange(0, 30).Draw(t, "function"))))
+				balancer.HandleRequest(now, testRequest(fmt.Sprint(seq), now,
+					FuncID(rapid.IntRange(0, 30).Draw(t, "function"))))
 			case 3, 4, 5:
 				if len(out) > 0 {
 					i := rapid.IntRange(0, len(out)-1).Draw(t, "flight")
 					o := out[i]
 					out = slices.Delete(out, i, i+1)
 					res := Result(rapid.IntRange(0, int(NumResults)-1).Draw(t, "end"))
-					d.HandleAttemptResult(now, AttemptResult{ID: o.id, Attempt: o.n, Worker: o.w, Result: res, Finished: res == OK, Warmth: WarmHit, Report: []float64{2}})
+					balancer.HandleAttemptResult(now,
+						AttemptResult{ID: o.id, Attempt: o.n, Worker: o.w, Result: res, Finished: res == OK,
+							Warmth: WarmHit, Report: []float64{2}})
 				}
 			case 6:
-				e := Endpoint{Worker: few("worker"), State: EndpointState(rapid.IntRange(0, 2).Draw(t, "state")), Weight: 1}
+				endpoint := Endpoint{Worker: few("worker"),
+					State: EndpointState(rapid.IntRange(0, 2).Draw(t, "state")), Weight: 1}
 				if rapid.Bool().Draw(t, "restarts") {
-					e.Start = now
+					endpoint.Start = now
 				}
-				d.UpdateEndpoints(now, EndpointsDelta, []Endpoint{e})
+				balancer.UpdateEndpoints(now, EndpointsDelta, []Endpoint{endpoint})
 			case 7:
-				d.UpdateEndpoints(now, EndpointsSnapshot, activeEndpoints(rapid.SampledFrom([]int{n, n / 2, 1}).Draw(t, "whole")))
+				balancer.UpdateEndpoints(now, EndpointsSnapshot,
+					activeEndpoints(rapid.SampledFrom([]int{n, n / 2, 1}).Draw(t, "whole")))
 			case 8:
-				m := aggregate.Message{Report: aggregate.Report{Incarnation: 1, Seq: uint8(seq + 1), Values: []float64{1, 1}}, Calls: 9}
+				message := aggregate.Message{Report: aggregate.Report{Incarnation: 1, Seq: uint8(seq + 1),
+					Values: []float64{1, 1}}, Calls: 9}
 				seq++
 				for range rapid.IntRange(0, 3).Draw(t, "counts") {
-					m.Counts = append(m.Counts, aggregate.Count{Worker: workerTag(few("counted")), N: 2, Silent: rapid.Bool().Draw(t, "silent"), Heard: true})
+					message.Counts = append(message.Counts,
+						aggregate.Count{Worker: workerTag(few("counted")), N: 2,
+							Silent: rapid.Bool().Draw(t, "silent"), Heard: true})
 				}
-				m.Marks = []aggregate.Mark{{Worker: workerTag(few("marked")), Bad: 3}}
-				d.HandlePeerMessage(now, rapid.IntRange(2, 6).Draw(t, "from"), m.Encode(20)[0])
+				message.Marks = []aggregate.Mark{{Worker: workerTag(few("marked")), Bad: 3}}
+				balancer.HandlePeerMessage(now, rapid.IntRange(2, 6).Draw(t, "from"), message.Encode(20)[0])
 			case 9:
-				d.HandlePeerMessage(now, 3, encodedDigest(d, now, []float64{5, 1}, aggregate.Count{Worker: workerTag(few("told")), N: 1, Silent: true}))
+				balancer.HandlePeerMessage(now, 3,
+					encodedDigest(balancer, now, []float64{5, 1},
+						aggregate.Count{Worker: workerTag(few("told")), N: 1, Silent: true}))
 			}
 			take()
-			requireSameRounds(t, d, now)
+			requireSameRounds(t, balancer, now)
 		}
 	})
 }
 
 // requireSameRounds compares what a dispatcher finds by what was touched with what it finds in the whole
 // list.
-func requireSameRounds(t require.TestingT, d *Balancer, now int64) {
+func requireSameRounds(t require.TestingT, balancer *Balancer, now int64) {
 	on := 0
-	for _, w := range d.endpoints.listed {
-		if w.State == Active {
+	for _, worker := range balancer.endpoints.listed {
+		if worker.State == Active {
 			on++
 		}
 	}
-	require.Equal(t, on, d.endpoints.ring.Len())
-	require.Len(t, d.endpoints.active, on)
+	require.Equal(t, on, balancer.endpoints.ring.Len())
+	require.Len(t, balancer.endpoints.active, on)
 	n := 0.0 // the definition of queued, over the whole list
-	for _, w := range d.endpoints.listed {
-		require.True(t, w.listed && w.State != Removed)
-		if !d.isHealthy(now, w) {
+	for _, worker := range balancer.endpoints.listed {
+		require.True(t, worker.listed && worker.State != Removed)
+		if !balancer.isHealthy(now, worker) {
 			continue
 		}
-		for _, a := range w.inFlight {
-			if st := d.latencies[a.request.Class]; a.expectedWarm && float64(now-a.sentAt) < st.mean+queuedDeviations*st.deviation {
+		for _, attempt := range worker.inFlight {
+			if usual := balancer.latencies[attempt.request.Class]; attempt.expectedWarm &&
+				float64(now-attempt.sentAt) < usual.mean+queuedDeviations*usual.deviation {
 				n++
 			}
 		}
-		for _, g := range w.recentFailures {
-			if g.until > now && g.queueFull {
+		for _, failure := range worker.recentFailures {
+			if failure.until > now && failure.queueFull {
 				n++
 			}
 		}
 	}
-	require.Equal(t, n, d.queuedCalls(now))
+	require.Equal(t, n, balancer.queuedCalls(now))
 	for _, hub := range []bool{false, true} {
-		said := func(walk int) (m aggregate.Message) {
-			d.endpoints.fullScanLimit, m.FromLeader = walk, hub
-			d.fillMessage(now, &m)
-			slices.SortFunc(m.Counts, func(a, b aggregate.Count) int { return cmp.Compare(a.Worker, b.Worker) })
-			slices.SortFunc(m.Marks, func(a, b aggregate.Mark) int { return cmp.Compare(a.Worker, b.Worker) })
-			m.Holders = nil
-			return m
+		said := func(walk int) (message aggregate.Message) {
+			balancer.endpoints.fullScanLimit, message.FromLeader = walk, hub
+			balancer.fillMessage(now, &message)
+			slices.SortFunc(message.Counts, func(a, b aggregate.Count) int { return cmp.Compare(a.Worker, b.Worker) })
+			slices.SortFunc(message.Marks, func(a, b aggregate.Mark) int { return cmp.Compare(a.Worker, b.Worker) })
+			message.Holders = nil
+			return message
 		}
 		part, whole := said(scanNever), said(scanAlways)
-		d.endpoints.fullScanLimit = scanNever
+		balancer.endpoints.fullScanLimit = scanNever
 		require.Equal(t, whole.Counts, part.Counts, "hub %v", hub)
 		require.Equal(t, whole.Marks, part.Marks, "hub %v", hub)
 	}
@@ -348,21 +364,22 @@
 
 // What is not gathered because the last message was dearer than what is saved up is gathered later.
 func TestGossipBudgetDelaysNoLongerThanItMust(t *testing.T) {
-	s := testSettings(Idempotent, ScopeAll)
-	s.Dispatchers, s.Gossip, s.PeerPrice, s.FullScanLimit, s.LoadsOnMiss = 6, true, 0.5, scanNever, false
-	d, f := newTestBalancer(t, s, 200)
+	settings := testSettings(Idempotent, ScopeAll)
+	settings.Dispatchers, settings.Gossip, settings.PeerPrice = 6, true, 0.5
+	settings.FullScanLimit, settings.LoadsOnMiss = scanNever, false
+	balancer, host := newTestBalancer(t, settings, 200)
 	rng := rand.New(rand.NewPCG(1, 1))
 	told := 0
 	for i := range 4000 {
 		now := int64(i) * 5 * ms
 		id := fmt.Sprint(i)
-		d.HandleRequest(now, testRequest(id, now, FuncID(rng.IntN(100))))
-		d.HandleAttemptResult(now+ms, successful(id, f.lastWorker[id]))
-		d.HandleTimer(now+2*ms, f.timerRef)
-		told += len(f.messages)
-		f.messages, f.receivers, f.attempts = nil, nil, nil
-		assert.GreaterOrEqual(t, d.gossip.reportBudget.tokens, 0.0)
-		assert.GreaterOrEqual(t, d.gossip.digestBudget.tokens, 0.0)
+		balancer.HandleRequest(now, testRequest(id, now, FuncID(rng.IntN(100))))
+		balancer.HandleAttemptResult(now+ms, successful(id, host.lastWorker[id]))
+		balancer.HandleTimer(now+2*ms, host.timerRef)
+		told += len(host.messages)
+		host.messages, host.receivers, host.attempts = nil, nil, nil
+		assert.GreaterOrEqual(t, balancer.gossip.reportBudget.tokens, 0.0)
+		assert.GreaterOrEqual(t, balancer.gossip.digestBudget.tokens, 0.0)
 	}
 	assert.Greater(t, told, 20, "messages in 20 s: what a purse saves up is spent")
 }
@@ -370,13 +387,13 @@
 // A digest tells the same of every executor whether those that it leaves out are set at once or
 // found idle when they are asked for.
 func TestLongListDigestLeavesOutIdleWorkers(t *testing.T) {
-	s := testSettings(Idempotent, ScopeAll)
-	s.Dispatchers, s.Gossip = 20, true
+	settings := testSettings(Idempotent, ScopeAll)
+	settings.Dispatchers, settings.Gossip = 20, true
 	var both [2]*Balancer
 	for i, walk := range []int{scanAlways, scanNever} {
-		s.FullScanLimit = walk
-		d, _ := newTestBalancer(t, s, 300)
-		both[i] = d
+		settings.FullScanLimit = walk
+		balancer, _ := newTestBalancer(t, settings, 300)
+		both[i] = balancer
 		for _, told := range []struct {
 			at   int64
 			busy []uint16
@@ -385,12 +402,14 @@
 			for _, w := range told.busy {
 				counts = append(counts, aggregate.Count{Worker: w, N: int(w%7) + 1})
 			}
-			require.True(t, d.HandlePeerMessage(told.at, 3, encodedDigest(d, told.at, []float64{5, 1}, counts...)))
+			require.True(t, balancer.HandlePeerMessage(told.at, 3,
+				encodedDigest(balancer, told.at, []float64{5, 1}, counts...)))
 		}
 	}
 	for i := range both[0].endpoints.listed {
 		for _, at := range []int64{11_000 * ms, 11_500 * ms, 30_000 * ms} {
-			assert.Equal(t, both[0].inFlightAt(at, both[0].endpoints.listed[i]), both[1].inFlightAt(at, both[1].endpoints.listed[i]), "executor %d", i+1)
+			assert.Equal(t, both[0].inFlightAt(at, both[0].endpoints.listed[i]),
+				both[1].inFlightAt(at, both[1].endpoints.listed[i]), "executor %d", i+1)
 		}
 	}
 	assert.Equal(t, both[0].endpoints.medianPeerCalls, both[1].endpoints.medianPeerCalls)
--- a/balancer/maintenance.go
+++ b/balancer/maintenance.go
@@ -33,9 +33,9 @@
 	if !stalled {
 		return
 	}
-	for _, w := range b.endpoints.workersInUse(now) {
-		for _, a := range w.inFlight {
-			a.dueAt += late
+	for _, worker := range b.endpoints.workersInUse(now) {
+		for _, attempt := range worker.inFlight {
+			attempt.dueAt += late
 		}
 	}
 }
@@ -55,27 +55,29 @@
 }
 
 // handleDue looks at a request whose time has come; nil stands for maintenance.
-func (b *Balancer) handleDue(now int64, r *requestState) {
+func (b *Balancer) handleDue(now int64, request *requestState) {
 	switch {
-	case r == nil:
+	case request == nil:
 		b.runMaintenance(now)
-	case r.done || r.streaming:
-	case now >= b.answerBy(r):
-		b.finish(now, r)
-	case now >= r.recheckAt:
-		r.recheckAt = noDeadline
-		b.handleOverdue(now, r)
+	case request.done || request.streaming:
+	case now >= b.answerBy(request):
+		b.finish(now, request)
+	case now >= request.recheckAt:
+		request.recheckAt = noDeadline
+		b.handleOverdue(now, request)
 	}
 }
 
 // schedule has a request, or with nil the maintenance, looked at when a time comes.
-func (b *Balancer) schedule(at int64, r *requestState) { b.timers.entries.push(timerEntry{at, r}) }
+func (b *Balancer) schedule(at int64, request *requestState) {
+	b.timers.entries.push(timerEntry{at, request})
+}
 
 // scheduleRecheck has a request looked at again at a time, unless it must be answered before.
-func (b *Balancer) scheduleRecheck(r *requestState, at int64) {
-	r.recheckAt = at
-	if at < b.answerBy(r) {
-		b.schedule(at, r)
+func (b *Balancer) scheduleRecheck(request *requestState, at int64) {
+	request.recheckAt = at
+	if at < b.answerBy(request) {
+		b.schedule(at, request)
 	}
 }
 
@@ -106,13 +108,13 @@
 	b.holders.sweep(now, b.settings.LoadOrderTimeout, b.settings.KeepAlive+int64(b.decayTime()))
 	// Not all announcements are sent where messages are expensive or there are no other
 	// dispatchers.
-	b.gossip.announcements = slices.DeleteFunc(b.gossip.announcements, func(h *holderState) bool {
-		return !h.copyExpected(now)
+	b.gossip.announcements = slices.DeleteFunc(b.gossip.announcements, func(holder *holderState) bool {
+		return !holder.copyExpected(now)
 	})
 	b.slowStart.sweep(now, len(b.endpoints.listed))
 	b.gossip.reports.sweep(now, b.shortestObjective, &b.endpoints)
-	for _, w := range b.endpoints.activeWorkers() {
-		w.dropOldFailures(now)
+	for _, worker := range b.endpoints.activeWorkers() {
+		worker.dropOldFailures(now)
 	}
 	b.endpoints.sweep()
 }
@@ -121,21 +123,21 @@
 // nothing to report for some time. In a long list, what others reported of such a worker is too old
 // to count.
 func (b *Balancer) pruneActive(now int64) {
-	b.endpoints.recent = slices.DeleteFunc(b.endpoints.recent, func(w *workerState) bool {
-		if b.hasActivity(now, w) && w.listed {
+	b.endpoints.recent = slices.DeleteFunc(b.endpoints.recent, func(worker *workerState) bool {
+		if b.hasActivity(now, worker) && worker.listed {
 			return false
 		}
-		w.lastActivityAt = 0
+		worker.lastActivityAt = 0
 		if b.endpoints.isLong() {
-			w.reported = reportedState{voidThrough: b.gossip.reports.messages}
+			worker.reported = reportedState{voidThrough: b.gossip.reports.messages}
 		}
 		return true
 	})
 }
 
 // hasActivity reports whether there is something to report of a worker.
-func (b *Balancer) hasActivity(now int64, w *workerState) bool {
-	_, marked := b.outliers.Mark(now, &w.outlierStats, b.relativeLatency(now, w))
-	recent := now-w.lastActivityAt < recentResponseObjectives*b.shortestObjective
-	return recent || len(w.inFlight) > 0 || b.isEjected(w) || marked
+func (b *Balancer) hasActivity(now int64, worker *workerState) bool {
+	_, marked := b.outliers.Mark(now, &worker.outlierStats, b.relativeLatency(now, worker))
+	recent := now-worker.lastActivityAt < recentResponseObjectives*b.shortestObjective
+	return recent || len(worker.inFlight) > 0 || b.isEjected(worker) || marked
 }
--- a/balancer/placement_test.go
+++ b/balancer/placement_test.go
@@ -9,21 +9,21 @@
 // Found at full size: with nothing known of each other, every dispatcher loaded its own copy of
 // everything.
 func TestUninformedDispatchersLoadInOnePlace(t *testing.T) {
-	s := testSettings(Idempotent, ScopeAll)
-	s.Dispatchers = 50
+	settings := testSettings(Idempotent, ScopeAll)
+	settings.Dispatchers = 50
 	at := map[FuncID]map[WorkerID]bool{}
 	on := map[WorkerID]bool{}
 	for i := range 50 {
-		s.DispatcherIndex = i
-		d, f := newTestBalancer(t, s, 40)
+		settings.DispatcherIndex = i
+		balancer, host := newTestBalancer(t, settings, 40)
 		for k := range 40 {
-			d.HandleRequest(ms, testRequest(fmt.Sprint(k), ms, FuncID(k)))
-			w := f.lastWorker[fmt.Sprint(k)]
-			d.HandleAttemptResult(2*ms, successful(fmt.Sprint(k), w))
+			balancer.HandleRequest(ms, testRequest(fmt.Sprint(k), ms, FuncID(k)))
+			worker := host.lastWorker[fmt.Sprint(k)]
+			balancer.HandleAttemptResult(2*ms, successful(fmt.Sprint(k), worker))
 			if at[FuncID(k)] == nil {
 				at[FuncID(k)] = map[WorkerID]bool{}
 			}
-			at[FuncID(k)][w], on[w] = true, true
+			at[FuncID(k)][worker], on[worker] = true, true
 		}
 	}
 	copies := 0
@@ -43,25 +43,25 @@
 	copies, heavy := map[int]int{}, map[int]int{}
 	for _, many := range []int{1, 3, 5, 80, 300} {
 		at := map[[2]int]bool{}
-		s := testSettings(Idempotent, ScopeAll)
-		s.Dispatchers = many
+		settings := testSettings(Idempotent, ScopeAll)
+		settings.Dispatchers = many
 		for i := range min(many, 80) {
-			s.DispatcherIndex = i
-			d, f := newTestBalancer(t, s, workers)
-			markAllResponded(d)
+			settings.DispatcherIndex = i
+			balancer, host := newTestBalancer(t, settings, workers)
+			markAllResponded(balancer)
 			rng := rand.New(rand.NewPCG(uint64(i), 5))
-			for _, w := range d.endpoints.listed {
-				w.peerCalls, w.peerCallsAt = float64(rng.IntN(5)), ms
+			for _, worker := range balancer.endpoints.listed {
+				worker.peerCalls, worker.peerCallsAt = float64(rng.IntN(5)), ms
 			}
-			d.endpoints.medianPeerCalls = 2
+			balancer.endpoints.medianPeerCalls = 2
 			for k := range functions {
 				id := fmt.Sprint(k)
-				d.HandleRequest(ms, testRequest(id, ms, FuncID(k)))
-				at[[2]int{k, int(f.lastWorker[id])}] = true
-				if w := d.endpoints.byID[f.lastWorker[id]]; w.peerCalls > 3 {
+				balancer.HandleRequest(ms, testRequest(id, ms, FuncID(k)))
+				at[[2]int{k, int(host.lastWorker[id])}] = true
+				if worker := balancer.endpoints.byID[host.lastWorker[id]]; worker.peerCalls > 3 {
 					heavy[many]++
 				}
-				d.HandleAttemptResult(ms, successful(id, f.lastWorker[id]))
+				balancer.HandleAttemptResult(ms, successful(id, host.lastWorker[id]))
 			}
 		}
 		copies[many] = len(at)
@@ -81,22 +81,23 @@
 // Found at full size: 50 dispatchers had one first choice for a hot function. It has as many as its
 // calls need, and a function that each of them calls once keeps one.
 func TestHotFunctionGetsThePlacesItNeeds(t *testing.T) {
-	s := testSettings(Idempotent, ScopeAll)
-	s.Dispatchers = 50
+	settings := testSettings(Idempotent, ScopeAll)
+	settings.Dispatchers = 50
 	hot, cold := map[WorkerID]bool{}, map[WorkerID]bool{}
-	for i := range s.Dispatchers {
-		s.DispatcherIndex = i
-		d, f := newTestBalancer(t, s, 40)
+	for i := range settings.Dispatchers {
+		settings.DispatcherIndex = i
+		balancer, host := newTestBalancer(t, settings, 40)
 		for k := range 8 { // the calls come and go without an answer that would make a holder
 			at := int64(k) * 100 * ms
 			id := fmt.Sprint(k)
-			d.HandleRequest(at, testRequest(id, at, 1))
-			d.HandleClientGone(at+ms, id)
-			d.HandleAttemptResult(at+ms, AttemptResult{ID: id, Worker: f.lastWorker[id], Result: Cancelled, Finished: true})
+			balancer.HandleRequest(at, testRequest(id, at, 1))
+			balancer.HandleClientGone(at+ms, id)
+			balancer.HandleAttemptResult(at+ms, AttemptResult{ID: id, Worker: host.lastWorker[id], Result: Cancelled,
+				Finished: true})
 		}
-		d.HandleRequest(900*ms, testRequest("hot", 900*ms, 1))
-		d.HandleRequest(900*ms, testRequest("cold", 900*ms, 2))
-		hot[f.lastWorker["hot"]], cold[f.lastWorker["cold"]] = true, true
+		balancer.HandleRequest(900*ms, testRequest("hot", 900*ms, 1))
+		balancer.HandleRequest(900*ms, testRequest("cold", 900*ms, 2))
+		hot[host.lastWorker["hot"]], cold[host.lastWorker["cold"]] = true, true
 	}
 	if len(hot) < 10 || len(cold) > 3 {
 		t.Fatalf("first choices: %d workers for a hot function, %d for a cold one", len(hot), len(cold))
@@ -111,17 +112,17 @@
 		const functions = 20
 		at := map[[2]int]bool{}
 		for i := range 40 {
-			s := testSettings(Idempotent, ScopeAll)
-			s.Dispatchers, s.DispatcherIndex, s.FullScanLimit = 300, i*7, walk
-			d, f := newTestBalancer(t, s, 120)
-			markAllResponded(d)
-			d.latencies[0] = latency{float64(1000 * ms), float64(500 * ms)}
+			settings := testSettings(Idempotent, ScopeAll)
+			settings.Dispatchers, settings.DispatcherIndex, settings.FullScanLimit = 300, i*7, walk
+			balancer, host := newTestBalancer(t, settings, 120)
+			markAllResponded(balancer)
+			balancer.latencies[0] = latency{float64(1000 * ms), float64(500 * ms)}
 			for k := range functions {
-				r := testRequest(fmt.Sprint(k), 8000*ms, FuncID(5+k*1_000_003))
-				fn := d.holders.functionFor(8000*ms, r)
-				fn.recentCalls = decayingCounter{1, 8000 * ms} // the call at hand is the second
-				d.HandleRequest(8000*ms, r)
-				at[[2]int{k, int(f.lastWorker[r.ID])}] = true
+				request := testRequest(fmt.Sprint(k), 8000*ms, FuncID(5+k*1_000_003))
+				function := balancer.holders.functionFor(8000*ms, request)
+				function.recentCalls = decayingCounter{1, 8000 * ms} // the call at hand is the second
+				balancer.HandleRequest(8000*ms, request)
+				at[[2]int{k, int(host.lastWorker[request.ID])}] = true
 			}
 		}
 		if len(at) > 2*functions {
--- a/balancer/queuetime.go
+++ b/balancer/queuetime.go
@@ -38,8 +38,8 @@
 // shortest latency objective. It is bounded: else a dispatcher that rejects all would never stop.
 func (b *Balancer) usualResponseTime() float64 {
 	shortest, usual := float64(b.shortestObjective), 0.0
-	for i, l := range b.latencies {
-		usual = max(usual, l.mean*shortest/float64(b.settings.Classes[i].LatencyObjective))
+	for i, responseTime := range b.latencies {
+		usual = max(usual, responseTime.mean*shortest/float64(b.settings.Classes[i].LatencyObjective))
 	}
 	return max(initialLatencyShare, min(rejectFirstWait, usual/shortest)) * shortest
 }
@@ -47,16 +47,16 @@
 // queuedCalls returns the number of our calls that are in flight at healthy workers or were
 // rejected there just now by a full queue, which is as good as in it.
 func (b *Balancer) queuedCalls(now int64) (count float64) {
-	for _, w := range b.endpoints.workersInUse(now) {
-		if !w.listed || !b.isHealthy(now, w) {
+	for _, worker := range b.endpoints.workersInUse(now) {
+		if !worker.listed || !b.isHealthy(now, worker) {
 			continue
 		}
-		for _, a := range w.inFlight {
-			if b.isQueued(now, a) {
+		for _, attempt := range worker.inFlight {
+			if b.isQueued(now, attempt) {
 				count++
 			}
 		}
-		for _, failure := range w.recentFailures {
+		for _, failure := range worker.recentFailures {
 			if failure.until > now && failure.queueFull {
 				count++
 			}
@@ -66,9 +66,10 @@
 }
 
 // isQueued reports whether an attempt in flight counts as part of a queue.
-func (b *Balancer) isQueued(now int64, a *attemptState) bool {
-	responseTime := b.latencies[a.request.Class]
-	return a.expectedWarm && float64(now-a.sentAt) < responseTime.mean+queuedDeviations*responseTime.deviation
+func (b *Balancer) isQueued(now int64, attempt *attemptState) bool {
+	responseTime := b.latencies[attempt.request.Class]
+	limit := responseTime.mean + queuedDeviations*responseTime.deviation
+	return attempt.expectedWarm && float64(now-attempt.sentAt) < limit
 }
 
 // completionRate returns the answers of this dispatcher's calls per nanosecond.
--- a/balancer/reportedstate.go
+++ b/balancer/reportedstate.go
@@ -55,9 +55,9 @@
 // mergeReported adds what others reported of w to our own count, and merges all marks, one of each
 // observer. It is called once in a round for each worker.
 func (b *Balancer) mergeReported(
-	now int64, w *workerState, count *aggregate.Count, own outlier.Mark, marked bool,
+	now int64, worker *workerState, count *aggregate.Count, own outlier.Mark, marked bool,
 ) (outlier.Mark, bool) {
-	state := w.reported.forRound(b.gossip.reports.round)
+	state := worker.reported.forRound(b.gossip.reports.round)
 	silent, responded := state.silent, state.responded-state.respondedWithMark
 	if count.Silent {
 		silent++
@@ -70,7 +70,7 @@
 	count.N += state.calls
 	count.Heard = count.Heard || state.responded > 0
 	count.Silent = outlier.Silent(silent, b.settings.Dispatchers)
-	ejected := b.outliers.EjectedByGossip(now, &w.outlierStats)
+	ejected := b.outliers.EjectedByGossip(now, &worker.outlierStats)
 	if ejected { // a response may be older than the ejection: marks show who was served since
 		responded = 0
 	}
--- a/balancer/reports.go
+++ b/balancer/reports.go
@@ -51,25 +51,25 @@
 
 // handle takes what a report has of workers, in place of its sender's last one. A continuation of a
 // report adds to it.
-func (rs *reports) handle(now int64, from int, m aggregate.Message, table *endpointTable) {
+func (rs *reports) handle(now int64, from int, message aggregate.Message, table *endpointTable) {
 	if rs.bySender == nil {
 		rs.bySender = make([]*peerReport, rs.dispatchers)
 	}
-	r := rs.bySender[from]
-	if r == nil {
-		if len(m.Marks)+len(m.Counts) == 0 {
+	report := rs.bySender[from]
+	if report == nil {
+		if len(message.Marks)+len(message.Counts) == 0 {
 			return
 		}
-		r = &peerReport{}
-		rs.bySender[from] = r
+		report = &peerReport{}
+		rs.bySender[from] = report
 	}
-	if !m.Continued {
-		r.retain(func(w *workerState, _ int64, _ int) bool { return !table.isActive(w) })
+	if !message.Continued {
+		report.retain(func(worker *workerState, _ int64, _ int) bool { return !table.isActive(worker) })
 	}
 	rs.messages++
-	r.addMarks(now, rs.messages, m.Marks, table)
-	r.addCounts(now, rs.messages, m.Counts, table)
-	if len(m.Counts) > 0 {
+	report.addMarks(now, rs.messages, message.Marks, table)
+	report.addCounts(now, rs.messages, message.Counts, table)
+	if len(message.Counts) > 0 {
 		rs.recent = append(rs.recent, reportMessage{from, rs.messages, now})
 	}
 }
@@ -77,13 +77,13 @@
 // addMarks adds the marks of a message.
 func (r *peerReport) addMarks(now int64, message int, marks []aggregate.Mark, table *endpointTable) {
 	for _, mark := range marks {
-		w := table.byTag[mark.Worker]
-		if w == nil {
+		worker := table.byTag[mark.Worker]
+		if worker == nil {
 			continue
 		}
-		table.markActive(now, w)
+		table.markActive(now, worker)
 		received := outlier.Mark{Good: mark.Good, Bad: mark.Bad, Pace: mark.Pace}
-		r.marks = append(r.marks, peerMark{w, now, message, received})
+		r.marks = append(r.marks, peerMark{worker, now, message, received})
 	}
 }
 
@@ -94,20 +94,20 @@
 		state.message, state.index = message, i
 	}
 	for _, received := range counts {
-		w := table.byTag[received.Worker]
-		if w == nil {
+		worker := table.byTag[received.Worker]
+		if worker == nil {
 			continue
 		}
-		table.markActive(now, w)
+		table.markActive(now, worker)
 		count := peerCount{
-			worker:    w,
+			worker:    worker,
 			at:        now,
 			message:   message,
 			calls:     int32(received.N),
 			silent:    received.Silent,
 			responded: received.Heard,
 		}
-		state := &w.reported
+		state := &worker.reported
 		if state.message == message {
 			r.counts[state.index].exclude()
 			r.counts[state.index] = count
@@ -120,22 +120,25 @@
 }
 
 // retain drops all but what is of use, by the worker, the time and the number of the message.
-func (r *peerReport) retain(useful func(w *workerState, at int64, message int) bool) {
-	r.counts = slices.DeleteFunc(r.counts, func(c peerCount) bool {
-		if useful(c.worker, c.at, c.message) {
+func (r *peerReport) retain(useful func(worker *workerState, at int64, message int) bool) {
+	r.counts = slices.DeleteFunc(r.counts, func(count peerCount) bool {
+		if useful(count.worker, count.at, count.message) {
 			return false
 		}
-		c.exclude()
+		count.exclude()
 		return true
 	})
-	r.marks = slices.DeleteFunc(r.marks, func(m peerMark) bool { return !useful(m.worker, m.at, m.message) })
+	r.marks = slices.DeleteFunc(r.marks, func(mark peerMark) bool {
+		return !useful(mark.worker, mark.at,
+			mark.message)
+	})
 }
 
 // excludeMessage takes the counts of one message out of the sums.
 func (r *peerReport) excludeMessage(message int) {
 	for i := range r.counts {
-		if c := &r.counts[i]; c.message == message {
-			c.exclude()
+		if count := &r.counts[i]; count.message == message {
+			count.exclude()
 		}
 	}
 }
@@ -147,8 +150,8 @@
 		if now-old.at < age {
 			break
 		}
-		if r := rs.from(old.from); r != nil {
-			r.excludeMessage(old.message)
+		if report := rs.from(old.from); report != nil {
+			report.excludeMessage(old.message)
 		}
 		expired++
 	}
@@ -167,16 +170,16 @@
 func (rs *reports) sweep(now, shortestObjective int64, table *endpointTable) {
 	rs.expire(now, shortestObjective)
 	held := false
-	for sender, r := range rs.bySender {
-		if r == nil {
+	for sender, report := range rs.bySender {
+		if report == nil {
 			continue
 		}
-		r.retain(func(w *workerState, at int64, message int) bool {
-			old := now-at > leaderTermObjectives*shortestObjective && table.isActive(w)
-			forgotten := !w.listed && len(w.inFlight) == 0 // by the sweep of the workers
-			return !old && message > w.reported.voidThrough && !forgotten
+		report.retain(func(worker *workerState, at int64, message int) bool {
+			old := now-at > leaderTermObjectives*shortestObjective && table.isActive(worker)
+			forgotten := !worker.listed && len(worker.inFlight) == 0 // by the sweep of the workers
+			return !old && message > worker.reported.voidThrough && !forgotten
 		})
-		if len(r.counts)+len(r.marks) == 0 {
+		if len(report.counts)+len(report.marks) == 0 {
 			rs.bySender[sender] = nil
 			continue
 		}
@@ -192,9 +195,9 @@
 func (rs *reports) gatherMarks(now, shortestObjective int64) {
 	rs.expire(now, shortestObjective)
 	rs.round++
-	for sender, r := range rs.bySender {
-		if r != nil && len(r.marks) > 0 {
-			r.gatherMarks(now, leaderTermObjectives*shortestObjective, rs.round, sender)
+	for sender, report := range rs.bySender {
+		if report != nil && len(report.marks) > 0 {
+			report.gatherMarks(now, leaderTermObjectives*shortestObjective, rs.round, sender)
 		}
 	}
 }
@@ -203,21 +206,21 @@
 // marks although they responded to it.
 func (r *peerReport) gatherMarks(now, maxAge int64, round, sender int) {
 	for i := range r.marks {
-		m := &r.marks[i]
-		if m.message <= m.worker.reported.voidThrough {
+		mark := &r.marks[i]
+		if mark.message <= mark.worker.reported.voidThrough {
 			continue
 		}
-		state := m.worker.reported.forRound(round)
+		state := mark.worker.reported.forRound(round)
 		state.markedBy = sender + 1
-		if now-m.at <= maxAge {
-			state.marks = append(state.marks, m.mark)
+		if now-mark.at <= maxAge {
+			state.marks = append(state.marks, mark.mark)
 		}
 	}
 	for i := range r.counts {
-		c := &r.counts[i]
-		valid := c.responded && c.included && c.message > c.worker.reported.voidThrough
-		if valid && c.worker.reported.forRound(round).markedBy == sender+1 {
-			c.worker.reported.respondedWithMark++
+		count := &r.counts[i]
+		valid := count.responded && count.included && count.message > count.worker.reported.voidThrough
+		if valid && count.worker.reported.forRound(round).markedBy == sender+1 {
+			count.worker.reported.respondedWithMark++
 		}
 	}
 }
--- a/balancer/reports_test.go
+++ b/balancer/reports_test.go
@@ -44,69 +44,73 @@
 	mark outlier.Mark
 }
 
-func (p *reportModel) state(w *workerState) *modelState {
-	if p.byWorker[w] == nil {
-		p.byWorker[w] = &modelState{}
+func (p *reportModel) state(worker *workerState) *modelState {
+	if p.byWorker[worker] == nil {
+		p.byWorker[worker] = &modelState{}
 	}
-	return p.byWorker[w]
+	return p.byWorker[worker]
 }
 
 // before notes what is listed as touched before an event.
 func (p *reportModel) before() {
 	p.wasActive, p.sweptAt = map[*workerState]bool{}, p.balancer.timers.sweptAt
-	for _, w := range p.balancer.endpoints.byID {
-		p.wasActive[w] = w.lastActivityAt != 0
+	for _, worker := range p.balancer.endpoints.byID {
+		p.wasActive[worker] = worker.lastActivityAt != 0
 	}
 }
 
 // after follows what rounds do to what is held: a sweep drops what is old, and a long list what has
 // not been touched for long.
 func (p *reportModel) after(now int64) {
-	d := p.balancer
-	long := len(d.endpoints.listed) > d.endpoints.fullScanLimit
-	for w, t := range p.byWorker {
-		if d.endpoints.byID[w.Worker] != w {
-			delete(p.byWorker, w)
+	balancer := p.balancer
+	long := len(balancer.endpoints.listed) > balancer.endpoints.fullScanLimit
+	for worker, state := range p.byWorker {
+		if balancer.endpoints.byID[worker.Worker] != worker {
+			delete(p.byWorker, worker)
 			continue
 		}
-		if d.timers.sweptAt != p.sweptAt && (long && p.wasActive[w] || !long && w.inTable) {
-			t.counts = slices.DeleteFunc(t.counts, func(c modelCount) bool { return now-c.at > 2*d.shortestObjective })
-			t.marks = slices.DeleteFunc(t.marks, func(m modelMark) bool { return now-m.at > leaderTermObjectives*d.shortestObjective })
+		if balancer.timers.sweptAt != p.sweptAt && (long && p.wasActive[worker] || !long && worker.inTable) {
+			state.counts = slices.DeleteFunc(state.counts,
+				func(count modelCount) bool { return now-count.at > 2*balancer.shortestObjective })
+			state.marks = slices.DeleteFunc(state.marks,
+				func(mark modelMark) bool { return now-mark.at > leaderTermObjectives*balancer.shortestObjective })
 		}
-		if long && p.wasActive[w] && w.lastActivityAt == 0 {
-			delete(p.byWorker, w)
+		if long && p.wasActive[worker] && worker.lastActivityAt == 0 {
+			delete(p.byWorker, worker)
 		}
 	}
 }
 
 // handle takes a text of a report that the dispatcher heeds; active: what it listed as such before.
-func (p *reportModel) handle(now int64, from int, m aggregate.Message, active []*workerState) {
-	d := p.balancer
-	if !m.Continued {
-		for _, w := range active {
-			t := p.state(w)
-			t.counts = slices.DeleteFunc(t.counts, func(c modelCount) bool { return c.from == from })
-			t.marks = slices.DeleteFunc(t.marks, func(m modelMark) bool { return m.from == from })
+func (p *reportModel) handle(now int64, from int, message aggregate.Message, active []*workerState) {
+	balancer := p.balancer
+	if !message.Continued {
+		for _, worker := range active {
+			state := p.state(worker)
+			state.counts = slices.DeleteFunc(state.counts, func(count modelCount) bool { return count.from == from })
+			state.marks = slices.DeleteFunc(state.marks, func(mark modelMark) bool { return mark.from == from })
 		}
 	}
-	for _, x := range m.Marks {
-		if w := d.endpoints.byTag[x.Worker]; w != nil {
-			t := p.state(w)
-			t.marks = append(t.marks, modelMark{from, now, outlier.Mark{Good: x.Good, Bad: x.Bad, Pace: x.Pace}})
+	for _, mark := range message.Marks {
+		if worker := balancer.endpoints.byTag[mark.Worker]; worker != nil {
+			state := p.state(worker)
+			state.marks = append(state.marks, modelMark{from, now,
+				outlier.Mark{Good: mark.Good, Bad: mark.Bad, Pace: mark.Pace}})
 		}
 	}
-	for _, c := range m.Counts {
-		if w := d.endpoints.byTag[c.Worker]; w != nil {
-			t := p.state(w)
-			t.counts = slices.DeleteFunc(t.counts, func(x modelCount) bool { return x.from == from })
-			t.counts = append(t.counts, modelCount{from, now, c.N, c.Silent, c.Heard})
+	for _, count := range message.Counts {
+		if worker := balancer.endpoints.byTag[count.Worker]; worker != nil {
+			state := p.state(worker)
+			state.counts = slices.DeleteFunc(state.counts, func(x modelCount) bool { return x.from == from })
+			state.counts = append(state.counts, modelCount{from, now, count.N, count.Silent, count.Heard})
 		}
 	}
 }
 
 // merged is the definition of what a digest says of w.
-func (p *reportModel) merged(now int64, w *workerState, c *aggregate.Count, own outlier.Mark, says bool) (outlier.Mark, bool) {
-	d, t := p.balancer, p.state(w)
+func (p *reportModel) merged(now int64, worker *workerState, c *aggregate.Count, own outlier.Mark,
+	says bool) (outlier.Mark, bool) {
+	balancer, state := p.balancer, p.state(worker)
 	silent, heard, marks := 0, 0, []outlier.Mark(nil)
 	if c.Silent {
 		silent++
@@ -116,26 +120,27 @@
 	} else if c.Heard {
 		heard++
 	}
-	for _, m := range t.marks {
-		if now-m.at <= leaderTermObjectives*d.shortestObjective {
-			marks = append(marks, m.mark)
+	for _, mark := range state.marks {
+		if now-mark.at <= leaderTermObjectives*balancer.shortestObjective {
+			marks = append(marks, mark.mark)
 		}
 	}
-	for _, x := range t.counts {
-		if now-x.at >= d.shortestObjective {
+	for _, count := range state.counts {
+		if now-count.at >= balancer.shortestObjective {
 			continue
 		}
-		c.N += x.n
-		c.Heard = c.Heard || x.heard
-		if x.silent {
+		c.N += count.n
+		c.Heard = c.Heard || count.heard
+		if count.silent {
 			silent++
 		}
-		if x.heard && !slices.ContainsFunc(t.marks, func(m modelMark) bool { return m.from == x.from }) {
+		if count.heard && !slices.ContainsFunc(state.marks,
+			func(mark modelMark) bool { return mark.from == count.from }) {
 			heard++
 		}
 	}
-	c.Silent = outlier.Silent(silent, d.settings.Dispatchers)
-	stands := d.outliers.EjectedByGossip(now, &w.outlierStats)
+	c.Silent = outlier.Silent(silent, balancer.settings.Dispatchers)
+	stands := balancer.outliers.EjectedByGossip(now, &worker.outlierStats)
 	if stands {
 		heard = 0
 	}
@@ -149,16 +154,17 @@
 func TestReportSumsMatchThePlainModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{3, 17, 64, 300, 960}).Draw(t, "executors")
-		s := testSettings(Idempotent, ScopeAll)
-		s.Dispatchers, s.DispatcherIndex, s.Gossip = rapid.SampledFrom([]int{3, 20, 300, 1900}).Draw(t, "siblings"), 1, true
-		s.FullScanLimit = rapid.SampledFrom([]int{scanAlways, 0, scanNever}).Draw(t, "walk")
-		s.LoadsOnMiss = rapid.Bool().Draw(t, "orders")
-		f := newFakeHost()
+		settings := testSettings(Idempotent, ScopeAll)
+		settings.Dispatchers, settings.DispatcherIndex, settings.Gossip = rapid.SampledFrom([]int{3, 20, 300,
+			1900}).Draw(t, "siblings"), 1, true
+		settings.FullScanLimit = rapid.SampledFrom([]int{scanAlways, 0, scanNever}).Draw(t, "walk")
+		settings.LoadsOnMiss = rapid.Bool().Draw(t, "orders")
+		host := newFakeHost()
 		const began = 100_000 * ms
-		d, err := New(began, s, 7, f)
+		balancer, err := New(began, settings, 7, host)
 		require.NoError(t, err)
-		d.UpdateEndpoints(began, EndpointsSnapshot, activeEndpoints(n))
-		p := &reportModel{balancer: d, byWorker: map[*workerState]*modelState{}}
+		balancer.UpdateEndpoints(began, EndpointsSnapshot, activeEndpoints(n))
+		model := &reportModel{balancer: balancer, byWorker: map[*workerState]*modelState{}}
 		type letter struct {
 			from int
 			text string
@@ -170,27 +176,28 @@
 			return WorkerID(1 + rapid.IntRange(0, min(n, 12)-1).Draw(t, label)*max(1, n/12))
 		}
 		from := func() int {
-			return []int{0, 2, s.Dispatchers - 1, s.Dispatchers / 2}[rapid.IntRange(0, 3).Draw(t, "from")]
+			return []int{0, 2, settings.Dispatchers - 1, settings.Dispatchers / 2}[rapid.IntRange(0, 3).Draw(t, "from")]
 		}
 		event := func(do func()) {
-			p.before()
+			model.before()
 			do()
-			p.after(now)
+			model.after(now)
 		}
 		read := func(l letter) {
-			event(func() { d.advanceClock(now) })
-			m, ok := aggregate.Decode(l.text, s.Dispatchers)
+			event(func() { balancer.advanceClock(now) })
+			message, ok := aggregate.Decode(l.text, settings.Dispatchers)
 			require.True(t, ok)
-			before, active := d.gossip.aggregator.Dropped, slices.Clone(d.endpoints.activeWorkers())
+			before, active := balancer.gossip.aggregator.Dropped, slices.Clone(balancer.endpoints.activeWorkers())
 			event(func() {
-				d.HandlePeerMessage(now, l.from, l.text)
-				if l.from != s.DispatcherIndex && d.gossip.aggregator.Dropped == before {
-					p.handle(now, l.from, m, active)
+				balancer.HandlePeerMessage(now, l.from, l.text)
+				if l.from != settings.DispatcherIndex && balancer.gossip.aggregator.Dropped == before {
+					model.handle(now, l.from, message, active)
 				}
 			})
 		}
 		for range rapid.IntRange(20, 120).Draw(t, "events") {
-			now += rapid.SampledFrom([]int64{0, ms, 20 * ms, 130 * ms, 400 * ms, 999 * ms, 1000 * ms, 2000 * ms, 4100 * ms}).Draw(t, "later")
+			now += rapid.SampledFrom([]int64{0, ms, 20 * ms, 130 * ms, 400 * ms, 999 * ms, 1000 * ms, 2000 * ms,
+				4100 * ms}).Draw(t, "later")
 			switch rapid.IntRange(0, 11).Draw(t, "event") {
 			case 0, 1, 2, 3, 4:
 				who := from()
@@ -198,16 +205,21 @@
 				if rapid.IntRange(0, 9).Draw(t, "restarted") == 0 {
 					seqs[who], incs[who] = 1, incs[who]+1
 				}
-				m := aggregate.Message{Calls: 9, Report: aggregate.Report{Incarnation: incs[who], Seq: seqs[who], Values: []float64{1, 1}}}
+				message := aggregate.Message{Calls: 9,
+					Report: aggregate.Report{Incarnation: incs[who], Seq: seqs[who], Values: []float64{1, 1}}}
 				for range rapid.SampledFrom([]int{0, 1, 3, 8, 70}).Draw(t, "counts") {
-					m.Counts = append(m.Counts, aggregate.Count{Worker: workerTag(few("counted")), N: rapid.IntRange(0, 3).Draw(t, "calls"),
-						Silent: rapid.Bool().Draw(t, "silent"), Heard: rapid.Bool().Draw(t, "heard")})
+					message.Counts = append(message.Counts,
+						aggregate.Count{Worker: workerTag(few("counted")), N: rapid.IntRange(0, 3).Draw(t, "calls"),
+							Silent: rapid.Bool().Draw(t, "silent"), Heard: rapid.Bool().Draw(t, "heard")})
 				}
 				for range rapid.IntRange(0, 3).Draw(t, "marks") {
-					m.Marks = append(m.Marks, aggregate.Mark{Worker: workerTag(few("marked")), Good: uint8(rapid.IntRange(0, 2).Draw(t, "good")),
-						Bad: uint8(rapid.IntRange(0, 2).Draw(t, "bad")), Pace: uint8(rapid.SampledFrom([]int{0, 9}).Draw(t, "pace"))})
+					message.Marks = append(message.Marks,
+						aggregate.Mark{Worker: workerTag(few("marked")),
+							Good: uint8(rapid.IntRange(0, 2).Draw(t, "good")),
+							Bad: uint8(rapid.IntRange(0, 2).Draw(t,
+								"bad")), Pace: uint8(rapid.SampledFrom([]int{0, 9}).Draw(t, "pace"))})
 				}
-				for _, text := range m.Encode(s.Dispatchers) {
+				for _, text := range message.Encode(settings.Dispatchers) {
 					if sent = append(sent, letter{who, text}); rapid.IntRange(0, 5).Draw(t, "lost") > 0 {
 						read(sent[len(sent)-1])
 					}
@@ -217,62 +229,70 @@
 					read(sent[len(sent)-1-rapid.IntRange(0, min(len(sent), 6)-1).Draw(t, "again")])
 				}
 			case 6:
-				event(func() { d.HandleTimer(now, f.timerRef) })
+				event(func() { balancer.HandleTimer(now, host.timerRef) })
 			case 7:
 				event(func() {
-					d.advanceClock(now)
+					balancer.advanceClock(now)
 					calls++
-					d.HandleRequest(now, testRequest(fmt.Sprint(calls), now, FuncID(calls%5)))
+					balancer.HandleRequest(now, testRequest(fmt.Sprint(calls), now, FuncID(calls%5)))
 				})
 			case 8:
-				if len(f.attempts) > 0 {
-					o := f.attempts[rapid.IntRange(0, len(f.attempts)-1).Draw(t, "ends")]
+				if len(host.attempts) > 0 {
+					attempt := host.attempts[rapid.IntRange(0, len(host.attempts)-1).Draw(t, "ends")]
 					res := Result(rapid.IntRange(0, int(NumResults)-1).Draw(t, "end"))
-					event(func() { d.advanceClock(now) })
+					event(func() { balancer.advanceClock(now) })
 					event(func() {
-						d.HandleAttemptResult(now, AttemptResult{ID: o.id, Worker: o.worker, Result: res, Finished: res == OK, Warmth: WarmHit})
+						balancer.HandleAttemptResult(now,
+							AttemptResult{ID: attempt.id, Worker: attempt.worker, Result: res, Finished: res == OK,
+								Warmth: WarmHit})
 					})
 				}
 			case 9:
-				e := Endpoint{Worker: few("worker"), State: EndpointState(rapid.IntRange(0, 2).Draw(t, "state")), Weight: 1}
+				endpoint := Endpoint{Worker: few("worker"),
+					State: EndpointState(rapid.IntRange(0, 2).Draw(t, "state")), Weight: 1}
 				if rapid.Bool().Draw(t, "restarts") {
-					e.Start = now
+					endpoint.Start = now
 				}
-				event(func() { d.advanceClock(now) })
-				event(func() { d.UpdateEndpoints(now, EndpointsDelta, []Endpoint{e}) })
+				event(func() { balancer.advanceClock(now) })
+				event(func() { balancer.UpdateEndpoints(now, EndpointsDelta, []Endpoint{endpoint}) })
 			case 10:
-				event(func() { d.advanceClock(now) })
+				event(func() { balancer.advanceClock(now) })
 				event(func() {
-					d.UpdateEndpoints(now, EndpointsSnapshot, activeEndpoints(rapid.SampledFrom([]int{n, n / 2, 1}).Draw(t, "whole")))
+					balancer.UpdateEndpoints(now, EndpointsSnapshot,
+						activeEndpoints(rapid.SampledFrom([]int{n, n / 2, 1}).Draw(t, "whole")))
 				})
 			case 11:
-				m := aggregate.Message{FromLeader: true, Marks: []aggregate.Mark{{Worker: workerTag(few("judged")), Bad: 9}}, Digest: aggregate.Digest{
-					Tick: uint16(now / d.settings.ClockResolution), Sums: []float64{9, 9}, MissingSums: []float64{0, 0}, MissingMoved: []float64{0, 0},
-					Covered: aggregate.NewSet(s.Dispatchers), Missing: aggregate.NewSet(s.Dispatchers)}}
+				message := aggregate.Message{FromLeader: true,
+					Marks: []aggregate.Mark{{Worker: workerTag(few("judged")), Bad: 9}}, Digest: aggregate.Digest{
+						Tick: uint16(now / balancer.settings.ClockResolution), Sums: []float64{9,
+							9}, MissingSums: []float64{0, 0}, MissingMoved: []float64{0, 0},
+						Covered: aggregate.NewSet(settings.Dispatchers), Missing: aggregate.NewSet(settings.Dispatchers)}}
 				for range rapid.IntRange(0, 3).Draw(t, "told") {
-					m.Counts = append(m.Counts, aggregate.Count{Worker: workerTag(few("told of")), N: 2, Silent: rapid.Bool().Draw(t, "mute")})
+					message.Counts = append(message.Counts,
+						aggregate.Count{Worker: workerTag(few("told of")), N: 2, Silent: rapid.Bool().Draw(t, "mute")})
 				}
-				event(func() { d.advanceClock(now) })
-				event(func() { d.HandlePeerMessage(now, from(), m.Encode(s.Dispatchers)[0]) })
+				event(func() { balancer.advanceClock(now) })
+				event(func() { balancer.HandlePeerMessage(now, from(), message.Encode(settings.Dispatchers)[0]) })
 			}
 			if rapid.Bool().Draw(t, "gathered") { // else more than one thing happens between two digests
-				requireSameSums(t, p, now)
+				requireSameSums(t, model, now)
 			}
 		}
 	})
 }
 
 // requireSameSums compares what a digest would say of each executor that it looks at.
-func requireSameSums(t *rapid.T, p *reportModel, now int64) {
-	d := p.balancer
-	d.gossip.reports.gatherMarks(now, d.shortestObjective)
-	for i, w := range d.endpoints.activeWorkers() {
-		c := aggregate.Count{Worker: workerTag(w.Worker), N: i % 2, Silent: i%3 == 0, Heard: i%2 == 0}
-		want, own, says := c, outlier.Mark{Bad: uint8(i % 4)}, i%4 > 0
-		wantMark, wantSays := p.merged(now, w, &want, own, says)
-		mark, tells := d.mergeReported(now, w, &c, own, says)
-		if c != want || mark != wantMark || tells != wantSays {
-			t.Fatalf("of executor %d: %+v %+v %v, made anew %+v %+v %v", w.Worker, c, mark, tells, want, wantMark, wantSays)
+func requireSameSums(t *rapid.T, model *reportModel, now int64) {
+	balancer := model.balancer
+	balancer.gossip.reports.gatherMarks(now, balancer.shortestObjective)
+	for i, worker := range balancer.endpoints.activeWorkers() {
+		count := aggregate.Count{Worker: workerTag(worker.Worker), N: i % 2, Silent: i%3 == 0, Heard: i%2 == 0}
+		want, own, says := count, outlier.Mark{Bad: uint8(i % 4)}, i%4 > 0
+		wantMark, wantSays := model.merged(now, worker, &want, own, says)
+		mark, tells := balancer.mergeReported(now, worker, &count, own, says)
+		if count != want || mark != wantMark || tells != wantSays {
+			t.Fatalf("of executor %d: %+v %+v %v, made anew %+v %+v %v", worker.Worker, count, mark, tells, want,
+				wantMark, wantSays)
 		}
 	}
 }
@@ -282,27 +302,28 @@
 // collector holds.
 func TestReadingAReportExaminesOnlyItsOwnSender(t *testing.T) {
 	for _, n := range []int{120, 9600} {
-		s := testSettings(Idempotent, ScopeAll)
-		s.Dispatchers, s.Gossip = 1900, true
-		d, _ := newTestBalancer(t, s, n)
+		settings := testSettings(Idempotent, ScopeAll)
+		settings.Dispatchers, settings.Gossip = 1900, true
+		balancer, _ := newTestBalancer(t, settings, n)
 		report := func(from int, seq uint8, workers ...int) string {
-			m := aggregate.Message{Report: aggregate.Report{Incarnation: 1, Seq: seq, Values: []float64{1, 1}},
+			message := aggregate.Message{Report: aggregate.Report{Incarnation: 1, Seq: seq, Values: []float64{1, 1}},
 				Marks: []aggregate.Mark{{Worker: uint16(workers[0]), Bad: 3}}}
 			for _, w := range workers {
-				m.Counts = append(m.Counts, aggregate.Count{Worker: uint16(w), N: 1, Heard: true})
+				message.Counts = append(message.Counts, aggregate.Count{Worker: uint16(w), N: 1, Heard: true})
 			}
-			return m.Encode(s.Dispatchers)[0]
+			return message.Encode(settings.Dispatchers)[0]
 		}
 		now := 100_000 * ms
-		for from := 1; from < s.Dispatchers; from++ {
-			d.HandlePeerMessage(now, from, report(from, 1, 1+from%n, 1+from*7%n, 1+from*13%n))
+		for from := 1; from < settings.Dispatchers; from++ {
+			balancer.HandlePeerMessage(now, from, report(from, 1, 1+from%n, 1+from*7%n, 1+from*13%n))
 		}
-		list, touched, reports := d.endpoints.listed, d.endpoints.recent, d.gossip.reports.bySender
-		d.endpoints.listed, d.endpoints.recent, d.gossip.reports.bySender = make([]*workerState, len(list)), make([]*workerState, len(touched)), make([]*peerReport, s.Dispatchers)
-		d.gossip.reports.bySender[5] = reports[5]
+		list, touched, reports := balancer.endpoints.listed, balancer.endpoints.recent, balancer.gossip.reports.bySender
+		balancer.endpoints.listed, balancer.endpoints.recent, balancer.gossip.reports.bySender = make([]*workerState,
+			len(list)), make([]*workerState, len(touched)), make([]*peerReport, settings.Dispatchers)
+		balancer.gossip.reports.bySender[5] = reports[5]
 		require.Len(t, reports[5].counts, 3)
-		require.True(t, d.HandlePeerMessage(now+ms, 5, report(5, 2, 2, 3)), "%d executors", n)
-		d.endpoints.listed, d.endpoints.recent, d.gossip.reports.bySender = list, touched, reports
+		require.True(t, balancer.HandlePeerMessage(now+ms, 5, report(5, 2, 2, 3)), "%d executors", n)
+		balancer.endpoints.listed, balancer.endpoints.recent, balancer.gossip.reports.bySender = list, touched, reports
 		require.Len(t, reports[5].counts, 2)
 		require.Len(t, reports[5].marks, 1)
 	}
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -40,26 +40,28 @@
 }
 
 // answerBy returns when a request must be answered at the latest: a little before its deadline.
-func (b *Balancer) answerBy(r *requestState) int64 { return r.Deadline - 2*b.settings.ClockResolution }
+func (b *Balancer) answerBy(request *requestState) int64 {
+	return request.Deadline - 2*b.settings.ClockResolution
+}
 
 // lastInFlight returns the last attempt that is in flight, or nil.
 func (r *requestState) lastInFlight() (last *attemptState) {
-	for _, a := range r.attempts {
-		if a.inFlight {
-			last = a
+	for _, attempt := range r.attempts {
+		if attempt.inFlight {
+			last = attempt
 		}
 	}
 	return last
 }
 
 // triedAt reports whether a worker had its chance: an attempt ended there, or two that are excused.
-func (r *requestState) triedAt(w *workerState) bool {
+func (r *requestState) triedAt(worker *workerState) bool {
 	excused := 0
-	for _, a := range r.attempts {
-		if a.worker != w {
+	for _, attempt := range r.attempts {
+		if attempt.worker != worker {
 			continue
 		}
-		if !a.excused {
+		if !attempt.excused {
 			return true
 		}
 		excused++
--- a/balancer/result.go
+++ b/balancer/result.go
@@ -7,25 +7,25 @@
 func (b *Balancer) HandleAttemptResult(now int64, result AttemptResult) {
 	b.advanceClock(now)
 	defer b.armTimer()
-	w := b.endpoints.byID[result.Worker]
-	if w == nil {
+	worker := b.endpoints.byID[result.Worker]
+	if worker == nil {
 		return
 	}
-	b.recordLoadReport(now, w, result.Report)
-	b.endpoints.markInUse(now, w)
-	a := w.removeAttempt(result.ID, result.Attempt)
-	if a == nil {
+	b.recordLoadReport(now, worker, result.Report)
+	b.endpoints.markInUse(now, worker)
+	attempt := worker.removeAttempt(result.ID, result.Attempt)
+	if attempt == nil {
 		return
 	}
-	a.inFlight = false
-	a.excused = b.isExcused(result.Result)
-	a.holder.inFlight--
-	b.learnFromResult(now, a, result)
+	attempt.inFlight = false
+	attempt.excused = b.isExcused(result.Result)
+	attempt.holder.inFlight--
+	b.learnFromResult(now, attempt, result)
 	if neverRan(result.Result) {
 		// A retry that went out meanwhile stays bound to the idempotency window of this attempt.
-		a.mayHaveRun = a.index < len(a.request.attempts)-1
+		attempt.mayHaveRun = attempt.index < len(attempt.request.attempts)-1
 	}
-	b.continueRequest(now, a, result)
+	b.continueRequest(now, attempt, result)
 }
 
 // isExcused reports whether a result says nothing of its worker: the connection was reset, or a
@@ -40,46 +40,46 @@
 }
 
 // continueRequest ends the request of an attempt that has ended, or tries it again.
-func (b *Balancer) continueRequest(now int64, a *attemptState, result AttemptResult) {
-	r := a.request
-	if result.Finished || r.done {
-		b.endRequest(r)
+func (b *Balancer) continueRequest(now int64, attempt *attemptState, result AttemptResult) {
+	request := attempt.request
+	if result.Finished || request.done {
+		b.endRequest(request)
 		return
 	}
-	if result.Result == OK || r.lastInFlight() != nil {
+	if result.Result == OK || request.lastInFlight() != nil {
 		return
 	}
-	if now >= b.answerBy(r) || isUnknownFunction(r, result) || !b.mayRetryAnywhere(now, r) {
-		b.finish(now, r)
+	if now >= b.answerBy(request) || isUnknownFunction(request, result) || !b.mayRetryAnywhere(now, request) {
+		b.finish(now, request)
 		return
 	}
-	if b.retryWithLoadOrder(now, a, result) || b.backOff(now, a, result) {
+	if b.retryWithLoadOrder(now, attempt, result) || b.backOff(now, attempt, result) {
 		return
 	}
-	b.dispatch(now, r)
+	b.dispatch(now, request)
 }
 
 // isUnknownFunction reports whether an error suggests that no worker knows the function: it is the
 // second one, and nobody has served it.
-func isUnknownFunction(r *requestState, result AttemptResult) bool {
+func isUnknownFunction(request *requestState, result AttemptResult) bool {
 	failed := result.Result == Error && result.Warmth != LoadFailed
-	return failed && !r.function.served && len(r.attempts) > 1
+	return failed && !request.function.served && len(request.attempts) > 1
 }
 
 // retryWithLoadOrder orders the load that a worker lacks where workers do not load by themselves,
 // and sends the request there again; it reports whether it did.
-func (b *Balancer) retryWithLoadOrder(now int64, a *attemptState, result AttemptResult) bool {
+func (b *Balancer) retryWithLoadOrder(now int64, attempt *attemptState, result AttemptResult) bool {
 	if result.Result != NotLoaded || b.settings.LoadsOnMiss || result.Warmth == LoadFailed {
 		return false
 	}
-	if !b.orderLoad(now, a.holder) {
+	if !b.orderLoad(now, attempt.holder) {
 		return false
 	}
-	a.holder.orderedAt = now
-	if !b.mayRetryAt(now, a.request, a.worker) || !b.eligible(now, a.worker) {
+	attempt.holder.orderedAt = now
+	if !b.mayRetryAt(now, attempt.request, attempt.worker) || !b.eligible(now, attempt.worker) {
 		return false
 	}
-	b.sendAttempt(now, a.request, a.worker, false)
+	b.sendAttempt(now, attempt.request, attempt.worker, false)
 	return true
 }
 
@@ -87,104 +87,106 @@
 // needs time to drain, and at once others are full too. If calls of many dispatchers went where no
 // copy is expected, their loads would fill those queues as well: such calls wait no longer than a
 // load takes.
-func (b *Balancer) backOff(now int64, a *attemptState, result AttemptResult) bool {
-	r := a.request
-	onlyHolder := b.fleetFactor() > 1 && !r.function.copyExpectedElsewhere(now, a.holder)
-	if result.Result != QueueFull || !onlyHolder && len(r.attempts) < 2 {
+func (b *Balancer) backOff(now int64, attempt *attemptState, result AttemptResult) bool {
+	request := attempt.request
+	onlyHolder := b.fleetFactor() > 1 && !request.function.copyExpectedElsewhere(now, attempt.holder)
+	if result.Result != QueueFull || !onlyHolder && len(request.attempts) < 2 {
 		return false
 	}
-	pause := b.latencies[r.Class].mean / 2
+	pause := b.latencies[request.Class].mean / 2
 	if onlyHolder {
-		share := float64(b.answerBy(r)-now) / float64(b.settings.MaxAttempts+1-len(r.attempts))
-		pause = min(b.loads.expected(r.function), share)
+		share := float64(b.answerBy(request)-now) / float64(b.settings.MaxAttempts+1-len(request.attempts))
+		pause = min(b.loads.expected(request.function), share)
 	}
-	b.scheduleRecheck(r, now+int64(pause))
+	b.scheduleRecheck(request, now+int64(pause))
 	return true
 }
 
 // learnFromResult learns response times, holders and faults from the result of an attempt.
-func (b *Balancer) learnFromResult(now int64, a *attemptState, result AttemptResult) {
+func (b *Balancer) learnFromResult(now int64, attempt *attemptState, result AttemptResult) {
 	if result.Result != OK && result.Result != NotSent && result.Result != Cancelled {
 		// A failure must not make a worker look light: it stays in its load for a usual response
 		// time.
-		until := now + int64(b.latencies[a.request.Class].mean)
-		a.worker.recentFailures = append(a.worker.recentFailures, recentFailure{until, result.Result == QueueFull})
+		until := now + int64(b.latencies[attempt.request.Class].mean)
+		attempt.worker.recentFailures = append(attempt.worker.recentFailures,
+			recentFailure{until, result.Result == QueueFull})
 	}
 	switch result.Result {
 	case OK:
-		b.learnFromAnswer(now, a, result.Warmth)
+		b.learnFromAnswer(now, attempt, result.Warmth)
 	case Error, NotLoaded, QueueFull:
-		b.learnFromFailure(now, a, result)
+		b.learnFromFailure(now, attempt, result)
 	case Timeout, Cancelled:
-		b.learnFromSilence(now, a, result.Result)
+		b.learnFromSilence(now, attempt, result.Result)
 	case ConnectFailed, Reset:
-		b.handleConnectionFailure(now, a.sentAt, a.worker, result.Result)
+		b.handleConnectionFailure(now, attempt.sentAt, attempt.worker, result.Result)
 	case NotSent, NumResults:
 	}
 }
 
 // learnFromAnswer learns from a successful attempt.
-func (b *Balancer) learnFromAnswer(now int64, a *attemptState, warmth Warmth) {
-	w, r := a.worker, a.request
-	b.recordResponse(now, w)
+func (b *Balancer) learnFromAnswer(now int64, attempt *attemptState, warmth Warmth) {
+	worker, request := attempt.worker, attempt.request
+	b.recordResponse(now, worker)
 	b.losses.observe(0)
-	w.responded, a.holder.function.served = true, true
-	if !r.countedForQuota {
-		r.countedForQuota = true
-		b.countTowardLoadQuota(r.arrivedAt)
+	worker.responded, attempt.holder.function.served = true, true
+	if !request.countedForQuota {
+		request.countedForQuota = true
+		b.countTowardLoadQuota(request.arrivedAt)
 	}
-	if !b.slowStart.isWarmingUp(now, w) {
+	if !b.slowStart.isWarmingUp(now, worker) {
 		b.slowStart.warmAnswers.add(now, b.decayTime())
 	}
 	b.admission.completions.add(now, float64(2*b.shortestObjective))
-	b.logHealthChange(now, w, b.outliers.RecordSuccess(now, &w.outlierStats))
-	b.loads.observeAnswer(warmth == BeganLoad || r.orderedLoad)
-	if warmth == BeganLoad || r.orderedLoad {
-		r.orderedLoad = false
+	b.logHealthChange(now, worker, b.outliers.RecordSuccess(now, &worker.outlierStats))
+	b.loads.observeAnswer(warmth == BeganLoad || request.orderedLoad)
+	if warmth == BeganLoad || request.orderedLoad {
+		request.orderedLoad = false
 	}
-	b.learnResponseTime(now, a, warmth)
-	b.confirmHolder(now, a.holder)
+	b.learnResponseTime(now, attempt, warmth)
+	b.confirmHolder(now, attempt.holder)
 }
 
 // learnResponseTime learns from the time that an answer took: the load time if the call began a
 // load, the response time if it found a loaded copy.
-func (b *Balancer) learnResponseTime(now int64, a *attemptState, warmth Warmth) {
-	responseTime, usual := float64(now-a.sentAt), &b.latencies[a.request.Class]
+func (b *Balancer) learnResponseTime(now int64, attempt *attemptState, warmth Warmth) {
+	responseTime, usual := float64(now-attempt.sentAt), &b.latencies[attempt.request.Class]
 	switch warmth {
 	case BeganLoad:
-		b.loads.observe(a.holder.function, max(0, responseTime-usual.mean))
+		b.loads.observe(attempt.holder.function, max(0, responseTime-usual.mean))
 	case AwaitedLoad:
 	default: // a loaded copy, or not stated
-		a.worker.observePace(now, responseTime, usual.mean)
+		attempt.worker.observePace(now, responseTime, usual.mean)
 		usual.observe(responseTime, latencyWeight)
-		a.holder.lastWarmHitAt = now
+		attempt.holder.lastWarmHitAt = now
 	}
 }
 
 // learnFromFailure learns from an answer that was an error or a rejection. An error for a function
 // that nobody has served is only a hint: no worker may know it.
-func (b *Balancer) learnFromFailure(now int64, a *attemptState, result AttemptResult) {
-	b.recordResponse(now, a.worker)
+func (b *Balancer) learnFromFailure(now int64, attempt *attemptState, result AttemptResult) {
+	b.recordResponse(now, attempt.worker)
 	switch {
 	case result.Warmth == LoadFailed:
 		b.loads.observeFailure()
-		a.holder.validUntil = 0
+		attempt.holder.validUntil = 0
 	case result.Result == NotLoaded:
-		a.holder.validUntil = 0
-	case result.Result == Error && a.holder.function.served:
-		b.recordFailure(now, a.worker, outlier.Failure)
+		attempt.holder.validUntil = 0
+	case result.Result == Error && attempt.holder.function.served:
+		b.recordFailure(now, attempt.worker, outlier.Failure)
 	case result.Result == Error:
-		b.recordFailure(now, a.worker, outlier.Hint)
+		b.recordFailure(now, attempt.worker, outlier.Hint)
 	}
 }
 
 // learnFromSilence learns from an attempt that ended without an answer. The answer is lost rather
 // than late if the same copy answered others meanwhile; a copy that was unloaded may be loading.
-func (b *Balancer) learnFromSilence(now int64, a *attemptState, result Result) {
-	if a.expectedWarm && now > a.dueAt && a.holder.lastWarmHitAt > a.sentAt {
-		b.losses.observe(b.losses.lossProbability(now-a.sentAt, b.latencies[a.request.Class]))
+func (b *Balancer) learnFromSilence(now int64, attempt *attemptState, result Result) {
+	if attempt.expectedWarm && now > attempt.dueAt && attempt.holder.lastWarmHitAt > attempt.sentAt {
+		b.losses.observe(b.losses.lossProbability(now-attempt.sentAt, b.latencies[attempt.request.Class]))
 	}
-	if a.dueAt < now && a.worker.lastResponseAt < a.sentAt && (result == Timeout || !a.request.done) {
-		b.recordFailure(now, a.worker, outlier.Failure)
+	if attempt.dueAt < now && attempt.worker.lastResponseAt < attempt.sentAt &&
+		(result == Timeout || !attempt.request.done) {
+		b.recordFailure(now, attempt.worker, outlier.Failure)
 	}
 }
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -23,32 +23,33 @@
 		{"keyed error at window's end", IdempotentByKey, ScopeZone, Error, 1998 * ms, false, false},
 		{"keyed no group", IdempotentByKey, ScopeNone, Error, 100 * ms, false, false},
 	} {
-		s := testSettings(c.effect, c.scope)
-		s.Hedging = false
-		d, f := newTestBalancer(t, s, 8)
-		d.HandleRequest(0, testRequest("a", 0, 1))
-		first := f.lastWorker["a"]
-		d.HandleAttemptResult(c.at, AttemptResult{ID: "a", Worker: first, Result: c.res})
-		if got := len(f.attempts) == 2; got != c.resend {
+		settings := testSettings(c.effect, c.scope)
+		settings.Hedging = false
+		balancer, host := newTestBalancer(t, settings, 8)
+		balancer.HandleRequest(0, testRequest("a", 0, 1))
+		first := host.lastWorker["a"]
+		balancer.HandleAttemptResult(c.at, AttemptResult{ID: "a", Worker: first, Result: c.res})
+		if got := len(host.attempts) == 2; got != c.resend {
 			t.Errorf("%s: resent %v, want %v", c.name, got, c.resend)
 		}
-		if !c.resend && f.answers["a"] != "failed" {
-			t.Errorf("%s: answered %q, want failed", c.name, f.answers["a"])
+		if !c.resend && host.answers["a"] != "failed" {
+			t.Errorf("%s: answered %q, want failed", c.name, host.answers["a"])
 		}
-		if c.zone && f.lastWorker["a"]%2 != first%2 {
+		if c.zone && host.lastWorker["a"]%2 != first%2 {
 			t.Errorf("%s: left the zone", c.name)
 		}
 	}
 }
 
 func TestQueueFullRetriesBackOff(t *testing.T) {
-	d, f := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 4)
-	d.HandleRequest(0, testRequest("a", 0, 1))
+	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 4)
+	balancer.HandleRequest(0, testRequest("a", 0, 1))
 	for i := range 2 {
-		d.HandleAttemptResult(int64(i+1)*ms, AttemptResult{ID: "a", Attempt: i, Worker: f.lastWorker["a"], Result: QueueFull})
+		balancer.HandleAttemptResult(int64(i+1)*ms,
+			AttemptResult{ID: "a", Attempt: i, Worker: host.lastWorker["a"], Result: QueueFull})
 	}
-	if len(f.attempts) != 2 {
-		t.Fatalf("%d sends at once against full workers, want 2 and then a pause", len(f.attempts))
+	if len(host.attempts) != 2 {
+		t.Fatalf("%d sends at once against full workers, want 2 and then a pause", len(host.attempts))
 	}
 }
 
@@ -59,52 +60,55 @@
 		at     int64
 		resend bool
 	}{{1997 * ms, true}, {1998 * ms, false}} {
-		d, f := newTestBalancer(t, testSettings(IdempotentByKey, ScopeZone), 8)
-		d.HandleRequest(0, testRequest("z", 0, 1))
-		d.HandleAttemptResult(0, successful("z", f.lastWorker["z"]))
-		f.attempts = nil
-		d.HandleRequest(0, testRequest("a", 0, 1))
-		first := f.lastWorker["a"]
-		fireTimers(d, f, 0, 1500*ms) // overdue: a second copy in the zone
-		if len(f.attempts) != 2 {
-			t.Fatalf("%d sends, want a second copy", len(f.attempts))
+		balancer, host := newTestBalancer(t, testSettings(IdempotentByKey, ScopeZone), 8)
+		balancer.HandleRequest(0, testRequest("z", 0, 1))
+		balancer.HandleAttemptResult(0, successful("z", host.lastWorker["z"]))
+		host.attempts = nil
+		balancer.HandleRequest(0, testRequest("a", 0, 1))
+		first := host.lastWorker["a"]
+		fireTimers(balancer, host, 0, 1500*ms) // overdue: a second copy in the zone
+		if len(host.attempts) != 2 {
+			t.Fatalf("%d sends, want a second copy", len(host.attempts))
 		}
-		d.HandleAttemptResult(1600*ms, AttemptResult{ID: "a", Worker: first, Result: NotLoaded, Warmth: LoadFailed})
-		d.HandleAttemptResult(c.at, AttemptResult{ID: "a", Attempt: 1, Worker: f.lastWorker["a"], Result: Error})
-		if got := len(f.attempts) == 3; got != c.resend {
+		balancer.HandleAttemptResult(1600*ms, AttemptResult{ID: "a", Worker: first, Result: NotLoaded,
+			Warmth: LoadFailed})
+		balancer.HandleAttemptResult(c.at, AttemptResult{ID: "a", Attempt: 1, Worker: host.lastWorker["a"],
+			Result: Error})
+		if got := len(host.attempts) == 3; got != c.resend {
 			t.Errorf("at %d ms: sent again %v, want %v", c.at/ms, got, c.resend)
 		}
 	}
 }
 
 func TestStreamHasNoDeadline(t *testing.T) {
-	d, f := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 3)
-	d.HandleRequest(0, testRequest("a", 0, 1))
-	d.HandleFirstByte(100*ms, "a", 0)
-	d.HandleTimer(5000*ms, f.timerRef)
-	if len(f.attempts) != 1 || f.answers["a"] != "" {
-		t.Fatalf("%d sends, answered %q: a begun stream was touched", len(f.attempts), f.answers["a"])
+	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 3)
+	balancer.HandleRequest(0, testRequest("a", 0, 1))
+	balancer.HandleFirstByte(100*ms, "a", 0)
+	balancer.HandleTimer(5000*ms, host.timerRef)
+	if len(host.attempts) != 1 || host.answers["a"] != "" {
+		t.Fatalf("%d sends, answered %q: a begun stream was touched", len(host.attempts), host.answers["a"])
 	}
 }
 
 // Guards healthy workers against calls of functions that do not exist: such errors come from any
 // worker alike. And the calls go round no more than twice.
 func TestUnknownFunctionsBlameNoWorker(t *testing.T) {
-	d, f := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 3)
-	markAllResponded(d)
+	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 3)
+	markAllResponded(balancer)
 	for i := range 4 {
 		now, id := int64(i)*20*ms, fmt.Sprint(i)
-		d.HandleRequest(now, testRequest(id, now, FuncID(i)))
-		for try := 0; f.answers[id] == ""; try++ {
+		balancer.HandleRequest(now, testRequest(id, now, FuncID(i)))
+		for try := 0; host.answers[id] == ""; try++ {
 			if try == 2 {
 				t.Fatal("tried again and again")
 			}
-			d.HandleAttemptResult(now+ms, AttemptResult{ID: id, Attempt: try, Worker: f.lastWorker[id], Result: Error})
+			balancer.HandleAttemptResult(now+ms, AttemptResult{ID: id, Attempt: try, Worker: host.lastWorker[id],
+				Result: Error})
 		}
 	}
-	for _, w := range d.endpoints.listed {
-		if d.isEjected(w) {
-			t.Errorf("worker %d is ejected", w.Worker)
+	for _, worker := range balancer.endpoints.listed {
+		if balancer.isEjected(worker) {
+			t.Errorf("worker %d is ejected", worker.Worker)
 		}
 	}
 }
@@ -124,23 +128,25 @@
 		{siblings: 3}, {siblings: 5}, {siblings: 24, waits: true}, {siblings: 300, waits: true},
 		{siblings: 300, walk: scanNever, waits: true}, {siblings: 300, elsewhere: true},
 	} {
-		s := testSettings(Idempotent, ScopeAll)
-		s.Dispatchers, s.FullScanLimit = c.siblings, c.walk
-		d, f := newTestBalancer(t, s, workers)
-		markAllResponded(d)
-		d.HandleRequest(ms, testRequest("a", ms, 9))
-		place := f.lastWorker["a"]
+		settings := testSettings(Idempotent, ScopeAll)
+		settings.Dispatchers, settings.FullScanLimit = c.siblings, c.walk
+		balancer, host := newTestBalancer(t, settings, workers)
+		markAllResponded(balancer)
+		balancer.HandleRequest(ms, testRequest("a", ms, 9))
+		place := host.lastWorker["a"]
 		other := place%workers + 1
 		if c.elsewhere {
-			d.confirmHolder(ms, d.holders.functions[functionTag(9)].holderAt(d.endpoints.byID[other], true))
+			function := balancer.holders.functions[functionTag(9)]
+			balancer.confirmHolder(ms, function.holderAt(balancer.endpoints.byID[other], true))
 		}
 		full := func(n int, now int64) {
-			d.HandleAttemptResult(now, AttemptResult{ID: "a", Attempt: n, Worker: f.lastWorker["a"], Result: QueueFull})
+			balancer.HandleAttemptResult(now, AttemptResult{ID: "a", Attempt: n, Worker: host.lastWorker["a"],
+				Result: QueueFull})
 		}
 		// until is when the next attempt goes out; 0: none does in time.
 		until := func(from int64) int64 {
-			for now, n := from, len(f.attempts); now < 3000*ms; now += ms {
-				if d.HandleTimer(now, f.timerRef); len(f.attempts) > n {
+			for now, n := from, len(host.attempts); now < 3000*ms; now += ms {
+				if balancer.HandleTimer(now, host.timerRef); len(host.attempts) > n {
 					return now
 				}
 			}
@@ -148,21 +154,23 @@
 		}
 		full(0, 2*ms)
 		if !c.waits {
-			if len(f.attempts) != 2 || f.lastWorker["a"] == place || c.elsewhere && f.lastWorker["a"] != other {
-				t.Errorf("%+v: after full at %d the sends are %v", c, place, f.attempts)
+			if len(host.attempts) != 2 || host.lastWorker["a"] == place || c.elsewhere &&
+				host.lastWorker["a"] != other {
+				t.Errorf("%+v: after full at %d the sends are %v", c, place, host.attempts)
 			}
 			continue
 		}
-		if len(f.attempts) != 1 {
-			t.Fatalf("%+v: a call turned away went on at once: %v", c, f.attempts)
+		if len(host.attempts) != 1 {
+			t.Fatalf("%+v: a call turned away went on at once: %v", c, host.attempts)
 		}
 		again := until(3 * ms)
-		if load := int64(d.loads.expected(d.holders.functions[functionTag(9)])); again == 0 || again > 3*ms+min(load, 3000*ms/int64(s.MaxAttempts)) || f.lastWorker["a"] != place {
-			t.Fatalf("%+v: turned away by %d at 2 ms, it came again at %d ms: %v", c, place, again/ms, f.attempts)
+		if load := int64(balancer.loads.expected(balancer.holders.functions[functionTag(9)])); again == 0 ||
+			again > 3*ms+min(load, 3000*ms/int64(settings.MaxAttempts)) || host.lastWorker["a"] != place {
+			t.Fatalf("%+v: turned away by %d at 2 ms, it came again at %d ms: %v", c, place, again/ms, host.attempts)
 		}
 		full(1, again+ms)
-		if third := until(again + 2*ms); third == 0 || f.lastWorker["a"] == place {
-			t.Errorf("%+v: turned away twice by %d: %v", c, place, f.attempts)
+		if third := until(again + 2*ms); third == 0 || host.lastWorker["a"] == place {
+			t.Errorf("%+v: turned away twice by %d: %v", c, place, host.attempts)
 		}
 	}
 }
