--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -5,6 +5,8 @@
 	"testing"
 )
 
+// TestOverloadRejectsTheLeastPriority proves that as a queue forms, requests of the class of less
+// priority are rejected first.
 func TestOverloadRejectsTheLeastPriority(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.Classes = append(settings.Classes, settings.Classes[0])
@@ -13,15 +15,14 @@
 	markAllResponded(balancer)
 	now := int64(5000 * ms)
 	for i := range 60 { // all functions loaded, nothing answered: a queue forms
-		balancer.HandleRequest(now, Request{ID: fmt.Sprint(i), Class: i % 2, Func: 1, Deadline: now + 3000*ms,
-			Concurrency: 16})
-		if holder := balancer.holders.functions[1].holderAt(balancer.endpoints.listed[i%4], true); true {
-			holder.validUntil = now + 8000*ms
-		}
+		request := Request{ID: fmt.Sprint(i), Class: i % 2, Func: 1, Deadline: now + 3000*ms, Concurrency: 16}
+		balancer.HandleRequest(now, request)
+		holder := balancer.holders.functions[1].holderAt(balancer.endpoints.listed[i%4], true)
+		holder.validUntil = now + 8000*ms
 	}
 	low, high := 0, 0
 	for i := range 60 {
-		if host.answers[fmt.Sprint(i)] == "refused" {
+		if host.answers[fmt.Sprint(i)] == "rejected" {
 			if i%2 == 0 {
 				low++
 			} else {
@@ -30,12 +31,12 @@
 		}
 	}
 	if low == 0 || high > low {
-		t.Fatalf("refused %d of low worth and %d of high", low, high)
+		t.Fatalf("rejected %d of low worth and %d of high", low, high)
 	}
 }
 
-// Found in iad616b: calls stuck for seconds were read as a queue, and half of the traffic was
-// refused.
+// TestStuckCallsDoNotCountAsQueued proves that calls that have been out for seconds are stuck and
+// do not count as a queue.
 func TestStuckCallsDoNotCountAsQueued(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 4)
 	markAllResponded(balancer)
@@ -55,7 +56,8 @@
 	}
 }
 
-// Found in i7067a9: calls turned away from full queues must count as queued.
+// TestRejectedCallsCountAsQueued proves that calls that a full queue rejected count as queued for a
+// while.
 func TestRejectedCallsCountAsQueued(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(NotIdempotent, ScopeNone), 4)
 	markAllResponded(balancer)
@@ -70,8 +72,8 @@
 	}
 }
 
-// Found at full size: clients that repeat at once. When calls queue, marked repeats are refused
-// before first tries.
+// TestRetriesDoNotCrowdOutFirstAttempts proves that when calls queue, requests marked as retries
+// are rejected before others.
 func TestRetriesDoNotCrowdOutFirstAttempts(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 4)
 	markAllResponded(balancer)
@@ -84,7 +86,7 @@
 	}
 	first, repeat := 0, 0
 	for i := range 90 {
-		if host.answers[fmt.Sprint(i)] == "refused" {
+		if host.answers[fmt.Sprint(i)] == "rejected" {
 			if i%3 > 0 {
 				repeat++
 			} else {
@@ -93,12 +95,12 @@
 		}
 	}
 	if repeat == 0 || 2*first >= repeat {
-		t.Fatalf("refused %d of 30 first tries and %d of 60 repeats", first, repeat)
+		t.Fatalf("rejected %d of 30 first tries and %d of 60 repeats", first, repeat)
 	}
 }
 
-// Guards against loads that crowd out loaded copies: near the limit of open calls, what needs a
-// load is turned away first, and the rest only when hardly any room is left.
+// TestLoadedFunctionsAreAdmittedFirst proves that near the limit of requests in hand, those that
+// need a load are rejected first, and the others only when hardly any room is left.
 func TestLoadedFunctionsAreAdmittedFirst(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.MaxInFlight = 100
@@ -118,7 +120,7 @@
 			function = FuncID(100 + i)
 		}
 		id := fmt.Sprint(i)
-		if balancer.HandleRequest(now, testRequest(id, now, function)); host.answers[id] == "refused" {
+		if balancer.HandleRequest(now, testRequest(id, now, function)); host.answers[id] == "rejected" {
 			if function == 1 {
 				warm++
 			} else {
@@ -127,6 +129,6 @@
 		}
 	}
 	if cold == 0 || warm > cold/2 || len(balancer.requests) > 90 {
-		t.Fatalf("refused %d that need a load and %d loaded, %d are open", cold, warm, len(balancer.requests))
+		t.Fatalf("rejected %d that need a load and %d loaded, %d are open", cold, warm, len(balancer.requests))
 	}
 }
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -8,17 +8,17 @@
 )
 
 // BenchmarkDecision is one call with its answer and what timers it sets; BenchmarkRound the digest
-// of a hub that holds the reports of all others.
+// of a leader that holds the reports of all others.
 func BenchmarkDecision(b *testing.B) { benchmarkSizes(b, benchmarkDecision) }
 
 func BenchmarkRound(b *testing.B) { benchmarkSizes(b, benchmarkRound) }
 
 func benchmarkSizes(b *testing.B, run func(*testing.B, Settings, int)) {
 	for _, workers := range []int{10, 60, 120} {
-		for _, siblings := range []int{5, 80, 300} {
-			b.Run(fmt.Sprintf("%d_workers_%d_siblings", workers, siblings), func(b *testing.B) {
+		for _, dispatchers := range []int{5, 80, 300} {
+			b.Run(fmt.Sprintf("%d_workers_%d_siblings", workers, dispatchers), func(b *testing.B) {
 				settings := testSettings(Idempotent, ScopeAll)
-				settings.Dispatchers, settings.Gossip, settings.PeerPrice = siblings, true, 0.01
+				settings.Dispatchers, settings.Gossip, settings.PeerPrice = dispatchers, true, 0.01
 				b.ReportAllocs()
 				run(b, settings, workers)
 			})
--- a/balancer/choose.go
+++ b/balancer/choose.go
@@ -58,8 +58,13 @@
 	if holders := b.holdersWithin(now, request.function, b.loadBase(set)*(1+slack)); len(holders) > 0 {
 		return b.lightestHolder(now, holders, set.medianLoad), false
 	}
-	limit := (1 + min(slack, similarLoadTolerance*b.fleetFactor())) * max(set.minLoad, set.medianLoad)
-	return b.preferredWorker(now, request.function, set.preferred, limit, examined.placesShare), false
+	tolerance := min(slack, similarLoadTolerance*b.fleetFactor())
+	where := placement{
+		preferred:   set.preferred,
+		maxLoad:     (1 + tolerance) * max(set.minLoad, set.medianLoad),
+		placesShare: examined.placesShare,
+	}
+	return b.preferredWorker(now, request.function, where), false
 }
 
 // examine collects the eligible workers with their loads as candidates. It stops at a worker that
@@ -174,34 +179,40 @@
 	return best
 }
 
+// placement says where a function without a usable holder is loaded.
+type placement struct {
+	preferred   int     // the first so many candidates come first
+	maxLoad     float64 // of a worker that counts as good as the lightest
+	placesShare float64 // of the workers that each dispatcher ranks for itself
+}
+
 // preferredWorker returns the candidate up to a load that ranks highest for a function, of its ring
 // window if that has one. Dispatchers rank alike, so that they load a function in one place; each
 // sees little of the load of any worker, and the more of them there are, the wider the range of
 // loads that count as alike. Of a function that needs more places, a share of the workers is ranked
 // by each dispatcher for itself.
-func (b *Balancer) preferredWorker(now int64, function *functionState, preferred int, limit,
-	placesShare float64) (best *workerState) {
+func (b *Balancer) preferredWorker(now int64, function *functionState, where placement) (best *workerState) {
 	topScore := 0.0
 	for i, worker := range b.choice.candidates {
-		if i >= preferred && best != nil {
+		if i >= where.preferred && best != nil {
 			break
 		}
-		if worker.candidateIn != b.choice.number || worker.choiceLoad > limit {
+		if worker.candidateIn != b.choice.number || worker.choiceLoad > where.maxLoad {
 			continue
 		}
-		if score := b.placementScore(now, function, worker, placesShare); best == nil || score > topScore {
+		if score := b.placementScore(now, function, worker, where.placesShare); best == nil || score > topScore {
 			best, topScore = worker, score
 		}
 	}
 	return best
 }
 
-// placementScore ranks a worker as the place to load a function.
-func (b *Balancer) placementScore(now int64, function *functionState, worker *workerState,
-	placesShare float64) float64 {
+// placementScore ranks a worker as the place to load a function. The dispatcher ranks a share of
+// the workers for itself.
+func (b *Balancer) placementScore(now int64, function *functionState, worker *workerState, share float64) float64 {
 	rank := hashRank(function.id, worker.Worker)
 	score := rendezvousScore(rank, worker.Weight*b.capacityFraction(now, worker))
-	if rank > 1-placesShare {
+	if rank > 1-share {
 		score += rendezvousScore(hashRank(b.ownPlacementKey(function.id), worker.Worker), placementRankWeight)
 	}
 	if holder := function.holderAt(worker, false); holder != nil && holder.orderBackoffUntil > now {
@@ -216,8 +227,8 @@
 	return max(1, float64(b.settings.Dispatchers)/wellInformedDispatchers)
 }
 
-// eligible reports whether w may get attempts and load orders: it is listed, not draining and
-// within its slow-start budget. Every attempt and every load order passes it (rules 3 and 4).
+// eligible reports whether a worker may get attempts and load orders: it is listed, not draining
+// and within its slow-start budget. Every attempt and every load order passes it (rules 3 and 4).
 func (b *Balancer) eligible(now int64, worker *workerState) bool {
 	return worker.listed && worker.State == Active && b.slowStartAllows(now, worker)
 }
--- a/balancer/choose_test.go
+++ b/balancer/choose_test.go
@@ -7,6 +7,8 @@
 	"oakthread/aggregate"
 )
 
+// TestHolderWithFreeCapacityIsChosenFirst proves that a function stays at the worker that holds a
+// copy while that has free capacity.
 func TestHolderWithFreeCapacityIsChosenFirst(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 4)
 	markAllResponded(balancer)
@@ -23,6 +25,8 @@
 	}
 }
 
+// TestBusyHolderBeyondSlackIsPassedOver proves that a hot function spreads once its holder carries
+// more than the slack allows.
 func TestBusyHolderBeyondSlackIsPassedOver(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 4)
 	markAllResponded(balancer)
@@ -39,6 +43,8 @@
 	}
 }
 
+// TestHolderExpiresAtKeepAlive proves that a worker is believed to hold a copy exactly until the
+// keep-alive has passed.
 func TestHolderExpiresAtKeepAlive(t *testing.T) {
 	for _, c := range []struct {
 		at   int64
@@ -54,8 +60,9 @@
 	}
 }
 
-// Found with 80 dispatchers: a slow worker looked as light as the others to each, which had one
-// call there in some seconds, and its calls ran into their deadlines. Of few, each sees its queue.
+// TestSlowWorkerWeighsMoreAmongManyDispatchers proves that one of many dispatchers, which has too
+// few calls at a worker to see its queue, goes by its response times; of few, each sees the queue
+// itself.
 func TestSlowWorkerWeighsMoreAmongManyDispatchers(t *testing.T) {
 	for _, many := range []int{1, 5, 80, 300} {
 		settings := testSettings(Idempotent, ScopeAll)
@@ -66,8 +73,11 @@
 		for i := range 12 { // two answers each, of worker 1 four times as late as the others'
 			worker := balancer.endpoints.listed[i%6]
 			holder := balancer.holders.functionFor(now, testRequest("x", now, FuncID(i))).holderAt(worker, true)
-			request := &requestState{Request: testRequest(fmt.Sprint(i), now, FuncID(i)),
-				class: &balancer.settings.Classes[0], function: holder.function}
+			request := &requestState{
+				Request:  testRequest(fmt.Sprint(i), now, FuncID(i)),
+				class:    &balancer.settings.Classes[0],
+				function: holder.function,
+			}
 			took := int64(balancer.latencies[0].mean)
 			if worker.Worker == 1 {
 				took *= 4
@@ -75,8 +85,8 @@
 			balancer.sendAttempt(now, request, worker, false)
 			balancer.HandleAttemptResult(now+took, successful(fmt.Sprint(i), worker.Worker))
 		}
-		slow, other := balancer.weightedLoad(now+ms, balancer.endpoints.byID[1]), balancer.weightedLoad(now+ms,
-			balancer.endpoints.byID[2])
+		slow := balancer.weightedLoad(now+ms, balancer.endpoints.byID[1])
+		other := balancer.weightedLoad(now+ms, balancer.endpoints.byID[2])
 		if many <= 5 && slow != other || many > 5 && slow < 2*other {
 			t.Errorf("%d dispatchers: load %.2f at the slow worker, %.2f at another; %d sends", many, slow, other,
 				len(host.attempts))
@@ -88,6 +98,8 @@
 	}
 }
 
+// TestUnknownWorkerGetsFirstCalls proves that a worker that has not responded yet gets some calls,
+// but is not flooded.
 func TestUnknownWorkerGetsFirstCalls(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 3)
 	markAllResponded(balancer)
@@ -106,6 +118,7 @@
 	}
 }
 
+// TestFastErrorsDoNotAttractCalls proves that a worker whose calls fail fast does not look light.
 func TestFastErrorsDoNotAttractCalls(t *testing.T) {
 	settings := testSettings(NotIdempotent, ScopeNone)
 	balancer, host := newTestBalancer(t, settings, 4)
@@ -127,7 +140,8 @@
 	}
 }
 
-// A slow store widens ε: full holders are waited for instead of loading elsewhere.
+// TestSlowStoreWidensTheSlack proves that while the store is slow, calls wait for a busy holder
+// instead of loading elsewhere.
 func TestSlowStoreWidensTheSlack(t *testing.T) {
 	used := func(stress float64) int {
 		balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 6)
@@ -148,8 +162,8 @@
 	}
 }
 
-// Found at full size: a few workers with fifty calls made all look light by the mean. The middle is
-// not moved by them.
+// TestCrowdedWorkersDoNotHideEachOther proves that a few workers with many calls do not make each
+// other look light: loads are compared with the median.
 func TestCrowdedWorkersDoNotHideEachOther(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.Dispatchers, settings.Gossip = 50, true
@@ -177,8 +191,8 @@
 	}
 }
 
-// Guards against loads that cost more than the wait they spare: a busy holder is kept up to what a
-// load takes.
+// TestExpensiveLoadsKeepTheHolder proves that a busy holder is kept as long as the wait for it
+// costs less than a load.
 func TestExpensiveLoadsKeepTheHolder(t *testing.T) {
 	used := func(load int64) int {
 		balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 4)
--- a/balancer/dispatch.go
+++ b/balancer/dispatch.go
@@ -45,7 +45,7 @@
 	return accepted
 }
 
-// dispatch sends r to the chosen worker, holds it for a load, or has it looked at again.
+// dispatch sends a request to the chosen worker, holds it for a load, or has it looked at again.
 func (b *Balancer) dispatch(now int64, request *requestState) {
 	if now >= b.answerBy(request) || len(request.attempts) >= b.settings.MaxAttempts {
 		b.finish(now, request)
@@ -103,8 +103,8 @@
 	return true
 }
 
-// sendAttempt sends an attempt of r to a worker. A request that may be retried is looked at again
-// when the attempt is overdue.
+// sendAttempt sends an attempt of a request to a worker. A request that may be retried is looked at
+// again when the attempt is overdue.
 func (b *Balancer) sendAttempt(now int64, request *requestState, worker *workerState, trial bool) {
 	holder := request.function.holderAt(worker, true)
 	attempt := &attemptState{
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -35,8 +35,11 @@
 
 // newEndpointTable returns an empty table.
 func newEndpointTable(fullScanLimit int) endpointTable {
-	return endpointTable{fullScanLimit: fullScanLimit, byID: map[WorkerID]*workerState{},
-		byTag: map[uint16]*workerState{}}
+	return endpointTable{
+		fullScanLimit: fullScanLimit,
+		byID:          map[WorkerID]*workerState{},
+		byTag:         map[uint16]*workerState{},
+	}
 }
 
 // isLong reports whether the list is too long to be scanned in full.
@@ -150,7 +153,7 @@
 	return t.recent
 }
 
-// isActive reports whether activeWorkers lists w.
+// isActive reports whether activeWorkers lists a worker.
 func (t *endpointTable) isActive(worker *workerState) bool {
 	if !t.isLong() {
 		return worker.inTable
@@ -158,7 +161,7 @@
 	return worker.lastActivityAt != 0
 }
 
-// trackHolders takes that w may come to be believed to hold copies.
+// trackHolders takes that a worker may come to be believed to hold copies.
 func (t *endpointTable) trackHolders(worker *workerState) {
 	if !worker.trackedHolder {
 		worker.trackedHolder, t.withHolders = true, append(t.withHolders, worker)
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -5,6 +5,8 @@
 	"testing"
 )
 
+// TestDrainingAndRemovedWorkersGetNoAttempt proves that a draining or removed worker gets no
+// attempt, and a waiting call is sent as soon as a worker is listed.
 func TestDrainingAndRemovedWorkersGetNoAttempt(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 2)
 	balancer.UpdateEndpoints(ms, EndpointsDelta, []Endpoint{{Worker: 1, State: Draining, Weight: 1}})
@@ -28,6 +30,8 @@
 	}
 }
 
+// TestEmptyListAnswersInTime proves that without workers a call is rejected just before its
+// deadline.
 func TestEmptyListAnswersInTime(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(NotIdempotent, ScopeNone), 0)
 	balancer.HandleRequest(0, testRequest("a", 0, 1))
@@ -36,13 +40,13 @@
 		t.Fatal("answered too early")
 	}
 	balancer.HandleTimer(2996*ms, host.timerRef)
-	if host.answers["a"] != "refused" {
+	if host.answers["a"] != "rejected" {
 		t.Fatalf("answered %q", host.answers["a"])
 	}
 }
 
-// A roster that must be asked for is asked for at start, and again after failures at a bounded
-// rate.
+// TestEndpointListIsPolledAgainAfterFailure proves that a list that must be polled for is asked for
+// at the start, and after failures again at a bounded rate.
 func TestEndpointListIsPolledAgainAfterFailure(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.PollEndpoints, settings.PollInterval = true, 8000*ms
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -6,7 +6,8 @@
 	"oakthread/balancer"
 )
 
-// printer is a host that prints what it is told to do; a real one sends requests and sets timers.
+// printer is a host that prints what it is reported to do; a real one sends requests and sets
+// timers.
 type printer struct{ worker balancer.WorkerID }
 
 func (p *printer) SendAttempt(id string, w balancer.WorkerID, until int64) {
--- a/balancer/fake_test.go
+++ b/balancer/fake_test.go
@@ -39,7 +39,7 @@
 
 func (f *fakeHost) CancelAttempt(id string, n int) { f.cancellations++ }
 
-func (f *fakeHost) Reject(id string, wait int64) { f.answers[id] += "refused" }
+func (f *fakeHost) Reject(id string, wait int64) { f.answers[id] += "rejected" }
 
 func (f *fakeHost) Fail(id string) { f.answers[id] += "failed" }
 
@@ -146,9 +146,15 @@
 
 // encodedDigest returns the digest of a leader that has the reports of all.
 func encodedDigest(balancer *Balancer, now int64, sums []float64, counts ...aggregate.Count) string {
-	message := aggregate.Message{FromLeader: true, Counts: counts,
-		Digest: aggregate.Digest{Tick: uint16(now / balancer.settings.ClockResolution), Sums: sums,
-			Covered: aggregate.NewSet(balancer.settings.Dispatchers)}}
+	message := aggregate.Message{
+		FromLeader: true,
+		Counts:     counts,
+		Digest: aggregate.Digest{
+			Tick:    uint16(now / balancer.settings.ClockResolution),
+			Sums:    sums,
+			Covered: aggregate.NewSet(balancer.settings.Dispatchers),
+		},
+	}
 	for i := range balancer.settings.Dispatchers {
 		message.Digest.Covered.Add(i)
 	}
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -26,7 +26,7 @@
 }
 
 // peerDatagrams runs dispatcher 0 of three for 12 seconds of simulated time, six terms, and returns
-// what it told, a line of destination and text each, and when. Calls fail at worker 2, some are
+// what it reported, a line of destination and text each, and when. Calls fail at worker 2, some are
 // never answered, and the other two dispatchers send it reports, digests and a request for its
 // holders.
 func peerDatagrams(t *testing.T) (lines []string, times []int64) {
@@ -46,11 +46,18 @@
 		}
 		if i%50 == 25 {
 			for from := 1; from < settings.Dispatchers; from++ {
-				report := aggregate.Message{Calls: 20, Marks: []aggregate.Mark{{Worker: 2, Bad: 3}},
-					Report: aggregate.Report{Incarnation: 1, Seq: uint8(i / 50), Values: []float64{12.5, 20, 3},
-						Fresh: i < 100},
+				report := aggregate.Message{
+					Calls: 20,
+					Marks: []aggregate.Mark{{Worker: 2, Bad: 3}},
+					Report: aggregate.Report{
+						Incarnation: 1,
+						Seq:         uint8(i / 50),
+						Values:      []float64{12.5, 20, 3},
+						Fresh:       i < 100,
+					},
 					Counts:  []aggregate.Count{{Worker: 4, N: from, Heard: true}, {Worker: 5, Silent: true}},
-					Holders: []aggregate.Holder{{Func: uint32(100 + from), Worker: 6}}}
+					Holders: []aggregate.Holder{{Func: uint32(100 + from), Worker: 6}},
+				}
 				balancer.HandlePeerMessage(now+6*ms, from, report.Encode(settings.Dispatchers)[0])
 			}
 		}
--- a/balancer/gossip_test.go
+++ b/balancer/gossip_test.go
@@ -7,8 +7,8 @@
 	"oakthread/aggregate"
 )
 
-// Found at full size: every dispatcher told every other several times a second, and the day was cut
-// off. What one dispatcher sends is bounded by its calls and by the number of its receivers.
+// TestGossipCostIsBounded proves that what a dispatcher sends is bounded by its calls and by the
+// number of its receivers.
 func TestGossipCostIsBounded(t *testing.T) {
 	for _, size := range []int{3, 250} {
 		settings := testSettings(Idempotent, ScopeAll)
@@ -35,12 +35,13 @@
 			t.Errorf("%d dispatchers: messages cost %.2f, %.2f earned", size, spent, limit)
 		}
 		if len(host.messages) == 0 {
-			t.Errorf("%d dispatchers: nothing was told", size)
+			t.Errorf("%d dispatchers: nothing was reported", size)
 		}
 	}
 }
 
-// A restarted dispatcher asks its peers and learns what is loaded, without loading it again.
+// TestRestartedDispatcherLearnsHoldersFromPeers proves that a restarted dispatcher asks others for
+// their holders and does not load again what is loaded.
 func TestRestartedDispatcherLearnsHoldersFromPeers(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.Gossip = true
@@ -68,8 +69,8 @@
 	}
 }
 
-// With many busy workers the counts fill a message; new holders must still be told, and nothing
-// pile up.
+// TestHoldersAreAnnouncedInALargeFleet proves that new holders are announced, and none pile up,
+// also where the counts of many busy workers fill a message.
 func TestHoldersAreAnnouncedInALargeFleet(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.Gossip = true
@@ -89,7 +90,7 @@
 	}
 	busy := 0
 	for _, worker := range b.endpoints.listed {
-		n := int(worker.peerCalls) // where a was the hub, b knows the sums; else a reported to b
+		n := int(worker.peerCalls) // where a was the leader, b knows the sums; else a reported to b
 		for _, report := range b.gossip.reports.bySender {
 			for i := 0; report != nil && i < len(report.counts); i++ {
 				if count := report.counts[i]; count.worker == worker {
@@ -100,13 +101,13 @@
 		busy += n
 	}
 	if len(a.gossip.announcements) > 0 || len(b.holders.functions) != 60 || busy != 60 {
-		t.Fatalf("%d holders left to tell, %d functions and %d calls known to the peer", len(a.gossip.announcements),
+		t.Fatalf("%d holders left to report, %d functions and %d calls known to the peer", len(a.gossip.announcements),
 			len(b.holders.functions), busy)
 	}
 }
 
-// Reports are summed at the hub and the sums reach all: overload is seen by a dispatcher with
-// little traffic.
+// TestDigestCarriesTheQueueToAll proves that reports are summed by the leader, and the digest shows
+// an overload to a dispatcher with little traffic.
 func TestDigestCarriesTheQueueToAll(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.Dispatchers, settings.Gossip = 3, true
@@ -125,7 +126,7 @@
 				balancer.endpoints.byID[2]))
 	}
 	balancer.HandlePeerMessage(5010*ms, 1, encodedDigest(balancer, 5010*ms, []float64{40, 0}))
-	for i := range 40 { // what we see ourselves is newer than what was told
+	for i := range 40 { // what we see ourselves is newer than what was reported
 		balancer.HandleRequest(5020*ms, testRequest(fmt.Sprint(i), 5020*ms, FuncID(i%4)))
 	}
 	for _, worker := range balancer.endpoints.listed {
@@ -137,13 +138,12 @@
 		const format = "expected wait %.0f ms with 40 of our calls queued, %.0f ms after a digest of an idle fleet"
 		t.Errorf(format, w/1e6, calm/1e6)
 	}
-	balancer.HandlePeerMessage(5040*ms, 99, encodedDigest(balancer, 5200*ms, []float64{1, 1})) // no such sibling
+	balancer.HandlePeerMessage(5040*ms, 99, encodedDigest(balancer, 5200*ms, []float64{1, 1})) // no such dispatcher
 	balancer.HandlePeerMessage(5000*ms, 1, "AAAA")
 }
 
-// Found with 300 dispatchers: a digest of all workers cost more than a hub may save up, so one was
-// sent in a whole day, and nothing was shared. Where none has come for some terms a hub tells the
-// sums, and what is silent.
+// TestLeaderSendsTheDigestItCanAfford proves that a leader of many that cannot pay for a full
+// digest sends, after some terms without one, the sums and the silent workers.
 func TestLeaderSendsTheDigestItCanAfford(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.Dispatchers, settings.Gossip, settings.PeerPrice, settings.OverloadWindow = 300, true, 0.021, 0
@@ -156,36 +156,40 @@
 			continue
 		}
 		for from := 1; from < 300; from++ { // each took some three calls
-			row := aggregate.Message{Calls: 3, Report: aggregate.Report{Incarnation: 1, Seq: uint8(at / term),
-				Values: []float64{7, 1}, Fresh: true},
-				Counts: []aggregate.Count{{Worker: uint16(1 + from%118), N: 1, Heard: true},
-					{Worker: 118, N: 1, Silent: true}}}
+			row := aggregate.Message{
+				Calls:  3,
+				Report: aggregate.Report{Incarnation: 1, Seq: uint8(at / term), Values: []float64{7, 1}, Fresh: true},
+				Counts: []aggregate.Count{
+					{Worker: uint16(1 + from%118), N: 1, Heard: true},
+					{Worker: 118, N: 1, Silent: true},
+				},
+			}
 			balancer.HandlePeerMessage(at, from, row.Encode(300)[0])
 		}
-		told := len(host.messages)
+		reported := len(host.messages)
 		for in := at; in < at/term*term+term; in += 30 * ms {
 			balancer.sendGossip(in)
 		}
 		if at > 20000*term {
-			t.Fatal("never the hub")
+			t.Fatal("never the leader")
 		}
-		if len(host.messages) == told {
-			t.Fatalf("told nothing, with %.1f earned", balancer.gossip.digestBudget.tokens)
+		if len(host.messages) == reported {
+			t.Fatalf("reported nothing, with %.1f earned", balancer.gossip.digestBudget.tokens)
 		}
-		message, ok := aggregate.Decode(host.messages[told], 300)
+		message, ok := aggregate.Decode(host.messages[reported], 300)
 		if !ok || message.Digest.Sums[0] < 299*7-1 || len(message.Counts) != 1 || message.Counts[0].Worker != 118 ||
 			!balancer.isReportedUnresponsive(at, balancer.endpoints.byID[118]) {
-			t.Fatalf("told %+v", message)
+			t.Fatalf("reported %+v", message)
 		}
-		if len(host.messages) > told+1 {
-			t.Fatalf("%d texts", len(host.messages)-told)
+		if len(host.messages) > reported+1 {
+			t.Fatalf("%d texts", len(host.messages)-reported)
 		}
 		return
 	}
 }
 
-// Found by reading: what others told of a worker's pace was told on as if seen, so that it never
-// faded. It weighs here, is told to nobody, and what we saw ourselves is not made less by it.
+// TestReportedPaceIsNotReportedOn proves that a pace that others report weighs here, is not
+// reported on, and does not lessen what was observed here; else it would never fade.
 func TestReportedPaceIsNotReportedOn(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.Dispatchers, settings.Gossip = 12, true
@@ -194,11 +198,11 @@
 	before := balancer.weightedLoad(now, balancer.endpoints.byID[1])
 	balancer.applyEvidence(now, []aggregate.Mark{{Worker: 1, Good: 3, Pace: 16}, {Worker: 2, Good: 3, Pace: 16}})
 	if l := balancer.weightedLoad(now, balancer.endpoints.byID[1]); l < 3*before {
-		t.Errorf("load %.1f with calls told to take four times as long, %.1f before", l, before)
+		t.Errorf("load %.1f with calls reported to take four times as long, %.1f before", l, before)
 	}
 	if _, says := balancer.outliers.Mark(now, &balancer.endpoints.byID[1].outlierStats,
 		balancer.relativeLatency(now, balancer.endpoints.byID[1])); says {
-		t.Error("it is told on")
+		t.Error("it is reported on")
 	}
 	balancer.endpoints.byID[2].pace, balancer.endpoints.byID[2].paceAt = 8, now
 	if l := balancer.weightedLoad(now, balancer.endpoints.byID[2]); l < 30*before {
--- a/balancer/gossipmessage.go
+++ b/balancer/gossipmessage.go
@@ -65,8 +65,8 @@
 		mark, marked = b.mergeReported(now, worker, &count, mark, marked)
 	}
 	if marked {
-		message.Marks = append(message.Marks, aggregate.Mark{Worker: count.Worker, Good: mark.Good, Bad: mark.Bad,
-			Pace: mark.Pace})
+		reported := aggregate.Mark{Worker: count.Worker, Good: mark.Good, Bad: mark.Bad, Pace: mark.Pace}
+		message.Marks = append(message.Marks, reported)
 	}
 	if count.N == 0 && !count.Silent && !count.Heard {
 		return
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -43,8 +43,8 @@
 	return len(w.inFlight) > 0 && now > w.inFlight[0].dueAt && w.lastResponseAt <= w.inFlight[0].sentAt
 }
 
-// trialDue reports whether r may be sent to an unhealthy worker as a trial. A worker that no
-// dispatcher reaches is tried by a few of them in turn, one that is reported to serve nobody by
+// trialDue reports whether a request may be sent to an unhealthy worker as a trial. A worker that
+// no dispatcher reaches is tried by a few of them in turn, one that is reported to serve nobody by
 // one.
 func (b *Balancer) trialDue(now int64, worker *workerState, request *requestState) bool {
 	assigned := int(wellInformedDispatchers)
@@ -122,8 +122,13 @@
 	for _, worker := range b.endpoints.listed {
 		pace := b.relativeLatency(now, worker)
 		silent := b.isReportedUnresponsive(now, worker) && !b.outliers.ByWords(now, &worker.outlierStats)
-		health := WorkerHealth{worker.Worker, worker.Zone, pace, silent,
-			b.outliers.State(now, &worker.outlierStats, worker.Zone, pace)}
+		health := WorkerHealth{
+			Worker: worker.Worker,
+			Zone:   worker.Zone,
+			Pace:   pace,
+			Silent: silent,
+			State:  b.outliers.State(now, &worker.outlierStats, worker.Zone, pace),
+		}
 		if health.Silent && health.Status == outlier.StatusHealthy {
 			health.Status = outlier.StatusEjected
 			health.Evidence = "several found it silent, and nobody had an answer"
--- a/balancer/health_test.go
+++ b/balancer/health_test.go
@@ -8,6 +8,8 @@
 	"oakthread/outlier"
 )
 
+// TestSilentWorkerGetsNoCalls proves that a worker that answers nothing gets no calls after a
+// while.
 func TestSilentWorkerGetsNoCalls(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 4)
 	markAllResponded(balancer)
@@ -30,9 +32,8 @@
 	}
 }
 
-// Found with 80 dispatchers and a zone of more than half of the workers lost: over half looked
-// sick, so the judgement was distrusted and calls went there again, and each dispatcher tried each
-// of them over and over by itself.
+// TestLostZoneIsTriedByFewDispatchers proves that after the loss of a zone with more than half of
+// the workers, the rest are used, and only a few dispatchers at a time try the lost ones.
 func TestLostZoneIsTriedByFewDispatchers(t *testing.T) {
 	const workers, lost = 10, 7
 	trials, heard := map[WorkerID]int{}, 0
@@ -70,9 +71,9 @@
 		}
 		for _, many := range []int{3, 80} { // of few, each finds out for itself soon
 			balancer.settings.Dispatchers = many
-			if told := balancer.isReportedUnresponsive(now+3*balancer.shortestObjective,
-				balancer.endpoints.byID[2]); told != (many == 80) {
-				t.Fatalf("three aims later, %d dispatchers: told silent %v", many, told)
+			if reported := balancer.isReportedUnresponsive(now+3*balancer.shortestObjective,
+				balancer.endpoints.byID[2]); reported != (many == 80) {
+				t.Fatalf("three objectives later, %d dispatchers: reported silent %v", many, reported)
 			}
 		}
 	}
@@ -86,9 +87,8 @@
 	}
 }
 
-// Found at full size: a dispatcher that stands still for two seconds finds its bell and all answers
-// at once. The bell comes first: nobody may be blamed, nothing sent again or ended before the
-// answers are heard.
+// TestStallBlamesNoWorker proves that after the process stood still, the late timer blames no
+// worker and neither retries nor ends a request before the answers that came meanwhile are read.
 func TestStallBlamesNoWorker(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 4)
 	markAllResponded(balancer)
@@ -119,9 +119,9 @@
 	}
 }
 
-// Guards against cut connections passing for a dead worker: ejected, it would lose its calls and
-// all beliefs about it. Where connections are cut everywhere, all would be out in turn. The call
-// goes to the copy again, once. A refused connection tells of a death at once.
+// TestResetConnectionsEjectNoWorker proves that a reset connection neither ejects its worker nor
+// ends the belief in its copies, since some networks reset everywhere; the call goes to the copy
+// once more. A refused connection shows at once that the worker is down.
 func TestResetConnectionsEjectNoWorker(t *testing.T) {
 	for lately, res := range map[int64]Result{100 * ms: Reset, 1500 * ms: Reset, 1501 * ms: ConnectFailed} {
 		balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 4)
@@ -153,10 +153,9 @@
 	}
 }
 
-// Found at full size (300 dispatchers, a zone cut off for 6 s): each learnt about 70 executors one
-// by one, at a call each, tried them over and over, and took 11 s and more to use them again. After
-// three of them in a row the zone is left out, few calls are spent on it, and its first answer
-// brings all back at once.
+// TestPartitionedZoneIsEjectedAndRestoredAsOne proves that after three unreachable workers in a row
+// their zone is left out, few calls are spent on it, and its first answer restores all of its
+// workers at once.
 func TestPartitionedZoneIsEjectedAndRestoredAsOne(t *testing.T) {
 	const cutAt, healAt, end, workers = 2000 * ms, 8000 * ms, 11000 * ms, 40
 	for seed := range uint64(4) {
--- a/balancer/hedge_test.go
+++ b/balancer/hedge_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Found at full size: answers that never come from workers that answer others. The more are lost,
-// the sooner a copy.
+// TestLostAnswersHedgeSooner proves that the more answers are lost by workers that answer others,
+// the sooner a hedge is sent.
 func TestLostAnswersHedgeSooner(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 1)
 	markAllResponded(balancer)
@@ -44,17 +44,17 @@
 	}
 }
 
-// Guards against loads that pass for lost answers. A copy that only a peer told of may be loading,
-// and one believed to stand may have been pushed out; either way the worker answers others. Taken
-// for lost, such calls would bring copies of themselves ever sooner, and these more loads. An
-// answer is lost where the copy answered others meanwhile.
+// TestLoadsAreNotLostAnswers proves that a call that waits for a load does not count as a lost
+// answer, although its worker answers others: a copy that only a peer reported may be loading, and
+// one believed loaded may have been unloaded. Counted as lost, such calls would be hedged ever
+// sooner and cause more loads. An answer is lost where the same copy answered others meanwhile.
 func TestLoadsAreNotLostAnswers(t *testing.T) {
 	for name, c := range map[string]struct {
-		told, hit, lost bool
+		reported, hit, lost bool
 	}{
 		"the copy answered others": {hit: true, lost: true},
 		"another function's did":   {},
-		"a peer told of the copy":  {told: true},
+		"a peer reported the copy": {reported: true},
 	} {
 		settings := testSettings(Idempotent, ScopeAll)
 		settings.LoadsOnMiss = false // nothing is held for an order
@@ -66,9 +66,9 @@
 			balancer.HandleAttemptResult(10*ms, successful(id, host.lastWorker[id]))
 		}
 		holder := balancer.holders.functions[1].holders[0]
-		holder.confirmed = !c.told
+		holder.confirmed = !c.reported
 		balancer.HandleRequest(20*ms, testRequest("x", 20*ms, 1))
-		if attempt := balancer.requests["x"].attempts[0]; c.told != (attempt.dueAt-attempt.sentAt > 1000*ms) {
+		if attempt := balancer.requests["x"].attempts[0]; c.reported != (attempt.dueAt-attempt.sentAt > 1000*ms) {
 			t.Errorf("%s: due after %d ms", name, (attempt.dueAt-attempt.sentAt)/ms)
 		}
 		other := FuncID(2)
@@ -86,9 +86,9 @@
 	}
 }
 
-// Guards against calls that wait to their end for an answer that is lost, where one worker alone
-// holds the copy: the same is asked again. Not before the copy has answered others, nor once a copy
-// of the call cannot come in time.
+// TestLostAnswerIsRetriedAtTheSameWorker proves that a call whose answer is lost is sent to the
+// same worker again if that alone holds the copy; not before the copy has answered others, nor once
+// an answer cannot come in time.
 func TestLostAnswerIsRetriedAtTheSameWorker(t *testing.T) {
 	for name, c := range map[string]struct {
 		aim   int64
--- a/balancer/holders.go
+++ b/balancer/holders.go
@@ -131,8 +131,8 @@
 	return function
 }
 
-// expiringWithin lists the holders at w whose belief ends within a time, by function ID, so that
-// nothing depends on the order of a map. The result is valid until the next call.
+// expiringWithin lists the holders at a worker whose belief ends within a time, by function ID, so
+// that nothing depends on the order of a map. The result is valid until the next call.
 func (t *holderTable) expiringWithin(now int64, worker *workerState, within int64) []*holderState {
 	expiring := t.expiring[:0]
 	for _, holder := range worker.holders {
--- a/balancer/loadorders.go
+++ b/balancer/loadorders.go
@@ -104,7 +104,7 @@
 	holder.copies = copies
 }
 
-// dispatchWaiting dispatches the requests that were held here for a load of f.
+// dispatchWaiting dispatches the requests that were held here for a load of a function.
 func (b *Balancer) dispatchWaiting(now int64, function *functionState) {
 	waiting := function.waiting
 	function.waiting = nil
--- a/balancer/loadorders_test.go
+++ b/balancer/loadorders_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// TestLoadOrdersKeepTheQuota proves that no more loads are ordered than the quota allows.
 func TestLoadOrdersKeepTheQuota(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.LoadQuotaWindow, settings.LoadQuotaBase, settings.LoadsOnMiss = 1000*ms, 2, false
@@ -19,9 +20,9 @@
 	}
 }
 
-// Guards against workers' queues that fill with calls for copies still loading: such calls wait
-// here, one order loads, and its end sends them. A load that outlasts their patience gets them all
-// the same, in time.
+// TestCallsWaitForALoadAtTheDispatcher proves that calls for a copy that is loading wait at the
+// dispatcher rather than in a bounded queue; one order loads, and its result sends them. If the
+// load takes too long they are sent all the same, in time.
 func TestCallsWaitForALoadAtTheDispatcher(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 3)
 	markAllResponded(balancer)
@@ -57,8 +58,8 @@
 	}
 }
 
-// Guards memory, which idle copies cost and loads wait for: one that is hardly called goes after
-// half the keep-alive, one that is called now and then stays, and so does one with a call out.
+// TestIdleCopiesAreUnloaded proves that a copy that is hardly called is unloaded after half of the
+// keep-alive; one that is called now and then stays, and so does one with a call in flight.
 func TestIdleCopiesAreUnloaded(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 3)
 	markAllResponded(balancer)
@@ -81,9 +82,9 @@
 	}
 }
 
-// Guards against an order that was cut off, or never written, passing for a worker without room:
-// its calls would be sent to wait there, or load elsewhere. It is given again, within the ration;
-// after a no the call is sent.
+// TestInterruptedLoadOrdersAreRepeated proves that a load order that was reset or never sent says
+// nothing of the room at its worker: it is given again, within the quota. After a refusal the call
+// is sent.
 func TestInterruptedLoadOrdersAreRepeated(t *testing.T) {
 	for res, orders := range map[Result]int{Reset: 3, NotSent: 3, QueueFull: 1, Error: 1} {
 		settings := testSettings(Idempotent, ScopeAll)
@@ -104,8 +105,8 @@
 	}
 }
 
-// Calls of functions that no worker serves earn no orders to load: the platform does not count them
-// as taken. Found on a day of clients that call functions which do not exist.
+// TestCallsOfUnknownFunctionsEarnNoLoadOrders proves that calls of functions that no worker serves
+// earn no load orders, since the platform does not count them.
 func TestCallsOfUnknownFunctionsEarnNoLoadOrders(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.LoadQuotaWindow, settings.LoadQuotaBase, settings.LoadQuotaRatio = 5000*ms, 1, 0.25
--- a/balancer/loadtime.go
+++ b/balancer/loadtime.go
@@ -51,7 +51,7 @@
 	m.share += loadShareWeight * (needed - m.share)
 }
 
-// expected returns the time, in nanoseconds, that a load of f is expected to take.
+// expected returns the time, in nanoseconds, that a load of a function is expected to take.
 func (m *loadModel) expected(function *functionState) float64 {
 	return max(float64(function.loadTime), m.duration.mean) * m.slowdown
 }
--- a/balancer/longlist_test.go
+++ b/balancer/longlist_test.go
@@ -15,11 +15,7 @@
 	"oakthread/aggregate"
 )
 
-// This file owns the tests of choices in lists too long to be walked: what they look at, that they
-// leave out nobody whom a rule needs, and that rounds over what was touched lately say what rounds
-// over the whole list would. Bounds are counts, not times.
-
-const scanAlways, scanNever = math.MaxInt, -1 // of Settings.Walk
+const scanAlways, scanNever = math.MaxInt, -1 // of Settings.FullScanLimit
 
 // examinedWorkersOf are the workers that the last choice looked at.
 func examinedWorkersOf(balancer *Balancer) (workers []*workerState) {
@@ -31,6 +27,8 @@
 	return workers
 }
 
+// TestChoiceExaminesABoundedNumberInALongList proves that a choice examines all workers of a short
+// list, and of a long one a number that does not depend on its length.
 func TestChoiceExaminesABoundedNumberInALongList(t *testing.T) {
 	for _, n := range []int{3, 120, 256, 257, 600, 1900, 9600} {
 		settings := testSettings(Idempotent, ScopeAll)
@@ -44,7 +42,7 @@
 			if n <= defaultFullScanLimit {
 				assert.Len(t, looked, n)
 			} else {
-				assert.LessOrEqual(t, len(looked), ringWindow+sampleSize+ringWindow, "%d executors", n)
+				assert.LessOrEqual(t, len(looked), ringWindow+sampleSize+ringWindow, "%d workers", n)
 			}
 			assert.Contains(t, looked, balancer.endpoints.byID[host.lastWorker[id]])
 			balancer.HandleAttemptResult(now+ms, successful(id, host.lastWorker[id]))
@@ -52,8 +50,7 @@
 	}
 }
 
-// The mechanism's first clause in a list of any length: the copy that is believed to stand is
-// found.
+// TestLongListChoiceFindsTheHolder proves that a believed holder is found in a list of any length.
 func TestLongListChoiceFindsTheHolder(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.Dispatchers = 300
@@ -71,14 +68,14 @@
 	}
 }
 
-// Dispatchers that know nothing of each other load a function in one place, as where the whole list
-// is walked, also where each lacks other executors of the list.
+// TestLongListUninformedDispatchersLoadInOnePlace proves that dispatchers that know nothing of each
+// other load a function in one place in a long list too, also where each lacks other workers of it.
 func TestLongListUninformedDispatchersLoadInOnePlace(t *testing.T) {
-	places := func(walk int) (n int) {
-		at := map[[2]int]bool{} // function and executor
+	places := func(scanLimit int) (n int) {
+		at := map[[2]int]bool{} // function and worker
 		for i := range 40 {
 			settings := testSettings(Idempotent, ScopeAll)
-			settings.Dispatchers, settings.DispatcherIndex, settings.FullScanLimit = 300, i, walk
+			settings.Dispatchers, settings.DispatcherIndex, settings.FullScanLimit = 300, i, scanLimit
 			balancer, host := newTestBalancer(t, settings, 1900)
 			gone := WorkerID(1 + (i*997)%1900)
 			balancer.UpdateEndpoints(0, EndpointsDelta, []Endpoint{{Worker: gone, State: Removed}})
@@ -94,7 +91,8 @@
 	assert.LessOrEqual(t, part, whole+4, "places of 20 functions over 40 dispatchers; %d where all is walked", whole)
 }
 
-// A hot function reaches as many executors as its calls need, together and not one after the other.
+// TestLongListHotFunctionSpreads proves that a hot function reaches as many workers as its calls
+// need, at once and not one after the other.
 func TestLongListHotFunctionSpreads(t *testing.T) {
 	at := map[WorkerID]int{}
 	for i := range 100 {
@@ -104,7 +102,7 @@
 		markAllResponded(balancer)
 		request := testRequest("x", 3000*ms, 5)
 		function := balancer.holders.functionFor(3000*ms, request)
-		// one a second here, 200 in all: at 0.25 s and a copy's two lanes half taken, 50 places
+		// one a second here, 200 in all: at 0.25 s and a copy's two slots half taken, 50 places
 		function.recentCalls = decayingCounter{8, 3000 * ms}
 		balancer.HandleRequest(3000*ms, request)
 		at[host.lastWorker["x"]]++
@@ -113,8 +111,8 @@
 	assert.Less(t, len(at), 120)
 }
 
-// Functions spread over the executors: no executor is the place of far more than its part, and few
-// of none.
+// TestLongListPlacesAreEven proves that no worker is the place of far more functions than its
+// share, and few of none.
 func TestLongListPlacesAreEven(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.Dispatchers = 300
@@ -132,11 +130,12 @@
 	for _, n := range at {
 		most = max(most, n)
 	}
-	assert.Less(t, most, 30, "functions of one executor, ten on the mean")
-	assert.Greater(t, len(at), 1880, "executors that are the place of any")
+	assert.Less(t, most, 30, "functions of one worker, ten on the mean")
+	assert.Greater(t, len(at), 1880, "workers that are the place of any")
 }
 
-// Busy executors are left to others: with three in ten crowded hardly a call goes to one of these.
+// TestLongListChoiceAvoidsCrowdedWorkers proves that with three workers in ten crowded, hardly a
+// call goes to one of these.
 func TestLongListChoiceAvoidsCrowdedWorkers(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	balancer, _ := newTestBalancer(t, settings, 1900)
@@ -157,7 +156,8 @@
 	assert.Less(t, crowded, 15, "of 500 choices; none where all is walked")
 }
 
-// An executor that is out gets its trial also in a long list, as soon as it is drawn.
+// TestLongListTrialsReachEjectedWorkers proves that an ejected worker gets its trial in a long list
+// too, as soon as it is sampled.
 func TestLongListTrialsReachEjectedWorkers(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.Dispatchers, settings.LoadsOnMiss = 1, false
@@ -179,8 +179,8 @@
 	assert.False(t, balancer.isEjected(sick), "back after trials that went well")
 }
 
-// Found by reading: an executor that was first told of as stopped was listed for good but never in
-// the list, and got no call when it came on.
+// TestWorkerListedAsRemovedFirstBecomesActive proves that a worker that is first reported as
+// removed gets calls once it is active.
 func TestWorkerListedAsRemovedFirstBecomesActive(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 0)
 	balancer.UpdateEndpoints(0, EndpointsDelta, []Endpoint{{Worker: 5, State: Removed, Weight: 1}})
@@ -189,8 +189,8 @@
 	assert.Equal(t, WorkerID(5), host.lastWorker["x"])
 }
 
-// A class with keys may be repeated in its own group alone: the one executor left there is found,
-// however long the list.
+// TestLongListRetryFindsTheOneWorkerLeft proves that a call with an idempotency key may be retried
+// only in its own scope: the one worker left there is found, however long the list.
 func TestLongListRetryFindsTheOneWorkerLeft(t *testing.T) {
 	for _, n := range []int{3, 300} {
 		balancer, _ := newTestBalancer(t, testSettings(IdempotentByKey, ScopeZone), n)
@@ -205,9 +205,8 @@
 	}
 }
 
-// Found at full size: with lists taken for long from 129 executors on, the days of a release fell
-// (roll 0.48 to 0.31, herd 0.90 to 0.66), where old ones may drain beside new ones (the cause was
-// reasoned, not played alone): no look goes to one that drains.
+// TestLongListSamplesNoDrainingWorker proves that no sample of a long list contains a draining
+// worker, also when a third of the list drains.
 func TestLongListSamplesNoDrainingWorker(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.Dispatchers = 300
@@ -231,12 +230,11 @@
 	}
 }
 
-// What is gathered from a part of the list is what the whole would give, over any events: calls,
-// ends of all kinds, lists whole and in parts, restarts, drains, reports and digests of others, and
-// silence.
+// TestRoundsOverActiveWorkersMissNone proves that what is gathered from the active workers is what
+// the complete list would give, over any events.
 func TestRoundsOverActiveWorkersMissNone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.SampledFrom([]int{3, 17, 64, 129, 400, 1900}).Draw(t, "executors")
+		n := rapid.SampledFrom([]int{3, 17, 64, 129, 400, 1900}).Draw(t, "workers")
 		settings := testSettings(Idempotency(rapid.IntRange(0, 2).Draw(t, "effect")), ScopeAll)
 		settings.Dispatchers, settings.DispatcherIndex, settings.Gossip, settings.FullScanLimit = 20, 1, true, scanNever
 		settings.QueueField = 1
@@ -308,7 +306,7 @@
 			case 9:
 				balancer.HandlePeerMessage(now, 3,
 					encodedDigest(balancer, now, []float64{5, 1},
-						aggregate.Count{Worker: workerTag(few("told")), N: 1, Silent: true}))
+						aggregate.Count{Worker: workerTag(few("reported")), N: 1, Silent: true}))
 			}
 			take()
 			requireSameRounds(t, balancer, now)
@@ -316,8 +314,8 @@
 	})
 }
 
-// requireSameRounds compares what a dispatcher finds by what was touched with what it finds in the whole
-// list.
+// requireSameRounds compares what a dispatcher finds by what was touched with what it finds in the
+// whole list.
 func requireSameRounds(t require.TestingT, balancer *Balancer, now int64) {
 	on := 0
 	for _, worker := range balancer.endpoints.listed {
@@ -346,9 +344,9 @@
 		}
 	}
 	require.Equal(t, n, balancer.queuedCalls(now))
-	for _, hub := range []bool{false, true} {
-		said := func(walk int) (message aggregate.Message) {
-			balancer.endpoints.fullScanLimit, message.FromLeader = walk, hub
+	for _, leader := range []bool{false, true} {
+		said := func(scanLimit int) (message aggregate.Message) {
+			balancer.endpoints.fullScanLimit, message.FromLeader = scanLimit, leader
 			balancer.fillMessage(now, &message)
 			slices.SortFunc(message.Counts, func(a, b aggregate.Count) int { return cmp.Compare(a.Worker, b.Worker) })
 			slices.SortFunc(message.Marks, func(a, b aggregate.Mark) int { return cmp.Compare(a.Worker, b.Worker) })
@@ -357,59 +355,60 @@
 		}
 		part, whole := said(scanNever), said(scanAlways)
 		balancer.endpoints.fullScanLimit = scanNever
-		require.Equal(t, whole.Counts, part.Counts, "hub %v", hub)
-		require.Equal(t, whole.Marks, part.Marks, "hub %v", hub)
+		require.Equal(t, whole.Counts, part.Counts, "leader %v", leader)
+		require.Equal(t, whole.Marks, part.Marks, "leader %v", leader)
 	}
 }
 
-// What is not gathered because the last message was dearer than what is saved up is gathered later.
+// TestGossipBudgetDelaysNoLongerThanItMust proves that what is not gathered because the last
+// message cost more than the budget holds is gathered later.
 func TestGossipBudgetDelaysNoLongerThanItMust(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.Dispatchers, settings.Gossip, settings.PeerPrice = 6, true, 0.5
 	settings.FullScanLimit, settings.LoadsOnMiss = scanNever, false
 	balancer, host := newTestBalancer(t, settings, 200)
 	rng := rand.New(rand.NewPCG(1, 1))
-	told := 0
+	reported := 0
 	for i := range 4000 {
 		now := int64(i) * 5 * ms
 		id := fmt.Sprint(i)
 		balancer.HandleRequest(now, testRequest(id, now, FuncID(rng.IntN(100))))
 		balancer.HandleAttemptResult(now+ms, successful(id, host.lastWorker[id]))
 		balancer.HandleTimer(now+2*ms, host.timerRef)
-		told += len(host.messages)
+		reported += len(host.messages)
 		host.messages, host.receivers, host.attempts = nil, nil, nil
 		assert.GreaterOrEqual(t, balancer.gossip.reportBudget.tokens, 0.0)
 		assert.GreaterOrEqual(t, balancer.gossip.digestBudget.tokens, 0.0)
 	}
-	assert.Greater(t, told, 20, "messages in 20 s: what a purse saves up is spent")
+	assert.Greater(t, reported, 20, "messages in 20 s: what a budget saves up is spent")
 }
 
-// A digest tells the same of every executor whether those that it leaves out are set at once or
-// found idle when they are asked for.
+// TestLongListDigestLeavesOutIdleWorkers proves that a digest has the same effect on every worker
+// whether those that it leaves out are set at once or when they are looked at.
 func TestLongListDigestLeavesOutIdleWorkers(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.Dispatchers, settings.Gossip = 20, true
 	var both [2]*Balancer
-	for i, walk := range []int{scanAlways, scanNever} {
-		settings.FullScanLimit = walk
+	for i, scanLimit := range []int{scanAlways, scanNever} {
+		settings.FullScanLimit = scanLimit
 		balancer, _ := newTestBalancer(t, settings, 300)
 		both[i] = balancer
-		for _, told := range []struct {
+		for _, reported := range []struct {
 			at   int64
 			busy []uint16
 		}{{10_000 * ms, []uint16{1, 2, 3, 200}}, {11_000 * ms, []uint16{2, 201}}} {
 			var counts []aggregate.Count
-			for _, w := range told.busy {
+			for _, w := range reported.busy {
 				counts = append(counts, aggregate.Count{Worker: w, N: int(w%7) + 1})
 			}
-			require.True(t, balancer.HandlePeerMessage(told.at, 3,
-				encodedDigest(balancer, told.at, []float64{5, 1}, counts...)))
+			require.True(t, balancer.HandlePeerMessage(reported.at, 3,
+				encodedDigest(balancer, reported.at, []float64{5, 1}, counts...)))
 		}
 	}
 	for i := range both[0].endpoints.listed {
 		for _, at := range []int64{11_000 * ms, 11_500 * ms, 30_000 * ms} {
 			assert.Equal(t, both[0].inFlightAt(at, both[0].endpoints.listed[i]),
-				both[1].inFlightAt(at, both[1].endpoints.listed[i]), "executor %d", i+1)
+				both[1].inFlightAt(at, both[1].endpoints.listed[i]), "worker %d", i+1)
 		}
 	}
 	assert.Equal(t, both[0].endpoints.medianPeerCalls, both[1].endpoints.medianPeerCalls)
--- a/balancer/placement_test.go
+++ b/balancer/placement_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Found at full size: with nothing known of each other, every dispatcher loaded its own copy of
-// everything.
+// TestUninformedDispatchersLoadInOnePlace proves that dispatchers that know nothing of each other
+// load a function at one worker, and functions spread over the workers.
 func TestUninformedDispatchersLoadInOnePlace(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.Dispatchers = 50
@@ -35,9 +35,8 @@
 	}
 }
 
-// Found with 80 dispatchers: each saw little of any worker's load, and each left out others as too
-// heavy, so that one function in two was loaded where it stood elsewhere. Few dispatchers see
-// enough to go by the load.
+// TestDispatchersWithDifferentViewsLoadInOnePlace proves that many dispatchers with different views
+// of the loads still load a function in few places, while few dispatchers go by the load.
 func TestDispatchersWithDifferentViewsLoadInOnePlace(t *testing.T) {
 	const workers, functions = 40, 40
 	copies, heavy := map[int]int{}, map[int]int{}
@@ -78,8 +77,8 @@
 	}
 }
 
-// Found at full size: 50 dispatchers had one first choice for a hot function. It has as many as its
-// calls need, and a function that each of them calls once keeps one.
+// TestHotFunctionGetsThePlacesItNeeds proves that a hot function has as many first choices as its
+// calls need, and one that each dispatcher calls once keeps one.
 func TestHotFunctionGetsThePlacesItNeeds(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.Dispatchers = 50
@@ -104,16 +103,15 @@
 	}
 }
 
-// A function that each of many dispatchers met twice lately is loaded in few places, also while
-// answers are slow since queues are long: else each takes chance, or clients that come again, for a
-// hot function, and makes it a place of its own.
+// TestChanceCallsMakeNoFunctionHot proves that a function that each of many dispatchers met twice
+// by chance is loaded in few places, also while answers are slow because queues are long.
 func TestChanceCallsMakeNoFunctionHot(t *testing.T) {
-	for _, walk := range []int{scanAlways, scanNever} {
+	for _, scanLimit := range []int{scanAlways, scanNever} {
 		const functions = 20
 		at := map[[2]int]bool{}
 		for i := range 40 {
 			settings := testSettings(Idempotent, ScopeAll)
-			settings.Dispatchers, settings.DispatcherIndex, settings.FullScanLimit = 300, i*7, walk
+			settings.Dispatchers, settings.DispatcherIndex, settings.FullScanLimit = 300, i*7, scanLimit
 			balancer, host := newTestBalancer(t, settings, 120)
 			markAllResponded(balancer)
 			balancer.latencies[0] = latency{float64(1000 * ms), float64(500 * ms)}
@@ -126,7 +124,7 @@
 			}
 		}
 		if len(at) > 2*functions {
-			t.Errorf("walk %d: %d functions have %d places over 40 dispatchers", walk, functions, len(at))
+			t.Errorf("scanLimit %d: %d functions have %d places over 40 dispatchers", scanLimit, functions, len(at))
 		}
 	}
 }
--- a/balancer/random_test.go
+++ b/balancer/random_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestRulesHoldUnderRandomEvents checks the rules from outside over seeded random days, hostile ones
-// too.
+// TestRulesHoldUnderRandomEvents proves that the rules hold, seen from outside, over seeded random
+// days with hostile events.
 func TestRulesHoldUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(120) {
 		rng := rand.New(rand.NewPCG(seed%60, 1))
@@ -34,7 +34,7 @@
 		mayRun := map[string]int{}
 		tries := map[string]int{}
 		var out []open
-		bells := [][2]int64{}
+		timers := [][2]int64{}
 		now := int64(0)
 		check := func() {
 			for _, attempt := range host.attempts {
@@ -62,17 +62,17 @@
 			}
 			host.attempts = host.attempts[:0]
 			for id, a := range host.answers {
-				if a != "refused" && a != "failed" || finished[id] {
+				if a != "rejected" && a != "failed" || finished[id] {
 					t.Fatalf("seed %d: %s answered %q", seed, id, a)
 				}
-				if a == "refused" && effect == NotIdempotent && mayRun[id] > 0 {
-					t.Fatalf("seed %d: unsafe call refused after it may have run", seed)
+				if a == "rejected" && effect == NotIdempotent && mayRun[id] > 0 {
+					t.Fatalf("seed %d: unsafe call rejected after it may have run", seed)
 				}
 				delete(host.answers, id)
 				finished[id] = true
 			}
 			for i, dl := range host.timerDelays {
-				bells = append(bells, [2]int64{now + dl, host.timerRef - int64(len(host.timerDelays)-1-i)})
+				timers = append(timers, [2]int64{now + dl, host.timerRef - int64(len(host.timerDelays)-1-i)})
 			}
 			host.timerDelays = host.timerDelays[:0]
 			for id, dl := range deadline {
@@ -85,13 +85,13 @@
 		}
 		for step := range 3000 {
 			now += int64(rng.IntN(8)) * ms
-			due := bells
-			bells = nil
+			due := timers
+			timers = nil
 			for _, b := range due {
 				if b[0] <= now {
 					balancer.HandleTimer(now, b[1])
 				} else {
-					bells = append(bells, b)
+					timers = append(timers, b)
 				}
 			}
 			check()
@@ -137,6 +137,8 @@
 	}
 }
 
+// TestMemoryIsBounded proves that requests, functions, workers and timers that are over are
+// forgotten.
 func TestMemoryIsBounded(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 4)
 	for i := range 20000 {
--- a/balancer/reportedstate.go
+++ b/balancer/reportedstate.go
@@ -52,8 +52,8 @@
 	return s
 }
 
-// mergeReported adds what others reported of w to our own count, and merges all marks, one of each
-// observer. It is called once in a round for each worker.
+// mergeReported adds what others reported of a worker to our own count, and merges all marks, one
+// of each observer. It is called once in a round for each worker.
 func (b *Balancer) mergeReported(
 	now int64, worker *workerState, count *aggregate.Count, own outlier.Mark, marked bool,
 ) (outlier.Mark, bool) {
--- a/balancer/reports_test.go
+++ b/balancer/reports_test.go
@@ -12,12 +12,8 @@
 	"oakthread/outlier"
 )
 
-// This file owns the tests of how reports of others are held and added up: that a digest says what
-// one would that is made anew from all that each worker was ever told of, and that reading a report
-// looks at nothing that others told. It must never bound a time.
-
-// reportModel holds what others told by worker and not by who told it, and adds up anew each time:
-// the plain model.
+// reportModel is the plain model of reports: it holds what others reported by worker and not by
+// sender, and adds up anew each time.
 type reportModel struct {
 	balancer  *Balancer
 	byWorker  map[*workerState]*modelState
@@ -148,16 +144,17 @@
 	return outlier.Mark(word), word.Says(stands)
 }
 
-// What a digest says of each executor is what the plain model says, over any events: reports in
-// several texts, lost, doubled, late and of restarted dispatchers, executors told of twice in a
-// text, digests, lists whole and in parts, restarts, calls, and time in which all grows old.
+// TestReportSumsMatchThePlainModel proves that the sums of reports are those of a model that adds
+// up anew, over any events: reports in several messages, lost, duplicated, late and of restarted
+// dispatchers, workers reported twice in a message, digests, complete and partial lists, restarts,
+// calls and time.
 func TestReportSumsMatchThePlainModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.SampledFrom([]int{3, 17, 64, 300, 960}).Draw(t, "executors")
+		n := rapid.SampledFrom([]int{3, 17, 64, 300, 960}).Draw(t, "workers")
 		settings := testSettings(Idempotent, ScopeAll)
 		settings.Dispatchers, settings.DispatcherIndex, settings.Gossip = rapid.SampledFrom([]int{3, 20, 300,
-			1900}).Draw(t, "siblings"), 1, true
-		settings.FullScanLimit = rapid.SampledFrom([]int{scanAlways, 0, scanNever}).Draw(t, "walk")
+			1900}).Draw(t, "dispatchers"), 1, true
+		settings.FullScanLimit = rapid.SampledFrom([]int{scanAlways, 0, scanNever}).Draw(t, "scanLimit")
 		settings.LoadsOnMiss = rapid.Bool().Draw(t, "orders")
 		host := newFakeHost()
 		const began = 100_000 * ms
@@ -262,14 +259,21 @@
 						activeEndpoints(rapid.SampledFrom([]int{n, n / 2, 1}).Draw(t, "whole")))
 				})
 			case 11:
-				message := aggregate.Message{FromLeader: true,
-					Marks: []aggregate.Mark{{Worker: workerTag(few("judged")), Bad: 9}}, Digest: aggregate.Digest{
-						Tick: uint16(now / balancer.settings.ClockResolution), Sums: []float64{9,
-							9}, MissingSums: []float64{0, 0}, MissingMoved: []float64{0, 0},
-						Covered: aggregate.NewSet(settings.Dispatchers), Missing: aggregate.NewSet(settings.Dispatchers)}}
-				for range rapid.IntRange(0, 3).Draw(t, "told") {
+				message := aggregate.Message{
+					FromLeader: true,
+					Marks:      []aggregate.Mark{{Worker: workerTag(few("judged")), Bad: 9}},
+					Digest: aggregate.Digest{
+						Tick:         uint16(now / balancer.settings.ClockResolution),
+						Sums:         []float64{9, 9},
+						MissingSums:  []float64{0, 0},
+						MissingMoved: []float64{0, 0},
+						Covered:      aggregate.NewSet(settings.Dispatchers),
+						Missing:      aggregate.NewSet(settings.Dispatchers),
+					},
+				}
+				for range rapid.IntRange(0, 3).Draw(t, "reported") {
 					message.Counts = append(message.Counts,
-						aggregate.Count{Worker: workerTag(few("told of")), N: 2, Silent: rapid.Bool().Draw(t, "mute")})
+						aggregate.Count{Worker: workerTag(few("reported")), N: 2, Silent: rapid.Bool().Draw(t, "mute")})
 				}
 				event(func() { balancer.advanceClock(now) })
 				event(func() { balancer.HandlePeerMessage(now, from(), message.Encode(settings.Dispatchers)[0]) })
@@ -281,7 +285,7 @@
 	})
 }
 
-// requireSameSums compares what a digest would say of each executor that it looks at.
+// requireSameSums compares what a digest would say of each worker that it looks at.
 func requireSameSums(t *rapid.T, model *reportModel, now int64) {
 	balancer := model.balancer
 	balancer.gossip.reports.gatherMarks(now, balancer.shortestObjective)
@@ -289,23 +293,22 @@
 		count := aggregate.Count{Worker: workerTag(worker.Worker), N: i % 2, Silent: i%3 == 0, Heard: i%2 == 0}
 		want, own, says := count, outlier.Mark{Bad: uint8(i % 4)}, i%4 > 0
 		wantMark, wantSays := model.merged(now, worker, &want, own, says)
-		mark, tells := balancer.mergeReported(now, worker, &count, own, says)
-		if count != want || mark != wantMark || tells != wantSays {
-			t.Fatalf("of executor %d: %+v %+v %v, made anew %+v %+v %v", worker.Worker, count, mark, tells, want,
+		mark, reports := balancer.mergeReported(now, worker, &count, own, says)
+		if count != want || mark != wantMark || reports != wantSays {
+			t.Fatalf("of worker %d: %+v %+v %v, made anew %+v %+v %v", worker.Worker, count, mark, reports, want,
 				wantMark, wantSays)
 		}
 	}
 }
 
-// Reading a report looks at nothing that others told and at no list: all of that is made unreadable
-// while the report is read. So it costs what it tells and what its sender told before, whatever a
-// collector holds.
+// TestReadingAReportExaminesOnlyItsOwnSender proves that reading a report examines neither the
+// reports of others nor any list: all of these are made unreadable meanwhile.
 func TestReadingAReportExaminesOnlyItsOwnSender(t *testing.T) {
 	for _, n := range []int{120, 9600} {
 		settings := testSettings(Idempotent, ScopeAll)
 		settings.Dispatchers, settings.Gossip = 1900, true
 		balancer, _ := newTestBalancer(t, settings, n)
-		report := func(from int, seq uint8, workers ...int) string {
+		report := func(seq uint8, workers ...int) string {
 			message := aggregate.Message{Report: aggregate.Report{Incarnation: 1, Seq: seq, Values: []float64{1, 1}},
 				Marks: []aggregate.Mark{{Worker: uint16(workers[0]), Bad: 3}}}
 			for _, w := range workers {
@@ -315,14 +318,15 @@
 		}
 		now := 100_000 * ms
 		for from := 1; from < settings.Dispatchers; from++ {
-			balancer.HandlePeerMessage(now, from, report(from, 1, 1+from%n, 1+from*7%n, 1+from*13%n))
+			balancer.HandlePeerMessage(now, from, report(1, 1+from%n, 1+from*7%n, 1+from*13%n))
 		}
 		list, touched, reports := balancer.endpoints.listed, balancer.endpoints.recent, balancer.gossip.reports.bySender
-		balancer.endpoints.listed, balancer.endpoints.recent, balancer.gossip.reports.bySender = make([]*workerState,
-			len(list)), make([]*workerState, len(touched)), make([]*peerReport, settings.Dispatchers)
+		balancer.endpoints.listed = make([]*workerState, len(list))
+		balancer.endpoints.recent = make([]*workerState, len(touched))
+		balancer.gossip.reports.bySender = make([]*peerReport, settings.Dispatchers)
 		balancer.gossip.reports.bySender[5] = reports[5]
 		require.Len(t, reports[5].counts, 3)
-		require.True(t, balancer.HandlePeerMessage(now+ms, 5, report(5, 2, 2, 3)), "%d executors", n)
+		require.True(t, balancer.HandlePeerMessage(now+ms, 5, report(2, 2, 3)), "%d workers", n)
 		balancer.endpoints.listed, balancer.endpoints.recent, balancer.gossip.reports.bySender = list, touched, reports
 		require.Len(t, reports[5].counts, 2)
 		require.Len(t, reports[5].marks, 1)
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -5,6 +5,8 @@
 	"testing"
 )
 
+// TestRetriesFollowIdempotency proves that a retry goes out only as far as the class and the result
+// of the first attempt allow.
 func TestRetriesFollowIdempotency(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -41,6 +43,8 @@
 	}
 }
 
+// TestQueueFullRetriesBackOff proves that a call that full queues reject twice waits before the
+// next attempt.
 func TestQueueFullRetriesBackOff(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 4)
 	balancer.HandleRequest(0, testRequest("a", 0, 1))
@@ -53,8 +57,8 @@
 	}
 }
 
-// Found in an ablation on reykjavik-tracking: a second copy of a keyed call stays bound to the
-// window of the first, also when the first turns out not to have run.
+// TestIdempotencyWindowCountsFromTheFirstAttempt proves that a hedged call with an idempotency key
+// stays bound to the window of its first attempt, also when that turns out not to have run.
 func TestIdempotencyWindowCountsFromTheFirstAttempt(t *testing.T) {
 	for _, c := range []struct {
 		at     int64
@@ -80,6 +84,8 @@
 	}
 }
 
+// TestStreamHasNoDeadline proves that a request whose first byte was sent is neither retried nor
+// ended at its deadline.
 func TestStreamHasNoDeadline(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 3)
 	balancer.HandleRequest(0, testRequest("a", 0, 1))
@@ -90,8 +96,8 @@
 	}
 }
 
-// Guards healthy workers against calls of functions that do not exist: such errors come from any
-// worker alike. And the calls go round no more than twice.
+// TestUnknownFunctionsBlameNoWorker proves that errors of functions that do not exist eject no
+// worker, and such a call is tried at most twice.
 func TestUnknownFunctionsBlameNoWorker(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 3)
 	markAllResponded(balancer)
@@ -113,23 +119,23 @@
 	}
 }
 
-// A call that a full executor turns away comes again after a wait, no longer than a load takes nor
-// than lets its attempts spread over its time, to the same place once more, and only then goes
-// elsewhere: if many dispatchers went on at once, each would load the function in a further place
-// and fill that queue too. It goes on at once where a copy is expected elsewhere, and where few
-// dispatch.
+// TestFullPlaceIsRetriedBeforeLoadingElsewhere proves that a call that a full queue rejects is
+// retried at the same worker after a pause, no longer than a load takes nor than spreads its
+// attempts over its time, and only then goes elsewhere: if many dispatchers went on at once, each
+// would load the function in one more place and fill that queue too. It goes on at once where a
+// copy is expected elsewhere, and where there are few dispatchers.
 func TestFullPlaceIsRetriedBeforeLoadingElsewhere(t *testing.T) {
 	const workers = 20
 	for _, c := range []struct {
-		siblings, walk int
-		elsewhere      bool // a copy is believed to stand at another executor
-		waits          bool
+		dispatchers, scanLimit int
+		elsewhere              bool // a copy is believed to stand at another worker
+		waits                  bool
 	}{
-		{siblings: 3}, {siblings: 5}, {siblings: 24, waits: true}, {siblings: 300, waits: true},
-		{siblings: 300, walk: scanNever, waits: true}, {siblings: 300, elsewhere: true},
+		{dispatchers: 3}, {dispatchers: 5}, {dispatchers: 24, waits: true}, {dispatchers: 300, waits: true},
+		{dispatchers: 300, scanLimit: scanNever, waits: true}, {dispatchers: 300, elsewhere: true},
 	} {
 		settings := testSettings(Idempotent, ScopeAll)
-		settings.Dispatchers, settings.FullScanLimit = c.siblings, c.walk
+		settings.Dispatchers, settings.FullScanLimit = c.dispatchers, c.scanLimit
 		balancer, host := newTestBalancer(t, settings, workers)
 		markAllResponded(balancer)
 		balancer.HandleRequest(ms, testRequest("a", ms, 9))
--- a/balancer/scale_test.go
+++ b/balancer/scale_test.go
@@ -11,9 +11,6 @@
 	"oakthread/aggregate"
 )
 
-// This file owns what a choice costs at the size planned. It must never test a behaviour, nor read
-// a clock of its own.
-
 const (
 	scaleFuncs    = 48_000
 	scaleSiblings = 300
@@ -24,7 +21,7 @@
 )
 
 // BenchmarkChoice is one call with the answer and the timers that are due meanwhile: a step of 5 ms
-// of the clock, over the executors in the list, with functions drawn evenly and by a Zipf law.
+// of the clock, over the workers in the list, with functions drawn evenly and by a Zipf law.
 // Siblings are silent: words read are not part of it.
 func BenchmarkChoice(b *testing.B) {
 	for _, workers := range []int{120, 600, 2_400, 9_600} {
@@ -39,15 +36,15 @@
 				for range scaleWarm {
 					host.step()
 				}
-				host.loads, host.sends, host.refuse = 0, 0, 0
+				host.loads, host.sends, host.rejected = 0, 0, 0
 				b.ReportAllocs()
 				n := 0
 				for b.Loop() {
 					host.step()
 					n++
 				}
-				if host.sends == 0 && n > 100 || host.refuse > max(1, n/10) {
-					b.Fatalf("of %d calls %d were sent and %d refused", n, host.sends, host.refuse)
+				if host.sends == 0 && n > 100 || host.rejected > max(1, n/10) {
+					b.Fatalf("of %d calls %d were sent and %d rejected", n, host.sends, host.rejected)
 				}
 				b.ReportMetric(float64(host.loads)/float64(n), "loads/op")
 			})
@@ -55,21 +52,21 @@
 	}
 }
 
-// scaleHost answers what one dispatcher sends, at its own pace: executors have room for every copy
+// scaleHost answers what one dispatcher sends, at its own pace: workers have room for every copy
 // and call. Its own part of the cost is a ring of slots of the clock, and a short list of copies
 // for each function.
 type scaleHost struct {
-	d                    *Balancer
-	rng                  *rand.Rand
-	sums                 []float64 // of the popularity of functions
-	copies               [][]scaleCopy
-	ids                  []string
-	inHand               map[string]scaleCall // by id
-	ring                 [(scaleLoad+scaleAnswer)/scaleStep + 1][]scaleEvent
-	now                  int64
-	calls                int
-	due, ref             int64 // of the timer: the last one set counts
-	loads, sends, refuse int
+	d                      *Balancer
+	rng                    *rand.Rand
+	sums                   []float64 // of the popularity of functions
+	copies                 [][]scaleCopy
+	ids                    []string
+	inHand                 map[string]scaleCall // by id
+	ring                   [(scaleLoad+scaleAnswer)/scaleStep + 1][]scaleEvent
+	now                    int64
+	calls                  int
+	due, ref               int64 // of the timer: the last one set counts
+	loads, sends, rejected int
 }
 
 // scaleCall is a call's function and how many attempts it has had.
@@ -173,8 +170,8 @@
 
 func (x *scaleHost) CountTowardLoadQuota(int64) {}
 func (x *scaleHost) SetTimer(delay, ref int64)  { x.due, x.ref = x.now+delay, ref }
-func (x *scaleHost) Reject(string, int64)       { x.refuse++ }
-func (x *scaleHost) Fail(string)                { x.refuse++ }
+func (x *scaleHost) Reject(string, int64)       { x.rejected++ }
+func (x *scaleHost) Fail(string)                { x.rejected++ }
 func (x *scaleHost) CancelAttempt(string, int)  {}
 func (x *scaleHost) OrderUnload(worker WorkerID, function FuncID) {
 	x.copies[function-1] = slices.DeleteFunc(x.copies[function-1], func(c scaleCopy) bool { return c.worker == worker })
@@ -184,21 +181,21 @@
 func (x *scaleHost) SubscribeEndpoints()         {}
 func (x *scaleHost) Log(string)                  {}
 
-// BenchmarkReport is a report read by a collector that holds reports of all its siblings, each of
-// which tells of up to 30 executors; what a digest costs to gather then, and to tell or find too
+// BenchmarkReport is a report read by a collector that holds reports of all its dispatchers, each
+// of which reports up to 30 workers; what a digest costs to gather then, and to report or find too
 // dear late in a term; and a term: all reports read, and ten digests gathered meanwhile.
 func BenchmarkReport(b *testing.B) {
-	for _, siblings := range []int{60, 300, 1_000, 1_900} {
+	for _, dispatchers := range []int{60, 300, 1_000, 1_900} {
 		for _, workers := range []int{120, 960, 9_600} {
-			senders := newSenders(b, siblings, workers)
-			b.Run(fmt.Sprintf("read/%d_siblings_%d_workers", siblings, workers), func(b *testing.B) {
+			senders := newSenders(b, dispatchers, workers)
+			b.Run(fmt.Sprintf("read/%d_siblings_%d_workers", dispatchers, workers), func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
 					senders.read(b)
 				}
 				b.ReportMetric(float64(len(senders.texts[0][1])), "texts/op")
 			})
-			b.Run(fmt.Sprintf("gathered/%d_siblings_%d_workers", siblings, workers), func(b *testing.B) {
+			b.Run(fmt.Sprintf("gathered/%d_siblings_%d_workers", dispatchers, workers), func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
 					message := aggregate.Message{FromLeader: true}
@@ -206,18 +203,18 @@
 				}
 			})
 			senders.collect(b)
-			b.Run(fmt.Sprintf("told/%d_siblings_%d_workers", siblings, workers), func(b *testing.B) {
+			b.Run(fmt.Sprintf("reported/%d_siblings_%d_workers", dispatchers, workers), func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
 					senders.d.gossip.digestBudget.tokens = 10
 					senders.d.sendGossip(senders.now)
 				}
 			})
-			b.Run(fmt.Sprintf("term/%d_siblings_%d_workers", siblings, workers), func(b *testing.B) {
+			b.Run(fmt.Sprintf("term/%d_siblings_%d_workers", dispatchers, workers), func(b *testing.B) {
 				for b.Loop() {
-					for i := range siblings - 1 {
+					for i := range dispatchers - 1 {
 						senders.read(b)
-						if i%max(1, (siblings-1)/10) == 0 {
+						if i%max(1, (dispatchers-1)/10) == 0 {
 							senders.d.fillMessage(senders.now, &aggregate.Message{FromLeader: true})
 						}
 					}
@@ -227,22 +224,23 @@
 	}
 }
 
-// senders are what the siblings of dispatcher 0 tell it, one after the other, each once in a term.
+// senders are what the dispatchers of dispatcher 0 report it, one after the other, each once in a
+// term.
 type senders struct {
 	d     *Balancer
-	texts [3][][]string // by the round and the sibling; numbers of reports wrap round
+	texts [3][][]string // by the round and the dispatcher; numbers of reports wrap round
 	n     int
 	now   int64
 }
 
-func newSenders(b *testing.B, siblings, workers int) *senders {
+func newSenders(b *testing.B, dispatchers, workers int) *senders {
 	settings := testSettings(Idempotent, ScopeAll)
-	settings.Dispatchers, settings.Gossip, settings.PeerPrice = siblings, true, 0.01
+	settings.Dispatchers, settings.Gossip, settings.PeerPrice = dispatchers, true, 0.01
 	host := newScaleHost(b, settings, workers, 0)
 	x := &senders{d: host.d, now: 1000 * leaderTermObjectives * settings.Classes[0].LatencyObjective}
-	rng := rand.New(rand.NewPCG(uint64(siblings), uint64(workers)))
+	rng := rand.New(rand.NewPCG(uint64(dispatchers), uint64(workers)))
 	for round := range x.texts {
-		for range siblings {
+		for range dispatchers {
 			message := aggregate.Message{Calls: 100,
 				Report: aggregate.Report{Incarnation: 1, Seq: uint8(round * 85), Values: []float64{200, 3}}}
 			for range min(workers, 30) {
@@ -255,10 +253,10 @@
 					aggregate.Holder{Func: uint32(1 + rng.IntN(scaleFuncs)),
 						Worker: workerTag(WorkerID(1 + rng.IntN(workers)))})
 			}
-			x.texts[round] = append(x.texts[round], message.Encode(siblings))
+			x.texts[round] = append(x.texts[round], message.Encode(dispatchers))
 		}
 	}
-	for range 2 * siblings {
+	for range 2 * dispatchers {
 		x.read(b)
 	}
 	return x
@@ -278,12 +276,12 @@
 	x.now = at + term*15/16
 }
 
-// read has the next sibling's report read.
+// read has the next dispatcher's report read.
 func (x *senders) read(b *testing.B) {
-	siblings := len(x.texts[0])
-	from := 1 + x.n%(siblings-1)
-	x.now += leaderTermObjectives * x.d.shortestObjective / int64(siblings-1)
-	for _, text := range x.texts[x.n/(siblings-1)%len(x.texts)][from] {
+	dispatchers := len(x.texts[0])
+	from := 1 + x.n%(dispatchers-1)
+	x.now += leaderTermObjectives * x.d.shortestObjective / int64(dispatchers-1)
+	for _, text := range x.texts[x.n/(dispatchers-1)%len(x.texts)][from] {
 		if !x.d.HandlePeerMessage(x.now, from, text) {
 			b.Fatal("a report is not read")
 		}
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// TestSettingsAreValidated proves that New returns an error that names the setting at fault.
 func TestSettingsAreValidated(t *testing.T) {
 	if _, err := New(0, testSettings(Idempotent, ScopeAll), 1, nil); err == nil {
 		t.Error("a nil host was taken")
@@ -55,6 +56,8 @@
 	}
 }
 
+// TestInvalidInputChangesNothing proves that invalid messages, senders and results of unknown
+// workers change nothing in a large fleet.
 func TestInvalidInputChangesNothing(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.Dispatchers, settings.DispatcherIndex, settings.Gossip = 250, 7, true
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -20,8 +20,8 @@
 	slowStartIdleShare = 0.5
 )
 
-// slowStartState limits the calls to workers that started lately. All dispatchers together may send such
-// a worker the configured multiple of what it can do. Each draws for itself, slot by slot, an
+// slowStartState limits the calls to workers that started lately. All dispatchers together may send
+// such a worker the configured multiple of what it can do. Each draws for itself, slot by slot, an
 // integer number of tokens whose mean is its share of that: the rate at which warm workers answer
 // it is its share of what one worker can do, whatever its share of the traffic. Dispatchers that
 // know nothing draw one token together in a slot.
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -4,9 +4,9 @@
 	"testing"
 )
 
-// Found at full size: "one call is always allowed" at each of 200 dispatchers pushed a cold worker
-// over. Many dispatchers with unequal traffic, some fresh from a restart, send it less than the
-// multiple in any window.
+// TestSlowStartBudgetHoldsOverAllDispatchers proves that many dispatchers with unequal traffic,
+// some just restarted, together send a worker in slow start less than the configured multiple in
+// any window.
 func TestSlowStartBudgetHoldsOverAllDispatchers(t *testing.T) {
 	for _, size := range []int{1, 3, 40, 200} {
 		settings := testSettings(Idempotent, ScopeAll)
@@ -33,8 +33,8 @@
 			for step := range int64(100) { // everybody wants the cold worker all the time
 				clock := now + step*40*ms
 				if i%7 != 3 { // what a dispatcher of its size gets from warm workers in a long time
-					balancer.slowStart.warmAnswers.value = capacity * workers / float64(i+1) / parts * balancer.decayTime() / 1e9
-					balancer.slowStart.warmAnswers.at = clock
+					share := capacity * workers / float64(i+1) / parts
+					balancer.slowStart.warmAnswers = decayingCounter{share * balancer.decayTime() / 1e9, clock}
 				}
 				for k := range 3 {
 					balancer.chooseWorker(clock, &requestState{Request: testRequest("x", clock, FuncID(k)),
@@ -65,19 +65,18 @@
 	}
 }
 
-// Found with 80 dispatchers: each drew a tenth of a call a second for a cold worker and lost it, as
-// it wanted to send one in eight seconds; replaced workers stood idle while the rest were full. A
-// draw is kept for a while, and where the hub tells that little is in flight there, one more is
-// free in each slot.
+// TestSparseCallsReachAWorkerInSlowStart proves that each of many dispatchers carries unused tokens
+// over, so that a worker in slow start gets calls; where a digest shows that it is idle, one more
+// call is allowed in each slot.
 func TestSparseCallsReachAWorkerInSlowStart(t *testing.T) {
 	for _, c := range []struct {
 		name                  string
-		told                  bool
+		reported              bool
 		inflight, least, most float64
 	}{
-		{name: "nothing told", least: 0.2, most: 0.5},
-		{name: "idle there", told: true, least: 0.99, most: 1},
-		{name: "crowded there", told: true, inflight: 9, least: 0.2, most: 0.5},
+		{name: "nothing reported", least: 0.2, most: 0.5},
+		{name: "idle there", reported: true, least: 0.99, most: 1},
+		{name: "crowded there", reported: true, inflight: 9, least: 0.2, most: 0.5},
 	} {
 		settings := testSettings(Idempotent, ScopeAll)
 		settings.Dispatchers = 80
@@ -97,7 +96,7 @@
 			for at := start; at < start+4000*ms; at += 667 * ms {
 				// 0.2 a second from each warm worker
 				balancer.slowStart.warmAnswers = decayingCounter{0.2 * 20 * balancer.decayTime() / 1e9, at}
-				if c.told {
+				if c.reported {
 					balancer.gossip.digestAt, balancer.endpoints.medianPeerCalls = at, 2
 					balancer.endpoints.byID[99].peerCalls, balancer.endpoints.byID[99].peerCallsAt = c.inflight, at
 				}
@@ -114,8 +113,8 @@
 	}
 }
 
-// Found by reading: before the warm workers were first counted, what all of them answer was taken
-// for what one does.
+// TestSlowStartBudgetBeforeWarmWorkersAreCounted proves that until the warm workers are counted,
+// all listed ones count as warm: what all of them answer is not taken for what one does.
 func TestSlowStartBudgetBeforeWarmWorkersAreCounted(t *testing.T) {
 	balancer, _ := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 50)
 	balancer.UpdateEndpoints(0, EndpointsSnapshot,
--- a/balancer/timers_test.go
+++ b/balancer/timers_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A bell that rings a little before its time must not stop the timers: found by a hunt as lost
-// requests.
+// TestEarlyTimerIsSetAgain proves that a timer that fires a little early is set again, so that no
+// request is lost.
 func TestEarlyTimerIsSetAgain(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 0)
 	balancer.HandleRequest(0, testRequest("a", 0, 1))
@@ -24,7 +24,7 @@
 			return
 		}
 		if len(host.timerDelays) == 0 {
-			t.Fatalf("no timer after a bell at %d ms", now/ms)
+			t.Fatalf("no timer after a timer at %d ms", now/ms)
 		}
 	}
 	t.Fatal("never answered")
@@ -50,8 +50,8 @@
 	return x
 }
 
-// Wakeups come out as from container/heap, also those of one time: the order of events, and with it
-// every choice, hangs on it.
+// TestTimerHeapOrdersAsContainerHeap proves that entries come out as from container/heap, also
+// those of the same time: the order of events, and with it every choice, depends on it.
 func TestTimerHeapOrdersAsContainerHeap(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	ours, theirs := timerHeap{}, &standardHeap{}
--- a/balancer/worker.go
+++ b/balancer/worker.go
@@ -2,8 +2,8 @@
 
 import "oakthread/outlier"
 
-// workerState is what is known of one worker. The fields that each choice reads stand first: in a long
-// list a candidate is in no cache.
+// workerState is what is known of one worker. The fields that each choice reads stand first: in a
+// long list a candidate is in no cache.
 type workerState struct {
 	Endpoint
 	candidate
