--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -30,8 +30,10 @@
 	const second = int64(1e9)
 	host := &printer{}
 	d, err := balancer.New(0, balancer.Settings{
-		Classes: []balancer.Class{{LatencyObjective: second, ClientTimeout: 3 * second, PriorityWeight: 1,
-			Idempotency: balancer.Idempotent}},
+		Classes: []balancer.Class{{
+			LatencyObjective: second, ClientTimeout: 3 * second, PriorityWeight: 1,
+			Idempotency: balancer.Idempotent,
+		}},
 		MaxAttempts: 3, KeepAlive: 10 * second, LoadsOnMiss: true,
 	}, 42, host)
 	if err != nil {
@@ -43,8 +45,10 @@
 	first := host.worker
 	d.HandleAttemptResult(second/10, balancer.AttemptResult{ID: "call", Worker: first, Result: balancer.ConnectFailed})
 	fmt.Println("another worker:", host.worker != first)
-	d.HandleAttemptResult(second/5, balancer.AttemptResult{ID: "call", Attempt: 1, Worker: host.worker,
-		Result: balancer.OK, Finished: true})
+	d.HandleAttemptResult(second/5, balancer.AttemptResult{
+		ID: "call", Attempt: 1, Worker: host.worker,
+		Result: balancer.OK, Finished: true,
+	})
 	// Output:
 	// send call
 	// send call
--- a/balancer/load.go
+++ b/balancer/load.go
@@ -32,8 +32,8 @@
 func (b *Balancer) inFlightAt(now int64, worker *workerState) float64 {
 	own := float64(len(worker.inFlight) + worker.failuresAt(now))
 	b.applyFullDigest(worker)
-	median := b.endpoints.medianPeerCalls
-	return own + median + decayed(worker.peerCalls-median, now-worker.peerCallsAt, b.decayTime())
+	medianCalls := b.endpoints.medianPeerCalls
+	return own + medianCalls + decayed(worker.peerCalls-medianCalls, now-worker.peerCallsAt, b.decayTime())
 }
 
 // recordLoadReport takes the load report that came with a response: what a worker holds beyond our
--- a/balancer/loadorders_test.go
+++ b/balancer/loadorders_test.go
@@ -115,8 +115,10 @@
 	for i := range 40 {
 		id, now := fmt.Sprint("unknown", i), int64(i)*ms
 		balancer.HandleRequest(now, testRequest(id, now, FuncID(1000+i)))
-		balancer.HandleAttemptResult(now, AttemptResult{ID: id, Worker: host.lastWorker[id], Result: Error,
-			Finished: true})
+		balancer.HandleAttemptResult(now, AttemptResult{
+			ID: id, Worker: host.lastWorker[id], Result: Error,
+			Finished: true,
+		})
 	}
 	holder := balancer.holders.functionFor(50*ms, testRequest("", 50*ms, 1)).holderAt(balancer.endpoints.byID[1], true)
 	if !balancer.orderLoad(50*ms, holder) {
--- a/balancer/longlist_test.go
+++ b/balancer/longlist_test.go
@@ -121,8 +121,10 @@
 	at := map[WorkerID]int{}
 	const functions = 19_000
 	for function := range FuncID(functions) {
-		request := &requestState{Request: testRequest("x", ms, function*7919), class: &balancer.settings.Classes[0],
-			function: &functionState{id: function * 7919, concurrency: 2}}
+		request := &requestState{
+			Request: testRequest("x", ms, function*7919), class: &balancer.settings.Classes[0],
+			function: &functionState{id: function * 7919, concurrency: 2},
+		}
 		worker, _ := balancer.chooseWorker(ms, request)
 		at[worker.Worker]++
 	}
@@ -147,8 +149,10 @@
 	}
 	crowded := 0
 	for function := range FuncID(500) {
-		request := &requestState{Request: testRequest("x", ms, function), class: &balancer.settings.Classes[0],
-			function: &functionState{id: function, concurrency: 2}}
+		request := &requestState{
+			Request: testRequest("x", ms, function), class: &balancer.settings.Classes[0],
+			function: &functionState{id: function, concurrency: 2},
+		}
 		if worker, _ := balancer.chooseWorker(ms, request); worker.peerCalls > 0 {
 			crowded++
 		}
@@ -195,8 +199,10 @@
 	for _, n := range []int{3, 300} {
 		balancer, _ := newTestBalancer(t, testSettings(IdempotentByKey, ScopeZone), n)
 		request := &requestState{Request: testRequest("x", 0, 1), class: &balancer.settings.Classes[0]}
-		request.attempts = []*attemptState{{request: request, worker: balancer.endpoints.listed[0], zone: 9,
-			mayHaveRun: true}}
+		request.attempts = []*attemptState{{
+			request: request, worker: balancer.endpoints.listed[0], zone: 9,
+			mayHaveRun: true,
+		}}
 		assert.False(t, balancer.mayRetryAnywhere(ms, request))
 		balancer.endpoints.listed[n-1].Zone = 9
 		assert.True(t, balancer.mayRetryAnywhere(ms, request))
@@ -218,8 +224,10 @@
 	}
 	balancer.UpdateEndpoints(ms, EndpointsDelta, news)
 	for function := range FuncID(50) {
-		request := &requestState{Request: testRequest("x", ms, function), class: &balancer.settings.Classes[0],
-			function: &functionState{id: function, concurrency: 2}}
+		request := &requestState{
+			Request: testRequest("x", ms, function), class: &balancer.settings.Classes[0],
+			function: &functionState{id: function, concurrency: 2},
+		}
 		worker, _ := balancer.chooseWorker(ms, request)
 		require.NotNil(t, worker)
 		looked := examinedWorkersOf(balancer)
@@ -279,12 +287,16 @@
 					out = slices.Delete(out, i, i+1)
 					res := Result(rapid.IntRange(0, int(NumResults)-1).Draw(t, "end"))
 					balancer.HandleAttemptResult(now,
-						AttemptResult{ID: o.id, Attempt: o.n, Worker: o.w, Result: res, Finished: res == OK,
-							Warmth: WarmHit, Report: []float64{2}})
+						AttemptResult{
+							ID: o.id, Attempt: o.n, Worker: o.w, Result: res, Finished: res == OK,
+							Warmth: WarmHit, Report: []float64{2},
+						})
 				}
 			case 6:
-				endpoint := Endpoint{Worker: few("worker"),
-					State: EndpointState(rapid.IntRange(0, 2).Draw(t, "state")), Weight: 1}
+				endpoint := Endpoint{
+					Worker: few("worker"),
+					State:  EndpointState(rapid.IntRange(0, 2).Draw(t, "state")), Weight: 1,
+				}
 				if rapid.Bool().Draw(t, "restarts") {
 					endpoint.Start = now
 				}
@@ -293,13 +305,17 @@
 				balancer.UpdateEndpoints(now, EndpointsSnapshot,
 					activeEndpoints(rapid.SampledFrom([]int{n, n / 2, 1}).Draw(t, "whole")))
 			case 8:
-				message := aggregate.Message{Report: aggregate.Report{Incarnation: 1, Seq: uint8(seq + 1),
-					Values: []float64{1, 1}}, Calls: 9}
+				message := aggregate.Message{Report: aggregate.Report{
+					Incarnation: 1, Seq: uint8(seq + 1),
+					Values: []float64{1, 1},
+				}, Calls: 9}
 				seq++
 				for range rapid.IntRange(0, 3).Draw(t, "counts") {
 					message.Counts = append(message.Counts,
-						aggregate.Count{Worker: workerTag(few("counted")), N: 2,
-							Silent: rapid.Bool().Draw(t, "silent"), Heard: true})
+						aggregate.Count{
+							Worker: workerTag(few("counted")), N: 2,
+							Silent: rapid.Bool().Draw(t, "silent"), Heard: true,
+						})
 				}
 				message.Marks = []aggregate.Mark{{Worker: workerTag(few("marked")), Bad: 3}}
 				balancer.HandlePeerMessage(now, rapid.IntRange(2, 6).Draw(t, "from"), message.Encode(20)[0])
--- a/balancer/placement_test.go
+++ b/balancer/placement_test.go
@@ -91,8 +91,10 @@
 			id := fmt.Sprint(k)
 			balancer.HandleRequest(at, testRequest(id, at, 1))
 			balancer.HandleClientGone(at+ms, id)
-			balancer.HandleAttemptResult(at+ms, AttemptResult{ID: id, Worker: host.lastWorker[id], Result: Cancelled,
-				Finished: true})
+			balancer.HandleAttemptResult(at+ms, AttemptResult{
+				ID: id, Worker: host.lastWorker[id], Result: Cancelled,
+				Finished: true,
+			})
 		}
 		balancer.HandleRequest(900*ms, testRequest("hot", 900*ms, 1))
 		balancer.HandleRequest(900*ms, testRequest("cold", 900*ms, 2))
--- a/balancer/random_test.go
+++ b/balancer/random_test.go
@@ -99,8 +99,10 @@
 			case k < 4:
 				id := fmt.Sprint("r", step)
 				deadline[id] = now + int64(5+rng.IntN(3000))*ms
-				balancer.HandleRequest(now, Request{ID: id, Func: FuncID(rng.IntN(9)), Deadline: deadline[id],
-					Concurrency: rng.IntN(3)})
+				balancer.HandleRequest(now, Request{
+					ID: id, Func: FuncID(rng.IntN(9)), Deadline: deadline[id],
+					Concurrency: rng.IntN(3),
+				})
 			case k < 5:
 				worker := WorkerID(1 + rng.IntN(8))
 				st := EndpointState(rng.IntN(3))
@@ -119,9 +121,11 @@
 				i := rng.IntN(len(out))
 				o := out[i]
 				out = append(out[:i], out[i+1:]...)
-				result := AttemptResult{ID: o.id, Attempt: o.n, Worker: o.w,
+				result := AttemptResult{
+					ID: o.id, Attempt: o.n, Worker: o.w,
 					Result: Result(rng.IntN(int(NumResults))), Warmth: Warmth(rng.IntN(5)),
-					Report: []float64{rng.Float64() - 0.5}}
+					Report: []float64{rng.Float64() - 0.5},
+				}
 				result.Finished = finished[o.id] || result.Result == OK
 				if r := result.Result; r == QueueFull || r == ConnectFailed || r == NotLoaded || r == NotSent {
 					mayRun[o.id]--
--- a/balancer/reports_test.go
+++ b/balancer/reports_test.go
@@ -90,8 +90,10 @@
 	for _, mark := range message.Marks {
 		if worker := balancer.endpoints.byTag[mark.Worker]; worker != nil {
 			state := p.state(worker)
-			state.marks = append(state.marks, modelMark{from, now,
-				outlier.Mark{Good: mark.Good, Bad: mark.Bad, Pace: mark.Pace}})
+			state.marks = append(state.marks, modelMark{
+				from, now,
+				outlier.Mark{Good: mark.Good, Bad: mark.Bad, Pace: mark.Pace},
+			})
 		}
 	}
 	for _, count := range message.Counts {
@@ -105,7 +107,8 @@
 
 // merged is the definition of what a digest says of w.
 func (p *reportModel) merged(now int64, worker *workerState, c *aggregate.Count, own outlier.Mark,
-	says bool) (outlier.Mark, bool) {
+	says bool,
+) (outlier.Mark, bool) {
 	balancer, state := p.balancer, p.state(worker)
 	silent, heard, marks := 0, 0, []outlier.Mark(nil)
 	if c.Silent {
@@ -152,8 +155,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{3, 17, 64, 300, 960}).Draw(t, "workers")
 		settings := testSettings(Idempotent, ScopeAll)
-		settings.Dispatchers, settings.DispatcherIndex, settings.Gossip = rapid.SampledFrom([]int{3, 20, 300,
-			1900}).Draw(t, "dispatchers"), 1, true
+		settings.Dispatchers, settings.DispatcherIndex, settings.Gossip = rapid.SampledFrom([]int{
+			3, 20, 300,
+			1900,
+		}).Draw(t, "dispatchers"), 1, true
 		settings.FullScanLimit = rapid.SampledFrom([]int{scanAlways, 0, scanNever}).Draw(t, "scanLimit")
 		settings.LoadsOnMiss = rapid.Bool().Draw(t, "orders")
 		host := newFakeHost()
@@ -193,8 +198,10 @@
 			})
 		}
 		for range rapid.IntRange(20, 120).Draw(t, "events") {
-			now += rapid.SampledFrom([]int64{0, ms, 20 * ms, 130 * ms, 400 * ms, 999 * ms, 1000 * ms, 2000 * ms,
-				4100 * ms}).Draw(t, "later")
+			now += rapid.SampledFrom([]int64{
+				0, ms, 20 * ms, 130 * ms, 400 * ms, 999 * ms, 1000 * ms, 2000 * ms,
+				4100 * ms,
+			}).Draw(t, "later")
 			switch rapid.IntRange(0, 11).Draw(t, "event") {
 			case 0, 1, 2, 3, 4:
 				who := from()
@@ -202,19 +209,25 @@
 				if rapid.IntRange(0, 9).Draw(t, "restarted") == 0 {
 					seqs[who], incs[who] = 1, incs[who]+1
 				}
-				message := aggregate.Message{Calls: 9,
-					Report: aggregate.Report{Incarnation: incs[who], Seq: seqs[who], Values: []float64{1, 1}}}
+				message := aggregate.Message{
+					Calls:  9,
+					Report: aggregate.Report{Incarnation: incs[who], Seq: seqs[who], Values: []float64{1, 1}},
+				}
 				for range rapid.SampledFrom([]int{0, 1, 3, 8, 70}).Draw(t, "counts") {
 					message.Counts = append(message.Counts,
-						aggregate.Count{Worker: workerTag(few("counted")), N: rapid.IntRange(0, 3).Draw(t, "calls"),
-							Silent: rapid.Bool().Draw(t, "silent"), Heard: rapid.Bool().Draw(t, "heard")})
+						aggregate.Count{
+							Worker: workerTag(few("counted")), N: rapid.IntRange(0, 3).Draw(t, "calls"),
+							Silent: rapid.Bool().Draw(t, "silent"), Heard: rapid.Bool().Draw(t, "heard"),
+						})
 				}
 				for range rapid.IntRange(0, 3).Draw(t, "marks") {
 					message.Marks = append(message.Marks,
-						aggregate.Mark{Worker: workerTag(few("marked")),
-							Good: uint8(rapid.IntRange(0, 2).Draw(t, "good")),
+						aggregate.Mark{
+							Worker: workerTag(few("marked")),
+							Good:   uint8(rapid.IntRange(0, 2).Draw(t, "good")),
 							Bad: uint8(rapid.IntRange(0, 2).Draw(t,
-								"bad")), Pace: uint8(rapid.SampledFrom([]int{0, 9}).Draw(t, "pace"))})
+								"bad")), Pace: uint8(rapid.SampledFrom([]int{0, 9}).Draw(t, "pace")),
+						})
 				}
 				for _, text := range message.Encode(settings.Dispatchers) {
 					if sent = append(sent, letter{who, text}); rapid.IntRange(0, 5).Draw(t, "lost") > 0 {
@@ -240,13 +253,17 @@
 					event(func() { balancer.advanceClock(now) })
 					event(func() {
 						balancer.HandleAttemptResult(now,
-							AttemptResult{ID: attempt.id, Worker: attempt.worker, Result: res, Finished: res == OK,
-								Warmth: WarmHit})
+							AttemptResult{
+								ID: attempt.id, Worker: attempt.worker, Result: res, Finished: res == OK,
+								Warmth: WarmHit,
+							})
 					})
 				}
 			case 9:
-				endpoint := Endpoint{Worker: few("worker"),
-					State: EndpointState(rapid.IntRange(0, 2).Draw(t, "state")), Weight: 1}
+				endpoint := Endpoint{
+					Worker: few("worker"),
+					State:  EndpointState(rapid.IntRange(0, 2).Draw(t, "state")), Weight: 1,
+				}
 				if rapid.Bool().Draw(t, "restarts") {
 					endpoint.Start = now
 				}
@@ -309,8 +326,10 @@
 		settings.Dispatchers, settings.Gossip = 1900, true
 		balancer, _ := newTestBalancer(t, settings, n)
 		report := func(seq uint8, workers ...int) string {
-			message := aggregate.Message{Report: aggregate.Report{Incarnation: 1, Seq: seq, Values: []float64{1, 1}},
-				Marks: []aggregate.Mark{{Worker: uint16(workers[0]), Bad: 3}}}
+			message := aggregate.Message{
+				Report: aggregate.Report{Incarnation: 1, Seq: seq, Values: []float64{1, 1}},
+				Marks:  []aggregate.Mark{{Worker: uint16(workers[0]), Bad: 3}},
+			}
 			for _, w := range workers {
 				message.Counts = append(message.Counts, aggregate.Count{Worker: uint16(w), N: 1, Heard: true})
 			}
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -74,10 +74,14 @@
 		if len(host.attempts) != 2 {
 			t.Fatalf("%d sends, want a second copy", len(host.attempts))
 		}
-		balancer.HandleAttemptResult(1600*ms, AttemptResult{ID: "a", Worker: first, Result: NotLoaded,
-			Warmth: LoadFailed})
-		balancer.HandleAttemptResult(c.at, AttemptResult{ID: "a", Attempt: 1, Worker: host.lastWorker["a"],
-			Result: Error})
+		balancer.HandleAttemptResult(1600*ms, AttemptResult{
+			ID: "a", Worker: first, Result: NotLoaded,
+			Warmth: LoadFailed,
+		})
+		balancer.HandleAttemptResult(c.at, AttemptResult{
+			ID: "a", Attempt: 1, Worker: host.lastWorker["a"],
+			Result: Error,
+		})
 		if got := len(host.attempts) == 3; got != c.resend {
 			t.Errorf("at %d ms: sent again %v, want %v", c.at/ms, got, c.resend)
 		}
@@ -108,8 +112,10 @@
 			if try == 2 {
 				t.Fatal("tried again and again")
 			}
-			balancer.HandleAttemptResult(now+ms, AttemptResult{ID: id, Attempt: try, Worker: host.lastWorker[id],
-				Result: Error})
+			balancer.HandleAttemptResult(now+ms, AttemptResult{
+				ID: id, Attempt: try, Worker: host.lastWorker[id],
+				Result: Error,
+			})
 		}
 	}
 	for _, worker := range balancer.endpoints.listed {
@@ -131,8 +137,12 @@
 		elsewhere              bool // a copy is believed to stand at another worker
 		waits                  bool
 	}{
-		{dispatchers: 3}, {dispatchers: 5}, {dispatchers: 24, waits: true}, {dispatchers: 300, waits: true},
-		{dispatchers: 300, scanLimit: scanNever, waits: true}, {dispatchers: 300, elsewhere: true},
+		{dispatchers: 3},
+		{dispatchers: 5},
+		{dispatchers: 24, waits: true},
+		{dispatchers: 300, waits: true},
+		{dispatchers: 300, scanLimit: scanNever, waits: true},
+		{dispatchers: 300, elsewhere: true},
 	} {
 		settings := testSettings(Idempotent, ScopeAll)
 		settings.Dispatchers, settings.FullScanLimit = c.dispatchers, c.scanLimit
@@ -146,8 +156,10 @@
 			balancer.confirmHolder(ms, function.holderAt(balancer.endpoints.byID[other], true))
 		}
 		full := func(n int, now int64) {
-			balancer.HandleAttemptResult(now, AttemptResult{ID: "a", Attempt: n, Worker: host.lastWorker["a"],
-				Result: QueueFull})
+			balancer.HandleAttemptResult(now, AttemptResult{
+				ID: "a", Attempt: n, Worker: host.lastWorker["a"],
+				Result: QueueFull,
+			})
 		}
 		// until is when the next attempt goes out; 0: none does in time.
 		until := func(from int64) int64 {
--- a/balancer/scale_test.go
+++ b/balancer/scale_test.go
@@ -88,8 +88,10 @@
 }
 
 func newScaleHost(b *testing.B, settings Settings, workers int, law float64) *scaleHost {
-	host := &scaleHost{rng: rand.New(rand.NewPCG(1, uint64(workers))), copies: make([][]scaleCopy, scaleFuncs),
-		inHand: map[string]scaleCall{}, due: noDeadline}
+	host := &scaleHost{
+		rng: rand.New(rand.NewPCG(1, uint64(workers))), copies: make([][]scaleCopy, scaleFuncs),
+		inHand: map[string]scaleCall{}, due: noDeadline,
+	}
 	sum := 0.0
 	for i := range scaleFuncs {
 		sum += math.Pow(float64(i+1), -law)
@@ -119,8 +121,10 @@
 		if e.id == "" {
 			x.d.HandleLoadResult(x.now, e.worker, e.fn, 1, OK)
 		} else {
-			x.d.HandleAttemptResult(x.now, AttemptResult{ID: e.id, Attempt: e.try, Worker: e.worker, Result: OK,
-				Finished: true, Warmth: e.warmth})
+			x.d.HandleAttemptResult(x.now, AttemptResult{
+				ID: e.id, Attempt: e.try, Worker: e.worker, Result: OK,
+				Finished: true, Warmth: e.warmth,
+			})
 		}
 	}
 	*slot = (*slot)[:0]
@@ -241,17 +245,23 @@
 	rng := rand.New(rand.NewPCG(uint64(dispatchers), uint64(workers)))
 	for round := range x.texts {
 		for range dispatchers {
-			message := aggregate.Message{Calls: 100,
-				Report: aggregate.Report{Incarnation: 1, Seq: uint8(round * 85), Values: []float64{200, 3}}}
+			message := aggregate.Message{
+				Calls:  100,
+				Report: aggregate.Report{Incarnation: 1, Seq: uint8(round * 85), Values: []float64{200, 3}},
+			}
 			for range min(workers, 30) {
 				message.Counts = append(message.Counts,
-					aggregate.Count{Worker: workerTag(WorkerID(1 + rng.IntN(workers))), N: 1 + rng.IntN(3),
-						Heard: true})
+					aggregate.Count{
+						Worker: workerTag(WorkerID(1 + rng.IntN(workers))), N: 1 + rng.IntN(3),
+						Heard: true,
+					})
 			}
 			for range 3 {
 				message.Holders = append(message.Holders,
-					aggregate.Holder{Func: uint32(1 + rng.IntN(scaleFuncs)),
-						Worker: workerTag(WorkerID(1 + rng.IntN(workers)))})
+					aggregate.Holder{
+						Func:   uint32(1 + rng.IntN(scaleFuncs)),
+						Worker: workerTag(WorkerID(1 + rng.IntN(workers))),
+					})
 			}
 			x.texts[round] = append(x.texts[round], message.Encode(dispatchers))
 		}
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -37,9 +37,11 @@
 					balancer.slowStart.warmAnswers = decayingCounter{share * balancer.decayTime() / 1e9, clock}
 				}
 				for k := range 3 {
-					balancer.chooseWorker(clock, &requestState{Request: testRequest("x", clock, FuncID(k)),
+					balancer.chooseWorker(clock, &requestState{
+						Request:  testRequest("x", clock, FuncID(k)),
 						class:    &balancer.settings.Classes[0],
-						function: balancer.holders.functionFor(clock, testRequest("x", clock, FuncID(k)))})
+						function: balancer.holders.functionFor(clock, testRequest("x", clock, FuncID(k))),
+					})
 					if worker := balancer.endpoints.byID[99]; balancer.eligible(clock, worker) {
 						worker.slowStartTokens--
 						at = append(at, clock)
