--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -15,13 +15,7 @@
 // a clock that does not go back. What concerns a request, worker or attempt that it does not know
 // is ignored.
 type Balancer struct {
-	settings           Settings
-	host               Host
-	rng                *rand.Rand
-	now                int64 // of the last event
-	startedAt          int64
-	shortestObjective  int64 // of the latency objectives of all classes
-	hasIdempotentClass bool  // requests of such classes make the trials
+	environment
 
 	requests  map[string]*requestState // in hand, by ID
 	endpoints endpointTable
@@ -56,19 +50,21 @@
 	classes := settings.Classes
 	settings.Classes = settings.Classes[:0:0]
 	b := &Balancer{
-		settings:          settings,
-		host:              host,
-		rng:               rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
-		now:               now,
-		startedAt:         now,
-		shortestObjective: noDeadline,
-		requests:          map[string]*requestState{},
-		endpoints:         newEndpointTable(settings.FullScanLimit),
-		holders:           holderTable{functions: map[uint32]*functionState{}},
-		admission:         admissionState{tenantCalls: make([]decayingCounter, len(settings.TenantQuota))},
-		losses:            lossEstimator{probability: minLossProbability},
-		hedges:            hedgeBudget{tokens: 1},
-		slowStart:         slowStartState{window: settings.SlowStartWindow},
+		environment: environment{
+			settings:          settings,
+			host:              host,
+			rng:               rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
+			now:               now,
+			startedAt:         now,
+			shortestObjective: noDeadline,
+		},
+		requests:  map[string]*requestState{},
+		endpoints: newEndpointTable(settings.FullScanLimit),
+		holders:   holderTable{functions: map[uint32]*functionState{}},
+		admission: admissionState{tenantCalls: make([]decayingCounter, len(settings.TenantQuota))},
+		losses:    lossEstimator{probability: minLossProbability},
+		hedges:    hedgeBudget{tokens: 1},
+		slowStart: slowStartState{window: settings.SlowStartWindow},
 		loadQuota: loadQuota{
 			window: settings.LoadQuotaWindow,
 			limits: rules.LoadQuota{Base: settings.LoadQuotaBase, Ratio: settings.LoadQuotaRatio},
--- a/balancer/candidates.go
+++ b/balancer/candidates.go
@@ -64,7 +64,3 @@
 	perPlace := targetConcurrencyUse * float64(function.concurrency)
 	return calls / observed * float64(b.settings.Dispatchers) * b.latencies[request.Class].mean / perPlace
 }
-
-// callRateWindow returns the time constant, in nanoseconds, over which the calls of a function and
-// the pace of a worker are averaged.
-func (b *Balancer) callRateWindow() int64 { return max(b.settings.KeepAlive, b.shortestObjective) }
--- a/balancer/choose.go
+++ b/balancer/choose.go
@@ -12,9 +12,6 @@
 	// similarLoadTolerance is how much heavier than the median a worker may be and still count as
 	// good as the lightest.
 	similarLoadTolerance = 0.25
-	// wellInformedDispatchers is the number of dispatchers of which each still sees enough of every
-	// worker by itself.
-	wellInformedDispatchers = 5.0
 	// failedOrderPenalty divides the score of a worker that had no room for a load just now.
 	failedOrderPenalty = 1e9
 )
@@ -221,12 +218,6 @@
 	return score
 }
 
-// fleetFactor returns by how much the dispatchers are more than those of which each is well
-// informed by itself; 1 for few.
-func (b *Balancer) fleetFactor() float64 {
-	return max(1, float64(b.settings.Dispatchers)/wellInformedDispatchers)
-}
-
 // eligible reports whether a worker may get attempts and load orders: it is listed, not draining
 // and within its slow-start budget. Every attempt and every load order passes it (rules 3 and 4).
 func (b *Balancer) eligible(now int64, worker *workerState) bool {
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -50,7 +50,7 @@
 func (t *endpointTable) apply(now int64, endpoint Endpoint) *workerState {
 	worker := t.byID[endpoint.Worker]
 	if worker == nil {
-		worker = &workerState{pace: 1}
+		worker = &workerState{pacing: pacing{pace: 1}}
 		t.byID[endpoint.Worker], t.byTag[workerTag(endpoint.Worker)] = worker, worker
 	} else if endpoint.Start != worker.Start && endpoint.Start > 0 {
 		worker.forgetCopies()
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -6,9 +6,6 @@
 )
 
 const (
-	// leaderTermObjectives is how many shortest latency objectives a leader's term lasts: a dead
-	// leader is missed no longer.
-	leaderTermObjectives = 2
 	// syncPeers is how many dispatchers one that started asks for their holders.
 	syncPeers = 3
 	// forgetDispatcherDecays is the time constant, in decayTime, with which a dispatcher that no
@@ -108,12 +105,6 @@
 	return b.fleetFactor() > 1 && elapsed < b.leaderTerm()/2 && !b.gossip.aggregator.Complete(now)
 }
 
-// leaderTerm returns the length of a leader's term in nanoseconds.
-func (b *Balancer) leaderTerm() int64 { return leaderTermObjectives * b.shortestObjective }
-
-// termElapsed returns how long the term has lasted.
-func (b *Balancer) termElapsed(now int64) int64 { return now % b.leaderTerm() }
-
 // sendParts sends a message in as many datagrams as it needs.
 func (b *Balancer) sendParts(receiver int, message aggregate.Message) {
 	for _, part := range message.Encode(b.settings.Dispatchers) {
--- a/balancer/load.go
+++ b/balancer/load.go
@@ -1,10 +1,6 @@
 package balancer
 
-import (
-	"math"
-
-	"oakthread/outlier"
-)
+import "math"
 
 const (
 	loadReportWeight = 0.5 // weight of a load report, which is late and noisy
@@ -98,7 +94,3 @@
 	w.pace += paceWeight * (pace - w.pace)
 	w.paceAt = now
 }
-
-// decayTime returns the time constant, in nanoseconds, with which most that was learned is
-// forgotten: as long as the longest ejection.
-func (b *Balancer) decayTime() float64 { return float64(outlier.Longest * b.shortestObjective) }
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -39,11 +39,6 @@
 	return r.arrivedAt + int64(holdTimeShare*float64(r.Deadline-r.arrivedAt))
 }
 
-// answerBy returns when a request must be answered at the latest: a little before its deadline.
-func (b *Balancer) answerBy(request *requestState) int64 {
-	return request.Deadline - 2*b.settings.ClockResolution
-}
-
 // lastInFlight returns the last attempt that is in flight, or nil.
 func (r *requestState) lastInFlight() (last *attemptState) {
 	for _, attempt := range r.attempts {
--- a/balancer/worker.go
+++ b/balancer/worker.go
@@ -13,17 +13,10 @@
 	recentFailures []recentFailure // count as in flight for a while
 	lastResponseAt int64
 
-	reportedSilentAt int64   // when a digest last said that it answers nobody; 0: it does
-	peerCalls        float64 // in flight from other dispatchers
-	peerCallsAt      int64
-	pace             float64 // mean response time of its loaded copies over that of all; at least 1
-	paceAt           int64
-	peerPace         float64 // the same as other dispatchers report it; never reported on
-	peerPaceAt       int64
-	outlierStats     outlier.Stats
-
-	slowStartSlot   int64 // for which tokens were last drawn
-	slowStartTokens int
+	peerObservation
+	pacing
+	slowStartBudget
+	outlierStats outlier.Stats
 	tracking
 	holders  []*holderState
 	reported reportedState
@@ -38,6 +31,27 @@
 	choiceHealthy bool
 }
 
+// peerObservation is what other dispatchers have at a worker, by load reports and digests.
+type peerObservation struct {
+	reportedSilentAt int64   // when a digest last said that it answers nobody; 0: it does
+	peerCalls        float64 // in flight from other dispatchers
+	peerCallsAt      int64
+}
+
+// pacing is how long a worker takes for a call at a loaded copy.
+type pacing struct {
+	pace       float64 // mean response time over that of all workers; at least 1
+	paceAt     int64
+	peerPace   float64 // the same as other dispatchers report it; never reported on
+	peerPaceAt int64
+}
+
+// slowStartBudget is what may still be sent to a worker in slow start.
+type slowStartBudget struct {
+	slowStartSlot   int64 // for which tokens were last drawn
+	slowStartTokens int
+}
+
 // tracking says in which lists of the endpoint table and of slow start the worker stands.
 type tracking struct {
 	inTable          bool
