--- a/balancer/worker.go
+++ b/balancer/worker.go
@@ -2,8 +2,8 @@
 
 import "oakthread/outlier"
 
-// workerState is what is known of one worker. The fields that each choice reads stand first: in a long
-// list a candidate is in no cache.
+// workerState is what is known of one worker. The fields that each choice reads stand first: in a
+// long list a candidate is in no cache.
 type workerState struct {
 	Endpoint
 	candidate
@@ -13,17 +13,10 @@
 	recentFailures []recentFailure // count as in flight for a while
 	lastResponseAt int64
 
-	reportedSilentAt int64   // when a digest last said that it answers nobody; 0: it does
-	peerCalls        float64 // in flight from other dispatchers
-	peerCallsAt      int64
-	pace             float64 // mean response time of its loaded copies over that of all; at least 1
-	paceAt           int64
-	peerPace         float64 // the same as other dispatchers report it; never reported on
-	peerPaceAt       int64
-	outlierStats     outlier.Stats
-
-	slowStartSlot   int64 // for which tokens were last drawn
-	slowStartTokens int
+	peerObservation
+	pacing
+	slowStartBudget
+	outlierStats outlier.Stats
 	tracking
 	holders  []*holderState
 	reported reportedState
@@ -38,6 +31,27 @@
 	choiceHealthy bool
 }
 
+// peerObservation is what other dispatchers have at a worker, by load reports and digests.
+type peerObservation struct {
+	reportedSilentAt int64   // when a digest last said that it answers nobody; 0: it does
+	peerCalls        float64 // in flight from other dispatchers
+	peerCallsAt      int64
+}
+
+// pacing is how long a worker takes for a call at a loaded copy.
+type pacing struct {
+	pace       float64 // mean response time over that of all workers; at least 1
+	paceAt     int64
+	peerPace   float64 // the same as other dispatchers report it; never reported on
+	peerPaceAt int64
+}
+
+// slowStartBudget is what may still be sent to a worker in slow start.
+type slowStartBudget struct {
+	slowStartSlot   int64 // for which tokens were last drawn
+	slowStartTokens int
+}
+
 // tracking says in which lists of the endpoint table and of slow start the worker stands.
 type tracking struct {
 	inTable          bool
@@ -56,10 +70,10 @@
 // removeAttempt removes and returns an attempt in flight, or returns nil if there is no such
 // attempt.
 func (w *workerState) removeAttempt(requestID string, index int) *attemptState {
-	for i, a := range w.inFlight {
-		if a.request.ID == requestID && a.index == index {
+	for i, attempt := range w.inFlight {
+		if attempt.request.ID == requestID && attempt.index == index {
 			w.inFlight = append(w.inFlight[:i], w.inFlight[i+1:]...)
-			return a
+			return attempt
 		}
 	}
 	return nil
@@ -89,8 +103,8 @@
 // forgetCopies ends the belief that a worker holds any copies, after it restarted, left the list or
 // could not be reached.
 func (w *workerState) forgetCopies() {
-	for _, h := range w.holders {
-		h.validUntil, h.copies, h.confirmed = 0, 1, false
+	for _, holder := range w.holders {
+		holder.validUntil, holder.copies, holder.confirmed = 0, 1, false
 	}
 	w.responded, w.peerCalls = false, 0
 }
