--- a/admin/classes.go
+++ b/admin/classes.go
@@ -1,63 +1,68 @@
 package admin
 
-// This file owns the table of classes across reloads of the settings: which name stands for which class number.
-// It must never renumber a class that requests may hold, nor choose anything for a request.
+import (
+	"slices"
 
-import "oakthread/balancer"
+	"oakthread/balancer"
+)
 
-// Classes is the table of classes by name. Numbers only grow: a class whose rules change at a reload gets a new
-// number, so that requests in hand keep the old rules, and a dropped class keeps its number for those requests.
-// Its zero value has no class.
+// Classes is the table of request classes across reloads of the settings. A class is known by its
+// number. Numbers are only added: a class whose rules change at a reload gets a new one, so that
+// requests in flight keep the rules that they began with, and a class that is dropped keeps its
+// number for those requests. The zero value has no class.
 type Classes struct {
-	names  map[string]int
-	rules  []balancer.Class // by number
-	called []string         // the name of each number
+	numbers map[string]int   // of the classes in force, by name
+	rules   []balancer.Class // by number
+	names   []string         // by number
 }
 
-// NewClasses is the table at start: class i is named names[i].
+// NewClasses returns the table at the start: class i has the name names[i].
 func NewClasses(names []string, rules []balancer.Class) Classes {
-	c := Classes{names: make(map[string]int, len(names)), rules: append([]balancer.Class(nil), rules...),
-		called: append([]string(nil), names...)}
-	for i, n := range names {
-		c.names[n] = i
+	c := Classes{
+		numbers: make(map[string]int, len(names)),
+		rules:   slices.Clone(rules),
+		names:   slices.Clone(names),
+	}
+	for i, name := range names {
+		c.numbers[name] = i
 	}
 	return c
 }
 
-// Retune compares the settings of a reload with the table. added are the classes to be taken, in order, which get
-// the numbers from Len on; names is the table of names once they are. The table itself changes only by Take.
-func (c *Classes) Retune(names []string, rules []balancer.Class) (added []balancer.Class, next map[string]int) {
-	next = make(map[string]int, len(names))
-	n := len(c.rules)
+// Retune compares the settings of a reload with the table, without changing it. added are the new
+// classes, which get the numbers from Len on, in order; numbers is the table of names with them.
+// Pass both to Take once they are in force.
+func (c *Classes) Retune(names []string, rules []balancer.Class) (added []balancer.Class, numbers map[string]int) {
+	numbers = make(map[string]int, len(names))
 	for i, name := range names {
-		if at, ok := c.names[name]; ok && c.rules[at] == rules[i] {
-			next[name] = at
+		if number, ok := c.numbers[name]; ok && c.rules[number] == rules[i] {
+			numbers[name] = number
 			continue
 		}
+		numbers[name] = len(c.rules) + len(added)
 		added = append(added, rules[i])
-		next[name] = n
-		n++
 	}
-	return added, next
+	return added, numbers
 }
 
-// Take puts in force what Retune gave, once the module has the added classes.
-func (c *Classes) Take(added []balancer.Class, next map[string]int) {
-	c.called = append(c.called, make([]string, len(added))...)
-	for name, n := range next {
-		if n >= len(c.rules) {
-			c.called[n] = name
+// Take puts into force what Retune returned.
+func (c *Classes) Take(added []balancer.Class, numbers map[string]int) {
+	c.names = append(c.names, make([]string, len(added))...)
+	for name, number := range numbers {
+		if number >= len(c.rules) {
+			c.names[number] = name
 		}
 	}
 	c.rules = append(c.rules, added...)
-	c.names = next
+	c.numbers = numbers
 }
 
-// Called names every number, dropped ones among them, as the executors' paths need it.
-func (c *Classes) Called() []string { return append([]string(nil), c.called...) }
+// Called returns the name of each number, of dropped classes too, as the paths to workers need
+// them.
+func (c *Classes) Called() []string { return slices.Clone(c.names) }
 
-// Len is the number of classes, dropped ones among them.
+// Len returns how many numbers there are, of dropped classes too.
 func (c *Classes) Len() int { return len(c.rules) }
 
-// Names is the table of names in force; it must not be changed.
-func (c *Classes) Names() map[string]int { return c.names }
+// Names returns the number of each class in force by its name. The caller must not change it.
+func (c *Classes) Names() map[string]int { return c.numbers }
--- /dev/null
+++ b/admin/state_test.go
@@ -0,0 +1,100 @@
+package admin
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"oakthread"
+	"oakthread/balancer"
+)
+
+// snapshot returns an endpoint list of active workers.
+func snapshot(ids ...balancer.WorkerID) oakthread.EndpointUpdate {
+	update := oakthread.EndpointUpdate{Kind: balancer.EndpointsSnapshot}
+	for _, id := range ids {
+		endpoint := oakthread.Endpoint{ID: id, Addr: "127.0.0.1:1", State: balancer.Active}
+		update.Endpoints = append(update.Endpoints, endpoint)
+	}
+	return update
+}
+
+// TestEjectionHoldsAgainstTheEndpointList shows that the core sees an ejected worker as draining,
+// whatever the endpoint list says later.
+func TestEjectionHoldsAgainstTheEndpointList(t *testing.T) {
+	var s State
+	s.UpdateEndpoints(snapshot(1, 2))
+	update, ok := s.Eject(1)
+	require.True(t, ok)
+	require.Len(t, update.Endpoints, 1)
+	assert.Equal(t, balancer.Draining, update.Endpoints[0].State)
+	adjusted := s.UpdateEndpoints(snapshot(1, 2)) // the list says Ready again
+	assert.Equal(t, balancer.Draining, adjusted.Endpoints[0].State)
+	assert.Equal(t, balancer.Active, adjusted.Endpoints[1].State)
+	listed, unavailable := s.Members(nil)
+	assert.Equal(t, 2, listed)
+	assert.Equal(t, 1, unavailable)
+	_, unavailable = s.Members([]balancer.WorkerID{1, 2}) // ejected by the balancer too: each counted once
+	assert.Equal(t, 2, unavailable)
+}
+
+// TestRestoreEndsSeveralEjections shows that one Restore ends two Ejects, and that the worker is
+// restored as started then, so that no function counts as loaded there.
+func TestRestoreEndsSeveralEjections(t *testing.T) {
+	var s State
+	s.UpdateEndpoints(snapshot(1))
+	_, ok := s.Eject(1)
+	require.True(t, ok)
+	_, ok = s.Eject(1)
+	require.True(t, ok)
+	at := time.Unix(100, 0)
+	update, ok := s.Restore(1, at)
+	require.True(t, ok)
+	require.Len(t, update.Endpoints, 1)
+	assert.Equal(t, balancer.Active, update.Endpoints[0].State)
+	assert.True(t, update.Endpoints[0].Start.Equal(at))
+	assert.Empty(t, s.Banned())
+	assert.Equal(t, balancer.Active, s.UpdateEndpoints(snapshot(1)).Endpoints[0].State)
+}
+
+// TestUnknownWorkerIsRejected shows that ids that are not listed change nothing.
+func TestUnknownWorkerIsRejected(t *testing.T) {
+	var s State
+	s.UpdateEndpoints(snapshot(1))
+	_, ok := s.Eject(9)
+	assert.False(t, ok)
+	_, ok = s.Restore(9, time.Unix(1, 0))
+	assert.False(t, ok)
+	assert.Empty(t, s.Banned())
+}
+
+// TestInheritedEjectionPrecedesTheEndpointList shows that an ejection of another process holds
+// before the endpoint list arrives, and after the worker has left the list.
+func TestInheritedEjectionPrecedesTheEndpointList(t *testing.T) {
+	var s State
+	s.Keep([]balancer.WorkerID{2}, time.Unix(1, 0))
+	adjusted := s.UpdateEndpoints(snapshot(1, 2))
+	assert.Equal(t, balancer.Draining, adjusted.Endpoints[1].State)
+	s.UpdateEndpoints(oakthread.EndpointUpdate{
+		Kind:      balancer.EndpointsDelta,
+		Endpoints: []oakthread.Endpoint{{ID: 2, State: balancer.Removed}},
+	})
+	_, ok := s.Eject(2) // no longer listed, but still ejected
+	assert.True(t, ok)
+	assert.Equal(t, []balancer.WorkerID{2}, s.Banned())
+	s.Keep(nil, time.Unix(2, 0)) // restored at the other process
+	assert.Empty(t, s.Banned())
+}
+
+// TestOutOfService shows that readiness needs an endpoint list and a dispatcher in service.
+func TestOutOfService(t *testing.T) {
+	var s State
+	assert.False(t, s.Ready(false), "no list yet")
+	assert.True(t, s.Ready(true))
+	s.OutOfService()
+	assert.False(t, s.Ready(true))
+	s.InService()
+	assert.True(t, s.Ready(true))
+}
--- a/rules/write.go
+++ b/rules/write.go
@@ -36,8 +36,8 @@
 	return Allowed
 }
 
-// RemainingMillis returns the time left of the client's as it is stated to a worker when its
-// request is written: in whole milliseconds, rounded down, 1 at the least.
+// RemainingMillis returns the client's remaining time as it is stated to a worker when its request
+// is written: in whole milliseconds, rounded down, 1 at the least.
 func RemainingMillis(left time.Duration) int64 {
 	if mutant.On(mutant.TimeTold) {
 		left += plantedExtraTime
