--- a/internal/neterr/conn.go
+++ b/internal/neterr/conn.go
@@ -7,45 +7,50 @@
 	"oakthread/internal/mutant"
 )
 
-// Shortages on an open connection pass within milliseconds, or the connection is given up.
+// Shortages on an open connection pass within milliseconds; after these retries in a row the call
+// fails.
 const (
-	ioRetries    = 8
-	ioLeastPause = time.Millisecond
-	ioMostPause  = 50 * time.Millisecond
+	maxIORetries = 8
+	minIOWait    = time.Millisecond
+	maxIOWait    = 50 * time.Millisecond
 )
 
-// Read reads from c, again where a shortage or an interruption kept it from reading.
-func Read(c net.Conn, b []byte) (n int, err error) {
-	backoff := Backoff{Least: ioLeastPause, Most: ioMostPause}
-	for try := 0; ; try++ {
-		n, err = c.Read(b)
-		if n > 0 || err == nil || try == ioRetries || !goesOn(err) {
+// Read reads from conn like conn.Read, and retries where a shortage or an interruption prevented
+// it.
+func Read(conn net.Conn, b []byte) (n int, err error) {
+	backoff := Backoff{Least: minIOWait, Most: maxIOWait}
+	for retries := 0; ; retries++ {
+		n, err = conn.Read(b)
+		if n > 0 || err == nil || retries == maxIORetries || !mayRetryIO(err) {
 			return n, err
 		}
 		time.Sleep(backoff.Next())
 	}
 }
 
-// Write writes all of b to c, going on behind what was written where a shortage or an interruption cut it short.
-func Write(c net.Conn, b []byte) (n int, err error) {
-	backoff := Backoff{Least: ioLeastPause, Most: ioMostPause}
-	for try := 0; ; {
-		var wrote int
-		wrote, err = c.Write(b[n:])
-		n += wrote
-		if err == nil || !goesOn(err) {
+// Write writes all of b to conn. It continues behind what was written where a shortage or an
+// interruption cut the write short.
+func Write(conn net.Conn, b []byte) (n int, err error) {
+	backoff := Backoff{Least: minIOWait, Most: maxIOWait}
+	for retries := 0; ; {
+		var written int
+		written, err = conn.Write(b[n:])
+		n += written
+		if err == nil || !mayRetryIO(err) {
 			return n, err
 		}
-		if wrote > 0 {
-			try = 0
+		if written > 0 {
+			retries = 0
 			backoff.Reset()
 		}
-		if try++; try > ioRetries {
+		retries++
+		if retries > maxIORetries {
 			return n, err
 		}
 		time.Sleep(backoff.Next())
 	}
 }
 
-// goesOn tells whether a read or write may be tried again on the same connection.
-func goesOn(err error) bool { return IsShortage(err) && !mutant.On(mutant.TransferEnds) }
+// mayRetryIO reports whether a read or write that failed with err may be repeated on the same
+// connection.
+func mayRetryIO(err error) bool { return IsShortage(err) && !mutant.On(mutant.TransferEnds) }
--- a/internal/neterr/neterr_test.go
+++ b/internal/neterr/neterr_test.go
@@ -21,10 +21,21 @@
 		return &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", err)}
 	}
 	for err, want := range map[error]Kind{
-		syscall.EINTR: Interrupted, syscall.EMFILE: Shortage, syscall.ENOBUFS: Shortage, syscall.EADDRNOTAVAIL: Shortage,
-		syscall.ENETUNREACH: Shortage, syscall.ECONNREFUSED: Connection, syscall.EHOSTUNREACH: Connection, syscall.EPROTO: Connection,
-		syscall.ETIMEDOUT: Timeout, os.ErrDeadlineExceeded: Timeout, net.ErrClosed: Closed, syscall.EBADF: Closed,
-		syscall.EINVAL: Closed, syscall.ELOOP: Unknown, errors.New("odd"): Unknown,
+		syscall.EINTR:            Interrupted,
+		syscall.EMFILE:           Shortage,
+		syscall.ENOBUFS:          Shortage,
+		syscall.EADDRNOTAVAIL:    Shortage,
+		syscall.ENETUNREACH:      Shortage,
+		syscall.ECONNREFUSED:     Connection,
+		syscall.EHOSTUNREACH:     Connection,
+		syscall.EPROTO:           Connection,
+		syscall.ETIMEDOUT:        Timeout,
+		os.ErrDeadlineExceeded:   Timeout,
+		net.ErrClosed:            Closed,
+		syscall.EBADF:            Closed,
+		syscall.EINVAL:           Closed,
+		syscall.ELOOP:            Unknown,
+		errors.New("not listed"): Unknown,
 	} {
 		assert.Equal(t, want, Classify(wrap(err)), "%v", err)
 		assert.Equal(t, want == Closed, EndsListener(wrap(err)), "%v", err)
@@ -45,7 +56,7 @@
 	assert.Equal(t, 5*time.Millisecond, b.Next())
 }
 
-// scriptedListener fails as told, then accepts.
+// scriptedListener fails with each of errs in turn, then accepts.
 type scriptedListener struct {
 	net.Listener
 	mu   sync.Mutex
@@ -64,11 +75,13 @@
 	return l.Listener.Accept()
 }
 
-func TestListenerGoesOn(t *testing.T) {
+// TestListenerRetriesAccept shows that temporary errors do not end a listener, that they are logged
+// once a second, and that Close ends an Accept.
+func TestListenerRetriesAccept(t *testing.T) {
 	in, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	var log bytes.Buffer
-	l := NewListener(&scriptedListener{Listener: in, errs: []error{syscall.ENOBUFS, syscall.EPROTO, errors.New("odd")}},
+	l := NewListener(&scriptedListener{Listener: in, errs: []error{syscall.ENOBUFS, syscall.EPROTO, errors.New("not a system call's")}},
 		slog.New(slog.NewTextHandler(&log, nil)))
 	out, err := net.Dial("tcp", in.Addr().String())
 	require.NoError(t, err)
@@ -84,8 +97,8 @@
 	require.ErrorIs(t, <-ended, net.ErrClosed)
 }
 
-// An Accept that waits for its next try ends with the listener.
-func TestListenerClosedWhileItWaits(t *testing.T) {
+// TestCloseEndsWaitingAccept shows that Close ends an Accept that waits for its next retry.
+func TestCloseEndsWaitingAccept(t *testing.T) {
 	in, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	errs := make([]error, 1000)
@@ -96,9 +109,7 @@
 	l := NewListener(script, slog.New(slog.DiscardHandler))
 	ended := make(chan error, 1)
 	go func() { _, err := l.Accept(); ended <- err }()
-	for l.Failed() == 0 {
-		time.Sleep(time.Millisecond)
-	}
+	require.Eventually(t, func() bool { return l.Failed() > 0 }, 10*time.Second, time.Millisecond)
 	require.NoError(t, l.Close())
 	require.ErrorIs(t, <-ended, net.ErrClosed)
 }
@@ -126,7 +137,9 @@
 	return c.got.Write(b)
 }
 
-func TestReadAndWriteGoOn(t *testing.T) {
+// TestReadAndWriteRetry shows that shortages and interruptions end neither a read nor a write, and
+// that an error of the connection does.
+func TestReadAndWriteRetry(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EINTR, syscall.ENOBUFS, syscall.ENOMEM} {
 		c := &flakyConn{err: fmt.Errorf("write: %w", errno)}
 		n, err := Write(c, []byte("answer"))
@@ -144,7 +157,8 @@
 	assert.Equal(t, "a", c.got.String())
 }
 
-// Found by the soak (seed 1025): accepts that fail again and again must not keep a request waiting for long once one works.
+// TestFailedAcceptsWaitBriefly shows that accepts that fail again and again do not keep a request
+// waiting for long once one works.
 func TestFailedAcceptsWaitBriefly(t *testing.T) {
 	in, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
