--- a/internal/monotime/monotime.go
+++ b/internal/monotime/monotime.go
@@ -1,7 +1,8 @@
-// Package steady is the process's own clock: the wall clock as it was at the start, moved on by the monotonic clock. Steps
-// of the system's clock do not reach it. All spans, deadlines and orders of events are taken from it or from the monotonic
-// part of time.Now; the wall clock itself is read only where a message or a file speaks of it: ages of executors that the
-// platform tells as wall times, and timestamps of signatures.
+// Package monotime is the clock of the process: the wall clock as it was at the start, moved on by
+// the monotonic clock. Steps of the system's clock do not affect it. All durations, deadlines and
+// orders of events are taken from it or from the monotonic part of time.Now. The wall clock itself
+// is read only where a message or a file refers to it: for the start times of workers, which the
+// platform states as wall times, and for timestamps of signatures.
 package monotime
 
 import (
@@ -10,9 +11,10 @@
 	"oakthread/internal/mutant"
 )
 
+// start is when the process started, by both clocks.
 var start = time.Now()
 
-// Now is the time by the process's clock. It has a monotonic part.
+// Now returns the time by the process's clock. It has a monotonic part.
 func Now() time.Time {
 	if mutant.On(mutant.WallClock) {
 		return time.Now().Round(0)
@@ -20,8 +22,9 @@
 	return start.Add(time.Since(start))
 }
 
-// Nanos is a time as nanoseconds of the process's clock. A time without a monotonic part is taken for one of the wall
-// clock as it stands now: what counts is how far off it is. The zero time is 0.
+// Nanos returns a time as nanoseconds of the process's clock, 0 for the zero time. A time without a
+// monotonic part is taken as one of the wall clock as it stands now: it is as far from Now as it is
+// from the wall clock.
 func Nanos(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
@@ -29,26 +32,29 @@
 	return Now().UnixNano() + int64(time.Until(t))
 }
 
-// Time is the inverse of Nanos, with a monotonic part.
+// Time is the inverse of Nanos. The result has a monotonic part.
 func Time(nanos int64) time.Time { return start.Add(time.Duration(nanos - start.UnixNano())) }
 
-// stepLeast is a difference between the clocks that no reading of them one after the other explains.
-const stepLeast = time.Millisecond
+// stepResolution is the unit of Step. Smaller differences arise from reading the two clocks one
+// after the other.
+const stepResolution = time.Millisecond
 
-// Step is how far the wall clock has been stepped since the start of the process, forward above 0, in whole milliseconds.
+// Step returns by how much the wall clock has been stepped since the start of the process, positive
+// for forward, rounded to milliseconds.
 func Step() time.Duration {
 	now := time.Now()
-	return now.Round(0).Sub(start.Add(now.Sub(start)).Round(0)).Round(stepLeast)
+	return now.Round(0).Sub(start.Add(now.Sub(start)).Round(0)).Round(stepResolution)
 }
 
-// StartTime is when something started that a message tells as a time of the wall clock, in nanoseconds of the process's
-// clock; 0 for the zero time. Where the wall clock has been stepped, it is not known by which clock the time was told:
-// the later start counts, and none lies ahead. So what may be young counts as young.
-func StartTime(told time.Time) int64 {
-	if told.IsZero() {
+// StartTime returns when something started, of which a message states the wall time, in nanoseconds
+// of the process's clock; 0 for the zero time. Where the wall clock has been stepped, it is not
+// known whether the time was stated before or after that: the later of the two starts is taken, and
+// none later than now. So what may have started lately counts as such.
+func StartTime(stated time.Time) int64 {
+	if stated.IsZero() {
 		return 0
 	}
-	asTold := told.UnixNano()
-	later := max(asTold, asTold-int64(Step()))
+	asStated := stated.UnixNano()
+	later := max(asStated, asStated-int64(Step()))
 	return min(later, Now().UnixNano())
 }
--- a/internal/neterr/neterr_test.go
+++ b/internal/neterr/neterr_test.go
@@ -81,8 +81,8 @@
 	in, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	var log bytes.Buffer
-	l := NewListener(&scriptedListener{Listener: in, errs: []error{syscall.ENOBUFS, syscall.EPROTO, errors.New("not a system call's")}},
-		slog.New(slog.NewTextHandler(&log, nil)))
+	errs := []error{syscall.ENOBUFS, syscall.EPROTO, errors.New("not a system call's")}
+	l := NewListener(&scriptedListener{Listener: in, errs: errs}, slog.New(slog.NewTextHandler(&log, nil)))
 	out, err := net.Dial("tcp", in.Addr().String())
 	require.NoError(t, err)
 	defer out.Close()
--- a/internal/violation/violation.go
+++ b/internal/violation/violation.go
@@ -1,5 +1,6 @@
-// Package violation counts what broke a rule and was found out only afterwards: it should never happen, so each is told with
-// what is known of it, once a second at the most, and in the laboratory ends the process.
+// Package violation counts violations of the rules in docs/design/invariants.md that can be noticed
+// only afterwards. None is expected, so each is logged with what is known of it, once a second at
+// the most; in the test laboratory it ends the process.
 package violation
 
 import (
@@ -12,76 +13,91 @@
 	"oakthread/internal/neterr"
 )
 
-// Rule names the rule that was broken, as docs/design/invariants.md has it.
+// Rule is the id of a rule in docs/design/invariants.md.
 type Rule string
 
-// Rules of which breaches can be seen from inside.
+// Rules whose violation can be noticed by the process itself.
 const (
-	Answered Rule = "I1" // a request that was taken gets its answer
+	Answered Rule = "I1" // a request that was accepted gets its answer
 	Once     Rule = "I4" // a call that must not run twice does not
-	Refusal  Rule = "I5" // a refused call had no effect
-	InTime   Rule = "I2" // by its time, with half a second beyond
+	Refusal  Rule = "I5" // a rejected call had no effect
+	InTime   Rule = "I2" // a call is answered by its deadline, with half a second of tolerance
 )
 
-// Path is where a breach was found.
+// Path is where a violation was noticed.
 type Path string
 
-// Paths that look for breaches.
+// Paths that check for violations.
 const (
-	PathTake   Path = "take"   // a whole call, on a connection that was closed
-	PathBook   Path = "book"   // a final answer
-	PathLanded Path = "landed" // the end of an attempt
-	PathEnd    Path = "end"    // the end of the front
+	PathTake   Path = "take"   // a call was read in full from a connection that had been closed
+	PathBook   Path = "book"   // a call gets its final answer
+	PathLanded Path = "landed" // an attempt has ended
+	PathEnd    Path = "end"    // the front has shut down
 )
 
-// Recorder counts breaches. The zero value counts and tells nobody. Its methods may be called from many goroutines.
+// exitCode is that of a process that ends for a violation.
+const exitCode = 3
+
+// Key is what violations are counted by.
+type Key struct {
+	Rule Rule
+	Path Path
+}
+
+// Recorder counts violations. The zero value counts and logs nothing. It is safe for concurrent
+// use.
 type Recorder struct {
 	Log    *slog.Logger // nil: nothing is logged
-	Strict bool         // a breach ends the process, with exit code 3, but for a late answer
+	Strict bool         // any violation but a late answer ends the process with exit code 3
 
 	mu     sync.Mutex
 	counts map[Key]int64
 	limit  neterr.LogLimit
 }
 
-// Key is what breaches are counted by.
-type Key struct {
-	Rule Rule
-	Path Path
+// Found records a violation by the call with id requestID, empty where it is none of a call.
+func (r *Recorder) Found(rule Rule, path Path, requestID, detail string) {
+	r.count(Key{rule, path})
+	r.log(rule, path, requestID, detail)
+	// A process that was stopped for a while answers late, which is no fault of the program.
+	if r.Strict && rule != InTime {
+		os.Exit(exitCode)
+	}
 }
 
-// exitCode is that of a process that broke a rule in the laboratory.
-const exitCode = 3
-
-// Found takes a breach; id is the call's.
-func (r *Recorder) Found(rule Rule, path Path, id, detail string) {
+func (r *Recorder) count(key Key) {
 	r.mu.Lock()
+	defer r.mu.Unlock()
 	if r.counts == nil {
 		r.counts = map[Key]int64{}
 	}
-	r.counts[Key{rule, path}]++
-	r.mu.Unlock()
-	if r.Log != nil {
-		if suppressed, ok := r.limit.Allow(time.Now()); ok || r.Strict {
-			r.Log.Error("rule violated", "rule", string(rule), "path", string(path), "id", id, "detail", detail, "suppressed", suppressed)
-		}
+	r.counts[key]++
+}
+
+// log logs a violation, once a second at the most unless it ends the process.
+func (r *Recorder) log(rule Rule, path Path, requestID, detail string) {
+	if r.Log == nil {
+		return
 	}
-	if r.Strict && rule != InTime { // a process that was stopped for a while answers late
-		os.Exit(exitCode)
+	suppressed, ok := r.limit.Allow(time.Now())
+	if !ok && !r.Strict {
+		return
 	}
+	r.Log.Error("rule violated", "rule", string(rule), "path", string(path), "request_id", requestID, "detail", detail,
+		"suppressed", suppressed)
 }
 
-// Counts are the breaches so far.
+// Counts returns the number of violations so far by rule and path.
 func (r *Recorder) Counts() map[Key]int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return maps.Clone(r.counts)
 }
 
-// Sum is how many there are.
+// Sum returns the number of all violations so far.
 func (r *Recorder) Sum() (n int64) {
-	for _, k := range r.Counts() {
-		n += k
+	for _, count := range r.Counts() {
+		n += count
 	}
 	return n
 }
--- a/internal/violation/violation_test.go
+++ b/internal/violation/violation_test.go
@@ -8,7 +8,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestBreachesAreCountedAndToldOnceASecond(t *testing.T) {
+// TestViolationsAreCountedAndLoggedOnceASecond shows that each violation is counted, and that a
+// flood of them is logged once.
+func TestViolationsAreCountedAndLoggedOnceASecond(t *testing.T) {
 	var log bytes.Buffer
 	r := &Recorder{Log: slog.New(slog.NewTextHandler(&log, nil))}
 	assert.Zero(t, r.Sum())
@@ -19,6 +21,6 @@
 	assert.Equal(t, map[Key]int64{{Once, PathLanded}: 3, {Answered, PathTake}: 1}, r.Counts())
 	assert.EqualValues(t, 4, r.Sum())
 	assert.Equal(t, 1, bytes.Count(log.Bytes(), []byte("rule violated")))
-	assert.Contains(t, log.String(), "id=id1")
+	assert.Contains(t, log.String(), "request_id=id1")
 	(&Recorder{}).Found(Once, PathBook, "", "") // without a log
 }
