--- a/internal/mutant/on.go
+++ b/internal/mutant/on.go
@@ -4,10 +4,10 @@
 
 import "os"
 
-// variable names the planted fault.
+// variable is the environment variable that names the planted fault.
 const variable = "OAKTHREAD_MUTANT"
 
 var planted = Name(os.Getenv(variable))
 
-// On tells whether a fault is planted.
+// On reports whether a fault is planted.
 func On(n Name) bool { return n == planted }
