--- a/admin/classes.go
+++ b/admin/classes.go
@@ -31,7 +31,7 @@
 
 // Retune compares the settings of a reload with the table, without changing it. added are the new
 // classes, which get the numbers from Len on, in order; numbers is the table of names with them.
-// Pass both to Take once they are in force.
+// Both are put into force by the next method.
 func (c *Classes) Retune(names []string, rules []balancer.Class) (added []balancer.Class, numbers map[string]int) {
 	numbers = make(map[string]int, len(names))
 	for i, name := range names {
@@ -45,7 +45,7 @@
 	return added, numbers
 }
 
-// Take puts into force what Retune returned.
+// Take puts into force the result of a comparison.
 func (c *Classes) Take(added []balancer.Class, numbers map[string]int) {
 	c.names = append(c.names, make([]string, len(added))...)
 	for name, number := range numbers {
--- a/admin/state.go
+++ b/admin/state.go
@@ -137,7 +137,7 @@
 	return listed, unavailable
 }
 
-// OutOfService takes the dispatcher out of service: Ready is false until InService.
+// OutOfService takes the dispatcher out of service: Ready is false until it is returned to service.
 func (s *State) OutOfService() { s.outOfService = true }
 
 // InService returns the dispatcher to service.
--- a/aggregate/view.go
+++ b/aggregate/view.go
@@ -20,9 +20,9 @@
 	Covered []float64 // sums over the dispatchers covered alone: for ratios of values that change quickly
 	Heard   int       // number of dispatchers that the sums cover, this one included
 	Missing int       // number of dispatchers that are missing
-	Age     int64     // nanoseconds since the digest came; 0 where Never
+	Age     int64     // nanoseconds since the digest came; 0 without a digest
 	Never   bool      // no digest has come since the start of this dispatcher
-	Stale   bool      // no digest has come for some terms, or Never
+	Stale   bool      // no digest has come for some terms, or none at all
 	Scale   float64   // ratio of the total to the sum covered, of the value named to Aggregator.View; at least 1
 }
 
--- a/outlier/detector.go
+++ b/outlier/detector.go
@@ -151,8 +151,8 @@
 // failurePercent returns the mean of failures as of the last update, in percent, rounded down.
 func (s *Stats) failurePercent() int { return int(100 * s.failureRate) }
 
-// Ejected reports whether a worker gets no calls but trials because of its own failures. Ejection
-// by gossip is ByWords.
+// Ejected reports whether a worker gets no calls but trials because of its own failures, whatever
+// other dispatchers report of it.
 func (d *Detector) Ejected(stats *Stats, zoneID int) bool {
 	if stats.ejected && stats.unreachable && d.perZone {
 		d.zone(zoneID).clearIfHealed(stats)
--- a/outlier/evidence.go
+++ b/outlier/evidence.go
@@ -9,7 +9,7 @@
 	// maxCount bounds the counts of a Mark (calls) and of Evidence (observers): four bits each on
 	// the wire.
 	maxCount = 15
-	// latencyUnit is the number of units of Mark.Pace in the mean latency: quarters.
+	// latencyUnit is the number of units of the latency in marks that make up the mean: quarters.
 	latencyUnit = 4
 	// slowThreshold is the latency of a worker, in multiples of the mean, from which it is
 	// reported.
