--- a/aggregate/aggregator.go
+++ b/aggregate/aggregator.go
@@ -4,7 +4,7 @@
 // Each dispatcher reports its values to the leader of the term, and the leader sends a digest to
 // all: the sums over the reports that it has, the set of dispatchers that these cover and, for
 // those missing, what they last added to such sums. So a partial sum is never taken for the total,
-// and a dispatcher that is not heard from is remembered instead of counted as idle. A report quotes
+// and a dispatcher that does not report is remembered instead of counted as idle. A report quotes
 // what its sender added to the last digest, where that differs from its present values; what is
 // missing then follows exactly, without the values of each dispatcher: it is the last digest less
 // what the present dispatchers had added to it.
--- a/aggregate/decode.go
+++ b/aggregate/decode.go
@@ -70,6 +70,7 @@
 // rejectFlags marks the text invalid where any of the flags is set.
 func (d *decoder) rejectFlags(flags byte) { d.invalid = d.invalid || d.flags&flags != 0 }
 
+// report reads a report after its number of calls.
 func (d *decoder) report() Report {
 	r := Report{Incarnation: d.byte(), Seq: d.byte(), Values: d.valueList(), Fresh: d.has(flagFresh)}
 	if d.has(flagLastCounted) {
@@ -78,6 +79,8 @@
 	return r
 }
 
+// digest reads a digest. Without flagCovered it covers all dispatchers, without flagMissing it
+// misses none.
 func (d *decoder) digest() Digest {
 	digest := Digest{
 		Truncated: d.has(flagTruncated),
@@ -114,6 +117,7 @@
 	return values
 }
 
+// marks reads the marks and their number.
 func (d *decoder) marks() (marks []Mark) {
 	for range d.byte() {
 		worker := binary.BigEndian.Uint16(d.take(2))
@@ -128,6 +132,7 @@
 	return marks
 }
 
+// counts reads n counts.
 func (d *decoder) counts(n int) []Count {
 	if n == 0 {
 		return nil
@@ -175,8 +180,10 @@
 	return taken
 }
 
+// byte reads one byte.
 func (d *decoder) byte() byte { return d.take(1)[0] }
 
+// value reads one value.
 func (d *decoder) value() float64 { return decodeValue(binary.BigEndian.Uint16(d.take(valueBytes))) }
 
 // valueList reads as many values as the header says.
--- a/aggregate/encode.go
+++ b/aggregate/encode.go
@@ -8,15 +8,17 @@
 
 // The wire format of a text, before base64 without padding; numbers are big-endian:
 //
-//	byte 0      bits 0-1 version, bits 2-5 number of values, bit 6 marks follow
-//	byte 1      flags
-//	byte 2      number of counts
-//	report      calls, incarnation, sequence: a byte each; values; with flagLastCounted a set of values and these
-//	digest      tick: 2 bytes; sums; with flagCovered the set of dispatchers covered; with flagMissing the sums of
-//	            those missing, what moved of them, and their set
-//	marks       number: a byte; for each the worker: 2 bytes, served and failed: 4 bits each, latency: a byte
-//	counts      for each the worker: 2 bytes, flags and calls in flight: a byte
-//	holders     up to the end, for each the function: 4 bytes, the worker: 2 bytes
+//	byte 0   bits 0-1 version, bits 2-5 number of values, bit 6 marks follow
+//	byte 1   flags
+//	byte 2   number of counts
+//	report   calls, incarnation, sequence: a byte each; values;
+//	         with flagLastCounted the set of values that are quoted, and these
+//	digest   tick: 2 bytes; sums; with flagCovered the set of dispatchers covered;
+//	         with flagMissing the sums of those missing, what moved of them, and their set
+//	marks    number: a byte; for each the worker: 2 bytes, served and failed: 4 bits each,
+//	         latency: a byte
+//	counts   for each the worker: 2 bytes, flags and calls in flight: a byte
+//	holders  up to the end, for each the function: 4 bytes, the worker: 2 bytes
 //
 // A continued text has neither report nor digest nor marks.
 const (
@@ -131,6 +133,7 @@
 	return values
 }
 
+// appendReport writes a report; values beyond maxValues are dropped.
 func (e *encoder) appendReport(calls int, r *Report) {
 	values := e.valueCount(r.Values)
 	e.raw = append(e.raw, byte(min(calls, maxCalls)), r.Incarnation, r.Seq)
@@ -150,6 +153,7 @@
 	e.raw = appendValues(e.raw, quoted)
 }
 
+// appendDigest writes a digest, its sets only where they are not the default.
 func (e *encoder) appendDigest(d *Digest, dispatchers int) {
 	sums := e.valueCount(d.Sums)
 	e.raw = binary.BigEndian.AppendUint16(e.raw, d.Tick)
@@ -181,6 +185,7 @@
 	}
 }
 
+// appendCounts writes counts, with calls in flight cut to maxInFlight.
 func (e *encoder) appendCounts(counts []Count) {
 	for _, count := range counts {
 		b := byte(min(count.N, maxInFlight))
@@ -194,6 +199,7 @@
 	}
 }
 
+// appendHolders writes holders up to the end of the text.
 func (e *encoder) appendHolders(holders []Holder) {
 	for _, holder := range holders {
 		e.raw = binary.BigEndian.AppendUint32(e.raw, holder.Func)
--- a/internal/neterr/neterr.go
+++ b/internal/neterr/neterr.go
@@ -56,6 +56,7 @@
 	return fmt.Sprintf("Kind(%d)", int(k))
 }
 
+// kinds is what each error of a system call is about; any other is Unknown.
 var kinds = map[syscall.Errno]Kind{
 	syscall.EINTR:  Interrupted,
 	syscall.EAGAIN: Interrupted, // of connect(2) also a lack of local ports or routing cache, which is temporary too
--- a/internal/violation/violation.go
+++ b/internal/violation/violation.go
@@ -65,6 +65,7 @@
 	}
 }
 
+// count adds one violation.
 func (r *Recorder) count(key Key) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/outlier/evidence.go
+++ b/outlier/evidence.go
@@ -78,7 +78,7 @@
 	return median
 }
 
-// Says reports whether the evidence is worth sending. ejected says that the worker is ejected by
+// Says reports whether the evidence is to be sent. ejected says that the worker is ejected by
 // gossip, so that evidence in its favour counts too.
 func (e Evidence) Says(ejected bool) bool {
 	return e.Bad > 1 || e.Pace > 0 || ejected && e.observers() > 0
--- a/outlier/state.go
+++ b/outlier/state.go
@@ -31,13 +31,13 @@
 // State is what is known of one worker, for operators.
 type State struct {
 	Status      Status
-	Evidence    string  // why it has this status, in words
-	Good        float64 // own calls that it served lately, decaying
-	Bad         float64 // decaying mean of the failures of own calls, 0 to 1
+	Evidence    string   // why it has this status, in words
+	Good        float64  // own calls that it served lately, decaying
+	Bad         float64  // decaying mean of the failures of own calls, 0 to 1
 	Word        Evidence // of other dispatchers, as last received
-	WordAge     int64 // nanoseconds since that evidence was received; negative: never
-	TrialIn     int64 // nanoseconds until the next trial; 0 where it is due, or the worker is not ejected
-	Unreachable bool  // its connections are never established
+	WordAge     int64    // nanoseconds since that evidence was received; negative: never
+	TrialIn     int64    // nanoseconds until the next trial; 0 where it is due, or the worker is not ejected
+	Unreachable bool     // its connections are never established
 }
 
 // State returns what is known of a worker whose calls take latencyRatio times the mean.
--- a/ring/ring.go
+++ b/ring/ring.go
@@ -45,6 +45,7 @@
 	pending      []point          // of new tokens, not among points yet, unsorted
 }
 
+// member is a slot for one member.
 type member[T any] struct {
 	value     T
 	present   bool  // the slot has a member
