--- a/balancer/health.go
+++ b/balancer/health.go
@@ -1,170 +1,130 @@
 package balancer
 
-// This file owns what is learned of a worker from its answers, and whether it is avoided.
+import "oakthread/outlier"
 
-import (
-	"math"
+// recentResponseObjectives is how many shortest latency objectives a worker that responded counts
+// as responsive, when a dispatcher asks whether a fault is its own.
+const recentResponseObjectives = 2
 
-	"oakthread/outlier"
-)
-
-// learn learns from an outcome: latency, holder beliefs, and the worker's faults.
-func (d *Balancer) learn(now int64, a *attempt, o AttemptResult) {
-	w, h, st := a.w, a.h, &d.stats[a.req.Class]
-	age := float64(now - a.sent)
-	if o.Result != OK && o.Result != NotSent && o.Result != Cancelled {
-		// A failure must not make a worker look light: it stays in its load for a normal service time.
-		w.ghosts = append(w.ghosts, ghost{now + int64(st.mean), o.Result == QueueFull})
-	}
-	// Lost, if the copy answered others meanwhile: one that was pushed out is loading.
-	if (o.Result == Timeout || o.Result == Cancelled) && a.warm && now > a.due && h.hitAt > a.sent {
-		d.missed(d.gone(now, a))
-	}
-	switch o.Result {
-	case OK:
-		d.answered(now, w)
-		d.missed(0)
-		w.heard, h.fn.served = true, true
-		if !a.req.counted {
-			a.req.counted = true
-			d.count(a.req.arrived)
-		}
-		if !d.isCold(now, w) {
-			d.answers, d.answersAt = d.answers*d.fade(now)+1, now
-		}
-		d.served = d.served*math.Exp(-float64(now-d.servedAt)/float64(2*d.minAim)) + 1
-		d.servedAt = now
-		d.changed(now, w, d.judge.RecordSuccess(now, &w.health))
-		miss := 0.0
-		if o.Warmth == BeganLoad || a.req.began {
-			miss, a.req.began = 1, false
-		}
-		d.misses += learnLoads * (miss - d.misses)
-		if o.Warmth == BeganLoad {
-			d.loadTook(h.fn, max(0, age-st.mean))
-		} else if o.Warmth != AwaitedLoad {
-			w.pace += learnPace * (min(max(age/max(st.mean, 1), 1), paceMax) - w.pace)
-			w.paceAt = now
-			st.add(age, learnTime)
-			h.hitAt = now
-		}
-		d.believe(now, h)
-	case Error, NotLoaded, QueueFull:
-		d.answered(now, w)
-		if o.Warmth == LoadFailed {
-			d.stress += learn * (stressMax/2 - d.stress)
-			h.until = 0
-		} else if o.Result == NotLoaded {
-			h.until = 0
-		} else if o.Result == Error && h.fn.served {
-			d.blame(now, w, outlier.Failure)
-		} else if o.Result == Error { // it may be a function that no worker knows
-			d.blame(now, w, outlier.Hint)
-		}
-	case Timeout, Cancelled:
-		if a.due < now && w.lastAnswer < a.sent && (o.Result == Timeout || !a.req.done) {
-			d.blame(now, w, outlier.Failure)
-		}
-	case ConnectFailed, Reset:
-		d.cut(now, a.sent, w, o.Result)
-	}
+// isHealthy reports whether a worker is neither ejected nor unresponsive.
+func (b *Balancer) isHealthy(now int64, w *workerState) bool {
+	return !b.isEjected(w) && !b.isUnresponsive(now, w)
 }
 
-// cut takes a connection that never came up, or one cut under a call. That tells of no death: some networks
-// cut everywhere, and all workers would be out in turn.
-func (d *Balancer) cut(now, sent int64, w *worker, res Result) {
-	if res == Reset {
-		d.blame(now, w, outlier.Hint)
-	}
-	if res == Reset || !w.listed {
-		return
-	}
-	d.unbelieve(w)
-	d.changed(now, w, d.judge.RecordUnreachable(now, sent, &w.health, w.Zone))
-}
+// isEjected reports whether this dispatcher has ejected a worker for its failures.
+func (b *Balancer) isEjected(w *workerState) bool { return b.outliers.Ejected(&w.outlierStats, w.Zone) }
 
-// answered: w has said something, good or bad, so it can be reached.
-func (d *Balancer) answered(now int64, w *worker) {
-	w.lastAnswer = now
-	d.changed(now, w, d.judge.RecordResponse(now, &w.health, w.Zone))
+// isUnresponsive reports whether a worker does not respond, by what we see or what others report.
+func (b *Balancer) isUnresponsive(now int64, w *workerState) bool {
+	return b.isUnreachableByAll(now, w) || w.hasOverdueAttempt(now)
 }
 
-func (d *Balancer) blame(now int64, w *worker, weight outlier.Weight) {
-	d.changed(now, w, d.judge.RecordFailure(now, &w.health, weight))
+// isUnreachableByAll reports whether no dispatcher is served by a worker, or none on our side of a
+// partition.
+func (b *Balancer) isUnreachableByAll(now int64, w *workerState) bool {
+	return b.isReportedUnresponsive(now, w) || b.outliers.ZonePartitioned(w.Zone)
 }
 
-func (d *Balancer) well(now int64, w *worker) bool { return !d.out(w) && !d.silent(now, w) }
-
-// silent: its oldest attempt is overdue and nothing has been heard since that was sent.
-func (d *Balancer) silent(now int64, w *worker) bool { return d.nobodys(now, w) || d.quiet(now, w) }
-
-// nobodys: no dispatcher hears it, none is served there, or none on our side of a cut.
-func (d *Balancer) nobodys(now int64, w *worker) bool {
-	return d.told(now, w) || d.judge.ZonePartitioned(w.Zone)
+// isReportedUnresponsive reports whether digests say that others are not served by a worker, or
+// that several found it silent and none had a response, and we had none either. One of many
+// dispatchers is slow to find out by itself, and the leaders to come may be down, so that a report
+// holds the longer the more there are.
+func (b *Balancer) isReportedUnresponsive(now int64, w *workerState) bool {
+	silent := w.reportedSilentAt > 0 && w.lastResponseAt < w.reportedSilentAt-b.shortestObjective &&
+		float64(now-w.reportedSilentAt) < min(b.decayTime(), 2*b.fleetFactor()*float64(b.shortestObjective))
+	return silent || b.outliers.ByWords(now, &w.outlierStats)
 }
 
-// told: the hub tells that others were not served there, or that some found it silent and none had an answer;
-// nor had we. Of many dispatchers the next hubs may be down, and each alone is slow to find out.
-func (d *Balancer) told(now int64, w *worker) bool {
-	mute := w.silentAt > 0 && w.lastAnswer < w.silentAt-d.minAim &&
-		float64(now-w.silentAt) < min(d.tau(), 2*d.many()*float64(d.minAim))
-	return mute || d.judge.ByWords(now, &w.health)
+// hasOverdueAttempt reports whether the oldest attempt at a worker is overdue and it has not
+// responded since that was sent.
+func (w *workerState) hasOverdueAttempt(now int64) bool {
+	return len(w.inFlight) > 0 && now > w.inFlight[0].dueAt && w.lastResponseAt <= w.inFlight[0].sentAt
 }
 
-func (d *Balancer) quiet(now int64, w *worker) bool {
-	return len(w.open) > 0 && now > w.open[0].due && w.lastAnswer <= w.open[0].sent
+// trialDue reports whether r may be sent to an unhealthy worker as a trial. A worker that no
+// dispatcher reaches is tried by a few of them in turn, one that is reported to serve nobody by
+// one.
+func (b *Balancer) trialDue(now int64, w *workerState, r *requestState) bool {
+	assigned := int(wellInformedDispatchers)
+	if b.outliers.ByWords(now, &w.outlierStats) {
+		assigned = 1
+	}
+	if !b.outliers.TrialDue(now, &w.outlierStats, w.Zone) || len(w.inFlight) > 0 || len(r.attempts) > 0 {
+		return false
+	}
+	if r.class.Idempotency != Idempotent && b.hasIdempotentClass {
+		return false
+	}
+	key := mix64(uint64(w.Worker) + uint64(now)/uint64(b.decayTime()))
+	return !b.isReportedUnresponsive(now, w) || b.gossip.elector.Assigned(now, key, assigned)
 }
 
-// trialDue: a worker that nobody hears is tried by a few dispatchers in turn, one that serves nobody by one.
-func (d *Balancer) trialDue(now int64, w *worker, r *request) bool {
-	k, key := int(few), mix(uint64(w.Worker)+uint64(now)/uint64(d.tau()))
-	if d.judge.ByWords(now, &w.health) {
-		k = 1
+// handleConnectionFailure takes a connection that failed to come up or was reset under a call. A
+// reset alone shows no fault of the worker: some networks reset everywhere, and all workers would
+// be ejected in turn.
+func (b *Balancer) handleConnectionFailure(now, sentAt int64, w *workerState, result Result) {
+	if result == Reset {
+		b.recordFailure(now, w, outlier.Hint)
+		return
+	}
+	if !w.listed {
+		return
 	}
-	return d.judge.TrialDue(now, &w.health, w.Zone) && len(w.open) == 0 && len(r.tries) == 0 &&
-		(r.class.Idempotency == Idempotent || !d.safe) && (!d.told(now, w) || d.roll.Assigned(now, key, k))
+	w.forgetCopies()
+	b.logHealthChange(now, w, b.outliers.RecordUnreachable(now, sentAt, &w.outlierStats, w.Zone))
 }
 
-func (d *Balancer) out(w *worker) bool { return d.judge.Ejected(&w.health, w.Zone) }
+// recordResponse takes that a worker responded, well or not, so that it can be reached.
+func (b *Balancer) recordResponse(now int64, w *workerState) {
+	w.lastResponseAt = now
+	b.logHealthChange(now, w, b.outliers.RecordResponse(now, &w.outlierStats, w.Zone))
+}
+
+// recordFailure takes a failure that a worker is blamed for.
+func (b *Balancer) recordFailure(now int64, w *workerState, weight outlier.Weight) {
+	b.logHealthChange(now, w, b.outliers.RecordFailure(now, &w.outlierStats, weight))
+}
 
-// changed logs what has changed of a worker.
-func (d *Balancer) changed(now int64, w *worker, event outlier.Event) {
+// logHealthChange logs what the outlier detector changed of a worker; the zero event is no change.
+func (b *Balancer) logHealthChange(now int64, w *workerState, event outlier.Event) {
 	if !event.IsZero() {
-		d.log(now, "worker %d %s", w.Worker, event)
+		b.logf(now, "worker %d %s", w.Worker, event)
 	}
 }
 
-// Ejected lists the listed workers that the module avoids by its own choice (ejected, past their failures), in the
-// order of the list. It changes nothing.
-func (d *Balancer) Ejected() []WorkerID {
-	var out []WorkerID
-	for _, w := range d.list {
-		if w.listed && w.State == Active && (d.out(w) || d.judge.ZonePartitioned(w.Zone)) {
-			out = append(out, w.Worker)
+// Ejected lists the listed workers that the module avoids by its own choice (ejected, past their
+// failures), in the order of the list. It changes nothing.
+func (b *Balancer) Ejected() []WorkerID {
+	var ejected []WorkerID
+	for _, w := range b.endpoints.listed {
+		if w.listed && w.State == Active && (b.isEjected(w) || b.outliers.ZonePartitioned(w.Zone)) {
+			ejected = append(ejected, w.Worker)
 		}
 	}
-	return out
+	return ejected
 }
 
-// WorkerHealth is what is held of one worker, for operators.
+// WorkerHealth is the health of one worker as operators see it.
 type WorkerHealth struct {
 	Worker WorkerID
 	Zone   int
-	Pace   float64 // time of its calls in the mean of all
-	Silent bool    // others found it silent, and nobody had an answer
+	Pace   float64 // mean response time over that of all workers
+	Silent bool    // others found it silent, and nobody had a response
 	outlier.State
 }
 
-// WorkerHealth lists what is held of each listed worker, in the order of the list. It changes nothing that is decided.
-func (d *Balancer) WorkerHealth(now int64) (out []WorkerHealth) {
-	for _, w := range d.list {
-		pace := d.slow(now, w)
-		silent := d.told(now, w) && !d.judge.ByWords(now, &w.health)
-		v := WorkerHealth{w.Worker, w.Zone, pace, silent, d.judge.State(now, &w.health, w.Zone, pace)}
-		if v.Silent && v.Status == outlier.StatusHealthy {
-			v.Status, v.Evidence = outlier.StatusEjected, "several found it silent, and nobody had an answer"
+// WorkerHealth lists the health of each listed worker, in the order of the list. It changes no
+// decision.
+func (b *Balancer) WorkerHealth(now int64) (all []WorkerHealth) {
+	for _, w := range b.endpoints.listed {
+		pace := b.relativeLatency(now, w)
+		silent := b.isReportedUnresponsive(now, w) && !b.outliers.ByWords(now, &w.outlierStats)
+		health := WorkerHealth{w.Worker, w.Zone, pace, silent, b.outliers.State(now, &w.outlierStats, w.Zone, pace)}
+		if health.Silent && health.Status == outlier.StatusHealthy {
+			health.Status = outlier.StatusEjected
+			health.Evidence = "several found it silent, and nobody had an answer"
 		}
-		out = append(out, v)
+		all = append(all, health)
 	}
-	return out
+	return all
 }
--- /dev/null
+++ b/balancer/timers_test.go
@@ -0,0 +1,70 @@
+package balancer
+
+import (
+	"container/heap"
+	"math/rand/v2"
+	"testing"
+)
+
+// A bell that rings a little before its time must not stop the timers: found by a hunt as lost
+// requests.
+func TestEarlyTimerIsSetAgain(t *testing.T) {
+	d, f := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 0)
+	d.HandleRequest(0, testRequest("a", 0, 1))
+	now := int64(0)
+	for range 2000 {
+		delay := f.timerDelays[len(f.timerDelays)-1]
+		f.timerDelays = f.timerDelays[:0]
+		if delay > 1000 {
+			delay -= 334
+		}
+		now += delay
+		d.HandleTimer(now, f.timerRef)
+		if f.answers["a"] != "" {
+			return
+		}
+		if len(f.timerDelays) == 0 {
+			t.Fatalf("no timer after a bell at %d ms", now/ms)
+		}
+	}
+	t.Fatal("never answered")
+}
+
+// standardHeap is the same heap as the standard library keeps it.
+type standardHeap struct{ timerHeap }
+
+func (h *standardHeap) Len() int { return len(h.timerHeap) }
+
+func (h *standardHeap) Less(i, j int) bool { return h.timerHeap[i].at < h.timerHeap[j].at }
+
+func (h *standardHeap) Swap(i, j int) {
+	h.timerHeap[i], h.timerHeap[j] = h.timerHeap[j], h.timerHeap[i]
+}
+
+func (h *standardHeap) Push(x any) { h.timerHeap = append(h.timerHeap, x.(timerEntry)) }
+
+func (h *standardHeap) Pop() any {
+	n := len(h.timerHeap) - 1
+	x := h.timerHeap[n]
+	h.timerHeap = h.timerHeap[:n]
+	return x
+}
+
+// Wakeups come out as from container/heap, also those of one time: the order of events, and with it
+// every choice, hangs on it.
+func TestTimerHeapOrdersAsContainerHeap(t *testing.T) {
+	rng := rand.New(rand.NewPCG(1, 2))
+	ours, theirs := timerHeap{}, &standardHeap{}
+	for i := range 20_000 {
+		if rng.IntN(5) < 3 || len(ours) == 0 {
+			x := timerEntry{int64(rng.IntN(40)), &requestState{arrivedAt: int64(i)}}
+			ours.push(x)
+			heap.Push(theirs, x)
+		} else if got, want := ours.pop(), heap.Pop(theirs).(timerEntry); got != want {
+			t.Fatalf("event %d: %d of %d, want %d of %d", i, got.at, got.request.arrivedAt, want.at, want.request.arrivedAt)
+		}
+		if len(ours) > 3000 {
+			ours, theirs.timerHeap = ours[:0], theirs.timerHeap[:0]
+		}
+	}
+}
--- /dev/null
+++ b/endpoints/observe_test.go
@@ -0,0 +1,77 @@
+package endpoints
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"oakthread/balancer"
+)
+
+// Without service discovery a 503 has the worker checked, and its own report of draining binds at
+// once.
+func TestOwnDrainReportBindsBeforeDiscovery(t *testing.T) {
+	list, view := New(Config{}), balancerView{}
+	list.Restore(startTime, cachedSnapshot(time.Minute, testEndpoint(1), testEndpoint(2)))
+	runHealthChecks(list, view, startTime, time.Second, answered)
+	require.Equal(t, []int{1, 2}, view.active())
+	now := startTime.Add(time.Second)
+	list.Observe(now, 2, Busy)
+	list.Tick(now)
+	actions := view.take(list)
+	require.Len(t, actions.Probe, 1)
+	assert.Equal(t, balancer.WorkerID(2), actions.Probe[0].ID)
+	list.Probed(now, 2, Drains)
+	actions = view.take(list)
+	assert.Equal(t, []int{1}, view.active())
+	assert.True(t, actions.Urgent, "saved at once")
+	assert.Equal(t, balancer.Draining, list.TakeSnapshot(now).Endpoints[1].State)
+
+	// Service discovery learns of a drain late, so its report does not replace the worker's own for
+	// a while.
+	list.HandleUpdate(now, Update{Full: true, Cursor: 8, Endpoints: []Endpoint{testEndpoint(1), testEndpoint(2)}})
+	view.take(list)
+	assert.True(t, list.Live())
+	list.ConfirmCurrent(now.Add(time.Second))
+	view.take(list)
+	assert.Equal(t, []int{1, 2}, view.active(), "a newer report of this worker counts")
+}
+
+// A full worker is checked four times a second at most, however many requests it rejects.
+func TestOverloadedWorkerIsCheckedRarely(t *testing.T) {
+	list, view := New(Config{}), balancerView{}
+	list.Restore(startTime, cachedSnapshot(time.Minute, testEndpoint(1)))
+	runHealthChecks(list, view, startTime, 2*time.Second, answered)
+	checks := 0
+	from := startTime.Add(2 * time.Second)
+	for now := from; now.Before(from.Add(2 * time.Second)); now = now.Add(5 * time.Millisecond) {
+		list.Observe(now, 1, Busy)
+		list.Tick(now)
+		for _, endpoint := range view.take(list).Probe {
+			checks++
+			list.Probed(now, endpoint.ID, Answered)
+		}
+	}
+	assert.InDelta(t, 8, checks, 1)
+	assert.Equal(t, []int{1}, view.active(), "a full worker stays on the list")
+}
+
+// A worker that answers at the address of an excluded endpoint may be another one, so it counts as
+// just started.
+func TestExcludedEndpointThatAnswersCountsAsJustStarted(t *testing.T) {
+	list, view := New(Config{}), balancerView{}
+	list.Restore(startTime, cachedSnapshot(time.Minute, testEndpoint(1), testEndpoint(2)))
+	runHealthChecks(list, view, startTime, 2*time.Second, func(endpoint Endpoint) Observation {
+		if endpoint.ID == 2 {
+			return Refused
+		}
+		return Answered
+	})
+	require.Equal(t, []int{1}, view.active())
+	from := startTime.Add(2 * time.Second)
+	runHealthChecks(list, view, from, 2*maxCheckBackoff, answered)
+	require.Equal(t, []int{1, 2}, view.active())
+	assert.False(t, view[2].Start.Before(from), "counts as just started")
+}
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -10,6 +10,9 @@
 	"go/token"
 	"math"
 	"math/rand/v2"
+	"oakthread/aggregate"
+	"oakthread/balancer"
+	"oakthread/leader"
 	"os"
 	"path/filepath"
 	"regexp"
@@ -19,10 +22,6 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"oakthread/aggregate"
-	"oakthread/balancer"
-	"oakthread/leader"
 )
 
 // line is a straight line as a Curve.
@@ -88,8 +87,10 @@
 			counts, pairs = 0, 0
 		}
 		row := make([]float64, figs)
-		m := aggregate.Message{FromLeader: true, Digest: aggregate.Digest{Sums: row, MissingSums: row, MissingMoved: row,
-			Covered: filled(siblings, siblings), Missing: aggregate.NewSet(siblings)}}
+		m := aggregate.Message{FromLeader: true, Digest: aggregate.Digest{
+			Sums: row, MissingSums: row, MissingMoved: row,
+			Covered: filled(siblings, siblings), Missing: aggregate.NewSet(siblings),
+		}}
 		beside(&m, marks, counts, pairs)
 		d := Digest{Siblings: siblings, Figures: figs, Marks: marks, Counts: counts, Pairs: pairs}
 		if d.Partial = i%2 == 0 && siblings > 1; d.Partial {
@@ -194,27 +195,27 @@
 		{"../../aggregate", "maxTextBytes", "190", of.textMax, 190},
 		{"../../aggregate", "maxMarks", "12", of.marksMax, 12},
 		{"../../aggregate", "maxValues", "15", figuresMost, 15},
-		{"../platform", "maxDatagram", "256", of.datagram, 256},
-		{"../platform", "datagramWait", "256", of.waiting, 256},
-		{"../platform", "maxLine", "4 << 20", of.line, 4 << 20},
-		{"../platform", "channelQuiet", "2 * time.Second", of.quiet, 2},
-		{"../platform", "channelDial", "time.Second", of.dial, 1},
-		{"../platform", "channelMost", "400 * time.Millisecond", of.most, 0.4},
-		{"../platform", "idleShare", "0.6", of.idleShare, 0.6},
-		{"../daemon", "reserved", "20", of.reserved, 20},
-		{"../daemon", "clientSpare", "16", of.clientSpare, 16},
-		{"../daemon", "memoryPart", "0.7", of.memoryPart, 0.7},
-		{"../daemon", "collectAt", "150", of.collectAt, 150},
-		{"../..", "eventsWait", "1024", of.eventsWait, 1024},
-		{"../../balancer", "tellShare", "0.005", of.tellShare, 0.005},
-		{"../../balancer", "tellFloor", "0.002", of.tellFloor, 0.002},
-		{"../../balancer", "purseMax", "10.0", of.purseMax, 10},
-		{"../../balancer", "hubAims", "2", of.hubAims, 2},
-		{"../../balancer", "beats", "8", of.beats, 8},
-		{"../../balancer", "helloPeers", "3", of.hello, 3},
-		{"../../balancer", "pairPart", "8", of.pairPart, 8},
+		{"../platform", "maxDatagramBytes", "256", of.datagram, 256},
+		{"../platform", "sendQueueLength", "256", of.waiting, 256},
+		{"../platform", "maxEventBytes", "4 << 20", of.line, 4 << 20},
+		{"../platform", "watchReadTimeout", "2 * time.Second", of.quiet, 2},
+		{"../platform", "watchDialTimeout", "time.Second", of.dial, 1},
+		{"../platform", "maxWatchRetryDelay", "400 * time.Millisecond", of.most, 0.4},
+		{"../platform", "idleTimeoutRatio", "0.6", of.idleShare, 0.6},
+		{"../daemon", "reservedSockets", "20", of.reserved, 20},
+		{"../daemon", "spareClientDivisor", "16", of.clientSpare, 16},
+		{"../daemon", "memoryLimitRatio", "0.7", of.memoryPart, 0.7},
+		{"../daemon", "gcPercent", "150", of.collectAt, 150},
+		{"../..", "eventQueueSize", "1024", of.eventsWait, 1024},
+		{"../../balancer", "gossipCostShare", "0.005", of.tellShare, 0.005},
+		{"../../balancer", "minMessagePrice", "0.002", of.tellFloor, 0.002},
+		{"../../balancer", "maxGossipBudget", "10.0", of.purseMax, 10},
+		{"../../balancer", "leaderTermObjectives", "2", of.hubAims, 2},
+		{"../../balancer", "maintenanceRounds", "8", of.beats, 8},
+		{"../../balancer", "syncPeers", "3", of.hello, 3},
+		{"../../balancer", "countsPerHolder", "8", of.pairPart, 8},
 		{"../../outlier", "maxEjectionFactor", "8", of.longest, 8},
-		{"../../endpoints", "defaultProbeRate", "300", Letter().ProbeRate, 300},
+		{"../../endpoints", "defaultHealthCheckRate", "300", Letter().ProbeRate, 300},
 	} {
 		assert.Equal(t, c.written, constants(t, c.folder)[c.name], "%s in %s", c.name, c.folder)
 		assert.InDelta(t, c.want, c.value, 1e-12, c.name)
@@ -494,8 +495,16 @@
 	for _, c := range []struct {
 		f    Figure
 		want string
-	}{{Figure(math.NaN()), "not measured"}, {Figure(math.Inf(1)), "none"}, {0.0451, "0.0451"}, {1900, "1900"}, {9600, "9600"},
-		{230_000, "230 k"}, {4.2e6, "4.2 M"}, {2.77e9, "2.77 G"}} {
+	}{
+		{Figure(math.NaN()), "not measured"},
+		{Figure(math.Inf(1)), "none"},
+		{0.0451, "0.0451"},
+		{1900, "1900"},
+		{9600, "9600"},
+		{230_000, "230 k"},
+		{4.2e6, "4.2 M"},
+		{2.77e9, "2.77 G"},
+	} {
 		assert.Equal(t, c.want, c.f.String())
 	}
 }
@@ -527,6 +536,7 @@
 		h.d.HandleAttemptResult(h.now, balancer.AttemptResult{ID: id, Attempt: n, Worker: w, Result: balancer.OK, Finished: true, Warmth: balancer.WarmHit})
 	})
 }
+
 func (h *asked) OrderLoad(w balancer.WorkerID, f balancer.FuncID, n int) {
 	h.after(100e6, func() { h.d.HandleLoadResult(h.now, w, f, n, balancer.OK) })
 }
@@ -566,9 +576,11 @@
 				}
 			}
 		}
-		s := balancer.Settings{Classes: []balancer.Class{{LatencyObjective: 400e6, ClientTimeout: 5e9, PriorityWeight: 1, Idempotency: balancer.Idempotent}},
+		s := balancer.Settings{
+			Classes:     []balancer.Class{{LatencyObjective: 400e6, ClientTimeout: 5e9, PriorityWeight: 1, Idempotency: balancer.Idempotent}},
 			TenantQuota: make([]float64, tenants), DispatcherIndex: 3, Dispatchers: siblings, ClockResolution: 4e6, MaxAttempts: 5,
-			Gossip: true, PeerPrice: Base(Letter()).PeerPrice, KeepAlive: 10e9, LoadsOnMiss: true}
+			Gossip: true, PeerPrice: Base(Letter()).PeerPrice, KeepAlive: 10e9, LoadsOnMiss: true,
+		}
 		var err error
 		h.d, err = balancer.New(h.now, s, 1, h)
 		require.NoError(t, err)
@@ -624,8 +636,10 @@
 			}
 			h.now -= term // it has lived for a while when its term comes
 			begin := h.now + term
-			s := balancer.Settings{Classes: []balancer.Class{{LatencyObjective: aim, ClientTimeout: 5e9, PriorityWeight: 1, Idempotency: balancer.Idempotent}}, Dispatchers: c.siblings,
-				TenantQuota: make([]float64, tenants), ClockResolution: 4e6, MaxAttempts: 5, Gossip: true, PeerPrice: price, KeepAlive: 10e9}
+			s := balancer.Settings{
+				Classes: []balancer.Class{{LatencyObjective: aim, ClientTimeout: 5e9, PriorityWeight: 1, Idempotency: balancer.Idempotent}}, Dispatchers: c.siblings,
+				TenantQuota: make([]float64, tenants), ClockResolution: 4e6, MaxAttempts: 5, Gossip: true, PeerPrice: price, KeepAlive: 10e9,
+			}
 			var err error
 			h.d, err = balancer.New(h.now, s, 1, h)
 			require.NoError(t, err)
--- /dev/null
+++ b/internal/daemon/reload.go
@@ -0,0 +1,90 @@
+package daemon
+
+import (
+	"context"
+	"log/slog"
+	"os"
+	"sync/atomic"
+	"time"
+
+	"oakthread/internal/platform"
+)
+
+// reloader reads the configuration again at each signal. A file that cannot be used changes
+// nothing.
+type reloader struct {
+	signals <-chan os.Signal
+	getenv  func(string) string
+	initial *platform.Config // of the start, which a reloaded one has to fit
+	watcher *platform.EndpointWatcher
+	// webhookKeys asks the webhook server to read its keys again.
+	webhookKeys chan time.Time
+	// apply puts the classes and the number of attempts of a reloaded configuration in force; nil
+	// applies none.
+	apply func(*platform.Config) error
+	log   *slog.Logger
+
+	succeeded, failed atomic.Int64 // reloads so far
+}
+
+// newReloader returns the reloader of a daemon, which as yet applies no classes.
+func newReloader(d *daemon) *reloader {
+	return &reloader{
+		signals:     d.options.Hup,
+		getenv:      d.options.Getenv,
+		initial:     d.cfg,
+		watcher:     d.watcher,
+		webhookKeys: make(chan time.Time, 1),
+		log:         d.log,
+	}
+}
+
+// run reloads at each signal until ctx ends.
+func (r *reloader) run(ctx context.Context) {
+	watched := r.initial.Channel
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-r.signals:
+		}
+		r.reloadWebhookKeys()
+		cfg, err := r.reload()
+		if err != nil {
+			r.failed.Add(1)
+			r.log.Error("configuration not reloaded, the old one stays",
+				"file", r.getenv("ROUTER_CONFIG"), "error", err)
+			continue
+		}
+		r.succeeded.Add(1)
+		r.log.Info("configuration reloaded", "channel", cfg.Channel)
+		if cfg.Channel != watched {
+			watched = cfg.Channel
+			r.watcher.Move(watched)
+		}
+	}
+}
+
+// reloadWebhookKeys asks the webhook server to read its keys, unless it has yet to do so after an
+// earlier signal.
+func (r *reloader) reloadWebhookKeys() {
+	select {
+	case r.webhookKeys <- time.Now():
+	default:
+	}
+}
+
+// reload reads the configuration and applies its classes.
+func (r *reloader) reload() (*platform.Config, error) {
+	cfg, err := platform.Load(r.getenv)
+	if err != nil {
+		return nil, err
+	}
+	if err := cfg.Fits(r.initial); err != nil {
+		return nil, err
+	}
+	if r.apply == nil {
+		return cfg, nil
+	}
+	return cfg, r.apply(cfg)
+}
--- /dev/null
+++ b/internal/daemon/webhooks.go
@@ -0,0 +1,59 @@
+package daemon
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"oakthread/internal/platform"
+	"oakthread/webhook"
+)
+
+// startWebhooks opens the webhook server, if the options ask for it, and serves it until ctx ends.
+// Its end comes on d.webhooksEnded.
+func (d *daemon) startWebhooks(ctx context.Context) error {
+	options := d.options.Webhooks
+	if options == nil {
+		d.webhooksEnded <- nil
+		return nil
+	}
+	front, err := webhook.Open(options, d.core, webhookClasses(d.cfg), tenantNames(d.cfg), nil, d.log)
+	if err != nil {
+		return err
+	}
+	listener, err := platform.Listen(ctx, options.Listen)
+	if err != nil {
+		return fmt.Errorf("webhooks: %w", err)
+	}
+	d.webhooks = front
+	go func() {
+		err := front.Serve(ctx, listener, d.reloader.webhookKeys)
+		if err != nil {
+			d.log.Error("webhooks: front ended", "error", err)
+		}
+		d.webhooksEnded <- err
+	}()
+	return nil
+}
+
+// webhookClasses returns the classes of the configuration as the webhook server needs them.
+func webhookClasses(cfg *platform.Config) []webhook.Class {
+	var classes []webhook.Class
+	for i, class := range cfg.Setup.Decide().Classes {
+		classes = append(classes, webhook.Class{
+			Name:   cfg.Setup.Categories[i].Name,
+			GiveUp: time.Duration(class.ClientTimeout),
+			Effect: class.Idempotency,
+		})
+	}
+	return classes
+}
+
+// tenantNames returns the names of the tenants by their index.
+func tenantNames(cfg *platform.Config) []string {
+	var names []string
+	for _, customer := range cfg.Setup.Customers {
+		names = append(names, customer.Name)
+	}
+	return names
+}
--- /dev/null
+++ b/internal/platform/answer.go
@@ -0,0 +1,66 @@
+package platform
+
+import (
+	"net/http"
+	"strconv"
+	"sync/atomic"
+	"time"
+
+	"oakthread"
+	"oakthread/internal/httpreply"
+)
+
+// Outcomes counts the responses of one class: completed (200), rejected (429, 503) and failed (any other).
+type Outcomes struct{ Completed, Rejected, Failed atomic.Int64 }
+
+// Tally calls fn for each class that has had a response, by the name that clients use.
+func (s *Server) Tally(fn func(class string, outcomes *Outcomes)) {
+	s.outcomes.Range(func(class, outcomes any) bool {
+		fn(class.(string), outcomes.(*Outcomes))
+		return true
+	})
+}
+
+// countOutcome counts a response of a class.
+func (s *Server) countOutcome(class string, status int) {
+	counted, ok := s.outcomes.Load(class)
+	if !ok {
+		counted, _ = s.outcomes.LoadOrStore(class, new(Outcomes))
+	}
+	outcomes := counted.(*Outcomes)
+	switch status {
+	case http.StatusOK:
+		outcomes.Completed.Add(1)
+	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
+		outcomes.Rejected.Add(1)
+	default:
+		outcomes.Failed.Add(1)
+	}
+}
+
+// writeAnswer writes the core's answer, or its error.
+func (s *Server) writeAnswer(w http.ResponseWriter, answer oakthread.Answer, err error) {
+	rejected := err == nil && answer.Outcome == oakthread.Rejected
+	if s.sendsRetryAfter && rejected && answer.RetryAfter > 0 {
+		millis := int64((answer.RetryAfter + time.Millisecond - 1) / time.Millisecond)
+		w.Header().Set(retryAfterMillisHeader, strconv.FormatInt(millis, 10))
+	}
+	httpreply.Write(w, answer, err)
+}
+
+// rejectMalformed rejects a request that cannot be read and ends the connection, since what follows on it
+// cannot be trusted.
+func (s *Server) rejectMalformed(w http.ResponseWriter, status int, err error) {
+	s.malformed.Add(1)
+	w.Header().Set("Connection", "close")
+	http.Error(w, err.Error(), status)
+}
+
+// announceClose has the connection end with this response if keep-alives are disabled, unless a further
+// request has begun to arrive on it.
+func (s *Server) announceClose(w http.ResponseWriter, r *http.Request) {
+	conn := clientConnFrom(r.Context())
+	if s.keepAlivesDisabled.Load() && (conn == nil || !conn.limiter.isPipelined(conn)) {
+		w.Header().Set("Connection", "close")
+	}
+}
--- /dev/null
+++ b/internal/platform/attempt.go
@@ -0,0 +1,34 @@
+package platform
+
+import (
+	"context"
+	"net/http"
+
+	"oakthread"
+)
+
+// Send makes one attempt. At most one request is written for it.
+func (p *ExecutorPool) Send(ctx context.Context, attempt oakthread.Attempt) oakthread.Reply {
+	call := attempt.Request
+	header := withoutUserAgent()
+	header.Set(requestIDHeader, call.ID)
+	header.Set(functionHeader, call.Key)
+	if call.IdempotencyKey != "" {
+		header.Set(executorKeyHeader, call.IdempotencyKey)
+	}
+	method := http.MethodPost
+	if len(call.Body) == 0 {
+		method = http.MethodGet
+	}
+	response, unsent, err := p.roundTrip(ctx, attempt.Worker, executorRequest{
+		method: method, path: executorCallPath + (*p.classNames.Load())[call.Class], header: header, body: call.Body,
+		deadline: attempt.Deadline, beforeWrite: attempt.BeforeWrite,
+	})
+	if err != nil {
+		return oakthread.Reply{Result: classifyFailure(ctx, unsent, err)}
+	}
+	return p.parseReply(response)
+}
+
+// withoutUserAgent returns a header that keeps net/http from adding its own User-Agent.
+func withoutUserAgent() http.Header { return http.Header{userAgentHeader: {""}} }
--- /dev/null
+++ b/internal/platform/event.go
@@ -0,0 +1,141 @@
+package platform
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"hash/fnv"
+	"net/netip"
+	"strconv"
+	"strings"
+	"time"
+
+	"oakthread"
+	"oakthread/balancer"
+	"oakthread/internal/wire"
+)
+
+// Event is one line of the command channel: a change of the endpoint list, or a heartbeat, which consists
+// of the number of the last event.
+type Event struct {
+	Cursor    int64
+	Heartbeat bool
+	Epoch     string // of the numbering; "" where discovery sends none
+	HasUpdate bool   // the event is of a known kind and Roster holds its change
+	// Invalid has an error for each member that was left out, or that counts as draining because its
+	// phase is unknown.
+	Invalid []error
+	Roster  oakthread.EndpointUpdate
+}
+
+// eventLine is an event as the command channel writes it.
+type eventLine struct {
+	Cursor *int64 `json:"cursor"`
+	Epoch  string `json:"epoch"`
+	Nodes  *struct {
+		Complete bool           `json:"complete"`
+		Members  []listedMember `json:"members"`
+	} `json:"nodes"`
+}
+
+// listedMember is an executor as the command channel writes it.
+type listedMember struct {
+	ID       string  `json:"id"`
+	HostPort string  `json:"host_port"`
+	Locality string  `json:"locality"`
+	Flavor   string  `json:"flavor"`
+	Cell     int     `json:"cell"`
+	Phase    string  `json:"phase"`
+	Size     float64 `json:"size"`
+	UpSince  int64   `json:"up_since_ms"`
+}
+
+// memberStates are the phases of executors that are known.
+var memberStates = map[string]balancer.EndpointState{
+	"Ready": balancer.Active, "Terminating": balancer.Draining, "Gone": balancer.Removed,
+}
+
+// parseEvent decodes a line of the command channel.
+func parseEvent(line []byte, settings *wire.Setup) (Event, error) {
+	text := strings.TrimSpace(string(line))
+	if number, err := strconv.ParseInt(text, 10, 64); err == nil && number >= 0 {
+		return Event{Cursor: number, Heartbeat: true}, nil
+	}
+	var decoded eventLine
+	if err := json.Unmarshal([]byte(text), &decoded); err != nil {
+		return Event{}, err
+	}
+	if decoded.Cursor == nil || *decoded.Cursor < 0 {
+		return Event{}, errors.New("field cursor is missing")
+	}
+	event := Event{
+		Cursor: *decoded.Cursor, Epoch: decoded.Epoch, HasUpdate: decoded.Nodes != nil,
+		Roster: oakthread.EndpointUpdate{Kind: balancer.EndpointsDelta},
+	}
+	if decoded.Nodes == nil {
+		return event, nil // of an unknown kind: only its number counts
+	}
+	if decoded.Nodes.Complete {
+		event.Roster.Kind = balancer.EndpointsSnapshot
+	}
+	for i, member := range decoded.Nodes.Members {
+		event.addMember(i, member, settings)
+	}
+	return event, nil
+}
+
+// addMember adds the executor at an index of the event, or the reason why it cannot be used.
+func (e *Event) addMember(index int, member listedMember, settings *wire.Setup) {
+	if member.ID == "" {
+		e.reject(index, errors.New("field id is missing"))
+		return
+	}
+	state, known := memberStates[member.Phase]
+	if !known {
+		state = balancer.Draining
+		e.reject(index, fmt.Errorf("phase %q of %q is not known", member.Phase, member.ID))
+	}
+	if state != balancer.Removed {
+		if _, err := netip.ParseAddrPort(member.HostPort); err != nil {
+			e.reject(index, fmt.Errorf("host_port %q of %q: %w", member.HostPort, member.ID, err))
+			return
+		}
+	}
+	endpoint := oakthread.Endpoint{
+		ID: WorkerID(member.ID), Addr: member.HostPort, Zone: indexOrNext(settings.Zones, member.Locality),
+		Kind: indexOrNext(settings.Kinds, member.Flavor), Cell: member.Cell, State: state, Weight: member.Size,
+	}
+	if member.UpSince > 0 {
+		endpoint.Start = time.UnixMilli(member.UpSince)
+	}
+	e.Roster.Endpoints = append(e.Roster.Endpoints, endpoint)
+}
+
+// reject notes why the member at an index cannot be used as it stands.
+func (e *Event) reject(index int, err error) {
+	e.Invalid = append(e.Invalid, fmt.Errorf("members[%d]: %w", index, err))
+}
+
+// WorkerID returns the number in an id such as s-00c41f7a, and a hash (32-bit FNV-1a) of an id of another
+// form. It is the same at every dispatcher.
+func WorkerID(id string) balancer.WorkerID {
+	if _, hex, ok := strings.Cut(id, "-"); ok && len(hex) == 8 {
+		if n, err := strconv.ParseUint(hex, 16, 32); err == nil {
+			return balancer.WorkerID(n)
+		}
+	}
+	hash := fnv.New32a()
+	hash.Write([]byte(id))
+	return balancer.WorkerID(hash.Sum32())
+}
+
+// indexOrNext returns the index of a name in a list of the settings, or the first unused index if the
+// name is not listed.
+func indexOrNext(names []string, name string) int {
+	for i, listed := range names {
+		if listed == name {
+			return i
+		}
+	}
+	return len(names)
+}
--- a/internal/platform/framing.go
+++ b/internal/platform/framing.go
@@ -1,8 +1,5 @@
 package platform
 
-// This file follows where messages of HTTP/1.1 end in the raw bytes of one direction, beside net/http. It must never change a
-// byte, or say that a message has ended when that cannot be told.
-
 import (
 	"bytes"
 	"net/http"
@@ -11,99 +8,135 @@
 )
 
 const (
-	lineKept  = 128 // bytes kept of a line of a head: what bounds a message fits
-	uncounted = -1  // a length that was not told, or an end that cannot be told
+	// maxKeptLineBytes is how much of a header line is kept; the headers that bound a message fit.
+	maxKeptLineBytes = 128
+	// unknownLength is a length that was not given, or a body whose end cannot be seen.
+	unknownLength = -1
 )
 
-// framer follows the bounds of HTTP/1.1 messages in the bytes of one direction. Guards against two readings of one
-// message: net/http drops Content-Length where Transfer-Encoding stands beside it, and reads on in what follows an
-// answer as if it were the next.
+// framer follows the bounds of HTTP/1.1 messages (RFC 9112, section 6) in the bytes of one direction,
+// beside net/http. It detects messages that two parsers may read differently: net/http ignores a
+// Content-Length beside Transfer-Encoding, and reads what follows a response as the next response.
 type framer struct {
-	answers bool // follows answers, not requests
+	responses bool // follows responses rather than requests
+
+	line            []byte // the line that is being read, up to maxKeptLineBytes
+	lineCount       int    // lines of this head so far
+	status          int
+	contentLength   int64 // unknownLength: the head has none so far
+	transferEncoded bool  // the head has a Transfer-Encoding
+	ambiguous       bool  // the lengths in the head contradict each other or cannot be read
 
-	line   []byte
-	lines  int
-	length int64 // as told in this head
-	coded  bool  // a Transfer-Encoding stands in this head
-	odd    bool  // the head's lengths contradict each other or cannot be read
-	status int
-	left   int64 // of the body; uncounted: up to the end of the connection
-	body   bool
-	ended  bool // the message that feed saw last has ended
+	inBody   bool
+	bodyLeft int64 // bytes of the body still to come; unknownLength: up to the end of the connection
+	ended    bool  // the message of the last consume has ended
 }
 
-// feed takes bytes up to the end of a message and returns how many these were.
-func (f *framer) feed(b []byte) (n int) {
+// consume follows bytes up to the end of a message and returns how many belong to it.
+func (f *framer) consume(b []byte) (n int) {
 	if f.ended || f.line == nil {
-		*f = framer{answers: f.answers, line: f.line[:0], length: uncounted}
+		*f = framer{responses: f.responses, line: f.line[:0], contentLength: unknownLength}
 	}
 	for n < len(b) && !f.ended {
-		if f.body {
-			if f.left == uncounted {
-				return len(b)
-			}
-			k := min(int64(len(b)-n), f.left)
-			n, f.left = n+int(k), f.left-k
-			f.ended = f.left == 0
-			continue
-		}
-		part, _, whole := bytes.Cut(b[n:], []byte{'\n'})
-		f.line = append(f.line, part[:min(len(part), max(0, lineKept-len(f.line)))]...)
-		n += len(part)
-		if whole {
-			n++
-			f.take(strings.TrimRight(string(f.line), "\r"))
-			f.line = f.line[:0]
+		if f.inBody {
+			n += f.consumeBody(b[n:])
+		} else {
+			n += f.consumeLine(b[n:])
 		}
 	}
 	return n
 }
 
-// between tells that of the next message nothing has come.
-func (f *framer) between() bool { return f.ended || f.lines == 0 && len(f.line) == 0 && !f.body }
+// consumeBody follows bytes of a body and returns how many belong to it.
+func (f *framer) consumeBody(b []byte) int {
+	if f.bodyLeft == unknownLength {
+		return len(b)
+	}
+	n := min(int64(len(b)), f.bodyLeft)
+	f.bodyLeft -= n
+	f.ended = f.bodyLeft == 0
+	return int(n)
+}
 
-// take reads a line of a head; the empty one ends it.
-func (f *framer) take(line string) {
-	f.lines++
-	if line == "" {
-		if f.lines == 1 { // empty lines before a message
-			f.lines = 0
-			return
-		}
-		f.head()
-		return
+// consumeLine follows bytes of a head up to the end of a line and returns how many these are.
+func (f *framer) consumeLine(b []byte) int {
+	part, _, complete := bytes.Cut(b, []byte{'\n'})
+	f.line = append(f.line, part[:min(len(part), max(0, maxKeptLineBytes-len(f.line)))]...)
+	if !complete {
+		return len(part)
 	}
-	if f.lines == 1 {
-		if _, rest, ok := strings.Cut(line, " "); ok && f.answers {
-			f.status, _ = strconv.Atoi(rest[:min(3, len(rest))])
-		}
-		return
+	f.parseLine(strings.TrimRight(string(f.line), "\r"))
+	f.line = f.line[:0]
+	return len(part) + 1
+}
+
+// atBoundary reports whether nothing of the next message has been seen.
+func (f *framer) atBoundary() bool {
+	return f.ended || f.lineCount == 0 && len(f.line) == 0 && !f.inBody
+}
+
+// parseLine reads a line of a head, which an empty line ends.
+func (f *framer) parseLine(line string) {
+	f.lineCount++
+	switch {
+	case line == "" && f.lineCount == 1: // empty lines may precede a message
+		f.lineCount = 0
+	case line == "":
+		f.endHead()
+	case f.lineCount == 1:
+		f.parseStartLine(line)
+	default:
+		f.parseField(line)
+	}
+}
+
+// parseStartLine reads the status of a response.
+func (f *framer) parseStartLine(line string) {
+	if _, rest, ok := strings.Cut(line, " "); ok && f.responses {
+		f.status, _ = strconv.Atoi(rest[:min(3, len(rest))])
 	}
+}
+
+// parseField reads a header that bounds the message.
+func (f *framer) parseField(line string) {
 	name, value, _ := strings.Cut(line, ":")
 	switch strings.ToLower(strings.TrimSpace(name)) {
 	case "transfer-encoding":
-		f.coded = true
+		f.transferEncoded = true
 	case "content-length":
-		v, err := strconv.ParseInt(strings.TrimSpace(value), 10, 64)
-		f.odd = f.odd || err != nil || v < 0 || f.length != uncounted && f.length != v
-		f.length = v
+		length, err := strconv.ParseInt(strings.TrimSpace(value), 10, 64)
+		differs := f.contentLength != unknownLength && f.contentLength != length
+		f.ambiguous = f.ambiguous || err != nil || length < 0 || differs
+		f.contentLength = length
 	}
 }
 
-// head ends a head and tells what follows it.
-func (f *framer) head() {
-	f.odd = f.odd || f.coded && f.length != uncounted
-	f.left = f.length
-	switch {
-	case f.answers && f.status/100 == 1 && f.status != http.StatusSwitchingProtocols:
-		*f = framer{answers: true, line: f.line, length: uncounted} // the answer itself is still to come
+// endHead ends a head and determines the body that follows it.
+func (f *framer) endHead() {
+	if f.isInterim() {
+		*f = framer{responses: true, line: f.line, contentLength: unknownLength} // the final response follows
 		return
-	case f.answers && (f.status == http.StatusNoContent || f.status == http.StatusNotModified):
-		f.left = 0
-	case f.coded || f.odd || f.answers && f.length == uncounted:
-		f.left = uncounted
-	case f.length == uncounted:
-		f.left = 0
 	}
-	f.body, f.ended = true, f.left == 0
+	f.ambiguous = f.ambiguous || f.transferEncoded && f.contentLength != unknownLength
+	f.bodyLeft = f.bodyLength()
+	f.inBody, f.ended = true, f.bodyLeft == 0
+}
+
+// isInterim reports whether the head is that of a 1xx response, which a final one follows. After a 101
+// the connection carries no further messages.
+func (f *framer) isInterim() bool {
+	return f.responses && f.status/100 == 1 && f.status != http.StatusSwitchingProtocols
+}
+
+// bodyLength returns the length of the body behind the head, or unknownLength.
+func (f *framer) bodyLength() int64 {
+	switch {
+	case f.responses && (f.status == http.StatusNoContent || f.status == http.StatusNotModified):
+		return 0
+	case f.transferEncoded || f.ambiguous:
+		return unknownLength
+	case f.contentLength == unknownLength && !f.responses:
+		return 0
+	}
+	return f.contentLength
 }
--- /dev/null
+++ b/internal/platform/server.go
@@ -0,0 +1,189 @@
+package platform
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"oakthread"
+	"oakthread/internal/httpreply"
+	"oakthread/internal/monotime"
+	"oakthread/internal/violation"
+	"oakthread/internal/wire"
+)
+
+// maxResponseDelay is how far past its deadline a response is as good as none.
+const maxResponseDelay = 500 * time.Millisecond
+
+// errAmbiguousLengths rejects a request that other parsers may bound differently.
+var errAmbiguousLengths = errors.New("the lengths of a request on this connection contradict each other")
+
+// Server serves the platform's clients over HTTP/1.1. It implements http.Handler.
+type Server struct {
+	// Violated, if set before Serve, is called for each rule that is found broken.
+	Violated func(rule, path, id, detail string)
+	// Gate, if set before Serve, makes readiness fail while it returns false.
+	Gate func() bool
+
+	core               *oakthread.Core
+	mux                *http.ServeMux
+	classNumbers       atomic.Pointer[map[string]int] // by name, for new requests
+	tenantNumbers      map[string]int
+	sendsRetryAfter    bool         // rejections carry Retry-After in milliseconds as well
+	inFlight           atomic.Int64 // requests in the handler
+	malformed          atomic.Int64 // requests that could not be read
+	latestDeadline     atomic.Int64 // of all requests, in nanoseconds of package monotime
+	draining           atomic.Bool
+	keepAlivesDisabled atomic.Bool // each connection ends with its response
+	outcomes           sync.Map    // class name → *Outcomes
+	limiter            atomic.Pointer[connLimiter]
+}
+
+// NewFront returns a server for the requests of core.
+func NewFront(core *oakthread.Core, settings *wire.Setup) *Server {
+	s := &Server{
+		core: core, tenantNumbers: map[string]int{}, sendsRetryAfter: settings.Permissions.RetryAfter,
+		mux: http.NewServeMux(),
+	}
+	classNumbers := map[string]int{}
+	for i, class := range settings.Categories {
+		classNumbers[class.Name] = i
+	}
+	s.classNumbers.Store(&classNumbers)
+	for i, customer := range settings.Customers {
+		s.tenantNumbers[customer.Name] = i
+	}
+	s.mux.HandleFunc("POST /call/{key}/trigger", s.handleCall)
+	s.mux.HandleFunc("GET /ping", s.handlePing)
+	return s
+}
+
+// Classes sets the class numbers by name for new requests; those in flight keep theirs. The map must not
+// be changed afterwards.
+func (s *Server) Classes(numbers map[string]int) { s.classNumbers.Store(&numbers) }
+
+// Pending returns the number of requests that have been read and not been answered.
+func (s *Server) Pending() int64 { return s.inFlight.Load() }
+
+// Bad returns the number of requests that could not be read.
+func (s *Server) Bad() int64 { return s.malformed.Load() }
+
+// AcceptsFailed returns the number of accepts that failed and were retried.
+func (s *Server) AcceptsFailed() int64 {
+	if limiter := s.limiter.Load(); limiter != nil {
+		return limiter.acceptFailures.Load()
+	}
+	return 0
+}
+
+// SetKeepAlives, when off, closes the idle connections of clients and ends every other one after its
+// response. It takes effect once Serve runs and until the server drains.
+func (s *Server) SetKeepAlives(on bool) {
+	if s.draining.Load() {
+		return
+	}
+	s.keepAlivesDisabled.Store(!on)
+	if limiter := s.limiter.Load(); limiter != nil {
+		limiter.setKeepAlives(on)
+	}
+}
+
+// ServeHTTP rejects what cannot be trusted and passes everything else to its handler.
+func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	conn := clientConnFrom(r.Context())
+	if conn != nil {
+		ctx, cancelRequest := context.WithCancel(r.Context())
+		defer cancelRequest()
+		conn.limiter.setCancel(conn, cancelRequest)
+		r = r.WithContext(ctx)
+	}
+	if conn != nil && conn.ambiguous.Load() {
+		s.rejectMalformed(w, http.StatusBadRequest, errAmbiguousLengths)
+		return
+	}
+	if r.ContentLength != 0 {
+		// Bounds bodies without end, also where the server reads what a handler has left.
+		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyTimeout))
+	} else {
+		s.beginRequest(conn, r.Header.Get(callIDHeader))
+	}
+	if len(r.TransferEncoding) > 0 { // only the server knows where it ends: nothing behind it is read
+		w.Header().Set("Connection", "close")
+	}
+	if _, pattern := s.mux.Handler(r); pattern == "" {
+		s.malformed.Add(1)
+		w.Header().Set("Connection", "close")
+	}
+	s.mux.ServeHTTP(w, r)
+}
+
+// beginRequest notes that a complete request is in flight on its connection, which is nil for one that is
+// not of a limiter. It aborts the handler if the connection has been closed.
+func (s *Server) beginRequest(conn *clientConn, requestID string) {
+	if conn == nil || conn.limiter.beginRequest(conn) {
+		return
+	}
+	s.reportViolation(violation.Answered, violation.PathTake, requestID,
+		"its connection was closed before it was taken")
+	panic(http.ErrAbortHandler)
+}
+
+// handlePing reports readiness: the endpoint list is loaded and the server does not drain.
+func (s *Server) handlePing(w http.ResponseWriter, r *http.Request) {
+	s.announceClose(w, r)
+	if !s.core.Ready() || s.draining.Load() || s.Gate != nil && !s.Gate() {
+		w.WriteHeader(http.StatusServiceUnavailable)
+	}
+}
+
+// handleCall reads a request, passes it to the core and writes the answer.
+func (s *Server) handleCall(w http.ResponseWriter, r *http.Request) {
+	s.inFlight.Add(1)
+	defer s.inFlight.Add(-1)
+	began := time.Now()
+	request, status, err := s.readRequest(w, r, arrivalTime(r))
+	if err != nil {
+		s.rejectMalformed(w, status, err)
+		return
+	}
+	conn := clientConnFrom(r.Context())
+	if conn != nil && r.ContentLength != 0 {
+		if conn.ambiguous.Load() { // found while the body arrived
+			s.rejectMalformed(w, http.StatusBadRequest, errAmbiguousLengths)
+			return
+		}
+		s.beginRequest(conn, request.ID)
+		_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
+	}
+	s.noteDeadline(request.Deadline)
+	if conn != nil {
+		request.CallerGone = func() bool { return clientHasClosed(conn.Conn) }
+	}
+	answer, err := s.core.Do(r.Context(), request)
+	s.announceClose(w, r)
+	if late := time.Since(request.Deadline); err == nil && began.Before(request.Deadline) && late > maxResponseDelay {
+		s.reportViolation(violation.InTime, violation.PathBook, request.ID,
+			fmt.Sprintf("answered %v after its time", late.Round(time.Millisecond)))
+	}
+	s.writeAnswer(w, answer, err)
+	s.countOutcome(r.Header.Get(classHeader), httpreply.Status(answer, err))
+}
+
+// noteDeadline raises the latest deadline, up to which a drain waits.
+func (s *Server) noteDeadline(deadline time.Time) {
+	nanos, latest := monotime.Nanos(deadline), s.latestDeadline.Load()
+	for nanos > latest && !s.latestDeadline.CompareAndSwap(latest, nanos) {
+		latest = s.latestDeadline.Load()
+	}
+}
+
+// reportViolation calls Violated for a rule that is found broken.
+func (s *Server) reportViolation(rule violation.Rule, path violation.Path, id, detail string) {
+	if s.Violated != nil {
+		s.Violated(string(rule), string(path), id, detail)
+	}
+}
