--- a/aggregate/golden_test.go
+++ b/aggregate/golden_test.go
@@ -47,7 +47,9 @@
 	marks := []Mark{{Worker: 7, Good: 15, Pace: 255}, {Worker: 1 << 15, Bad: 9, Pace: 8}}
 	counts := []Count{{1, 5, true, false}, {2, 0, false, true}, {65535, 63, true, true}, {0, 1, false, false}}
 	holders := []Holder{{1 << 30, 9}, {math.MaxUint32, 65535}, {0, 0}}
-	manyCounts := upTo(70, func(i int) Count { return Count{Worker: uint16(i * 900), N: i % 64, Heard: i%2 == 0} })
+	manyCounts := upTo(70, func(i int) Count {
+		return Count{Worker: uint16(i * 900), N: i % 64, Heard: i%2 == 0}
+	})
 	manyHolders := upTo(40, func(i int) Holder { return Holder{Func: uint32(i) << 24, Worker: uint16(i)} })
 	values := upTo(15, func(i int) float64 { return float64(i) * 12.5 })
 	quoted := upTo(15, func(i int) float64 { return []float64{0, nan, 1.5}[i%3] })
