--- a/outlier/evidence.go
+++ b/outlier/evidence.go
@@ -9,7 +9,7 @@
 	// maxCount bounds the counts of a Mark (calls) and of Evidence (observers): four bits each on
 	// the wire.
 	maxCount = 15
-	// latencyUnit is the number of units of Mark.Pace in the mean latency: quarters.
+	// latencyUnit is the number of units of the latency in marks that make up the mean: quarters.
 	latencyUnit = 4
 	// slowThreshold is the latency of a worker, in multiples of the mean, from which it is
 	// reported.
@@ -78,7 +78,7 @@
 	return median
 }
 
-// Says reports whether the evidence is worth sending. ejected says that the worker is ejected by
+// Says reports whether the evidence is to be sent. ejected says that the worker is ejected by
 // gossip, so that evidence in its favour counts too.
 func (e Evidence) Says(ejected bool) bool {
 	return e.Bad > 1 || e.Pace > 0 || ejected && e.observers() > 0
