--- a/cmd/dispatcher/helpers_test.go
+++ b/cmd/dispatcher/helpers_test.go
@@ -196,7 +196,7 @@
 	url := "http://" + addr + "/call/" + function + "/trigger"
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, url, strings.NewReader("x"))
 	require.NoError(t, err)
-	req.Header = http.Header{"X-Class": {class}, "X-Call-Id": {id}, "X-Patience-Ms": {"60000"}}
+	req.Header = http.Header{"X-Class": {class}, "X-Call-Id": {id}, "X-Patience-Ms": {"5000"}}
 	resp, err := client.Do(req)
 	if !assert.NoError(t, err) {
 		return 0, "", 0
