--- a/internal/mutant/mutant.go
+++ b/internal/mutant/mutant.go
@@ -25,7 +25,7 @@
 // All returns the names of all planted faults.
 func All() []Name {
 	return []Name{
-		CallerLeft, Revoked, TimeTold, CloseBegun, RepeatRan, RefuseRan, ReuseSpent, RationFree, WallClock, AcceptEnds,
-		TransferEnds, EndsAtOnce,
+		CallerLeft, Revoked, TimeTold, CloseBegun, RepeatRan, RefuseRan,
+		ReuseSpent, RationFree, WallClock, AcceptEnds, TransferEnds, EndsAtOnce,
 	}
 }
--- a/outlier/evidence_test.go
+++ b/outlier/evidence_test.go
@@ -14,7 +14,8 @@
 	assert.False(t, evidence.Says(false))
 	assert.Equal(t, Evidence{Bad: 2}, Merge([]Mark{{Bad: 6}, {Good: 1, Bad: 9}}, 0))
 	assert.Zero(t, Merge([]Mark{{Pace: 200}}, 9).Pace, "one alone")
-	assert.Zero(t, Merge([]Mark{{Good: 3, Pace: 200}, {Good: 9}, {Good: 9}}, 0).Pace, "slow for one, not for others")
+	slowForOne := []Mark{{Good: 3, Pace: 200}, {Good: 9}, {Good: 9}}
+	assert.Zero(t, Merge(slowForOne, 0).Pace, "not for the others")
 	slow := []Mark{{Good: 3, Pace: 32}, {Good: 2, Pace: 40}, {Good: 1}, {Good: 1, Pace: 32}}
 	assert.Equal(t, 8.0, Merge(slow, 0).Slow())
 }
--- a/outlier/gossip.go
+++ b/outlier/gossip.go
@@ -81,8 +81,10 @@
 
 // shouldEject reports whether the evidence ejects a worker that is not ejected by gossip yet.
 func (d *Detector) shouldEject(now int64, entry GossipEvidence) bool {
-	evidence := entry.Word
-	return !d.EjectedByGossip(now, entry.Box) && evidence.Bad > 1 && evidence.Share() > gossipEjectThreshold
+	if d.EjectedByGossip(now, entry.Box) {
+		return false
+	}
+	return entry.Word.Bad > 1 && entry.Word.Share() > gossipEjectThreshold
 }
 
 // gossipBudget drops the workers whose ejection by gossip has ended and returns the capacity that
--- a/outlier/gossip_test.go
+++ b/outlier/gossip_test.go
@@ -57,8 +57,9 @@
 	assert.True(t, d.TrialDue(10*ms, &workers[10], 0), "a trial")
 	d.TrialStarted(10*ms, &workers[10], 0)
 	assert.False(t, d.TrialDue(20*ms, &workers[10], 0))
-	d.ApplyGossip(20*ms, []GossipEvidence{{&workers[10], 2, Evidence{Bad: 1}}, {&workers[9], 2, Evidence{Good: 2}}}, 24)
-	assert.True(t, d.ByWords(15*ms+gossipFactor*objective, &workers[10]), "one observer renews what several found")
+	next := []GossipEvidence{{&workers[10], 2, Evidence{Bad: 1}}, {&workers[9], 2, Evidence{Good: 2}}}
+	d.ApplyGossip(20*ms, next, 24)
+	assert.True(t, d.ByWords(15*ms+gossipFactor*objective, &workers[10]), "renewed by one observer")
 	assert.False(t, d.ByWords(20*ms, &workers[9]), "two observers that were served end it")
 	digest[10].Word.Bad = 13
 	assert.Equal(t, 0, ejected(20*ms+gossipFactor*objective), "no evidence comes any more")
