--- a/internal/httpreply/httpreply_test.go
+++ b/internal/httpreply/httpreply_test.go
@@ -23,8 +23,9 @@
 		{"served", oakthread.Answer{Outcome: oakthread.Served, Body: []byte("result")}, nil, http.StatusOK, ""},
 		{"rejected", oakthread.Answer{Outcome: oakthread.Rejected}, nil, http.StatusServiceUnavailable, ""},
 		{
-			"rejected with a wait", oakthread.Answer{Outcome: oakthread.Rejected, RetryAfter: 1001 * time.Millisecond}, nil,
-			http.StatusServiceUnavailable, "2",
+			"rejected with a wait",
+			oakthread.Answer{Outcome: oakthread.Rejected, RetryAfter: 1001 * time.Millisecond},
+			nil, http.StatusServiceUnavailable, "2",
 		},
 		{"failed", oakthread.Answer{Outcome: oakthread.Failed}, nil, http.StatusBadGateway, ""},
 		{"timed out", oakthread.Answer{Outcome: oakthread.TimedOut}, nil, http.StatusGatewayTimeout, ""},
