--- a/balancer/choose.go
+++ b/balancer/choose.go
@@ -22,6 +22,8 @@
 	examined   []*workerState // in a long list
 	candidates []*workerState // that may take the call
 	loads      []float64      // of which the median is taken
+	free       []*workerState // holders with free capacity
+	busy       []*workerState // other holders
 }
 
 // candidateSet is what a choice knows of its candidates.
@@ -135,9 +137,9 @@
 }
 
 // holdersWithin lists the candidates up to a load that hold a copy with free capacity or, if there
-// are none, those at which a copy is expected.
+// are none, those at which a copy is expected. The result is valid until the next choice.
 func (b *Balancer) holdersWithin(now int64, function *functionState, limit float64) []*workerState {
-	var free, busy []*workerState
+	free, busy := b.choice.free[:0], b.choice.busy[:0]
 	for _, holder := range function.holders {
 		if holder.worker.candidateIn != b.choice.number || holder.worker.choiceLoad > limit {
 			continue
@@ -148,6 +150,7 @@
 			busy = append(busy, holder.worker)
 		}
 	}
+	b.choice.free, b.choice.busy = free, busy
 	if len(free) == 0 {
 		return busy
 	}
