--- a/balancer/gossipmessage.go
+++ b/balancer/gossipmessage.go
@@ -38,7 +38,8 @@
 func (b *Balancer) doubtsItself(now int64, workers []*workerState) bool {
 	responded, silent := 0, 0
 	for _, worker := range workers {
-		if b.isEjected(worker) || worker.hasOverdueAttempt(now) {
+		// Not isEjected, which is not inlined: this looks at every active worker.
+		if b.outliers.Ejected(&worker.outlierStats, worker.Zone) || worker.hasOverdueAttempt(now) {
 			silent++
 		} else if now-worker.lastResponseAt < recentResponseObjectives*b.shortestObjective {
 			responded++
@@ -53,7 +54,7 @@
 	overdue := worker.hasOverdueAttempt(now)
 	count := aggregate.Count{
 		Worker: workerTag(worker.Worker), N: len(worker.inFlight),
-		Silent: sure && (overdue || b.isEjected(worker)),
+		Silent: sure && (overdue || b.outliers.Ejected(&worker.outlierStats, worker.Zone)),
 		Heard:  now-worker.lastResponseAt < b.shortestObjective, // a worker is found silent over about as long
 	}
 	if overdue { // what is stuck on its way is no load there
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -8,7 +8,8 @@
 
 // isHealthy reports whether a worker is neither ejected nor unresponsive.
 func (b *Balancer) isHealthy(now int64, worker *workerState) bool {
-	return !b.isEjected(worker) && !b.isUnresponsive(now, worker)
+	// The detector is asked directly, since isEjected is too large to be inlined into every choice.
+	return !b.outliers.Ejected(&worker.outlierStats, worker.Zone) && !b.isUnresponsive(now, worker)
 }
 
 // isEjected reports whether this dispatcher has ejected a worker for its failures.
