--- a/cmd/dispatcher/longlist_test.go
+++ b/cmd/dispatcher/longlist_test.go
@@ -98,7 +98,7 @@
 // their clients going on. It breaks no rule, calls are served as before, and the new workers take
 // their share. Functions change, so that workers are chosen for them all the time. That no choice
 // looks at workers that drain, and that the list is not scanned, cannot be seen here, since calls
-// are served alike; TestLongListLooksAtNoneThatDrains in package balancer shows it.
+// are served alike; TestLongListSamplesNoDrainingWorker in package balancer shows it.
 func TestReleaseInALongList(t *testing.T) {
 	figures := lab.PlannerFigures()
 	for i := range figures.Classes { // so that a new worker bears some ten calls before it is overloaded
