--- a/Makefile
+++ b/Makefile
@@ -6,9 +6,14 @@
 test:
 	go run ./internal/knownfailures -race -count=1
 
-lint:
+# The linters of .golangci.yml. The program is a tool of tools/go.mod, so that the product's own dependencies stay as they are.
+lint: bin/golangci-lint
 	@bad=$$(gofmt -l .); if [ -n "$$bad" ]; then echo "gofmt: $$bad"; exit 1; fi
 	go vet ./...
+	bin/golangci-lint run ./...
+
+bin/golangci-lint: tools/go.mod tools/go.sum
+	go build -C tools -o ../$@ github.com/golangci/golangci-lint/v2/cmd/golangci-lint
 
 # ROUTER_CONFIG names the dispatcher's configuration file.
 run: build
