--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -14,6 +14,8 @@
 	"time"
 
 	"gonum.org/v1/plot/plotter"
+
+	"oakthread/outlier"
 )
 
 const (
@@ -329,7 +331,7 @@
 func (w *simWorld) avoiding(id balancer.WorkerID) (n int) {
 	for _, s := range w.nodes {
 		for _, v := range s.d.WorkerHealth(w.now.UnixNano()) {
-			if v.Worker == id && v.Verdict != "well" && v.Verdict != "suspect" {
+			if v.Worker == id && v.Status != outlier.StatusHealthy && v.Status != outlier.StatusSuspect {
 				n++
 			}
 		}
