--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -7,12 +7,6 @@
 	"fmt"
 	"io"
 	"log/slog"
-	"oakthread/internal/cli"
-	"oakthread/internal/config"
-	"oakthread/internal/daemon"
-	"oakthread/internal/fault"
-	"oakthread/internal/lab"
-	"oakthread/internal/loganalysis"
 	"os"
 	"os/signal"
 	"path/filepath"
@@ -21,6 +15,13 @@
 	"time"
 
 	"github.com/spf13/cobra"
+
+	"oakthread/internal/cli"
+	"oakthread/internal/config"
+	"oakthread/internal/daemon"
+	"oakthread/internal/fault"
+	"oakthread/internal/lab"
+	"oakthread/internal/loganalysis"
 )
 
 var errBroken = errors.New("not all bounds hold")
--- a/cmd/testbed/soak.go
+++ b/cmd/testbed/soak.go
@@ -2,12 +2,13 @@
 
 import (
 	"fmt"
-	"oakthread/internal/cli"
-	"oakthread/internal/lab"
-	"oakthread/internal/soak"
 	"os"
 
 	"github.com/spf13/cobra"
+
+	"oakthread/internal/cli"
+	"oakthread/internal/lab"
+	"oakthread/internal/soak"
 )
 
 // soakCommand runs real processes under troubles drawn from seeds.
--- a/cmd/testbed/soak_test.go
+++ b/cmd/testbed/soak_test.go
@@ -1,14 +1,15 @@
 package main
 
 import (
-	"oakthread/internal/lab"
-	"oakthread/internal/soak"
 	"os"
 	"path/filepath"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"oakthread/internal/lab"
+	"oakthread/internal/soak"
 )
 
 // asProgram, where set, has the test binary be the program, so that processes and exit codes are real.
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -10,9 +10,6 @@
 	"go/token"
 	"math"
 	"math/rand/v2"
-	"oakthread/aggregate"
-	"oakthread/balancer"
-	"oakthread/leader"
 	"os"
 	"path/filepath"
 	"regexp"
@@ -22,6 +19,10 @@
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"oakthread/aggregate"
+	"oakthread/balancer"
+	"oakthread/leader"
 )
 
 // line is a straight line as a Curve.
--- a/internal/fault/plan.go
+++ b/internal/fault/plan.go
@@ -5,11 +5,12 @@
 import (
 	"encoding/json"
 	"fmt"
+	"os"
+	"time"
+
 	"oakthread/internal/fault/sockets"
 	"oakthread/internal/fault/wallclock"
 	"oakthread/internal/platform"
-	"os"
-	"time"
 )
 
 // Step has the wall clock stand off by Offset from At on.
--- a/internal/fault/sockets/sockets.go
+++ b/internal/fault/sockets/sockets.go
@@ -9,11 +9,12 @@
 	"context"
 	"math/rand/v2"
 	"net"
-	"oakthread/internal/platform"
 	"os"
 	"sync"
 	"syscall"
 	"time"
+
+	"oakthread/internal/platform"
 )
 
 // Rates are the shares of calls that fail.
--- a/internal/fault/sockets/sockets_test.go
+++ b/internal/fault/sockets/sockets_test.go
@@ -5,12 +5,13 @@
 	"errors"
 	"io"
 	"net"
-	"oakthread/internal/neterr"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"oakthread/internal/neterr"
 )
 
 // All that passes is passed unchanged, and every error is one that the program must be able to go on after.
--- a/internal/lab/calibrate_test.go
+++ b/internal/lab/calibrate_test.go
@@ -14,10 +14,6 @@
 	"log/slog"
 	"math"
 	"math/rand/v2"
-	"oakthread"
-	"oakthread/balancer"
-	"oakthread/endpoints"
-	"oakthread/internal/endpointcache"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -33,6 +29,11 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sys/unix"
+
+	"oakthread"
+	"oakthread/balancer"
+	"oakthread/endpoints"
+	"oakthread/internal/endpointcache"
 )
 
 // bubbleStart is where the clock of every bubble begins, as package synctest has it.
--- a/internal/lab/capacity.go
+++ b/internal/lab/capacity.go
@@ -11,7 +11,6 @@
 	"fmt"
 	"io"
 	"math"
-	"oakthread/internal/regression"
 	"os"
 	"path/filepath"
 	"slices"
@@ -23,6 +22,7 @@
 	"gonum.org/v1/plot/plotter"
 
 	figures "oakthread/internal/capacity"
+	"oakthread/internal/regression"
 )
 
 // The budgets of one dispatcher for control, as the operators' letter gives them, and what follows from them.
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -8,13 +8,13 @@
 	"fmt"
 	"math"
 	"math/rand/v2"
-	"oakthread/balancer"
-	"oakthread/endpoints"
 	"slices"
 	"time"
 
 	"gonum.org/v1/plot/plotter"
 
+	"oakthread/balancer"
+	"oakthread/endpoints"
 	"oakthread/outlier"
 )
 
--- a/internal/lab/hollow.go
+++ b/internal/lab/hollow.go
@@ -12,9 +12,6 @@
 	"fmt"
 	"math"
 	"math/rand/v2"
-	"oakthread/aggregate"
-	"oakthread/balancer"
-	"oakthread/endpoints"
 	"os"
 	"runtime"
 	"runtime/debug"
@@ -24,6 +21,10 @@
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"oakthread/aggregate"
+	"oakthread/balancer"
+	"oakthread/endpoints"
 )
 
 // HollowSize is one run of hollow dispatchers in virtual time. At large sizes Calls may be far fewer than the 200 a second
--- a/internal/lab/keptlist.go
+++ b/internal/lab/keptlist.go
@@ -10,13 +10,14 @@
 	"fmt"
 	"math"
 	"math/rand/v2"
-	"oakthread/internal/endpointcache"
 	"os"
 	"path/filepath"
 	"slices"
 	"strings"
 	"sync"
 	"time"
+
+	"oakthread/internal/endpointcache"
 )
 
 // Options are those of any experiment.
--- a/internal/lab/service.go
+++ b/internal/lab/service.go
@@ -6,9 +6,10 @@
 
 import (
 	"fmt"
-	"oakthread/balancer"
 	"strconv"
 	"time"
+
+	"oakthread/balancer"
 )
 
 // callEnd is how the last try of a call that was never served ended.
--- a/internal/lab/vtime.go
+++ b/internal/lab/vtime.go
@@ -8,12 +8,13 @@
 	"cmp"
 	"math"
 	"math/rand/v2"
-	"oakthread/balancer"
-	"oakthread/endpoints"
-	"oakthread/internal/endpointcache"
 	"slices"
 	"strconv"
 	"time"
+
+	"oakthread/balancer"
+	"oakthread/endpoints"
+	"oakthread/internal/endpointcache"
 )
 
 // engine runs events in order of time, then of their making. Its queue is a binary heap of its own: container/heap would
--- a/internal/soak/campaign.go
+++ b/internal/soak/campaign.go
@@ -8,7 +8,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"oakthread/internal/lab"
 	"os"
 	"path/filepath"
 	"runtime"
@@ -17,6 +16,8 @@
 	"sync"
 	"text/tabwriter"
 	"time"
+
+	"oakthread/internal/lab"
 )
 
 // Options of a campaign.
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -12,11 +12,12 @@
 	"math/rand/v2"
 	"net"
 	"net/http"
-	"oakthread/internal/lab"
 	"os"
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"oakthread/internal/lab"
 )
 
 // End is how a request ended for its client.
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -9,7 +9,6 @@
 	"errors"
 	"fmt"
 	"net/http"
-	"oakthread/internal/lab"
 	"os"
 	"os/exec"
 	"sync"
@@ -17,6 +16,8 @@
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"oakthread/internal/lab"
 )
 
 // Life is one process of a node, from its start to its end.
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -5,9 +5,10 @@
 import (
 	"fmt"
 	"net/http"
-	"oakthread/internal/lab"
 	"slices"
 	"time"
+
+	"oakthread/internal/lab"
 )
 
 // Rule names what a violation broke. docs/design/invariants.md has them with their sources.
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -6,12 +6,13 @@
 	"context"
 	"errors"
 	"fmt"
-	"oakthread/internal/lab"
 	"os"
 	"path/filepath"
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"oakthread/internal/lab"
 )
 
 // Result is what came of a run.
--- a/internal/soak/troubles.go
+++ b/internal/soak/troubles.go
@@ -6,10 +6,11 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"oakthread/internal/lab"
 	"os"
 	"syscall"
 	"time"
+
+	"oakthread/internal/lab"
 )
 
 // trouble brings a trouble about for its time.
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -5,13 +5,14 @@
 import (
 	"context"
 	"net"
-	"oakthread/internal/fault"
-	"oakthread/internal/fault/sockets"
-	"oakthread/internal/lab"
 	"path/filepath"
 	"sync"
 	"syscall"
 	"time"
+
+	"oakthread/internal/fault"
+	"oakthread/internal/fault/sockets"
+	"oakthread/internal/lab"
 )
 
 // Figures of the world.
