--- /dev/null
+++ b/endpoints/observe.go
@@ -0,0 +1,133 @@
+package endpoints
+
+import (
+	"time"
+
+	"oakthread/balancer"
+)
+
+// Observe handles what an attempt or a load order showed about a worker.
+func (l *List) Observe(now time.Time, id balancer.WorkerID, observation Observation) {
+	entry := l.entries[id]
+	if entry == nil {
+		return
+	}
+	if observation.isResponse() {
+		entry.traffic.add(now)
+	}
+	if l.watch.live || l.config.Fresh {
+		if observation.isResponse() {
+			entry.VerifiedAt = now
+		}
+		return
+	}
+	l.applyEvidence(now, entry, observation, false)
+	l.publishChange(entry)
+}
+
+// Probed handles the result of a health check.
+func (l *List) Probed(now time.Time, id balancer.WorkerID, observation Observation) {
+	entry := l.entries[id]
+	if entry == nil {
+		return
+	}
+	entry.check.completed = true
+	if entry.check.isRunning {
+		entry.check.isRunning = false
+		l.runningChecks--
+	}
+	if l.watch.live && observation != Drains {
+		l.recheckDrain(now, entry, observation)
+		return
+	}
+	l.applyEvidence(now, entry, observation, true)
+	l.publishChange(entry)
+}
+
+// recheckDrain handles, with a live watch, the health check of a worker that itself reported that
+// it drains: an answer ends the drain, anything else has it checked again.
+func (l *List) recheckDrain(now time.Time, entry *listEntry, observation Observation) {
+	if entry.verification != Draining || entry.State != balancer.Active {
+		return
+	}
+	if !observation.isResponse() {
+		entry.check.dueAt = now.Add(drainReportTTL)
+		return
+	}
+	entry.verification, entry.drainReportedAt = Reported, time.Time{}
+	l.publishAll()
+}
+
+// applyEvidence updates the standing of an endpoint by what its worker showed while service
+// discovery is unavailable.
+func (l *List) applyEvidence(now time.Time, entry *listEntry, observation Observation, isHealthCheck bool) {
+	switch observation {
+	case Answered, Slow:
+		l.handleResponse(now, entry, observation, isHealthCheck)
+	case Broken:
+		l.handleBrokenConnection(now, entry)
+	case Busy:
+		l.handleRejection(now, entry)
+	case Drains:
+		l.handleDrainReport(now, entry)
+	case Refused:
+		l.lowerConfidence(now, entry, connectionRefusedLikelihood)
+	case Silent:
+		l.lowerConfidence(now, entry, timeoutLikelihood)
+	}
+}
+
+// handleResponse records an answer: the worker runs, and slow start gives it more or less load.
+func (l *List) handleResponse(now time.Time, entry *listEntry, observation Observation, isHealthCheck bool) {
+	if entry.verification == Draining || entry.verification == Excluded {
+		if !isHealthCheck || entry.isDrainingByDiscovery() {
+			return // an answer to an earlier request, or service discovery reported the drain
+		}
+		// Another process may have taken the address over, so it counts as just started.
+		entry.drainReportedAt = time.Time{}
+		entry.State = balancer.Active
+		entry.Start = now
+		entry.ramp.successes = 0
+	}
+	entry.VerifiedAt = now
+	entry.setVerified(Verified, now)
+	entry.check.backoff = 0
+	if observation == Slow {
+		l.slowStart.recordSetback(now, entry)
+	} else {
+		l.slowStart.recordSuccess(now, entry)
+	}
+	l.scheduleSlowStartCheck(now, entry)
+}
+
+// handleBrokenConnection handles a connection that broke after it was accepted. It shows that
+// something listens at the address, which is a failure only of an endpoint that never answered.
+func (l *List) handleBrokenConnection(now time.Time, entry *listEntry) {
+	switch entry.verification {
+	case Unverified:
+		l.lowerConfidence(now, entry, timeoutLikelihood)
+	case Reported, Verified, Suspect:
+		l.scheduleSlowStartCheck(now, entry)
+	case Draining, Excluded:
+	}
+}
+
+// handleRejection handles a worker that rejected a request because it is full or drains. A health
+// check finds out which.
+func (l *List) handleRejection(now time.Time, entry *listEntry) {
+	l.slowStart.recordSetback(now, entry)
+	if !entry.check.isRunning && entry.verification != Draining {
+		entry.check.dueAt = latest(now, entry.check.sentAt.Add(overloadRecheckInterval))
+	}
+}
+
+// handleDrainReport handles a worker's own report that it drains.
+func (l *List) handleDrainReport(now time.Time, entry *listEntry) {
+	if entry.verification != Draining {
+		l.log("box %d says that it drains, before discovery does", entry.ID)
+		l.requestSave(true)
+	}
+	entry.setVerified(Draining, now)
+	entry.drainReportedAt = now
+	entry.check.dueAt = now.Add(drainReportTTL)
+}
