--- /dev/null
+++ b/internal/capacity/markdown.go
@@ -0,0 +1,144 @@
+package capacity
+
+import (
+	"fmt"
+	"maps"
+	"math"
+	"slices"
+	"strings"
+)
+
+// Markdown is the table of rows as the page has it.
+func Markdown(rows []Row) string {
+	var b strings.Builder
+	b.WriteString("| role | what | formula | value (low to high) | budget | headroom | used up at | mechanism | from, spread |\n")
+	b.WriteString("| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
+	for _, r := range rows {
+		what := r.What
+		if r.Was {
+			what += " (as it was)"
+		}
+		fmt.Fprintf(&b, "| %s | %s | %s | %s | %s | %s | %s | %s | %s |\n", r.Role, what, r.Formula, r.value(), r.budget(), dash(r.Headroom),
+			r.usedUp(), r.Mechanism, r.from())
+	}
+	return b.String()
+}
+
+// Page is all rows in sections, as docs/CAPACITY.md has them between its marks.
+func Page(rows []Row) string {
+	var b strings.Builder
+	for rank, title := range []string{"Over budget", "Within budget", "Not measured", "Without a budget", "As it was"} {
+		var some []Row
+		for _, r := range rows {
+			if r.rank() == rank {
+				some = append(some, r)
+			}
+		}
+		if len(some) > 0 {
+			fmt.Fprintf(&b, "### %s\n\n%s\n", title, Markdown(some))
+		}
+	}
+	return b.String()
+}
+
+// MarkdownMissing is the order of what is missing as the page has it.
+func MarkdownMissing(rows []Row) string {
+	var b strings.Builder
+	b.WriteString("| | used up at | what | headroom | mechanism |\n| --- | --- | --- | --- | --- |\n")
+	for i, r := range Missing(rows) {
+		what := r.What
+		if r.Was {
+			what += " (as it was)"
+		}
+		fmt.Fprintf(&b, "| %d | %s | %s: %s | %s | %s |\n", i+1, r.usedUp(), r.Role, what, dash(r.Headroom), r.Mechanism)
+	}
+	return b.String()
+}
+
+// MarkdownAssumptions is the table of assumptions.
+func MarkdownAssumptions() string {
+	var b strings.Builder
+	b.WriteString("| assumption | value | low | high | why |\n| --- | --- | --- | --- | --- |\n")
+	for _, a := range Assumptions() {
+		unit := ""
+		if a.Unit != "" {
+			unit = ", " + a.Unit
+		}
+		fmt.Fprintf(&b, "| %s%s | %v | %v | %v | %s |\n", a.Name, unit, Figure(a.Value), Figure(a.Low), Figure(a.High), a.Why)
+	}
+	return b.String()
+}
+
+func (r Row) value() string {
+	if !r.Measured() {
+		return "not measured: " + strings.Join(gathered(r.Missing), ", ")
+	}
+	text := r.Value.String()
+	if r.Low.String() != text || r.High.String() != text {
+		text += fmt.Sprintf(" (%v to %v)", r.Low, r.High)
+	}
+	return strings.TrimSpace(text + " " + r.Unit)
+}
+
+func (r Row) budget() string {
+	if r.BudgetOf == "" || r.BudgetOf == ofLetter {
+		return dash(r.Budget)
+	}
+	return fmt.Sprintf("%v, %s", r.Budget, r.BudgetOf)
+}
+
+func (r Row) usedUp() string {
+	switch x := float64(r.Breaks); {
+	case math.IsNaN(x):
+		return "-"
+	case x == 0:
+		return "any size"
+	case math.IsInf(x, 0):
+		return fmt.Sprintf("over %v of the %s", mostPart, r.Along)
+	}
+	return fmt.Sprintf("%.2g of the %s", float64(r.Breaks), r.Along)
+}
+
+func (r Row) from() string {
+	if len(r.Slopes) == 0 {
+		return r.Command
+	}
+	return fmt.Sprintf("`%s`: %s; spread %.2g", r.Command, strings.Join(gathered(r.Slopes), ", "), float64(r.Spread))
+}
+
+// gathered shortens the names of slopes: one figure over all dimensions is figure/*.
+func gathered(names []string) (out []string) {
+	over := map[string]int{}
+	for _, name := range names {
+		if figure, dim, _ := strings.Cut(name, "/"); slices.Contains(dimensions(), dim) {
+			over[figure]++
+		}
+	}
+	for _, name := range names {
+		figure, dim, _ := strings.Cut(name, "/")
+		if over[figure] == len(dimensions()) && slices.Contains(dimensions(), dim) {
+			name = figure + "/*"
+		}
+		out = append(out, name)
+	}
+	return unique(out)
+}
+
+// MarkdownSlopes is the table of slopes as the page has it.
+func MarkdownSlopes(slopes Slopes) string {
+	var b strings.Builder
+	b.WriteString("| slope | curve | base | spread | command |\n| --- | --- | --- | --- | --- |\n")
+	for _, name := range slices.Sorted(maps.Keys(slopes)) {
+		if s := slopes[name]; s.Curve != nil {
+			fmt.Fprintf(&b, "| %s | %s | %v | %.2g | `%s` |\n", name, s.Text, Figure(s.Base), s.Spread, s.Command)
+		}
+	}
+	return b.String()
+}
+
+func dash(f Figure) string {
+	if math.IsNaN(float64(f)) {
+		return "-"
+	}
+	return f.String()
+}
--- a/internal/lab/calibrate_test.go
+++ b/internal/lab/calibrate_test.go
@@ -287,8 +287,6 @@
 	s.at(odd(0.85), func() { s.listed[5].State = balancer.Active; s.tell() })
 }
 
-// ---- The hollow host.
-
 // hollowHost is the dispatcher in virtual time, with an ear at what the module orders.
 type hollowHost struct {
 	*simNode
@@ -370,8 +368,6 @@
 
 func (h *hollowHost) Log(text string) { h.s.did("log %s", text) }
 
-// ---- The real host.
-
 // realHost is oakthread.Core, with the list that package kept keeps, before carriers that lead into the world.
 type realHost struct {
 	s      *stage
@@ -663,8 +659,6 @@
 	return nil
 }
 
-// ---- The comparison.
-
 // sorted puts what was done at one moment in an order of its own: the core carries out each action on a goroutine of its own.
 func sorted(as []action) []action {
 	out := slices.Clone(as)
--- /dev/null
+++ b/internal/lab/capacityfleet.go
@@ -0,0 +1,151 @@
+package lab
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"math"
+	"slices"
+	"time"
+
+	"oakthread/internal/regression"
+)
+
+// zipf draws functions by Zipf laws of other exponents; 0: evenly, as all other sections do. What falls with it is no slope, and
+// none is foretold.
+func (c *capacity) zipf(ctx context.Context) error {
+	for _, x := range c.plan.exponents {
+		size := c.plan.zipf
+		size.Zipf = x
+		var runs []map[string]float64
+		for _, seed := range c.plan.seeds {
+			f, err := c.run(ctx, zipfAt, size, seed)
+			if err != nil {
+				return err
+			}
+			runs = append(runs, f)
+			c.rep.AtMost(fmt.Sprintf("zipf, exponent %g, seed %d: path-books twice, late sends, boxes pushed over, calls without an end", x, seed),
+				f["twice"]+f["late"]+f["fallen"]+f["open"], 0)
+		}
+		for _, figure := range zipfFigures() {
+			if y := meanOf(runs, figure); !math.IsNaN(y) {
+				c.rep.Row(fmt.Sprintf("zipf, exponent %g: %s", x, figure), "", math.NaN(), y)
+			}
+		}
+	}
+	return nil
+}
+
+// zipfFigures are what popularity bears on.
+func zipfFigures() []string {
+	return []string{"bytes", "messages.in", "cpu.choice", "cpu.read", "loads", "heap", "worth", "unserved", "p99.cold"}
+}
+
+// largest is the largest fleet, at the base's calls; letter that with the letter's calls.
+func (c *capacity) largest(ctx context.Context) error { return c.fleet(ctx, largestAt, c.plan.largest) }
+func (c *capacity) letter(ctx context.Context) error  { return c.fleet(ctx, letterAt, c.plan.letter) }
+
+// fleet foretells a large fleet from all slopes together, and runs it, with the first seed. It is made smaller until it fits the
+// memory.
+func (c *capacity) fleet(ctx context.Context, section string, want HollowSize) error {
+	size := want
+	for tried := size; ; tried.Dispatchers -= max(1, tried.Dispatchers/20) {
+		size = tried
+		if err := tried.check(); !errors.Is(err, ErrHollowMemory) || tried.Dispatchers <= 1 {
+			break
+		}
+	}
+	if size.Dispatchers < want.Dispatchers {
+		c.o.Log("%s: %d dispatchers, not %d: more do not fit the memory", section, size.Dispatchers, want.Dispatchers)
+	}
+	for _, d := range c.plan.dims {
+		if _, err := c.fits(ctx, d); err != nil {
+			return err
+		}
+	}
+	var told []*CapacitySlope
+	for i, f := range capacityFigures() {
+		s := &CapacitySlope{Series: regression.Series{Name: f.name, Unit: f.unit, Of: section}, Budget: f.budget, UsedUp: Figure(math.NaN()), timed: f.timed}
+		if s.Foretold, s.Fault = c.combine(i, f.product, size); s.Foretold != nil {
+			c.o.Log("foretold at %s: %s %.4g %s", &size, s.Name, s.Foretold.Y, s.Unit)
+		}
+		told = append(told, s)
+	}
+	c.detail.Largest = append(c.detail.Largest, told...)
+	f, err := c.run(ctx, section, size, c.plan.seeds[0])
+	if err != nil {
+		return err
+	}
+	name := func(s string) string {
+		return fmt.Sprintf("%s, %d dispatchers, %d executors: %s", section, size.Dispatchers, size.Executors, s)
+	}
+	for _, s := range told {
+		y, ok := f[s.Name]
+		if !ok {
+			y = math.NaN()
+		}
+		at := math.NaN()
+		if s.judge(y); s.Foretold != nil {
+			at = float64(s.Foretold.Y)
+		}
+		c.rep.Row(name(s.Name), s.Unit, at, y)
+	}
+	for _, s := range serviceFigures() {
+		if y, ok := f[s]; ok {
+			c.rep.Row(name(s), "", math.NaN(), y)
+		}
+	}
+	c.rep.AtMost(name("path-books twice, late sends, boxes pushed over, calls without an end"), f["twice"]+f["late"]+f["fallen"]+f["open"], 0)
+	return nil
+}
+
+// combine foretells figure i of a size from the slopes over each dimension: from the base on, what each adds is added, or the
+// factors by which each raises it are multiplied. The rooms over the sizes that are moved add up as independent errors do, in
+// squares, to largestRoom at most.
+func (c *capacity) combine(i int, product bool, size HollowSize) (*Foretold, string) {
+	p := &Foretold{At: time.Now(), X: Figure(math.NaN()), Measured: Figure(math.NaN())}
+	base, sum, factor, squares := 0.0, 0.0, 1.0, 0.0
+	for _, d := range c.plan.dims {
+		s := c.slopes[d.name][i]
+		if s.Fit == nil {
+			return nil, fmt.Sprintf("over %s: %s", d.name, s.Fault)
+		}
+		from, to := s.Fit.At(d.of(c.plan.base)), s.Fit.At(d.of(size))
+		base += from / float64(len(c.plan.dims))
+		sum += to - from
+		if from > 0 {
+			factor *= to / from
+		}
+		if d.of(c.plan.base) != d.of(size) {
+			squares += s.Fit.Room() * s.Fit.Room()
+		}
+	}
+	p.Room = min(math.Sqrt(squares), largestRoom)
+	if p.Y = Figure(max(0, base+sum)); product {
+		p.Y = Figure(base * factor)
+	}
+	return p, ""
+}
+
+// bounds are one for each dimension, of what repeats and of processor time.
+func (c *capacity) bounds() {
+	for _, name := range c.plan.names() {
+		for _, kind := range []struct {
+			name  string
+			timed bool
+		}{{"counts and bytes", false}, {"processor time", true}} {
+			all, off := 0, 0
+			for _, s := range append(slices.Clone(c.detail.Slopes), c.detail.Largest...) {
+				if s.Of != name || s.timed != kind.timed || s.Foretold == nil || math.IsNaN(float64(s.Foretold.Measured)) {
+					continue
+				}
+				if all++; !s.Foretold.Holds {
+					off++
+				}
+			}
+			if all > 0 {
+				c.rep.AtMost(fmt.Sprintf("as foretold, %s, %s: figures of %d that are not", name, kind.name, all), float64(off), 0)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/lab/capacityoutput.go
@@ -0,0 +1,201 @@
+package lab
+
+import (
+	"encoding/csv"
+	"fmt"
+	"io"
+	"math"
+	"os"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"text/tabwriter"
+
+	"gonum.org/v1/plot/plotter"
+
+	figures "oakthread/internal/capacity"
+	"oakthread/internal/regression"
+)
+
+// measured are the slopes as the page takes them, and what the largest fleet showed.
+func (c *Capacity) measured() figures.Slopes {
+	out := figures.Slopes{}
+	for _, s := range c.Slopes {
+		if s.Fit == nil {
+			continue
+		}
+		base := 0.0
+		if d, ok := capacityDims()[s.Of]; ok {
+			base = d.of(c.Base)
+		}
+		out[s.Name+"/"+s.Of] = figures.Slope{Curve: s.Fit, Base: base, Spread: s.Fit.Spread, Command: "testbed run capacity", Text: s.Fit.String()}
+	}
+	for _, r := range c.Runs {
+		if r.Section != largestAt || r.Partial != "" {
+			continue
+		}
+		for name, y := range r.Figures {
+			out[name+"/"+largestAt] = figures.Slope{Curve: figures.Constant(y), Command: "testbed run capacity", Text: fmt.Sprintf("%.4g, one run", y)}
+		}
+	}
+	return out
+}
+
+// Print writes the slopes with what they foretold, and the tables of docs/CAPACITY.md that follow from them.
+func (c *Capacity) Print(w io.Writer) {
+	c.print(w)
+	slopes := c.measured()
+	rows := figures.Rows(figures.Letter(), figures.LetterBudgets(), slopes)
+	fmt.Fprintf(w, "\n%s\n### Missing first\n\n%s\n### Slopes\n\n%s", figures.Page(rows), figures.MarkdownMissing(rows), figures.MarkdownSlopes(slopes))
+}
+
+func (c *Capacity) print(w io.Writer) {
+	of := ""
+	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	for _, s := range append(slices.Clone(c.Slopes), c.Largest...) {
+		if s.Of != of {
+			of = s.Of
+			unit := capacityUnits()[of]
+			if unit == "" {
+				unit = of
+			}
+			fmt.Fprintf(t, "over %s\tslope\tbudget used up at\tforetold at\t\troom\tmeasured\t\n", unit)
+		}
+		fit := s.String()
+		if s.Of == largestAt || s.Of == letterAt {
+			fit = "all slopes together"
+		}
+		fmt.Fprintf(t, "  %s, %s\t%s\t%s\t", s.Name, s.Unit, fit, s.UsedUp)
+		if p := s.Foretold; p != nil {
+			verdict := "as foretold"
+			if math.IsNaN(float64(p.Measured)) {
+				verdict = "not run"
+			} else if !p.Holds {
+				verdict = "NOT as foretold"
+			}
+			fmt.Fprintf(t, "%s\t%s\t%.2g\t%s\t%s", p.X, p.Y, p.Room, p.Measured, verdict)
+		}
+		fmt.Fprintln(t)
+	}
+	_ = t.Flush()
+}
+
+// open starts the CSV file; each run is written to it as it ends.
+func (c *capacity) open() (io.Closer, error) {
+	if err := os.MkdirAll(c.o.Plots, 0o755); err != nil {
+		return nil, fmt.Errorf("capacity: %w", err)
+	}
+	file, err := os.Create(filepath.Join(c.o.Plots, capacityCSV))
+	if err != nil {
+		return nil, fmt.Errorf("capacity: %w", err)
+	}
+	c.table = csv.NewWriter(file)
+	err = c.lines([]string{"section", "seed", "before", "dispatchers", "executors", "functions", "calls", "list_events", "span_s", "zipf", "fault", "partial", "figure", "value"})
+	return file, err
+}
+
+func (c *capacity) write(r CapacityRun) error {
+	if c.table == nil {
+		return nil
+	}
+	number := func(x float64) string { return strconv.FormatFloat(x, 'g', -1, 64) }
+	names := make([]string, 0, len(r.Figures))
+	for name := range r.Figures {
+		names = append(names, name)
+	}
+	slices.Sort(names)
+	var lines [][]string
+	for _, name := range names {
+		lines = append(lines, []string{
+			r.Section, strconv.FormatUint(r.Seed, 10), strconv.FormatBool(r.Size.Before), strconv.Itoa(r.Size.Dispatchers),
+			strconv.Itoa(r.Size.Executors), strconv.Itoa(r.Size.Functions), number(r.Size.Calls), number(r.Size.ListEvents), number(r.Size.Span.Seconds()),
+			number(r.Size.Zipf), r.Size.Fault, r.Partial, name, number(r.Figures[name]),
+		})
+	}
+	return c.lines(lines...)
+}
+
+func (c *capacity) lines(lines ...[]string) error {
+	if err := c.table.WriteAll(lines); err != nil { // it flushes
+		return fmt.Errorf("capacity: %s: %w", capacityCSV, err)
+	}
+	return nil
+}
+
+// plots draws what was measured, each with the line of its budget; a section that was not run is left out.
+func (c *capacity) plots() error {
+	flat := func(of plotter.XYs, budget float64) (line plotter.XYs) {
+		for _, p := range of {
+			line = append(line, plotter.XY{X: p.X, Y: budget})
+		}
+		return line
+	}
+	var arms [2]plotter.XYs
+	for _, n := range c.plan.walks {
+		for arm, before := range []bool{true, false} {
+			var runs []map[string]float64
+			for _, seed := range c.plan.seeds {
+				if f, ok := c.done[capacityKey{c.plan.arm(n, before), seed}]; ok {
+					runs = append(runs, f)
+				}
+			}
+			if y := meanOf(runs, "cpu.choice"); !math.IsNaN(y) {
+				arms[arm] = append(arms[arm], plotter.XY{X: float64(n), Y: y / 1e3})
+			}
+		}
+	}
+	if len(arms[1]) > 1 {
+		lines := []plotter.XYs{flat(arms[0], budgetChoice/1e3), arms[0], arms[1]}
+		chart := lineChart{
+			file: "capacity-choice.svg", title: "Processor time of a call", xLabel: "executors", yLabel: "us",
+			names: []string{"budget", "the whole list walked", "ours"}, lines: lines, logX: true,
+		}
+		if err := chart.draw(c.o.Plots); err != nil {
+			return err
+		}
+	}
+	for _, p := range []struct {
+		file, title, of, name, unit string
+		scale, budget               float64
+	}{
+		{"capacity-bytes.svg", "Messages of a dispatcher, in and out", "dispatchers", "bytes", "bytes a second", 1, budgetBytes},
+		{"capacity-heap.svg", "Memory of a dispatcher", "executors", "heap", "MB", 1e6, budgetHeap},
+	} {
+		var line plotter.XYs
+		for _, s := range c.slopes[p.of] {
+			if s.Name != p.name {
+				continue
+			}
+			for _, d := range c.plan.dims {
+				for _, x := range d.sizes {
+					if y := meanAt(s.Points, x); d.name == p.of && !math.IsNaN(y) {
+						line = append(line, plotter.XY{X: x, Y: y / p.scale})
+					}
+				}
+			}
+		}
+		if len(line) < 2 {
+			continue
+		}
+		chart := lineChart{
+			file: p.file, title: p.title, xLabel: p.of, yLabel: p.unit, names: []string{"budget", "measured"},
+			lines: []plotter.XYs{flat(line, p.budget/p.scale), line}, logX: true,
+		}
+		if err := chart.draw(c.o.Plots); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// meanAt is the mean of the points at a size; NaN: there are none.
+func meanAt(ps []regression.Point, x float64) float64 {
+	sum, n := 0.0, 0
+	for _, p := range ps {
+		if p.X == x {
+			sum += p.Y
+			n++
+		}
+	}
+	return sum / float64(n)
+}
--- /dev/null
+++ b/internal/lab/capacityservice.go
@@ -0,0 +1,119 @@
+package lab
+
+import (
+	"context"
+	"fmt"
+	"math"
+	"strings"
+)
+
+// service sets busy fleets with the whole list walked beside ours, and two yardsticks: one dispatcher of this program that all calls
+// go through, and an omniscient router. The fleets' executors are small, short of memory and empty at the start, so that what a
+// choice loses is seen.
+func (c *capacity) service(ctx context.Context) error {
+	for _, s := range c.plan.service {
+		name := fmt.Sprintf("service, %d dispatchers, %d executors: ", s.dispatchers, s.executors)
+		var figures []map[string]float64 // by arm
+		for _, of := range serviceArms() {
+			dispatchers, walk := s.dispatchers, s.walk
+			switch of {
+			case wholeWalk:
+				walk = math.MaxInt
+			case oneDispatcher:
+				dispatchers = 1
+			}
+			var runs []map[string]float64
+			for _, seed := range c.plan.seeds {
+				if err := ctx.Err(); err != nil {
+					return err
+				}
+				r, k, err := serviceSim(fleetFigures(), dispatchers, s.executors, walk, of == omniscient, seed)
+				if err != nil {
+					return fmt.Errorf("capacity: service: %w", err)
+				}
+				runs = append(runs, k.figures(r))
+				c.o.Log("%s%s, seed %d: worth %.4f, unserved %.4f; %s", name, of, seed, r.service, r.unserved, k)
+				if of != omniscient {
+					c.rep.AtMost(fmt.Sprintf("%s%s, seed %d: path-books twice, late sends, boxes pushed over, calls without an end", name, of, seed),
+						float64(r.twice+r.late+r.fallen+r.open), 0)
+				}
+				if s.dispatchers >= fewSeeds {
+					break
+				}
+			}
+			means := map[string]float64{}
+			for _, f := range serviceRows() {
+				means[f.name] = meanOf(runs, f.name)
+			}
+			figures = append(figures, means)
+		}
+		for _, f := range serviceRows() {
+			c.rep.Row(name+f.name, f.unit, figures[0][f.name], figures[1][f.name])
+		}
+		worth := func(arm int) float64 { return figures[arm][worthInTime] }
+		for arm, of := range serviceArms() {
+			if arm > 1 {
+				c.rep.Row(name+worthInTime+", "+of, "of that asked", math.NaN(), worth(arm))
+			}
+		}
+		c.rep.AtLeast(name+"worth less that of the whole walk", worth(1)-worth(0), -worthRoom)
+		c.rep.AtLeast(name+"worth less that of one dispatcher with all calls", worth(1)-worth(2), -oneRoom)
+	}
+	return nil
+}
+
+// The arms of a busy fleet; the last two are yardsticks.
+const (
+	wholeWalk     = "whole walk"
+	oursArm       = "ours"
+	oneDispatcher = "one dispatcher with all calls"
+	omniscient    = "an omniscient router"
+)
+
+func serviceArms() []string { return []string{wholeWalk, oursArm, oneDispatcher, omniscient} }
+
+const (
+	fewSeeds    = 1_000 // from how many dispatchers on a busy fleet is run with the first seed alone
+	oneRoom     = 0.1   // by which worth may fall below that of one dispatcher
+	worthInTime = "worth in time"
+)
+
+// faults plays each fault at size.
+func (c *capacity) faults(ctx context.Context) error {
+	for _, fault := range append([]string{""}, HollowFaults()...) {
+		size := c.plan.faults
+		size.Fault = fault
+		f, err := c.run(ctx, faultsAt, size, c.plan.seeds[0])
+		if err != nil {
+			return err
+		}
+		name := "fault: " + fault
+		if fault == "" {
+			name = "no fault"
+		}
+		for _, figure := range []string{"worth", "unserved", "digests", "bytes.in", "bytes.in.busiest", "cpu.busiest", "p99.cold", "acts.last"} {
+			if y, ok := f[figure]; ok {
+				c.rep.Row(name+": "+figure, "", math.NaN(), y)
+			}
+		}
+		c.rep.AtMost(name+": path-books twice, late sends, boxes pushed over, calls without an end", f["twice"]+f["late"]+f["fallen"]+f["open"], 0)
+	}
+	return nil
+}
+
+// calibration sets real processes beside hollow ones.
+func (c *capacity) calibration(ctx context.Context) error {
+	r, err := Calibrate(ctx, c.o)
+	if err != nil {
+		return fmt.Errorf("capacity: %w", err)
+	}
+	for _, row := range r.Rows {
+		row.Name = "calibration, " + strings.Join(r.Arms, " and ") + ": " + row.Name
+		c.rep.Rows = append(c.rep.Rows, row)
+	}
+	for _, b := range r.Bounds {
+		b.Name = "calibration: " + b.Name
+		c.rep.Bounds = append(c.rep.Bounds, b)
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/lab/capacityslopes.go
@@ -0,0 +1,104 @@
+package lab
+
+import (
+	"context"
+	"math"
+	"time"
+
+	"oakthread/internal/regression"
+)
+
+// fits makes the runs of a dimension but for the largest size, once, and the slopes of their figures.
+func (c *capacity) fits(ctx context.Context, d capacityDim) ([]*CapacitySlope, error) {
+	if s, ok := c.slopes[d.name]; ok {
+		return s, nil
+	}
+	var all []*CapacitySlope
+	for _, f := range capacityFigures() {
+		all = append(all, &CapacitySlope{Series: regression.Series{Name: f.name, Unit: f.unit, Of: d.name}, Budget: f.budget, UsedUp: Figure(math.NaN()), timed: f.timed})
+	}
+	for _, x := range d.sizes[:len(d.sizes)-1] {
+		runs, err := c.at(ctx, d, x)
+		if err != nil {
+			return nil, err
+		}
+		c.add(all, x, runs)
+	}
+	for _, s := range all {
+		s.fit()
+	}
+	c.slopes[d.name] = all
+	c.detail.Slopes = append(c.detail.Slopes, all...)
+	return all, nil
+}
+
+// add adds the figures of runs at x.
+func (c *capacity) add(all []*CapacitySlope, x float64, runs []map[string]float64) {
+	for _, s := range all {
+		for i, f := range runs {
+			if y, ok := f[s.Name]; ok {
+				s.Points = append(s.Points, regression.Point{X: x, Y: y, Seed: c.plan.seeds[i]})
+			}
+		}
+	}
+}
+
+// fit fits the points so far.
+func (s *CapacitySlope) fit() {
+	fit, err := regression.Choose(s.Points)
+	if err != nil {
+		s.Fault = err.Error()
+		return
+	}
+	s.Fit = &fit
+	if s.Budget > 0 {
+		if x, ok := fit.Crosses(s.Budget); ok && x <= farthest*fit.To {
+			s.UsedUp = Figure(x)
+		}
+	}
+}
+
+// foretell writes down what the fit says of x.
+func (s *CapacitySlope) foretell(x float64) {
+	if s.Fit != nil {
+		s.Foretold = &Foretold{At: time.Now(), X: Figure(x), Y: Figure(s.Fit.At(x)), Room: s.Fit.Room(), Measured: Figure(math.NaN())}
+	}
+}
+
+// judge sets what was measured beside it.
+func (s *CapacitySlope) judge(y float64) {
+	if p := s.Foretold; p != nil {
+		p.Measured, p.Holds = Figure(y), math.Abs(y-float64(p.Y)) <= p.Room*float64(p.Y)
+	}
+}
+
+func (s *CapacitySlope) String() string {
+	if s.Fit == nil {
+		return s.Fault
+	}
+	return s.Fit.String()
+}
+
+// meanOf is a figure's mean over runs; NaN where none has it.
+func meanOf(runs []map[string]float64, name string) float64 {
+	sum, n := 0.0, 0
+	for _, f := range runs {
+		if y, ok := f[name]; ok {
+			sum += y
+			n++
+		}
+	}
+	return sum / float64(n)
+}
+
+// addWords adds runs of one size; fewer than a message a second have no size.
+func addWords(all []*CapacitySlope, runs []map[string]float64, seeds []uint64) (in float64) {
+	if in = meanOf(runs, "messages.in"); !(in >= 1) {
+		return in
+	}
+	for i, f := range runs {
+		all[0].Points = append(all[0].Points, regression.Point{X: in, Y: f["cpu.read"] * f["messages.in"], Seed: seeds[i]})
+		all[1].Points = append(all[1].Points, regression.Point{X: in, Y: f["cpu.write"], Seed: seeds[i]})
+	}
+	return in
+}
--- /dev/null
+++ b/internal/lab/hollowclients.go
@@ -0,0 +1,84 @@
+package lab
+
+import (
+	"math/rand/v2"
+	"strconv"
+	"time"
+)
+
+// home is the dispatcher that clients of the nth go to: itself, or, while it is gone, another that is there.
+func (h *hollowWorld) home(n int) *simNode {
+	d := len(h.nodes)
+	for k := range d {
+		if s := h.nodes[(n+k*(d/10+1))%d]; !s.dead {
+			return s
+		}
+	}
+	return h.nodes[n]
+}
+
+// gap is the time until a dispatcher's next call, where x is that time in mean gaps.
+func (h *hollowWorld) gap(x float64) time.Duration {
+	first, left := h.size.WarmCalls, h.from.Add(-hollowRise).Sub(h.now)
+	if first <= 0 || left <= 0 {
+		return time.Duration(x / h.size.Calls * float64(time.Second))
+	}
+	if at := x / first * float64(time.Second); at < float64(left) {
+		return time.Duration(at)
+	}
+	return left + time.Duration((x-first*left.Seconds())/h.size.Calls*float64(time.Second))
+}
+
+// clients of a dispatcher send until the end of the span.
+func (h *hollowWorld) clients(n int, rng *rand.Rand, seq int) {
+	h.after(h.gap(rng.ExpFloat64()), func() {
+		if !h.now.Before(h.until) {
+			return
+		}
+		u, class := rng.Float64(), 0
+		for u -= h.f.Classes[0].Share; u >= 0 && class < len(h.f.Classes)-1; {
+			class++
+			u -= h.f.Classes[class].Share
+		}
+		c := &simCall{
+			class: class, model: h.load.model(h.popular.draw(rng.Float64()), h.now), intended: h.now,
+			name: strconv.Itoa(n) + "." + strconv.Itoa(seq),
+		}
+		h.begun++
+		h.simWorld.home(n).arrive(c)
+		h.clients(n, rng, seq+1)
+	})
+}
+
+// over counts a call that has ended.
+func (h *hollowWorld) over(c *simCall) {
+	if h == nil {
+		return
+	}
+	h.begun--
+	if c.intended.Before(h.from) {
+		return
+	}
+	k := h.f.Classes[c.class]
+	h.calls++
+	h.asked += k.Worth
+	took := c.ended.Sub(c.intended)
+	switch {
+	case !c.served:
+		h.bad++
+	case took <= k.Aim:
+		h.earned += k.Worth
+	default:
+		h.earned += 0.2 * k.Worth
+	}
+	if c.served && c.cold {
+		h.cold = append(h.cold, took.Seconds())
+	}
+}
+
+// loaded counts a job that began a load.
+func (h *hollowWorld) loaded(j *Job) {
+	if h != nil && h.meter.on && j.Note == Spawn {
+		h.loads++
+	}
+}
--- /dev/null
+++ b/internal/lab/hollowevents.go
@@ -0,0 +1,199 @@
+package lab
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"oakthread/balancer"
+	"oakthread/endpoints"
+)
+
+// change tells all what has changed of some executors, each after its own time: up to fleetTold, which stands for the
+// platform's channel. since: of the first change that this one's time counts from.
+func (h *hollowWorld) change(since time.Time, boxes ...int) {
+	h.cursor++
+	u := endpoints.Update{Cursor: h.cursor}
+	for _, i := range boxes {
+		u.Endpoints = append(u.Endpoints, h.listed[i])
+	}
+	for n, d := range h.delay {
+		h.after(d, func() {
+			if s := h.nodes[n]; !s.dead {
+				h.tell(s, u)
+				h.acts = max(h.acts, h.now.Sub(since))
+			}
+		})
+	}
+}
+
+// list is one change: an executor drained for long enough comes back, another drains, or a weight changes. since: nil: now.
+func (h *hollowWorld) list(since *time.Time) {
+	from := h.now
+	if since != nil {
+		from = *since
+	}
+	if len(h.away) > 0 && h.now.Sub(h.awayAt[0]) >= hollowAway {
+		i := h.away[0]
+		h.away, h.awayAt = h.away[1:], h.awayAt[1:]
+		x := h.boxes[i]
+		x.box, x.drained = NewBox(h.f.Box, h.now), time.Time{}
+		h.listed[i].State, h.listed[i].Start, h.changed[i] = balancer.Active, h.now, h.now
+		h.change(from, i)
+		return
+	}
+	for range 8 { // one that has not changed just now
+		i := h.rng.IntN(len(h.boxes))
+		if h.listed[i].State != balancer.Active || h.now.Sub(h.changed[i]) < 2*fleetTold || h.boxes[i].fate != stays {
+			continue
+		}
+		h.changed[i] = h.now
+		if 20*len(h.away) < len(h.boxes) && h.rng.IntN(2) == 0 {
+			h.boxes[i].box.Drain()
+			h.boxes[i].drained = h.now.Add(fleetTold)
+			h.listed[i].State = balancer.Draining
+			h.away, h.awayAt = append(h.away, i), append(h.awayAt, h.now)
+		} else {
+			h.listed[i].Weight = 3.5 - h.listed[i].Weight // 2 or 1.5
+		}
+		h.change(from, i)
+		return
+	}
+}
+
+// configure gives all a new configuration.
+func (h *hollowWorld) configure() {
+	for _, s := range h.nodes {
+		if s.dead {
+			continue
+		}
+		h.meter.begin(s.n, partConfig)
+		_, err := s.d.AddClasses(h.now.UnixNano(), []balancer.Class{{LatencyObjective: int64(time.Second), ClientTimeout: int64(4 * time.Second), PriorityWeight: 1, LatePriorityWeight: 0.2}})
+		s.d.SetMaxAttempts(h.now.UnixNano(), 5)
+		h.meter.end()
+		if err != nil && h.err == nil {
+			h.err = fmt.Errorf("hollow run: a new configuration: %w", err)
+		}
+	}
+}
+
+// fault lays out the size's fault.
+func (h *hollowWorld) fault() {
+	span, d := h.size.Span, h.size.Dispatchers
+	middle := h.from.Add(span / 2)
+	switch h.size.Fault {
+	case FaultOneDown:
+		h.at(h.from.Add(-h.size.Warm/3), func() { h.kill(d / 2) })
+	case FaultRestarts:
+		count := max(1, d/19)
+		for at := range ticks(h.from, h.until, float64(count)/span.Seconds()) {
+			h.at(at, func() {
+				n := int(h.lives) * 19 % d
+				h.kill(n)
+				h.after(min(hollowDown, span/4), func() { h.revive(n) })
+			})
+		}
+	case FaultZone:
+		h.at(h.from.Add(span/8), func() {
+			for n := range max(1, d/10) {
+				h.kill(n)
+			}
+			for _, x := range h.boxes {
+				if x.zone == 0 {
+					x.fate = cutOff
+				}
+			}
+		})
+		h.at(h.from.Add(span/8+min(hollowOutage, span/2)), func() {
+			var back []int
+			for i, x := range h.boxes {
+				if x.zone == 0 {
+					x.fate, x.box = stays, NewBox(h.f.Box, h.now)
+					h.listed[i].Start = h.now
+					back = append(back, i)
+				}
+			}
+			for n := range max(1, d/10) {
+				h.revive(n)
+			}
+			h.change(h.now, back...)
+		})
+	case FaultRegions:
+		h.at(h.from.Add(span/3), func() { h.halves = true })
+		h.at(h.from.Add(span*2/3), func() { h.halves = false })
+	case FaultWholeList:
+		h.at(middle, func() {
+			h.meter.times[partWhole], h.meter.counts[partWhole], h.whole = 0, 0, 0
+			h.cursor++
+			for _, s := range h.nodes {
+				h.tell(s, endpoints.Update{Full: true, Cursor: h.cursor, Endpoints: h.listed})
+			}
+		})
+	case FaultChanges:
+		rate := max(hollowDay/(24*time.Hour).Seconds(), 1/span.Seconds())
+		for at := range ticks(h.from, h.until, rate) {
+			h.at(at, func() { h.list(nil); h.configure() })
+		}
+	case FaultBurst:
+		for i := range hollowBurst {
+			h.at(middle.Add(time.Duration(i)*time.Second/hollowBurst), func() { h.list(&middle); h.configure() })
+		}
+	case FaultRelease:
+		h.release(h.from, span*2/3)
+	}
+}
+
+// release replaces every third executor from a moment on, in ten steps over a span: as many new ones come cold, the old ones
+// drain and stay listed, and every other dispatcher is restarted, one after the other.
+func (h *hollowWorld) release(from time.Time, span time.Duration) {
+	old, d := h.size.Executors, h.size.Dispatchers
+	for step := range 10 {
+		h.at(from.Add(span*time.Duration(step)/10), func() {
+			var news []int
+			for i := 3 * (old * step / 30); i < 3*(old*(step+1)/30); i += 3 {
+				if h.listed[i].State != balancer.Active { // on its way already
+					continue
+				}
+				x := h.add(len(h.boxes), h.now)
+				x.zone = i % 10
+				news = append(news, i, len(h.listed))
+				h.listed = append(h.listed, endpoints.Endpoint{ID: x.id, Zone: x.zone, State: balancer.Active, Weight: 2, Start: h.now})
+				h.changed = append(h.changed, h.now)
+				h.boxes[i].box.Drain()
+				h.boxes[i].drained = h.now.Add(fleetTold)
+				h.listed[i].State = balancer.Draining
+			}
+			h.change(h.now, news...)
+		})
+	}
+	for n := 1; n < d; n += 2 {
+		h.at(from.Add(span*time.Duration(n)/time.Duration(d)), func() {
+			h.kill(n)
+			h.after(min(hollowDown, span/4), func() { h.revive(n) })
+		})
+	}
+}
+
+// kill ends a dispatcher: its calls are cut off at their clients, and what was sent for them goes on.
+func (h *hollowWorld) kill(n int) {
+	s := h.nodes[n]
+	s.dead = true
+	ids := make([]string, 0, len(s.open))
+	for id := range s.open {
+		ids = append(ids, id)
+	}
+	slices.Sort(ids)
+	for _, id := range ids {
+		o := s.open[id]
+		delete(s.open, id)
+		h.after(0, func() { s.again(o.call, 200*time.Millisecond, o.tries == 0) })
+	}
+	h.lives++
+}
+
+// revive starts a dispatcher anew.
+func (h *hollowWorld) revive(n int) {
+	if err := h.start(n); err != nil && h.err == nil {
+		h.err = err
+	}
+}
--- /dev/null
+++ b/internal/lab/hollowmessages.go
@@ -0,0 +1,57 @@
+package lab
+
+import (
+	"oakthread/aggregate"
+)
+
+// parted tells whether one does not hear another.
+func (h *hollowWorld) parted(from, to int) bool {
+	return h != nil && h.halves && (2*from < len(h.nodes)) != (2*to < len(h.nodes))
+}
+
+// wrote counts a text as it is sent, and tells what it is; heard counts it as it comes. The collector of a term is known by
+// this: it writes digests, and reports come to it alone.
+func (h *hollowWorld) wrote(s *simNode, to int, data string) (n note) {
+	if h == nil {
+		return n
+	}
+	m, ok := aggregate.Decode(data, len(h.nodes))
+	n = note{ok && m.FromLeader && !m.Continued, ok && !m.FromLeader && !m.Continued && !m.SyncRequest}
+	if n.digest {
+		h.toldDigest(s.n)
+	}
+	copies := 1
+	if to < 0 {
+		copies = len(h.nodes) - 1
+	}
+	h.meter.wrote = true
+	if h.meter.on {
+		h.meter.outByte[s.n] += int64(copies * len(data))
+		h.meter.sums[2] += copies * len(data)
+		h.meter.sums[3] += copies
+		h.meter.collects[s.n] = h.meter.collects[s.n] || m.FromLeader
+	}
+	return n
+}
+
+func (h *hollowWorld) heard(n int, data string, what note) {
+	if h == nil {
+		return
+	}
+	if what.digest {
+		h.toldDigest(n)
+	}
+	if h.meter.on {
+		h.meter.inBytes[n] += int64(len(data))
+		h.meter.sums[0] += len(data)
+		h.meter.sums[1]++
+		h.meter.collects[n] = h.meter.collects[n] || what.report
+	}
+}
+
+func (h *hollowWorld) toldDigest(n int) {
+	if t := h.now.UnixNano() / h.term; t != h.terms[n] {
+		h.terms[n] = t
+		h.told[t]++
+	}
+}
--- /dev/null
+++ b/internal/lab/hollowmeter.go
@@ -0,0 +1,121 @@
+package lab
+
+import (
+	"math"
+
+	"golang.org/x/sys/unix"
+)
+
+// part of a dispatcher's work, as the meter tells them apart.
+type part int
+
+const (
+	partChoice part = iota
+	partUpkeep
+	partWrite // upkeep that wrote
+	partRead
+	partList
+	partWhole
+	partConfig
+	parts
+)
+
+// meter counts what dispatchers cost. Its nil value measures nothing. Time is the thread's own processor time, read before
+// and after each event and around each call of the host, whose work is not the dispatcher's; a read takes some 0.6 us, which
+// is taken off again. No collection falls into it: collections are held off, and made between events alone.
+type meter struct {
+	on     bool // within the span
+	whole  bool // the list at hand is told whole
+	in     bool
+	node   int
+	part   part
+	wrote  bool
+	from   int64
+	spent  int64
+	read   int64 // what reading the clock takes
+	times  [parts]int64
+	counts [parts]int
+
+	second                int64 // that the counts below are of
+	cpu, inBytes, outByte []int64
+	collects              []bool
+	most                  [5]int64 // of any second: cpu, bytes in and out, and in and out of collectors
+	sums                  [4]int   // bytes and messages in, bytes and messages out
+}
+
+// clock is the processor time that this thread has taken, in nanoseconds.
+func clock() int64 {
+	var ts unix.Timespec
+	_ = unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &ts)
+	return ts.Nano()
+}
+
+func newMeter(n int) meter {
+	m := meter{cpu: make([]int64, n), inBytes: make([]int64, n), outByte: make([]int64, n), collects: make([]bool, n), read: math.MaxInt64}
+	for range 1000 {
+		a := clock()
+		m.read = min(m.read, clock()-a)
+	}
+	return m
+}
+
+func (m *meter) begin(node int, p part) {
+	if m == nil {
+		return
+	}
+	if p == partList && m.whole {
+		p = partWhole
+	}
+	m.in, m.node, m.part, m.wrote, m.spent = true, node, p, false, 0
+	m.from = clock()
+}
+
+func (m *meter) pause() {
+	if m != nil && m.in {
+		m.spent += clock() - m.from - m.read
+	}
+}
+
+func (m *meter) resume() {
+	if m != nil && m.in {
+		m.from = clock()
+	}
+}
+
+func (m *meter) end() {
+	if m == nil {
+		return
+	}
+	m.pause()
+	if m.in = false; m.part == partUpkeep && m.wrote {
+		m.part = partWrite
+	}
+	if m.on || m.part == partWhole || m.part == partConfig {
+		m.times[m.part] += max(0, m.spent)
+		if m.part != partList && m.part != partWhole { // one change takes two steps: tell counts it
+			m.counts[m.part]++
+		}
+	}
+	if m.on {
+		m.cpu[m.node] += max(0, m.spent)
+	}
+}
+
+// roll ends a second: what it had is compared with the busiest.
+func (m *meter) roll(second int64) {
+	if !m.on || second == m.second {
+		return
+	}
+	m.second = second
+	for n := range m.cpu {
+		for i, x := range []int64{m.cpu[n], m.inBytes[n], m.outByte[n]} {
+			if m.most[i] = max(m.most[i], x); i > 0 && m.collects[n] {
+				m.most[i+2] = max(m.most[i+2], x)
+			}
+		}
+	}
+	clear(m.cpu)
+	clear(m.inBytes)
+	clear(m.outByte)
+	clear(m.collects)
+}
--- /dev/null
+++ b/internal/lab/hollowresult.go
@@ -0,0 +1,97 @@
+package lab
+
+import (
+	"runtime"
+	"runtime/metrics"
+	"slices"
+	"time"
+)
+
+// views takes what the dispatchers know at the end of the span.
+func (h *hollowWorld) views(r *HollowResult) {
+	sum, there := 0, 0
+	for _, s := range h.nodes {
+		if !s.dead {
+			sum += s.d.FleetView().Heard
+			there++
+		}
+	}
+	r.Figures["covered"] = float64(sum) / float64(max(1, there*len(h.nodes)))
+	all, good := 0, 0
+	for t := h.from.UnixNano()/h.term + 1; (t+1)*h.term <= h.until.UnixNano(); t++ {
+		if all++; 2*h.told[t] >= len(h.nodes) {
+			good++
+		}
+	}
+	if all > 0 {
+		r.Figures["digests"] = float64(good) / float64(all)
+	}
+}
+
+// figures takes what the meter has.
+func (h *hollowWorld) figures(r *HollowResult) {
+	f, m := r.Figures, &h.meter
+	span := min(h.size.Span, max(0, h.now.Sub(h.from))).Seconds()
+	f["calls"], f["twice"], f["late"], f["open"] = float64(h.calls), float64(h.twice), float64(h.late), float64(h.begun)
+	fallen := 0
+	for _, x := range h.boxes {
+		if x.box.Fallen() {
+			fallen++
+		}
+	}
+	f["fallen"] = float64(fallen)
+	f["texts.oversize"] = float64(h.simWorld.oversize - h.oversize)
+	if h.calls > 0 {
+		f["worth"], f["unserved"], f["loads"] = h.earned/h.asked, float64(h.bad)/float64(h.calls), float64(h.loads)/float64(h.calls)
+		f["cpu.choice"] = float64(m.times[partChoice]) / float64(h.calls)
+	}
+	if slices.Sort(h.cold); len(h.cold) > 0 {
+		f["p99.cold"] = h.cold[(len(h.cold)*99-1)/100]
+	}
+	if h.acts > 0 {
+		f["acts.last"] = h.acts.Seconds()
+	}
+	for name, p := range map[string]part{"cpu.read": partRead, "cpu.list": partList, "cpu.list.whole": partWhole, "cpu.config": partConfig} {
+		if m.counts[p] > 0 {
+			f[name] = float64(m.times[p]) / float64(m.counts[p])
+		}
+	}
+	if span == 0 {
+		return
+	}
+	each := float64(h.size.Dispatchers) * span
+	f["cpu.upkeep"], f["cpu.write"] = float64(m.times[partUpkeep])/each, float64(m.times[partWrite])/each
+	control := float64(m.times[partUpkeep]+m.times[partWrite]+m.times[partRead]+m.times[partList]+m.times[partWhole]-h.whole)/each + f["cpu.config"]*hollowDay/(24*time.Hour).Seconds()
+	f["cpu.control"], f["cpu.all"] = control/1e9, (control+float64(m.times[partChoice])/each)/1e9
+	for i, name := range []string{"bytes.in", "messages.in", "bytes.out", "messages.out"} {
+		f[name] = float64(m.sums[i]) / each
+	}
+	f["cpu.busiest"] = float64(m.most[0]) / 1e9
+	for i, name := range []string{"bytes.in", "bytes.out", "collector.in", "collector.out"} {
+		f[name+".busiest"] = float64(m.most[1+i])
+	}
+}
+
+// weigh takes the dispatchers' memory. First all that is the world's and under way is let go, then the dispatchers.
+func (h *hollowWorld) weigh(r *HollowResult) {
+	n := float64(h.size.Dispatchers)
+	clear(h.queue)
+	h.queue = nil
+	for _, s := range h.nodes {
+		clear(s.open)
+		clear(s.flights)
+		s.orders = nil
+	}
+	live := func() float64 {
+		runtime.GC()
+		metrics.Read(h.samples)
+		return float64(h.samples[0].Value.Uint64())
+	}
+	full := live()
+	r.Figures["resident"] = float64(resident()) / n
+	for _, s := range h.nodes {
+		s.d, s.list = nil, nil
+	}
+	r.Figures["heap"] = (full - live()) / n
+	runtime.KeepAlive(h)
+}
--- /dev/null
+++ b/internal/lab/keptcount.go
@@ -0,0 +1,179 @@
+package lab
+
+import (
+	"math"
+	"os"
+	"slices"
+	"time"
+)
+
+// keptWindow is for how long after the restart errors, service and peaks are counted.
+const keptWindow = 10 * time.Second
+
+func (w *keptWorld) count(killed, restarted, returned time.Time, size keptSize) *keptResult {
+	r := &keptResult{}
+	window := min(keptWindow, size.back+size.end)
+	earned, asked := 0.0, 0.0
+	bad, all, badLate, allLate := 0, 0, 0, 0
+	var times []time.Duration
+	for n, c := range w.clients {
+		r.late = max(r.late, c.MaxLag())
+		d := w.dispatcher[n]
+		for _, call := range c.Calls() {
+			r.calls++
+			after := call.Intended.Sub(restarted)
+			if call.Intended.After(killed) && after < window {
+				asked += w.f.Classes[call.Class].Worth
+				earned += call.Worth(w.f)
+			}
+			if after >= 0 && after < window {
+				all++
+				if !call.Served {
+					bad++
+				} else {
+					times = append(times, call.Ended.Sub(call.Intended))
+				}
+				if after >= 3*time.Second {
+					allLate++
+					if !call.Served {
+						badLate++
+					}
+				}
+			}
+		}
+		lost, wrong := Unanswered(c.Calls(), func(t Try) bool { // one that crossed the crash
+			return t.Sent.Before(d.Killed[0].Add(50*time.Millisecond)) && t.Ended.After(d.Killed[0])
+		})
+		r.unanswered, r.wrong = r.unanswered+lost, r.wrong+wrong
+		for i := range d.Ready {
+			if i > 0 {
+				r.readyMost = max(r.readyMost, d.Ready[i].Sub(d.Began[i]))
+			}
+		}
+	}
+	r.service = earned / math.Max(asked, 1)
+	r.errors = float64(bad) / float64(max(1, all))
+	r.errorsLate = float64(badLate) / float64(max(1, allLate))
+	if len(times) > 0 {
+		slices.Sort(times)
+		r.p99 = times[len(times)*99/100]
+	}
+	r.calm = w.calmPeak(killed.Add(-4700*time.Millisecond), killed.Add(-700*time.Millisecond))
+	w.countBoxes(r, restarted, returned, min(window, size.back), size)
+	return r
+}
+
+// calmPeak is the busiest second of any listed box over the mean of all.
+func (w *keptWorld) calmPeak(from, until time.Time) float64 {
+	most, total := 0, 0
+	for _, b := range w.boxes {
+		calls, _ := b.Seen()
+		var in []time.Time
+		for _, s := range calls {
+			if s.Took && s.At.After(from) && s.At.Before(until) {
+				in = append(in, s.At)
+			}
+		}
+		most, total = max(most, mostInOneSecond(in)), total+len(in)
+	}
+	return float64(most) / math.Max(float64(total)/float64(len(w.boxes))/until.Sub(from).Seconds(), 1e-9)
+}
+
+func (w *keptWorld) countBoxes(r *keptResult, restarted, returned time.Time, window time.Duration, size keptSize) {
+	var all [][]Sight
+	var staying [][]time.Time
+	total := 0
+	final := returned.Add(size.end - 3*time.Second)
+	oldEnd, freshEnd, olds := 0, 0, 0
+	for i, b := range append(append([]*BoxServer(nil), w.boxes...), w.fresh...) {
+		calls, _ := b.Seen()
+		all = append(all, calls)
+		if b.Fallen() {
+			r.fallen++
+		}
+		var times []time.Time
+		ends := 0
+		for _, s := range calls {
+			if s.Took && s.At.After(restarted) && s.At.Before(restarted.Add(window)) {
+				times = append(times, s.At)
+			}
+			if s.Took && s.At.After(final) {
+				ends++
+			}
+		}
+		switch {
+		case i >= len(w.boxes):
+			freshEnd += ends
+		case w.fate[i] == stays:
+			staying = append(staying, times)
+			total += len(times)
+			oldEnd += ends
+			olds++
+		case w.fate[i] == drains:
+			r.lateDrains += w.late(b, calls)
+		}
+	}
+	r.twice = RunTwice(w.f, all...)
+	share := float64(total) / float64(max(1, len(staying))) / window.Seconds()
+	for _, times := range staying {
+		r.peak = max(r.peak, float64(mostInOneSecond(times))/math.Max(share, 1e-9))
+	}
+	r.fresh = float64(freshEnd) / float64(max(1, len(w.fresh))) / math.Max(float64(oldEnd)/float64(max(1, olds)), 1e-9)
+}
+
+// late counts late sends to a draining box.
+func (w *keptWorld) late(b *BoxServer, calls []Sight) int {
+	return LateSends(toldOf(w.disc, len(w.dispatcher), b.ID), calls)
+}
+
+func keptReport(rep *Report, res []*keptResult, size keptSize) {
+	row := func(name, unit string, of func(*keptResult) float64) {
+		var vs []float64
+		for _, r := range res {
+			vs = append(vs, of(r))
+		}
+		rep.Row(name, unit, vs...)
+	}
+	row("calls", "", func(r *keptResult) float64 { return float64(r.calls) })
+	row("path-book run twice", "", func(r *keptResult) float64 { return float64(r.twice) })
+	row("tries without a whole answer", "", func(r *keptResult) float64 { return float64(r.unanswered) })
+	row("answers that no box made", "", func(r *keptResult) float64 { return float64(r.wrong) })
+	row("sent late to draining boxes", "", func(r *keptResult) float64 { return float64(r.lateDrains) })
+	row("boxes pushed over", "", func(r *keptResult) float64 { return float64(r.fallen) })
+	row("ready after, most", "ms", func(r *keptResult) float64 { return float64(r.readyMost.Milliseconds()) })
+	row("worth in time, first 10 s", "of that asked", func(r *keptResult) float64 { return r.service })
+	row("calls never served, first 10 s", "%", func(r *keptResult) float64 { return 100 * r.errors })
+	row("the same from 3 s on", "%", func(r *keptResult) float64 { return 100 * r.errorsLate })
+	row("p99 of served, first 10 s", "ms", func(r *keptResult) float64 { return float64(r.p99.Milliseconds()) })
+	row("peak second of a box", "times its share", func(r *keptResult) float64 { return r.peak })
+	row("the same before the crash", "times its share", func(r *keptResult) float64 { return r.calm })
+	row("fresh boxes at the end", "of the others' calls", func(r *keptResult) float64 { return r.fresh })
+	row("dispatchers' CPU before the crash", "us a call", func(r *keptResult) float64 { return r.cpu })
+	row("generator late, most", "ms", func(r *keptResult) float64 { return float64(r.late.Milliseconds()) })
+	ours, up, naive := res[armOurs], res[armUp], res[armFresh]
+	rep.AtMost("path-book run twice", float64(ours.twice), 0)
+	rep.AtMost("tries without a whole answer", float64(ours.unanswered+ours.wrong), 0)
+	rep.AtMost("sends more than 1 s after a drain was told", float64(ours.lateDrains), 0)
+	rep.AtMost("boxes pushed over", float64(ours.fallen), 0)
+	rep.AtMost("ready, ms", float64(ours.readyMost.Milliseconds()), 500)
+	// One call in a thousand is taken for the least that naive can lose: fewer are single calls.
+	rep.AtMost("calls never served, over naive's", ours.errors/math.Max(naive.errors, 0.001), 0.25)
+	rep.AtMost("calls never served from 3 s on, %", 100*ours.errorsLate, 1)
+	rep.AtLeast("worth in time, over that with discovery up", ours.service/math.Max(up.service, 1e-9), 0.9)
+	share := 0.5
+	if size.end < 15*time.Second { // fresh boxes get what new models bring, and a short run has few
+		share = 0.3
+	}
+	rep.AtLeast("fresh boxes at the end, of the others' calls", ours.fresh, share)
+	rep.AtMost("peak second of a box, over that with discovery up", ours.peak/math.Max(up.peak, 1e-9), 1.35)
+}
+
+// Scratch makes a folder for a run and returns how to remove it.
+func Scratch(o *Options) (func(), error) {
+	dir, err := os.MkdirTemp("", "testbed-*")
+	if err != nil {
+		return nil, err
+	}
+	o.Dir = dir
+	return func() { _ = os.RemoveAll(dir) }, nil
+}
--- /dev/null
+++ b/internal/lab/simattempt.go
@@ -0,0 +1,122 @@
+package lab
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"oakthread/balancer"
+	"oakthread/endpoints"
+	"oakthread/internal/endpointcache"
+)
+
+// unbegun are the flights that nothing was written of, in an order of their own.
+func (s *simNode) unbegun() (out []*simFlight) {
+	for _, fl := range s.flights {
+		if !fl.begun && !fl.over {
+			out = append(out, fl)
+		}
+	}
+	slices.SortFunc(out, func(a, b *simFlight) int {
+		return cmp.Or(cmp.Compare(a.key.id, b.key.id), cmp.Compare(a.key.n, b.key.n))
+	})
+	return out
+}
+
+// revoke ends what is on its way to an executor that must get nothing new, as far as nothing of it was written.
+func (s *simNode) revoke(w balancer.WorkerID) {
+	for _, fl := range s.unbegun() {
+		if fl.worker == w {
+			fl.off(balancer.NotSent)
+		}
+	}
+}
+
+// off ends a flight from this side, at once but not within the event at hand.
+func (fl *simFlight) off(r balancer.Result) {
+	if fl.over {
+		return
+	}
+	if fl.over = true; !fl.begun {
+		r = balancer.NotSent
+	}
+	fl.s.w.after(0, func() { fl.landed(r, 0, 0, 0, nil) })
+}
+
+// land is an answer of the executor's, or the proof that there will be none; timeout the end of the time for it.
+func (fl *simFlight) land(r balancer.Result, warm balancer.Warmth, crowd, copies int, rep []float64) {
+	if !fl.over {
+		fl.over = true
+		fl.landed(r, warm, crowd, copies, rep)
+	}
+}
+
+func (fl *simFlight) timeout() {
+	r := balancer.Timeout
+	if !fl.begun {
+		r = balancer.NotSent
+	}
+	fl.land(r, 0, 0, 0, nil)
+}
+
+func (fl *simFlight) landed(r balancer.Result, warm balancer.Warmth, crowd, copies int, rep []float64) {
+	s, now := fl.s, fl.s.w.now
+	if s.dead {
+		return
+	}
+	delete(s.flights, fl.key)
+	if fl.open != nil && r == balancer.QueueFull {
+		fl.open.full++
+	}
+	if o := fl.open; o != nil && r == balancer.OK && s.open[fl.key.id] == o {
+		s.end(fl.key.id, o, true)
+		s.w.tally(&s.w.goods)
+	}
+	if sign, tells := endpointcache.Sign(r, false); tells && (fl.open != nil || r != balancer.Timeout) { // a load may take longer than we wait
+		if fl.open != nil && sign == endpoints.Answered && warm == balancer.WarmHit && now.Sub(fl.sent) > s.w.f.Classes[fl.open.call.class].Aim/2 {
+			sign = endpoints.Slow
+		}
+		s.list.Observe(now, fl.worker, sign)
+		s.flush()
+	}
+	s.meter.begin(s.n, partChoice)
+	if fl.open == nil {
+		s.d.HandleLoadResult(now.UnixNano(), fl.worker, fl.fn, copies, r)
+	} else {
+		s.ends[r]++
+		s.d.HandleAttemptResult(now.UnixNano(), balancer.AttemptResult{
+			ID: fl.key.id, Attempt: fl.key.n, Worker: fl.worker, Result: r, Finished: s.open[fl.key.id] == nil,
+			Warmth: warm, ConcurrentRequests: crowd, RTT: int64(now.Sub(fl.sent)), Report: rep,
+		})
+	}
+	s.meter.end()
+}
+
+// way is what a request to an executor meets: whether anything of it is written, and if not, when that is known. Where a
+// connection stood, what is written to a box that has vanished is never answered.
+func (w *simWorld) way(s *simNode, x *simBox) (written bool, failed time.Duration) {
+	switch {
+	case x.fate == refuses || x.fate == reused:
+		return false, 2 * simWay
+	case x.fate != vanishes && !w.reaches(s, x):
+		return false, simProbe
+	}
+	return true, 0
+}
+
+// depart sends a flight on its way.
+func (fl *simFlight) depart(arrive func(x *simBox)) {
+	s, x := fl.s, fl.s.w.byID[fl.worker]
+	s.flights[fl.key] = fl
+	written, failed := s.w.way(s, x)
+	fl.begun = written
+	switch {
+	case !written:
+		if fl.open != nil && failed == simProbe {
+			s.w.unreached++
+		}
+		s.w.after(failed, func() { fl.land(balancer.ConnectFailed, 0, 0, 0, nil) })
+	case x.fate != vanishes:
+		s.w.after(simWay, func() { arrive(x) })
+	}
+}
--- /dev/null
+++ b/internal/lab/simhost.go
@@ -0,0 +1,193 @@
+package lab
+
+import (
+	"time"
+
+	"oakthread/balancer"
+)
+
+// SendAttempt and the other methods are balancer.Host.
+func (s *simNode) SendAttempt(id string, w balancer.WorkerID, until int64) {
+	s.meter.pause()
+	defer s.meter.resume()
+	o := s.open[id]
+	if o == nil {
+		return
+	}
+	o.call.cold = o.call.cold || o.tries == 0 && s.w.now.After(o.began)
+	n := o.tries
+	o.tries++
+	s.w.tally(&s.w.sends)
+	if !s.members[w].on { // it is not made
+		s.w.after(0, func() {
+			if s.dead {
+				return
+			}
+			s.ends[balancer.ConnectFailed]++
+			s.meter.begin(s.n, partChoice)
+			s.d.HandleAttemptResult(s.w.now.UnixNano(), balancer.AttemptResult{ID: id, Attempt: n, Worker: w, Result: balancer.ConnectFailed, Finished: s.open[id] != o})
+			s.meter.end()
+		})
+		return
+	}
+	fl := &simFlight{s: s, key: simKey{id, n}, worker: w, sent: s.w.now, open: o}
+	end := o.deadline
+	if t := time.Unix(0, until); until > 0 && t.Before(end) {
+		end = t
+	}
+	s.w.at(end, fl.timeout)
+	fl.depart(func(x *simBox) {
+		s.w.reach(s, x, id, o.call, func(r balancer.Result, warm balancer.Warmth, crowd int, rep []float64) {
+			fl.land(r, warm, crowd, 0, rep)
+		})
+	})
+}
+
+// CancelAttempt ends a wait; the work at the executor goes on.
+func (s *simNode) CancelAttempt(id string, attempt int) {
+	s.meter.pause()
+	defer s.meter.resume()
+	if fl := s.flights[simKey{id, attempt}]; fl != nil {
+		fl.off(balancer.Cancelled)
+	}
+}
+
+func (s *simNode) Reject(id string, wait int64) {
+	if o := s.open[id]; o != nil {
+		s.end(id, o, false)
+		o.call.end = o.refused()
+		if wait <= 0 {
+			wait = int64(200 * time.Millisecond)
+		}
+		s.w.after(0, func() { s.again(o.call, time.Duration(wait), true) })
+	}
+}
+
+func (s *simNode) Fail(id string) {
+	if o := s.open[id]; o != nil {
+		s.end(id, o, false)
+		o.call.end = givenUp
+		s.w.after(0, func() { s.again(o.call, 200*time.Millisecond, false) })
+	}
+}
+
+func (s *simNode) OrderLoad(id balancer.WorkerID, f balancer.FuncID, count int) {
+	s.meter.pause()
+	defer s.meter.resume()
+	if m, known := s.members[id]; !known || count > 0 && !m.on {
+		s.w.after(0, func() {
+			if !s.dead {
+				s.meter.begin(s.n, partChoice)
+				s.d.HandleLoadResult(s.w.now.UnixNano(), id, f, 0, balancer.QueueFull)
+				s.meter.end()
+			}
+		})
+		return
+	}
+	s.given++
+	fl := &simFlight{s: s, key: simKey{n: s.given}, worker: id, sent: s.w.now, fn: f}
+	if s.orders = append(s.orders, fl); len(s.orders) == 1 {
+		s.w.after(s.limit, s.giveUp)
+	}
+	fl.depart(func(x *simBox) {
+		s.w.order(x, f, func(copies int, r balancer.Result) { fl.land(r, 0, 0, copies, nil) })
+	})
+}
+
+// giveUp ends the orders that have had their time.
+func (s *simNode) giveUp() {
+	for ; len(s.orders) > 0; s.orders = s.orders[1:] {
+		fl := s.orders[0]
+		if due := fl.sent.Add(s.limit); !fl.over && due.After(s.w.now) {
+			s.w.at(due, s.giveUp)
+			return
+		}
+		fl.timeout()
+	}
+	s.orders = nil
+}
+
+// order is an order's coming to a box, and its answer's way back.
+func (w *simWorld) order(x *simBox, f balancer.FuncID, answered func(copies int, r balancer.Result)) {
+	j := &Job{Model: uint64(f), Load: w.f.Load, Lanes: w.f.Lanes, Order: true}
+	j.Data = func() { w.after(simWay, func() { answered(1, balancer.OK) }) }
+	v := x.box.Arrive(w.now, j)
+	if w.counts.arrived(w, x, j, v); v != Taken {
+		w.after(simWay, func() { answered(0, balancer.QueueFull) })
+		return
+	}
+	w.hollow.loaded(j)
+	w.advance(x)
+}
+
+func (s *simNode) OrderUnload(id balancer.WorkerID, f balancer.FuncID) {
+	s.meter.pause()
+	defer s.meter.resume()
+	if _, known := s.members[id]; known {
+		s.w.drop(s, s.w.byID[id], f)
+	}
+}
+
+// drop has a box unload a function, where that comes there.
+func (w *simWorld) drop(s *simNode, x *simBox, f balancer.FuncID) {
+	if written, _ := w.way(s, x); written && x.fate != vanishes {
+		w.after(simWay, func() { x.box.Unload(uint64(f)) })
+	}
+}
+
+func (s *simNode) HealthCheck(id balancer.WorkerID) {
+	s.w.after(2*simWay, func() { s.d.HandleHealthCheck(s.w.now.UnixNano(), id, balancer.OK, int64(2*simWay), nil) })
+}
+func (s *simNode) SubscribeEndpoints() {}
+func (s *simNode) Log(string)          {}
+
+// SendPeerMessage carries a message to one dispatcher, or to all others; some are lost. What goes to all is one event.
+func (s *simNode) SendPeerMessage(to int, data string) {
+	s.meter.pause()
+	defer s.meter.resume()
+	if len(data) > peerBytes {
+		s.w.oversize++
+		return
+	}
+	first, last := max(0, to), to
+	if to < 0 {
+		last = len(s.w.nodes) - 1
+	}
+	note := s.w.hollow.wrote(s, to, data)
+	var hear []*simNode
+	for n := first; n <= last; n++ {
+		if n == s.n || s.w.lossy.Float64() < s.w.lost || s.w.mute || float64(n) < s.w.deaf*float64(len(s.w.nodes)) || s.w.hollow.parted(s.n, n) {
+			continue
+		}
+		s.w.delivered += len(data)
+		hear = append(hear, s.w.nodes[n])
+	}
+	if len(hear) == 0 {
+		return
+	}
+	s.w.after(peerWay, func() {
+		for _, x := range hear {
+			if x.dead {
+				continue
+			}
+			s.w.hollow.heard(x.n, data, note)
+			s.meter.begin(x.n, partRead)
+			x.d.HandlePeerMessage(s.w.now.UnixNano(), s.n, data)
+			s.meter.end()
+		}
+	})
+}
+
+func (s *simNode) CountTowardLoadQuota(int64) {}
+
+func (s *simNode) SetTimer(delay, ref int64) {
+	s.meter.pause()
+	defer s.meter.resume()
+	s.w.after(time.Duration(delay), func() {
+		if !s.dead {
+			s.meter.begin(s.n, partUpkeep)
+			s.d.HandleTimer(s.w.now.UnixNano(), ref)
+			s.meter.end()
+		}
+	})
+}
