--- a/internal/lab/rig.go
+++ b/internal/lab/rig.go
@@ -16,33 +16,33 @@
 
 // RigSize is what a rig is made of.
 type RigSize struct {
-	Dispatchers, Boxes int
-	Later              int                                    // boxes that are not there at the start and that Join has come
-	Load               Load                                   // of the clients of each dispatcher; Seed is the run's
-	Rate               func(dispatcher int) float64           // calls a second at each; nil: Load.Rate
-	Tenant             func(dispatcher, seq int) string       // who calls; nil: nobody
-	Settings           func(dispatcher int, s map[string]any) // changes to the platform's settings; nil: none
-	Figures            *Figures
-	Program            Program
-	Debug              bool   // dispatchers log at level debug
-	Operators          string // more of the operator's file
-	Zones              int    // boxes and dispatchers belong to these in turn; 0: 2
-	Group              int    // of addresses in the net; each rig of a run has its own, three apart
-	Seed               uint64
+	Dispatchers, Workers int
+	Later                int                                    // boxes that are not there at the start and that Join has come
+	Load                 Load                                   // of the clients of each dispatcher; Seed is the run's
+	Rate                 func(dispatcher int) float64           // calls a second at each; nil: Load.Rate
+	Tenant               func(dispatcher, seq int) string       // who calls; nil: nobody
+	Settings             func(dispatcher int, s map[string]any) // changes to the platform's settings; nil: none
+	Figures              *Figures
+	Program              Program
+	Debug                bool   // dispatchers log at level debug
+	Operators            string // more of the operator's file
+	Zones                int    // boxes and dispatchers belong to these in turn; 0: 2
+	Group                int    // of addresses in the net; each rig of a run has its own, three apart
+	Seed                 uint64
 }
 
 // Rig is a fleet under way.
 type Rig struct {
 	RigSize
-	Net    *Net
-	Disc   *Discovery
-	Boxes  []*BoxServer
-	Gone   []*BoxServer // those that others have replaced at their addresses
-	Listed []Listed
-	Ways   *Fabric
-	Words  *Words
-	Nodes  []*Dispatcher
-	Called []*Clients
+	Net         *Net
+	Disc        *Discovery
+	Workers     []*StubWorker
+	Replaced    []*StubWorker // those that others have replaced at their addresses
+	Listed      []Listed
+	Links       *Links
+	PeerNetwork *PeerNetwork
+	Nodes       []*Dispatcher
+	Called      []*Clients
 
 	dir     string
 	sending context.CancelFunc
@@ -52,9 +52,9 @@
 
 // groups of addresses of a rig, from its first.
 const (
-	groupBoxes = iota
+	groupWorkers = iota
 	groupNodes
-	groupWays
+	groupLinks
 	rigGroups
 )
 
@@ -64,7 +64,7 @@
 	if size.Zones == 0 {
 		size.Zones = 2
 	}
-	r := &Rig{RigSize: size, Net: net, Disc: NewDiscovery("e1"), Ways: &Fabric{}, dir: dir}
+	r := &Rig{RigSize: size, Net: net, Disc: NewDiscovery("e1"), Links: &Links{}, dir: dir}
 	r.Disc.Heart = 500 * time.Millisecond
 	if err := r.build(); err != nil {
 		r.Close()
@@ -77,28 +77,28 @@
 
 func (r *Rig) build() error {
 	old := time.Now().Add(-time.Hour)
-	if err := r.open(r.RigSize.Boxes, old); err != nil {
+	if err := r.open(r.RigSize.Workers, old); err != nil {
 		return err
 	}
 	// Port 9500 and up: one for each box, also one that comes later, at the address of the dispatcher whose way it is.
-	all := r.RigSize.Boxes + r.Later
-	r.Ways.Boxes = make([][]*Relay, r.Dispatchers)
+	all := r.RigSize.Workers + r.Later
+	r.Links.Workers = make([][]*Relay, r.Dispatchers)
 	for n := range r.Dispatchers {
 		for i := range all {
-			way, err := StartRelay(r.addr(groupWays, n, 9500+i), r.addr(groupBoxes, i, 9100))
+			link, err := StartRelay(r.addr(groupLinks, n, 9500+i), r.addr(groupWorkers, i, 9100))
 			if err != nil {
 				return err
 			}
-			r.Ways.Boxes[n] = append(r.Ways.Boxes[n], way)
+			r.Links.Workers[n] = append(r.Links.Workers[n], link)
 		}
 	}
 	place := map[string]int{}
 	for i := range all {
-		place[boxName(i)] = i
+		place[workerName(i)] = i
 	}
 	r.Disc.Route = func(n int, b Listed) string {
 		if i, ok := place[b.ID]; ok {
-			return r.Ways.Boxes[n][i].Addr
+			return r.Links.Workers[n][i].Addr
 		}
 		return b.Addr
 	}
@@ -108,7 +108,7 @@
 		listens = append(listens, r.addr(groupNodes, n, 9300))
 	}
 	var err error
-	r.Words, err = StartWords(r.Dispatchers, func(i, j int) string { return r.addr(groupNodes, i, 9600+j) }, listens, r.Seed)
+	r.PeerNetwork, err = StartPeerNetwork(r.Dispatchers, func(i, j int) string { return r.addr(groupNodes, i, 9600+j) }, listens, r.Seed)
 	if err != nil {
 		return err
 	}
@@ -116,11 +116,11 @@
 		if _, err := r.Disc.Listen(r.addr(groupNodes, n, 9400)); err != nil {
 			return err
 		}
-		way, err := StartRelay(r.addr(groupWays, n, 9400), r.Disc.Addr(n))
+		link, err := StartRelay(r.addr(groupLinks, n, 9400), r.Disc.Addr(n))
 		if err != nil {
 			return err
 		}
-		r.Ways.Channels = append(r.Ways.Channels, way)
+		r.Links.Channels = append(r.Links.Channels, link)
 		settings := r.Figures.Settings(n, r.Dispatchers)
 		var zones []string
 		for z := range r.Zones {
@@ -135,7 +135,7 @@
 			level = "debug"
 		}
 		d, err := Lay(DispatcherFiles{
-			Dir: r.dir, N: n, Addr: r.addr(groupNodes, n, 9200), Settings: settings, Peers: r.Words.Peers(n), Channel: way.Addr,
+			Dir: r.dir, N: n, Addr: r.addr(groupNodes, n, 9200), Settings: settings, Peers: r.PeerNetwork.Peers(n), Channel: link.Addr,
 			Operators: fmt.Sprintf("[log]\nlevel = %q\n%s", level, r.Operators),
 		})
 		if err != nil {
@@ -160,12 +160,12 @@
 // open opens so many boxes more, which started at start. Nobody is told.
 func (r *Rig) open(n int, start time.Time) error {
 	for range n {
-		i := len(r.Boxes)
-		b, err := StartBox(boxName(i), r.addr(groupBoxes, i, 9100), r.Figures, start)
+		i := len(r.Workers)
+		b, err := StartStubWorker(workerName(i), r.addr(groupWorkers, i, 9100), r.Figures, start)
 		if err != nil {
 			return err
 		}
-		r.Boxes = append(r.Boxes, b)
+		r.Workers = append(r.Workers, b)
 		x := listing(b, i, start)
 		x.Room = zoneName(i % r.Zones)
 		r.Listed = append(r.Listed, x)
@@ -173,7 +173,7 @@
 	return nil
 }
 
-func boxName(i int) string { return fmt.Sprintf("s-%08x", 0x100+i*7919) }
+func workerName(i int) string { return fmt.Sprintf("s-%08x", 0x100+i*7919) }
 
 func zoneName(z int) string { return fmt.Sprintf("room-%d", z) }
 
@@ -231,7 +231,7 @@
 
 // Signal sends a signal to the processes that pick names.
 func (r *Rig) Signal(sig syscall.Signal, pick func(n int) bool) error {
-	r.Ways.Did("%s", sig)
+	r.Links.Did("%s", sig)
 	return r.each(pick, func(d *Dispatcher) error { return d.Signal(sig) })
 }
 
@@ -239,7 +239,7 @@
 // it waits until the new one is ready.
 func (r *Rig) Restart(ctx context.Context, n int) error {
 	d := r.Nodes[n]
-	r.Ways.Did("dispatcher %d restarts", n)
+	r.Links.Did("dispatcher %d restarts", n)
 	r.Called[n].Ending(true)
 	defer r.Called[n].Ending(false)
 	if err := d.Stop(); err != nil {
@@ -258,11 +258,11 @@
 			r.sending()
 		}
 		_ = r.each(nil, func(d *Dispatcher) error { _ = d.Signal(syscall.SIGCONT); return d.Kill() })
-		r.Ways.Close()
-		if r.Words != nil {
-			r.Words.Close()
+		r.Links.Close()
+		if r.PeerNetwork != nil {
+			r.PeerNetwork.Close()
 		}
-		for _, b := range r.Boxes {
+		for _, b := range r.Workers {
 			b.Die()
 		}
 		r.Disc.Down()
@@ -296,78 +296,78 @@
 func (b Breaches) Sum() int { return b.Twice + b.Lost + b.Wrong + b.LateSends + b.Fallen + b.Oversize }
 
 // Check looks for breaches. excused: tries that are owed nothing; nil: none.
-func (r *Rig) Check(excused func(Try) bool) (b Breaches) {
-	var seen [][]Sight
-	for _, x := range append(append([]*BoxServer(nil), r.Boxes...), r.Gone...) {
-		calls, _ := x.Seen()
-		seen = append(seen, calls)
+func (r *Rig) Check(excused func(Attempt) bool) (b Breaches) {
+	var observed [][]ObservedCall
+	for _, x := range append(append([]*StubWorker(nil), r.Workers...), r.Replaced...) {
+		calls, _ := x.Observations()
+		observed = append(observed, calls)
 		if x.Fallen() {
 			b.Fallen++
 		}
-		b.LateSends += LateSends(toldOf(r.Disc, r.Dispatchers, x.ID), calls)
+		b.LateSends += LateSends(notifiedTimes(r.Disc, r.Dispatchers, x.ID), calls)
 	}
-	b.Twice = RunTwice(r.Figures, seen...)
-	b.Lost, b.Wrong = Unanswered(r.Calls(nil), excused, seen...)
-	b.Oversize = Oversize(r.Words.Seen())
+	b.Twice = RunTwice(r.Figures, observed...)
+	b.Lost, b.Wrong = Unanswered(r.Calls(nil), excused, observed...)
+	b.Oversize = Oversize(r.PeerNetwork.Datagrams())
 	return b
 }
 
 // Replace kills a box and has another one, cold and empty, stand at its address at once. Nobody is told: Told does that.
 func (r *Rig) Replace(i int) error {
-	was := r.Boxes[i]
+	was := r.Workers[i]
 	was.Die()
-	r.Gone = append(r.Gone, was)
+	r.Replaced = append(r.Replaced, was)
 	now := time.Now()
-	b, err := StartBox(was.ID, was.Addr, r.Figures, now)
+	b, err := StartStubWorker(was.ID, was.Addr, r.Figures, now)
 	if err != nil {
 		return err
 	}
-	r.Boxes[i] = b
+	r.Workers[i] = b
 	r.Listed[i].UpSince = now.UnixMilli()
 	return nil
 }
 
 // Join has so many boxes of those that come later start, cold and empty, and be told of at once.
 func (r *Rig) Join(n int) error {
-	from := len(r.Boxes)
-	if all := r.RigSize.Boxes + r.Later; from+n > all {
+	from := len(r.Workers)
+	if all := r.RigSize.Workers + r.Later; from+n > all {
 		return fmt.Errorf("%d boxes are to join %d: there are ways to %d", n, from, all)
 	}
 	if err := r.open(n, time.Now()); err != nil {
 		return err
 	}
-	r.Told(func(box int) bool { return box >= from })
-	r.Ways.Did("%d boxes join", n)
+	r.Announce(func(worker int) bool { return worker >= from })
+	r.Links.Did("%d boxes join", n)
 	return nil
 }
 
 // Drain has the boxes that pick names take nothing new, and be told of at once.
-func (r *Rig) Drain(pick func(box int) bool) {
-	for i, b := range r.Boxes {
+func (r *Rig) Drain(pick func(worker int) bool) {
+	for i, b := range r.Workers {
 		if pick(i) {
-			b.Change((*Box).Drain)
+			b.Change((*WorkerModel).Drain)
 			r.Listed[i].Phase = Terminating
 		}
 	}
-	r.Told(pick)
-	r.Ways.Did("boxes drain")
+	r.Announce(pick)
+	r.Links.Did("boxes drain")
 }
 
-// Told has discovery tell of the boxes that pick names as they are now.
-func (r *Rig) Told(pick func(box int) bool) {
-	var news []Listed
+// Announce has discovery tell of the boxes that pick names as they are now.
+func (r *Rig) Announce(pick func(worker int) bool) {
+	var changed []Listed
 	for i, b := range r.Listed {
 		if pick(i) {
-			news = append(news, b)
+			changed = append(changed, b)
 		}
 	}
-	r.Disc.Publish(news...)
+	r.Disc.Publish(changed...)
 }
 
 // Between counts, over all boxes, the calls that came and those that were turned away, in a span.
 func (r *Rig) Between(from, until time.Time) (came, full int) {
-	for _, b := range r.Boxes {
-		calls, _ := b.Seen()
+	for _, b := range r.Workers {
+		calls, _ := b.Observations()
 		for _, s := range calls {
 			if s.At.Before(from) || !s.At.Before(until) {
 				continue
--- a/internal/lab/service.go
+++ b/internal/lab/service.go
@@ -23,10 +23,10 @@
 	callEnds
 )
 
-func (o *simOpen) refused() callEnd {
+func (o *sentCall) refused() callEnd {
 	if o.full > 0 {
 		return turnedAway
-	} else if o.tries > 0 {
+	} else if o.attempts > 0 {
 		return givenUp
 	}
 	return refused
@@ -37,7 +37,7 @@
 	ends         [callEnds]int // of calls never served
 	calls        int
 	inTime, late int
-	tries        [3]int // calls that came to a box and found a copy, began a load, waited for one
+	attempts     [3]int // calls that came to a box and found a copy, began a load, waited for one
 	full         int    // calls turned away by a box
 	standing     int    // orders for what stood or was loading
 	fullOrders   int    // orders turned away
@@ -51,31 +51,31 @@
 }
 
 // arrived counts a job that came to a box.
-func (k *serviceCounts) arrived(w *simWorld, x *simBox, j *Job, v Verdict) {
+func (k *serviceCounts) arrived(w *simWorld, x *simWorker, j *Job, v Admission) {
 	switch {
 	case k == nil:
 		return
-	case v != Taken && j.Order:
+	case v != Admitted && j.Order:
 		k.fullOrders++
 		return
-	case v != Taken:
+	case v != Admitted:
 		k.full++
 		return
 	case !j.Order:
-		k.tries[j.Note]++
-	case j.Note != Spawn:
+		k.attempts[j.Warmth]++
+	case j.Warmth != BeganLoad:
 		k.standing++
 	}
-	if j.Note != Spawn {
+	if j.Warmth != BeganLoad {
 		return
 	}
-	if k.wait += x.box.copies[j.Model].ready.Sub(w.now); j.Order {
+	if k.wait += x.model.copies[j.Model].ready.Sub(w.now); j.Order {
 		k.byOrders++
 	} else {
 		k.byCalls++
 	}
-	for _, other := range w.boxes {
-		if other != x && other.box.light(w.now, j.Model) {
+	for _, other := range w.workers {
+		if other != x && other.model.light(w.now, j.Model) {
 			k.needless++
 			break
 		}
@@ -83,20 +83,20 @@
 }
 
 // light tells whether a copy of a model stands here that would run one more call soon.
-func (b *Box) light(now time.Time, model uint64) bool {
+func (b *WorkerModel) light(now time.Time, model uint64) bool {
 	c := b.copies[model]
-	if c == nil || c.ready.After(now) || c.held >= c.lanes {
+	if c == nil || c.ready.After(now) || c.held >= c.concurrency {
 		return false
 	}
 	queue, _ := b.Report(now)
-	return len(b.running)+queue < c.lanes
+	return len(b.running)+queue < c.concurrency
 }
 
 // sample counts the fleet's copies.
 func (k *serviceCounts) sample(w *simWorld) {
 	standing, loading := 0, 0
-	for _, x := range w.boxes {
-		for _, c := range x.box.copies {
+	for _, x := range w.workers {
+		for _, c := range x.model.copies {
 			if c.ready.After(w.now) {
 				loading++
 			} else {
@@ -113,16 +113,16 @@
 		switch k.calls++; {
 		case !c.served:
 			k.ends[c.end]++
-		case c.ended.Sub(c.intended) <= w.f.Classes[c.class].Aim:
+		case c.ended.Sub(c.intended) <= w.f.Classes[c.class].LatencyObjective:
 			k.inTime++
 		default:
 			k.late++
 		}
 	}
-	for _, x := range w.boxes {
-		k.pushed += x.box.unloads.pushed
-		k.dropped += x.box.unloads.dropped
-		k.expired += x.box.unloads.expired
+	for _, x := range w.workers {
+		k.pushed += x.model.unloads.pushed
+		k.dropped += x.model.unloads.dropped
+		k.expired += x.model.unloads.expired
 	}
 }
 
@@ -131,8 +131,8 @@
 
 func serviceRows() []serviceRow {
 	return []serviceRow{
-		{worthInTime, "of that asked"},
-		{worthInTime + ", calls of the last 12 s", "of that asked"},
+		{valueInTime, "of that asked"},
+		{valueInTime + ", calls of the last 12 s", "of that asked"},
 		{"calls never served", "of all"},
 		{"calls late", "of all"},
 		{"never served: refused before a send", "of all"},
@@ -167,7 +167,7 @@
 func (k *serviceCounts) String() string {
 	return fmt.Sprintf("%d calls: %d in time, %d late, %d refused, %d turned away, %d given up; at boxes %d found a copy, %d began a load, %d waited for one, %d full; "+
 		"%d loads ordered, %d orders for what was there, %d refused; %d loads needless; unloaded %d pushed out, %d by order, %d idle",
-		k.calls, k.inTime, k.late, k.ends[refused], k.ends[turnedAway], k.ends[givenUp], k.tries[Hit], k.tries[Spawn], k.tries[Pending], k.full,
+		k.calls, k.inTime, k.late, k.ends[refused], k.ends[turnedAway], k.ends[givenUp], k.attempts[WarmHit], k.attempts[BeganLoad], k.attempts[AwaitedLoad], k.full,
 		k.byOrders, k.standing, k.fullOrders, k.needless, k.pushed, k.dropped, k.expired)
 }
 
@@ -175,12 +175,12 @@
 // of its aim and none is being loaded, one is ordered where it will stand soonest. A call for which no copy stands is held.
 func (s *simNode) foresee(c *simCall) {
 	w, class := s.w, s.w.f.Classes[c.class]
-	deadline := c.intended.Add(class.GiveUp - 200*time.Millisecond)
+	deadline := c.intended.Add(class.ClientTimeout - 200*time.Millisecond)
 	work := w.f.Work(c.class, c.name)
-	var best, place *simBox
+	var best, place *simWorker
 	var first, soonest, loaded time.Time
-	for _, x := range w.boxes {
-		b := x.box
+	for _, x := range w.workers {
+		b := x.model
 		if b.Draining() || b.Fallen() || x.fate != stays {
 			continue
 		}
@@ -197,11 +197,11 @@
 			place, soonest = x, at
 		}
 	}
-	if (best == nil || first.After(c.intended.Add(class.Aim/2))) && loaded.IsZero() && place != nil {
-		j := &Job{Model: c.model, Load: w.f.Load, Lanes: w.f.Lanes, Order: true, Data: func() {}}
-		v := place.box.Arrive(w.now, j)
-		if w.counts.arrived(w, place, j, v); v == Taken {
-			loaded = place.box.copies[c.model].ready
+	if (best == nil || first.After(c.intended.Add(class.LatencyObjective/2))) && loaded.IsZero() && place != nil {
+		j := &Job{Model: c.model, Load: w.f.Load, Concurrency: w.f.Concurrency, Order: true, Data: func() {}}
+		v := place.model.Arrive(w.now, j)
+		if w.counts.arrived(w, place, j, v); v == Admitted {
+			loaded = place.model.copies[c.model].ready
 			w.advance(place)
 		}
 	}
@@ -217,14 +217,14 @@
 	}
 }
 
-func (s *simNode) sendForeseen(c *simCall, x *simBox, deadline time.Time) {
+func (s *simNode) sendForeseen(c *simCall, x *simWorker, deadline time.Time) {
 	w, over := s.w, false
 	w.at(deadline, func() {
 		if !over {
 			over, c.end, c.ended = true, givenUp, w.now
 		}
 	})
-	w.reach(s, x, c.name+"."+strconv.Itoa(c.tries), c, func(r balancer.Result, _ balancer.Warmth, _ int, _ []float64) {
+	w.reach(s, x, c.name+"."+strconv.Itoa(c.attempts), c, func(r balancer.Result, _ balancer.Warmth, _ int, _ []float64) {
 		if over {
 			return
 		}
@@ -239,7 +239,7 @@
 }
 
 // backlog is the time that the calls here whose copies stand will take its cores.
-func (b *Box) backlog(now time.Time) (sum time.Duration) {
+func (b *WorkerModel) backlog(now time.Time) (sum time.Duration) {
 	for _, j := range b.running {
 		sum += max(0, j.done.Sub(now))
 	}
@@ -252,7 +252,7 @@
 }
 
 // loadWait is how long a load that begins now would take.
-func (b *Box) loadWait(now time.Time, load time.Duration) time.Duration {
+func (b *WorkerModel) loadWait(now time.Time, load time.Duration) time.Duration {
 	loading := 0
 	for _, c := range b.copies {
 		if c.ready.After(now) {
@@ -263,7 +263,7 @@
 }
 
 // roomy tells whether a copy more would push out none that was called within half of the keep-alive.
-func (b *Box) roomy(now time.Time) bool {
+func (b *WorkerModel) roomy(now time.Time) bool {
 	if len(b.copies) < b.cfg.Copies {
 		return true
 	}
@@ -276,17 +276,17 @@
 }
 
 // serviceSim runs a calm day of a busy fleet and counts. oracle: by the omniscient router.
-func serviceSim(f *Figures, dispatchers, boxes, walk int, oracle bool, seed uint64) (*fleetResult, *serviceCounts, error) {
-	w, err := fleetWorld(f, dispatchers, boxes, true, walk, seed)
+func serviceSim(f *Figures, dispatchers, workers, walk int, oracle bool, seed uint64) (*fleetResult, *serviceCounts, error) {
+	w, err := fleetWorld(f, dispatchers, workers, true, walk, seed)
 	if err != nil {
 		return nil, nil, err
 	}
 	w.counts, w.oracle = &serviceCounts{}, oracle
-	end := fleetWarm + fleetTrouble + fleetWatch
+	end := fleetWarm + fleetFault + fleetWatch
 	for at := time.Second; at <= end; at += time.Second {
 		w.at(w.began.Add(at), func() { w.counts.sample(w) })
 	}
 	w.run(w.began.Add(end + fleetEnd))
 	w.counts.close(w)
-	return w.fleetResult(nil, w.boxes, w.began), w.counts, nil
+	return w.fleetResult(nil, w.workers, w.began), w.counts, nil
 }
--- a/internal/lab/service_test.go
+++ b/internal/lab/service_test.go
@@ -22,14 +22,14 @@
 		assert.Equal(t, k.calls, k.inTime+k.late+k.ends[refused]+k.ends[turnedAway]+k.ends[givenUp], "%+v: every call has one end", arm)
 		assert.Zero(t, k.ends[unended])
 		assert.InDelta(t, r.unserved*float64(k.calls), float64(k.ends[refused]+k.ends[turnedAway]+k.ends[givenUp]), 0.5)
-		assert.GreaterOrEqual(t, k.tries[Hit]+k.tries[Spawn]+k.tries[Pending], k.inTime+k.late, "%+v: what was served came to a box", arm)
-		assert.Equal(t, k.tries[Spawn], k.byCalls)
+		assert.GreaterOrEqual(t, k.attempts[WarmHit]+k.attempts[BeganLoad]+k.attempts[AwaitedLoad], k.inTime+k.late, "%+v: what was served came to a box", arm)
+		assert.Equal(t, k.attempts[BeganLoad], k.byCalls)
 		loads := k.byCalls + k.byOrders
 		assert.LessOrEqual(t, k.needless, loads)
-		gone := k.pushed + k.dropped + k.expired
+		unloaded := k.pushed + k.dropped + k.expired
 		at := k.copies[len(k.copies)-1] + k.loading[len(k.loading)-1]
-		assert.GreaterOrEqual(t, loads-gone, 0)
-		assert.LessOrEqual(t, loads-gone, at, "%+v: the copies that are left stood at the last look, or went after it", arm)
+		assert.GreaterOrEqual(t, loads-unloaded, 0)
+		assert.LessOrEqual(t, loads-unloaded, at, "%+v: the copies that are left stood at the last look, or went after it", arm)
 		assert.GreaterOrEqual(t, k.wait, time.Duration(loads)*fleetFigures().Load, "a load takes its time at the least")
 		assert.Len(t, k.figures(r), len(serviceRows()))
 	}
@@ -61,20 +61,20 @@
 		require.Len(t, rows[name+of.name], 2, of.name)
 	}
 	for _, of := range []string{oneDispatcher, omniscient} {
-		require.Len(t, rows[name+worthInTime+", "+of], 2, of)
-		assert.Greater(t, float64(rows[name+worthInTime+", "+of][1]), 0.5, of)
+		require.Len(t, rows[name+valueInTime+", "+of], 2, of)
+		assert.Greater(t, float64(rows[name+valueInTime+", "+of][1]), 0.5, of)
 	}
 	r, k, err := serviceSim(fleetFigures(), 6, 12, noWalk, false, 1)
 	require.NoError(t, err)
 	again, _, err := serviceSim(fleetFigures(), 6, 12, noWalk, false, 2)
 	require.NoError(t, err)
-	assert.InDelta(t, (r.service+again.service)/2, float64(rows[name+worthInTime][1]), 1e-9, "ours is the mean of the seeds; %s", k)
+	assert.InDelta(t, (r.service+again.service)/2, float64(rows[name+valueInTime][1]), 1e-9, "ours is the mean of the seeds; %s", k)
 	bounds := map[string]Bound{}
 	for _, b := range rep.Bounds {
 		bounds[b.Name] = b
 	}
 	assert.Len(t, rep.Bounds, 3*2+2, "rules in the program's three arms with two seeds, and two of worth")
-	assert.InDelta(t, -worthRoom, bounds[name+"worth less that of the whole walk"].Limit, 1e-9)
+	assert.InDelta(t, -valueTolerance, bounds[name+"worth less that of the whole walk"].Limit, 1e-9)
 	assert.InDelta(t, -oneRoom, bounds[name+"worth less that of one dispatcher with all calls"].Limit, 1e-9)
 	_, err = runCapacity(canceled(t), Options{Seed: 1, Only: serviceAt, Log: func(string, ...any) {}}, plan, HollowRun)
 	require.ErrorIs(t, err, context.Canceled)
--- a/internal/lab/simattempt.go
+++ b/internal/lab/simattempt.go
@@ -10,14 +10,14 @@
 	"oakthread/internal/endpointcache"
 )
 
-// unbegun are the flights that nothing was written of, in an order of their own.
-func (s *simNode) unbegun() (out []*simFlight) {
-	for _, fl := range s.flights {
+// unsentAttempts are the flights that nothing was written of, in an order of their own.
+func (s *simNode) unsentAttempts() (out []*simAttempt) {
+	for _, fl := range s.attempts {
 		if !fl.begun && !fl.over {
 			out = append(out, fl)
 		}
 	}
-	slices.SortFunc(out, func(a, b *simFlight) int {
+	slices.SortFunc(out, func(a, b *simAttempt) int {
 		return cmp.Or(cmp.Compare(a.key.id, b.key.id), cmp.Compare(a.key.n, b.key.n))
 	})
 	return out
@@ -25,46 +25,46 @@
 
 // revoke ends what is on its way to an executor that must get nothing new, as far as nothing of it was written.
 func (s *simNode) revoke(w balancer.WorkerID) {
-	for _, fl := range s.unbegun() {
+	for _, fl := range s.unsentAttempts() {
 		if fl.worker == w {
-			fl.off(balancer.NotSent)
+			fl.abort(balancer.NotSent)
 		}
 	}
 }
 
-// off ends a flight from this side, at once but not within the event at hand.
-func (fl *simFlight) off(r balancer.Result) {
+// abort ends a flight from this side, at once but not within the event at hand.
+func (fl *simAttempt) abort(r balancer.Result) {
 	if fl.over {
 		return
 	}
 	if fl.over = true; !fl.begun {
 		r = balancer.NotSent
 	}
-	fl.s.w.after(0, func() { fl.landed(r, 0, 0, 0, nil) })
+	fl.s.w.after(0, func() { fl.finish(r, 0, 0, 0, nil) })
 }
 
-// land is an answer of the executor's, or the proof that there will be none; timeout the end of the time for it.
-func (fl *simFlight) land(r balancer.Result, warm balancer.Warmth, crowd, copies int, rep []float64) {
+// complete is an answer of the executor's, or the proof that there will be none; timeout the end of the time for it.
+func (fl *simAttempt) complete(r balancer.Result, warm balancer.Warmth, crowd, copies int, rep []float64) {
 	if !fl.over {
 		fl.over = true
-		fl.landed(r, warm, crowd, copies, rep)
+		fl.finish(r, warm, crowd, copies, rep)
 	}
 }
 
-func (fl *simFlight) timeout() {
+func (fl *simAttempt) timeout() {
 	r := balancer.Timeout
 	if !fl.begun {
 		r = balancer.NotSent
 	}
-	fl.land(r, 0, 0, 0, nil)
+	fl.complete(r, 0, 0, 0, nil)
 }
 
-func (fl *simFlight) landed(r balancer.Result, warm balancer.Warmth, crowd, copies int, rep []float64) {
+func (fl *simAttempt) finish(r balancer.Result, warm balancer.Warmth, crowd, copies int, rep []float64) {
 	s, now := fl.s, fl.s.w.now
 	if s.dead {
 		return
 	}
-	delete(s.flights, fl.key)
+	delete(s.attempts, fl.key)
 	if fl.open != nil && r == balancer.QueueFull {
 		fl.open.full++
 	}
@@ -72,8 +72,8 @@
 		s.end(fl.key.id, o, true)
 		s.w.tally(&s.w.goods)
 	}
-	if sign, tells := endpointcache.Sign(r, false); tells && (fl.open != nil || r != balancer.Timeout) { // a load may take longer than we wait
-		if fl.open != nil && sign == endpoints.Answered && warm == balancer.WarmHit && now.Sub(fl.sent) > s.w.f.Classes[fl.open.call.class].Aim/2 {
+	if sign, informative := endpointcache.Sign(r, false); informative && (fl.open != nil || r != balancer.Timeout) { // a load may take longer than we wait
+		if fl.open != nil && sign == endpoints.Answered && warm == balancer.WarmHit && now.Sub(fl.sent) > s.w.f.Classes[fl.open.call.class].LatencyObjective/2 {
 			sign = endpoints.Slow
 		}
 		s.list.Observe(now, fl.worker, sign)
@@ -92,31 +92,31 @@
 	s.meter.end()
 }
 
-// way is what a request to an executor meets: whether anything of it is written, and if not, when that is known. Where a
+// connect is what a request to an executor meets: whether anything of it is written, and if not, when that is known. Where a
 // connection stood, what is written to a box that has vanished is never answered.
-func (w *simWorld) way(s *simNode, x *simBox) (written bool, failed time.Duration) {
+func (w *simWorld) connect(s *simNode, x *simWorker) (written bool, failed time.Duration) {
 	switch {
 	case x.fate == refuses || x.fate == reused:
-		return false, 2 * simWay
+		return false, 2 * simLinkDelay
 	case x.fate != vanishes && !w.reaches(s, x):
 		return false, simProbe
 	}
 	return true, 0
 }
 
-// depart sends a flight on its way.
-func (fl *simFlight) depart(arrive func(x *simBox)) {
+// send sends a flight on its way.
+func (fl *simAttempt) send(arrive func(x *simWorker)) {
 	s, x := fl.s, fl.s.w.byID[fl.worker]
-	s.flights[fl.key] = fl
-	written, failed := s.w.way(s, x)
+	s.attempts[fl.key] = fl
+	written, failed := s.w.connect(s, x)
 	fl.begun = written
 	switch {
 	case !written:
 		if fl.open != nil && failed == simProbe {
 			s.w.unreached++
 		}
-		s.w.after(failed, func() { fl.land(balancer.ConnectFailed, 0, 0, 0, nil) })
+		s.w.after(failed, func() { fl.complete(balancer.ConnectFailed, 0, 0, 0, nil) })
 	case x.fate != vanishes:
-		s.w.after(simWay, func() { arrive(x) })
+		s.w.after(simLinkDelay, func() { arrive(x) })
 	}
 }
--- a/internal/lab/simhost.go
+++ b/internal/lab/simhost.go
@@ -14,9 +14,9 @@
 	if o == nil {
 		return
 	}
-	o.call.cold = o.call.cold || o.tries == 0 && s.w.now.After(o.began)
-	n := o.tries
-	o.tries++
+	o.call.awaitedLoad = o.call.awaitedLoad || o.attempts == 0 && s.w.now.After(o.began)
+	n := o.attempts
+	o.attempts++
 	s.w.tally(&s.w.sends)
 	if !s.members[w].on { // it is not made
 		s.w.after(0, func() {
@@ -30,15 +30,15 @@
 		})
 		return
 	}
-	fl := &simFlight{s: s, key: simKey{id, n}, worker: w, sent: s.w.now, open: o}
+	fl := &simAttempt{s: s, key: simKey{id, n}, worker: w, sent: s.w.now, open: o}
 	end := o.deadline
 	if t := time.Unix(0, until); until > 0 && t.Before(end) {
 		end = t
 	}
 	s.w.at(end, fl.timeout)
-	fl.depart(func(x *simBox) {
+	fl.send(func(x *simWorker) {
 		s.w.reach(s, x, id, o.call, func(r balancer.Result, warm balancer.Warmth, crowd int, rep []float64) {
-			fl.land(r, warm, crowd, 0, rep)
+			fl.complete(r, warm, crowd, 0, rep)
 		})
 	})
 }
@@ -47,8 +47,8 @@
 func (s *simNode) CancelAttempt(id string, attempt int) {
 	s.meter.pause()
 	defer s.meter.resume()
-	if fl := s.flights[simKey{id, attempt}]; fl != nil {
-		fl.off(balancer.Cancelled)
+	if fl := s.attempts[simKey{id, attempt}]; fl != nil {
+		fl.abort(balancer.Cancelled)
 	}
 }
 
@@ -85,12 +85,12 @@
 		return
 	}
 	s.given++
-	fl := &simFlight{s: s, key: simKey{n: s.given}, worker: id, sent: s.w.now, fn: f}
+	fl := &simAttempt{s: s, key: simKey{n: s.given}, worker: id, sent: s.w.now, fn: f}
 	if s.orders = append(s.orders, fl); len(s.orders) == 1 {
 		s.w.after(s.limit, s.giveUp)
 	}
-	fl.depart(func(x *simBox) {
-		s.w.order(x, f, func(copies int, r balancer.Result) { fl.land(r, 0, 0, copies, nil) })
+	fl.send(func(x *simWorker) {
+		s.w.order(x, f, func(copies int, r balancer.Result) { fl.complete(r, 0, 0, copies, nil) })
 	})
 }
 
@@ -108,12 +108,12 @@
 }
 
 // order is an order's coming to a box, and its answer's way back.
-func (w *simWorld) order(x *simBox, f balancer.FuncID, answered func(copies int, r balancer.Result)) {
-	j := &Job{Model: uint64(f), Load: w.f.Load, Lanes: w.f.Lanes, Order: true}
-	j.Data = func() { w.after(simWay, func() { answered(1, balancer.OK) }) }
-	v := x.box.Arrive(w.now, j)
-	if w.counts.arrived(w, x, j, v); v != Taken {
-		w.after(simWay, func() { answered(0, balancer.QueueFull) })
+func (w *simWorld) order(x *simWorker, f balancer.FuncID, answered func(copies int, r balancer.Result)) {
+	j := &Job{Model: uint64(f), Load: w.f.Load, Concurrency: w.f.Concurrency, Order: true}
+	j.Data = func() { w.after(simLinkDelay, func() { answered(1, balancer.OK) }) }
+	v := x.model.Arrive(w.now, j)
+	if w.counts.arrived(w, x, j, v); v != Admitted {
+		w.after(simLinkDelay, func() { answered(0, balancer.QueueFull) })
 		return
 	}
 	w.hollow.loaded(j)
@@ -129,14 +129,14 @@
 }
 
 // drop has a box unload a function, where that comes there.
-func (w *simWorld) drop(s *simNode, x *simBox, f balancer.FuncID) {
-	if written, _ := w.way(s, x); written && x.fate != vanishes {
-		w.after(simWay, func() { x.box.Unload(uint64(f)) })
+func (w *simWorld) drop(s *simNode, x *simWorker, f balancer.FuncID) {
+	if written, _ := w.connect(s, x); written && x.fate != vanishes {
+		w.after(simLinkDelay, func() { x.model.Unload(uint64(f)) })
 	}
 }
 
 func (s *simNode) HealthCheck(id balancer.WorkerID) {
-	s.w.after(2*simWay, func() { s.d.HandleHealthCheck(s.w.now.UnixNano(), id, balancer.OK, int64(2*simWay), nil) })
+	s.w.after(2*simLinkDelay, func() { s.d.HandleHealthCheck(s.w.now.UnixNano(), id, balancer.OK, int64(2*simLinkDelay), nil) })
 }
 func (s *simNode) SubscribeEndpoints() {}
 func (s *simNode) Log(string)          {}
@@ -153,24 +153,24 @@
 	if to < 0 {
 		last = len(s.w.nodes) - 1
 	}
-	note := s.w.hollow.wrote(s, to, data)
-	var hear []*simNode
+	note := s.w.hollow.countSent(s, to, data)
+	var receivers []*simNode
 	for n := first; n <= last; n++ {
 		if n == s.n || s.w.lossy.Float64() < s.w.lost || s.w.mute || float64(n) < s.w.deaf*float64(len(s.w.nodes)) || s.w.hollow.parted(s.n, n) {
 			continue
 		}
 		s.w.delivered += len(data)
-		hear = append(hear, s.w.nodes[n])
+		receivers = append(receivers, s.w.nodes[n])
 	}
-	if len(hear) == 0 {
+	if len(receivers) == 0 {
 		return
 	}
-	s.w.after(peerWay, func() {
-		for _, x := range hear {
+	s.w.after(peerDelay, func() {
+		for _, x := range receivers {
 			if x.dead {
 				continue
 			}
-			s.w.hollow.heard(x.n, data, note)
+			s.w.hollow.countReceived(x.n, data, note)
 			s.meter.begin(x.n, partRead)
 			x.d.HandlePeerMessage(s.w.now.UnixNano(), s.n, data)
 			s.meter.end()
--- a/internal/lab/boxserver.go
+++ b/internal/lab/stubworker.go
@@ -19,8 +19,8 @@
 	"time"
 )
 
-// Sight is one call that a box saw.
-type Sight struct {
+// ObservedCall is one call that a box saw.
+type ObservedCall struct {
 	At       time.Time
 	ID       string
 	Class    int
@@ -32,20 +32,20 @@
 
 // Figures are the sizes of the emulated world that boxes and clients share.
 type Figures struct {
-	Classes []ClassFigures
-	Load    time.Duration // of a model, on the mean
-	Lanes   int
-	Box     BoxConfig
+	Classes     []ClassFigures
+	Load        time.Duration // of a model, on the mean
+	Concurrency int
+	Worker      WorkerConfig
 }
 
 // ClassFigures are what is known of one class of calls.
 type ClassFigures struct {
-	Name        string
-	Share       float64 // of all calls
-	Aim, GiveUp time.Duration
-	Worth       float64
-	Work        time.Duration // on the mean
-	Once        bool          // must never run twice
+	Name                            string
+	Share                           float64 // of all calls
+	LatencyObjective, ClientTimeout time.Duration
+	PriorityWeight                  float64
+	Work                            time.Duration // on the mean
+	NotIdempotent                   bool          // must never run twice
 }
 
 // Work is how long a call takes a core, drawn from its id: the same at every box and in every arm of an experiment.
@@ -58,20 +58,20 @@
 	return time.Duration(float64(f.Classes[class].Work) / 1.082 * math.Exp2(2*u-1))
 }
 
-// BoxServer is a box on a socket.
-type BoxServer struct {
+// StubWorker is a box on a socket.
+type StubWorker struct {
 	ID   string // as discovery names it
 	Addr string
 	f    *Figures
 
-	mu      sync.Mutex
-	box     *Box
-	seen    []Sight
-	orders  []time.Time // orders to load that came
-	drained time.Time   // when it began to drain
-	failing float64     // share of calls that run and fail at once; probes and orders do not
+	mu       sync.Mutex
+	model    *WorkerModel
+	observed []ObservedCall
+	orders   []time.Time // orders to load that came
+	drained  time.Time   // when it began to drain
+	failing  float64     // share of calls that run and fail at once; probes and orders do not
 
-	around atomic.Pointer[func(http.Handler) http.Handler]
+	wrapper atomic.Pointer[func(http.Handler) http.Handler]
 
 	kick chan struct{}
 	stop context.CancelFunc
@@ -79,14 +79,14 @@
 	ln   net.Listener
 }
 
-// StartBox has a box listen at addr.
-func StartBox(id, addr string, f *Figures, started time.Time) (*BoxServer, error) {
+// StartStubWorker has a box listen at addr.
+func StartStubWorker(id, addr string, f *Figures, started time.Time) (*StubWorker, error) {
 	ln, err := listenAgain(addr)
 	if err != nil {
 		return nil, fmt.Errorf("box %s: %w", id, err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	s := &BoxServer{ID: id, Addr: ln.Addr().String(), f: f, box: NewBox(f.Box, started), kick: make(chan struct{}, 1), stop: stop, ln: ln}
+	s := &StubWorker{ID: id, Addr: ln.Addr().String(), f: f, model: NewWorkerModel(f.Worker, started), kick: make(chan struct{}, 1), stop: stop, ln: ln}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /busy", s.probe)
 	mux.HandleFunc("GET /ping", s.probe)
@@ -100,25 +100,25 @@
 	return s, nil
 }
 
-// Around has every request pass through what wrap makes of the box's own handler, from now on.
-func (s *BoxServer) Around(wrap func(http.Handler) http.Handler) { s.around.Store(&wrap) }
+// Wrap has every request pass through what wrap makes of the box's own handler, from now on.
+func (s *StubWorker) Wrap(wrap func(http.Handler) http.Handler) { s.wrapper.Store(&wrap) }
 
-func (s *BoxServer) handler(own http.Handler) http.Handler {
-	if wrap := s.around.Load(); wrap != nil {
+func (s *StubWorker) handler(own http.Handler) http.Handler {
+	if wrap := s.wrapper.Load(); wrap != nil {
 		return (*wrap)(own)
 	}
 	return own
 }
 
 // run lets the model's time pass and answers what has ended.
-func (s *BoxServer) run(ctx context.Context) {
+func (s *StubWorker) run(ctx context.Context) {
 	t := time.NewTimer(time.Hour)
 	defer t.Stop()
 	for {
 		s.mu.Lock()
 		now := time.Now()
-		ended := s.box.Advance(now)
-		next := s.box.Next(now)
+		ended := s.model.Advance(now)
+		next := s.model.Next(now)
 		s.mu.Unlock()
 		for _, j := range ended {
 			close(j.Data.(chan struct{}))
@@ -137,7 +137,7 @@
 	}
 }
 
-func (s *BoxServer) wake() {
+func (s *StubWorker) wake() {
 	select {
 	case s.kick <- struct{}{}:
 	default:
@@ -145,10 +145,10 @@
 }
 
 // Change does something to the model, at once.
-func (s *BoxServer) Change(f func(b *Box)) {
+func (s *StubWorker) Change(f func(b *WorkerModel)) {
 	s.mu.Lock()
-	f(s.box)
-	if s.box.Draining() && s.drained.IsZero() {
+	f(s.model)
+	if s.model.Draining() && s.drained.IsZero() {
 		s.drained = time.Now()
 	}
 	s.mu.Unlock()
@@ -156,34 +156,34 @@
 }
 
 // Fail has a share of all calls end with an error at once, from now on.
-func (s *BoxServer) Fail(share float64) {
+func (s *StubWorker) Fail(share float64) {
 	s.mu.Lock()
 	s.failing = share
 	s.mu.Unlock()
 }
 
 // fails tells whether a call is to fail: by its id and how many came before.
-func (s *BoxServer) fails(id string, class int) bool {
+func (s *StubWorker) fails(id string, class int) bool {
 	h := fnv.New32a()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	fmt.Fprint(h, s.ID, id, len(s.seen))
-	if s.failing == 0 || s.box.Draining() || s.box.Fallen() || float64(h.Sum32()%1000) >= 1000*s.failing {
+	fmt.Fprint(h, s.ID, id, len(s.observed))
+	if s.failing == 0 || s.model.Draining() || s.model.Fallen() || float64(h.Sum32()%1000) >= 1000*s.failing {
 		return false
 	}
-	s.seen = append(s.seen, Sight{At: time.Now(), ID: id, Class: class, Took: true, Failed: true})
+	s.observed = append(s.observed, ObservedCall{At: time.Now(), ID: id, Class: class, Took: true, Failed: true})
 	return true
 }
 
 // Die ends the box: its connections are reset and its address refuses.
-func (s *BoxServer) Die() {
+func (s *StubWorker) Die() {
 	_ = s.srv.Close()
 	s.stop()
 }
 
 // Vanish ends the box without a word: its connections stay open and silent, and its address takes connections that
 // nobody answers. (A loopback address cannot be made to swallow the handshake without privileges.)
-func (s *BoxServer) Vanish() (release func(), err error) {
+func (s *StubWorker) Vanish() (release func(), err error) {
 	s.Die()
 	ln, err := net.Listen("tcp", s.Addr)
 	if err != nil {
@@ -192,39 +192,39 @@
 	return func() { _ = ln.Close() }, nil
 }
 
-var errGone = errors.New("the box is gone")
+var errWorkerStopped = errors.New("the box is gone")
 
-// Seen returns what the box saw.
-func (s *BoxServer) Seen() (calls []Sight, orders []time.Time) {
+// Observations returns what the box saw.
+func (s *StubWorker) Observations() (calls []ObservedCall, orders []time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]Sight(nil), s.seen...), append([]time.Time(nil), s.orders...)
+	return append([]ObservedCall(nil), s.observed...), append([]time.Time(nil), s.orders...)
 }
 
 // Drained returns when the worker began to drain; the zero time if it did not.
-func (s *BoxServer) Drained() time.Time {
+func (s *StubWorker) Drained() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.drained
 }
 
 // Fallen reports whether the worker collapsed under load.
-func (s *BoxServer) Fallen() bool {
+func (s *StubWorker) Fallen() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.box.Fallen()
+	return s.model.Fallen()
 }
 
-func (s *BoxServer) report(h http.Header, now time.Time) {
-	queue, util := s.box.Report(now)
+func (s *StubWorker) report(h http.Header, now time.Time) {
+	queue, util := s.model.Report(now)
 	h.Set("X-Report", fmt.Sprintf("queue:%d;util:%.3f", queue, util))
 }
 
-func (s *BoxServer) probe(w http.ResponseWriter, _ *http.Request) {
+func (s *StubWorker) probe(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.report(w.Header(), time.Now())
-	if s.box.Draining() || s.box.Fallen() {
+	if s.model.Draining() || s.model.Fallen() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
@@ -237,35 +237,35 @@
 var noteNames = [...]string{"hit", "spawn", "pending"}
 
 // submit puts a job in and waits for its end; an error says why it was not taken, or that the box has gone.
-func (s *BoxServer) submit(r *http.Request, j *Job) (Verdict, error) {
+func (s *StubWorker) submit(r *http.Request, j *Job) (Admission, error) {
 	done := make(chan struct{})
 	j.Data = done
 	s.mu.Lock()
 	now := time.Now()
-	v := s.box.Arrive(now, j)
+	v := s.model.Arrive(now, j)
 	if j.Order {
 		s.orders = append(s.orders, now)
 	} else {
-		s.seen = append(s.seen, Sight{At: now, ID: j.ID, Class: j.Class, Model: j.Model, Took: v == Taken, Draining: s.box.Draining()})
+		s.observed = append(s.observed, ObservedCall{At: now, ID: j.ID, Class: j.Class, Model: j.Model, Took: v == Admitted, Draining: s.model.Draining()})
 	}
 	s.mu.Unlock()
-	if v != Taken {
+	if v != Admitted {
 		return v, nil
 	}
 	s.wake()
 	select {
 	case <-done:
-		return Taken, nil
+		return Admitted, nil
 	case <-r.Context().Done(): // work that runs goes on all the same
-		return Taken, errGone
+		return Admitted, errWorkerStopped
 	}
 }
 
-func (s *BoxServer) call(w http.ResponseWriter, r *http.Request) {
+func (s *StubWorker) call(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, 1<<16))
-	model, bad := strconv.ParseUint(r.Header.Get("X-Thing"), 16, 64)
+	model, parseErr := strconv.ParseUint(r.Header.Get("X-Thing"), 16, 64)
 	class := s.class(r.PathValue("class"))
-	if err != nil || bad != nil || class < 0 {
+	if err != nil || parseErr != nil || class < 0 {
 		http.Error(w, "malformed", http.StatusBadRequest)
 		return
 	}
@@ -274,7 +274,7 @@
 		http.Error(w, "failed", http.StatusInternalServerError)
 		return
 	}
-	j := &Job{ID: id, Class: class, Model: model, Work: s.f.Work(class, id), Load: s.f.Load, Lanes: s.f.Lanes}
+	j := &Job{ID: id, Class: class, Model: model, Work: s.f.Work(class, id), Load: s.f.Load, Concurrency: s.f.Concurrency}
 	v, err := s.submit(r, j)
 	if err != nil {
 		return
@@ -283,14 +283,14 @@
 	s.report(w.Header(), time.Now())
 	s.mu.Unlock()
 	switch v {
-	case Full, Drained:
+	case RejectedFull, RejectedDraining:
 		never(w)
-	case Down:
+	case WorkerDown:
 		panic(http.ErrAbortHandler)
 	default:
-		w.Header().Set("X-Tell", noteNames[j.Note])
-		if j.Same > 0 {
-			w.Header().Set("X-Same", strconv.Itoa(j.Same))
+		w.Header().Set("X-Tell", noteNames[j.Warmth])
+		if j.ConcurrentRequests > 0 {
+			w.Header().Set("X-Same", strconv.Itoa(j.ConcurrentRequests))
 		}
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)+len(id)))
 		_, _ = io.WriteString(w, id)
@@ -298,7 +298,7 @@
 	}
 }
 
-func (s *BoxServer) class(name string) int {
+func (s *StubWorker) class(name string) int {
 	for i, c := range s.f.Classes {
 		if c.Name == name {
 			return i
@@ -307,32 +307,32 @@
 	return -1
 }
 
-func (s *BoxServer) order(w http.ResponseWriter, r *http.Request) {
-	model, bad := strconv.ParseUint(r.PathValue("model"), 16, 64)
+func (s *StubWorker) order(w http.ResponseWriter, r *http.Request) {
+	model, parseErr := strconv.ParseUint(r.PathValue("model"), 16, 64)
 	count, odd := strconv.Atoi(r.PathValue("count"))
-	if bad != nil || odd != nil || count < 0 {
+	if parseErr != nil || odd != nil || count < 0 {
 		http.Error(w, "malformed", http.StatusBadRequest)
 		return
 	}
-	v := Taken
+	v := Admitted
 	if count > 0 {
 		var err error
-		if v, err = s.submit(r, &Job{Model: model, Load: s.f.Load, Lanes: s.f.Lanes, Order: true}); err != nil {
+		if v, err = s.submit(r, &Job{Model: model, Load: s.f.Load, Concurrency: s.f.Concurrency, Order: true}); err != nil {
 			return
 		}
 	}
 	s.mu.Lock()
-	w.Header().Set("X-N", strconv.Itoa(s.box.Loaded(time.Now(), model)))
+	w.Header().Set("X-N", strconv.Itoa(s.model.Loaded(time.Now(), model)))
 	s.mu.Unlock()
-	if v != Taken {
+	if v != Admitted {
 		never(w)
 	}
 }
 
-func (s *BoxServer) unload(w http.ResponseWriter, r *http.Request) {
+func (s *StubWorker) unload(w http.ResponseWriter, r *http.Request) {
 	if model, err := strconv.ParseUint(r.PathValue("model"), 16, 64); err == nil {
 		s.mu.Lock()
-		s.box.Unload(model)
+		s.model.Unload(model)
 		s.mu.Unlock()
 	}
 	w.WriteHeader(http.StatusNoContent)
--- a/internal/lab/turns.go
+++ b/internal/lab/turns.go
@@ -40,10 +40,10 @@
 	calm, late float64 // calls served at those who stay
 }
 
-// Told lists when one dispatcher told most others, and which, from what crossed the ways.
-func Told(seen []Datagram, dispatchers int) (digests []Datagram) {
+// Broadcasts lists when one dispatcher told most others, and which, from what crossed the ways.
+func Broadcasts(datagrams []Datagram, dispatchers int) (digests []Datagram) {
 	byFrom := make([][]Datagram, dispatchers)
-	for _, x := range seen {
+	for _, x := range datagrams {
 		byFrom[x.From] = append(byFrom[x.From], x)
 	}
 	for _, sent := range byFrom {
@@ -65,9 +65,9 @@
 }
 
 // Silence is the longest time in a span without a word among the dispatchers that stay names.
-func Silence(seen []Datagram, stay func(int) bool, from, until time.Time) (most time.Duration) {
+func Silence(datagrams []Datagram, stay func(int) bool, from, until time.Time) (most time.Duration) {
 	last := from
-	for _, x := range seen {
+	for _, x := range datagrams {
 		if stay(x.From) && stay(x.To) && x.At.After(from) && x.At.Before(until) {
 			last, most = x.At, max(most, x.At.Sub(last))
 		}
@@ -77,22 +77,22 @@
 
 // RunTurns runs the experiment.
 func RunTurns(ctx context.Context, o Options) (*Report, error) {
-	sizes, boxes, seeds := []int{12, 24}, 24, 3
+	sizes, workers, seeds := []int{12, 24}, 24, 3
 	if o.Quick {
-		sizes, boxes, seeds = []int{6}, 12, 1
+		sizes, workers, seeds = []int{6}, 12, 1
 	}
 	return versus[turnsResult]{
 		name: "turns", before: turnsBefore, sizes: sizes, seeds: seeds, faults: TurnsFaults(),
-		note: fmt.Sprintf("%d boxes, %d calls/s a box; counted from %d to %d terms after the fault", boxes, fleetCalls, turnsSettle, turnsSettle+turnsCount),
+		note: fmt.Sprintf("%d boxes, %d calls/s a box; counted from %d to %d terms after the fault", workers, fleetCalls, turnsSettle, turnsSettle+turnsCount),
 		run: func(net *Net, dir, fault string, size RigSize) (*turnsResult, error) {
-			size.Boxes = boxes
+			size.Workers = workers
 			return turnsArm(ctx, net, dir, fault, size)
 		}, report: turnsReport,
 	}.all(ctx, o)
 }
 
 func turnsArm(ctx context.Context, net *Net, dir, fault string, size RigSize) (*turnsResult, error) {
-	r, err := NewVerdicts(net, dir, size)
+	r, err := NewOutlierRig(net, dir, size)
 	if err != nil {
 		return nil, err
 	}
@@ -113,7 +113,7 @@
 	if err := sleepUntil(ctx, time.Now().Add(4*time.Second)); err != nil {
 		return nil, err
 	}
-	began, term := time.Now(), hubTerm*r.Figures.Classes[0].Aim
+	began, term := time.Now(), leaderTerm*r.Figures.Classes[0].LatencyObjective
 	switch fault {
 	case TurnsKilled:
 		err = r.each(func(n int) bool { return !stays(n) }, (*Dispatcher).Kill)
@@ -121,7 +121,7 @@
 		err = r.Signal(syscall.SIGSTOP, thirdOf)
 		time.AfterFunc(3*time.Second, func() { _ = r.Signal(syscall.SIGCONT, thirdOf) })
 	case TurnsHalves:
-		r.Words.Set(Lost, func(from, to int) bool { return meshHalf(from) != meshHalf(to) })
+		r.PeerNetwork.Set(Lost, func(from, to int) bool { return meshHalf(from) != meshHalf(to) })
 	case TurnsGrown:
 		if err = r.Start(ready, func(n int) bool { return !first(n) }); err == nil {
 			r.Send(going, func(n int) bool { return !first(n) })
@@ -137,16 +137,16 @@
 	}
 	enough()
 	r.Quiet()
-	x := &turnsResult{Breaches: r.Check(func(t Try) bool { return !stays(senderOf(t.ID)) })}
-	seen := r.Words.Seen()
-	x.silence = Silence(seen, stays, from, end).Seconds() / term.Seconds()
-	told := make([]bool, turnsCount)
-	for _, d := range Told(seen, size.Dispatchers) {
-		if i := int(d.At.Sub(from) / term); stays(d.From) && d.At.After(from) && i < len(told) {
-			told[i] = true
+	x := &turnsResult{Breaches: r.Check(func(t Attempt) bool { return !stays(senderOf(t.ID)) })}
+	datagrams := r.PeerNetwork.Datagrams()
+	x.silence = Silence(datagrams, stays, from, end).Seconds() / term.Seconds()
+	broadcast := make([]bool, turnsCount)
+	for _, d := range Broadcasts(datagrams, size.Dispatchers) {
+		if i := int(d.At.Sub(from) / term); stays(d.From) && d.At.After(from) && i < len(broadcast) {
+			broadcast[i] = true
 		}
 	}
-	for _, ok := range told {
+	for _, ok := range broadcast {
 		if !ok {
 			x.idle += 1.0 / turnsCount
 		}
--- a/internal/lab/vtime.go
+++ b/internal/lab/virtualtime.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	simWay      = 500 * time.Microsecond // one way between a dispatcher and a box
-	simProbe    = 250 * time.Millisecond
-	simTick     = 10 * time.Millisecond
-	simBreather = 250 * time.Millisecond // between ticks later on
+	simLinkDelay = 500 * time.Microsecond // one way between a dispatcher and a box
+	simProbe     = 250 * time.Millisecond
+	simTick      = 10 * time.Millisecond
+	simBreather  = 250 * time.Millisecond // between ticks later on
 )
 
-// simBox is a box in virtual time, with its fate.
-type simBox struct {
+// simWorker is a box in virtual time, with its fate.
+type simWorker struct {
 	id      balancer.WorkerID
 	zone    int
-	box     *Box
+	model   *WorkerModel
 	fate    int
 	wake    time.Time
 	took    []time.Time
@@ -38,8 +38,8 @@
 type simWorld struct {
 	engine
 	f       *Figures
-	boxes   []*simBox
-	byID    map[balancer.WorkerID]*simBox
+	workers []*simWorker
+	byID    map[balancer.WorkerID]*simWorker
 	nodes   []*simNode
 	load    Load
 	popular zipf
@@ -83,40 +83,40 @@
 }
 
 // reaches tells whether a dispatcher's connections to a box come up.
-func (w *simWorld) reaches(s *simNode, x *simBox) bool {
+func (w *simWorld) reaches(s *simNode, x *simWorker) bool {
 	return x.fate != cutOff && (!w.parted || s.n%2 == x.zone)
 }
 
 type simCall struct {
-	class    int
-	model    uint64
-	intended time.Time
-	ended    time.Time
-	served   bool
-	tries    int
-	ran      int // at a box
-	name     string
-	cold     bool // it found no copy, or was held for one
-	end      callEnd
+	class       int
+	model       uint64
+	intended    time.Time
+	ended       time.Time
+	served      bool
+	attempts    int
+	ran         int // at a box
+	name        string
+	awaitedLoad bool // it found no copy, or was held for one
+	end         callEnd
 }
 
 // simNode is one dispatcher: the real list and the real module, before a host that does with what the module orders as the core
 // does, and the platform's client under it (core.go, internal/platform/fleet.go).
 type simNode struct {
-	w       *simWorld
-	n       int
-	list    *endpoints.List
-	d       *balancer.Balancer
-	dead    bool
-	open    map[string]*simOpen
-	flights map[simKey]*simFlight
-	orders  []*simFlight  // to load, as they were given; the first alone has a timer
-	given   int           // orders so far
-	limit   time.Duration // of an order
-	members map[balancer.WorkerID]simMember
-	told    map[balancer.WorkerID]time.Time // first refusal of a draining box
-	ends    [balancer.NumResults]int64      // of attempts, as oakthread.Counters has them
-	meter   *meter                          // nil: nothing is measured
+	w             *simWorld
+	n             int
+	list          *endpoints.List
+	d             *balancer.Balancer
+	dead          bool
+	open          map[string]*sentCall
+	attempts      map[simKey]*simAttempt
+	orders        []*simAttempt // to load, as they were given; the first alone has a timer
+	given         int           // orders so far
+	limit         time.Duration // of an order
+	members       map[balancer.WorkerID]simMember
+	drainNotified map[balancer.WorkerID]time.Time // first refusal of a draining box
+	ends          [balancer.NumResults]int64      // of attempts, as oakthread.Counters has them
+	meter         *meter                          // nil: nothing is measured
 }
 
 // simMember is what the host knows of an executor in the list.
@@ -125,10 +125,10 @@
 	start int64
 }
 
-type simOpen struct {
+type sentCall struct {
 	call     *simCall
 	began    time.Time
-	tries    int
+	attempts int
 	full     int // of them, turned away by a full box
 	deadline time.Time
 }
@@ -138,30 +138,30 @@
 	n  int
 }
 
-// simFlight is an attempt or an order to load on its way. Whoever ends it first, answer, time or the module, ends it alone; what
+// simAttempt is an attempt or an order to load on its way. Whoever ends it first, answer, time or the module, ends it alone; what
 // the executor has of it goes on there. Of what is not begun nothing was written, so that its end proves that it never ran.
-type simFlight struct {
+type simAttempt struct {
 	s           *simNode
 	key         simKey
 	worker      balancer.WorkerID
 	sent        time.Time
 	begun, over bool
-	open        *simOpen        // nil: an order
+	open        *sentCall       // nil: an order
 	fn          balancer.FuncID // of an order
 }
 
 // settings are those of a dispatcher on the sockets, without peers.
-func (f *Figures) settings(n, siblings int) balancer.Settings {
+func (f *Figures) settings(n, dispatchers int) balancer.Settings {
 	s := balancer.Settings{
-		DispatcherIndex: n, Dispatchers: siblings, ClockResolution: int64(4 * time.Millisecond), MaxAttempts: 5, Hedging: true, Cancellation: true,
-		SendsRetryAfter: true, MaxRetryAfter: int64(1500 * time.Millisecond), DrainGrace: int64(time.Second), SlowStartWindow: int64(f.Box.Warm), OverloadWindow: int64(f.Box.Fall),
-		OverloadFactor: f.Box.Factor, SlowStartCapacity: f.Box.StartCap, LoadOrders: true, LoadsOnMiss: true, ReportsWarmth: true, ReportsConcurrency: true,
-		KeepAlive: int64(f.Box.Keep), LoadQuotaWindow: int64(5 * time.Second), LoadOrderTimeout: int64(10 * time.Second), LoadQuotaBase: 6, LoadQuotaRatio: 0.3,
+		DispatcherIndex: n, Dispatchers: dispatchers, ClockResolution: int64(4 * time.Millisecond), MaxAttempts: 5, Hedging: true, Cancellation: true,
+		SendsRetryAfter: true, MaxRetryAfter: int64(1500 * time.Millisecond), DrainGrace: int64(time.Second), SlowStartWindow: int64(f.Worker.Warm), OverloadWindow: int64(f.Worker.Fall),
+		OverloadFactor: f.Worker.Factor, SlowStartCapacity: f.Worker.StartCap, LoadOrders: true, LoadsOnMiss: true, ReportsWarmth: true, ReportsConcurrency: true,
+		KeepAlive: int64(f.Worker.Keep), LoadQuotaWindow: int64(5 * time.Second), LoadOrderTimeout: int64(10 * time.Second), LoadQuotaBase: 6, LoadQuotaRatio: 0.3,
 		QueueField: 1, WastePrice: 0.2, OriginPrice: 0.03, MemoryPrice: 0.05,
 	}
 	for _, c := range f.Classes {
-		k := balancer.Class{LatencyObjective: int64(c.Aim), ClientTimeout: int64(c.GiveUp), PriorityWeight: c.Worth, LatePriorityWeight: 0.2, Idempotency: balancer.Idempotent}
-		if c.Once {
+		k := balancer.Class{LatencyObjective: int64(c.LatencyObjective), ClientTimeout: int64(c.ClientTimeout), PriorityWeight: c.PriorityWeight, LatePriorityWeight: 0.2, Idempotency: balancer.Idempotent}
+		if c.NotIdempotent {
 			k.Idempotency = balancer.NotIdempotent
 		}
 		s.Classes = append(s.Classes, k)
@@ -170,7 +170,7 @@
 }
 
 func (w *simWorld) node(n int, seed uint64, fresh bool) (*simNode, error) {
-	s := &simNode{w: w, n: n, open: map[string]*simOpen{}, flights: map[simKey]*simFlight{}, members: map[balancer.WorkerID]simMember{}, told: map[balancer.WorkerID]time.Time{}}
+	s := &simNode{w: w, n: n, open: map[string]*sentCall{}, attempts: map[simKey]*simAttempt{}, members: map[balancer.WorkerID]simMember{}, drainNotified: map[balancer.WorkerID]time.Time{}}
 	if w.hollow != nil {
 		s.meter = &w.hollow.meter
 	}
@@ -208,9 +208,9 @@
 			}
 			es = append(es, balancer.Endpoint{Worker: b.ID, Zone: b.Zone, Kind: b.Kind, Cell: b.Cell, State: b.State, Weight: b.Weight, Start: b.Start.UnixNano()})
 		}
-		for _, fl := range s.unbegun() {
+		for _, fl := range s.unsentAttempts() {
 			if _, known := s.members[fl.worker]; !known {
-				fl.off(balancer.NotSent)
+				fl.abort(balancer.NotSent)
 			}
 		}
 		s.meter.begin(s.n, partList)
@@ -224,7 +224,7 @@
 
 func (s *simNode) probe(id balancer.WorkerID) {
 	x := s.w.byID[id]
-	sign, after := endpoints.Answered, 2*simWay
+	sign, after := endpoints.Answered, 2*simLinkDelay
 	switch x.fate {
 	case refuses, reused:
 		sign = endpoints.Refused
@@ -238,9 +238,9 @@
 		if s.dead {
 			return
 		}
-		if sign == endpoints.Answered && x.box.Draining() {
+		if sign == endpoints.Answered && x.model.Draining() {
 			sign = endpoints.Drains
-		} else if _, util := x.box.Report(s.w.now); sign == endpoints.Answered && util > 0.9 {
+		} else if _, util := x.model.Report(s.w.now); sign == endpoints.Answered && util > 0.9 {
 			sign = endpoints.Slow
 		}
 		s.list.Probed(s.w.now, id, sign)
@@ -275,13 +275,13 @@
 		s.again(c, wait, true)
 		return
 	}
-	id := c.name + "." + strconv.Itoa(c.tries)
-	deadline := c.intended.Add(s.w.f.Classes[c.class].GiveUp - 200*time.Millisecond)
-	s.open[id] = &simOpen{call: c, began: s.w.now, deadline: deadline}
+	id := c.name + "." + strconv.Itoa(c.attempts)
+	deadline := c.intended.Add(s.w.f.Classes[c.class].ClientTimeout - 200*time.Millisecond)
+	s.open[id] = &sentCall{call: c, began: s.w.now, deadline: deadline}
 	s.meter.begin(s.n, partChoice)
 	s.d.HandleRequest(s.w.now.UnixNano(), balancer.Request{
 		ID: id, Class: c.class, Tenant: -1, Func: balancer.FuncID(c.model), Deadline: deadline.UnixNano(),
-		MemoryMB: 4000, Concurrency: s.w.f.Lanes, LoadTime: int64(s.w.f.Load),
+		MemoryMB: 4000, Concurrency: s.w.f.Concurrency, LoadTime: int64(s.w.f.Load),
 	})
 	s.meter.end()
 }
@@ -289,8 +289,8 @@
 // again has the client come back, where that is harmless and there is time.
 func (s *simNode) again(c *simCall, wait time.Duration, harmless bool) {
 	k := s.w.f.Classes[c.class]
-	c.tries++
-	if c.tries > s.w.load.Retries || k.Once && !harmless || s.w.now.Add(wait+k.Work).After(c.intended.Add(k.GiveUp)) {
+	c.attempts++
+	if c.attempts > s.w.load.Retries || k.NotIdempotent && !harmless || s.w.now.Add(wait+k.Work).After(c.intended.Add(k.ClientTimeout)) {
 		c.ended = s.w.now
 		s.w.hollow.over(c)
 		return
@@ -307,11 +307,11 @@
 }
 
 // end gives a call its one end. Of its attempts those that nothing was written of are revoked.
-func (s *simNode) end(id string, o *simOpen, served bool) {
+func (s *simNode) end(id string, o *sentCall, served bool) {
 	delete(s.open, id)
-	for n := range o.tries {
-		if fl := s.flights[simKey{id, n}]; fl != nil && !fl.begun {
-			fl.off(balancer.NotSent)
+	for n := range o.attempts {
+		if fl := s.attempts[simKey{id, n}]; fl != nil && !fl.begun {
+			fl.abort(balancer.NotSent)
 		}
 	}
 	if served {
@@ -321,46 +321,46 @@
 }
 
 // reach is a call's coming to a box.
-func (w *simWorld) reach(s *simNode, x *simBox, id string, c *simCall, land func(balancer.Result, balancer.Warmth, int, []float64)) {
+func (w *simWorld) reach(s *simNode, x *simWorker, id string, c *simCall, land func(balancer.Result, balancer.Warmth, int, []float64)) {
 	if x.failing {
 		x.spoilt++
 		w.take(x)
 		w.book(c)
-		w.after(simWay, func() { land(balancer.Error, 0, 0, nil) })
+		w.after(simLinkDelay, func() { land(balancer.Error, 0, 0, nil) })
 		return
 	}
-	j := &Job{ID: id, Class: c.class, Model: c.model, Work: w.f.Work(c.class, c.name), Load: w.f.Load, Lanes: w.f.Lanes}
+	j := &Job{ID: id, Class: c.class, Model: c.model, Work: w.f.Work(c.class, c.name), Load: w.f.Load, Concurrency: w.f.Concurrency}
 	report := func() []float64 {
-		queue, util := x.box.Report(w.now)
+		queue, util := x.model.Report(w.now)
 		return []float64{float64(queue), util}
 	}
 	j.Data = func() {
 		if w.unheard > 0 && w.lossy.Float64() < w.unheard {
 			return // the deadline ends it
 		}
-		c.cold = c.cold || j.Note != Hit
-		rep, warm := report(), [...]balancer.Warmth{balancer.WarmHit, balancer.BeganLoad, balancer.AwaitedLoad}[j.Note]
-		w.after(simWay, func() { land(balancer.OK, warm, j.Same, rep) })
+		c.awaitedLoad = c.awaitedLoad || j.Warmth != WarmHit
+		rep, warm := report(), [...]balancer.Warmth{balancer.WarmHit, balancer.BeganLoad, balancer.AwaitedLoad}[j.Warmth]
+		w.after(simLinkDelay, func() { land(balancer.OK, warm, j.ConcurrentRequests, rep) })
 	}
-	v := x.box.Arrive(w.now, j)
+	v := x.model.Arrive(w.now, j)
 	w.counts.arrived(w, x, j, v)
-	if x.box.Draining() {
-		first, known := s.told[x.id]
+	if x.model.Draining() {
+		first, known := s.drainNotified[x.id]
 		if !x.drained.IsZero() {
 			first, known = x.drained, true
 		}
 		if !known {
-			s.told[x.id] = w.now
+			s.drainNotified[x.id] = w.now
 		} else if w.now.Sub(first) > time.Second {
 			w.late++
 		}
 	}
-	if v != Taken {
+	if v != Admitted {
 		rep, res := report(), balancer.QueueFull
-		if v == Down {
+		if v == WorkerDown {
 			res = balancer.Reset
 		}
-		w.after(simWay, func() { land(res, 0, 0, rep) })
+		w.after(simLinkDelay, func() { land(res, 0, 0, rep) })
 		return
 	}
 	w.hollow.loaded(j)
@@ -370,7 +370,7 @@
 }
 
 // take notes when a box took a call; a hollow run, which has many, does not.
-func (w *simWorld) take(x *simBox) {
+func (w *simWorld) take(x *simWorker) {
 	if w.hollow == nil {
 		x.took = append(x.took, w.now)
 	}
@@ -378,16 +378,16 @@
 
 // book counts a call of a class that must not run twice.
 func (w *simWorld) book(c *simCall) {
-	if c.ran++; c.ran == 2 && w.f.Classes[c.class].Once {
+	if c.ran++; c.ran == 2 && w.f.Classes[c.class].NotIdempotent {
 		w.twice++
 	}
 }
 
-func (w *simWorld) advance(x *simBox) {
-	for _, j := range x.box.Advance(w.now) {
+func (w *simWorld) advance(x *simWorker) {
+	for _, j := range x.model.Advance(w.now) {
 		j.Data.(func())()
 	}
-	next := x.box.Next(w.now)
+	next := x.model.Next(w.now)
 	if next.IsZero() || !x.wake.IsZero() && x.wake.After(w.now) && !next.Before(x.wake) {
 		return
 	}
--- a/internal/lab/box.go
+++ b/internal/lab/worker.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// BoxConfig is what a box is like.
-type BoxConfig struct {
+// WorkerConfig is what a box is like.
+type WorkerConfig struct {
 	Cores    int
 	Queue    int           // calls that may wait
 	Copies   int           // that memory holds
@@ -25,58 +25,58 @@
 	Factor   float64
 }
 
-// Verdict is what a box says to a job when it comes.
-type Verdict int
+// Admission is what a box says to a job when it comes.
+type Admission int
 
 // The worker takes a job, rejects it for a full queue or because it drains, or is down.
 const (
-	Taken Verdict = iota
-	Full
-	Drained
-	Down
+	Admitted Admission = iota
+	RejectedFull
+	RejectedDraining
+	WorkerDown
 )
 
-// Note is how a job found its model.
-type Note int
+// Warmth is how a job found its model.
+type Warmth int
 
 // The model was loaded, begins to load, or is being loaded.
 const (
-	Hit Note = iota
-	Spawn
-	Pending
+	WarmHit Warmth = iota
+	BeganLoad
+	AwaitedLoad
 )
 
 // Job is a call at a box, or an order to load where Work is 0.
 type Job struct {
-	ID    string
-	Class int
-	Model uint64
-	Work  time.Duration
-	Load  time.Duration // time that loading the model takes
-	Lanes int
-	Order bool
-	Note  Note
-	Same  int // calls of the model there when it came
-	Data  any // the caller's
+	ID                 string
+	Class              int
+	Model              uint64
+	Work               time.Duration
+	Load               time.Duration // time that loading the model takes
+	Concurrency        int
+	Order              bool
+	Warmth             Warmth
+	ConcurrentRequests int // calls of the model there when it came
+	Data               any // the caller's
 
 	done time.Time
 }
 
-type boxCopy struct {
-	ready time.Time // when its load ends
-	used  time.Time
-	lanes int
-	busy  int
-	held  int // jobs running or waiting for it
+type modelCopy struct {
+	ready       time.Time // when its load ends
+	used        time.Time
+	concurrency int
+	busy        int
+	held        int // jobs running or waiting for it
 }
 
-// Box is one emulated planner box. Its methods are called in order of time.
-type Box struct {
-	cfg      BoxConfig
+// WorkerModel is one emulated planner box. Its methods are called in order of time.
+type WorkerModel struct {
+	cfg      WorkerConfig
 	start    time.Time
 	waiting  []*Job
 	running  []*Job
-	copies   map[uint64]*boxCopy
+	copies   map[uint64]*modelCopy
 	loads    map[uint64]int // begun here, by model
 	draining bool
 	fallen   bool
@@ -96,13 +96,13 @@
 	work time.Duration
 }
 
-// NewBox makes a box that started at start, empty.
-func NewBox(cfg BoxConfig, start time.Time) *Box {
-	return &Box{cfg: cfg, start: start, copies: map[uint64]*boxCopy{}, loads: map[uint64]int{}, slow: 1, busyAt: start}
+// NewWorkerModel makes a box that started at start, empty.
+func NewWorkerModel(cfg WorkerConfig, start time.Time) *WorkerModel {
+	return &WorkerModel{cfg: cfg, start: start, copies: map[uint64]*modelCopy{}, loads: map[uint64]int{}, slow: 1, busyAt: start}
 }
 
 // Capacity is the part of its full capacity that a box has now.
-func (b *Box) Capacity(now time.Time) float64 {
+func (b *WorkerModel) Capacity(now time.Time) float64 {
 	age := now.Sub(b.start)
 	if b.cfg.Warm <= 0 || age >= b.cfg.Warm {
 		return 1
@@ -111,44 +111,44 @@
 }
 
 // Drain makes the worker reject new jobs; those it holds go on.
-func (b *Box) Drain() { b.draining = true }
+func (b *WorkerModel) Drain() { b.draining = true }
 
 // Draining reports whether the worker takes no new job.
-func (b *Box) Draining() bool { return b.draining }
+func (b *WorkerModel) Draining() bool { return b.draining }
 
 // Fallen reports whether the worker collapsed under load.
-func (b *Box) Fallen() bool { return b.fallen }
+func (b *WorkerModel) Fallen() bool { return b.fallen }
 
 // Slow makes every job take factor times as long.
-func (b *Box) Slow(factor float64) { b.slow = factor }
+func (b *WorkerModel) Slow(factor float64) { b.slow = factor }
 
 // Started returns when the worker's process started.
-func (b *Box) Started() time.Time { return b.start }
+func (b *WorkerModel) Started() time.Time { return b.start }
 
 // Stall makes no job progress until the given time.
-func (b *Box) Stall(until time.Time) { b.frozen = until }
+func (b *WorkerModel) Stall(until time.Time) { b.frozen = until }
 
 // Arrive takes a job or says why not. A taken one comes back from Advance.
-func (b *Box) Arrive(now time.Time, j *Job) Verdict {
+func (b *WorkerModel) Arrive(now time.Time, j *Job) Admission {
 	switch {
 	case b.fallen:
-		return Down
+		return WorkerDown
 	case b.draining:
-		return Drained
+		return RejectedDraining
 	}
 	if b.overrun(now, j) {
 		b.fallen = true
-		return Down
+		return WorkerDown
 	}
 	if !j.Order && len(b.waiting) >= b.cfg.Queue {
-		return Full
+		return RejectedFull
 	}
 	b.expire(now)
 	c := b.copies[j.Model]
 	switch {
 	case c == nil:
 		if !b.makeRoom() {
-			return Full
+			return RejectedFull
 		}
 		loading := 0
 		for _, x := range b.copies {
@@ -157,23 +157,23 @@
 			}
 		}
 		wait := j.Load * time.Duration(1+loading/max(1, b.cfg.Loads))
-		c = &boxCopy{ready: now.Add(wait), lanes: max(1, j.Lanes)}
+		c = &modelCopy{ready: now.Add(wait), concurrency: max(1, j.Concurrency)}
 		b.copies[j.Model] = c
 		b.loads[j.Model]++
-		j.Note = Spawn
+		j.Warmth = BeganLoad
 	case c.ready.After(now):
-		j.Note = Pending
+		j.Warmth = AwaitedLoad
 	}
-	j.Same = min(c.held, 30)
+	j.ConcurrentRequests = min(c.held, 30)
 	c.held++
 	c.used = now
 	b.waiting = append(b.waiting, j)
-	return Taken
+	return Admitted
 }
 
 // overrun books what is sent to a cold box, by the rule on cold boxes: work within Fall against Factor times the
 // present capacity, with room for two calls of chance.
-func (b *Box) overrun(now time.Time, j *Job) bool {
+func (b *WorkerModel) overrun(now time.Time, j *Job) bool {
 	if b.cfg.Fall <= 0 || b.Capacity(now) >= 1 || j.Order {
 		return false
 	}
@@ -190,7 +190,7 @@
 }
 
 // expire unloads copies that have lain idle for long enough.
-func (b *Box) expire(now time.Time) {
+func (b *WorkerModel) expire(now time.Time) {
 	for m, c := range b.copies {
 		if c.held == 0 && now.Sub(c.used) > b.cfg.Keep {
 			delete(b.copies, m)
@@ -200,12 +200,12 @@
 }
 
 // makeRoom unloads the copy idle for longest where memory is full; false: all are at work.
-func (b *Box) makeRoom() bool {
+func (b *WorkerModel) makeRoom() bool {
 	if len(b.copies) < b.cfg.Copies {
 		return true
 	}
 	var oldest uint64
-	var at *boxCopy
+	var at *modelCopy
 	for m, c := range b.copies {
 		if c.held == 0 && (at == nil || c.used.Before(at.used) || c.used.Equal(at.used) && m < oldest) {
 			oldest, at = m, c
@@ -220,7 +220,7 @@
 }
 
 // Next is when something will have changed; zero: nothing is under way.
-func (b *Box) Next(now time.Time) (at time.Time) {
+func (b *WorkerModel) Next(now time.Time) (at time.Time) {
 	soon := func(t time.Time) {
 		if at.IsZero() || t.Before(at) {
 			at = t
@@ -241,7 +241,7 @@
 }
 
 // Advance lets time pass until now and returns the jobs that have ended, in order.
-func (b *Box) Advance(now time.Time) (ended []*Job) {
+func (b *WorkerModel) Advance(now time.Time) (ended []*Job) {
 	if now.Before(b.frozen) {
 		return nil
 	}
@@ -274,7 +274,7 @@
 }
 
 // begin starts what can run; orders end as soon as the copy stands.
-func (b *Box) begin(now time.Time) (ended []*Job) {
+func (b *WorkerModel) begin(now time.Time) (ended []*Job) {
 	b.waiting = slices.DeleteFunc(b.waiting, func(j *Job) bool {
 		c := b.copies[j.Model]
 		if c.ready.After(now) {
@@ -285,7 +285,7 @@
 			ended = append(ended, j)
 			return true
 		}
-		if len(b.running) >= b.cfg.Cores || c.busy >= c.lanes {
+		if len(b.running) >= b.cfg.Cores || c.busy >= c.concurrency {
 			return false
 		}
 		c.busy++
@@ -298,14 +298,14 @@
 
 const useSpan = 300 * time.Millisecond
 
-func (b *Box) use(now time.Time) {
+func (b *WorkerModel) use(now time.Time) {
 	f := math.Exp(-float64(now.Sub(b.busyAt)) / float64(useSpan))
 	b.busyTime = b.busyTime*f + (1-f)*float64(len(b.running))/float64(max(1, b.cfg.Cores))
 	b.busyAt = now
 }
 
 // Report is the load that it tells: calls waiting, and the use of its cores.
-func (b *Box) Report(now time.Time) (queue int, util float64) {
+func (b *WorkerModel) Report(now time.Time) (queue int, util float64) {
 	b.use(now)
 	for _, j := range b.waiting {
 		if !j.Order {
@@ -316,7 +316,7 @@
 }
 
 // Loaded counts the copies of a model that stand.
-func (b *Box) Loaded(now time.Time, model uint64) int {
+func (b *WorkerModel) Loaded(now time.Time, model uint64) int {
 	if c := b.copies[model]; c != nil && !c.ready.After(now) {
 		return 1
 	}
@@ -324,16 +324,16 @@
 }
 
 // Loads returns how many loads of a model began here.
-func (b *Box) Loads(model uint64) int { return b.loads[model] }
+func (b *WorkerModel) Loads(model uint64) int { return b.loads[model] }
 
 // Holds reports whether a copy of the model is loaded or being loaded.
-func (b *Box) Holds(now time.Time, model uint64) bool {
+func (b *WorkerModel) Holds(now time.Time, model uint64) bool {
 	b.expire(now)
 	return b.copies[model] != nil
 }
 
 // Unload drops a model's copy if it is idle.
-func (b *Box) Unload(model uint64) {
+func (b *WorkerModel) Unload(model uint64) {
 	if c := b.copies[model]; c != nil && c.held == 0 {
 		delete(b.copies, model)
 		b.unloads.dropped++
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -157,7 +157,7 @@
 			break
 		}
 	}
-	p.patience = c.figures.Classes[p.class].GiveUp
+	p.patience = c.figures.Classes[p.class].ClientTimeout
 	if c.rng.Float64() < c.how.Brief {
 		p.patience = time.Millisecond + time.Duration(c.rng.Int64N(int64(briefTime)))
 	}
@@ -239,7 +239,7 @@
 	body := "slot " + r.ID
 	head := fmt.Sprintf("POST /call/%016x/trigger HTTP/1.1\r\nHost: origin.svc\r\nX-Class: %s\r\nX-Call-Id: %s\r\nX-Patience-Ms: %d\r\n"+
 		"X-Extras: memory_mb:4000;lanes:%d;load_ms:%d\r\nContent-Length: %d\r\n\r\n%s", p.model, c.figures.Classes[p.class].Name, r.ID,
-		max(1, p.patience.Milliseconds()), c.figures.Lanes, c.figures.Load.Milliseconds(), len(body), body)
+		max(1, p.patience.Milliseconds()), c.figures.Concurrency, c.figures.Load.Milliseconds(), len(body), body)
 	if !c.write(k, r, p, head) {
 		_ = k.Close()
 		return r
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -111,11 +111,11 @@
 func (w *world) judge(calmFrom, calmTo time.Time) []Violation {
 	r := Records{
 		Troubled: w.troubled, Untold: w.untold, Drains: w.drains, CalmFrom: calmFrom, CalmTo: calmTo,
-		Once: func(class int) bool { return w.figures.Classes[class].Once },
+		Once: func(class int) bool { return w.figures.Classes[class].NotIdempotent },
 	}
 	r.Ration = rationOf(w.Deployment)
 	for _, k := range w.figures.Classes {
-		r.Longest = max(r.Longest, k.GiveUp)
+		r.Longest = max(r.Longest, k.ClientTimeout)
 	}
 	for _, c := range w.clients {
 		r.Requests = append(r.Requests, c.Records()...)
@@ -129,12 +129,12 @@
 		r.Lives, r.Paused = append(r.Lives, lives), append(r.Paused, paused)
 	}
 	found := Judge(r)
-	for i, b := range append(append([]*lab.BoxServer(nil), w.rig.Boxes...), w.rig.Gone...) {
+	for i, b := range append(append([]*lab.StubWorker(nil), w.rig.Workers...), w.rig.Replaced...) {
 		if b.Fallen() {
 			found = append(found, Violation{RuleColdStart, -1, b.ID, fmt.Sprintf("executor %d fell", i)})
 		}
 	}
-	if n := lab.Oversize(w.rig.Words.Seen()); n > 0 {
+	if n := lab.Oversize(w.rig.PeerNetwork.Datagrams()); n > 0 {
 		found = append(found, Violation{RuleDatagrams, -1, "", fmt.Sprintf("%d datagrams over the limit", n)})
 	}
 	return found
--- a/internal/soak/troubles.go
+++ b/internal/soak/troubles.go
@@ -145,11 +145,11 @@
 	for i, e := range t.Targets {
 		marks[i] = w.disturb(&w.troubled[e])
 	}
-	if err := w.rig.Ways.Between(what, delay, pick); err != nil {
+	if err := w.rig.Links.Between(what, delay, pick); err != nil {
 		return err
 	}
 	<-lasts.Done()
-	err := w.rig.Ways.Between(lab.Open, 0, pick)
+	err := w.rig.Links.Between(lab.Open, 0, pick)
 	for i, e := range t.Targets {
 		w.calm(&w.troubled[e], marks[i])
 	}
@@ -216,9 +216,9 @@
 			return err
 		}
 		w.rig.Listed[e].Phase = lab.Ready
-		w.rig.Boxes[e].Around(w.executors[e].around)
+		w.rig.Workers[e].Wrap(w.executors[e].around)
 	}
-	w.rig.Told(pick)
+	w.rig.Announce(pick)
 	return nil
 }
 
@@ -231,7 +231,7 @@
 				continue
 			}
 			w.mu.Lock()
-			w.rig.Boxes[e].Fail(share)
+			w.rig.Workers[e].Fail(share)
 			w.mu.Unlock()
 		}
 	}
@@ -243,7 +243,7 @@
 func (w *world) toDiscovery(lasts context.Context, t Trouble) error {
 	if t.Kind == DiscoveryOver {
 		w.mu.Lock()
-		w.rig.Told(func(int) bool { return true })
+		w.rig.Announce(func(int) bool { return true })
 		w.mu.Unlock()
 		return nil
 	}
@@ -254,13 +254,13 @@
 	marks := make([]int, len(t.Targets))
 	for i, n := range t.Targets {
 		marks[i] = w.disturb(&w.untold[n])
-		if err := w.rig.Ways.Channels[n].Set(what, delay); err != nil {
+		if err := w.rig.Links.Channels[n].Set(what, delay); err != nil {
 			return err
 		}
 	}
 	<-lasts.Done()
 	for i, n := range t.Targets {
-		if err := w.rig.Ways.Channels[n].Set(lab.Open, 0); err != nil {
+		if err := w.rig.Links.Channels[n].Set(lab.Open, 0); err != nil {
 			return err
 		}
 		w.calm(&w.untold[n], marks[i])
@@ -302,10 +302,10 @@
 func (w *world) toPeers(lasts context.Context, t Trouble) {
 	wire := lab.Lost
 	if t.Kind == PeersTwice {
-		wire = lab.Wire{Twice: 0.5, Delay: time.Duration(t.Amount * float64(400*time.Millisecond)), Jitter: 200 * time.Millisecond}
+		wire = lab.PeerLink{Twice: 0.5, Delay: time.Duration(t.Amount * float64(400*time.Millisecond)), Jitter: 200 * time.Millisecond}
 	}
 	pick := func(_, to int) bool { return contains(t.Targets, to) }
-	w.rig.Words.Set(wire, pick)
+	w.rig.PeerNetwork.Set(wire, pick)
 	<-lasts.Done()
-	w.rig.Words.Set(lab.Wire{}, pick)
+	w.rig.PeerNetwork.Set(lab.PeerLink{}, pick)
 }
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -36,15 +36,15 @@
 func figures(deployment string) *lab.Figures {
 	f := lab.PlannerFigures()
 	for i := range f.Classes {
-		f.Classes[i].GiveUp = 2 * time.Second
+		f.Classes[i].ClientTimeout = 2 * time.Second
 	}
 	f.Load = 60 * time.Millisecond
 	if deployment == Render {
 		f.Classes = []lab.ClassFigures{
-			{Name: "preview", Share: 0.6, Aim: 300 * time.Millisecond, GiveUp: 1500 * time.Millisecond, Worth: 1, Work: 25 * time.Millisecond},
-			{Name: "final", Share: 0.4, Aim: 900 * time.Millisecond, GiveUp: 2500 * time.Millisecond, Worth: 4, Work: 40 * time.Millisecond, Once: true},
+			{Name: "preview", Share: 0.6, LatencyObjective: 300 * time.Millisecond, ClientTimeout: 1500 * time.Millisecond, PriorityWeight: 1, Work: 25 * time.Millisecond},
+			{Name: "final", Share: 0.4, LatencyObjective: 900 * time.Millisecond, ClientTimeout: 2500 * time.Millisecond, PriorityWeight: 4, Work: 40 * time.Millisecond, NotIdempotent: true},
 		}
-		f.Load, f.Box.Keep = 110*time.Millisecond, 1500*time.Millisecond
+		f.Load, f.Worker.Keep = 110*time.Millisecond, 1500*time.Millisecond
 	}
 	return f
 }
@@ -93,7 +93,7 @@
 func newWorld(s Schedule, dir string, network *lab.Net, program lab.Program) (*world, error) {
 	w := &world{Schedule: s, dir: dir, figures: figures(s.Deployment), untold: make([][]span, s.Processes), troubled: make([][]span, s.Executors), busy: map[int]bool{}}
 	size := lab.RigSize{
-		Dispatchers: s.Processes, Boxes: s.Executors, Figures: w.figures, Seed: s.Seed, Load: lab.Load{Rate: 1, Models: 1},
+		Dispatchers: s.Processes, Workers: s.Executors, Figures: w.figures, Seed: s.Seed, Load: lab.Load{Rate: 1, Models: 1},
 		Settings: func(_ int, settings map[string]any) { permissions(s.Deployment, settings) },
 	}
 	if s.Kept {
@@ -103,9 +103,9 @@
 	if w.rig, err = lab.NewRig(network, dir, size); err != nil {
 		return nil, err
 	}
-	for i, b := range w.rig.Boxes {
+	for i, b := range w.rig.Workers {
 		e := newExecutor(i, s.Seed, w.nodeOf)
-		b.Around(e.around)
+		b.Wrap(e.around)
 		w.executors = append(w.executors, e)
 	}
 	w.begin = time.Now().Add(startTime + time.Duration(s.Processes)*startEach)
@@ -127,7 +127,7 @@
 
 // nodeOf is the dispatcher whose ways stand at an address; -1: none.
 func (w *world) nodeOf(host string) int {
-	for n, ways := range w.rig.Ways.Boxes {
+	for n, ways := range w.rig.Links.Workers {
 		if own, _, err := net.SplitHostPort(ways[0].Addr); err == nil && own == host {
 			return n
 		}
