--- a/cmd/testbed/soak.go
+++ b/cmd/testbed/soak.go
@@ -14,7 +14,7 @@
 // soakCommand runs real processes under troubles drawn from seeds.
 func soakCommand() *cobra.Command {
 	var o soak.Options
-	var troubles, replay string
+	var kinds, replay string
 	c := &cobra.Command{Use: "soak", Short: "Real processes under overlapping troubles drawn from seeds, checked against the platform's rules", Args: cli.Args(cobra.NoArgs)}
 	c.Flags().Uint64Var(&o.Seed, "seed", 1, "the first seed")
 	c.Flags().IntVar(&o.Seeds, "seeds", 20, "how many seeds")
@@ -22,11 +22,11 @@
 	c.Flags().IntVar(&o.Jobs, "jobs", 0, "runs at a time; 0: half of the cores")
 	c.Flags().BoolVar(&o.Shorten, "shorten", true, "run what fails again with less, to the shortest that fails")
 	quick := c.Flags().Bool("quick", false, "three seeds, under 60 s")
-	c.Flags().StringVar(&troubles, "troubles", "", "only these troubles, parted by commas")
+	c.Flags().StringVar(&kinds, "troubles", "", "only these troubles, parted by commas")
 	c.Flags().StringVar(&replay, "replay", "", "play the schedule in this file")
 	c.Flags().StringVar(&o.Dir, "dir", "", "folder for the runs' files, left there; empty: one of its own")
 	c.RunE = func(c *cobra.Command, _ []string) (err error) {
-		if o.Only, err = soak.ParseKinds(troubles); err != nil {
+		if o.Only, err = soak.ParseKinds(kinds); err != nil {
 			return err
 		}
 		if *quick {
--- a/internal/capacity/arithmetic.go
+++ b/internal/capacity/arithmetic.go
@@ -6,18 +6,18 @@
 
 // sizes are constants of other packages; TestSizesAreThoseOfTheSources reads them again.
 type sizes struct {
-	textMax, marksMax, datagram, waiting, line, eventsWait            float64 // aggregate/message.go, internal/platform/channel.go, core.go
-	tellShare, tellFloor, purseMax, hubAims, beats, hello, pairPart   float64 // balancer/decide.go
-	quiet, dial, most                                                 float64 // s: internal/platform/channel.go
-	idleShare, reserved, clientSpare, memoryPart, datagramsInAReceive float64 // internal/platform/fleet.go, internal/daemon/daemon.go
-	collectAt                                                         float64 // per cent: internal/daemon/daemon.go
-	longest                                                           float64 // shortest aims: verdict.Longest
+	textMax, marksMax, datagram, waiting, line, eventsWait                                     float64 // aggregate/message.go, internal/platform/channel.go, core.go
+	messageShare, messagePriceFloor, budgetMax, leaderTerm, maintenanceRounds, hello, pairPart float64 // balancer/decide.go
+	quiet, dial, most                                                                          float64 // s: internal/platform/channel.go
+	idleShare, reserved, clientSpare, memoryPart, datagramsInAReceive                          float64 // internal/platform/fleet.go, internal/daemon/daemon.go
+	collectAt                                                                                  float64 // per cent: internal/daemon/daemon.go
+	longest                                                                                    float64 // shortest aims: verdict.Longest
 }
 
 func ofProgram() sizes {
 	return sizes{
 		textMax: 190, marksMax: 12, datagram: 256, waiting: 256, line: 4 << 20, eventsWait: 1024,
-		tellShare: 0.005, tellFloor: 0.002, purseMax: 10, hubAims: 2, beats: 8, hello: 3, pairPart: 8,
+		messageShare: 0.005, messagePriceFloor: 0.002, budgetMax: 10, leaderTerm: 2, maintenanceRounds: 8, hello: 3, pairPart: 8,
 		quiet: 2, dial: 1, most: 0.4, idleShare: 0.6, reserved: 20, clientSpare: 16, memoryPart: 0.7, longest: 8, collectAt: 150,
 		datagramsInAReceive: 277,
 	} // of 768 bytes each, as the kernel counts a small one, in its usual 212,992: not measured
@@ -28,7 +28,7 @@
 
 // Digest is the shape of a collector's message, as aggregate.Message.Texts writes it.
 type Digest struct {
-	Siblings, Figures    int
+	Dispatchers, Figures int
 	Partial              bool // some sibling's row is not in the sums: a bit for each sibling follows
 	Missing              bool // one is remembered: two more sums, and again a bit for each
 	Marks, Counts, Pairs int
@@ -36,7 +36,7 @@
 
 // Length is how long a digest is.
 func (d Digest) Length() Packed {
-	head, set := 3+2+2*d.Figures, (d.Siblings+7)/8
+	head, set := 3+2+2*d.Figures, (d.Dispatchers+7)/8
 	if d.Partial {
 		head += set
 	}
@@ -86,9 +86,9 @@
 
 // Stops is the greatest number of siblings up to which a collector with a full purse can pay for a digest to all (balancer.tell);
 // length tells its characters at so many. Beyond most it is most.
-func Stops(price float64, most int, length func(siblings int) int) int {
+func Stops(price float64, most int, length func(dispatchers int) int) int {
 	for n := 2; n <= most; n++ {
-		if digestPrice(price, float64(n), float64(length(n))) > ofProgram().purseMax {
+		if digestPrice(price, float64(n), float64(length(n))) > ofProgram().budgetMax {
 			return n - 1
 		}
 	}
@@ -96,14 +96,14 @@
 }
 
 // digestPrice is what characters told to all siblings cost, of the result of one call.
-func digestPrice(price, siblings, chars float64) float64 {
-	return max(price, ofProgram().tellFloor) * (siblings - 1) / 256 * chars
+func digestPrice(price, dispatchers, chars float64) float64 {
+	return max(price, ofProgram().messagePriceFloor) * (dispatchers - 1) / 256 * chars
 }
 
 // Fits is the greatest number of siblings at which the first text of such a digest is not over the datagram's limit.
 func Fits(d Digest, most int) int {
 	for n := 1; n <= most; n++ {
-		if d.Siblings = n; d.Length().First > int(ofProgram().datagram) {
+		if d.Dispatchers = n; d.Length().First > int(ofProgram().datagram) {
 			return n - 1
 		}
 	}
@@ -118,9 +118,9 @@
 
 // RareLoads is what calls of a function that is called rate times a second at random cost where all dispatchers agree on its
 // place: the part of them that finds no copy, and the copies that stand or load on the mean. Times in s.
-func RareLoads(rate, keep, load float64) (cold, copies float64) {
-	cold = math.Exp(-rate * keep)
-	return cold, rate*cold*load - math.Expm1(-rate*keep)
+func RareLoads(rate, keep, load float64) (missing, copies float64) {
+	missing = math.Exp(-rate * keep)
+	return missing, rate*missing*load - math.Expm1(-rate*keep)
 }
 
 // Waits is the chance that a load waits at an executor with so many slots of which busy are taken on the mean (Erlang's C
@@ -141,8 +141,8 @@
 // was answered within the shortest aim, and new holders up to the module's limit (balancer.gather).
 func (c Case) reportShape(calls float64) Report {
 	of := ofProgram()
-	counts := math.Round(Distinct(calls*c.Aim, c.Listed()))
-	pairs := min(of.hello+math.Floor(counts/of.pairPart), math.Round(calls*c.Aim/of.beats))
+	counts := math.Round(Distinct(calls*c.LatencyObjective, c.Listed()))
+	pairs := min(of.hello+math.Floor(counts/of.pairPart), math.Round(calls*c.LatencyObjective/of.maintenanceRounds))
 	return Report{Figures: int(c.Figures), Quoted: -1, Counts: int(counts), Pairs: int(pairs)}
 }
 
@@ -152,18 +152,18 @@
 	of := ofProgram()
 	p = c.reportShape(calls).Length()
 	unbelieved := math.Exp(-calls * c.KeepAlive / c.Functions)
-	return min(of.beats/c.Aim+calls*unbelieved, of.tellShare*calls/(max(c.PeerPrice, of.tellFloor)/256*float64(p.All))), p
+	return min(of.maintenanceRounds/c.LatencyObjective+calls*unbelieved, of.messageShare*calls/(max(c.PeerPrice, of.messagePriceFloor)/256*float64(p.All))), p
 }
 
-// wholeDigest has the calls in flight or answers of every listed executor that some dispatcher met within the shortest aim.
-func (c Case) wholeDigest(missing bool) Digest {
-	counts := Distinct(c.Calls*c.ListPart*c.Aim, c.Listed())
-	return Digest{Siblings: int(c.Dispatchers), Figures: int(c.Figures), Partial: missing, Missing: missing, Counts: int(math.Round(counts))}
+// fullDigest has the calls in flight or answers of every listed executor that some dispatcher met within the shortest aim.
+func (c Case) fullDigest(missing bool) Digest {
+	counts := Distinct(c.Calls*c.ListPart*c.LatencyObjective, c.Listed())
+	return Digest{Dispatchers: int(c.Dispatchers), Figures: int(c.Figures), Partial: missing, Missing: missing, Counts: int(math.Round(counts))}
 }
 
 // sums is a digest without counts, as a short one is.
 func (c Case) sums(missing bool) Digest {
-	return Digest{Siblings: int(c.Dispatchers), Figures: int(c.Figures), Partial: missing, Missing: missing}
+	return Digest{Dispatchers: int(c.Dispatchers), Figures: int(c.Figures), Partial: missing, Missing: missing}
 }
 
 // silent is a digest without counts that lacks the row of one who was in none before: it had no calls, so it told nothing.
@@ -174,7 +174,7 @@
 }
 
 // term is for how long one dispatcher collects, s.
-func (c Case) term() float64 { return ofProgram().hubAims * c.Aim }
+func (c Case) term() float64 { return ofProgram().leaderTerm * c.LatencyObjective }
 
 // connections is how many of so many peers a side has a connection to, whose calls fall on them evenly, rate a second in all.
 func (c Case) connections(rate, peers float64) float64 {
--- a/internal/capacity/byterows.go
+++ b/internal/capacity/byterows.go
@@ -20,7 +20,7 @@
 			role: dispatcher, what: "whole digests heard, were they paid for", unit: "B/s", along: Fleet, budget: b.Bytes, budgetOf: ofLetter,
 			formula:   "characters of sums and 3 B for each busy executor, once a term",
 			mechanism: "the price stops them: see the collector's rows",
-			of:        func(r *reading) float64 { return float64(r.wholeDigest(true).Length().All) / r.term() },
+			of:        func(r *reading) float64 { return float64(r.fullDigest(true).Length().All) / r.term() },
 		},
 		{
 			role: dispatcher, what: "messages in and out", unit: "B/s", along: Fleet, budget: b.Bytes, budgetOf: ofLetter,
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -13,46 +13,46 @@
 
 // Plan is the operators' size in two years, and what their settings of today say beside it.
 type Plan struct {
-	Dispatchers float64 `json:"dispatchers"`
-	Instances   float64 `json:"instances"` // loaded copies of functions
-	Functions   float64 `json:"functions"` // most of them called less than once a minute
-	Calls       float64 `json:"calls"`     // a second, of all dispatchers
-	Regions     float64 `json:"regions"`
-	Zones       float64 `json:"zones"`        // see the assumption of that name
-	Changes     float64 `json:"changes"`      // of configuration, a day
-	Machines    float64 `json:"machines"`     // set aside for control
-	Failing     float64 `json:"failing"`      // machines, on an ordinary day
-	Restarted   float64 `json:"restarted"`    // machines restarted or replaced, a day
-	Aim         float64 `json:"aim_s"`        // the shortest wanted time, s: settings, path-check
-	ConnIdle    float64 `json:"conn_idle_s"`  // settings, permissions.conn_idle_ns, s
-	Descriptors float64 `json:"descriptors"`  // DEPLOY-oakthread, Limits
-	LoadSlots   float64 `json:"load_slots"`   // loads at a time at an executor, 3 to 6: BRIEF-oakthread
-	FetchPart   float64 `json:"fetch_part"`   // of a load, 0.44 to 0.71: BRIEF-oakthread
-	ProbeRate   float64 `json:"probe_rate"`   // probes a second at one executor from all, at a start: roster.Config
-	ProbeWork   float64 `json:"probe_work_s"` // of an executor's core for a probe, 0.19 to 0.6 ms: BRIEF-oakthread
+	Dispatchers      float64 `json:"dispatchers"`
+	Instances        float64 `json:"instances"` // loaded copies of functions
+	Functions        float64 `json:"functions"` // most of them called less than once a minute
+	Calls            float64 `json:"calls"`     // a second, of all dispatchers
+	Regions          float64 `json:"regions"`
+	Zones            float64 `json:"zones"`        // see the assumption of that name
+	Changes          float64 `json:"changes"`      // of configuration, a day
+	Machines         float64 `json:"machines"`     // set aside for control
+	Failing          float64 `json:"failing"`      // machines, on an ordinary day
+	Restarted        float64 `json:"restarted"`    // machines restarted or replaced, a day
+	LatencyObjective float64 `json:"aim_s"`        // the shortest wanted time, s: settings, path-check
+	ConnIdle         float64 `json:"conn_idle_s"`  // settings, permissions.conn_idle_ns, s
+	Descriptors      float64 `json:"descriptors"`  // DEPLOY-oakthread, Limits
+	LoadSlots        float64 `json:"load_slots"`   // loads at a time at an executor, 3 to 6: BRIEF-oakthread
+	FetchPart        float64 `json:"fetch_part"`   // of a load, 0.44 to 0.71: BRIEF-oakthread
+	ProbeRate        float64 `json:"probe_rate"`   // probes a second at one executor from all, at a start: roster.Config
+	ProbeWork        float64 `json:"probe_work_s"` // of an executor's core for a probe, 0.19 to 0.6 ms: BRIEF-oakthread
 }
 
 // Letter is the plan of the operators' letter.
 func Letter() Plan {
 	return Plan{
 		Dispatchers: 1900, Instances: 230_000, Functions: 48_000, Calls: 380_000, Regions: 4, Zones: 10, Changes: 5100, Machines: 17,
-		Failing: 2, Restarted: 100, Aim: 0.4, ConnIdle: 15, Descriptors: 1024, LoadSlots: 4.5, FetchPart: 0.575,
+		Failing: 2, Restarted: 100, LatencyObjective: 0.4, ConnIdle: 15, Descriptors: 1024, LoadSlots: 4.5, FetchPart: 0.575,
 		ProbeRate: 300, ProbeWork: 0.4e-3,
 	}
 }
 
 // Budgets are what the letter allows.
 type Budgets struct {
-	Core      float64 `json:"core"`       // part of a core that a dispatcher spends for control
-	Memory    float64 `json:"memory"`     // bytes, of a dispatcher for control
-	Bytes     float64 `json:"bytes"`      // a second, of a dispatcher for control, in and out
-	InForce   float64 `json:"in_force_s"` // until a change of configuration is in force everywhere
-	ColdStart float64 `json:"cold_start_s"`
+	Core     float64 `json:"core"`       // part of a core that a dispatcher spends for control
+	Memory   float64 `json:"memory"`     // bytes, of a dispatcher for control
+	Bytes    float64 `json:"bytes"`      // a second, of a dispatcher for control, in and out
+	InForce  float64 `json:"in_force_s"` // until a change of configuration is in force everywhere
+	LoadWait float64 `json:"cold_start_s"`
 }
 
 // LetterBudgets are those of the letter.
 func LetterBudgets() Budgets {
-	return Budgets{Core: 0.045, Memory: 256e6, Bytes: 2000, InForce: 12, ColdStart: 1}
+	return Budgets{Core: 0.045, Memory: 256e6, Bytes: 2000, InForce: 12, LoadWait: 1}
 }
 
 // Case is one reading of the plan: every assumption has a value.
@@ -71,7 +71,7 @@
 	KeepAlive       float64 // s for which an idle copy stands
 	Load            float64 // s that a load takes on the mean
 	LoadTail        float64 // p99 of a load's time, in its mean
-	ToldAfter       float64 // s until discovery has told a change
+	DiscoveryDelay  float64 // s until discovery has told a change
 }
 
 // Assumption is what the letter leaves open, with the range over which it is varied.
@@ -138,7 +138,7 @@
 		},
 		{
 			"time until discovery tells a change", "s", 3, 1, 7,
-			"\"seconds late\"; PROTOCOL-oakthread: 7 s at the latest", func(c *Case, x float64) { c.ToldAfter = x },
+			"\"seconds late\"; PROTOCOL-oakthread: 7 s at the latest", func(c *Case, x float64) { c.DiscoveryDelay = x },
 		},
 	}
 }
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -72,17 +72,17 @@
 // The arithmetic of lengths is that of the codec, for digests and reports of any shape.
 func TestLengthsAreThoseOfTheCodec(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	check := func(m aggregate.Message, siblings int, got Packed) {
+	check := func(m aggregate.Message, dispatchers int, got Packed) {
 		t.Helper()
-		texts := m.Encode(siblings)
-		require.Equal(t, Packed{len(texts[0]), aggregate.Chars(texts), len(texts)}, got, "%d siblings, %+v", siblings, m)
+		texts := m.Encode(dispatchers)
+		require.Equal(t, Packed{len(texts[0]), aggregate.Chars(texts), len(texts)}, got, "%d siblings, %+v", dispatchers, m)
 	}
 	beside := func(m *aggregate.Message, marks, counts, pairs int) {
 		m.Marks, m.Counts, m.Holders = make([]aggregate.Mark, marks), make([]aggregate.Count, counts), make([]aggregate.Holder, pairs)
 	}
 	sizes := []int{1, 2, 7, 8, 9, 80, 300, 568, 569, 577, 1000, 1900, 1901}
 	for i := range 4000 {
-		siblings := sizes[i%len(sizes)]
+		dispatchers := sizes[i%len(sizes)]
 		figs, marks, counts, pairs := 1+rng.IntN(figuresMost), rng.IntN(20), rng.IntN(1200), rng.IntN(60)
 		if i%3 == 0 {
 			counts, pairs = 0, 0
@@ -90,17 +90,17 @@
 		row := make([]float64, figs)
 		m := aggregate.Message{FromLeader: true, Digest: aggregate.Digest{
 			Sums: row, MissingSums: row, MissingMoved: row,
-			Covered: filled(siblings, siblings), Missing: aggregate.NewSet(siblings),
+			Covered: filled(dispatchers, dispatchers), Missing: aggregate.NewSet(dispatchers),
 		}}
 		beside(&m, marks, counts, pairs)
-		d := Digest{Siblings: siblings, Figures: figs, Marks: marks, Counts: counts, Pairs: pairs}
-		if d.Partial = i%2 == 0 && siblings > 1; d.Partial {
-			m.Digest.Covered = filled(siblings-1, siblings)
+		d := Digest{Dispatchers: dispatchers, Figures: figs, Marks: marks, Counts: counts, Pairs: pairs}
+		if d.Partial = i%2 == 0 && dispatchers > 1; d.Partial {
+			m.Digest.Covered = filled(dispatchers-1, dispatchers)
 			if d.Missing = rng.IntN(2) == 0; d.Missing {
-				m.Digest.Missing.Add(siblings - 1)
+				m.Digest.Missing.Add(dispatchers - 1)
 			}
 		}
-		check(m, siblings, d.Length())
+		check(m, dispatchers, d.Length())
 
 		r := Report{Figures: figs, Quoted: rng.IntN(figs+2) - 1, Marks: marks, Counts: counts, Pairs: pairs}
 		m = aggregate.Message{Report: aggregate.Report{Values: row}}
@@ -111,7 +111,7 @@
 			}
 		}
 		beside(&m, marks, counts, pairs)
-		check(m, siblings, r.Length())
+		check(m, dispatchers, r.Length())
 	}
 }
 
@@ -119,8 +119,8 @@
 
 // The lengths: with one missing 364 at 1,000 siblings and 666 at 1,900; under the limit at 300.
 func TestFirstTextWithOneMissing(t *testing.T) {
-	first := func(siblings, figures int) int {
-		return Digest{Siblings: siblings, Figures: figures, Partial: true, Missing: true}.Length().First
+	first := func(dispatchers, figures int) int {
+		return Digest{Dispatchers: dispatchers, Figures: figures, Partial: true, Missing: true}.Length().First
 	}
 	for _, c := range []struct{ siblings, figures, want int }{{300, 7, 164}, {1000, 3, 364}, {1900, 3, 666}, {1900, 7, 698}} {
 		assert.Equal(t, c.want, first(c.siblings, c.figures), "%+v", c)
@@ -135,9 +135,9 @@
 	assert.Equal(t, 477, Stops(0.021, 4000, full)) // 10 / 0.021 = 476.2 receivers of a full datagram
 	assert.Equal(t, 1+1250, Stops(0.008, 4000, func(int) int { return 256 }))
 	assert.Equal(t, 4000, Stops(0, 4000, func(int) int { return 256 }), "below the floor: 0.002, up to 5,001")
-	missing := Stops(0.021, 4000, func(n int) int { return Digest{Siblings: n, Figures: 7, Partial: true, Missing: true}.Length().All })
+	missing := Stops(0.021, 4000, func(n int) int { return Digest{Dispatchers: n, Figures: 7, Partial: true, Missing: true}.Length().All })
 	assert.Equal(t, 517, missing)
-	silent := Stops(0.021, 4000, func(n int) int { return Digest{Siblings: n, Figures: 7, Partial: true}.Length().All })
+	silent := Stops(0.021, 4000, func(n int) int { return Digest{Dispatchers: n, Figures: 7, Partial: true}.Length().All })
 	assert.Equal(t, 782, silent)
 	assert.Equal(t, 1384, Fits(Digest{Figures: 7, Partial: true}, 4000))
 }
@@ -208,11 +208,11 @@
 		{"../daemon", "memoryPart", "0.7", of.memoryPart, 0.7},
 		{"../daemon", "collectAt", "150", of.collectAt, 150},
 		{"../..", "eventQueueSize", "1024", of.eventsWait, 1024},
-		{"../../balancer", "gossipCostShare", "0.005", of.tellShare, 0.005},
-		{"../../balancer", "minMessagePrice", "0.002", of.tellFloor, 0.002},
-		{"../../balancer", "maxGossipBudget", "10.0", of.purseMax, 10},
-		{"../../balancer", "leaderTermObjectives", "2", of.hubAims, 2},
-		{"../../balancer", "maintenanceRounds", "8", of.beats, 8},
+		{"../../balancer", "gossipCostShare", "0.005", of.messageShare, 0.005},
+		{"../../balancer", "minMessagePrice", "0.002", of.messagePriceFloor, 0.002},
+		{"../../balancer", "maxGossipBudget", "10.0", of.budgetMax, 10},
+		{"../../balancer", "leaderTermObjectives", "2", of.leaderTerm, 2},
+		{"../../balancer", "maintenanceRounds", "8", of.maintenanceRounds, 8},
 		{"../../balancer", "syncPeers", "3", of.hello, 3},
 		{"../../balancer", "countsPerHolder", "8", of.pairPart, 8},
 		{"../../outlier", "maxEjectionFactor", "8", of.longest, 8},
@@ -341,7 +341,7 @@
 	delete(s, "heap/executors")
 	rows := Rows(Letter(), LetterBudgets(), s)
 	rank, head := -1, 0.0
-	seen := map[int]int{}
+	found := map[int]int{}
 	for _, r := range rows {
 		now := r.rank()
 		require.GreaterOrEqual(t, now, rank, "%s: %s", r.Role, r.What)
@@ -353,10 +353,10 @@
 			require.Equal(t, now == 0, r.Over())
 			head = float64(r.Headroom)
 		}
-		seen[now]++
+		found[now]++
 	}
 	for i := range 5 {
-		assert.NotZero(t, seen[i], "rank %d", i)
+		assert.NotZero(t, found[i], "rank %d", i)
 	}
 	missing := Missing(rows)
 	at, ended := 0.0, false
@@ -461,7 +461,7 @@
 func TestRareLoads(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 7))
 	for _, rate := range []float64{1.0 / 600, 1.0 / 60, 1.0 / 10} {
-		cold, copies := RareLoads(rate, 10, 1.3)
+		missing, copies := RareLoads(rate, 10, 1.3)
 		const n = 400_000
 		misses, long, stood := 0, 0.0, 0.0
 		for range n {
@@ -473,7 +473,7 @@
 				stood += 1.3
 			}
 		}
-		assert.InEpsilon(t, float64(misses)/n, cold, 0.01)
+		assert.InEpsilon(t, float64(misses)/n, missing, 0.01)
 		assert.InEpsilon(t, stood/long, copies, 0.01)
 	}
 }
@@ -565,21 +565,21 @@
 // The arithmetic of reports against the module: so many a second and so many characters as it really tells, where calls pay for
 // each round and where they do not.
 func TestReportsAgainstTheModule(t *testing.T) {
-	const executors, siblings, tenants = 600, 1900, 5
+	const executors, dispatchers, tenants = 600, 1900, 5
 	for _, calls := range []int{20, 200} {
 		h := &asked{now: 1e18, sends: map[string]int{}}
 		reports, chars := 0, 0
 		h.tell = func(to int, text string) {
 			if to >= 0 {
 				chars += len(text)
-				if m, ok := aggregate.Decode(text, siblings); ok && !m.Continued {
+				if m, ok := aggregate.Decode(text, dispatchers); ok && !m.Continued {
 					reports++
 				}
 			}
 		}
 		s := balancer.Settings{
 			Classes:     []balancer.Class{{LatencyObjective: 400e6, ClientTimeout: 5e9, PriorityWeight: 1, Idempotency: balancer.Idempotent}},
-			TenantQuota: make([]float64, tenants), DispatcherIndex: 3, Dispatchers: siblings, ClockResolution: 4e6, MaxAttempts: 5,
+			TenantQuota: make([]float64, tenants), DispatcherIndex: 3, Dispatchers: dispatchers, ClockResolution: 4e6, MaxAttempts: 5,
 			Gossip: true, PeerPrice: Base(Letter()).PeerPrice, KeepAlive: 10e9, LoadsOnMiss: true,
 		}
 		var err error
@@ -604,7 +604,7 @@
 		const seconds = 4
 		run(h, h.now+seconds*1e9)
 		c := Base(Letter())
-		c.Executors, c.Dispatchers, c.Figures = executors, siblings, tenants+2
+		c.Executors, c.Dispatchers, c.Figures = executors, dispatchers, tenants+2
 		rate, p := c.reports(float64(calls))
 		t.Logf("%d calls/s: %.3g reports/s of %.3g characters; by arithmetic %.3g of %d", calls, float64(reports)/seconds,
 			float64(chars)/max(1, float64(reports)), rate, p.All)
@@ -617,7 +617,7 @@
 // up to the siblings that the arithmetic gives, and beyond them none.
 func TestPriceAgainstTheModule(t *testing.T) {
 	const tenants, price = 5, 0.021
-	aim := int64(400e6)
+	objective := int64(400e6)
 	for _, c := range []struct {
 		siblings int
 		silent   bool
@@ -630,7 +630,7 @@
 					texts++
 				}
 			}
-			term := 2 * aim
+			term := 2 * objective
 			h.now -= h.now % term
 			for leader.New(0, c.siblings, term).Leader(h.now) != 0 {
 				h.now += term
@@ -638,7 +638,7 @@
 			h.now -= term // it has lived for a while when its term comes
 			begin := h.now + term
 			s := balancer.Settings{
-				Classes: []balancer.Class{{LatencyObjective: aim, ClientTimeout: 5e9, PriorityWeight: 1, Idempotency: balancer.Idempotent}}, Dispatchers: c.siblings,
+				Classes: []balancer.Class{{LatencyObjective: objective, ClientTimeout: 5e9, PriorityWeight: 1, Idempotency: balancer.Idempotent}}, Dispatchers: c.siblings,
 				TenantQuota: make([]float64, tenants), ClockResolution: 4e6, MaxAttempts: 5, Gossip: true, PeerPrice: price, KeepAlive: 10e9,
 			}
 			var err error
--- a/internal/capacity/collectorrows.go
+++ b/internal/capacity/collectorrows.go
@@ -31,7 +31,7 @@
 			role: collector, what: "bytes of a digest's one round, to all", unit: "B", along: Fleet, budget: math.NaN(),
 			mechanism: "`peers_all`, where the platform gives it",
 			formula:   "characters of a whole digest x (dispatchers - 1)", of: func(r *reading) float64 {
-				return float64(r.wholeDigest(true).Length().All) * (r.Dispatchers - 1)
+				return float64(r.fullDigest(true).Length().All) * (r.Dispatchers - 1)
 			},
 		},
 		{
@@ -47,28 +47,28 @@
 			budget: of.eventsWait + of.datagramsInAReceive, budgetOf: ofTheProgram,
 			mechanism: noneYet,
 			formula:   "texts a second x aim/8; budget: 1,024 events and some 277 datagrams in the kernel (768 B each: not measured)",
-			of:        func(r *reading) float64 { t, _ := in(r.Case); return t * r.Aim / of.beats },
+			of:        func(r *reading) float64 { t, _ := in(r.Case); return t * r.LatencyObjective / of.maintenanceRounds },
 		},
 		{
-			role: collector, what: "price of a whole digest", along: Fleet, budget: of.purseMax, budgetOf: ofTheProgram,
+			role: collector, what: "price of a whole digest", along: Fleet, budget: of.budgetMax, budgetOf: ofTheProgram,
 			mechanism: noneYet + ": too dear, none is told; short ones where they fit",
 			formula:   "0.021/256 x receivers x characters; budget: what may be saved up (`purseMax`)",
-			of:        func(r *reading) float64 { return price(r.wholeDigest(false), r) },
+			of:        func(r *reading) float64 { return price(r.fullDigest(false), r) },
 		},
 		{
-			role: collector, what: "price of a short digest, nobody missing", along: Dispatchers, budget: of.purseMax, budgetOf: ofTheProgram,
+			role: collector, what: "price of a short digest, nobody missing", along: Dispatchers, budget: of.budgetMax, budgetOf: ofTheProgram,
 			mechanism: "`Message.Short`",
 			formula:   "the same of the sums alone", of: func(r *reading) float64 { return price(r.sums(false), r) },
 		},
 		{
 			role: collector, what: "price of a short digest, one silent in the term", along: Dispatchers,
-			budget: of.purseMax, budgetOf: ofTheProgram, mechanism: noneYet,
+			budget: of.budgetMax, budgetOf: ofTheProgram, mechanism: noneYet,
 			formula: "the same with a bit for each dispatcher: one without calls, or not heard",
 			of:      func(r *reading) float64 { return price(r.silent(), r) },
 		},
 		{
 			role: collector, what: "price of a short digest, one missing", along: Dispatchers,
-			budget: of.purseMax, budgetOf: ofTheProgram, mechanism: noneYet,
+			budget: of.budgetMax, budgetOf: ofTheProgram, mechanism: noneYet,
 			formula: "the same with two bits for each dispatcher", of: func(r *reading) float64 { return price(r.sums(true), r) },
 		},
 		{
--- a/internal/capacity/executorrows.go
+++ b/internal/capacity/executorrows.go
@@ -70,7 +70,7 @@
 			role: letter, what: "a change of the list, in force everywhere", unit: "s", along: Changes, budget: b.InForce, budgetOf: ofLetter,
 			mechanism: "the channel: dead after 2 s without a line, 0.4 s to the next try, 1 s to connect",
 			formula:   "time until discovery tells it + 3.4 s at a break",
-			of:        func(r *reading) float64 { return r.ToldAfter + of.quiet + of.most + of.dial },
+			of:        func(r *reading) float64 { return r.DiscoveryDelay + of.quiet + of.most + of.dial },
 		},
 		{
 			role: letter, what: "a change of the list, until the last dispatcher has it", unit: "s", along: Dispatchers,
@@ -106,9 +106,9 @@
 
 // letterSpecs: the letter's lines that are nobody's alone, and what the rest bears when something fails.
 func letterSpecs(b Budgets, none float64) []spec {
-	rareCold := func(c Case) (loads, copies float64) {
-		cold, each := RareLoads(c.RareCalls, c.KeepAlive, c.Load)
-		return c.rare() * c.RareCalls * cold, c.rare() * each
+	rareMissing := func(c Case) (loads, copies float64) {
+		missing, each := RareLoads(c.RareCalls, c.KeepAlive, c.Load)
+		return c.rare() * c.RareCalls * missing, c.rare() * each
 	}
 	return []spec{
 		{
@@ -126,19 +126,19 @@
 			role: letter, what: "48,000 functions: calls of these that find no copy", unit: "of theirs", along: Functions, budget: none,
 			mechanism: noneYet + ": the keep-alive is the platform's",
 			formula:   "exp(-calls/s x keep-alive), all at one place",
-			of:        func(r *reading) float64 { cold, _ := RareLoads(r.RareCalls, r.KeepAlive, r.Load); return cold },
+			of:        func(r *reading) float64 { missing, _ := RareLoads(r.RareCalls, r.KeepAlive, r.Load); return missing },
 		},
 		{
 			role: letter, what: "48,000 functions: loads of these", unit: "1/s", along: Functions, budget: none,
 			mechanism: "the store's; rationed (`balancer.order`)",
 			formula:   "rare functions x calls/s x part without a copy",
-			of:        func(r *reading) float64 { loads, _ := rareCold(r.Case); return loads },
+			of:        func(r *reading) float64 { loads, _ := rareMissing(r.Case); return loads },
 		},
 		{
 			role: letter, what: "48,000 functions: copies that these hold", unit: "of the instances", along: Functions, budget: none,
 			mechanism: "`balancer.trim`, the executors' keep-alive",
 			formula:   "rare functions x (1 - exp(-calls/s x keep-alive) + loading) / instances",
-			of:        func(r *reading) float64 { _, copies := rareCold(r.Case); return copies / r.Instances },
+			of:        func(r *reading) float64 { _, copies := rareMissing(r.Case); return copies / r.Instances },
 		},
 		{
 			role: letter, what: "380,000 calls/s: of the mean dispatcher", unit: "1/s", along: Calls, budget: none,
@@ -147,13 +147,13 @@
 			of:        func(r *reading) float64 { return r.CallsEach() },
 		},
 		{
-			role: letter, what: "cold start, p99 of the load alone", unit: "s", along: Fleet, budget: b.ColdStart, budgetOf: ofLetter,
+			role: letter, what: "cold start, p99 of the load alone", unit: "s", along: Fleet, budget: b.LoadWait, budgetOf: ofLetter,
 			mechanism: noneYet + ": the store's and the start's",
 			formula:   "mean load x tail", of: func(r *reading) float64 { return r.Load * r.LoadTail },
 		},
 		{
 			role: letter, what: "cold start, p99 with the image on the executor's disk", unit: "s", along: Fleet,
-			budget: b.ColdStart, budgetOf: ofLetter,
+			budget: b.LoadWait, budgetOf: ofLetter,
 			mechanism: noneYet + ": nothing sends a function where its image is",
 			formula:   "the same without the fetch, 0.44 to 0.71 of it",
 			of:        func(r *reading) float64 { return r.Load * r.LoadTail * (1 - r.FetchPart) },
@@ -162,12 +162,12 @@
 			role: letter, what: "cold start, chance that a load waits at its executor", along: Fleet, budget: 0.01, budgetOf: ofOurs,
 			mechanism: "executors load 3 to 6 at a time; places by hash spread them",
 			formula:   "Erlang C, rare loads/s x mean load over executors, 4 slots", of: func(r *reading) float64 {
-				loads, _ := rareCold(r.Case)
+				loads, _ := rareMissing(r.Case)
 				return Waits(loads*r.Load/r.Executors, r.LoadSlots)
 			},
 		},
 		{
-			role: letter, what: "cold start, p99 in virtual time", unit: "s", along: Functions, budget: b.ColdStart, budgetOf: ofLetter,
+			role: letter, what: "cold start, p99 in virtual time", unit: "s", along: Functions, budget: b.LoadWait, budgetOf: ofLetter,
 			mechanism: "an order to load, the call held meanwhile (`balancer.hold`)",
 			formula:   "p99.cold",
 			of: func(r *reading) float64 {
--- a/internal/capacity/memoryrows.go
+++ b/internal/capacity/memoryrows.go
@@ -9,7 +9,7 @@
 func memorySpecs(base Case, b Budgets, of sizes) []spec {
 	sockets := math.Floor(base.Descriptors) // internal/daemon: clients hold a third and a sixteenth
 	sockets -= math.Floor(sockets/3) + math.Floor(sockets/of.clientSpare) + of.reserved
-	tau := func(c Case) float64 { return of.longest * c.Aim }
+	tau := func(c Case) float64 { return of.longest * c.LatencyObjective }
 	known := func(c Case) float64 { // functions met within the keep-alive and tau (balancer.sweep)
 		rare, often := c.rare(), c.Functions-c.rare()
 		each, calls := c.RareCalls/c.Dispatchers, max(0, c.Calls-rare*c.RareCalls)/c.Dispatchers
@@ -60,7 +60,7 @@
 			role: dispatcher, what: "whole list: the loop stands still for", unit: "s",
 			formula: "cpu.list.whole; budget: a housekeeping round, from which on it counts as having stood still", along: Executors,
 			mechanism: "`balancer.Roster`",
-			budget:    base.Aim / of.beats, budgetOf: ofTheProgram,
+			budget:    base.LatencyObjective / of.maintenanceRounds, budgetOf: ofTheProgram,
 			of: func(r *reading) float64 { return 1e-9 * r.step("cpu.list.whole") },
 		},
 		{
--- a/internal/soak/campaign.go
+++ b/internal/soak/campaign.go
@@ -36,22 +36,22 @@
 
 // Limits of a campaign on this machine.
 const (
-	mostProcesses = 40
-	mostAtATime   = 240                // processes of all runs together
-	mostMemory    = 12 << 30           // bytes
-	perProcess    = 48 << 20           // bytes that a process may come to
-	shortenTime   = 4 * time.Minute    // for all that fails
-	hardTime      = 90 * time.Second   // for one run
-	seedsQuick    = 3                  // of the quick form
-	processQuick  = 10                 // and its processes
-	tableColumn   = 2                  // spaces between columns of the table
-	progressEvery = 10                 // runs between two lines of progress
-	failuresTold  = 12                 // violations told of one run
-	jsonIndent    = " "                // of the report
-	reportName    = "soak.json"        // in the campaign's folder
-	scheduleName  = "shortest.json"    // of what fails, in the run's folder
-	runFolder     = "seed-%d"          // of a run
-	shorterFolder = "seed-%d-short-%d" // of a shortened one
+	maxProcesses           = 40
+	maxConcurrentProcesses = 240                // processes of all runs together
+	maxMemoryBytes         = 12 << 30           // bytes
+	processMemoryBytes     = 48 << 20           // bytes that a process may come to
+	shortenTime            = 4 * time.Minute    // for all that fails
+	hardTime               = 90 * time.Second   // for one run
+	seedsQuick             = 3                  // of the quick form
+	processQuick           = 10                 // and its processes
+	tableColumn            = 2                  // spaces between columns of the table
+	progressEvery          = 10                 // runs between two lines of progress
+	maxViolationsPrinted   = 12                 // violations told of one run
+	jsonIndent             = " "                // of the report
+	reportName             = "soak.json"        // in the campaign's folder
+	scheduleName           = "shortest.json"    // of what fails, in the run's folder
+	runFolder              = "seed-%d"          // of a run
+	shorterFolder          = "seed-%d-short-%d" // of a shortened one
 )
 
 // ErrTooLarge says that a campaign would take more processes or memory than it may.
@@ -88,10 +88,10 @@
 // check refuses what the machine is not to bear.
 func (o Options) check() error {
 	switch {
-	case o.Processes < 1 || o.Processes > mostProcesses || o.Seeds < 1 || o.Jobs < 1:
-		return fmt.Errorf("%w: 1 to %d processes, one seed and one job at the least", ErrTooLarge, mostProcesses)
-	case o.Processes*o.Jobs > mostAtATime || o.Processes*o.Jobs*perProcess > mostMemory:
-		return fmt.Errorf("%w: %d, and %d may run", ErrTooLarge, o.Processes*o.Jobs, min(mostAtATime, mostMemory/perProcess))
+	case o.Processes < 1 || o.Processes > maxProcesses || o.Seeds < 1 || o.Jobs < 1:
+		return fmt.Errorf("%w: 1 to %d processes, one seed and one job at the least", ErrTooLarge, maxProcesses)
+	case o.Processes*o.Jobs > maxConcurrentProcesses || o.Processes*o.Jobs*processMemoryBytes > maxMemoryBytes:
+		return fmt.Errorf("%w: %d, and %d may run", ErrTooLarge, o.Processes*o.Jobs, min(maxConcurrentProcesses, maxMemoryBytes/processMemoryBytes))
 	}
 	return nil
 }
@@ -140,15 +140,15 @@
 				failed = errors.Join(failed, fmt.Errorf("seed %d: %w", s.Seed, err))
 			}
 			c.add(r)
-			tell(o, r, len(c.Runs), len(schedules))
+			reportProgress(o, r, len(c.Runs), len(schedules))
 		})
 	}
 	runs.Wait()
 	return failed
 }
 
-// tell writes progress.
-func tell(o Options, r Result, done, all int) {
+// reportProgress writes progress.
+func reportProgress(o Options, r Result, done, all int) {
 	if o.Progress == nil {
 		return
 	}
@@ -156,7 +156,7 @@
 		o.Progress("seed %d: inconclusive, the laboratory stood still for %v (%d violations not counted)", r.Schedule.Seed, r.Stalled, len(r.Violations))
 	} else if len(r.Violations) > 0 {
 		o.Progress("seed %d: %d violations, in %s", r.Schedule.Seed, len(r.Violations), r.Dir)
-		for _, v := range r.Violations[:min(len(r.Violations), failuresTold)] {
+		for _, v := range r.Violations[:min(len(r.Violations), maxViolationsPrinted)] {
 			o.Progress("  %s", v)
 		}
 	}
@@ -186,19 +186,19 @@
 	within, cancel := context.WithTimeout(ctx, shortenTime)
 	defer cancel()
 	for _, r := range c.Failed() {
-		tries := 0
+		runs := 0
 		short := r.Schedule.Shorten(func(s Schedule) bool {
 			if within.Err() != nil {
 				return false
 			}
-			tries++
-			again, err := Run(within, s, filepath.Join(o.Dir, fmt.Sprintf(shorterFolder, s.Seed, tries)), o.Program)
+			runs++
+			again, err := Run(within, s, filepath.Join(o.Dir, fmt.Sprintf(shorterFolder, s.Seed, runs)), o.Program)
 			return err == nil && !again.Inconclusive() && sharesRule(r.Violations, again.Violations)
 		})
 		c.Short[r.Schedule.Seed] = short
 		path := filepath.Join(r.Dir, scheduleName)
 		if err := short.Write(path); err == nil && o.Progress != nil {
-			o.Progress("seed %d: shortest that fails, of %d runs: %v; play it with testbed run soak --replay %s", r.Schedule.Seed, tries, short.Troubles, path)
+			o.Progress("seed %d: shortest that fails, of %d runs: %v; play it with testbed run soak --replay %s", r.Schedule.Seed, runs, short.Faults, path)
 		}
 	}
 }
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -31,25 +31,25 @@
 	Closed     End = "closed"      // the connection ended, and nothing came
 	Overdue    End = "overdue"     // nothing came in time
 	Left       End = "left"        // the client left before
-	NeverWhole End = "never whole" // the client did not write all of it
+	Incomplete End = "never whole" // the client did not write all of it
 )
 
 // Request is the record of one request.
 type Request struct {
-	ID       string        `json:"id"`
-	Node     int           `json:"node"`
-	Class    int           `json:"class"`
-	Reused   bool          `json:"reused"` // its connection had carried another before
-	Sent     time.Time     `json:"sent"`   // before its first byte
-	Whole    time.Time     `json:"whole"`  // when its last byte was written
-	Patience time.Duration `json:"patience"`
-	Ended    time.Time     `json:"ended"`
-	End      End           `json:"end"`
-	Status   int           `json:"status"`
-	Wrong    bool          `json:"wrong"` // served with what no executor made for it
-	Second   bool          `json:"second"`
-	LeftAt   time.Time     `json:"left_at"`
-	Err      string        `json:"err,omitempty"`
+	ID      string        `json:"id"`
+	Node    int           `json:"node"`
+	Class   int           `json:"class"`
+	Reused  bool          `json:"reused"` // its connection had carried another before
+	Sent    time.Time     `json:"sent"`   // before its first byte
+	SentAt  time.Time     `json:"whole"`  // when its last byte was written
+	Timeout time.Duration `json:"patience"`
+	Ended   time.Time     `json:"ended"`
+	End     End           `json:"end"`
+	Status  int           `json:"status"`
+	Wrong   bool          `json:"wrong"` // served with what no executor made for it
+	Second  bool          `json:"second"`
+	LeftAt  time.Time     `json:"left_at"`
+	Err     string        `json:"err,omitempty"`
 }
 
 // behaviour is what the clients of a node do, each by a share of their calls.
@@ -58,14 +58,14 @@
 }
 
 const (
-	late        = 500 * time.Millisecond // an answer so much past its time earns nothing; later it is lost
-	readSlack   = 300 * time.Millisecond // for this machine, beyond that
-	dialTime    = time.Second
-	keptConns   = 16
-	dawdleWhole = 900 * time.Millisecond // in pieces, but within the front's time for a head and a body
-	dawdleNever = 4 * time.Second
-	briefTime   = 60 * time.Millisecond // at the most, for clients in a hurry
-	keepFor     = 3500 * time.Millisecond
+	late                  = 500 * time.Millisecond // an answer so much past its time earns nothing; later it is lost
+	readSlack             = 300 * time.Millisecond // for this machine, beyond that
+	dialTime              = time.Second
+	maxIdleConns          = 16
+	slowRequestTime       = 900 * time.Millisecond // in pieces, but within the front's time for a head and a body
+	incompleteRequestTime = 4 * time.Second
+	briefTime             = 60 * time.Millisecond // at the most, for clients in a hurry
+	keepFor               = 3500 * time.Millisecond
 )
 
 // Clients are the clients of one dispatcher.
@@ -79,13 +79,13 @@
 
 	mu      sync.Mutex
 	how     behaviour
-	idle    []*kept
+	idle    []*clientConn
 	records []*Request
 	seq     atomic.Int64
 	wait    sync.WaitGroup
 }
 
-type kept struct {
+type clientConn struct {
 	net.Conn
 	in   *bufio.Reader
 	used time.Time
@@ -137,14 +137,14 @@
 
 // plannedCall is a call as it was drawn.
 type plannedCall struct {
-	class    int
-	model    uint64
-	patience time.Duration
-	leave    time.Duration // after its last byte; 0: the client stays
-	way      int           // of leaving
-	dawdle   int           // 0: not; 1: in pieces; 2: never whole
-	retry    bool
-	fresh    bool // on a new connection
+	class     int
+	model     uint64
+	timeout   time.Duration
+	leave     time.Duration // after its last byte; 0: the client stays
+	leaveMode int           // of leaving
+	dawdle    int           // 0: not; 1: in pieces; 2: never whole
+	retry     bool
+	fresh     bool // on a new connection
 }
 
 // drawCall draws the next call; the caller holds mu.
@@ -157,12 +157,12 @@
 			break
 		}
 	}
-	p.patience = c.figures.Classes[p.class].ClientTimeout
+	p.timeout = c.figures.Classes[p.class].ClientTimeout
 	if c.rng.Float64() < c.how.Brief {
-		p.patience = time.Millisecond + time.Duration(c.rng.Int64N(int64(briefTime)))
+		p.timeout = time.Millisecond + time.Duration(c.rng.Int64N(int64(briefTime)))
 	}
 	if c.rng.Float64() < c.how.Leave {
-		p.leave, p.way = time.Duration(1+c.rng.Int64N(int64(250*time.Millisecond))), c.rng.IntN(3)
+		p.leave, p.leaveMode = time.Duration(1+c.rng.Int64N(int64(250*time.Millisecond))), c.rng.IntN(3)
 	}
 	if c.rng.Float64() < c.how.Dawdle {
 		p.dawdle = 1 + c.rng.IntN(2)
@@ -175,11 +175,11 @@
 // refused one by clients that come again at once.
 func (c *Clients) call(p plannedCall) {
 	r := c.send(p)
-	if r.End == Closed && r.Reused && r.Ended.Sub(r.Whole) < crossed {
+	if r.End == Closed && r.Reused && r.Ended.Sub(r.SentAt) < crossed {
 		p.fresh = true
 		r = c.send(p)
 	}
-	for tries := 0; p.retry && tries < 3 && r.End == Answered && refused(r.Status); tries++ {
+	for runs := 0; p.retry && runs < 3 && r.End == Answered && refused(r.Status); runs++ {
 		p.fresh = true
 		r = c.send(p)
 	}
@@ -190,7 +190,7 @@
 }
 
 // connection is an idle one, or a new one.
-func (c *Clients) connection(fresh bool) (*kept, bool, error) {
+func (c *Clients) connection(fresh bool) (*clientConn, bool, error) {
 	c.mu.Lock()
 	for n := len(c.idle); n > 0 && !fresh; n = len(c.idle) {
 		k := c.idle[n-1]
@@ -206,14 +206,14 @@
 	if err != nil {
 		return nil, false, err
 	}
-	return &kept{Conn: conn, in: bufio.NewReader(conn)}, false, nil
+	return &clientConn{Conn: conn, in: bufio.NewReader(conn)}, false, nil
 }
 
-func (c *Clients) giveBack(k *kept) {
+func (c *Clients) giveBack(k *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	k.used = time.Now()
-	if len(c.idle) >= keptConns {
+	if len(c.idle) >= maxIdleConns {
 		_ = c.idle[0].Close()
 		c.idle = c.idle[1:]
 	}
@@ -222,7 +222,7 @@
 
 // send makes one request and records it.
 func (c *Clients) send(p plannedCall) *Request {
-	r := &Request{ID: fmt.Sprintf("%03x%013x", c.node, c.seq.Add(1)), Node: c.node, Class: p.class, Patience: p.patience, End: NotSent}
+	r := &Request{ID: fmt.Sprintf("%03x%013x", c.node, c.seq.Add(1)), Node: c.node, Class: p.class, Timeout: p.timeout, End: NotSent}
 	defer func() {
 		r.Ended = time.Now()
 		c.mu.Lock()
@@ -239,21 +239,21 @@
 	body := "slot " + r.ID
 	head := fmt.Sprintf("POST /call/%016x/trigger HTTP/1.1\r\nHost: origin.svc\r\nX-Class: %s\r\nX-Call-Id: %s\r\nX-Patience-Ms: %d\r\n"+
 		"X-Extras: memory_mb:4000;lanes:%d;load_ms:%d\r\nContent-Length: %d\r\n\r\n%s", p.model, c.figures.Classes[p.class].Name, r.ID,
-		max(1, p.patience.Milliseconds()), c.figures.Concurrency, c.figures.Load.Milliseconds(), len(body), body)
+		max(1, p.timeout.Milliseconds()), c.figures.Concurrency, c.figures.Load.Milliseconds(), len(body), body)
 	if !c.write(k, r, p, head) {
 		_ = k.Close()
 		return r
 	}
-	r.Whole = time.Now()
+	r.SentAt = time.Now()
 	if p.leave > 0 {
-		time.AfterFunc(p.leave, func() { leaveBy(k.Conn, p.way) })
+		time.AfterFunc(p.leave, func() { leave(k.Conn, p.leaveMode) })
 	}
 	c.read(k, r, p, body)
 	return r
 }
 
 // write writes a request, in pieces where the client dawdles; false: not all of it was written.
-func (c *Clients) write(k *kept, r *Request, p plannedCall, text string) bool {
+func (c *Clients) write(k *clientConn, r *Request, p plannedCall, text string) bool {
 	if p.dawdle == 0 {
 		if _, err := io.WriteString(k, text); err != nil {
 			r.Err = err.Error()
@@ -264,8 +264,8 @@
 	const pieces = 4
 	for i := range pieces {
 		if p.dawdle == 2 && i == pieces-1 {
-			r.End = NeverWhole
-			_ = k.SetReadDeadline(time.Now().Add(dawdleNever))
+			r.End = Incomplete
+			_ = k.SetReadDeadline(time.Now().Add(incompleteRequestTime))
 			_, _ = io.Copy(io.Discard, k) // until the dispatcher ends it
 			return false
 		}
@@ -274,20 +274,20 @@
 			return false
 		}
 		if i < pieces-1 {
-			time.Sleep(dawdleWhole / pieces)
+			time.Sleep(slowRequestTime / pieces)
 		}
 	}
 	return true
 }
 
-// leaveBy ends a client's side: closed, reset, or only for sending.
-func leaveBy(c net.Conn, way int) {
+// leave ends a client's side: closed, reset, or only for sending.
+func leave(c net.Conn, mode int) {
 	t, ok := c.(*net.TCPConn)
 	switch {
-	case way == 1 && ok:
+	case mode == 1 && ok:
 		_ = t.SetLinger(0)
 		_ = c.Close()
-	case way == 2 && ok:
+	case mode == 2 && ok:
 		_ = t.CloseWrite()
 	default:
 		_ = c.Close()
@@ -295,16 +295,16 @@
 }
 
 // read reads the answer.
-func (c *Clients) read(k *kept, r *Request, p plannedCall, body string) {
-	_ = k.SetReadDeadline(r.Whole.Add(p.patience + late + readSlack))
+func (c *Clients) read(k *clientConn, r *Request, p plannedCall, body string) {
+	_ = k.SetReadDeadline(r.SentAt.Add(p.timeout + late + readSlack))
 	resp, err := http.ReadResponse(k.in, nil) //nolint:bodyclose // read up to its end below; the connection is its caller's
 	var got []byte
 	if err == nil {
 		r.Status = resp.StatusCode
 		got, err = io.ReadAll(resp.Body)
 	}
-	if p.leave > 0 && time.Since(r.Whole) >= p.leave {
-		r.End, r.LeftAt = Left, r.Whole.Add(p.leave)
+	if p.leave > 0 && time.Since(r.SentAt) >= p.leave {
+		r.End, r.LeftAt = Left, r.SentAt.Add(p.leave)
 		_ = k.Close()
 		return
 	}
--- a/internal/soak/executor.go
+++ b/internal/soak/executor.go
@@ -60,7 +60,7 @@
 	return e.rng.Float64() < e.spoil[kind]
 }
 
-func (e *executor) seen() []*Arrival {
+func (e *executor) received() []*Arrival {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]*Arrival(nil), e.arrivals...)
@@ -70,8 +70,8 @@
 // the 10 ms for which a dispatcher watches a connection: a second answer after that cannot be told from the next one.
 const secondMost = 5 * time.Millisecond
 
-// around is the executor's handler with the record and the spoiling.
-func (e *executor) around(own http.Handler) http.Handler {
+// wrap is the executor's handler with the record and the spoiling.
+func (e *executor) wrap(own http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("X-Hop-Id")
 		if id == "" { // a probe or an order
--- a/internal/soak/troubles.go
+++ b/internal/soak/faults.go
@@ -13,8 +13,8 @@
 	"oakthread/internal/lab"
 )
 
-// trouble brings a trouble about for its time.
-func (w *world) trouble(ctx context.Context, t Trouble) {
+// inject brings a trouble about for its time.
+func (w *world) inject(ctx context.Context, t Fault) {
 	if !wait(ctx, time.Until(w.begin.Add(t.At))) {
 		return
 	}
@@ -22,20 +22,20 @@
 	defer cancel()
 	var err error
 	switch t.Kind {
-	case Terminate, Crash, Pause, Reload, ReloadBad, DiskFails:
-		err = w.toProcesses(lasts, ctx, t)
+	case Terminate, Crash, Pause, Reload, ReloadInvalid, DiskFails:
+		err = w.disturbProcesses(lasts, ctx, t)
 	case ExecutorHang, ExecutorVanish, ExecutorReset, ExecutorSlow:
-		err = w.toWays(lasts, t)
+		err = w.disturbLinks(lasts, t)
 	case ExecutorDrain, ExecutorRenew:
-		err = w.toExecutors(lasts, t)
+		err = w.replaceExecutors(lasts, t)
 	case IdleClosed, AnswerTwice, AnswerPieces, AnswerCut, ExecutorErrors:
-		w.toAnswers(lasts, t)
+		w.corruptAnswers(lasts, t)
 	case DiscoverySilent, DiscoveryReset, DiscoverySlow, DiscoveryOver:
-		err = w.toDiscovery(lasts, t)
+		err = w.disturbDiscovery(lasts, t)
 	case ClientsLeave, ClientsDawdle, ClientsFlood, ClientsRetry, ClientsBrief, ClientsBurst:
-		w.toClients(lasts, t)
+		w.changeClients(lasts, t)
 	case PeersDeaf, PeersTwice:
-		w.toPeers(lasts, t)
+		w.disturbPeers(lasts, t)
 	case ClockStep, AcceptFails, ConnectFails, ConnectLate, TransferFails: // the processes do it to themselves
 		<-lasts.Done()
 	}
@@ -56,7 +56,7 @@
 	}
 }
 
-func (w *world) toProcesses(lasts, ctx context.Context, t Trouble) error {
+func (w *world) disturbProcesses(lasts, ctx context.Context, t Fault) error {
 	return each(len(t.Targets), func(i int) error {
 		n := w.nodes[t.Targets[i]]
 		switch t.Kind {
@@ -80,7 +80,7 @@
 }
 
 // failDisk has writes of the process fail beyond a place in the file, so that one may end in the middle.
-func (w *world) failDisk(lasts context.Context, n *node, t Trouble) error {
+func (w *world) failDisk(lasts context.Context, n *node, t Fault) error {
 	n.action.Lock()
 	defer n.action.Unlock()
 	if err := n.limitFiles(int64(t.Amount * diskRoom)); err != nil {
@@ -91,7 +91,7 @@
 }
 
 // reloads has a node read one file after another.
-func (w *world) reloads(lasts context.Context, n *node, t Trouble) error {
+func (w *world) reloads(lasts context.Context, n *node, t Fault) error {
 	for i := 0; lasts.Err() == nil; i++ {
 		raw, err := w.file(n, t, i)
 		if err != nil {
@@ -113,15 +113,15 @@
 }
 
 // file is a configuration for a reload: good, without its settings, or cut off.
-func (w *world) file(n *node, t Trouble, i int) ([]byte, error) {
-	if t.Kind == ReloadBad && i%2 == 0 {
+func (w *world) file(n *node, t Fault, i int) ([]byte, error) {
+	if t.Kind == ReloadInvalid && i%2 == 0 {
 		return n.good[:int(t.Amount*float64(len(n.good)))], nil
 	}
 	var config map[string]any
 	if err := json.Unmarshal(n.good, &config); err != nil {
 		return nil, err
 	}
-	if t.Kind == ReloadBad {
+	if t.Kind == ReloadInvalid {
 		delete(config, "settings")
 	} else {
 		config["settings"].(map[string]any)["permissions"].(map[string]any)["send_cap"] = 3 + i%3
@@ -129,8 +129,8 @@
 	return json.Marshal(config)
 }
 
-// toWays changes the ways between all dispatchers and some executors.
-func (w *world) toWays(lasts context.Context, t Trouble) error {
+// disturbLinks changes the ways between all dispatchers and some executors.
+func (w *world) disturbLinks(lasts context.Context, t Fault) error {
 	what, delay := map[Kind]lab.Fault{ExecutorHang: lab.Freeze, ExecutorVanish: lab.Cut, ExecutorReset: lab.Reset, ExecutorSlow: lab.Open}[t.Kind], time.Duration(0)
 	if t.Kind == ExecutorSlow {
 		delay = time.Duration(t.Amount * float64(150*time.Millisecond))
@@ -143,7 +143,7 @@
 	pick := func(_, executor int) bool { return contains(t.Targets, executor) }
 	marks := make([]int, len(t.Targets))
 	for i, e := range t.Targets {
-		marks[i] = w.disturb(&w.troubled[e])
+		marks[i] = w.beginSpan(&w.disturbed[e])
 	}
 	if err := w.rig.Links.Between(what, delay, pick); err != nil {
 		return err
@@ -151,7 +151,7 @@
 	<-lasts.Done()
 	err := w.rig.Links.Between(lab.Open, 0, pick)
 	for i, e := range t.Targets {
-		w.calm(&w.troubled[e], marks[i])
+		w.endSpan(&w.disturbed[e], marks[i])
 	}
 	return err
 }
@@ -165,25 +165,25 @@
 	return false
 }
 
-// disturb notes that something begins to be not as it should; calm ends it.
-func (w *world) disturb(list *[]span) int {
+// beginSpan notes that something begins to be not as it should; calm ends it.
+func (w *world) beginSpan(list *[]span) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	*list = append(*list, span{from: time.Now()})
 	return len(*list) - 1
 }
 
-func (w *world) calm(list *[]span, at int) {
+func (w *world) endSpan(list *[]span, at int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	(*list)[at].until = time.Now().Add(wayTail)
+	(*list)[at].until = time.Now().Add(linkTail)
 }
 
-// wayTail is for what was on a way when it was opened again.
-const wayTail = 100 * time.Millisecond
+// linkTail is for what was on a way when it was opened again.
+const linkTail = 100 * time.Millisecond
 
-// toExecutors has executors drain and others come, cold.
-func (w *world) toExecutors(lasts context.Context, t Trouble) error {
+// replaceExecutors has executors drain and others come, cold.
+func (w *world) replaceExecutors(lasts context.Context, t Fault) error {
 	var mine []int
 	w.mu.Lock()
 	for _, e := range t.Targets {
@@ -192,7 +192,7 @@
 			mine = append(mine, e)
 		}
 	}
-	pick := func(box int) bool { return contains(mine, box) }
+	pick := func(worker int) bool { return contains(mine, worker) }
 	if t.Kind == ExecutorDrain {
 		w.rig.Drain(pick)
 		for _, e := range mine {
@@ -216,14 +216,14 @@
 			return err
 		}
 		w.rig.Listed[e].Phase = lab.Ready
-		w.rig.Workers[e].Wrap(w.executors[e].around)
+		w.rig.Workers[e].Wrap(w.executors[e].wrap)
 	}
 	w.rig.Announce(pick)
 	return nil
 }
 
-// toAnswers has executors spoil a share of their answers.
-func (w *world) toAnswers(lasts context.Context, t Trouble) {
+// corruptAnswers has executors spoil a share of their answers.
+func (w *world) corruptAnswers(lasts context.Context, t Fault) {
 	set := func(share float64) {
 		for _, e := range t.Targets {
 			if t.Kind != ExecutorErrors {
@@ -240,7 +240,7 @@
 	set(0)
 }
 
-func (w *world) toDiscovery(lasts context.Context, t Trouble) error {
+func (w *world) disturbDiscovery(lasts context.Context, t Fault) error {
 	if t.Kind == DiscoveryOver {
 		w.mu.Lock()
 		w.rig.Announce(func(int) bool { return true })
@@ -253,7 +253,7 @@
 	}
 	marks := make([]int, len(t.Targets))
 	for i, n := range t.Targets {
-		marks[i] = w.disturb(&w.untold[n])
+		marks[i] = w.beginSpan(&w.uninformed[n])
 		if err := w.rig.Links.Channels[n].Set(what, delay); err != nil {
 			return err
 		}
@@ -263,12 +263,12 @@
 		if err := w.rig.Links.Channels[n].Set(lab.Open, 0); err != nil {
 			return err
 		}
-		w.calm(&w.untold[n], marks[i])
+		w.endSpan(&w.uninformed[n], marks[i])
 	}
 	return nil
 }
 
-func (w *world) toClients(lasts context.Context, t Trouble) {
+func (w *world) changeClients(lasts context.Context, t Fault) {
 	share := 0.2 + 0.6*t.Amount
 	set := func(x float64) {
 		for _, n := range t.Targets {
@@ -299,7 +299,7 @@
 	set(0)
 }
 
-func (w *world) toPeers(lasts context.Context, t Trouble) {
+func (w *world) disturbPeers(lasts context.Context, t Fault) {
 	wire := lab.Lost
 	if t.Kind == PeersTwice {
 		wire = lab.PeerLink{Twice: 0.5, Delay: time.Duration(t.Amount * float64(400*time.Millisecond)), Jitter: 200 * time.Millisecond}
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -25,7 +25,7 @@
 	RuleBudget    Rule = "time told"    // an executor is told at most what the client has left
 	RuleDrain     Rule = "drain"        // nothing is sent to what drains
 	RuleRation    Rule = "load orders"  // orders to load are rationed by the calls taken
-	RuleColdStart Rule = "cold start"   // a cold executor does not fall
+	RuleSlowStart Rule = "cold start"   // a cold executor does not fall
 	RuleProcess   Rule = "process"      // no process ends by itself, and each ends well
 	RuleReady     Rule = "ready"        // ready within 10 s of a start
 	RuleRecovers  Rule = "recovers"     // calls are served once troubles are over
@@ -47,35 +47,35 @@
 
 // Slack of the rules.
 const (
-	crossed     = 250 * time.Millisecond // a close that a request crossed comes by then; the page says 50 ms, and this machine is busy
-	leftSlack   = 100*time.Millisecond + 80*time.Millisecond
-	budgetSlack = 150*time.Millisecond + 40*time.Millisecond
-	newAtEnd    = 400 * time.Millisecond // for so long after SIGTERM new connections keep coming
-	takenAtEnd  = 700 * time.Millisecond // after SIGTERM a request that comes later is owed nothing
-	endSlack    = 900 * time.Millisecond // beyond the longest deadline and the 0.7 s
-	readyIn     = 10 * time.Second
-	servedLeast = 0.5  // of the calls that come in the calm end
-	rationSlack = 0.15 // the page's; it adds one order
-	pauseTail   = 400 * time.Millisecond
-	drainSlack  = drainGrace + 50*time.Millisecond + 100*time.Millisecond // the settings' grace, the page's slack and this machine's
-	untoldTail  = 2500 * time.Millisecond                                 // a lost channel is found and opened again by then
+	crossed        = 250 * time.Millisecond // a close that a request crossed comes by then; the page says 50 ms, and this machine is busy
+	leftSlack      = 100*time.Millisecond + 80*time.Millisecond
+	budgetSlack    = 150*time.Millisecond + 40*time.Millisecond
+	newAtEnd       = 400 * time.Millisecond // for so long after SIGTERM new connections keep coming
+	takenAtEnd     = 700 * time.Millisecond // after SIGTERM a request that comes later is owed nothing
+	endSlack       = 900 * time.Millisecond // beyond the longest deadline and the 0.7 s
+	readyIn        = 10 * time.Second
+	minServedShare = 0.5  // of the calls that come in the calm end
+	rationSlack    = 0.15 // the page's; it adds one order
+	pauseTail      = 400 * time.Millisecond
+	drainSlack     = drainGrace + 50*time.Millisecond + 100*time.Millisecond // the settings' grace, the page's slack and this machine's
+	uninformedTail = 2500 * time.Millisecond                                 // a lost channel is found and opened again by then
 )
 
 // Records are what a run left.
 type Records struct {
-	Requests []*Request
-	Arrivals []*Arrival
-	Lives    [][]Life // by node
-	Paused   [][]span
-	Troubled [][]span // by executor: its ways were not open, or slow
-	Drains   []Drain
-	Orders   []LoadOrder
-	Ration   Ration
-	Untold   [][]span // by node: discovery's way to it was not open
-	Once     func(class int) bool
-	Longest  time.Duration // that any client waits
-	CalmFrom time.Time     // troubles have been over for a while
-	CalmTo   time.Time
+	Requests   []*Request
+	Arrivals   []*Arrival
+	Lives      [][]Life // by node
+	Paused     [][]span
+	Disturbed  [][]span // by executor: its ways were not open, or slow
+	Drains     []Drain
+	Orders     []LoadOrder
+	Ration     Ration
+	Uninformed [][]span // by node: discovery's way to it was not open
+	Once       func(class int) bool
+	Longest    time.Duration // that any client waits
+	CalmFrom   time.Time     // troubles have been over for a while
+	CalmTo     time.Time
 }
 
 // Ration is what the settings allow of orders to load.
@@ -90,9 +90,9 @@
 	span
 }
 
-// Judge finds the violations of a run.
-func Judge(r Records) []Violation {
-	j := judge{Records: r, arrived: map[string][]*Arrival{}}
+// FindViolations finds the violations of a run.
+func FindViolations(r Records) []Violation {
+	j := oracle{Records: r, arrived: map[string][]*Arrival{}}
 	for _, a := range r.Arrivals {
 		j.arrived[a.ID] = append(j.arrived[a.ID], a)
 	}
@@ -107,18 +107,18 @@
 	return j.found
 }
 
-type judge struct {
+type oracle struct {
 	Records
 	arrived map[string][]*Arrival
 	found   []Violation
 }
 
-func (j *judge) broken(rule Rule, node int, id, format string, args ...any) {
+func (j *oracle) broken(rule Rule, node int, id, format string, args ...any) {
 	j.found = append(j.found, Violation{rule, node, id, fmt.Sprintf(format, args...)})
 }
 
 // answered looks whether a request got its one answer.
-func (j *judge) answered(q *Request) {
+func (j *oracle) answered(q *Request) {
 	if q.Second {
 		j.broken(RuleOneAnswer, q.Node, q.ID, "bytes came behind the answer")
 	}
@@ -132,7 +132,7 @@
 		}
 		return
 	case Closed:
-		if q.Reused && q.Ended.Sub(q.Whole) < crossed && len(j.arrived[q.ID]) == 0 {
+		if q.Reused && q.Ended.Sub(q.SentAt) < crossed && len(j.arrived[q.ID]) == 0 {
 			return // it crossed the close of an idle connection, and was not taken
 		}
 	case Overdue, Cut:
@@ -140,13 +140,13 @@
 		return
 	}
 	if j.owed(q) {
-		j.broken(RuleAnswered, q.Node, q.ID, "%s after %v of %v, reused %v, arrivals %d (%s)", q.End, q.Ended.Sub(q.Whole).Round(time.Millisecond),
-			q.Patience, q.Reused, len(j.arrived[q.ID]), q.Err)
+		j.broken(RuleAnswered, q.Node, q.ID, "%s after %v of %v, reused %v, arrivals %d (%s)", q.End, q.Ended.Sub(q.SentAt).Round(time.Millisecond),
+			q.Timeout, q.Reused, len(j.arrived[q.ID]), q.Err)
 	}
 }
 
 // listening tells whether a process was there that takes new connections: not killed, and told to end a moment ago at most.
-func (j *judge) listening(q *Request) bool {
+func (j *oracle) listening(q *Request) bool {
 	for _, l := range j.Lives[q.Node] {
 		if l.Ready.IsZero() || q.Sent.Before(l.Ready) || !l.Killed.IsZero() && l.Killed.Before(q.Ended) {
 			continue
@@ -160,7 +160,7 @@
 
 // owed tells whether an answer was owed: a process was there that took the request and was not killed. One that was stopped
 // meanwhile may answer late, and may no more close the connection than any other.
-func (j *judge) owed(q *Request) bool {
+func (j *oracle) owed(q *Request) bool {
 	for _, p := range j.Paused[q.Node] {
 		p.until = p.until.Add(pauseTail)
 		if q.End == Overdue && p.overlaps(q.Sent, q.Ended) {
@@ -168,13 +168,13 @@
 		}
 	}
 	for _, l := range j.Lives[q.Node] {
-		if q.Whole.Before(l.Begun) || !l.Ended.IsZero() && l.Ended.Before(q.Sent) {
+		if q.SentAt.Before(l.Begun) || !l.Ended.IsZero() && l.Ended.Before(q.Sent) {
 			continue
 		}
 		if !l.Killed.IsZero() && l.Killed.Before(q.Ended) {
 			return false
 		}
-		if !l.Ending.IsZero() && q.Whole.Sub(l.Ending) > takenAtEnd {
+		if !l.Ending.IsZero() && q.SentAt.Sub(l.Ending) > takenAtEnd {
 			return false
 		}
 		return true
@@ -183,7 +183,7 @@
 }
 
 // effects looks at what a call did.
-func (j *judge) effects(q *Request) {
+func (j *oracle) effects(q *Request) {
 	if !j.Once(q.Class) {
 		return
 	}
@@ -202,7 +202,7 @@
 }
 
 // arrivals looks at when a call came to executors and what they were told.
-func (j *judge) arrivals(q *Request) {
+func (j *oracle) arrivals(q *Request) {
 	for _, a := range j.arrived[q.ID] {
 		if q.End == Overdue {
 			q.LeftAt = q.Ended // its client closed the connection then
@@ -211,10 +211,10 @@
 			j.broken(RuleLeft, q.Node, q.ID, "came to executor %d %v after its client had left", a.Executor, late.Round(time.Millisecond))
 		}
 		j.drained(q, a)
-		if q.Whole.IsZero() || j.disturbed(q.Node, a.Executor, q.Whole, a.At) {
+		if q.SentAt.IsZero() || j.disturbed(q.Node, a.Executor, q.SentAt, a.At) {
 			continue
 		}
-		left := q.Patience - a.At.Sub(q.Whole)
+		left := q.Timeout - a.At.Sub(q.SentAt)
 		if a.Budget > max(left, time.Millisecond)+budgetSlack {
 			j.broken(RuleBudget, q.Node, q.ID, "executor %d was told %v where %v were left", a.Executor, a.Budget, left.Round(time.Millisecond))
 		}
@@ -222,13 +222,13 @@
 }
 
 // drained looks whether an arrival came to an executor long after its dispatcher was told that it drains.
-func (j *judge) drained(q *Request, a *Arrival) {
+func (j *oracle) drained(q *Request, a *Arrival) {
 	for _, d := range j.Drains {
 		if d.Executor != a.Executor || !d.overlaps(a.At, a.At) || a.At.Sub(d.from) < drainSlack {
 			continue
 		}
-		untold := slices.ContainsFunc(j.Untold[q.Node], func(s span) bool {
-			s.until = s.until.Add(untoldTail)
+		untold := slices.ContainsFunc(j.Uninformed[q.Node], func(s span) bool {
+			s.until = s.until.Add(uninformedTail)
 			return s.overlaps(d.from, a.At)
 		})
 		if !untold && !j.disturbed(q.Node, a.Executor, d.from, a.At) {
@@ -238,13 +238,13 @@
 }
 
 // disturbed tells whether something between the process and the executor, or the process itself, stood still meanwhile.
-func (j *judge) disturbed(node, executor int, from, until time.Time) bool {
+func (j *oracle) disturbed(node, executor int, from, until time.Time) bool {
 	overlaps := func(s span) bool { return s.overlaps(from, until) }
-	return slices.ContainsFunc(j.Paused[node], overlaps) || slices.ContainsFunc(j.Troubled[executor], overlaps)
+	return slices.ContainsFunc(j.Paused[node], overlaps) || slices.ContainsFunc(j.Disturbed[executor], overlaps)
 }
 
 // rationed looks whether each process gave no more orders than the calls that it took allow.
-func (j *judge) rationed() {
+func (j *oracle) rationed() {
 	for n, lives := range j.Lives {
 		for i, l := range lives {
 			until := l.Ended
@@ -254,8 +254,8 @@
 			within := func(at time.Time) bool { return !at.Before(l.Begun) && (until.IsZero() || at.Before(until)) }
 			var calls, orders []time.Time
 			for _, q := range j.Requests {
-				if q.Node == n && !q.Whole.IsZero() && within(q.Whole) {
-					calls = append(calls, q.Whole)
+				if q.Node == n && !q.SentAt.IsZero() && within(q.SentAt) {
+					calls = append(calls, q.SentAt)
 				}
 			}
 			for _, o := range j.Orders {
@@ -273,7 +273,7 @@
 }
 
 // processes looks at how processes ended and how soon they were ready.
-func (j *judge) processes() {
+func (j *oracle) processes() {
 	for n, lives := range j.Lives {
 		for _, l := range lives {
 			switch {
@@ -291,7 +291,7 @@
 	}
 }
 
-func (j *judge) pausedFor(node int) (sum time.Duration) {
+func (j *oracle) pausedFor(node int) (sum time.Duration) {
 	for _, p := range j.Paused[node] {
 		sum += p.until.Sub(p.from)
 	}
@@ -299,7 +299,7 @@
 }
 
 // recovers looks whether each node serves once troubles have been over for a while.
-func (j *judge) recovers() {
+func (j *oracle) recovers() {
 	asked, served := make([]int, len(j.Lives)), make([]int, len(j.Lives))
 	for _, q := range j.Requests {
 		if q.Sent.Before(j.CalmFrom) || !q.Sent.Before(j.CalmTo) || q.End == NotSent {
@@ -311,7 +311,7 @@
 		}
 	}
 	for n := range asked {
-		if asked[n] >= 4 && float64(served[n]) < servedLeast*float64(asked[n]) {
+		if asked[n] >= 4 && float64(served[n]) < minServedShare*float64(asked[n]) {
 			j.broken(RuleRecovers, n, "", "%d of %d calls served once troubles were over", served[n], asked[n])
 		}
 	}
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -68,7 +68,7 @@
 	}
 	w.end()
 	res.Stalled = stalls()
-	res.Violations = w.judge(calmFrom, calmTo)
+	res.Violations = w.findViolations(calmFrom, calmTo)
 	for _, c := range w.clients {
 		for _, q := range c.Records() {
 			res.Requests++
@@ -90,15 +90,15 @@
 func (w *world) play(ctx context.Context) (calmFrom, calmTo time.Time, err error) {
 	sending, enough := context.WithCancel(ctx)
 	defer enough()
-	var clients, troubles sync.WaitGroup
+	var clients, faults sync.WaitGroup
 	for _, c := range w.clients {
 		clients.Go(func() { c.run(sending) })
 	}
-	for _, t := range w.Troubles {
-		troubles.Go(func() { w.trouble(ctx, t) })
+	for _, t := range w.Faults {
+		faults.Go(func() { w.inject(ctx, t) })
 	}
-	troubles.Wait()
-	wait(ctx, time.Until(w.begin.Add(w.Trouble)))
+	faults.Wait()
+	wait(ctx, time.Until(w.begin.Add(w.FaultTime)))
 	calmFrom = time.Now().Add(calmLead)
 	wait(ctx, w.Calm)
 	calmTo = time.Now()
@@ -107,10 +107,10 @@
 	return calmFrom, calmTo, ctx.Err()
 }
 
-// judge gathers what the run left and has it judged.
-func (w *world) judge(calmFrom, calmTo time.Time) []Violation {
+// findViolations gathers what the run left and has it judged.
+func (w *world) findViolations(calmFrom, calmTo time.Time) []Violation {
 	r := Records{
-		Troubled: w.troubled, Untold: w.untold, Drains: w.drains, CalmFrom: calmFrom, CalmTo: calmTo,
+		Disturbed: w.disturbed, Uninformed: w.uninformed, Drains: w.drains, CalmFrom: calmFrom, CalmTo: calmTo,
 		Once: func(class int) bool { return w.figures.Classes[class].NotIdempotent },
 	}
 	r.Ration = rationOf(w.Deployment)
@@ -121,17 +121,17 @@
 		r.Requests = append(r.Requests, c.Records()...)
 	}
 	for _, e := range w.executors {
-		r.Arrivals = append(r.Arrivals, e.seen()...)
+		r.Arrivals = append(r.Arrivals, e.received()...)
 		r.Orders = append(r.Orders, e.ordered()...)
 	}
 	for _, n := range w.nodes {
 		lives, paused := n.history()
 		r.Lives, r.Paused = append(r.Lives, lives), append(r.Paused, paused)
 	}
-	found := Judge(r)
+	found := FindViolations(r)
 	for i, b := range append(append([]*lab.StubWorker(nil), w.rig.Workers...), w.rig.Replaced...) {
 		if b.Fallen() {
-			found = append(found, Violation{RuleColdStart, -1, b.ID, fmt.Sprintf("executor %d fell", i)})
+			found = append(found, Violation{RuleSlowStart, -1, b.ID, fmt.Sprintf("executor %d fell", i)})
 		}
 	}
 	if n := lab.Oversize(w.rig.PeerNetwork.Datagrams()); n > 0 {
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -20,11 +20,11 @@
 
 // Kinds of trouble.
 const (
-	Terminate Kind = "terminate" // SIGTERM, then a start on the same address
-	Crash     Kind = "crash"     // SIGKILL, then a start on the same address
-	Pause     Kind = "pause"     // SIGSTOP and SIGCONT
-	Reload    Kind = "reload"    // SIGHUP with a good file
-	ReloadBad Kind = "reloadbad" // SIGHUP with a file that lacks keys, or is cut off in the middle
+	Terminate     Kind = "terminate" // SIGTERM, then a start on the same address
+	Crash         Kind = "crash"     // SIGKILL, then a start on the same address
+	Pause         Kind = "pause"     // SIGSTOP and SIGCONT
+	Reload        Kind = "reload"    // SIGHUP with a good file
+	ReloadInvalid Kind = "reloadbad" // SIGHUP with a file that lacks keys, or is cut off in the middle
 
 	ExecutorHang   Kind = "hang"      // connections come up, and nothing passes on them
 	ExecutorVanish Kind = "vanish"    // connections stay open and silent, new ones never come up
@@ -64,15 +64,15 @@
 // Kinds lists them all.
 func Kinds() []Kind {
 	return []Kind{
-		Terminate, Crash, Pause, Reload, ReloadBad, ExecutorHang, ExecutorVanish, ExecutorReset, ExecutorSlow, ExecutorDrain,
+		Terminate, Crash, Pause, Reload, ReloadInvalid, ExecutorHang, ExecutorVanish, ExecutorReset, ExecutorSlow, ExecutorDrain,
 		ExecutorRenew, IdleClosed, AnswerTwice, AnswerPieces, AnswerCut, ExecutorErrors, DiscoverySilent, DiscoveryReset, DiscoverySlow,
 		DiscoveryOver, ClientsLeave, ClientsDawdle, ClientsFlood, ClientsRetry, ClientsBrief, ClientsBurst, PeersDeaf, PeersTwice, ClockStep,
 		AcceptFails, ConnectFails, ConnectLate, TransferFails, DiskFails,
 	}
 }
 
-// Trouble is one trouble of a schedule. Times count from when the clients begin.
-type Trouble struct {
+// Fault is one trouble of a schedule. Times count from when the clients begin.
+type Fault struct {
 	Kind    Kind          `json:"kind"`
 	At      time.Duration `json:"at"`
 	For     time.Duration `json:"for"`
@@ -80,7 +80,7 @@
 	Amount  float64       `json:"amount"`  // by the kind: 0 to 1
 }
 
-func (t Trouble) String() string {
+func (t Fault) String() string {
 	return fmt.Sprintf("%s at %v for %v on %v (%.2f)", t.Kind, t.At, t.For, t.Targets, t.Amount)
 }
 
@@ -90,20 +90,20 @@
 	Processes  int           `json:"processes"`
 	Executors  int           `json:"executors"`
 	Deployment string        `json:"deployment"` // planning or render
-	Kept       bool          `json:"kept"`       // dispatchers keep the list on disk
-	Trouble    time.Duration `json:"trouble"`    // for so long troubles go on
+	CachedList bool          `json:"kept"`       // dispatchers keep the list on disk
+	FaultTime  time.Duration `json:"trouble"`    // for so long troubles go on
 	Calm       time.Duration `json:"calm"`       // and then none
-	Troubles   []Trouble     `json:"troubles"`
+	Faults     []Fault       `json:"troubles"`
 }
 
 // Figures of a run.
 const (
-	firstTrouble  = 400 * time.Millisecond
-	troubleTime   = 3200 * time.Millisecond
+	firstFault    = 400 * time.Millisecond
+	faultTime     = 3200 * time.Millisecond
 	calmTime      = 2500 * time.Millisecond
 	shortest      = 300 * time.Millisecond
 	longest       = 1800 * time.Millisecond
-	burstMost     = 500 * time.Millisecond
+	maxBurst      = 500 * time.Millisecond
 	executorsPart = 1.2 // executors for each process
 )
 
@@ -118,7 +118,7 @@
 	rng := rand.New(rand.NewPCG(seed, 0x736f616b))
 	s := Schedule{
 		Seed: seed, Processes: processes, Executors: max(6, int(executorsPart*float64(processes))), Deployment: Planning,
-		Kept: rng.IntN(2) == 0, Trouble: troubleTime, Calm: calmTime,
+		CachedList: rng.IntN(2) == 0, FaultTime: faultTime, Calm: calmTime,
 	}
 	if seed%2 == 1 {
 		s.Deployment = Render
@@ -127,17 +127,17 @@
 	if len(kinds) == 0 {
 		kinds = Kinds()
 	}
-	for at := firstTrouble; at < troubleTime-shortest; at += shortest + longest/2 {
+	for at := firstFault; at < faultTime-shortest; at += shortest + longest/2 {
 		for _, kind := range wave(rng, kinds) {
-			s.Troubles = append(s.Troubles, draw(rng, s, kind, at))
-			s.Kept = s.Kept || kind == DiskFails // else there is no file whose writes could fail
+			s.Faults = append(s.Faults, draw(rng, s, kind, at))
+			s.CachedList = s.CachedList || kind == DiskFails // else there is no file whose writes could fail
 		}
 	}
 	return s
 }
 
-// meets are troubles of which it is known that they can cross at a request; half of the waves begin with one of these.
-var meets = [][]Kind{
+// knownInteractions are troubles of which it is known that they can cross at a request; half of the waves begin with one of these.
+var knownInteractions = [][]Kind{
 	{ClientsLeave, ConnectLate},
 	{ExecutorDrain, ConnectLate},
 	{ClientsBurst, ClientsFlood},
@@ -156,7 +156,7 @@
 func wave(rng *rand.Rand, kinds []Kind) []Kind {
 	rest := slices.Clone(kinds)
 	rng.Shuffle(len(rest), func(i, j int) { rest[i], rest[j] = rest[j], rest[i] })
-	pair := meets[rng.IntN(len(meets))]
+	pair := knownInteractions[rng.IntN(len(knownInteractions))]
 	if slices.Contains(kinds, pair[0]) && slices.Contains(kinds, pair[1]) && rng.IntN(2) == 0 {
 		rest = append(slices.Clone(pair), slices.DeleteFunc(rest, func(k Kind) bool { return slices.Contains(pair, k) })...)
 	}
@@ -164,13 +164,13 @@
 }
 
 // draw makes one trouble that begins about a time.
-func draw(rng *rand.Rand, s Schedule, kind Kind, at time.Duration) Trouble {
+func draw(rng *rand.Rand, s Schedule, kind Kind, at time.Duration) Fault {
 	begin := at + time.Duration(rng.Int64N(int64(shortest)))
-	t := Trouble{Kind: kind, At: begin, For: shortest + time.Duration(rng.Int64N(int64(longest-shortest))), Amount: rng.Float64()}
+	t := Fault{Kind: kind, At: begin, For: shortest + time.Duration(rng.Int64N(int64(longest-shortest))), Amount: rng.Float64()}
 	if kind == ClientsBurst {
-		t.For = min(t.For, burstMost)
+		t.For = min(t.For, maxBurst)
 	}
-	t.For = min(t.For, s.Trouble-t.At)
+	t.For = min(t.For, s.FaultTime-t.At)
 	all, most := s.Processes, 3
 	if kind.ofExecutors() {
 		all, most = s.Executors, 4
@@ -179,7 +179,7 @@
 	case ClientsLeave, ClientsDawdle, ClientsRetry, ClientsBrief, DiscoveryOver:
 		most = all // all dispatchers have such clients
 		t.Targets = rng.Perm(all)
-	case Reload, ReloadBad, DiscoverySilent, DiscoveryReset, DiscoverySlow, PeersDeaf, PeersTwice, IdleClosed:
+	case Reload, ReloadInvalid, DiscoverySilent, DiscoveryReset, DiscoverySlow, PeersDeaf, PeersTwice, IdleClosed:
 		most = all
 	}
 	if t.Targets == nil {
@@ -217,8 +217,8 @@
 // Pairs are the pairs of kinds that overlap in time, each named once, in order.
 func (s Schedule) Pairs() []string {
 	var out []string
-	for i, a := range s.Troubles {
-		for _, b := range s.Troubles[i+1:] {
+	for i, a := range s.Faults {
+		for _, b := range s.Faults[i+1:] {
 			if a.Kind == b.Kind || a.At+a.For < b.At || b.At+b.For < a.At {
 				continue
 			}
@@ -237,20 +237,20 @@
 
 // Shorten leaves out troubles, and then halves how long they last, as long as the run still fails.
 func (s Schedule) Shorten(fails func(Schedule) bool) Schedule {
-	for i := 0; i < len(s.Troubles); {
+	for i := 0; i < len(s.Faults); {
 		less := s
-		less.Troubles = slices.Delete(slices.Clone(s.Troubles), i, i+1)
+		less.Faults = slices.Delete(slices.Clone(s.Faults), i, i+1)
 		if fails(less) {
 			s = less
 		} else {
 			i++
 		}
 	}
-	for i := range s.Troubles {
+	for i := range s.Faults {
 		less := s
-		less.Troubles = slices.Clone(s.Troubles)
-		less.Troubles[i].For /= 2
-		if less.Troubles[i].For >= shortest/4 && fails(less) {
+		less.Faults = slices.Clone(s.Faults)
+		less.Faults[i].For /= 2
+		if less.Faults[i].For >= shortest/4 && fails(less) {
 			s = less
 		}
 	}
@@ -275,10 +275,10 @@
 	if err := json.Unmarshal(raw, &s); err != nil {
 		return s, fmt.Errorf("schedule %s: %w", path, err)
 	}
-	if s.Processes < 1 || s.Executors < 1 || s.Trouble <= 0 {
+	if s.Processes < 1 || s.Executors < 1 || s.FaultTime <= 0 {
 		return s, fmt.Errorf("schedule %s: processes, executors and trouble must be above 0", path)
 	}
-	for _, t := range s.Troubles {
+	for _, t := range s.Faults {
 		if !slices.Contains(Kinds(), t.Kind) {
 			return s, fmt.Errorf("schedule %s: trouble %q is not known", path, t.Kind)
 		}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -11,15 +11,15 @@
 )
 
 func TestScheduleFollowsFromItsSeed(t *testing.T) {
-	seen := map[Kind]bool{}
+	drawn := map[Kind]bool{}
 	for seed := range uint64(200) {
 		s := Draw(seed, 10, nil)
 		assert.Equal(t, s, Draw(seed, 10, nil))
-		assert.GreaterOrEqual(t, len(s.Troubles), 2)
+		assert.GreaterOrEqual(t, len(s.Faults), 2)
 		assert.NotEmpty(t, s.Pairs(), "no two troubles overlap, seed %d", seed)
-		for _, trouble := range s.Troubles {
-			seen[trouble.Kind] = true
-			assert.LessOrEqual(t, trouble.At+trouble.For, s.Trouble)
+		for _, fault := range s.Faults {
+			drawn[fault.Kind] = true
+			assert.LessOrEqual(t, fault.At+fault.For, s.FaultTime)
 		}
 		path := filepath.Join(t.TempDir(), "schedule.json")
 		require.NoError(t, s.Write(path))
@@ -28,22 +28,22 @@
 		assert.Equal(t, s, read)
 	}
 	for _, kind := range Kinds() {
-		assert.True(t, seen[kind], "%s is never drawn", kind)
+		assert.True(t, drawn[kind], "%s is never drawn", kind)
 	}
 	only := Draw(1, 10, []Kind{Crash, Pause})
-	for _, trouble := range only.Troubles {
-		assert.Contains(t, []Kind{Crash, Pause}, trouble.Kind)
+	for _, fault := range only.Faults {
+		assert.Contains(t, []Kind{Crash, Pause}, fault.Kind)
 	}
 }
 
-func TestBadInputIsTold(t *testing.T) {
+func TestInvalidInputIsRejected(t *testing.T) {
 	_, err := ParseKinds("crash,storm")
 	assert.ErrorContains(t, err, `"storm" is not known; known are`)
 	kinds, err := ParseKinds(" crash, pause")
 	require.NoError(t, err)
 	assert.Equal(t, []Kind{Crash, Pause}, kinds)
 	s := Draw(1, 4, nil)
-	s.Troubles = []Trouble{{Kind: Crash, Targets: []int{4}}}
+	s.Faults = []Fault{{Kind: Crash, Targets: []int{4}}}
 	path := filepath.Join(t.TempDir(), "schedule.json")
 	require.NoError(t, s.Write(path))
 	_, err = ReadSchedule(path)
@@ -56,16 +56,16 @@
 
 func TestShortenLeavesWhatFails(t *testing.T) {
 	s := Draw(3, 10, nil)
-	s.Troubles = append(s.Troubles, Trouble{Kind: Crash, For: time.Second}, Trouble{Kind: Pause, For: time.Second})
+	s.Faults = append(s.Faults, Fault{Kind: Crash, For: time.Second}, Fault{Kind: Pause, For: time.Second})
 	short := s.Shorten(func(s Schedule) bool {
 		crash, pause := false, false
-		for _, trouble := range s.Troubles {
-			crash = crash || trouble.Kind == Crash
-			pause = pause || trouble.Kind == Pause
+		for _, fault := range s.Faults {
+			crash = crash || fault.Kind == Crash
+			pause = pause || fault.Kind == Pause
 		}
 		return crash && pause
 	})
-	assert.Len(t, short.Troubles, 2)
+	assert.Len(t, short.Faults, 2)
 }
 
 // The oracle finds each breach in records that hold it, and none in those that do not.
@@ -73,10 +73,10 @@
 	start := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	clean := func() (Records, *Request, *Arrival) {
-		q := &Request{ID: "a", Sent: at(100), Whole: at(100), Patience: time.Second, Ended: at(300), End: Answered, Status: http.StatusOK}
+		q := &Request{ID: "a", Sent: at(100), SentAt: at(100), Timeout: time.Second, Ended: at(300), End: Answered, Status: http.StatusOK}
 		a := &Arrival{ID: "a", At: at(120), Budget: 900 * time.Millisecond, Ran: true}
 		r := Records{
-			Requests: []*Request{q}, Arrivals: []*Arrival{a}, Troubled: make([][]span, 1), Untold: make([][]span, 1),
+			Requests: []*Request{q}, Arrivals: []*Arrival{a}, Disturbed: make([][]span, 1), Uninformed: make([][]span, 1),
 			Lives:  [][]Life{{{Begun: at(-500), Ready: at(-400), Ending: at(5000), Ended: at(6000)}}},
 			Paused: make([][]span, 1), Once: func(int) bool { return true }, Longest: 2 * time.Second, CalmFrom: at(4000), CalmTo: at(5000),
 			Ration: Ration{Window: 5 * time.Second, Free: 1, Share: 0.1},
@@ -84,7 +84,7 @@
 		return r, q, a
 	}
 	r, _, _ := clean()
-	require.Empty(t, Judge(r))
+	require.Empty(t, FindViolations(r))
 	for name, c := range map[string]struct {
 		rule  Rule
 		spoil func(r *Records, q *Request, a *Arrival)
@@ -113,13 +113,13 @@
 		"never ready":     {RuleReady, func(r *Records, _ *Request, _ *Arrival) { r.Lives[0][0].Ready = at(20_000) }},
 		"does not serve any more": {RuleRecovers, func(r *Records, _ *Request, _ *Arrival) {
 			for range 4 {
-				r.Requests = append(r.Requests, &Request{ID: "b", Sent: at(4100), Whole: at(4100), Ended: at(4200), End: Answered, Status: 503})
+				r.Requests = append(r.Requests, &Request{ID: "b", Sent: at(4100), SentAt: at(4100), Ended: at(4200), End: Answered, Status: 503})
 			}
 		}},
 	} {
 		r, q, a := clean()
 		c.spoil(&r, q, a)
-		found := Judge(r)
+		found := FindViolations(r)
 		require.NotEmpty(t, found, name)
 		assert.Equal(t, c.rule, found[0].Rule, "%s: %v", name, found)
 	}
@@ -133,7 +133,7 @@
 	} {
 		r, q, _ := clean()
 		excuse(&r, q)
-		assert.Empty(t, Judge(r), name)
+		assert.Empty(t, FindViolations(r), name)
 	}
 }
 
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -82,21 +82,21 @@
 	executors []*executor
 	begin     time.Time
 
-	mu       sync.Mutex
-	troubled [][]span // by executor
-	untold   [][]span
-	drains   []Drain
-	busy     map[int]bool // executors that drain or are renewed: one at a time
-	failed   []error
+	mu         sync.Mutex
+	disturbed  [][]span // by executor
+	uninformed [][]span
+	drains     []Drain
+	busy       map[int]bool // executors that drain or are renewed: one at a time
+	failed     []error
 }
 
 func newWorld(s Schedule, dir string, network *lab.Net, program lab.Program) (*world, error) {
-	w := &world{Schedule: s, dir: dir, figures: figures(s.Deployment), untold: make([][]span, s.Processes), troubled: make([][]span, s.Executors), busy: map[int]bool{}}
+	w := &world{Schedule: s, dir: dir, figures: figures(s.Deployment), uninformed: make([][]span, s.Processes), disturbed: make([][]span, s.Executors), busy: map[int]bool{}}
 	size := lab.RigSize{
 		Dispatchers: s.Processes, Workers: s.Executors, Figures: w.figures, Seed: s.Seed, Load: lab.Load{Rate: 1, Models: 1},
 		Settings: func(_ int, settings map[string]any) { permissions(s.Deployment, settings) },
 	}
-	if s.Kept {
+	if s.CachedList {
 		size.Operators = "[list]\npath = \"list.db\"\n"
 	}
 	var err error
@@ -105,7 +105,7 @@
 	}
 	for i, b := range w.rig.Workers {
 		e := newExecutor(i, s.Seed, w.nodeOf)
-		b.Wrap(e.around)
+		b.Wrap(e.wrap)
 		w.executors = append(w.executors, e)
 	}
 	w.begin = time.Now().Add(startTime + time.Duration(s.Processes)*startEach)
@@ -127,8 +127,8 @@
 
 // nodeOf is the dispatcher whose ways stand at an address; -1: none.
 func (w *world) nodeOf(host string) int {
-	for n, ways := range w.rig.Links.Workers {
-		if own, _, err := net.SplitHostPort(ways[0].Addr); err == nil && own == host {
+	for n, links := range w.rig.Links.Workers {
+		if own, _, err := net.SplitHostPort(links[0].Addr); err == nil && own == host {
 			return n
 		}
 	}
@@ -138,7 +138,7 @@
 // plan is what a node does to itself.
 func (w *world) plan(node int) *fault.Plan {
 	p := &fault.Plan{Seed: w.Seed + uint64(node)}
-	for _, t := range w.Troubles {
+	for _, t := range w.Faults {
 		for _, target := range t.Targets {
 			if t.Kind.ofExecutors() || target != node {
 				continue
