--- a/internal/lab/before.go
+++ b/internal/lab/before.go
@@ -1,7 +1,7 @@
 package lab
 
-// This file owns the earlier version that an experiment sets beside this one: the program built from an older commit of
-// this repository, in the run's own folder. It must never change the work tree.
+// The earlier version that an experiment is compared with: the program built from an older commit
+// of this repository, in the run's own folder. The work tree is not changed.
 
 import (
 	"archive/tar"
--- a/internal/lab/cachedlist.go
+++ b/internal/lab/cachedlist.go
@@ -1,8 +1,9 @@
 package lab
 
-// This file owns the experiment kept-list: discovery dies, four boxes in ten are replaced, all dispatchers crash and come
-// back within a second with lists of several ages. Four arms in one run: discovery up, the list taken as if fresh, no
-// list, and ours. What is counted was seen by boxes and clients.
+// The experiment kept-list: discovery fails, four workers in ten are replaced, and all dispatchers
+// crash and restart within a second with cached lists of several ages. One run has four arms:
+// discovery available, the cached list taken as fresh, no cached list, and the program's own
+// handling. Results are counted at workers and clients only.
 
 import (
 	"context"
@@ -60,8 +61,8 @@
 
 var cachedListAges = []time.Duration{0, 10 * time.Minute, time.Hour, 6 * time.Hour}
 
-// PlannerFigures is the emulated planning site: the brief's classes at a fifth of their work, so that one machine holds
-// many boxes.
+// PlannerFigures returns the emulated planning site: the classes of the platform's brief at a fifth
+// of their work, so that one machine runs many workers.
 func PlannerFigures() *Figures {
 	return &Figures{
 		Classes: []ClassFigures{
@@ -119,17 +120,17 @@
 	wrong, lateDrains  int
 	fallen             int
 	readyMost          time.Duration
-	service            float64 // worth earned over worth asked in the first 10 s
-	errors, errorsLate float64 // share of first tries never served: from the restart, and from 3 s after
-	peak               float64 // most calls at a staying box in any second, over its mean share
-	calm               float64 // the same over 4 s before the crash, at all listed boxes
-	fresh              float64 // calls at fresh boxes at the end, over the mean of the others
+	service            float64 // weighted value earned over that offered in the first 10 s
+	errors, errorsLate float64 // share of calls never served: from the restart, and from 3 s after it
+	peak               float64 // most calls at a remaining worker in any second, over its mean
+	calm               float64 // the same over 4 s before the crash, at all listed workers
+	fresh              float64 // calls at new workers at the end, over the mean of the others
 	cpu                float64 // microseconds of the dispatchers' CPU for each call, before the crash
 	late               time.Duration
 	p99                time.Duration
 }
 
-// cachedListWorld is one arm under way.
+// cachedListWorld is the running fleet of one arm.
 type cachedListWorld struct {
 	f          *Figures
 	disc       *Discovery
@@ -142,7 +143,7 @@
 	closers    []func()
 }
 
-// Fates of a kept box.
+// Fates of a worker in a cached list.
 const (
 	stays = iota
 	refuses
@@ -348,7 +349,8 @@
 	return err
 }
 
-// replace has four boxes in ten leave in four ways, and as many fresh ones come that no list has.
+// replace makes four workers in ten leave in four different manners and starts as many new ones
+// that no cached list contains.
 func (w *cachedListWorld) replace(net *Net, arm int) error {
 	var changed []Listed
 	now := time.Now()
@@ -386,7 +388,7 @@
 	return nil
 }
 
-// ageList makes a kept file older by moving all its times back.
+// ageList makes a cached list file older by moving all its times back.
 func ageList(path, owner string, by time.Duration) error {
 	s, found, err := endpointcache.Open(path, owner)
 	if err != nil {
--- a/internal/lab/cachedlistcount.go
+++ b/internal/lab/cachedlistcount.go
@@ -63,7 +63,7 @@
 	return r
 }
 
-// calmPeak is the busiest second of any listed box over the mean of all.
+// calmPeak returns the busiest second of any listed worker over the mean of all.
 func (w *cachedListWorld) calmPeak(from, until time.Time) float64 {
 	most, total := 0, 0
 	for _, b := range w.workers {
@@ -121,7 +121,7 @@
 	r.fresh = float64(freshEnd) / float64(max(1, len(w.fresh))) / math.Max(float64(oldEnd)/float64(max(1, olds)), 1e-9)
 }
 
-// late counts late sends to a draining box.
+// late counts the calls sent too late to a draining worker.
 func (w *cachedListWorld) late(b *StubWorker, calls []ObservedCall) int {
 	return LateSends(notifiedTimes(w.disc, len(w.dispatcher), b.ID), calls)
 }
@@ -161,7 +161,7 @@
 	rep.AtMost("calls never served from 3 s on, %", 100*ours.errorsLate, 1)
 	rep.AtLeast("worth in time, over that with discovery up", ours.service/math.Max(up.service, 1e-9), 0.9)
 	share := 0.5
-	if size.end < 15*time.Second { // fresh boxes get what new models bring, and a short run has few
+	if size.end < 15*time.Second { // new workers get what new models bring, and a short run has few
 		share = 0.3
 	}
 	rep.AtLeast("fresh boxes at the end, of the others' calls", ours.fresh, share)
--- a/internal/lab/cachedlistsim.go
+++ b/internal/lab/cachedlistsim.go
@@ -15,7 +15,8 @@
 	twice, late, fallen     int
 }
 
-// cachedListSim restarts a whole fleet in virtual time: warm up, replace four boxes in ten, crash, restart within a second.
+// cachedListSim restarts a complete fleet in virtual time: warm-up, replacement of four workers in
+// ten, crash, restart within a second.
 func cachedListSim(f *Figures, dispatchers, workers int, rate float64, fresh bool, seed uint64) (*cachedListSimResult, error) {
 	w := &simWorld{
 		f: f, byID: map[balancer.WorkerID]*simWorker{}, popular: newZipf(8*workers, 0.4), price: peerPrice,
@@ -59,7 +60,7 @@
 	}
 	for i, x := range w.workers {
 		if i >= workers/10*10 {
-			break // whole tens, so that it is four in ten
+			break // complete tens, so that it is four in ten
 		}
 		if x.fate = fateOf(i); x.fate == drains {
 			x.model.Drain()
--- a/internal/lab/cachedlistsizes.go
+++ b/internal/lab/cachedlistsizes.go
@@ -1,6 +1,6 @@
 package lab
 
-// This file owns the experiment kept-size: the restart of kept-list in virtual time, over the size of the fleet.
+// The experiment kept-size: the restart of kept-list in virtual time, over the size of the fleet.
 
 import (
 	"context"
@@ -13,13 +13,13 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// callsABox is the load that a box bears, in calls a second: enough that chance alone leaves the busiest second of a box
-// near its mean.
+// callsABox is the load of a worker in calls per second. It is high enough that chance alone leaves
+// the busiest second of a worker near its mean.
 const callsABox = 60
 
 // CachedListSizes runs the experiment.
 func CachedListSizes(ctx context.Context, o Options) (*Report, error) {
-	sizes := []int{50, 100, 200, 400} // dispatchers; six boxes to ten of them. 1,000 take over five minutes
+	sizes := []int{50, 100, 200, 400} // dispatchers; six workers to ten of them. 1,000 take over five minutes
 	if o.Quick {
 		sizes = []int{50, 100}
 	}
--- a/internal/lab/calibrate.go
+++ b/internal/lab/calibrate.go
@@ -1,8 +1,9 @@
 package lab
 
-// This file owns the calibration: the same load played to real processes of the program and to hollow dispatchers, and what
-// each costs side by side, so that figures of hollow runs can be read as those of real ones. Processor time and memory are
-// the kernel's, messages are counted at the datagrams' ways. It must never bound a time, nor ask a process what it costs.
+// The calibration: the same load is played to real processes of the program and to hollow
+// dispatchers, and the costs of both are set side by side, so that figures of hollow runs can be
+// read as those of real ones. Processor time and memory come from the kernel, messages are counted
+// in the peer network. Times are reported without bounds.
 
 import (
 	"bytes"
@@ -23,8 +24,8 @@
 const (
 	calibrateIdle           = time.Second // before the clients start
 	calibrateReady          = 20 * time.Second
-	calibrateApart          = 1.3  // bytes of messages a call, real against hollow, at the most either way
-	calibrateValueTolerance = 0.05 // worth in time, of that asked, the same
+	calibrateApart          = 1.3  // bytes of messages per call, real against hollow, at most, in either direction
+	calibrateValueTolerance = 0.05 // weighted value in time, of that offered, likewise
 	calibrateZones          = 10   // as hollow executors have
 	// calibrateCopies is how many real dispatchers alone there are of each kind: what they have in common is taken off, and they
 	// differ by some hundredths.
@@ -53,7 +54,7 @@
 	busiest         float64 // bytes out in the busiest second of any one
 	value, unserved float64 // in time, of that asked; of the calls
 	breaches        int
-	late            float64 // s that a client fell behind its schedule, at the most: a machine too busy to tell much
+	late            float64 // s that a client fell behind its schedule, at the most: a sign that the machine is too busy
 }
 
 // bytesACall are the bytes of messages that a call costs.
@@ -61,13 +62,16 @@
 	return c.bytes * float64(dispatchers) * span.Seconds() / float64(max(1, c.calls))
 }
 
-// Calibrate plays the same load to real dispatchers, as processes, and to hollow ones. Real processes carry HTTP, sockets and
-// the core's goroutines, and collect garbage; hollow ones do not. What of a call's time each of these takes, pairs of one
-// real process and one hollow dispatcher tell that have calls but no peers: with a list of one executor what differs is what
-// carries a call, with the whole list what differs beyond that are connections to more executors (below zero where those cost
-// less than many to one), and what then is left of a fleet's difference are messages over sockets. A fleet and those alone
-// run at the same time, so that a busy machine slows all; the hollow ones after them. Times have no bounds; bytes of messages
-// and worth have. It takes some 30 s, or 70 s where o.Quick is false, and wants the program beside this executable.
+// Calibrate plays the same load to real dispatchers, as processes, and to hollow ones. Real
+// processes carry HTTP, sockets and the core's goroutines, and collect garbage; hollow ones do not.
+// Pairs of one real process and one hollow dispatcher with calls but without peers show how much of
+// a call's time each of these takes: with a list of one executor the difference is what carries a
+// call; with the full list the remaining difference is connections to more executors (below zero
+// where those cost less than many to one); the rest of a fleet's difference is messages over
+// sockets. A fleet and the pairs run at the same time, so that a busy machine slows all of them;
+// the hollow dispatchers run afterwards. Times have no bounds; bytes of messages and weighted value
+// have. A run takes about 30 s, or 70 s where o.Quick is false, and needs the program beside this
+// executable.
 func Calibrate(ctx context.Context, o Options) (*Report, error) {
 	program, err := Ours()
 	if err != nil {
@@ -168,7 +172,8 @@
 	return &m
 }
 
-// report adds a size's rows and bounds: the whole fleet, one with its list alone, and one with a single executor.
+// report adds the rows and bounds of one size: the complete fleet, one dispatcher with the fleet's
+// list, and one with a single executor.
 func (c *calibration) report(rep *Report, n int, pairs [3]pair) {
 	name := fmt.Sprintf("%d dispatchers: ", n)
 	for i, who := range []string{name, fmt.Sprintf("one alone, %d executors: ", 2*n), "one alone, one executor: "} {
--- a/internal/lab/calibrate_test.go
+++ b/internal/lab/calibrate_test.go
@@ -1,10 +1,11 @@
 package lab
 
-// This file owns the comparison of the two hosts of the decision module: the core of the real program, on the fake clock of
-// a bubble of package synctest, and the dispatcher in virtual time. Both stand before the same world, engine and boxes of
-// virtual time, and both arms must order the same at the same nanosecond. What differs by design is forced by tests of its
-// own and asserted; the comparison must never skip over it. Not played, for the hollow host has none of it: callers that leave,
-// the cap on open calls, tenants, and the ramp after a start from a kept list. It owns the tests of the calibration too.
+// The comparison of the two hosts of the decision module: the core of the real program, on the fake
+// clock of a synctest bubble, and the dispatcher in virtual time. Both run before the same world,
+// engine and workers, and both arms have to give the same orders at the same nanosecond.
+// Differences by design are forced by tests of their own and asserted, not skipped. Not covered,
+// since the hollow host has none of it: clients that leave, the limit of open calls, tenants, and
+// the recovery ramp after a start from a cached list. The tests of the calibration follow.
 
 import (
 	"cmp"
@@ -56,12 +57,12 @@
 	settings func(*balancer.Settings)
 	asked    int           // calls at dispatcher 0; 0: 240
 	span     time.Duration // of their arrivals; 0: 12 s
-	steady   bool          // no troubles
+	steady   bool          // no faults
 	script   func(*stage)  // more events; nil: none
 
 	// What forces a difference that is by design.
-	listAt    time.Duration // when the list is first told
-	handshake bool          // the real host's connections come up within the way to the box, and only then may a call be written
+	listAt    time.Duration // when the list is first published
+	handshake bool          // the real host's connections come up within the link delay, and only then may a call be written
 	stall     time.Duration // the core's loop stands still for so long, at its 100th call
 
 	// What a comparison must find.
@@ -96,8 +97,9 @@
 	stageNodes, stageWorkers = 4, 6
 	stageRate                = 20 // calls a second at each
 	stageEnd                 = 8 * time.Second
-	// stageApart is by how much later each next of the others is told of the list, so that no two dispatchers' rounds fall
-	// on one moment: what the world does then would hang on the order of goroutines.
+	// stageApart is by how much later each next dispatcher is notified of the list, so that no two
+	// dispatchers' rounds fall on one moment: what the world does then would depend on the order of
+	// goroutines.
 	stageApart = 1234567 * time.Nanosecond
 )
 
@@ -112,8 +114,8 @@
 	}
 }
 
-// loses tells whether this event is the one that does not come: the first of its kind in the second half of the calls' span; of
-// messages, of which each alone may change nothing, all of a second.
+// loses reports whether this event is the one that is lost: the first of its kind in the second
+// half of the calls' span; of messages, each of which alone may change nothing, all of one second.
 func (s *stage) loses(kind string) bool {
 	at := s.now.Sub(s.began)
 	if s.lose != kind || at < s.span/2 {
@@ -127,7 +129,8 @@
 	return !was
 }
 
-// peerNode is one of the other dispatchers, in virtual time in both arms; its messages go by the stage's ways.
+// peerNode is one of the other dispatchers, in virtual time in both arms; its messages pass through
+// the stage.
 type peerNode struct {
 	*simNode
 	s *stage
@@ -153,7 +156,8 @@
 	}
 }
 
-// newStage lays out the world: six small boxes, dispatcher 0 and three others, calls at all, and the troubles.
+// newStage lays out the world: six small workers, dispatcher 0 and three others, calls at all of
+// them, and the faults.
 func newStage(t *testing.T, p play, start time.Time) *stage {
 	t.Helper()
 	if p.asked == 0 {
@@ -199,7 +203,7 @@
 
 func (s *stage) seedOf(n int) uint64 { return s.seed ^ uint64(n)*0x9e3779b9 }
 
-// notifyList has all dispatchers told of the list: whole, or of those boxes alone.
+// notifyList publishes the list to all dispatchers: completely, or only the given workers.
 func (s *stage) notifyList(which ...int) {
 	s.cursor++
 	u := endpoints.Update{Full: len(which) == 0, Cursor: s.cursor}
@@ -266,7 +270,7 @@
 	s.at(odd(0.50), func() { s.workers[3].fate = refuses })
 	s.at(odd(0.55), func() { s.workers[3].fate = cutOff })
 	s.at(odd(0.60), func() { s.workers[3].fate = stays })
-	s.at(odd(0.62), func() { // the box drains first, and is told of late
+	s.at(odd(0.62), func() { // the worker drains first, and dispatchers are notified late
 		s.workers[4].model.Drain()
 	})
 	s.at(odd(0.66), func() {
@@ -281,7 +285,7 @@
 	})
 	s.at(odd(0.75), func() { s.listed[0].Weight = 1; s.notifyList(0) })
 	s.at(odd(0.80), func() { s.listed[5].State = balancer.Removed; s.notifyList(5) })
-	s.at(odd(0.82), func() { // a shorter aim than any: all rounds grow shorter
+	s.at(odd(0.82), func() { // a latency objective shorter than any: all rounds grow shorter
 		s.host.configure(balancer.Class{LatencyObjective: int64(300 * time.Millisecond), ClientTimeout: int64(5 * time.Second), PriorityWeight: 1, Idempotency: balancer.Idempotent}, 3)
 	})
 	s.at(odd(0.85), func() { s.listed[5].State = balancer.Active; s.notifyList() })
@@ -331,7 +335,7 @@
 	h.simNode.SendAttempt(id, w, until)
 }
 
-// CancelAttempt is told of, as at the core, where there is still something to call off.
+// CancelAttempt is reported, as at the core, where there is still something to cancel.
 func (h *hollowHost) CancelAttempt(id string, attempt int) {
 	if fl := h.attempts[simKey{id, attempt}]; fl != nil && !fl.over {
 		h.s.did("cancel %s #%d", id, attempt)
@@ -368,12 +372,13 @@
 
 func (h *hollowHost) Log(text string) { h.s.did("log %s", text) }
 
-// realHost is oakthread.Core, with the list that package kept keeps, before carriers that lead into the world.
+// realHost is oakthread.Core, with the list that package endpointcache keeps, before carriers that
+// lead into the world.
 type realHost struct {
 	s      *stage
 	core   *oakthread.Core
 	keeper *endpointcache.Syncer
-	stub   *simNode // dispatcher 0's place in the world: it only remembers which drains it was told of
+	stub   *simNode // dispatcher 0's place in the world: it only remembers of which drains it was notified
 	wait   sync.WaitGroup
 
 	mu    sync.Mutex
@@ -456,7 +461,8 @@
 		if !h.s.now.Before(until) {
 			return
 		}
-		// The core's own timers ring meanwhile: the world looks whenever it may have been told something.
+		// The core's own timers fire meanwhile: the world looks whenever something may have been
+		// reported to it.
 		next := until
 		if len(h.s.queue) > 0 && h.s.queue[0].at < until.UnixNano() {
 			next = time.Unix(0, h.s.queue[0].at)
@@ -529,7 +535,7 @@
 	})
 }
 
-// settled tells of the ends that the module ordered.
+// settled reports the completions that the module ordered.
 func (h *realHost) settled(x oakthread.Completion) {
 	switch x.Answer.Outcome {
 	case oakthread.Rejected:
@@ -569,7 +575,8 @@
 	return oakthread.Reply{Result: balancer.NotSent}
 }
 
-// depart is what an attempt meets on its way, as simNode.Send has it: what comes up is asked for right before the first byte.
+// depart is what an attempt meets on its link, as simNode.Send has it: the connection is checked
+// right before the first byte.
 func (h *realHost) depart(c *simCall, a oakthread.Attempt, written *atomic.Bool, got chan<- oakthread.Reply) {
 	w, x := h.s.simWorld, h.s.byID[a.Worker.ID]
 	land := func(r balancer.Result, warm balancer.Warmth, crowd int, rep []float64) {
@@ -798,8 +805,8 @@
 	return out
 }
 
-// By design: the core looks a second time at the ration of orders, with a margin for the way; the module's own look is the
-// hollow host's only one.
+// By design: the core checks the load quota a second time, with a margin for the link delay; the
+// module's own check is the hollow host's only one.
 func TestCoreHoldsOrders(t *testing.T) {
 	actual, hollow := apartBy(t, play{seed: 2, steady: true, settings: func(s *balancer.Settings) { s.LoadQuotaBase, s.LoadQuotaRatio = 2, 0.05 }}, func(h *realHost) {
 		assert.Positive(t, h.core.Counters().LoadOrdersWithheld)
@@ -834,8 +841,8 @@
 	assert.NotContains(t, fmt.Sprint(b), "send 0.999.0 #1")
 }
 
-// By design: the core reads the clock when its loop takes an event, not when that came. A loop that stands still for 3 ms has
-// the module hear all of that time 3 ms late at the most.
+// By design: the core reads the clock when its loop takes an event, not when the event arrived. A
+// loop that stalls for 3 ms delivers all events of that time to the module at most 3 ms late.
 func TestCoreReadsItsClockInTheLoop(t *testing.T) {
 	const still = 3 * time.Millisecond
 	actual, hollow := apartBy(t, play{seed: 1, steady: true, stall: still}, nil)
@@ -876,8 +883,8 @@
 			assert.Zero(t, left.ends[balancer.Cancelled])
 		}
 	})
-	// No connection comes up, and one call is on its way when something ends that. One alone: the core revokes several of one
-	// moment in no order.
+	// No connection comes up, and one call is under way when something ends it. One alone: the core
+	// revokes several of one moment in no order.
 	const sent = 3 * time.Second
 	for name, c := range map[string]struct {
 		left time.Duration // until the call's deadline; 0: its class's
@@ -919,8 +926,8 @@
 	}
 }
 
-// What an order shows of an executor is told to the list at both hosts. The call that had it loaded is over before it ends, so
-// that nothing else is.
+// What an order shows of an executor is reported to the list at both hosts. The call that had it
+// loaded is over before it ends, so that nothing else is.
 func TestHostsShowOrdersToTheList(t *testing.T) {
 	p := play{seed: 1, asked: 1, span: 8 * time.Second, steady: true, script: func(s *stage) {
 		s.at(s.began.Add(5900*time.Millisecond), func() { s.f.Load = 8 * time.Second })
@@ -978,7 +985,7 @@
 			p := play{
 				seed: 1, asked: 1, span: 8 * time.Second, steady: true,
 				settings: func(s *balancer.Settings) { s.LoadOrderTimeout = int64(limit) },
-				script: func(s *stage) { // a function is served, forgotten and asked for again; its box loses the load
+				script: func(s *stage) { // a function is served, forgotten and asked for again; its worker loses the load
 					for i, at := range []time.Duration{time.Second, 6 * time.Second} {
 						c := &simCall{class: 0, model: 77, intended: s.began.Add(at), name: fmt.Sprintf("0.90%d", i)}
 						s.at(c.intended, func() { s.host.arrive(c) })
@@ -1029,7 +1036,8 @@
 	require.Error(t, err)
 }
 
-// Three processes and three hollow dispatchers under the same load: all figures are there, and messages and worth are near.
+// Three processes and three hollow dispatchers under the same load: all figures are there, and
+// messages and weighted value are near.
 func TestCalibrateSmall(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "oakthread")
 	text, err := exec.Command("go", "build", "-o", program, "oakthread/cmd/dispatcher").CombinedOutput()
@@ -1048,7 +1056,7 @@
 		assert.False(t, math.IsNaN(float64(row.Values[0])), row.Name)
 	}
 	for _, b := range rep.Bounds {
-		if strings.Contains(b.Name, "bytes") || strings.Contains(b.Name, "breaches") { // worth hangs on the machine's pace
+		if strings.Contains(b.Name, "bytes") || strings.Contains(b.Name, "breaches") { // the weighted value depends on the machine's pace
 			assert.True(t, b.Holds, "%+v", b)
 		}
 	}
--- a/internal/lab/capacity.go
+++ b/internal/lab/capacity.go
@@ -1,8 +1,8 @@
 package lab
 
-// This file owns the experiment capacity: which hollow runs are made, the slopes of their figures over each size, and the
-// predictions that are written down before the run they are held against. It must never fit a figure to the run that it
-// foretells, nor leave out a prediction that failed.
+// The experiment capacity: which hollow runs are made, the slopes of their figures over each size,
+// and the predictions, which are logged before the run that they are compared with. No figure is
+// fitted to the run that it predicts, and failed predictions are reported.
 
 import (
 	"context"
@@ -23,19 +23,19 @@
 	budgetBytes          = 2000              // a second, in and out together
 	budgetChoice         = 0.045 / 200 * 1e9 // ns a call, if choices alone had all of it: 380,000 calls/s at 1,900 dispatchers
 	maxChoiceNanoseconds = 25e3              // ns a call that is wanted at the most executors
-	valueTolerance       = 0.01              // by which worth may fall below that of the whole walk
+	valueTolerance       = 0.01              // by which weighted value may fall below that of the full scan
 	farthest             = 1000              // times the largest size of a fit: beyond that it says nothing of a budget
 	largestRoom          = 0.5               // of a prediction from several slopes, at the most
 	capacityCSV          = "capacity.csv"    // beside the plots: a line for each figure of each run
-	choiceAt             = "choice"          // the section that sets the walk of the whole list beside the program
+	choiceAt             = "choice"          // the section that compares the full scan of the list with the program
 	largestAt            = "largest"         // and that of the largest fleet
 	letterAt             = "letter"          // that of the letter's dispatchers and calls
 	zipfAt               = "zipf"            // that of functions drawn by a Zipf law
 	messagesAt           = "words"           // the dimension that has no runs of its own
-	serviceAt            = "service"         // the section of busy fleets, with the walk of the whole list and without
+	serviceAt            = "service"         // the section of busy fleets, with the full scan of the list and without
 	faultsAt             = "faults"          // that of faults at size
 	calibrateAt          = "calibration"     // that of real processes beside hollow ones
-	noWalk               = -1                // of decide.Settings.Walk: every list is long
+	noWalk               = -1                // of balancer.Settings.FullScanLimit: every list is long
 )
 
 // ErrDimension is of a name that no dimension of the experiment capacity has: a command line that cannot be read.
@@ -207,8 +207,8 @@
 	return out, nil
 }
 
-// dimension moves one size alone: the smaller sizes, what they foretell of the largest, and the largest. words: those are
-// held against the same run.
+// dimension varies one size alone: the smaller sizes, what they predict for the largest, and the
+// largest. messages: the slopes over messages are compared with the same run.
 func (c *capacity) dimension(ctx context.Context, d capacityDim, messages bool) error {
 	all, err := c.fits(ctx, d)
 	if err != nil {
@@ -283,7 +283,8 @@
 	return all, nil
 }
 
-// arm is a size of the choice section: with the whole list walked, or as the program is, every list taken for long.
+// arm returns a size of the choice section: with a full scan of the list, or as the program does,
+// with every list taken as long.
 func (p *capacityPlan) arm(n int, before bool) HollowSize {
 	size := p.choice
 	size.Executors, size.Before = n, before
@@ -293,10 +294,11 @@
 	return size
 }
 
-// shortList is up to how many executors a list is walked whole by itself.
+// shortList is the number of executors up to which the program itself scans a list completely.
 const shortList = 256
 
-// walks sets the walk of the whole list beside the program's choice, with the slopes of both and what they foretell of the last size.
+// walks compares the full scan of the list with the program's choice: the slopes of both and what
+// they predict for the last size.
 func (c *capacity) walks(ctx context.Context) error {
 	var both []*CapacitySlope
 	for _, name := range []string{"cpu.choice.before", "cpu.choice"} {
--- a/internal/lab/capacity_test.go
+++ b/internal/lab/capacity_test.go
@@ -17,7 +17,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// tinyPlan is the whole experiment at sizes for tests.
+// tinyPlan is the complete experiment at sizes for tests.
 func tinyPlan() capacityPlan {
 	p := capacityPlan{
 		seeds: []uint64{1}, walks: []int{20, 60},
@@ -52,7 +52,8 @@
 	return -1
 }
 
-// The whole experiment with real hollow dispatchers. Its bounds here are of counts and bytes: times are the machine's.
+// The complete experiment with real hollow dispatchers. Its bounds here are of counts and bytes:
+// times depend on the machine.
 func TestCapacity(t *testing.T) {
 	dir, log, plan := t.TempDir(), lines{}, tinyPlan()
 	began := time.Now()
--- a/internal/lab/capacityplan.go
+++ b/internal/lab/capacityplan.go
@@ -15,8 +15,9 @@
 	budget     float64 // of one dispatcher; 0: none
 }
 
-// capacityFigures lists them. State and bytes have parts, one for each size: they add up. The time of one step grows with all
-// sizes at once, as a walk of the list for each of those told does.
+// capacityFigures lists them. State and bytes have parts, one for each size: they add up. The time
+// of one step grows with all sizes at once, as a scan of the list for each notified dispatcher
+// does.
 func capacityFigures() []capacityFigure {
 	return []capacityFigure{
 		{name: "heap", unit: "bytes", budget: budgetHeap},
@@ -88,7 +89,8 @@
 	calibrate bool
 }
 
-// serviceFleet is a busy fleet of the experiment fleet, on a calm day; walk: that of ours beside the walk of the whole list.
+// serviceFleet is a busy fleet of the experiment fleet, on a calm day; walk is the scan limit of
+// the program's arm beside the full scan.
 type serviceFleet struct{ dispatchers, executors, walk int }
 
 // dim is a dimension with its sizes.
@@ -122,11 +124,12 @@
 	return out
 }
 
-// planCapacity is the experiment's plan. Calls a second at each dispatcher are fewer than the 200 of the letter, so that many
-// dispatchers fit into one process; calls are a dimension of their own, up to those 200. The largest fleet has the base's
-// calls and list events, so that its prediction goes over three sizes alone; that of the letter's calls has these moved too, for as
-// long as some two minutes of one core bear. Messages are at their least price: at a higher one
-// the purse, not the size, bounds what is told.
+// planCapacity returns the experiment's plan. Calls per second at each dispatcher are fewer than
+// the 200 of the letter, so that many dispatchers fit into one process; calls are a dimension of
+// their own, up to those 200. The largest fleet has the base's calls and list events, so that its
+// prediction extends over three sizes alone; the fleet with the letter's calls varies these too,
+// for as long as about two minutes of one core permit. Messages are at their lowest price: at a
+// higher one the message budget, not the size, limits what is sent.
 func planCapacity(o Options) capacityPlan {
 	p := capacityPlan{
 		seeds: []uint64{o.Seed, o.Seed + 1, o.Seed + 2}, walks: []int{120, 300, 600, 1_200, 2_400, 9_600},
--- a/internal/lab/capacityservice.go
+++ b/internal/lab/capacityservice.go
@@ -7,9 +7,10 @@
 	"strings"
 )
 
-// service sets busy fleets with the whole list walked beside ours, and two yardsticks: one dispatcher of this program that all calls
-// go through, and an omniscient router. The fleets' executors are small, short of memory and empty at the start, so that what a
-// choice loses is seen.
+// service compares busy fleets with the full scan of the list and with the program's choice, and
+// with two references: one dispatcher of this program that all calls go through, and an omniscient
+// router. The fleets' executors are small, short of memory and empty at the start, so that the loss
+// of a choice is visible.
 func (c *capacity) service(ctx context.Context) error {
 	for _, s := range c.plan.service {
 		name := fmt.Sprintf("service, %d dispatchers, %d executors: ", s.dispatchers, s.executors)
@@ -74,7 +75,7 @@
 
 const (
 	fewSeeds    = 1_000 // from how many dispatchers on a busy fleet is run with the first seed alone
-	oneRoom     = 0.1   // by which worth may fall below that of one dispatcher
+	oneRoom     = 0.1   // by which weighted value may fall below that of one dispatcher
 	valueInTime = "worth in time"
 )
 
--- a/internal/lab/check.go
+++ b/internal/lab/check.go
@@ -1,7 +1,7 @@
 package lab
 
-// This file owns the checkers: each finds breaches of one rule in what boxes, clients and relays saw. They must never take
-// the word of a dispatcher.
+// The checkers: each finds breaches of one rule in what workers, clients and relays observed. What
+// a dispatcher reports of itself is not used.
 
 import (
 	"fmt"
@@ -12,10 +12,10 @@
 
 const (
 	drainAllowance = time.Second + 50*time.Millisecond
-	callKey        = 13 // characters of an id that all tries of a call share
+	callKey        = 13 // characters of an id that all attempts of a call share
 )
 
-// RunTwice counts calls of a class that must never run twice and that boxes took more than once, whichever the try.
+// RunTwice counts non-idempotent calls that workers admitted more than once, by whichever attempt.
 func RunTwice(f *Figures, workers ...[]ObservedCall) (n int) {
 	took := map[string]int{}
 	for _, observed := range workers {
@@ -30,9 +30,10 @@
 	return n
 }
 
-// Unanswered counts tries that were taken and got no whole answer, and answers that no box made. A try that crossed the close of
-// its connection counts unless all boxes are given and none of them saw it. excused: the try is owed nothing, such as one that
-// crossed the death of its dispatcher.
+// Unanswered counts attempts that were admitted and got no complete answer, and answers that no
+// worker made. An attempt that crossed the close of its connection counts unless all workers are
+// given and none of them saw it. excused reports attempts that are owed nothing, such as one that
+// crossed the death of its dispatcher; nil excuses none.
 func Unanswered(calls []*Call, excused func(Attempt) bool, workers ...[]ObservedCall) (lost, wrong int) {
 	came := map[string]bool{}
 	for _, observed := range workers {
@@ -53,8 +54,9 @@
 	return lost, wrong
 }
 
-// LateSends counts calls that came to a draining box more than the allowance after their dispatcher was told, by discovery
-// or by the box's own refusal. told: when discovery told each dispatcher; absent where it did not.
+// LateSends counts calls that came to a draining worker more than the allowance after their
+// dispatcher was notified, by discovery or by the worker's own rejection. notified holds when
+// discovery notified each dispatcher; a dispatcher that it did not notify is absent.
 func LateSends(notified map[int]time.Time, observed []ObservedCall) (n int) {
 	first := map[int]time.Time{}
 	for d, t := range notified {
@@ -86,8 +88,9 @@
 	return n
 }
 
-// OverRation counts orders of one dispatcher that went beyond the ration: in any window no more than free and the share of
-// the calls taken in it, with slack for what is on its way. Both lists are in order of time.
+// OverRation counts load orders of one dispatcher beyond its quota: in any window at most free
+// orders and the share of the calls taken in it, with slack for what is in transit. Both lists are
+// in order of time.
 func OverRation(orders, calls []time.Time, window time.Duration, free, share, slack float64) (n int) {
 	for i, t := range orders {
 		from := t.Add(-window)
@@ -101,9 +104,10 @@
 	return n
 }
 
-// WarmingLoad is the most that a box that started at start was sent while it was cold, as a part of what is put down to chance:
-// in any window of the length that the settings name, N calls of mean work and twice the root of N and two more, N being
-// what the settings allow it at the window's end. seen is in order of time.
+// WarmingLoad returns the highest load that a worker started at start was sent while it warmed up,
+// as a part of the permitted load: in any window of the configured length, N calls of mean work
+// plus twice the root of N plus two for chance, N being what the settings permit at the window's
+// end. observed is in order of time.
 func WarmingLoad(f *Figures, start time.Time, observed []ObservedCall) (most float64) {
 	mean := 0.0
 	for _, c := range f.Classes {
@@ -146,7 +150,7 @@
 	return float64(sum) / float64(max(1, calls))
 }
 
-// Served is the share of first tries intended in a span that were served.
+// Served returns the share of calls intended in a span that were served.
 func Served(calls []*Call, from, until time.Time, pick func(*Call) bool) float64 {
 	all, good := 0, 0
 	for _, c := range calls {
@@ -160,7 +164,7 @@
 	return float64(good) / float64(max(1, all))
 }
 
-// Earned is the worth that calls intended in a span earned, of that asked.
+// Earned returns the weighted value that calls intended in a span earned, of that offered.
 func Earned(f *Figures, calls []*Call, from, until time.Time) float64 {
 	asked, got := 0.0, 0.0
 	for _, c := range calls {
--- a/internal/lab/comeback.go
+++ b/internal/lab/comeback.go
@@ -1,7 +1,8 @@
 package lab
 
-// This file owns the experiment comeback: a part of the ways is cut for some seconds and comes back, under real processes
-// of the program before and after a change. What is counted was seen by boxes, clients and the kernel.
+// The experiment comeback: some of the links are cut for some seconds and restored, under real
+// processes of the program before and after a change. Results are counted at workers, clients and
+// the kernel.
 
 import (
 	"cmp"
@@ -12,7 +13,7 @@
 	"time"
 )
 
-// comebackBefore is the commit before the judgement on zones and reaches.
+// comebackBefore is the commit before faults of zones and of reachability were detected.
 const comebackBefore = "cc3ec03"
 
 // comebackSize is how large a run is, and how long its parts are.
@@ -21,15 +22,16 @@
 	warm, cut, after, tail time.Duration // tail: after the end, from when on all is to be as before
 }
 
-// comebackKinds are what is cut: the ways between two zones, words among them, or a third of the boxes from all.
+// comebackKinds returns what is cut: the links between two zones, those between dispatchers among
+// them, or a third of the workers from all dispatchers.
 func comebackKinds() []string { return []string{"zones", "third"} }
 
 // comebackResult is what one run came to.
 type comebackResult struct {
 	Breaches
 	calls                      int
-	calm, during, late         float64 // worth in time, of that asked
-	calmAttempts, lateAttempts float64 // attempts that came to boxes, a served call
+	calm, during, late         float64 // weighted value in time, of that offered
+	calmAttempts, lateAttempts float64 // attempts that came to workers, per served call
 	calmFull, lateFull         float64 // of these
 	failedEarly, failedLate    float64 // handshakes swallowed in the halves of the cut
 	least                      float64 // handshakes lost before anyone can know, and by the trials of a zone
@@ -74,7 +76,8 @@
 	return rep, nil
 }
 
-// comebackFigures are small boxes, four tenths busy, whose memory holds three copies of each model.
+// comebackFigures returns small workers, four tenths busy, whose memory holds three copies of each
+// model.
 func comebackFigures() *Figures {
 	f := fleetFigures()
 	f.Load = 400 * time.Millisecond
@@ -158,7 +161,7 @@
 		return float64(came) / math.Max(float64(served), 1), float64(turned) / math.Max(float64(came), 1)
 	}
 	x.calmAttempts, x.calmFull = attempts(from, cutAt)
-	// Three in a row, and trials after 1, 3, 7 and 15 shortest aims.
+	// Three in a row, and health checks after 1, 3, 7 and 15 shortest latency objectives.
 	x.least = float64(size.dispatchers) * (3 + math.Floor(math.Log2(1+float64(size.cut)/float64(r.Figures.Classes[0].LatencyObjective))))
 	x.lateAttempts, x.lateFull = attempts(healed.Add(size.tail), end)
 	for _, c := range r.Called {
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -1,6 +1,6 @@
 package lab
 
-// This file owns the demonstration: a small world on loopback for newcomers.
+// The demonstration: a small world on loopback for newcomers.
 
 import (
 	"context"
@@ -18,8 +18,8 @@
 	demoTime    = 6 * time.Second
 )
 
-// Demo starts a stand-in discovery, a dozen boxes and a dispatcher, sends some seconds of calls and says what became of
-// them.
+// Demo starts a stand-in discovery, a dozen workers and a dispatcher, sends some seconds of calls
+// and prints their results.
 func Demo(ctx context.Context, out io.Writer) error {
 	f := PlannerFigures()
 	net, err := ClaimNet()
--- a/internal/lab/discovery.go
+++ b/internal/lab/discovery.go
@@ -1,7 +1,8 @@
 package lab
 
-// This file owns the stand-in discovery: the command channel as the platform's protocol tells it, with outages, late and
-// doubled events, and numberings that start over. It must never skip an event that a dispatcher has not had.
+// The stand-in discovery: the command channel of the platform's protocol, with outages, late and
+// duplicate events, and numberings that start over. Every dispatcher gets every event that it has
+// not had.
 
 import (
 	"bufio"
@@ -17,7 +18,7 @@
 	"time"
 )
 
-// Listed is one box as discovery tells it.
+// Listed is the entry of one worker in discovery's list.
 type Listed struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"host_port"`
@@ -29,26 +30,27 @@
 	UpSince int64   `json:"up_since_ms"`
 }
 
-// Phases of a listed box.
+// Phases of a listed worker.
 const (
 	Ready       = "Ready"
 	Terminating = "Terminating"
 	Removed     = "Gone"
 )
 
-// Discovery is the stand-in for the service that knows the boxes. Every dispatcher has a listener of its own, so that
-// what was told to whom is known.
+// Discovery stands in for the service that knows the workers. Every dispatcher has a listener of
+// its own, so that it is known which dispatcher was notified of what.
 type Discovery struct {
 	// Double has every event sent twice. Heart is the pace of lines with the last number; 0: 1 s.
 	Double bool
 	Heart  time.Duration
-	// Route is where dispatcher n reaches a box, for runs with relays between; nil: at the box's own address. Set before use.
+	// Route returns where dispatcher n reaches a worker, for runs with relays between; nil: the
+	// worker's own address. It is set before use.
 	Route func(n int, box Listed) string
 
 	mu        sync.Mutex
 	epoch     string
 	lines     [][]Listed     // from number 1
-	announced map[string]int // id: number of the event that told its present phase
+	announced map[string]int // id: number of the event that announced its present phase
 	state     map[string]Listed
 	down      bool
 	ports     []*port
@@ -64,7 +66,7 @@
 	notified map[int]time.Time // event: when it was written here first
 }
 
-// NewDiscovery makes one that knows no boxes.
+// NewDiscovery returns a discovery that knows no workers.
 func NewDiscovery(epoch string) *Discovery {
 	return &Discovery{epoch: epoch, announced: map[string]int{}, state: map[string]Listed{}, changed: make(chan struct{})}
 }
@@ -120,7 +122,7 @@
 	}()
 }
 
-// Publish makes one event of changed boxes; the first holds the whole list.
+// Publish makes one event of changed workers; the first event holds the full list.
 func (d *Discovery) Publish(workers ...Listed) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -151,7 +153,8 @@
 	return string(raw) + "\n"
 }
 
-// event is what dispatcher n reads of boxes, which it changes.
+// event returns what dispatcher n reads of workers, whose addresses it replaces by those of the
+// links.
 func (d *Discovery) event(n, cursor int, complete bool, workers []Listed) map[string]any {
 	if d.Route != nil {
 		for k := range workers {
@@ -161,7 +164,8 @@
 	return map[string]any{"cursor": cursor, "epoch": d.epoch, "nodes": map[string]any{"revision": cursor, "complete": complete, "members": workers}}
 }
 
-// Known is all that there is to tell, as one event in the configuration of dispatcher n, which counts as told of it now.
+// Known returns all that is known as one event for the configuration of dispatcher n, which counts
+// as notified of it from now on.
 func (d *Discovery) Known(n int) map[string]any {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -174,7 +178,7 @@
 	return map[string]any{"cursor": len(d.lines), "cmds": []any{d.event(n, len(d.lines), true, all)}}
 }
 
-// StartOver begins a new numbering under another epoch, with the whole list as its first event.
+// StartOver begins a new numbering under another epoch, with the full list as its first event.
 func (d *Discovery) StartOver(epoch string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -278,14 +282,16 @@
 	}
 }
 
-// NotifiedAt is when dispatcher n was told of the present phase of a box; zero: not yet.
+// NotifiedAt returns when dispatcher n was notified of the present phase of a worker; the zero time
+// if it was not.
 func (d *Discovery) NotifiedAt(n int, id string) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.ports[n].notified[d.announced[id]]
 }
 
-// notifiedTimes is when each of so many dispatchers was told of the present phase of a box; absent where it was not.
+// notifiedTimes returns when each dispatcher was notified of the present phase of a worker; those
+// that were not are absent.
 func notifiedTimes(d *Discovery, dispatchers int, id string) map[int]time.Time {
 	notified := map[int]time.Time{}
 	for i := range dispatchers {
--- a/internal/lab/dispatchers.go
+++ b/internal/lab/dispatchers.go
@@ -1,7 +1,7 @@
 package lab
 
-// This file owns the dispatchers of an experiment: real processes of the daemon on loopback addresses. It must never end
-// a process that it did not start.
+// The dispatchers of an experiment: real processes of the daemon on loopback addresses. Only
+// processes started here are ended.
 
 import (
 	"context"
@@ -146,7 +146,8 @@
 	return d, nil
 }
 
-// Know has the configuration hold what is known of the boxes: an object with a cursor and events.
+// Know puts what is known of the workers into the configuration: an object with a cursor and
+// events.
 func (d *Dispatcher) Know(known map[string]any) error {
 	raw, err := os.ReadFile(d.Config)
 	if err != nil {
@@ -234,7 +235,7 @@
 	return nil
 }
 
-// Running tells whether its process was started and not ended by the run.
+// Running reports whether the process was started and not ended by the run.
 func (d *Dispatcher) Running() bool { return d.cmd != nil }
 
 // Log is the file that its processes log to.
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -1,7 +1,8 @@
 package lab
 
-// This file owns the experiment fleet: many dispatchers in virtual time, with their messages, while boxes are replaced
-// or a zone is lost and returns cold. Roster and decide are the real code; the core, the fronts and the sockets are not.
+// The experiment fleet: many dispatchers in virtual time, with their messages, while workers are
+// replaced or a zone is lost and returns. The endpoint list and the balancer are the real code; the
+// core, the front ends and the sockets are not there.
 
 import (
 	"context"
@@ -19,7 +20,7 @@
 )
 
 const (
-	fleetCalls  = 22 // calls a second of a box, four tenths of what it can do
+	fleetCalls  = 22 // calls per second of a worker, four tenths of its capacity
 	fleetWarm   = 6 * time.Second
 	fleetFault  = 7 * time.Second
 	fleetWatch  = 12 * time.Second
@@ -31,12 +32,12 @@
 	peerPrice   = 0.021
 )
 
-// fleetKinds are the troubles.
+// fleetKinds returns the faults.
 func fleetKinds() []string { return []string{"calm", "join", "zone", "split", "parted", "fails"} }
 
 const (
 	splitFor   = 6 * time.Second
-	splitLost  = 0.01                    // of answers, while the boxes are silent
+	splitLost  = 0.01                    // of answers, while the workers are silent
 	backWithin = 1.1                     // attempts a served call, of those before: as it was
 	failLook   = 50 * time.Millisecond   // how often dispatchers are asked whom they avoid
 	backLook   = time.Second             // over which these are taken
@@ -46,21 +47,21 @@
 // fleetResult is what one run came to.
 type fleetResult struct {
 	twice, late, fallen, open int
-	unwarned                  int // boxes that fell before anyone was told that they came cold
+	unwarned                  int // workers that collapsed before anyone was notified that they were warming up
 	unserved, service         float64
 	later                     float64 // the same as service, of calls meant for the last twelve seconds
-	warmingShare              float64 // calls a second that the boxes that came cold served, as part of the others'
+	warmingShare              float64 // calls per second that new workers served, as part of the others'
 	bytes                     float64 // of messages delivered, a call
 	oversize                  int
-	unreached                 float64 // attempts at boxes that could not be reached, a call
-	spoilt                    int     // calls that a box spoilt that fails at once
-	avoided                   float64 // seconds until nine in ten dispatchers avoid it; the whole trouble where they never do
+	unreached                 float64 // attempts at workers that could not be reached, per call
+	spoilt                    int     // calls that the failing worker spoilt
+	avoided                   float64 // seconds until nine in ten dispatchers avoid it; the complete fault where they never do
 	back                      float64 // seconds from the end of a split until attempts a served call were as before
 	attempts                  float64 // attempts a served call in the four seconds after the end of a split
 	servedRatio               float64 // calls served a second in these, of those in the three seconds before the split
 }
 
-// Fleet runs the experiment: three troubles over the number of dispatchers, with and without messages.
+// Fleet runs the experiment: the faults over the number of dispatchers, with and without messages.
 func Fleet(ctx context.Context, o Options) (*Report, error) {
 	sizes := []int{1, 3, 80, 300}
 	if o.Quick {
@@ -125,11 +126,11 @@
 	return rep, nil
 }
 
-// plotFleet draws what no table shows well: how far the totals are off, over the part of the fleet that hears nothing, and how a
-// box that fails is found, over the number of dispatchers.
+// plotFleet draws what no table shows well: the error of the totals over the part of the fleet that
+// receives nothing, and the detection of a failing worker over the number of dispatchers.
 func plotFleet(ctx context.Context, f *Figures, o Options) error {
 	parts := []float64{0, 0.1, 0.25, 0.5, 0.75, 0.9, 1}
-	var off [2]plotter.XYs // of those who hear, of the deaf
+	var off [2]plotter.XYs // of those that receive messages, and of those that do not
 	for _, part := range parts {
 		if err := ctx.Err(); err != nil {
 			return err
@@ -176,8 +177,8 @@
 	return chart.draw(o.Plots)
 }
 
-// deafSim is by how much, on the mean, dispatchers' totals of answers a second are off after a part of them has heard nothing
-// for 6 s.
+// deafSim returns by how much, on the mean, dispatchers' totals of answers per second are off after
+// a part of them has received no message for 6 s.
 func deafSim(f *Figures, dispatchers, workers int, part float64, seed uint64) (hearing, deaf float64, err error) {
 	w, err := fleetWorld(f, dispatchers, workers, true, 0, seed)
 	if err != nil {
@@ -206,7 +207,8 @@
 	return sums[0] / math.Max(counts[0], 1), sums[1] / math.Max(counts[1], 1), nil
 }
 
-// fleetFigures are small boxes, so that a fleet of them is busy with few calls: 22 a second take four tenths of one.
+// fleetFigures returns small workers, so that few calls keep a fleet of them busy: 22 per second
+// use four tenths of one.
 func fleetFigures() *Figures {
 	f := PlannerFigures()
 	f.Worker.Cores, f.Worker.Queue, f.Worker.Copies, f.Worker.Loads = 1, 16, 24, 2
@@ -214,7 +216,8 @@
 	return f
 }
 
-// fleetWorld lays out a fleet in virtual time whose clients send until the end of a trouble's watch.
+// fleetWorld lays out a fleet in virtual time whose clients send until the fault has been observed
+// to its end.
 func fleetWorld(f *Figures, dispatchers, workers int, messages bool, walk int, seed uint64) (*simWorld, error) {
 	rate := float64(fleetCalls * workers)
 	w := &simWorld{
@@ -245,7 +248,8 @@
 	return w, nil
 }
 
-// notifyAll tells the list to all, at the same moment: the most dangerous.
+// notifyAll publishes the list to all dispatchers at the same moment, which is the most dangerous
+// case.
 func (w *simWorld) notifyAll() {
 	w.cursor++
 	u := endpoints.Update{Full: true, Cursor: w.cursor, Endpoints: slices.Clone(w.listed)}
@@ -317,7 +321,7 @@
 			})
 		}
 		w.at(began.Add(fleetWarm+5*time.Second+notifyDelay), func() {
-			for _, x := range fresh { // nobody was told that it came cold: harm, but no rule broken
+			for _, x := range fresh { // nobody was notified that it was warming up: harm, but no rule broken
 				x.unwarned = x.model.Fallen()
 			}
 			notify()
@@ -327,7 +331,7 @@
 	return w.fleetResult(fresh, stayed, began), nil
 }
 
-// avoiding counts the dispatchers that leave a box out.
+// avoiding counts the dispatchers that avoid a worker.
 func (w *simWorld) avoiding(id balancer.WorkerID) (n int) {
 	for _, s := range w.nodes {
 		for _, v := range s.d.WorkerHealth(w.now.UnixNano()) {
@@ -339,7 +343,7 @@
 	return n
 }
 
-// add makes a box that starts then.
+// add adds a worker that starts at the given time.
 func (w *simWorld) add(i int, start time.Time) *simWorker {
 	x := &simWorker{id: balancer.WorkerID(0x100 + i*7919), model: NewWorkerModel(w.f.Worker, start)}
 	w.workers = append(w.workers, x)
--- a/internal/lab/hollow.go
+++ b/internal/lab/hollow.go
@@ -1,9 +1,10 @@
 package lab
 
-// This file owns hollow dispatchers: many of them in one process and in virtual time, each the real roster and decide (with
-// commons, verdict and turns) as vtime.go hosts them, with a meter of what each costs, faults at size and a guard on memory.
-// Nothing of the decisions is simplified; what is not there is the core's goroutines, the fronts and the sockets. It must
-// never let a measured time or the collector of garbage change what the run does: counts and bytes repeat exactly.
+// Hollow dispatchers: many of them in one process and in virtual time, each with the real endpoint
+// list and balancer as virtualtime.go hosts them, with a meter of what each costs, faults at size
+// and a limit of memory. The decisions are not simplified; the core's goroutines, the front ends
+// and the sockets are not there. Neither a measured time nor the garbage collector changes what a
+// run does: counts and bytes repeat exactly.
 
 import (
 	"context"
@@ -21,23 +22,25 @@
 	"oakthread/endpoints"
 )
 
-// HollowSize is one run of hollow dispatchers in virtual time. At large sizes Calls may be far fewer than the 200 a second
-// that each bears in the plan: what a call costs is told for one call, and the rest follows from the clock.
+// HollowSize is one run of hollow dispatchers in virtual time. At large sizes Calls may be far
+// fewer than the 200 per second that each bears in the plan: the cost of a call is reported per
+// call, and the rest follows from the clock.
 type HollowSize struct {
 	Dispatchers, Executors, Functions int
 	Calls                             float64       // a second at each dispatcher, on the mean
-	ListEvents                        float64       // changes of the list a second, told to all: an executor drains and comes back, or a weight changes
+	ListEvents                        float64       // changes of the list per second, published to all: an executor drains and comes back, or a weight changes
 	Zipf                              float64       // exponent of the functions' popularity; 0: drawn evenly
 	Span                              time.Duration // virtual time that is measured, after a warm-up
 	Warm                              time.Duration // the warm-up; 0: 6 s
 	WarmCalls                         float64       // calls a second at each in the warm-up, but for its last second; 0: Calls
-	Before                            bool          // the whole list is walked for every choice
-	Walk                              int           // else decide.Settings.Walk; 0: the program's own
+	Before                            bool          // the full list is scanned for every choice
+	Walk                              int           // else balancer.Settings.FullScanLimit; 0: the program's own
 	Fault                             string        // "" or one of HollowFaults()
 	Memory                            uint64        // bytes that the process may take; 0: half of the machine's
 	Lost                              float64       // part of the messages that never come
-	// PeerPrice is balancer.Settings.PeerPrice: what a message costs, of the worth of a call; 0: the least that decide takes.
-	// At the 0.021 of the experiment fleet no purse buys a digest for 1,000, and none is written.
+	// PeerPrice is balancer.Settings.PeerPrice: the price of a message, in the weighted value of a
+	// call; 0: the lowest that the balancer uses. At the 0.021 of the experiment fleet no message
+	// budget pays for a digest for 1,000, and none is written.
 	PeerPrice float64
 }
 
@@ -45,11 +48,11 @@
 //
 //	heap               bytes live after a collection with all dispatchers, less those live once they are let go; over the dispatchers
 //	resident           bytes of the process after that collection, the emulated world with it; over the dispatchers
-//	cpu.choice         ns a call in Request, Outcome and Loaded, messages with them that these write
-//	cpu.upkeep         ns in a second of virtual time in Timer events that wrote no message; calls sent again are among them
+//	cpu.choice         ns a call in HandleRequest, HandleAttemptResult and HandleLoadResult, with the messages that these write
+//	cpu.upkeep         ns in a second of virtual time in HandleTimer events that wrote no message; calls sent again are among them
 //	cpu.write          the same in those that wrote one
 //	cpu.read           ns a message read
-//	cpu.list           ns a change of the list; cpu.list.whole: a whole list, the first one or that of the fault
+//	cpu.list           ns a change of the list; cpu.list.whole: a full list, the first one or that of the fault
 //	cpu.config         ns a new configuration: AddClasses and SetMaxAttempts
 //	cpu.control        upkeep, write, read, list and config as a part of a core; config at 5,100 a day
 //	cpu.all            the same with choices
@@ -57,14 +60,14 @@
 //	bytes.in, .out, messages.in, .out   a second; texts alone, without headers
 //	*.busiest          greatest second of any one dispatcher, or of one that collected in it
 //	texts.oversize     longer than the channel carries, dropped
-//	digests            part of the terms in which at least half of the dispatchers were told a digest
+//	digests            part of the terms in which at least half of the dispatchers received a digest
 //	covered            mean part of the fleet that views cover at the end
-//	worth, unserved    in time, of that asked; part of the calls
-//	p99.cold           s, of served calls that found no copy or were held for one
+//	worth, unserved    weighted value in time, of that offered; part of the calls
+//	p99.cold           s, of served calls that found no copy or waited for one
 //	loads              a call
-//	acts.last          s until the last dispatcher was told of a change, the slowest of the changes; of a burst, from its first
-//	calls, twice, late, fallen, open    counts: calls; path-books run twice; sends over 1 s after a drain was told; executors
-//	                   pushed over; calls without an end
+//	acts.last          s until the last dispatcher was notified of a change, the slowest of the changes; of a burst, from its first
+//	calls, twice, late, fallen, open    counts: calls; path-books run twice; sends over 1 s after a drain was announced; executors
+//	                   collapsed under load; calls without an end
 type HollowResult struct {
 	Figures map[string]float64
 	Partial string // why the run ended early; empty: it did not
@@ -74,12 +77,12 @@
 const (
 	FaultOneDown  = "one down"   // one dispatcher dies before the span and stays away
 	FaultRestarts = "restarts"   // one in nineteen is restarted, one after the other: a day's 100 of 1,900
-	FaultZone     = "zone"       // a tenth of dispatchers and executors gone at once, back cold
-	FaultRegions  = "regions"    // two halves don't hear each other for the middle of the span; executors are reached
-	FaultFullList = "whole list" // the whole list again to all at once
+	FaultZone     = "zone"       // a tenth of dispatchers and executors lost at once, and restarted later
+	FaultRegions  = "regions"    // two halves do not receive each other's messages for the middle of the span; executors are reached
+	FaultFullList = "whole list" // the full list again to all at once
 	FaultChanges  = "changes"    // 5,100 a day at their mean pace, each of the list and of the configuration
 	FaultBurst    = "burst"      // 20 such in a second
-	FaultRelease  = "release"    // a third of the executors drains in ten steps, as many cold ones come, half of the dispatchers restart
+	FaultRelease  = "release"    // a third of the executors drains in ten steps, as many new ones start, half of the dispatchers restart
 )
 
 // HollowFaults lists them.
@@ -112,28 +115,28 @@
 	meter  meter
 	err    error
 	rng    *rand.Rand
-	delay  []time.Duration // until each dispatcher is told of a change
+	delay  []time.Duration // until each dispatcher is notified of a change
 	lives  uint64          // restarts so far
-	halves bool            // who does not hear whom, by regions
+	halves bool            // whether the two halves receive no messages from each other
 
 	from, until                   time.Time // the span
 	asked, earned                 float64
 	calls, unserved, loads, begun int
 	loadWaits                     []float64 // s
 	oversize                      int       // before the span
-	fullListTime                  int64     // the same of the time that whole lists took
+	fullListTime                  int64     // the same of the time that full lists took
 	acts                          time.Duration
 	away                          []int // drained executors, in order
 	awayAt                        []time.Time
 	changed                       []time.Time // of each executor
 	term                          int64
-	terms                         []int64 // in which each was last told a digest
+	terms                         []int64 // in which each last received a digest
 	digestReaders                 map[int64]int
 	live                          uint64 // heap after the last collection
 	samples                       []metrics.Sample
 }
 
-// note tells what a text is.
+// note classifies a text.
 type note struct{ digest, report bool }
 
 // HollowRun runs hollow dispatchers in virtual time; one run at a time in a process, for it holds off the collector. Before
@@ -308,7 +311,8 @@
 	}
 }
 
-// collect has garbage collected once enough has come together; it tells whether it did.
+// collect runs the garbage collector once enough garbage has accumulated, and reports whether it
+// did.
 func (h *hollowWorld) collect() bool {
 	metrics.Read(h.samples)
 	if h.samples[0].Value.Uint64() < h.live+max(hollowCollects, h.live/2) {
@@ -334,7 +338,7 @@
 	h.oversize, h.fullListTime = h.simWorld.oversize, h.meter.times[partFullList]
 }
 
-// start makes dispatcher n and tells it the whole list.
+// start makes dispatcher n and gives it the full list.
 func (h *hollowWorld) start(n int) error {
 	s, err := h.node(n, h.seed+h.lives, false)
 	if err != nil {
@@ -345,7 +349,7 @@
 	return nil
 }
 
-// notify tells a dispatcher news of the list.
+// notify gives a dispatcher an update of the list.
 func (h *hollowWorld) notify(s *simNode, u endpoints.Update) {
 	h.meter.fullList = u.Full
 	h.meter.begin(s.n, partList)
--- a/internal/lab/hollow_test.go
+++ b/internal/lab/hollow_test.go
@@ -57,8 +57,9 @@
 	}
 }
 
-// A release in lists too long to be walked, as TestReleaseInALongList plays it with real processes: no rule is breached, hardly a
-// call goes unserved, each third executor drains, and new ones are given work though they are cold.
+// A release in lists too long for a full scan, as TestReleaseInALongList plays it with real
+// processes: no rule is breached, hardly a call goes unserved, each third executor drains, and new
+// ones are given work though they are warming up.
 func TestHollowReleaseInALongList(t *testing.T) {
 	for _, n := range []int{300, 1200} {
 		size := HollowSize{Dispatchers: 12, Executors: n, Functions: 5 * n, Calls: 20, Span: 6 * time.Second, Fault: FaultRelease}
@@ -96,7 +97,7 @@
 	h.play(t.Context(), h.until.Add(6*time.Second))
 	m := &h.meter
 	out := m.sums[2]
-	h.mute = true // what is under way arrives
+	h.mute = true // what is in transit arrives
 	h.play(t.Context(), h.now.Add(2*peerDelay))
 	require.NoError(t, h.err)
 	assert.Equal(t, h.delivered, m.sums[0])
@@ -221,8 +222,8 @@
 	assert.Contains(t, r.Figures, "calls")
 }
 
-// States a fault of today: with one dispatcher of 1,000 missing a digest is too long for the channel, and none is told. At
-// 300 all fit.
+// States a present fault: with one dispatcher of 1,000 missing a digest is too long for the
+// channel, and none is sent. At 300 all fit.
 func TestHollowDigestsOutgrowTheChannel(t *testing.T) {
 	size := HollowSize{Dispatchers: 300, Executors: 10, Functions: 20, Calls: 2, Warm: 2400 * time.Millisecond, Span: 1600 * time.Millisecond, Fault: FaultOneDown}
 	r, err := HollowRun(t.Context(), size, 1)
--- a/internal/lab/hollowclients.go
+++ b/internal/lab/hollowclients.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// home is the dispatcher that clients of the nth go to: itself, or, while it is gone, another that is there.
+// home returns the dispatcher that clients of the nth go to: itself, or another one while it is
+// down.
 func (h *hollowWorld) home(n int) *simNode {
 	d := len(h.nodes)
 	for k := range d {
--- a/internal/lab/hollowevents.go
+++ b/internal/lab/hollowevents.go
@@ -9,8 +9,9 @@
 	"oakthread/endpoints"
 )
 
-// change tells all what has changed of some executors, each after its own time: up to fleetTold, which stands for the
-// platform's channel. since: of the first change that this one's time counts from.
+// change notifies all dispatchers of changed executors, each after its own delay of up to
+// notifyDelay, which stands for the platform's channel. since is the time of the first change that
+// the measured time counts from.
 func (h *hollowWorld) change(since time.Time, workers ...int) {
 	h.cursor++
 	u := endpoints.Update{Cursor: h.cursor}
@@ -143,15 +144,16 @@
 	}
 }
 
-// release replaces every third executor from a moment on, in ten steps over a span: as many new ones come cold, the old ones
-// drain and stay listed, and every other dispatcher is restarted, one after the other.
+// release replaces every third executor from a moment on, in ten steps over a span: as many new
+// ones start, the old ones drain and stay listed, and every other dispatcher is restarted, one
+// after the other.
 func (h *hollowWorld) release(from time.Time, span time.Duration) {
 	old, d := h.size.Executors, h.size.Dispatchers
 	for step := range 10 {
 		h.at(from.Add(span*time.Duration(step)/10), func() {
 			var changed []int
 			for i := 3 * (old * step / 30); i < 3*(old*(step+1)/30); i += 3 {
-				if h.listed[i].State != balancer.Active { // on its way already
+				if h.listed[i].State != balancer.Active { // already draining
 					continue
 				}
 				x := h.add(len(h.workers), h.now)
--- a/internal/lab/hollowmemory.go
+++ b/internal/lab/hollowmemory.go
@@ -10,16 +10,17 @@
 
 func gigabytes(n uint64) string { return fmt.Sprintf("%.2f GB", float64(n)/1e9) }
 
-// needs estimates the bytes that a run takes, garbage with it, by slopes measured on small runs: of each dispatcher its list,
-// its rows of the others and what it believes of functions, its own calls' and what it is told; what collectors hold of all;
-// calls under way; the emulated world. It is a guess: guard watches the run itself.
+// needs estimates the bytes that a run takes, garbage included, by slopes measured on small runs:
+// for each dispatcher its list, its rows of the others and what it believes of functions, from its
+// own calls and from messages; what collectors hold of all; calls under way; the emulated world. It
+// is an estimate: guard watches the run itself.
 func (s *HollowSize) needs() uint64 {
 	d, e, long := float64(s.Dispatchers), float64(s.Executors), (s.Warm + s.Span).Seconds()
 	slow, first := 0.0, s.Calls // the part of the warm-up at its own pace
 	if s.WarmCalls > 0 {
 		slow, first = max(0, s.Warm-hollowRise).Seconds(), s.WarmCalls
 	}
-	known := 0.0 // its own calls' functions, and pairs that it is told, which are paid for by calls
+	known := 0.0 // its own calls' functions, and pairs from messages, which are paid for by calls
 	for _, x := range [][2]float64{{slow, first}, {long - slow, s.Calls}} {
 		known += x[0] * (x[1] + min(10*(3+e/8), 30*x[1]))
 	}
--- a/internal/lab/hollowmessages.go
+++ b/internal/lab/hollowmessages.go
@@ -4,13 +4,13 @@
 	"oakthread/aggregate"
 )
 
-// parted tells whether one does not hear another.
+// parted reports whether one dispatcher does not receive the other's messages.
 func (h *hollowWorld) parted(from, to int) bool {
 	return h != nil && h.halves && (2*from < len(h.nodes)) != (2*to < len(h.nodes))
 }
 
-// countSent counts a text as it is sent, and tells what it is; heard counts it as it comes. The collector of a term is known by
-// this: it writes digests, and reports come to it alone.
+// countSent counts a text as it is sent and classifies it; countReceived counts it as it arrives.
+// The collector of a term is recognised by this: it writes digests, and reports come to it alone.
 func (h *hollowWorld) countSent(s *simNode, to int, data string) (n note) {
 	if h == nil {
 		return n
--- a/internal/lab/hollowmeter.go
+++ b/internal/lab/hollowmeter.go
@@ -6,7 +6,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// part of a dispatcher's work, as the meter tells them apart.
+// part is a part of a dispatcher's work that the meter counts separately.
 type part int
 
 const (
@@ -25,7 +25,7 @@
 // is taken off again. No collection falls into it: collections are held off, and made between events alone.
 type meter struct {
 	on       bool // within the span
-	fullList bool // the list at hand is told whole
+	fullList bool // the list at hand is a full one
 	in       bool
 	node     int
 	part     part
@@ -92,7 +92,7 @@
 	}
 	if m.on || m.part == partFullList || m.part == partConfig {
 		m.times[m.part] += max(0, m.spent)
-		if m.part != partList && m.part != partFullList { // one change takes two steps: tell counts it
+		if m.part != partList && m.part != partFullList { // one change takes two steps: notify counts it
 			m.counts[m.part]++
 		}
 	}
--- a/internal/lab/hollowresult.go
+++ b/internal/lab/hollowresult.go
@@ -72,7 +72,8 @@
 	}
 }
 
-// weigh takes the dispatchers' memory. First all that is the world's and under way is let go, then the dispatchers.
+// weigh measures the dispatchers' memory. First everything of the world is released, then the
+// dispatchers.
 func (h *hollowWorld) weigh(r *HollowResult) {
 	n := float64(h.size.Dispatchers)
 	clear(h.queue)
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -37,7 +37,7 @@
 	return out
 }
 
-// The emulator must be right where the brief is exact: loads, lanes, cores, queue, memory.
+// The emulator must be right where the brief is exact: loads, concurrency, cores, queue, memory.
 func TestWorkerModelRunsJobs(t *testing.T) {
 	b := NewWorkerModel(testWorkerConfig(), t0.Add(-time.Hour))
 	a, c, d := job("a", 1, 50), job("c", 1, 50), job("d", 1, 50)
@@ -116,7 +116,7 @@
 	assert.NotEqual(t, l.model(3, t0), l.model(3, t0.Add(time.Second)))
 }
 
-// The box on a socket speaks the platform's protocol.
+// The worker on a socket speaks the platform's protocol.
 func TestStubWorkerSpeaksTheProtocol(t *testing.T) {
 	f := PlannerFigures()
 	f.Load = time.Millisecond
@@ -165,7 +165,8 @@
 	assert.True(t, calls[2].Draining && !calls[2].Took)
 }
 
-// The stand-in discovery tells every event once to each, in order, also after an outage and under a new epoch.
+// The stand-in discovery sends every event once to each, in order, also after an outage and under a
+// new epoch.
 func TestDiscoveryStandIn(t *testing.T) {
 	d := NewDiscovery("e1")
 	n, err := d.Listen("127.0.0.1:0")
@@ -212,7 +213,8 @@
 	d.Down()
 }
 
-// The checker of drains must be able to fail: told at t, a call 0.9 s later is allowed, one 1.2 s later is not.
+// The checker of drains must be able to fail: notified at t, a call 0.9 s later is allowed, one 1.2
+// s later is not.
 func TestLateSendsAreDetected(t *testing.T) {
 	d := NewDiscovery("e")
 	for range 2 {
@@ -248,7 +250,7 @@
 	assert.Contains(t, string(raw), "null")
 }
 
-// Virtual time: the same seed gives the same run, and a restart from kept lists breaks no rule.
+// Virtual time: the same seed gives the same run, and a restart from cached lists breaks no rule.
 func TestRestartInVirtualTime(t *testing.T) {
 	run := func() *cachedListSimResult {
 		r, err := cachedListSim(PlannerFigures(), 5, 10, 200, false, 7)
@@ -270,8 +272,9 @@
 	return ctx
 }
 
-// Rules over a whole fleet in virtual time, messages among it: no booking twice, no cold box pushed over, nothing to a
-// draining box, an answer to each call; and the boxes that come cold get work.
+// Rules over a complete fleet in virtual time, messages among it: no booking twice, no warming
+// worker overloaded, nothing to a draining worker, an answer to each call; and the new workers get
+// work.
 func TestFleetKeepsTheRules(t *testing.T) {
 	for _, kind := range fleetKinds()[1:] {
 		for _, n := range []int{1, 3, 80} {
--- a/internal/lab/links_test.go
+++ b/internal/lab/links_test.go
@@ -78,8 +78,8 @@
 	require.Error(t, err)
 }
 
-// What is sent to the address of a peer comes from the address by which the receiver knows the sender: whole, lost, twice
-// or late, and of one way alone.
+// What is sent to the address of a peer comes from the address by which the receiver knows the
+// sender: intact, lost, twice or late, and from one link alone.
 func TestPeerNetworkCarriesDatagrams(t *testing.T) {
 	var socks []*net.UDPConn
 	var listens []string
@@ -173,7 +173,8 @@
 	assert.InDelta(t, 20, BytesACall([]Datagram{{At: t0, Bytes: 90}, {At: t0.Add(ms(5)), Bytes: 40}}, 2, t0, t0.Add(time.Second)), 1e-9)
 }
 
-// A message to most others at once is told to all; a time without a word is found also at the span's end.
+// A message to most others at once is a broadcast; a time without messages is found also at the
+// span's end.
 func TestBroadcastsAndSilence(t *testing.T) {
 	at := time.Unix(1000, 0)
 	ms := func(n int) time.Time { return at.Add(time.Duration(n) * time.Millisecond) }
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -1,7 +1,8 @@
 package lab
 
-// This file owns the clients: open-loop arrivals on an absolute schedule, retries after the wait advised, and what each
-// first try came to. Latency counts from the intended moment. It must never wait for one call before the next.
+// The clients: open-loop arrivals on an absolute schedule, retries after the advised wait, and the
+// result of each call. Latency counts from the intended moment, and no call waits for the one
+// before.
 
 import (
 	"bytes"
@@ -23,7 +24,7 @@
 
 // Load is what clients of one dispatcher send.
 type Load struct {
-	Rate    float64 // first tries a second, Poisson
+	Rate    float64 // calls per second, retries not counted, Poisson
 	Models  int
 	Zipf    float64
 	Turn    time.Duration // after so long another model stands at a rank, at other moments for each; 0: never
@@ -38,16 +39,17 @@
 	ID     string
 	Sent   time.Time
 	Ended  time.Time
-	Status int  // 0: no whole answer
-	Lost   bool // it was taken by a running dispatcher, and no whole answer came
-	Wrong  bool // served with what no box made for it
-	// Crossed: at a planned end of the dispatcher the connection was closed as it was written, and nothing came back. By the
-	// protocol a dispatcher may close a connection on which no request is open, and a request that crosses the close is sent
-	// again, once, on a new connection; Unanswered asks the boxes whether it was taken after all.
+	Status int  // 0: no complete answer
+	Lost   bool // it was taken by a running dispatcher, and no complete answer came
+	Wrong  bool // served with what no worker made for it
+	// Crossed reports that at a planned end of the dispatcher the connection was closed as the
+	// request was written, and nothing came back. By the protocol a dispatcher may close a
+	// connection on which no request is open, and a request that crosses the close is sent again,
+	// once, on a new connection; Unanswered checks with the workers whether it was taken after all.
 	Crossed bool
 }
 
-// Call is a first try with its retries.
+// Call is a call with all its attempts.
 type Call struct {
 	Class    int
 	Intended time.Time
@@ -57,7 +59,8 @@
 	Tenant   string
 }
 
-// WeightedValue is the worth a call earned: all within its aim, 0.2 of it later, nothing unserved.
+// WeightedValue returns the value that the call earned: all of its priority weight within the
+// latency objective, 0.2 of it later, nothing unserved.
 func (c *Call) WeightedValue(f *Figures) float64 {
 	k := f.Classes[c.Class]
 	switch {
@@ -286,7 +289,7 @@
 	return model
 }
 
-// Renewed tells whether a rank's model comes in a new version.
+// Renewed reports whether a rank's model comes in a new version.
 func (l *Load) Renewed(rank int) bool { return mix64(uint64(rank))%10 < 4 }
 
 // Version is the model at a rank, and the one that stands there from NewAt on.
--- a/internal/lab/mesh.go
+++ b/internal/lab/mesh.go
@@ -1,7 +1,8 @@
 package lab
 
-// This file owns the experiment mesh: tenants' shares over a fleet whose dispatchers partly don't hear each other, under
-// the program before and after a change. What tenants got is counted at their clients.
+// The experiment mesh: tenants' quotas over a fleet whose dispatchers partly do not receive each
+// other's messages, under the program before and after a change. What tenants got is counted at
+// their clients.
 
 import (
 	"context"
@@ -50,8 +51,9 @@
 	stop    context.CancelFunc // of the clients of those that will be killed
 }
 
-// MeshSize is how large a mesh is. Slow: how much longer work takes than at a planner box, so that few calls fill it. Aim: the
-// shortest aim told to the dispatchers; 0: that of the figures.
+// MeshSize is how large a mesh is. Slow is the factor by which work takes longer than at a planner
+// worker, so that few calls fill it. LatencyObjective is the shortest objective configured at the
+// dispatchers; 0: that of the figures.
 type MeshSize struct {
 	Dispatchers, Workers int
 	Slow                 float64
@@ -64,7 +66,7 @@
 
 const (
 	meshBusy   = 5.5
-	leaderTerm = 2 // shortest aims for which one dispatcher collects
+	leaderTerm = 2 // shortest latency objectives for which one dispatcher collects
 )
 
 // NewMesh lays out a mesh.
@@ -233,7 +235,7 @@
 	Breaches
 	calm, first, later, floodCalm, flood float64 // the lesser of b's and c's shares; calls a second of a
 	bytes                                float64 // of messages a call, before the fault
-	apart                                float64 // by how much dispatchers' totals differ two terms after the end; NaN: not told
+	apart                                float64 // by how much dispatchers' totals differ two terms after the end; NaN: not logged
 }
 
 // meshSpans are how long the parts of a run are; heal: after the fault, where it can end.
@@ -322,8 +324,9 @@
 	return r, nil
 }
 
-// Apart is by how much the totals of a differ, of the least, as each of the dispatchers that pick names (nil: all) tells first
-// in a span; NaN where one tells none. A dispatcher tells it in its log alone, so this figure is its word.
+// Apart returns by how much the totals of tenant a differ, relative to the lowest, as each of the
+// dispatchers that pick names (nil: all) first logs them in a span; NaN where one logs none. This
+// figure alone rests on what dispatchers report of themselves.
 func (m *Mesh) Apart(from, until time.Time, pick func(n int) bool) float64 {
 	low, high := math.Inf(1), 0.0
 	for n, path := range m.Logs() {
--- a/internal/lab/outliers.go
+++ b/internal/lab/outliers.go
@@ -1,7 +1,8 @@
 package lab
 
-// This file owns the experiment verdicts: boxes that fail, are slow, die, or are out of reach for a part of the fleet, under
-// real processes of the program before and after a change. What is counted was seen by boxes and clients.
+// The experiment verdicts: workers that fail, are slow, die, or are out of reach for a part of the
+// fleet, under real processes of the program before and after a change. Results are counted at
+// workers and clients.
 
 import (
 	"context"
@@ -15,7 +16,7 @@
 // outliersBefore is the commit before evidence on executors was shared.
 const outliersBefore = "4d68d5e"
 
-// Faults of boxes, and of the ways to them.
+// Faults of workers, and of the links to them.
 const (
 	OutlierFails    = "a box fails at once"
 	OutlierNoGossip = "a box fails at once, all words lost"
@@ -43,7 +44,7 @@
 
 const lateNotification = 1500 * time.Millisecond
 
-// NewOutlierRig lays out a fleet of small boxes that are four tenths busy.
+// NewOutlierRig lays out a fleet of small workers that are four tenths busy.
 func NewOutlierRig(net *Net, dir string, size RigSize) (*Rig, error) {
 	size.Figures = comebackFigures()
 	size.Load = Load{Rate: float64(fleetCalls*size.Workers) / float64(size.Dispatchers), Models: 6 * size.Workers, Zipf: 0.4, Retries: 1}
@@ -124,7 +125,8 @@
 	return nil
 }
 
-// AffectedBy are the boxes in question under a fault, and the dispatchers that it does not hit.
+// AffectedBy returns the workers in question under a fault, and the dispatchers that it does not
+// affect.
 func AffectedBy(fault string) (workers, others func(int) bool) {
 	workers, others = func(b int) bool { return b == OutlierWorker }, func(int) bool { return true }
 	switch fault {
@@ -146,7 +148,8 @@
 	return workers, others
 }
 
-// RetainedTraffic is what the dispatchers not hit send to the boxes in question a second, of what they sent before.
+// RetainedTraffic returns what the unaffected dispatchers send per second to the workers in
+// question, relative to what they sent before.
 func (r *Rig) RetainedTraffic(fault string, before, began, from, until time.Time) float64 {
 	workers, others := AffectedBy(fault)
 	was, _ := r.At(before, began, workers, others)
@@ -154,13 +157,14 @@
 	return float64(is) / until.Sub(from).Seconds() / math.Max(float64(was)/began.Sub(before).Seconds(), 1)
 }
 
-// Excused are the tries of a fault that are owed nothing: those at dispatchers that stood still, whose clients wait in vain.
+// Excused returns which attempts are owed nothing under a fault: those at dispatchers that were
+// stopped, whose clients wait in vain.
 func Excused(fault string) func(Attempt) bool {
 	return func(t Attempt) bool { return fault == OutlierStopped && thirdOf(senderOf(t.ID)) }
 }
 
-// At counts the calls that came in a span to the boxes that box names, and to those that stood at their addresses before, from
-// the dispatchers that of names; spoilt: those that failed.
+// At counts the calls in a span that came to the workers that worker names, and to those at the
+// same addresses before, from the dispatchers that of names; spoilt are those of them that failed.
 func (r *Rig) At(from, until time.Time, worker, of func(int) bool) (came, spoilt int) {
 	place := map[string]int{}
 	for i, b := range r.Workers {
@@ -183,7 +187,7 @@
 	return came, spoilt
 }
 
-// Idle counts the box-seconds of a span in which no call came, and all of them.
+// Idle counts the worker-seconds of a span in which no call came, and all of them.
 func (r *Rig) Idle(from, until time.Time) (idle, all int) {
 	for _, b := range r.Workers {
 		calls, _ := b.Observations()
@@ -206,10 +210,10 @@
 type outliersResult struct {
 	Breaches
 	calm, during, late float64 // calls served, of those asked, before, while it lasts (of dispatchers that it does not hit) and at its end
-	affected           float64 // calls that came to the bad box, or were spoilt there
+	affected           float64 // calls that came to the outlier, or were spoilt there
 	affectedLate       float64 // the same in the second half
-	others             float64 // calls of the others at the boxes in question a second, of those before
-	idle               float64 // box-seconds without a call
+	others             float64 // calls per second of the others at the workers in question, of those before
+	idle               float64 // worker-seconds without a call
 }
 
 // RunOutliers runs the experiment.
--- a/internal/lab/peernetwork.go
+++ b/internal/lab/peernetwork.go
@@ -1,8 +1,8 @@
 package lab
 
-// This file owns the ways of datagrams between dispatchers: for each ordered pair a socket of its own, by which the
-// receiver knows the sender. What dispatcher i sends to its address of j comes to j from j's address of i, late, doubled or
-// never. It must never alter a datagram.
+// The datagrams between dispatchers: for each ordered pair a socket of its own, by which the
+// receiver knows the sender. What dispatcher i sends to its address of j comes to j from j's
+// address of i, late, duplicated or never, but unaltered.
 
 import (
 	"errors"
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// PeerLink is what happens to datagrams on one way. The zero value passes all at once.
+// PeerLink is what happens to datagrams on one link. The zero value delivers all of them at once.
 type PeerLink struct {
 	Lost   float64 // share that never comes
 	Twice  float64 // share that comes twice
@@ -25,7 +25,7 @@
 // Lost loses everything.
 var Lost = PeerLink{Lost: 1}
 
-// PeerNetwork are the datagrams' ways of a run.
+// PeerNetwork carries the datagrams of a run.
 type PeerNetwork struct {
 	n     int
 	peers []*net.UDPAddr // where each dispatcher listens
@@ -47,8 +47,8 @@
 	Bytes    int
 }
 
-// StartPeerNetwork opens the ways among n dispatchers; addr is the socket for what i is told to send to j, listens where each
-// dispatcher listens.
+// StartPeerNetwork opens the links among n dispatchers. addr returns the socket to which i sends
+// what is for j, listens holds where each dispatcher listens.
 func StartPeerNetwork(n int, addr func(i, j int) string, listens []string, seed uint64) (*PeerNetwork, error) {
 	w := &PeerNetwork{n: n, rng: rand.New(rand.NewPCG(seed, 0x776f7264)), timer: map[*time.Timer]struct{}{}}
 	for i := range n {
@@ -104,7 +104,7 @@
 	return out
 }
 
-// Set changes the ways of all ordered pairs that pick names.
+// Set changes the links of all ordered pairs that pick names.
 func (w *PeerNetwork) Set(to PeerLink, pick func(from, to int) bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -178,7 +178,7 @@
 	return append([]Datagram(nil), w.datagrams...)
 }
 
-// Close ends all ways.
+// Close closes all links.
 func (w *PeerNetwork) Close() {
 	w.mu.Lock()
 	w.done = true
--- a/internal/lab/relay.go
+++ b/internal/lab/relay.go
@@ -1,8 +1,9 @@
 package lab
 
-// This file owns the ways between processes: stream relays, one for each pair of a dispatcher and what it connects to, that
-// can be cut, refused, frozen, reset or slowed for a span. Each counts what came through it. A relay must never outlive
-// its run, nor connect to what is not on a loopback address.
+// The links between processes: stream relays, one for each pair of a dispatcher and what it
+// connects to, that can be cut, denied, frozen, reset or slowed for a span. Each records the
+// connections that came through it. A relay connects to loopback addresses only and ends with its
+// run.
 
 import (
 	"errors"
@@ -17,7 +18,7 @@
 	"time"
 )
 
-// Fault is what a way does to those who use it.
+// Fault is what a link does to those who use it.
 type Fault int
 
 // Faults of a link.
@@ -33,7 +34,7 @@
 
 const relayDial = 2 * time.Second
 
-// Relay is one way: a listener of its own, and a connection onward for each that comes.
+// Relay is one link: a listener of its own, and a connection onward for each that comes.
 type Relay struct {
 	Addr string
 	to   string
@@ -41,7 +42,7 @@
 
 	mu      sync.Mutex
 	fault   Fault
-	delay   time.Duration // of each piece that passes, either way
+	delay   time.Duration // of each piece that passes, in either direction
 	changed chan struct{} // closed at each change
 	ln      *net.TCPListener
 	fill    []net.Conn // connections that keep a cut listener's queue full
@@ -51,7 +52,7 @@
 	wait    sync.WaitGroup
 }
 
-// StartRelay opens a way at addr that leads to another loopback address.
+// StartRelay opens a link at addr that leads to another loopback address.
 func StartRelay(addr, to string) (*Relay, error) {
 	host, _, err := net.SplitHostPort(to)
 	if err != nil {
@@ -101,7 +102,7 @@
 	}()
 }
 
-// Set has the way do something else from now on; delay holds each piece that passes.
+// Set changes what the link does from now on; delay holds each piece that passes.
 func (r *Relay) Set(f Fault, delay time.Duration) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -202,7 +203,8 @@
 	r.mu.Unlock()
 }
 
-// passes waits until the way lets something pass, and tells the delay; false: the way is gone or the connection reset.
+// passes waits until the link lets something pass, and returns the delay; false: the link is closed
+// or the connection reset.
 func (r *Relay) passes() (time.Duration, bool) {
 	for {
 		r.mu.Lock()
@@ -229,7 +231,7 @@
 	if _, ok := r.passes(); !ok {
 		return
 	}
-	// From its own address, so that the other side knows whose way it is.
+	// From its own address, so that the other side knows whose link it is.
 	on, err := (&net.Dialer{Timeout: relayDial, LocalAddr: r.own}).Dial("tcp", r.to)
 	if err != nil {
 		reset(c)
@@ -249,7 +251,8 @@
 	<-done
 }
 
-// pump carries pieces one way. An end or reset of one side reaches the other only where the way lets it pass.
+// pump carries pieces in one direction. An end or reset of one side reaches the other only where
+// the link lets it pass.
 func (r *Relay) pump(from, to net.Conn) {
 	buf := make([]byte, 16<<10)
 	for {
@@ -283,7 +286,7 @@
 	return append([]time.Time(nil), r.came...)
 }
 
-// Close ends the way and all on it.
+// Close closes the link and every connection on it.
 func (r *Relay) Close() {
 	r.mu.Lock()
 	if r.closed {
@@ -304,8 +307,9 @@
 	r.wait.Wait()
 }
 
-// Swallowed is how many handshakes the kernel has dropped at full queues since it started: what came to ways that are cut,
-// of this run and of any other on the machine (a listener has no such count of its own). ok: the kernel tells.
+// Swallowed returns how many handshakes the kernel has dropped at full queues since it started:
+// those at links that are cut, of this run and of any other on the machine (a listener has no such
+// count of its own). ok reports whether the kernel has the count.
 func Swallowed() (n int64, ok bool) {
 	raw, err := os.ReadFile("/proc/net/netstat")
 	if err != nil {
@@ -324,9 +328,10 @@
 	return 0, false
 }
 
-// Links is every way of a run: a relay for each pair of a dispatcher and a box, and one for each command channel.
+// Links holds every link of a run: a relay for each pair of a dispatcher and a worker, and one for
+// each command channel.
 type Links struct {
-	Workers  [][]*Relay // by dispatcher, by box
+	Workers  [][]*Relay // by dispatcher, by worker
 	Channels []*Relay
 	did      []Deed
 	mu       sync.Mutex
@@ -352,7 +357,7 @@
 	return append([]Deed(nil), f.did...)
 }
 
-// Between sets the ways of all pairs that pick names, at once.
+// Between sets the links of all pairs that pick names, at once.
 func (f *Links) Between(what Fault, delay time.Duration, pick func(dispatcher, worker int) bool) error {
 	var wait sync.WaitGroup
 	errs := make(chan error, 1)
@@ -385,7 +390,7 @@
 	}
 }
 
-// Close ends all ways.
+// Close closes all links.
 func (f *Links) Close() {
 	var wait sync.WaitGroup
 	all := append([]*Relay(nil), f.Channels...)
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -1,7 +1,7 @@
 package lab
 
-// This file owns what an experiment reports: a table with our figures beside the baselines', and bounds that hold or do
-// not. It must never round a figure to the right side of its bound.
+// The report of an experiment: a table with the program's figures beside the baselines', and bounds
+// that hold or do not. Bounds are checked on unrounded figures.
 
 import (
 	"encoding/json"
--- a/internal/lab/rig.go
+++ b/internal/lab/rig.go
@@ -1,8 +1,8 @@
 package lab
 
-// This file owns the rig: a fleet of real processes of the program, with a way of its own for every pair that talks, so
-// that faults can be put between any of them for a span. It owns the order in which all of it starts and ends, and must
-// leave nothing behind: no process, socket or file outside its folder.
+// The rig: a fleet of real processes of the program, with a link of its own for every pair that
+// communicates, so that faults can be injected between any of them for a span. The rig starts and
+// ends all of it in order, and leaves no process, socket or file outside its folder behind.
 
 import (
 	"context"
@@ -17,7 +17,7 @@
 // RigSize is what a rig is made of.
 type RigSize struct {
 	Dispatchers, Workers int
-	Later                int                                    // boxes that are not there at the start and that Join has come
+	Later                int                                    // workers that are not there at the start and that Join starts
 	Load                 Load                                   // of the clients of each dispatcher; Seed is the run's
 	Rate                 func(dispatcher int) float64           // calls a second at each; nil: Load.Rate
 	Tenant               func(dispatcher, seq int) string       // who calls; nil: nobody
@@ -26,12 +26,12 @@
 	Program              Program
 	Debug                bool   // dispatchers log at level debug
 	Operators            string // more of the operator's file
-	Zones                int    // boxes and dispatchers belong to these in turn; 0: 2
+	Zones                int    // workers and dispatchers belong to these in turn; 0: 2
 	Group                int    // of addresses in the net; each rig of a run has its own, three apart
 	Seed                 uint64
 }
 
-// Rig is a fleet under way.
+// Rig is a running fleet.
 type Rig struct {
 	RigSize
 	Net         *Net
@@ -58,8 +58,8 @@
 	rigGroups
 )
 
-// NewRig lays out a fleet and opens its boxes and ways; nothing is started yet. Close ends it, and its processes
-// end with this one in any case.
+// NewRig lays out a fleet and opens its workers and links; no dispatcher is started yet. Close ends
+// it, and its processes end with this one in any case.
 func NewRig(net *Net, dir string, size RigSize) (*Rig, error) {
 	if size.Zones == 0 {
 		size.Zones = 2
@@ -80,7 +80,8 @@
 	if err := r.open(r.RigSize.Workers, old); err != nil {
 		return err
 	}
-	// Port 9500 and up: one for each box, also one that comes later, at the address of the dispatcher whose way it is.
+	// Port 9500 and up: one for each worker, also one that comes later, at the address of the
+	// dispatcher whose link it is.
 	all := r.RigSize.Workers + r.Later
 	r.Links.Workers = make([][]*Relay, r.Dispatchers)
 	for n := range r.Dispatchers {
@@ -157,7 +158,7 @@
 	return nil
 }
 
-// open opens so many boxes more, which started at start. Nobody is told.
+// open starts n more workers, with start as their start time. Discovery does not announce them.
 func (r *Rig) open(n int, start time.Time) error {
 	for range n {
 		i := len(r.Workers)
@@ -248,7 +249,7 @@
 	return errors.Join(d.Know(r.Disc.Known(n)), d.Start(), d.WaitReady(ctx))
 }
 
-// Stop ends all processes as a planned restart does; an error tells of one that did not end well.
+// Stop ends all processes as a planned restart does; the error names those that did not end well.
 func (r *Rig) Stop() error { return r.each(nil, (*Dispatcher).Stop) }
 
 // Close ends everything at once.
@@ -287,7 +288,8 @@
 	return all
 }
 
-// Breaches are the rules as the whole run kept them, by what boxes, clients and ways saw.
+// Breaches counts the breaches of the rules in a complete run, by what workers, clients and links
+// observed.
 type Breaches struct {
 	Twice, Lost, Wrong, LateSends, Fallen, Oversize int
 }
@@ -295,7 +297,7 @@
 // Sum is how many there are.
 func (b Breaches) Sum() int { return b.Twice + b.Lost + b.Wrong + b.LateSends + b.Fallen + b.Oversize }
 
-// Check looks for breaches. excused: tries that are owed nothing; nil: none.
+// Check looks for breaches. excused reports attempts that are owed nothing; nil excuses none.
 func (r *Rig) Check(excused func(Attempt) bool) (b Breaches) {
 	var observed [][]ObservedCall
 	for _, x := range append(append([]*StubWorker(nil), r.Workers...), r.Replaced...) {
@@ -312,7 +314,8 @@
 	return b
 }
 
-// Replace kills a box and has another one, cold and empty, stand at its address at once. Nobody is told: Told does that.
+// Replace kills a worker and starts another one, empty and not warmed up, at its address at once.
+// Discovery does not announce it: Announce does that.
 func (r *Rig) Replace(i int) error {
 	was := r.Workers[i]
 	was.Die()
@@ -327,7 +330,8 @@
 	return nil
 }
 
-// Join has so many boxes of those that come later start, cold and empty, and be told of at once.
+// Join starts n of the workers that come later, empty and not warmed up, and announces them at
+// once.
 func (r *Rig) Join(n int) error {
 	from := len(r.Workers)
 	if all := r.RigSize.Workers + r.Later; from+n > all {
@@ -341,7 +345,7 @@
 	return nil
 }
 
-// Drain has the boxes that pick names take nothing new, and be told of at once.
+// Drain makes the workers that pick names take nothing new, and announces that at once.
 func (r *Rig) Drain(pick func(worker int) bool) {
 	for i, b := range r.Workers {
 		if pick(i) {
@@ -353,7 +357,7 @@
 	r.Links.Did("boxes drain")
 }
 
-// Announce has discovery tell of the boxes that pick names as they are now.
+// Announce makes discovery publish the workers that pick names as they are now.
 func (r *Rig) Announce(pick func(worker int) bool) {
 	var changed []Listed
 	for i, b := range r.Listed {
@@ -364,7 +368,7 @@
 	r.Disc.Publish(changed...)
 }
 
-// Between counts, over all boxes, the calls that came and those that were turned away, in a span.
+// Between counts, over all workers, the calls that came and those that were rejected, in a span.
 func (r *Rig) Between(from, until time.Time) (came, full int) {
 	for _, b := range r.Workers {
 		calls, _ := b.Observations()
--- a/internal/lab/service.go
+++ b/internal/lab/service.go
@@ -1,8 +1,8 @@
 package lab
 
-// This file owns what is counted in busy fleets on calm days (calls, loads, copies), and the omniscient router that stands
-// beside the program there as a yardstick. That router sees the true state of all boxes, which no dispatcher can; it must
-// never be part of what it measures.
+// The counts of busy fleets on calm days (calls, loads, copies), and the omniscient router that is
+// their reference. The router sees the true state of all workers, which no dispatcher can; it is
+// not part of what it is compared with.
 
 import (
 	"fmt"
@@ -12,13 +12,13 @@
 	"oakthread/balancer"
 )
 
-// callEnd is how the last try of a call that was never served ended.
+// callEnd is how the last attempt of a call that was never served ended.
 type callEnd int
 
 const (
-	unended    callEnd = iota // served, or no try of it came to an end
+	unended    callEnd = iota // served, or no attempt of it came to an end
 	refused                   // by the module, before anything was sent
-	turnedAway                // by the module, after full boxes had turned it away
+	turnedAway                // by the module, after full workers had rejected it
 	givenUp                   // out of time, or after a failure
 	callEnds
 )
@@ -37,20 +37,20 @@
 	ends         [callEnds]int // of calls never served
 	calls        int
 	inTime, late int
-	attempts     [3]int // calls that came to a box and found a copy, began a load, waited for one
-	full         int    // calls turned away by a box
+	attempts     [3]int // calls that came to a worker and found a copy, began a load, waited for one
+	full         int    // calls rejected by a worker
 	standing     int    // orders for what stood or was loading
 	fullOrders   int    // orders turned away
 	byCalls      int    // loads begun by calls
 	byOrders     int    // and by orders
-	needless     int    // of both: a copy stood elsewhere, with a lane free and fewer calls in hand than lanes
+	needless     int    // of both: a copy stood elsewhere, with free concurrency and fewer calls in flight than that
 	unloads
-	wait    time.Duration // that the loads take, queueing at their box with it, in all
-	copies  []int         // standing in the whole fleet, each second
+	wait    time.Duration // that the loads take, including their queueing at the worker, in all
+	copies  []int         // standing in the complete fleet, each second
 	loading []int         // and loading
 }
 
-// arrived counts a job that came to a box.
+// arrived counts a job that came to a worker.
 func (k *serviceCounts) arrived(w *simWorld, x *simWorker, j *Job, v Admission) {
 	switch {
 	case k == nil:
@@ -82,7 +82,7 @@
 	}
 }
 
-// light tells whether a copy of a model stands here that would run one more call soon.
+// light reports whether a copy of a model stands here that would run one more call soon.
 func (b *WorkerModel) light(now time.Time, model uint64) bool {
 	c := b.copies[model]
 	if c == nil || c.ready.After(now) || c.held >= c.concurrency {
@@ -171,8 +171,9 @@
 		k.byOrders, k.standing, k.fullOrders, k.needless, k.pushed, k.dropped, k.expired)
 }
 
-// foresee routes a call by the true state of all boxes: to the standing copy that answers first; where none does within half
-// of its aim and none is being loaded, one is ordered where it will stand soonest. A call for which no copy stands is held.
+// foresee routes a call by the true state of all workers: to the loaded copy that answers first;
+// where none does within half of the latency objective and none is being loaded, one is ordered
+// where it will be ready soonest. A call for which no copy is loaded is held.
 func (s *simNode) foresee(c *simCall) {
 	w, class := s.w, s.w.f.Classes[c.class]
 	deadline := c.intended.Add(class.ClientTimeout - 200*time.Millisecond)
@@ -262,7 +263,8 @@
 	return load * time.Duration(1+loading/max(1, b.cfg.Loads))
 }
 
-// roomy tells whether a copy more would push out none that was called within half of the keep-alive.
+// roomy reports whether one more copy would evict none that was called within half of the
+// keep-alive.
 func (b *WorkerModel) roomy(now time.Time) bool {
 	if len(b.copies) < b.cfg.Copies {
 		return true
--- a/internal/lab/service_test.go
+++ b/internal/lab/service_test.go
@@ -47,7 +47,8 @@
 	}
 }
 
-// The section prints both arms and both yardsticks, and its bounds are of worth against the whole walk and against one dispatcher.
+// The section prints both arms and both references, and its bounds are of weighted value against
+// the full scan and against one dispatcher.
 func TestServiceSection(t *testing.T) {
 	plan := capacityPlan{seeds: []uint64{1, 2}, service: []serviceFleet{{6, 12, noWalk}}}
 	rep, err := runCapacity(t.Context(), Options{Seed: 1, Only: serviceAt, Log: func(string, ...any) {}}, plan, HollowRun)
--- a/internal/lab/simattempt.go
+++ b/internal/lab/simattempt.go
@@ -10,7 +10,7 @@
 	"oakthread/internal/endpointcache"
 )
 
-// unsentAttempts are the flights that nothing was written of, in an order of their own.
+// unsentAttempts returns the attempts of which nothing was written, in a fixed order.
 func (s *simNode) unsentAttempts() (out []*simAttempt) {
 	for _, fl := range s.attempts {
 		if !fl.begun && !fl.over {
@@ -23,7 +23,8 @@
 	return out
 }
 
-// revoke ends what is on its way to an executor that must get nothing new, as far as nothing of it was written.
+// revoke ends the attempts under way to an executor that is to get nothing new, as far as nothing
+// of them was written.
 func (s *simNode) revoke(w balancer.WorkerID) {
 	for _, fl := range s.unsentAttempts() {
 		if fl.worker == w {
@@ -32,7 +33,7 @@
 	}
 }
 
-// abort ends a flight from this side, at once but not within the event at hand.
+// abort ends an attempt from this side, at once but not within the event at hand.
 func (fl *simAttempt) abort(r balancer.Result) {
 	if fl.over {
 		return
@@ -92,8 +93,9 @@
 	s.meter.end()
 }
 
-// connect is what a request to an executor meets: whether anything of it is written, and if not, when that is known. Where a
-// connection stood, what is written to a box that has vanished is never answered.
+// connect returns what a request to an executor meets: whether anything of it is written, and if
+// not, after what time that is known. Where a connection stood, what is written to a worker that
+// has vanished is never answered.
 func (w *simWorld) connect(s *simNode, x *simWorker) (written bool, failed time.Duration) {
 	switch {
 	case x.fate == refuses || x.fate == reused:
@@ -104,7 +106,7 @@
 	return true, 0
 }
 
-// send sends a flight on its way.
+// send puts an attempt on its link.
 func (fl *simAttempt) send(arrive func(x *simWorker)) {
 	s, x := fl.s, fl.s.w.byID[fl.worker]
 	s.attempts[fl.key] = fl
--- a/internal/lab/simhost.go
+++ b/internal/lab/simhost.go
@@ -107,7 +107,7 @@
 	s.orders = nil
 }
 
-// order is an order's coming to a box, and its answer's way back.
+// order carries a load order to a worker, and its answer back.
 func (w *simWorld) order(x *simWorker, f balancer.FuncID, answered func(copies int, r balancer.Result)) {
 	j := &Job{Model: uint64(f), Load: w.f.Load, Concurrency: w.f.Concurrency, Order: true}
 	j.Data = func() { w.after(simLinkDelay, func() { answered(1, balancer.OK) }) }
@@ -128,7 +128,7 @@
 	}
 }
 
-// drop has a box unload a function, where that comes there.
+// drop carries an unload order to a worker, where its link delivers it.
 func (w *simWorld) drop(s *simNode, x *simWorker, f balancer.FuncID) {
 	if written, _ := w.connect(s, x); written && x.fate != vanishes {
 		w.after(simLinkDelay, func() { x.model.Unload(uint64(f)) })
--- a/internal/lab/stubworker.go
+++ b/internal/lab/stubworker.go
@@ -1,7 +1,7 @@
 package lab
 
-// This file owns the boxes on sockets: the platform's protocol for executors over the model of a box, and what each box
-// saw. It must never answer for work that the model has not ended.
+// The workers on sockets: the platform's protocol for executors over the model of a worker, and a
+// record of what each worker observed. An answer is sent only for work that the model has ended.
 
 import (
 	"context"
@@ -19,18 +19,18 @@
 	"time"
 )
 
-// ObservedCall is one call that a box saw.
+// ObservedCall is one call that a worker saw.
 type ObservedCall struct {
 	At       time.Time
 	ID       string
 	Class    int
 	Model    uint64 // called; 0 for a call that failed at once
 	Took     bool   // it was taken: it runs
-	Draining bool   // the box was draining when it came
+	Draining bool   // the worker was draining when it came
 	Failed   bool   // it ran, and its answer was an error
 }
 
-// Figures are the sizes of the emulated world that boxes and clients share.
+// Figures are the sizes of the emulated world that workers and clients share.
 type Figures struct {
 	Classes     []ClassFigures
 	Load        time.Duration // of a model, on the mean
@@ -45,10 +45,11 @@
 	LatencyObjective, ClientTimeout time.Duration
 	PriorityWeight                  float64
 	Work                            time.Duration // on the mean
-	NotIdempotent                   bool          // must never run twice
+	NotIdempotent                   bool          // it may not run twice
 }
 
-// Work is how long a call takes a core, drawn from its id: the same at every box and in every arm of an experiment.
+// Work returns how long a call takes a core, drawn from its id: the same at every worker and in
+// every arm of an experiment.
 func (f *Figures) Work(class int, id string) time.Duration {
 	h := fnv.New64a()
 	_, _ = io.WriteString(h, id)
@@ -58,7 +59,7 @@
 	return time.Duration(float64(f.Classes[class].Work) / 1.082 * math.Exp2(2*u-1))
 }
 
-// StubWorker is a box on a socket.
+// StubWorker is a worker on a socket.
 type StubWorker struct {
 	ID   string // as discovery names it
 	Addr string
@@ -79,7 +80,7 @@
 	ln   net.Listener
 }
 
-// StartStubWorker has a box listen at addr.
+// StartStubWorker starts a worker that listens at addr.
 func StartStubWorker(id, addr string, f *Figures, started time.Time) (*StubWorker, error) {
 	ln, err := listenAgain(addr)
 	if err != nil {
@@ -100,7 +101,7 @@
 	return s, nil
 }
 
-// Wrap has every request pass through what wrap makes of the box's own handler, from now on.
+// Wrap makes every request pass through what wrap makes of the worker's own handler, from now on.
 func (s *StubWorker) Wrap(wrap func(http.Handler) http.Handler) { s.wrapper.Store(&wrap) }
 
 func (s *StubWorker) handler(own http.Handler) http.Handler {
@@ -162,7 +163,7 @@
 	s.mu.Unlock()
 }
 
-// fails tells whether a call is to fail: by its id and how many came before.
+// fails reports whether a call is to fail: by its id and how many came before.
 func (s *StubWorker) fails(id string, class int) bool {
 	h := fnv.New32a()
 	s.mu.Lock()
@@ -175,14 +176,15 @@
 	return true
 }
 
-// Die ends the box: its connections are reset and its address refuses.
+// Die ends the worker: its connections are reset and its address refuses.
 func (s *StubWorker) Die() {
 	_ = s.srv.Close()
 	s.stop()
 }
 
-// Vanish ends the box without a word: its connections stay open and silent, and its address takes connections that
-// nobody answers. (A loopback address cannot be made to swallow the handshake without privileges.)
+// Vanish ends the worker silently: its connections stay open, and its address takes connections
+// that nobody answers. (A loopback address cannot be made to swallow the handshake without
+// privileges.)
 func (s *StubWorker) Vanish() (release func(), err error) {
 	s.Die()
 	ln, err := net.Listen("tcp", s.Addr)
@@ -194,7 +196,7 @@
 
 var errWorkerStopped = errors.New("the box is gone")
 
-// Observations returns what the box saw.
+// Observations returns the calls and load orders that the worker saw.
 func (s *StubWorker) Observations() (calls []ObservedCall, orders []time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -236,7 +238,8 @@
 
 var noteNames = [...]string{"hit", "spawn", "pending"}
 
-// submit puts a job in and waits for its end; an error says why it was not taken, or that the box has gone.
+// submit gives the model a job and waits for its end; the error says why it was rejected, or that
+// the worker has stopped.
 func (s *StubWorker) submit(r *http.Request, j *Job) (Admission, error) {
 	done := make(chan struct{})
 	j.Data = done
--- a/internal/lab/turns.go
+++ b/internal/lab/turns.go
@@ -1,7 +1,8 @@
 package lab
 
-// This file owns the experiment turns: what only one dispatcher should do while others die, stand still, are cut off or come
-// later, under real processes of the program before and after a change. It counts what crossed the datagrams' ways.
+// The experiment turns: the duties of a single dispatcher while others die, are stopped, are cut
+// off or start later, under real processes of the program before and after a change. Results are
+// counted from the datagrams in the peer network.
 
 import (
 	"context"
@@ -12,7 +13,7 @@
 	"time"
 )
 
-// turnsBefore is the commit before turns of those that are gone passed on.
+// turnsBefore is the commit before the terms of dispatchers that are down passed to others.
 const turnsBefore = "1ee320a"
 
 // Faults of a fleet whose dispatchers take turns.
@@ -36,11 +37,11 @@
 type turnsResult struct {
 	Breaches
 	silence    float64 // longest time, in terms, in which nobody who stays said a word to another
-	idle       float64 // part of the terms in which no one told all
+	idle       float64 // part of the terms without a broadcast
 	calm, late float64 // calls served at those who stay
 }
 
-// Broadcasts lists when one dispatcher told most others, and which, from what crossed the ways.
+// Broadcasts returns the datagrams with which a dispatcher began to send to most others at once.
 func Broadcasts(datagrams []Datagram, dispatchers int) (digests []Datagram) {
 	byFrom := make([][]Datagram, dispatchers)
 	for _, x := range datagrams {
--- a/internal/lab/virtualtime.go
+++ b/internal/lab/virtualtime.go
@@ -1,8 +1,8 @@
 package lab
 
-// This file owns virtual time: an event queue, and dispatchers made of the real pure packages (roster, decide) before
-// emulated boxes. Not the real code here: the core, the fronts and the sockets. The same seed gives the same run. It must
-// never read a clock.
+// Virtual time: an event queue, and dispatchers made of the real pure packages (endpoints,
+// balancer) before emulated workers. The core, the front ends and the sockets are not there. No
+// clock is read, and the same seed gives the same run.
 
 import (
 	"math/rand/v2"
@@ -14,13 +14,13 @@
 )
 
 const (
-	simLinkDelay = 500 * time.Microsecond // one way between a dispatcher and a box
+	simLinkDelay = 500 * time.Microsecond // one-way delay between a dispatcher and a worker
 	simProbe     = 250 * time.Millisecond
 	simTick      = 10 * time.Millisecond
 	simBreather  = 250 * time.Millisecond // between ticks later on
 )
 
-// simWorker is a box in virtual time, with its fate.
+// simWorker is a worker in virtual time, with its fate.
 type simWorker struct {
 	id      balancer.WorkerID
 	zone    int
@@ -28,9 +28,9 @@
 	fate    int
 	wake    time.Time
 	took    []time.Time
-	drained time.Time // when its drain is told; zero: nobody tells, and the first refusal does
+	drained time.Time // when its drain is announced; zero: never, and the first rejection shows it
 
-	unwarned bool // it fell before anyone was told that it came cold
+	unwarned bool // it collapsed before anyone was notified that it was warming up
 	failing  bool // calls run and fail at once
 	spoilt   int
 }
@@ -44,22 +44,22 @@
 	load    Load
 	popular zipf
 	twice   int
-	late    int // sends that came to a draining box more than the allowance after its dispatcher was told
+	late    int // sends that came to a draining worker more than the allowance after its dispatcher was notified
 	calls   []*simCall
 
 	messages  bool // between dispatchers, lost now and then
 	lossy     *rand.Rand
 	lost      float64 // part of the messages that never come
 	price     float64 // of a message
-	walk      int     // decide.Settings.Walk
+	walk      int     // balancer.Settings.FullScanLimit
 	delivered int     // bytes of messages
 	oversize  int     // messages that are too long
 	unreached int     // attempts whose connection never came up
 
 	mute    bool    // no message comes
-	deaf    float64 // part of the dispatchers, from the first on, that hear no message
-	parted  bool    // a dispatcher reaches the boxes of its own zone alone
-	unheard float64 // share of answers lost on their way
+	deaf    float64 // part of the dispatchers, from the first on, that receive no message
+	parted  bool    // a dispatcher reaches the workers of its own zone alone
+	unheard float64 // share of answers lost in transit
 	began   time.Time
 	avoided float64 // see fleetResult
 	listed  []endpoints.Endpoint
@@ -68,7 +68,7 @@
 	goods   []int // calls served, the same
 
 	counts *serviceCounts // of a busy fleet; nil: nothing is counted
-	oracle bool           // calls go by the true state of all boxes, and no dispatcher is asked
+	oracle bool           // calls are routed by the true state of all workers, and no dispatcher is asked
 
 	hollow *hollowWorld // what a run of hollow dispatchers has beside; nil: another experiment
 }
@@ -82,7 +82,7 @@
 	(*in)[i]++
 }
 
-// reaches tells whether a dispatcher's connections to a box come up.
+// reaches reports whether a dispatcher's connections to a worker come up.
 func (w *simWorld) reaches(s *simNode, x *simWorker) bool {
 	return x.fate != cutOff && (!w.parted || s.n%2 == x.zone)
 }
@@ -94,7 +94,7 @@
 	ended       time.Time
 	served      bool
 	attempts    int
-	ran         int // at a box
+	ran         int // at a worker
 	name        string
 	awaitedLoad bool // it found no copy, or was held for one
 	end         callEnd
@@ -114,7 +114,7 @@
 	given         int           // orders so far
 	limit         time.Duration // of an order
 	members       map[balancer.WorkerID]simMember
-	drainNotified map[balancer.WorkerID]time.Time // first refusal of a draining box
+	drainNotified map[balancer.WorkerID]time.Time // first rejection by a draining worker
 	ends          [balancer.NumResults]int64      // of attempts, as oakthread.Counters has them
 	meter         *meter                          // nil: nothing is measured
 }
@@ -129,7 +129,7 @@
 	call     *simCall
 	began    time.Time
 	attempts int
-	full     int // of them, turned away by a full box
+	full     int // of them, rejected by a full worker
 	deadline time.Time
 }
 
@@ -138,8 +138,9 @@
 	n  int
 }
 
-// simAttempt is an attempt or an order to load on its way. Whoever ends it first, answer, time or the module, ends it alone; what
-// the executor has of it goes on there. Of what is not begun nothing was written, so that its end proves that it never ran.
+// simAttempt is an attempt or a load order under way. Whichever comes first, answer, timeout or
+// module, ends it alone; what the executor has of it goes on there. Of an attempt that is not begun
+// nothing was written, so that its end proves that it never ran.
 type simAttempt struct {
 	s           *simNode
 	key         simKey
@@ -261,7 +262,7 @@
 	s.w.after(gap, func() { s.tick(from) })
 }
 
-// arrive is a try of a call.
+// arrive handles an attempt of a client.
 func (s *simNode) arrive(c *simCall) {
 	if s.w.oracle {
 		s.foresee(c)
@@ -298,7 +299,8 @@
 	s.w.after(wait, func() { s.w.home(s.n).arrive(c) })
 }
 
-// home is the dispatcher that clients of the nth go to: a hollow one's, while it is gone, to another.
+// home returns the dispatcher that clients of the nth go to: for a hollow one that is down, another
+// one.
 func (w *simWorld) home(n int) *simNode {
 	if w.hollow == nil {
 		return w.nodes[n]
@@ -320,7 +322,7 @@
 	}
 }
 
-// reach is a call's coming to a box.
+// reach delivers a call to a worker.
 func (w *simWorld) reach(s *simNode, x *simWorker, id string, c *simCall, land func(balancer.Result, balancer.Warmth, int, []float64)) {
 	if x.failing {
 		x.spoilt++
@@ -369,7 +371,7 @@
 	w.advance(x)
 }
 
-// take notes when a box took a call; a hollow run, which has many, does not.
+// take records when a worker took a call; a hollow run, which has many, does not.
 func (w *simWorld) take(x *simWorker) {
 	if w.hollow == nil {
 		x.took = append(x.took, w.now)
--- a/internal/lab/worker.go
+++ b/internal/lab/worker.go
@@ -1,9 +1,3 @@
-// Package lab is the project's own laboratory: stand-ins for discovery and planner boxes, a load of open-loop clients,
-// checkers of the rules, and experiments that set our ways beside baselines. It must never touch what is not on a
-// loopback address, nor judge a dispatcher by what the dispatcher says of itself.
-//
-// This file owns the model of a planner box: lanes, copies, loads, queue, cold capacity, drains and falls. It has no
-// clock, goroutine or I/O, so that it runs on sockets and in virtual time alike.
 package lab
 
 import (
@@ -12,7 +6,7 @@
 	"time"
 )
 
-// WorkerConfig is what a box is like.
+// WorkerConfig describes a worker.
 type WorkerConfig struct {
 	Cores    int
 	Queue    int           // calls that may wait
@@ -21,11 +15,11 @@
 	Keep     time.Duration // an idle copy is unloaded after this
 	Warm     time.Duration // from its start to full capacity
 	StartCap float64       // part of its capacity at the start
-	Fall     time.Duration // a cold box sent more than Factor times what it can do for this long falls over
+	Fall     time.Duration // a warming worker sent more than Factor times its capacity for this long collapses
 	Factor   float64
 }
 
-// Admission is what a box says to a job when it comes.
+// Admission is a worker's answer to a job when it arrives.
 type Admission int
 
 // The worker takes a job, rejects it for a full queue or because it drains, or is down.
@@ -46,7 +40,7 @@
 	AwaitedLoad
 )
 
-// Job is a call at a box, or an order to load where Work is 0.
+// Job is a call at a worker, or a load order where Order is set.
 type Job struct {
 	ID                 string
 	Class              int
@@ -70,7 +64,9 @@
 	held        int // jobs running or waiting for it
 }
 
-// WorkerModel is one emulated planner box. Its methods are called in order of time.
+// WorkerModel is one emulated planner worker: concurrency, copies, loads, queue, slow start,
+// draining and collapse. It has no clock, goroutine or I/O, so that it runs on sockets and in
+// virtual time alike. Its methods are called in order of time.
 type WorkerModel struct {
 	cfg      WorkerConfig
 	start    time.Time
@@ -82,7 +78,7 @@
 	fallen   bool
 	frozen   time.Time // it stands still until then
 	slow     float64
-	sent     []sentWork // while cold
+	sent     []sentWork // while warming up
 	busyTime float64    // decaying mean of cores at work
 	busyAt   time.Time
 	unloads  unloads
@@ -96,12 +92,12 @@
 	work time.Duration
 }
 
-// NewWorkerModel makes a box that started at start, empty.
+// NewWorkerModel returns a worker without copies that started at start.
 func NewWorkerModel(cfg WorkerConfig, start time.Time) *WorkerModel {
 	return &WorkerModel{cfg: cfg, start: start, copies: map[uint64]*modelCopy{}, loads: map[uint64]int{}, slow: 1, busyAt: start}
 }
 
-// Capacity is the part of its full capacity that a box has now.
+// Capacity returns the part of its full capacity that the worker has now.
 func (b *WorkerModel) Capacity(now time.Time) float64 {
 	age := now.Sub(b.start)
 	if b.cfg.Warm <= 0 || age >= b.cfg.Warm {
@@ -171,8 +167,8 @@
 	return Admitted
 }
 
-// overrun books what is sent to a cold box, by the rule on cold boxes: work within Fall against Factor times the
-// present capacity, with room for two calls of chance.
+// overrun records what is sent to a warming worker and applies the overload rule: work within Fall
+// against Factor times the present capacity, with room for two calls of chance.
 func (b *WorkerModel) overrun(now time.Time, j *Job) bool {
 	if b.cfg.Fall <= 0 || b.Capacity(now) >= 1 || j.Order {
 		return false
@@ -219,7 +215,7 @@
 	return true
 }
 
-// Next is when something will have changed; zero: nothing is under way.
+// Next returns when the state changes next; the zero time if nothing is under way.
 func (b *WorkerModel) Next(now time.Time) (at time.Time) {
 	soon := func(t time.Time) {
 		if at.IsZero() || t.Before(at) {
@@ -304,7 +300,7 @@
 	b.busyAt = now
 }
 
-// Report is the load that it tells: calls waiting, and the use of its cores.
+// Report returns the load that the worker reports: calls waiting, and the use of its cores.
 func (b *WorkerModel) Report(now time.Time) (queue int, util float64) {
 	b.use(now)
 	for _, j := range b.waiting {
