--- a/cmd/testbed/soak.go
+++ b/cmd/testbed/soak.go
@@ -11,7 +11,7 @@
 	"oakthread/internal/soak"
 )
 
-// soakCommand runs real processes under troubles drawn from seeds.
+// soakCommand returns the command that runs real processes under faults drawn from seeds.
 func soakCommand() *cobra.Command {
 	var o soak.Options
 	var kinds, replay string
--- a/cmd/testbed/soak_test.go
+++ b/cmd/testbed/soak_test.go
@@ -23,7 +23,7 @@
 	os.Exit(m.Run())
 }
 
-// One short play of real processes under troubles that overlap breaks no rule.
+// One short play of real processes under overlapping faults breaks no rule.
 func TestOnePlayUnderTroubles(t *testing.T) {
 	program := lab.Program{Path: os.Args[0], Args: []string{"dispatch"}, Env: []string{asProgram + "=1"}}
 	s := soak.Draw(1, 4, []soak.Kind{soak.Terminate, soak.ClientsLeave, soak.AcceptFails, soak.ClockStep, soak.ExecutorReset, soak.ReloadInvalid})
--- a/internal/capacity/arithmetic.go
+++ b/internal/capacity/arithmetic.go
@@ -7,11 +7,11 @@
 // sizes are constants of other packages; TestSizesAreThoseOfTheSources reads them again.
 type sizes struct {
 	textMax, marksMax, datagram, waiting, line, eventsWait                                     float64 // aggregate/message.go, internal/platform/channel.go, core.go
-	messageShare, messagePriceFloor, budgetMax, leaderTerm, maintenanceRounds, hello, pairPart float64 // balancer/decide.go
+	messageShare, messagePriceFloor, budgetMax, leaderTerm, maintenanceRounds, hello, pairPart float64 // package balancer
 	quiet, dial, most                                                                          float64 // s: internal/platform/channel.go
 	idleShare, reserved, clientSpare, memoryPart, datagramsInAReceive                          float64 // internal/platform/fleet.go, internal/daemon/daemon.go
 	collectAt                                                                                  float64 // per cent: internal/daemon/daemon.go
-	longest                                                                                    float64 // shortest aims: verdict.Longest
+	longest                                                                                    float64 // shortest latency objectives, of package outlier
 }
 
 func ofProgram() sizes {
@@ -29,7 +29,7 @@
 // Digest is the shape of a collector's message, as aggregate.Message.Texts writes it.
 type Digest struct {
 	Dispatchers, Figures int
-	Partial              bool // some sibling's row is not in the sums: a bit for each sibling follows
+	Partial              bool // some dispatcher's row is not in the sums: a bit for each dispatcher follows
 	Missing              bool // one is remembered: two more sums, and again a bit for each
 	Marks, Counts, Pairs int
 }
@@ -46,8 +46,8 @@
 	return packed(head, d.Marks, d.Counts, d.Pairs)
 }
 
-// Report is the shape of a dispatcher's message to the collector. Quoted: figures told as they were in the last digest; below 0:
-// none and no list of them.
+// Report is the shape of a dispatcher's message to the collector. Quoted is the number of figures
+// repeated from the last digest; below 0: none, and no list of them.
 type Report struct{ Figures, Quoted, Marks, Counts, Pairs int }
 
 // Length is how long a report is.
@@ -84,8 +84,9 @@
 	return p
 }
 
-// Stops is the greatest number of siblings up to which a collector with a full purse can pay for a digest to all (balancer.tell);
-// length tells its characters at so many. Beyond most it is most.
+// Stops returns the greatest number of dispatchers up to which a collector with a full message
+// budget can pay for a digest to all. length returns its characters at a number of dispatchers. The
+// result is at most most.
 func Stops(price float64, most int, length func(dispatchers int) int) int {
 	for n := 2; n <= most; n++ {
 		if digestPrice(price, float64(n), float64(length(n))) > ofProgram().budgetMax {
@@ -95,12 +96,14 @@
 	return most
 }
 
-// digestPrice is what characters told to all siblings cost, of the result of one call.
+// digestPrice returns the price of characters sent to all other dispatchers, relative to the result
+// of one call.
 func digestPrice(price, dispatchers, chars float64) float64 {
 	return max(price, ofProgram().messagePriceFloor) * (dispatchers - 1) / 256 * chars
 }
 
-// Fits is the greatest number of siblings at which the first text of such a digest is not over the datagram's limit.
+// Fits returns the greatest number of dispatchers at which the first text of such a digest is
+// within the datagram's limit.
 func Fits(d Digest, most int) int {
 	for n := 1; n <= most; n++ {
 		if d.Dispatchers = n; d.Length().First > int(ofProgram().datagram) {
@@ -137,8 +140,9 @@
 	return b / (1 - busy/n*(1-b))
 }
 
-// reportShape is the mean report of a dispatcher with so many calls a second: those executors are told where one of its calls
-// was answered within the shortest aim, and new holders up to the module's limit (balancer.gather).
+// reportShape returns the mean report of a dispatcher with so many calls per second: it has the
+// executors where one of its calls was answered within the shortest latency objective, and new
+// holders up to the module's limit.
 func (c Case) reportShape(calls float64) Report {
 	of := ofProgram()
 	counts := math.Round(Distinct(calls*c.LatencyObjective, c.Listed()))
@@ -146,8 +150,9 @@
 	return Report{Figures: int(c.Figures), Quoted: -1, Counts: int(counts), Pairs: int(pairs)}
 }
 
-// reports is how many reports a second a dispatcher sends, and their characters: one each housekeeping round and one with each call
-// to a holder not believed before (functions drawn evenly), as far as its calls pay for them (balancer.beat, send, tell).
+// reports returns how many reports per second a dispatcher sends, and their characters: one in each
+// maintenance round and one with each call to a holder not believed before (functions drawn
+// evenly), as far as its calls pay for them.
 func (c Case) reports(calls float64) (rate float64, p Packed) {
 	of := ofProgram()
 	p = c.reportShape(calls).Length()
@@ -155,7 +160,8 @@
 	return min(of.maintenanceRounds/c.LatencyObjective+calls*unbelieved, of.messageShare*calls/(max(c.PeerPrice, of.messagePriceFloor)/256*float64(p.All))), p
 }
 
-// fullDigest has the calls in flight or answers of every listed executor that some dispatcher met within the shortest aim.
+// fullDigest has the calls in flight or answers of every listed executor that some dispatcher met
+// within the shortest latency objective.
 func (c Case) fullDigest(missing bool) Digest {
 	counts := Distinct(c.Calls*c.ListPart*c.LatencyObjective, c.Listed())
 	return Digest{Dispatchers: int(c.Dispatchers), Figures: int(c.Figures), Partial: missing, Missing: missing, Counts: int(math.Round(counts))}
@@ -166,7 +172,8 @@
 	return Digest{Dispatchers: int(c.Dispatchers), Figures: int(c.Figures), Partial: missing, Missing: missing}
 }
 
-// silent is a digest without counts that lacks the row of one who was in none before: it had no calls, so it told nothing.
+// silent is a digest without counts that lacks the row of one who was in none before: it had no
+// calls, so it reported nothing.
 func (c Case) silent() Digest {
 	d := c.sums(false)
 	d.Partial = true
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -1,9 +1,11 @@
-// Package capacity works out what the operators' plan asks of every role, from the plan, assumptions for what it leaves open,
-// and slopes that were measured elsewhere, and holds that against the budgets. It has no I/O, clock or goroutine; it measures
-// nothing and decides nothing, and must never put a number where a slope is missing: such a row says "not measured".
+// Package capacity works out what the operators' plan asks of every role, from the plan,
+// assumptions for what it leaves open, and slopes that were measured elsewhere, and compares that
+// with the budgets. It has no I/O, clock or goroutine and measures nothing: where a slope is
+// missing, the row says "not measured".
 //
-// A formula stands beside each row and rests on lines of the program or of the platform's pages, which it names. The constants
-// of other packages that it uses are in sizes, and a test reads them again from the sources.
+// A formula stands beside each row and rests on lines of the program or of the platform's pages,
+// which it names. The constants of other packages that it uses are in sizes, and a test reads them
+// again from the sources.
 package capacity
 
 import (
@@ -28,7 +30,7 @@
 	Descriptors      float64 `json:"descriptors"`  // DEPLOY-oakthread, Limits
 	LoadSlots        float64 `json:"load_slots"`   // loads at a time at an executor, 3 to 6: BRIEF-oakthread
 	FetchPart        float64 `json:"fetch_part"`   // of a load, 0.44 to 0.71: BRIEF-oakthread
-	ProbeRate        float64 `json:"probe_rate"`   // probes a second at one executor from all, at a start: roster.Config
+	ProbeRate        float64 `json:"probe_rate"`   // health checks per second at one executor from all, at a start: endpoints.Config
 	ProbeWork        float64 `json:"probe_work_s"` // of an executor's core for a probe, 0.19 to 0.6 ms: BRIEF-oakthread
 }
 
@@ -64,14 +66,14 @@
 	Busiest         float64 // calls of the busiest dispatcher, in those of the mean
 	EventBytes      float64 // of a list event on the command channel
 	ListEvents      float64 // a second, beside the changes of configuration
-	PeerPrice       float64 // of 256 bytes to one receiver, in the worth of a call
+	PeerPrice       float64 // of 256 bytes to one receiver, in the priority weight of a call
 	Figures         float64 // in a row: tenants, and two more
 	Rare            float64 // part of the functions called less than once a minute
 	RareCalls       float64 // a second, of such a function
 	KeepAlive       float64 // s for which an idle copy stands
 	Load            float64 // s that a load takes on the mean
 	LoadTail        float64 // p99 of a load's time, in its mean
-	DiscoveryDelay  float64 // s until discovery has told a change
+	DiscoveryDelay  float64 // s until discovery has announced a change
 }
 
 // Assumption is what the letter leaves open, with the range over which it is varied.
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -117,7 +117,8 @@
 
 const figuresMost = 15
 
-// The issue's lengths: with one missing 364 at 1,000 siblings and 666 at 1,900; under the limit at 300.
+// The issue's lengths: with one missing 364 at 1,000 dispatchers and 666 at 1,900; under the limit
+// at 300.
 func TestFirstTextWithOneMissing(t *testing.T) {
 	first := func(dispatchers, figures int) int {
 		return Digest{Dispatchers: dispatchers, Figures: figures, Partial: true, Missing: true}.Length().First
@@ -223,7 +224,8 @@
 	}
 }
 
-// The bytes assumed of a list event and of an executor in a whole list are those of the platform's form.
+// The bytes assumed of a list event and of an executor in a full list are those of the platform's
+// form.
 func TestBytesOfAListEvent(t *testing.T) {
 	member := func(addr, zone string, start int64) string {
 		return fmt.Sprintf(`{"id":"s-00c41f7a","host_port":%q,"locality":%q,"flavor":"std","cell":2,"phase":"Ready","size":4,"up_since_ms":%d}`,
@@ -510,7 +512,8 @@
 	}
 }
 
-// asked is a dispatcher of the real module before executors that answer each call at once loaded, 60 ms after; it counts what it tells.
+// asked is a dispatcher of the real module before executors that answer each call at once if
+// loaded, else 60 ms later; it counts the messages.
 type asked struct {
 	d     *balancer.Balancer
 	now   int64
@@ -562,8 +565,8 @@
 	}
 }
 
-// The arithmetic of reports against the module: so many a second and so many characters as it really tells, where calls pay for
-// each round and where they do not.
+// The arithmetic of reports against the module: so many per second and so many characters as it
+// really sends, where calls pay for each round and where they do not.
 func TestReportsAgainstTheModule(t *testing.T) {
 	const executors, dispatchers, tenants = 600, 1900, 5
 	for _, calls := range []int{20, 200} {
@@ -613,8 +616,9 @@
 	}
 }
 
-// The price against the module: a collector that has heard all others of its term, or all but one that it never heard, tells a digest
-// up to the siblings that the arithmetic gives, and beyond them none.
+// The price against the module: a collector that has received from all others of its term, or from
+// all but one that never sent, sends a digest up to the number of dispatchers that the arithmetic
+// gives, and beyond it none.
 func TestPriceAgainstTheModule(t *testing.T) {
 	const tenants, price = 5, 0.021
 	objective := int64(400e6)
--- a/internal/capacity/collectorrows.go
+++ b/internal/capacity/collectorrows.go
@@ -4,7 +4,8 @@
 	"math"
 )
 
-// collectorSpecs: who collects reports for a term of two shortest aims and tells all.
+// collectorSpecs are the rows of the dispatcher that collects reports for a term of two shortest
+// latency objectives and sends the digest to all.
 func collectorSpecs(of sizes) []spec {
 	in := func(c Case) (texts, chars float64) { // a second
 		rate, p := c.reports(c.CallsEach())
--- a/internal/capacity/rows.go
+++ b/internal/capacity/rows.go
@@ -59,13 +59,13 @@
 	Missing   []string  `json:"missing,omitempty"` // slopes that were asked for and not there
 	Command   string    `json:"command,omitempty"`
 	Spread    Figure    `json:"spread"`
-	Was       bool      `json:"was,omitempty"` // of a way that the program no longer goes: kept for the order
+	Was       bool      `json:"was,omitempty"` // of a mechanism that the program no longer has: listed for the order
 }
 
-// Over tells that a measured or computed value is over its budget.
+// Over reports whether a measured or computed value is over its budget.
 func (r Row) Over() bool { return float64(r.Headroom) < 1 }
 
-// Measured tells that the value is a number.
+// Measured reports whether the value is a number.
 func (r Row) Measured() bool { return !math.IsNaN(float64(r.Value)) }
 
 // spec is how a row is worked out. budget NaN: none.
--- a/internal/capacity/slopes.go
+++ b/internal/capacity/slopes.go
@@ -26,9 +26,10 @@
 // Slopes are the measured ones by name. A Slope without a Curve is missing.
 type Slopes map[string]Slope
 
-// The names of slopes' dimensions in testbed run capacity. dimensions are moved alone; each slope of a figure over one of them is
-// needed. choice is that of the section which sets the walk of the whole list beside the program, over executors; largest is not
-// a dimension: a figure as the largest run had it.
+// The names of slopes' dimensions in testbed run capacity. dimensions are varied alone; each slope
+// of a figure over one of them is needed. choice is the section that compares the full scan of the
+// list with the program, over executors. largest is not a dimension: it is a figure as the largest
+// run had it.
 const (
 	overChoice  = "choice"
 	overLargest = "largest"
@@ -39,8 +40,8 @@
 // listRate is list events a second.
 func (c Case) listRate() float64 { return c.ListEvents + c.Changes/86400 }
 
-// sizeOf is where a case stands along a dimension of the runs; list is told there in events a minute. A dispatcher's own list and
-// calls count.
+// sizeOf returns where a case stands along a dimension of the runs; list is given there in events
+// per minute. A dispatcher's own list and calls count.
 func (c Case) sizeOf(dimension string) float64 {
 	switch dimension {
 	case "dispatchers":
--- a/internal/fault/sockets/sockets.go
+++ b/internal/fault/sockets/sockets.go
@@ -1,8 +1,10 @@
-// Package sockets puts faults between a dispatcher and the system's sockets: accepts and connects that fail as the manual
-// pages document, reads and writes that are short, interrupted or kept from going on by a shortage.
+// Package sockets injects faults between a dispatcher and the system's sockets: accepts and
+// connects that fail as the manual pages document, reads and writes that are short, interrupted or
+// delayed by a shortage.
 //
-// It stands on the interfaces net.Listener and net.Conn inside the process. So it shows what the program does with the
-// errors, and not that the Go runtime passes them on; datagrams and the poller are left alone.
+// It implements the interfaces net.Listener and net.Conn inside the process. It shows what the
+// program does with the errors, and not that the Go runtime passes them on; datagrams and the
+// poller are not covered.
 package sockets
 
 import (
--- a/internal/mutant/mutant.go
+++ b/internal/mutant/mutant.go
@@ -8,8 +8,8 @@
 // Planted faults, one for each rule that the soak checks.
 const (
 	CallerLeft   Name = "caller-left"   // requests are written for clients that have left
-	Revoked      Name = "revoked"       // and to workers that drain or have gone
-	TimeTold     Name = "time-told"     // workers are told more time than the client has left
+	Revoked      Name = "revoked"       // and to workers that drain or are removed
+	TimeTold     Name = "time-told"     // workers are given more time than the client has left
 	CloseBegun   Name = "close-begun"   // connections are closed with a request on them
 	RepeatRan    Name = "repeat-ran"    // a call that may have run is sent again, whatever its class
 	RefuseRan    Name = "refuse-ran"    // and answered as refused
--- a/internal/mutant/off.go
+++ b/internal/mutant/off.go
@@ -2,5 +2,5 @@
 
 package mutant
 
-// On tells whether a fault is planted: none is.
+// On reports whether a fault is planted: none is in this build.
 func On(Name) bool { return false }
--- a/internal/mutant/on.go
+++ b/internal/mutant/on.go
@@ -9,5 +9,5 @@
 
 var planted = Name(os.Getenv(variable))
 
-// On tells whether a fault is planted.
+// On reports whether a fault is planted.
 func On(n Name) bool { return n == planted }
--- a/internal/soak/campaign.go
+++ b/internal/soak/campaign.go
@@ -1,6 +1,6 @@
 package soak
 
-// This file owns a campaign: runs over many seeds, some at a time, the shortening of what fails, and the table.
+// A campaign: runs over many seeds, some at a time, the shortening of what fails, and the table.
 
 import (
 	"context"
@@ -26,7 +26,7 @@
 	Seeds     int
 	Processes int
 	Jobs      int    // runs at a time
-	Only      []Kind // empty: all troubles
+	Only      []Kind // empty: all kinds
 	Replay    *Schedule
 	Shorten   bool // what fails is run again with less, to the shortest that fails
 	Dir       string
@@ -46,7 +46,7 @@
 	processQuick           = 10                 // and its processes
 	tableColumn            = 2                  // spaces between columns of the table
 	progressEvery          = 10                 // runs between two lines of progress
-	maxViolationsPrinted   = 12                 // violations told of one run
+	maxViolationsPrinted   = 12                 // of one run
 	jsonIndent             = " "                // of the report
 	reportName             = "soak.json"        // in the campaign's folder
 	scheduleName           = "shortest.json"    // of what fails, in the run's folder
@@ -64,7 +64,7 @@
 	Short map[uint64]Schedule `json:"short,omitempty"` // the shortest schedules that fail, by seed
 }
 
-// Pair counts the runs in which two troubles overlapped.
+// Pair counts the runs in which two faults overlapped.
 type Pair struct {
 	Played, Failed int
 }
@@ -96,7 +96,8 @@
 	return nil
 }
 
-// Play runs a campaign. An error tells of runs that could not be made; violations are in the campaign.
+// Play runs a campaign. The error reports runs that could not be made; violations are in the
+// campaign.
 func Play(ctx context.Context, o Options) (*Campaign, error) {
 	if o.Jobs == 0 {
 		o.Jobs = max(1, runtime.NumCPU()/2)
@@ -217,7 +218,8 @@
 	return os.WriteFile(path, raw, 0o600)
 }
 
-// Print writes the table: by pair of troubles how often it was played and failed, then the sums by rule.
+// Print writes the table: by pair of faults how often it was played and failed, then the sums by
+// rule.
 func (c *Campaign) Print(out io.Writer) {
 	t := tabwriter.NewWriter(out, 0, 0, tableColumn, ' ', 0)
 	fmt.Fprintln(t, "troubles\tplayed\tfailed")
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -1,7 +1,7 @@
 package soak
 
-// This file owns the clients: raw connections on which requests are written and answers read, and a record of each request.
-// It must never decide whether a rule was kept: the oracle does.
+// The clients: raw connections on which requests are written and answers read, and a record of each
+// request. Whether a rule was broken is decided by the oracle alone.
 
 import (
 	"bufio"
@@ -26,7 +26,7 @@
 // Ends of a request.
 const (
 	NotSent    End = "not sent"    // no connection, or it ended before the last byte was written
-	Answered   End = "answered"    // a whole answer came
+	Answered   End = "answered"    // a complete answer came
 	Cut        End = "cut"         // a part of an answer came
 	Closed     End = "closed"      // the connection ended, and nothing came
 	Overdue    End = "overdue"     // nothing came in time
@@ -142,7 +142,7 @@
 	timeout   time.Duration
 	leave     time.Duration // after its last byte; 0: the client stays
 	leaveMode int           // of leaving
-	dawdle    int           // 0: not; 1: in pieces; 2: never whole
+	dawdle    int           // 0: not; 1: in pieces; 2: never complete
 	retry     bool
 	fresh     bool // on a new connection
 }
--- a/internal/soak/executor.go
+++ b/internal/soak/executor.go
@@ -1,7 +1,7 @@
 package soak
 
-// This file owns what stands around an executor: a record of every request that came to it, and the ways in which its
-// answers go wrong.
+// The wrapper of an executor: a record of every request that came to it, and the faults of its
+// answers.
 
 import (
 	"math/rand/v2"
@@ -18,7 +18,7 @@
 type Arrival struct {
 	Executor int           `json:"executor"`
 	ID       string        `json:"id"`
-	At       time.Time     `json:"at"` // when its head was whole
+	At       time.Time     `json:"at"` // when its head was complete
 	Budget   time.Duration `json:"budget"`
 	Ran      bool          `json:"ran"` // it was taken on
 	Status   int           `json:"status"`
@@ -34,7 +34,7 @@
 	arrivals []*Arrival
 	orders   []LoadOrder
 
-	nodeOf func(host string) int // whose way ends at an address
+	nodeOf func(host string) int // whose link ends at an address
 }
 
 // LoadOrder is an order to load that came to an executor.
@@ -47,7 +47,7 @@
 	return &executor{n: n, nodeOf: nodeOf, rng: rand.New(rand.NewPCG(seed, uint64(n)+1<<32)), spoil: map[Kind]float64{}}
 }
 
-// set has a share of the answers spoilt in a way; 0: none.
+// set makes a share of the answers fail by a kind of fault; 0: none.
 func (e *executor) set(kind Kind, share float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -66,8 +66,9 @@
 	return append([]*Arrival(nil), e.arrivals...)
 }
 
-// secondMost is how long after the first a second answer may come. What the ways between add on a busy machine stays below
-// the 10 ms for which a dispatcher watches a connection: a second answer after that cannot be told from the next one.
+// secondMost is how long after the first a second answer may come. With what the links add on a
+// busy machine it stays below the 10 ms for which a dispatcher watches a connection: a second
+// answer after that cannot be distinguished from the next one.
 const secondMost = 5 * time.Millisecond
 
 // wrap is the executor's handler with the record and the spoiling.
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -1,6 +1,6 @@
 package soak
 
-// This file owns how each trouble is brought about and ended.
+// How each fault is injected and ended.
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"oakthread/internal/lab"
 )
 
-// inject brings a trouble about for its time.
+// inject injects a fault for its time.
 func (w *world) inject(ctx context.Context, t Fault) {
 	if !wait(ctx, time.Until(w.begin.Add(t.At))) {
 		return
@@ -129,7 +129,7 @@
 	return json.Marshal(config)
 }
 
-// disturbLinks changes the ways between all dispatchers and some executors.
+// disturbLinks changes the links between all dispatchers and some executors.
 func (w *world) disturbLinks(lasts context.Context, t Fault) error {
 	what, delay := map[Kind]lab.Fault{ExecutorHang: lab.Freeze, ExecutorVanish: lab.Cut, ExecutorReset: lab.Reset, ExecutorSlow: lab.Open}[t.Kind], time.Duration(0)
 	if t.Kind == ExecutorSlow {
@@ -179,10 +179,10 @@
 	(*list)[at].until = time.Now().Add(linkTail)
 }
 
-// linkTail is for what was on a way when it was opened again.
+// linkTail allows for what was in transit when a link was opened again.
 const linkTail = 100 * time.Millisecond
 
-// replaceExecutors has executors drain and others come, cold.
+// replaceExecutors drains executors and starts others, not warmed up, in their place.
 func (w *world) replaceExecutors(lasts context.Context, t Fault) error {
 	var mine []int
 	w.mu.Lock()
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -1,7 +1,7 @@
 package soak
 
-// This file owns the processes: how each is started, signalled and ended, and what is known of its lives. It must never
-// end a process that it did not start.
+// The processes: how each is started, signalled and ended, and the record of its incarnations. Only
+// processes started here are ended.
 
 import (
 	"context"
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -1,6 +1,7 @@
 package soak
 
-// This file owns the oracle: from the records of clients, executors and processes it finds what broke a rule. It is pure.
+// The oracle: from the records of clients, executors and processes it finds the violations of the
+// rules. It is pure.
 
 import (
 	"fmt"
@@ -22,13 +23,13 @@
 	RuleOnce      Rule = "once"         // a call that must not run twice does not
 	RuleRefusal   Rule = "refusal"      // a refused call had no effect
 	RuleLeft      Rule = "client left"  // nothing begins over 0.1 s after the client left
-	RuleBudget    Rule = "time told"    // an executor is told at most what the client has left
+	RuleBudget    Rule = "time told"    // an executor is given at most the time that the client has left
 	RuleDrain     Rule = "drain"        // nothing is sent to what drains
 	RuleRation    Rule = "load orders"  // orders to load are rationed by the calls taken
-	RuleSlowStart Rule = "cold start"   // a cold executor does not fall
+	RuleSlowStart Rule = "cold start"   // an executor in slow start does not collapse
 	RuleProcess   Rule = "process"      // no process ends by itself, and each ends well
 	RuleReady     Rule = "ready"        // ready within 10 s of a start
-	RuleRecovers  Rule = "recovers"     // calls are served once troubles are over
+	RuleRecovers  Rule = "recovers"     // calls are served once the faults are over
 	RuleDatagrams Rule = "datagram"     // 256 bytes at most
 	RuleHarness   Rule = "inconclusive" // the laboratory itself stood still: nothing is said
 )
@@ -67,14 +68,14 @@
 	Arrivals   []*Arrival
 	Lives      [][]Life // by node
 	Paused     [][]span
-	Disturbed  [][]span // by executor: its ways were not open, or slow
+	Disturbed  [][]span // by executor: its links were not open, or slow
 	Drains     []Drain
 	Orders     []LoadOrder
 	Ration     Ration
-	Uninformed [][]span // by node: discovery's way to it was not open
+	Uninformed [][]span // by node: discovery's link to it was not open
 	Once       func(class int) bool
 	Longest    time.Duration // that any client waits
-	CalmFrom   time.Time     // troubles have been over for a while
+	CalmFrom   time.Time     // the faults have been over for a while
 	CalmTo     time.Time
 }
 
@@ -84,7 +85,7 @@
 	Free, Share float64
 }
 
-// Drain is a time in which an executor drained, from when discovery had told of it.
+// Drain is a time in which an executor drained, from when discovery had announced it.
 type Drain struct {
 	Executor int
 	span
@@ -127,7 +128,7 @@
 	}
 	switch q.End {
 	case NotSent:
-		if q.Err != "" && !q.Reused && j.listening(q) { // a kept connection may have been closed, or its process may have died
+		if q.Err != "" && !q.Reused && j.listening(q) { // a pooled connection may have been closed, or its process may have died
 			j.broken(RuleAnswered, q.Node, q.ID, "no connection: %s", q.Err)
 		}
 		return
@@ -145,7 +146,8 @@
 	}
 }
 
-// listening tells whether a process was there that takes new connections: not killed, and told to end a moment ago at most.
+// listening reports whether a process was there that takes new connections: not killed, and
+// signalled to end a moment ago at most.
 func (j *oracle) listening(q *Request) bool {
 	for _, l := range j.Lives[q.Node] {
 		if l.Ready.IsZero() || q.Sent.Before(l.Ready) || !l.Killed.IsZero() && l.Killed.Before(q.Ended) {
@@ -158,8 +160,8 @@
 	return false
 }
 
-// owed tells whether an answer was owed: a process was there that took the request and was not killed. One that was stopped
-// meanwhile may answer late, and may no more close the connection than any other.
+// owed reports whether an answer was owed: a process was there that took the request and was not
+// killed. One that was stopped meanwhile may answer late, but may not close the connection either.
 func (j *oracle) owed(q *Request) bool {
 	for _, p := range j.Paused[q.Node] {
 		p.until = p.until.Add(pauseTail)
@@ -201,7 +203,7 @@
 	}
 }
 
-// arrivals looks at when a call came to executors and what they were told.
+// arrivals checks when a call came to executors and what time it was given there.
 func (j *oracle) arrivals(q *Request) {
 	for _, a := range j.arrived[q.ID] {
 		if q.End == Overdue {
@@ -221,7 +223,8 @@
 	}
 }
 
-// drained looks whether an arrival came to an executor long after its dispatcher was told that it drains.
+// drained checks whether an arrival came to an executor long after its dispatcher was notified that
+// it drains.
 func (j *oracle) drained(q *Request, a *Arrival) {
 	for _, d := range j.Drains {
 		if d.Executor != a.Executor || !d.overlaps(a.At, a.At) || a.At.Sub(d.from) < drainSlack {
@@ -237,7 +240,8 @@
 	}
 }
 
-// disturbed tells whether something between the process and the executor, or the process itself, stood still meanwhile.
+// disturbed reports whether something between the process and the executor, or the process itself,
+// was stopped meanwhile.
 func (j *oracle) disturbed(node, executor int, from, until time.Time) bool {
 	overlaps := func(s span) bool { return s.overlaps(from, until) }
 	return slices.ContainsFunc(j.Paused[node], overlaps) || slices.ContainsFunc(j.Disturbed[executor], overlaps)
@@ -298,7 +302,7 @@
 	return sum
 }
 
-// recovers looks whether each node serves once troubles have been over for a while.
+// recovers checks whether each node serves once the faults have been over for a while.
 func (j *oracle) recovers() {
 	asked, served := make([]int, len(j.Lives)), make([]int, len(j.Lives))
 	for _, q := range j.Requests {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -1,6 +1,6 @@
 package soak
 
-// This file owns one run: it starts a world, has its troubles come, and judges what it left.
+// One run: it starts a world, injects the faults, and checks what it recorded.
 
 import (
 	"context"
@@ -26,10 +26,11 @@
 	Dir        string        `json:"dir,omitempty"`
 }
 
-// Inconclusive tells whether the laboratory stood still for so long that nothing is said.
+// Inconclusive reports whether the laboratory itself stalled for so long that the run shows
+// nothing.
 func (r Result) Inconclusive() bool { return r.Stalled > stallMost }
 
-// stallMost is how long the laboratory may stand still before its times are worth nothing.
+// stallMost is how long the laboratory may stall before its times mean nothing.
 const stallMost = 150 * time.Millisecond
 
 // ErrUsed says that a folder holds an earlier run.
@@ -39,7 +40,7 @@
 func Run(ctx context.Context, s Schedule, dir string, program lab.Program) (Result, error) {
 	res := Result{Schedule: s, Dir: dir}
 	if _, err := os.Stat(dir); err == nil {
-		return res, fmt.Errorf("%s: %w", dir, ErrUsed) // kept lists in it would lead to another run's executors
+		return res, fmt.Errorf("%s: %w", dir, ErrUsed) // cached lists in it would lead to another run's executors
 	}
 	network, err := lab.ClaimNet()
 	if err != nil {
@@ -86,7 +87,7 @@
 	return res, errors.Join(w.failed...)
 }
 
-// play has the clients send while the troubles come, and then for the calm end.
+// play lets the clients send while the faults come, and then for the calm end.
 func (w *world) play(ctx context.Context) (calmFrom, calmTo time.Time, err error) {
 	sending, enough := context.WithCancel(ctx)
 	defer enough()
@@ -107,7 +108,7 @@
 	return calmFrom, calmTo, ctx.Err()
 }
 
-// findViolations gathers what the run left and has it judged.
+// findViolations gathers the records of the run and checks them.
 func (w *world) findViolations(calmFrom, calmTo time.Time) []Violation {
 	r := Records{
 		Disturbed: w.disturbed, Uninformed: w.uninformed, Drains: w.drains, CalmFrom: calmFrom, CalmTo: calmTo,
@@ -140,7 +141,8 @@
 	return found
 }
 
-// watchStalls notices when this process stands still; the value ends it and tells the longest time.
+// watchStalls watches for stalls of this process; the returned function ends that and returns the
+// longest.
 func watchStalls(ctx context.Context) func() time.Duration {
 	const every = 10 * time.Millisecond
 	watching, stop := context.WithCancel(ctx)
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -1,7 +1,6 @@
-// Package soak runs real dispatcher processes on loopback under troubles that overlap, drawn from a seed, and checks what
-// clients and executors saw against the platform's rules. It never takes a dispatcher's own word.
-//
-// This file owns the schedule: which troubles come when, drawn from a seed, kept as JSON and shortened. It is pure.
+// Package soak runs real dispatcher processes on loopback under overlapping faults, drawn from a
+// seed, and checks what clients and executors saw against the platform's rules. What a dispatcher
+// reports of itself is not used.
 package soak
 
 import (
@@ -15,10 +14,10 @@
 	"time"
 )
 
-// Kind is a kind of trouble.
+// Kind is a kind of fault.
 type Kind string
 
-// Kinds of trouble.
+// Kinds of fault.
 const (
 	Terminate     Kind = "terminate" // SIGTERM, then a start on the same address
 	Crash         Kind = "crash"     // SIGKILL, then a start on the same address
@@ -31,7 +30,7 @@
 	ExecutorReset  Kind = "reset"     // connections are reset
 	ExecutorSlow   Kind = "slow"      // all that passes is late
 	ExecutorDrain  Kind = "drain"     // it drains, and is listed as that
-	ExecutorRenew  Kind = "renew"     // another one, cold, takes its address
+	ExecutorRenew  Kind = "renew"     // another one, not warmed up, takes its address
 	IdleClosed     Kind = "idleclose" // connections are closed after their answers
 	AnswerTwice    Kind = "twice"     // a second answer comes behind the first, at once or some milliseconds later
 	AnswerPieces   Kind = "pieces"    // an answer comes in pieces
@@ -40,11 +39,11 @@
 
 	DiscoverySilent Kind = "disco-silent" // its connections stay open, and nothing comes
 	DiscoveryReset  Kind = "disco-reset"  // its connections are reset, also within a line
-	DiscoverySlow   Kind = "disco-slow"   // all that it tells is late
-	DiscoveryOver   Kind = "disco-over"   // the whole list comes again
+	DiscoverySlow   Kind = "disco-slow"   // all that it sends is late
+	DiscoveryOver   Kind = "disco-over"   // the full list comes again
 
 	ClientsLeave  Kind = "leave"  // clients close, reset or half-close while their calls are in hand
-	ClientsDawdle Kind = "dawdle" // requests come in pieces, some never whole
+	ClientsDawdle Kind = "dawdle" // requests come in pieces, some never complete
 	ClientsFlood  Kind = "flood"  // connections that say nothing, more than there are places
 	ClientsRetry  Kind = "retry"  // refused calls come again at once, on new connections
 	ClientsBrief  Kind = "brief"  // clients have very little time
@@ -71,7 +70,7 @@
 	}
 }
 
-// Fault is one trouble of a schedule. Times count from when the clients begin.
+// Fault is one fault of a schedule. Times count from when the clients begin.
 type Fault struct {
 	Kind    Kind          `json:"kind"`
 	At      time.Duration `json:"at"`
@@ -84,14 +83,15 @@
 	return fmt.Sprintf("%s at %v for %v on %v (%.2f)", t.Kind, t.At, t.For, t.Targets, t.Amount)
 }
 
-// Schedule is a whole run.
+// Schedule is a complete run: its faults are drawn from a seed, stored as JSON and shortened. It is
+// pure data.
 type Schedule struct {
 	Seed       uint64        `json:"seed"`
 	Processes  int           `json:"processes"`
 	Executors  int           `json:"executors"`
 	Deployment string        `json:"deployment"` // planning or render
 	CachedList bool          `json:"kept"`       // dispatchers keep the list on disk
-	FaultTime  time.Duration `json:"trouble"`    // for so long troubles go on
+	FaultTime  time.Duration `json:"trouble"`    // for so long faults go on
 	Calm       time.Duration `json:"calm"`       // and then none
 	Faults     []Fault       `json:"troubles"`
 }
@@ -113,7 +113,8 @@
 	Render   = "render"
 )
 
-// Draw makes the schedule of a seed: waves of two or three troubles that overlap. only restricts the kinds; empty: all.
+// Draw makes the schedule of a seed: waves of two or three overlapping faults. only restricts the
+// kinds; empty: all.
 func Draw(seed uint64, processes int, only []Kind) Schedule {
 	rng := rand.New(rand.NewPCG(seed, 0x736f616b))
 	s := Schedule{
@@ -136,7 +137,8 @@
 	return s
 }
 
-// knownInteractions are troubles of which it is known that they can cross at a request; half of the waves begin with one of these.
+// knownInteractions are faults of which it is known that they can meet at a request; half of the
+// waves begin with one of these.
 var knownInteractions = [][]Kind{
 	{ClientsLeave, ConnectLate},
 	{ExecutorDrain, ConnectLate},
@@ -163,7 +165,7 @@
 	return rest[:min(len(rest), 2+rng.IntN(2))]
 }
 
-// draw makes one trouble that begins about a time.
+// draw makes one fault that begins about a time.
 func draw(rng *rand.Rand, s Schedule, kind Kind, at time.Duration) Fault {
 	begin := at + time.Duration(rng.Int64N(int64(shortest)))
 	t := Fault{Kind: kind, At: begin, For: shortest + time.Duration(rng.Int64N(int64(longest-shortest))), Amount: rng.Float64()}
@@ -235,7 +237,7 @@
 	return out
 }
 
-// Shorten leaves out troubles, and then halves how long they last, as long as the run still fails.
+// Shorten leaves out faults, and then halves how long they last, as long as the run still fails.
 func (s Schedule) Shorten(fails func(Schedule) bool) Schedule {
 	for i := 0; i < len(s.Faults); {
 		less := s
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -1,6 +1,6 @@
 package soak
 
-// This file owns the world of one run: processes, executors, discovery, clients and the ways between them.
+// The world of one run: processes, executors, discovery, clients and the links between them.
 
 import (
 	"context"
@@ -71,7 +71,7 @@
 	return Ration{Window: 5 * time.Second, Free: 6, Share: 0.3}
 }
 
-// world is a run under way.
+// world is a running fleet with its clients.
 type world struct {
 	Schedule
 	dir       string
@@ -125,7 +125,7 @@
 	return w, nil
 }
 
-// nodeOf is the dispatcher whose ways stand at an address; -1: none.
+// nodeOf returns the dispatcher whose links stand at an address; -1: none.
 func (w *world) nodeOf(host string) int {
 	for n, links := range w.rig.Links.Workers {
 		if own, _, err := net.SplitHostPort(links[0].Addr); err == nil && own == host {
