--- a/internal/capacity/collectorrows.go
+++ b/internal/capacity/collectorrows.go
@@ -2,31 +2,36 @@
 
 import (
 	"math"
+	"slices"
 )
 
 // collectorSpecs are the rows of the dispatcher that collects reports for a term of two shortest
 // latency objectives and sends the digest to all.
 func collectorSpecs(of sizes) []spec {
-	in := func(c Case) (texts, chars float64) { // a second
-		rate, p := c.reports(c.CallsEach())
-		return rate * (c.Dispatchers - 1) * float64(p.Texts), rate * (c.Dispatchers - 1) * float64(p.All)
-	}
-	price := func(d Digest, r *reading) float64 {
-		return digestPrice(r.PeerPrice, r.Dispatchers, float64(d.Length().All))
-	}
+	return slices.Concat(collectorReportSpecs(of), digestPriceSpecs(of), digestTextSpecs(of))
+}
+
+// incomingReports returns the texts and characters of reports per second that come to a collector.
+func incomingReports(c Case) (texts, chars float64) {
+	rate, p := c.reports(c.CallsEach())
+	return rate * (c.Dispatchers - 1) * float64(p.Texts), rate * (c.Dispatchers - 1) * float64(p.All)
+}
+
+// collectorReportSpecs are the rows of the reports that come in and of the work with them.
+func collectorReportSpecs(of sizes) []spec {
 	return []spec{
 		{
 			role: collector, what: "texts of reports that come in a second", unit: "1/s", along: Fleet, budget: math.NaN(),
 			mechanism: "another one each term (`turns.Collector`)",
-			formula:   "(dispatchers - 1) x reports/s x texts", of: func(r *reading) float64 { t, _ := in(r.Case); return t },
+			formula:   "(dispatchers - 1) x reports/s x texts", of: func(r *reading) float64 { t, _ := incomingReports(r.Case); return t },
 		},
 		{
 			role: collector, what: "bytes of reports in a second", unit: "B/s", along: Fleet, budget: math.NaN(), mechanism: "the same",
-			formula: "(dispatchers - 1) x reports/s x characters", of: func(r *reading) float64 { _, n := in(r.Case); return n },
+			formula: "(dispatchers - 1) x reports/s x characters", of: func(r *reading) float64 { _, n := incomingReports(r.Case); return n },
 		},
 		{
 			role: collector, what: "bytes of reports in a term", unit: "B", along: Fleet, budget: math.NaN(), mechanism: "the same",
-			formula: "two shortest aims of these", of: func(r *reading) float64 { _, n := in(r.Case); return n * r.term() },
+			formula: "two shortest aims of these", of: func(r *reading) float64 { _, n := incomingReports(r.Case); return n * r.term() },
 		},
 		{
 			role: collector, what: "bytes of a digest's one round, to all", unit: "B", along: Fleet, budget: math.NaN(),
@@ -39,7 +44,7 @@
 			role: collector, what: "processor time in its second", unit: "of a core", along: Fleet, budget: 1, budgetOf: ofOurs,
 			mechanism: noneYet + ": one dispatcher hears all",
 			formula:   "texts a second x cpu.read; budget: the one core that it has", of: func(r *reading) float64 {
-				t, _ := in(r.Case)
+				t, _ := incomingReports(r.Case)
 				return 1e-9 * t * r.step("cpu.read")
 			},
 		},
@@ -48,8 +53,20 @@
 			budget: of.eventsWait + of.datagramsInAReceive, budgetOf: ofTheProgram,
 			mechanism: noneYet,
 			formula:   "texts a second x aim/8; budget: 1,024 events and some 277 datagrams in the kernel (768 B each: not measured)",
-			of:        func(r *reading) float64 { t, _ := in(r.Case); return t * r.LatencyObjective / of.maintenanceRounds },
+			of: func(r *reading) float64 {
+				t, _ := incomingReports(r.Case)
+				return t * r.LatencyObjective / of.maintenanceRounds
+			},
 		},
+	}
+}
+
+// digestPriceSpecs are the rows of what a digest costs, against the message budget.
+func digestPriceSpecs(of sizes) []spec {
+	price := func(d Digest, r *reading) float64 {
+		return digestPrice(r.PeerPrice, r.Dispatchers, float64(d.Length().All))
+	}
+	return []spec{
 		{
 			role: collector, what: "price of a whole digest", along: Fleet, budget: of.budgetMax, budgetOf: ofTheProgram,
 			mechanism: noneYet + ": too dear, none is told; short ones where they fit",
@@ -72,6 +89,12 @@
 			budget: of.budgetMax, budgetOf: ofTheProgram, mechanism: noneYet,
 			formula: "the same with two bits for each dispatcher", of: func(r *reading) float64 { return price(r.sums(true), r) },
 		},
+	}
+}
+
+// digestTextSpecs are the rows of a digest's texts, against the channel's limits.
+func digestTextSpecs(of sizes) []spec {
+	return []spec{
 		{
 			role: collector, what: "first text, nobody missing", unit: "B", along: Dispatchers, budget: of.datagram, budgetOf: ofTheProgram,
 			mechanism: "sums alone, no bits (`commons.Message.first`)",
--- a/internal/capacity/memoryrows.go
+++ b/internal/capacity/memoryrows.go
@@ -2,20 +2,17 @@
 
 import (
 	"math"
+	"slices"
 )
 
-// memorySpecs: a dispatcher's state. Its live heap may grow to the part of the limit where the collector of garbage works harder
-// (internal/daemon, memoryPart).
+// memorySpecs are the rows of a dispatcher's memory and state.
 func memorySpecs(base Case, b Budgets, of sizes) []spec {
-	sockets := math.Floor(base.Descriptors) // internal/daemon: clients hold a third and a sixteenth
-	sockets -= math.Floor(sockets/3) + math.Floor(sockets/of.clientSpare) + of.reserved
-	tau := func(c Case) float64 { return of.longest * c.LatencyObjective }
-	known := func(c Case) float64 { // functions met within the keep-alive and tau (balancer.sweep)
-		rare, often := c.rare(), c.Functions-c.rare()
-		each, calls := c.RareCalls/c.Dispatchers, max(0, c.Calls-rare*c.RareCalls)/c.Dispatchers
-		long := c.KeepAlive + tau(c)
-		return Distinct(rare*each*long, rare) + Distinct(calls*long, max(1, often))
-	}
+	return slices.Concat(heapSpecs(b, of), stateSpecs(of), connectionSpecs(base, of), tagSpecs(), fullListSpecs(base, of))
+}
+
+// heapSpecs are the rows of the live heap. It may grow to the part of the limit where the garbage
+// collector works harder (internal/daemon, memoryPart).
+func heapSpecs(b Budgets, of sizes) []spec {
 	return []spec{
 		{
 			role: dispatcher, what: "memory: live heap", unit: "B",
@@ -33,17 +30,44 @@
 				return (1 + of.collectAt/100) * r.state("heap")
 			},
 		},
+	}
+}
+
+// stateSpecs are the rows of the holder table.
+func stateSpecs(of sizes) []spec {
+	tau := func(c Case) float64 { return of.longest * c.LatencyObjective }
+	known := func(c Case) float64 { // functions met within the keep-alive and tau (balancer.sweep)
+		rare, often := c.rare(), c.Functions-c.rare()
+		each, calls := c.RareCalls/c.Dispatchers, max(0, c.Calls-rare*c.RareCalls)/c.Dispatchers
+		long := c.KeepAlive + tau(c)
+		return Distinct(rare*each*long, rare) + Distinct(calls*long, max(1, often))
+	}
+	return []spec{
 		{
 			role: dispatcher, what: "state: functions in the holder table",
 			formula: "those of its own calls within keep-alive + 8 shortest aims; a collector learns of others", along: Fleet,
 			mechanism: "`balancer.sweep`", budget: math.NaN(), of: func(r *reading) float64 { return known(r.Case) },
 		},
+	}
+}
+
+// connectionSpecs are the rows of the sockets to executors.
+func connectionSpecs(base Case, of sizes) []spec {
+	sockets := math.Floor(base.Descriptors) // internal/daemon: clients hold a third and a sixteenth
+	sockets -= math.Floor(sockets/3) + math.Floor(sockets/of.clientSpare) + of.reserved
+	return []spec{
 		{
 			role: dispatcher, what: "connections to executors",
 			formula: "listed x (1 - exp(-calls/s x 9 s / listed)), calls even over executors", along: Executors,
 			mechanism: "the one idle for longest gives way (`Fleet.giveWay`): a handshake more", budget: sockets, budgetOf: ofTheProgram,
 			of: func(r *reading) float64 { return r.connections(r.CallsEach()*r.Busiest, r.Listed()) },
 		},
+	}
+}
+
+// tagSpecs are the rows of executors and functions that share a short tag.
+func tagSpecs() []spec {
+	return []spec{
 		{
 			role: dispatcher, what: "executors that share a 16-bit tag with another, pairs",
 			formula: "n (n-1) / 2 / 2^16", along: Executors, budget: 1, budgetOf: ofOurs,
@@ -56,6 +80,12 @@
 			mechanism: noneYet + ": one row of the holder table for both (`balancer.funcTag`)",
 			of:        func(r *reading) float64 { return Collisions(r.Functions, 32) },
 		},
+	}
+}
+
+// fullListSpecs are the rows of a full list, which comes in one line.
+func fullListSpecs(base Case, of sizes) []spec {
+	return []spec{
 		{
 			role: dispatcher, what: "whole list: the loop stands still for", unit: "s",
 			formula: "cpu.list.whole; budget: a housekeeping round, from which on it counts as having stood still", along: Executors,
