--- a/cmd/testbed/soak.go
+++ b/cmd/testbed/soak.go
@@ -39,29 +39,35 @@
 			}
 			o.Replay, o.Processes, o.Seeds = &s, s.Processes, 1
 		}
-		if o.Dir == "" {
-			if o.Dir, err = os.MkdirTemp("", "testbed-soak-*"); err != nil {
-				return err
-			}
-		}
-		fmt.Fprintln(c.ErrOrStderr(), "files:", o.Dir)
-		self, err := os.Executable()
-		if err != nil {
-			return err
-		}
-		o.Program = lab.Program{Path: self, Args: []string{"dispatch"}}
-		o.Progress = func(f string, args ...any) { fmt.Fprintf(c.ErrOrStderr(), f+"\n", args...) }
-		campaign, err := soak.Play(c.Context(), o)
-		if campaign != nil {
-			campaign.Print(c.OutOrStdout())
-		}
-		if err != nil {
+		return playSoak(c, o)
+	}
+	return c
+}
+
+// playSoak plays a campaign with this executable as the program and prints it. The error is
+// errBroken where a run has violations.
+func playSoak(c *cobra.Command, o soak.Options) (err error) {
+	if o.Dir == "" {
+		if o.Dir, err = os.MkdirTemp("", "testbed-soak-*"); err != nil {
 			return err
 		}
-		if n := len(campaign.Failed()); n > 0 {
-			return fmt.Errorf("%w: violations in %d of %d runs", errBroken, n, len(campaign.Runs))
-		}
-		return nil
 	}
-	return c
+	fmt.Fprintln(c.ErrOrStderr(), "files:", o.Dir)
+	self, err := os.Executable()
+	if err != nil {
+		return err
+	}
+	o.Program = lab.Program{Path: self, Args: []string{"dispatch"}}
+	o.Progress = func(f string, args ...any) { fmt.Fprintf(c.ErrOrStderr(), f+"\n", args...) }
+	campaign, err := soak.Play(c.Context(), o)
+	if campaign != nil {
+		campaign.Print(c.OutOrStdout())
+	}
+	if err != nil {
+		return err
+	}
+	if n := len(campaign.Failed()); n > 0 {
+		return fmt.Errorf("%w: violations in %d of %d runs", errBroken, n, len(campaign.Runs))
+	}
+	return nil
 }
--- a/internal/lab/cachedlist.go
+++ b/internal/lab/cachedlist.go
@@ -160,11 +160,13 @@
 	return stays
 }
 
-func cachedListArm(ctx context.Context, o Options, net *Net, arm int, size cachedListPlan) (*cachedListResult, error) {
+// cachedListArm plays one arm of the experiment.
+func cachedListArm(
+	ctx context.Context, o Options, net *Net, arm int, size cachedListPlan,
+) (*cachedListResult, error) {
 	w := &cachedListWorld{f: PlannerFigures()}
 	defer w.close()
-	dir := filepath.Join(o.Dir, cachedListArmNames[arm])
-	if err := w.build(net, arm, dir, size, o.Seed); err != nil {
+	if err := w.build(net, arm, filepath.Join(o.Dir, cachedListArmNames[arm]), size, o.Seed); err != nil {
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(ctx)
@@ -177,8 +179,7 @@
 	sending, enough := context.WithCancel(ctx)
 	defer enough()
 	for _, c := range w.clients {
-		clients.Add(1)
-		go func() { defer clients.Done(); c.Run(sending) }()
+		clients.Go(func() { c.Run(sending) })
 	}
 	pause := func(until time.Time) { _ = sleepUntil(ctx, until) }
 
@@ -191,26 +192,14 @@
 	}
 	pause(began.Add(size.warm + 700*time.Millisecond))
 	killed := time.Now()
-	if err := w.all((*Dispatcher).Kill); err != nil {
+	cpu, err := w.crash(arm)
+	if err != nil {
 		return nil, err
 	}
-	crashCPU, crashCalls := time.Duration(0), 0
-	for i, d := range w.dispatcher {
-		crashCPU += d.CPU
-		crashCalls += len(w.clients[i].Calls())
-	}
-	if arm == armFresh || arm == armOurs {
-		for i, d := range w.dispatcher {
-			if err := ageList(filepath.Join(d.Dir, "list.db"), fmt.Sprintf("d%02d", d.N), cachedListAges[i%len(cachedListAges)]); err != nil {
-				return nil, err
-			}
-		}
-	}
 	readyCtx, giveUp := context.WithDeadline(ctx, killed.Add(size.back+size.end))
 	defer giveUp()
 	ready := make(chan error, 1)
 	go func() { ready <- w.startAll(readyCtx, o.Seed+1, time.Second) }()
-	pause(killed.Add(time.Second))
 	restarted := killed.Add(time.Second)
 	pause(restarted.Add(size.back))
 	returned := time.Now()
@@ -226,13 +215,37 @@
 		return nil, err
 	}
 	r := w.count(killed, restarted, returned, size)
-	r.cpu = float64(crashCPU.Microseconds()) / float64(max(1, crashCalls))
+	r.cpu = cpu
 	if err := w.all((*Dispatcher).Stop); err != nil {
 		return nil, fmt.Errorf("a dispatcher did not end well: %w", err)
 	}
 	return r, nil
 }
 
+// crash kills all dispatchers and, in the arms that read it again, ages their cached lists. It
+// returns the microseconds of processor time that the dispatchers took for each call.
+func (w *cachedListWorld) crash(arm int) (cpu float64, err error) {
+	if err := w.all((*Dispatcher).Kill); err != nil {
+		return 0, err
+	}
+	sum, calls := time.Duration(0), 0
+	for i, d := range w.dispatcher {
+		sum += d.CPU
+		calls += len(w.clients[i].Calls())
+	}
+	cpu = float64(sum.Microseconds()) / float64(max(1, calls))
+	if arm != armFresh && arm != armOurs {
+		return cpu, nil
+	}
+	for i, d := range w.dispatcher {
+		age := cachedListAges[i%len(cachedListAges)]
+		if err := ageList(filepath.Join(d.Dir, "list.db"), fmt.Sprintf("d%02d", d.N), age); err != nil {
+			return 0, err
+		}
+	}
+	return cpu, nil
+}
+
 func sleepUntil(ctx context.Context, t time.Time) error {
 	select {
 	case <-ctx.Done():
--- a/internal/lab/cachedlistcount.go
+++ b/internal/lab/cachedlistcount.go
@@ -10,59 +10,79 @@
 // cachedListWindow is for how long after the restart errors, service and peaks are counted.
 const cachedListWindow = 10 * time.Second
 
+// callCounts are the calls of all clients around a crash.
+type callCounts struct {
+	asked, earned         float64 // from the crash to the end of the window
+	all, unserved         int     // from the restart to the end of the window
+	allLate, unservedLate int     // the same, from 3 s after the restart
+	times                 []time.Duration
+}
+
+// add counts a call; window is counted from the restart.
+func (k *callCounts) add(f *Figures, call *Call, killed, restarted time.Time, window time.Duration) {
+	after := call.Intended.Sub(restarted)
+	if call.Intended.After(killed) && after < window {
+		k.asked += f.Classes[call.Class].PriorityWeight
+		k.earned += call.WeightedValue(f)
+	}
+	if after < 0 || after >= window {
+		return
+	}
+	k.all++
+	if call.Served {
+		k.times = append(k.times, call.Ended.Sub(call.Intended))
+	} else {
+		k.unserved++
+	}
+	if after < 3*time.Second {
+		return
+	}
+	k.allLate++
+	if !call.Served {
+		k.unservedLate++
+	}
+}
+
+// count returns the result of an arm by what clients and workers observed.
 func (w *cachedListWorld) count(killed, restarted, returned time.Time, size cachedListPlan) *cachedListResult {
 	r := &cachedListResult{}
 	window := min(cachedListWindow, size.back+size.end)
-	earned, asked := 0.0, 0.0
-	unserved, all, unservedLate, allLate := 0, 0, 0, 0
-	var times []time.Duration
+	var k callCounts
 	for n, c := range w.clients {
 		r.late = max(r.late, c.MaxLag())
-		d := w.dispatcher[n]
-		for _, call := range c.Calls() {
-			r.calls++
-			after := call.Intended.Sub(restarted)
-			if call.Intended.After(killed) && after < window {
-				asked += w.f.Classes[call.Class].PriorityWeight
-				earned += call.WeightedValue(w.f)
-			}
-			if after >= 0 && after < window {
-				all++
-				if !call.Served {
-					unserved++
-				} else {
-					times = append(times, call.Ended.Sub(call.Intended))
-				}
-				if after >= 3*time.Second {
-					allLate++
-					if !call.Served {
-						unservedLate++
-					}
-				}
-			}
-		}
-		lost, wrong := Unanswered(c.Calls(), func(t Attempt) bool { // one that crossed the crash
-			return t.Sent.Before(d.Killed[0].Add(50*time.Millisecond)) && t.Ended.After(d.Killed[0])
-		})
-		r.unanswered, r.wrong = r.unanswered+lost, r.wrong+wrong
-		for i := range d.Ready {
-			if i > 0 {
-				r.readyMost = max(r.readyMost, d.Ready[i].Sub(d.Began[i]))
-			}
+		calls := c.Calls()
+		r.calls += len(calls)
+		for _, call := range calls {
+			k.add(w.f, call, killed, restarted, window)
 		}
+		w.countDispatcher(r, w.dispatcher[n], calls)
 	}
-	r.service = earned / math.Max(asked, 1)
-	r.errors = float64(unserved) / float64(max(1, all))
-	r.errorsLate = float64(unservedLate) / float64(max(1, allLate))
-	if len(times) > 0 {
-		slices.Sort(times)
-		r.p99 = times[len(times)*99/100]
+	r.service = k.earned / math.Max(k.asked, 1)
+	r.errors = float64(k.unserved) / float64(max(1, k.all))
+	r.errorsLate = float64(k.unservedLate) / float64(max(1, k.allLate))
+	if len(k.times) > 0 {
+		slices.Sort(k.times)
+		r.p99 = k.times[len(k.times)*99/100]
 	}
 	r.calm = w.calmPeak(killed.Add(-4700*time.Millisecond), killed.Add(-700*time.Millisecond))
 	w.countWorkers(r, restarted, returned, min(window, size.back), size)
 	return r
 }
 
+// countDispatcher counts the attempts at a dispatcher that got no complete answer, other than those
+// that crossed its crash, and the time of its restart until it was ready.
+func (w *cachedListWorld) countDispatcher(r *cachedListResult, d *Dispatcher, calls []*Call) {
+	lost, wrong := Unanswered(calls, func(t Attempt) bool {
+		return t.Sent.Before(d.Killed[0].Add(50*time.Millisecond)) && t.Ended.After(d.Killed[0])
+	})
+	r.unanswered, r.wrong = r.unanswered+lost, r.wrong+wrong
+	for i := range d.Ready {
+		if i > 0 {
+			r.readyMost = max(r.readyMost, d.Ready[i].Sub(d.Began[i]))
+		}
+	}
+}
+
 // calmPeak returns the busiest second of any listed worker over the mean of all.
 func (w *cachedListWorld) calmPeak(from, until time.Time) float64 {
 	most, total := 0, 0
--- a/internal/lab/cachedlistsim.go
+++ b/internal/lab/cachedlistsim.go
@@ -17,21 +17,56 @@
 
 // cachedListSim restarts a complete fleet in virtual time: warm-up, replacement of four workers in
 // ten, crash, restart within a second.
-func cachedListSim(f *Figures, dispatchers, workers int, rate float64, fresh bool, seed uint64) (*cachedListSimResult, error) {
+func cachedListSim(
+	f *Figures, dispatchers, workers int, rate float64, fresh bool, seed uint64,
+) (*cachedListSimResult, error) {
+	const warm, watch = 6 * time.Second, 6 * time.Second
+	w, err := cachedListSimWorld(f, dispatchers, workers, rate, seed)
+	if err != nil {
+		return nil, err
+	}
+	for n := range w.nodes {
+		w.arrivals(n, rand.New(rand.NewPCG(seed, uint64(n)<<8)), 0, w.began.Add(warm+time.Second+watch))
+	}
+	w.run(w.began.Add(warm))
+	lists := w.crashAll()
+	w.replaceFourInTen()
+	restart := rand.New(rand.NewPCG(seed, 99))
+	for n := range w.nodes {
+		w.after(time.Duration(restart.Float64()*float64(time.Second)), func() {
+			s, err := w.node(n, seed+1, fresh)
+			if err != nil {
+				panic(err) // the same settings were good before
+			}
+			w.nodes[n] = s
+			s.list.Restore(w.now, lists[n])
+			s.flush()
+			s.tick(w.now)
+		})
+	}
+	crashed, back := w.now, w.now.Add(time.Second)
+	w.run(back.Add(watch + 5*time.Second))
+	return w.cachedListResult(crashed, back, watch), nil
+}
+
+// cachedListSimWorld lays out a fleet in virtual time without messages, whose dispatchers have the
+// list.
+func cachedListSimWorld(f *Figures, dispatchers, workers int, rate float64, seed uint64) (*simWorld, error) {
 	w := &simWorld{
 		f: f, byID: map[balancer.WorkerID]*simWorker{}, popular: newZipf(8*workers, 0.4), price: peerPrice,
-		load: Load{Rate: rate / float64(dispatchers), Models: 8 * workers, Zipf: 0.4, Turn: 12 * time.Second, Retries: 2},
+		load: Load{
+			Rate: rate / float64(dispatchers), Models: 8 * workers, Zipf: 0.4, Turn: 12 * time.Second, Retries: 2,
+		},
 	}
 	w.now = time.Unix(1_800_000_000, 0)
-	began := w.now
-	w.began = began
-	var list endpoints.Update
-	list.Full, list.Cursor = true, 1
+	w.began = w.now
+	started := w.began.Add(-time.Hour)
+	list := endpoints.Update{Full: true, Cursor: 1}
 	for i := range workers {
-		x := &simWorker{id: balancer.WorkerID(0x100 + i*7919), model: NewWorkerModel(f.Worker, began.Add(-time.Hour))}
-		w.workers = append(w.workers, x)
-		w.byID[x.id] = x
-		list.Endpoints = append(list.Endpoints, endpoints.Endpoint{ID: x.id, Zone: i % 2, State: balancer.Active, Weight: 2, Start: began.Add(-time.Hour)})
+		x := w.add(i, started)
+		list.Endpoints = append(list.Endpoints, endpoints.Endpoint{
+			ID: x.id, Zone: i % 2, State: balancer.Active, Weight: 2, Start: started,
+		})
 	}
 	w.nodes = make([]*simNode, dispatchers)
 	for n := range w.nodes {
@@ -43,12 +78,12 @@
 		s.list.HandleUpdate(w.now, list)
 		s.flush()
 	}
-	const warm, watch = 6 * time.Second, 6 * time.Second
-	for n := range w.nodes {
-		w.arrivals(n, rand.New(rand.NewPCG(seed, uint64(n)<<8)), 0, began.Add(warm+time.Second+watch))
-	}
-	w.run(began.Add(warm))
-	lists := make([]endpoints.Snapshot, dispatchers)
+	return w, nil
+}
+
+// crashAll ends all dispatchers at once and returns their cached lists, made older.
+func (w *simWorld) crashAll() []endpoints.Snapshot {
+	lists := make([]endpoints.Snapshot, len(w.nodes))
 	for n, s := range w.nodes {
 		s.dead = true
 		lists[n] = s.list.TakeSnapshot(w.now)
@@ -58,64 +93,33 @@
 			lists[n].Endpoints[i].VerifiedAt = time.Time{}
 		}
 	}
-	for i, x := range w.workers {
-		if i >= workers/10*10 {
-			break // complete tens, so that it is four in ten
-		}
+	return lists
+}
+
+// replaceFourInTen gives four workers of each complete ten their fates.
+func (w *simWorld) replaceFourInTen() {
+	for i, x := range w.workers[:len(w.workers)/10*10] {
 		if x.fate = fateOf(i); x.fate == drains {
 			x.model.Drain()
 		}
 	}
-	restart := rand.New(rand.NewPCG(seed, 99))
-	for n := range w.nodes {
-		w.after(time.Duration(restart.Float64()*float64(time.Second)), func() {
-			s, err := w.node(n, seed+1, fresh)
-			if err != nil {
-				panic(err) // the same settings were good before
-			}
-			w.nodes[n] = s
-			s.list.Restore(w.now, lists[n])
-			s.flush()
-			s.tick(w.now)
-		})
-	}
-	crashed, back := w.now, w.now.Add(time.Second)
-	w.run(back.Add(watch + 5*time.Second))
-	return w.cachedListResult(crashed, back, watch), nil
 }
 
+// cachedListResult returns the result of a restart that crashed at one time and was complete at
+// another; peaks are counted for watch after that.
 func (w *simWorld) cachedListResult(crashed, back time.Time, watch time.Duration) *cachedListSimResult {
-	r := &cachedListSimResult{twice: w.twice, late: w.late}
-	total, staying, most := 0, 0, 0
+	r := &cachedListSimResult{twice: w.twice, late: w.late, peak: w.peakAtRemaining(back, watch)}
 	for _, x := range w.workers {
 		if x.model.Fallen() {
 			r.fallen++
 		}
-		if x.fate != stays {
-			continue
-		}
-		var in []time.Time
-		for _, t := range x.took {
-			if t.After(back) && t.Before(back.Add(watch)) {
-				in = append(in, t)
-			}
-		}
-		staying++
-		total += len(in)
-		most = max(most, mostInOneSecond(in))
 	}
-	r.peak = float64(most) / math.Max(float64(total)/float64(max(1, staying))/watch.Seconds(), 1e-9)
 	all, unserved := 0, 0
 	asked, earned := 0.0, 0.0
 	for _, c := range w.calls {
-		k := w.f.Classes[c.class]
 		if c.intended.After(crashed) {
-			asked += k.PriorityWeight
-			if c.served && c.ended.Sub(c.intended) <= k.LatencyObjective {
-				earned += k.PriorityWeight
-			} else if c.served {
-				earned += 0.2 * k.PriorityWeight
-			}
+			asked += w.f.Classes[c.class].PriorityWeight
+			earned += w.earned(c)
 		}
 		if c.intended.After(back) {
 			if all++; !c.served {
@@ -127,3 +131,23 @@
 	r.service = earned / math.Max(asked, 1)
 	return r
 }
+
+// peakAtRemaining returns the busiest second of any remaining worker in a span, over their mean.
+func (w *simWorld) peakAtRemaining(from time.Time, span time.Duration) float64 {
+	total, staying, most := 0, 0, 0
+	for _, x := range w.workers {
+		if x.fate != stays {
+			continue
+		}
+		var in []time.Time
+		for _, t := range x.took {
+			if t.After(from) && t.Before(from.Add(span)) {
+				in = append(in, t)
+			}
+		}
+		staying++
+		total += len(in)
+		most = max(most, mostInOneSecond(in))
+	}
+	return float64(most) / math.Max(float64(total)/float64(max(1, staying))/span.Seconds(), 1e-9)
+}
--- a/internal/lab/calibrate.go
+++ b/internal/lab/calibrate.go
@@ -243,13 +243,14 @@
 }
 
 // real is a run of processes: one second without calls, then the warm-up and the span.
-func (c *calibration) real(ctx context.Context, net *Net, dir string, group int, fleet fleetOf, seed uint64) (*costs, error) {
+func (c *calibration) real(
+	ctx context.Context, net *Net, dir string, group int, fleet fleetOf, seed uint64,
+) (*costs, error) {
 	f := hollowFigures(c.size(fleet))
 	r, err := NewRig(net, dir, RigSize{
-		Dispatchers: fleet.dispatchers, Workers: fleet.executors, Figures: f, Program: c.program, Group: group, Zones: calibrateZones,
-		Seed: seed, Load: Load{Rate: c.calls, Models: c.functions, Retries: 2}, Settings: func(_ int, s map[string]any) {
-			s["prices"].(map[string]any)["peer"] = peerPrice
-		},
+		Dispatchers: fleet.dispatchers, Workers: fleet.executors, Figures: f, Program: c.program, Group: group,
+		Zones: calibrateZones, Seed: seed, Load: Load{Rate: c.calls, Models: c.functions, Retries: 2},
+		Settings: func(_ int, s map[string]any) { s["prices"].(map[string]any)["peer"] = peerPrice },
 	})
 	if err != nil {
 		return nil, err
@@ -260,35 +261,62 @@
 	if err := r.Start(ready, nil); err != nil {
 		return nil, err
 	}
-	var look [4]taken // once ready, before the clients, and around the span
+	looks, err := c.play(ctx, r)
+	if err != nil {
+		return nil, err
+	}
+	r.Quiet()
+	x, err := processCosts(r, looks)
+	if err != nil {
+		return nil, err
+	}
+	b := r.Check(nil)
+	if x.breaches = b.Sum(); x.breaches > 0 {
+		c.log("calibration: %d dispatchers, %d executors, clients up to %.1f s behind: %+v",
+			fleet.dispatchers, fleet.executors, x.late, b)
+	}
+	if err := r.Stop(); err != nil {
+		return nil, fmt.Errorf("a dispatcher did not end well: %w", err)
+	}
+	return x, nil
+}
+
+// play lets the rig idle, warm up and serve the span. It returns what the processes have taken once
+// they are ready, before the clients start, and at the begin and the end of the span.
+func (c *calibration) play(ctx context.Context, r *Rig) (looks [4]taken, err error) {
 	at := time.Now()
 	for i, wait := range []time.Duration{0, calibrateIdle, c.warm, c.span} {
 		at = at.Add(wait)
 		if err := sleepUntil(ctx, at); err != nil {
-			return nil, err
+			return looks, err
 		}
-		if look[i], err = r.taken(); err != nil {
-			return nil, err
+		if looks[i], err = r.taken(); err != nil {
+			return looks, err
 		}
 		if i == 1 {
 			r.Send(ctx, nil)
 		}
 	}
-	r.Quiet()
-	from, until := look[2].at, look[3].at
-	n, span := float64(fleet.dispatchers), until.Sub(from).Seconds()
+	return looks, nil
+}
+
+// processCosts returns what the processes of a rig took, by the four looks of play.
+func processCosts(r *Rig, looks [4]taken) (*costs, error) {
+	ready, idle, begin, end := looks[0], looks[1], looks[2], looks[3]
+	n := float64(r.Dispatchers)
 	x := &costs{
-		heap: math.NaN(), resident: float64(look[3].resident) / n, idle: (look[1].cpu - look[0].cpu).Seconds() / n / look[1].at.Sub(look[0].at).Seconds(),
-		system: float64(look[3].system-look[2].system) / math.Max(1, float64(look[3].ticks-look[2].ticks)),
+		heap: math.NaN(), resident: float64(end.resident) / n,
+		idle:   (idle.cpu - ready.cpu).Seconds() / n / idle.at.Sub(ready.at).Seconds(),
+		system: float64(end.system-begin.system) / math.Max(1, float64(end.ticks-begin.ticks)),
 	}
 	asked, earned, unserved := 0.0, 0.0, 0
-	for _, call := range r.Calls(func(int) bool { return true }) {
-		if call.Intended.Before(from) || !call.Intended.Before(until) {
+	for _, call := range r.Calls(nil) {
+		if call.Intended.Before(begin.at) || !call.Intended.Before(end.at) {
 			continue
 		}
 		x.calls++
-		asked += f.Classes[call.Class].PriorityWeight
-		earned += call.WeightedValue(f)
+		asked += r.Figures.Classes[call.Class].PriorityWeight
+		earned += call.WeightedValue(r.Figures)
 		if !call.Served {
 			unserved++
 		}
@@ -299,27 +327,26 @@
 	if x.calls == 0 {
 		return nil, fmt.Errorf("no call came in the span; clients fell %.1f s behind their schedule at the most", x.late)
 	}
-	x.cpu = (look[3].cpu - look[2].cpu).Seconds() / float64(x.calls)
+	x.cpu = (end.cpu - begin.cpu).Seconds() / float64(x.calls)
 	x.value, x.unserved = earned/asked, float64(unserved)/float64(x.calls)
-	seconds := map[[2]int]int{}
-	for _, d := range r.PeerNetwork.Datagrams() {
+	x.countMessages(r.PeerNetwork.Datagrams(), n, begin.at, end.at)
+	return x, nil
+}
+
+// countMessages takes the messages of n dispatchers in a span.
+func (c *costs) countMessages(datagrams []Datagram, n float64, from, until time.Time) {
+	span := until.Sub(from).Seconds()
+	seconds := map[[2]int]int{} // bytes by dispatcher and second
+	for _, d := range datagrams {
 		if !d.At.Before(from) && d.At.Before(until) {
-			x.bytes += float64(d.Bytes) / n / span
-			x.messages += 1 / n / span
+			c.bytes += float64(d.Bytes) / n / span
+			c.messages += 1 / n / span
 			seconds[[2]int{d.From, int(d.At.Sub(from) / time.Second)}] += d.Bytes
 		}
 	}
 	for _, b := range seconds {
-		x.busiest = max(x.busiest, float64(b))
+		c.busiest = max(c.busiest, float64(b))
 	}
-	b := r.Check(nil)
-	if x.breaches = b.Sum(); x.breaches > 0 {
-		c.log("calibration: %d dispatchers, %d executors, clients up to %.1f s behind: %+v", fleet.dispatchers, fleet.executors, x.late, b)
-	}
-	if err := r.Stop(); err != nil {
-		return nil, fmt.Errorf("a dispatcher did not end well: %w", err)
-	}
-	return x, nil
 }
 
 // taken is what a rig's processes have taken so far, together.
--- a/internal/lab/capacity.go
+++ b/internal/lab/capacity.go
@@ -302,17 +302,14 @@
 func (c *capacity) walks(ctx context.Context) error {
 	var both []*CapacitySlope
 	for _, name := range []string{"cpu.choice.before", "cpu.choice"} {
-		both = append(both, &CapacitySlope{Series: regression.Series{Name: name, Unit: "ns a call", Of: choiceAt}, Budget: budgetChoice, UsedUp: Figure(math.NaN()), timed: true})
+		both = append(both, &CapacitySlope{
+			Series: regression.Series{Name: name, Unit: "ns a call", Of: choiceAt}, Budget: budgetChoice,
+			UsedUp: Figure(math.NaN()), timed: true,
+		})
 	}
 	for i, n := range c.plan.walks {
 		if i == len(c.plan.walks)-1 && i > 2 {
-			for _, s := range both {
-				s.fit()
-				if s.foretell(float64(n)); s.Foretold != nil {
-					c.o.Log("foretold at %d executors: %s %.4g ns by %s", n, s.Name, s.Foretold.Y, s.Fit)
-				}
-			}
-			c.detail.Slopes = append(c.detail.Slopes, both...)
+			c.predictWalks(both, n)
 		}
 		var arms [2][]map[string]float64
 		for arm, before := range []bool{true, false} {
@@ -322,17 +319,38 @@
 					return err
 				}
 				arms[arm] = append(arms[arm], f)
-				both[arm].Points = append(both[arm].Points, regression.Point{X: float64(n), Y: f["cpu.choice"], Seed: seed})
+				point := regression.Point{X: float64(n), Y: f["cpu.choice"], Seed: seed}
+				both[arm].Points = append(both[arm].Points, point)
 			}
 			both[arm].evaluate(meanOf(arms[arm], "cpu.choice"))
 		}
-		for _, f := range []struct{ name, unit string }{{"cpu.choice", "ns a call"}, {"worth", "of that asked"}, {"loads", "a call"}} {
-			c.rep.Row(fmt.Sprintf("choice, %d executors: %s", n, f.name), f.unit, meanOf(arms[0], f.name), meanOf(arms[1], f.name))
-		}
-		c.rep.AtLeast(fmt.Sprintf("choice, %d executors: worth less that of the whole walk", n), meanOf(arms[1], "worth")-meanOf(arms[0], "worth"), -valueTolerance)
-		if n == 9_600 {
-			c.rep.AtMost(fmt.Sprintf("choice, %d executors: ns a call", n), meanOf(arms[1], "cpu.choice"), maxChoiceNanoseconds)
-		}
+		c.reportWalks(n, arms)
 	}
 	return nil
 }
+
+// predictWalks fits the slopes of both arms and logs what they predict for n executors.
+func (c *capacity) predictWalks(both []*CapacitySlope, n int) {
+	for _, s := range both {
+		s.fit()
+		if s.foretell(float64(n)); s.Foretold != nil {
+			c.o.Log("foretold at %d executors: %s %.4g ns by %s", n, s.Name, s.Foretold.Y, s.Fit)
+		}
+	}
+	c.detail.Slopes = append(c.detail.Slopes, both...)
+}
+
+// reportWalks adds the rows and bounds of both arms with n executors.
+func (c *capacity) reportWalks(n int, arms [2][]map[string]float64) {
+	name := fmt.Sprintf("choice, %d executors: ", n)
+	mean := func(arm int, figure string) float64 { return meanOf(arms[arm], figure) }
+	for _, f := range []struct{ name, unit string }{
+		{"cpu.choice", "ns a call"}, {"worth", "of that asked"}, {"loads", "a call"},
+	} {
+		c.rep.Row(name+f.name, f.unit, mean(0, f.name), mean(1, f.name))
+	}
+	c.rep.AtLeast(name+"worth less that of the whole walk", mean(1, "worth")-mean(0, "worth"), -valueTolerance)
+	if n == 9_600 {
+		c.rep.AtMost(name+"ns a call", mean(1, "cpu.choice"), maxChoiceNanoseconds)
+	}
+}
--- a/internal/lab/capacityoutput.go
+++ b/internal/lab/capacityoutput.go
@@ -124,68 +124,95 @@
 
 // plots draws what was measured, each with the line of its budget; a section that was not run is left out.
 func (c *capacity) plots() error {
-	flat := func(of plotter.XYs, budget float64) (line plotter.XYs) {
-		for _, p := range of {
-			line = append(line, plotter.XY{X: p.X, Y: budget})
+	if err := c.plotChoice(); err != nil {
+		return err
+	}
+	for _, p := range []capacityPlot{
+		{"capacity-bytes.svg", "Messages of a dispatcher, in and out", "dispatchers", "bytes", "bytes a second", 1, budgetBytes},
+		{"capacity-heap.svg", "Memory of a dispatcher", "executors", "heap", "MB", 1e6, budgetHeap},
+	} {
+		if err := c.plotFigure(p); err != nil {
+			return err
 		}
-		return line
 	}
-	var arms [2]plotter.XYs
+	return nil
+}
+
+// flatLine returns a horizontal line over the points of another one.
+func flatLine(of plotter.XYs, y float64) (line plotter.XYs) {
+	for _, p := range of {
+		line = append(line, plotter.XY{X: p.X, Y: y})
+	}
+	return line
+}
+
+// plotChoice draws the processor time of a call over the executors, with a full scan and without.
+func (c *capacity) plotChoice() error {
+	scanned, ours := c.choiceTimes(true), c.choiceTimes(false)
+	if len(ours) < 2 {
+		return nil
+	}
+	chart := lineChart{
+		file: "capacity-choice.svg", title: "Processor time of a call", xLabel: "executors", yLabel: "us",
+		names: []string{"budget", "the whole list walked", "ours"},
+		lines: []plotter.XYs{flatLine(scanned, budgetChoice/1e3), scanned, ours}, logX: true,
+	}
+	return chart.draw(c.o.Plots)
+}
+
+// choiceTimes returns the microseconds of a call over the executors in one arm.
+func (c *capacity) choiceTimes(before bool) (line plotter.XYs) {
 	for _, n := range c.plan.walks {
-		for arm, before := range []bool{true, false} {
-			var runs []map[string]float64
-			for _, seed := range c.plan.seeds {
-				if f, ok := c.done[capacityKey{c.plan.arm(n, before), seed}]; ok {
-					runs = append(runs, f)
-				}
-			}
-			if y := meanOf(runs, "cpu.choice"); !math.IsNaN(y) {
-				arms[arm] = append(arms[arm], plotter.XY{X: float64(n), Y: y / 1e3})
+		var runs []map[string]float64
+		for _, seed := range c.plan.seeds {
+			if f, ok := c.done[capacityKey{c.plan.arm(n, before), seed}]; ok {
+				runs = append(runs, f)
 			}
 		}
-	}
-	if len(arms[1]) > 1 {
-		lines := []plotter.XYs{flat(arms[0], budgetChoice/1e3), arms[0], arms[1]}
-		chart := lineChart{
-			file: "capacity-choice.svg", title: "Processor time of a call", xLabel: "executors", yLabel: "us",
-			names: []string{"budget", "the whole list walked", "ours"}, lines: lines, logX: true,
-		}
-		if err := chart.draw(c.o.Plots); err != nil {
-			return err
+		if y := meanOf(runs, "cpu.choice"); !math.IsNaN(y) {
+			line = append(line, plotter.XY{X: float64(n), Y: y / 1e3})
 		}
 	}
-	for _, p := range []struct {
-		file, title, of, name, unit string
-		scale, budget               float64
-	}{
-		{"capacity-bytes.svg", "Messages of a dispatcher, in and out", "dispatchers", "bytes", "bytes a second", 1, budgetBytes},
-		{"capacity-heap.svg", "Memory of a dispatcher", "executors", "heap", "MB", 1e6, budgetHeap},
-	} {
-		var line plotter.XYs
-		for _, s := range c.slopes[p.of] {
-			if s.Name != p.name {
+	return line
+}
+
+// capacityPlot is a plot of one figure over one dimension, with its budget.
+type capacityPlot struct {
+	file, title, of, name, unit string
+	scale, budget               float64
+}
+
+// plotFigure draws a plot where the figure was measured at two sizes or more.
+func (c *capacity) plotFigure(p capacityPlot) error {
+	line := c.measuredLine(p)
+	if len(line) < 2 {
+		return nil
+	}
+	chart := lineChart{
+		file: p.file, title: p.title, xLabel: p.of, yLabel: p.unit, names: []string{"budget", "measured"},
+		lines: []plotter.XYs{flatLine(line, p.budget/p.scale), line}, logX: true,
+	}
+	return chart.draw(c.o.Plots)
+}
+
+// measuredLine returns the means of a plot's figure over the sizes of its dimension.
+func (c *capacity) measuredLine(p capacityPlot) (line plotter.XYs) {
+	for _, s := range c.slopes[p.of] {
+		if s.Name != p.name {
+			continue
+		}
+		for _, d := range c.plan.dims {
+			if d.name != p.of {
 				continue
 			}
-			for _, d := range c.plan.dims {
-				for _, x := range d.sizes {
-					if y := meanAt(s.Points, x); d.name == p.of && !math.IsNaN(y) {
-						line = append(line, plotter.XY{X: x, Y: y / p.scale})
-					}
+			for _, x := range d.sizes {
+				if y := meanAt(s.Points, x); !math.IsNaN(y) {
+					line = append(line, plotter.XY{X: x, Y: y / p.scale})
 				}
 			}
 		}
-		if len(line) < 2 {
-			continue
-		}
-		chart := lineChart{
-			file: p.file, title: p.title, xLabel: p.of, yLabel: p.unit, names: []string{"budget", "measured"},
-			lines: []plotter.XYs{flat(line, p.budget/p.scale), line}, logX: true,
-		}
-		if err := chart.draw(c.o.Plots); err != nil {
-			return err
-		}
 	}
-	return nil
+	return line
 }
 
 // meanAt is the mean of the points at a size; NaN: there are none.
--- a/internal/lab/capacityservice.go
+++ b/internal/lab/capacityservice.go
@@ -16,53 +16,70 @@
 		name := fmt.Sprintf("service, %d dispatchers, %d executors: ", s.dispatchers, s.executors)
 		var figures []map[string]float64 // by arm
 		for _, of := range serviceArms() {
-			dispatchers, walk := s.dispatchers, s.walk
-			switch of {
-			case fullScan:
-				walk = math.MaxInt
-			case oneDispatcher:
-				dispatchers = 1
-			}
-			var runs []map[string]float64
-			for _, seed := range c.plan.seeds {
-				if err := ctx.Err(); err != nil {
-					return err
-				}
-				r, k, err := serviceSim(fleetFigures(), dispatchers, s.executors, walk, of == omniscient, seed)
-				if err != nil {
-					return fmt.Errorf("capacity: service: %w", err)
-				}
-				runs = append(runs, k.figures(r))
-				c.o.Log("%s%s, seed %d: worth %.4f, unserved %.4f; %s", name, of, seed, r.service, r.unserved, k)
-				if of != omniscient {
-					c.rep.AtMost(fmt.Sprintf("%s%s, seed %d: path-books twice, late sends, boxes pushed over, calls without an end", name, of, seed),
-						float64(r.twice+r.late+r.fallen+r.open), 0)
-				}
-				if s.dispatchers >= fewSeeds {
-					break
-				}
-			}
-			means := map[string]float64{}
-			for _, f := range serviceRows() {
-				means[f.name] = meanOf(runs, f.name)
+			means, err := c.serviceArm(ctx, s, name, of)
+			if err != nil {
+				return err
 			}
 			figures = append(figures, means)
 		}
-		for _, f := range serviceRows() {
-			c.rep.Row(name+f.name, f.unit, figures[0][f.name], figures[1][f.name])
+		c.reportService(name, figures)
+	}
+	return nil
+}
+
+// serviceArm runs one arm of a busy fleet with each seed and returns the means of its figures.
+func (c *capacity) serviceArm(ctx context.Context, s serviceFleet, name, of string) (map[string]float64, error) {
+	dispatchers, walk := s.dispatchers, s.walk
+	switch of {
+	case fullScan:
+		walk = math.MaxInt
+	case oneDispatcher:
+		dispatchers = 1
+	}
+	var runs []map[string]float64
+	for _, seed := range c.plan.seeds {
+		if err := ctx.Err(); err != nil {
+			return nil, err
+		}
+		r, k, err := serviceSim(fleetFigures(), dispatchers, s.executors, walk, of == omniscient, seed)
+		if err != nil {
+			return nil, fmt.Errorf("capacity: service: %w", err)
 		}
-		value := func(arm int) float64 { return figures[arm][valueInTime] }
-		for arm, of := range serviceArms() {
-			if arm > 1 {
-				c.rep.Row(name+valueInTime+", "+of, "of that asked", math.NaN(), value(arm))
-			}
+		runs = append(runs, k.figures(r))
+		c.o.Log("%s%s, seed %d: worth %.4f, unserved %.4f; %s", name, of, seed, r.service, r.unserved, k)
+		if of != omniscient {
+			bound := fmt.Sprintf("%s%s, seed %d: %s", name, of, seed, allBreaches)
+			c.rep.AtMost(bound, float64(r.twice+r.late+r.fallen+r.open), 0)
+		}
+		if s.dispatchers >= fewSeeds {
+			break
 		}
-		c.rep.AtLeast(name+"worth less that of the whole walk", value(1)-value(0), -valueTolerance)
-		c.rep.AtLeast(name+"worth less that of one dispatcher with all calls", value(1)-value(2), -oneRoom)
 	}
-	return nil
+	means := map[string]float64{}
+	for _, f := range serviceRows() {
+		means[f.name] = meanOf(runs, f.name)
+	}
+	return means, nil
 }
 
+// reportService adds the rows and bounds of a busy fleet from the figures of its arms.
+func (c *capacity) reportService(name string, figures []map[string]float64) {
+	for _, f := range serviceRows() {
+		c.rep.Row(name+f.name, f.unit, figures[0][f.name], figures[1][f.name])
+	}
+	value := func(arm int) float64 { return figures[arm][valueInTime] }
+	for arm, of := range serviceArms() {
+		if arm > 1 {
+			c.rep.Row(name+valueInTime+", "+of, "of that asked", math.NaN(), value(arm))
+		}
+	}
+	c.rep.AtLeast(name+"worth less that of the whole walk", value(1)-value(0), -valueTolerance)
+	c.rep.AtLeast(name+"worth less that of one dispatcher with all calls", value(1)-value(2), -oneRoom)
+}
+
+// allBreaches names the bound of the rules' breaches together.
+const allBreaches = "path-books twice, late sends, boxes pushed over, calls without an end"
+
 // The arms of a busy fleet; the last two are yardsticks.
 const (
 	fullScan      = "whole walk"
@@ -97,7 +114,7 @@
 				c.rep.Row(name+": "+figure, "", math.NaN(), y)
 			}
 		}
-		c.rep.AtMost(name+": path-books twice, late sends, boxes pushed over, calls without an end", f["twice"]+f["late"]+f["fallen"]+f["open"], 0)
+		c.rep.AtMost(name+": "+allBreaches, f["twice"]+f["late"]+f["fallen"]+f["open"], 0)
 	}
 	return nil
 }
--- a/internal/lab/comeback.go
+++ b/internal/lab/comeback.go
@@ -93,6 +93,9 @@
 	seed      uint64
 }
 
+// comebackTimes are the moments of a run.
+type comebackTimes struct{ cut, healed time.Time }
+
 func (run comebackRun) play(ctx context.Context, net *Net) (*comebackResult, error) {
 	size := run.size
 	r, err := NewRig(net, run.dir, RigSize{
@@ -112,65 +115,87 @@
 		return nil, err
 	}
 	r.Send(ctx, nil)
-	began := time.Now()
-	cutAt := began.Add(size.warm)
-	if err := sleepUntil(ctx, cutAt); err != nil {
+	if err := sleepUntil(ctx, time.Now().Add(size.warm)); err != nil {
+		return nil, err
+	}
+	x := &comebackResult{}
+	times, err := run.cut(ctx, r, x)
+	if err != nil {
 		return nil, err
 	}
+	if err := sleepUntil(ctx, times.healed.Add(size.after)); err != nil {
+		return nil, err
+	}
+	r.Quiet()
+	run.count(r, x, times)
+	if err := r.Stop(); err != nil {
+		return nil, fmt.Errorf("a dispatcher did not end well: %w", err)
+	}
+	return x, nil
+}
+
+// cut cuts the links for the run's time and restores them; it counts the handshakes swallowed.
+func (run comebackRun) cut(ctx context.Context, r *Rig, x *comebackResult) (times comebackTimes, err error) {
 	cross := func(n, worker int) bool { return n%2 != worker%2 }
 	severed := func(from, to int) bool { return from%2 != to%2 }
 	if run.kind == "third" {
-		cross, severed = func(_, worker int) bool { return worker%3 == 0 }, func(_, _ int) bool { return false }
+		cross = func(_, worker int) bool { return worker%3 == 0 }
+		severed = func(_, _ int) bool { return false }
 	}
-	cutAt = time.Now()
+	times.cut = time.Now()
 	r.PeerNetwork.Set(Lost, severed)
 	if err := r.Links.Between(Cut, 0, cross); err != nil {
-		return nil, err
+		return times, err
 	}
 	first, _ := Swallowed()
-	if err := sleepUntil(ctx, cutAt.Add(size.cut/2)); err != nil {
-		return nil, err
+	if err := sleepUntil(ctx, times.cut.Add(run.size.cut/2)); err != nil {
+		return times, err
 	}
 	half, _ := Swallowed()
-	if err := sleepUntil(ctx, cutAt.Add(size.cut)); err != nil {
-		return nil, err
+	if err := sleepUntil(ctx, times.cut.Add(run.size.cut)); err != nil {
+		return times, err
 	}
 	last, _ := Swallowed()
+	x.failedEarly, x.failedLate = float64(half-first), float64(last-half)
 	r.PeerNetwork.Set(PeerLink{}, severed)
 	if err := r.Links.Between(Open, 0, cross); err != nil {
-		return nil, err
-	}
-	healed := time.Now()
-	if err := sleepUntil(ctx, healed.Add(size.after)); err != nil {
-		return nil, err
+		return times, err
 	}
-	r.Quiet()
+	times.healed = time.Now()
+	return times, nil
+}
+
+// count takes the result from what workers and clients observed.
+func (run comebackRun) count(r *Rig, x *comebackResult, times comebackTimes) {
+	size := run.size
 	calls := r.Calls(nil)
-	x := &comebackResult{Breaches: r.Check(nil), calls: len(calls), failedEarly: float64(half - first), failedLate: float64(last - half)}
-	end := healed.Add(size.after - 300*time.Millisecond)
-	from := cutAt.Add(-size.warm / 2)
-	x.calm, x.during, x.late = Earned(r.Figures, calls, from, cutAt), Earned(r.Figures, calls, cutAt, healed), Earned(r.Figures, calls, healed.Add(size.tail), end)
-	attempts := func(from, until time.Time) (a, full float64) {
-		came, turned := r.Between(from, until)
-		served := 0
-		for _, c := range calls {
-			if c.Served && !c.Ended.Before(from) && c.Ended.Before(until) {
-				served++
-			}
-		}
-		return float64(came) / math.Max(float64(served), 1), float64(turned) / math.Max(float64(came), 1)
-	}
-	x.calmAttempts, x.calmFull = attempts(from, cutAt)
+	x.Breaches, x.calls = r.Check(nil), len(calls)
+	from, late := times.cut.Add(-size.warm/2), times.healed.Add(size.tail)
+	end := times.healed.Add(size.after - 300*time.Millisecond)
+	x.calm = Earned(r.Figures, calls, from, times.cut)
+	x.during = Earned(r.Figures, calls, times.cut, times.healed)
+	x.late = Earned(r.Figures, calls, late, end)
+	x.calmAttempts, x.calmFull = attemptsPerCall(r, calls, from, times.cut)
+	x.lateAttempts, x.lateFull = attemptsPerCall(r, calls, late, end)
 	// Three in a row, and health checks after 1, 3, 7 and 15 shortest latency objectives.
-	x.least = float64(size.dispatchers) * (3 + math.Floor(math.Log2(1+float64(size.cut)/float64(r.Figures.Classes[0].LatencyObjective))))
-	x.lateAttempts, x.lateFull = attempts(healed.Add(size.tail), end)
+	objective := r.Figures.Classes[0].LatencyObjective
+	x.least = float64(size.dispatchers) * (3 + math.Floor(math.Log2(1+float64(size.cut)/float64(objective))))
 	for _, c := range r.Called {
 		x.behind = max(x.behind, c.MaxLag())
 	}
-	if err := r.Stop(); err != nil {
-		return nil, fmt.Errorf("a dispatcher did not end well: %w", err)
+}
+
+// attemptsPerCall returns the attempts that came to workers in a span for each call served in it,
+// and the part of them that was rejected.
+func attemptsPerCall(r *Rig, calls []*Call, from, until time.Time) (attempts, rejected float64) {
+	came, full := r.Between(from, until)
+	served := 0
+	for _, c := range calls {
+		if c.Served && !c.Ended.Before(from) && c.Ended.Before(until) {
+			served++
+		}
 	}
-	return x, nil
+	return float64(came) / math.Max(float64(served), 1), float64(full) / math.Max(float64(came), 1)
 }
 
 func comebackReport(rep *Report, name string, both [2]*comebackResult) {
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -33,22 +33,18 @@
 	}
 	disc := NewDiscovery("demo")
 	defer disc.Down()
-	var listed []Listed
-	for i := range demoWorkers {
-		b, err := StartStubWorker(fmt.Sprintf("s-%08x", i+1), net.Addr(0, i, 9100), f, time.Now().Add(-time.Hour))
-		if err != nil {
-			return err
+	workers, err := demoFleet(net, disc, f)
+	defer func() {
+		for _, b := range workers {
+			b.Die()
 		}
-		defer b.Die()
-		listed = append(listed, listing(b, i, time.Now().Add(-time.Hour)))
-	}
-	disc.Publish(listed...)
-	if _, err := disc.Listen(net.Addr(1, 0, 9400)); err != nil {
+	}()
+	if err != nil {
 		return err
 	}
 	d, err := Lay(DispatcherFiles{
-		Dir: dir, Addr: net.Addr(1, 0, 9200), Settings: f.Settings(0, 1), Peers: []string{net.Addr(1, 0, 9300)}, Channel: disc.Addr(0),
-		Operators: "[list]\npath = \"list.db\"\n\n[log]\nformat = \"text\"\n",
+		Dir: dir, Addr: net.Addr(1, 0, 9200), Settings: f.Settings(0, 1), Peers: []string{net.Addr(1, 0, 9300)},
+		Channel: disc.Addr(0), Operators: "[list]\npath = \"list.db\"\n\n[log]\nformat = \"text\"\n",
 	})
 	if err != nil {
 		return err
@@ -62,8 +58,40 @@
 	if err := d.WaitReady(soon); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "discovery, %d boxes and a dispatcher at http://%s are up; sending %d calls a second for %v\n", demoWorkers, d.Addr, demoRate, demoTime)
-	c := NewClients(f, 0, d.Addr, Load{Rate: demoRate, Models: 3 * demoWorkers, Zipf: 0.9, Retries: 2, Seed: uint64(time.Now().UnixNano())})
+	fmt.Fprintf(out, "discovery, %d boxes and a dispatcher at http://%s are up; sending %d calls a second for %v\n",
+		demoWorkers, d.Addr, demoRate, demoTime)
+	c := NewClients(f, 0, d.Addr, Load{
+		Rate: demoRate, Models: 3 * demoWorkers, Zipf: 0.9, Retries: 2, Seed: uint64(time.Now().UnixNano()),
+	})
+	demoCalls(ctx, out, c)
+	if err := d.Stop(); err != nil {
+		return fmt.Errorf("the dispatcher did not end well: %w", err)
+	}
+	list := filepath.Join(d.Dir, "list.db")
+	fmt.Fprintf(out, "configuration  %s\noperator's file  %s\nkept list  %s\nlog  %s\n"+
+		"look at the list: bin/dispatcher list show %s\n", d.Config, d.File, list, filepath.Join(d.Dir, "log"), list)
+	return nil
+}
+
+// demoFleet starts the workers and lists them; those started are returned also with an error.
+func demoFleet(net *Net, disc *Discovery, f *Figures) (workers []*StubWorker, err error) {
+	var listed []Listed
+	for i := range demoWorkers {
+		started := time.Now().Add(-time.Hour)
+		b, err := StartStubWorker(fmt.Sprintf("s-%08x", i+1), net.Addr(0, i, 9100), f, started)
+		if err != nil {
+			return workers, err
+		}
+		workers = append(workers, b)
+		listed = append(listed, listing(b, i, started))
+	}
+	disc.Publish(listed...)
+	_, err = disc.Listen(net.Addr(1, 0, 9400))
+	return workers, err
+}
+
+// demoCalls sends calls for demoTime and prints their results as they come.
+func demoCalls(ctx context.Context, out io.Writer, c *Clients) {
 	sending, stop := context.WithTimeout(ctx, demoTime)
 	defer stop()
 	ended := make(chan struct{})
@@ -87,12 +115,6 @@
 	}
 	fmt.Fprintf(out, "\n%d calls: %d served, %d refused, %d failed; %v each on the mean\n", len(calls), served, refused, failed,
 		(sum / time.Duration(max(1, len(calls)))).Round(100*time.Microsecond))
-	if err := d.Stop(); err != nil {
-		return fmt.Errorf("the dispatcher did not end well: %w", err)
-	}
-	fmt.Fprintf(out, "configuration  %s\noperator's file  %s\nkept list  %s\nlog  %s\nlook at the list: bin/dispatcher list show %s\n", d.Config, d.File,
-		filepath.Join(d.Dir, "list.db"), filepath.Join(d.Dir, "log"), filepath.Join(d.Dir, "list.db"))
-	return nil
 }
 
 func tally(calls []*Call) (served, refused, failed int) {
--- a/internal/lab/discovery.go
+++ b/internal/lab/discovery.go
@@ -228,6 +228,8 @@
 	return nil
 }
 
+// speak serves one connection: it answers the resume line with the epoch, and then writes events as
+// they come and the last number at the pace of Heart.
 func (d *Discovery) speak(p *port, c net.Conn) {
 	line, err := bufio.NewReader(c).ReadString('\n')
 	text, ok := strings.CutPrefix(strings.TrimSpace(line), "resume ")
@@ -248,28 +250,15 @@
 		return
 	}
 	for first := true; ; first = false {
-		d.mu.Lock()
-		if d.down {
-			d.mu.Unlock()
+		events, last, changed, up := d.eventsFrom(p, from)
+		if !up {
 			return
 		}
-		var out strings.Builder
-		for ; from < len(d.lines); from++ {
-			line := d.line(p.n, from)
-			out.WriteString(line)
-			if d.Double {
-				out.WriteString(line)
-			}
-			if _, was := p.notified[from+1]; !was {
-				p.notified[from+1] = time.Now()
-			}
-		}
-		last, changed := len(d.lines), d.changed
-		d.mu.Unlock()
+		from = max(from, last)
 		if first {
-			fmt.Fprintf(&out, "%d\n", last)
+			events += fmt.Sprintf("%d\n", last)
 		}
-		if _, err := c.Write([]byte(out.String())); err != nil {
+		if _, err := c.Write([]byte(events)); err != nil {
 			return
 		}
 		select {
@@ -282,6 +271,29 @@
 	}
 }
 
+// eventsFrom returns the lines of the events after number from, and notes that the dispatcher of
+// the port is notified of them. last is the number of the last event, changed is closed at the next
+// change; up is false while discovery is down.
+func (d *Discovery) eventsFrom(p *port, from int) (events string, last int, changed <-chan struct{}, up bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.down {
+		return "", 0, nil, false
+	}
+	var out strings.Builder
+	for ; from < len(d.lines); from++ {
+		line := d.line(p.n, from)
+		out.WriteString(line)
+		if d.Double {
+			out.WriteString(line)
+		}
+		if _, was := p.notified[from+1]; !was {
+			p.notified[from+1] = time.Now()
+		}
+	}
+	return out.String(), len(d.lines), d.changed, true
+}
+
 // NotifiedAt returns when dispatcher n was notified of the present phase of a worker; the zero time
 // if it was not.
 func (d *Discovery) NotifiedAt(n int, id string) time.Time {
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -68,8 +68,8 @@
 		sizes = []int{1, 3, 80}
 	}
 	rep := &Report{Name: "fleet", Seed: o.Seed, Arms: []string{"no messages", "ours"}, Note: fmt.Sprintf(
-		"virtual time, %d calls/s a box, 20 to 120 boxes; join: six boxes in ten replaced within %s; zone: half of the boxes cut off for 5 s, back cold",
-		fleetCalls, fleetFault)}
+		"virtual time, %d calls/s a box, 20 to 120 boxes; join: six boxes in ten replaced within %s; "+
+			"zone: half of the boxes cut off for 5 s, back cold", fleetCalls, fleetFault)}
 	f := fleetFigures()
 	for _, n := range sizes {
 		workers := max(20, min(40, n/2), n*4/10)
@@ -86,38 +86,7 @@
 				}
 				both[arm] = r
 			}
-			name := func(s string) string { return fmt.Sprintf("%s, %d dispatchers, %d boxes: %s", kind, n, workers, s) }
-			row := func(s, unit string, of func(*fleetResult) float64) {
-				rep.Row(name(s), unit, of(both[0]), of(both[1]))
-			}
-			row("worth in time", "of that asked", func(r *fleetResult) float64 { return r.service })
-			row("calls never served", "%", func(r *fleetResult) float64 { return 100 * r.unserved })
-			if kind == "split" || kind == "parted" {
-				row("until attempts a served call are as before", "s", func(r *fleetResult) float64 { return r.back })
-				row("served in the four seconds after, a second", "of before", func(r *fleetResult) float64 { return r.servedRatio })
-				row("attempts in these", "a served call", func(r *fleetResult) float64 { return r.attempts })
-				row("attempts that reached nobody", "a call", func(r *fleetResult) float64 { return r.unreached })
-			} else if kind == "fails" {
-				row("calls spoilt", "", func(r *fleetResult) float64 { return float64(r.spoilt) })
-				row("until nine in ten avoid the box", "s", func(r *fleetResult) float64 { return r.avoided })
-			} else if kind != "calm" {
-				row("calls at boxes that came cold", "of the others'", func(r *fleetResult) float64 { return r.warmingShare })
-				row("pushed over before anyone was told", "boxes", func(r *fleetResult) float64 { return float64(r.unwarned) })
-				row("attempts that reached nobody", "a call", func(r *fleetResult) float64 { return r.unreached })
-			}
-			row("messages", "bytes a call", func(r *fleetResult) float64 { return r.bytes })
-			if kind == "fails" {
-				rep.AtMost(name("calls spoilt, of those without messages"), float64(both[1].spoilt)/float64(max(1, both[0].spoilt)), 1.2)
-			}
-			for arm, r := range both {
-				of := func(s string) string { return name(s) + " (" + rep.Arms[arm] + ")" }
-				rep.AtMost(of("path-book run twice"), float64(r.twice), 0)
-				rep.AtMost(of("boxes pushed over, told to be cold"), float64(r.fallen), 0)
-				rep.AtMost(of("sent more than 1 s after a drain was told"), float64(r.late), 0)
-				rep.AtMost(of("calls without a final answer"), float64(r.open), 0)
-				rep.AtMost(of("messages over 256 bytes"), float64(r.oversize), 0)
-				rep.AtMost(of("price of messages, of the result"), peerPrice*r.bytes/peerBytes, 0.02)
-			}
+			fleetReport(rep, kind, fmt.Sprintf("%s, %d dispatchers, %d boxes: ", kind, n, workers), both)
 		}
 	}
 	if o.Plots != "" {
@@ -126,6 +95,44 @@
 	return rep, nil
 }
 
+// fleetReport adds the rows and bounds of one fault at one size, with and without messages.
+func fleetReport(rep *Report, kind, name string, both [2]*fleetResult) {
+	row := func(s, unit string, of func(*fleetResult) float64) {
+		rep.Row(name+s, unit, of(both[0]), of(both[1]))
+	}
+	row("worth in time", "of that asked", func(r *fleetResult) float64 { return r.service })
+	row("calls never served", "%", func(r *fleetResult) float64 { return 100 * r.unserved })
+	switch kind {
+	case "split", "parted":
+		row("until attempts a served call are as before", "s", func(r *fleetResult) float64 { return r.back })
+		row("served in the four seconds after, a second", "of before",
+			func(r *fleetResult) float64 { return r.servedRatio })
+		row("attempts in these", "a served call", func(r *fleetResult) float64 { return r.attempts })
+		row("attempts that reached nobody", "a call", func(r *fleetResult) float64 { return r.unreached })
+	case "fails":
+		row("calls spoilt", "", func(r *fleetResult) float64 { return float64(r.spoilt) })
+		row("until nine in ten avoid the box", "s", func(r *fleetResult) float64 { return r.avoided })
+	case "join", "zone":
+		row("calls at boxes that came cold", "of the others'", func(r *fleetResult) float64 { return r.warmingShare })
+		row("pushed over before anyone was told", "boxes", func(r *fleetResult) float64 { return float64(r.unwarned) })
+		row("attempts that reached nobody", "a call", func(r *fleetResult) float64 { return r.unreached })
+	}
+	row("messages", "bytes a call", func(r *fleetResult) float64 { return r.bytes })
+	if kind == "fails" {
+		ratio := float64(both[1].spoilt) / float64(max(1, both[0].spoilt))
+		rep.AtMost(name+"calls spoilt, of those without messages", ratio, 1.2)
+	}
+	for arm, r := range both {
+		of := func(s string) string { return name + s + " (" + rep.Arms[arm] + ")" }
+		rep.AtMost(of("path-book run twice"), float64(r.twice), 0)
+		rep.AtMost(of("boxes pushed over, told to be cold"), float64(r.fallen), 0)
+		rep.AtMost(of("sent more than 1 s after a drain was told"), float64(r.late), 0)
+		rep.AtMost(of("calls without a final answer"), float64(r.open), 0)
+		rep.AtMost(of("messages over 256 bytes"), float64(r.oversize), 0)
+		rep.AtMost(of("price of messages, of the result"), peerPrice*r.bytes/peerBytes, 0.02)
+	}
+}
+
 // plotFleet draws what no table shows well: the error of the totals over the part of the fleet that
 // receives nothing, and the detection of a failing worker over the number of dispatchers.
 func plotFleet(ctx context.Context, f *Figures, o Options) error {
@@ -259,76 +266,108 @@
 	}
 }
 
+// fleetGroups are the workers that a run compares: those that started during it, and the others.
+type fleetGroups struct{ fresh, stayed []*simWorker }
+
 // fleetSim plays one fault. The same seed gives the same run.
-func fleetSim(f *Figures, kind string, dispatchers, workers int, messages bool, seed uint64) (*fleetResult, error) {
+func fleetSim(
+	f *Figures, kind string, dispatchers, workers int, messages bool, seed uint64,
+) (*fleetResult, error) {
 	w, err := fleetWorld(f, dispatchers, workers, messages, 0, seed)
 	if err != nil {
 		return nil, err
 	}
-	began, notify := w.began, w.notifyAll
-	var fresh, stayed []*simWorker
+	groups := &fleetGroups{}
 	switch kind {
 	case "join":
-		stayed = w.workers[workers*6/10:]
-		for i, old := range w.workers[:workers*6/10] {
-			w.at(began.Add(fleetWarm+fleetFault*time.Duration(i)/time.Duration(workers*6/10)), func() {
-				x := w.add(workers+i, w.now)
-				fresh = append(fresh, x)
-				w.listed = append(w.listed, endpoints.Endpoint{ID: x.id, Zone: i % 2, State: balancer.Active, Weight: 2, Start: w.now})
-				w.listed[i].State = balancer.Draining
-				old.model.Drain()
-				old.drained = w.now.Add(notifyDelay)
-				w.after(notifyDelay, notify)
-			})
-		}
+		w.scheduleJoin(groups)
 	case "fails":
-		w.at(began.Add(fleetWarm), func() { w.workers[0].failing = true })
-		w.at(began.Add(fleetWarm+fleetFault), func() { w.workers[0].failing = false })
-		w.avoided = fleetFault.Seconds()
-		for at := failLook; at < fleetFault; at += failLook {
-			w.at(began.Add(fleetWarm+at), func() {
-				if w.avoided > at.Seconds() && 10*w.avoiding(w.workers[0].id) >= 9*len(w.nodes) {
-					w.avoided = at.Seconds()
-				}
-			})
-		}
+		w.scheduleFailure()
 	case "split", "parted":
-		w.at(began.Add(fleetWarm), func() {
-			w.mute, w.unheard, w.parted = true, splitLost, kind == "parted"
-			for i, x := range w.workers {
-				if kind == "split" && i%5 == 0 {
-					x.fate = cutOff
-				}
-			}
+		w.scheduleSplit(kind)
+	case "zone":
+		w.scheduleZone(groups)
+	}
+	w.run(w.began.Add(fleetWarm + fleetFault + fleetWatch + fleetEnd))
+	return w.fleetResult(groups.fresh, groups.stayed, w.began), nil
+}
+
+// scheduleJoin replaces six workers in ten one after the other within the time of the fault.
+func (w *simWorld) scheduleJoin(groups *fleetGroups) {
+	workers := len(w.workers)
+	replaced := workers * 6 / 10
+	groups.stayed = w.workers[replaced:]
+	for i, old := range w.workers[:replaced] {
+		w.at(w.began.Add(fleetWarm+fleetFault*time.Duration(i)/time.Duration(replaced)), func() {
+			x := w.add(workers+i, w.now)
+			groups.fresh = append(groups.fresh, x)
+			w.listed = append(w.listed, endpoints.Endpoint{
+				ID: x.id, Zone: i % 2, State: balancer.Active, Weight: 2, Start: w.now,
+			})
+			w.listed[i].State = balancer.Draining
+			old.model.Drain()
+			old.drained = w.now.Add(notifyDelay)
+			w.after(notifyDelay, w.notifyAll)
 		})
-		w.at(began.Add(fleetWarm+splitFor), func() {
-			w.mute, w.unheard, w.parted = false, 0, false
-			for _, x := range w.workers {
-				x.fate = stays
+	}
+}
+
+// scheduleFailure makes the first worker fail at once for the time of the fault, and records when
+// nine in ten dispatchers avoid it.
+func (w *simWorld) scheduleFailure() {
+	w.at(w.began.Add(fleetWarm), func() { w.workers[0].failing = true })
+	w.at(w.began.Add(fleetWarm+fleetFault), func() { w.workers[0].failing = false })
+	w.avoided = fleetFault.Seconds()
+	for at := failLook; at < fleetFault; at += failLook {
+		w.at(w.began.Add(fleetWarm+at), func() {
+			if w.avoided > at.Seconds() && 10*w.avoiding(w.workers[0].id) >= 9*len(w.nodes) {
+				w.avoided = at.Seconds()
 			}
 		})
-	case "zone":
+	}
+}
+
+// scheduleSplit loses all messages for splitFor, and with them the links to every fifth worker
+// ("split") or to the workers of the other zone ("parted").
+func (w *simWorld) scheduleSplit(kind string) {
+	w.at(w.began.Add(fleetWarm), func() {
+		w.mute, w.unheard, w.parted = true, splitLost, kind == "parted"
 		for i, x := range w.workers {
-			if i%2 == 1 {
-				stayed = append(stayed, x)
-				continue
+			if kind == "split" && i%5 == 0 {
+				x.fate = cutOff
 			}
-			fresh = append(fresh, x)
-			w.at(began.Add(fleetWarm), func() { x.fate = cutOff })
-			w.at(began.Add(fleetWarm+5*time.Second), func() {
-				x.fate, x.model = stays, NewWorkerModel(f.Worker, w.now)
-				w.listed[i].Start = w.now
-			})
 		}
-		w.at(began.Add(fleetWarm+5*time.Second+notifyDelay), func() {
-			for _, x := range fresh { // nobody was notified that it was warming up: harm, but no rule broken
-				x.unwarned = x.model.Fallen()
-			}
-			notify()
+	})
+	w.at(w.began.Add(fleetWarm+splitFor), func() {
+		w.mute, w.unheard, w.parted = false, 0, false
+		for _, x := range w.workers {
+			x.fate = stays
+		}
+	})
+}
+
+// scheduleZone cuts off every second worker for zoneOutage; they return not warmed up, and
+// dispatchers are notified of that late.
+func (w *simWorld) scheduleZone(groups *fleetGroups) {
+	const zoneOutage = 5 * time.Second
+	for i, x := range w.workers {
+		if i%2 == 1 {
+			groups.stayed = append(groups.stayed, x)
+			continue
+		}
+		groups.fresh = append(groups.fresh, x)
+		w.at(w.began.Add(fleetWarm), func() { x.fate = cutOff })
+		w.at(w.began.Add(fleetWarm+zoneOutage), func() {
+			x.fate, x.model = stays, NewWorkerModel(w.f.Worker, w.now)
+			w.listed[i].Start = w.now
 		})
 	}
-	w.run(began.Add(fleetWarm + fleetFault + fleetWatch + fleetEnd))
-	return w.fleetResult(fresh, stayed, began), nil
+	w.at(w.began.Add(fleetWarm+zoneOutage+notifyDelay), func() {
+		for _, x := range groups.fresh { // nobody was notified that it was warming up: harm, but no rule broken
+			x.unwarned = x.model.Fallen()
+		}
+		w.notifyAll()
+	})
 }
 
 // avoiding counts the dispatchers that avoid a worker.
@@ -391,24 +430,32 @@
 	return r
 }
 
-// weightedValue is that served of that asked by calls meant for a time on; late ones earn a fifth.
+// weightedValue returns the value served, of that offered, by calls intended from a time on.
 func (w *simWorld) weightedValue(from time.Time) float64 {
 	asked, earned := 0.0, 0.0
 	for _, c := range w.calls {
 		if c.intended.Before(from) {
 			continue
 		}
-		k := w.f.Classes[c.class]
-		asked += k.PriorityWeight
-		if c.served && c.ended.Sub(c.intended) <= k.LatencyObjective {
-			earned += k.PriorityWeight
-		} else if c.served {
-			earned += 0.2 * k.PriorityWeight
-		}
+		asked += w.f.Classes[c.class].PriorityWeight
+		earned += w.earned(c)
 	}
 	return earned / max(1, asked)
 }
 
+// earned returns the value of a call: its priority weight within the latency objective, a fifth of
+// it later, nothing unserved.
+func (w *simWorld) earned(c *simCall) float64 {
+	k := w.f.Classes[c.class]
+	switch {
+	case !c.served:
+		return 0
+	case c.ended.Sub(c.intended) <= k.LatencyObjective:
+		return k.PriorityWeight
+	}
+	return 0.2 * k.PriorityWeight
+}
+
 // tallied counts the attempts begun and the calls served from one moment of the run to another.
 func (w *simWorld) tallied(from, until time.Duration) (sends, goods int) {
 	for i := int(from / (100 * time.Millisecond)); i < int(until/(100*time.Millisecond)) && i < min(len(w.sends), len(w.goods)); i++ {
--- a/internal/lab/hollowevents.go
+++ b/internal/lab/hollowevents.go
@@ -78,58 +78,23 @@
 	}
 }
 
-// fault lays out the size's fault.
+// fault schedules the size's fault.
 func (h *hollowWorld) fault() {
-	span, d := h.size.Span, h.size.Dispatchers
+	span, dispatchers := h.size.Span, h.size.Dispatchers
 	middle := h.from.Add(span / 2)
 	switch h.size.Fault {
 	case FaultOneDown:
-		h.at(h.from.Add(-h.size.Warm/3), func() { h.kill(d / 2) })
+		h.at(h.from.Add(-h.size.Warm/3), func() { h.kill(dispatchers / 2) })
 	case FaultRestarts:
-		count := max(1, d/19)
-		for at := range ticks(h.from, h.until, float64(count)/span.Seconds()) {
-			h.at(at, func() {
-				n := int(h.lives) * 19 % d
-				h.kill(n)
-				h.after(min(hollowDown, span/4), func() { h.revive(n) })
-			})
-		}
+		h.scheduleRestarts()
 	case FaultZone:
-		h.at(h.from.Add(span/8), func() {
-			for n := range max(1, d/10) {
-				h.kill(n)
-			}
-			for _, x := range h.workers {
-				if x.zone == 0 {
-					x.fate = cutOff
-				}
-			}
-		})
-		h.at(h.from.Add(span/8+min(hollowOutage, span/2)), func() {
-			var back []int
-			for i, x := range h.workers {
-				if x.zone == 0 {
-					x.fate, x.model = stays, NewWorkerModel(h.f.Worker, h.now)
-					h.listed[i].Start = h.now
-					back = append(back, i)
-				}
-			}
-			for n := range max(1, d/10) {
-				h.revive(n)
-			}
-			h.change(h.now, back...)
-		})
+		h.at(h.from.Add(span/8), h.loseZone)
+		h.at(h.from.Add(span/8+min(hollowOutage, span/2)), h.restoreZone)
 	case FaultRegions:
 		h.at(h.from.Add(span/3), func() { h.halves = true })
 		h.at(h.from.Add(span*2/3), func() { h.halves = false })
 	case FaultFullList:
-		h.at(middle, func() {
-			h.meter.times[partFullList], h.meter.counts[partFullList], h.fullListTime = 0, 0, 0
-			h.cursor++
-			for _, s := range h.nodes {
-				h.notify(s, endpoints.Update{Full: true, Cursor: h.cursor, Endpoints: h.listed})
-			}
-		})
+		h.at(middle, h.publishFullList)
 	case FaultChanges:
 		rate := max(hollowDay/(24*time.Hour).Seconds(), 1/span.Seconds())
 		for at := range ticks(h.from, h.until, rate) {
@@ -137,13 +102,64 @@
 		}
 	case FaultBurst:
 		for i := range hollowBurst {
-			h.at(middle.Add(time.Duration(i)*time.Second/hollowBurst), func() { h.list(&middle); h.configure() })
+			at := middle.Add(time.Duration(i) * time.Second / hollowBurst)
+			h.at(at, func() { h.list(&middle); h.configure() })
 		}
 	case FaultRelease:
 		h.release(h.from, span*2/3)
 	}
 }
 
+// scheduleRestarts restarts one dispatcher in nineteen, one after the other.
+func (h *hollowWorld) scheduleRestarts() {
+	dispatchers := h.size.Dispatchers
+	count := max(1, dispatchers/19)
+	for at := range ticks(h.from, h.until, float64(count)/h.size.Span.Seconds()) {
+		h.at(at, func() {
+			n := int(h.lives) * 19 % dispatchers
+			h.kill(n)
+			h.after(min(hollowDown, h.size.Span/4), func() { h.revive(n) })
+		})
+	}
+}
+
+// loseZone kills a tenth of the dispatchers and cuts off the executors of zone 0.
+func (h *hollowWorld) loseZone() {
+	for n := range max(1, h.size.Dispatchers/10) {
+		h.kill(n)
+	}
+	for _, x := range h.workers {
+		if x.zone == 0 {
+			x.fate = cutOff
+		}
+	}
+}
+
+// restoreZone starts what loseZone ended.
+func (h *hollowWorld) restoreZone() {
+	var back []int
+	for i, x := range h.workers {
+		if x.zone == 0 {
+			x.fate, x.model = stays, NewWorkerModel(h.f.Worker, h.now)
+			h.listed[i].Start = h.now
+			back = append(back, i)
+		}
+	}
+	for n := range max(1, h.size.Dispatchers/10) {
+		h.revive(n)
+	}
+	h.change(h.now, back...)
+}
+
+// publishFullList gives all dispatchers the full list at once, and measures it alone.
+func (h *hollowWorld) publishFullList() {
+	h.meter.times[partFullList], h.meter.counts[partFullList], h.fullListTime = 0, 0, 0
+	h.cursor++
+	for _, s := range h.nodes {
+		h.notify(s, endpoints.Update{Full: true, Cursor: h.cursor, Endpoints: h.listed})
+	}
+}
+
 // release replaces every third executor from a moment on, in ten steps over a span: as many new
 // ones start, the old ones drain and stay listed, and every other dispatcher is restarted, one
 // after the other.
--- a/internal/lab/outliers.go
+++ b/internal/lab/outliers.go
@@ -56,14 +56,15 @@
 func thirdOf(n int) bool { return n%3 == 1 }
 func halfOf(b int) bool  { return b%2 == 0 }
 
-// InjectFault has a fault begin and, as far as it moves on by itself, go on; Heal ends it.
+// InjectFault begins a fault and plays its further steps, as far as it has any. The fault stays in
+// force when the function returns, unless its last step ends it.
 func (r *Rig) InjectFault(ctx context.Context, fault string) error {
 	r.Links.Did("begin: %s", fault)
-	if fault == OutlierNoGossip {
-		r.PeerNetwork.Set(Lost, func(_, _ int) bool { return true })
-	}
 	switch fault {
-	case OutlierFails, OutlierNoGossip:
+	case OutlierFails:
+		r.Workers[OutlierWorker].Fail(1)
+	case OutlierNoGossip:
+		r.PeerNetwork.Set(Lost, allPairs)
 		r.Workers[OutlierWorker].Fail(1)
 	case OutlierSlow:
 		r.Workers[OutlierWorker].Change(func(b *WorkerModel) { b.Slow(8) })
@@ -74,57 +75,87 @@
 	case OutlierPartial:
 		return r.Links.Between(Cut, 0, func(n, b int) bool { return thirdOf(n) && halfOf(b) })
 	case OutlierZone:
-		if err := r.Links.Between(Deny, 0, func(_, b int) bool { return b%3 == 0 }); err != nil {
-			return err
-		}
-		if err := sleepUntil(ctx, time.Now().Add(3*time.Second)); err != nil {
-			return err
-		}
-		for b := 0; b < len(r.Workers); b += 3 {
-			if err := r.Replace(b); err != nil {
-				return err
-			}
-		}
-		if err := r.Links.Between(Open, 0, func(_, b int) bool { return b%3 == 0 }); err != nil {
-			return err
-		}
-		if err := sleepUntil(ctx, time.Now().Add(lateNotification)); err != nil {
-			return err
-		}
-		r.Announce(func(b int) bool { return b%3 == 0 })
+		return r.replaceZone(ctx)
 	case OutlierStopped:
-		if err := errors.Join(r.Links.Between(Deny, 0, func(_, b int) bool { return b == OutlierWorker }), r.Signal(syscall.SIGSTOP, thirdOf)); err != nil {
-			return err
-		}
-		if err := sleepUntil(ctx, time.Now().Add(3*time.Second)); err != nil {
-			return err
-		}
-		return r.Signal(syscall.SIGCONT, thirdOf)
+		return r.stopDispatchers(ctx)
 	case OutlierOneDispatcher:
 		return r.Links.Between(Cut, 0, func(n, b int) bool { return n == 1 && halfOf(b) })
 	case OutlierFrozen:
 		return r.Links.Between(Freeze, 0, func(n, b int) bool { return thirdOf(n) && b%3 == 0 })
 	case OutlierRecovers:
-		r.Workers[OutlierWorker].Fail(1)
-		err := sleepUntil(ctx, time.Now().Add(6*time.Second))
-		r.Workers[OutlierWorker].Fail(0)
-		return err
+		return r.failFor(ctx, 6*time.Second)
 	case OutlierZoneLost:
-		r.PeerNetwork.Set(Lost, func(_, _ int) bool { return true })
-		return r.Links.Between(Cut, 0, func(_, b int) bool { return b%3 == 0 })
+		r.PeerNetwork.Set(Lost, allPairs)
+		return r.Links.Between(Cut, 0, toFirstZone)
 	case OutlierFlaps:
-		for i := range 14 {
-			r.Workers[OutlierWorker].Fail(float64((i + 1) % 2))
-			if err := sleepUntil(ctx, time.Now().Add(500*time.Millisecond)); err != nil {
-				return err
-			}
-		}
+		return r.flapOutlier(ctx)
 	default:
 		return fmt.Errorf("no such fault: %s", fault)
 	}
 	return nil
 }
 
+// allPairs picks all ordered pairs.
+func allPairs(_, _ int) bool { return true }
+
+// toFirstZone picks the links from all dispatchers to the workers of zone 0.
+func toFirstZone(_, worker int) bool { return worker%3 == 0 }
+
+// replaceZone denies the links to a third of the workers for 3 s and replaces these; discovery
+// announces the new ones late.
+func (r *Rig) replaceZone(ctx context.Context) error {
+	if err := r.Links.Between(Deny, 0, toFirstZone); err != nil {
+		return err
+	}
+	if err := sleepUntil(ctx, time.Now().Add(3*time.Second)); err != nil {
+		return err
+	}
+	for b := 0; b < len(r.Workers); b += 3 {
+		if err := r.Replace(b); err != nil {
+			return err
+		}
+	}
+	if err := r.Links.Between(Open, 0, toFirstZone); err != nil {
+		return err
+	}
+	if err := sleepUntil(ctx, time.Now().Add(lateNotification)); err != nil {
+		return err
+	}
+	r.Announce(func(b int) bool { return b%3 == 0 })
+	return nil
+}
+
+// stopDispatchers denies the links to the outlier and stops a third of the dispatchers for 3 s.
+func (r *Rig) stopDispatchers(ctx context.Context) error {
+	denied := r.Links.Between(Deny, 0, func(_, b int) bool { return b == OutlierWorker })
+	if err := errors.Join(denied, r.Signal(syscall.SIGSTOP, thirdOf)); err != nil {
+		return err
+	}
+	if err := sleepUntil(ctx, time.Now().Add(3*time.Second)); err != nil {
+		return err
+	}
+	return r.Signal(syscall.SIGCONT, thirdOf)
+}
+
+// failFor makes the outlier fail for a time.
+func (r *Rig) failFor(ctx context.Context, span time.Duration) error {
+	r.Workers[OutlierWorker].Fail(1)
+	err := sleepUntil(ctx, time.Now().Add(span))
+	r.Workers[OutlierWorker].Fail(0)
+	return err
+}
+
+// flapOutlier makes the outlier fail in every other half second, for 7 s.
+func (r *Rig) flapOutlier(ctx context.Context) error {
+	for i := range 14 {
+		r.Workers[OutlierWorker].Fail(float64((i + 1) % 2))
+		if err := sleepUntil(ctx, time.Now().Add(500*time.Millisecond)); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
 // AffectedBy returns the workers in question under a fault, and the dispatchers that it does not
 // affect.
 func AffectedBy(fault string) (workers, others func(int) bool) {
--- a/internal/lab/peernetwork.go
+++ b/internal/lab/peernetwork.go
@@ -60,35 +60,50 @@
 		w.socks = append(w.socks, make([]*net.UDPConn, n))
 		w.links = append(w.links, make([]PeerLink, n))
 	}
-	for i := range n {
-		for j := range n {
+	err := w.eachPair(func(i, j int) (err error) {
+		w.socks[i][j], err = listenLoopback(addr(i, j))
+		return err
+	})
+	if err != nil {
+		w.Close()
+		return nil, err
+	}
+	_ = w.eachPair(func(i, j int) error {
+		w.wait.Go(func() { w.carry(i, j) })
+		return nil
+	})
+	return w, nil
+}
+
+// eachPair calls do for each ordered pair of dispatchers until one fails.
+func (w *PeerNetwork) eachPair(do func(from, to int) error) error {
+	for i := range w.n {
+		for j := range w.n {
 			if i == j {
 				continue
 			}
-			a, err := net.ResolveUDPAddr("udp", addr(i, j))
-			if err != nil {
-				w.Close()
-				return nil, fmt.Errorf("words: %w", err)
-			}
-			if !a.IP.IsLoopback() {
-				w.Close()
-				return nil, fmt.Errorf("words: %s is not a loopback address", a)
-			}
-			if w.socks[i][j], err = net.ListenUDP("udp", a); err != nil {
-				w.Close()
-				return nil, fmt.Errorf("words: %w", err)
+			if err := do(i, j); err != nil {
+				return err
 			}
 		}
 	}
-	for i := range n {
-		for j := range n {
-			if i != j {
-				w.wait.Add(1)
-				go func() { defer w.wait.Done(); w.carry(i, j) }()
-			}
-		}
+	return nil
+}
+
+// listenLoopback opens a datagram socket at a loopback address.
+func listenLoopback(addr string) (*net.UDPConn, error) {
+	a, err := net.ResolveUDPAddr("udp", addr)
+	if err != nil {
+		return nil, fmt.Errorf("words: %w", err)
 	}
-	return w, nil
+	if !a.IP.IsLoopback() {
+		return nil, fmt.Errorf("words: %s is not a loopback address", a)
+	}
+	sock, err := net.ListenUDP("udp", a)
+	if err != nil {
+		return nil, fmt.Errorf("words: %w", err)
+	}
+	return sock, nil
 }
 
 // Peers is the list of peers as the configuration of dispatcher i names them.
@@ -108,13 +123,12 @@
 func (w *PeerNetwork) Set(to PeerLink, pick func(from, to int) bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for i := range w.n {
-		for j := range w.n {
-			if i != j && pick(i, j) {
-				w.links[i][j] = to
-			}
+	_ = w.eachPair(func(i, j int) error {
+		if pick(i, j) {
+			w.links[i][j] = to
 		}
-	}
+		return nil
+	})
 }
 
 func (w *PeerNetwork) carry(i, j int) {
--- a/internal/lab/service.go
+++ b/internal/lab/service.go
@@ -177,45 +177,79 @@
 func (s *simNode) foresee(c *simCall) {
 	w, class := s.w, s.w.f.Classes[c.class]
 	deadline := c.intended.Add(class.ClientTimeout - 200*time.Millisecond)
+	route := w.bestRoute(c)
+	slow := route.worker == nil || route.answer.After(c.intended.Add(class.LatencyObjective/2))
+	if slow && route.loaded.IsZero() && route.place != nil {
+		route.loaded = w.orderForeseen(c, route.place)
+	}
+	switch {
+	case route.worker != nil && !route.answer.After(deadline):
+		s.sendForeseen(c, route.worker, deadline)
+	case !route.loaded.IsZero() && route.loaded.Before(deadline):
+		w.at(route.loaded, func() { s.foresee(c) })
+	case w.now.Add(10 * time.Millisecond).Before(deadline):
+		w.after(10*time.Millisecond, func() { s.foresee(c) })
+	default:
+		c.end, c.ended = givenUp, w.now
+	}
+}
+
+// foreseenRoute is what the omniscient router knows for one call. Times are zero and workers nil
+// where there is none.
+type foreseenRoute struct {
+	worker *simWorker // whose copy answers first, at answer
+	answer time.Time
+	loaded time.Time  // when the first copy that is being loaded is ready
+	place  *simWorker // where a copy ordered now would be ready soonest, at ready
+	ready  time.Time
+}
+
+// bestRoute looks for a call's route over all workers.
+func (w *simWorld) bestRoute(c *simCall) (route foreseenRoute) {
 	work := w.f.Work(c.class, c.name)
-	var best, place *simWorker
-	var first, soonest, loaded time.Time
 	for _, x := range w.workers {
-		b := x.model
-		if b.Draining() || b.Fallen() || x.fate != stays {
-			continue
+		if b := x.model; !b.Draining() && !b.Fallen() && x.fate == stays {
+			route.consider(w, x, c.model, work)
 		}
-		free := w.now.Add(b.backlog(w.now) + work)
-		if cp := b.copies[c.model]; cp != nil && cp.ready.After(w.now) {
-			if loaded.IsZero() || cp.ready.Before(loaded) {
-				loaded = cp.ready
-			}
-		} else if cp != nil {
-			if len(b.waiting) < b.cfg.Queue && (best == nil || free.Before(first)) {
-				best, first = x, free
-			}
-		} else if at := w.now.Add(b.loadWait(w.now, w.f.Load) + b.backlog(w.now)/2); b.roomy(w.now) && (place == nil || at.Before(soonest)) {
-			place, soonest = x, at
+	}
+	return route
+}
+
+// consider takes a worker into the route where it is better than those before.
+func (r *foreseenRoute) consider(w *simWorld, x *simWorker, model uint64, work time.Duration) {
+	b := x.model
+	cp := b.copies[model]
+	if cp == nil {
+		ready := w.now.Add(b.loadWait(w.now, w.f.Load) + b.backlog(w.now)/2)
+		if b.roomy(w.now) && (r.place == nil || ready.Before(r.ready)) {
+			r.place, r.ready = x, ready
 		}
+		return
 	}
-	if (best == nil || first.After(c.intended.Add(class.LatencyObjective/2))) && loaded.IsZero() && place != nil {
-		j := &Job{Model: c.model, Load: w.f.Load, Concurrency: w.f.Concurrency, Order: true, Data: func() {}}
-		v := place.model.Arrive(w.now, j)
-		if w.counts.arrived(w, place, j, v); v == Admitted {
-			loaded = place.model.copies[c.model].ready
-			w.advance(place)
+	if cp.ready.After(w.now) {
+		if r.loaded.IsZero() || cp.ready.Before(r.loaded) {
+			r.loaded = cp.ready
 		}
+		return
 	}
-	switch {
-	case best != nil && !first.After(deadline):
-		s.sendForeseen(c, best, deadline)
-	case !loaded.IsZero() && loaded.Before(deadline):
-		w.at(loaded, func() { s.foresee(c) })
-	case w.now.Add(10 * time.Millisecond).Before(deadline):
-		w.after(10*time.Millisecond, func() { s.foresee(c) })
-	default:
-		c.end, c.ended = givenUp, w.now
+	answer := w.now.Add(b.backlog(w.now) + work)
+	if len(b.waiting) < b.cfg.Queue && (r.worker == nil || answer.Before(r.answer)) {
+		r.worker, r.answer = x, answer
+	}
+}
+
+// orderForeseen orders a load of a call's model and returns when its copy is ready; the zero time
+// where the order was rejected.
+func (w *simWorld) orderForeseen(c *simCall, place *simWorker) (ready time.Time) {
+	j := &Job{Model: c.model, Load: w.f.Load, Concurrency: w.f.Concurrency, Order: true, Data: func() {}}
+	v := place.model.Arrive(w.now, j)
+	w.counts.arrived(w, place, j, v)
+	if v != Admitted {
+		return ready
 	}
+	ready = place.model.copies[c.model].ready
+	w.advance(place)
+	return ready
 }
 
 func (s *simNode) sendForeseen(c *simCall, x *simWorker, deadline time.Time) {
--- a/internal/lab/turns.go
+++ b/internal/lab/turns.go
@@ -92,43 +92,69 @@
 	}.all(ctx, o)
 }
 
+// turnsRun is one play of the experiment.
+type turnsRun struct {
+	rig   *Rig
+	fault string
+}
+
+// stays reports whether the fault leaves dispatcher n running.
+func (t turnsRun) stays(n int) bool {
+	switch t.fault {
+	case TurnsKilled:
+		return n%3 == 0
+	case TurnsStopped:
+		return !thirdOf(n)
+	}
+	return true
+}
+
+// first reports whether dispatcher n starts before the fault.
+func (t turnsRun) first(n int) bool { return t.fault != TurnsGrown || n%2 == 0 }
+
+// inject begins the fault. ready limits the start of further dispatchers, sending the calls of
+// their clients.
+func (t turnsRun) inject(ready, sending context.Context) error {
+	r := t.rig
+	switch t.fault {
+	case TurnsKilled:
+		return r.each(func(n int) bool { return !t.stays(n) }, (*Dispatcher).Kill)
+	case TurnsStopped:
+		err := r.Signal(syscall.SIGSTOP, thirdOf)
+		time.AfterFunc(3*time.Second, func() { _ = r.Signal(syscall.SIGCONT, thirdOf) })
+		return err
+	case TurnsHalves:
+		r.PeerNetwork.Set(Lost, func(from, to int) bool { return meshHalf(from) != meshHalf(to) })
+	case TurnsGrown:
+		later := func(n int) bool { return !t.first(n) }
+		if err := r.Start(ready, later); err != nil {
+			return err
+		}
+		r.Send(sending, later)
+	}
+	return nil
+}
+
 func turnsArm(ctx context.Context, net *Net, dir, fault string, size RigSize) (*turnsResult, error) {
 	r, err := NewOutlierRig(net, dir, size)
 	if err != nil {
 		return nil, err
 	}
 	defer r.Close()
-	stays := func(n int) bool { return fault != TurnsKilled && fault != TurnsStopped || n%3 == 0 }
-	if fault == TurnsStopped {
-		stays = func(n int) bool { return !thirdOf(n) }
-	}
-	first := func(n int) bool { return fault != TurnsGrown || n%2 == 0 }
+	t := turnsRun{r, fault}
 	ready, done := context.WithTimeout(ctx, 20*time.Second)
 	defer done()
-	if err := r.Start(ready, first); err != nil {
+	if err := r.Start(ready, t.first); err != nil {
 		return nil, err
 	}
-	going, enough := context.WithCancel(ctx)
+	sending, enough := context.WithCancel(ctx)
 	defer enough()
-	r.Send(going, func(n int) bool { return stays(n) && first(n) })
+	r.Send(sending, func(n int) bool { return t.stays(n) && t.first(n) })
 	if err := sleepUntil(ctx, time.Now().Add(4*time.Second)); err != nil {
 		return nil, err
 	}
 	began, term := time.Now(), leaderTerm*r.Figures.Classes[0].LatencyObjective
-	switch fault {
-	case TurnsKilled:
-		err = r.each(func(n int) bool { return !stays(n) }, (*Dispatcher).Kill)
-	case TurnsStopped:
-		err = r.Signal(syscall.SIGSTOP, thirdOf)
-		time.AfterFunc(3*time.Second, func() { _ = r.Signal(syscall.SIGCONT, thirdOf) })
-	case TurnsHalves:
-		r.PeerNetwork.Set(Lost, func(from, to int) bool { return meshHalf(from) != meshHalf(to) })
-	case TurnsGrown:
-		if err = r.Start(ready, func(n int) bool { return !first(n) }); err == nil {
-			r.Send(going, func(n int) bool { return !first(n) })
-		}
-	}
-	if err != nil {
+	if err := t.inject(ready, sending); err != nil {
 		return nil, err
 	}
 	from := began.Add(turnsSettle * term)
@@ -138,12 +164,26 @@
 	}
 	enough()
 	r.Quiet()
-	x := &turnsResult{Breaches: r.Check(func(t Attempt) bool { return !stays(senderOf(t.ID)) })}
-	datagrams := r.PeerNetwork.Datagrams()
-	x.silence = Silence(datagrams, stays, from, end).Seconds() / term.Seconds()
+	x := t.count(from, end, term)
+	calls := r.Calls(t.stays)
+	x.calm, x.late = Served(calls, began.Add(-2*time.Second), began, nil), Served(calls, from, end, nil)
+	if fault == TurnsKilled {
+		return x, nil
+	}
+	if err := r.Stop(); err != nil {
+		return nil, fmt.Errorf("a dispatcher did not end well: %w", err)
+	}
+	return x, nil
+}
+
+// count takes the breaches of the run, and the silence and the terms without a broadcast in a span.
+func (t turnsRun) count(from, end time.Time, term time.Duration) *turnsResult {
+	x := &turnsResult{Breaches: t.rig.Check(func(a Attempt) bool { return !t.stays(senderOf(a.ID)) })}
+	datagrams := t.rig.PeerNetwork.Datagrams()
+	x.silence = Silence(datagrams, t.stays, from, end).Seconds() / term.Seconds()
 	broadcast := make([]bool, turnsCount)
-	for _, d := range Broadcasts(datagrams, size.Dispatchers) {
-		if i := int(d.At.Sub(from) / term); stays(d.From) && d.At.After(from) && i < len(broadcast) {
+	for _, d := range Broadcasts(datagrams, t.rig.Dispatchers) {
+		if i := int(d.At.Sub(from) / term); t.stays(d.From) && d.At.After(from) && i < len(broadcast) {
 			broadcast[i] = true
 		}
 	}
@@ -152,14 +192,7 @@
 			x.idle += 1.0 / turnsCount
 		}
 	}
-	x.calm, x.late = Served(r.Calls(stays), began.Add(-2*time.Second), began, nil), Served(r.Calls(stays), from, end, nil)
-	if fault == TurnsKilled {
-		return x, nil
-	}
-	if err := r.Stop(); err != nil {
-		return nil, fmt.Errorf("a dispatcher did not end well: %w", err)
-	}
-	return x, nil
+	return x
 }
 
 func turnsReport(rep *Report, name, _ string, both [2]*turnsResult) {
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -247,35 +247,44 @@
 	return slices.ContainsFunc(j.Paused[node], overlaps) || slices.ContainsFunc(j.Disturbed[executor], overlaps)
 }
 
-// rationed looks whether each process gave no more orders than the calls that it took allow.
+// rationed checks whether each process gave no more load orders than the calls that it took allow.
 func (j *oracle) rationed() {
 	for n, lives := range j.Lives {
 		for i, l := range lives {
-			until := l.Ended
+			life := span{from: l.Begun, until: l.Ended}
 			if i+1 < len(lives) {
-				until = lives[i+1].Begun
+				life.until = lives[i+1].Begun
 			}
-			within := func(at time.Time) bool { return !at.Before(l.Begun) && (until.IsZero() || at.Before(until)) }
-			var calls, orders []time.Time
-			for _, q := range j.Requests {
-				if q.Node == n && !q.SentAt.IsZero() && within(q.SentAt) {
-					calls = append(calls, q.SentAt)
-				}
-			}
-			for _, o := range j.Orders {
-				if o.Node == n && within(o.At) {
-					orders = append(orders, o.At)
-				}
-			}
-			slices.SortFunc(calls, time.Time.Compare)
-			slices.SortFunc(orders, time.Time.Compare)
-			if over := lab.OverRation(orders, calls, j.Ration.Window, j.Ration.Free, j.Ration.Share, rationSlack); over > 0 {
+			calls, orders := j.takenIn(n, life)
+			over := lab.OverRation(orders, calls, j.Ration.Window, j.Ration.Free, j.Ration.Share, rationSlack)
+			if over > 0 {
 				j.broken(RuleRation, n, "", "%d of %d orders beyond the ration, %d calls", over, len(orders), len(calls))
 			}
 		}
 	}
 }
 
+// takenIn returns, in order of time, when a node took calls and gave load orders in a span; a span
+// without an end goes on.
+func (j *oracle) takenIn(node int, life span) (calls, orders []time.Time) {
+	within := func(at time.Time) bool {
+		return !at.Before(life.from) && (life.until.IsZero() || at.Before(life.until))
+	}
+	for _, q := range j.Requests {
+		if q.Node == node && !q.SentAt.IsZero() && within(q.SentAt) {
+			calls = append(calls, q.SentAt)
+		}
+	}
+	for _, o := range j.Orders {
+		if o.Node == node && within(o.At) {
+			orders = append(orders, o.At)
+		}
+	}
+	slices.SortFunc(calls, time.Time.Compare)
+	slices.SortFunc(orders, time.Time.Compare)
+	return calls, orders
+}
+
 // processes looks at how processes ended and how soon they were ready.
 func (j *oracle) processes() {
 	for n, lives := range j.Lives {
