--- a/internal/lab/worker.go
+++ b/internal/lab/worker.go
@@ -84,7 +84,8 @@
 	unloads  unloads
 }
 
-// unloads counts copies that went: idle ones pushed out by a load, idle ones that dispatchers had unloaded, and those idle for long.
+// unloads counts copies that went: idle ones pushed out by a load, idle ones that dispatchers had
+// unloaded, and those idle for long.
 type unloads struct{ pushed, dropped, expired int }
 
 type sentWork struct {
@@ -94,7 +95,10 @@
 
 // NewWorkerModel returns a worker without copies that started at start.
 func NewWorkerModel(cfg WorkerConfig, start time.Time) *WorkerModel {
-	return &WorkerModel{cfg: cfg, start: start, copies: map[uint64]*modelCopy{}, loads: map[uint64]int{}, slow: 1, busyAt: start}
+	return &WorkerModel{
+		cfg: cfg, start: start, copies: map[uint64]*modelCopy{}, loads: map[uint64]int{}, slow: 1,
+		busyAt: start,
+	}
 }
 
 // Capacity returns the part of its full capacity that the worker has now.
--- a/internal/mutant/mutant.go
+++ b/internal/mutant/mutant.go
@@ -1,5 +1,6 @@
-// Package mutant plants faults in the rules, one at a time, to show that the soak finds them. Only a binary built with the
-// tag mutants has any: in all others On is false and the compiler leaves out what hangs on it.
+// Package mutant plants faults in the rules, one at a time, to show that the soak finds them. Only
+// a binary built with the tag mutants has any: in all others On is false and the compiler leaves
+// out what hangs on it.
 package mutant
 
 // Name names a planted fault.
--- a/internal/soak/campaign.go
+++ b/internal/soak/campaign.go
@@ -91,7 +91,8 @@
 	case o.Processes < 1 || o.Processes > maxProcesses || o.Seeds < 1 || o.Jobs < 1:
 		return fmt.Errorf("%w: 1 to %d processes, one seed and one job at the least", ErrTooLarge, maxProcesses)
 	case o.Processes*o.Jobs > maxConcurrentProcesses || o.Processes*o.Jobs*processMemoryBytes > maxMemoryBytes:
-		return fmt.Errorf("%w: %d, and %d may run", ErrTooLarge, o.Processes*o.Jobs, min(maxConcurrentProcesses, maxMemoryBytes/processMemoryBytes))
+		return fmt.Errorf("%w: %d, and %d may run", ErrTooLarge, o.Processes*o.Jobs,
+			min(maxConcurrentProcesses, maxMemoryBytes/processMemoryBytes))
 	}
 	return nil
 }
@@ -154,7 +155,8 @@
 		return
 	}
 	if r.Inconclusive() {
-		o.Progress("seed %d: inconclusive, the laboratory stood still for %v (%d violations not counted)", r.Schedule.Seed, r.Stalled, len(r.Violations))
+		o.Progress("seed %d: inconclusive, the laboratory stood still for %v (%d violations not counted)",
+			r.Schedule.Seed, r.Stalled, len(r.Violations))
 	} else if len(r.Violations) > 0 {
 		o.Progress("seed %d: %d violations, in %s", r.Schedule.Seed, len(r.Violations), r.Dir)
 		for _, v := range r.Violations[:min(len(r.Violations), maxViolationsPrinted)] {
@@ -199,7 +201,8 @@
 		c.Short[r.Schedule.Seed] = short
 		path := filepath.Join(r.Dir, scheduleName)
 		if err := short.Write(path); err == nil && o.Progress != nil {
-			o.Progress("seed %d: shortest that fails, of %d runs: %v; play it with testbed run soak --replay %s", r.Schedule.Seed, runs, short.Faults, path)
+			o.Progress("seed %d: shortest that fails, of %d runs: %v; play it with testbed run soak --replay %s",
+				r.Schedule.Seed, runs, short.Faults, path)
 		}
 	}
 }
@@ -249,7 +252,8 @@
 			rules[v.Rule]++
 		}
 	}
-	fmt.Fprintf(out, "%d runs, %d with violations, %d inconclusive; %d requests, %d served; %d pairs of troubles\n", len(c.Runs), len(c.Failed()),
+	fmt.Fprintf(out, "%d runs, %d with violations, %d inconclusive; %d requests, %d served; %d pairs of troubles\n",
+		len(c.Runs), len(c.Failed()),
 		inconclusive, requests, served, len(names))
 	for rule, n := range rules {
 		fmt.Fprintf(out, "violations of %q: %d\n", rule, n)
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -92,7 +92,10 @@
 }
 
 func newClients(node int, addr string, f *lab.Figures, rate float64, seed uint64) *Clients {
-	return &Clients{node: node, addr: addr, figures: f, rate: rate, models: 120, rng: rand.New(rand.NewPCG(seed, uint64(node)+1))}
+	return &Clients{
+		node: node, addr: addr, figures: f, rate: rate, models: 120,
+		rng: rand.New(rand.NewPCG(seed, uint64(node)+1)),
+	}
 }
 
 // behave changes what the clients do from now on.
@@ -149,7 +152,10 @@
 
 // drawCall draws the next call; the caller holds mu.
 func (c *Clients) drawCall() plannedCall {
-	p := plannedCall{class: len(c.figures.Classes) - 1, model: 0x7f00 + uint64(c.rng.IntN(c.models)), fresh: c.rng.IntN(4) == 0}
+	p := plannedCall{
+		class: len(c.figures.Classes) - 1, model: 0x7f00 + uint64(c.rng.IntN(c.models)),
+		fresh: c.rng.IntN(4) == 0,
+	}
 	u := c.rng.Float64()
 	for i, k := range c.figures.Classes {
 		if u -= k.Share; u < 0 {
@@ -171,8 +177,8 @@
 	return p
 }
 
-// call makes a call and what follows from it: one that crossed the close of an idle connection is sent again, once, and a
-// refused one by clients that come again at once.
+// call makes a call and what follows from it: one that crossed the close of an idle connection is
+// sent again, once, and a refused one by clients that come again at once.
 func (c *Clients) call(p plannedCall) {
 	r := c.send(p)
 	if r.End == Closed && r.Reused && r.Ended.Sub(r.SentAt) < crossed {
@@ -222,7 +228,10 @@
 
 // send makes one request and records it.
 func (c *Clients) send(p plannedCall) *Request {
-	r := &Request{ID: fmt.Sprintf("%03x%013x", c.node, c.seq.Add(1)), Node: c.node, Class: p.class, Timeout: p.timeout, End: NotSent}
+	r := &Request{
+		ID: fmt.Sprintf("%03x%013x", c.node, c.seq.Add(1)), Node: c.node, Class: p.class,
+		Timeout: p.timeout, End: NotSent,
+	}
 	defer func() {
 		r.Ended = time.Now()
 		c.mu.Lock()
@@ -237,8 +246,10 @@
 	}
 	r.Reused, r.Sent = reused, time.Now()
 	body := "slot " + r.ID
-	head := fmt.Sprintf("POST /call/%016x/trigger HTTP/1.1\r\nHost: origin.svc\r\nX-Class: %s\r\nX-Call-Id: %s\r\nX-Patience-Ms: %d\r\n"+
-		"X-Extras: memory_mb:4000;lanes:%d;load_ms:%d\r\nContent-Length: %d\r\n\r\n%s", p.model, c.figures.Classes[p.class].Name, r.ID,
+	head := fmt.Sprintf("POST /call/%016x/trigger HTTP/1.1\r\nHost: origin.svc\r\nX-Class: %s\r\nX-Call-Id: "+
+		"%s\r\nX-Patience-Ms: %d\r\n"+
+		"X-Extras: memory_mb:4000;lanes:%d;load_ms:%d\r\nContent-Length: %d\r\n\r\n%s", p.model,
+		c.figures.Classes[p.class].Name, r.ID,
 		max(1, p.timeout.Milliseconds()), c.figures.Concurrency, c.figures.Load.Milliseconds(), len(body), body)
 	if !c.write(k, r, p, head) {
 		_ = k.Close()
@@ -297,7 +308,8 @@
 // read reads the answer.
 func (c *Clients) read(k *clientConn, r *Request, p plannedCall, body string) {
 	_ = k.SetReadDeadline(r.SentAt.Add(p.timeout + late + readSlack))
-	resp, err := http.ReadResponse(k.in, nil) //nolint:bodyclose // read up to its end below; the connection is its caller's
+	//nolint:bodyclose // read up to its end below; the connection is its caller's
+	resp, err := http.ReadResponse(k.in, nil)
 	var got []byte
 	if err == nil {
 		r.Status = resp.StatusCode
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -131,7 +131,10 @@
 
 // disturbLinks changes the links between all dispatchers and some executors.
 func (w *world) disturbLinks(lasts context.Context, t Fault) error {
-	what, delay := map[Kind]lab.Fault{ExecutorHang: lab.Freeze, ExecutorVanish: lab.Cut, ExecutorReset: lab.Reset, ExecutorSlow: lab.Open}[t.Kind], time.Duration(0)
+	what, delay := map[Kind]lab.Fault{
+		ExecutorHang: lab.Freeze, ExecutorVanish: lab.Cut, ExecutorReset: lab.Reset,
+		ExecutorSlow: lab.Open,
+	}[t.Kind], time.Duration(0)
 	if t.Kind == ExecutorSlow {
 		delay = time.Duration(t.Amount * float64(150*time.Millisecond))
 	}
@@ -247,7 +250,10 @@
 		w.mu.Unlock()
 		return nil
 	}
-	what, delay := map[Kind]lab.Fault{DiscoverySilent: lab.Freeze, DiscoveryReset: lab.Reset, DiscoverySlow: lab.Open}[t.Kind], time.Duration(0)
+	what, delay := map[Kind]lab.Fault{
+		DiscoverySilent: lab.Freeze, DiscoveryReset: lab.Reset,
+		DiscoverySlow: lab.Open,
+	}[t.Kind], time.Duration(0)
 	if t.Kind == DiscoverySlow {
 		delay = time.Duration(t.Amount * float64(time.Second))
 	}
@@ -291,7 +297,8 @@
 		return
 	}
 	if t.Kind == ClientsBurst {
-		_ = each(min(len(t.Targets), 2), func(i int) error { w.clients[t.Targets[i]].burst(lasts, burstClients); return nil })
+		_ = each(min(len(t.Targets), 2),
+			func(i int) error { w.clients[t.Targets[i]].burst(lasts, burstClients); return nil })
 		return
 	}
 	set(share)
@@ -302,7 +309,10 @@
 func (w *world) disturbPeers(lasts context.Context, t Fault) {
 	wire := lab.Lost
 	if t.Kind == PeersTwice {
-		wire = lab.PeerLink{Twice: 0.5, Delay: time.Duration(t.Amount * float64(400*time.Millisecond)), Jitter: 200 * time.Millisecond}
+		wire = lab.PeerLink{
+			Twice: 0.5, Delay: time.Duration(t.Amount * float64(400*time.Millisecond)),
+			Jitter: 200 * time.Millisecond,
+		}
 	}
 	pick := func(_, to int) bool { return contains(t.Targets, to) }
 	w.rig.PeerNetwork.Set(wire, pick)
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -48,7 +48,8 @@
 
 // Slack of the rules.
 const (
-	crossed        = 250 * time.Millisecond // a close that a request crossed comes by then; the page says 50 ms, and this machine is busy
+	// a close that a request crossed comes by then; the page says 50 ms, and this machine is busy
+	crossed        = 250 * time.Millisecond
 	leftSlack      = 100*time.Millisecond + 80*time.Millisecond
 	budgetSlack    = 150*time.Millisecond + 40*time.Millisecond
 	newAtEnd       = 400 * time.Millisecond // for so long after SIGTERM new connections keep coming
@@ -58,8 +59,10 @@
 	minServedShare = 0.5  // of the calls that come in the calm end
 	rationSlack    = 0.15 // the page's; it adds one order
 	pauseTail      = 400 * time.Millisecond
-	drainSlack     = drainGrace + 50*time.Millisecond + 100*time.Millisecond // the settings' grace, the page's slack and this machine's
-	uninformedTail = 2500 * time.Millisecond                                 // a lost channel is found and opened again by then
+	// the settings' grace, the page's slack and this machine's
+	drainSlack = drainGrace + 50*time.Millisecond + 100*time.Millisecond
+	// a lost channel is found and opened again by then
+	uninformedTail = 2500 * time.Millisecond
 )
 
 // Records are what a run left.
@@ -128,7 +131,8 @@
 	}
 	switch q.End {
 	case NotSent:
-		if q.Err != "" && !q.Reused && j.listening(q) { // a pooled connection may have been closed, or its process may have died
+		// a pooled connection may have been closed, or its process may have died
+		if q.Err != "" && !q.Reused && j.listening(q) {
 			j.broken(RuleAnswered, q.Node, q.ID, "no connection: %s", q.Err)
 		}
 		return
@@ -141,7 +145,8 @@
 		return
 	}
 	if j.owed(q) {
-		j.broken(RuleAnswered, q.Node, q.ID, "%s after %v of %v, reused %v, arrivals %d (%s)", q.End, q.Ended.Sub(q.SentAt).Round(time.Millisecond),
+		j.broken(RuleAnswered, q.Node, q.ID, "%s after %v of %v, reused %v, arrivals %d (%s)", q.End,
+			q.Ended.Sub(q.SentAt).Round(time.Millisecond),
 			q.Timeout, q.Reused, len(j.arrived[q.ID]), q.Err)
 	}
 }
@@ -153,7 +158,8 @@
 		if l.Ready.IsZero() || q.Sent.Before(l.Ready) || !l.Killed.IsZero() && l.Killed.Before(q.Ended) {
 			continue
 		}
-		if l.Ending.IsZero() && (l.Ended.IsZero() || q.Ended.Before(l.Ended)) || !l.Ending.IsZero() && q.Ended.Sub(l.Ending) < newAtEnd {
+		if l.Ending.IsZero() && (l.Ended.IsZero() ||
+			q.Ended.Before(l.Ended)) || !l.Ending.IsZero() && q.Ended.Sub(l.Ending) < newAtEnd {
 			return true
 		}
 	}
@@ -209,8 +215,10 @@
 		if q.End == Overdue {
 			q.LeftAt = q.Ended // its client closed the connection then
 		}
-		if late := a.At.Sub(q.LeftAt); !q.LeftAt.IsZero() && late > leftSlack && !j.disturbed(q.Node, a.Executor, q.LeftAt, a.At) {
-			j.broken(RuleLeft, q.Node, q.ID, "came to executor %d %v after its client had left", a.Executor, late.Round(time.Millisecond))
+		if late := a.At.Sub(q.LeftAt); !q.LeftAt.IsZero() && late > leftSlack && !j.disturbed(q.Node, a.Executor,
+			q.LeftAt, a.At) {
+			j.broken(RuleLeft, q.Node, q.ID, "came to executor %d %v after its client had left", a.Executor,
+				late.Round(time.Millisecond))
 		}
 		j.drained(q, a)
 		if q.SentAt.IsZero() || j.disturbed(q.Node, a.Executor, q.SentAt, a.At) {
@@ -218,7 +226,8 @@
 		}
 		left := q.Timeout - a.At.Sub(q.SentAt)
 		if a.Budget > max(left, time.Millisecond)+budgetSlack {
-			j.broken(RuleBudget, q.Node, q.ID, "executor %d was told %v where %v were left", a.Executor, a.Budget, left.Round(time.Millisecond))
+			j.broken(RuleBudget, q.Node, q.ID, "executor %d was told %v where %v were left", a.Executor, a.Budget,
+				left.Round(time.Millisecond))
 		}
 	}
 }
@@ -235,7 +244,8 @@
 			return s.overlaps(d.from, a.At)
 		})
 		if !untold && !j.disturbed(q.Node, a.Executor, d.from, a.At) {
-			j.broken(RuleDrain, q.Node, q.ID, "came to executor %d %v after discovery told that it drains", a.Executor, a.At.Sub(d.from).Round(time.Millisecond))
+			j.broken(RuleDrain, q.Node, q.ID, "came to executor %d %v after discovery told that it drains",
+				a.Executor, a.At.Sub(d.from).Round(time.Millisecond))
 		}
 	}
 }
@@ -258,7 +268,8 @@
 			calls, orders := j.takenIn(n, life)
 			over := lab.OverRation(orders, calls, j.Ration.Window, j.Ration.Free, j.Ration.Share, rationSlack)
 			if over > 0 {
-				j.broken(RuleRation, n, "", "%d of %d orders beyond the ration, %d calls", over, len(orders), len(calls))
+				j.broken(RuleRation, n, "", "%d of %d orders beyond the ration, %d calls", over, len(orders),
+					len(calls))
 			}
 		}
 	}
@@ -294,7 +305,8 @@
 				j.broken(RuleProcess, n, "", "it ended badly: %s", l.Failure)
 			case !l.Ended.IsZero() && l.Ending.IsZero() && l.Killed.IsZero():
 				j.broken(RuleProcess, n, "", "it ended by itself")
-			case !l.Ending.IsZero() && l.Killed.IsZero() && l.Ended.Sub(l.Ending) > j.Longest+takenAtEnd+endSlack+j.pausedFor(n):
+			case !l.Ending.IsZero() && l.Killed.IsZero() &&
+				l.Ended.Sub(l.Ending) > j.Longest+takenAtEnd+endSlack+j.pausedFor(n):
 				j.broken(RuleProcess, n, "", "it took %v to end", l.Ended.Sub(l.Ending).Round(time.Millisecond))
 			}
 			if l.Ready.IsZero() && l.Killed.IsZero() || l.Ready.Sub(l.Begun) > readyIn {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -36,7 +36,8 @@
 // ErrUsed says that a folder holds an earlier run.
 var ErrUsed = errors.New("soak: the folder of a run exists already")
 
-// Run plays a schedule in a folder of its own. program is what a node runs; it takes the arguments --config and --faults.
+// Run plays a schedule in a folder of its own. program is what a node runs; it takes the arguments
+// --config and --faults.
 func Run(ctx context.Context, s Schedule, dir string, program lab.Program) (Result, error) {
 	res := Result{Schedule: s, Dir: dir}
 	if _, err := os.Stat(dir); err == nil {
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -63,9 +63,12 @@
 // Kinds lists them all.
 func Kinds() []Kind {
 	return []Kind{
-		Terminate, Crash, Pause, Reload, ReloadInvalid, ExecutorHang, ExecutorVanish, ExecutorReset, ExecutorSlow, ExecutorDrain,
-		ExecutorRenew, IdleClosed, AnswerTwice, AnswerPieces, AnswerCut, ExecutorErrors, DiscoverySilent, DiscoveryReset, DiscoverySlow,
-		DiscoveryOver, ClientsLeave, ClientsDawdle, ClientsFlood, ClientsRetry, ClientsBrief, ClientsBurst, PeersDeaf, PeersTwice, ClockStep,
+		Terminate, Crash, Pause, Reload, ReloadInvalid, ExecutorHang, ExecutorVanish, ExecutorReset, ExecutorSlow,
+		ExecutorDrain,
+		ExecutorRenew, IdleClosed, AnswerTwice, AnswerPieces, AnswerCut, ExecutorErrors, DiscoverySilent,
+		DiscoveryReset, DiscoverySlow,
+		DiscoveryOver, ClientsLeave, ClientsDawdle, ClientsFlood, ClientsRetry, ClientsBrief, ClientsBurst, PeersDeaf,
+		PeersTwice, ClockStep,
 		AcceptFails, ConnectFails, ConnectLate, TransferFails, DiskFails,
 	}
 }
@@ -118,7 +121,8 @@
 func Draw(seed uint64, processes int, only []Kind) Schedule {
 	rng := rand.New(rand.NewPCG(seed, 0x736f616b))
 	s := Schedule{
-		Seed: seed, Processes: processes, Executors: max(6, int(executorsPart*float64(processes))), Deployment: Planning,
+		Seed: seed, Processes: processes, Executors: max(6, int(executorsPart*float64(processes))),
+		Deployment: Planning,
 		CachedList: rng.IntN(2) == 0, FaultTime: faultTime, Calm: calmTime,
 	}
 	if seed%2 == 1 {
@@ -160,7 +164,8 @@
 	rng.Shuffle(len(rest), func(i, j int) { rest[i], rest[j] = rest[j], rest[i] })
 	pair := knownInteractions[rng.IntN(len(knownInteractions))]
 	if slices.Contains(kinds, pair[0]) && slices.Contains(kinds, pair[1]) && rng.IntN(2) == 0 {
-		rest = append(slices.Clone(pair), slices.DeleteFunc(rest, func(k Kind) bool { return slices.Contains(pair, k) })...)
+		rest = append(slices.Clone(pair), slices.DeleteFunc(rest,
+			func(k Kind) bool { return slices.Contains(pair, k) })...)
 	}
 	return rest[:min(len(rest), 2+rng.IntN(2))]
 }
@@ -168,7 +173,10 @@
 // draw makes one fault that begins about a time.
 func draw(rng *rand.Rand, s Schedule, kind Kind, at time.Duration) Fault {
 	begin := at + time.Duration(rng.Int64N(int64(shortest)))
-	t := Fault{Kind: kind, At: begin, For: shortest + time.Duration(rng.Int64N(int64(longest-shortest))), Amount: rng.Float64()}
+	t := Fault{
+		Kind: kind, At: begin, For: shortest + time.Duration(rng.Int64N(int64(longest-shortest))),
+		Amount: rng.Float64(),
+	}
 	if kind == ClientsBurst {
 		t.For = min(t.For, maxBurst)
 	}
@@ -193,7 +201,8 @@
 
 func (k Kind) ofExecutors() bool {
 	switch k {
-	case ExecutorHang, ExecutorVanish, ExecutorReset, ExecutorSlow, ExecutorDrain, ExecutorRenew, IdleClosed, AnswerTwice, AnswerPieces,
+	case ExecutorHang, ExecutorVanish, ExecutorReset, ExecutorSlow, ExecutorDrain, ExecutorRenew, IdleClosed,
+		AnswerTwice, AnswerPieces,
 		AnswerCut, ExecutorErrors:
 		return true
 	}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -48,7 +48,11 @@
 	require.NoError(t, s.Write(path))
 	_, err = ReadSchedule(path)
 	assert.ErrorContains(t, err, "crash has no target 4")
-	for _, o := range []Options{{Seeds: 1, Processes: 41, Jobs: 1}, {Seeds: 1, Processes: 40, Jobs: 7}, {Seeds: 0, Processes: 1, Jobs: 1}} {
+	for _, o := range []Options{
+		{Seeds: 1, Processes: 41, Jobs: 1},
+		{Seeds: 1, Processes: 40, Jobs: 7},
+		{Seeds: 0, Processes: 1, Jobs: 1},
+	} {
 		_, err := Play(t.Context(), o)
 		assert.ErrorIs(t, err, ErrTooLarge)
 	}
@@ -73,12 +77,17 @@
 	start := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	clean := func() (Records, *Request, *Arrival) {
-		q := &Request{ID: "a", Sent: at(100), SentAt: at(100), Timeout: time.Second, Ended: at(300), End: Answered, Status: http.StatusOK}
+		q := &Request{
+			ID: "a", Sent: at(100), SentAt: at(100), Timeout: time.Second, Ended: at(300), End: Answered,
+			Status: http.StatusOK,
+		}
 		a := &Arrival{ID: "a", At: at(120), Budget: 900 * time.Millisecond, Ran: true}
 		r := Records{
-			Requests: []*Request{q}, Arrivals: []*Arrival{a}, Disturbed: make([][]span, 1), Uninformed: make([][]span, 1),
-			Lives:  [][]Life{{{Begun: at(-500), Ready: at(-400), Ending: at(5000), Ended: at(6000)}}},
-			Paused: make([][]span, 1), Once: func(int) bool { return true }, Longest: 2 * time.Second, CalmFrom: at(4000), CalmTo: at(5000),
+			Requests: []*Request{q}, Arrivals: []*Arrival{a}, Disturbed: make([][]span, 1),
+			Uninformed: make([][]span, 1),
+			Lives:      [][]Life{{{Begun: at(-500), Ready: at(-400), Ending: at(5000), Ended: at(6000)}}},
+			Paused:     make([][]span, 1), Once: func(int) bool { return true }, Longest: 2 * time.Second,
+			CalmFrom: at(4000), CalmTo: at(5000),
 			Ration: Ration{Window: 5 * time.Second, Free: 1, Share: 0.1},
 		}
 		return r, q, a
@@ -93,27 +102,67 @@
 		"closed long after it was sent": {RuleAnswered, func(r *Records, q *Request, _ *Arrival) {
 			q.End, q.Reused, q.Ended, r.Arrivals = Closed, true, at(800), nil
 		}},
-		"taken, then closed":      {RuleAnswered, func(_ *Records, q *Request, _ *Arrival) { q.End, q.Reused = Closed, true }},
-		"overdue":                 {RuleAnswered, func(_ *Records, q *Request, _ *Arrival) { q.End = Overdue }},
-		"refused connection":      {RuleAnswered, func(r *Records, q *Request, _ *Arrival) { q.End, q.Err, r.Arrivals = NotSent, "refused", nil }},
-		"closed while stopped":    {RuleAnswered, func(r *Records, q *Request, _ *Arrival) { q.End, r.Paused[0] = Closed, []span{{at(0), at(400)}} }},
-		"two answers":             {RuleOneAnswer, func(_ *Records, q *Request, _ *Arrival) { q.Second = true }},
-		"another's answer":        {RuleTrue, func(_ *Records, q *Request, _ *Arrival) { q.Wrong = true }},
-		"ran twice":               {RuleOnce, func(r *Records, _ *Request, a *Arrival) { r.Arrivals = append(r.Arrivals, a) }},
-		"refused and ran":         {RuleRefusal, func(_ *Records, q *Request, _ *Arrival) { q.Status = http.StatusServiceUnavailable }},
-		"begun for one that left": {RuleLeft, func(_ *Records, q *Request, a *Arrival) { q.End, q.LeftAt, a.At = Left, at(110), at(400) }},
-		"told too much":           {RuleBudget, func(_ *Records, _ *Request, a *Arrival) { a.Budget = 1200 * time.Millisecond }},
+		"taken, then closed": {RuleAnswered, func(_ *Records, q *Request, _ *Arrival) {
+			q.End, q.Reused = Closed,
+				true
+		}},
+		"overdue": {RuleAnswered, func(_ *Records, q *Request, _ *Arrival) { q.End = Overdue }},
+		"refused connection": {RuleAnswered, func(r *Records, q *Request, _ *Arrival) {
+			q.End, q.Err,
+				r.Arrivals = NotSent, "refused", nil
+		}},
+		"closed while stopped": {RuleAnswered, func(r *Records, q *Request, _ *Arrival) {
+			q.End,
+				r.Paused[0] = Closed, []span{{at(0), at(400)}}
+		}},
+		"two answers":      {RuleOneAnswer, func(_ *Records, q *Request, _ *Arrival) { q.Second = true }},
+		"another's answer": {RuleTrue, func(_ *Records, q *Request, _ *Arrival) { q.Wrong = true }},
+		"ran twice": {RuleOnce, func(r *Records, _ *Request,
+			a *Arrival,
+		) {
+			r.Arrivals = append(r.Arrivals, a)
+		}},
+		"refused and ran": {RuleRefusal, func(_ *Records, q *Request,
+			_ *Arrival,
+		) {
+			q.Status = http.StatusServiceUnavailable
+		}},
+		"begun for one that left": {RuleLeft, func(_ *Records, q *Request, a *Arrival) {
+			q.End, q.LeftAt, a.At = Left,
+				at(110), at(400)
+		}},
+		"told too much": {RuleBudget, func(_ *Records, _ *Request,
+			a *Arrival,
+		) {
+			a.Budget = 1200 * time.Millisecond
+		}},
 		"sent to one that drains": {RuleDrain, func(r *Records, _ *Request, a *Arrival) {
 			a.At, r.Drains = at(900), []Drain{{0, span{at(0), at(2000)}}}
 		}},
-		"too many orders": {RuleRation, func(r *Records, _ *Request, _ *Arrival) { r.Orders = make([]LoadOrder, 4); spread(r.Orders, at(200)) }},
-		"ended by itself": {RuleProcess, func(r *Records, _ *Request, _ *Arrival) { r.Lives[0][0].Ending = time.Time{} }},
-		"ended badly":     {RuleProcess, func(r *Records, _ *Request, _ *Arrival) { r.Lives[0][0].Failure = "exit status 2" }},
-		"never ended":     {RuleProcess, func(r *Records, _ *Request, _ *Arrival) { r.Lives[0][0].Ended = at(9000) }},
-		"never ready":     {RuleReady, func(r *Records, _ *Request, _ *Arrival) { r.Lives[0][0].Ready = at(20_000) }},
+		"too many orders": {RuleRation, func(r *Records, _ *Request,
+			_ *Arrival,
+		) {
+			r.Orders = make([]LoadOrder, 4)
+			spread(r.Orders, at(200))
+		}},
+		"ended by itself": {RuleProcess, func(r *Records, _ *Request,
+			_ *Arrival,
+		) {
+			r.Lives[0][0].Ending = time.Time{}
+		}},
+		"ended badly": {RuleProcess, func(r *Records, _ *Request,
+			_ *Arrival,
+		) {
+			r.Lives[0][0].Failure = "exit status 2"
+		}},
+		"never ended": {RuleProcess, func(r *Records, _ *Request, _ *Arrival) { r.Lives[0][0].Ended = at(9000) }},
+		"never ready": {RuleReady, func(r *Records, _ *Request, _ *Arrival) { r.Lives[0][0].Ready = at(20_000) }},
 		"does not serve any more": {RuleRecovers, func(r *Records, _ *Request, _ *Arrival) {
 			for range 4 {
-				r.Requests = append(r.Requests, &Request{ID: "b", Sent: at(4100), SentAt: at(4100), Ended: at(4200), End: Answered, Status: 503})
+				r.Requests = append(r.Requests, &Request{
+					ID: "b", Sent: at(4100), SentAt: at(4100), Ended: at(4200),
+					End: Answered, Status: 503,
+				})
 			}
 		}},
 	} {
@@ -124,12 +173,21 @@
 		assert.Equal(t, c.rule, found[0].Rule, "%s: %v", name, found)
 	}
 	for name, excuse := range map[string]func(r *Records, q *Request){
-		"it crossed the close of an idle connection": func(r *Records, q *Request) { q.End, q.Reused, r.Arrivals, q.Ended = Closed, true, nil, at(110) },
-		"its process was killed":                     func(r *Records, q *Request) { q.End, r.Lives[0][0].Killed = Closed, at(200) },
+		"it crossed the close of an idle connection": func(r *Records, q *Request) {
+			q.End, q.Reused, r.Arrivals,
+				q.Ended = Closed, true, nil, at(110)
+		},
+		"its process was killed": func(r *Records, q *Request) {
+			q.End,
+				r.Lives[0][0].Killed = Closed, at(200)
+		},
 		"it came long after SIGTERM": func(r *Records, q *Request) {
 			q.End, r.Lives[0][0].Ending, r.Lives[0][0].Ended = Closed, at(-800), at(1000)
 		},
-		"its process was stopped": func(r *Records, q *Request) { q.End, r.Paused[0] = Overdue, []span{{at(0), at(400)}} },
+		"its process was stopped": func(r *Records, q *Request) {
+			q.End, r.Paused[0] = Overdue,
+				[]span{{at(0), at(400)}}
+		},
 	} {
 		r, q, _ := clean()
 		excuse(&r, q)
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -41,8 +41,15 @@
 	f.Load = 60 * time.Millisecond
 	if deployment == Render {
 		f.Classes = []lab.ClassFigures{
-			{Name: "preview", Share: 0.6, LatencyObjective: 300 * time.Millisecond, ClientTimeout: 1500 * time.Millisecond, PriorityWeight: 1, Work: 25 * time.Millisecond},
-			{Name: "final", Share: 0.4, LatencyObjective: 900 * time.Millisecond, ClientTimeout: 2500 * time.Millisecond, PriorityWeight: 4, Work: 40 * time.Millisecond, NotIdempotent: true},
+			{
+				Name: "preview", Share: 0.6, LatencyObjective: 300 * time.Millisecond,
+				ClientTimeout: 1500 * time.Millisecond, PriorityWeight: 1, Work: 25 * time.Millisecond,
+			},
+			{
+				Name: "final", Share: 0.4, LatencyObjective: 900 * time.Millisecond,
+				ClientTimeout: 2500 * time.Millisecond, PriorityWeight: 4, Work: 40 * time.Millisecond,
+				NotIdempotent: true,
+			},
 		}
 		f.Load, f.Worker.Keep = 110*time.Millisecond, 1500*time.Millisecond
 	}
@@ -56,7 +63,8 @@
 	settings["rules"].(map[string]any)["drain_grace_ns"] = drainGrace
 	ration := rationOf(deployment)
 	specifics := settings["specifics"].(map[string]any)
-	specifics["free_loads"], specifics["load_part"], specifics["load_span_ns"] = ration.Free, ration.Share, ration.Window
+	specifics["free_loads"], specifics["load_part"], specifics["load_span_ns"] = ration.Free, ration.Share,
+		ration.Window
 	if deployment != Render {
 		return
 	}
@@ -91,9 +99,13 @@
 }
 
 func newWorld(s Schedule, dir string, network *lab.Net, program lab.Program) (*world, error) {
-	w := &world{Schedule: s, dir: dir, figures: figures(s.Deployment), uninformed: make([][]span, s.Processes), disturbed: make([][]span, s.Executors), busy: map[int]bool{}}
+	w := &world{
+		Schedule: s, dir: dir, figures: figures(s.Deployment), uninformed: make([][]span, s.Processes),
+		disturbed: make([][]span, s.Executors), busy: map[int]bool{},
+	}
 	size := lab.RigSize{
-		Dispatchers: s.Processes, Workers: s.Executors, Figures: w.figures, Seed: s.Seed, Load: lab.Load{Rate: 1, Models: 1},
+		Dispatchers: s.Processes, Workers: s.Executors, Figures: w.figures, Seed: s.Seed,
+		Load:     lab.Load{Rate: 1, Models: 1},
 		Settings: func(_ int, settings map[string]any) { permissions(s.Deployment, settings) },
 	}
 	if s.CachedList {
@@ -148,13 +160,25 @@
 			case ClockStep:
 				p.Steps = append(p.Steps, fault.Step{At: from, Offset: stepOf(t.Amount)}, fault.Step{At: until})
 			case AcceptFails:
-				p.Sockets = append(p.Sockets, sockets.Window{From: from, Until: until, Rates: sockets.Rates{Accept: 0.2 + 0.6*t.Amount}})
+				p.Sockets = append(p.Sockets, sockets.Window{
+					From: from, Until: until,
+					Rates: sockets.Rates{Accept: 0.2 + 0.6*t.Amount},
+				})
 			case ConnectFails:
-				p.Sockets = append(p.Sockets, sockets.Window{From: from, Until: until, Rates: sockets.Rates{Connect: 0.2 + 0.6*t.Amount}})
+				p.Sockets = append(p.Sockets, sockets.Window{
+					From: from, Until: until,
+					Rates: sockets.Rates{Connect: 0.2 + 0.6*t.Amount},
+				})
 			case ConnectLate:
-				p.Sockets = append(p.Sockets, sockets.Window{From: from, Until: until, Rates: sockets.Rates{Late: 0.3 + 0.6*t.Amount}})
+				p.Sockets = append(p.Sockets, sockets.Window{
+					From: from, Until: until,
+					Rates: sockets.Rates{Late: 0.3 + 0.6*t.Amount},
+				})
 			case TransferFails:
-				p.Sockets = append(p.Sockets, sockets.Window{From: from, Until: until, Rates: sockets.Rates{IO: 0.05 + 0.3*t.Amount}})
+				p.Sockets = append(p.Sockets, sockets.Window{
+					From: from, Until: until,
+					Rates: sockets.Rates{IO: 0.05 + 0.3*t.Amount},
+				})
 			}
 		}
 	}
