--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -1,7 +1,6 @@
 package capacity
 
 import (
-	"cmp"
 	"encoding/json"
 	"fmt"
 	"go/ast"
@@ -13,16 +12,11 @@
 	"os"
 	"path/filepath"
 	"regexp"
-	"slices"
 	"strings"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-
-	"oakthread/aggregate"
-	"oakthread/balancer"
-	"oakthread/leader"
 )
 
 // line is a straight line as a Curve.
@@ -61,97 +55,6 @@
 	return Row{}
 }
 
-func filled(n, of int) aggregate.NodeSet {
-	s := aggregate.NewSet(of)
-	for i := range n {
-		s.Add(i)
-	}
-	return s
-}
-
-// The arithmetic of lengths is that of the codec, for digests and reports of any shape.
-func TestLengthsAreThoseOfTheCodec(t *testing.T) {
-	rng := rand.New(rand.NewPCG(1, 2))
-	check := func(m aggregate.Message, dispatchers int, got Packed) {
-		t.Helper()
-		texts := m.Encode(dispatchers)
-		require.Equal(t, Packed{len(texts[0]), aggregate.Chars(texts), len(texts)}, got, "%d siblings, %+v",
-			dispatchers, m)
-	}
-	beside := func(m *aggregate.Message, marks, counts, pairs int) {
-		m.Marks, m.Counts, m.Holders = make([]aggregate.Mark, marks), make([]aggregate.Count,
-			counts), make([]aggregate.Holder, pairs)
-	}
-	sizes := []int{1, 2, 7, 8, 9, 80, 300, 568, 569, 577, 1000, 1900, 1901}
-	for i := range 4000 {
-		dispatchers := sizes[i%len(sizes)]
-		figs, marks, counts, pairs := 1+rng.IntN(figuresMost), rng.IntN(20), rng.IntN(1200), rng.IntN(60)
-		if i%3 == 0 {
-			counts, pairs = 0, 0
-		}
-		row := make([]float64, figs)
-		m := aggregate.Message{FromLeader: true, Digest: aggregate.Digest{
-			Sums: row, MissingSums: row, MissingMoved: row,
-			Covered: filled(dispatchers, dispatchers), Missing: aggregate.NewSet(dispatchers),
-		}}
-		beside(&m, marks, counts, pairs)
-		d := Digest{Dispatchers: dispatchers, Figures: figs, Marks: marks, Counts: counts, Pairs: pairs}
-		if d.Partial = i%2 == 0 && dispatchers > 1; d.Partial {
-			m.Digest.Covered = filled(dispatchers-1, dispatchers)
-			if d.Missing = rng.IntN(2) == 0; d.Missing {
-				m.Digest.Missing.Add(dispatchers - 1)
-			}
-		}
-		check(m, dispatchers, d.Length())
-
-		r := Report{Figures: figs, Quoted: rng.IntN(figs+2) - 1, Marks: marks, Counts: counts, Pairs: pairs}
-		m = aggregate.Message{Report: aggregate.Report{Values: row}}
-		if r.Quoted >= 0 {
-			m.Report.LastCounted = make([]float64, figs)
-			for j := r.Quoted; j < figs; j++ {
-				m.Report.LastCounted[j] = math.NaN()
-			}
-		}
-		beside(&m, marks, counts, pairs)
-		check(m, dispatchers, r.Length())
-	}
-}
-
-const figuresMost = 15
-
-// The lengths: with one missing 364 at 1,000 dispatchers and 666 at 1,900; under the limit
-// at 300.
-func TestFirstTextWithOneMissing(t *testing.T) {
-	first := func(dispatchers, figures int) int {
-		return Digest{Dispatchers: dispatchers, Figures: figures, Partial: true, Missing: true}.Length().First
-	}
-	for _, c := range []struct{ siblings, figures, want int }{
-		{300, 7, 164},
-		{1000, 3, 364},
-		{1900, 3, 666},
-		{1900, 7, 698},
-	} {
-		assert.Equal(t, c.want, first(c.siblings, c.figures), "%+v", c)
-	}
-	assert.Equal(t, 576, Fits(Digest{Figures: 7, Partial: true, Missing: true}, 4000))
-	assert.Equal(t, 4000, Fits(Digest{Figures: 7}, 4000), "nobody missing: no bits")
-}
-
-// Where the price of messages stops a digest, by hand: 10 = 0.021/256 x (n - 1) x characters.
-func TestPriceStopsADigest(t *testing.T) {
-	full := func(int) int { return 256 }
-	assert.Equal(t, 477, Stops(0.021, 4000, full)) // 10 / 0.021 = 476.2 receivers of a full datagram
-	assert.Equal(t, 1+1250, Stops(0.008, 4000, func(int) int { return 256 }))
-	assert.Equal(t, 4000, Stops(0, 4000, func(int) int { return 256 }), "below the floor: 0.002, up to 5,001")
-	missing := Stops(0.021, 4000,
-		func(n int) int { return Digest{Dispatchers: n, Figures: 7, Partial: true, Missing: true}.Length().All })
-	assert.Equal(t, 517, missing)
-	silent := Stops(0.021, 4000,
-		func(n int) int { return Digest{Dispatchers: n, Figures: 7, Partial: true}.Length().All })
-	assert.Equal(t, 782, silent)
-	assert.Equal(t, 1384, Fits(Digest{Figures: 7, Partial: true}, 4000))
-}
-
 // constants returns the constants of a package's program files by name, each as its source writes
 // the value. A name that stands in two files fails the test.
 func constants(t *testing.T, folder string) map[string]string {
@@ -536,193 +439,6 @@
 	}
 }
 
-// asked is a dispatcher of the real module before executors that answer each call at once if
-// loaded, else 60 ms later; it counts the messages.
-type asked struct {
-	d     *balancer.Balancer
-	now   int64
-	queue []due
-	tell  func(to int, text string)
-	sends map[string]int
-}
-
-type due struct {
-	at int64
-	do func()
-}
-
-func (h *asked) after(delay int64, do func()) {
-	at := h.now + max(delay, 1)
-	i, _ := slices.BinarySearchFunc(h.queue, at, func(x due, at int64) int { return cmp.Compare(x.at, at+1) })
-	h.queue = slices.Insert(h.queue, i, due{at, do})
-}
-
-func (h *asked) SendAttempt(id string, w balancer.WorkerID, _ int64) {
-	n := h.sends[id]
-	h.sends[id]++
-	h.after(60e6, func() {
-		h.d.HandleAttemptResult(h.now, balancer.AttemptResult{
-			ID: id, Attempt: n, Worker: w, Result: balancer.OK,
-			Finished: true, Warmth: balancer.WarmHit,
-		})
-	})
-}
-
-func (h *asked) OrderLoad(w balancer.WorkerID, f balancer.FuncID, n int) {
-	h.after(100e6, func() { h.d.HandleLoadResult(h.now, w, f, n, balancer.OK) })
-}
-func (h *asked) CountTowardLoadQuota(int64)                   {}
-func (h *asked) SetTimer(delay, ref int64)                    { h.after(delay, func() { h.d.HandleTimer(h.now, ref) }) }
-func (h *asked) SendPeerMessage(to int, text string)          { h.tell(to, text) }
-func (*asked) CancelAttempt(string, int)                      {}
-func (*asked) Reject(string, int64)                           {}
-func (*asked) Fail(string)                                    {}
-func (*asked) OrderUnload(balancer.WorkerID, balancer.FuncID) {}
-func (*asked) HealthCheck(balancer.WorkerID)                  {}
-func (*asked) SubscribeEndpoints()                            {}
-func (*asked) Log(string)                                     {}
-
-// run plays events up to a time.
-func run(h *asked, until int64) {
-	for len(h.queue) > 0 && h.queue[0].at <= until {
-		x := h.queue[0]
-		h.queue = h.queue[1:]
-		h.now = x.at
-		x.do()
-	}
-}
-
-// The arithmetic of reports against the module: so many per second and so many characters as it
-// really sends, where calls pay for each round and where they do not.
-func TestReportsAgainstTheModule(t *testing.T) {
-	const executors, dispatchers, tenants = 600, 1900, 5
-	for _, calls := range []int{20, 200} {
-		h := &asked{now: 1e18, sends: map[string]int{}}
-		reports, chars := 0, 0
-		h.tell = func(to int, text string) {
-			if to >= 0 {
-				chars += len(text)
-				if m, ok := aggregate.Decode(text, dispatchers); ok && !m.Continued {
-					reports++
-				}
-			}
-		}
-		s := balancer.Settings{
-			Classes: []balancer.Class{{
-				LatencyObjective: 400e6, ClientTimeout: 5e9, PriorityWeight: 1,
-				Idempotency: balancer.Idempotent,
-			}},
-			TenantQuota: make([]float64, tenants), DispatcherIndex: 3, Dispatchers: dispatchers, ClockResolution: 4e6,
-			MaxAttempts: 5,
-			Gossip:      true, PeerPrice: Base(Letter()).PeerPrice, KeepAlive: 10e9, LoadsOnMiss: true,
-		}
-		var err error
-		h.d, err = balancer.New(h.now, s, 1, h)
-		require.NoError(t, err)
-		var es []balancer.Endpoint
-		for i := range executors {
-			es = append(es, balancer.Endpoint{Worker: balancer.WorkerID(i + 1), State: balancer.Active, Weight: 1})
-		}
-		h.d.UpdateEndpoints(h.now, balancer.EndpointsSnapshot, es)
-		rng := rand.New(rand.NewPCG(5, uint64(calls)))
-		gap, n := int64(1e9)/int64(calls), 0
-		var call func()
-		call = func() {
-			n++
-			h.d.HandleRequest(h.now, balancer.Request{
-				ID: fmt.Sprint(n), Func: balancer.FuncID(rng.Uint64N(48_000)),
-				Deadline: h.now + 5e9, Concurrency: 1,
-			})
-			h.after(gap, call)
-		}
-		h.after(gap, call)
-		run(h, h.now+2e9)
-		reports, chars = 0, 0
-		const seconds = 4
-		run(h, h.now+seconds*1e9)
-		c := Base(Letter())
-		c.Executors, c.Dispatchers, c.Figures = executors, dispatchers, tenants+2
-		rate, p := c.reports(float64(calls))
-		t.Logf("%d calls/s: %.3g reports/s of %.3g characters; by arithmetic %.3g of %d", calls,
-			float64(reports)/seconds,
-			float64(chars)/max(1, float64(reports)), rate, p.All)
-		assert.InEpsilon(t, rate*float64(p.All), float64(chars)/seconds, 0.25, "%d calls/s", calls)
-		assert.InEpsilon(t, rate, float64(reports)/seconds, 0.25, "%d calls/s", calls)
-	}
-}
-
-// The price against the module: a collector that has received from all others of its term, or from
-// all but one that never sent, sends a digest up to the number of dispatchers that the arithmetic
-// gives, and beyond it none.
-func TestPriceAgainstTheModule(t *testing.T) {
-	const tenants, price = 5, 0.021
-	objective := int64(400e6)
-	for _, c := range []struct {
-		siblings int
-		silent   bool
-		told     bool
-	}{{700, false, true}, {1900, false, true}, {700, true, true}, {782, true, true}, {783, true, false}, {
-		1900, true,
-		false,
-	}} {
-		t.Run(fmt.Sprintf("%d siblings, one silent %v", c.siblings, c.silent), func(t *testing.T) {
-			h, texts := &asked{now: 1e18, sends: map[string]int{}}, 0
-			h.tell = func(to int, text string) {
-				if m, ok := aggregate.Decode(text, c.siblings); to < 0 && ok && m.FromLeader {
-					texts++
-				}
-			}
-			term := 2 * objective
-			h.now -= h.now % term
-			for leader.New(0, c.siblings, term).Leader(h.now) != 0 {
-				h.now += term
-			}
-			h.now -= term // it has lived for a while when its term comes
-			begin := h.now + term
-			s := balancer.Settings{
-				Classes: []balancer.Class{{
-					LatencyObjective: objective, ClientTimeout: 5e9, PriorityWeight: 1,
-					Idempotency: balancer.Idempotent,
-				}}, Dispatchers: c.siblings,
-				TenantQuota: make([]float64, tenants), ClockResolution: 4e6, MaxAttempts: 5, Gossip: true,
-				PeerPrice: price, KeepAlive: 10e9,
-			}
-			var err error
-			h.d, err = balancer.New(h.now, s, 1, h)
-			require.NoError(t, err)
-			var es []balancer.Endpoint
-			for i := range 60 {
-				es = append(es, balancer.Endpoint{Worker: balancer.WorkerID(i + 1), State: balancer.Active, Weight: 1})
-			}
-			h.d.UpdateEndpoints(h.now, balancer.EndpointsSnapshot, es)
-			n := 0
-			var call func()
-			call = func() {
-				n++
-				h.d.HandleRequest(h.now, balancer.Request{
-					ID: fmt.Sprint(n), Func: balancer.FuncID(n),
-					Deadline: h.now + 5e9, Concurrency: 1,
-				})
-				h.after(5e6, call)
-			}
-			h.after(1, call)
-			report := aggregate.Message{
-				Calls:  255,
-				Report: aggregate.Report{Seq: 1, Values: make([]float64, tenants+2), Fresh: true},
-			}.Encode(c.siblings)[0]
-			h.after(begin+20e6-h.now, func() {
-				for from := 1; from < c.siblings; from++ {
-					if !c.silent || from != 1 {
-						require.True(t, h.d.HandlePeerMessage(h.now, from, report))
-					}
-				}
-			})
-			run(h, begin+term-1)
-			assert.Equal(t, c.told, texts > 0, "%d texts", texts)
-		})
-	}
-}
-
 // The page says what the package works out: every row that needs no run, and the assumptions. Print them anew with
 // bin/testbed run capacity.
 func TestPageHasTheRowsThatNeedNoRun(t *testing.T) {
--- /dev/null
+++ b/internal/lab/calibratereal.go
@@ -0,0 +1,186 @@
+package lab
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"math"
+	"os"
+	"path/filepath"
+	"strconv"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// real is a run of processes: one second without calls, then the warm-up and the span.
+func (c *calibration) real(
+	ctx context.Context, net *Net, dir string, group int, fleet fleetOf, seed uint64,
+) (*costs, error) {
+	f := hollowFigures(c.size(fleet))
+	r, err := NewRig(net, dir, RigSize{
+		Dispatchers: fleet.dispatchers, Workers: fleet.executors, Figures: f, Program: c.program, Group: group,
+		Zones: calibrateZones, Seed: seed, Load: Load{Rate: c.calls, Models: c.functions, Retries: 2},
+		Settings: func(_ int, s map[string]any) { s["prices"].(map[string]any)["peer"] = peerPrice },
+	})
+	if err != nil {
+		return nil, err
+	}
+	defer r.Close()
+	ready, done := context.WithTimeout(ctx, calibrateReady)
+	defer done()
+	if err := r.Start(ready, nil); err != nil {
+		return nil, err
+	}
+	looks, err := c.play(ctx, r)
+	if err != nil {
+		return nil, err
+	}
+	r.Quiet()
+	x, err := processCosts(r, looks)
+	if err != nil {
+		return nil, err
+	}
+	b := r.Check(nil)
+	if x.breaches = b.Sum(); x.breaches > 0 {
+		c.log("calibration: %d dispatchers, %d executors, clients up to %.1f s behind: %+v",
+			fleet.dispatchers, fleet.executors, x.late, b)
+	}
+	if err := r.Stop(); err != nil {
+		return nil, fmt.Errorf("a dispatcher did not end well: %w", err)
+	}
+	return x, nil
+}
+
+// play lets the rig idle, warm up and serve the span. It returns what the processes have taken once
+// they are ready, before the clients start, and at the begin and the end of the span.
+func (c *calibration) play(ctx context.Context, r *Rig) (looks [4]taken, err error) {
+	at := time.Now()
+	for i, wait := range []time.Duration{0, calibrateIdle, c.warm, c.span} {
+		at = at.Add(wait)
+		if err := sleepUntil(ctx, at); err != nil {
+			return looks, err
+		}
+		if looks[i], err = r.taken(); err != nil {
+			return looks, err
+		}
+		if i == 1 {
+			r.Send(ctx, nil)
+		}
+	}
+	return looks, nil
+}
+
+// processCosts returns what the processes of a rig took, by the four looks of play.
+func processCosts(r *Rig, looks [4]taken) (*costs, error) {
+	ready, idle, begin, end := looks[0], looks[1], looks[2], looks[3]
+	n := float64(r.Dispatchers)
+	x := &costs{
+		heap: math.NaN(), resident: float64(end.resident) / n,
+		idle:   (idle.cpu - ready.cpu).Seconds() / n / idle.at.Sub(ready.at).Seconds(),
+		system: float64(end.system-begin.system) / math.Max(1, float64(end.ticks-begin.ticks)),
+	}
+	asked, earned, unserved := 0.0, 0.0, 0
+	for _, call := range r.Calls(nil) {
+		if call.Intended.Before(begin.at) || !call.Intended.Before(end.at) {
+			continue
+		}
+		x.calls++
+		asked += r.Figures.Classes[call.Class].PriorityWeight
+		earned += call.WeightedValue(r.Figures)
+		if !call.Served {
+			unserved++
+		}
+	}
+	for _, k := range r.Called {
+		x.late = max(x.late, k.MaxLag().Seconds())
+	}
+	if x.calls == 0 {
+		return nil, fmt.Errorf("no call came in the span; clients fell %.1f s behind their schedule at the most",
+			x.late)
+	}
+	x.cpu = (end.cpu - begin.cpu).Seconds() / float64(x.calls)
+	x.value, x.unserved = earned/asked, float64(unserved)/float64(x.calls)
+	x.countMessages(r.PeerNetwork.Datagrams(), n, begin.at, end.at)
+	return x, nil
+}
+
+// countMessages takes the messages of n dispatchers in a span.
+func (c *costs) countMessages(datagrams []Datagram, n float64, from, until time.Time) {
+	span := until.Sub(from).Seconds()
+	seconds := map[[2]int]int{} // bytes by dispatcher and second
+	for _, d := range datagrams {
+		if !d.At.Before(from) && d.At.Before(until) {
+			c.bytes += float64(d.Bytes) / n / span
+			c.messages += 1 / n / span
+			seconds[[2]int{d.From, int(d.At.Sub(from) / time.Second)}] += d.Bytes
+		}
+	}
+	for _, b := range seconds {
+		c.busiest = max(c.busiest, float64(b))
+	}
+}
+
+// taken is what a rig's processes have taken so far, together.
+type taken struct {
+	at            time.Time
+	cpu           time.Duration
+	system, ticks int64 // of the kernel's accounting, which is coarser: in the kernel, and in all
+	resident      int64 // bytes
+}
+
+func (r *Rig) taken() (sum taken, err error) {
+	sum.at = time.Now()
+	for _, d := range r.Nodes {
+		if !d.Running() {
+			return sum, fmt.Errorf("dispatcher %d is not running", d.N)
+		}
+		t, err := takenBy(d.cmd.Process.Pid)
+		if err != nil {
+			return sum, fmt.Errorf("dispatcher %d: %w", d.N, err)
+		}
+		sum.cpu, sum.system, sum.ticks, sum.resident = sum.cpu+t.cpu, sum.system+t.system, sum.ticks+t.ticks,
+			sum.resident+t.resident
+	}
+	return sum, nil
+}
+
+// takenBy is what a process has taken: its processor time by its own clock (clock_getcpuclockid(3):
+// the id is made of the process's), and how that parts and what memory it has by /proc
+// (proc_pid_stat(5), proc_pid_statm(5)).
+func takenBy(pid int) (t taken, err error) {
+	var ts unix.Timespec
+	if err := unix.ClockGettime(^int32(pid)<<3|2, &ts); err != nil {
+		return t, fmt.Errorf("processor clock of process %d: %w", pid, err)
+	}
+	t.cpu = time.Duration(ts.Nano())
+	fields := func(file string) ([]int64, error) {
+		raw, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(pid), file))
+		if err != nil {
+			return nil, err
+		}
+		if i := bytes.LastIndexByte(raw, ')'); i >= 0 {
+			raw = raw[i+1:] // the command's name may hold anything
+		}
+		var out []int64
+		for _, x := range bytes.Fields(raw) {
+			n, _ := strconv.ParseInt(string(x), 10, 64)
+			out = append(out, n)
+		}
+		return out, nil
+	}
+	stat, err := fields("stat")
+	if err != nil {
+		return t, err
+	}
+	statm, err := fields("statm")
+	if err != nil {
+		return t, err
+	}
+	const user, system, pages = 11, 12, 1 // stat's from behind the name on
+	if len(stat) <= system || len(statm) <= pages {
+		return t, fmt.Errorf("what /proc tells of process %d cannot be read", pid)
+	}
+	t.system, t.ticks, t.resident = stat[system], stat[user]+stat[system], statm[pages]*int64(os.Getpagesize())
+	return t, nil
+}
--- /dev/null
+++ b/internal/lab/figures.go
@@ -0,0 +1,64 @@
+package lab
+
+import (
+	"hash/fnv"
+	"io"
+	"math"
+	"time"
+)
+
+// PlannerFigures returns the emulated planning site: the classes of the platform's brief at a fifth
+// of their work, so that one machine runs many workers.
+func PlannerFigures() *Figures {
+	return &Figures{
+		Classes: []ClassFigures{
+			{
+				Name: "path-check", Share: 0.41, LatencyObjective: 400 * time.Millisecond,
+				ClientTimeout: 5 * time.Second, PriorityWeight: 1, Work: 14 * time.Millisecond,
+			},
+			{
+				Name: "route-price", Share: 0.32, LatencyObjective: 1500 * time.Millisecond,
+				ClientTimeout: 5 * time.Second, PriorityWeight: 1, Work: 22 * time.Millisecond,
+			},
+			{
+				Name: "path-book", Share: 0.27,
+				LatencyObjective: 750 * time.Millisecond, ClientTimeout: 4 * time.Second,
+				PriorityWeight: 5, Work: 22 * time.Millisecond, NotIdempotent: true,
+			},
+		},
+		Load: 120 * time.Millisecond, Concurrency: 4,
+		Worker: WorkerConfig{
+			Cores: 4, Queue: 64, Copies: 64, Loads: 4, Keep: 10 * time.Second, Warm: 8 * time.Second, StartCap: 0.2,
+			Fall: 3 * time.Second, Factor: 3,
+		},
+	}
+}
+
+// Figures are the sizes of the emulated world that workers and clients share.
+type Figures struct {
+	Classes     []ClassFigures
+	Load        time.Duration // of a model, on the mean
+	Concurrency int
+	Worker      WorkerConfig
+}
+
+// ClassFigures are what is known of one class of calls.
+type ClassFigures struct {
+	Name                            string
+	Share                           float64 // of all calls
+	LatencyObjective, ClientTimeout time.Duration
+	PriorityWeight                  float64
+	Work                            time.Duration // on the mean
+	NotIdempotent                   bool          // it may not run twice
+}
+
+// Work returns how long a call takes a core, drawn from its id: the same at every worker and in
+// every arm of an experiment.
+func (f *Figures) Work(class int, id string) time.Duration {
+	h := fnv.New64a()
+	_, _ = io.WriteString(h, id)
+	x := h.Sum64()
+	u := (float64(x>>11) + 0.5) / (1 << 53)
+	// Between half and twice the mean, evenly on a log scale, which has 1.082 times the mean for its mean.
+	return time.Duration(float64(f.Classes[class].Work) / 1.082 * math.Exp2(2*u-1))
+}
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -9,14 +9,12 @@
 	"fmt"
 	"math"
 	"math/rand/v2"
-	"slices"
 	"time"
 
 	"gonum.org/v1/plot/plotter"
 
 	"oakthread/balancer"
 	"oakthread/endpoints"
-	"oakthread/outlier"
 )
 
 const (
@@ -44,24 +42,6 @@
 	notBack    = fleetFault + fleetWatch // counted for a run that does not come back
 )
 
-// fleetResult is what one run came to.
-type fleetResult struct {
-	twice, late, fallen, open int
-	unwarned                  int // workers that collapsed before anyone was notified that they were warming up
-	unserved, service         float64
-	later                     float64 // the same as service, of calls meant for the last twelve seconds
-	warmingShare              float64 // calls per second that new workers served, as part of the others'
-	bytes                     float64 // of messages delivered, a call
-	oversize                  int
-	unreached                 float64 // attempts at workers that could not be reached, per call
-	spoilt                    int     // calls that the failing worker spoilt
-	// seconds until nine in ten dispatchers avoid it; the complete fault where they never do
-	avoided     float64
-	back        float64 // seconds from the end of a split until attempts a served call were as before
-	attempts    float64 // attempts a served call in the four seconds after the end of a split
-	servedRatio float64 // calls served a second in these, of those in the three seconds before the split
-}
-
 // Fleet runs the experiment: the faults over the number of dispatchers, with and without messages.
 func Fleet(ctx context.Context, o Options) (*Report, error) {
 	sizes := []int{1, 3, 80, 300}
@@ -264,133 +244,6 @@
 	return w, nil
 }
 
-// notifyAll publishes the list to all dispatchers at the same moment, which is the most dangerous
-// case.
-func (w *simWorld) notifyAll() {
-	w.cursor++
-	u := endpoints.Update{Full: true, Cursor: w.cursor, Endpoints: slices.Clone(w.listed)}
-	for _, s := range w.nodes {
-		s.list.HandleUpdate(w.now, u)
-		s.flush()
-	}
-}
-
-// fleetGroups are the workers that a run compares: those that started during it, and the others.
-type fleetGroups struct{ fresh, stayed []*simWorker }
-
-// fleetSim plays one fault. The same seed gives the same run.
-func fleetSim(
-	f *Figures, kind string, dispatchers, workers int, messages bool, seed uint64,
-) (*fleetResult, error) {
-	w, err := fleetWorld(f, dispatchers, workers, messages, 0, seed)
-	if err != nil {
-		return nil, err
-	}
-	groups := &fleetGroups{}
-	switch kind {
-	case "join":
-		w.scheduleJoin(groups)
-	case "fails":
-		w.scheduleFailure()
-	case "split", "parted":
-		w.scheduleSplit(kind)
-	case "zone":
-		w.scheduleZone(groups)
-	}
-	w.run(w.began.Add(fleetWarm + fleetFault + fleetWatch + fleetEnd))
-	return w.fleetResult(groups.fresh, groups.stayed, w.began), nil
-}
-
-// scheduleJoin replaces six workers in ten one after the other within the time of the fault.
-func (w *simWorld) scheduleJoin(groups *fleetGroups) {
-	workers := len(w.workers)
-	replaced := workers * 6 / 10
-	groups.stayed = w.workers[replaced:]
-	for i, old := range w.workers[:replaced] {
-		w.at(w.began.Add(fleetWarm+fleetFault*time.Duration(i)/time.Duration(replaced)), func() {
-			x := w.add(workers+i, w.now)
-			groups.fresh = append(groups.fresh, x)
-			w.listed = append(w.listed, endpoints.Endpoint{
-				ID: x.id, Zone: i % 2, State: balancer.Active, Weight: 2, Start: w.now,
-			})
-			w.listed[i].State = balancer.Draining
-			old.model.Drain()
-			old.drained = w.now.Add(notifyDelay)
-			w.after(notifyDelay, w.notifyAll)
-		})
-	}
-}
-
-// scheduleFailure makes the first worker fail at once for the time of the fault, and records when
-// nine in ten dispatchers avoid it.
-func (w *simWorld) scheduleFailure() {
-	w.at(w.began.Add(fleetWarm), func() { w.workers[0].failing = true })
-	w.at(w.began.Add(fleetWarm+fleetFault), func() { w.workers[0].failing = false })
-	w.avoided = fleetFault.Seconds()
-	for at := failLook; at < fleetFault; at += failLook {
-		w.at(w.began.Add(fleetWarm+at), func() {
-			if w.avoided > at.Seconds() && 10*w.avoiding(w.workers[0].id) >= 9*len(w.nodes) {
-				w.avoided = at.Seconds()
-			}
-		})
-	}
-}
-
-// scheduleSplit loses all messages for splitFor, and with them the links to every fifth worker
-// ("split") or to the workers of the other zone ("parted").
-func (w *simWorld) scheduleSplit(kind string) {
-	w.at(w.began.Add(fleetWarm), func() {
-		w.mute, w.unheard, w.parted = true, splitLost, kind == "parted"
-		for i, x := range w.workers {
-			if kind == "split" && i%5 == 0 {
-				x.fate = cutOff
-			}
-		}
-	})
-	w.at(w.began.Add(fleetWarm+splitFor), func() {
-		w.mute, w.unheard, w.parted = false, 0, false
-		for _, x := range w.workers {
-			x.fate = stays
-		}
-	})
-}
-
-// scheduleZone cuts off every second worker for zoneOutage; they return not warmed up, and
-// dispatchers are notified of that late.
-func (w *simWorld) scheduleZone(groups *fleetGroups) {
-	const zoneOutage = 5 * time.Second
-	for i, x := range w.workers {
-		if i%2 == 1 {
-			groups.stayed = append(groups.stayed, x)
-			continue
-		}
-		groups.fresh = append(groups.fresh, x)
-		w.at(w.began.Add(fleetWarm), func() { x.fate = cutOff })
-		w.at(w.began.Add(fleetWarm+zoneOutage), func() {
-			x.fate, x.model = stays, NewWorkerModel(w.f.Worker, w.now)
-			w.listed[i].Start = w.now
-		})
-	}
-	w.at(w.began.Add(fleetWarm+zoneOutage+notifyDelay), func() {
-		for _, x := range groups.fresh { // nobody was notified that it was warming up: harm, but no rule broken
-			x.unwarned = x.model.Fallen()
-		}
-		w.notifyAll()
-	})
-}
-
-// avoiding counts the dispatchers that avoid a worker.
-func (w *simWorld) avoiding(id balancer.WorkerID) (n int) {
-	for _, s := range w.nodes {
-		for _, v := range s.d.WorkerHealth(w.now.UnixNano()) {
-			if v.Worker == id && v.Status != outlier.StatusHealthy && v.Status != outlier.StatusSuspect {
-				n++
-			}
-		}
-	}
-	return n
-}
-
 // add adds a worker that starts at the given time.
 func (w *simWorld) add(i int, start time.Time) *simWorker {
 	x := &simWorker{id: balancer.WorkerID(0x100 + i*7919), model: NewWorkerModel(w.f.Worker, start)}
@@ -398,96 +251,3 @@
 	w.byID[x.id] = x
 	return x
 }
-
-func (w *simWorld) fleetResult(fresh, stayed []*simWorker, began time.Time) *fleetResult {
-	calls := float64(max(1, len(w.calls)))
-	r := &fleetResult{
-		twice: w.twice, late: w.late, oversize: w.oversize, bytes: float64(w.delivered) / calls,
-		unreached: float64(w.unreached) / calls,
-	}
-	for _, s := range w.nodes {
-		r.open += len(s.open)
-	}
-	from := began.Add(fleetWarm + fleetFault)
-	share := func(xs []*simWorker) (n float64) {
-		for _, x := range xs {
-			for _, t := range x.took {
-				if t.After(from) {
-					n++
-				}
-			}
-		}
-		return n / float64(max(1, len(xs)))
-	}
-	for _, x := range w.workers {
-		if x.unwarned {
-			r.unwarned++
-		} else if x.model.Fallen() {
-			r.fallen++
-		}
-	}
-	r.spoilt, r.avoided = w.workers[0].spoilt, w.avoided
-	r.back = w.backAfter(fleetWarm+splitFor, fleetWarm)
-	sends, goods := w.tallied(fleetWarm+splitFor, fleetWarm+splitFor+4*time.Second)
-	_, before := w.tallied(fleetWarm-3*time.Second, fleetWarm)
-	r.attempts, r.servedRatio = float64(sends)/float64(max(1, goods)), float64(goods)/4/(float64(max(1, before))/3)
-	r.warmingShare = share(fresh) / max(1, share(stayed))
-	unserved := 0
-	for _, c := range w.calls {
-		if !c.served {
-			unserved++
-		}
-	}
-	r.unserved, r.service, r.later = float64(unserved)/calls, w.weightedValue(began), w.weightedValue(from)
-	return r
-}
-
-// weightedValue returns the value served, of that offered, by calls intended from a time on.
-func (w *simWorld) weightedValue(from time.Time) float64 {
-	asked, earned := 0.0, 0.0
-	for _, c := range w.calls {
-		if c.intended.Before(from) {
-			continue
-		}
-		asked += w.f.Classes[c.class].PriorityWeight
-		earned += w.earned(c)
-	}
-	return earned / max(1, asked)
-}
-
-// earned returns the value of a call: its priority weight within the latency objective, a fifth of
-// it later, nothing unserved.
-func (w *simWorld) earned(c *simCall) float64 {
-	k := w.f.Classes[c.class]
-	switch {
-	case !c.served:
-		return 0
-	case c.ended.Sub(c.intended) <= k.LatencyObjective:
-		return k.PriorityWeight
-	}
-	return 0.2 * k.PriorityWeight
-}
-
-// tallied counts the attempts begun and the calls served from one moment of the run to another.
-func (w *simWorld) tallied(from, until time.Duration) (sends, goods int) {
-	for i := int(from / (100 * time.Millisecond)); i < int(until/(100*time.Millisecond)) && i < min(len(w.sends),
-		len(w.goods)); i++ {
-		sends, goods = sends+w.sends[i], goods+w.goods[i]
-	}
-	return sends, goods
-}
-
-// backAfter is how long after a moment attempts a served call are as they were in the three seconds before another one.
-func (w *simWorld) backAfter(end, calm time.Duration) float64 {
-	ratio := func(from, until time.Duration) float64 {
-		a, b := w.tallied(from, until)
-		return float64(a) / float64(max(1, b))
-	}
-	before := ratio(calm-3*time.Second, calm)
-	for at := end; at+backLook <= fleetWarm+fleetFault+fleetWatch; at += 100 * time.Millisecond {
-		if ratio(at, at+backLook) <= backWithin*before {
-			return (at - end).Seconds()
-		}
-	}
-	return notBack.Seconds()
-}
--- /dev/null
+++ b/internal/lab/fleetfaults.go
@@ -0,0 +1,124 @@
+package lab
+
+import (
+	"slices"
+	"time"
+
+	"oakthread/balancer"
+	"oakthread/endpoints"
+)
+
+// notifyAll publishes the list to all dispatchers at the same moment, which is the most dangerous
+// case.
+func (w *simWorld) notifyAll() {
+	w.cursor++
+	u := endpoints.Update{Full: true, Cursor: w.cursor, Endpoints: slices.Clone(w.listed)}
+	for _, s := range w.nodes {
+		s.list.HandleUpdate(w.now, u)
+		s.flush()
+	}
+}
+
+// fleetGroups are the workers that a run compares: those that started during it, and the others.
+type fleetGroups struct{ fresh, stayed []*simWorker }
+
+// fleetSim plays one fault. The same seed gives the same run.
+func fleetSim(
+	f *Figures, kind string, dispatchers, workers int, messages bool, seed uint64,
+) (*fleetResult, error) {
+	w, err := fleetWorld(f, dispatchers, workers, messages, 0, seed)
+	if err != nil {
+		return nil, err
+	}
+	groups := &fleetGroups{}
+	switch kind {
+	case "join":
+		w.scheduleJoin(groups)
+	case "fails":
+		w.scheduleFailure()
+	case "split", "parted":
+		w.scheduleSplit(kind)
+	case "zone":
+		w.scheduleZone(groups)
+	}
+	w.run(w.began.Add(fleetWarm + fleetFault + fleetWatch + fleetEnd))
+	return w.fleetResult(groups.fresh, groups.stayed, w.began), nil
+}
+
+// scheduleJoin replaces six workers in ten one after the other within the time of the fault.
+func (w *simWorld) scheduleJoin(groups *fleetGroups) {
+	workers := len(w.workers)
+	replaced := workers * 6 / 10
+	groups.stayed = w.workers[replaced:]
+	for i, old := range w.workers[:replaced] {
+		w.at(w.began.Add(fleetWarm+fleetFault*time.Duration(i)/time.Duration(replaced)), func() {
+			x := w.add(workers+i, w.now)
+			groups.fresh = append(groups.fresh, x)
+			w.listed = append(w.listed, endpoints.Endpoint{
+				ID: x.id, Zone: i % 2, State: balancer.Active, Weight: 2, Start: w.now,
+			})
+			w.listed[i].State = balancer.Draining
+			old.model.Drain()
+			old.drained = w.now.Add(notifyDelay)
+			w.after(notifyDelay, w.notifyAll)
+		})
+	}
+}
+
+// scheduleFailure makes the first worker fail at once for the time of the fault, and records when
+// nine in ten dispatchers avoid it.
+func (w *simWorld) scheduleFailure() {
+	w.at(w.began.Add(fleetWarm), func() { w.workers[0].failing = true })
+	w.at(w.began.Add(fleetWarm+fleetFault), func() { w.workers[0].failing = false })
+	w.avoided = fleetFault.Seconds()
+	for at := failLook; at < fleetFault; at += failLook {
+		w.at(w.began.Add(fleetWarm+at), func() {
+			if w.avoided > at.Seconds() && 10*w.avoiding(w.workers[0].id) >= 9*len(w.nodes) {
+				w.avoided = at.Seconds()
+			}
+		})
+	}
+}
+
+// scheduleSplit loses all messages for splitFor, and with them the links to every fifth worker
+// ("split") or to the workers of the other zone ("parted").
+func (w *simWorld) scheduleSplit(kind string) {
+	w.at(w.began.Add(fleetWarm), func() {
+		w.mute, w.unheard, w.parted = true, splitLost, kind == "parted"
+		for i, x := range w.workers {
+			if kind == "split" && i%5 == 0 {
+				x.fate = cutOff
+			}
+		}
+	})
+	w.at(w.began.Add(fleetWarm+splitFor), func() {
+		w.mute, w.unheard, w.parted = false, 0, false
+		for _, x := range w.workers {
+			x.fate = stays
+		}
+	})
+}
+
+// scheduleZone cuts off every second worker for zoneOutage; they return not warmed up, and
+// dispatchers are notified of that late.
+func (w *simWorld) scheduleZone(groups *fleetGroups) {
+	const zoneOutage = 5 * time.Second
+	for i, x := range w.workers {
+		if i%2 == 1 {
+			groups.stayed = append(groups.stayed, x)
+			continue
+		}
+		groups.fresh = append(groups.fresh, x)
+		w.at(w.began.Add(fleetWarm), func() { x.fate = cutOff })
+		w.at(w.began.Add(fleetWarm+zoneOutage), func() {
+			x.fate, x.model = stays, NewWorkerModel(w.f.Worker, w.now)
+			w.listed[i].Start = w.now
+		})
+	}
+	w.at(w.began.Add(fleetWarm+zoneOutage+notifyDelay), func() {
+		for _, x := range groups.fresh { // nobody was notified that it was warming up: harm, but no rule broken
+			x.unwarned = x.model.Fallen()
+		}
+		w.notifyAll()
+	})
+}
--- /dev/null
+++ b/internal/lab/hollowhost_test.go
@@ -0,0 +1,94 @@
+package lab
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"oakthread/balancer"
+	"oakthread/endpoints"
+)
+
+// hollowHost is the dispatcher in virtual time, with an ear at what the module orders.
+type hollowHost struct {
+	*simNode
+	s *stage
+}
+
+func playHollow(t *testing.T, p play) *stage {
+	t.Helper()
+	s := newStage(t, p, bubbleStart.Add(p.offset))
+	h := &hollowHost{simNode: s.nodes[0], s: s}
+	require.NoError(t, h.module(s.settingsOf(0), s.seedOf(0), h))
+	if p.waits {
+		h.limit = time.Hour
+	}
+	s.host = h
+	s.lay()
+	s.run(s.began.Add(s.span + stageEnd))
+	assert.Empty(t, h.open, "calls without an end")
+	s.ends = h.ends
+	s.prove(h.list.Rows(s.now))
+	return s
+}
+
+func (h *hollowHost) notify(u endpoints.Update) {
+	h.list.HandleUpdate(h.s.now, u)
+	h.flush()
+}
+
+func (h *hollowHost) receive(from int, data string) {
+	h.d.HandlePeerMessage(h.s.now.UnixNano(), from, data)
+}
+
+func (h *hollowHost) arrive(c *simCall) { h.simNode.arrive(c) }
+
+func (h *hollowHost) configure(k balancer.Class, attempts int) {
+	_, err := h.d.AddClasses(h.s.now.UnixNano(), []balancer.Class{k})
+	h.s.did("configure %v", err)
+	h.d.SetMaxAttempts(h.s.now.UnixNano(), attempts)
+}
+
+func (h *hollowHost) SendAttempt(id string, w balancer.WorkerID, until int64) {
+	h.s.did("send %s #%d to %d", id, h.open[id].attempts, w)
+	h.simNode.SendAttempt(id, w, until)
+}
+
+// CancelAttempt is reported, as at the core, where there is still something to cancel.
+func (h *hollowHost) CancelAttempt(id string, attempt int) {
+	if fl := h.attempts[simKey{id, attempt}]; fl != nil && !fl.over {
+		h.s.did("cancel %s #%d", id, attempt)
+	}
+	if !h.s.keeps {
+		h.simNode.CancelAttempt(id, attempt)
+	}
+}
+
+func (h *hollowHost) Reject(id string, wait int64) {
+	h.s.did("refuse %s, come back in %v", id, time.Duration(wait))
+	h.simNode.Reject(id, wait)
+}
+
+func (h *hollowHost) Fail(id string) {
+	h.s.did("fail %s", id)
+	h.simNode.Fail(id)
+}
+
+func (h *hollowHost) OrderLoad(w balancer.WorkerID, f balancer.FuncID, n int) {
+	h.s.did("load %d of %x at %d", n, f, w)
+	h.simNode.OrderLoad(w, f, n)
+}
+
+func (h *hollowHost) OrderUnload(w balancer.WorkerID, f balancer.FuncID) {
+	h.s.did("drop %x at %d", f, w)
+	h.simNode.OrderUnload(w, f)
+}
+
+func (h *hollowHost) SendPeerMessage(to int, data string) {
+	h.s.did("tell %d %s", to, data)
+	h.s.carry(0, to, data)
+}
+
+func (h *hollowHost) Log(text string) { h.s.did("log %s", text) }
--- /dev/null
+++ b/internal/lab/hosts_test.go
@@ -0,0 +1,405 @@
+package lab
+
+// The comparison of the two hosts of the decision module: the core of the real program, on the fake
+// clock of a synctest bubble, and the dispatcher in virtual time. Both run before the same world,
+// engine and workers, and both arms have to give the same orders at the same nanosecond.
+// Differences by design are forced by tests of their own and asserted, not skipped. Not covered,
+// since the hollow host has none of it: clients that leave, the limit of open calls, tenants, and
+// the recovery ramp after a start from a cached list.
+
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"oakthread/balancer"
+	"oakthread/endpoints"
+)
+
+// sorted puts what was done at one moment in an order of its own: the core carries out each action
+// on a goroutine of its own.
+func sorted(as []action) []action {
+	out := slices.Clone(as)
+	slices.SortStableFunc(out, func(a,
+		b action,
+	) int {
+		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.text, b.text))
+	})
+	return out
+}
+
+// firstApart is the first place where two runs differ; "": nowhere.
+func firstApart(actual, hollow []action) string {
+	actual, hollow = sorted(actual), sorted(hollow)
+	for i := range max(len(actual), len(hollow)) {
+		a, b := action{text: "nothing"}, action{text: "nothing"}
+		if i < len(actual) {
+			a = actual[i]
+		}
+		if i < len(hollow) {
+			b = hollow[i]
+		}
+		if a != b {
+			return fmt.Sprintf("action %d of %d: real %s, hollow %s", i, max(len(actual), len(hollow)), a, b)
+		}
+	}
+	return ""
+}
+
+// callsApart is the first call whose end differs.
+func callsApart(actual, hollow *stage) string {
+	for i, c := range actual.calls0 {
+		x := hollow.calls0[i]
+		if c.served != x.served || c.ended.Sub(actual.began) != x.ended.Sub(hollow.began) {
+			return fmt.Sprintf("call %s: real served %v after %v, hollow %v after %v", c.name, c.served,
+				c.ended.Sub(c.intended), x.served, x.ended.Sub(x.intended))
+		}
+	}
+	return ""
+}
+
+func kinds(as []action) map[string]int {
+	n := map[string]int{}
+	for _, a := range as {
+		n[a.kind()]++
+	}
+	return n
+}
+
+// playBoth plays one script before both hosts.
+func playBoth(t *testing.T, p play, look func(*realHost)) (actual, hollow *stage) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) { actual = playReal(t, p, look) })
+	return actual, playHollow(t, p)
+}
+
+// Guards against a hollow dispatcher that stands for nothing: whatever the module orders, both
+// hosts do at the same time.
+func TestHostsActAlike(t *testing.T) {
+	total := map[string]int{}
+	var ends [balancer.NumResults]int64
+	for seed := range uint64(6) {
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			actual, hollow := playBoth(t, play{seed: seed}, func(h *realHost) {
+				n := h.core.Counters()
+				assert.Zero(t, n.LoadOrdersWithheld, "the core's second look struck")
+				assert.Zero(t, n.RejectedByLimit+n.RejectedByAdmission+n.Abandoned+n.InvalidPeerMessages)
+			})
+			assert.Empty(t, firstApart(actual.actions, hollow.actions))
+			assert.Empty(t, callsApart(actual, hollow))
+			assert.Equal(t, actual.ends, hollow.ends, "ends of attempts, by their result")
+			assert.Equal(t, actual.proved, hollow.proved)
+			for r, n := range actual.ends {
+				ends[r] += n
+			}
+			for k, n := range kinds(actual.actions) {
+				total[k] += n
+			}
+		})
+	}
+	t.Log(total, ends)
+	for _, r := range []balancer.Result{
+		balancer.OK, balancer.Error, balancer.QueueFull, balancer.ConnectFailed,
+		balancer.Cancelled,
+	} {
+		assert.Positive(t, ends[r], "no attempt ended so: %v", r)
+	}
+	for _, k := range []string{"send", "cancel", "refuse", "fail", "load", "drop", "tell", "log", "configure"} {
+		assert.Positive(t, total[k], "never done: %s", k)
+	}
+	assert.Zero(t, total["answer"]+total["probe"], "the core ended a call by itself, or the list probed")
+}
+
+// The comparison must be able to fail: one thing is altered, and it shows.
+func TestComparisonFindsWhatDiffers(t *testing.T) {
+	p := play{seed: 1}
+	actual, hollow := playBoth(t, p, nil)
+	require.Empty(t, firstApart(actual.actions, hollow.actions))
+	for name, alter := range map[string]func(*play){
+		"a clock that is off by a tick": func(p *play) { p.offset = 4 * time.Millisecond },
+		"a lost call":                   func(p *play) { p.lose = "call" },
+		"a lost change of the list":     func(p *play) { p.lose = "list" },
+		"a second's messages lost":      func(p *play) { p.lose = "message" },
+		"what is called off goes on":    func(p *play) { p.keeps = true },
+		"other settings": func(p *play) {
+			p.settings = func(s *balancer.Settings) {
+				s.WastePrice,
+					s.MaxAttempts = 0.3, 2
+			}
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			x := p
+			alter(&x)
+			found := firstApart(actual.actions, playHollow(t, x).actions)
+			assert.NotEmpty(t, found)
+			t.Log(found)
+		})
+	}
+	t.Run("a lost answer", func(t *testing.T) {
+		x := p
+		x.lose = "answer"
+		synctest.Test(t, func(t *testing.T) { actual = playReal(t, x, nil) })
+		found := firstApart(actual.actions, hollow.actions)
+		assert.NotEmpty(t, found)
+		t.Log(found)
+	})
+}
+
+// apartBy plays a script that forces a difference, and logs the first one.
+func apartBy(t *testing.T, p play, look func(*realHost)) (actual, hollow *stage) {
+	t.Helper()
+	actual, hollow = playBoth(t, p, look)
+	first := firstApart(actual.actions, hollow.actions)
+	t.Log(first)
+	require.NotEmpty(t, first, "nothing differs")
+	return actual, hollow
+}
+
+// only are the actions of one run that the other has not.
+func only(of, but []action) (out []action) {
+	observed := map[action]int{}
+	for _, a := range but {
+		observed[a]++
+	}
+	for _, a := range of {
+		if observed[a]--; observed[a] < 0 {
+			out = append(out, a)
+		}
+	}
+	return out
+}
+
+// By design: the core checks the load quota a second time, with a margin for the link delay; the
+// module's own check is the hollow host's only one.
+func TestCoreHoldsOrders(t *testing.T) {
+	actual, hollow := apartBy(t, play{
+		seed: 2, steady: true,
+		settings: func(s *balancer.Settings) { s.LoadQuotaBase, s.LoadQuotaRatio = 2, 0.05 },
+	}, func(h *realHost) {
+		assert.Positive(t, h.core.Counters().LoadOrdersWithheld)
+	})
+	a, b := sorted(only(actual.actions, hollow.actions)), sorted(only(hollow.actions, actual.actions))
+	assert.Equal(t, "load", b[0].kind(), "what the hollow host did first of all that the real one did not")
+	assert.GreaterOrEqual(t, a[0].at, b[0].at)
+}
+
+// By design: a call whose connection is still coming up when its worker drains is not written, and
+// goes elsewhere; the hollow host has no connections.
+func TestCoreRevokesUnsentAttempts(t *testing.T) {
+	drain := func(s *stage) {
+		sent := s.began.Add(3 * time.Second)
+		c := &simCall{class: 0, model: 77, intended: sent, name: "0.999"}
+		s.at(sent, func() { s.host.arrive(c) })
+		s.at(sent.Add(simLinkDelay/2), func() { // wherever it went
+			for i := range s.listed {
+				if slices.ContainsFunc(s.actions,
+					func(a action) bool { return a.text == fmt.Sprintf("send 0.999.0 #0 to %d", s.listed[i].ID) }) {
+					s.listed[i].State = balancer.Draining
+					s.notifyList(i)
+				}
+			}
+		})
+	}
+	var ends [balancer.NumResults]int64
+	actual, hollow := apartBy(t, play{
+		seed: 1, asked: 1, span: 4 * time.Second, steady: true, handshake: true,
+		script: drain,
+	}, func(h *realHost) { ends = h.core.Counters().AttemptResults })
+	assert.Equal(t, int64(1), ends[balancer.NotSent])
+	a, b := sorted(only(actual.actions, hollow.actions)), only(hollow.actions, actual.actions)
+	require.NotEmpty(t, a)
+	assert.Regexp(t, `^send 0\.999\.0 #1 to `, a[0].text)
+	assert.NotContains(t, fmt.Sprint(b), "send 0.999.0 #1")
+}
+
+// By design: the core reads the clock when its loop takes an event, not when the event arrived. A
+// loop that stalls for 3 ms delivers all events of that time to the module at most 3 ms late.
+func TestCoreReadsItsClockInTheLoop(t *testing.T) {
+	const still = 3 * time.Millisecond
+	actual, hollow := apartBy(t, play{seed: 1, steady: true, stall: still}, nil)
+	a, b := sorted(only(actual.actions, hollow.actions)), sorted(only(hollow.actions, actual.actions))
+	assert.Contains(t, b[0].text, " 0.100.0 ")
+	assert.Equal(t, action{b[0].at + still, b[0].text}, a[0])
+}
+
+// By design: before the first list the module holds calls; the hollow host's clients are sent away at once.
+func TestCoreTakesCallsBeforeTheList(t *testing.T) {
+	actual, hollow := playBoth(t, play{seed: 1, steady: true, listAt: 500 * time.Millisecond}, nil)
+	c, x := actual.calls0[0], hollow.calls0[0]
+	require.Less(t, c.intended.Sub(actual.began), 400*time.Millisecond)
+	assert.True(t, c.served)
+	assert.False(t, x.served)
+	assert.Zero(t, x.ended.Sub(x.intended))
+}
+
+// What is called off ends at once at both hosts, and alike: as cancelled where it was written, as
+// never written where its connection had not come up. The work at the executor goes on.
+func TestHostsEndWhatIsCalledOff(t *testing.T) {
+	t.Run("written", func(t *testing.T) {
+		for seed := range uint64(2) {
+			p := play{seed: seed}
+			actual, hollow := playBoth(t, p, nil)
+			assert.Empty(t, firstApart(actual.actions, hollow.actions))
+			assert.Equal(t, actual.ends, hollow.ends)
+			assert.Positive(t, hollow.ends[balancer.Cancelled])
+			ran := 0
+			for i, c := range actual.calls0 {
+				assert.Equal(t, c.ran, hollow.calls0[i].ran, "call %s: runs at executors", c.name)
+				ran = max(ran, c.ran)
+			}
+			assert.Greater(t, ran, 1, "nothing that was called off ran on")
+			p.keeps = true
+			left := playHollow(t, p)
+			assert.NotEmpty(t, firstApart(actual.actions, left.actions), "a host that lets it go on")
+			assert.Zero(t, left.ends[balancer.Cancelled])
+		}
+	})
+	// No connection comes up, and one call is under way when something ends it. One alone: the core
+	// revokes several of one moment in no order.
+	const sent = 3 * time.Second
+	for name, c := range map[string]struct {
+		left time.Duration // until the call's deadline; 0: its class's
+		then func(*stage, *endpoints.Endpoint)
+	}{
+		"its executor drains":     {then: func(_ *stage, b *endpoints.Endpoint) { b.State = balancer.Draining }},
+		"its executor has gone":   {then: func(_ *stage, b *endpoints.Endpoint) { b.State = balancer.Removed }},
+		"its executor starts new": {then: func(s *stage, b *endpoints.Endpoint) { b.Start = s.now }},
+		"its time is over":        {left: 100 * time.Millisecond},
+	} {
+		t.Run("not written, "+name, func(t *testing.T) {
+			script := func(s *stage) {
+				call := &simCall{class: 0, model: 77, intended: s.began.Add(sent), name: "0.999"}
+				if c.left > 0 {
+					call.intended = call.intended.Add(c.left + 200*time.Millisecond - s.f.Classes[0].ClientTimeout)
+				}
+				s.at(s.began.Add(sent), func() {
+					for _, x := range s.workers {
+						x.fate = cutOff
+					}
+					s.host.arrive(call)
+				})
+				s.at(s.began.Add(sent+100*time.Millisecond), func() {
+					i := slices.IndexFunc(s.listed, func(b endpoints.Endpoint) bool {
+						return slices.ContainsFunc(s.actions,
+							func(a action) bool { return a.text == fmt.Sprintf("send 0.999.0 #0 to %d", b.ID) })
+					})
+					if require.GreaterOrEqual(t, i, 0); c.then != nil {
+						c.then(s, &s.listed[i])
+						s.notifyList(i)
+					}
+				})
+			}
+			actual, hollow := playBoth(t, play{
+				seed: 1, asked: 1, span: 4 * time.Second, steady: true,
+				script: script,
+			}, nil)
+			assert.Empty(t, firstApart(actual.actions, hollow.actions))
+			assert.Equal(t, actual.ends, hollow.ends)
+			assert.Equal(t, int64(1), hollow.ends[balancer.NotSent])
+			assert.Zero(t, hollow.ends[balancer.Cancelled]+hollow.ends[balancer.Timeout])
+		})
+	}
+}
+
+// What an order shows of an executor is reported to the list at both hosts. The call that had it
+// loaded is over before it ends, so that nothing else is.
+func TestHostsShowOrdersToTheList(t *testing.T) {
+	p := play{seed: 1, asked: 1, span: 8 * time.Second, steady: true, script: func(s *stage) {
+		s.at(s.began.Add(5900*time.Millisecond), func() { s.f.Load = 8 * time.Second })
+		for i, at := range []time.Duration{time.Second, 6 * time.Second} {
+			c := &simCall{class: 0, model: 77, intended: s.began.Add(at), name: fmt.Sprintf("0.90%d", i)}
+			s.at(c.intended, func() { s.host.arrive(c) })
+		}
+	}}
+	actual, hollow := playBoth(t, p, nil)
+	assert.Empty(t, firstApart(actual.actions, hollow.actions))
+	assert.Equal(t, actual.proved, hollow.proved)
+	var on balancer.WorkerID
+	for _, a := range hollow.actions {
+		if a.at == 6*time.Second && a.kind() == "load" {
+			_, err := fmt.Sscanf(a.text, "load 1 of 4d at %d", &on)
+			require.NoError(t, err)
+		}
+	}
+	assert.Equal(t, 14*time.Second+2*simLinkDelay, hollow.proved[on])
+}
+
+// No script has the module call off, before its connection fails, what was not written; the
+// platform's client proves that it never ran (platform.failure), and so does the hollow host, when
+// time or the module ends it.
+func TestHollowProvesWhatWasNotWritten(t *testing.T) {
+	for name, end := range map[string]func(*simNode){
+		"called off":  func(h *simNode) { h.CancelAttempt("0.999.0", 0) },
+		"out of time": func(h *simNode) { h.attempts[simKey{"0.999.0", 0}].timeout() },
+	} {
+		hollow := playHollow(t, play{seed: 1, asked: 1, span: 4 * time.Second, steady: true, script: func(s *stage) {
+			call := &simCall{class: 0, model: 77, intended: s.began.Add(3 * time.Second), name: "0.999"}
+			s.at(call.intended, func() {
+				for _, x := range s.workers {
+					x.fate = cutOff
+				}
+				s.host.arrive(call)
+			})
+			s.at(call.intended.Add(simProbe/2), func() { end(s.nodes[0]) })
+		}})
+		assert.Equal(t, int64(1), hollow.ends[balancer.NotSent], name)
+		assert.Zero(t, hollow.ends[balancer.Cancelled]+hollow.ends[balancer.Timeout], name)
+	}
+}
+
+// An order whose answer is lost is given up by both hosts at the same time, after its limit, and its call goes on.
+func TestHostsGiveUpOrders(t *testing.T) {
+	const limit = time.Second
+	for name, c := range map[string]struct {
+		at   time.Duration
+		lose func(s *stage, x *simWorker)
+	}{
+		"its box starts anew": {
+			6200 * time.Millisecond,
+			func(s *stage, x *simWorker) { x.model = NewWorkerModel(s.f.Worker, s.began.Add(-time.Hour)) },
+		},
+		"its box has vanished": {5900 * time.Millisecond, func(_ *stage, x *simWorker) { x.fate = vanishes }},
+	} {
+		t.Run(name, func(t *testing.T) {
+			p := play{
+				seed: 1, asked: 1, span: 8 * time.Second, steady: true,
+				settings: func(s *balancer.Settings) { s.LoadOrderTimeout = int64(limit) },
+				// a function is served, forgotten and asked for again; its worker loses the load
+				script: func(s *stage) {
+					for i, at := range []time.Duration{time.Second, 6 * time.Second} {
+						c := &simCall{class: 0, model: 77, intended: s.began.Add(at), name: fmt.Sprintf("0.90%d", i)}
+						s.at(c.intended, func() { s.host.arrive(c) })
+					}
+					s.at(s.began.Add(c.at), func() {
+						for _, x := range s.workers {
+							c.lose(s, x)
+						}
+					})
+				},
+			}
+			actual, hollow := playBoth(t, p, nil)
+			assert.Empty(t, firstApart(actual.actions, hollow.actions))
+			assert.Equal(t, actual.ends, hollow.ends)
+			var loads []time.Duration
+			for _, a := range hollow.actions {
+				if a.kind() == "load" && a.at >= 6*time.Second {
+					loads = append(loads, a.at)
+				}
+			}
+			require.GreaterOrEqual(t, len(loads), 2)
+			assert.Equal(t, []time.Duration{6 * time.Second, 6*time.Second + limit}, loads[:2],
+				"given up, and given elsewhere at once")
+			p.waits = true
+			assert.Contains(t, firstApart(actual.actions, playHollow(t, p).actions),
+				"real "+(6*time.Second+limit).String()+" ", "a host that waits for ever")
+		})
+	}
+}
--- /dev/null
+++ b/internal/lab/meshexperiment.go
@@ -0,0 +1,170 @@
+package lab
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"math"
+	"os"
+	"strings"
+	"time"
+)
+
+// meshResult is what one run came to, before the fault, in its first two seconds, and after these.
+type meshResult struct {
+	Breaches
+	calm, first, later, floodCalm, flood float64 // the lesser of b's and c's shares; calls a second of a
+	bytes                                float64 // of messages a call, before the fault
+	// by how much dispatchers' totals differ two terms after the end; NaN: not logged
+	apart float64
+}
+
+// meshSpans are how long the parts of a run are; heal: after the fault, where it can end.
+type meshSpans struct{ warm, calm, first, later, heal time.Duration }
+
+// RunMesh runs the experiment.
+func RunMesh(ctx context.Context, o Options) (*Report, error) {
+	sizes, workers, seeds, faults := []int{12, 24}, 4, 3, MeshFaults()
+	spans := meshSpans{4 * time.Second, 3 * time.Second, 2 * time.Second, 6 * time.Second, 3 * time.Second}
+	if o.Quick {
+		sizes, workers, seeds, faults = []int{6}, 2, 1, []string{MeshHalves, MeshUnheard}
+		spans = meshSpans{4 * time.Second, 2 * time.Second, 2 * time.Second, 5 * time.Second, 3 * time.Second}
+	}
+	return versus[meshResult]{
+		name: "mesh", before: meshBefore, sizes: sizes, seeds: seeds, faults: faults,
+		note: fmt.Sprintf("%d boxes; a floods with 3 times its allowance, b and c ask for 0.9 of theirs at other "+
+			"dispatchers", workers),
+		run: func(net *Net, dir, fault string, size RigSize) (*meshResult, error) {
+			return meshArm(ctx, net, dir, fault, MeshSize{
+				Dispatchers: size.Dispatchers, Workers: workers, Slow: 1, Seed: size.Seed, Debug: true,
+				Group: size.Group, Program: size.Program,
+			}, spans)
+		}, report: meshReport,
+	}.all(ctx, o)
+}
+
+func meshArm(ctx context.Context, net *Net, dir, fault string, size MeshSize, spans meshSpans) (*meshResult, error) {
+	m, err := NewMesh(net, dir, size)
+	if err != nil {
+		return nil, err
+	}
+	defer m.Close()
+	m.Prepare(fault)
+	ready, done := context.WithTimeout(ctx, 20*time.Second)
+	defer done()
+	if err := m.Start(ready, nil); err != nil {
+		return nil, err
+	}
+	going, enough := context.WithCancel(ctx)
+	defer enough()
+	m.Run(going)
+	at := time.Now().Add(spans.warm)
+	if err := sleepUntil(ctx, at.Add(spans.calm)); err != nil {
+		return nil, err
+	}
+	began := time.Now()
+	failing, over := context.WithCancel(going)
+	defer over()
+	if err := m.Begin(failing, fault); err != nil {
+		return nil, err
+	}
+	settled, end := began.Add(spans.first), began.Add(spans.first+spans.later)
+	if err := sleepUntil(ctx, end); err != nil {
+		return nil, err
+	}
+	r := &meshResult{apart: math.NaN()}
+	if over(); fault != MeshKilled {
+		m.Heal()
+		healed := time.Now()
+		if err := sleepUntil(ctx, healed.Add(spans.heal)); err != nil {
+			return nil, err
+		}
+		r.apart = m.Apart(healed.Add(2*leaderTerm*m.Figures.Classes[0].LatencyObjective), healed.Add(spans.heal), nil)
+	}
+	enough()
+	m.Heal()
+	m.Quiet()
+	r.calm, r.first, r.later = m.Honest(at, began), m.Honest(began, settled), m.Honest(settled, end)
+	_, r.floodCalm = m.Share("a", at, began)
+	_, r.flood = m.Share("a", settled, end)
+	calls := 0
+	for _, c := range m.All() {
+		if c.Intended.After(at) && c.Intended.Before(began) {
+			calls++
+		}
+	}
+	r.bytes = BytesACall(m.PeerNetwork.Datagrams(), calls, at, began)
+	r.Breaches = m.Check(func(t Attempt) bool { // what crossed a death is owed nothing
+		return fault == MeshKilled && t.Sent.Before(began.Add(time.Second)) && t.Ended.After(began)
+	})
+	if fault == MeshKilled {
+		return r, nil
+	}
+	if err := m.Stop(); err != nil {
+		return nil, errors.Join(errors.New("a dispatcher did not end well"), err)
+	}
+	return r, nil
+}
+
+// Apart returns by how much the totals of tenant a differ, relative to the lowest, as each of the
+// dispatchers that pick names (nil: all) first logs them in a span; NaN where one logs none. This
+// figure alone rests on what dispatchers report of themselves.
+func (m *Mesh) Apart(from, until time.Time, pick func(n int) bool) float64 {
+	low, high := math.Inf(1), 0.0
+	for n, path := range m.Logs() {
+		if pick != nil && !pick(n) {
+			continue
+		}
+		raw, err := os.ReadFile(path)
+		if err != nil {
+			return math.NaN()
+		}
+		first := math.NaN()
+		for line := range strings.Lines(string(raw)) {
+			if !strings.Contains(line, " msg=shared ") {
+				continue
+			}
+			stamp, _, _ := strings.Cut(strings.TrimPrefix(line, "time="), " ")
+			_, figures, _ := strings.Cut(line, `likely="[`)
+			at, err := time.Parse(time.RFC3339Nano, stamp)
+			var a float64
+			_, scanErr := fmt.Sscanf(figures, "%g", &a)
+			if err != nil || scanErr != nil || at.Before(from) || at.After(until) {
+				continue
+			}
+			first = a
+			break
+		}
+		if math.IsNaN(first) {
+			return first
+		}
+		low, high = min(low, first), max(high, first)
+	}
+	return high/max(low, 1e-9) - 1
+}
+
+func meshReport(rep *Report, name, fault string, both [2]*meshResult) {
+	row := func(what, unit string, of func(*meshResult) float64) {
+		rep.Row(name+what, unit, of(both[0]), of(both[1]))
+	}
+	row("b or c served, all hearing", "of their calls", func(r *meshResult) float64 { return r.calm })
+	row("in the first 2 s", "", func(r *meshResult) float64 { return r.first })
+	row("after", "", func(r *meshResult) float64 { return r.later })
+	row("a served, all hearing", "calls/s", func(r *meshResult) float64 { return r.floodCalm })
+	row("after", "calls/s", func(r *meshResult) float64 { return r.flood })
+	row("messages", "bytes a call", func(r *meshResult) float64 { return r.bytes })
+	row("totals apart, two terms after the end", "of the least", func(r *meshResult) float64 { return r.apart })
+	is := both[1]
+	rep.AtMost(name+"breaches of the rules", float64(is.Sum()), 0)
+	if fault == MeshStarted {
+		rep.AtLeast(name+"b and c after 2 s, of their calls", is.later, 0.85)
+	} else {
+		rep.AtLeast(name+"b and c after 2 s, of what they get with all hearing", is.later/math.Max(is.calm, 1e-9), 0.95)
+		rep.AtLeast(name+"within these", is.first/math.Max(is.calm, 1e-9), 0.9)
+		rep.AtMost(name+"a, of what it gets with all hearing", is.flood/math.Max(is.floodCalm, 1e-9), 1.1)
+		rep.AtMost(name+"bytes a call, of those before", is.bytes/math.Max(both[0].bytes, 1e-9), 1.1)
+	}
+	if fault != MeshKilled {
+		rep.AtMost(name+"totals apart, two terms after the end", is.apart, 0.05)
+	}
+}
--- /dev/null
+++ b/internal/lab/realhost_test.go
@@ -0,0 +1,326 @@
+package lab
+
+import (
+	"cmp"
+	"context"
+	"fmt"
+	"log/slog"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"oakthread"
+	"oakthread/balancer"
+	"oakthread/endpoints"
+	"oakthread/internal/endpointcache"
+)
+
+// realHost is oakthread.Core, with the list that package endpointcache keeps, before carriers that
+// lead into the world.
+type realHost struct {
+	s      *stage
+	core   *oakthread.Core
+	keeper *endpointcache.Syncer
+	stub   *simNode // dispatcher 0's place in the world: it only remembers of which drains it was notified
+	wait   sync.WaitGroup
+
+	mu    sync.Mutex
+	inbox []order
+	seq   int
+	calls map[string]*simCall
+	kick  chan struct{}
+}
+
+// order is something that the core wants done, to be taken in by the world's goroutine. Of what the
+// core begins at one moment, each on a goroutine of its own, the world takes calls' attempts by the
+// calls' numbers, then the rest as they came.
+type order struct {
+	rank, seq int
+	do        func()
+}
+
+// playReal runs the same before the real host. It must be called in a bubble.
+func playReal(t *testing.T, p play, look func(h *realHost)) *stage {
+	t.Helper()
+	s := newStage(t, p, time.Now())
+	require.Equal(t, bubbleStart, s.began.UTC())
+	h := &realHost{s: s, stub: s.nodes[0], calls: map[string]*simCall{}, kick: make(chan struct{}, 1)}
+	h.stub.dead = true
+	quiet := slog.New(slog.DiscardHandler)
+	h.keeper = endpointcache.NewKeeper(endpointcache.Options{
+		Roster: endpoints.Config{Seed: s.seed, Siblings: stageNodes, MaxWait: 1500 * time.Millisecond}, Util: 2,
+		Aims: s.f.latencyObjectives(),
+	}, h, func(r oakthread.EndpointUpdate) { h.core.UpdateEndpoints(r) }, s.now, quiet)
+	var err error
+	h.core, err = oakthread.New(oakthread.Config{
+		Settings: s.settingsOf(0), Seed: s.seedOf(0), Workers: h, Peers: h, Completed: h.settled,
+		Admit: h.admit, Observed: h.keeper.Observe, Log: slog.New(&ear{h}),
+	})
+	require.NoError(t, err)
+	s.host = h
+	ctx, stop := context.WithCancel(t.Context())
+	h.wait.Go(func() { h.keeper.Run(ctx) })
+	s.lay()
+	h.run(s.began.Add(s.span + stageEnd))
+	if look != nil {
+		look(h)
+	}
+	n := h.core.Counters()
+	s.ends = n.AttemptResults
+	s.prove(h.keeper.Rows())
+	assert.Equal(t, n.Accepted, n.Served+n.Rejected+n.Failed+n.TimedOut, "calls without an end")
+	stop()
+	h.core.Close()
+	h.wait.Wait()
+	return s
+}
+
+func (f *Figures) latencyObjectives() (out []time.Duration) {
+	for _, c := range f.Classes {
+		out = append(out, c.LatencyObjective)
+	}
+	return out
+}
+
+// run is the engine's, on the bubble's clock: after each event all goroutines come to rest, and
+// what the core wants is taken in.
+func (h *realHost) run(until time.Time) {
+	for {
+		synctest.Wait()
+		h.s.now = time.Now()
+		h.mu.Lock()
+		in := h.inbox
+		h.inbox = nil
+		h.mu.Unlock()
+		slices.SortStableFunc(in, func(a,
+			b order,
+		) int {
+			return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.seq, b.seq))
+		})
+		for _, o := range in {
+			o.do()
+		}
+		if len(in) > 0 {
+			continue
+		}
+		if len(h.s.queue) > 0 && h.s.queue[0].at <= h.s.now.UnixNano() {
+			h.s.pop().do()
+			continue
+		}
+		if !h.s.now.Before(until) {
+			return
+		}
+		// The core's own timers fire meanwhile: the world looks whenever something may have been
+		// reported to it.
+		next := until
+		if len(h.s.queue) > 0 && h.s.queue[0].at < until.UnixNano() {
+			next = time.Unix(0, h.s.queue[0].at)
+		}
+		t := time.NewTimer(time.Until(next))
+		select {
+		case <-t.C:
+		case <-h.kick:
+		}
+		t.Stop()
+	}
+}
+
+const rankRest = 1 << 30
+
+// put hands the world's goroutine an order of the core's, with the time as it is.
+func (h *realHost) put(rank int, do func()) {
+	h.mu.Lock()
+	h.seq++
+	h.inbox = append(h.inbox, order{rank, h.seq, do})
+	h.mu.Unlock()
+	select {
+	case h.kick <- struct{}{}:
+	default:
+	}
+}
+
+func (h *realHost) did(format string, args ...any) {
+	h.put(rankRest, func() { h.s.did(format, args...) })
+}
+
+func (h *realHost) notify(u endpoints.Update) {
+	r := oakthread.EndpointUpdate{Kind: balancer.EndpointsDelta}
+	if u.Full {
+		r.Kind = balancer.EndpointsSnapshot
+	}
+	for _, b := range u.Endpoints {
+		r.Endpoints = append(r.Endpoints, endpointcache.Member(b))
+	}
+	h.keeper.Told(r, "", u.Cursor)
+}
+
+func (h *realHost) configure(k balancer.Class, attempts int) {
+	_, err := h.core.AddClasses([]balancer.Class{k})
+	h.s.did("configure %v", err)
+	h.core.SetMaxAttempts(attempts)
+}
+
+func (h *realHost) admit(q *oakthread.Request) (time.Duration, bool) {
+	if h.s.stall > 0 && q.ID == "0.100.0" {
+		time.Sleep(h.s.stall)
+	}
+	return h.keeper.Admit(q)
+}
+
+func (h *realHost) receive(from int, data string) { h.core.HandlePeerMessage(from, data) }
+
+func (h *realHost) arrive(c *simCall) {
+	id := c.name + ".0"
+	h.mu.Lock()
+	h.calls[id] = c
+	h.mu.Unlock()
+	q := oakthread.Request{
+		ID: id, Class: c.class, Tenant: -1, Func: balancer.FuncID(c.model), Key: fmt.Sprintf("%016x", c.model),
+		Deadline: c.intended.Add(h.s.f.Classes[c.class].ClientTimeout - 200*time.Millisecond), MemoryMB: 4000,
+		Concurrency: h.s.f.Concurrency, LoadTime: h.s.f.Load,
+	}
+	h.wait.Go(func() {
+		a, err := h.core.Do(context.Background(), q)
+		c.served, c.ended = err == nil && a.Outcome == oakthread.Served, time.Now()
+	})
+}
+
+// settled reports the completions that the module ordered.
+func (h *realHost) settled(x oakthread.Completion) {
+	switch x.Answer.Outcome {
+	case oakthread.Rejected:
+		h.did("refuse %s, come back in %v", x.Request.ID, x.Answer.RetryAfter)
+	case oakthread.Failed, oakthread.TimedOut:
+		h.did("fail %s", x.Request.ID)
+	}
+}
+
+func (h *realHost) Send(ctx context.Context, a oakthread.Attempt) oakthread.Reply {
+	h.mu.Lock()
+	c, got := h.calls[a.Request.ID], make(chan oakthread.Reply, 1)
+	h.mu.Unlock()
+	number := 0
+	_, _ = fmt.Sscanf(c.name, "0.%d", &number)
+	var written atomic.Bool
+	h.put(8*number+a.Number, func() {
+		h.s.did("send %s #%d to %d", a.Request.ID, a.Number, a.Worker.ID)
+		h.depart(c, a, &written, got)
+	})
+	select {
+	case r := <-got:
+		return r
+	case <-ctx.Done():
+	}
+	if context.Cause(ctx).Error() == "called off" {
+		h.did("cancel %s #%d", a.Request.ID, a.Number)
+	}
+	return overBy(&written)
+}
+
+// overBy is what the platform's client makes of an attempt or order that our side ended.
+func overBy(written *atomic.Bool) oakthread.Reply {
+	if written.Load() {
+		return oakthread.Reply{Result: balancer.Timeout}
+	}
+	return oakthread.Reply{Result: balancer.NotSent}
+}
+
+// depart is what an attempt meets on its link, as simNode.Send has it: the connection is checked
+// right before the first byte.
+func (h *realHost) depart(c *simCall, a oakthread.Attempt, written *atomic.Bool, got chan<- oakthread.Reply) {
+	w, x := h.s.simWorld, h.s.byID[a.Worker.ID]
+	land := func(r balancer.Result, warm balancer.Warmth, crowd int, rep []float64) {
+		if h.s.loses("answer") {
+			return
+		}
+		got <- oakthread.Reply{Result: r, Warmth: warm, ConcurrentRequests: crowd, Report: rep}
+	}
+	begin := func() bool {
+		written.Store(a.BeforeWrite())
+		if !written.Load() {
+			land(balancer.NotSent, 0, 0, nil)
+		}
+		return written.Load()
+	}
+	up, failed := w.connect(h.stub, x)
+	switch {
+	case !up:
+		w.after(failed, func() { land(balancer.ConnectFailed, 0, 0, nil) })
+	case !h.s.handshake && !begin():
+	case x.fate != vanishes:
+		w.after(simLinkDelay, func() {
+			if !h.s.handshake || begin() {
+				w.reach(h.stub, x, a.Request.ID, c, land)
+			}
+		})
+	}
+}
+
+func (h *realHost) Load(ctx context.Context, o oakthread.LoadOrder) oakthread.Reply {
+	got := make(chan oakthread.Reply, 1)
+	var written atomic.Bool
+	h.put(rankRest, func() {
+		h.s.did("load %d of %x at %d", o.Count, o.Func, o.Worker.ID)
+		w, x := h.s.simWorld, h.s.byID[o.Worker.ID]
+		answered := func(n int, r balancer.Result) { got <- oakthread.Reply{Result: r, Copies: n} }
+		up, failed := w.connect(h.stub, x)
+		if !up {
+			w.after(failed, func() { answered(0, balancer.ConnectFailed) })
+			return
+		}
+		if written.Store(o.BeforeWrite()); !written.Load() {
+			answered(0, balancer.NotSent)
+		} else if x.fate != vanishes {
+			w.after(simLinkDelay, func() { w.order(x, o.Func, answered) })
+		}
+	})
+	select {
+	case r := <-got:
+		return r
+	case <-ctx.Done():
+		return overBy(&written)
+	}
+}
+
+func (h *realHost) Unload(_ context.Context, o oakthread.LoadOrder) {
+	h.put(rankRest, func() {
+		h.s.did("drop %x at %d", o.Func, o.Worker.ID)
+		h.s.drop(h.stub, h.s.byID[o.Worker.ID], o.Func)
+	})
+}
+
+func (h *realHost) HealthCheck(_ context.Context, m oakthread.Endpoint) oakthread.Reply {
+	h.did("probe %d", m.ID)
+	return oakthread.Reply{Result: balancer.Timeout}
+}
+
+func (h *realHost) CloseConnections(balancer.WorkerID) {}
+
+func (h *realHost) SendMessage(to int, data string) {
+	h.put(rankRest, func() {
+		h.s.did("tell %d %s", to, data)
+		h.s.carry(0, to, data)
+	})
+}
+
+func (h *realHost) Listen(ctx context.Context, _ func(int, string)) error { <-ctx.Done(); return nil }
+
+// ear hears what the core logs: the module's own lines, which carry no figures, and errors.
+type ear struct{ h *realHost }
+
+func (e *ear) Enabled(_ context.Context, l slog.Level) bool { return l >= slog.LevelInfo }
+
+func (e *ear) WithAttrs([]slog.Attr) slog.Handler { return e }
+
+func (e *ear) WithGroup(string) slog.Handler { return e }
+
+func (e *ear) Handle(_ context.Context, r slog.Record) error {
+	e.h.did("log %s", r.Message)
+	return nil
+}
--- /dev/null
+++ b/internal/lab/rigbuild.go
@@ -0,0 +1,150 @@
+package lab
+
+import (
+	"fmt"
+	"time"
+)
+
+// groups of addresses of a rig, from its first.
+const (
+	groupWorkers = iota
+	groupNodes
+	groupLinks
+	rigGroups
+)
+
+func (r *Rig) addr(group, i, port int) string { return r.Net.Addr(r.Group*rigGroups+group, i, port) }
+
+// build opens the workers and all links and writes the files of the dispatchers.
+func (r *Rig) build() error {
+	if err := r.open(r.RigSize.Workers, time.Now().Add(-time.Hour)); err != nil {
+		return err
+	}
+	if err := r.buildWorkerLinks(); err != nil {
+		return err
+	}
+	r.Disc.Publish(r.Listed...)
+	if err := r.buildPeerNetwork(); err != nil {
+		return err
+	}
+	for n := range r.Dispatchers {
+		if err := r.buildDispatcher(n); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// buildWorkerLinks opens a link from each dispatcher to each worker, also to one that comes later:
+// port 9500 and up, at the address of the dispatcher whose link it is.
+func (r *Rig) buildWorkerLinks() error {
+	all := r.RigSize.Workers + r.Later
+	place := map[string]int{}
+	for i := range all {
+		place[workerName(i)] = i
+	}
+	r.Links.Workers = make([][]*Relay, r.Dispatchers)
+	for n := range r.Dispatchers {
+		for i := range all {
+			link, err := StartRelay(r.addr(groupLinks, n, 9500+i), r.addr(groupWorkers, i, 9100))
+			if err != nil {
+				return err
+			}
+			r.Links.Workers[n] = append(r.Links.Workers[n], link)
+		}
+	}
+	r.Disc.Route = func(n int, b Listed) string {
+		if i, ok := place[b.ID]; ok {
+			return r.Links.Workers[n][i].Addr
+		}
+		return b.Addr
+	}
+	return nil
+}
+
+// buildPeerNetwork opens the links for datagrams between dispatchers.
+func (r *Rig) buildPeerNetwork() (err error) {
+	var listens []string
+	for n := range r.Dispatchers {
+		listens = append(listens, r.addr(groupNodes, n, 9300))
+	}
+	addr := func(i, j int) string { return r.addr(groupNodes, i, 9600+j) }
+	r.PeerNetwork, err = StartPeerNetwork(r.Dispatchers, addr, listens, r.Seed)
+	return err
+}
+
+// buildDispatcher opens the command channel of dispatcher n and writes its files, and makes its
+// clients.
+func (r *Rig) buildDispatcher(n int) error {
+	if _, err := r.Disc.Listen(r.addr(groupNodes, n, 9400)); err != nil {
+		return err
+	}
+	link, err := StartRelay(r.addr(groupLinks, n, 9400), r.Disc.Addr(n))
+	if err != nil {
+		return err
+	}
+	r.Links.Channels = append(r.Links.Channels, link)
+	level := "info"
+	if r.Debug {
+		level = "debug"
+	}
+	d, err := Lay(DispatcherFiles{
+		Dir: r.dir, N: n, Addr: r.addr(groupNodes, n, 9200), Settings: r.settings(n), Peers: r.PeerNetwork.Peers(n),
+		Channel: link.Addr, Operators: fmt.Sprintf("[log]\nlevel = %q\n%s", level, r.Operators),
+	})
+	if err != nil {
+		return err
+	}
+	d.Run = r.Program
+	r.Nodes = append(r.Nodes, d)
+	r.Called = append(r.Called, r.newClients(n, d.Addr))
+	return nil
+}
+
+// settings returns the platform's settings of dispatcher n.
+func (r *Rig) settings(n int) map[string]any {
+	settings := r.Figures.Settings(n, r.Dispatchers)
+	var zones []string
+	for z := range r.Zones {
+		zones = append(zones, zoneName(z))
+	}
+	settings["zone"], settings["zones"] = n%r.Zones, zones
+	if r.Settings != nil {
+		r.Settings(n, settings)
+	}
+	return settings
+}
+
+// newClients returns the clients of dispatcher n at addr.
+func (r *Rig) newClients(n int, addr string) *Clients {
+	load := r.Load
+	load.Seed = r.Seed
+	if r.Rate != nil {
+		load.Rate = r.Rate(n)
+	}
+	c := NewClients(r.Figures, n, addr, load)
+	if r.Tenant != nil {
+		c.Tenant = func(seq int) string { return r.Tenant(n, seq) }
+	}
+	return c
+}
+
+// open starts n more workers, with start as their start time. Discovery does not announce them.
+func (r *Rig) open(n int, start time.Time) error {
+	for range n {
+		i := len(r.Workers)
+		b, err := StartStubWorker(workerName(i), r.addr(groupWorkers, i, 9100), r.Figures, start)
+		if err != nil {
+			return err
+		}
+		r.Workers = append(r.Workers, b)
+		x := listing(b, i, start)
+		x.Room = zoneName(i % r.Zones)
+		r.Listed = append(r.Listed, x)
+	}
+	return nil
+}
+
+func workerName(i int) string { return fmt.Sprintf("s-%08x", 0x100+i*7919) }
+
+func zoneName(z int) string { return fmt.Sprintf("room-%d", z) }
--- a/internal/lab/simattempt.go
+++ b/internal/lab/simattempt.go
@@ -124,3 +124,21 @@
 		s.w.after(simLinkDelay, func() { arrive(x) })
 	}
 }
+
+type simKey struct {
+	id string // "": an order
+	n  int
+}
+
+// simAttempt is an attempt or a load order under way. Whichever comes first, answer, timeout or
+// module, ends it alone; what the executor has of it goes on there. Of an attempt that is not begun
+// nothing was written, so that its end proves that it never ran.
+type simAttempt struct {
+	s           *simNode
+	key         simKey
+	worker      balancer.WorkerID
+	sent        time.Time
+	begun, over bool
+	open        *sentCall       // nil: an order
+	fn          balancer.FuncID // of an order
+}
--- /dev/null
+++ b/internal/lab/simnode.go
@@ -0,0 +1,222 @@
+package lab
+
+import (
+	"strconv"
+	"time"
+
+	"oakthread/balancer"
+	"oakthread/endpoints"
+)
+
+// simNode is one dispatcher: the real list and the real module, before a host that does with what
+// the module orders as the core does, and the platform's client under it (core.go,
+// internal/platform/fleet.go).
+type simNode struct {
+	w             *simWorld
+	n             int
+	list          *endpoints.List
+	d             *balancer.Balancer
+	dead          bool
+	open          map[string]*sentCall
+	attempts      map[simKey]*simAttempt
+	orders        []*simAttempt // to load, as they were given; the first alone has a timer
+	given         int           // orders so far
+	limit         time.Duration // of an order
+	members       map[balancer.WorkerID]simMember
+	drainNotified map[balancer.WorkerID]time.Time // first rejection by a draining worker
+	ends          [balancer.NumResults]int64      // of attempts, as oakthread.Counters has them
+	meter         *meter                          // nil: nothing is measured
+}
+
+// simMember is what the host knows of an executor in the list.
+type simMember struct {
+	on    bool
+	start int64
+}
+
+type sentCall struct {
+	call     *simCall
+	began    time.Time
+	attempts int
+	full     int // of them, rejected by a full worker
+	deadline time.Time
+}
+
+// settings are those of a dispatcher on the sockets, without peers.
+func (f *Figures) settings(n, dispatchers int) balancer.Settings {
+	s := balancer.Settings{
+		DispatcherIndex: n, Dispatchers: dispatchers, ClockResolution: int64(4 * time.Millisecond), MaxAttempts: 5,
+		Hedging: true, Cancellation: true,
+		SendsRetryAfter: true, MaxRetryAfter: int64(1500 * time.Millisecond), DrainGrace: int64(time.Second),
+		SlowStartWindow: int64(f.Worker.Warm), OverloadWindow: int64(f.Worker.Fall),
+		OverloadFactor: f.Worker.Factor, SlowStartCapacity: f.Worker.StartCap, LoadOrders: true, LoadsOnMiss: true,
+		ReportsWarmth: true, ReportsConcurrency: true,
+		KeepAlive: int64(f.Worker.Keep), LoadQuotaWindow: int64(5 * time.Second),
+		LoadOrderTimeout: int64(10 * time.Second), LoadQuotaBase: 6, LoadQuotaRatio: 0.3,
+		QueueField: 1, WastePrice: 0.2, OriginPrice: 0.03, MemoryPrice: 0.05,
+	}
+	for _, c := range f.Classes {
+		k := balancer.Class{
+			LatencyObjective: int64(c.LatencyObjective), ClientTimeout: int64(c.ClientTimeout),
+			PriorityWeight: c.PriorityWeight, LatePriorityWeight: 0.2, Idempotency: balancer.Idempotent,
+		}
+		if c.NotIdempotent {
+			k.Idempotency = balancer.NotIdempotent
+		}
+		s.Classes = append(s.Classes, k)
+	}
+	return s
+}
+
+func (w *simWorld) node(n int, seed uint64, fresh bool) (*simNode, error) {
+	s := &simNode{
+		w: w, n: n, open: map[string]*sentCall{}, attempts: map[simKey]*simAttempt{},
+		members: map[balancer.WorkerID]simMember{}, drainNotified: map[balancer.WorkerID]time.Time{},
+	}
+	if w.hollow != nil {
+		s.meter = &w.hollow.meter
+	}
+	s.list = endpoints.New(endpoints.Config{
+		Seed: seed + uint64(n), Siblings: len(w.nodes),
+		MaxWait: 1500 * time.Millisecond, Fresh: fresh,
+	})
+	set := w.f.settings(n, len(w.nodes))
+	set.Gossip, set.PeerPrice, set.FullScanLimit = w.messages, w.price, w.walk
+	return s, s.module(set, seed^uint64(n)*0x9e3779b9, s)
+}
+
+// module makes the decision module; host is s, or a test's around it.
+func (s *simNode) module(set balancer.Settings, seed uint64, host balancer.Host) (err error) {
+	if s.limit = time.Duration(set.LoadOrderTimeout); s.limit <= 0 {
+		s.limit = 10 * time.Second
+	}
+	s.d, err = balancer.New(s.w.now.UnixNano(), set, seed, host)
+	return err
+}
+
+// flush carries out what the list ordered.
+func (s *simNode) flush() {
+	a := s.list.TakeActions()
+	for _, p := range a.Publish {
+		var es []balancer.Endpoint
+		old := s.members
+		if p.Kind != balancer.EndpointsDelta {
+			s.members = make(map[balancer.WorkerID]simMember, len(p.Endpoints))
+		}
+		for _, b := range p.Endpoints {
+			m := simMember{b.State == balancer.Active, b.Start.UnixNano()}
+			if was, known := old[b.ID]; !m.on || known && was.start != m.start {
+				s.revoke(b.ID)
+			}
+			if s.members[b.ID] = m; b.State == balancer.Removed {
+				delete(s.members, b.ID)
+			}
+			es = append(es, balancer.Endpoint{
+				Worker: b.ID, Zone: b.Zone, Kind: b.Kind, Cell: b.Cell, State: b.State,
+				Weight: b.Weight, Start: b.Start.UnixNano(),
+			})
+		}
+		for _, fl := range s.unsentAttempts() {
+			if _, known := s.members[fl.worker]; !known {
+				fl.abort(balancer.NotSent)
+			}
+		}
+		s.meter.begin(s.n, partList)
+		s.d.UpdateEndpoints(s.w.now.UnixNano(), p.Kind, es)
+		s.meter.end()
+	}
+	for _, b := range a.Probe {
+		s.probe(b.ID)
+	}
+}
+
+func (s *simNode) probe(id balancer.WorkerID) {
+	x := s.w.byID[id]
+	sign, after := endpoints.Answered, 2*simLinkDelay
+	switch x.fate {
+	case refuses, reused:
+		sign = endpoints.Refused
+	case vanishes, cutOff:
+		sign, after = endpoints.Silent, simProbe
+	}
+	if !s.w.reaches(s, x) {
+		sign, after = endpoints.Silent, simProbe
+	}
+	s.w.after(after, func() {
+		if s.dead {
+			return
+		}
+		if sign == endpoints.Answered && x.model.Draining() {
+			sign = endpoints.Drains
+		} else if _, util := x.model.Report(s.w.now); sign == endpoints.Answered && util > 0.9 {
+			sign = endpoints.Slow
+		}
+		s.list.Probed(s.w.now, id, sign)
+		s.flush()
+	})
+}
+
+func (s *simNode) tick(from time.Time) {
+	if s.dead {
+		return
+	}
+	s.list.Tick(s.w.now)
+	s.flush()
+	gap := simTick
+	if s.w.now.Sub(from) > 3*time.Second {
+		gap = simBreather
+	}
+	s.w.after(gap, func() { s.tick(from) })
+}
+
+// arrive handles an attempt of a client.
+func (s *simNode) arrive(c *simCall) {
+	if s.w.oracle {
+		s.foresee(c)
+		return
+	}
+	if s.dead || len(s.members) == 0 {
+		s.again(c, 200*time.Millisecond, true)
+		return
+	}
+	if wait, ok := s.list.Admit(s.w.now); !ok {
+		s.again(c, wait, true)
+		return
+	}
+	id := c.name + "." + strconv.Itoa(c.attempts)
+	deadline := c.intended.Add(s.w.f.Classes[c.class].ClientTimeout - 200*time.Millisecond)
+	s.open[id] = &sentCall{call: c, began: s.w.now, deadline: deadline}
+	s.meter.begin(s.n, partChoice)
+	s.d.HandleRequest(s.w.now.UnixNano(), balancer.Request{
+		ID: id, Class: c.class, Tenant: -1, Func: balancer.FuncID(c.model), Deadline: deadline.UnixNano(),
+		MemoryMB: 4000, Concurrency: s.w.f.Concurrency, LoadTime: int64(s.w.f.Load),
+	})
+	s.meter.end()
+}
+
+// again has the client come back, where that is harmless and there is time.
+func (s *simNode) again(c *simCall, wait time.Duration, harmless bool) {
+	k := s.w.f.Classes[c.class]
+	c.attempts++
+	if c.attempts > s.w.load.Retries || k.NotIdempotent && !harmless ||
+		s.w.now.Add(wait+k.Work).After(c.intended.Add(k.ClientTimeout)) {
+		c.ended = s.w.now
+		s.w.hollow.over(c)
+		return
+	}
+	s.w.after(wait, func() { s.w.home(s.n).arrive(c) })
+}
+
+// end gives a call its one end. Of its attempts those that nothing was written of are revoked.
+func (s *simNode) end(id string, o *sentCall, served bool) {
+	delete(s.open, id)
+	for n := range o.attempts {
+		if fl := s.attempts[simKey{id, n}]; fl != nil && !fl.begun {
+			fl.abort(balancer.NotSent)
+		}
+	}
+	if served {
+		o.call.served, o.call.ended = true, s.w.now
+		s.w.hollow.over(o.call)
+	}
+}
--- a/internal/lab/stubworker.go
+++ b/internal/lab/stubworker.go
@@ -10,7 +10,6 @@
 	"hash/fnv"
 	"io"
 	"log"
-	"math"
 	"net"
 	"net/http"
 	"strconv"
@@ -30,35 +29,6 @@
 	Failed   bool   // it ran, and its answer was an error
 }
 
-// Figures are the sizes of the emulated world that workers and clients share.
-type Figures struct {
-	Classes     []ClassFigures
-	Load        time.Duration // of a model, on the mean
-	Concurrency int
-	Worker      WorkerConfig
-}
-
-// ClassFigures are what is known of one class of calls.
-type ClassFigures struct {
-	Name                            string
-	Share                           float64 // of all calls
-	LatencyObjective, ClientTimeout time.Duration
-	PriorityWeight                  float64
-	Work                            time.Duration // on the mean
-	NotIdempotent                   bool          // it may not run twice
-}
-
-// Work returns how long a call takes a core, drawn from its id: the same at every worker and in
-// every arm of an experiment.
-func (f *Figures) Work(class int, id string) time.Duration {
-	h := fnv.New64a()
-	_, _ = io.WriteString(h, id)
-	x := h.Sum64()
-	u := (float64(x>>11) + 0.5) / (1 << 53)
-	// Between half and twice the mean, evenly on a log scale, which has 1.082 times the mean for its mean.
-	return time.Duration(float64(f.Classes[class].Work) / 1.082 * math.Exp2(2*u-1))
-}
-
 // StubWorker is a worker on a socket.
 type StubWorker struct {
 	ID   string // as discovery names it
