--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -41,6 +41,7 @@
 	os.Exit(cli.Code(err))
 }
 
+// command returns the root command with all experiments.
 func command() *cobra.Command {
 	root := cli.Group("testbed", "The laboratory: experiments on loopback that set our ways beside baselines")
 	root.SilenceErrors, root.SilenceUsage = true, true
@@ -59,6 +60,8 @@
 	return root
 }
 
+// experiment returns the command that runs one experiment. It ends with errBroken unless all bounds
+// hold.
 func experiment(e lab.Experiment) *cobra.Command {
 	o := lab.Options{}
 	out := ""
--- a/internal/capacity/arithmetic.go
+++ b/internal/capacity/arithmetic.go
@@ -20,6 +20,7 @@
 	longest float64
 }
 
+// ofProgram returns the values of the constants as they stand in the sources.
 func ofProgram() sizes {
 	return sizes{
 		textMax: 190, marksMax: 12, datagram: 256, waiting: 256, line: 4 << 20, eventsWait: 1024,
--- a/internal/capacity/markdown.go
+++ b/internal/capacity/markdown.go
@@ -73,6 +73,7 @@
 	return b.String()
 }
 
+// value returns the cell with the value and its range over the assumptions.
 func (r Row) value() string {
 	if !r.Measured() {
 		return "not measured: " + strings.Join(gathered(r.Missing), ", ")
@@ -91,6 +92,7 @@
 	return fmt.Sprintf("%v, %s", r.Budget, r.BudgetOf)
 }
 
+// usedUp returns the cell with the size at which the budget is used up.
 func (r Row) usedUp() string {
 	switch x := float64(r.Breaks); {
 	case math.IsNaN(x):
--- a/internal/capacity/module_test.go
+++ b/internal/capacity/module_test.go
@@ -150,10 +150,10 @@
 		siblings int
 		silent   bool
 		told     bool
-	}{{700, false, true}, {1900, false, true}, {700, true, true}, {782, true, true}, {783, true, false}, {
-		1900, true,
-		false,
-	}} {
+	}{
+		{700, false, true}, {1900, false, true}, {700, true, true}, {782, true, true}, {783, true, false},
+		{1900, true, false},
+	} {
 		t.Run(fmt.Sprintf("%d siblings, one silent %v", c.siblings, c.silent), func(t *testing.T) {
 			h, texts := &asked{now: 1e18, sends: map[string]int{}}, 0
 			h.tell = func(to int, text string) {
--- a/internal/capacity/rows.go
+++ b/internal/capacity/rows.go
@@ -109,6 +109,8 @@
 	return out
 }
 
+// rank returns the group of a row in the order of the page: over budget, within it, not measured,
+// without a budget, and rows of mechanisms that are no more.
 func (r Row) rank() int {
 	switch {
 	case r.Was:
@@ -123,6 +125,7 @@
 	return 1
 }
 
+// row evaluates the row for the base case, over the assumptions and along its dimension.
 func (s spec) row(base Case, b Budgets, slopes Slopes) Row {
 	at := func(c Case) *reading { return &reading{Case: c, budgets: b, slopes: slopes} }
 	r := at(base)
--- a/internal/capacity/slopes.go
+++ b/internal/capacity/slopes.go
@@ -89,6 +89,8 @@
 func (r *reading) step(figure string) float64  { return r.combined(figure, true) }
 func (r *reading) state(figure string) float64 { return r.combined(figure, false) }
 
+// combined returns a figure from its slopes over all dimensions: the base value with the
+// differences added, or with the ratios multiplied where product is set.
 func (r *reading) combined(figure string, product bool) float64 {
 	base, sum, factor := 0.0, 0.0, 1.0
 	for _, dim := range dimensions() {
--- a/internal/fault/sockets/sockets.go
+++ b/internal/fault/sockets/sockets.go
@@ -95,6 +95,7 @@
 	return &net.OpError{Op: op, Net: "tcp", Err: os.NewSyscallError(op, errno)}
 }
 
+// listener is a net.Listener whose accepts fail as the plan says.
 type listener struct {
 	*net.TCPListener
 	faults *Injector
@@ -120,6 +121,7 @@
 	return l.faults.conn(c), nil
 }
 
+// dial wraps a dial function: some connects fail, others come up late.
 func (i *Injector) dial(next platform.DialFunc) platform.DialFunc {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		if errno, fails := i.fails(func(r Rates) float64 { return r.Connect }, connectErrors); fails {
@@ -158,6 +160,8 @@
 // SyscallConn lets the program ask the kernel what lies unread.
 func (c *conn) SyscallConn() (syscall.RawConn, error) { return c.raw.SyscallConn() }
 
+// Read reads from the connection; when a fault is drawn, fewer bytes than asked for, or none with an
+// error of the system.
 func (c *conn) Read(b []byte) (int, error) {
 	errno, fails := c.faults.fails(func(r Rates) float64 { return r.IO }, ioErrors)
 	if !fails || len(b) == 0 {
@@ -169,6 +173,8 @@
 	return 0, asSystem("read", errno)
 }
 
+// Write writes to the connection; when a fault is drawn, a part of the bytes with an error of the
+// system.
 func (c *conn) Write(b []byte) (int, error) {
 	errno, fails := c.faults.fails(func(r Rates) float64 { return r.IO }, ioErrors)
 	if !fails || len(b) == 0 {
--- a/internal/lab/cachedlist.go
+++ b/internal/lab/cachedlist.go
@@ -13,10 +13,13 @@
 	"time"
 )
 
+// cachedListPlan is how large a run is, and how long its parts are.
 type cachedListPlan struct {
-	dispatchers, workers   int
-	rate                   float64 // calls a second, all together
-	warm, back, after, end time.Duration
+	dispatchers, workers int
+	rate                 float64       // calls per second, all together
+	warm                 time.Duration // until discovery fails and workers are replaced
+	back                 time.Duration // from the restart until discovery returns
+	end                  time.Duration // from then to the end
 }
 
 const (
@@ -33,9 +36,15 @@
 
 // CachedList runs the experiment.
 func CachedList(ctx context.Context, o Options) (*Report, error) {
-	size := cachedListPlan{30, 60, 3600, 10 * time.Second, 8 * time.Second, 12 * time.Second, 16 * time.Second}
+	size := cachedListPlan{
+		dispatchers: 30, workers: 60, rate: 3600,
+		warm: 10 * time.Second, back: 8 * time.Second, end: 16 * time.Second,
+	}
 	if o.Quick {
-		size = cachedListPlan{6, 10, 450, 5 * time.Second, 4 * time.Second, 7 * time.Second, 9 * time.Second}
+		size = cachedListPlan{
+			dispatchers: 6, workers: 10, rate: 450,
+			warm: 5 * time.Second, back: 4 * time.Second, end: 9 * time.Second,
+		}
 	}
 	rep := &Report{Name: "kept-list", Seed: o.Seed, Arms: cachedListArmNames, Note: fmt.Sprintf(
 		"%d dispatchers (processes), %d boxes (sockets in one process), %.0f calls/s, lists 0 s to 6 h old",
@@ -68,6 +77,7 @@
 	return rep, nil
 }
 
+// cachedListResult is the result of one arm.
 type cachedListResult struct {
 	calls              int
 	twice, unanswered  int
--- a/internal/lab/cachedlistcount.go
+++ b/internal/lab/cachedlistcount.go
@@ -99,6 +99,8 @@
 	return float64(most) / math.Max(float64(total)/float64(len(w.workers))/until.Sub(from).Seconds(), 1e-9)
 }
 
+// countWorkers takes from the workers what they observed: calls run twice, late sends, overload,
+// and how the load was spread.
 func (w *cachedListWorld) countWorkers(
 	r *cachedListResult, restarted, returned time.Time, window time.Duration, size cachedListPlan,
 ) {
@@ -148,6 +150,7 @@
 	return LateSends(notifiedTimes(w.disc, len(w.dispatcher), b.ID), calls)
 }
 
+// cachedListReport adds the rows and bounds of all arms.
 func cachedListReport(rep *Report, res []*cachedListResult, size cachedListPlan) {
 	row := func(name, unit string, of func(*cachedListResult) float64) {
 		var vs []float64
--- a/internal/lab/cachedlistsizes.go
+++ b/internal/lab/cachedlistsizes.go
@@ -67,6 +67,7 @@
 	return rep, nil
 }
 
+// plotCachedListSizes draws the peak and the unserved calls over the number of dispatchers.
 func plotCachedListSizes(dir string, sizes []int, points [2][]cachedListSimResult) error {
 	for _, p := range []struct {
 		file, title, y string
--- a/internal/lab/cachedlistworld.go
+++ b/internal/lab/cachedlistworld.go
@@ -65,6 +65,7 @@
 	return cpu, nil
 }
 
+// close ends all processes, workers and discovery.
 func (w *cachedListWorld) close() {
 	for _, d := range w.dispatcher {
 		_ = d.Kill()
@@ -88,6 +89,7 @@
 	}
 }
 
+// build starts the workers and discovery, and writes the files of the dispatchers.
 func (w *cachedListWorld) build(net *Net, arm int, dir string, size cachedListPlan, seed uint64) error {
 	w.disc = NewDiscovery("e1")
 	old := time.Now().Add(-time.Hour)
@@ -220,7 +222,7 @@
 	}
 	if found.None || len(found.Kept.Endpoints) == 0 {
 		_ = s.Close()
-		return fmt.Errorf("list file %s holds no boxes", path)
+		return fmt.Errorf("list file %s holds no workers", path)
 	}
 	k := found.Kept
 	k.Confirmed, k.Saved = k.Confirmed.Add(-by), k.Saved.Add(-by)
--- a/internal/lab/calibrate.go
+++ b/internal/lab/calibrate.go
@@ -86,6 +86,7 @@
 // fleetOf is so many dispatchers before so many executors.
 type fleetOf struct{ dispatchers, executors int }
 
+// run plays all sizes with real processes and with hollow dispatchers and reports them.
 func (c *calibration) run(ctx context.Context, o Options) (*Report, error) {
 	if _, err := exec.LookPath(c.program.Path); err != nil {
 		return nil, fmt.Errorf("calibration: the program to run: %w", err)
--- a/internal/lab/calibratereal.go
+++ b/internal/lab/calibratereal.go
@@ -129,6 +129,7 @@
 	resident      int64 // bytes
 }
 
+// taken returns what the processes of the rig have taken so far.
 func (r *Rig) taken() (sum taken, err error) {
 	sum.at = time.Now()
 	for _, d := range r.Nodes {
--- a/internal/lab/capacity.go
+++ b/internal/lab/capacity.go
@@ -85,6 +85,7 @@
 // hollowRunner is HollowRun, or a test's.
 type hollowRunner func(context.Context, HollowSize, uint64) (*HollowResult, error)
 
+// capacityKey identifies a run: equal runs are made once.
 type capacityKey struct {
 	size HollowSize
 	seed uint64
@@ -108,6 +109,8 @@
 	return runCapacity(ctx, o, planCapacity(o), HollowRun)
 }
 
+// runCapacity runs the sections of a plan that the options name. hollow makes a run of hollow
+// dispatchers; tests replace it.
 func runCapacity(ctx context.Context, o Options, plan capacityPlan, hollow hollowRunner) (*Report, error) {
 	want, err := plan.pick(o.Only)
 	if err != nil {
@@ -142,6 +145,7 @@
 	return c.rep, err
 }
 
+// all runs the wanted dimensions and sections in the order of the plan.
 func (c *capacity) all(ctx context.Context, want []string) error {
 	for _, d := range c.plan.dims {
 		messages := d.name == "calls" && slices.Contains(want, messagesAt)
@@ -155,10 +159,10 @@
 	for _, section := range []struct {
 		name string
 		run  func(context.Context) error
-	}{{choiceAt, c.walks}, {serviceAt, c.service}, {zipfAt, c.zipf}, {faultsAt, c.faults}, {
-		largestAt,
-		c.largest,
-	}, {letterAt, c.letter}, {calibrateAt, c.calibration}} {
+	}{
+		{choiceAt, c.walks}, {serviceAt, c.service}, {zipfAt, c.zipf}, {faultsAt, c.faults},
+		{largestAt, c.largest}, {letterAt, c.letter}, {calibrateAt, c.calibration},
+	} {
 		if !slices.Contains(want, section.name) {
 			continue
 		}
--- a/internal/lab/capacityoutput.go
+++ b/internal/lab/capacityoutput.go
@@ -56,6 +56,7 @@
 		figures.MarkdownMissing(rows), figures.MarkdownSlopes(slopes))
 }
 
+// print writes the slopes with their predictions as a table.
 func (c *Capacity) print(w io.Writer) {
 	of := ""
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
@@ -104,6 +105,7 @@
 	return file, err
 }
 
+// write appends the figures of a run to the CSV file, if there is one.
 func (c *capacity) write(r CapacityRun) error {
 	if c.table == nil {
 		return nil
@@ -141,10 +143,13 @@
 	}
 	for _, p := range []capacityPlot{
 		{
-			"capacity-bytes.svg", "Messages of a dispatcher, in and out", "dispatchers", "bytes", "bytes a second", 1,
-			budgetBytes,
+			file: "capacity-bytes.svg", title: "Messages of a dispatcher, in and out", of: "dispatchers",
+			name: "bytes", unit: "bytes a second", scale: 1, budget: budgetBytes,
+		},
+		{
+			file: "capacity-heap.svg", title: "Memory of a dispatcher", of: "executors",
+			name: "heap", unit: "MB", scale: 1e6, budget: budgetHeap,
 		},
-		{"capacity-heap.svg", "Memory of a dispatcher", "executors", "heap", "MB", 1e6, budgetHeap},
 	} {
 		if err := c.plotFigure(p); err != nil {
 			return err
--- a/internal/lab/capacityplan.go
+++ b/internal/lab/capacityplan.go
@@ -57,6 +57,7 @@
 	of    func(HollowSize) float64
 }
 
+// capacityDims returns the dimensions by name.
 func capacityDims() map[string]capacityDim {
 	return map[string]capacityDim{
 		"dispatchers": {
--- a/internal/lab/comeback.go
+++ b/internal/lab/comeback.go
@@ -99,6 +99,7 @@
 // comebackTimes are the moments of a run.
 type comebackTimes struct{ cut, healed time.Time }
 
+// play plays the run: warm-up, cut, and the time after it.
 func (run comebackRun) play(ctx context.Context, net *Net) (*comebackResult, error) {
 	size := run.size
 	r, err := NewRig(net, run.dir, RigSize{
@@ -201,6 +202,7 @@
 	return float64(came) / math.Max(float64(served), 1), float64(full) / math.Max(float64(came), 1)
 }
 
+// comebackReport adds the rows and bounds of one pair of runs.
 func comebackReport(rep *Report, name string, both [2]*comebackResult) {
 	row := func(what, unit string, of func(*comebackResult) float64) {
 		rep.Row(name+what, unit, of(both[0]), of(both[1]))
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -118,6 +118,7 @@
 		(sum / time.Duration(max(1, len(calls)))).Round(100*time.Microsecond))
 }
 
+// tally counts calls by their results.
 func tally(calls []*Call) (served, refused, failed int) {
 	for _, c := range calls {
 		switch last := c.Attempts[len(c.Attempts)-1]; {
--- a/internal/lab/discovery.go
+++ b/internal/lab/discovery.go
@@ -58,6 +58,7 @@
 	wait      sync.WaitGroup
 }
 
+// port is the listener of one dispatcher.
 type port struct {
 	n        int // of the dispatcher
 	addr     string
@@ -94,6 +95,7 @@
 // Addr is where dispatcher n listens to it.
 func (d *Discovery) Addr(n int) string { d.mu.Lock(); defer d.mu.Unlock(); return d.ports[n].addr }
 
+// serve accepts connections on a port until its listener is closed.
 func (d *Discovery) serve(p *port, ln net.Listener) {
 	d.wait.Add(1)
 	go func() {
@@ -135,6 +137,7 @@
 	d.publish(workers)
 }
 
+// publish makes an event of workers. The caller holds d.mu.
 func (d *Discovery) publish(workers []Listed) {
 	n := len(d.lines) + 1
 	for _, b := range workers {
--- a/internal/lab/dispatchers.go
+++ b/internal/lab/dispatchers.go
@@ -250,6 +250,7 @@
 // Log is the file that its processes log to.
 func (d *Dispatcher) Log() string { return filepath.Join(d.Dir, "log") }
 
+// end sends the process a signal and waits for its end.
 func (d *Dispatcher) end(sig syscall.Signal) error {
 	if d.cmd == nil {
 		return nil
--- a/internal/lab/engine.go
+++ b/internal/lab/engine.go
@@ -12,6 +12,7 @@
 	queue []event
 }
 
+// event is a function to be called at a time; events of one time keep their order.
 type event struct {
 	at  int64 // Unix time in nanoseconds
 	seq int
@@ -20,6 +21,7 @@
 
 func (e event) before(x event) bool { return e.at < x.at || e.at == x.at && e.seq < x.seq }
 
+// at schedules a call of do.
 func (e *engine) at(t time.Time, do func()) {
 	e.seq++
 	x := event{t.UnixNano(), e.seq, do}
--- a/internal/lab/experiments.go
+++ b/internal/lab/experiments.go
@@ -16,18 +16,28 @@
 		{"fleet", "Many dispatchers in virtual time while boxes are replaced or a zone is lost", Fleet},
 		{"comeback", "Ways between processes are cut and come back, with the program before and after", Comeback},
 		{
-			"mesh", "Tenants' shares while parts of the fleet do not hear each other, " +
+			Name: "mesh",
+			Short: "Tenants' shares while parts of the fleet do not hear each other, " +
 				"with the program before and after",
-			RunMesh,
+			Run: RunMesh,
 		},
 		{
-			"verdicts", "Boxes that fail, are slow, die or are out of reach for some, " +
+			Name: "verdicts",
+			Short: "Boxes that fail, are slow, die or are out of reach for some, " +
 				"with the program before and after",
-			RunOutliers,
+			Run: RunOutliers,
+		},
+		{
+			Name: "turns",
+			Short: "What one dispatcher does for all while others die, stand still, are cut off or come later, " +
+				"before and after",
+			Run: RunTurns,
+		},
+		{
+			Name: "capacity",
+			Short: "Hollow dispatchers in virtual time: what each costs over each size, " +
+				"the largest size foretold and then run",
+			Run: RunCapacity,
 		},
-		{"turns", "What one dispatcher does for all while others die, stand still, are cut off or come later, " +
-			"before and after", RunTurns},
-		{"capacity", "Hollow dispatchers in virtual time: what each costs over each size, the largest size foretold " +
-			"and then run", RunCapacity},
 	}
 }
--- a/internal/lab/fleetresult.go
+++ b/internal/lab/fleetresult.go
@@ -37,6 +37,7 @@
 	return n
 }
 
+// fleetResult returns the result of a run; fresh workers are compared with those that stayed.
 func (w *simWorld) fleetResult(fresh, stayed []*simWorker, began time.Time) *fleetResult {
 	calls := float64(max(1, len(w.calls)))
 	r := &fleetResult{
--- a/internal/lab/hollowmessages.go
+++ b/internal/lab/hollowmessages.go
@@ -34,6 +34,7 @@
 	return n
 }
 
+// countReceived counts a text that arrives at dispatcher n.
 func (h *hollowWorld) countReceived(n int, data string, what note) {
 	if h == nil {
 		return
--- a/internal/lab/hollowmeter.go
+++ b/internal/lab/hollowmeter.go
@@ -51,6 +51,7 @@
 	return ts.Nano()
 }
 
+// newMeter returns a meter of n dispatchers that knows what reading the clock takes.
 func newMeter(n int) meter {
 	m := meter{
 		cpu: make([]int64, n), inBytes: make([]int64, n), outByte: make([]int64, n), collects: make([]bool, n),
@@ -63,6 +64,7 @@
 	return m
 }
 
+// begin starts the measurement of one step of a dispatcher.
 func (m *meter) begin(node int, p part) {
 	if m == nil {
 		return
@@ -86,6 +88,7 @@
 	}
 }
 
+// end books the step under its part.
 func (m *meter) end() {
 	if m == nil {
 		return
--- a/internal/lab/hosts_test.go
+++ b/internal/lab/hosts_test.go
@@ -7,7 +7,6 @@
 // since the hollow host has none of it: clients that leave, the limit of open calls, tenants, and
 // the recovery ramp after a start from a cached list.
 
-
 import (
 	"cmp"
 	"fmt"
--- a/internal/lab/links.go
+++ b/internal/lab/links.go
@@ -51,7 +51,7 @@
 				defer wait.Done()
 				if err := r.Set(what, delay); err != nil {
 					select {
-					case errs <- fmt.Errorf("way of dispatcher %d to box %d: %w", d, b, err):
+					case errs <- fmt.Errorf("link of dispatcher %d to worker %d: %w", d, b, err):
 					default:
 					}
 				}
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -154,6 +154,7 @@
 	clientCross = 200 * time.Millisecond
 )
 
+// call sends one call with its retries and records it.
 func (c *Clients) call(seq, class int, model uint64, at time.Time, jitter float64) {
 	k := c.f.Classes[class]
 	call := &Call{Class: class, Intended: at}
@@ -259,6 +260,7 @@
 // zipf draws models by rank: weight 1/(rank+1)^s.
 type zipf struct{ sums []float64 }
 
+// newZipf returns the distribution over n ranks with exponent s.
 func newZipf(n int, s float64) zipf {
 	z := zipf{make([]float64, n)}
 	sum := 0.0
@@ -269,6 +271,7 @@
 	return z
 }
 
+// draw returns the rank of a uniform draw u from [0, 1).
 func (z zipf) draw(u float64) int {
 	u *= z.sums[len(z.sums)-1]
 	low, high := 0, len(z.sums)-1
--- a/internal/lab/mesh.go
+++ b/internal/lab/mesh.go
@@ -185,6 +185,7 @@
 	return nil
 }
 
+// flap begins and ends the fault in turn until ctx ends.
 func (m *Mesh) flap(ctx context.Context, fault string, halves func(int, int) bool) {
 	for ctx.Err() == nil {
 		if fault == MeshFlap {
--- a/internal/lab/meshexperiment.go
+++ b/internal/lab/meshexperiment.go
@@ -43,6 +43,7 @@
 	}.all(ctx, o)
 }
 
+// meshArm plays one fault under one program.
 func meshArm(ctx context.Context, net *Net, dir, fault string, size MeshSize, spans meshSpans) (*meshResult, error) {
 	m, err := NewMesh(net, dir, size)
 	if err != nil {
@@ -143,6 +144,7 @@
 	return high/max(low, 1e-9) - 1
 }
 
+// meshReport adds the rows and bounds of one fault under both programs.
 func meshReport(rep *Report, name, fault string, both [2]*meshResult) {
 	row := func(what, unit string, of func(*meshResult) float64) {
 		rep.Row(name+what, unit, of(both[0]), of(both[1]))
--- a/internal/lab/outliers.go
+++ b/internal/lab/outliers.go
@@ -271,6 +271,7 @@
 	}.all(ctx, o)
 }
 
+// outliersArm plays one fault under one program.
 func outliersArm(ctx context.Context, net *Net, dir, fault string, size RigSize) (*outliersResult, error) {
 	r, err := NewOutlierRig(net, dir, size)
 	if err != nil {
@@ -318,6 +319,7 @@
 	return x, nil
 }
 
+// outliersReport adds the rows and bounds of one fault under both programs.
 func outliersReport(rep *Report, name, fault string, both [2]*outliersResult) {
 	row := func(what, unit string, of func(*outliersResult) float64) {
 		rep.Row(name+what, unit, of(both[0]), of(both[1]))
--- a/internal/lab/peernetwork.go
+++ b/internal/lab/peernetwork.go
@@ -54,7 +54,7 @@
 	for i := range n {
 		a, err := net.ResolveUDPAddr("udp", listens[i])
 		if err != nil {
-			return nil, fmt.Errorf("words: %w", err)
+			return nil, fmt.Errorf("peer network: %w", err)
 		}
 		w.peers = append(w.peers, a)
 		w.socks = append(w.socks, make([]*net.UDPConn, n))
@@ -94,14 +94,14 @@
 func listenLoopback(addr string) (*net.UDPConn, error) {
 	a, err := net.ResolveUDPAddr("udp", addr)
 	if err != nil {
-		return nil, fmt.Errorf("words: %w", err)
+		return nil, fmt.Errorf("peer network: %w", err)
 	}
 	if !a.IP.IsLoopback() {
-		return nil, fmt.Errorf("words: %s is not a loopback address", a)
+		return nil, fmt.Errorf("peer network: %s is not a loopback address", a)
 	}
 	sock, err := net.ListenUDP("udp", a)
 	if err != nil {
-		return nil, fmt.Errorf("words: %w", err)
+		return nil, fmt.Errorf("peer network: %w", err)
 	}
 	return sock, nil
 }
@@ -131,6 +131,7 @@
 	})
 }
 
+// carry passes on what dispatcher i sends to its address of j, until the socket is closed.
 func (w *PeerNetwork) carry(i, j int) {
 	buf := make([]byte, 2048)
 	me := w.peers[i].AddrPort()
@@ -147,6 +148,7 @@
 	}
 }
 
+// pass delivers a datagram as its link says.
 func (w *PeerNetwork) pass(i, j int, data []byte) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/lab/relay.go
+++ b/internal/lab/relay.go
@@ -75,6 +75,7 @@
 	return r, nil
 }
 
+// listen opens the listener and begins to accept.
 func (r *Relay) listen(addr string) error {
 	ln, err := listenAgain(addr)
 	if err != nil {
@@ -85,6 +86,7 @@
 	return nil
 }
 
+// serve accepts connections until the listener is closed or its deadline has passed.
 func (r *Relay) serve(ln *net.TCPListener) {
 	r.wait.Add(1)
 	go func() {
@@ -158,6 +160,7 @@
 	return nil
 }
 
+// uncut empties the queue of a cut listener and begins to accept again.
 func (r *Relay) uncut() {
 	for _, c := range r.fill {
 		reset(c)
@@ -168,6 +171,7 @@
 	r.serve(r.ln)
 }
 
+// backlog sets the length of the queue of the listener.
 func (r *Relay) backlog(n int) error {
 	raw, err := r.ln.SyscallConn()
 	if err != nil {
@@ -187,6 +191,7 @@
 	_ = c.Close()
 }
 
+// keep registers a connection; it resets it and returns false where the link lets none stand.
 func (r *Relay) keep(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -222,6 +227,7 @@
 	}
 }
 
+// carry connects onward for a connection and passes on both directions.
 func (r *Relay) carry(c net.Conn) {
 	if !r.keep(c) {
 		return
--- a/internal/lab/rig.go
+++ b/internal/lab/rig.go
@@ -76,6 +76,7 @@
 	})
 }
 
+// each calls do for the dispatchers that pick names (nil: all), at once, and joins the errors.
 func (r *Rig) each(pick func(n int) bool, do func(*Dispatcher) error) error {
 	errs := make(chan error, len(r.Nodes))
 	n := 0
@@ -197,7 +198,7 @@
 func (r *Rig) Join(n int) error {
 	from := len(r.Workers)
 	if all := r.RigSize.Workers + r.Later; from+n > all {
-		return fmt.Errorf("%d boxes are to join %d: there are ways to %d", n, from, all)
+		return fmt.Errorf("%d workers cannot join %d: there are links to %d", n, from, all)
 	}
 	if err := r.open(n, time.Now()); err != nil {
 		return err
--- a/internal/lab/service.go
+++ b/internal/lab/service.go
@@ -129,6 +129,7 @@
 // serviceRow is a figure of a busy fleet.
 type serviceRow struct{ name, unit string }
 
+// serviceRows returns the figures of a busy fleet in the order of the report.
 func serviceRows() []serviceRow {
 	return []serviceRow{
 		{valueInTime, "of that asked"},
@@ -149,6 +150,7 @@
 	}
 }
 
+// figures returns the figures by the names of serviceRows.
 func (k *serviceCounts) figures(r *fleetResult) map[string]float64 {
 	of := func(n int) float64 { return float64(n) / float64(max(1, k.calls)) }
 	loads := k.byCalls + k.byOrders
@@ -166,6 +168,7 @@
 	return out
 }
 
+// String returns all counts in one line.
 func (k *serviceCounts) String() string {
 	return fmt.Sprintf("%d calls: %d in time, %d late, %d refused, %d turned away, %d given up; at boxes %d found a "+
 		"copy, %d began a load, %d waited for one, %d full; "+
@@ -257,6 +260,7 @@
 	return ready
 }
 
+// sendForeseen sends a call to the worker that the omniscient router chose.
 func (s *simNode) sendForeseen(c *simCall, x *simWorker, deadline time.Time) {
 	w, over := s.w, false
 	w.at(deadline, func() {
--- a/internal/lab/simattempt.go
+++ b/internal/lab/simattempt.go
@@ -60,6 +60,7 @@
 	fl.complete(r, 0, 0, 0, nil)
 }
 
+// finish reports the end of an attempt or load order to the list and the module.
 func (fl *simAttempt) finish(r balancer.Result, warm balancer.Warmth, crowd, copies int, rep []float64) {
 	s, now := fl.s, fl.s.w.now
 	if s.dead {
@@ -125,6 +126,7 @@
 	}
 }
 
+// simKey identifies an attempt or a load order of a dispatcher.
 type simKey struct {
 	id string // "": an order
 	n  int
--- a/internal/lab/simhost.go
+++ b/internal/lab/simhost.go
@@ -56,6 +56,7 @@
 	}
 }
 
+// Reject ends a call; its client comes back after the wait.
 func (s *simNode) Reject(id string, wait int64) {
 	if o := s.open[id]; o != nil {
 		s.end(id, o, false)
@@ -75,6 +76,7 @@
 	}
 }
 
+// OrderLoad puts a load order on its link to a worker.
 func (s *simNode) OrderLoad(id balancer.WorkerID, f balancer.FuncID, count int) {
 	s.meter.pause()
 	defer s.meter.resume()
@@ -186,6 +188,7 @@
 
 func (s *simNode) CountTowardLoadQuota(int64) {}
 
+// SetTimer calls the module back after a delay.
 func (s *simNode) SetTimer(delay, ref int64) {
 	s.meter.pause()
 	defer s.meter.resume()
--- a/internal/lab/simnode.go
+++ b/internal/lab/simnode.go
@@ -34,6 +34,7 @@
 	start int64
 }
 
+// sentCall is a call that a dispatcher has taken and not ended.
 type sentCall struct {
 	call     *simCall
 	began    time.Time
@@ -68,6 +69,7 @@
 	return s
 }
 
+// node makes dispatcher n. fresh takes a cached list as if it were new.
 func (w *simWorld) node(n int, seed uint64, fresh bool) (*simNode, error) {
 	s := &simNode{
 		w: w, n: n, open: map[string]*sentCall{}, attempts: map[simKey]*simAttempt{},
@@ -130,6 +132,7 @@
 	}
 }
 
+// probe health-checks a worker and reports the result to the list.
 func (s *simNode) probe(id balancer.WorkerID) {
 	x := s.w.byID[id]
 	sign, after := endpoints.Answered, 2*simLinkDelay
@@ -156,6 +159,7 @@
 	})
 }
 
+// tick runs the periodic work of the list, often for the first 3 s after from and less often later.
 func (s *simNode) tick(from time.Time) {
 	if s.dead {
 		return
--- a/internal/lab/stubworker.go
+++ b/internal/lab/stubworker.go
@@ -54,7 +54,7 @@
 func StartStubWorker(id, addr string, f *Figures, started time.Time) (*StubWorker, error) {
 	ln, err := listenAgain(addr)
 	if err != nil {
-		return nil, fmt.Errorf("box %s: %w", id, err)
+		return nil, fmt.Errorf("worker %s: %w", id, err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	s := &StubWorker{
@@ -166,12 +166,12 @@
 	s.Die()
 	ln, err := net.Listen("tcp", s.Addr)
 	if err != nil {
-		return nil, fmt.Errorf("box %s vanishes: %w", s.ID, err)
+		return nil, fmt.Errorf("worker %s vanishes: %w", s.ID, err)
 	}
 	return func() { _ = ln.Close() }, nil
 }
 
-var errWorkerStopped = errors.New("the box is gone")
+var errWorkerStopped = errors.New("worker has stopped")
 
 // Observations returns the calls and load orders that the worker saw.
 func (s *StubWorker) Observations() (calls []ObservedCall, orders []time.Time) {
@@ -244,6 +244,7 @@
 	}
 }
 
+// call serves a call: it runs on the model, is rejected, or fails.
 func (s *StubWorker) call(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, 1<<16))
 	model, parseErr := strconv.ParseUint(r.Header.Get("X-Thing"), 16, 64)
@@ -293,6 +294,7 @@
 	return -1
 }
 
+// order serves a load order.
 func (s *StubWorker) order(w http.ResponseWriter, r *http.Request) {
 	model, parseErr := strconv.ParseUint(r.PathValue("model"), 16, 64)
 	count, odd := strconv.Atoi(r.PathValue("count"))
--- a/internal/lab/turns.go
+++ b/internal/lab/turns.go
@@ -136,6 +136,7 @@
 	return nil
 }
 
+// turnsArm plays one fault under one program.
 func turnsArm(ctx context.Context, net *Net, dir, fault string, size RigSize) (*turnsResult, error) {
 	r, err := NewOutlierRig(net, dir, size)
 	if err != nil {
@@ -196,6 +197,7 @@
 	return x
 }
 
+// turnsReport adds the rows and bounds of one fault under both programs.
 func turnsReport(rep *Report, name, _ string, both [2]*turnsResult) {
 	row := func(what, unit string, of func(*turnsResult) float64) {
 		rep.Row(name+what, unit, of(both[0]), of(both[1]))
--- a/internal/lab/virtualtime.go
+++ b/internal/lab/virtualtime.go
@@ -35,6 +35,7 @@
 	spoilt   int
 }
 
+// simWorld is a fleet in virtual time: workers, dispatchers, clients and the links between them.
 type simWorld struct {
 	engine
 	f       *Figures
@@ -87,6 +88,7 @@
 	return x.fate != cutOff && (!w.parted || s.n%2 == x.zone)
 }
 
+// simCall is a call of a client with all its attempts.
 type simCall struct {
 	class       int
 	model       uint64
@@ -180,6 +182,7 @@
 	}
 }
 
+// advance ends the jobs of a worker that are done, and schedules the next time to look.
 func (w *simWorld) advance(x *simWorker) {
 	for _, j := range x.model.Advance(w.now) {
 		j.Data.(func())()
--- a/internal/lab/worker.go
+++ b/internal/lab/worker.go
@@ -56,6 +56,7 @@
 	done time.Time
 }
 
+// modelCopy is a copy of a model in a worker's memory.
 type modelCopy struct {
 	ready       time.Time // when its load ends
 	used        time.Time
@@ -88,6 +89,7 @@
 // unloaded, and those idle for long.
 type unloads struct{ pushed, dropped, expired int }
 
+// sentWork is work that was sent to a warming worker.
 type sentWork struct {
 	at   time.Time
 	work time.Duration
--- a/internal/soak/campaign.go
+++ b/internal/soak/campaign.go
@@ -168,6 +168,7 @@
 	}
 }
 
+// add takes a run into the campaign and counts its pairs of faults.
 func (c *Campaign) add(r Result) {
 	c.Runs = append(c.Runs, r)
 	if r.Inconclusive() {
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -85,6 +85,7 @@
 	wait    sync.WaitGroup
 }
 
+// clientConn is a pooled connection of a client.
 type clientConn struct {
 	net.Conn
 	in   *bufio.Reader
@@ -215,6 +216,7 @@
 	return &clientConn{Conn: conn, in: bufio.NewReader(conn)}, false, nil
 }
 
+// giveBack returns a connection to the pool; a full pool closes the one that is idle for longest.
 func (c *Clients) giveBack(k *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/soak/executor.go
+++ b/internal/soak/executor.go
@@ -164,6 +164,7 @@
 	_, _ = c.Read(make([]byte, 1))
 }
 
+// rawAnswer returns a recorded answer as it goes over the wire.
 func rawAnswer(rec *httptest.ResponseRecorder) []byte {
 	out := []byte("HTTP/1.1 " + strconv.Itoa(rec.Code) + " " + http.StatusText(rec.Code) + "\r\n")
 	rec.Header().Set("Content-Length", strconv.Itoa(rec.Body.Len()))
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -56,6 +56,7 @@
 	}
 }
 
+// disturbProcesses ends, stops or reloads processes, or makes their file writes fail.
 func (w *world) disturbProcesses(lasts, ctx context.Context, t Fault) error {
 	return each(len(t.Targets), func(i int) error {
 		n := w.nodes[t.Targets[i]]
@@ -243,6 +244,7 @@
 	set(0)
 }
 
+// disturbDiscovery changes the links of command channels, or publishes the full list again.
 func (w *world) disturbDiscovery(lasts context.Context, t Fault) error {
 	if t.Kind == DiscoveryOver {
 		w.mu.Lock()
@@ -274,6 +276,7 @@
 	return nil
 }
 
+// changeClients changes what the clients do, or adds connections to theirs.
 func (w *world) changeClients(lasts context.Context, t Fault) {
 	share := 0.2 + 0.6*t.Amount
 	set := func(x float64) {
@@ -306,6 +309,7 @@
 	set(0)
 }
 
+// disturbPeers loses, duplicates or delays the datagrams to some dispatchers.
 func (w *world) disturbPeers(lasts context.Context, t Fault) {
 	wire := lab.Lost
 	if t.Kind == PeersTwice {
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -111,6 +111,7 @@
 	return j.found
 }
 
+// oracle collects the violations of a run; arrived holds the arrivals by request.
 type oracle struct {
 	Records
 	arrived map[string][]*Arrival
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -199,6 +199,7 @@
 	return t
 }
 
+// ofExecutors reports whether the targets of a kind are executors.
 func (k Kind) ofExecutors() bool {
 	switch k {
 	case ExecutorHang, ExecutorVanish, ExecutorReset, ExecutorSlow, ExecutorDrain, ExecutorRenew, IdleClosed,
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -98,6 +98,8 @@
 	failed     []error
 }
 
+// newWorld lays out the fleet of a schedule and writes the fault plans of its processes; nothing is
+// started yet.
 func newWorld(s Schedule, dir string, network *lab.Net, program lab.Program) (*world, error) {
 	w := &world{
 		Schedule: s, dir: dir, figures: figures(s.Deployment), uninformed: make([][]span, s.Processes),
