--- a/internal/lab/cachedlistsim.go
+++ b/internal/lab/cachedlistsim.go
@@ -53,7 +53,8 @@
 // list.
 func cachedListSimWorld(f *Figures, dispatchers, workers int, rate float64, seed uint64) (*simWorld, error) {
 	w := &simWorld{
-		f: f, byID: map[balancer.WorkerID]*simWorker{}, popular: newZipf(8*workers, 0.4), price: peerPrice,
+		f: f, byID: map[balancer.WorkerID]*simWorker{}, popular: newZipf(8*workers, 0.4),
+		simGossip: simGossip{price: peerPrice},
 		load: Load{
 			Rate: rate / float64(dispatchers), Models: 8 * workers, Zipf: 0.4, Turn: 12 * time.Second, Retries: 2,
 		},
@@ -119,7 +120,7 @@
 	for _, c := range w.calls {
 		if c.intended.After(crashed) {
 			asked += w.f.Classes[c.class].PriorityWeight
-			earned += w.earned(c)
+			earned += w.callValue(c)
 		}
 		if c.intended.After(back) {
 			if all++; !c.served {
--- a/internal/lab/capacity.go
+++ b/internal/lab/capacity.go
@@ -160,8 +160,13 @@
 		name string
 		run  func(context.Context) error
 	}{
-		{choiceAt, c.walks}, {serviceAt, c.service}, {zipfAt, c.zipf}, {faultsAt, c.faults},
-		{largestAt, c.largest}, {letterAt, c.letter}, {calibrateAt, c.calibration},
+		{choiceAt, c.walks},
+		{serviceAt, c.service},
+		{zipfAt, c.zipf},
+		{faultsAt, c.faults},
+		{largestAt, c.largest},
+		{letterAt, c.letter},
+		{calibrateAt, c.calibration},
 	} {
 		if !slices.Contains(want, section.name) {
 			continue
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -210,8 +210,8 @@
 func fleetWorld(f *Figures, dispatchers, workers int, messages bool, walk int, seed uint64) (*simWorld, error) {
 	rate := float64(fleetCalls * workers)
 	w := &simWorld{
-		f: f, byID: map[balancer.WorkerID]*simWorker{}, popular: newZipf(8*workers, 0.4), messages: messages,
-		lost: peerLost, price: peerPrice, walk: walk,
+		f: f, byID: map[balancer.WorkerID]*simWorker{}, popular: newZipf(8*workers, 0.4), walk: walk,
+		simGossip: simGossip{messages: messages, lost: peerLost, price: peerPrice},
 		load: Load{
 			Rate: rate / float64(dispatchers), Models: 8 * workers, Zipf: 0.4, Turn: 12 * time.Second,
 			Retries: 2,
--- a/internal/lab/fleetresult.go
+++ b/internal/lab/fleetresult.go
@@ -89,14 +89,14 @@
 			continue
 		}
 		asked += w.f.Classes[c.class].PriorityWeight
-		earned += w.earned(c)
+		earned += w.callValue(c)
 	}
 	return earned / max(1, asked)
 }
 
-// earned returns the value of a call: its priority weight within the latency objective, a fifth of
+// callValue returns the value of a call: its priority weight within the latency objective, a fifth of
 // it later, nothing unserved.
-func (w *simWorld) earned(c *simCall) float64 {
+func (w *simWorld) callValue(c *simCall) float64 {
 	k := w.f.Classes[c.class]
 	switch {
 	case !c.served:
--- a/internal/lab/hollow.go
+++ b/internal/lab/hollow.go
@@ -126,30 +126,49 @@
 // hollowWorld is what a run has beside the emulated world.
 type hollowWorld struct {
 	*simWorld
-	size   HollowSize
-	seed   uint64
-	meter  meter
-	err    error
-	rng    *rand.Rand
-	delay  []time.Duration // until each dispatcher is notified of a change
-	lives  uint64          // restarts so far
-	halves bool            // whether the two halves receive no messages from each other
+	hollowCalls
+	hollowDigests
+	hollowChanges
+	hollowHeap
+	size        HollowSize
+	seed        uint64
+	meter       meter
+	err         error
+	rng         *rand.Rand
+	from, until time.Time // the span
+	lives       uint64    // restarts so far
+	halves      bool      // whether the two halves receive no messages from each other
+	oversize    int       // before the span
+}
 
-	from, until                   time.Time // the span
+// hollowCalls are the calls of the span.
+type hollowCalls struct {
 	asked, earned                 float64
 	calls, unserved, loads, begun int
 	loadWaits                     []float64 // s
-	oversize                      int       // before the span
-	fullListTime                  int64     // the same of the time that full lists took
-	acts                          time.Duration
-	away                          []int // drained executors, in order
-	awayAt                        []time.Time
-	changed                       []time.Time // of each executor
-	term                          int64
-	terms                         []int64 // in which each last received a digest
-	digestReaders                 map[int64]int
-	live                          uint64 // heap after the last collection
-	samples                       []metrics.Sample
+}
+
+// hollowDigests are the digests that dispatchers received.
+type hollowDigests struct {
+	term          int64
+	terms         []int64       // in which each last received a digest
+	digestReaders map[int64]int // by term
+}
+
+// hollowChanges are the changes of the list.
+type hollowChanges struct {
+	delay        []time.Duration // until each dispatcher is notified of a change
+	changed      []time.Time     // of each executor
+	away         []int           // drained executors, in order
+	awayAt       []time.Time
+	acts         time.Duration // until the last dispatcher was notified of a change
+	fullListTime int64         // ns that full lists took before the span
+}
+
+// hollowHeap is the state of the garbage collector.
+type hollowHeap struct {
+	live    uint64 // heap after the last collection
+	samples []metrics.Sample
 }
 
 // note classifies a text.
@@ -254,19 +273,21 @@
 func newHollow(ctx context.Context, size HollowSize, seed uint64) (*hollowWorld, error) {
 	w := &simWorld{
 		f: hollowFigures(size), byID: map[balancer.WorkerID]*simWorker{}, popular: newZipf(size.Functions, size.Zipf),
-		messages: true,
-		lost:     size.Lost, lossy: rand.New(rand.NewPCG(seed, 3)),
-		load: Load{Rate: size.Calls, Models: size.Functions, Zipf: size.Zipf, Retries: 2},
+		simGossip: simGossip{messages: true, lost: size.Lost, lossy: rand.New(rand.NewPCG(seed, 3))},
+		load:      Load{Rate: size.Calls, Models: size.Functions, Zipf: size.Zipf, Retries: 2},
 	}
 	w.now = time.Unix(1_800_000_000, 0)
 	w.began = w.now
 	h := &hollowWorld{
 		simWorld: w, size: size, seed: seed, rng: rand.New(rand.NewPCG(seed, 4)), from: w.now.Add(size.Warm),
-		digestReaders: map[int64]int{}, terms: make([]int64, size.Dispatchers), meter: newMeter(size.Dispatchers),
-		samples: []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}},
+		meter: newMeter(size.Dispatchers),
+		hollowDigests: hollowDigests{
+			term: leaderTerm * int64(w.f.Classes[0].LatencyObjective), terms: make([]int64, size.Dispatchers),
+			digestReaders: map[int64]int{},
+		},
+		hollowHeap: hollowHeap{samples: []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}},
 	}
 	h.until = h.from.Add(size.Span)
-	h.term = 2 * int64(w.f.Classes[0].LatencyObjective)
 	w.hollow = h
 	w.price, w.walk = size.PeerPrice, size.Walk
 	if size.Before {
--- a/internal/lab/stage_test.go
+++ b/internal/lab/stage_test.go
@@ -151,8 +151,9 @@
 	f := fleetFigures()
 	f.Worker.Warm, f.Worker.Keep = 4*time.Second, 3*time.Second
 	w := &simWorld{
-		f: f, byID: map[balancer.WorkerID]*simWorker{}, popular: newZipf(40, 0.4), messages: true,
-		lossy: rand.New(rand.NewPCG(p.seed, 3)), load: Load{Rate: stageRate, Models: 40, Zipf: 0.4},
+		f: f, byID: map[balancer.WorkerID]*simWorker{}, popular: newZipf(40, 0.4),
+		simGossip: simGossip{messages: true, lossy: rand.New(rand.NewPCG(p.seed, 3))},
+		load:      Load{Rate: stageRate, Models: 40, Zipf: 0.4},
 	}
 	w.now, w.began = start, start
 	s := &stage{simWorld: w, play: p, began: start}
--- a/internal/lab/virtualtime.go
+++ b/internal/lab/virtualtime.go
@@ -38,40 +38,53 @@
 // simWorld is a fleet in virtual time: workers, dispatchers, clients and the links between them.
 type simWorld struct {
 	engine
+	simGossip
+	simFaults
+	simCounts
 	f       *Figures
 	workers []*simWorker
 	byID    map[balancer.WorkerID]*simWorker
 	nodes   []*simNode
 	load    Load
 	popular zipf
-	twice   int
-	late    int // sends that came to a draining worker more than the allowance after its dispatcher was notified
-	calls   []*simCall
+	walk    int // balancer.Settings.FullScanLimit
+	began   time.Time
+	listed  []endpoints.Endpoint
+	cursor  int64
+	oracle  bool // calls are routed by the true state of all workers, and no dispatcher is asked
 
-	messages  bool // between dispatchers, lost now and then
+	hollow *hollowWorld // what a run of hollow dispatchers has beside; nil: another experiment
+}
+
+// simGossip are the messages between dispatchers.
+type simGossip struct {
+	messages  bool // dispatchers send them; some are lost
 	lossy     *rand.Rand
 	lost      float64 // part of the messages that never come
 	price     float64 // of a message
-	walk      int     // balancer.Settings.FullScanLimit
 	delivered int     // bytes of messages
 	oversize  int     // messages that are too long
-	unreached int     // attempts whose connection never came up
+	mute      bool    // no message comes
+	deaf      float64 // part of the dispatchers, from the first on, that receive no message
+}
 
-	mute    bool    // no message comes
-	deaf    float64 // part of the dispatchers, from the first on, that receive no message
+// simFaults are the faults of the links between dispatchers and workers.
+type simFaults struct {
 	parted  bool    // a dispatcher reaches the workers of its own zone alone
 	unheard float64 // share of answers lost in transit
-	began   time.Time
-	avoided float64 // see fleetResult
-	listed  []endpoints.Endpoint
-	cursor  int64
-	sends   []int // attempts begun, by tenths of a second since began
-	goods   []int // calls served, the same
-
-	counts *serviceCounts // of a busy fleet; nil: nothing is counted
-	oracle bool           // calls are routed by the true state of all workers, and no dispatcher is asked
+}
 
-	hollow *hollowWorld // what a run of hollow dispatchers has beside; nil: another experiment
+// simCounts are what is counted in a run.
+type simCounts struct {
+	calls []*simCall
+	twice int // calls that must not run twice and did
+	// sends that came to a draining worker more than the allowance after its dispatcher was notified
+	late      int
+	unreached int            // attempts whose connection never came up
+	avoided   float64        // see fleetResult
+	sends     []int          // attempts begun, by tenths of a second since began
+	goods     []int          // calls served, the same
+	counts    *serviceCounts // of a busy fleet; nil: nothing is counted
 }
 
 // tally counts one more in the tenth of a second that is now.
