--- a/internal/lab/simattempt.go
+++ b/internal/lab/simattempt.go
@@ -25,9 +25,9 @@
 
 // revoke ends the attempts under way to an executor that is to get nothing new, as far as nothing
 // of them was written.
-func (s *simNode) revoke(w balancer.WorkerID) {
+func (s *simNode) revoke(worker balancer.WorkerID) {
 	for _, fl := range s.unsentAttempts() {
-		if fl.worker == w {
+		if fl.worker == worker {
 			fl.abort(balancer.NotSent)
 		}
 	}
@@ -62,67 +62,67 @@
 
 // finish reports the end of an attempt or load order to the list and the module.
 func (fl *simAttempt) finish(r balancer.Result, warm balancer.Warmth, crowd, copies int, rep []float64) {
-	s, now := fl.s, fl.s.w.now
-	if s.dead {
+	node, now := fl.s, fl.s.w.now
+	if node.dead {
 		return
 	}
-	delete(s.attempts, fl.key)
+	delete(node.attempts, fl.key)
 	if fl.open != nil && r == balancer.QueueFull {
 		fl.open.full++
 	}
-	if o := fl.open; o != nil && r == balancer.OK && s.open[fl.key.id] == o {
-		s.end(fl.key.id, o, true)
-		s.w.tally(&s.w.goods)
+	if sent := fl.open; sent != nil && r == balancer.OK && node.open[fl.key.id] == sent {
+		node.end(fl.key.id, sent, true)
+		node.w.tally(&node.w.goods)
 	}
 	// a load may take longer than we wait
 	if sign, informative := endpointcache.Sign(r, false); informative && (fl.open != nil || r != balancer.Timeout) {
 		if fl.open != nil && sign == endpoints.Answered && warm == balancer.WarmHit &&
-			now.Sub(fl.sent) > s.w.f.Classes[fl.open.call.class].LatencyObjective/2 {
+			now.Sub(fl.sent) > node.w.f.Classes[fl.open.call.class].LatencyObjective/2 {
 			sign = endpoints.Slow
 		}
-		s.list.Observe(now, fl.worker, sign)
-		s.flush()
+		node.list.Observe(now, fl.worker, sign)
+		node.flush()
 	}
-	s.meter.begin(s.n, partChoice)
+	node.meter.begin(node.n, partChoice)
 	if fl.open == nil {
-		s.d.HandleLoadResult(now.UnixNano(), fl.worker, fl.fn, copies, r)
+		node.d.HandleLoadResult(now.UnixNano(), fl.worker, fl.fn, copies, r)
 	} else {
-		s.ends[r]++
-		s.d.HandleAttemptResult(now.UnixNano(), balancer.AttemptResult{
-			ID: fl.key.id, Attempt: fl.key.n, Worker: fl.worker, Result: r, Finished: s.open[fl.key.id] == nil,
+		node.ends[r]++
+		node.d.HandleAttemptResult(now.UnixNano(), balancer.AttemptResult{
+			ID: fl.key.id, Attempt: fl.key.n, Worker: fl.worker, Result: r, Finished: node.open[fl.key.id] == nil,
 			Warmth: warm, ConcurrentRequests: crowd, RTT: int64(now.Sub(fl.sent)), Report: rep,
 		})
 	}
-	s.meter.end()
+	node.meter.end()
 }
 
 // connect returns what a request to an executor meets: whether anything of it is written, and if
 // not, after what time that is known. Where a connection stood, what is written to a worker that
 // has vanished is never answered.
-func (w *simWorld) connect(s *simNode, x *simWorker) (written bool, failed time.Duration) {
+func (w *simWorld) connect(node *simNode, worker *simWorker) (written bool, failed time.Duration) {
 	switch {
-	case x.fate == refuses || x.fate == reused:
+	case worker.fate == refuses || worker.fate == reused:
 		return false, 2 * simLinkDelay
-	case x.fate != vanishes && !w.reaches(s, x):
+	case worker.fate != vanishes && !w.reaches(node, worker):
 		return false, simProbe
 	}
 	return true, 0
 }
 
 // send puts an attempt on its link.
-func (fl *simAttempt) send(arrive func(x *simWorker)) {
-	s, x := fl.s, fl.s.w.byID[fl.worker]
-	s.attempts[fl.key] = fl
-	written, failed := s.w.connect(s, x)
+func (fl *simAttempt) send(arrive func(worker *simWorker)) {
+	node, worker := fl.s, fl.s.w.byID[fl.worker]
+	node.attempts[fl.key] = fl
+	written, failed := node.w.connect(node, worker)
 	fl.begun = written
 	switch {
 	case !written:
 		if fl.open != nil && failed == simProbe {
-			s.w.unreached++
+			node.w.unreached++
 		}
-		s.w.after(failed, func() { fl.complete(balancer.ConnectFailed, 0, 0, 0, nil) })
-	case x.fate != vanishes:
-		s.w.after(simLinkDelay, func() { arrive(x) })
+		node.w.after(failed, func() { fl.complete(balancer.ConnectFailed, 0, 0, 0, nil) })
+	case worker.fate != vanishes:
+		node.w.after(simLinkDelay, func() { arrive(worker) })
 	}
 }
 
--- a/internal/lab/simhost.go
+++ b/internal/lab/simhost.go
@@ -58,45 +58,45 @@
 
 // Reject ends a call; its client comes back after the wait.
 func (s *simNode) Reject(id string, wait int64) {
-	if o := s.open[id]; o != nil {
-		s.end(id, o, false)
-		o.call.end = o.refused()
+	if sent := s.open[id]; sent != nil {
+		s.end(id, sent, false)
+		sent.call.end = sent.refused()
 		if wait <= 0 {
 			wait = int64(200 * time.Millisecond)
 		}
-		s.w.after(0, func() { s.again(o.call, time.Duration(wait), true) })
+		s.w.after(0, func() { s.again(sent.call, time.Duration(wait), true) })
 	}
 }
 
 func (s *simNode) Fail(id string) {
-	if o := s.open[id]; o != nil {
-		s.end(id, o, false)
-		o.call.end = givenUp
-		s.w.after(0, func() { s.again(o.call, 200*time.Millisecond, false) })
+	if sent := s.open[id]; sent != nil {
+		s.end(id, sent, false)
+		sent.call.end = givenUp
+		s.w.after(0, func() { s.again(sent.call, 200*time.Millisecond, false) })
 	}
 }
 
 // OrderLoad puts a load order on its link to a worker.
-func (s *simNode) OrderLoad(id balancer.WorkerID, f balancer.FuncID, count int) {
+func (s *simNode) OrderLoad(id balancer.WorkerID, function balancer.FuncID, count int) {
 	s.meter.pause()
 	defer s.meter.resume()
 	if m, known := s.members[id]; !known || count > 0 && !m.on {
 		s.w.after(0, func() {
 			if !s.dead {
 				s.meter.begin(s.n, partChoice)
-				s.d.HandleLoadResult(s.w.now.UnixNano(), id, f, 0, balancer.QueueFull)
+				s.d.HandleLoadResult(s.w.now.UnixNano(), id, function, 0, balancer.QueueFull)
 				s.meter.end()
 			}
 		})
 		return
 	}
 	s.given++
-	fl := &simAttempt{s: s, key: simKey{n: s.given}, worker: id, sent: s.w.now, fn: f}
+	fl := &simAttempt{s: s, key: simKey{n: s.given}, worker: id, sent: s.w.now, fn: function}
 	if s.orders = append(s.orders, fl); len(s.orders) == 1 {
 		s.w.after(s.limit, s.giveUp)
 	}
 	fl.send(func(x *simWorker) {
-		s.w.order(x, f, func(copies int, r balancer.Result) { fl.complete(r, 0, 0, copies, nil) })
+		s.w.order(x, function, func(copies int, r balancer.Result) { fl.complete(r, 0, 0, copies, nil) })
 	})
 }
 
@@ -114,30 +114,30 @@
 }
 
 // order carries a load order to a worker, and its answer back.
-func (w *simWorld) order(x *simWorker, f balancer.FuncID, answered func(copies int, r balancer.Result)) {
-	j := &Job{Model: uint64(f), Load: w.f.Load, Concurrency: w.f.Concurrency, Order: true}
-	j.Data = func() { w.after(simLinkDelay, func() { answered(1, balancer.OK) }) }
-	v := x.model.Arrive(w.now, j)
-	if w.counts.arrived(w, x, j, v); v != Admitted {
+func (w *simWorld) order(worker *simWorker, function balancer.FuncID, answered func(copies int, r balancer.Result)) {
+	job := &Job{Model: uint64(function), Load: w.f.Load, Concurrency: w.f.Concurrency, Order: true}
+	job.Data = func() { w.after(simLinkDelay, func() { answered(1, balancer.OK) }) }
+	admission := worker.model.Arrive(w.now, job)
+	if w.counts.arrived(w, worker, job, admission); admission != Admitted {
 		w.after(simLinkDelay, func() { answered(0, balancer.QueueFull) })
 		return
 	}
-	w.hollow.loaded(j)
-	w.advance(x)
+	w.hollow.loaded(job)
+	w.advance(worker)
 }
 
-func (s *simNode) OrderUnload(id balancer.WorkerID, f balancer.FuncID) {
+func (s *simNode) OrderUnload(id balancer.WorkerID, function balancer.FuncID) {
 	s.meter.pause()
 	defer s.meter.resume()
 	if _, known := s.members[id]; known {
-		s.w.drop(s, s.w.byID[id], f)
+		s.w.drop(s, s.w.byID[id], function)
 	}
 }
 
 // drop carries an unload order to a worker, where its link delivers it.
-func (w *simWorld) drop(s *simNode, x *simWorker, f balancer.FuncID) {
-	if written, _ := w.connect(s, x); written && x.fate != vanishes {
-		w.after(simLinkDelay, func() { x.model.Unload(uint64(f)) })
+func (w *simWorld) drop(node *simNode, worker *simWorker, function balancer.FuncID) {
+	if written, _ := w.connect(node, worker); written && worker.fate != vanishes {
+		w.after(simLinkDelay, func() { worker.model.Unload(uint64(function)) })
 	}
 }
 
@@ -174,13 +174,13 @@
 		return
 	}
 	s.w.after(peerDelay, func() {
-		for _, x := range receivers {
-			if x.dead {
+		for _, node := range receivers {
+			if node.dead {
 				continue
 			}
-			s.w.hollow.countReceived(x.n, data, note)
-			s.meter.begin(x.n, partRead)
-			x.d.HandlePeerMessage(s.w.now.UnixNano(), s.n, data)
+			s.w.hollow.countReceived(node.n, data, note)
+			s.meter.begin(node.n, partRead)
+			node.d.HandlePeerMessage(s.w.now.UnixNano(), s.n, data)
 			s.meter.end()
 		}
 	})
--- a/internal/lab/simnode.go
+++ b/internal/lab/simnode.go
@@ -56,12 +56,12 @@
 		LoadOrderTimeout: int64(10 * time.Second), LoadQuotaBase: 6, LoadQuotaRatio: 0.3,
 		QueueField: 1, WastePrice: 0.2, OriginPrice: 0.03, MemoryPrice: 0.05,
 	}
-	for _, c := range f.Classes {
+	for _, class := range f.Classes {
 		k := balancer.Class{
-			LatencyObjective: int64(c.LatencyObjective), ClientTimeout: int64(c.ClientTimeout),
-			PriorityWeight: c.PriorityWeight, LatePriorityWeight: 0.2, Idempotency: balancer.Idempotent,
+			LatencyObjective: int64(class.LatencyObjective), ClientTimeout: int64(class.ClientTimeout),
+			PriorityWeight: class.PriorityWeight, LatePriorityWeight: 0.2, Idempotency: balancer.Idempotent,
 		}
-		if c.NotIdempotent {
+		if class.NotIdempotent {
 			k.Idempotency = balancer.NotIdempotent
 		}
 		s.Classes = append(s.Classes, k)
@@ -105,17 +105,18 @@
 		if p.Kind != balancer.EndpointsDelta {
 			s.members = make(map[balancer.WorkerID]simMember, len(p.Endpoints))
 		}
-		for _, b := range p.Endpoints {
-			m := simMember{b.State == balancer.Active, b.Start.UnixNano()}
-			if was, known := old[b.ID]; !m.on || known && was.start != m.start {
-				s.revoke(b.ID)
+		for _, endpoint := range p.Endpoints {
+			m := simMember{endpoint.State == balancer.Active, endpoint.Start.UnixNano()}
+			if was, known := old[endpoint.ID]; !m.on || known && was.start != m.start {
+				s.revoke(endpoint.ID)
 			}
-			if s.members[b.ID] = m; b.State == balancer.Removed {
-				delete(s.members, b.ID)
+			if s.members[endpoint.ID] = m; endpoint.State == balancer.Removed {
+				delete(s.members, endpoint.ID)
 			}
 			es = append(es, balancer.Endpoint{
-				Worker: b.ID, Zone: b.Zone, Kind: b.Kind, Cell: b.Cell, State: b.State,
-				Weight: b.Weight, Start: b.Start.UnixNano(),
+				Worker: endpoint.ID, Zone: endpoint.Zone, Kind: endpoint.Kind, Cell: endpoint.Cell,
+				State:  endpoint.State,
+				Weight: endpoint.Weight, Start: endpoint.Start.UnixNano(),
 			})
 		}
 		for _, fl := range s.unsentAttempts() {
@@ -127,31 +128,31 @@
 		s.d.UpdateEndpoints(s.w.now.UnixNano(), p.Kind, es)
 		s.meter.end()
 	}
-	for _, b := range a.Probe {
-		s.probe(b.ID)
+	for _, endpoint := range a.Probe {
+		s.probe(endpoint.ID)
 	}
 }
 
 // probe health-checks a worker and reports the result to the list.
 func (s *simNode) probe(id balancer.WorkerID) {
-	x := s.w.byID[id]
+	worker := s.w.byID[id]
 	sign, after := endpoints.Answered, 2*simLinkDelay
-	switch x.fate {
+	switch worker.fate {
 	case refuses, reused:
 		sign = endpoints.Refused
 	case vanishes, cutOff:
 		sign, after = endpoints.Silent, simProbe
 	}
-	if !s.w.reaches(s, x) {
+	if !s.w.reaches(s, worker) {
 		sign, after = endpoints.Silent, simProbe
 	}
 	s.w.after(after, func() {
 		if s.dead {
 			return
 		}
-		if sign == endpoints.Answered && x.model.Draining() {
+		if sign == endpoints.Answered && worker.model.Draining() {
 			sign = endpoints.Drains
-		} else if _, util := x.model.Report(s.w.now); sign == endpoints.Answered && util > 0.9 {
+		} else if _, util := worker.model.Report(s.w.now); sign == endpoints.Answered && util > 0.9 {
 			sign = endpoints.Slow
 		}
 		s.list.Probed(s.w.now, id, sign)
@@ -199,28 +200,28 @@
 }
 
 // again has the client come back, where that is harmless and there is time.
-func (s *simNode) again(c *simCall, wait time.Duration, harmless bool) {
-	k := s.w.f.Classes[c.class]
-	c.attempts++
-	if c.attempts > s.w.load.Retries || k.NotIdempotent && !harmless ||
-		s.w.now.Add(wait+k.Work).After(c.intended.Add(k.ClientTimeout)) {
-		c.ended = s.w.now
-		s.w.hollow.over(c)
+func (s *simNode) again(call *simCall, wait time.Duration, harmless bool) {
+	class := s.w.f.Classes[call.class]
+	call.attempts++
+	if call.attempts > s.w.load.Retries || class.NotIdempotent && !harmless ||
+		s.w.now.Add(wait+class.Work).After(call.intended.Add(class.ClientTimeout)) {
+		call.ended = s.w.now
+		s.w.hollow.over(call)
 		return
 	}
-	s.w.after(wait, func() { s.w.home(s.n).arrive(c) })
+	s.w.after(wait, func() { s.w.home(s.n).arrive(call) })
 }
 
 // end gives a call its one end. Of its attempts those that nothing was written of are revoked.
-func (s *simNode) end(id string, o *sentCall, served bool) {
+func (s *simNode) end(id string, sent *sentCall, served bool) {
 	delete(s.open, id)
-	for n := range o.attempts {
+	for n := range sent.attempts {
 		if fl := s.attempts[simKey{id, n}]; fl != nil && !fl.begun {
 			fl.abort(balancer.NotSent)
 		}
 	}
 	if served {
-		o.call.served, o.call.ended = true, s.w.now
-		s.w.hollow.over(o.call)
+		sent.call.served, sent.call.ended = true, s.w.now
+		s.w.hollow.over(sent.call)
 	}
 }
--- a/internal/lab/stage_test.go
+++ b/internal/lab/stage_test.go
@@ -148,20 +148,20 @@
 	if p.span == 0 {
 		p.span = 12 * time.Second
 	}
-	f := fleetFigures()
-	f.Worker.Warm, f.Worker.Keep = 4*time.Second, 3*time.Second
+	figures := fleetFigures()
+	figures.Worker.Warm, figures.Worker.Keep = 4*time.Second, 3*time.Second
 	w := &simWorld{
-		f: f, byID: map[balancer.WorkerID]*simWorker{}, popular: newZipf(40, 0.4),
+		f: figures, byID: map[balancer.WorkerID]*simWorker{}, popular: newZipf(40, 0.4),
 		simGossip: simGossip{messages: true, lossy: rand.New(rand.NewPCG(p.seed, 3))},
 		load:      Load{Rate: stageRate, Models: 40, Zipf: 0.4},
 	}
 	w.now, w.began = start, start
 	s := &stage{simWorld: w, play: p, began: start}
 	for i := range stageWorkers {
-		x := w.add(i, start.Add(-time.Hour))
-		x.zone = i % 2
+		worker := w.add(i, start.Add(-time.Hour))
+		worker.zone = i % 2
 		w.listed = append(w.listed, endpoints.Endpoint{
-			ID: x.id, Zone: x.zone, State: balancer.Active, Weight: 2,
+			ID: worker.id, Zone: worker.zone, State: balancer.Active, Weight: 2,
 			Start: start.Add(-time.Hour),
 		})
 	}
@@ -193,15 +193,15 @@
 func (s *stage) notifyList(which ...int) {
 	s.cursor++
 	u := endpoints.Update{Full: len(which) == 0, Cursor: s.cursor}
-	for i, b := range s.listed {
+	for i, endpoint := range s.listed {
 		if u.Full || slices.Contains(which, i) {
-			u.Endpoints = append(u.Endpoints, b)
+			u.Endpoints = append(u.Endpoints, endpoint)
 		}
 	}
-	for i, x := range s.nodes[1:] {
+	for i, node := range s.nodes[1:] {
 		s.after(time.Duration(i+1)*stageApart, func() {
-			x.list.HandleUpdate(s.now, u)
-			x.flush()
+			node.list.HandleUpdate(s.now, u)
+			node.flush()
 		})
 	}
 	if s.cursor == 1 || !s.loses("list") {
@@ -230,14 +230,14 @@
 			class++
 			u -= s.f.Classes[class].Share
 		}
-		c := &simCall{
+		call := &simCall{
 			class: class, model: s.load.model(s.popular.draw(rng.Float64()), s.began),
 			intended: s.began.Add(at), name: fmt.Sprintf("0.%03d", i),
 		}
-		s.calls0 = append(s.calls0, c)
-		s.at(c.intended, func() {
+		s.calls0 = append(s.calls0, call)
+		s.at(call.intended, func() {
 			if !s.loses("call") {
-				s.host.arrive(c)
+				s.host.arrive(call)
 			}
 		})
 	}
--- a/internal/lab/stubworker.go
+++ b/internal/lab/stubworker.go
@@ -51,15 +51,15 @@
 }
 
 // StartStubWorker starts a worker that listens at addr.
-func StartStubWorker(id, addr string, f *Figures, started time.Time) (*StubWorker, error) {
-	ln, err := listenAgain(addr)
+func StartStubWorker(id, addr string, figures *Figures, started time.Time) (*StubWorker, error) {
+	listener, err := listenAgain(addr)
 	if err != nil {
 		return nil, fmt.Errorf("worker %s: %w", id, err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	s := &StubWorker{
-		ID: id, Addr: ln.Addr().String(), f: f, model: NewWorkerModel(f.Worker, started),
-		kick: make(chan struct{}, 1), stop: stop, ln: ln,
+		ID: id, Addr: listener.Addr().String(), f: figures, model: NewWorkerModel(figures.Worker, started),
+		kick: make(chan struct{}, 1), stop: stop, ln: listener,
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /busy", s.probe)
@@ -73,7 +73,7 @@
 	) {
 		s.handler(mux).ServeHTTP(w, r)
 	}), ErrorLog: log.New(io.Discard, "", 0)}
-	go func() { _ = s.srv.Serve(ln) }()
+	go func() { _ = s.srv.Serve(listener) }()
 	go s.run(ctx)
 	return s, nil
 }
@@ -90,27 +90,27 @@
 
 // run lets the model's time pass and answers what has ended.
 func (s *StubWorker) run(ctx context.Context) {
-	t := time.NewTimer(time.Hour)
-	defer t.Stop()
+	timer := time.NewTimer(time.Hour)
+	defer timer.Stop()
 	for {
 		s.mu.Lock()
 		now := time.Now()
 		ended := s.model.Advance(now)
 		next := s.model.Next(now)
 		s.mu.Unlock()
-		for _, j := range ended {
-			close(j.Data.(chan struct{}))
+		for _, job := range ended {
+			close(job.Data.(chan struct{}))
 		}
 		wait := time.Hour
 		if !next.IsZero() {
 			wait = max(next.Sub(now), 0)
 		}
-		t.Reset(wait)
+		timer.Reset(wait)
 		select {
 		case <-ctx.Done():
 			return
 		case <-s.kick:
-		case <-t.C:
+		case <-timer.C:
 		}
 	}
 }
@@ -123,7 +123,7 @@
 }
 
 // Change does something to the model, at once.
-func (s *StubWorker) Change(f func(b *WorkerModel)) {
+func (s *StubWorker) Change(f func(model *WorkerModel)) {
 	s.mu.Lock()
 	f(s.model)
 	if s.model.Draining() && s.drained.IsZero() {
@@ -164,11 +164,11 @@
 // privileges.)
 func (s *StubWorker) Vanish() (release func(), err error) {
 	s.Die()
-	ln, err := net.Listen("tcp", s.Addr)
+	listener, err := net.Listen("tcp", s.Addr)
 	if err != nil {
 		return nil, fmt.Errorf("worker %s vanishes: %w", s.ID, err)
 	}
-	return func() { _ = ln.Close() }, nil
+	return func() { _ = listener.Close() }, nil
 }
 
 var errWorkerStopped = errors.New("worker has stopped")
@@ -217,23 +217,23 @@
 
 // submit gives the model a job and waits for its end; the error says why it was rejected, or that
 // the worker has stopped.
-func (s *StubWorker) submit(r *http.Request, j *Job) (Admission, error) {
+func (s *StubWorker) submit(r *http.Request, job *Job) (Admission, error) {
 	done := make(chan struct{})
-	j.Data = done
+	job.Data = done
 	s.mu.Lock()
 	now := time.Now()
-	v := s.model.Arrive(now, j)
-	if j.Order {
+	admission := s.model.Arrive(now, job)
+	if job.Order {
 		s.orders = append(s.orders, now)
 	} else {
 		s.observed = append(s.observed, ObservedCall{
-			At: now, ID: j.ID, Class: j.Class, Model: j.Model,
-			Took: v == Admitted, Draining: s.model.Draining(),
+			At: now, ID: job.ID, Class: job.Class, Model: job.Model,
+			Took: admission == Admitted, Draining: s.model.Draining(),
 		})
 	}
 	s.mu.Unlock()
-	if v != Admitted {
-		return v, nil
+	if admission != Admitted {
+		return admission, nil
 	}
 	s.wake()
 	select {
@@ -258,26 +258,26 @@
 		http.Error(w, "failed", http.StatusInternalServerError)
 		return
 	}
-	j := &Job{
+	job := &Job{
 		ID: id, Class: class, Model: model, Work: s.f.Work(class, id), Load: s.f.Load,
 		Concurrency: s.f.Concurrency,
 	}
-	v, err := s.submit(r, j)
+	admission, err := s.submit(r, job)
 	if err != nil {
 		return
 	}
 	s.mu.Lock()
 	s.report(w.Header(), time.Now())
 	s.mu.Unlock()
-	switch v {
+	switch admission {
 	case RejectedFull, RejectedDraining:
 		never(w)
 	case WorkerDown:
 		panic(http.ErrAbortHandler)
 	default:
-		w.Header().Set("X-Tell", noteNames[j.Warmth])
-		if j.ConcurrentRequests > 0 {
-			w.Header().Set("X-Same", strconv.Itoa(j.ConcurrentRequests))
+		w.Header().Set("X-Tell", noteNames[job.Warmth])
+		if job.ConcurrentRequests > 0 {
+			w.Header().Set("X-Same", strconv.Itoa(job.ConcurrentRequests))
 		}
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)+len(id)))
 		_, _ = io.WriteString(w, id)
@@ -302,10 +302,10 @@
 		http.Error(w, "malformed", http.StatusBadRequest)
 		return
 	}
-	v := Admitted
+	admission := Admitted
 	if count > 0 {
 		var err error
-		if v, err = s.submit(r, &Job{
+		if admission, err = s.submit(r, &Job{
 			Model: model, Load: s.f.Load, Concurrency: s.f.Concurrency,
 			Order: true,
 		}); err != nil {
@@ -315,7 +315,7 @@
 	s.mu.Lock()
 	w.Header().Set("X-N", strconv.Itoa(s.model.Loaded(time.Now(), model)))
 	s.mu.Unlock()
-	if v != Admitted {
+	if admission != Admitted {
 		never(w)
 	}
 }
--- a/internal/lab/turns.go
+++ b/internal/lab/turns.go
@@ -44,8 +44,8 @@
 // Broadcasts returns the datagrams with which a dispatcher began to send to most others at once.
 func Broadcasts(datagrams []Datagram, dispatchers int) (digests []Datagram) {
 	byFrom := make([][]Datagram, dispatchers)
-	for _, x := range datagrams {
-		byFrom[x.From] = append(byFrom[x.From], x)
+	for _, datagram := range datagrams {
+		byFrom[datagram.From] = append(byFrom[datagram.From], datagram)
 	}
 	for _, sent := range byFrom {
 		for i := 0; i < len(sent); {
@@ -68,18 +68,18 @@
 // Silence is the longest time in a span without a word among the dispatchers that stay names.
 func Silence(datagrams []Datagram, stay func(int) bool, from, until time.Time) (most time.Duration) {
 	last := from
-	for _, x := range datagrams {
-		if stay(x.From) && stay(x.To) && x.At.After(from) && x.At.Before(until) {
-			last, most = x.At, max(most, x.At.Sub(last))
+	for _, datagram := range datagrams {
+		if stay(datagram.From) && stay(datagram.To) && datagram.At.After(from) && datagram.At.Before(until) {
+			last, most = datagram.At, max(most, datagram.At.Sub(last))
 		}
 	}
 	return max(most, until.Sub(last))
 }
 
 // RunTurns runs the experiment.
-func RunTurns(ctx context.Context, o Options) (*Report, error) {
+func RunTurns(ctx context.Context, options Options) (*Report, error) {
 	sizes, workers, seeds := []int{12, 24}, 24, 3
-	if o.Quick {
+	if options.Quick {
 		sizes, workers, seeds = []int{6}, 12, 1
 	}
 	return versus[turnsResult]{
@@ -90,7 +90,7 @@
 			size.Workers = workers
 			return turnsArm(ctx, net, dir, fault, size)
 		}, report: turnsReport,
-	}.all(ctx, o)
+	}.all(ctx, options)
 }
 
 // turnsRun is one play of the experiment.
@@ -116,46 +116,46 @@
 // inject begins the fault. ready limits the start of further dispatchers, sending the calls of
 // their clients.
 func (t turnsRun) inject(ready, sending context.Context) error {
-	r := t.rig
+	rig := t.rig
 	switch t.fault {
 	case TurnsKilled:
-		return r.each(func(n int) bool { return !t.stays(n) }, (*Dispatcher).Kill)
+		return rig.each(func(n int) bool { return !t.stays(n) }, (*Dispatcher).Kill)
 	case TurnsStopped:
-		err := r.Signal(syscall.SIGSTOP, thirdOf)
-		time.AfterFunc(3*time.Second, func() { _ = r.Signal(syscall.SIGCONT, thirdOf) })
+		err := rig.Signal(syscall.SIGSTOP, thirdOf)
+		time.AfterFunc(3*time.Second, func() { _ = rig.Signal(syscall.SIGCONT, thirdOf) })
 		return err
 	case TurnsHalves:
-		r.PeerNetwork.Set(Lost, func(from, to int) bool { return meshHalf(from) != meshHalf(to) })
+		rig.PeerNetwork.Set(Lost, func(from, to int) bool { return meshHalf(from) != meshHalf(to) })
 	case TurnsGrown:
 		later := func(n int) bool { return !t.first(n) }
-		if err := r.Start(ready, later); err != nil {
+		if err := rig.Start(ready, later); err != nil {
 			return err
 		}
-		r.Send(sending, later)
+		rig.Send(sending, later)
 	}
 	return nil
 }
 
 // turnsArm plays one fault under one program.
 func turnsArm(ctx context.Context, net *Net, dir, fault string, size RigSize) (*turnsResult, error) {
-	r, err := NewOutlierRig(net, dir, size)
+	rig, err := NewOutlierRig(net, dir, size)
 	if err != nil {
 		return nil, err
 	}
-	defer r.Close()
-	t := turnsRun{r, fault}
+	defer rig.Close()
+	t := turnsRun{rig, fault}
 	ready, done := context.WithTimeout(ctx, 20*time.Second)
 	defer done()
-	if err := r.Start(ready, t.first); err != nil {
+	if err := rig.Start(ready, t.first); err != nil {
 		return nil, err
 	}
 	sending, enough := context.WithCancel(ctx)
 	defer enough()
-	r.Send(sending, func(n int) bool { return t.stays(n) && t.first(n) })
+	rig.Send(sending, func(n int) bool { return t.stays(n) && t.first(n) })
 	if err := sleepUntil(ctx, time.Now().Add(4*time.Second)); err != nil {
 		return nil, err
 	}
-	began, term := time.Now(), leaderTerm*r.Figures.Classes[0].LatencyObjective
+	began, term := time.Now(), leaderTerm*rig.Figures.Classes[0].LatencyObjective
 	if err := t.inject(ready, sending); err != nil {
 		return nil, err
 	}
@@ -165,36 +165,37 @@
 		return nil, err
 	}
 	enough()
-	r.Quiet()
-	x := t.count(from, end, term)
-	calls := r.Calls(t.stays)
-	x.calm, x.late = Served(calls, began.Add(-2*time.Second), began, nil), Served(calls, from, end, nil)
+	rig.Quiet()
+	result := t.count(from, end, term)
+	calls := rig.Calls(t.stays)
+	result.calm, result.late = Served(calls, began.Add(-2*time.Second), began, nil), Served(calls, from, end, nil)
 	if fault == TurnsKilled {
-		return x, nil
+		return result, nil
 	}
-	if err := r.Stop(); err != nil {
+	if err := rig.Stop(); err != nil {
 		return nil, fmt.Errorf("a dispatcher did not end well: %w", err)
 	}
-	return x, nil
+	return result, nil
 }
 
 // count takes the breaches of the run, and the silence and the terms without a broadcast in a span.
 func (t turnsRun) count(from, end time.Time, term time.Duration) *turnsResult {
-	x := &turnsResult{Breaches: t.rig.Check(func(a Attempt) bool { return !t.stays(senderOf(a.ID)) })}
+	result := &turnsResult{Breaches: t.rig.Check(func(a Attempt) bool { return !t.stays(senderOf(a.ID)) })}
 	datagrams := t.rig.PeerNetwork.Datagrams()
-	x.silence = Silence(datagrams, t.stays, from, end).Seconds() / term.Seconds()
+	result.silence = Silence(datagrams, t.stays, from, end).Seconds() / term.Seconds()
 	broadcast := make([]bool, turnsCount)
-	for _, d := range Broadcasts(datagrams, t.rig.Dispatchers) {
-		if i := int(d.At.Sub(from) / term); t.stays(d.From) && d.At.After(from) && i < len(broadcast) {
+	for _, datagram := range Broadcasts(datagrams, t.rig.Dispatchers) {
+		if i := int(datagram.At.Sub(from) / term); t.stays(datagram.From) && datagram.At.After(from) &&
+			i < len(broadcast) {
 			broadcast[i] = true
 		}
 	}
 	for _, ok := range broadcast {
 		if !ok {
-			x.idle += 1.0 / turnsCount
+			result.idle += 1.0 / turnsCount
 		}
 	}
-	return x
+	return result
 }
 
 // turnsReport adds the rows and bounds of one fault under both programs.
--- a/internal/lab/virtualtime.go
+++ b/internal/lab/virtualtime.go
@@ -97,8 +97,8 @@
 }
 
 // reaches reports whether a dispatcher's connections to a worker come up.
-func (w *simWorld) reaches(s *simNode, x *simWorker) bool {
-	return x.fate != cutOff && (!w.parted || s.n%2 == x.zone)
+func (w *simWorld) reaches(node *simNode, worker *simWorker) bool {
+	return worker.fate != cutOff && (!w.parted || node.n%2 == worker.zone)
 }
 
 // simCall is a call of a client with all its attempts.
@@ -126,88 +126,89 @@
 
 // reach delivers a call to a worker.
 func (w *simWorld) reach(
-	s *simNode, x *simWorker, id string, c *simCall, land func(balancer.Result, balancer.Warmth, int, []float64),
+	node *simNode, worker *simWorker, id string, call *simCall,
+	land func(balancer.Result, balancer.Warmth, int, []float64),
 ) {
-	if x.failing {
-		x.spoilt++
-		w.take(x)
-		w.book(c)
+	if worker.failing {
+		worker.spoilt++
+		w.take(worker)
+		w.book(call)
 		w.after(simLinkDelay, func() { land(balancer.Error, 0, 0, nil) })
 		return
 	}
-	j := &Job{
-		ID: id, Class: c.class, Model: c.model, Work: w.f.Work(c.class, c.name), Load: w.f.Load,
+	job := &Job{
+		ID: id, Class: call.class, Model: call.model, Work: w.f.Work(call.class, call.name), Load: w.f.Load,
 		Concurrency: w.f.Concurrency,
 	}
 	report := func() []float64 {
-		queue, util := x.model.Report(w.now)
+		queue, util := worker.model.Report(w.now)
 		return []float64{float64(queue), util}
 	}
-	j.Data = func() {
+	job.Data = func() {
 		if w.unheard > 0 && w.lossy.Float64() < w.unheard {
 			return // the deadline ends it
 		}
-		c.awaitedLoad = c.awaitedLoad || j.Warmth != WarmHit
+		call.awaitedLoad = call.awaitedLoad || job.Warmth != WarmHit
 		rep, warm := report(), [...]balancer.Warmth{
 			balancer.WarmHit, balancer.BeganLoad,
 			balancer.AwaitedLoad,
-		}[j.Warmth]
-		w.after(simLinkDelay, func() { land(balancer.OK, warm, j.ConcurrentRequests, rep) })
+		}[job.Warmth]
+		w.after(simLinkDelay, func() { land(balancer.OK, warm, job.ConcurrentRequests, rep) })
 	}
-	v := x.model.Arrive(w.now, j)
-	w.counts.arrived(w, x, j, v)
-	if x.model.Draining() {
-		first, known := s.drainNotified[x.id]
-		if !x.drained.IsZero() {
-			first, known = x.drained, true
+	admission := worker.model.Arrive(w.now, job)
+	w.counts.arrived(w, worker, job, admission)
+	if worker.model.Draining() {
+		first, known := node.drainNotified[worker.id]
+		if !worker.drained.IsZero() {
+			first, known = worker.drained, true
 		}
 		if !known {
-			s.drainNotified[x.id] = w.now
+			node.drainNotified[worker.id] = w.now
 		} else if w.now.Sub(first) > time.Second {
 			w.late++
 		}
 	}
-	if v != Admitted {
+	if admission != Admitted {
 		rep, res := report(), balancer.QueueFull
-		if v == WorkerDown {
+		if admission == WorkerDown {
 			res = balancer.Reset
 		}
 		w.after(simLinkDelay, func() { land(res, 0, 0, rep) })
 		return
 	}
-	w.hollow.loaded(j)
-	w.take(x)
-	w.book(c)
-	w.advance(x)
+	w.hollow.loaded(job)
+	w.take(worker)
+	w.book(call)
+	w.advance(worker)
 }
 
 // take records when a worker took a call; a hollow run, which has many, does not.
-func (w *simWorld) take(x *simWorker) {
+func (w *simWorld) take(worker *simWorker) {
 	if w.hollow == nil {
-		x.took = append(x.took, w.now)
+		worker.took = append(worker.took, w.now)
 	}
 }
 
 // book counts a call of a class that must not run twice.
-func (w *simWorld) book(c *simCall) {
-	if c.ran++; c.ran == 2 && w.f.Classes[c.class].NotIdempotent {
+func (w *simWorld) book(call *simCall) {
+	if call.ran++; call.ran == 2 && w.f.Classes[call.class].NotIdempotent {
 		w.twice++
 	}
 }
 
 // advance ends the jobs of a worker that are done, and schedules the next time to look.
-func (w *simWorld) advance(x *simWorker) {
-	for _, j := range x.model.Advance(w.now) {
-		j.Data.(func())()
+func (w *simWorld) advance(worker *simWorker) {
+	for _, job := range worker.model.Advance(w.now) {
+		job.Data.(func())()
 	}
-	next := x.model.Next(w.now)
-	if next.IsZero() || !x.wake.IsZero() && x.wake.After(w.now) && !next.Before(x.wake) {
+	next := worker.model.Next(w.now)
+	if next.IsZero() || !worker.wake.IsZero() && worker.wake.After(w.now) && !next.Before(worker.wake) {
 		return
 	}
-	x.wake = next
+	worker.wake = next
 	w.at(next, func() {
-		if x.wake.Equal(w.now) {
-			w.advance(x)
+		if worker.wake.Equal(w.now) {
+			w.advance(worker)
 		}
 	})
 }
@@ -223,12 +224,12 @@
 			class++
 			u -= w.f.Classes[class].Share
 		}
-		c := &simCall{
+		call := &simCall{
 			class: class, model: w.load.model(w.popular.draw(rng.Float64()), w.now), intended: w.now,
 			name: strconv.Itoa(n) + "." + strconv.Itoa(seq),
 		}
-		w.calls = append(w.calls, c)
-		w.nodes[n].arrive(c)
+		w.calls = append(w.calls, call)
+		w.nodes[n].arrive(call)
 		w.arrivals(n, rng, seq+1, until)
 	})
 }
--- a/internal/lab/worker.go
+++ b/internal/lab/worker.go
@@ -131,24 +131,24 @@
 func (b *WorkerModel) Stall(until time.Time) { b.frozen = until }
 
 // Arrive takes a job or says why not. A taken one comes back from Advance.
-func (b *WorkerModel) Arrive(now time.Time, j *Job) Admission {
+func (b *WorkerModel) Arrive(now time.Time, job *Job) Admission {
 	switch {
 	case b.fallen:
 		return WorkerDown
 	case b.draining:
 		return RejectedDraining
 	}
-	if b.overrun(now, j) {
+	if b.overrun(now, job) {
 		b.fallen = true
 		return WorkerDown
 	}
-	if !j.Order && len(b.waiting) >= b.cfg.Queue {
+	if !job.Order && len(b.waiting) >= b.cfg.Queue {
 		return RejectedFull
 	}
 	b.expire(now)
-	c := b.copies[j.Model]
+	loaded := b.copies[job.Model]
 	switch {
-	case c == nil:
+	case loaded == nil:
 		if !b.makeRoom() {
 			return RejectedFull
 		}
@@ -158,28 +158,28 @@
 				loading++
 			}
 		}
-		wait := j.Load * time.Duration(1+loading/max(1, b.cfg.Loads))
-		c = &modelCopy{ready: now.Add(wait), concurrency: max(1, j.Concurrency)}
-		b.copies[j.Model] = c
-		b.loads[j.Model]++
-		j.Warmth = BeganLoad
-	case c.ready.After(now):
-		j.Warmth = AwaitedLoad
+		wait := job.Load * time.Duration(1+loading/max(1, b.cfg.Loads))
+		loaded = &modelCopy{ready: now.Add(wait), concurrency: max(1, job.Concurrency)}
+		b.copies[job.Model] = loaded
+		b.loads[job.Model]++
+		job.Warmth = BeganLoad
+	case loaded.ready.After(now):
+		job.Warmth = AwaitedLoad
 	}
-	j.ConcurrentRequests = min(c.held, 30)
-	c.held++
-	c.used = now
-	b.waiting = append(b.waiting, j)
+	job.ConcurrentRequests = min(loaded.held, 30)
+	loaded.held++
+	loaded.used = now
+	b.waiting = append(b.waiting, job)
 	return Admitted
 }
 
 // overrun records what is sent to a warming worker and applies the overload rule: work within Fall
 // against Factor times the present capacity, with room for two calls of chance.
-func (b *WorkerModel) overrun(now time.Time, j *Job) bool {
-	if b.cfg.Fall <= 0 || b.Capacity(now) >= 1 || j.Order {
+func (b *WorkerModel) overrun(now time.Time, job *Job) bool {
+	if b.cfg.Fall <= 0 || b.Capacity(now) >= 1 || job.Order {
 		return false
 	}
-	b.sent = append(b.sent, sentWork{now, j.Work})
+	b.sent = append(b.sent, sentWork{now, job.Work})
 	for len(b.sent) > 0 && now.Sub(b.sent[0].at) > b.cfg.Fall {
 		b.sent = b.sent[1:]
 	}
@@ -188,13 +188,13 @@
 		sum += s.work
 	}
 	room := b.cfg.Factor * b.Capacity(now) * float64(b.cfg.Cores) * float64(b.cfg.Fall)
-	return float64(sum) > room+float64(2*j.Work)
+	return float64(sum) > room+float64(2*job.Work)
 }
 
 // expire unloads copies that have lain idle for long enough.
 func (b *WorkerModel) expire(now time.Time) {
-	for m, c := range b.copies {
-		if c.held == 0 && now.Sub(c.used) > b.cfg.Keep {
+	for m, loaded := range b.copies {
+		if loaded.held == 0 && now.Sub(loaded.used) > b.cfg.Keep {
 			delete(b.copies, m)
 			b.unloads.expired++
 		}
@@ -208,9 +208,9 @@
 	}
 	var oldest uint64
 	var at *modelCopy
-	for m, c := range b.copies {
-		if c.held == 0 && (at == nil || c.used.Before(at.used) || c.used.Equal(at.used) && m < oldest) {
-			oldest, at = m, c
+	for m, loaded := range b.copies {
+		if loaded.held == 0 && (at == nil || loaded.used.Before(at.used) || loaded.used.Equal(at.used) && m < oldest) {
+			oldest, at = m, loaded
 		}
 	}
 	if at == nil {
@@ -228,12 +228,12 @@
 			at = t
 		}
 	}
-	for _, j := range b.running {
-		soon(j.done)
+	for _, job := range b.running {
+		soon(job.done)
 	}
-	for _, j := range b.waiting {
-		if c := b.copies[j.Model]; c.ready.After(now) {
-			soon(c.ready)
+	for _, job := range b.waiting {
+		if loaded := b.copies[job.Model]; loaded.ready.After(now) {
+			soon(loaded.ready)
 		}
 	}
 	if !at.IsZero() && at.Before(b.frozen) {
@@ -250,22 +250,22 @@
 	for {
 		// What ends first, frees its core at its own time.
 		at := now
-		for _, j := range b.running {
-			if j.done.Before(at) {
-				at = j.done
+		for _, job := range b.running {
+			if job.done.Before(at) {
+				at = job.done
 			}
 		}
 		n := len(ended)
 		b.use(at)
-		b.running = slices.DeleteFunc(b.running, func(j *Job) bool {
-			if j.done.After(at) {
+		b.running = slices.DeleteFunc(b.running, func(job *Job) bool {
+			if job.done.After(at) {
 				return false
 			}
-			c := b.copies[j.Model]
-			c.busy--
-			c.held--
-			c.used = at
-			ended = append(ended, j)
+			loaded := b.copies[job.Model]
+			loaded.busy--
+			loaded.held--
+			loaded.used = at
+			ended = append(ended, job)
 			return true
 		})
 		ended = append(ended, b.begin(at)...)
@@ -277,22 +277,22 @@
 
 // begin starts what can run; orders end as soon as the copy stands.
 func (b *WorkerModel) begin(now time.Time) (ended []*Job) {
-	b.waiting = slices.DeleteFunc(b.waiting, func(j *Job) bool {
-		c := b.copies[j.Model]
-		if c.ready.After(now) {
+	b.waiting = slices.DeleteFunc(b.waiting, func(job *Job) bool {
+		loaded := b.copies[job.Model]
+		if loaded.ready.After(now) {
 			return false
 		}
-		if j.Order {
-			c.held--
-			ended = append(ended, j)
+		if job.Order {
+			loaded.held--
+			ended = append(ended, job)
 			return true
 		}
-		if len(b.running) >= b.cfg.Cores || c.busy >= c.concurrency {
+		if len(b.running) >= b.cfg.Cores || loaded.busy >= loaded.concurrency {
 			return false
 		}
-		c.busy++
-		j.done = now.Add(time.Duration(float64(j.Work) * b.slow / b.Capacity(now)))
-		b.running = append(b.running, j)
+		loaded.busy++
+		job.done = now.Add(time.Duration(float64(job.Work) * b.slow / b.Capacity(now)))
+		b.running = append(b.running, job)
 		return true
 	})
 	return ended
@@ -309,8 +309,8 @@
 // Report returns the load that the worker reports: calls waiting, and the use of its cores.
 func (b *WorkerModel) Report(now time.Time) (queue int, util float64) {
 	b.use(now)
-	for _, j := range b.waiting {
-		if !j.Order {
+	for _, job := range b.waiting {
+		if !job.Order {
 			queue++
 		}
 	}
@@ -319,7 +319,7 @@
 
 // Loaded counts the copies of a model that stand.
 func (b *WorkerModel) Loaded(now time.Time, model uint64) int {
-	if c := b.copies[model]; c != nil && !c.ready.After(now) {
+	if loaded := b.copies[model]; loaded != nil && !loaded.ready.After(now) {
 		return 1
 	}
 	return 0
@@ -336,7 +336,7 @@
 
 // Unload drops a model's copy if it is idle.
 func (b *WorkerModel) Unload(model uint64) {
-	if c := b.copies[model]; c != nil && c.held == 0 {
+	if loaded := b.copies[model]; loaded != nil && loaded.held == 0 {
 		delete(b.copies, model)
 		b.unloads.dropped++
 	}
--- a/internal/soak/campaign.go
+++ b/internal/soak/campaign.go
@@ -71,9 +71,9 @@
 
 // Failed are the runs with violations, inconclusive ones left out.
 func (c *Campaign) Failed() (out []Result) {
-	for _, r := range c.Runs {
-		if len(r.Violations) > 0 && !r.Inconclusive() {
-			out = append(out, r)
+	for _, result := range c.Runs {
+		if len(result.Violations) > 0 && !result.Inconclusive() {
+			out = append(out, result)
 		}
 	}
 	return out
@@ -99,50 +99,51 @@
 
 // Play runs a campaign. The error reports runs that could not be made; violations are in the
 // campaign.
-func Play(ctx context.Context, o Options) (*Campaign, error) {
-	if o.Jobs == 0 {
-		o.Jobs = max(1, runtime.NumCPU()/2)
+func Play(ctx context.Context, options Options) (*Campaign, error) {
+	if options.Jobs == 0 {
+		options.Jobs = max(1, runtime.NumCPU()/2)
 	}
-	if err := o.check(); err != nil {
+	if err := options.check(); err != nil {
 		return nil, err
 	}
 	schedules := []Schedule{}
-	if o.Replay != nil {
-		schedules = append(schedules, *o.Replay)
+	if options.Replay != nil {
+		schedules = append(schedules, *options.Replay)
 	}
-	for i := range uint64(o.Seeds) {
-		if o.Replay == nil {
-			schedules = append(schedules, Draw(o.Seed+i, o.Processes, o.Only))
+	for i := range uint64(options.Seeds) {
+		if options.Replay == nil {
+			schedules = append(schedules, Draw(options.Seed+i, options.Processes, options.Only))
 		}
 	}
 	c := &Campaign{Pairs: map[string]*Pair{}, Short: map[uint64]Schedule{}}
-	err := c.playAll(ctx, o, schedules)
-	if o.Shorten {
-		c.shorten(ctx, o)
+	err := c.playAll(ctx, options, schedules)
+	if options.Shorten {
+		c.shorten(ctx, options)
 	}
-	return c, errors.Join(err, c.write(filepath.Join(o.Dir, reportName)))
+	return c, errors.Join(err, c.write(filepath.Join(options.Dir, reportName)))
 }
 
 // playAll plays schedules, some at a time.
-func (c *Campaign) playAll(ctx context.Context, o Options, schedules []Schedule) error {
+func (c *Campaign) playAll(ctx context.Context, options Options, schedules []Schedule) error {
 	var mu sync.Mutex
 	var failed error
 	var runs sync.WaitGroup
-	places := make(chan struct{}, o.Jobs)
-	for _, s := range schedules {
+	places := make(chan struct{}, options.Jobs)
+	for _, schedule := range schedules {
 		places <- struct{}{}
 		runs.Go(func() {
 			defer func() { <-places }()
 			one, cancel := context.WithTimeout(ctx, hardTime)
 			defer cancel()
-			r, err := Run(one, s, filepath.Join(o.Dir, fmt.Sprintf(runFolder, s.Seed)), o.Program)
+			result, err := Run(one, schedule, filepath.Join(options.Dir, fmt.Sprintf(runFolder, schedule.Seed)),
+				options.Program)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				failed = errors.Join(failed, fmt.Errorf("seed %d: %w", s.Seed, err))
+				failed = errors.Join(failed, fmt.Errorf("seed %d: %w", schedule.Seed, err))
 			}
-			c.add(r)
-			reportProgress(o, r, len(c.Runs), len(schedules))
+			c.add(result)
+			reportProgress(options, result, len(c.Runs), len(schedules))
 		})
 	}
 	runs.Wait()
@@ -150,60 +151,61 @@
 }
 
 // reportProgress writes progress.
-func reportProgress(o Options, r Result, done, all int) {
-	if o.Progress == nil {
+func reportProgress(options Options, result Result, done, all int) {
+	if options.Progress == nil {
 		return
 	}
-	if r.Inconclusive() {
-		o.Progress("seed %d: inconclusive, the laboratory stood still for %v (%d violations not counted)",
-			r.Schedule.Seed, r.Stalled, len(r.Violations))
-	} else if len(r.Violations) > 0 {
-		o.Progress("seed %d: %d violations, in %s", r.Schedule.Seed, len(r.Violations), r.Dir)
-		for _, v := range r.Violations[:min(len(r.Violations), maxViolationsPrinted)] {
-			o.Progress("  %s", v)
+	if result.Inconclusive() {
+		options.Progress("seed %d: inconclusive, the laboratory stood still for %v (%d violations not counted)",
+			result.Schedule.Seed, result.Stalled, len(result.Violations))
+	} else if len(result.Violations) > 0 {
+		options.Progress("seed %d: %d violations, in %s", result.Schedule.Seed, len(result.Violations), result.Dir)
+		for _, violation := range result.Violations[:min(len(result.Violations), maxViolationsPrinted)] {
+			options.Progress("  %s", violation)
 		}
 	}
 	if done%progressEvery == 0 || done == all {
-		o.Progress("%d of %d runs", done, all)
+		options.Progress("%d of %d runs", done, all)
 	}
 }
 
 // add takes a run into the campaign and counts its pairs of faults.
-func (c *Campaign) add(r Result) {
-	c.Runs = append(c.Runs, r)
-	if r.Inconclusive() {
+func (c *Campaign) add(result Result) {
+	c.Runs = append(c.Runs, result)
+	if result.Inconclusive() {
 		return
 	}
-	for _, name := range r.Schedule.Pairs() {
+	for _, name := range result.Schedule.Pairs() {
 		if c.Pairs[name] == nil {
 			c.Pairs[name] = &Pair{}
 		}
 		c.Pairs[name].Played++
-		if len(r.Violations) > 0 {
+		if len(result.Violations) > 0 {
 			c.Pairs[name].Failed++
 		}
 	}
 }
 
 // shorten runs what failed again with less, as far as it still breaks one of the same rules.
-func (c *Campaign) shorten(ctx context.Context, o Options) {
+func (c *Campaign) shorten(ctx context.Context, options Options) {
 	within, cancel := context.WithTimeout(ctx, shortenTime)
 	defer cancel()
-	for _, r := range c.Failed() {
+	for _, result := range c.Failed() {
 		runs := 0
-		short := r.Schedule.Shorten(func(s Schedule) bool {
+		short := result.Schedule.Shorten(func(schedule Schedule) bool {
 			if within.Err() != nil {
 				return false
 			}
 			runs++
-			again, err := Run(within, s, filepath.Join(o.Dir, fmt.Sprintf(shorterFolder, s.Seed, runs)), o.Program)
-			return err == nil && !again.Inconclusive() && sharesRule(r.Violations, again.Violations)
+			again, err := Run(within, schedule, filepath.Join(options.Dir,
+				fmt.Sprintf(shorterFolder, schedule.Seed, runs)), options.Program)
+			return err == nil && !again.Inconclusive() && sharesRule(result.Violations, again.Violations)
 		})
-		c.Short[r.Schedule.Seed] = short
-		path := filepath.Join(r.Dir, scheduleName)
-		if err := short.Write(path); err == nil && o.Progress != nil {
-			o.Progress("seed %d: shortest that fails, of %d runs: %v; play it with testbed run soak --replay %s",
-				r.Schedule.Seed, runs, short.Faults, path)
+		c.Short[result.Schedule.Seed] = short
+		path := filepath.Join(result.Dir, scheduleName)
+		if err := short.Write(path); err == nil && options.Progress != nil {
+			options.Progress("seed %d: shortest that fails, of %d runs: %v; play it with testbed run soak --replay %s",
+				result.Schedule.Seed, runs, short.Faults, path)
 		}
 	}
 }
@@ -243,14 +245,14 @@
 	_ = t.Flush()
 	inconclusive, requests, served := 0, 0, 0
 	rules := map[Rule]int{}
-	for _, r := range c.Runs {
-		requests, served = requests+r.Requests, served+r.Served
-		if r.Inconclusive() {
+	for _, result := range c.Runs {
+		requests, served = requests+result.Requests, served+result.Served
+		if result.Inconclusive() {
 			inconclusive++
 			continue
 		}
-		for _, v := range r.Violations {
-			rules[v.Rule]++
+		for _, violation := range result.Violations {
+			rules[violation.Rule]++
 		}
 	}
 	fmt.Fprintf(out, "%d runs, %d with violations, %d inconclusive; %d requests, %d served; %d pairs of troubles\n",
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -119,8 +119,8 @@
 		c.wait.Wait()
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		for _, k := range c.idle {
-			_ = k.Close()
+		for _, conn := range c.idle {
+			_ = conn.Close()
 		}
 		c.idle = nil
 	}()
@@ -153,42 +153,42 @@
 
 // drawCall draws the next call; the caller holds mu.
 func (c *Clients) drawCall() plannedCall {
-	p := plannedCall{
+	planned := plannedCall{
 		class: len(c.figures.Classes) - 1, model: 0x7f00 + uint64(c.rng.IntN(c.models)),
 		fresh: c.rng.IntN(4) == 0,
 	}
 	u := c.rng.Float64()
 	for i, k := range c.figures.Classes {
 		if u -= k.Share; u < 0 {
-			p.class = i
+			planned.class = i
 			break
 		}
 	}
-	p.timeout = c.figures.Classes[p.class].ClientTimeout
+	planned.timeout = c.figures.Classes[planned.class].ClientTimeout
 	if c.rng.Float64() < c.how.Brief {
-		p.timeout = time.Millisecond + time.Duration(c.rng.Int64N(int64(briefTime)))
+		planned.timeout = time.Millisecond + time.Duration(c.rng.Int64N(int64(briefTime)))
 	}
 	if c.rng.Float64() < c.how.Leave {
-		p.leave, p.leaveMode = time.Duration(1+c.rng.Int64N(int64(250*time.Millisecond))), c.rng.IntN(3)
+		planned.leave, planned.leaveMode = time.Duration(1+c.rng.Int64N(int64(250*time.Millisecond))), c.rng.IntN(3)
 	}
 	if c.rng.Float64() < c.how.Dawdle {
-		p.dawdle = 1 + c.rng.IntN(2)
+		planned.dawdle = 1 + c.rng.IntN(2)
 	}
-	p.retry = c.rng.Float64() < c.how.Retry
-	return p
+	planned.retry = c.rng.Float64() < c.how.Retry
+	return planned
 }
 
 // call makes a call and what follows from it: one that crossed the close of an idle connection is
 // sent again, once, and a refused one by clients that come again at once.
-func (c *Clients) call(p plannedCall) {
-	r := c.send(p)
-	if r.End == Closed && r.Reused && r.Ended.Sub(r.SentAt) < crossed {
-		p.fresh = true
-		r = c.send(p)
+func (c *Clients) call(planned plannedCall) {
+	request := c.send(planned)
+	if request.End == Closed && request.Reused && request.Ended.Sub(request.SentAt) < crossed {
+		planned.fresh = true
+		request = c.send(planned)
 	}
-	for runs := 0; p.retry && runs < 3 && r.End == Answered && refused(r.Status); runs++ {
-		p.fresh = true
-		r = c.send(p)
+	for runs := 0; planned.retry && runs < 3 && request.End == Answered && refused(request.Status); runs++ {
+		planned.fresh = true
+		request = c.send(planned)
 	}
 }
 
@@ -217,73 +217,73 @@
 }
 
 // giveBack returns a connection to the pool; a full pool closes the one that is idle for longest.
-func (c *Clients) giveBack(k *clientConn) {
+func (c *Clients) giveBack(conn *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	k.used = time.Now()
+	conn.used = time.Now()
 	if len(c.idle) >= maxIdleConns {
 		_ = c.idle[0].Close()
 		c.idle = c.idle[1:]
 	}
-	c.idle = append(c.idle, k)
+	c.idle = append(c.idle, conn)
 }
 
 // send makes one request and records it.
-func (c *Clients) send(p plannedCall) *Request {
-	r := &Request{
-		ID: fmt.Sprintf("%03x%013x", c.node, c.seq.Add(1)), Node: c.node, Class: p.class,
-		Timeout: p.timeout, End: NotSent,
+func (c *Clients) send(planned plannedCall) *Request {
+	request := &Request{
+		ID: fmt.Sprintf("%03x%013x", c.node, c.seq.Add(1)), Node: c.node, Class: planned.class,
+		Timeout: planned.timeout, End: NotSent,
 	}
 	defer func() {
-		r.Ended = time.Now()
+		request.Ended = time.Now()
 		c.mu.Lock()
-		c.records = append(c.records, r)
+		c.records = append(c.records, request)
 		c.mu.Unlock()
 	}()
-	r.Sent = time.Now()
-	k, reused, err := c.connection(p.fresh)
+	request.Sent = time.Now()
+	conn, reused, err := c.connection(planned.fresh)
 	if err != nil {
-		r.Err = err.Error()
-		return r
+		request.Err = err.Error()
+		return request
 	}
-	r.Reused, r.Sent = reused, time.Now()
-	body := "slot " + r.ID
+	request.Reused, request.Sent = reused, time.Now()
+	body := "slot " + request.ID
 	head := fmt.Sprintf("POST /call/%016x/trigger HTTP/1.1\r\nHost: origin.svc\r\nX-Class: %s\r\nX-Call-Id: "+
 		"%s\r\nX-Patience-Ms: %d\r\n"+
-		"X-Extras: memory_mb:4000;lanes:%d;load_ms:%d\r\nContent-Length: %d\r\n\r\n%s", p.model,
-		c.figures.Classes[p.class].Name, r.ID,
-		max(1, p.timeout.Milliseconds()), c.figures.Concurrency, c.figures.Load.Milliseconds(), len(body), body)
-	if !c.write(k, r, p, head) {
-		_ = k.Close()
-		return r
+		"X-Extras: memory_mb:4000;lanes:%d;load_ms:%d\r\nContent-Length: %d\r\n\r\n%s", planned.model,
+		c.figures.Classes[planned.class].Name, request.ID,
+		max(1, planned.timeout.Milliseconds()), c.figures.Concurrency, c.figures.Load.Milliseconds(), len(body), body)
+	if !c.write(conn, request, planned, head) {
+		_ = conn.Close()
+		return request
 	}
-	r.SentAt = time.Now()
-	if p.leave > 0 {
-		time.AfterFunc(p.leave, func() { leave(k.Conn, p.leaveMode) })
+	request.SentAt = time.Now()
+	if planned.leave > 0 {
+		time.AfterFunc(planned.leave, func() { leave(conn.Conn, planned.leaveMode) })
 	}
-	c.read(k, r, p, body)
-	return r
+	c.read(conn, request, planned, body)
+	return request
 }
 
 // write writes a request, in pieces where the client dawdles; false: not all of it was written.
-func (c *Clients) write(k *clientConn, r *Request, p plannedCall, text string) bool {
-	if p.dawdle == 0 {
-		if _, err := io.WriteString(k, text); err != nil {
-			r.Err = err.Error()
+func (c *Clients) write(conn *clientConn, request *Request, planned plannedCall, text string) bool {
+	if planned.dawdle == 0 {
+		if _, err := io.WriteString(conn, text); err != nil {
+			request.Err = err.Error()
 			return false
 		}
 		return true
 	}
 	const pieces = 4
 	for i := range pieces {
-		if p.dawdle == 2 && i == pieces-1 {
-			r.End = Incomplete
-			_ = k.SetReadDeadline(time.Now().Add(incompleteRequestTime))
-			_, _ = io.Copy(io.Discard, k) // until the dispatcher ends it
+		if planned.dawdle == 2 && i == pieces-1 {
+			request.End = Incomplete
+			_ = conn.SetReadDeadline(time.Now().Add(incompleteRequestTime))
+			_, _ = io.Copy(io.Discard, conn) // until the dispatcher ends it
 			return false
 		}
-		if _, err := io.WriteString(k, text[len(text)*i/pieces:len(text)*(i+1)/pieces]); err != nil {
-			r.Err = err.Error()
+		if _, err := io.WriteString(conn, text[len(text)*i/pieces:len(text)*(i+1)/pieces]); err != nil {
+			request.Err = err.Error()
 			return false
 		}
 		if i < pieces-1 {
@@ -294,57 +294,57 @@
 }
 
 // leave ends a client's side: closed, reset, or only for sending.
-func leave(c net.Conn, mode int) {
-	t, ok := c.(*net.TCPConn)
+func leave(conn net.Conn, mode int) {
+	t, ok := conn.(*net.TCPConn)
 	switch {
 	case mode == 1 && ok:
 		_ = t.SetLinger(0)
-		_ = c.Close()
+		_ = conn.Close()
 	case mode == 2 && ok:
 		_ = t.CloseWrite()
 	default:
-		_ = c.Close()
+		_ = conn.Close()
 	}
 }
 
 // read reads the answer.
-func (c *Clients) read(k *clientConn, r *Request, p plannedCall, body string) {
-	_ = k.SetReadDeadline(r.SentAt.Add(p.timeout + late + readSlack))
+func (c *Clients) read(conn *clientConn, request *Request, planned plannedCall, body string) {
+	_ = conn.SetReadDeadline(request.SentAt.Add(planned.timeout + late + readSlack))
 	//nolint:bodyclose // read up to its end below; the connection is its caller's
-	resp, err := http.ReadResponse(k.in, nil)
+	resp, err := http.ReadResponse(conn.in, nil)
 	var got []byte
 	if err == nil {
-		r.Status = resp.StatusCode
+		request.Status = resp.StatusCode
 		got, err = io.ReadAll(resp.Body)
 	}
-	if p.leave > 0 && time.Since(r.SentAt) >= p.leave {
-		r.End, r.LeftAt = Left, r.SentAt.Add(p.leave)
-		_ = k.Close()
+	if planned.leave > 0 && time.Since(request.SentAt) >= planned.leave {
+		request.End, request.LeftAt = Left, request.SentAt.Add(planned.leave)
+		_ = conn.Close()
 		return
 	}
 	switch {
 	case err == nil:
-		r.End = Answered
+		request.End = Answered
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		r.End = Overdue
-	case r.Status != 0 || k.in.Buffered() > 0:
-		r.End = Cut
+		request.End = Overdue
+	case request.Status != 0 || conn.in.Buffered() > 0:
+		request.End = Cut
 	default:
-		r.End = Closed
+		request.End = Closed
 	}
 	if err != nil {
-		r.Err = err.Error()
-		_ = k.Close()
+		request.Err = err.Error()
+		_ = conn.Close()
 		return
 	}
-	r.Wrong = r.Status == http.StatusOK && string(got) != r.ID+body
-	r.Second = k.in.Buffered() > 0
-	if resp.Close || p.leave > 0 || r.Second {
-		_ = k.Close()
+	request.Wrong = request.Status == http.StatusOK && string(got) != request.ID+body
+	request.Second = conn.in.Buffered() > 0
+	if resp.Close || planned.leave > 0 || request.Second {
+		_ = conn.Close()
 		return
 	}
-	_ = k.SetReadDeadline(time.Time{})
-	c.giveBack(k)
+	_ = conn.SetReadDeadline(time.Time{})
+	c.giveBack(conn)
 }
 
 // burst has so many clients ask one call after the other until ctx ends, each on a new connection.
@@ -354,10 +354,10 @@
 		wait.Go(func() {
 			for ctx.Err() == nil {
 				c.mu.Lock()
-				p := c.drawCall()
+				planned := c.drawCall()
 				c.mu.Unlock()
-				p.fresh = true
-				c.send(p)
+				planned.fresh = true
+				c.send(planned)
 			}
 		})
 	}
--- a/internal/soak/executor.go
+++ b/internal/soak/executor.go
@@ -73,34 +73,34 @@
 
 // wrap is the executor's handler with the record and the spoiling.
 func (e *executor) wrap(own http.Handler) http.Handler {
-	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		id := r.Header.Get("X-Hop-Id")
+	return http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
+		id := request.Header.Get("X-Hop-Id")
 		if id == "" { // a probe or an order
-			e.order(r)
-			own.ServeHTTP(w, r)
+			e.order(request)
+			own.ServeHTTP(response, request)
 			return
 		}
-		budget, _ := strconv.Atoi(r.Header.Get("X-Budget"))
-		a := &Arrival{Executor: e.n, ID: id, At: time.Now(), Budget: time.Duration(budget) * time.Millisecond}
+		budget, _ := strconv.Atoi(request.Header.Get("X-Budget"))
+		arrival := &Arrival{Executor: e.n, ID: id, At: time.Now(), Budget: time.Duration(budget) * time.Millisecond}
 		e.mu.Lock()
-		e.arrivals = append(e.arrivals, a)
+		e.arrivals = append(e.arrivals, arrival)
 		e.mu.Unlock()
 		rec := httptest.NewRecorder()
-		own.ServeHTTP(rec, r)
+		own.ServeHTTP(rec, request)
 		e.mu.Lock()
-		a.Status = rec.Code
-		a.Ran = rec.Code == http.StatusOK || rec.Code == http.StatusInternalServerError
+		arrival.Status = rec.Code
+		arrival.Ran = rec.Code == http.StatusOK || rec.Code == http.StatusInternalServerError
 		e.mu.Unlock()
-		e.answer(w, rec)
+		e.answer(response, rec)
 	})
 }
 
 // order records an order to load; one for no copies only asks.
-func (e *executor) order(r *http.Request) {
-	if r.Method != http.MethodPut || strings.HasSuffix(r.URL.Path, "/0") {
+func (e *executor) order(request *http.Request) {
+	if request.Method != http.MethodPut || strings.HasSuffix(request.URL.Path, "/0") {
 		return
 	}
-	host, _, err := net.SplitHostPort(r.RemoteAddr)
+	host, _, err := net.SplitHostPort(request.RemoteAddr)
 	if err != nil {
 		return
 	}
@@ -116,20 +116,20 @@
 }
 
 // answer writes what the executor answered, spoilt where that is drawn.
-func (e *executor) answer(w http.ResponseWriter, rec *httptest.ResponseRecorder) {
+func (e *executor) answer(response http.ResponseWriter, rec *httptest.ResponseRecorder) {
 	twice, pieces, cut, closes := e.draws(AnswerTwice), e.draws(AnswerPieces), e.draws(AnswerCut), e.draws(IdleClosed)
 	if !twice && !pieces && !cut {
 		for name, values := range rec.Header() {
-			w.Header()[name] = values
+			response.Header()[name] = values
 		}
 		if closes {
-			w.Header().Set("Connection", "close")
+			response.Header().Set("Connection", "close")
 		}
-		w.WriteHeader(rec.Code)
-		_, _ = w.Write(rec.Body.Bytes())
+		response.WriteHeader(rec.Code)
+		_, _ = response.Write(rec.Body.Bytes())
 		return
 	}
-	conn, _, err := w.(http.Hijacker).Hijack()
+	conn, _, err := response.(http.Hijacker).Hijack()
 	if err != nil {
 		return
 	}
@@ -159,9 +159,9 @@
 }
 
 // lingerOpen leaves a connection open for a while, as an idle one is.
-func lingerOpen(c net.Conn) {
-	_ = c.SetReadDeadline(time.Now().Add(200 * time.Millisecond))
-	_, _ = c.Read(make([]byte, 1))
+func lingerOpen(conn net.Conn) {
+	_ = conn.SetReadDeadline(time.Now().Add(200 * time.Millisecond))
+	_, _ = conn.Read(make([]byte, 1))
 }
 
 // rawAnswer returns a recorded answer as it goes over the wire.
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -14,34 +14,34 @@
 )
 
 // inject injects a fault for its time.
-func (w *world) inject(ctx context.Context, t Fault) {
-	if !wait(ctx, time.Until(w.begin.Add(t.At))) {
+func (w *world) inject(ctx context.Context, fault Fault) {
+	if !wait(ctx, time.Until(w.begin.Add(fault.At))) {
 		return
 	}
-	lasts, cancel := context.WithTimeout(ctx, t.For)
+	lasts, cancel := context.WithTimeout(ctx, fault.For)
 	defer cancel()
 	var err error
-	switch t.Kind {
+	switch fault.Kind {
 	case Terminate, Crash, Pause, Reload, ReloadInvalid, DiskFails:
-		err = w.disturbProcesses(lasts, ctx, t)
+		err = w.disturbProcesses(lasts, ctx, fault)
 	case ExecutorHang, ExecutorVanish, ExecutorReset, ExecutorSlow:
-		err = w.disturbLinks(lasts, t)
+		err = w.disturbLinks(lasts, fault)
 	case ExecutorDrain, ExecutorRenew:
-		err = w.replaceExecutors(lasts, t)
+		err = w.replaceExecutors(lasts, fault)
 	case IdleClosed, AnswerTwice, AnswerPieces, AnswerCut, ExecutorErrors:
-		w.corruptAnswers(lasts, t)
+		w.corruptAnswers(lasts, fault)
 	case DiscoverySilent, DiscoveryReset, DiscoverySlow, DiscoveryOver:
-		err = w.disturbDiscovery(lasts, t)
+		err = w.disturbDiscovery(lasts, fault)
 	case ClientsLeave, ClientsDawdle, ClientsFlood, ClientsRetry, ClientsBrief, ClientsBurst:
-		w.changeClients(lasts, t)
+		w.changeClients(lasts, fault)
 	case PeersDeaf, PeersTwice:
-		w.disturbPeers(lasts, t)
+		w.disturbPeers(lasts, fault)
 	case ClockStep, AcceptFails, ConnectFails, ConnectLate, TransferFails: // the processes do it to themselves
 		<-lasts.Done()
 	}
 	if err != nil {
 		w.mu.Lock()
-		w.failed = append(w.failed, fmt.Errorf("%s: %w", t, err))
+		w.failed = append(w.failed, fmt.Errorf("%s: %w", fault, err))
 		w.mu.Unlock()
 	}
 }
@@ -57,34 +57,34 @@
 }
 
 // disturbProcesses ends, stops or reloads processes, or makes their file writes fail.
-func (w *world) disturbProcesses(lasts, ctx context.Context, t Fault) error {
-	return each(len(t.Targets), func(i int) error {
-		n := w.nodes[t.Targets[i]]
-		switch t.Kind {
+func (w *world) disturbProcesses(lasts, ctx context.Context, fault Fault) error {
+	return each(len(fault.Targets), func(i int) error {
+		node := w.nodes[fault.Targets[i]]
+		switch fault.Kind {
 		case Terminate, Crash:
 			sig := syscall.SIGTERM
-			if t.Kind == Crash {
+			if fault.Kind == Crash {
 				sig = syscall.SIGKILL
 			}
 			soon, cancel := context.WithTimeout(ctx, readyTime)
 			defer cancel()
-			return n.restart(soon, sig, func() map[string]any { return w.rig.Disc.Known(n.N) })
+			return node.restart(soon, sig, func() map[string]any { return w.rig.Disc.Known(node.N) })
 		case Pause:
-			n.pause(lasts, t.For)
+			node.pause(lasts, fault.For)
 		case DiskFails:
-			return w.failDisk(lasts, n, t)
+			return w.failDisk(lasts, node, fault)
 		default:
-			return w.reloads(lasts, n, t)
+			return w.reloads(lasts, node, fault)
 		}
 		return nil
 	})
 }
 
 // failDisk has writes of the process fail beyond a place in the file, so that one may end in the middle.
-func (w *world) failDisk(lasts context.Context, n *node, t Fault) error {
+func (w *world) failDisk(lasts context.Context, n *node, fault Fault) error {
 	n.action.Lock()
 	defer n.action.Unlock()
-	if err := n.limitFiles(int64(t.Amount * diskRoom)); err != nil {
+	if err := n.limitFiles(int64(fault.Amount * diskRoom)); err != nil {
 		return err
 	}
 	<-lasts.Done()
@@ -92,9 +92,9 @@
 }
 
 // reloads has a node read one file after another.
-func (w *world) reloads(lasts context.Context, n *node, t Fault) error {
+func (w *world) reloads(lasts context.Context, n *node, fault Fault) error {
 	for i := 0; lasts.Err() == nil; i++ {
-		raw, err := w.file(n, t, i)
+		raw, err := w.file(n, fault, i)
 		if err != nil {
 			return err
 		}
@@ -114,15 +114,15 @@
 }
 
 // file is a configuration for a reload: good, without its settings, or cut off.
-func (w *world) file(n *node, t Fault, i int) ([]byte, error) {
-	if t.Kind == ReloadInvalid && i%2 == 0 {
-		return n.good[:int(t.Amount*float64(len(n.good)))], nil
+func (w *world) file(n *node, fault Fault, i int) ([]byte, error) {
+	if fault.Kind == ReloadInvalid && i%2 == 0 {
+		return n.good[:int(fault.Amount*float64(len(n.good)))], nil
 	}
 	var config map[string]any
 	if err := json.Unmarshal(n.good, &config); err != nil {
 		return nil, err
 	}
-	if t.Kind == ReloadInvalid {
+	if fault.Kind == ReloadInvalid {
 		delete(config, "settings")
 	} else {
 		config["settings"].(map[string]any)["permissions"].(map[string]any)["send_cap"] = 3 + i%3
@@ -131,22 +131,22 @@
 }
 
 // disturbLinks changes the links between all dispatchers and some executors.
-func (w *world) disturbLinks(lasts context.Context, t Fault) error {
+func (w *world) disturbLinks(lasts context.Context, fault Fault) error {
 	what, delay := map[Kind]lab.Fault{
 		ExecutorHang: lab.Freeze, ExecutorVanish: lab.Cut, ExecutorReset: lab.Reset,
 		ExecutorSlow: lab.Open,
-	}[t.Kind], time.Duration(0)
-	if t.Kind == ExecutorSlow {
-		delay = time.Duration(t.Amount * float64(150*time.Millisecond))
+	}[fault.Kind], time.Duration(0)
+	if fault.Kind == ExecutorSlow {
+		delay = time.Duration(fault.Amount * float64(150*time.Millisecond))
 	}
-	if t.Kind == ExecutorReset { // for a moment, so that open connections are reset and new ones come up
+	if fault.Kind == ExecutorReset { // for a moment, so that open connections are reset and new ones come up
 		var cancel context.CancelFunc
 		lasts, cancel = context.WithTimeout(lasts, 30*time.Millisecond)
 		defer cancel()
 	}
-	pick := func(_, executor int) bool { return contains(t.Targets, executor) }
-	marks := make([]int, len(t.Targets))
-	for i, e := range t.Targets {
+	pick := func(_, executor int) bool { return contains(fault.Targets, executor) }
+	marks := make([]int, len(fault.Targets))
+	for i, e := range fault.Targets {
 		marks[i] = w.beginSpan(&w.disturbed[e])
 	}
 	if err := w.rig.Links.Between(what, delay, pick); err != nil {
@@ -154,7 +154,7 @@
 	}
 	<-lasts.Done()
 	err := w.rig.Links.Between(lab.Open, 0, pick)
-	for i, e := range t.Targets {
+	for i, e := range fault.Targets {
 		w.endSpan(&w.disturbed[e], marks[i])
 	}
 	return err
@@ -187,24 +187,24 @@
 const linkTail = 100 * time.Millisecond
 
 // replaceExecutors drains executors and starts others, not warmed up, in their place.
-func (w *world) replaceExecutors(lasts context.Context, t Fault) error {
+func (w *world) replaceExecutors(lasts context.Context, fault Fault) error {
 	var mine []int
 	w.mu.Lock()
-	for _, e := range t.Targets {
+	for _, e := range fault.Targets {
 		if !w.busy[e] {
 			w.busy[e] = true
 			mine = append(mine, e)
 		}
 	}
 	pick := func(worker int) bool { return contains(mine, worker) }
-	if t.Kind == ExecutorDrain {
+	if fault.Kind == ExecutorDrain {
 		w.rig.Drain(pick)
 		for _, e := range mine {
 			w.drains = append(w.drains, Drain{e, span{from: time.Now()}})
 		}
 	}
 	w.mu.Unlock()
-	if t.Kind == ExecutorDrain {
+	if fault.Kind == ExecutorDrain {
 		<-lasts.Done()
 	}
 	w.mu.Lock()
@@ -227,11 +227,11 @@
 }
 
 // corruptAnswers has executors spoil a share of their answers.
-func (w *world) corruptAnswers(lasts context.Context, t Fault) {
+func (w *world) corruptAnswers(lasts context.Context, fault Fault) {
 	set := func(share float64) {
-		for _, e := range t.Targets {
-			if t.Kind != ExecutorErrors {
-				w.executors[e].set(t.Kind, share)
+		for _, e := range fault.Targets {
+			if fault.Kind != ExecutorErrors {
+				w.executors[e].set(fault.Kind, share)
 				continue
 			}
 			w.mu.Lock()
@@ -239,14 +239,14 @@
 			w.mu.Unlock()
 		}
 	}
-	set(0.1 + 0.5*t.Amount)
+	set(0.1 + 0.5*fault.Amount)
 	<-lasts.Done()
 	set(0)
 }
 
 // disturbDiscovery changes the links of command channels, or publishes the full list again.
-func (w *world) disturbDiscovery(lasts context.Context, t Fault) error {
-	if t.Kind == DiscoveryOver {
+func (w *world) disturbDiscovery(lasts context.Context, fault Fault) error {
+	if fault.Kind == DiscoveryOver {
 		w.mu.Lock()
 		w.rig.Announce(func(int) bool { return true })
 		w.mu.Unlock()
@@ -255,19 +255,19 @@
 	what, delay := map[Kind]lab.Fault{
 		DiscoverySilent: lab.Freeze, DiscoveryReset: lab.Reset,
 		DiscoverySlow: lab.Open,
-	}[t.Kind], time.Duration(0)
-	if t.Kind == DiscoverySlow {
-		delay = time.Duration(t.Amount * float64(time.Second))
+	}[fault.Kind], time.Duration(0)
+	if fault.Kind == DiscoverySlow {
+		delay = time.Duration(fault.Amount * float64(time.Second))
 	}
-	marks := make([]int, len(t.Targets))
-	for i, n := range t.Targets {
+	marks := make([]int, len(fault.Targets))
+	for i, n := range fault.Targets {
 		marks[i] = w.beginSpan(&w.uninformed[n])
 		if err := w.rig.Links.Channels[n].Set(what, delay); err != nil {
 			return err
 		}
 	}
 	<-lasts.Done()
-	for i, n := range t.Targets {
+	for i, n := range fault.Targets {
 		if err := w.rig.Links.Channels[n].Set(lab.Open, 0); err != nil {
 			return err
 		}
@@ -277,12 +277,12 @@
 }
 
 // changeClients changes what the clients do, or adds connections to theirs.
-func (w *world) changeClients(lasts context.Context, t Fault) {
-	share := 0.2 + 0.6*t.Amount
+func (w *world) changeClients(lasts context.Context, fault Fault) {
+	share := 0.2 + 0.6*fault.Amount
 	set := func(x float64) {
-		for _, n := range t.Targets {
+		for _, n := range fault.Targets {
 			w.clients[n].behave(func(b *behaviour) {
-				switch t.Kind {
+				switch fault.Kind {
 				case ClientsLeave:
 					b.Leave = x
 				case ClientsDawdle:
@@ -295,13 +295,14 @@
 			})
 		}
 	}
-	if t.Kind == ClientsFlood {
-		_ = each(len(t.Targets), func(i int) error { w.clients[t.Targets[i]].flood(lasts, floodConns); return nil })
+	if fault.Kind == ClientsFlood {
+		_ = each(len(fault.Targets),
+			func(i int) error { w.clients[fault.Targets[i]].flood(lasts, floodConns); return nil })
 		return
 	}
-	if t.Kind == ClientsBurst {
-		_ = each(min(len(t.Targets), 2),
-			func(i int) error { w.clients[t.Targets[i]].burst(lasts, burstClients); return nil })
+	if fault.Kind == ClientsBurst {
+		_ = each(min(len(fault.Targets), 2),
+			func(i int) error { w.clients[fault.Targets[i]].burst(lasts, burstClients); return nil })
 		return
 	}
 	set(share)
@@ -310,15 +311,15 @@
 }
 
 // disturbPeers loses, duplicates or delays the datagrams to some dispatchers.
-func (w *world) disturbPeers(lasts context.Context, t Fault) {
+func (w *world) disturbPeers(lasts context.Context, fault Fault) {
 	wire := lab.Lost
-	if t.Kind == PeersTwice {
+	if fault.Kind == PeersTwice {
 		wire = lab.PeerLink{
-			Twice: 0.5, Delay: time.Duration(t.Amount * float64(400*time.Millisecond)),
+			Twice: 0.5, Delay: time.Duration(fault.Amount * float64(400*time.Millisecond)),
 			Jitter: 200 * time.Millisecond,
 		}
 	}
-	pick := func(_, to int) bool { return contains(t.Targets, to) }
+	pick := func(_, to int) bool { return contains(fault.Targets, to) }
 	w.rig.PeerNetwork.Set(wire, pick)
 	<-lasts.Done()
 	w.rig.PeerNetwork.Set(lab.PeerLink{}, pick)
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -97,13 +97,13 @@
 // FindViolations finds the violations of a run.
 func FindViolations(r Records) []Violation {
 	j := oracle{Records: r, arrived: map[string][]*Arrival{}}
-	for _, a := range r.Arrivals {
-		j.arrived[a.ID] = append(j.arrived[a.ID], a)
+	for _, arrival := range r.Arrivals {
+		j.arrived[arrival.ID] = append(j.arrived[arrival.ID], arrival)
 	}
-	for _, q := range r.Requests {
-		j.answered(q)
-		j.effects(q)
-		j.arrivals(q)
+	for _, request := range r.Requests {
+		j.answered(request)
+		j.effects(request)
+		j.arrivals(request)
 	}
 	j.processes()
 	j.rationed()
@@ -123,44 +123,45 @@
 }
 
 // answered looks whether a request got its one answer.
-func (j *oracle) answered(q *Request) {
-	if q.Second {
-		j.broken(RuleOneAnswer, q.Node, q.ID, "bytes came behind the answer")
+func (j *oracle) answered(request *Request) {
+	if request.Second {
+		j.broken(RuleOneAnswer, request.Node, request.ID, "bytes came behind the answer")
 	}
-	if q.Wrong {
-		j.broken(RuleTrue, q.Node, q.ID, "served with another body")
+	if request.Wrong {
+		j.broken(RuleTrue, request.Node, request.ID, "served with another body")
 	}
-	switch q.End {
+	switch request.End {
 	case NotSent:
 		// a pooled connection may have been closed, or its process may have died
-		if q.Err != "" && !q.Reused && j.listening(q) {
-			j.broken(RuleAnswered, q.Node, q.ID, "no connection: %s", q.Err)
+		if request.Err != "" && !request.Reused && j.listening(request) {
+			j.broken(RuleAnswered, request.Node, request.ID, "no connection: %s", request.Err)
 		}
 		return
 	case Closed:
-		if q.Reused && q.Ended.Sub(q.SentAt) < crossed && len(j.arrived[q.ID]) == 0 {
+		if request.Reused && request.Ended.Sub(request.SentAt) < crossed && len(j.arrived[request.ID]) == 0 {
 			return // it crossed the close of an idle connection, and was not taken
 		}
 	case Overdue, Cut:
 	default:
 		return
 	}
-	if j.owed(q) {
-		j.broken(RuleAnswered, q.Node, q.ID, "%s after %v of %v, reused %v, arrivals %d (%s)", q.End,
-			q.Ended.Sub(q.SentAt).Round(time.Millisecond),
-			q.Timeout, q.Reused, len(j.arrived[q.ID]), q.Err)
+	if j.owed(request) {
+		j.broken(RuleAnswered, request.Node, request.ID, "%s after %v of %v, reused %v, arrivals %d (%s)", request.End,
+			request.Ended.Sub(request.SentAt).Round(time.Millisecond),
+			request.Timeout, request.Reused, len(j.arrived[request.ID]), request.Err)
 	}
 }
 
 // listening reports whether a process was there that takes new connections: not killed, and
 // signalled to end a moment ago at most.
-func (j *oracle) listening(q *Request) bool {
-	for _, l := range j.Lives[q.Node] {
-		if l.Ready.IsZero() || q.Sent.Before(l.Ready) || !l.Killed.IsZero() && l.Killed.Before(q.Ended) {
+func (j *oracle) listening(request *Request) bool {
+	for _, life := range j.Lives[request.Node] {
+		if life.Ready.IsZero() || request.Sent.Before(life.Ready) || !life.Killed.IsZero() &&
+			life.Killed.Before(request.Ended) {
 			continue
 		}
-		if l.Ending.IsZero() && (l.Ended.IsZero() ||
-			q.Ended.Before(l.Ended)) || !l.Ending.IsZero() && q.Ended.Sub(l.Ending) < newAtEnd {
+		if life.Ending.IsZero() && (life.Ended.IsZero() || request.Ended.Before(life.Ended)) ||
+			!life.Ending.IsZero() && request.Ended.Sub(life.Ending) < newAtEnd {
 			return true
 		}
 	}
@@ -169,21 +170,21 @@
 
 // owed reports whether an answer was owed: a process was there that took the request and was not
 // killed. One that was stopped meanwhile may answer late, but may not close the connection either.
-func (j *oracle) owed(q *Request) bool {
-	for _, p := range j.Paused[q.Node] {
+func (j *oracle) owed(request *Request) bool {
+	for _, p := range j.Paused[request.Node] {
 		p.until = p.until.Add(pauseTail)
-		if q.End == Overdue && p.overlaps(q.Sent, q.Ended) {
+		if request.End == Overdue && p.overlaps(request.Sent, request.Ended) {
 			return false
 		}
 	}
-	for _, l := range j.Lives[q.Node] {
-		if q.SentAt.Before(l.Begun) || !l.Ended.IsZero() && l.Ended.Before(q.Sent) {
+	for _, life := range j.Lives[request.Node] {
+		if request.SentAt.Before(life.Begun) || !life.Ended.IsZero() && life.Ended.Before(request.Sent) {
 			continue
 		}
-		if !l.Killed.IsZero() && l.Killed.Before(q.Ended) {
+		if !life.Killed.IsZero() && life.Killed.Before(request.Ended) {
 			return false
 		}
-		if !l.Ending.IsZero() && q.SentAt.Sub(l.Ending) > takenAtEnd {
+		if !life.Ending.IsZero() && request.SentAt.Sub(life.Ending) > takenAtEnd {
 			return false
 		}
 		return true
@@ -192,42 +193,45 @@
 }
 
 // effects looks at what a call did.
-func (j *oracle) effects(q *Request) {
-	if !j.Once(q.Class) {
+func (j *oracle) effects(request *Request) {
+	if !j.Once(request.Class) {
 		return
 	}
 	ran := 0
-	for _, a := range j.arrived[q.ID] {
-		if a.Ran {
+	for _, arrival := range j.arrived[request.ID] {
+		if arrival.Ran {
 			ran++
 		}
 	}
 	if ran > 1 {
-		j.broken(RuleOnce, q.Node, q.ID, "it ran %d times", ran)
+		j.broken(RuleOnce, request.Node, request.ID, "it ran %d times", ran)
 	}
-	if ran > 0 && q.End == Answered && refused(q.Status) {
-		j.broken(RuleRefusal, q.Node, q.ID, "refused with %d, and it ran", q.Status)
+	if ran > 0 && request.End == Answered && refused(request.Status) {
+		j.broken(RuleRefusal, request.Node, request.ID, "refused with %d, and it ran", request.Status)
 	}
 }
 
 // arrivals checks when a call came to executors and what time it was given there.
-func (j *oracle) arrivals(q *Request) {
-	for _, a := range j.arrived[q.ID] {
-		if q.End == Overdue {
-			q.LeftAt = q.Ended // its client closed the connection then
+func (j *oracle) arrivals(request *Request) {
+	for _, arrival := range j.arrived[request.ID] {
+		if request.End == Overdue {
+			request.LeftAt = request.Ended // its client closed the connection then
 		}
-		if late := a.At.Sub(q.LeftAt); !q.LeftAt.IsZero() && late > leftSlack && !j.disturbed(q.Node, a.Executor,
-			q.LeftAt, a.At) {
-			j.broken(RuleLeft, q.Node, q.ID, "came to executor %d %v after its client had left", a.Executor,
+		if late := arrival.At.Sub(request.LeftAt); !request.LeftAt.IsZero() && late > leftSlack &&
+			!j.disturbed(request.Node, arrival.Executor,
+				request.LeftAt, arrival.At) {
+			j.broken(RuleLeft, request.Node, request.ID, "came to executor %d %v after its client had left",
+				arrival.Executor,
 				late.Round(time.Millisecond))
 		}
-		j.drained(q, a)
-		if q.SentAt.IsZero() || j.disturbed(q.Node, a.Executor, q.SentAt, a.At) {
+		j.drained(request, arrival)
+		if request.SentAt.IsZero() || j.disturbed(request.Node, arrival.Executor, request.SentAt, arrival.At) {
 			continue
 		}
-		left := q.Timeout - a.At.Sub(q.SentAt)
-		if a.Budget > max(left, time.Millisecond)+budgetSlack {
-			j.broken(RuleBudget, q.Node, q.ID, "executor %d was told %v where %v were left", a.Executor, a.Budget,
+		left := request.Timeout - arrival.At.Sub(request.SentAt)
+		if arrival.Budget > max(left, time.Millisecond)+budgetSlack {
+			j.broken(RuleBudget, request.Node, request.ID, "executor %d was told %v where %v were left",
+				arrival.Executor, arrival.Budget,
 				left.Round(time.Millisecond))
 		}
 	}
@@ -235,18 +239,19 @@
 
 // drained checks whether an arrival came to an executor long after its dispatcher was notified that
 // it drains.
-func (j *oracle) drained(q *Request, a *Arrival) {
-	for _, d := range j.Drains {
-		if d.Executor != a.Executor || !d.overlaps(a.At, a.At) || a.At.Sub(d.from) < drainSlack {
+func (j *oracle) drained(request *Request, arrival *Arrival) {
+	for _, drain := range j.Drains {
+		if drain.Executor != arrival.Executor || !drain.overlaps(arrival.At,
+			arrival.At) || arrival.At.Sub(drain.from) < drainSlack {
 			continue
 		}
-		untold := slices.ContainsFunc(j.Uninformed[q.Node], func(s span) bool {
+		untold := slices.ContainsFunc(j.Uninformed[request.Node], func(s span) bool {
 			s.until = s.until.Add(uninformedTail)
-			return s.overlaps(d.from, a.At)
+			return s.overlaps(drain.from, arrival.At)
 		})
-		if !untold && !j.disturbed(q.Node, a.Executor, d.from, a.At) {
-			j.broken(RuleDrain, q.Node, q.ID, "came to executor %d %v after discovery told that it drains",
-				a.Executor, a.At.Sub(d.from).Round(time.Millisecond))
+		if !untold && !j.disturbed(request.Node, arrival.Executor, drain.from, arrival.At) {
+			j.broken(RuleDrain, request.Node, request.ID, "came to executor %d %v after discovery told that it drains",
+				arrival.Executor, arrival.At.Sub(drain.from).Round(time.Millisecond))
 		}
 	}
 }
@@ -282,9 +287,9 @@
 	within := func(at time.Time) bool {
 		return !at.Before(life.from) && (life.until.IsZero() || at.Before(life.until))
 	}
-	for _, q := range j.Requests {
-		if q.Node == node && !q.SentAt.IsZero() && within(q.SentAt) {
-			calls = append(calls, q.SentAt)
+	for _, request := range j.Requests {
+		if request.Node == node && !request.SentAt.IsZero() && within(request.SentAt) {
+			calls = append(calls, request.SentAt)
 		}
 	}
 	for _, o := range j.Orders {
@@ -300,17 +305,17 @@
 // processes looks at how processes ended and how soon they were ready.
 func (j *oracle) processes() {
 	for n, lives := range j.Lives {
-		for _, l := range lives {
+		for _, life := range lives {
 			switch {
-			case l.Failure != "":
-				j.broken(RuleProcess, n, "", "it ended badly: %s", l.Failure)
-			case !l.Ended.IsZero() && l.Ending.IsZero() && l.Killed.IsZero():
+			case life.Failure != "":
+				j.broken(RuleProcess, n, "", "it ended badly: %s", life.Failure)
+			case !life.Ended.IsZero() && life.Ending.IsZero() && life.Killed.IsZero():
 				j.broken(RuleProcess, n, "", "it ended by itself")
-			case !l.Ending.IsZero() && l.Killed.IsZero() &&
-				l.Ended.Sub(l.Ending) > j.Longest+takenAtEnd+endSlack+j.pausedFor(n):
-				j.broken(RuleProcess, n, "", "it took %v to end", l.Ended.Sub(l.Ending).Round(time.Millisecond))
+			case !life.Ending.IsZero() && life.Killed.IsZero() &&
+				life.Ended.Sub(life.Ending) > j.Longest+takenAtEnd+endSlack+j.pausedFor(n):
+				j.broken(RuleProcess, n, "", "it took %v to end", life.Ended.Sub(life.Ending).Round(time.Millisecond))
 			}
-			if l.Ready.IsZero() && l.Killed.IsZero() || l.Ready.Sub(l.Begun) > readyIn {
+			if life.Ready.IsZero() && life.Killed.IsZero() || life.Ready.Sub(life.Begun) > readyIn {
 				j.broken(RuleReady, n, "", "not ready within %v", readyIn)
 			}
 		}
@@ -327,13 +332,13 @@
 // recovers checks whether each node serves once the faults have been over for a while.
 func (j *oracle) recovers() {
 	asked, served := make([]int, len(j.Lives)), make([]int, len(j.Lives))
-	for _, q := range j.Requests {
-		if q.Sent.Before(j.CalmFrom) || !q.Sent.Before(j.CalmTo) || q.End == NotSent {
+	for _, request := range j.Requests {
+		if request.Sent.Before(j.CalmFrom) || !request.Sent.Before(j.CalmTo) || request.End == NotSent {
 			continue
 		}
-		asked[q.Node]++
-		if q.End == Answered && q.Status == http.StatusOK {
-			served[q.Node]++
+		asked[request.Node]++
+		if request.End == Answered && request.Status == http.StatusOK {
+			served[request.Node]++
 		}
 	}
 	for n := range asked {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -38,8 +38,8 @@
 
 // Run plays a schedule in a folder of its own. program is what a node runs; it takes the arguments
 // --config and --faults.
-func Run(ctx context.Context, s Schedule, dir string, program lab.Program) (Result, error) {
-	res := Result{Schedule: s, Dir: dir}
+func Run(ctx context.Context, schedule Schedule, dir string, program lab.Program) (Result, error) {
+	res := Result{Schedule: schedule, Dir: dir}
 	if _, err := os.Stat(dir); err == nil {
 		return res, fmt.Errorf("%s: %w", dir, ErrUsed) // cached lists in it would lead to another run's executors
 	}
@@ -51,10 +51,10 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return res, err
 	}
-	if err := s.Write(filepath.Join(dir, "schedule.json")); err != nil {
+	if err := schedule.Write(filepath.Join(dir, "schedule.json")); err != nil {
 		return res, err
 	}
-	w, err := newWorld(s, dir, network, program)
+	w, err := newWorld(schedule, dir, network, program)
 	if err != nil {
 		return res, err
 	}
@@ -71,13 +71,13 @@
 	w.end()
 	res.Stalled = stalls()
 	res.Violations = w.findViolations(calmFrom, calmTo)
-	for _, c := range w.clients {
-		for _, q := range c.Records() {
+	for _, clients := range w.clients {
+		for _, request := range clients.Records() {
 			res.Requests++
 			switch {
-			case q.End == Answered && q.Status == 200:
+			case request.End == Answered && request.Status == 200:
 				res.Served++
-			case q.End == NotSent:
+			case request.End == NotSent:
 				res.Unsent++
 			}
 		}
@@ -96,8 +96,8 @@
 	for _, c := range w.clients {
 		clients.Go(func() { c.run(sending) })
 	}
-	for _, t := range w.Faults {
-		faults.Go(func() { w.inject(ctx, t) })
+	for _, fault := range w.Faults {
+		faults.Go(func() { w.inject(ctx, fault) })
 	}
 	faults.Wait()
 	wait(ctx, time.Until(w.begin.Add(w.FaultTime)))
@@ -119,15 +119,15 @@
 	for _, k := range w.figures.Classes {
 		r.Longest = max(r.Longest, k.ClientTimeout)
 	}
-	for _, c := range w.clients {
-		r.Requests = append(r.Requests, c.Records()...)
+	for _, clients := range w.clients {
+		r.Requests = append(r.Requests, clients.Records()...)
 	}
-	for _, e := range w.executors {
-		r.Arrivals = append(r.Arrivals, e.received()...)
-		r.Orders = append(r.Orders, e.ordered()...)
+	for _, executor := range w.executors {
+		r.Arrivals = append(r.Arrivals, executor.received()...)
+		r.Orders = append(r.Orders, executor.ordered()...)
 	}
-	for _, n := range w.nodes {
-		lives, paused := n.history()
+	for _, node := range w.nodes {
+		lives, paused := node.history()
 		r.Lives, r.Paused = append(r.Lives, lives), append(r.Paused, paused)
 	}
 	found := FindViolations(r)
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -120,13 +120,13 @@
 // kinds; empty: all.
 func Draw(seed uint64, processes int, only []Kind) Schedule {
 	rng := rand.New(rand.NewPCG(seed, 0x736f616b))
-	s := Schedule{
+	schedule := Schedule{
 		Seed: seed, Processes: processes, Executors: max(6, int(executorsPart*float64(processes))),
 		Deployment: Planning,
 		CachedList: rng.IntN(2) == 0, FaultTime: faultTime, Calm: calmTime,
 	}
 	if seed%2 == 1 {
-		s.Deployment = Render
+		schedule.Deployment = Render
 	}
 	kinds := only
 	if len(kinds) == 0 {
@@ -134,11 +134,12 @@
 	}
 	for at := firstFault; at < faultTime-shortest; at += shortest + longest/2 {
 		for _, kind := range wave(rng, kinds) {
-			s.Faults = append(s.Faults, draw(rng, s, kind, at))
-			s.CachedList = s.CachedList || kind == DiskFails // else there is no file whose writes could fail
+			schedule.Faults = append(schedule.Faults, draw(rng, schedule, kind, at))
+			// else there is no file whose writes could fail
+			schedule.CachedList = schedule.CachedList || kind == DiskFails
 		}
 	}
-	return s
+	return schedule
 }
 
 // knownInteractions are faults of which it is known that they can meet at a request; half of the
@@ -171,32 +172,32 @@
 }
 
 // draw makes one fault that begins about a time.
-func draw(rng *rand.Rand, s Schedule, kind Kind, at time.Duration) Fault {
+func draw(rng *rand.Rand, schedule Schedule, kind Kind, at time.Duration) Fault {
 	begin := at + time.Duration(rng.Int64N(int64(shortest)))
-	t := Fault{
+	fault := Fault{
 		Kind: kind, At: begin, For: shortest + time.Duration(rng.Int64N(int64(longest-shortest))),
 		Amount: rng.Float64(),
 	}
 	if kind == ClientsBurst {
-		t.For = min(t.For, maxBurst)
+		fault.For = min(fault.For, maxBurst)
 	}
-	t.For = min(t.For, s.FaultTime-t.At)
-	all, most := s.Processes, 3
+	fault.For = min(fault.For, schedule.FaultTime-fault.At)
+	all, most := schedule.Processes, 3
 	if kind.ofExecutors() {
-		all, most = s.Executors, 4
+		all, most = schedule.Executors, 4
 	}
 	switch kind {
 	case ClientsLeave, ClientsDawdle, ClientsRetry, ClientsBrief, DiscoveryOver:
 		most = all // all dispatchers have such clients
-		t.Targets = rng.Perm(all)
+		fault.Targets = rng.Perm(all)
 	case Reload, ReloadInvalid, DiscoverySilent, DiscoveryReset, DiscoverySlow, PeersDeaf, PeersTwice, IdleClosed:
 		most = all
 	}
-	if t.Targets == nil {
-		t.Targets = rng.Perm(all)[:1+rng.IntN(min(most, all))]
+	if fault.Targets == nil {
+		fault.Targets = rng.Perm(all)[:1+rng.IntN(min(most, all))]
 	}
-	slices.Sort(t.Targets)
-	return t
+	slices.Sort(fault.Targets)
+	return fault
 }
 
 // ofExecutors reports whether the targets of a kind are executors.
@@ -279,30 +280,30 @@
 }
 
 // ReadSchedule reads a schedule from a file.
-func ReadSchedule(path string) (s Schedule, err error) {
+func ReadSchedule(path string) (schedule Schedule, err error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return s, fmt.Errorf("schedule: %w", err)
+		return schedule, fmt.Errorf("schedule: %w", err)
 	}
-	if err := json.Unmarshal(raw, &s); err != nil {
-		return s, fmt.Errorf("schedule %s: %w", path, err)
+	if err := json.Unmarshal(raw, &schedule); err != nil {
+		return schedule, fmt.Errorf("schedule %s: %w", path, err)
 	}
-	if s.Processes < 1 || s.Executors < 1 || s.FaultTime <= 0 {
-		return s, fmt.Errorf("schedule %s: processes, executors and trouble must be above 0", path)
+	if schedule.Processes < 1 || schedule.Executors < 1 || schedule.FaultTime <= 0 {
+		return schedule, fmt.Errorf("schedule %s: processes, executors and trouble must be above 0", path)
 	}
-	for _, t := range s.Faults {
-		if !slices.Contains(Kinds(), t.Kind) {
-			return s, fmt.Errorf("schedule %s: trouble %q is not known", path, t.Kind)
+	for _, fault := range schedule.Faults {
+		if !slices.Contains(Kinds(), fault.Kind) {
+			return schedule, fmt.Errorf("schedule %s: trouble %q is not known", path, fault.Kind)
 		}
-		all := s.Processes
-		if t.Kind.ofExecutors() {
-			all = s.Executors
+		all := schedule.Processes
+		if fault.Kind.ofExecutors() {
+			all = schedule.Executors
 		}
-		for _, target := range t.Targets {
+		for _, target := range fault.Targets {
 			if target < 0 || target >= all {
-				return s, fmt.Errorf("schedule %s: %s has no target %d", path, t.Kind, target)
+				return schedule, fmt.Errorf("schedule %s: %s has no target %d", path, fault.Kind, target)
 			}
 		}
 	}
-	return s, nil
+	return schedule, nil
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -13,19 +13,19 @@
 func TestScheduleFollowsFromItsSeed(t *testing.T) {
 	drawn := map[Kind]bool{}
 	for seed := range uint64(200) {
-		s := Draw(seed, 10, nil)
-		assert.Equal(t, s, Draw(seed, 10, nil))
-		assert.GreaterOrEqual(t, len(s.Faults), 2)
-		assert.NotEmpty(t, s.Pairs(), "no two troubles overlap, seed %d", seed)
-		for _, fault := range s.Faults {
+		schedule := Draw(seed, 10, nil)
+		assert.Equal(t, schedule, Draw(seed, 10, nil))
+		assert.GreaterOrEqual(t, len(schedule.Faults), 2)
+		assert.NotEmpty(t, schedule.Pairs(), "no two troubles overlap, seed %d", seed)
+		for _, fault := range schedule.Faults {
 			drawn[fault.Kind] = true
-			assert.LessOrEqual(t, fault.At+fault.For, s.FaultTime)
+			assert.LessOrEqual(t, fault.At+fault.For, schedule.FaultTime)
 		}
 		path := filepath.Join(t.TempDir(), "schedule.json")
-		require.NoError(t, s.Write(path))
+		require.NoError(t, schedule.Write(path))
 		read, err := ReadSchedule(path)
 		require.NoError(t, err)
-		assert.Equal(t, s, read)
+		assert.Equal(t, schedule, read)
 	}
 	for _, kind := range Kinds() {
 		assert.True(t, drawn[kind], "%s is never drawn", kind)
@@ -42,28 +42,29 @@
 	kinds, err := ParseKinds(" crash, pause")
 	require.NoError(t, err)
 	assert.Equal(t, []Kind{Crash, Pause}, kinds)
-	s := Draw(1, 4, nil)
-	s.Faults = []Fault{{Kind: Crash, Targets: []int{4}}}
+	schedule := Draw(1, 4, nil)
+	schedule.Faults = []Fault{{Kind: Crash, Targets: []int{4}}}
 	path := filepath.Join(t.TempDir(), "schedule.json")
-	require.NoError(t, s.Write(path))
+	require.NoError(t, schedule.Write(path))
 	_, err = ReadSchedule(path)
 	assert.ErrorContains(t, err, "crash has no target 4")
-	for _, o := range []Options{
+	for _, options := range []Options{
 		{Seeds: 1, Processes: 41, Jobs: 1},
 		{Seeds: 1, Processes: 40, Jobs: 7},
 		{Seeds: 0, Processes: 1, Jobs: 1},
 	} {
-		_, err := Play(t.Context(), o)
+		_, err := Play(t.Context(), options)
 		assert.ErrorIs(t, err, ErrTooLarge)
 	}
 }
 
 func TestShortenLeavesWhatFails(t *testing.T) {
-	s := Draw(3, 10, nil)
-	s.Faults = append(s.Faults, Fault{Kind: Crash, For: time.Second}, Fault{Kind: Pause, For: time.Second})
-	short := s.Shorten(func(s Schedule) bool {
+	schedule := Draw(3, 10, nil)
+	schedule.Faults = append(schedule.Faults, Fault{Kind: Crash, For: time.Second},
+		Fault{Kind: Pause, For: time.Second})
+	short := schedule.Shorten(func(schedule Schedule) bool {
 		crash, pause := false, false
-		for _, fault := range s.Faults {
+		for _, fault := range schedule.Faults {
 			crash = crash || fault.Kind == Crash
 			pause = pause || fault.Kind == Pause
 		}
@@ -77,67 +78,70 @@
 	start := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	clean := func() (Records, *Request, *Arrival) {
-		q := &Request{
+		request := &Request{
 			ID: "a", Sent: at(100), SentAt: at(100), Timeout: time.Second, Ended: at(300), End: Answered,
 			Status: http.StatusOK,
 		}
-		a := &Arrival{ID: "a", At: at(120), Budget: 900 * time.Millisecond, Ran: true}
+		arrival := &Arrival{ID: "a", At: at(120), Budget: 900 * time.Millisecond, Ran: true}
 		r := Records{
-			Requests: []*Request{q}, Arrivals: []*Arrival{a}, Disturbed: make([][]span, 1),
+			Requests: []*Request{request}, Arrivals: []*Arrival{arrival}, Disturbed: make([][]span, 1),
 			Uninformed: make([][]span, 1),
 			Lives:      [][]Life{{{Begun: at(-500), Ready: at(-400), Ending: at(5000), Ended: at(6000)}}},
 			Paused:     make([][]span, 1), Once: func(int) bool { return true }, Longest: 2 * time.Second,
 			CalmFrom: at(4000), CalmTo: at(5000),
 			Ration: Ration{Window: 5 * time.Second, Free: 1, Share: 0.1},
 		}
-		return r, q, a
+		return r, request, arrival
 	}
 	r, _, _ := clean()
 	require.Empty(t, FindViolations(r))
 	for name, c := range map[string]struct {
 		rule  Rule
-		spoil func(r *Records, q *Request, a *Arrival)
+		spoil func(r *Records, request *Request, arrival *Arrival)
 	}{
-		"closed on a new connection": {RuleAnswered, func(_ *Records, q *Request, _ *Arrival) { q.End = Closed }},
-		"closed long after it was sent": {RuleAnswered, func(r *Records, q *Request, _ *Arrival) {
-			q.End, q.Reused, q.Ended, r.Arrivals = Closed, true, at(800), nil
+		"closed on a new connection": {
+			RuleAnswered,
+			func(_ *Records, request *Request, _ *Arrival) { request.End = Closed },
+		},
+		"closed long after it was sent": {RuleAnswered, func(r *Records, request *Request, _ *Arrival) {
+			request.End, request.Reused, request.Ended, r.Arrivals = Closed, true, at(800), nil
 		}},
-		"taken, then closed": {RuleAnswered, func(_ *Records, q *Request, _ *Arrival) {
-			q.End, q.Reused = Closed,
+		"taken, then closed": {RuleAnswered, func(_ *Records, request *Request, _ *Arrival) {
+			request.End, request.Reused = Closed,
 				true
 		}},
-		"overdue": {RuleAnswered, func(_ *Records, q *Request, _ *Arrival) { q.End = Overdue }},
-		"refused connection": {RuleAnswered, func(r *Records, q *Request, _ *Arrival) {
-			q.End, q.Err,
+		"overdue": {RuleAnswered, func(_ *Records, request *Request, _ *Arrival) { request.End = Overdue }},
+		"refused connection": {RuleAnswered, func(r *Records, request *Request, _ *Arrival) {
+			request.End, request.Err,
 				r.Arrivals = NotSent, "refused", nil
 		}},
-		"closed while stopped": {RuleAnswered, func(r *Records, q *Request, _ *Arrival) {
-			q.End,
+		"closed while stopped": {RuleAnswered, func(r *Records, request *Request, _ *Arrival) {
+			request.End,
 				r.Paused[0] = Closed, []span{{at(0), at(400)}}
 		}},
-		"two answers":      {RuleOneAnswer, func(_ *Records, q *Request, _ *Arrival) { q.Second = true }},
-		"another's answer": {RuleTrue, func(_ *Records, q *Request, _ *Arrival) { q.Wrong = true }},
+		"two answers":      {RuleOneAnswer, func(_ *Records, request *Request, _ *Arrival) { request.Second = true }},
+		"another's answer": {RuleTrue, func(_ *Records, request *Request, _ *Arrival) { request.Wrong = true }},
 		"ran twice": {RuleOnce, func(r *Records, _ *Request,
-			a *Arrival,
+			arrival *Arrival,
 		) {
-			r.Arrivals = append(r.Arrivals, a)
+			r.Arrivals = append(r.Arrivals, arrival)
 		}},
-		"refused and ran": {RuleRefusal, func(_ *Records, q *Request,
+		"refused and ran": {RuleRefusal, func(_ *Records, request *Request,
 			_ *Arrival,
 		) {
-			q.Status = http.StatusServiceUnavailable
+			request.Status = http.StatusServiceUnavailable
 		}},
-		"begun for one that left": {RuleLeft, func(_ *Records, q *Request, a *Arrival) {
-			q.End, q.LeftAt, a.At = Left,
+		"begun for one that left": {RuleLeft, func(_ *Records, request *Request, arrival *Arrival) {
+			request.End, request.LeftAt, arrival.At = Left,
 				at(110), at(400)
 		}},
 		"told too much": {RuleBudget, func(_ *Records, _ *Request,
-			a *Arrival,
+			arrival *Arrival,
 		) {
-			a.Budget = 1200 * time.Millisecond
+			arrival.Budget = 1200 * time.Millisecond
 		}},
-		"sent to one that drains": {RuleDrain, func(r *Records, _ *Request, a *Arrival) {
-			a.At, r.Drains = at(900), []Drain{{0, span{at(0), at(2000)}}}
+		"sent to one that drains": {RuleDrain, func(r *Records, _ *Request, arrival *Arrival) {
+			arrival.At, r.Drains = at(900), []Drain{{0, span{at(0), at(2000)}}}
 		}},
 		"too many orders": {RuleRation, func(r *Records, _ *Request,
 			_ *Arrival,
@@ -166,31 +170,31 @@
 			}
 		}},
 	} {
-		r, q, a := clean()
-		c.spoil(&r, q, a)
+		r, request, arrival := clean()
+		c.spoil(&r, request, arrival)
 		found := FindViolations(r)
 		require.NotEmpty(t, found, name)
 		assert.Equal(t, c.rule, found[0].Rule, "%s: %v", name, found)
 	}
-	for name, excuse := range map[string]func(r *Records, q *Request){
-		"it crossed the close of an idle connection": func(r *Records, q *Request) {
-			q.End, q.Reused, r.Arrivals,
-				q.Ended = Closed, true, nil, at(110)
+	for name, excuse := range map[string]func(r *Records, request *Request){
+		"it crossed the close of an idle connection": func(r *Records, request *Request) {
+			request.End, request.Reused, r.Arrivals,
+				request.Ended = Closed, true, nil, at(110)
 		},
-		"its process was killed": func(r *Records, q *Request) {
-			q.End,
+		"its process was killed": func(r *Records, request *Request) {
+			request.End,
 				r.Lives[0][0].Killed = Closed, at(200)
 		},
-		"it came long after SIGTERM": func(r *Records, q *Request) {
-			q.End, r.Lives[0][0].Ending, r.Lives[0][0].Ended = Closed, at(-800), at(1000)
+		"it came long after SIGTERM": func(r *Records, request *Request) {
+			request.End, r.Lives[0][0].Ending, r.Lives[0][0].Ended = Closed, at(-800), at(1000)
 		},
-		"its process was stopped": func(r *Records, q *Request) {
-			q.End, r.Paused[0] = Overdue,
+		"its process was stopped": func(r *Records, request *Request) {
+			request.End, r.Paused[0] = Overdue,
 				[]span{{at(0), at(400)}}
 		},
 	} {
-		r, q, _ := clean()
-		excuse(&r, q)
+		r, request, _ := clean()
+		excuse(&r, request)
 		assert.Empty(t, FindViolations(r), name)
 	}
 }
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -100,17 +100,18 @@
 
 // newWorld lays out the fleet of a schedule and writes the fault plans of its processes; nothing is
 // started yet.
-func newWorld(s Schedule, dir string, network *lab.Net, program lab.Program) (*world, error) {
+func newWorld(schedule Schedule, dir string, network *lab.Net, program lab.Program) (*world, error) {
 	w := &world{
-		Schedule: s, dir: dir, figures: figures(s.Deployment), uninformed: make([][]span, s.Processes),
-		disturbed: make([][]span, s.Executors), busy: map[int]bool{},
+		Schedule: schedule, dir: dir, figures: figures(schedule.Deployment),
+		uninformed: make([][]span, schedule.Processes),
+		disturbed:  make([][]span, schedule.Executors), busy: map[int]bool{},
 	}
 	size := lab.RigSize{
-		Dispatchers: s.Processes, Workers: s.Executors, Figures: w.figures, Seed: s.Seed,
+		Dispatchers: schedule.Processes, Workers: schedule.Executors, Figures: w.figures, Seed: schedule.Seed,
 		Load:     lab.Load{Rate: 1, Models: 1},
-		Settings: func(_ int, settings map[string]any) { permissions(s.Deployment, settings) },
+		Settings: func(_ int, settings map[string]any) { permissions(schedule.Deployment, settings) },
 	}
-	if s.CachedList {
+	if schedule.CachedList {
 		size.Operators = "[list]\npath = \"list.db\"\n"
 	}
 	var err error
@@ -118,11 +119,11 @@
 		return nil, err
 	}
 	for i, b := range w.rig.Workers {
-		e := newExecutor(i, s.Seed, w.nodeOf)
-		b.Wrap(e.wrap)
-		w.executors = append(w.executors, e)
+		executor := newExecutor(i, schedule.Seed, w.nodeOf)
+		b.Wrap(executor.wrap)
+		w.executors = append(w.executors, executor)
 	}
-	w.begin = time.Now().Add(startTime + time.Duration(s.Processes)*startEach)
+	w.begin = time.Now().Add(startTime + time.Duration(schedule.Processes)*startEach)
 	for i, d := range w.rig.Nodes {
 		n := &node{Dispatcher: d, program: program}
 		if err := n.set(func(c map[string]any) { c["limits"].(map[string]any)["sockets"] = nodeSockets }); err != nil {
@@ -134,7 +135,7 @@
 		}
 		n.Args = append(n.Args, "--faults", plan)
 		w.nodes = append(w.nodes, n)
-		w.clients = append(w.clients, newClients(i, d.Addr, w.figures, callRate, s.Seed))
+		w.clients = append(w.clients, newClients(i, d.Addr, w.figures, callRate, schedule.Seed))
 	}
 	return w, nil
 }
@@ -223,19 +224,19 @@
 // end sends all processes SIGTERM and waits for them; what does not end is killed.
 func (w *world) end() {
 	_ = each(len(w.nodes), func(i int) error {
-		n := w.nodes[i]
-		n.mu.Lock()
-		running := n.cmd != nil && n.lives[len(n.lives)-1].Ended.IsZero()
-		n.mu.Unlock()
+		node := w.nodes[i]
+		node.mu.Lock()
+		running := node.cmd != nil && node.lives[len(node.lives)-1].Ended.IsZero()
+		node.mu.Unlock()
 		if !running {
 			return nil
 		}
 		ended := make(chan struct{})
-		go func() { n.end(syscall.SIGTERM); close(ended) }()
+		go func() { node.end(syscall.SIGTERM); close(ended) }()
 		select {
 		case <-ended:
 		case <-time.After(readyTime):
-			n.end(syscall.SIGKILL)
+			node.end(syscall.SIGKILL)
 		}
 		return nil
 	})
@@ -243,14 +244,14 @@
 
 // close ends everything at once.
 func (w *world) close() {
-	for _, n := range w.nodes {
-		n.mu.Lock()
-		if n.cmd != nil && n.lives[len(n.lives)-1].Ended.IsZero() {
-			n.lives[len(n.lives)-1].Killed = time.Now()
-			_ = n.cmd.Process.Signal(syscall.SIGKILL)
+	for _, node := range w.nodes {
+		node.mu.Lock()
+		if node.cmd != nil && node.lives[len(node.lives)-1].Ended.IsZero() {
+			node.lives[len(node.lives)-1].Killed = time.Now()
+			_ = node.cmd.Process.Signal(syscall.SIGKILL)
 		}
-		exited := n.exited
-		n.mu.Unlock()
+		exited := node.exited
+		node.mu.Unlock()
 		if exited != nil {
 			<-exited
 		}
