--- a/internal/lab/hollow.go
+++ b/internal/lab/hollow.go
@@ -10,15 +10,12 @@
 	"context"
 	"errors"
 	"fmt"
-	"math"
-	"math/rand/v2"
 	"runtime"
 	"runtime/debug"
 	"runtime/metrics"
 	"slices"
 	"time"
 
-	"oakthread/balancer"
 	"oakthread/endpoints"
 )
 
@@ -123,57 +120,6 @@
 	hollowCollects = 64 << 20        // bytes allocated at the least between collections
 )
 
-// hollowWorld is what a run has beside the emulated world.
-type hollowWorld struct {
-	*simWorld
-	hollowCalls
-	hollowDigests
-	hollowChanges
-	hollowHeap
-	size        HollowSize
-	seed        uint64
-	meter       meter
-	err         error
-	rng         *rand.Rand
-	from, until time.Time // the span
-	lives       uint64    // restarts so far
-	halves      bool      // whether the two halves receive no messages from each other
-	oversize    int       // before the span
-}
-
-// hollowCalls are the calls of the span.
-type hollowCalls struct {
-	asked, earned                 float64
-	calls, unserved, loads, begun int
-	loadWaits                     []float64 // s
-}
-
-// hollowDigests are the digests that dispatchers received.
-type hollowDigests struct {
-	term          int64
-	terms         []int64       // in which each last received a digest
-	digestReaders map[int64]int // by term
-}
-
-// hollowChanges are the changes of the list.
-type hollowChanges struct {
-	delay        []time.Duration // until each dispatcher is notified of a change
-	changed      []time.Time     // of each executor
-	away         []int           // drained executors, in order
-	awayAt       []time.Time
-	acts         time.Duration // until the last dispatcher was notified of a change
-	fullListTime int64         // ns that full lists took before the span
-}
-
-// hollowHeap is the state of the garbage collector.
-type hollowHeap struct {
-	live    uint64 // heap after the last collection
-	samples []metrics.Sample
-}
-
-// note classifies a text.
-type note struct{ digest, report bool }
-
 // HollowRun runs hollow dispatchers in virtual time; one run at a time in a process, for it holds
 // off the collector. Before it starts it refuses what will not fit into the memory that it may
 // take. A run that is broken off, by ctx or by memory, returns its figures so far, marked Partial,
@@ -255,94 +201,6 @@
 		s.Functions, s.Calls)
 }
 
-// hollowFigures are executors that have four tenths of their cores at work whatever the size, with
-// memory for the copies that the plan has.
-func hollowFigures(size HollowSize) *Figures {
-	figures := PlannerFigures()
-	work := 0.0
-	for _, class := range figures.Classes {
-		work += class.Share * class.Work.Seconds()
-	}
-	figures.Worker.Cores = max(1,
-		int(math.Ceil(size.Calls*float64(size.Dispatchers)/float64(size.Executors)*work/hollowUse)))
-	figures.Worker.Queue = 16 * figures.Worker.Cores
-	figures.Worker.Copies = max(figures.Worker.Copies,
-		int(math.Ceil(hollowCopies*float64(size.Functions)/float64(size.Executors))))
-	return figures
-}
-
-// newHollow lays out the world of a run; ctx ends that early.
-func newHollow(ctx context.Context, size HollowSize, seed uint64) (*hollowWorld, error) {
-	w := &simWorld{
-		f: hollowFigures(size), byID: map[balancer.WorkerID]*simWorker{}, popular: newZipf(size.Functions, size.Zipf),
-		simGossip: simGossip{messages: true, lost: size.Lost, lossy: rand.New(rand.NewPCG(seed, 3))},
-		load:      Load{Rate: size.Calls, Models: size.Functions, Zipf: size.Zipf, Retries: 2},
-	}
-	w.now = time.Unix(1_800_000_000, 0)
-	w.began = w.now
-	h := &hollowWorld{
-		simWorld: w, size: size, seed: seed, rng: rand.New(rand.NewPCG(seed, 4)), from: w.now.Add(size.Warm),
-		meter: newMeter(size.Dispatchers),
-		hollowDigests: hollowDigests{
-			term: leaderTerm * int64(w.f.Classes[0].LatencyObjective), terms: make([]int64, size.Dispatchers),
-			digestReaders: map[int64]int{},
-		},
-		hollowHeap: hollowHeap{samples: []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}},
-	}
-	h.until = h.from.Add(size.Span)
-	w.hollow = h
-	w.price, w.walk = size.PeerPrice, size.Walk
-	if size.Before {
-		w.walk = math.MaxInt
-	}
-	for i := range size.Executors {
-		worker := w.add(i, w.began.Add(-time.Hour))
-		worker.zone = i % 10
-		w.listed = append(w.listed, endpoints.Endpoint{
-			ID: worker.id, Zone: worker.zone, State: balancer.Active, Weight: 2,
-			Start: w.began.Add(-time.Hour),
-		})
-	}
-	h.changed = make([]time.Time, size.Executors)
-	w.nodes = make([]*simNode, size.Dispatchers)
-	for n := range w.nodes {
-		h.delay = append(h.delay, time.Duration(mix64(seed<<20^uint64(n))%uint64(notifyDelay)))
-		if err := errors.Join(ctx.Err(), h.start(n)); err != nil {
-			return nil, err
-		}
-		if h.collect() {
-			h.guard()
-		}
-		if h.err != nil {
-			return nil, h.err
-		}
-	}
-	if size.Calls > 0 {
-		for n := range w.nodes {
-			h.clients(n, rand.New(rand.NewPCG(seed, uint64(n)<<8)), 0)
-		}
-	}
-	if size.ListEvents > 0 {
-		for at := range ticks(h.from, h.until, size.ListEvents) {
-			w.at(at, func() { h.list(nil) })
-		}
-	}
-	h.fault()
-	return h, nil
-}
-
-// ticks are the times of so many events a second, evenly.
-func ticks(from, until time.Time, rate float64) func(func(time.Time) bool) {
-	return func(yield func(time.Time) bool) {
-		for i := 0; ; i++ {
-			at := from.Add(time.Duration((float64(i) + 0.5) / rate * float64(time.Second)))
-			if !at.Before(until) || !yield(at) {
-				return
-			}
-		}
-	}
-}
-
 // play lets time pass, collects garbage between events, and breaks off where ctx ends or memory does.
 func (h *hollowWorld) play(ctx context.Context, until time.Time) {
 	for i := 0; h.err == nil; i++ {
