--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -7,12 +7,6 @@
 	"fmt"
 	"io"
 	"log/slog"
-	"oakthread/internal/cli"
-	"oakthread/internal/config"
-	"oakthread/internal/daemon"
-	"oakthread/internal/fault"
-	"oakthread/internal/lab"
-	"oakthread/internal/loganalysis"
 	"os"
 	"os/signal"
 	"path/filepath"
@@ -21,6 +15,13 @@
 	"time"
 
 	"github.com/spf13/cobra"
+
+	"oakthread/internal/cli"
+	"oakthread/internal/config"
+	"oakthread/internal/daemon"
+	"oakthread/internal/fault"
+	"oakthread/internal/lab"
+	"oakthread/internal/loganalysis"
 )
 
 var errBroken = errors.New("not all bounds hold")
@@ -40,6 +41,7 @@
 	os.Exit(cli.Code(err))
 }
 
+// command returns the root command with all experiments.
 func command() *cobra.Command {
 	root := cli.Group("testbed", "The laboratory: experiments on loopback that set our ways beside baselines")
 	root.SilenceErrors, root.SilenceUsage = true, true
@@ -50,13 +52,16 @@
 	}
 	run.AddCommand(soakCommand())
 	demo := &cobra.Command{
-		Use: "demo", Short: "Start discovery, a dozen boxes and a dispatcher, and send some seconds of calls", Args: cli.Args(cobra.NoArgs),
+		Use: "demo", Short: "Start discovery, a dozen boxes and a dispatcher, and send some seconds of calls",
+		Args: cli.Args(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error { return lab.Demo(c.Context(), c.OutOrStdout()) },
 	}
 	root.AddCommand(run, demo, fleetLedger(), dispatch())
 	return root
 }
 
+// experiment returns the command that runs one experiment. It ends with errBroken unless all bounds
+// hold.
 func experiment(e lab.Experiment) *cobra.Command {
 	o := lab.Options{}
 	out := ""
@@ -65,8 +70,11 @@
 	c.Flags().Uint64Var(&o.Seed, "seed", 1, "for arrivals, popularity and restarts")
 	c.Flags().StringVar(&o.Plots, "plots", "", "folder that plots are written to")
 	c.Flags().StringVar(&out, "json", "", "file that the report is written to")
-	c.Flags().StringVar(&o.Before, "before", "", "the older version beside ours where there is one: a commit or a program")
-	c.Flags().StringVar(&o.Only, "only", "", "of the faults of mesh or verdicts, those whose name holds this; of the dimensions of capacity, these, parted by commas")
+	c.Flags().StringVar(&o.Before, "before", "",
+		"the older version beside ours where there is one: a commit or a program")
+	c.Flags().StringVar(&o.Only, "only", "",
+		"of the faults of mesh or verdicts, those whose name holds this; of the dimensions of capacity, these, "+
+			"parted by commas")
 	keep := c.Flags().Bool("keep", false, "leave the run's files, with the dispatchers' logs, and say where they are")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		clean, err := lab.Scratch(&o)
@@ -101,8 +109,9 @@
 // fleetLedger counts over the logs of many dispatchers.
 func fleetLedger() *cobra.Command {
 	c := &cobra.Command{
-		Use: "ledger LOG...", Short: "Count over the debug logs of a fleet, one file a dispatcher: herds, duplicate loads, faults that go on",
-		Args: cli.Args(cobra.MinimumNArgs(1)),
+		Use:   "ledger LOG...",
+		Short: "Count over the debug logs of a fleet, one file a dispatcher: herds, duplicate loads, faults that go on",
+		Args:  cli.Args(cobra.MinimumNArgs(1)),
 	}
 	keep := c.Flags().Duration("keep", 8*time.Second, "time that an idle copy stays loaded")
 	c.RunE = func(c *cobra.Command, logs []string) error {
--- a/internal/fault/plan.go
+++ b/internal/fault/plan.go
@@ -1,15 +1,16 @@
-// Package fault holds what the laboratory's nodes do to themselves: steps of their wall clock and faults of their sockets,
-// at times laid down in a file. Production programs do not import it.
+// Package fault holds what the laboratory's nodes do to themselves: steps of their wall clock and
+// faults of their sockets, at times laid down in a file. Production programs do not import it.
 package fault
 
 import (
 	"encoding/json"
 	"fmt"
+	"os"
+	"time"
+
 	"oakthread/internal/fault/sockets"
 	"oakthread/internal/fault/wallclock"
 	"oakthread/internal/platform"
-	"os"
-	"time"
 )
 
 // Step has the wall clock stand off by Offset from At on.
--- a/internal/fault/sockets/sockets.go
+++ b/internal/fault/sockets/sockets.go
@@ -1,19 +1,22 @@
-// Package sockets puts faults between a dispatcher and the system's sockets: accepts and connects that fail as the manual
-// pages document, reads and writes that are short, interrupted or kept from going on by a shortage.
+// Package sockets injects faults between a dispatcher and the system's sockets: accepts and
+// connects that fail as the manual pages document, reads and writes that are short, interrupted or
+// delayed by a shortage.
 //
-// It stands on the interfaces net.Listener and net.Conn inside the process. So it shows what the program does with the
-// errors, and not that the Go runtime passes them on; datagrams and the poller are left alone.
+// It implements the interfaces net.Listener and net.Conn inside the process. It shows what the
+// program does with the errors, and not that the Go runtime passes them on; datagrams and the
+// poller are not covered.
 package sockets
 
 import (
 	"context"
 	"math/rand/v2"
 	"net"
-	"oakthread/internal/platform"
 	"os"
 	"sync"
 	"syscall"
 	"time"
+
+	"oakthread/internal/platform"
 )
 
 // Rates are the shares of calls that fail.
@@ -92,6 +95,7 @@
 	return &net.OpError{Op: op, Net: "tcp", Err: os.NewSyscallError(op, errno)}
 }
 
+// listener is a net.Listener whose accepts fail as the plan says.
 type listener struct {
 	*net.TCPListener
 	faults *Injector
@@ -117,6 +121,7 @@
 	return l.faults.conn(c), nil
 }
 
+// dial wraps a dial function: some connects fail, others come up late.
 func (i *Injector) dial(next platform.DialFunc) platform.DialFunc {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		if errno, fails := i.fails(func(r Rates) float64 { return r.Connect }, connectErrors); fails {
@@ -155,6 +160,8 @@
 // SyscallConn lets the program ask the kernel what lies unread.
 func (c *conn) SyscallConn() (syscall.RawConn, error) { return c.raw.SyscallConn() }
 
+// Read reads from the connection; when a fault is drawn, fewer bytes than asked for, or none with an
+// error of the system.
 func (c *conn) Read(b []byte) (int, error) {
 	errno, fails := c.faults.fails(func(r Rates) float64 { return r.IO }, ioErrors)
 	if !fails || len(b) == 0 {
@@ -166,6 +173,8 @@
 	return 0, asSystem("read", errno)
 }
 
+// Write writes to the connection; when a fault is drawn, a part of the bytes with an error of the
+// system.
 func (c *conn) Write(b []byte) (int, error) {
 	errno, fails := c.faults.fails(func(r Rates) float64 { return r.IO }, ioErrors)
 	if !fails || len(b) == 0 {
--- /dev/null
+++ b/internal/lab/hollowevents.go
@@ -0,0 +1,226 @@
+package lab
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"oakthread/balancer"
+	"oakthread/endpoints"
+)
+
+// change notifies all dispatchers of changed executors, each after its own delay of up to
+// notifyDelay, which stands for the platform's channel. since is the time of the first change that
+// the measured time counts from.
+func (h *hollowWorld) change(since time.Time, workers ...int) {
+	h.cursor++
+	u := endpoints.Update{Cursor: h.cursor}
+	for _, i := range workers {
+		u.Endpoints = append(u.Endpoints, h.listed[i])
+	}
+	for n, d := range h.delay {
+		h.after(d, func() {
+			if node := h.nodes[n]; !node.dead {
+				h.notify(node, u)
+				h.acts = max(h.acts, h.now.Sub(since))
+			}
+		})
+	}
+}
+
+// list is one change: an executor drained for long enough comes back, another drains, or a weight
+// changes. since: nil: now.
+func (h *hollowWorld) list(since *time.Time) {
+	from := h.now
+	if since != nil {
+		from = *since
+	}
+	if len(h.away) > 0 && h.now.Sub(h.awayAt[0]) >= hollowAway {
+		i := h.away[0]
+		h.away, h.awayAt = h.away[1:], h.awayAt[1:]
+		worker := h.workers[i]
+		worker.model, worker.drained = NewWorkerModel(h.f.Worker, h.now), time.Time{}
+		h.listed[i].State, h.listed[i].Start, h.changed[i] = balancer.Active, h.now, h.now
+		h.change(from, i)
+		return
+	}
+	for range 8 { // one that has not changed just now
+		i := h.rng.IntN(len(h.workers))
+		if h.listed[i].State != balancer.Active || h.now.Sub(h.changed[i]) < 2*notifyDelay ||
+			h.workers[i].fate != stays {
+			continue
+		}
+		h.changed[i] = h.now
+		if 20*len(h.away) < len(h.workers) && h.rng.IntN(2) == 0 {
+			h.workers[i].model.Drain()
+			h.workers[i].drained = h.now.Add(notifyDelay)
+			h.listed[i].State = balancer.Draining
+			h.away, h.awayAt = append(h.away, i), append(h.awayAt, h.now)
+		} else {
+			h.listed[i].Weight = 3.5 - h.listed[i].Weight // 2 or 1.5
+		}
+		h.change(from, i)
+		return
+	}
+}
+
+// configure gives all a new configuration.
+func (h *hollowWorld) configure() {
+	for _, node := range h.nodes {
+		if node.dead {
+			continue
+		}
+		h.meter.begin(node.n, partConfig)
+		_, err := node.d.AddClasses(h.now.UnixNano(),
+			[]balancer.Class{{
+				LatencyObjective: int64(time.Second), ClientTimeout: int64(4 * time.Second),
+				PriorityWeight: 1, LatePriorityWeight: 0.2,
+			}})
+		node.d.SetMaxAttempts(h.now.UnixNano(), 5)
+		h.meter.end()
+		if err != nil && h.err == nil {
+			h.err = fmt.Errorf("hollow run: a new configuration: %w", err)
+		}
+	}
+}
+
+// fault schedules the size's fault.
+func (h *hollowWorld) fault() {
+	span, dispatchers := h.size.Span, h.size.Dispatchers
+	middle := h.from.Add(span / 2)
+	switch h.size.Fault {
+	case FaultOneDown:
+		h.at(h.from.Add(-h.size.Warm/3), func() { h.kill(dispatchers / 2) })
+	case FaultRestarts:
+		h.scheduleRestarts()
+	case FaultZone:
+		h.at(h.from.Add(span/8), h.loseZone)
+		h.at(h.from.Add(span/8+min(hollowOutage, span/2)), h.restoreZone)
+	case FaultRegions:
+		h.at(h.from.Add(span/3), func() { h.halves = true })
+		h.at(h.from.Add(span*2/3), func() { h.halves = false })
+	case FaultFullList:
+		h.at(middle, h.publishFullList)
+	case FaultChanges:
+		rate := max(hollowDay/(24*time.Hour).Seconds(), 1/span.Seconds())
+		for at := range ticks(h.from, h.until, rate) {
+			h.at(at, func() { h.list(nil); h.configure() })
+		}
+	case FaultBurst:
+		for i := range hollowBurst {
+			at := middle.Add(time.Duration(i) * time.Second / hollowBurst)
+			h.at(at, func() { h.list(&middle); h.configure() })
+		}
+	case FaultRelease:
+		h.release(h.from, span*2/3)
+	}
+}
+
+// scheduleRestarts restarts one dispatcher in nineteen, one after the other.
+func (h *hollowWorld) scheduleRestarts() {
+	dispatchers := h.size.Dispatchers
+	count := max(1, dispatchers/19)
+	for at := range ticks(h.from, h.until, float64(count)/h.size.Span.Seconds()) {
+		h.at(at, func() {
+			n := int(h.lives) * 19 % dispatchers
+			h.kill(n)
+			h.after(min(hollowDown, h.size.Span/4), func() { h.revive(n) })
+		})
+	}
+}
+
+// loseZone kills a tenth of the dispatchers and cuts off the executors of zone 0.
+func (h *hollowWorld) loseZone() {
+	for n := range max(1, h.size.Dispatchers/10) {
+		h.kill(n)
+	}
+	for _, worker := range h.workers {
+		if worker.zone == 0 {
+			worker.fate = cutOff
+		}
+	}
+}
+
+// restoreZone starts what loseZone ended.
+func (h *hollowWorld) restoreZone() {
+	var back []int
+	for i, worker := range h.workers {
+		if worker.zone == 0 {
+			worker.fate, worker.model = stays, NewWorkerModel(h.f.Worker, h.now)
+			h.listed[i].Start = h.now
+			back = append(back, i)
+		}
+	}
+	for n := range max(1, h.size.Dispatchers/10) {
+		h.revive(n)
+	}
+	h.change(h.now, back...)
+}
+
+// publishFullList gives all dispatchers the full list at once, and measures it alone.
+func (h *hollowWorld) publishFullList() {
+	h.meter.times[partFullList], h.meter.counts[partFullList], h.fullListTime = 0, 0, 0
+	h.cursor++
+	for _, node := range h.nodes {
+		h.notify(node, endpoints.Update{Full: true, Cursor: h.cursor, Endpoints: h.listed})
+	}
+}
+
+// release replaces every third executor from a moment on, in ten steps over a span: as many new
+// ones start, the old ones drain and stay listed, and every other dispatcher is restarted, one
+// after the other.
+func (h *hollowWorld) release(from time.Time, span time.Duration) {
+	old, d := h.size.Executors, h.size.Dispatchers
+	for step := range 10 {
+		h.at(from.Add(span*time.Duration(step)/10), func() {
+			var changed []int
+			for i := 3 * (old * step / 30); i < 3*(old*(step+1)/30); i += 3 {
+				if h.listed[i].State != balancer.Active { // already draining
+					continue
+				}
+				worker := h.add(len(h.workers), h.now)
+				worker.zone = i % 10
+				changed = append(changed, i, len(h.listed))
+				h.listed = append(h.listed, endpoints.Endpoint{
+					ID: worker.id, Zone: worker.zone, State: balancer.Active,
+					Weight: 2, Start: h.now,
+				})
+				h.changed = append(h.changed, h.now)
+				h.workers[i].model.Drain()
+				h.workers[i].drained = h.now.Add(notifyDelay)
+				h.listed[i].State = balancer.Draining
+			}
+			h.change(h.now, changed...)
+		})
+	}
+	for n := 1; n < d; n += 2 {
+		h.at(from.Add(span*time.Duration(n)/time.Duration(d)), func() {
+			h.kill(n)
+			h.after(min(hollowDown, span/4), func() { h.revive(n) })
+		})
+	}
+}
+
+// kill ends a dispatcher: its calls are cut off at their clients, and what was sent for them goes on.
+func (h *hollowWorld) kill(n int) {
+	node := h.nodes[n]
+	node.dead = true
+	ids := make([]string, 0, len(node.open))
+	for id := range node.open {
+		ids = append(ids, id)
+	}
+	slices.Sort(ids)
+	for _, id := range ids {
+		sent := node.open[id]
+		delete(node.open, id)
+		h.after(0, func() { node.again(sent.call, 200*time.Millisecond, sent.attempts == 0) })
+	}
+	h.lives++
+}
+
+// revive starts a dispatcher anew.
+func (h *hollowWorld) revive(n int) {
+	if err := h.start(n); err != nil && h.err == nil {
+		h.err = err
+	}
+}
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -1,7 +1,7 @@
 package lab
 
-// This file owns what an experiment reports: a table with our figures beside the baselines', and bounds that hold or do
-// not. It must never round a figure to the right side of its bound.
+// The report of an experiment: a table with the program's figures beside the baselines', and bounds
+// that hold or do not. Bounds are checked on unrounded figures.
 
 import (
 	"encoding/json"
@@ -112,14 +112,14 @@
 		fmt.Fprintln(w)
 	}
 	for _, b := range r.Bounds {
-		word, verdict := "at most", "holds"
+		word, outcome := "at most", "holds"
 		if b.AtLeast {
 			word = "at least"
 		}
 		if !b.Holds {
-			verdict = "BROKEN"
+			outcome = "BROKEN"
 		}
-		fmt.Fprintf(w, "%-6s  %s: %s, %s %.4g\n", verdict, b.Name, b.Figure, word, b.Limit)
+		fmt.Fprintf(w, "%-6s  %s: %s, %s %.4g\n", outcome, b.Name, b.Figure, word, b.Limit)
 	}
 	if r.Partial != "" {
 		fmt.Fprintf(w, "PARTIAL: %s\n", r.Partial)
--- /dev/null
+++ b/internal/lab/simattempt.go
@@ -0,0 +1,146 @@
+package lab
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"oakthread/balancer"
+	"oakthread/endpoints"
+	"oakthread/internal/endpointcache"
+)
+
+// unsentAttempts returns the attempts of which nothing was written, in a fixed order.
+func (s *simNode) unsentAttempts() (out []*simAttempt) {
+	for _, fl := range s.attempts {
+		if !fl.begun && !fl.over {
+			out = append(out, fl)
+		}
+	}
+	slices.SortFunc(out, func(a, b *simAttempt) int {
+		return cmp.Or(cmp.Compare(a.key.id, b.key.id), cmp.Compare(a.key.n, b.key.n))
+	})
+	return out
+}
+
+// revoke ends the attempts under way to an executor that is to get nothing new, as far as nothing
+// of them was written.
+func (s *simNode) revoke(worker balancer.WorkerID) {
+	for _, fl := range s.unsentAttempts() {
+		if fl.worker == worker {
+			fl.abort(balancer.NotSent)
+		}
+	}
+}
+
+// abort ends an attempt from this side, at once but not within the event at hand.
+func (fl *simAttempt) abort(r balancer.Result) {
+	if fl.over {
+		return
+	}
+	if fl.over = true; !fl.begun {
+		r = balancer.NotSent
+	}
+	fl.s.w.after(0, func() { fl.finish(r, 0, 0, 0, nil) })
+}
+
+// complete is an answer of the executor's, or the proof that there will be none; timeout the end of the time for it.
+func (fl *simAttempt) complete(r balancer.Result, warm balancer.Warmth, crowd, copies int, rep []float64) {
+	if !fl.over {
+		fl.over = true
+		fl.finish(r, warm, crowd, copies, rep)
+	}
+}
+
+func (fl *simAttempt) timeout() {
+	r := balancer.Timeout
+	if !fl.begun {
+		r = balancer.NotSent
+	}
+	fl.complete(r, 0, 0, 0, nil)
+}
+
+// finish reports the end of an attempt or load order to the list and the module.
+func (fl *simAttempt) finish(r balancer.Result, warm balancer.Warmth, crowd, copies int, rep []float64) {
+	node, now := fl.s, fl.s.w.now
+	if node.dead {
+		return
+	}
+	delete(node.attempts, fl.key)
+	if fl.open != nil && r == balancer.QueueFull {
+		fl.open.full++
+	}
+	if sent := fl.open; sent != nil && r == balancer.OK && node.open[fl.key.id] == sent {
+		node.end(fl.key.id, sent, true)
+		node.w.tally(&node.w.goods)
+	}
+	// a load may take longer than we wait
+	if sign, informative := endpointcache.Sign(r, false); informative && (fl.open != nil || r != balancer.Timeout) {
+		if fl.open != nil && sign == endpoints.Answered && warm == balancer.WarmHit &&
+			now.Sub(fl.sent) > node.w.f.Classes[fl.open.call.class].LatencyObjective/2 {
+			sign = endpoints.Slow
+		}
+		node.list.Observe(now, fl.worker, sign)
+		node.flush()
+	}
+	node.meter.begin(node.n, partChoice)
+	if fl.open == nil {
+		node.d.HandleLoadResult(now.UnixNano(), fl.worker, fl.fn, copies, r)
+	} else {
+		node.ends[r]++
+		node.d.HandleAttemptResult(now.UnixNano(), balancer.AttemptResult{
+			ID: fl.key.id, Attempt: fl.key.n, Worker: fl.worker, Result: r, Finished: node.open[fl.key.id] == nil,
+			Warmth: warm, ConcurrentRequests: crowd, RTT: int64(now.Sub(fl.sent)), Report: rep,
+		})
+	}
+	node.meter.end()
+}
+
+// connect returns what a request to an executor meets: whether anything of it is written, and if
+// not, after what time that is known. Where a connection stood, what is written to a worker that
+// has vanished is never answered.
+func (w *simWorld) connect(node *simNode, worker *simWorker) (written bool, failed time.Duration) {
+	switch {
+	case worker.fate == refuses || worker.fate == reused:
+		return false, 2 * simLinkDelay
+	case worker.fate != vanishes && !w.reaches(node, worker):
+		return false, simProbe
+	}
+	return true, 0
+}
+
+// send puts an attempt on its link.
+func (fl *simAttempt) send(arrive func(worker *simWorker)) {
+	node, worker := fl.s, fl.s.w.byID[fl.worker]
+	node.attempts[fl.key] = fl
+	written, failed := node.w.connect(node, worker)
+	fl.begun = written
+	switch {
+	case !written:
+		if fl.open != nil && failed == simProbe {
+			node.w.unreached++
+		}
+		node.w.after(failed, func() { fl.complete(balancer.ConnectFailed, 0, 0, 0, nil) })
+	case worker.fate != vanishes:
+		node.w.after(simLinkDelay, func() { arrive(worker) })
+	}
+}
+
+// simKey identifies an attempt or a load order of a dispatcher.
+type simKey struct {
+	id string // "": an order
+	n  int
+}
+
+// simAttempt is an attempt or a load order under way. Whichever comes first, answer, timeout or
+// module, ends it alone; what the executor has of it goes on there. Of an attempt that is not begun
+// nothing was written, so that its end proves that it never ran.
+type simAttempt struct {
+	s           *simNode
+	key         simKey
+	worker      balancer.WorkerID
+	sent        time.Time
+	begun, over bool
+	open        *sentCall       // nil: an order
+	fn          balancer.FuncID // of an order
+}
