--- /dev/null
+++ b/internal/lab/stubworker.go
@@ -0,0 +1,330 @@
+package lab
+
+// The workers on sockets: the platform's protocol for executors over the model of a worker, and a
+// record of what each worker observed. An answer is sent only for work that the model has ended.
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"hash/fnv"
+	"io"
+	"log"
+	"net"
+	"net/http"
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"time"
+)
+
+// ObservedCall is one call that a worker saw.
+type ObservedCall struct {
+	At       time.Time
+	ID       string
+	Class    int
+	Model    uint64 // called; 0 for a call that failed at once
+	Took     bool   // it was taken: it runs
+	Draining bool   // the worker was draining when it came
+	Failed   bool   // it ran, and its answer was an error
+}
+
+// StubWorker is a worker on a socket.
+type StubWorker struct {
+	ID   string // as discovery names it
+	Addr string
+	f    *Figures
+
+	mu       sync.Mutex
+	model    *WorkerModel
+	observed []ObservedCall
+	orders   []time.Time // orders to load that came
+	drained  time.Time   // when it began to drain
+	failing  float64     // share of calls that run and fail at once; probes and orders do not
+
+	wrapper atomic.Pointer[func(http.Handler) http.Handler]
+
+	kick chan struct{}
+	stop context.CancelFunc
+	srv  *http.Server
+	ln   net.Listener
+}
+
+// StartStubWorker starts a worker that listens at addr.
+func StartStubWorker(id, addr string, figures *Figures, started time.Time) (*StubWorker, error) {
+	listener, err := listenAgain(addr)
+	if err != nil {
+		return nil, fmt.Errorf("worker %s: %w", id, err)
+	}
+	ctx, stop := context.WithCancel(context.Background())
+	s := &StubWorker{
+		ID: id, Addr: listener.Addr().String(), f: figures, model: NewWorkerModel(figures.Worker, started),
+		kick: make(chan struct{}, 1), stop: stop, ln: listener,
+	}
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /busy", s.probe)
+	mux.HandleFunc("GET /ping", s.probe)
+	mux.HandleFunc("POST /c/{class}", s.call)
+	mux.HandleFunc("GET /c/{class}", s.call)
+	mux.HandleFunc("PUT /c/{model}/{count}", s.order)
+	mux.HandleFunc("DELETE /c/{model}", s.unload)
+	s.srv = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter,
+		r *http.Request,
+	) {
+		s.handler(mux).ServeHTTP(w, r)
+	}), ErrorLog: log.New(io.Discard, "", 0)}
+	go func() { _ = s.srv.Serve(listener) }()
+	go s.run(ctx)
+	return s, nil
+}
+
+// Wrap makes every request pass through what wrap makes of the worker's own handler, from now on.
+func (s *StubWorker) Wrap(wrap func(http.Handler) http.Handler) { s.wrapper.Store(&wrap) }
+
+func (s *StubWorker) handler(own http.Handler) http.Handler {
+	if wrap := s.wrapper.Load(); wrap != nil {
+		return (*wrap)(own)
+	}
+	return own
+}
+
+// run lets the model's time pass and answers what has ended.
+func (s *StubWorker) run(ctx context.Context) {
+	timer := time.NewTimer(time.Hour)
+	defer timer.Stop()
+	for {
+		s.mu.Lock()
+		now := time.Now()
+		ended := s.model.Advance(now)
+		next := s.model.Next(now)
+		s.mu.Unlock()
+		for _, job := range ended {
+			close(job.Data.(chan struct{}))
+		}
+		wait := time.Hour
+		if !next.IsZero() {
+			wait = max(next.Sub(now), 0)
+		}
+		timer.Reset(wait)
+		select {
+		case <-ctx.Done():
+			return
+		case <-s.kick:
+		case <-timer.C:
+		}
+	}
+}
+
+func (s *StubWorker) wake() {
+	select {
+	case s.kick <- struct{}{}:
+	default:
+	}
+}
+
+// Change does something to the model, at once.
+func (s *StubWorker) Change(f func(model *WorkerModel)) {
+	s.mu.Lock()
+	f(s.model)
+	if s.model.Draining() && s.drained.IsZero() {
+		s.drained = time.Now()
+	}
+	s.mu.Unlock()
+	s.wake()
+}
+
+// Fail has a share of all calls end with an error at once, from now on.
+func (s *StubWorker) Fail(share float64) {
+	s.mu.Lock()
+	s.failing = share
+	s.mu.Unlock()
+}
+
+// fails reports whether a call is to fail: by its id and how many came before.
+func (s *StubWorker) fails(id string, class int) bool {
+	h := fnv.New32a()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	fmt.Fprint(h, s.ID, id, len(s.observed))
+	if s.failing == 0 || s.model.Draining() || s.model.Fallen() || float64(h.Sum32()%1000) >= 1000*s.failing {
+		return false
+	}
+	s.observed = append(s.observed, ObservedCall{At: time.Now(), ID: id, Class: class, Took: true, Failed: true})
+	return true
+}
+
+// Die ends the worker: its connections are reset and its address refuses.
+func (s *StubWorker) Die() {
+	_ = s.srv.Close()
+	s.stop()
+}
+
+// Vanish ends the worker silently: its connections stay open, and its address takes connections
+// that nobody answers. (A loopback address cannot be made to swallow the handshake without
+// privileges.)
+func (s *StubWorker) Vanish() (release func(), err error) {
+	s.Die()
+	listener, err := net.Listen("tcp", s.Addr)
+	if err != nil {
+		return nil, fmt.Errorf("worker %s vanishes: %w", s.ID, err)
+	}
+	return func() { _ = listener.Close() }, nil
+}
+
+var errWorkerStopped = errors.New("worker has stopped")
+
+// Observations returns the calls and load orders that the worker saw.
+func (s *StubWorker) Observations() (calls []ObservedCall, orders []time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return append([]ObservedCall(nil), s.observed...), append([]time.Time(nil), s.orders...)
+}
+
+// Drained returns when the worker began to drain; the zero time if it did not.
+func (s *StubWorker) Drained() time.Time {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.drained
+}
+
+// Fallen reports whether the worker collapsed under load.
+func (s *StubWorker) Fallen() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.model.Fallen()
+}
+
+func (s *StubWorker) report(h http.Header, now time.Time) {
+	queue, util := s.model.Report(now)
+	h.Set("X-Report", fmt.Sprintf("queue:%d;util:%.3f", queue, util))
+}
+
+func (s *StubWorker) probe(w http.ResponseWriter, _ *http.Request) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.report(w.Header(), time.Now())
+	if s.model.Draining() || s.model.Fallen() {
+		w.WriteHeader(http.StatusServiceUnavailable)
+	}
+}
+
+func never(w http.ResponseWriter) {
+	w.Header().Set("X-No-Effect", "1")
+	w.WriteHeader(http.StatusServiceUnavailable)
+}
+
+var noteNames = [...]string{"hit", "spawn", "pending"}
+
+// submit gives the model a job and waits for its end; the error says why it was rejected, or that
+// the worker has stopped.
+func (s *StubWorker) submit(r *http.Request, job *Job) (Admission, error) {
+	done := make(chan struct{})
+	job.Data = done
+	s.mu.Lock()
+	now := time.Now()
+	admission := s.model.Arrive(now, job)
+	if job.Order {
+		s.orders = append(s.orders, now)
+	} else {
+		s.observed = append(s.observed, ObservedCall{
+			At: now, ID: job.ID, Class: job.Class, Model: job.Model,
+			Took: admission == Admitted, Draining: s.model.Draining(),
+		})
+	}
+	s.mu.Unlock()
+	if admission != Admitted {
+		return admission, nil
+	}
+	s.wake()
+	select {
+	case <-done:
+		return Admitted, nil
+	case <-r.Context().Done(): // work that runs goes on all the same
+		return Admitted, errWorkerStopped
+	}
+}
+
+// call serves a call: it runs on the model, is rejected, or fails.
+func (s *StubWorker) call(w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(io.LimitReader(r.Body, 1<<16))
+	model, parseErr := strconv.ParseUint(r.Header.Get("X-Thing"), 16, 64)
+	class := s.class(r.PathValue("class"))
+	if err != nil || parseErr != nil || class < 0 {
+		http.Error(w, "malformed", http.StatusBadRequest)
+		return
+	}
+	id := r.Header.Get("X-Hop-Id")
+	if s.fails(id, class) {
+		http.Error(w, "failed", http.StatusInternalServerError)
+		return
+	}
+	job := &Job{
+		ID: id, Class: class, Model: model, Work: s.f.Work(class, id), Load: s.f.Load,
+		Concurrency: s.f.Concurrency,
+	}
+	admission, err := s.submit(r, job)
+	if err != nil {
+		return
+	}
+	s.mu.Lock()
+	s.report(w.Header(), time.Now())
+	s.mu.Unlock()
+	switch admission {
+	case RejectedFull, RejectedDraining:
+		never(w)
+	case WorkerDown:
+		panic(http.ErrAbortHandler)
+	default:
+		w.Header().Set("X-Tell", noteNames[job.Warmth])
+		if job.ConcurrentRequests > 0 {
+			w.Header().Set("X-Same", strconv.Itoa(job.ConcurrentRequests))
+		}
+		w.Header().Set("Content-Length", strconv.Itoa(len(body)+len(id)))
+		_, _ = io.WriteString(w, id)
+		_, _ = w.Write(body)
+	}
+}
+
+func (s *StubWorker) class(name string) int {
+	for i, c := range s.f.Classes {
+		if c.Name == name {
+			return i
+		}
+	}
+	return -1
+}
+
+// order serves a load order.
+func (s *StubWorker) order(w http.ResponseWriter, r *http.Request) {
+	model, parseErr := strconv.ParseUint(r.PathValue("model"), 16, 64)
+	count, odd := strconv.Atoi(r.PathValue("count"))
+	if parseErr != nil || odd != nil || count < 0 {
+		http.Error(w, "malformed", http.StatusBadRequest)
+		return
+	}
+	admission := Admitted
+	if count > 0 {
+		var err error
+		if admission, err = s.submit(r, &Job{
+			Model: model, Load: s.f.Load, Concurrency: s.f.Concurrency,
+			Order: true,
+		}); err != nil {
+			return
+		}
+	}
+	s.mu.Lock()
+	w.Header().Set("X-N", strconv.Itoa(s.model.Loaded(time.Now(), model)))
+	s.mu.Unlock()
+	if admission != Admitted {
+		never(w)
+	}
+}
+
+func (s *StubWorker) unload(w http.ResponseWriter, r *http.Request) {
+	if model, err := strconv.ParseUint(r.PathValue("model"), 16, 64); err == nil {
+		s.mu.Lock()
+		s.model.Unload(model)
+		s.mu.Unlock()
+	}
+	w.WriteHeader(http.StatusNoContent)
+}
--- a/internal/lab/turns.go
+++ b/internal/lab/turns.go
@@ -1,7 +1,8 @@
 package lab
 
-// This file owns the experiment turns: what only one dispatcher should do while others die, stand still, are cut off or come
-// later, under real processes of the program before and after a change. It counts what crossed the datagrams' ways.
+// The experiment turns: the duties of a single dispatcher while others die, are stopped, are cut
+// off or start later, under real processes of the program before and after a change. Results are
+// counted from the datagrams in the peer network.
 
 import (
 	"context"
@@ -12,7 +13,7 @@
 	"time"
 )
 
-// turnsBefore is the commit before turns of those that are gone passed on.
+// turnsBefore is the commit before the terms of dispatchers that are down passed to others.
 const turnsBefore = "1ee320a"
 
 // Faults of a fleet whose dispatchers take turns.
@@ -36,15 +37,15 @@
 type turnsResult struct {
 	Breaches
 	silence    float64 // longest time, in terms, in which nobody who stays said a word to another
-	idle       float64 // part of the terms in which no one told all
+	idle       float64 // part of the terms without a broadcast
 	calm, late float64 // calls served at those who stay
 }
 
-// Told lists when one dispatcher told most others, and which, from what crossed the ways.
-func Told(seen []Datagram, dispatchers int) (digests []Datagram) {
+// Broadcasts returns the datagrams with which a dispatcher began to send to most others at once.
+func Broadcasts(datagrams []Datagram, dispatchers int) (digests []Datagram) {
 	byFrom := make([][]Datagram, dispatchers)
-	for _, x := range seen {
-		byFrom[x.From] = append(byFrom[x.From], x)
+	for _, datagram := range datagrams {
+		byFrom[datagram.From] = append(byFrom[datagram.From], datagram)
 	}
 	for _, sent := range byFrom {
 		for i := 0; i < len(sent); {
@@ -65,69 +66,97 @@
 }
 
 // Silence is the longest time in a span without a word among the dispatchers that stay names.
-func Silence(seen []Datagram, stay func(int) bool, from, until time.Time) (most time.Duration) {
+func Silence(datagrams []Datagram, stay func(int) bool, from, until time.Time) (most time.Duration) {
 	last := from
-	for _, x := range seen {
-		if stay(x.From) && stay(x.To) && x.At.After(from) && x.At.Before(until) {
-			last, most = x.At, max(most, x.At.Sub(last))
+	for _, datagram := range datagrams {
+		if stay(datagram.From) && stay(datagram.To) && datagram.At.After(from) && datagram.At.Before(until) {
+			last, most = datagram.At, max(most, datagram.At.Sub(last))
 		}
 	}
 	return max(most, until.Sub(last))
 }
 
 // RunTurns runs the experiment.
-func RunTurns(ctx context.Context, o Options) (*Report, error) {
-	sizes, boxes, seeds := []int{12, 24}, 24, 3
-	if o.Quick {
-		sizes, boxes, seeds = []int{6}, 12, 1
+func RunTurns(ctx context.Context, options Options) (*Report, error) {
+	sizes, workers, seeds := []int{12, 24}, 24, 3
+	if options.Quick {
+		sizes, workers, seeds = []int{6}, 12, 1
 	}
 	return versus[turnsResult]{
 		name: "turns", before: turnsBefore, sizes: sizes, seeds: seeds, faults: TurnsFaults(),
-		note: fmt.Sprintf("%d boxes, %d calls/s a box; counted from %d to %d terms after the fault", boxes, fleetCalls, turnsSettle, turnsSettle+turnsCount),
+		note: fmt.Sprintf("%d boxes, %d calls/s a box; counted from %d to %d terms after the fault", workers,
+			fleetCalls, turnsSettle, turnsSettle+turnsCount),
 		run: func(net *Net, dir, fault string, size RigSize) (*turnsResult, error) {
-			size.Boxes = boxes
+			size.Workers = workers
 			return turnsArm(ctx, net, dir, fault, size)
 		}, report: turnsReport,
-	}.all(ctx, o)
+	}.all(ctx, options)
 }
 
+// turnsRun is one play of the experiment.
+type turnsRun struct {
+	rig   *Rig
+	fault string
+}
+
+// stays reports whether the fault leaves dispatcher n running.
+func (t turnsRun) stays(n int) bool {
+	switch t.fault {
+	case TurnsKilled:
+		return n%3 == 0
+	case TurnsStopped:
+		return !thirdOf(n)
+	}
+	return true
+}
+
+// first reports whether dispatcher n starts before the fault.
+func (t turnsRun) first(n int) bool { return t.fault != TurnsGrown || n%2 == 0 }
+
+// inject begins the fault. ready limits the start of further dispatchers, sending the calls of
+// their clients.
+func (t turnsRun) inject(ready, sending context.Context) error {
+	rig := t.rig
+	switch t.fault {
+	case TurnsKilled:
+		return rig.each(func(n int) bool { return !t.stays(n) }, (*Dispatcher).Kill)
+	case TurnsStopped:
+		err := rig.Signal(syscall.SIGSTOP, thirdOf)
+		time.AfterFunc(3*time.Second, func() { _ = rig.Signal(syscall.SIGCONT, thirdOf) })
+		return err
+	case TurnsHalves:
+		rig.PeerNetwork.Set(Lost, func(from, to int) bool { return meshHalf(from) != meshHalf(to) })
+	case TurnsGrown:
+		later := func(n int) bool { return !t.first(n) }
+		if err := rig.Start(ready, later); err != nil {
+			return err
+		}
+		rig.Send(sending, later)
+	}
+	return nil
+}
+
+// turnsArm plays one fault under one program.
 func turnsArm(ctx context.Context, net *Net, dir, fault string, size RigSize) (*turnsResult, error) {
-	r, err := NewVerdicts(net, dir, size)
+	rig, err := NewOutlierRig(net, dir, size)
 	if err != nil {
 		return nil, err
 	}
-	defer r.Close()
-	stays := func(n int) bool { return fault != TurnsKilled && fault != TurnsStopped || n%3 == 0 }
-	if fault == TurnsStopped {
-		stays = func(n int) bool { return !thirdOf(n) }
-	}
-	first := func(n int) bool { return fault != TurnsGrown || n%2 == 0 }
+	defer rig.Close()
+	t := turnsRun{rig, fault}
 	ready, done := context.WithTimeout(ctx, 20*time.Second)
 	defer done()
-	if err := r.Start(ready, first); err != nil {
+	if err := rig.Start(ready, t.first); err != nil {
 		return nil, err
 	}
-	going, enough := context.WithCancel(ctx)
+	sending, enough := context.WithCancel(ctx)
 	defer enough()
-	r.Send(going, func(n int) bool { return stays(n) && first(n) })
+	rig.Send(sending, func(n int) bool { return t.stays(n) && t.first(n) })
 	if err := sleepUntil(ctx, time.Now().Add(4*time.Second)); err != nil {
 		return nil, err
 	}
-	began, term := time.Now(), hubTerm*r.Figures.Classes[0].Aim
-	switch fault {
-	case TurnsKilled:
-		err = r.each(func(n int) bool { return !stays(n) }, (*Dispatcher).Kill)
-	case TurnsStopped:
-		err = r.Signal(syscall.SIGSTOP, thirdOf)
-		time.AfterFunc(3*time.Second, func() { _ = r.Signal(syscall.SIGCONT, thirdOf) })
-	case TurnsHalves:
-		r.Words.Set(Lost, func(from, to int) bool { return meshHalf(from) != meshHalf(to) })
-	case TurnsGrown:
-		if err = r.Start(ready, func(n int) bool { return !first(n) }); err == nil {
-			r.Send(going, func(n int) bool { return !first(n) })
-		}
-	}
-	if err != nil {
+	began, term := time.Now(), leaderTerm*rig.Figures.Classes[0].LatencyObjective
+	if err := t.inject(ready, sending); err != nil {
 		return nil, err
 	}
 	from := began.Add(turnsSettle * term)
@@ -136,31 +165,40 @@
 		return nil, err
 	}
 	enough()
-	r.Quiet()
-	x := &turnsResult{Breaches: r.Check(func(t Try) bool { return !stays(senderOf(t.ID)) })}
-	seen := r.Words.Seen()
-	x.silence = Silence(seen, stays, from, end).Seconds() / term.Seconds()
-	told := make([]bool, turnsCount)
-	for _, d := range Told(seen, size.Dispatchers) {
-		if i := int(d.At.Sub(from) / term); stays(d.From) && d.At.After(from) && i < len(told) {
-			told[i] = true
+	rig.Quiet()
+	result := t.count(from, end, term)
+	calls := rig.Calls(t.stays)
+	result.calm, result.late = Served(calls, began.Add(-2*time.Second), began, nil), Served(calls, from, end, nil)
+	if fault == TurnsKilled {
+		return result, nil
+	}
+	if err := rig.Stop(); err != nil {
+		return nil, fmt.Errorf("a dispatcher did not end well: %w", err)
+	}
+	return result, nil
+}
+
+// count takes the breaches of the run, and the silence and the terms without a broadcast in a span.
+func (t turnsRun) count(from, end time.Time, term time.Duration) *turnsResult {
+	result := &turnsResult{Breaches: t.rig.Check(func(a Attempt) bool { return !t.stays(senderOf(a.ID)) })}
+	datagrams := t.rig.PeerNetwork.Datagrams()
+	result.silence = Silence(datagrams, t.stays, from, end).Seconds() / term.Seconds()
+	broadcast := make([]bool, turnsCount)
+	for _, datagram := range Broadcasts(datagrams, t.rig.Dispatchers) {
+		if i := int(datagram.At.Sub(from) / term); t.stays(datagram.From) && datagram.At.After(from) &&
+			i < len(broadcast) {
+			broadcast[i] = true
 		}
 	}
-	for _, ok := range told {
+	for _, ok := range broadcast {
 		if !ok {
-			x.idle += 1.0 / turnsCount
+			result.idle += 1.0 / turnsCount
 		}
 	}
-	x.calm, x.late = Served(r.Calls(stays), began.Add(-2*time.Second), began, nil), Served(r.Calls(stays), from, end, nil)
-	if fault == TurnsKilled {
-		return x, nil
-	}
-	if err := r.Stop(); err != nil {
-		return nil, fmt.Errorf("a dispatcher did not end well: %w", err)
-	}
-	return x, nil
+	return result
 }
 
+// turnsReport adds the rows and bounds of one fault under both programs.
 func turnsReport(rep *Report, name, _ string, both [2]*turnsResult) {
 	row := func(what, unit string, of func(*turnsResult) float64) {
 		rep.Row(name+what, unit, of(both[0]), of(both[1]))
--- a/internal/soak/campaign.go
+++ b/internal/soak/campaign.go
@@ -1,6 +1,6 @@
 package soak
 
-// This file owns a campaign: runs over many seeds, some at a time, the shortening of what fails, and the table.
+// A campaign: runs over many seeds, some at a time, the shortening of what fails, and the table.
 
 import (
 	"context"
@@ -8,7 +8,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"oakthread/internal/lab"
 	"os"
 	"path/filepath"
 	"runtime"
@@ -17,6 +16,8 @@
 	"sync"
 	"text/tabwriter"
 	"time"
+
+	"oakthread/internal/lab"
 )
 
 // Options of a campaign.
@@ -25,7 +26,7 @@
 	Seeds     int
 	Processes int
 	Jobs      int    // runs at a time
-	Only      []Kind // empty: all troubles
+	Only      []Kind // empty: all kinds
 	Replay    *Schedule
 	Shorten   bool // what fails is run again with less, to the shortest that fails
 	Dir       string
@@ -35,22 +36,22 @@
 
 // Limits of a campaign on this machine.
 const (
-	mostProcesses = 40
-	mostAtATime   = 240                // processes of all runs together
-	mostMemory    = 12 << 30           // bytes
-	perProcess    = 48 << 20           // bytes that a process may come to
-	shortenTime   = 4 * time.Minute    // for all that fails
-	hardTime      = 90 * time.Second   // for one run
-	seedsQuick    = 3                  // of the quick form
-	processQuick  = 10                 // and its processes
-	tableColumn   = 2                  // spaces between columns of the table
-	progressEvery = 10                 // runs between two lines of progress
-	failuresTold  = 12                 // violations told of one run
-	jsonIndent    = " "                // of the report
-	reportName    = "soak.json"        // in the campaign's folder
-	scheduleName  = "shortest.json"    // of what fails, in the run's folder
-	runFolder     = "seed-%d"          // of a run
-	shorterFolder = "seed-%d-short-%d" // of a shortened one
+	maxProcesses           = 40
+	maxConcurrentProcesses = 240                // processes of all runs together
+	maxMemoryBytes         = 12 << 30           // bytes
+	processMemoryBytes     = 48 << 20           // bytes that a process may come to
+	shortenTime            = 4 * time.Minute    // for all that fails
+	hardTime               = 90 * time.Second   // for one run
+	seedsQuick             = 3                  // of the quick form
+	processQuick           = 10                 // and its processes
+	tableColumn            = 2                  // spaces between columns of the table
+	progressEvery          = 10                 // runs between two lines of progress
+	maxViolationsPrinted   = 12                 // of one run
+	jsonIndent             = " "                // of the report
+	reportName             = "soak.json"        // in the campaign's folder
+	scheduleName           = "shortest.json"    // of what fails, in the run's folder
+	runFolder              = "seed-%d"          // of a run
+	shorterFolder          = "seed-%d-short-%d" // of a shortened one
 )
 
 // ErrTooLarge says that a campaign would take more processes or memory than it may.
@@ -63,16 +64,16 @@
 	Short map[uint64]Schedule `json:"short,omitempty"` // the shortest schedules that fail, by seed
 }
 
-// Pair counts the runs in which two troubles overlapped.
+// Pair counts the runs in which two faults overlapped.
 type Pair struct {
 	Played, Failed int
 }
 
 // Failed are the runs with violations, inconclusive ones left out.
 func (c *Campaign) Failed() (out []Result) {
-	for _, r := range c.Runs {
-		if len(r.Violations) > 0 && !r.Inconclusive() {
-			out = append(out, r)
+	for _, result := range c.Runs {
+		if len(result.Violations) > 0 && !result.Inconclusive() {
+			out = append(out, result)
 		}
 	}
 	return out
@@ -87,117 +88,124 @@
 // check refuses what the machine is not to bear.
 func (o Options) check() error {
 	switch {
-	case o.Processes < 1 || o.Processes > mostProcesses || o.Seeds < 1 || o.Jobs < 1:
-		return fmt.Errorf("%w: 1 to %d processes, one seed and one job at the least", ErrTooLarge, mostProcesses)
-	case o.Processes*o.Jobs > mostAtATime || o.Processes*o.Jobs*perProcess > mostMemory:
-		return fmt.Errorf("%w: %d, and %d may run", ErrTooLarge, o.Processes*o.Jobs, min(mostAtATime, mostMemory/perProcess))
+	case o.Processes < 1 || o.Processes > maxProcesses || o.Seeds < 1 || o.Jobs < 1:
+		return fmt.Errorf("%w: 1 to %d processes, one seed and one job at the least", ErrTooLarge, maxProcesses)
+	case o.Processes*o.Jobs > maxConcurrentProcesses || o.Processes*o.Jobs*processMemoryBytes > maxMemoryBytes:
+		return fmt.Errorf("%w: %d, and %d may run", ErrTooLarge, o.Processes*o.Jobs,
+			min(maxConcurrentProcesses, maxMemoryBytes/processMemoryBytes))
 	}
 	return nil
 }
 
-// Play runs a campaign. An error tells of runs that could not be made; violations are in the campaign.
-func Play(ctx context.Context, o Options) (*Campaign, error) {
-	if o.Jobs == 0 {
-		o.Jobs = max(1, runtime.NumCPU()/2)
+// Play runs a campaign. The error reports runs that could not be made; violations are in the
+// campaign.
+func Play(ctx context.Context, options Options) (*Campaign, error) {
+	if options.Jobs == 0 {
+		options.Jobs = max(1, runtime.NumCPU()/2)
 	}
-	if err := o.check(); err != nil {
+	if err := options.check(); err != nil {
 		return nil, err
 	}
 	schedules := []Schedule{}
-	if o.Replay != nil {
-		schedules = append(schedules, *o.Replay)
+	if options.Replay != nil {
+		schedules = append(schedules, *options.Replay)
 	}
-	for i := range uint64(o.Seeds) {
-		if o.Replay == nil {
-			schedules = append(schedules, Draw(o.Seed+i, o.Processes, o.Only))
+	for i := range uint64(options.Seeds) {
+		if options.Replay == nil {
+			schedules = append(schedules, Draw(options.Seed+i, options.Processes, options.Only))
 		}
 	}
 	c := &Campaign{Pairs: map[string]*Pair{}, Short: map[uint64]Schedule{}}
-	err := c.playAll(ctx, o, schedules)
-	if o.Shorten {
-		c.shorten(ctx, o)
+	err := c.playAll(ctx, options, schedules)
+	if options.Shorten {
+		c.shorten(ctx, options)
 	}
-	return c, errors.Join(err, c.write(filepath.Join(o.Dir, reportName)))
+	return c, errors.Join(err, c.write(filepath.Join(options.Dir, reportName)))
 }
 
 // playAll plays schedules, some at a time.
-func (c *Campaign) playAll(ctx context.Context, o Options, schedules []Schedule) error {
+func (c *Campaign) playAll(ctx context.Context, options Options, schedules []Schedule) error {
 	var mu sync.Mutex
 	var failed error
 	var runs sync.WaitGroup
-	places := make(chan struct{}, o.Jobs)
-	for _, s := range schedules {
+	places := make(chan struct{}, options.Jobs)
+	for _, schedule := range schedules {
 		places <- struct{}{}
 		runs.Go(func() {
 			defer func() { <-places }()
 			one, cancel := context.WithTimeout(ctx, hardTime)
 			defer cancel()
-			r, err := Run(one, s, filepath.Join(o.Dir, fmt.Sprintf(runFolder, s.Seed)), o.Program)
+			result, err := Run(one, schedule, filepath.Join(options.Dir, fmt.Sprintf(runFolder, schedule.Seed)),
+				options.Program)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				failed = errors.Join(failed, fmt.Errorf("seed %d: %w", s.Seed, err))
+				failed = errors.Join(failed, fmt.Errorf("seed %d: %w", schedule.Seed, err))
 			}
-			c.add(r)
-			tell(o, r, len(c.Runs), len(schedules))
+			c.add(result)
+			reportProgress(options, result, len(c.Runs), len(schedules))
 		})
 	}
 	runs.Wait()
 	return failed
 }
 
-// tell writes progress.
-func tell(o Options, r Result, done, all int) {
-	if o.Progress == nil {
+// reportProgress writes progress.
+func reportProgress(options Options, result Result, done, all int) {
+	if options.Progress == nil {
 		return
 	}
-	if r.Inconclusive() {
-		o.Progress("seed %d: inconclusive, the laboratory stood still for %v (%d violations not counted)", r.Schedule.Seed, r.Stalled, len(r.Violations))
-	} else if len(r.Violations) > 0 {
-		o.Progress("seed %d: %d violations, in %s", r.Schedule.Seed, len(r.Violations), r.Dir)
-		for _, v := range r.Violations[:min(len(r.Violations), failuresTold)] {
-			o.Progress("  %s", v)
+	if result.Inconclusive() {
+		options.Progress("seed %d: inconclusive, the laboratory stood still for %v (%d violations not counted)",
+			result.Schedule.Seed, result.Stalled, len(result.Violations))
+	} else if len(result.Violations) > 0 {
+		options.Progress("seed %d: %d violations, in %s", result.Schedule.Seed, len(result.Violations), result.Dir)
+		for _, violation := range result.Violations[:min(len(result.Violations), maxViolationsPrinted)] {
+			options.Progress("  %s", violation)
 		}
 	}
 	if done%progressEvery == 0 || done == all {
-		o.Progress("%d of %d runs", done, all)
+		options.Progress("%d of %d runs", done, all)
 	}
 }
 
-func (c *Campaign) add(r Result) {
-	c.Runs = append(c.Runs, r)
-	if r.Inconclusive() {
+// add takes a run into the campaign and counts its pairs of faults.
+func (c *Campaign) add(result Result) {
+	c.Runs = append(c.Runs, result)
+	if result.Inconclusive() {
 		return
 	}
-	for _, name := range r.Schedule.Pairs() {
+	for _, name := range result.Schedule.Pairs() {
 		if c.Pairs[name] == nil {
 			c.Pairs[name] = &Pair{}
 		}
 		c.Pairs[name].Played++
-		if len(r.Violations) > 0 {
+		if len(result.Violations) > 0 {
 			c.Pairs[name].Failed++
 		}
 	}
 }
 
 // shorten runs what failed again with less, as far as it still breaks one of the same rules.
-func (c *Campaign) shorten(ctx context.Context, o Options) {
+func (c *Campaign) shorten(ctx context.Context, options Options) {
 	within, cancel := context.WithTimeout(ctx, shortenTime)
 	defer cancel()
-	for _, r := range c.Failed() {
-		tries := 0
-		short := r.Schedule.Shorten(func(s Schedule) bool {
+	for _, result := range c.Failed() {
+		runs := 0
+		short := result.Schedule.Shorten(func(schedule Schedule) bool {
 			if within.Err() != nil {
 				return false
 			}
-			tries++
-			again, err := Run(within, s, filepath.Join(o.Dir, fmt.Sprintf(shorterFolder, s.Seed, tries)), o.Program)
-			return err == nil && !again.Inconclusive() && sharesRule(r.Violations, again.Violations)
+			runs++
+			again, err := Run(within, schedule, filepath.Join(options.Dir,
+				fmt.Sprintf(shorterFolder, schedule.Seed, runs)), options.Program)
+			return err == nil && !again.Inconclusive() && sharesRule(result.Violations, again.Violations)
 		})
-		c.Short[r.Schedule.Seed] = short
-		path := filepath.Join(r.Dir, scheduleName)
-		if err := short.Write(path); err == nil && o.Progress != nil {
-			o.Progress("seed %d: shortest that fails, of %d runs: %v; play it with testbed run soak --replay %s", r.Schedule.Seed, tries, short.Troubles, path)
+		c.Short[result.Schedule.Seed] = short
+		path := filepath.Join(result.Dir, scheduleName)
+		if err := short.Write(path); err == nil && options.Progress != nil {
+			options.Progress("seed %d: shortest that fails, of %d runs: %v; play it with testbed run soak --replay %s",
+				result.Schedule.Seed, runs, short.Faults, path)
 		}
 	}
 }
@@ -216,7 +224,8 @@
 	return os.WriteFile(path, raw, 0o600)
 }
 
-// Print writes the table: by pair of troubles how often it was played and failed, then the sums by rule.
+// Print writes the table: by pair of faults how often it was played and failed, then the sums by
+// rule.
 func (c *Campaign) Print(out io.Writer) {
 	t := tabwriter.NewWriter(out, 0, 0, tableColumn, ' ', 0)
 	fmt.Fprintln(t, "troubles\tplayed\tfailed")
@@ -236,17 +245,18 @@
 	_ = t.Flush()
 	inconclusive, requests, served := 0, 0, 0
 	rules := map[Rule]int{}
-	for _, r := range c.Runs {
-		requests, served = requests+r.Requests, served+r.Served
-		if r.Inconclusive() {
+	for _, result := range c.Runs {
+		requests, served = requests+result.Requests, served+result.Served
+		if result.Inconclusive() {
 			inconclusive++
 			continue
 		}
-		for _, v := range r.Violations {
-			rules[v.Rule]++
+		for _, violation := range result.Violations {
+			rules[violation.Rule]++
 		}
 	}
-	fmt.Fprintf(out, "%d runs, %d with violations, %d inconclusive; %d requests, %d served; %d pairs of troubles\n", len(c.Runs), len(c.Failed()),
+	fmt.Fprintf(out, "%d runs, %d with violations, %d inconclusive; %d requests, %d served; %d pairs of troubles\n",
+		len(c.Runs), len(c.Failed()),
 		inconclusive, requests, served, len(names))
 	for rule, n := range rules {
 		fmt.Fprintf(out, "violations of %q: %d\n", rule, n)
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -1,7 +1,7 @@
 package soak
 
-// This file owns the clients: raw connections on which requests are written and answers read, and a record of each request.
-// It must never decide whether a rule was kept: the oracle does.
+// The clients: raw connections on which requests are written and answers read, and a record of each
+// request. Whether a rule was broken is decided by the oracle alone.
 
 import (
 	"bufio"
@@ -12,11 +12,12 @@
 	"math/rand/v2"
 	"net"
 	"net/http"
-	"oakthread/internal/lab"
 	"os"
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"oakthread/internal/lab"
 )
 
 // End is how a request ended for its client.
@@ -25,30 +26,30 @@
 // Ends of a request.
 const (
 	NotSent    End = "not sent"    // no connection, or it ended before the last byte was written
-	Answered   End = "answered"    // a whole answer came
+	Answered   End = "answered"    // a complete answer came
 	Cut        End = "cut"         // a part of an answer came
 	Closed     End = "closed"      // the connection ended, and nothing came
 	Overdue    End = "overdue"     // nothing came in time
 	Left       End = "left"        // the client left before
-	NeverWhole End = "never whole" // the client did not write all of it
+	Incomplete End = "never whole" // the client did not write all of it
 )
 
 // Request is the record of one request.
 type Request struct {
-	ID       string        `json:"id"`
-	Node     int           `json:"node"`
-	Class    int           `json:"class"`
-	Reused   bool          `json:"reused"` // its connection had carried another before
-	Sent     time.Time     `json:"sent"`   // before its first byte
-	Whole    time.Time     `json:"whole"`  // when its last byte was written
-	Patience time.Duration `json:"patience"`
-	Ended    time.Time     `json:"ended"`
-	End      End           `json:"end"`
-	Status   int           `json:"status"`
-	Wrong    bool          `json:"wrong"` // served with what no executor made for it
-	Second   bool          `json:"second"`
-	LeftAt   time.Time     `json:"left_at"`
-	Err      string        `json:"err,omitempty"`
+	ID      string        `json:"id"`
+	Node    int           `json:"node"`
+	Class   int           `json:"class"`
+	Reused  bool          `json:"reused"` // its connection had carried another before
+	Sent    time.Time     `json:"sent"`   // before its first byte
+	SentAt  time.Time     `json:"whole"`  // when its last byte was written
+	Timeout time.Duration `json:"patience"`
+	Ended   time.Time     `json:"ended"`
+	End     End           `json:"end"`
+	Status  int           `json:"status"`
+	Wrong   bool          `json:"wrong"` // served with what no executor made for it
+	Second  bool          `json:"second"`
+	LeftAt  time.Time     `json:"left_at"`
+	Err     string        `json:"err,omitempty"`
 }
 
 // behaviour is what the clients of a node do, each by a share of their calls.
@@ -57,14 +58,14 @@
 }
 
 const (
-	late        = 500 * time.Millisecond // an answer so much past its time earns nothing; later it is lost
-	readSlack   = 300 * time.Millisecond // for this machine, beyond that
-	dialTime    = time.Second
-	keptConns   = 16
-	dawdleWhole = 900 * time.Millisecond // in pieces, but within the front's time for a head and a body
-	dawdleNever = 4 * time.Second
-	briefTime   = 60 * time.Millisecond // at the most, for clients in a hurry
-	keepFor     = 3500 * time.Millisecond
+	late                  = 500 * time.Millisecond // an answer so much past its time earns nothing; later it is lost
+	readSlack             = 300 * time.Millisecond // for this machine, beyond that
+	dialTime              = time.Second
+	maxIdleConns          = 16
+	slowRequestTime       = 900 * time.Millisecond // in pieces, but within the front's time for a head and a body
+	incompleteRequestTime = 4 * time.Second
+	briefTime             = 60 * time.Millisecond // at the most, for clients in a hurry
+	keepFor               = 3500 * time.Millisecond
 )
 
 // Clients are the clients of one dispatcher.
@@ -78,20 +79,24 @@
 
 	mu      sync.Mutex
 	how     behaviour
-	idle    []*kept
+	idle    []*clientConn
 	records []*Request
 	seq     atomic.Int64
 	wait    sync.WaitGroup
 }
 
-type kept struct {
+// clientConn is a pooled connection of a client.
+type clientConn struct {
 	net.Conn
 	in   *bufio.Reader
 	used time.Time
 }
 
 func newClients(node int, addr string, f *lab.Figures, rate float64, seed uint64) *Clients {
-	return &Clients{node: node, addr: addr, figures: f, rate: rate, models: 120, rng: rand.New(rand.NewPCG(seed, uint64(node)+1))}
+	return &Clients{
+		node: node, addr: addr, figures: f, rate: rate, models: 120,
+		rng: rand.New(rand.NewPCG(seed, uint64(node)+1)),
+	}
 }
 
 // behave changes what the clients do from now on.
@@ -114,8 +119,8 @@
 		c.wait.Wait()
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		for _, k := range c.idle {
-			_ = k.Close()
+		for _, conn := range c.idle {
+			_ = conn.Close()
 		}
 		c.idle = nil
 	}()
@@ -136,51 +141,54 @@
 
 // plannedCall is a call as it was drawn.
 type plannedCall struct {
-	class    int
-	model    uint64
-	patience time.Duration
-	leave    time.Duration // after its last byte; 0: the client stays
-	way      int           // of leaving
-	dawdle   int           // 0: not; 1: in pieces; 2: never whole
-	retry    bool
-	fresh    bool // on a new connection
+	class     int
+	model     uint64
+	timeout   time.Duration
+	leave     time.Duration // after its last byte; 0: the client stays
+	leaveMode int           // of leaving
+	dawdle    int           // 0: not; 1: in pieces; 2: never complete
+	retry     bool
+	fresh     bool // on a new connection
 }
 
 // drawCall draws the next call; the caller holds mu.
 func (c *Clients) drawCall() plannedCall {
-	p := plannedCall{class: len(c.figures.Classes) - 1, model: 0x7f00 + uint64(c.rng.IntN(c.models)), fresh: c.rng.IntN(4) == 0}
+	planned := plannedCall{
+		class: len(c.figures.Classes) - 1, model: 0x7f00 + uint64(c.rng.IntN(c.models)),
+		fresh: c.rng.IntN(4) == 0,
+	}
 	u := c.rng.Float64()
 	for i, k := range c.figures.Classes {
 		if u -= k.Share; u < 0 {
-			p.class = i
+			planned.class = i
 			break
 		}
 	}
-	p.patience = c.figures.Classes[p.class].GiveUp
+	planned.timeout = c.figures.Classes[planned.class].ClientTimeout
 	if c.rng.Float64() < c.how.Brief {
-		p.patience = time.Millisecond + time.Duration(c.rng.Int64N(int64(briefTime)))
+		planned.timeout = time.Millisecond + time.Duration(c.rng.Int64N(int64(briefTime)))
 	}
 	if c.rng.Float64() < c.how.Leave {
-		p.leave, p.way = time.Duration(1+c.rng.Int64N(int64(250*time.Millisecond))), c.rng.IntN(3)
+		planned.leave, planned.leaveMode = time.Duration(1+c.rng.Int64N(int64(250*time.Millisecond))), c.rng.IntN(3)
 	}
 	if c.rng.Float64() < c.how.Dawdle {
-		p.dawdle = 1 + c.rng.IntN(2)
+		planned.dawdle = 1 + c.rng.IntN(2)
 	}
-	p.retry = c.rng.Float64() < c.how.Retry
-	return p
+	planned.retry = c.rng.Float64() < c.how.Retry
+	return planned
 }
 
-// call makes a call and what follows from it: one that crossed the close of an idle connection is sent again, once, and a
-// refused one by clients that come again at once.
-func (c *Clients) call(p plannedCall) {
-	r := c.send(p)
-	if r.End == Closed && r.Reused && r.Ended.Sub(r.Whole) < crossed {
-		p.fresh = true
-		r = c.send(p)
+// call makes a call and what follows from it: one that crossed the close of an idle connection is
+// sent again, once, and a refused one by clients that come again at once.
+func (c *Clients) call(planned plannedCall) {
+	request := c.send(planned)
+	if request.End == Closed && request.Reused && request.Ended.Sub(request.SentAt) < crossed {
+		planned.fresh = true
+		request = c.send(planned)
 	}
-	for tries := 0; p.retry && tries < 3 && r.End == Answered && refused(r.Status); tries++ {
-		p.fresh = true
-		r = c.send(p)
+	for runs := 0; planned.retry && runs < 3 && request.End == Answered && refused(request.Status); runs++ {
+		planned.fresh = true
+		request = c.send(planned)
 	}
 }
 
@@ -189,7 +197,7 @@
 }
 
 // connection is an idle one, or a new one.
-func (c *Clients) connection(fresh bool) (*kept, bool, error) {
+func (c *Clients) connection(fresh bool) (*clientConn, bool, error) {
 	c.mu.Lock()
 	for n := len(c.idle); n > 0 && !fresh; n = len(c.idle) {
 		k := c.idle[n-1]
@@ -205,131 +213,138 @@
 	if err != nil {
 		return nil, false, err
 	}
-	return &kept{Conn: conn, in: bufio.NewReader(conn)}, false, nil
+	return &clientConn{Conn: conn, in: bufio.NewReader(conn)}, false, nil
 }
 
-func (c *Clients) giveBack(k *kept) {
+// giveBack returns a connection to the pool; a full pool closes the one that is idle for longest.
+func (c *Clients) giveBack(conn *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	k.used = time.Now()
-	if len(c.idle) >= keptConns {
+	conn.used = time.Now()
+	if len(c.idle) >= maxIdleConns {
 		_ = c.idle[0].Close()
 		c.idle = c.idle[1:]
 	}
-	c.idle = append(c.idle, k)
+	c.idle = append(c.idle, conn)
 }
 
 // send makes one request and records it.
-func (c *Clients) send(p plannedCall) *Request {
-	r := &Request{ID: fmt.Sprintf("%03x%013x", c.node, c.seq.Add(1)), Node: c.node, Class: p.class, Patience: p.patience, End: NotSent}
+func (c *Clients) send(planned plannedCall) *Request {
+	request := &Request{
+		ID: fmt.Sprintf("%03x%013x", c.node, c.seq.Add(1)), Node: c.node, Class: planned.class,
+		Timeout: planned.timeout, End: NotSent,
+	}
 	defer func() {
-		r.Ended = time.Now()
+		request.Ended = time.Now()
 		c.mu.Lock()
-		c.records = append(c.records, r)
+		c.records = append(c.records, request)
 		c.mu.Unlock()
 	}()
-	r.Sent = time.Now()
-	k, reused, err := c.connection(p.fresh)
+	request.Sent = time.Now()
+	conn, reused, err := c.connection(planned.fresh)
 	if err != nil {
-		r.Err = err.Error()
-		return r
+		request.Err = err.Error()
+		return request
 	}
-	r.Reused, r.Sent = reused, time.Now()
-	body := "slot " + r.ID
-	head := fmt.Sprintf("POST /call/%016x/trigger HTTP/1.1\r\nHost: origin.svc\r\nX-Class: %s\r\nX-Call-Id: %s\r\nX-Patience-Ms: %d\r\n"+
-		"X-Extras: memory_mb:4000;lanes:%d;load_ms:%d\r\nContent-Length: %d\r\n\r\n%s", p.model, c.figures.Classes[p.class].Name, r.ID,
-		max(1, p.patience.Milliseconds()), c.figures.Lanes, c.figures.Load.Milliseconds(), len(body), body)
-	if !c.write(k, r, p, head) {
-		_ = k.Close()
-		return r
+	request.Reused, request.Sent = reused, time.Now()
+	body := "slot " + request.ID
+	head := fmt.Sprintf("POST /call/%016x/trigger HTTP/1.1\r\nHost: origin.svc\r\nX-Class: %s\r\nX-Call-Id: "+
+		"%s\r\nX-Patience-Ms: %d\r\n"+
+		"X-Extras: memory_mb:4000;lanes:%d;load_ms:%d\r\nContent-Length: %d\r\n\r\n%s", planned.model,
+		c.figures.Classes[planned.class].Name, request.ID,
+		max(1, planned.timeout.Milliseconds()), c.figures.Concurrency, c.figures.Load.Milliseconds(), len(body), body)
+	if !c.write(conn, request, planned, head) {
+		_ = conn.Close()
+		return request
 	}
-	r.Whole = time.Now()
-	if p.leave > 0 {
-		time.AfterFunc(p.leave, func() { leaveBy(k.Conn, p.way) })
+	request.SentAt = time.Now()
+	if planned.leave > 0 {
+		time.AfterFunc(planned.leave, func() { leave(conn.Conn, planned.leaveMode) })
 	}
-	c.read(k, r, p, body)
-	return r
+	c.read(conn, request, planned, body)
+	return request
 }
 
 // write writes a request, in pieces where the client dawdles; false: not all of it was written.
-func (c *Clients) write(k *kept, r *Request, p plannedCall, text string) bool {
-	if p.dawdle == 0 {
-		if _, err := io.WriteString(k, text); err != nil {
-			r.Err = err.Error()
+func (c *Clients) write(conn *clientConn, request *Request, planned plannedCall, text string) bool {
+	if planned.dawdle == 0 {
+		if _, err := io.WriteString(conn, text); err != nil {
+			request.Err = err.Error()
 			return false
 		}
 		return true
 	}
 	const pieces = 4
 	for i := range pieces {
-		if p.dawdle == 2 && i == pieces-1 {
-			r.End = NeverWhole
-			_ = k.SetReadDeadline(time.Now().Add(dawdleNever))
-			_, _ = io.Copy(io.Discard, k) // until the dispatcher ends it
+		if planned.dawdle == 2 && i == pieces-1 {
+			request.End = Incomplete
+			_ = conn.SetReadDeadline(time.Now().Add(incompleteRequestTime))
+			_, _ = io.Copy(io.Discard, conn) // until the dispatcher ends it
 			return false
 		}
-		if _, err := io.WriteString(k, text[len(text)*i/pieces:len(text)*(i+1)/pieces]); err != nil {
-			r.Err = err.Error()
+		if _, err := io.WriteString(conn, text[len(text)*i/pieces:len(text)*(i+1)/pieces]); err != nil {
+			request.Err = err.Error()
 			return false
 		}
 		if i < pieces-1 {
-			time.Sleep(dawdleWhole / pieces)
+			time.Sleep(slowRequestTime / pieces)
 		}
 	}
 	return true
 }
 
-// leaveBy ends a client's side: closed, reset, or only for sending.
-func leaveBy(c net.Conn, way int) {
-	t, ok := c.(*net.TCPConn)
+// leave ends a client's side: closed, reset, or only for sending.
+func leave(conn net.Conn, mode int) {
+	t, ok := conn.(*net.TCPConn)
 	switch {
-	case way == 1 && ok:
+	case mode == 1 && ok:
 		_ = t.SetLinger(0)
-		_ = c.Close()
-	case way == 2 && ok:
+		_ = conn.Close()
+	case mode == 2 && ok:
 		_ = t.CloseWrite()
 	default:
-		_ = c.Close()
+		_ = conn.Close()
 	}
 }
 
 // read reads the answer.
-func (c *Clients) read(k *kept, r *Request, p plannedCall, body string) {
-	_ = k.SetReadDeadline(r.Whole.Add(p.patience + late + readSlack))
-	resp, err := http.ReadResponse(k.in, nil) //nolint:bodyclose // read up to its end below; the connection is its caller's
+func (c *Clients) read(conn *clientConn, request *Request, planned plannedCall, body string) {
+	_ = conn.SetReadDeadline(request.SentAt.Add(planned.timeout + late + readSlack))
+	//nolint:bodyclose // read up to its end below; the connection is its caller's
+	resp, err := http.ReadResponse(conn.in, nil)
 	var got []byte
 	if err == nil {
-		r.Status = resp.StatusCode
+		request.Status = resp.StatusCode
 		got, err = io.ReadAll(resp.Body)
 	}
-	if p.leave > 0 && time.Since(r.Whole) >= p.leave {
-		r.End, r.LeftAt = Left, r.Whole.Add(p.leave)
-		_ = k.Close()
+	if planned.leave > 0 && time.Since(request.SentAt) >= planned.leave {
+		request.End, request.LeftAt = Left, request.SentAt.Add(planned.leave)
+		_ = conn.Close()
 		return
 	}
 	switch {
 	case err == nil:
-		r.End = Answered
+		request.End = Answered
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		r.End = Overdue
-	case r.Status != 0 || k.in.Buffered() > 0:
-		r.End = Cut
+		request.End = Overdue
+	case request.Status != 0 || conn.in.Buffered() > 0:
+		request.End = Cut
 	default:
-		r.End = Closed
+		request.End = Closed
 	}
 	if err != nil {
-		r.Err = err.Error()
-		_ = k.Close()
+		request.Err = err.Error()
+		_ = conn.Close()
 		return
 	}
-	r.Wrong = r.Status == http.StatusOK && string(got) != r.ID+body
-	r.Second = k.in.Buffered() > 0
-	if resp.Close || p.leave > 0 || r.Second {
-		_ = k.Close()
+	request.Wrong = request.Status == http.StatusOK && string(got) != request.ID+body
+	request.Second = conn.in.Buffered() > 0
+	if resp.Close || planned.leave > 0 || request.Second {
+		_ = conn.Close()
 		return
 	}
-	_ = k.SetReadDeadline(time.Time{})
-	c.giveBack(k)
+	_ = conn.SetReadDeadline(time.Time{})
+	c.giveBack(conn)
 }
 
 // burst has so many clients ask one call after the other until ctx ends, each on a new connection.
@@ -339,10 +354,10 @@
 		wait.Go(func() {
 			for ctx.Err() == nil {
 				c.mu.Lock()
-				p := c.drawCall()
+				planned := c.drawCall()
 				c.mu.Unlock()
-				p.fresh = true
-				c.send(p)
+				planned.fresh = true
+				c.send(planned)
 			}
 		})
 	}
--- a/internal/soak/executor.go
+++ b/internal/soak/executor.go
@@ -1,7 +1,7 @@
 package soak
 
-// This file owns what stands around an executor: a record of every request that came to it, and the ways in which its
-// answers go wrong.
+// The wrapper of an executor: a record of every request that came to it, and the faults of its
+// answers.
 
 import (
 	"math/rand/v2"
@@ -18,7 +18,7 @@
 type Arrival struct {
 	Executor int           `json:"executor"`
 	ID       string        `json:"id"`
-	At       time.Time     `json:"at"` // when its head was whole
+	At       time.Time     `json:"at"` // when its head was complete
 	Budget   time.Duration `json:"budget"`
 	Ran      bool          `json:"ran"` // it was taken on
 	Status   int           `json:"status"`
@@ -34,7 +34,7 @@
 	arrivals []*Arrival
 	orders   []LoadOrder
 
-	nodeOf func(host string) int // whose way ends at an address
+	nodeOf func(host string) int // whose link ends at an address
 }
 
 // LoadOrder is an order to load that came to an executor.
@@ -47,7 +47,7 @@
 	return &executor{n: n, nodeOf: nodeOf, rng: rand.New(rand.NewPCG(seed, uint64(n)+1<<32)), spoil: map[Kind]float64{}}
 }
 
-// set has a share of the answers spoilt in a way; 0: none.
+// set makes a share of the answers fail by a kind of fault; 0: none.
 func (e *executor) set(kind Kind, share float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -60,46 +60,47 @@
 	return e.rng.Float64() < e.spoil[kind]
 }
 
-func (e *executor) seen() []*Arrival {
+func (e *executor) received() []*Arrival {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]*Arrival(nil), e.arrivals...)
 }
 
-// secondMost is how long after the first a second answer may come. What the ways between add on a busy machine stays below
-// the 10 ms for which a dispatcher watches a connection: a second answer after that cannot be told from the next one.
+// secondMost is how long after the first a second answer may come. With what the links add on a
+// busy machine it stays below the 10 ms for which a dispatcher watches a connection: a second
+// answer after that cannot be distinguished from the next one.
 const secondMost = 5 * time.Millisecond
 
-// around is the executor's handler with the record and the spoiling.
-func (e *executor) around(own http.Handler) http.Handler {
-	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		id := r.Header.Get("X-Hop-Id")
+// wrap is the executor's handler with the record and the spoiling.
+func (e *executor) wrap(own http.Handler) http.Handler {
+	return http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
+		id := request.Header.Get("X-Hop-Id")
 		if id == "" { // a probe or an order
-			e.order(r)
-			own.ServeHTTP(w, r)
+			e.order(request)
+			own.ServeHTTP(response, request)
 			return
 		}
-		budget, _ := strconv.Atoi(r.Header.Get("X-Budget"))
-		a := &Arrival{Executor: e.n, ID: id, At: time.Now(), Budget: time.Duration(budget) * time.Millisecond}
+		budget, _ := strconv.Atoi(request.Header.Get("X-Budget"))
+		arrival := &Arrival{Executor: e.n, ID: id, At: time.Now(), Budget: time.Duration(budget) * time.Millisecond}
 		e.mu.Lock()
-		e.arrivals = append(e.arrivals, a)
+		e.arrivals = append(e.arrivals, arrival)
 		e.mu.Unlock()
 		rec := httptest.NewRecorder()
-		own.ServeHTTP(rec, r)
+		own.ServeHTTP(rec, request)
 		e.mu.Lock()
-		a.Status = rec.Code
-		a.Ran = rec.Code == http.StatusOK || rec.Code == http.StatusInternalServerError
+		arrival.Status = rec.Code
+		arrival.Ran = rec.Code == http.StatusOK || rec.Code == http.StatusInternalServerError
 		e.mu.Unlock()
-		e.answer(w, rec)
+		e.answer(response, rec)
 	})
 }
 
 // order records an order to load; one for no copies only asks.
-func (e *executor) order(r *http.Request) {
-	if r.Method != http.MethodPut || strings.HasSuffix(r.URL.Path, "/0") {
+func (e *executor) order(request *http.Request) {
+	if request.Method != http.MethodPut || strings.HasSuffix(request.URL.Path, "/0") {
 		return
 	}
-	host, _, err := net.SplitHostPort(r.RemoteAddr)
+	host, _, err := net.SplitHostPort(request.RemoteAddr)
 	if err != nil {
 		return
 	}
@@ -115,20 +116,20 @@
 }
 
 // answer writes what the executor answered, spoilt where that is drawn.
-func (e *executor) answer(w http.ResponseWriter, rec *httptest.ResponseRecorder) {
+func (e *executor) answer(response http.ResponseWriter, rec *httptest.ResponseRecorder) {
 	twice, pieces, cut, closes := e.draws(AnswerTwice), e.draws(AnswerPieces), e.draws(AnswerCut), e.draws(IdleClosed)
 	if !twice && !pieces && !cut {
 		for name, values := range rec.Header() {
-			w.Header()[name] = values
+			response.Header()[name] = values
 		}
 		if closes {
-			w.Header().Set("Connection", "close")
+			response.Header().Set("Connection", "close")
 		}
-		w.WriteHeader(rec.Code)
-		_, _ = w.Write(rec.Body.Bytes())
+		response.WriteHeader(rec.Code)
+		_, _ = response.Write(rec.Body.Bytes())
 		return
 	}
-	conn, _, err := w.(http.Hijacker).Hijack()
+	conn, _, err := response.(http.Hijacker).Hijack()
 	if err != nil {
 		return
 	}
@@ -158,11 +159,12 @@
 }
 
 // lingerOpen leaves a connection open for a while, as an idle one is.
-func lingerOpen(c net.Conn) {
-	_ = c.SetReadDeadline(time.Now().Add(200 * time.Millisecond))
-	_, _ = c.Read(make([]byte, 1))
+func lingerOpen(conn net.Conn) {
+	_ = conn.SetReadDeadline(time.Now().Add(200 * time.Millisecond))
+	_, _ = conn.Read(make([]byte, 1))
 }
 
+// rawAnswer returns a recorded answer as it goes over the wire.
 func rawAnswer(rec *httptest.ResponseRecorder) []byte {
 	out := []byte("HTTP/1.1 " + strconv.Itoa(rec.Code) + " " + http.StatusText(rec.Code) + "\r\n")
 	rec.Header().Set("Content-Length", strconv.Itoa(rec.Body.Len()))
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -1,7 +1,7 @@
 package soak
 
-// This file owns the processes: how each is started, signalled and ended, and what is known of its lives. It must never
-// end a process that it did not start.
+// The processes: how each is started, signalled and ended, and the record of its incarnations. Only
+// processes started here are ended.
 
 import (
 	"context"
@@ -9,7 +9,6 @@
 	"errors"
 	"fmt"
 	"net/http"
-	"oakthread/internal/lab"
 	"os"
 	"os/exec"
 	"sync"
@@ -17,6 +16,8 @@
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"oakthread/internal/lab"
 )
 
 // Life is one process of a node, from its start to its end.
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -1,13 +1,15 @@
 package soak
 
-// This file owns the oracle: from the records of clients, executors and processes it finds what broke a rule. It is pure.
+// The oracle: from the records of clients, executors and processes it finds the violations of the
+// rules. It is pure.
 
 import (
 	"fmt"
 	"net/http"
-	"oakthread/internal/lab"
 	"slices"
 	"time"
+
+	"oakthread/internal/lab"
 )
 
 // Rule names what a violation broke. docs/design/invariants.md has them with their sources.
@@ -21,13 +23,13 @@
 	RuleOnce      Rule = "once"         // a call that must not run twice does not
 	RuleRefusal   Rule = "refusal"      // a refused call had no effect
 	RuleLeft      Rule = "client left"  // nothing begins over 0.1 s after the client left
-	RuleBudget    Rule = "time told"    // an executor is told at most what the client has left
+	RuleBudget    Rule = "time told"    // an executor is given at most the time that the client has left
 	RuleDrain     Rule = "drain"        // nothing is sent to what drains
 	RuleRation    Rule = "load orders"  // orders to load are rationed by the calls taken
-	RuleColdStart Rule = "cold start"   // a cold executor does not fall
+	RuleSlowStart Rule = "cold start"   // an executor in slow start does not collapse
 	RuleProcess   Rule = "process"      // no process ends by itself, and each ends well
 	RuleReady     Rule = "ready"        // ready within 10 s of a start
-	RuleRecovers  Rule = "recovers"     // calls are served once troubles are over
+	RuleRecovers  Rule = "recovers"     // calls are served once the faults are over
 	RuleDatagrams Rule = "datagram"     // 256 bytes at most
 	RuleHarness   Rule = "inconclusive" // the laboratory itself stood still: nothing is said
 )
@@ -46,35 +48,38 @@
 
 // Slack of the rules.
 const (
-	crossed     = 250 * time.Millisecond // a close that a request crossed comes by then; the page says 50 ms, and this machine is busy
-	leftSlack   = 100*time.Millisecond + 80*time.Millisecond
-	budgetSlack = 150*time.Millisecond + 40*time.Millisecond
-	newAtEnd    = 400 * time.Millisecond // for so long after SIGTERM new connections keep coming
-	takenAtEnd  = 700 * time.Millisecond // after SIGTERM a request that comes later is owed nothing
-	endSlack    = 900 * time.Millisecond // beyond the longest deadline and the 0.7 s
-	readyIn     = 10 * time.Second
-	servedLeast = 0.5  // of the calls that come in the calm end
-	rationSlack = 0.15 // the page's; it adds one order
-	pauseTail   = 400 * time.Millisecond
-	drainSlack  = drainGrace + 50*time.Millisecond + 100*time.Millisecond // the settings' grace, the page's slack and this machine's
-	untoldTail  = 2500 * time.Millisecond                                 // a lost channel is found and opened again by then
+	// a close that a request crossed comes by then; the page says 50 ms, and this machine is busy
+	crossed        = 250 * time.Millisecond
+	leftSlack      = 100*time.Millisecond + 80*time.Millisecond
+	budgetSlack    = 150*time.Millisecond + 40*time.Millisecond
+	newAtEnd       = 400 * time.Millisecond // for so long after SIGTERM new connections keep coming
+	takenAtEnd     = 700 * time.Millisecond // after SIGTERM a request that comes later is owed nothing
+	endSlack       = 900 * time.Millisecond // beyond the longest deadline and the 0.7 s
+	readyIn        = 10 * time.Second
+	minServedShare = 0.5  // of the calls that come in the calm end
+	rationSlack    = 0.15 // the page's; it adds one order
+	pauseTail      = 400 * time.Millisecond
+	// the settings' grace, the page's slack and this machine's
+	drainSlack = drainGrace + 50*time.Millisecond + 100*time.Millisecond
+	// a lost channel is found and opened again by then
+	uninformedTail = 2500 * time.Millisecond
 )
 
 // Records are what a run left.
 type Records struct {
-	Requests []*Request
-	Arrivals []*Arrival
-	Lives    [][]Life // by node
-	Paused   [][]span
-	Troubled [][]span // by executor: its ways were not open, or slow
-	Drains   []Drain
-	Orders   []LoadOrder
-	Ration   Ration
-	Untold   [][]span // by node: discovery's way to it was not open
-	Once     func(class int) bool
-	Longest  time.Duration // that any client waits
-	CalmFrom time.Time     // troubles have been over for a while
-	CalmTo   time.Time
+	Requests   []*Request
+	Arrivals   []*Arrival
+	Lives      [][]Life // by node
+	Paused     [][]span
+	Disturbed  [][]span // by executor: its links were not open, or slow
+	Drains     []Drain
+	Orders     []LoadOrder
+	Ration     Ration
+	Uninformed [][]span // by node: discovery's link to it was not open
+	Once       func(class int) bool
+	Longest    time.Duration // that any client waits
+	CalmFrom   time.Time     // the faults have been over for a while
+	CalmTo     time.Time
 }
 
 // Ration is what the settings allow of orders to load.
@@ -83,22 +88,22 @@
 	Free, Share float64
 }
 
-// Drain is a time in which an executor drained, from when discovery had told of it.
+// Drain is a time in which an executor drained, from when discovery had announced it.
 type Drain struct {
 	Executor int
 	span
 }
 
-// Judge finds the violations of a run.
-func Judge(r Records) []Violation {
-	j := judge{Records: r, arrived: map[string][]*Arrival{}}
-	for _, a := range r.Arrivals {
-		j.arrived[a.ID] = append(j.arrived[a.ID], a)
+// FindViolations finds the violations of a run.
+func FindViolations(r Records) []Violation {
+	j := oracle{Records: r, arrived: map[string][]*Arrival{}}
+	for _, arrival := range r.Arrivals {
+		j.arrived[arrival.ID] = append(j.arrived[arrival.ID], arrival)
 	}
-	for _, q := range r.Requests {
-		j.answered(q)
-		j.effects(q)
-		j.arrivals(q)
+	for _, request := range r.Requests {
+		j.answered(request)
+		j.effects(request)
+		j.arrivals(request)
 	}
 	j.processes()
 	j.rationed()
@@ -106,74 +111,80 @@
 	return j.found
 }
 
-type judge struct {
+// oracle collects the violations of a run; arrived holds the arrivals by request.
+type oracle struct {
 	Records
 	arrived map[string][]*Arrival
 	found   []Violation
 }
 
-func (j *judge) broken(rule Rule, node int, id, format string, args ...any) {
+func (j *oracle) broken(rule Rule, node int, id, format string, args ...any) {
 	j.found = append(j.found, Violation{rule, node, id, fmt.Sprintf(format, args...)})
 }
 
 // answered looks whether a request got its one answer.
-func (j *judge) answered(q *Request) {
-	if q.Second {
-		j.broken(RuleOneAnswer, q.Node, q.ID, "bytes came behind the answer")
+func (j *oracle) answered(request *Request) {
+	if request.Second {
+		j.broken(RuleOneAnswer, request.Node, request.ID, "bytes came behind the answer")
 	}
-	if q.Wrong {
-		j.broken(RuleTrue, q.Node, q.ID, "served with another body")
+	if request.Wrong {
+		j.broken(RuleTrue, request.Node, request.ID, "served with another body")
 	}
-	switch q.End {
+	switch request.End {
 	case NotSent:
-		if q.Err != "" && !q.Reused && j.listening(q) { // a kept connection may have been closed, or its process may have died
-			j.broken(RuleAnswered, q.Node, q.ID, "no connection: %s", q.Err)
+		// a pooled connection may have been closed, or its process may have died
+		if request.Err != "" && !request.Reused && j.listening(request) {
+			j.broken(RuleAnswered, request.Node, request.ID, "no connection: %s", request.Err)
 		}
 		return
 	case Closed:
-		if q.Reused && q.Ended.Sub(q.Whole) < crossed && len(j.arrived[q.ID]) == 0 {
+		if request.Reused && request.Ended.Sub(request.SentAt) < crossed && len(j.arrived[request.ID]) == 0 {
 			return // it crossed the close of an idle connection, and was not taken
 		}
 	case Overdue, Cut:
 	default:
 		return
 	}
-	if j.owed(q) {
-		j.broken(RuleAnswered, q.Node, q.ID, "%s after %v of %v, reused %v, arrivals %d (%s)", q.End, q.Ended.Sub(q.Whole).Round(time.Millisecond),
-			q.Patience, q.Reused, len(j.arrived[q.ID]), q.Err)
+	if j.owed(request) {
+		j.broken(RuleAnswered, request.Node, request.ID, "%s after %v of %v, reused %v, arrivals %d (%s)", request.End,
+			request.Ended.Sub(request.SentAt).Round(time.Millisecond),
+			request.Timeout, request.Reused, len(j.arrived[request.ID]), request.Err)
 	}
 }
 
-// listening tells whether a process was there that takes new connections: not killed, and told to end a moment ago at most.
-func (j *judge) listening(q *Request) bool {
-	for _, l := range j.Lives[q.Node] {
-		if l.Ready.IsZero() || q.Sent.Before(l.Ready) || !l.Killed.IsZero() && l.Killed.Before(q.Ended) {
+// listening reports whether a process was there that takes new connections: not killed, and
+// signalled to end a moment ago at most.
+func (j *oracle) listening(request *Request) bool {
+	for _, life := range j.Lives[request.Node] {
+		if life.Ready.IsZero() || request.Sent.Before(life.Ready) || !life.Killed.IsZero() &&
+			life.Killed.Before(request.Ended) {
 			continue
 		}
-		if l.Ending.IsZero() && (l.Ended.IsZero() || q.Ended.Before(l.Ended)) || !l.Ending.IsZero() && q.Ended.Sub(l.Ending) < newAtEnd {
+		if life.Ending.IsZero() && (life.Ended.IsZero() || request.Ended.Before(life.Ended)) ||
+			!life.Ending.IsZero() && request.Ended.Sub(life.Ending) < newAtEnd {
 			return true
 		}
 	}
 	return false
 }
 
-// owed tells whether an answer was owed: a process was there that took the request and was not killed. One that was stopped
-// meanwhile may answer late, and may no more close the connection than any other.
-func (j *judge) owed(q *Request) bool {
-	for _, p := range j.Paused[q.Node] {
+// owed reports whether an answer was owed: a process was there that took the request and was not
+// killed. One that was stopped meanwhile may answer late, but may not close the connection either.
+func (j *oracle) owed(request *Request) bool {
+	for _, p := range j.Paused[request.Node] {
 		p.until = p.until.Add(pauseTail)
-		if q.End == Overdue && p.overlaps(q.Sent, q.Ended) {
+		if request.End == Overdue && p.overlaps(request.Sent, request.Ended) {
 			return false
 		}
 	}
-	for _, l := range j.Lives[q.Node] {
-		if q.Whole.Before(l.Begun) || !l.Ended.IsZero() && l.Ended.Before(q.Sent) {
+	for _, life := range j.Lives[request.Node] {
+		if request.SentAt.Before(life.Begun) || !life.Ended.IsZero() && life.Ended.Before(request.Sent) {
 			continue
 		}
-		if !l.Killed.IsZero() && l.Killed.Before(q.Ended) {
+		if !life.Killed.IsZero() && life.Killed.Before(request.Ended) {
 			return false
 		}
-		if !l.Ending.IsZero() && q.Whole.Sub(l.Ending) > takenAtEnd {
+		if !life.Ending.IsZero() && request.SentAt.Sub(life.Ending) > takenAtEnd {
 			return false
 		}
 		return true
@@ -182,135 +193,156 @@
 }
 
 // effects looks at what a call did.
-func (j *judge) effects(q *Request) {
-	if !j.Once(q.Class) {
+func (j *oracle) effects(request *Request) {
+	if !j.Once(request.Class) {
 		return
 	}
 	ran := 0
-	for _, a := range j.arrived[q.ID] {
-		if a.Ran {
+	for _, arrival := range j.arrived[request.ID] {
+		if arrival.Ran {
 			ran++
 		}
 	}
 	if ran > 1 {
-		j.broken(RuleOnce, q.Node, q.ID, "it ran %d times", ran)
+		j.broken(RuleOnce, request.Node, request.ID, "it ran %d times", ran)
 	}
-	if ran > 0 && q.End == Answered && refused(q.Status) {
-		j.broken(RuleRefusal, q.Node, q.ID, "refused with %d, and it ran", q.Status)
+	if ran > 0 && request.End == Answered && refused(request.Status) {
+		j.broken(RuleRefusal, request.Node, request.ID, "refused with %d, and it ran", request.Status)
 	}
 }
 
-// arrivals looks at when a call came to executors and what they were told.
-func (j *judge) arrivals(q *Request) {
-	for _, a := range j.arrived[q.ID] {
-		if q.End == Overdue {
-			q.LeftAt = q.Ended // its client closed the connection then
+// arrivals checks when a call came to executors and what time it was given there.
+func (j *oracle) arrivals(request *Request) {
+	for _, arrival := range j.arrived[request.ID] {
+		if request.End == Overdue {
+			request.LeftAt = request.Ended // its client closed the connection then
 		}
-		if late := a.At.Sub(q.LeftAt); !q.LeftAt.IsZero() && late > leftSlack && !j.disturbed(q.Node, a.Executor, q.LeftAt, a.At) {
-			j.broken(RuleLeft, q.Node, q.ID, "came to executor %d %v after its client had left", a.Executor, late.Round(time.Millisecond))
+		if late := arrival.At.Sub(request.LeftAt); !request.LeftAt.IsZero() && late > leftSlack &&
+			!j.disturbed(request.Node, arrival.Executor,
+				request.LeftAt, arrival.At) {
+			j.broken(RuleLeft, request.Node, request.ID, "came to executor %d %v after its client had left",
+				arrival.Executor,
+				late.Round(time.Millisecond))
 		}
-		j.drained(q, a)
-		if q.Whole.IsZero() || j.disturbed(q.Node, a.Executor, q.Whole, a.At) {
+		j.drained(request, arrival)
+		if request.SentAt.IsZero() || j.disturbed(request.Node, arrival.Executor, request.SentAt, arrival.At) {
 			continue
 		}
-		left := q.Patience - a.At.Sub(q.Whole)
-		if a.Budget > max(left, time.Millisecond)+budgetSlack {
-			j.broken(RuleBudget, q.Node, q.ID, "executor %d was told %v where %v were left", a.Executor, a.Budget, left.Round(time.Millisecond))
+		left := request.Timeout - arrival.At.Sub(request.SentAt)
+		if arrival.Budget > max(left, time.Millisecond)+budgetSlack {
+			j.broken(RuleBudget, request.Node, request.ID, "executor %d was told %v where %v were left",
+				arrival.Executor, arrival.Budget,
+				left.Round(time.Millisecond))
 		}
 	}
 }
 
-// drained looks whether an arrival came to an executor long after its dispatcher was told that it drains.
-func (j *judge) drained(q *Request, a *Arrival) {
-	for _, d := range j.Drains {
-		if d.Executor != a.Executor || !d.overlaps(a.At, a.At) || a.At.Sub(d.from) < drainSlack {
+// drained checks whether an arrival came to an executor long after its dispatcher was notified that
+// it drains.
+func (j *oracle) drained(request *Request, arrival *Arrival) {
+	for _, drain := range j.Drains {
+		if drain.Executor != arrival.Executor || !drain.overlaps(arrival.At,
+			arrival.At) || arrival.At.Sub(drain.from) < drainSlack {
 			continue
 		}
-		untold := slices.ContainsFunc(j.Untold[q.Node], func(s span) bool {
-			s.until = s.until.Add(untoldTail)
-			return s.overlaps(d.from, a.At)
+		untold := slices.ContainsFunc(j.Uninformed[request.Node], func(s span) bool {
+			s.until = s.until.Add(uninformedTail)
+			return s.overlaps(drain.from, arrival.At)
 		})
-		if !untold && !j.disturbed(q.Node, a.Executor, d.from, a.At) {
-			j.broken(RuleDrain, q.Node, q.ID, "came to executor %d %v after discovery told that it drains", a.Executor, a.At.Sub(d.from).Round(time.Millisecond))
+		if !untold && !j.disturbed(request.Node, arrival.Executor, drain.from, arrival.At) {
+			j.broken(RuleDrain, request.Node, request.ID, "came to executor %d %v after discovery told that it drains",
+				arrival.Executor, arrival.At.Sub(drain.from).Round(time.Millisecond))
 		}
 	}
 }
 
-// disturbed tells whether something between the process and the executor, or the process itself, stood still meanwhile.
-func (j *judge) disturbed(node, executor int, from, until time.Time) bool {
+// disturbed reports whether something between the process and the executor, or the process itself,
+// was stopped meanwhile.
+func (j *oracle) disturbed(node, executor int, from, until time.Time) bool {
 	overlaps := func(s span) bool { return s.overlaps(from, until) }
-	return slices.ContainsFunc(j.Paused[node], overlaps) || slices.ContainsFunc(j.Troubled[executor], overlaps)
+	return slices.ContainsFunc(j.Paused[node], overlaps) || slices.ContainsFunc(j.Disturbed[executor], overlaps)
 }
 
-// rationed looks whether each process gave no more orders than the calls that it took allow.
-func (j *judge) rationed() {
+// rationed checks whether each process gave no more load orders than the calls that it took allow.
+func (j *oracle) rationed() {
 	for n, lives := range j.Lives {
 		for i, l := range lives {
-			until := l.Ended
+			life := span{from: l.Begun, until: l.Ended}
 			if i+1 < len(lives) {
-				until = lives[i+1].Begun
+				life.until = lives[i+1].Begun
 			}
-			within := func(at time.Time) bool { return !at.Before(l.Begun) && (until.IsZero() || at.Before(until)) }
-			var calls, orders []time.Time
-			for _, q := range j.Requests {
-				if q.Node == n && !q.Whole.IsZero() && within(q.Whole) {
-					calls = append(calls, q.Whole)
-				}
-			}
-			for _, o := range j.Orders {
-				if o.Node == n && within(o.At) {
-					orders = append(orders, o.At)
-				}
-			}
-			slices.SortFunc(calls, time.Time.Compare)
-			slices.SortFunc(orders, time.Time.Compare)
-			if over := lab.OverRation(orders, calls, j.Ration.Window, j.Ration.Free, j.Ration.Share, rationSlack); over > 0 {
-				j.broken(RuleRation, n, "", "%d of %d orders beyond the ration, %d calls", over, len(orders), len(calls))
+			calls, orders := j.takenIn(n, life)
+			over := lab.OverRation(orders, calls, j.Ration.Window, j.Ration.Free, j.Ration.Share, rationSlack)
+			if over > 0 {
+				j.broken(RuleRation, n, "", "%d of %d orders beyond the ration, %d calls", over, len(orders),
+					len(calls))
 			}
 		}
 	}
 }
 
+// takenIn returns, in order of time, when a node took calls and gave load orders in a span; a span
+// without an end goes on.
+func (j *oracle) takenIn(node int, life span) (calls, orders []time.Time) {
+	within := func(at time.Time) bool {
+		return !at.Before(life.from) && (life.until.IsZero() || at.Before(life.until))
+	}
+	for _, request := range j.Requests {
+		if request.Node == node && !request.SentAt.IsZero() && within(request.SentAt) {
+			calls = append(calls, request.SentAt)
+		}
+	}
+	for _, o := range j.Orders {
+		if o.Node == node && within(o.At) {
+			orders = append(orders, o.At)
+		}
+	}
+	slices.SortFunc(calls, time.Time.Compare)
+	slices.SortFunc(orders, time.Time.Compare)
+	return calls, orders
+}
+
 // processes looks at how processes ended and how soon they were ready.
-func (j *judge) processes() {
+func (j *oracle) processes() {
 	for n, lives := range j.Lives {
-		for _, l := range lives {
+		for _, life := range lives {
 			switch {
-			case l.Failure != "":
-				j.broken(RuleProcess, n, "", "it ended badly: %s", l.Failure)
-			case !l.Ended.IsZero() && l.Ending.IsZero() && l.Killed.IsZero():
+			case life.Failure != "":
+				j.broken(RuleProcess, n, "", "it ended badly: %s", life.Failure)
+			case !life.Ended.IsZero() && life.Ending.IsZero() && life.Killed.IsZero():
 				j.broken(RuleProcess, n, "", "it ended by itself")
-			case !l.Ending.IsZero() && l.Killed.IsZero() && l.Ended.Sub(l.Ending) > j.Longest+takenAtEnd+endSlack+j.pausedFor(n):
-				j.broken(RuleProcess, n, "", "it took %v to end", l.Ended.Sub(l.Ending).Round(time.Millisecond))
+			case !life.Ending.IsZero() && life.Killed.IsZero() &&
+				life.Ended.Sub(life.Ending) > j.Longest+takenAtEnd+endSlack+j.pausedFor(n):
+				j.broken(RuleProcess, n, "", "it took %v to end", life.Ended.Sub(life.Ending).Round(time.Millisecond))
 			}
-			if l.Ready.IsZero() && l.Killed.IsZero() || l.Ready.Sub(l.Begun) > readyIn {
+			if life.Ready.IsZero() && life.Killed.IsZero() || life.Ready.Sub(life.Begun) > readyIn {
 				j.broken(RuleReady, n, "", "not ready within %v", readyIn)
 			}
 		}
 	}
 }
 
-func (j *judge) pausedFor(node int) (sum time.Duration) {
+func (j *oracle) pausedFor(node int) (sum time.Duration) {
 	for _, p := range j.Paused[node] {
 		sum += p.until.Sub(p.from)
 	}
 	return sum
 }
 
-// recovers looks whether each node serves once troubles have been over for a while.
-func (j *judge) recovers() {
+// recovers checks whether each node serves once the faults have been over for a while.
+func (j *oracle) recovers() {
 	asked, served := make([]int, len(j.Lives)), make([]int, len(j.Lives))
-	for _, q := range j.Requests {
-		if q.Sent.Before(j.CalmFrom) || !q.Sent.Before(j.CalmTo) || q.End == NotSent {
+	for _, request := range j.Requests {
+		if request.Sent.Before(j.CalmFrom) || !request.Sent.Before(j.CalmTo) || request.End == NotSent {
 			continue
 		}
-		asked[q.Node]++
-		if q.End == Answered && q.Status == http.StatusOK {
-			served[q.Node]++
+		asked[request.Node]++
+		if request.End == Answered && request.Status == http.StatusOK {
+			served[request.Node]++
 		}
 	}
 	for n := range asked {
-		if asked[n] >= 4 && float64(served[n]) < servedLeast*float64(asked[n]) {
+		if asked[n] >= 4 && float64(served[n]) < minServedShare*float64(asked[n]) {
 			j.broken(RuleRecovers, n, "", "%d of %d calls served once troubles were over", served[n], asked[n])
 		}
 	}
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -1,17 +1,18 @@
 package soak
 
-// This file owns one run: it starts a world, has its troubles come, and judges what it left.
+// One run: it starts a world, injects the faults, and checks what it recorded.
 
 import (
 	"context"
 	"errors"
 	"fmt"
-	"oakthread/internal/lab"
 	"os"
 	"path/filepath"
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"oakthread/internal/lab"
 )
 
 // Result is what came of a run.
@@ -25,20 +26,22 @@
 	Dir        string        `json:"dir,omitempty"`
 }
 
-// Inconclusive tells whether the laboratory stood still for so long that nothing is said.
+// Inconclusive reports whether the laboratory itself stalled for so long that the run shows
+// nothing.
 func (r Result) Inconclusive() bool { return r.Stalled > stallMost }
 
-// stallMost is how long the laboratory may stand still before its times are worth nothing.
+// stallMost is how long the laboratory may stall before its times mean nothing.
 const stallMost = 150 * time.Millisecond
 
 // ErrUsed says that a folder holds an earlier run.
 var ErrUsed = errors.New("soak: the folder of a run exists already")
 
-// Run plays a schedule in a folder of its own. program is what a node runs; it takes the arguments --config and --faults.
-func Run(ctx context.Context, s Schedule, dir string, program lab.Program) (Result, error) {
-	res := Result{Schedule: s, Dir: dir}
+// Run plays a schedule in a folder of its own. program is what a node runs; it takes the arguments
+// --config and --faults.
+func Run(ctx context.Context, schedule Schedule, dir string, program lab.Program) (Result, error) {
+	res := Result{Schedule: schedule, Dir: dir}
 	if _, err := os.Stat(dir); err == nil {
-		return res, fmt.Errorf("%s: %w", dir, ErrUsed) // kept lists in it would lead to another run's executors
+		return res, fmt.Errorf("%s: %w", dir, ErrUsed) // cached lists in it would lead to another run's executors
 	}
 	network, err := lab.ClaimNet()
 	if err != nil {
@@ -48,10 +51,10 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return res, err
 	}
-	if err := s.Write(filepath.Join(dir, "schedule.json")); err != nil {
+	if err := schedule.Write(filepath.Join(dir, "schedule.json")); err != nil {
 		return res, err
 	}
-	w, err := newWorld(s, dir, network, program)
+	w, err := newWorld(schedule, dir, network, program)
 	if err != nil {
 		return res, err
 	}
@@ -67,14 +70,14 @@
 	}
 	w.end()
 	res.Stalled = stalls()
-	res.Violations = w.judge(calmFrom, calmTo)
-	for _, c := range w.clients {
-		for _, q := range c.Records() {
+	res.Violations = w.findViolations(calmFrom, calmTo)
+	for _, clients := range w.clients {
+		for _, request := range clients.Records() {
 			res.Requests++
 			switch {
-			case q.End == Answered && q.Status == 200:
+			case request.End == Answered && request.Status == 200:
 				res.Served++
-			case q.End == NotSent:
+			case request.End == NotSent:
 				res.Unsent++
 			}
 		}
@@ -85,19 +88,19 @@
 	return res, errors.Join(w.failed...)
 }
 
-// play has the clients send while the troubles come, and then for the calm end.
+// play lets the clients send while the faults come, and then for the calm end.
 func (w *world) play(ctx context.Context) (calmFrom, calmTo time.Time, err error) {
 	sending, enough := context.WithCancel(ctx)
 	defer enough()
-	var clients, troubles sync.WaitGroup
+	var clients, faults sync.WaitGroup
 	for _, c := range w.clients {
 		clients.Go(func() { c.run(sending) })
 	}
-	for _, t := range w.Troubles {
-		troubles.Go(func() { w.trouble(ctx, t) })
+	for _, fault := range w.Faults {
+		faults.Go(func() { w.inject(ctx, fault) })
 	}
-	troubles.Wait()
-	wait(ctx, time.Until(w.begin.Add(w.Trouble)))
+	faults.Wait()
+	wait(ctx, time.Until(w.begin.Add(w.FaultTime)))
 	calmFrom = time.Now().Add(calmLead)
 	wait(ctx, w.Calm)
 	calmTo = time.Now()
@@ -106,40 +109,41 @@
 	return calmFrom, calmTo, ctx.Err()
 }
 
-// judge gathers what the run left and has it judged.
-func (w *world) judge(calmFrom, calmTo time.Time) []Violation {
+// findViolations gathers the records of the run and checks them.
+func (w *world) findViolations(calmFrom, calmTo time.Time) []Violation {
 	r := Records{
-		Troubled: w.troubled, Untold: w.untold, Drains: w.drains, CalmFrom: calmFrom, CalmTo: calmTo,
-		Once: func(class int) bool { return w.figures.Classes[class].Once },
+		Disturbed: w.disturbed, Uninformed: w.uninformed, Drains: w.drains, CalmFrom: calmFrom, CalmTo: calmTo,
+		Once: func(class int) bool { return w.figures.Classes[class].NotIdempotent },
 	}
 	r.Ration = rationOf(w.Deployment)
 	for _, k := range w.figures.Classes {
-		r.Longest = max(r.Longest, k.GiveUp)
+		r.Longest = max(r.Longest, k.ClientTimeout)
 	}
-	for _, c := range w.clients {
-		r.Requests = append(r.Requests, c.Records()...)
+	for _, clients := range w.clients {
+		r.Requests = append(r.Requests, clients.Records()...)
 	}
-	for _, e := range w.executors {
-		r.Arrivals = append(r.Arrivals, e.seen()...)
-		r.Orders = append(r.Orders, e.ordered()...)
+	for _, executor := range w.executors {
+		r.Arrivals = append(r.Arrivals, executor.received()...)
+		r.Orders = append(r.Orders, executor.ordered()...)
 	}
-	for _, n := range w.nodes {
-		lives, paused := n.history()
+	for _, node := range w.nodes {
+		lives, paused := node.history()
 		r.Lives, r.Paused = append(r.Lives, lives), append(r.Paused, paused)
 	}
-	found := Judge(r)
-	for i, b := range append(append([]*lab.BoxServer(nil), w.rig.Boxes...), w.rig.Gone...) {
+	found := FindViolations(r)
+	for i, b := range append(append([]*lab.StubWorker(nil), w.rig.Workers...), w.rig.Replaced...) {
 		if b.Fallen() {
-			found = append(found, Violation{RuleColdStart, -1, b.ID, fmt.Sprintf("executor %d fell", i)})
+			found = append(found, Violation{RuleSlowStart, -1, b.ID, fmt.Sprintf("executor %d fell", i)})
 		}
 	}
-	if n := lab.Oversize(w.rig.Words.Seen()); n > 0 {
+	if n := lab.Oversize(w.rig.PeerNetwork.Datagrams()); n > 0 {
 		found = append(found, Violation{RuleDatagrams, -1, "", fmt.Sprintf("%d datagrams over the limit", n)})
 	}
 	return found
 }
 
-// watchStalls notices when this process stands still; the value ends it and tells the longest time.
+// watchStalls watches for stalls of this process; the returned function ends that and returns the
+// longest.
 func watchStalls(ctx context.Context) func() time.Duration {
 	const every = 10 * time.Millisecond
 	watching, stop := context.WithCancel(ctx)
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -1,7 +1,6 @@
-// Package soak runs real dispatcher processes on loopback under troubles that overlap, drawn from a seed, and checks what
-// clients and executors saw against the platform's rules. It never takes a dispatcher's own word.
-//
-// This file owns the schedule: which troubles come when, drawn from a seed, kept as JSON and shortened. It is pure.
+// Package soak runs real dispatcher processes on loopback under overlapping faults, drawn from a
+// seed, and checks what clients and executors saw against the platform's rules. What a dispatcher
+// reports of itself is not used.
 package soak
 
 import (
@@ -15,23 +14,23 @@
 	"time"
 )
 
-// Kind is a kind of trouble.
+// Kind is a kind of fault.
 type Kind string
 
-// Kinds of trouble.
+// Kinds of fault.
 const (
-	Terminate Kind = "terminate" // SIGTERM, then a start on the same address
-	Crash     Kind = "crash"     // SIGKILL, then a start on the same address
-	Pause     Kind = "pause"     // SIGSTOP and SIGCONT
-	Reload    Kind = "reload"    // SIGHUP with a good file
-	ReloadBad Kind = "reloadbad" // SIGHUP with a file that lacks keys, or is cut off in the middle
+	Terminate     Kind = "terminate" // SIGTERM, then a start on the same address
+	Crash         Kind = "crash"     // SIGKILL, then a start on the same address
+	Pause         Kind = "pause"     // SIGSTOP and SIGCONT
+	Reload        Kind = "reload"    // SIGHUP with a good file
+	ReloadInvalid Kind = "reloadbad" // SIGHUP with a file that lacks keys, or is cut off in the middle
 
 	ExecutorHang   Kind = "hang"      // connections come up, and nothing passes on them
 	ExecutorVanish Kind = "vanish"    // connections stay open and silent, new ones never come up
 	ExecutorReset  Kind = "reset"     // connections are reset
 	ExecutorSlow   Kind = "slow"      // all that passes is late
 	ExecutorDrain  Kind = "drain"     // it drains, and is listed as that
-	ExecutorRenew  Kind = "renew"     // another one, cold, takes its address
+	ExecutorRenew  Kind = "renew"     // another one, not warmed up, takes its address
 	IdleClosed     Kind = "idleclose" // connections are closed after their answers
 	AnswerTwice    Kind = "twice"     // a second answer comes behind the first, at once or some milliseconds later
 	AnswerPieces   Kind = "pieces"    // an answer comes in pieces
@@ -40,11 +39,11 @@
 
 	DiscoverySilent Kind = "disco-silent" // its connections stay open, and nothing comes
 	DiscoveryReset  Kind = "disco-reset"  // its connections are reset, also within a line
-	DiscoverySlow   Kind = "disco-slow"   // all that it tells is late
-	DiscoveryOver   Kind = "disco-over"   // the whole list comes again
+	DiscoverySlow   Kind = "disco-slow"   // all that it sends is late
+	DiscoveryOver   Kind = "disco-over"   // the full list comes again
 
 	ClientsLeave  Kind = "leave"  // clients close, reset or half-close while their calls are in hand
-	ClientsDawdle Kind = "dawdle" // requests come in pieces, some never whole
+	ClientsDawdle Kind = "dawdle" // requests come in pieces, some never complete
 	ClientsFlood  Kind = "flood"  // connections that say nothing, more than there are places
 	ClientsRetry  Kind = "retry"  // refused calls come again at once, on new connections
 	ClientsBrief  Kind = "brief"  // clients have very little time
@@ -64,15 +63,18 @@
 // Kinds lists them all.
 func Kinds() []Kind {
 	return []Kind{
-		Terminate, Crash, Pause, Reload, ReloadBad, ExecutorHang, ExecutorVanish, ExecutorReset, ExecutorSlow, ExecutorDrain,
-		ExecutorRenew, IdleClosed, AnswerTwice, AnswerPieces, AnswerCut, ExecutorErrors, DiscoverySilent, DiscoveryReset, DiscoverySlow,
-		DiscoveryOver, ClientsLeave, ClientsDawdle, ClientsFlood, ClientsRetry, ClientsBrief, ClientsBurst, PeersDeaf, PeersTwice, ClockStep,
+		Terminate, Crash, Pause, Reload, ReloadInvalid, ExecutorHang, ExecutorVanish, ExecutorReset, ExecutorSlow,
+		ExecutorDrain,
+		ExecutorRenew, IdleClosed, AnswerTwice, AnswerPieces, AnswerCut, ExecutorErrors, DiscoverySilent,
+		DiscoveryReset, DiscoverySlow,
+		DiscoveryOver, ClientsLeave, ClientsDawdle, ClientsFlood, ClientsRetry, ClientsBrief, ClientsBurst, PeersDeaf,
+		PeersTwice, ClockStep,
 		AcceptFails, ConnectFails, ConnectLate, TransferFails, DiskFails,
 	}
 }
 
-// Trouble is one trouble of a schedule. Times count from when the clients begin.
-type Trouble struct {
+// Fault is one fault of a schedule. Times count from when the clients begin.
+type Fault struct {
 	Kind    Kind          `json:"kind"`
 	At      time.Duration `json:"at"`
 	For     time.Duration `json:"for"`
@@ -80,30 +82,31 @@
 	Amount  float64       `json:"amount"`  // by the kind: 0 to 1
 }
 
-func (t Trouble) String() string {
+func (t Fault) String() string {
 	return fmt.Sprintf("%s at %v for %v on %v (%.2f)", t.Kind, t.At, t.For, t.Targets, t.Amount)
 }
 
-// Schedule is a whole run.
+// Schedule is a complete run: its faults are drawn from a seed, stored as JSON and shortened. It is
+// pure data.
 type Schedule struct {
 	Seed       uint64        `json:"seed"`
 	Processes  int           `json:"processes"`
 	Executors  int           `json:"executors"`
 	Deployment string        `json:"deployment"` // planning or render
-	Kept       bool          `json:"kept"`       // dispatchers keep the list on disk
-	Trouble    time.Duration `json:"trouble"`    // for so long troubles go on
+	CachedList bool          `json:"kept"`       // dispatchers keep the list on disk
+	FaultTime  time.Duration `json:"trouble"`    // for so long faults go on
 	Calm       time.Duration `json:"calm"`       // and then none
-	Troubles   []Trouble     `json:"troubles"`
+	Faults     []Fault       `json:"troubles"`
 }
 
 // Figures of a run.
 const (
-	firstTrouble  = 400 * time.Millisecond
-	troubleTime   = 3200 * time.Millisecond
+	firstFault    = 400 * time.Millisecond
+	faultTime     = 3200 * time.Millisecond
 	calmTime      = 2500 * time.Millisecond
 	shortest      = 300 * time.Millisecond
 	longest       = 1800 * time.Millisecond
-	burstMost     = 500 * time.Millisecond
+	maxBurst      = 500 * time.Millisecond
 	executorsPart = 1.2 // executors for each process
 )
 
@@ -113,31 +116,35 @@
 	Render   = "render"
 )
 
-// Draw makes the schedule of a seed: waves of two or three troubles that overlap. only restricts the kinds; empty: all.
+// Draw makes the schedule of a seed: waves of two or three overlapping faults. only restricts the
+// kinds; empty: all.
 func Draw(seed uint64, processes int, only []Kind) Schedule {
 	rng := rand.New(rand.NewPCG(seed, 0x736f616b))
-	s := Schedule{
-		Seed: seed, Processes: processes, Executors: max(6, int(executorsPart*float64(processes))), Deployment: Planning,
-		Kept: rng.IntN(2) == 0, Trouble: troubleTime, Calm: calmTime,
+	schedule := Schedule{
+		Seed: seed, Processes: processes, Executors: max(6, int(executorsPart*float64(processes))),
+		Deployment: Planning,
+		CachedList: rng.IntN(2) == 0, FaultTime: faultTime, Calm: calmTime,
 	}
 	if seed%2 == 1 {
-		s.Deployment = Render
+		schedule.Deployment = Render
 	}
 	kinds := only
 	if len(kinds) == 0 {
 		kinds = Kinds()
 	}
-	for at := firstTrouble; at < troubleTime-shortest; at += shortest + longest/2 {
+	for at := firstFault; at < faultTime-shortest; at += shortest + longest/2 {
 		for _, kind := range wave(rng, kinds) {
-			s.Troubles = append(s.Troubles, draw(rng, s, kind, at))
-			s.Kept = s.Kept || kind == DiskFails // else there is no file whose writes could fail
+			schedule.Faults = append(schedule.Faults, draw(rng, schedule, kind, at))
+			// else there is no file whose writes could fail
+			schedule.CachedList = schedule.CachedList || kind == DiskFails
 		}
 	}
-	return s
+	return schedule
 }
 
-// meets are troubles of which it is known that they can cross at a request; half of the waves begin with one of these.
-var meets = [][]Kind{
+// knownInteractions are faults of which it is known that they can meet at a request; half of the
+// waves begin with one of these.
+var knownInteractions = [][]Kind{
 	{ClientsLeave, ConnectLate},
 	{ExecutorDrain, ConnectLate},
 	{ClientsBurst, ClientsFlood},
@@ -156,42 +163,48 @@
 func wave(rng *rand.Rand, kinds []Kind) []Kind {
 	rest := slices.Clone(kinds)
 	rng.Shuffle(len(rest), func(i, j int) { rest[i], rest[j] = rest[j], rest[i] })
-	pair := meets[rng.IntN(len(meets))]
+	pair := knownInteractions[rng.IntN(len(knownInteractions))]
 	if slices.Contains(kinds, pair[0]) && slices.Contains(kinds, pair[1]) && rng.IntN(2) == 0 {
-		rest = append(slices.Clone(pair), slices.DeleteFunc(rest, func(k Kind) bool { return slices.Contains(pair, k) })...)
+		rest = append(slices.Clone(pair), slices.DeleteFunc(rest,
+			func(k Kind) bool { return slices.Contains(pair, k) })...)
 	}
 	return rest[:min(len(rest), 2+rng.IntN(2))]
 }
 
-// draw makes one trouble that begins about a time.
-func draw(rng *rand.Rand, s Schedule, kind Kind, at time.Duration) Trouble {
+// draw makes one fault that begins about a time.
+func draw(rng *rand.Rand, schedule Schedule, kind Kind, at time.Duration) Fault {
 	begin := at + time.Duration(rng.Int64N(int64(shortest)))
-	t := Trouble{Kind: kind, At: begin, For: shortest + time.Duration(rng.Int64N(int64(longest-shortest))), Amount: rng.Float64()}
+	fault := Fault{
+		Kind: kind, At: begin, For: shortest + time.Duration(rng.Int64N(int64(longest-shortest))),
+		Amount: rng.Float64(),
+	}
 	if kind == ClientsBurst {
-		t.For = min(t.For, burstMost)
+		fault.For = min(fault.For, maxBurst)
 	}
-	t.For = min(t.For, s.Trouble-t.At)
-	all, most := s.Processes, 3
+	fault.For = min(fault.For, schedule.FaultTime-fault.At)
+	all, most := schedule.Processes, 3
 	if kind.ofExecutors() {
-		all, most = s.Executors, 4
+		all, most = schedule.Executors, 4
 	}
 	switch kind {
 	case ClientsLeave, ClientsDawdle, ClientsRetry, ClientsBrief, DiscoveryOver:
 		most = all // all dispatchers have such clients
-		t.Targets = rng.Perm(all)
-	case Reload, ReloadBad, DiscoverySilent, DiscoveryReset, DiscoverySlow, PeersDeaf, PeersTwice, IdleClosed:
+		fault.Targets = rng.Perm(all)
+	case Reload, ReloadInvalid, DiscoverySilent, DiscoveryReset, DiscoverySlow, PeersDeaf, PeersTwice, IdleClosed:
 		most = all
 	}
-	if t.Targets == nil {
-		t.Targets = rng.Perm(all)[:1+rng.IntN(min(most, all))]
+	if fault.Targets == nil {
+		fault.Targets = rng.Perm(all)[:1+rng.IntN(min(most, all))]
 	}
-	slices.Sort(t.Targets)
-	return t
+	slices.Sort(fault.Targets)
+	return fault
 }
 
+// ofExecutors reports whether the targets of a kind are executors.
 func (k Kind) ofExecutors() bool {
 	switch k {
-	case ExecutorHang, ExecutorVanish, ExecutorReset, ExecutorSlow, ExecutorDrain, ExecutorRenew, IdleClosed, AnswerTwice, AnswerPieces,
+	case ExecutorHang, ExecutorVanish, ExecutorReset, ExecutorSlow, ExecutorDrain, ExecutorRenew, IdleClosed,
+		AnswerTwice, AnswerPieces,
 		AnswerCut, ExecutorErrors:
 		return true
 	}
@@ -217,8 +230,8 @@
 // Pairs are the pairs of kinds that overlap in time, each named once, in order.
 func (s Schedule) Pairs() []string {
 	var out []string
-	for i, a := range s.Troubles {
-		for _, b := range s.Troubles[i+1:] {
+	for i, a := range s.Faults {
+		for _, b := range s.Faults[i+1:] {
 			if a.Kind == b.Kind || a.At+a.For < b.At || b.At+b.For < a.At {
 				continue
 			}
@@ -235,22 +248,22 @@
 	return out
 }
 
-// Shorten leaves out troubles, and then halves how long they last, as long as the run still fails.
+// Shorten leaves out faults, and then halves how long they last, as long as the run still fails.
 func (s Schedule) Shorten(fails func(Schedule) bool) Schedule {
-	for i := 0; i < len(s.Troubles); {
+	for i := 0; i < len(s.Faults); {
 		less := s
-		less.Troubles = slices.Delete(slices.Clone(s.Troubles), i, i+1)
+		less.Faults = slices.Delete(slices.Clone(s.Faults), i, i+1)
 		if fails(less) {
 			s = less
 		} else {
 			i++
 		}
 	}
-	for i := range s.Troubles {
+	for i := range s.Faults {
 		less := s
-		less.Troubles = slices.Clone(s.Troubles)
-		less.Troubles[i].For /= 2
-		if less.Troubles[i].For >= shortest/4 && fails(less) {
+		less.Faults = slices.Clone(s.Faults)
+		less.Faults[i].For /= 2
+		if less.Faults[i].For >= shortest/4 && fails(less) {
 			s = less
 		}
 	}
@@ -267,30 +280,30 @@
 }
 
 // ReadSchedule reads a schedule from a file.
-func ReadSchedule(path string) (s Schedule, err error) {
+func ReadSchedule(path string) (schedule Schedule, err error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return s, fmt.Errorf("schedule: %w", err)
+		return schedule, fmt.Errorf("schedule: %w", err)
 	}
-	if err := json.Unmarshal(raw, &s); err != nil {
-		return s, fmt.Errorf("schedule %s: %w", path, err)
+	if err := json.Unmarshal(raw, &schedule); err != nil {
+		return schedule, fmt.Errorf("schedule %s: %w", path, err)
 	}
-	if s.Processes < 1 || s.Executors < 1 || s.Trouble <= 0 {
-		return s, fmt.Errorf("schedule %s: processes, executors and trouble must be above 0", path)
+	if schedule.Processes < 1 || schedule.Executors < 1 || schedule.FaultTime <= 0 {
+		return schedule, fmt.Errorf("schedule %s: processes, executors and trouble must be above 0", path)
 	}
-	for _, t := range s.Troubles {
-		if !slices.Contains(Kinds(), t.Kind) {
-			return s, fmt.Errorf("schedule %s: trouble %q is not known", path, t.Kind)
+	for _, fault := range schedule.Faults {
+		if !slices.Contains(Kinds(), fault.Kind) {
+			return schedule, fmt.Errorf("schedule %s: trouble %q is not known", path, fault.Kind)
 		}
-		all := s.Processes
-		if t.Kind.ofExecutors() {
-			all = s.Executors
+		all := schedule.Processes
+		if fault.Kind.ofExecutors() {
+			all = schedule.Executors
 		}
-		for _, target := range t.Targets {
+		for _, target := range fault.Targets {
 			if target < 0 || target >= all {
-				return s, fmt.Errorf("schedule %s: %s has no target %d", path, t.Kind, target)
+				return schedule, fmt.Errorf("schedule %s: %s has no target %d", path, fault.Kind, target)
 			}
 		}
 	}
-	return s, nil
+	return schedule, nil
 }
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -1,17 +1,18 @@
 package soak
 
-// This file owns the world of one run: processes, executors, discovery, clients and the ways between them.
+// The world of one run: processes, executors, discovery, clients and the links between them.
 
 import (
 	"context"
 	"net"
-	"oakthread/internal/fault"
-	"oakthread/internal/fault/sockets"
-	"oakthread/internal/lab"
 	"path/filepath"
 	"sync"
 	"syscall"
 	"time"
+
+	"oakthread/internal/fault"
+	"oakthread/internal/fault/sockets"
+	"oakthread/internal/lab"
 )
 
 // Figures of the world.
@@ -35,15 +36,22 @@
 func figures(deployment string) *lab.Figures {
 	f := lab.PlannerFigures()
 	for i := range f.Classes {
-		f.Classes[i].GiveUp = 2 * time.Second
+		f.Classes[i].ClientTimeout = 2 * time.Second
 	}
 	f.Load = 60 * time.Millisecond
 	if deployment == Render {
 		f.Classes = []lab.ClassFigures{
-			{Name: "preview", Share: 0.6, Aim: 300 * time.Millisecond, GiveUp: 1500 * time.Millisecond, Worth: 1, Work: 25 * time.Millisecond},
-			{Name: "final", Share: 0.4, Aim: 900 * time.Millisecond, GiveUp: 2500 * time.Millisecond, Worth: 4, Work: 40 * time.Millisecond, Once: true},
+			{
+				Name: "preview", Share: 0.6, LatencyObjective: 300 * time.Millisecond,
+				ClientTimeout: 1500 * time.Millisecond, PriorityWeight: 1, Work: 25 * time.Millisecond,
+			},
+			{
+				Name: "final", Share: 0.4, LatencyObjective: 900 * time.Millisecond,
+				ClientTimeout: 2500 * time.Millisecond, PriorityWeight: 4, Work: 40 * time.Millisecond,
+				NotIdempotent: true,
+			},
 		}
-		f.Load, f.Box.Keep = 110*time.Millisecond, 1500*time.Millisecond
+		f.Load, f.Worker.Keep = 110*time.Millisecond, 1500*time.Millisecond
 	}
 	return f
 }
@@ -55,7 +63,8 @@
 	settings["rules"].(map[string]any)["drain_grace_ns"] = drainGrace
 	ration := rationOf(deployment)
 	specifics := settings["specifics"].(map[string]any)
-	specifics["free_loads"], specifics["load_part"], specifics["load_span_ns"] = ration.Free, ration.Share, ration.Window
+	specifics["free_loads"], specifics["load_part"], specifics["load_span_ns"] = ration.Free, ration.Share,
+		ration.Window
 	if deployment != Render {
 		return
 	}
@@ -70,7 +79,7 @@
 	return Ration{Window: 5 * time.Second, Free: 6, Share: 0.3}
 }
 
-// world is a run under way.
+// world is a running fleet with its clients.
 type world struct {
 	Schedule
 	dir       string
@@ -81,33 +90,40 @@
 	executors []*executor
 	begin     time.Time
 
-	mu       sync.Mutex
-	troubled [][]span // by executor
-	untold   [][]span
-	drains   []Drain
-	busy     map[int]bool // executors that drain or are renewed: one at a time
-	failed   []error
+	mu         sync.Mutex
+	disturbed  [][]span // by executor
+	uninformed [][]span
+	drains     []Drain
+	busy       map[int]bool // executors that drain or are renewed: one at a time
+	failed     []error
 }
 
-func newWorld(s Schedule, dir string, network *lab.Net, program lab.Program) (*world, error) {
-	w := &world{Schedule: s, dir: dir, figures: figures(s.Deployment), untold: make([][]span, s.Processes), troubled: make([][]span, s.Executors), busy: map[int]bool{}}
+// newWorld lays out the fleet of a schedule and writes the fault plans of its processes; nothing is
+// started yet.
+func newWorld(schedule Schedule, dir string, network *lab.Net, program lab.Program) (*world, error) {
+	w := &world{
+		Schedule: schedule, dir: dir, figures: figures(schedule.Deployment),
+		uninformed: make([][]span, schedule.Processes),
+		disturbed:  make([][]span, schedule.Executors), busy: map[int]bool{},
+	}
 	size := lab.RigSize{
-		Dispatchers: s.Processes, Boxes: s.Executors, Figures: w.figures, Seed: s.Seed, Load: lab.Load{Rate: 1, Models: 1},
-		Settings: func(_ int, settings map[string]any) { permissions(s.Deployment, settings) },
+		Dispatchers: schedule.Processes, Workers: schedule.Executors, Figures: w.figures, Seed: schedule.Seed,
+		Load:     lab.Load{Rate: 1, Models: 1},
+		Settings: func(_ int, settings map[string]any) { permissions(schedule.Deployment, settings) },
 	}
-	if s.Kept {
+	if schedule.CachedList {
 		size.Operators = "[list]\npath = \"list.db\"\n"
 	}
 	var err error
 	if w.rig, err = lab.NewRig(network, dir, size); err != nil {
 		return nil, err
 	}
-	for i, b := range w.rig.Boxes {
-		e := newExecutor(i, s.Seed, w.nodeOf)
-		b.Around(e.around)
-		w.executors = append(w.executors, e)
+	for i, b := range w.rig.Workers {
+		executor := newExecutor(i, schedule.Seed, w.nodeOf)
+		b.Wrap(executor.wrap)
+		w.executors = append(w.executors, executor)
 	}
-	w.begin = time.Now().Add(startTime + time.Duration(s.Processes)*startEach)
+	w.begin = time.Now().Add(startTime + time.Duration(schedule.Processes)*startEach)
 	for i, d := range w.rig.Nodes {
 		n := &node{Dispatcher: d, program: program}
 		if err := n.set(func(c map[string]any) { c["limits"].(map[string]any)["sockets"] = nodeSockets }); err != nil {
@@ -119,15 +135,15 @@
 		}
 		n.Args = append(n.Args, "--faults", plan)
 		w.nodes = append(w.nodes, n)
-		w.clients = append(w.clients, newClients(i, d.Addr, w.figures, callRate, s.Seed))
+		w.clients = append(w.clients, newClients(i, d.Addr, w.figures, callRate, schedule.Seed))
 	}
 	return w, nil
 }
 
-// nodeOf is the dispatcher whose ways stand at an address; -1: none.
+// nodeOf returns the dispatcher whose links stand at an address; -1: none.
 func (w *world) nodeOf(host string) int {
-	for n, ways := range w.rig.Ways.Boxes {
-		if own, _, err := net.SplitHostPort(ways[0].Addr); err == nil && own == host {
+	for n, links := range w.rig.Links.Workers {
+		if own, _, err := net.SplitHostPort(links[0].Addr); err == nil && own == host {
 			return n
 		}
 	}
@@ -137,7 +153,7 @@
 // plan is what a node does to itself.
 func (w *world) plan(node int) *fault.Plan {
 	p := &fault.Plan{Seed: w.Seed + uint64(node)}
-	for _, t := range w.Troubles {
+	for _, t := range w.Faults {
 		for _, target := range t.Targets {
 			if t.Kind.ofExecutors() || target != node {
 				continue
@@ -147,13 +163,25 @@
 			case ClockStep:
 				p.Steps = append(p.Steps, fault.Step{At: from, Offset: stepOf(t.Amount)}, fault.Step{At: until})
 			case AcceptFails:
-				p.Sockets = append(p.Sockets, sockets.Window{From: from, Until: until, Rates: sockets.Rates{Accept: 0.2 + 0.6*t.Amount}})
+				p.Sockets = append(p.Sockets, sockets.Window{
+					From: from, Until: until,
+					Rates: sockets.Rates{Accept: 0.2 + 0.6*t.Amount},
+				})
 			case ConnectFails:
-				p.Sockets = append(p.Sockets, sockets.Window{From: from, Until: until, Rates: sockets.Rates{Connect: 0.2 + 0.6*t.Amount}})
+				p.Sockets = append(p.Sockets, sockets.Window{
+					From: from, Until: until,
+					Rates: sockets.Rates{Connect: 0.2 + 0.6*t.Amount},
+				})
 			case ConnectLate:
-				p.Sockets = append(p.Sockets, sockets.Window{From: from, Until: until, Rates: sockets.Rates{Late: 0.3 + 0.6*t.Amount}})
+				p.Sockets = append(p.Sockets, sockets.Window{
+					From: from, Until: until,
+					Rates: sockets.Rates{Late: 0.3 + 0.6*t.Amount},
+				})
 			case TransferFails:
-				p.Sockets = append(p.Sockets, sockets.Window{From: from, Until: until, Rates: sockets.Rates{IO: 0.05 + 0.3*t.Amount}})
+				p.Sockets = append(p.Sockets, sockets.Window{
+					From: from, Until: until,
+					Rates: sockets.Rates{IO: 0.05 + 0.3*t.Amount},
+				})
 			}
 		}
 	}
@@ -196,19 +224,19 @@
 // end sends all processes SIGTERM and waits for them; what does not end is killed.
 func (w *world) end() {
 	_ = each(len(w.nodes), func(i int) error {
-		n := w.nodes[i]
-		n.mu.Lock()
-		running := n.cmd != nil && n.lives[len(n.lives)-1].Ended.IsZero()
-		n.mu.Unlock()
+		node := w.nodes[i]
+		node.mu.Lock()
+		running := node.cmd != nil && node.lives[len(node.lives)-1].Ended.IsZero()
+		node.mu.Unlock()
 		if !running {
 			return nil
 		}
 		ended := make(chan struct{})
-		go func() { n.end(syscall.SIGTERM); close(ended) }()
+		go func() { node.end(syscall.SIGTERM); close(ended) }()
 		select {
 		case <-ended:
 		case <-time.After(readyTime):
-			n.end(syscall.SIGKILL)
+			node.end(syscall.SIGKILL)
 		}
 		return nil
 	})
@@ -216,14 +244,14 @@
 
 // close ends everything at once.
 func (w *world) close() {
-	for _, n := range w.nodes {
-		n.mu.Lock()
-		if n.cmd != nil && n.lives[len(n.lives)-1].Ended.IsZero() {
-			n.lives[len(n.lives)-1].Killed = time.Now()
-			_ = n.cmd.Process.Signal(syscall.SIGKILL)
+	for _, node := range w.nodes {
+		node.mu.Lock()
+		if node.cmd != nil && node.lives[len(node.lives)-1].Ended.IsZero() {
+			node.lives[len(node.lives)-1].Killed = time.Now()
+			_ = node.cmd.Process.Signal(syscall.SIGKILL)
 		}
-		exited := n.exited
-		n.mu.Unlock()
+		exited := node.exited
+		node.mu.Unlock()
 		if exited != nil {
 			<-exited
 		}
