--- a/internal/platform/accept.go
+++ b/internal/platform/accept.go
@@ -48,7 +48,7 @@
 		if d, ok := l.Listener.(deadliner); ok && hasPendingConn(l.Listener) {
 			return true, d.SetDeadline(time.Now().Add(backlogTimeout))
 		}
-		return false, errors.Join(errAcceptStopped, l.Listener.Close())
+		return false, errors.Join(errAcceptStopped, l.Close())
 	}
 	if neterr.EndsListener(err) {
 		return false, err
@@ -73,5 +73,5 @@
 	if d, ok := l.Listener.(deadliner); ok {
 		return d.SetDeadline(pastDeadline)
 	}
-	return l.Listener.Close()
+	return l.Close()
 }
--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -148,12 +148,8 @@
 	backend := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	defer backend.Close()
 	addr := backend.Listener.Addr().String()
-	for name, reset := range map[string]func(net.Conn) (net.Conn, error){
-		"during the connect": func(conn net.Conn) (net.Conn, error) {
-			return nil, errors.Join(&net.OpError{Op: "dial", Err: syscall.ECONNRESET}, conn.Close())
-		},
-		"after the connect": func(conn net.Conn) (net.Conn, error) { return conn, conn.Close() },
-	} {
+	connectReset := &net.OpError{Op: "dial", Err: syscall.ECONNRESET}
+	for name, resetErr := range map[string]error{"during the connect": connectReset, "after the connect": nil} {
 		for resets, want := range []balancer.Result{balancer.OK, balancer.OK, balancer.NotSent} {
 			pool := NewFleet(testSettings(t), 10)
 			dial, dials := pool.dialContext, 0
@@ -162,7 +158,7 @@
 				if dials++; err != nil || dials > resets {
 					return conn, err
 				}
-				return reset(conn)
+				return conn, errors.Join(resetErr, conn.Close())
 			}
 			reply := pool.Send(t.Context(), attemptTo(endpointAt(addr), "x"))
 			assert.Equal(t, want, reply.Result, "%s, %d", name, resets)
--- a/internal/platform/clientconn.go
+++ b/internal/platform/clientconn.go
@@ -162,7 +162,7 @@
 	if err := c.SetReadDeadline(deadline); err != nil {
 		return err
 	}
-	return c.Conn.SetWriteDeadline(deadline)
+	return c.SetWriteDeadline(deadline)
 }
 
 // Close closes the connection and gives its place to another. The place is freed last, so that no more
--- a/internal/platform/connclose.go
+++ b/internal/platform/connclose.go
@@ -8,8 +8,8 @@
 	"oakthread/rules"
 )
 
-// setKeepAlives, when off, closes the connections on which nothing is under way, now and as they become
-// idle.
+// setKeepAlives turns keep-alives on or off. Turning them off closes the connections on which nothing is
+// under way, now and as they become idle.
 func (l *connLimiter) setKeepAlives(on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/platform/connlimiter_test.go
+++ b/internal/platform/connlimiter_test.go
@@ -77,8 +77,8 @@
 	})
 	status := make(chan int, 1)
 	go func() {
-		if resp, _, err := post(t.Context(), t, s.url, "0000000000000001", "x"); assert.NoError(t, err) {
-			status <- resp.StatusCode
+		if resp, err := post(t.Context(), t, s.url, "0000000000000001", "x"); assert.NoError(t, err) {
+			status <- resp.status
 		}
 	}()
 	<-arrived
--- a/internal/platform/drain_test.go
+++ b/internal/platform/drain_test.go
@@ -27,7 +27,7 @@
 	require.NoError(t, <-s.done)
 }
 
-// A request that is unread on a kept connection when idle connections are closed is answered.
+// A request that is unread on a reused connection when idle connections are closed is answered.
 func TestDrainAnswersAnUnreadRequest(t *testing.T) {
 	var accepted *pausingConn
 	wrap := func(conn *net.TCPConn) net.Conn {
@@ -51,7 +51,7 @@
 	require.NoError(t, <-s.done)
 }
 
-// A request that is partly read on a kept connection when idle connections are closed is answered: net/http
+// A request that is partly read on a reused connection when idle connections are closed is answered: net/http
 // calls such a connection idle until the head is complete.
 func TestDrainAnswersAPartlyReadRequest(t *testing.T) {
 	reads := make(chan struct{}, 16)
--- a/internal/platform/executorconn_test.go
+++ b/internal/platform/executorconn_test.go
@@ -245,7 +245,7 @@
 	assert.False(t, conn.retire(), "a request has begun on it")
 	conn.responsePending = false
 	require.True(t, conn.retire())
-	require.ErrorIs(t, conn.beginRequest(), errUnsolicitedBytes, "a request would be written on a retired connection")
+	require.ErrorIs(t, conn.beginRequest(), errUnsolicitedBytes, "a request began on a retired connection")
 	require.NoError(t, conn.Close())
 	require.Equal(t, balancer.OK, pool.Send(t.Context(), attemptTo(endpoint, "x")).Result, "another connection serves it")
 	assert.Len(t, executor.requests(), 2)
--- a/internal/platform/executorpool_test.go
+++ b/internal/platform/executorpool_test.go
@@ -51,7 +51,9 @@
 		before := len(executor.requests())
 		attempt.BeforeWrite = func() bool { return false }
 		assert.Equal(t, balancer.NotSent, pool.Send(t.Context(), attempt).Result)
-		order := oakthread.LoadOrder{Worker: attempt.Worker, Key: attempt.Request.Key, Count: 1, BeforeWrite: attempt.BeforeWrite}
+		order := oakthread.LoadOrder{
+			Worker: attempt.Worker, Key: attempt.Request.Key, Count: 1, BeforeWrite: attempt.BeforeWrite,
+		}
 		assert.Equal(t, balancer.NotSent, pool.Load(t.Context(), order).Result)
 		attempt.BeforeWrite, attempt.Request.ID = nil, thirdID
 		assert.Equal(t, balancer.OK, pool.Send(t.Context(), attempt).Result)
--- a/internal/platform/golden_config_test.go
+++ b/internal/platform/golden_config_test.go
@@ -37,15 +37,18 @@
 	settings.Customers = slices.Grow(settings.Customers, 1)[:1]
 	settings.Customers[0].Name, settings.Customers[0].Allowance = "ironbridge-haul", 25.5
 	settings.Feedback.Fields, settings.Feedback.How = []string{"waiting", "cpu"}, "inline"
-	permissions, prices, rules, specifics := &settings.Permissions, &settings.Prices, &settings.Rules, &settings.Specifics
+	permissions, prices := &settings.Permissions, &settings.Prices
+	rules, specifics := &settings.Rules, &settings.Specifics
 	permissions.Cancel, permissions.MayProbe, permissions.Peers = true, true, true
 	permissions.RetryAfter, permissions.SecondCopies = true, true
 	permissions.ConnIdle, permissions.ConnectTimeout, permissions.MaxRetryAfter = 301, 302, 303
 	permissions.OpenCap, permissions.SendCap = 304, 305
-	prices.CrossZone, prices.LateFail, prices.Origin, prices.Peer, prices.Probe, prices.Waste = 4.01, 4.02, 4.03, 4.04, 4.05, 4.06
+	prices.CrossZone, prices.LateFail, prices.Origin = 4.01, 4.02, 4.03
+	prices.Peer, prices.Probe, prices.Waste = 4.04, 4.05, 4.06
 	rules.AnswerSlack, rules.AskWithin, rules.Cold, rules.DrainGrace, rules.Fall = 601, 602, 603, 604, 605
 	rules.OverloadFactor, rules.StartCapacity = 6.06, 6.07
-	specifics.FreeLoads, specifics.IdleMemory, specifics.KindMemory, specifics.LingerIdle = 8.01, 8.02, []float64{803, 804}, 805
+	specifics.FreeLoads, specifics.IdleMemory, specifics.LingerIdle = 8.01, 8.02, 805
+	specifics.KindMemory = []float64{803, 804}
 	specifics.LoadPart, specifics.LoadSpan, specifics.OnMiss, specifics.OrderLimit = 8.06, 807, "miss", 808
 	specifics.LoadControl, specifics.NotesPeers, specifics.WarmNotes = true, true, true
 	want := &Config{
@@ -68,7 +71,8 @@
 	require.Equal(t, want, got)
 	for key, value := range map[string]*bool{
 		"cancel": &permissions.Cancel, "may_probe": &permissions.MayProbe, "peers": &permissions.Peers,
-		"retry_after": &permissions.RetryAfter, "second_copies": &permissions.SecondCopies, "load_control": &specifics.LoadControl,
+		"retry_after": &permissions.RetryAfter, "second_copies": &permissions.SecondCopies,
+		"load_control":        &specifics.LoadControl,
 		"notes_peers_in_hand": &specifics.NotesPeers, "warm_notes": &specifics.WarmNotes,
 	} { // each alone: all of them are true above
 		got, err := parseConfig(bytes.Replace(raw, []byte(`"`+key+`": true`), []byte(`"`+key+`": false`), 1))
--- a/internal/platform/pausing_test.go
+++ b/internal/platform/pausing_test.go
@@ -154,7 +154,7 @@
 
 // expire waits for unread bytes, unless there are to be none, and lets the deadline for reads pass.
 func (c *expiredConn) expire() error {
-	raw, err := c.TCPConn.SyscallConn()
+	raw, err := c.SyscallConn()
 	if err != nil {
 		return err
 	}
@@ -163,7 +163,7 @@
 			return err
 		}
 	}
-	return c.TCPConn.SetReadDeadline(time.Unix(1, 0))
+	return c.SetReadDeadline(time.Unix(1, 0))
 }
 
 // hasBytes reports whether a socket has unread bytes, or cannot tell.
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -16,7 +16,7 @@
 const (
 	maxRequestBytes  = 16 << 10
 	maxClientTimeout = time.Hour
-	// responseTimeReserve is kept back of a client's timeout for the way of the response, and at most
+	// responseTimeReserve is held in reserve from a client's timeout for the way of the response, and at most
 	// responseTimeReserveRatio of the timeout. On a crowded core either way may take tens of milliseconds.
 	responseTimeReserve      = 200 * time.Millisecond
 	responseTimeReserveRatio = 0.2
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -80,8 +80,8 @@
 	return 0
 }
 
-// SetKeepAlives, when off, closes the idle connections of clients and ends every other one after its
-// response. It takes effect once Serve runs and until the server drains.
+// SetKeepAlives turns keep-alives on or off. Turning them off closes the idle connections of clients and
+// ends every other one after its response. It takes effect once Serve runs and until the server drains.
 func (s *Server) SetKeepAlives(on bool) {
 	if s.draining.Load() {
 		return
--- a/internal/platform/server_test.go
+++ b/internal/platform/server_test.go
@@ -75,8 +75,16 @@
 	return resp.StatusCode
 }
 
-// post sends a call and returns its response with the body.
-func post(ctx context.Context, t *testing.T, url, id, body string) (*http.Response, string, error) {
+// callResponse is the response to a call.
+type callResponse struct {
+	status int
+	header http.Header
+	body   string
+	close  bool // it ends its connection
+}
+
+// post sends a call and returns its response.
+func post(ctx context.Context, t *testing.T, url, id, body string) (callResponse, error) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url+"/call/7f3a9c21e0b4d655/trigger",
 		strings.NewReader(body))
@@ -84,11 +92,11 @@
 	req.Header = http.Header{"X-Class": {"path-book"}, "X-Call-Id": {id}, "X-Patience-Ms": {"3000"}}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return nil, "", err
+		return callResponse{}, err
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
-	return resp, string(text), err
+	return callResponse{resp.StatusCode, resp.Header, string(text), resp.Close}, err
 }
 
 // The response to a call is the executor's. A malformed request gets a 4xx and is counted. A rejection carries
@@ -97,24 +105,24 @@
 	s := startServer(t, time.Millisecond, make(notify, 8), func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("X-Hop-Id") == "00000000000000ff" {
 			w.Header().Set("X-No-Effect", "1")
-			w.WriteHeader(504)
+			w.WriteHeader(http.StatusGatewayTimeout)
 		}
 		_, _ = io.Copy(w, r.Body)
 	})
-	resp, body, err := post(t.Context(), t, s.url, "0000000000000001", "a\x00b")
+	resp, err := post(t.Context(), t, s.url, "0000000000000001", "a\x00b")
 	require.NoError(t, err)
-	assert.Equal(t, "200 a\x00b", fmt.Sprint(resp.StatusCode, " ", body))
-	resp, _, err = post(t.Context(), t, s.url, "00000000000000ff", "x")
+	assert.Equal(t, "200 a\x00b", fmt.Sprint(resp.status, " ", resp.body))
+	resp, err = post(t.Context(), t, s.url, "00000000000000ff", "x")
 	require.NoError(t, err)
-	assert.Equal(t, 503, resp.StatusCode)
-	assert.Equal(t, "2", resp.Header.Get("Retry-After"), "1.5 s, rounded up")
-	assert.Empty(t, resp.Header.Get("X-Come-Back-Ms"))
-	resp, _, err = post(t.Context(), t, s.url, "odd", "x")
+	assert.Equal(t, 503, resp.status)
+	assert.Equal(t, "2", resp.header.Get("Retry-After"), "1.5 s, rounded up")
+	assert.Empty(t, resp.header.Get("X-Come-Back-Ms"))
+	resp, err = post(t.Context(), t, s.url, "odd", "x")
 	require.NoError(t, err)
-	assert.Equal(t, 400, resp.StatusCode)
-	resp, _, err = post(t.Context(), t, s.url, "0000000000000002", strings.Repeat("x", maxRequestBytes+1))
+	assert.Equal(t, 400, resp.status)
+	resp, err = post(t.Context(), t, s.url, "0000000000000002", strings.Repeat("x", maxRequestBytes+1))
 	require.NoError(t, err)
-	assert.Equal(t, 413, resp.StatusCode)
+	assert.Equal(t, 413, resp.status)
 	assert.Equal(t, 405, getStatus(t, s.url+"/call/x/trigger"))
 	assert.Equal(t, int64(3), s.server.Bad())
 	s.shutdown()
@@ -129,9 +137,9 @@
 	s := startServer(t, 3*time.Second, lines, func(http.ResponseWriter, *http.Request) { arrived <- true; <-release })
 	statuses := make(chan int, 2)
 	call := func(id string) {
-		resp, _, err := post(t.Context(), t, s.url, id, "x")
+		resp, err := post(t.Context(), t, s.url, id, "x")
 		if assert.NoError(t, err) {
-			statuses <- resp.StatusCode
+			statuses <- resp.status
 		}
 	}
 	go call("0000000000000001")
@@ -162,7 +170,7 @@
 	})
 	ctx, leave := context.WithCancel(t.Context())
 	go func() { <-arrived; leave() }()
-	_, _, err := post(ctx, t, s.url, "0000000000000001", "x")
+	_, err := post(ctx, t, s.url, "0000000000000001", "x")
 	require.ErrorIs(t, err, context.Canceled)
 	<-cancelled
 	s.shutdown()
@@ -196,10 +204,10 @@
 	_ = idle.SetReadDeadline(time.Now().Add(5 * time.Second))
 	_, err = reader.ReadByte()
 	assert.Error(t, err, "the idle connection is closed")
-	resp, body, err := post(t.Context(), t, s.url, "0000000000000001", "kept")
+	answer, err := post(t.Context(), t, s.url, "0000000000000001", "kept")
 	require.NoError(t, err)
-	assert.Equal(t, "200 kept", fmt.Sprint(resp.StatusCode, " ", body))
-	assert.True(t, resp.Close, "the connection ends after its response")
+	assert.Equal(t, "200 kept", fmt.Sprint(answer.status, " ", answer.body))
+	assert.True(t, answer.close, "the connection ends after its response")
 
 	outOfService.Store(false)
 	s.server.SetKeepAlives(true)
--- a/internal/platform/watchstream_test.go
+++ b/internal/platform/watchstream_test.go
@@ -89,13 +89,12 @@
 	}
 	watcher.Move(second.addr())
 	watcher.Move(first.addr()) // at once: the later one counts
-	for {
+	for found := false; !found; {
 		select {
 		case watch = <-first.conns:
-		case watch = <-second.conns:
-			continue
+			found = true
+		case <-second.conns:
 		}
-		break
 	}
 	assert.Equal(t, "resume 2", watch.request)
 	watch.send(t, eventLineText(3, ""))
