--- a/internal/platform/executorconn_test.go
+++ b/internal/platform/executorconn_test.go
@@ -247,6 +247,6 @@
 	require.True(t, conn.retire())
 	require.ErrorIs(t, conn.beginRequest(), errUnsolicitedBytes, "a request began on a retired connection")
 	require.NoError(t, conn.Close())
-	require.Equal(t, balancer.OK, pool.Send(t.Context(), attemptTo(endpoint, "x")).Result, "another connection serves it")
+	require.Equal(t, balancer.OK, pool.Send(t.Context(), attemptTo(endpoint, "x")).Result, "on another connection")
 	assert.Len(t, executor.requests(), 2)
 }
