--- a/admin/classes.go
+++ b/admin/classes.go
@@ -29,10 +29,10 @@
 	return c
 }
 
-// Retune compares the settings of a reload with the table, without changing it. added are the new
+// Compare compares the settings of a reload with the table, without changing it. added are the new
 // classes, which get the numbers from Len on, in order; numbers is the table of names with them.
 // Both are put into force by the next method.
-func (c *Classes) Retune(names []string, rules []balancer.Class) (added []balancer.Class, numbers map[string]int) {
+func (c *Classes) Compare(names []string, rules []balancer.Class) (added []balancer.Class, numbers map[string]int) {
 	numbers = make(map[string]int, len(names))
 	for i, name := range names {
 		if number, ok := c.numbers[name]; ok && c.rules[number] == rules[i] {
@@ -45,8 +45,8 @@
 	return added, numbers
 }
 
-// Take puts into force the result of a comparison.
-func (c *Classes) Take(added []balancer.Class, numbers map[string]int) {
+// Apply puts into force the result of a comparison.
+func (c *Classes) Apply(added []balancer.Class, numbers map[string]int) {
 	c.names = append(c.names, make([]string, len(added))...)
 	for name, number := range numbers {
 		if number >= len(c.rules) {
@@ -57,12 +57,12 @@
 	c.numbers = numbers
 }
 
-// Called returns the name of each number, of dropped classes too, as the paths to workers need
+// NamesByNumber returns the name of each number, of dropped classes too, as the paths to workers need
 // them.
-func (c *Classes) Called() []string { return slices.Clone(c.names) }
+func (c *Classes) NamesByNumber() []string { return slices.Clone(c.names) }
 
 // Len returns how many numbers there are, of dropped classes too.
 func (c *Classes) Len() int { return len(c.rules) }
 
-// Names returns the number of each class in force by its name. The caller must not change it.
-func (c *Classes) Names() map[string]int { return c.numbers }
+// NumbersByName returns the number of each class in force by its name. The caller must not change it.
+func (c *Classes) NumbersByName() map[string]int { return c.numbers }
--- a/admin/classes_test.go
+++ b/admin/classes_test.go
@@ -18,13 +18,13 @@
 	b2 := b
 	b2.Idempotency = balancer.IdempotentByKey
 	x := balancer.Class{LatencyObjective: 5, ClientTimeout: 6}
-	added, numbers := c.Retune([]string{"b", "x"}, []balancer.Class{b2, x})
+	added, numbers := c.Compare([]string{"b", "x"}, []balancer.Class{b2, x})
 	assert.Equal(t, []balancer.Class{b2, x}, added)
 	assert.Equal(t, map[string]int{"b": 2, "x": 3}, numbers)
-	c.Take(added, numbers)
+	c.Apply(added, numbers)
 	assert.Equal(t, 4, c.Len())
-	assert.Equal(t, []string{"a", "b", "b", "x"}, c.Called(), "every number keeps a name for the workers")
-	added, numbers = c.Retune([]string{"b", "x"}, []balancer.Class{b2, x})
+	assert.Equal(t, []string{"a", "b", "b", "x"}, c.NamesByNumber(), "every number keeps a name for the workers")
+	added, numbers = c.Compare([]string{"b", "x"}, []balancer.Class{b2, x})
 	assert.Empty(t, added, "nothing changed")
 	assert.Equal(t, map[string]int{"b": 2, "x": 3}, numbers)
 }
--- a/admin/state.go
+++ b/admin/state.go
@@ -87,17 +87,17 @@
 	return update, true
 }
 
-// Keep replaces the set of ejected workers by that of another process, such as the version before
+// SetEjected replaces the set of ejected workers by that of another process, such as the version before
 // an upgrade or the one beside this one, and returns the update for the core. Workers that are no
 // longer in the set are restored as by Restore at now.
-func (s *State) Keep(ejected []balancer.WorkerID, now time.Time) (update oakthread.EndpointUpdate) {
+func (s *State) SetEjected(ejected []balancer.WorkerID, now time.Time) (update oakthread.EndpointUpdate) {
 	update.Kind = balancer.EndpointsDelta
 	for _, id := range ejected {
 		if !s.ejected[id] {
 			update.Endpoints = append(update.Endpoints, s.eject(id).Endpoints...)
 		}
 	}
-	for _, id := range s.Banned() {
+	for _, id := range s.Ejected() {
 		if !slices.Contains(ejected, id) {
 			restored, _ := s.Restore(id, now)
 			update.Endpoints = append(update.Endpoints, restored.Endpoints...)
@@ -120,14 +120,14 @@
 	return update
 }
 
-// Banned returns the ids of the workers ejected by hand, in order.
-func (s *State) Banned() []balancer.WorkerID {
+// Ejected returns the ids of the workers ejected by hand, in order.
+func (s *State) Ejected() []balancer.WorkerID {
 	return slices.Sorted(maps.Keys(s.ejected))
 }
 
-// Members returns the number of listed workers, and of those among them that get no calls: ejected
+// CountMembers returns the number of listed workers, and of those among them that get no calls: ejected
 // by hand, draining by the list, or among autoEjected, those that the balancer has ejected.
-func (s *State) Members(autoEjected []balancer.WorkerID) (listed, unavailable int) {
+func (s *State) CountMembers(autoEjected []balancer.WorkerID) (listed, unavailable int) {
 	for id, endpoint := range s.listed {
 		listed++
 		if s.ejected[id] || endpoint.State != balancer.Active || slices.Contains(autoEjected, id) {
@@ -137,11 +137,11 @@
 	return listed, unavailable
 }
 
-// OutOfService takes the dispatcher out of service: Ready is false until it is returned to service.
-func (s *State) OutOfService() { s.outOfService = true }
+// TakeOutOfService takes the dispatcher out of service: Ready is false until it is returned to service.
+func (s *State) TakeOutOfService() { s.outOfService = true }
 
-// InService returns the dispatcher to service.
-func (s *State) InService() { s.outOfService = false }
+// ReturnToService returns the dispatcher to service.
+func (s *State) ReturnToService() { s.outOfService = false }
 
 // Ready reports whether the front may send clients: the core is ready, and the operators have not
 // taken the dispatcher out of service.
--- a/admin/state_test.go
+++ b/admin/state_test.go
@@ -33,10 +33,10 @@
 	adjusted := s.UpdateEndpoints(snapshot(1, 2)) // the list says Ready again
 	assert.Equal(t, balancer.Draining, adjusted.Endpoints[0].State)
 	assert.Equal(t, balancer.Active, adjusted.Endpoints[1].State)
-	listed, unavailable := s.Members(nil)
+	listed, unavailable := s.CountMembers(nil)
 	assert.Equal(t, 2, listed)
 	assert.Equal(t, 1, unavailable)
-	_, unavailable = s.Members([]balancer.WorkerID{1, 2}) // ejected by the balancer too: each counted once
+	_, unavailable = s.CountMembers([]balancer.WorkerID{1, 2}) // ejected by the balancer too: each counted once
 	assert.Equal(t, 2, unavailable)
 }
 
@@ -55,7 +55,7 @@
 	require.Len(t, update.Endpoints, 1)
 	assert.Equal(t, balancer.Active, update.Endpoints[0].State)
 	assert.True(t, update.Endpoints[0].Start.Equal(at))
-	assert.Empty(t, s.Banned())
+	assert.Empty(t, s.Ejected())
 	assert.Equal(t, balancer.Active, s.UpdateEndpoints(snapshot(1)).Endpoints[0].State)
 }
 
@@ -67,14 +67,14 @@
 	assert.False(t, ok)
 	_, ok = s.Restore(9, time.Unix(1, 0))
 	assert.False(t, ok)
-	assert.Empty(t, s.Banned())
+	assert.Empty(t, s.Ejected())
 }
 
 // TestInheritedEjectionPrecedesTheEndpointList shows that an ejection of another process holds
 // before the endpoint list arrives, and after the worker has left the list.
 func TestInheritedEjectionPrecedesTheEndpointList(t *testing.T) {
 	var s State
-	s.Keep([]balancer.WorkerID{2}, time.Unix(1, 0))
+	s.SetEjected([]balancer.WorkerID{2}, time.Unix(1, 0))
 	adjusted := s.UpdateEndpoints(snapshot(1, 2))
 	assert.Equal(t, balancer.Draining, adjusted.Endpoints[1].State)
 	s.UpdateEndpoints(oakthread.EndpointUpdate{
@@ -83,9 +83,9 @@
 	})
 	_, ok := s.Eject(2) // no longer listed, but still ejected
 	assert.True(t, ok)
-	assert.Equal(t, []balancer.WorkerID{2}, s.Banned())
-	s.Keep(nil, time.Unix(2, 0)) // restored at the other process
-	assert.Empty(t, s.Banned())
+	assert.Equal(t, []balancer.WorkerID{2}, s.Ejected())
+	s.SetEjected(nil, time.Unix(2, 0)) // restored at the other process
+	assert.Empty(t, s.Ejected())
 }
 
 // TestOutOfService shows that readiness needs an endpoint list and a dispatcher in service.
@@ -93,8 +93,8 @@
 	var s State
 	assert.False(t, s.Ready(false), "no list yet")
 	assert.True(t, s.Ready(true))
-	s.OutOfService()
+	s.TakeOutOfService()
 	assert.False(t, s.Ready(true))
-	s.InService()
+	s.ReturnToService()
 	assert.True(t, s.Ready(true))
 }
--- a/aggregate/aggregator.go
+++ b/aggregate/aggregator.go
@@ -29,12 +29,12 @@
 	DispatcherIndex int // of this dispatcher, from 0
 	Dispatchers     int // in the fleet, this one included
 	Values          int // of each report
-	// Passing is the number of values, the last ones, that change too quickly for their changes to
+	// Transient is the number of values, the last ones, that change too quickly for their changes to
 	// be quoted.
-	Passing int
-	Term    int64 // for which one dispatcher is the leader
-	Tick    int64 // unit of the numbers of digests; digests of one leader with one number are the same
-	Forget  int64 // time constant with which the values of missing dispatchers decay
+	Transient int
+	Term      int64 // for which one dispatcher is the leader
+	Tick      int64 // unit of the numbers of digests; digests of one leader with one number are the same
+	DecayTime int64 // time constant with which the values of missing dispatchers decay
 }
 
 // Aggregator is the state of one dispatcher. Create one with New. It is not safe for concurrent
@@ -65,10 +65,10 @@
 // before, provided that at least a second lies between them.
 func New(now int64, settings Settings) *Aggregator {
 	settings.Dispatchers = max(1, settings.Dispatchers)
-	settings.Passing = min(max(0, settings.Passing), settings.Values)
+	settings.Transient = min(max(0, settings.Transient), settings.Values)
 	settings.Term = max(1, settings.Term)
 	settings.Tick = max(1, settings.Tick)
-	settings.Forget = max(1, settings.Forget)
+	settings.DecayTime = max(1, settings.DecayTime)
 	return &Aggregator{
 		settings:    settings,
 		incarnation: uint8(now / 1e9),
--- a/aggregate/aggregator_test.go
+++ b/aggregate/aggregator_test.go
@@ -22,7 +22,7 @@
 			Values:          values,
 			Term:            term,
 			Tick:            term / 16,
-			Forget:          64000 * ms,
+			DecayTime:       64000 * ms,
 		}))
 	}
 	return fleet
@@ -60,7 +60,7 @@
 	now := 1000 * 1000 * ms
 	step := func(leader int, reach func(int, int) bool) { now += term; playTerm(fleet, now, leader, own, reach) }
 	likely := func(i int) float64 { return fleet[i].View(now, 0).Totals[0].Likely }
-	assert.True(t, fleet[2].View(now, 0).Never)
+	assert.True(t, fleet[2].View(now, 0).NoDigest)
 	fleet[2].SetLocal(own(2))
 	assert.Equal(t, Total{40, 80, 160}, fleet[2].View(now, 0).Totals[0], "alone: from its own to as much for each")
 	step(0, everyone)
@@ -74,7 +74,7 @@
 	for i := range fleet {
 		v := fleet[i].View(now, 0)
 		assert.InDelta(t, 200, v.Totals[0].Likely, 12, "two halves: dispatcher %d", i)
-		assert.Equal(t, []int{2, 2}, []int{v.Heard, v.Missing})
+		assert.Equal(t, []int{2, 2}, []int{v.CoveredCount, v.MissingCount})
 		assert.LessOrEqual(t, v.Totals[0].Low, 200.0)
 		assert.GreaterOrEqual(t, v.Totals[0].High, 185.0)
 	}
@@ -82,7 +82,7 @@
 	step(2, everyone)
 	for i := range fleet {
 		assert.InDelta(t, 200, likely(i), 4, "partition ended: dispatcher %d", i)
-		assert.Equal(t, 0, fleet[i].View(now, 0).Missing)
+		assert.Equal(t, 0, fleet[i].View(now, 0).MissingCount)
 	}
 	rate = []float64{0, 0, 90, 110} // 0 and 1 have crashed, their clients are at the others
 	crashed := func(a, b int) bool { return a > 1 && b > 1 }
--- a/aggregate/bench_test.go
+++ b/aggregate/bench_test.go
@@ -64,7 +64,7 @@
 	}
 	m := Message{FromLeader: true, Digest: digest}
 	for i := range 120 {
-		m.Counts = append(m.Counts, Count{Worker: uint16(i), N: 3, Heard: true})
+		m.Counts = append(m.Counts, Count{Worker: uint16(i), InFlight: 3, Responded: true})
 	}
 	texts := m.Encode(n)
 	longest := 0
@@ -78,7 +78,7 @@
 				do(b)
 			}
 			b.ReportMetric(float64(longest), "longest/text")
-			b.ReportMetric(float64(Chars(texts)), "text/digest")
+			b.ReportMetric(float64(TotalLen(texts)), "text/digest")
 		})
 	}
 	step("made", func(*testing.B) { leader.NextDigest(now) })
--- a/aggregate/codec_test.go
+++ b/aggregate/codec_test.go
@@ -24,8 +24,8 @@
 		Sums:         values(n),
 		MissingSums:  values(n),
 		MissingMoved: values(n),
-		Covered:      NewSet(300),
-		Missing:      NewSet(300),
+		Covered:      NewNodeSet(300),
+		Missing:      NewNodeSet(300),
 	}
 	for i := range 299 {
 		digest.Covered.Add(i)
@@ -79,9 +79,9 @@
 // encoded without a panic.
 func TestTextsAreBounded(t *testing.T) {
 	for i := range 20 {
-		full := Message{FromLeader: true, Digest: digestOf300(15), Counts: []Count{{Worker: 1, N: 1}}}
+		full := Message{FromLeader: true, Digest: digestOf300(15), Counts: []Count{{Worker: 1, InFlight: 1}}}
 		for range i {
-			full.Marks = append(full.Marks, Mark{Worker: 7, Bad: 3})
+			full.Marks = append(full.Marks, Mark{Worker: 7, Failed: 3})
 		}
 		for _, x := range append(full.Encode(300), full.Truncate(300, 256).Encode(300)...) {
 			assert.LessOrEqual(t, len(x), 256)
@@ -97,7 +97,7 @@
 func TestLongDigestsAreSplitAndTruncated(t *testing.T) {
 	big := Message{FromLeader: true, Digest: digestOf300(7)}
 	for i := range 120 {
-		big.Counts = append(big.Counts, Count{Worker: uint16(i), N: 3})
+		big.Counts = append(big.Counts, Count{Worker: uint16(i), InFlight: 3})
 	}
 	counts := 0
 	for _, x := range big.Encode(300) {
@@ -110,7 +110,7 @@
 	big.Counts[77] = Count{Worker: 77, Silent: true}
 	for _, chars := range []int{220, 253, 10000} {
 		short := big.Truncate(300, chars)
-		assert.LessOrEqual(t, Chars(short.Encode(300)), chars)
+		assert.LessOrEqual(t, TotalLen(short.Encode(300)), chars)
 		if chars < 10000 {
 			assert.Equal(t, big.Counts[77:78], short.Counts, "silent for some, responding to none")
 			m, ok := Decode(short.Encode(300)[0], 300)
@@ -147,8 +147,8 @@
 			Sums:         values,
 			MissingSums:  values,
 			MissingMoved: values,
-			Covered:      NewSet(dispatchers),
-			Missing:      NewSet(dispatchers),
+			Covered:      NewNodeSet(dispatchers),
+			Missing:      NewNodeSet(dispatchers),
 		}
 		if rapid.Bool().Draw(t, "quoted") {
 			m.Report.LastCounted = values
@@ -159,7 +159,7 @@
 		for i := range rapid.IntRange(0, 2).Draw(t, "missing") {
 			m.Digest.Missing.Add(i)
 		}
-		assert.Equal(t, Chars(m.Encode(dispatchers)), m.EncodedLen(dispatchers))
+		assert.Equal(t, TotalLen(m.Encode(dispatchers)), m.EncodedLen(dispatchers))
 	})
 }
 
@@ -167,7 +167,7 @@
 func FuzzDecode(f *testing.F) {
 	for _, m := range []Message{
 		{Report: Report{Values: []float64{1, 2}}},
-		{FromLeader: true, Digest: Digest{Sums: []float64{1}, Covered: NewSet(9), Missing: NewSet(9)}},
+		{FromLeader: true, Digest: Digest{Sums: []float64{1}, Covered: NewNodeSet(9), Missing: NewNodeSet(9)}},
 	} {
 		f.Add(m.Encode(9)[0], 9)
 	}
@@ -178,7 +178,7 @@
 		if !ok {
 			return
 		}
-		a := New(5e9, Settings{Dispatchers: n, Values: 2, Term: term, Tick: term / 16, Forget: 64 * term})
+		a := New(5e9, Settings{Dispatchers: n, Values: 2, Term: term, Tick: term / 16, DecayTime: 64 * term})
 		a.HandleReport(5e9, 1, m.Report)
 		a.HandleDigest(5e9, 1, m.Digest)
 		for _, total := range a.View(6e9, 0).Totals {
--- a/aggregate/decode.go
+++ b/aggregate/decode.go
@@ -98,7 +98,7 @@
 	} else {
 		digest.MissingSums = make([]float64, d.values)
 		digest.MissingMoved = make([]float64, d.values)
-		digest.Missing = NewSet(d.dispatchers)
+		digest.Missing = NewNodeSet(d.dispatchers)
 	}
 	return digest
 }
@@ -123,10 +123,10 @@
 		worker := binary.BigEndian.Uint16(d.take(2))
 		counts := d.byte()
 		marks = append(marks, Mark{
-			Worker: worker,
-			Good:   counts >> markCountShift,
-			Bad:    counts & maxMarkCount,
-			Pace:   d.byte(),
+			Worker:  worker,
+			Served:  counts >> markCountShift,
+			Failed:  counts & maxMarkCount,
+			Latency: d.byte(),
 		})
 	}
 	return marks
@@ -142,10 +142,10 @@
 		worker := binary.BigEndian.Uint16(d.take(2))
 		b := d.byte()
 		counts = append(counts, Count{
-			Worker: worker,
-			N:      int(b & countInFlight),
-			Silent: b&countSilent != 0,
-			Heard:  b&countResponded != 0,
+			Worker:    worker,
+			InFlight:  int(b & countInFlight),
+			Silent:    b&countSilent != 0,
+			Responded: b&countResponded != 0,
 		})
 	}
 	return counts
--- a/aggregate/digest.go
+++ b/aggregate/digest.go
@@ -82,8 +82,8 @@
 			Sums:         make([]float64, values),
 			MissingSums:  make([]float64, values),
 			MissingMoved: make([]float64, values),
-			Covered:      NewSet(dispatchers),
-			Missing:      NewSet(dispatchers),
+			Covered:      NewNodeSet(dispatchers),
+			Missing:      NewNodeSet(dispatchers),
 		},
 		unclaimed: make([]float64, values),
 		growth:    make([]float64, values),
@@ -93,7 +93,7 @@
 	}
 	b.last = &a.digest
 	b.lastMissing = float64(a.digest.Missing.Len())
-	b.keep = math.Exp(-float64(max(0, now-a.digestAt)) / float64(a.settings.Forget))
+	b.keep = math.Exp(-float64(max(0, now-a.digestAt)) / float64(a.settings.DecayTime))
 	copy(b.unclaimed, a.digest.Sums)
 	for j := range values {
 		b.digest.MissingSums[j] = b.keep * a.digest.MissingSums[j]
--- a/aggregate/encode.go
+++ b/aggregate/encode.go
@@ -142,7 +142,7 @@
 	if !e.flag(flagLastCounted, r.LastCounted != nil) {
 		return
 	}
-	present, quoted := NewSet(len(values)), make([]float64, 0, maxValues)
+	present, quoted := NewNodeSet(len(values)), make([]float64, 0, maxValues)
 	for i, x := range r.LastCounted[:len(values)] {
 		if !math.IsNaN(x) {
 			present.Add(i)
@@ -180,16 +180,16 @@
 	e.raw = append(e.raw, byte(len(marks)))
 	for _, mark := range marks {
 		e.raw = binary.BigEndian.AppendUint16(e.raw, mark.Worker)
-		counts := min(mark.Good, maxMarkCount)<<markCountShift | min(mark.Bad, maxMarkCount)
-		e.raw = append(e.raw, counts, mark.Pace)
+		counts := min(mark.Served, maxMarkCount)<<markCountShift | min(mark.Failed, maxMarkCount)
+		e.raw = append(e.raw, counts, mark.Latency)
 	}
 }
 
 // appendCounts writes counts, with calls in flight cut to maxInFlight.
 func (e *encoder) appendCounts(counts []Count) {
 	for _, count := range counts {
-		b := byte(min(count.N, maxInFlight))
-		if count.Heard {
+		b := byte(min(count.InFlight, maxInFlight))
+		if count.Responded {
 			b |= countResponded
 		}
 		if count.Silent {
--- a/aggregate/golden_test.go
+++ b/aggregate/golden_test.go
@@ -27,7 +27,7 @@
 }
 
 func setOf(dispatchers int, numbers ...int) NodeSet {
-	s := NewSet(dispatchers)
+	s := NewNodeSet(dispatchers)
 	for _, i := range numbers {
 		s.Add(i)
 	}
@@ -44,11 +44,11 @@
 func goldenCases() []goldenCase {
 	const largest = 4095 << 15 / 64.0 // the largest value that the format holds
 	nan := math.NaN()
-	marks := []Mark{{Worker: 7, Good: 15, Pace: 255}, {Worker: 1 << 15, Bad: 9, Pace: 8}}
+	marks := []Mark{{Worker: 7, Served: 15, Latency: 255}, {Worker: 1 << 15, Failed: 9, Latency: 8}}
 	counts := []Count{{1, 5, true, false}, {2, 0, false, true}, {65535, 63, true, true}, {0, 1, false, false}}
 	holders := []Holder{{1 << 30, 9}, {math.MaxUint32, 65535}, {0, 0}}
 	manyCounts := upTo(70, func(i int) Count {
-		return Count{Worker: uint16(i * 900), N: i % 64, Heard: i%2 == 0}
+		return Count{Worker: uint16(i * 900), InFlight: i % 64, Responded: i%2 == 0}
 	})
 	manyHolders := upTo(40, func(i int) Holder { return Holder{Func: uint32(i) << 24, Worker: uint16(i)} })
 	values := upTo(15, func(i int) float64 { return float64(i) * 12.5 })
@@ -56,7 +56,7 @@
 	sums, zeros := []float64{100, 7.5}, []float64{0, 0}
 	complete := Digest{
 		Tick: 513, Sums: sums, MissingSums: zeros, MissingMoved: zeros,
-		Covered: fullSet(3), Missing: NewSet(3),
+		Covered: fullSet(3), Missing: NewNodeSet(3),
 	}
 	truncated := complete
 	truncated.Truncated = true
@@ -66,8 +66,8 @@
 	}
 	wide.Covered[0] = 0xfe
 	sample := Report{Incarnation: 200, Seq: 255, Values: []float64{12.5, 0.25}}
-	manyMarks := upTo(14, func(i int) Mark { return Mark{Worker: uint16(i), Good: 20, Bad: 16, Pace: 1} })
-	mostMarks := upTo(12, func(i int) Mark { return Mark{Worker: uint16(i), Good: 15, Bad: 15, Pace: 1} })
+	manyMarks := upTo(14, func(i int) Mark { return Mark{Worker: uint16(i), Served: 20, Failed: 16, Latency: 1} })
+	mostMarks := upTo(12, func(i int) Mark { return Mark{Worker: uint16(i), Served: 15, Failed: 15, Latency: 1} })
 
 	return []goldenCase{
 		{name: "sync-request", dispatchers: 3, message: Message{SyncRequest: true, Continued: true}},
@@ -116,7 +116,7 @@
 				FromLeader: true,
 				Digest: Digest{
 					Sums: sums, MissingSums: zeros, MissingMoved: zeros,
-					Covered: setOf(9, 8), Missing: NewSet(9),
+					Covered: setOf(9, 8), Missing: NewNodeSet(9),
 				},
 			},
 		},
@@ -147,11 +147,11 @@
 		{
 			name: "report-beyond-bounds", dispatchers: 3,
 			message: Message{
-				Calls: 300, Marks: manyMarks, Counts: []Count{{Worker: 1, N: 64}},
+				Calls: 300, Marks: manyMarks, Counts: []Count{{Worker: 1, InFlight: 64}},
 				Report: Report{Values: append(slices.Clone(values), 1)},
 			},
 			texts: []Message{{
-				Calls: 255, Marks: mostMarks, Counts: []Count{{Worker: 1, N: 63}},
+				Calls: 255, Marks: mostMarks, Counts: []Count{{Worker: 1, InFlight: 63}},
 				Report: Report{Values: values},
 			}},
 		},
--- a/aggregate/message.go
+++ b/aggregate/message.go
@@ -20,18 +20,18 @@
 // Mark is what a dispatcher, or the observers of a digest, report of one worker. The meaning of the
 // counts is defined by outlier.Mark in a report and by outlier.Evidence in a digest.
 type Mark struct {
-	Worker uint16 // tag of the worker
-	Good   uint8  // calls served, or observers that were; 0 to 15
-	Bad    uint8  // calls failed, or observers whose calls did; 0 to 15
-	Pace   uint8  // latency in quarters of the mean; 0: not slow
+	Worker  uint16 // tag of the worker
+	Served  uint8  // calls served, or observers that were; 0 to 15
+	Failed  uint8  // calls failed, or observers whose calls did; 0 to 15
+	Latency uint8  // latency in quarters of the mean; 0: not slow
 }
 
 // Count is the load of one worker, from one dispatcher in a report and from all in a digest.
 type Count struct {
-	Worker uint16 // tag of the worker
-	N      int    // calls in flight, 0 to 63 on the wire
-	Silent bool   // a call is overdue and the worker has not responded since it was sent
-	Heard  bool   // the worker has responded lately
+	Worker    uint16 // tag of the worker
+	InFlight  int    // calls in flight, 0 to 63 on the wire
+	Silent    bool   // a call is overdue and the worker has not responded since it was sent
+	Responded bool   // the worker has responded lately
 }
 
 // Holder is a worker that has begun to hold a function.
@@ -40,8 +40,8 @@
 	Worker uint16 // tag of the worker
 }
 
-// Chars returns the length of all texts together, in bytes.
-func Chars(texts []string) (n int) {
+// TotalLen returns the length of all texts together, in bytes.
+func TotalLen(texts []string) (n int) {
 	for _, text := range texts {
 		n += len(text)
 	}
@@ -64,7 +64,7 @@
 		return m
 	}
 	for _, count := range m.Counts {
-		if count.Silent && !count.Heard && len(short.Counts) < room/countBytes {
+		if count.Silent && !count.Responded && len(short.Counts) < room/countBytes {
 			short.Counts = append(short.Counts, count)
 		}
 	}
--- a/aggregate/nodeset.go
+++ b/aggregate/nodeset.go
@@ -6,15 +6,15 @@
 // first byte for index 0. The zero value is empty and has room for none.
 type NodeSet []byte
 
-// NewSet returns an empty set with room for the indices below n.
-func NewSet(n int) NodeSet { return make(NodeSet, setBytes(n)) }
+// NewNodeSet returns an empty set with room for the indices below n.
+func NewNodeSet(n int) NodeSet { return make(NodeSet, setBytes(n)) }
 
 // setBytes returns the length in bytes of a set with room for the indices below n.
 func setBytes(n int) int { return (n + 7) / 8 }
 
 // fullSet returns the set of all indices below n.
 func fullSet(n int) NodeSet {
-	s := NewSet(n)
+	s := NewNodeSet(n)
 	for i := range s {
 		s[i] = 0xff
 	}
--- a/aggregate/nodeset_test.go
+++ b/aggregate/nodeset_test.go
@@ -9,7 +9,7 @@
 // TestFullSetHasAllAndNoMore compares full sets with sets filled one by one.
 func TestFullSetHasAllAndNoMore(t *testing.T) {
 	for _, n := range []int{0, 1, 7, 8, 9, 300, 1_900} {
-		want := NewSet(n)
+		want := NewNodeSet(n)
 		for i := range n {
 			want.Add(i)
 		}
--- a/aggregate/property_test.go
+++ b/aggregate/property_test.go
@@ -44,7 +44,7 @@
 				playTerm(fleet, now, leader, own, everyone)
 			}
 			for i := range fleet {
-				if v := fleet[i].View(now, 0); math.Abs(v.Totals[0].Likely-100) > 2 || v.Missing > 0 {
+				if v := fleet[i].View(now, 0); math.Abs(v.Totals[0].Likely-100) > 2 || v.MissingCount > 0 {
 					t.Fatalf("losses %012b, leaders %d: dispatcher %d does not agree after two terms: %+v",
 						lost, leaders, i, v)
 				}
@@ -79,10 +79,10 @@
 				x := v.Totals[0]
 				if x.Low > total*1.02+1 || x.High < total*0.85-1 || x.Likely > total*1.1+2 || x.Likely < total*0.85-2 {
 					t.Fatalf("dispatcher %d of %d: %+v of %v, %d covered, %d missing",
-						i, n, x, total, v.Heard, v.Missing)
+						i, n, x, total, v.CoveredCount, v.MissingCount)
 				}
-				if v.Heard+v.Missing > n {
-					t.Fatalf("%d covered and %d missing of %d", v.Heard, v.Missing, n)
+				if v.CoveredCount+v.MissingCount > n {
+					t.Fatalf("%d covered and %d missing of %d", v.CoveredCount, v.MissingCount, n)
 				}
 			}
 		}
--- a/aggregate/report.go
+++ b/aggregate/report.go
@@ -46,7 +46,7 @@
 // values are quoted.
 func (a *Aggregator) quotedValues() []float64 {
 	quoteAll := !a.digest.Covered.Has(a.settings.DispatcherIndex)
-	quotable := a.settings.Values - a.settings.Passing
+	quotable := a.settings.Values - a.settings.Transient
 	anyQuoted := false
 	quoted := slices.Clone(a.lastCounted)
 	for i, x := range a.local {
--- a/aggregate/view.go
+++ b/aggregate/view.go
@@ -16,14 +16,14 @@
 
 // View is what a dispatcher knows of the totals.
 type View struct {
-	Totals  []Total
-	Covered []float64 // sums over the dispatchers covered alone: for ratios of values that change quickly
-	Heard   int       // number of dispatchers that the sums cover, this one included
-	Missing int       // number of dispatchers that are missing
-	Age     int64     // nanoseconds since the digest came; 0 without a digest
-	Never   bool      // no digest has come since the start of this dispatcher
-	Stale   bool      // no digest has come for some terms, or none at all
-	Scale   float64   // ratio of the total to the sum covered, of the value named to Aggregator.View; at least 1
+	Totals       []Total
+	CoveredSums  []float64 // sums over the dispatchers covered alone: for ratios of values that change quickly
+	CoveredCount int       // number of dispatchers that the sums cover, this one included
+	MissingCount int       // number of dispatchers that are missing
+	Age          int64     // nanoseconds since the digest came; 0 without a digest
+	NoDigest     bool      // no digest has come since the start of this dispatcher
+	Stale        bool      // no digest has come for some terms, or none at all
+	Scale        float64   // ratio of the total to the sum covered, of the value named to Aggregator.View; at least 1
 }
 
 // View returns the totals as they are known. scaleBy is the index of the value that View.Scale is
@@ -34,15 +34,15 @@
 	}
 	age := max(0, now-a.digestAt)
 	view := View{
-		Totals:  make([]Total, a.settings.Values),
-		Covered: a.digest.Sums,
-		Heard:   a.digest.Covered.Len(),
-		Missing: a.digest.Missing.Len(),
-		Age:     age,
-		Stale:   age > staleAfterTerms*a.settings.Term,
-		Scale:   a.scale(scaleBy),
+		Totals:       make([]Total, a.settings.Values),
+		CoveredSums:  a.digest.Sums,
+		CoveredCount: a.digest.Covered.Len(),
+		MissingCount: a.digest.Missing.Len(),
+		Age:          age,
+		Stale:        age > staleAfterTerms*a.settings.Term,
+		Scale:        a.scale(scaleBy),
 	}
-	keep := math.Exp(-float64(age) / float64(a.settings.Forget))
+	keep := math.Exp(-float64(age) / float64(a.settings.DecayTime))
 	for i := range view.Totals {
 		view.Totals[i] = a.total(i, &view, keep)
 	}
@@ -53,12 +53,12 @@
 // traffic or as much as each of the others; the likely total is the geometric mean of the two.
 func (a *Aggregator) viewWithoutDigest() View {
 	view := View{
-		Totals:  make([]Total, a.settings.Values),
-		Covered: slices.Clone(a.local),
-		Heard:   1,
-		Never:   true,
-		Stale:   true,
-		Scale:   1,
+		Totals:       make([]Total, a.settings.Values),
+		CoveredSums:  slices.Clone(a.local),
+		CoveredCount: 1,
+		NoDigest:     true,
+		Stale:        true,
+		Scale:        1,
 	}
 	dispatchers := float64(a.settings.Dispatchers)
 	for i, x := range a.local {
@@ -74,8 +74,8 @@
 	counted := a.countedInDigest(i)
 	others := max(0, sum+a.digest.MissingSums[i]-a.digest.MissingMoved[i]-counted)
 	othersAtMost := max(0, sum+a.digest.MissingSums[i]-counted)
-	if unknown := a.settings.Dispatchers - view.Heard - view.Missing; unknown > 0 && view.Heard > 0 {
-		othersAtMost += sum / float64(view.Heard) * float64(unknown)
+	if unknown := a.settings.Dispatchers - view.CoveredCount - view.MissingCount; unknown > 0 && view.CoveredCount > 0 {
+		othersAtMost += sum / float64(view.CoveredCount) * float64(unknown)
 	}
 	total := Total{Low: own, Likely: own + others, High: own + othersAtMost}
 	if view.Stale {
--- a/attempt.go
+++ b/attempt.go
@@ -147,7 +147,8 @@
 func (c *Core) countExecution(request *pendingRequest) {
 	request.executions++
 	if request.executions > 1 && c.cfg.isNonIdempotent(request.Class) {
-		c.reportViolation(violation.Once, violation.PathLanded, request.ID, "a second attempt ended that may have run")
+		c.reportViolation(violation.RuleAtMostOnce, violation.PathAttemptEnd, request.ID,
+			"a second attempt ended that may have run")
 	}
 }
 
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -87,10 +87,10 @@
 			DispatcherIndex: s.DispatcherIndex,
 			Dispatchers:     s.Dispatchers,
 			Values:          b.sharedTenants() + fleetColumns,
-			Passing:         1,
+			Transient:       1,
 			Term:            b.leaderTerm(),
 			Tick:            s.ClockResolution,
-			Forget:          forgetDispatcherDecays * int64(b.decayTime()),
+			DecayTime:       forgetDispatcherDecays * int64(b.decayTime()),
 		}),
 		reports: reports{dispatchers: s.Dispatchers},
 	}
@@ -122,7 +122,7 @@
 	}
 	first := len(b.settings.Classes)
 	b.appendClasses(classes)
-	b.outliers.Pace(b.shortestObjective)
+	b.outliers.SetObjective(b.shortestObjective)
 	b.gossip.elector.SetTerm(b.leaderTerm())
 	b.armTimer()
 	return first, nil
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -43,7 +43,8 @@
 	balancer, _ := newTestBalancer(b, settings, workers)
 	report := aggregate.Message{Report: aggregate.Report{Incarnation: 1, Values: []float64{10, 2}}}
 	for _, worker := range balancer.endpoints.listed {
-		report.Counts = append(report.Counts, aggregate.Count{Worker: workerTag(worker.Worker), N: 3, Heard: true})
+		count := aggregate.Count{Worker: workerTag(worker.Worker), InFlight: 3, Responded: true}
+		report.Counts = append(report.Counts, count)
 	}
 	for i := range b.N {
 		now := int64(i) * balancer.shortestObjective / maintenanceRounds
--- a/balancer/choose_test.go
+++ b/balancer/choose_test.go
@@ -175,7 +175,7 @@
 		if i <= 4 {
 			n = 50
 		}
-		counts = append(counts, aggregate.Count{Worker: uint16(i), N: n, Heard: true})
+		counts = append(counts, aggregate.Count{Worker: uint16(i), InFlight: n, Responded: true})
 	}
 	balancer.HandlePeerMessage(ms, 1, encodedDigest(balancer, ms, []float64{0, 0}, counts...))
 	for k := range 40 {
--- a/balancer/environment.go
+++ b/balancer/environment.go
@@ -35,7 +35,9 @@
 
 // decayTime returns the time constant, in nanoseconds, with which most that was learned is
 // forgotten: as long as the longest ejection.
-func (e *environment) decayTime() float64 { return float64(outlier.Longest * e.shortestObjective) }
+func (e *environment) decayTime() float64 {
+	return float64(outlier.MaxEjectionFactor * e.shortestObjective)
+}
 
 // callRateWindow returns the time constant, in nanoseconds, over which the calls of a function and
 // the pace of a worker are averaged.
--- a/balancer/fake_test.go
+++ b/balancer/fake_test.go
@@ -152,7 +152,7 @@
 		Digest: aggregate.Digest{
 			Tick:    uint16(now / balancer.settings.ClockResolution),
 			Sums:    sums,
-			Covered: aggregate.NewSet(balancer.settings.Dispatchers),
+			Covered: aggregate.NewNodeSet(balancer.settings.Dispatchers),
 		},
 	}
 	for i := range balancer.settings.Dispatchers {
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -48,14 +48,14 @@
 			for from := 1; from < settings.Dispatchers; from++ {
 				report := aggregate.Message{
 					Calls: 20,
-					Marks: []aggregate.Mark{{Worker: 2, Bad: 3}},
+					Marks: []aggregate.Mark{{Worker: 2, Failed: 3}},
 					Report: aggregate.Report{
 						Incarnation: 1,
 						Seq:         uint8(i / 50),
 						Values:      []float64{12.5, 20, 3},
 						Fresh:       i < 100,
 					},
-					Counts:  []aggregate.Count{{Worker: 4, N: from, Heard: true}, {Worker: 5, Silent: true}},
+					Counts:  []aggregate.Count{{Worker: 4, InFlight: from, Responded: true}, {Worker: 5, Silent: true}},
 					Holders: []aggregate.Holder{{Func: uint32(100 + from), Worker: 6}},
 				}
 				balancer.HandlePeerMessage(now+6*ms, from, report.Encode(settings.Dispatchers)[0])
@@ -63,7 +63,8 @@
 		}
 		if i%100 == 60 {
 			balancer.HandlePeerMessage(now+7*ms, 1,
-				encodedDigest(balancer, now+7*ms, []float64{60, 60, 5}, aggregate.Count{Worker: 1, N: 3, Heard: true}))
+				encodedDigest(balancer, now+7*ms, []float64{60, 60, 5},
+					aggregate.Count{Worker: 1, InFlight: 3, Responded: true}))
 		}
 		if i == 300 {
 			balancer.HandlePeerMessage(now+8*ms, 2,
@@ -125,5 +126,5 @@
 		assert.Positive(t, kinds[kind], kind)
 	}
 	assert.Zero(t, balancer.gossip.aggregator.Dropped, "rows and digests not taken")
-	assert.False(t, balancer.FleetView().Never, "a digest was taken")
+	assert.False(t, balancer.FleetView().NoDigest, "a digest was taken")
 }
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -133,8 +133,8 @@
 // fleetSum returns the sum of a column over the dispatchers that the last digest covers, or 0 if
 // there was none. The others are left out: a queue passes sooner than they are forgotten.
 func (b *Balancer) fleetSum(column int) float64 {
-	if i := b.sharedTenants() + column; i < len(b.gossip.view.Covered) {
-		return b.gossip.view.Covered[i]
+	if i := b.sharedTenants() + column; i < len(b.gossip.view.CoveredSums) {
+		return b.gossip.view.CoveredSums[i]
 	}
 	return 0
 }
--- a/balancer/gossip_test.go
+++ b/balancer/gossip_test.go
@@ -114,7 +114,8 @@
 	balancer, _ := newTestBalancer(t, settings, 4)
 	calm := balancer.expectedQueueTime(5000 * ms)
 	balancer.HandlePeerMessage(5000*ms, 1, encodedDigest(balancer, 5000*ms, []float64{40, 80},
-		aggregate.Count{Worker: 1, N: 9, Heard: true}, aggregate.Count{Worker: 2, N: 3, Silent: true}))
+		aggregate.Count{Worker: 1, InFlight: 9, Responded: true},
+		aggregate.Count{Worker: 2, InFlight: 3, Silent: true}))
 	if w := balancer.expectedQueueTime(5001 * ms); w < 2*calm {
 		t.Errorf("expected wait %.0f ms with 80 calls in queue and 40 answers a second, %.0f ms before", w/1e6,
 			calm/1e6)
@@ -160,8 +161,8 @@
 				Calls:  3,
 				Report: aggregate.Report{Incarnation: 1, Seq: uint8(at / term), Values: []float64{7, 1}, Fresh: true},
 				Counts: []aggregate.Count{
-					{Worker: uint16(1 + from%118), N: 1, Heard: true},
-					{Worker: 118, N: 1, Silent: true},
+					{Worker: uint16(1 + from%118), InFlight: 1, Responded: true},
+					{Worker: 118, InFlight: 1, Silent: true},
 				},
 			}
 			balancer.HandlePeerMessage(at, from, row.Encode(300)[0])
@@ -196,7 +197,10 @@
 	balancer, _ := newTestBalancer(t, settings, 4)
 	now := 1000000 * ms
 	before := balancer.weightedLoad(now, balancer.endpoints.byID[1])
-	balancer.applyEvidence(now, []aggregate.Mark{{Worker: 1, Good: 3, Pace: 16}, {Worker: 2, Good: 3, Pace: 16}})
+	balancer.applyEvidence(now, []aggregate.Mark{
+		{Worker: 1, Served: 3, Latency: 16},
+		{Worker: 2, Served: 3, Latency: 16},
+	})
 	if l := balancer.weightedLoad(now, balancer.endpoints.byID[1]); l < 3*before {
 		t.Errorf("load %.1f with calls reported to take four times as long, %.1f before", l, before)
 	}
--- a/balancer/gossipmessage.go
+++ b/balancer/gossipmessage.go
@@ -28,7 +28,7 @@
 	b.gossip.lastCounts = len(message.Counts)
 	// A message has room for about a dozen marks.
 	slices.SortStableFunc(message.Marks, func(first, second aggregate.Mark) int {
-		return int(second.Bad) - int(first.Bad)
+		return int(second.Failed) - int(first.Failed)
 	})
 	b.appendAnnouncements(now, message)
 }
@@ -45,7 +45,7 @@
 			responded++
 		}
 	}
-	return outlier.Doubts(responded, silent)
+	return outlier.ObserverIsolated(responded, silent)
 }
 
 // appendWorker appends what there is to report of a worker. Faults are reported only if this
@@ -53,12 +53,12 @@
 func (b *Balancer) appendWorker(now int64, message *aggregate.Message, worker *workerState, sure bool) {
 	overdue := worker.hasOverdueAttempt(now)
 	count := aggregate.Count{
-		Worker: workerTag(worker.Worker), N: len(worker.inFlight),
-		Silent: sure && (overdue || b.outliers.Ejected(&worker.outlierStats, worker.Zone)),
-		Heard:  now-worker.lastResponseAt < b.shortestObjective, // a worker is found silent over about as long
+		Worker: workerTag(worker.Worker), InFlight: len(worker.inFlight),
+		Silent:    sure && (overdue || b.outliers.Ejected(&worker.outlierStats, worker.Zone)),
+		Responded: now-worker.lastResponseAt < b.shortestObjective, // a worker is found silent over about as long
 	}
 	if overdue { // what is stuck on its way is no load there
-		count.N = 0
+		count.InFlight = 0
 	}
 	mark, marked := b.outliers.Mark(now, &worker.outlierStats, b.relativeLatency(now, worker))
 	marked = marked && sure
@@ -66,10 +66,15 @@
 		mark, marked = b.mergeReported(now, worker, &count, mark, marked)
 	}
 	if marked {
-		reported := aggregate.Mark{Worker: count.Worker, Good: mark.Good, Bad: mark.Bad, Pace: mark.Pace}
+		reported := aggregate.Mark{
+			Worker:  count.Worker,
+			Served:  mark.Served,
+			Failed:  mark.Failed,
+			Latency: mark.Latency,
+		}
 		message.Marks = append(message.Marks, reported)
 	}
-	if count.N == 0 && !count.Silent && !count.Heard {
+	if count.InFlight == 0 && !count.Silent && !count.Responded {
 		return
 	}
 	if message.Counts == nil {
--- a/balancer/gossipreceive.go
+++ b/balancer/gossipreceive.go
@@ -115,10 +115,10 @@
 		worker.reportedSilentAt = now
 		return
 	}
-	calls := float64(count.N) * max(1, b.gossip.view.Scale)
+	calls := float64(count.InFlight) * max(1, b.gossip.view.Scale)
 	worker.peerCalls, worker.peerCallsAt = max(0, calls-float64(len(worker.inFlight))), now
 	worker.reportedSilentAt = 0
-	if count.Silent && !count.Heard {
+	if count.Silent && !count.Responded {
 		worker.reportedSilentAt = now
 	}
 }
@@ -135,13 +135,17 @@
 		if worker == nil || !worker.listed {
 			continue
 		}
-		word := outlier.Evidence(outlier.Mark{Good: mark.Good, Bad: mark.Bad, Pace: mark.Pace})
+		word := outlier.Evidence(outlier.Mark{Served: mark.Served, Failed: mark.Failed, Latency: mark.Latency})
 		b.endpoints.markActive(now, worker)
 		weight := max(worker.Weight, minWeight)
-		evidence = append(evidence, outlier.GossipEvidence{Box: &worker.outlierStats, Weight: weight, Word: word})
+		evidence = append(evidence, outlier.GossipEvidence{
+			Stats:    &worker.outlierStats,
+			Capacity: weight,
+			Evidence: word,
+		})
 		workers = append(workers, worker)
-		if word.Pace > 0 {
-			worker.peerPace, worker.peerPaceAt = min(word.Slow(), maxPace), now
+		if word.Latency > 0 {
+			worker.peerPace, worker.peerPaceAt = min(word.LatencyRatio(), maxPace), now
 		}
 	}
 	for i, event := range b.outliers.ApplyGossip(now, evidence, b.endpoints.totalWeight()) {
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -35,7 +35,7 @@
 func (b *Balancer) isReportedUnresponsive(now int64, worker *workerState) bool {
 	silent := worker.reportedSilentAt > 0 && worker.lastResponseAt < worker.reportedSilentAt-b.shortestObjective &&
 		float64(now-worker.reportedSilentAt) < min(b.decayTime(), 2*b.fleetFactor()*float64(b.shortestObjective))
-	return silent || b.outliers.ByWords(now, &worker.outlierStats)
+	return silent || b.outliers.ExcludedByGossip(now, &worker.outlierStats)
 }
 
 // hasOverdueAttempt reports whether the oldest attempt at a worker is overdue and it has not
@@ -49,7 +49,7 @@
 // one.
 func (b *Balancer) trialDue(now int64, worker *workerState, request *requestState) bool {
 	assigned := int(wellInformedDispatchers)
-	if b.outliers.ByWords(now, &worker.outlierStats) {
+	if b.outliers.ExcludedByGossip(now, &worker.outlierStats) {
 		assigned = 1
 	}
 	if !b.outliers.TrialDue(now, &worker.outlierStats, worker.Zone) || len(worker.inFlight) > 0 ||
@@ -68,7 +68,7 @@
 // be ejected in turn.
 func (b *Balancer) handleConnectionFailure(now, sentAt int64, worker *workerState, result Result) {
 	if result == Reset {
-		b.recordFailure(now, worker, outlier.Hint)
+		b.recordFailure(now, worker, outlier.WeightAmbiguous)
 		return
 	}
 	if !worker.listed {
@@ -85,7 +85,7 @@
 }
 
 // recordFailure takes a failure that a worker is blamed for.
-func (b *Balancer) recordFailure(now int64, worker *workerState, weight outlier.Weight) {
+func (b *Balancer) recordFailure(now int64, worker *workerState, weight outlier.FailureWeight) {
 	b.logHealthChange(now, worker, b.outliers.RecordFailure(now, &worker.outlierStats, weight))
 }
 
@@ -122,7 +122,7 @@
 func (b *Balancer) WorkerHealth(now int64) (all []WorkerHealth) {
 	for _, worker := range b.endpoints.listed {
 		pace := b.relativeLatency(now, worker)
-		silent := b.isReportedUnresponsive(now, worker) && !b.outliers.ByWords(now, &worker.outlierStats)
+		silent := b.isReportedUnresponsive(now, worker) && !b.outliers.ExcludedByGossip(now, &worker.outlierStats)
 		health := WorkerHealth{
 			Worker: worker.Worker,
 			Zone:   worker.Zone,
@@ -132,7 +132,7 @@
 		}
 		if health.Silent && health.Status == outlier.StatusHealthy {
 			health.Status = outlier.StatusEjected
-			health.Evidence = "several found it silent, and nobody had an answer"
+			health.Reason = "several found it silent, and nobody had an answer"
 		}
 		all = append(all, health)
 	}
--- a/balancer/health_test.go
+++ b/balancer/health_test.go
@@ -46,7 +46,7 @@
 		for w := range lost {
 			counts = append(counts, aggregate.Count{Worker: uint16(w + 1), Silent: true})
 			// its ejection will have run out
-			balancer.recordFailure(0, balancer.endpoints.byID[WorkerID(w+1)], outlier.Dead)
+			balancer.recordFailure(0, balancer.endpoints.byID[WorkerID(w+1)], outlier.WeightUnreachable)
 		}
 		now := 20000 * ms
 		balancer.HandlePeerMessage(now, (i+1)%80, encodedDigest(balancer, now, []float64{0, 0}, counts...))
@@ -63,7 +63,7 @@
 		later := now + balancer.shortestObjective/maintenanceRounds
 		balancer.HandlePeerMessage(later, (i+1)%80,
 			encodedDigest(balancer, later, []float64{0, 0},
-				aggregate.Count{Worker: 1, N: 1, Silent: true, Heard: true}))
+				aggregate.Count{Worker: 1, InFlight: 1, Silent: true, Responded: true}))
 		balancer.endpoints.byID[1].inFlight = nil
 		balancer.HandleRequest(later+ms, testRequest("back", later+ms, 99))
 		if host.lastWorker["back"] == 1 {
--- a/balancer/longlist_test.go
+++ b/balancer/longlist_test.go
@@ -313,16 +313,16 @@
 				for range rapid.IntRange(0, 3).Draw(t, "counts") {
 					message.Counts = append(message.Counts,
 						aggregate.Count{
-							Worker: workerTag(few("counted")), N: 2,
-							Silent: rapid.Bool().Draw(t, "silent"), Heard: true,
+							Worker: workerTag(few("counted")), InFlight: 2,
+							Silent: rapid.Bool().Draw(t, "silent"), Responded: true,
 						})
 				}
-				message.Marks = []aggregate.Mark{{Worker: workerTag(few("marked")), Bad: 3}}
+				message.Marks = []aggregate.Mark{{Worker: workerTag(few("marked")), Failed: 3}}
 				balancer.HandlePeerMessage(now, rapid.IntRange(2, 6).Draw(t, "from"), message.Encode(20)[0])
 			case 9:
 				balancer.HandlePeerMessage(now, 3,
 					encodedDigest(balancer, now, []float64{5, 1},
-						aggregate.Count{Worker: workerTag(few("reported")), N: 1, Silent: true}))
+						aggregate.Count{Worker: workerTag(few("reported")), InFlight: 1, Silent: true}))
 			}
 			take()
 			requireSameRounds(t, balancer, now)
@@ -415,7 +415,7 @@
 		}{{10_000 * ms, []uint16{1, 2, 3, 200}}, {11_000 * ms, []uint16{2, 201}}} {
 			var counts []aggregate.Count
 			for _, w := range reported.busy {
-				counts = append(counts, aggregate.Count{Worker: w, N: int(w%7) + 1})
+				counts = append(counts, aggregate.Count{Worker: w, InFlight: int(w%7) + 1})
 			}
 			require.True(t, balancer.HandlePeerMessage(reported.at, 3,
 				encodedDigest(balancer, reported.at, []float64{5, 1}, counts...)))
--- a/balancer/maintenance.go
+++ b/balancer/maintenance.go
@@ -11,7 +11,7 @@
 	maintenanceRounds = 8
 	// idleObjectives is after how many shortest latency objectives without a request the rounds
 	// stop.
-	idleObjectives = 2 * outlier.Longest
+	idleObjectives = 2 * outlier.MaxEjectionFactor
 )
 
 // advanceClock takes the time of an event, detects a stall, and schedules the next maintenance
--- a/balancer/reportedstate.go
+++ b/balancer/reportedstate.go
@@ -64,16 +64,16 @@
 	}
 	if marked {
 		state.marks = append(state.marks, own)
-	} else if count.Heard {
+	} else if count.Responded {
 		responded++
 	}
-	count.N += state.calls
-	count.Heard = count.Heard || state.responded > 0
-	count.Silent = outlier.Silent(silent, b.settings.Dispatchers)
+	count.InFlight += state.calls
+	count.Responded = count.Responded || state.responded > 0
+	count.Silent = outlier.SilenceConfirmed(silent, b.settings.Dispatchers)
 	ejected := b.outliers.EjectedByGossip(now, &worker.outlierStats)
 	if ejected { // a response may be older than the ejection: marks show who was served since
 		responded = 0
 	}
 	merged := outlier.Merge(state.marks, responded)
-	return outlier.Mark(merged), merged.Says(ejected)
+	return outlier.Mark(merged), merged.Reportable(ejected)
 }
--- a/balancer/reports.go
+++ b/balancer/reports.go
@@ -82,7 +82,7 @@
 			continue
 		}
 		table.markActive(now, worker)
-		received := outlier.Mark{Good: mark.Good, Bad: mark.Bad, Pace: mark.Pace}
+		received := outlier.Mark{Served: mark.Served, Failed: mark.Failed, Latency: mark.Latency}
 		r.marks = append(r.marks, peerMark{worker, now, message, received})
 	}
 }
@@ -103,9 +103,9 @@
 			worker:    worker,
 			at:        now,
 			message:   message,
-			calls:     int32(received.N),
+			calls:     int32(received.InFlight),
 			silent:    received.Silent,
-			responded: received.Heard,
+			responded: received.Responded,
 		}
 		state := &worker.reported
 		if state.message == message {
--- a/balancer/reports_test.go
+++ b/balancer/reports_test.go
@@ -92,7 +92,7 @@
 			state := p.state(worker)
 			state.marks = append(state.marks, modelMark{
 				from, now,
-				outlier.Mark{Good: mark.Good, Bad: mark.Bad, Pace: mark.Pace},
+				outlier.Mark{Served: mark.Served, Failed: mark.Failed, Latency: mark.Latency},
 			})
 		}
 	}
@@ -100,7 +100,7 @@
 		if worker := balancer.endpoints.byTag[count.Worker]; worker != nil {
 			state := p.state(worker)
 			state.counts = slices.DeleteFunc(state.counts, func(x modelCount) bool { return x.from == from })
-			state.counts = append(state.counts, modelCount{from, now, count.N, count.Silent, count.Heard})
+			state.counts = append(state.counts, modelCount{from, now, count.InFlight, count.Silent, count.Responded})
 		}
 	}
 }
@@ -116,7 +116,7 @@
 	}
 	if says {
 		marks = append(marks, own)
-	} else if c.Heard {
+	} else if c.Responded {
 		heard++
 	}
 	for _, mark := range state.marks {
@@ -128,8 +128,8 @@
 		if now-count.at >= balancer.shortestObjective {
 			continue
 		}
-		c.N += count.n
-		c.Heard = c.Heard || count.heard
+		c.InFlight += count.n
+		c.Responded = c.Responded || count.heard
 		if count.silent {
 			silent++
 		}
@@ -138,13 +138,13 @@
 			heard++
 		}
 	}
-	c.Silent = outlier.Silent(silent, balancer.settings.Dispatchers)
+	c.Silent = outlier.SilenceConfirmed(silent, balancer.settings.Dispatchers)
 	stands := balancer.outliers.EjectedByGossip(now, &worker.outlierStats)
 	if stands {
 		heard = 0
 	}
 	word := outlier.Merge(marks, heard)
-	return outlier.Mark(word), word.Says(stands)
+	return outlier.Mark(word), word.Reportable(stands)
 }
 
 // TestReportSumsMatchThePlainModel proves that the sums of reports are those of a model that adds
@@ -216,17 +216,17 @@
 				for range rapid.SampledFrom([]int{0, 1, 3, 8, 70}).Draw(t, "counts") {
 					message.Counts = append(message.Counts,
 						aggregate.Count{
-							Worker: workerTag(few("counted")), N: rapid.IntRange(0, 3).Draw(t, "calls"),
-							Silent: rapid.Bool().Draw(t, "silent"), Heard: rapid.Bool().Draw(t, "heard"),
+							Worker: workerTag(few("counted")), InFlight: rapid.IntRange(0, 3).Draw(t, "calls"),
+							Silent: rapid.Bool().Draw(t, "silent"), Responded: rapid.Bool().Draw(t, "heard"),
 						})
 				}
 				for range rapid.IntRange(0, 3).Draw(t, "marks") {
 					message.Marks = append(message.Marks,
 						aggregate.Mark{
 							Worker: workerTag(few("marked")),
-							Good:   uint8(rapid.IntRange(0, 2).Draw(t, "good")),
-							Bad: uint8(rapid.IntRange(0, 2).Draw(t,
-								"bad")), Pace: uint8(rapid.SampledFrom([]int{0, 9}).Draw(t, "pace")),
+							Served: uint8(rapid.IntRange(0, 2).Draw(t, "good")),
+							Failed: uint8(rapid.IntRange(0, 2).Draw(t,
+								"bad")), Latency: uint8(rapid.SampledFrom([]int{0, 9}).Draw(t, "pace")),
 						})
 				}
 				for _, text := range message.Encode(settings.Dispatchers) {
@@ -278,19 +278,20 @@
 			case 11:
 				message := aggregate.Message{
 					FromLeader: true,
-					Marks:      []aggregate.Mark{{Worker: workerTag(few("judged")), Bad: 9}},
+					Marks:      []aggregate.Mark{{Worker: workerTag(few("judged")), Failed: 9}},
 					Digest: aggregate.Digest{
 						Tick:         uint16(now / balancer.settings.ClockResolution),
 						Sums:         []float64{9, 9},
 						MissingSums:  []float64{0, 0},
 						MissingMoved: []float64{0, 0},
-						Covered:      aggregate.NewSet(settings.Dispatchers),
-						Missing:      aggregate.NewSet(settings.Dispatchers),
+						Covered:      aggregate.NewNodeSet(settings.Dispatchers),
+						Missing:      aggregate.NewNodeSet(settings.Dispatchers),
 					},
 				}
 				for range rapid.IntRange(0, 3).Draw(t, "reported") {
-					message.Counts = append(message.Counts,
-						aggregate.Count{Worker: workerTag(few("reported")), N: 2, Silent: rapid.Bool().Draw(t, "mute")})
+					tag := workerTag(few("reported"))
+					silent := rapid.Bool().Draw(t, "mute")
+					message.Counts = append(message.Counts, aggregate.Count{Worker: tag, InFlight: 2, Silent: silent})
 				}
 				event(func() { balancer.advanceClock(now) })
 				event(func() { balancer.HandlePeerMessage(now, from(), message.Encode(settings.Dispatchers)[0]) })
@@ -307,8 +308,13 @@
 	balancer := model.balancer
 	balancer.gossip.reports.gatherMarks(now, balancer.shortestObjective)
 	for i, worker := range balancer.endpoints.activeWorkers() {
-		count := aggregate.Count{Worker: workerTag(worker.Worker), N: i % 2, Silent: i%3 == 0, Heard: i%2 == 0}
-		want, own, says := count, outlier.Mark{Bad: uint8(i % 4)}, i%4 > 0
+		count := aggregate.Count{
+			Worker:    workerTag(worker.Worker),
+			InFlight:  i % 2,
+			Silent:    i%3 == 0,
+			Responded: i%2 == 0,
+		}
+		want, own, says := count, outlier.Mark{Failed: uint8(i % 4)}, i%4 > 0
 		wantMark, wantSays := model.merged(now, worker, &want, own, says)
 		mark, reports := balancer.mergeReported(now, worker, &count, own, says)
 		if count != want || mark != wantMark || reports != wantSays {
@@ -328,10 +334,11 @@
 		report := func(seq uint8, workers ...int) string {
 			message := aggregate.Message{
 				Report: aggregate.Report{Incarnation: 1, Seq: seq, Values: []float64{1, 1}},
-				Marks:  []aggregate.Mark{{Worker: uint16(workers[0]), Bad: 3}},
+				Marks:  []aggregate.Mark{{Worker: uint16(workers[0]), Failed: 3}},
 			}
 			for _, w := range workers {
-				message.Counts = append(message.Counts, aggregate.Count{Worker: uint16(w), N: 1, Heard: true})
+				count := aggregate.Count{Worker: uint16(w), InFlight: 1, Responded: true}
+				message.Counts = append(message.Counts, count)
 			}
 			return message.Encode(settings.Dispatchers)[0]
 		}
--- a/balancer/result.go
+++ b/balancer/result.go
@@ -173,9 +173,9 @@
 	case result.Result == NotLoaded:
 		attempt.holder.validUntil = 0
 	case result.Result == Error && attempt.holder.function.served:
-		b.recordFailure(now, attempt.worker, outlier.Failure)
+		b.recordFailure(now, attempt.worker, outlier.WeightFailure)
 	case result.Result == Error:
-		b.recordFailure(now, attempt.worker, outlier.Hint)
+		b.recordFailure(now, attempt.worker, outlier.WeightAmbiguous)
 	}
 }
 
@@ -187,6 +187,6 @@
 	}
 	if attempt.dueAt < now && attempt.worker.lastResponseAt < attempt.sentAt &&
 		(result == Timeout || !attempt.request.done) {
-		b.recordFailure(now, attempt.worker, outlier.Failure)
+		b.recordFailure(now, attempt.worker, outlier.WeightFailure)
 	}
 }
--- a/balancer/scale_test.go
+++ b/balancer/scale_test.go
@@ -252,8 +252,8 @@
 			for range min(workers, 30) {
 				message.Counts = append(message.Counts,
 					aggregate.Count{
-						Worker: workerTag(WorkerID(1 + rng.IntN(workers))), N: 1 + rng.IntN(3),
-						Heard: true,
+						Worker: workerTag(WorkerID(1 + rng.IntN(workers))), InFlight: 1 + rng.IntN(3),
+						Responded: true,
 					})
 			}
 			for range 3 {
--- a/clock_test.go
+++ b/clock_test.go
@@ -8,11 +8,11 @@
 	"testing"
 	"time"
 
-	"oakthread/balancer"
-	"oakthread/internal/fault/wallclock"
-
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+
+	"oakthread/balancer"
+	"oakthread/internal/fault/wallclock"
 )
 
 // slowWorkers answer each attempt after a delay, or never if they are silent.
--- a/cmd/dispatcher/main.go
+++ b/cmd/dispatcher/main.go
@@ -22,5 +22,5 @@
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "oakthread:", err)
 	}
-	os.Exit(cli.Code(err))
+	os.Exit(cli.ExitCode(err))
 }
--- a/cmd/dispatcher/startup_test.go
+++ b/cmd/dispatcher/startup_test.go
@@ -146,9 +146,9 @@
 
 	cached, err := endpointcache.Read(filepath.Join(folder, "state", "list.db"), "n0")
 	require.NoError(t, err)
-	assert.Equal(t, "e2", cached.Kept.Epoch)
+	assert.Equal(t, "e2", cached.Snapshot.Epoch)
 	var ids []int
-	for _, endpoint := range cached.Kept.Endpoints {
+	for _, endpoint := range cached.Snapshot.Endpoints {
 		ids = append(ids, int(endpoint.ID))
 	}
 	assert.Equal(t, []int{1, 3}, ids)
--- a/cmd/simadapter/handlers.go
+++ b/cmd/simadapter/handlers.go
@@ -91,12 +91,12 @@
 
 // handleBoot starts an instance, in place of an earlier one of the same name.
 func (s *session) handleBoot(e *wire.Boot) error {
-	setup, err := wire.ReadSetup(e.Setup)
+	setup, err := wire.ReadSettings(e.Setup)
 	if err != nil {
 		return fmt.Errorf("boot: field setup: %w", err)
 	}
 	i := &instance{name: e.Who, out: &s.reply}
-	i.balancer, err = balancer.New(s.now, setup.Decide(), e.Seed, i)
+	i.balancer, err = balancer.New(s.now, setup.BalancerSettings(), e.Seed, i)
 	if err != nil {
 		return fmt.Errorf("boot: field setup: %w", err)
 	}
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -38,7 +38,7 @@
 	if errors.Is(err, lab.ErrDimension) {
 		os.Exit(2) // as for all that cannot be read
 	}
-	os.Exit(cli.Code(err))
+	os.Exit(cli.ExitCode(err))
 }
 
 // command returns the root command with all experiments.
@@ -115,7 +115,7 @@
 	}
 	keep := c.Flags().Duration("keep", 8*time.Second, "time that an idle copy stays loaded")
 	c.RunE = func(c *cobra.Command, logs []string) error {
-		var l loganalysis.Ledger
+		var l loganalysis.FleetLog
 		for _, path := range logs {
 			f, err := os.Open(path)
 			if err != nil {
@@ -141,7 +141,7 @@
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		hup := make(chan os.Signal, 1)
 		signal.Notify(hup, syscall.SIGHUP)
-		o := daemon.Options{Getenv: os.Getenv, Hup: hup, Fresh: *fresh}
+		o := daemon.Options{Getenv: os.Getenv, ReloadSignals: hup, TrustCachedList: *fresh}
 		if *file != "" {
 			f, err := config.Read(*file)
 			if err != nil {
--- a/core_test.go
+++ b/core_test.go
@@ -99,7 +99,7 @@
 		core.HandlePeerMessage(sender, aggregate.Message{Continued: true}.Encode(3)[0])
 	}
 	report := aggregate.Report{Values: []float64{1, 2}}
-	counts := []aggregate.Count{{Worker: 65535, N: 5}} // of a worker that is not listed
+	counts := []aggregate.Count{{Worker: 65535, InFlight: 5}} // of a worker that is not listed
 	core.HandlePeerMessage(1, aggregate.Message{Report: report, Counts: counts}.Encode(3)[0])
 	core.HandlePeerMessage(1, aggregate.Message{Report: report}.Encode(3)[0]) // a duplicate
 	assert.Equal(t, int64(len(invalid)+4), core.Counters().InvalidPeerMessages)
--- a/endpoints/actions.go
+++ b/endpoints/actions.go
@@ -9,11 +9,11 @@
 // Actions are the side effects that a List asks its owner to carry out. Publications are applied in
 // order.
 type Actions struct {
-	Publish []Publication
-	Probe   []Endpoint // to be health checked; the list expects one result for each
-	Save    bool       // the list has changed and is to be saved
-	Urgent  bool       // an endpoint drains or was removed: the list is to be saved at once
-	Log     []LogEvent
+	Publications []Publication
+	HealthChecks []Endpoint // to be health checked; the list expects one result for each
+	Save         bool       // the list has changed and is to be saved
+	SaveUrgently bool       // an endpoint drains or was removed: the list is to be saved at once
+	Log          []LogEvent
 }
 
 // Publication is a change of the list for the load balancer.
@@ -43,5 +43,5 @@
 // requestSave has the list saved, at once where urgent is set.
 func (l *List) requestSave(urgent bool) {
 	l.pending.Save = true
-	l.pending.Urgent = l.pending.Urgent || urgent
+	l.pending.SaveUrgently = l.pending.SaveUrgently || urgent
 }
--- a/endpoints/dialer.go
+++ b/endpoints/dialer.go
@@ -41,14 +41,14 @@
 	return d
 }
 
-// Within sets the maximum backoff and returns the Dialer.
-func (d *Dialer) Within(maxBackoff time.Duration) *Dialer {
+// WithMaxBackoff sets the maximum backoff and returns the Dialer.
+func (d *Dialer) WithMaxBackoff(maxBackoff time.Duration) *Dialer {
 	d.maxBackoff = maxBackoff
 	return d
 }
 
-// Move replaces the addresses by one, which is returned next without a wait.
-func (d *Dialer) Move(addr string) { d.addrs, d.next, d.last, d.failures = []string{addr}, 0, 0, 0 }
+// Redirect replaces the addresses by one, which is returned next without a wait.
+func (d *Dialer) Redirect(addr string) { d.addrs, d.next, d.last, d.failures = []string{addr}, 0, 0, 0 }
 
 // Next returns the address to connect to and the wait before it. There is no wait after a success.
 // The backoff doubles with each round of failures over all addresses.
@@ -70,9 +70,9 @@
 // Failed records that the connection to the last address failed.
 func (d *Dialer) Failed() { d.failures++ }
 
-// Good records that the connection to the last address succeeded. It resets the backoff and returns
+// Succeeded records that the connection to the last address succeeded. It resets the backoff and returns
 // that address next.
-func (d *Dialer) Good() {
+func (d *Dialer) Succeeded() {
 	d.failures = 0
 	d.next = d.last
 }
--- a/endpoints/dialer_test.go
+++ b/endpoints/dialer_test.go
@@ -30,7 +30,7 @@
 	assert.LessOrEqual(t, longest, maxDialBackoff)
 	assert.Greater(t, longest, maxDialBackoff/2)
 	addr, _ := dialer.Next()
-	dialer.Good()
+	dialer.Succeeded()
 	again, wait := dialer.Next()
 	assert.Equal(t, addr, again)
 	assert.Zero(t, wait)
--- a/endpoints/healthcheck.go
+++ b/endpoints/healthcheck.go
@@ -50,7 +50,7 @@
 // checkDueAt returns when the endpoint is to be health checked, and false if it is not to be
 // checked.
 func (l *List) checkDueAt(entry *listEntry) (dueAt time.Time, isScheduled bool) {
-	if entry.check.isRunning || l.config.Fresh {
+	if entry.check.isRunning || l.config.TrustCached {
 		return time.Time{}, false
 	}
 	if l.watch.live {
@@ -69,8 +69,8 @@
 // recheckAt returns when the confidence in an endpoint in use will have fallen to
 // recheckConfidence, by the inverse of History.Survival.
 func (l *List) recheckAt(entry *listEntry) time.Time {
-	exponent := -1 / (priorDepartures + l.history.Leaves)
-	age := float64(priorObservedTime+l.history.Watched) * (math.Pow(recheckConfidence, exponent) - 1)
+	exponent := -1 / (priorDepartures + l.history.Departures)
+	age := float64(priorObservedTime+l.history.ObservedTime) * (math.Pow(recheckConfidence, exponent) - 1)
 	return entry.evidence.at.Add(max(time.Duration(age), minRecheckInterval))
 }
 
@@ -97,12 +97,12 @@
 	entry.check.sentAt = now
 	entry.check.dueAt = time.Time{}
 	l.runningChecks++
-	l.pending.Probe = append(l.pending.Probe, entry.Endpoint)
+	l.pending.HealthChecks = append(l.pending.HealthChecks, entry.Endpoint)
 }
 
 // reportExhaustion logs, once until the watch is live again, that no cached endpoint is left.
 func (l *List) reportExhaustion() {
-	if l.watch.live || l.reportedExhausted || len(l.sorted) == 0 || l.config.Fresh {
+	if l.watch.live || l.reportedExhausted || len(l.sorted) == 0 || l.config.TrustCached {
 		return
 	}
 	excluded, draining := 0, 0
--- a/endpoints/history.go
+++ b/endpoints/history.go
@@ -27,33 +27,33 @@
 	unknownAge = 30 * 24 * time.Hour
 )
 
-// What is the kind of an Event.
-type What int
+// EventKind is the kind of an Event.
+type EventKind int
 
 // The kinds of an Event, as reported by service discovery.
 const (
-	Joined What = iota
+	Joined EventKind = iota
 	Left
 	Restarted
 	Drained
 )
 
 // String returns the name of the kind.
-func (w What) String() string { return [...]string{"joined", "left", "restarted", "drained"}[w] }
+func (w EventKind) String() string { return [...]string{"joined", "left", "restarted", "drained"}[w] }
 
 // Event is a change of one worker.
 type Event struct {
 	At     time.Time
 	Worker balancer.WorkerID
-	What   What
+	Kind   EventKind
 }
 
 // History records how long workers run. The confidence in an endpoint is estimated from it. The
 // zero value is ready to use; its size is bounded.
 type History struct {
-	Watched         time.Duration // sum over the workers observed
-	Leaves, Returns float64       // departures, and restarts in place; older ones count less
-	Events          []Event       // the last ones, oldest first
+	ObservedTime         time.Duration // sum over the workers observed
+	Departures, Restarts float64       // departures, and restarts in place; older ones count less
+	Events               []Event       // the last ones, oldest first
 }
 
 // addObservedTime records that the given number of workers ran for elapsed.
@@ -61,25 +61,25 @@
 	if elapsed <= 0 || workers <= 0 {
 		return
 	}
-	h.Watched += time.Duration(workers) * min(elapsed, maxObservedTime)
-	if h.Watched > maxObservedTime {
-		factor := float64(maxObservedTime) / float64(h.Watched)
-		h.Watched = maxObservedTime
-		h.Leaves *= factor
-		h.Returns *= factor
+	h.ObservedTime += time.Duration(workers) * min(elapsed, maxObservedTime)
+	if h.ObservedTime > maxObservedTime {
+		factor := float64(maxObservedTime) / float64(h.ObservedTime)
+		h.ObservedTime = maxObservedTime
+		h.Departures *= factor
+		h.Restarts *= factor
 	}
 }
 
 // recordEvent appends an event and drops the oldest ones beyond maxEvents.
-func (h *History) recordEvent(now time.Time, worker balancer.WorkerID, what What) {
+func (h *History) recordEvent(now time.Time, worker balancer.WorkerID, what EventKind) {
 	switch what {
 	case Left:
-		h.Leaves++
+		h.Departures++
 	case Restarted:
-		h.Returns++
+		h.Restarts++
 	case Joined, Drained:
 	}
-	h.Events = append(h.Events, Event{At: now, Worker: worker, What: what})
+	h.Events = append(h.Events, Event{At: now, Worker: worker, Kind: what})
 	if excess := len(h.Events) - maxEvents; excess > 0 {
 		h.Events = slices.Clone(h.Events[excess:])
 	}
@@ -87,7 +87,7 @@
 
 // FailureRate returns the expected number of departures of one worker per hour.
 func (h *History) FailureRate() float64 {
-	return (priorDepartures + h.Leaves) / (priorObservedTime + h.Watched).Hours()
+	return (priorDepartures + h.Departures) / (priorObservedTime + h.ObservedTime).Hours()
 }
 
 // Survival returns the probability that a worker known to run is still running after age.
@@ -102,6 +102,6 @@
 	if age <= 0 {
 		return 1
 	}
-	scale := float64(priorObservedTime + h.Watched)
-	return math.Exp(-(priorDepartures + h.Leaves) * math.Log1p(float64(age)/scale))
+	scale := float64(priorObservedTime + h.ObservedTime)
+	return math.Exp(-(priorDepartures + h.Departures) * math.Log1p(float64(age)/scale))
 }
--- a/endpoints/history_test.go
+++ b/endpoints/history_test.go
@@ -13,13 +13,13 @@
 func TestSurvivalFollowsBoundedHistory(t *testing.T) {
 	var history History
 	assert.InDelta(t, 0.5, history.Survival(36*time.Hour), 1e-9, "the prior alone: (12/48)^0.5")
-	history.Watched, history.Leaves = 1000*time.Hour, 10
+	history.ObservedTime, history.Departures = 1000*time.Hour, 10
 	assert.InDelta(t, math.Pow(1012.0/1022, 10.5), history.Survival(10*time.Hour), 1e-12)
 	assert.InDelta(t, 10.5/1012, history.FailureRate(), 1e-12)
 	assert.Equal(t, 1.0, history.Survival(-time.Second))
 	history.addObservedTime(1000, 90*24*time.Hour)
-	assert.Equal(t, maxObservedTime, history.Watched, "bounded")
-	assert.Less(t, history.Leaves, 10.0, "old departures fade with the time that they were counted in")
+	assert.Equal(t, maxObservedTime, history.ObservedTime, "bounded")
+	assert.Less(t, history.Departures, 10.0, "old departures fade with the time that they were counted in")
 	for range 3 * maxEvents {
 		history.recordEvent(startTime, 1, Left)
 	}
--- a/endpoints/list.go
+++ b/endpoints/list.go
@@ -67,8 +67,8 @@
 	l.sorted = slices.DeleteFunc(l.sorted, func(other *listEntry) bool { return other == entry })
 }
 
-// Live reports whether the list is the current one of service discovery.
-func (l *List) Live() bool { return l.watch.live }
+// IsLive reports whether the list is the current one of service discovery.
+func (l *List) IsLive() bool { return l.watch.live }
 
 // Cursor returns the number of the last watch event applied.
 func (l *List) Cursor() int64 { return l.watch.cursor }
@@ -79,8 +79,8 @@
 // InSlowStart reports whether slow start limits the admission of requests.
 func (l *List) InSlowStart() bool { return l.slowStart.active }
 
-// Usable returns the number of endpoints that the load balancer may give new requests.
-func (l *List) Usable() int {
+// UsableCount returns the number of endpoints that the load balancer may give new requests.
+func (l *List) UsableCount() int {
 	count := 0
 	for _, entry := range l.sorted {
 		if l.isUsable(entry) && entry.verification != Draining && entry.State == balancer.Active {
--- a/endpoints/observation.go
+++ b/endpoints/observation.go
@@ -6,14 +6,14 @@
 
 // The observations of a worker.
 const (
-	Answered Observation = iota // it answered within the latency objective
-	Slow                        // it answered late
-	Busy                        // it rejected the request with 503: it is full, or it drains
-	Drains                      // it reported that it accepts no new work
-	Refused                     // it refused the connection: nothing listens at the address
-	Silent                      // nothing arrived before the timeout
-	Broken                      // the connection was reset or the answer invalid
+	Answered          Observation = iota // it answered within the latency objective
+	AnsweredLate                         // it answered late
+	Overloaded                           // it rejected the request with 503: it is full, or it drains
+	ReportedDraining                     // it reported that it accepts no new work
+	ConnectionRefused                    // it refused the connection: nothing listens at the address
+	TimedOut                             // nothing arrived before the timeout
+	ConnectionBroken                     // the connection was reset or the answer invalid
 )
 
 // isResponse reports whether the worker answered the request, in time or late.
-func (o Observation) isResponse() bool { return o == Answered || o == Slow }
+func (o Observation) isResponse() bool { return o == Answered || o == AnsweredLate }
--- a/endpoints/observe.go
+++ b/endpoints/observe.go
@@ -7,8 +7,8 @@
 	"oakthread/balancer"
 )
 
-// Observe handles what an attempt or a load order showed about a worker.
-func (l *List) Observe(now time.Time, id balancer.WorkerID, observation Observation) {
+// HandleObservation handles what an attempt or a load order showed about a worker.
+func (l *List) HandleObservation(now time.Time, id balancer.WorkerID, observation Observation) {
 	entry := l.entries[id]
 	if entry == nil {
 		return
@@ -16,7 +16,7 @@
 	if observation.isResponse() {
 		entry.traffic.add(now)
 	}
-	if l.watch.live || l.config.Fresh {
+	if l.watch.live || l.config.TrustCached {
 		if observation.isResponse() {
 			entry.VerifiedAt = now
 		}
@@ -26,8 +26,8 @@
 	l.publishChange(entry)
 }
 
-// Probed handles the result of a health check.
-func (l *List) Probed(now time.Time, id balancer.WorkerID, observation Observation) {
+// HandleHealthCheck handles the result of a health check.
+func (l *List) HandleHealthCheck(now time.Time, id balancer.WorkerID, observation Observation) {
 	entry := l.entries[id]
 	if entry == nil {
 		return
@@ -37,7 +37,7 @@
 		entry.check.isRunning = false
 		l.runningChecks--
 	}
-	if l.watch.live && observation != Drains {
+	if l.watch.live && observation != ReportedDraining {
 		l.recheckDrain(now, entry, observation)
 		return
 	}
@@ -63,17 +63,17 @@
 // discovery is unavailable.
 func (l *List) applyEvidence(now time.Time, entry *listEntry, observation Observation, isHealthCheck bool) {
 	switch observation {
-	case Answered, Slow:
+	case Answered, AnsweredLate:
 		l.handleResponse(now, entry, observation, isHealthCheck)
-	case Broken:
+	case ConnectionBroken:
 		l.handleBrokenConnection(now, entry)
-	case Busy:
+	case Overloaded:
 		l.handleRejection(now, entry)
-	case Drains:
+	case ReportedDraining:
 		l.handleDrainReport(now, entry)
-	case Refused:
+	case ConnectionRefused:
 		l.lowerConfidence(now, entry, connectionRefusedLikelihood)
-	case Silent:
+	case TimedOut:
 		l.lowerConfidence(now, entry, timeoutLikelihood)
 	}
 }
@@ -93,7 +93,7 @@
 	entry.VerifiedAt = now
 	entry.setVerified(Verified, now)
 	entry.check.backoff = 0
-	if observation == Slow {
+	if observation == AnsweredLate {
 		l.slowStart.recordSetback(now, entry)
 	} else {
 		l.slowStart.recordSuccess(now, entry)
--- a/endpoints/observe_test.go
+++ b/endpoints/observe_test.go
@@ -18,23 +18,23 @@
 	runHealthChecks(list, view, startTime, time.Second, answered)
 	require.Equal(t, []int{1, 2}, view.active())
 	now := startTime.Add(time.Second)
-	list.Observe(now, 2, Busy)
+	list.HandleObservation(now, 2, Overloaded)
 	list.Tick(now)
 	actions := view.take(list)
-	require.Len(t, actions.Probe, 1)
-	assert.Equal(t, balancer.WorkerID(2), actions.Probe[0].ID)
-	list.Probed(now, 2, Drains)
+	require.Len(t, actions.HealthChecks, 1)
+	assert.Equal(t, balancer.WorkerID(2), actions.HealthChecks[0].ID)
+	list.HandleHealthCheck(now, 2, ReportedDraining)
 	actions = view.take(list)
 	assert.Equal(t, []int{1}, view.active())
-	assert.True(t, actions.Urgent, "saved at once")
+	assert.True(t, actions.SaveUrgently, "saved at once")
 	assert.Equal(t, balancer.Draining, list.TakeSnapshot(now).Endpoints[1].State)
 
 	// Service discovery learns of a drain late, so its report does not replace the worker's own for
 	// a while.
 	list.HandleUpdate(now, Update{Full: true, Cursor: 8, Endpoints: []Endpoint{testEndpoint(1), testEndpoint(2)}})
 	view.take(list)
-	assert.True(t, list.Live())
-	list.ConfirmCurrent(now.Add(time.Second))
+	assert.True(t, list.IsLive())
+	list.HandleConfirmation(now.Add(time.Second))
 	view.take(list)
 	assert.Equal(t, []int{1, 2}, view.active(), "a newer report of this worker counts")
 }
@@ -47,11 +47,11 @@
 	checks := 0
 	from := startTime.Add(2 * time.Second)
 	for now := from; now.Before(from.Add(2 * time.Second)); now = now.Add(5 * time.Millisecond) {
-		list.Observe(now, 1, Busy)
+		list.HandleObservation(now, 1, Overloaded)
 		list.Tick(now)
-		for _, endpoint := range view.take(list).Probe {
+		for _, endpoint := range view.take(list).HealthChecks {
 			checks++
-			list.Probed(now, endpoint.ID, Answered)
+			list.HandleHealthCheck(now, endpoint.ID, Answered)
 		}
 	}
 	assert.InDelta(t, 8, checks, 1)
@@ -65,7 +65,7 @@
 	list.Restore(startTime, cachedSnapshot(time.Minute, testEndpoint(1), testEndpoint(2)))
 	runHealthChecks(list, view, startTime, 2*time.Second, func(endpoint Endpoint) Observation {
 		if endpoint.ID == 2 {
-			return Refused
+			return ConnectionRefused
 		}
 		return Answered
 	})
--- a/endpoints/property_test.go
+++ b/endpoints/property_test.go
@@ -26,7 +26,7 @@
 
 // newListMachine returns a machine whose list is restored from a random snapshot.
 func newListMachine(t *rapid.T) *listMachine {
-	config := Config{Seed: rapid.Uint64().Draw(t, "seed"), Siblings: rapid.IntRange(1, 50).Draw(t, "dispatchers")}
+	config := Config{Seed: rapid.Uint64().Draw(t, "seed"), Dispatchers: rapid.IntRange(1, 50).Draw(t, "dispatchers")}
 	m := &listMachine{
 		list: New(config), view: balancerView{}, now: startTime, cursor: 7,
 		banned: map[balancer.WorkerID]time.Time{},
@@ -51,15 +51,15 @@
 	case 1:
 		m.updateAll(t)
 	case 2:
-		m.list.ConfirmCurrent(m.now)
+		m.list.HandleConfirmation(m.now)
 	case 3:
-		m.list.WatchLost(m.now)
+		m.list.HandleWatchLost(m.now)
 	case 4:
-		m.list.Observe(m.now, id, Observation(rapid.IntRange(0, 6).Draw(t, "observation")))
+		m.list.HandleObservation(m.now, id, Observation(rapid.IntRange(0, 6).Draw(t, "observation")))
 	case 5:
 		m.endCheck(id, Observation(rapid.IntRange(0, 6).Draw(t, "check")))
 	case 6:
-		m.list.ResetWatch(m.now)
+		m.list.HandleWatchReset(m.now)
 		m.cursor = 0
 	case 7:
 		m.list.Admit(m.now)
@@ -98,13 +98,13 @@
 
 // endCheck ends a health check. An answer of a worker whose entry is active ends its own drain.
 func (m *listMachine) endCheck(id balancer.WorkerID, observation Observation) {
-	m.list.Probed(m.now, id, observation)
+	m.list.HandleHealthCheck(m.now, id, observation)
 	entry := m.list.entries[id]
 	if entry == nil {
 		return
 	}
 	switch {
-	case observation == Drains:
+	case observation == ReportedDraining:
 		m.banned[id] = m.now
 	case observation.isResponse() && entry.State == balancer.Active:
 		delete(m.banned, id)
@@ -127,14 +127,14 @@
 // age, or is published without being listed.
 func (m *listMachine) checkRows(t *rapid.T) {
 	listed := map[balancer.WorkerID]bool{}
-	for _, row := range m.list.Rows(m.now) {
+	for _, row := range m.list.Report(m.now) {
 		if listed[row.ID] {
 			t.Fatalf("worker %d is listed twice", row.ID)
 		}
 		listed[row.ID] = true
 		later := m.list.Confidence(m.now.Add(time.Hour), row.ID)
-		if !(row.Trust >= 0 && row.Trust <= 1) || later > row.Trust {
-			t.Fatalf("worker %d: confidence %v, an hour later %v", row.ID, row.Trust, later)
+		if !(row.Confidence >= 0 && row.Confidence <= 1) || later > row.Confidence {
+			t.Fatalf("worker %d: confidence %v, an hour later %v", row.ID, row.Confidence, later)
 		}
 	}
 	for id := range m.view {
--- a/endpoints/publish.go
+++ b/endpoints/publish.go
@@ -64,12 +64,12 @@
 // appendPublication adds an endpoint to the pending publication, in place of an earlier version of
 // the same endpoint. The first publication of all is a complete list.
 func (l *List) appendPublication(endpoint Endpoint) {
-	if count := len(l.pending.Publish); count > 0 {
-		l.pending.Publish[count-1].put(endpoint)
+	if count := len(l.pending.Publications); count > 0 {
+		l.pending.Publications[count-1].put(endpoint)
 		return
 	}
 	publication := Publication{Kind: l.publicationKind(), Endpoints: []Endpoint{endpoint}}
-	l.pending.Publish = append(l.pending.Publish, publication)
+	l.pending.Publications = append(l.pending.Publications, publication)
 	l.hasPublished = true
 }
 
--- a/endpoints/restore.go
+++ b/endpoints/restore.go
@@ -33,8 +33,8 @@
 // Restore starts the list from a snapshot. It is the first event of a list that has one.
 func (l *List) Restore(now time.Time, snapshot Snapshot) {
 	l.history = snapshot.History
-	l.watch.epoch, l.watch.cursor, l.watch.confirmedAt = snapshot.Epoch, snapshot.Cursor, snapshot.Confirmed
-	fromFuture := snapshot.Confirmed.After(now) || snapshot.Saved.After(now)
+	l.watch.epoch, l.watch.cursor, l.watch.confirmedAt = snapshot.Epoch, snapshot.Cursor, snapshot.ConfirmedAt
+	fromFuture := snapshot.ConfirmedAt.After(now) || snapshot.SavedAt.After(now)
 	if fromFuture {
 		l.log("cached endpoint list dated in the future", slog.Duration("assumed_age", unknownAge))
 	}
@@ -44,7 +44,7 @@
 		}
 		l.restoreEntry(now, endpoint, fromFuture)
 	}
-	if l.config.Fresh {
+	if l.config.TrustCached {
 		for _, entry := range l.sorted {
 			entry.setVerified(Verified, now)
 		}
@@ -102,14 +102,14 @@
 // initialChecks returns how many of the candidates this dispatcher may check within
 // initialCheckWindow.
 func (l *List) initialChecks(candidates int) int {
-	checksPerWorker := l.config.ProbeRate * initialCheckWindow.Seconds()
-	return max(int(checksPerWorker*float64(candidates)/float64(l.config.Siblings)), minInitialChecks)
+	checksPerWorker := l.config.HealthCheckRate * initialCheckWindow.Seconds()
+	return max(int(checksPerWorker*float64(candidates)/float64(l.config.Dispatchers)), minInitialChecks)
 }
 
 // checkSpread returns the time over which every endpoint is checked once, so that all dispatchers
 // together keep to the configured rate of health checks.
 func (l *List) checkSpread() time.Duration {
-	return time.Duration(float64(l.config.Siblings) / l.config.ProbeRate * float64(time.Second))
+	return time.Duration(float64(l.config.Dispatchers) / l.config.HealthCheckRate * float64(time.Second))
 }
 
 // randomDelay returns a uniformly distributed duration below bound.
--- a/endpoints/restore_test.go
+++ b/endpoints/restore_test.go
@@ -13,21 +13,21 @@
 // After a restore nothing is published before a worker has answered, then only the workers that
 // did.
 func TestOnlyVerifiedEndpointsArePublished(t *testing.T) {
-	list, view := New(Config{Siblings: 3}), balancerView{}
+	list, view := New(Config{Dispatchers: 3}), balancerView{}
 	draining := testEndpoint(3)
 	draining.State = balancer.Draining
 	list.Restore(startTime, cachedSnapshot(6*time.Hour, testEndpoint(1), testEndpoint(2), draining))
-	assert.Empty(t, list.TakeActions().Publish, "no list before an answer")
+	assert.Empty(t, list.TakeActions().Publications, "no list before an answer")
 	checks := runHealthChecks(list, view, startTime, time.Second, func(endpoint Endpoint) Observation {
 		if endpoint.ID == 1 {
 			return Answered
 		}
-		return Refused
+		return ConnectionRefused
 	})
 	assert.Equal(t, []int{1}, view.active())
 	assert.Zero(t, checks[3], "a drain by service discovery needs no check")
 	assert.Less(t, list.Confidence(startTime.Add(time.Second), 2), exclusionThreshold)
-	assert.Equal(t, 1, list.Usable())
+	assert.Equal(t, 1, list.UsableCount())
 }
 
 // A list without any endpoint left is logged once, and nothing is published.
@@ -38,10 +38,10 @@
 	for now := startTime; now.Before(startTime.Add(5 * time.Second)); now = now.Add(5 * time.Millisecond) {
 		list.Tick(now)
 		actions := list.TakeActions()
-		for _, endpoint := range actions.Probe {
-			list.Probed(now, endpoint.ID, Silent)
+		for _, endpoint := range actions.HealthChecks {
+			list.HandleHealthCheck(now, endpoint.ID, TimedOut)
 		}
-		assert.Empty(t, actions.Publish)
+		assert.Empty(t, actions.Publications)
 		for _, event := range actions.Log {
 			if event.Message == "no cached endpoint left" {
 				assert.Equal(t, []slog.Attr{slog.Int("excluded", 2), slog.Int("draining", 0)}, event.Attrs)
@@ -63,20 +63,20 @@
 	const ticksPerInterval = 20 // of 5 ms each: a tenth of a second
 	checksByInterval := map[balancer.WorkerID]map[int]int{}
 	for dispatcher := range dispatchers {
-		list, view := New(Config{Siblings: dispatchers, Seed: uint64(dispatcher)}), balancerView{}
+		list, view := New(Config{Dispatchers: dispatchers, Seed: uint64(dispatcher)}), balancerView{}
 		list.Restore(startTime, cachedSnapshot(time.Hour, endpoints...))
 		started := 0 // at most in one tick
 		for tick := range 100 {
 			now := startTime.Add(time.Duration(tick) * 5 * time.Millisecond)
 			list.Tick(now)
-			checks := view.take(list).Probe
+			checks := view.take(list).HealthChecks
 			started = max(started, len(checks))
 			for _, endpoint := range checks {
 				if checksByInterval[endpoint.ID] == nil {
 					checksByInterval[endpoint.ID] = map[int]int{}
 				}
 				checksByInterval[endpoint.ID][tick/ticksPerInterval]++
-				list.Probed(now, endpoint.ID, Answered)
+				list.HandleHealthCheck(now, endpoint.ID, Answered)
 			}
 		}
 		assert.LessOrEqual(t, started, maxConcurrentChecks)
@@ -96,5 +96,5 @@
 	list.Restore(startTime, cachedSnapshot(-time.Hour, testEndpoint(1)))
 	var history History
 	assert.InDelta(t, history.Survival(unknownAge), list.Confidence(startTime, 1), 1e-9)
-	assert.Negative(t, list.Rows(startTime)[0].Age)
+	assert.Negative(t, list.Report(startTime)[0].EvidenceAge)
 }
--- a/endpoints/slowstart.go
+++ b/endpoints/slowstart.go
@@ -182,7 +182,7 @@
 	s := &l.slowStart
 	s.rateUpdatedAt = now
 	progress := l.slowStartProgress()
-	s.admissionRate = l.config.Budget * s.formerRate * progress.admittedWeight /
+	s.admissionRate = l.config.InitialLoadFraction * s.formerRate * progress.admittedWeight /
 		max(progress.checkedWeight, minSlowStartWeight)
 	if !s.recoveryEnd.IsZero() || progress.answering == 0 {
 		return
@@ -239,7 +239,7 @@
 	earliest := now.Add(2 * max(minSuccessInterval, l.checkSpread()))
 	slot := latest(s.lastRetrySlot, earliest)
 	slot = slot.Add(time.Duration(float64(time.Second) / (retryLoadFraction * s.formerRate)))
-	if limit := now.Add(l.config.MaxWait); slot.After(limit) {
+	if limit := now.Add(l.config.MaxRetryAfter); slot.After(limit) {
 		slot = limit
 	}
 	s.lastRetrySlot = slot
--- a/endpoints/slowstart_test.go
+++ b/endpoints/slowstart_test.go
@@ -17,8 +17,8 @@
 		_, ok = list.Admit(startTime)
 	}
 	assert.False(t, ok, "no worker has answered")
-	list.Probed(startTime, 1, Answered)
-	list.Probed(startTime, 2, Answered)
+	list.HandleHealthCheck(startTime, 1, Answered)
+	list.HandleHealthCheck(startTime, 2, Answered)
 	view.take(list)
 	admitted := func(from time.Time) (count int) {
 		for now := from; now.Before(from.Add(time.Second)); now = now.Add(time.Millisecond) {
@@ -30,23 +30,23 @@
 	}
 	assert.InDelta(t, 2*0.36*10, admitted(startTime), 1.5, "0.36 of the former load, no more without a success")
 	now := startTime.Add(time.Second)
-	list.Observe(now, 1, Answered)
-	list.Observe(now, 1, Answered) // at the same time: one success
+	list.HandleObservation(now, 1, Answered)
+	list.HandleObservation(now, 1, Answered) // at the same time: one success
 	assert.InDelta(t, 3*0.36*10, admitted(now), 1.5, "one of them doubled")
 	now = now.Add(time.Second)
-	list.Observe(now, 1, Busy)
-	list.Observe(now, 2, Slow)
+	list.HandleObservation(now, 1, Overloaded)
+	list.HandleObservation(now, 2, AnsweredLate)
 	assert.InDelta(t, 2*0.36*10, admitted(now), 1.5, "setbacks halve")
-	list.Probed(now, 1, Answered) // any event publishes
+	list.HandleHealthCheck(now, 1, Answered) // any event publishes
 	view.take(list)
 	assert.Less(t, view[2].Weight, testEndpoint(2).Weight, "the weight is reduced until the worker has recovered")
 }
 
 // Rejected requests get different waits, none beyond the configured maximum.
 func TestRetryAfterIsSpreadAndBounded(t *testing.T) {
-	list := New(Config{MaxWait: time.Second})
+	list := New(Config{MaxRetryAfter: time.Second})
 	list.Restore(startTime, cachedSnapshot(time.Minute, testEndpoint(1)))
-	list.Probed(startTime, 1, Answered)
+	list.HandleHealthCheck(startTime, 1, Answered)
 	seen := map[time.Duration]bool{}
 	for range 8 {
 		wait, ok := list.Admit(startTime)
--- a/endpoints/snapshot.go
+++ b/endpoints/snapshot.go
@@ -12,22 +12,22 @@
 
 // Snapshot is the persistent state of a List.
 type Snapshot struct {
-	Epoch     string
-	Cursor    int64
-	Confirmed time.Time // when service discovery last confirmed that the list is current
-	Saved     time.Time
-	Endpoints []Endpoint
-	History   History
+	Epoch       string
+	Cursor      int64
+	ConfirmedAt time.Time // when service discovery last confirmed that the list is current
+	SavedAt     time.Time
+	Endpoints   []Endpoint
+	History     History
 }
 
 // TakeSnapshot returns the state of the list for saving.
 func (l *List) TakeSnapshot(now time.Time) Snapshot {
 	snapshot := Snapshot{
-		Epoch:     l.watch.epoch,
-		Cursor:    l.watch.cursor,
-		Confirmed: l.watch.confirmedAt,
-		Saved:     now,
-		History:   l.history,
+		Epoch:       l.watch.epoch,
+		Cursor:      l.watch.cursor,
+		ConfirmedAt: l.watch.confirmedAt,
+		SavedAt:     now,
+		History:     l.history,
 	}
 	snapshot.History.Events = slices.Clone(l.history.Events)
 	for _, entry := range l.sorted {
@@ -52,26 +52,26 @@
 	return max(measured, entry.ramp.formerRate)
 }
 
-// Row is the report on one endpoint.
-type Row struct {
+// EndpointReport is the report on one endpoint.
+type EndpointReport struct {
 	Endpoint
-	Trust float64 // probability that the worker is running
-	Proof Verification
-	Age   time.Duration // of the last evidence; below 0: unknown
+	Confidence   float64 // probability that the worker is running
+	Verification Verification
+	EvidenceAge  time.Duration // of the last evidence; below 0: unknown
 }
 
-// Rows returns the report on all endpoints, ordered by ID.
-func (l *List) Rows(now time.Time) []Row {
-	rows := make([]Row, 0, len(l.sorted))
+// Report returns the report on all endpoints, ordered by ID.
+func (l *List) Report(now time.Time) []EndpointReport {
+	rows := make([]EndpointReport, 0, len(l.sorted))
 	for _, entry := range l.sorted {
-		row := Row{
-			Endpoint: entry.Endpoint,
-			Trust:    l.confidence(now, entry),
-			Proof:    entry.verification,
-			Age:      unknownEvidenceAge,
+		row := EndpointReport{
+			Endpoint:     entry.Endpoint,
+			Confidence:   l.confidence(now, entry),
+			Verification: entry.verification,
+			EvidenceAge:  unknownEvidenceAge,
 		}
 		if !entry.evidence.ageUnknown && !entry.evidence.at.IsZero() {
-			row.Age = now.Sub(entry.evidence.at)
+			row.EvidenceAge = now.Sub(entry.evidence.at)
 		}
 		rows = append(rows, row)
 	}
--- a/endpoints/testing_test.go
+++ b/endpoints/testing_test.go
@@ -20,7 +20,7 @@
 // cachedSnapshot returns a snapshot of the given age at startTime.
 func cachedSnapshot(age time.Duration, endpoints ...Endpoint) Snapshot {
 	saved := startTime.Add(-age)
-	return Snapshot{Epoch: "e1", Cursor: 7, Confirmed: saved, Saved: saved, Endpoints: endpoints}
+	return Snapshot{Epoch: "e1", Cursor: 7, ConfirmedAt: saved, SavedAt: saved, Endpoints: endpoints}
 }
 
 // balancerView is the list as the load balancer has it, built from the publications.
@@ -29,7 +29,7 @@
 // take applies the list's publications and returns all its actions.
 func (v balancerView) take(list *List) Actions {
 	actions := list.TakeActions()
-	for _, publication := range actions.Publish {
+	for _, publication := range actions.Publications {
 		if publication.Kind != balancer.EndpointsDelta {
 			clear(v)
 		}
@@ -64,9 +64,9 @@
 	checks := map[balancer.WorkerID]int{}
 	for now := from; now.Before(from.Add(duration)); now = now.Add(5 * time.Millisecond) {
 		list.Tick(now)
-		for _, endpoint := range view.take(list).Probe {
+		for _, endpoint := range view.take(list).HealthChecks {
 			checks[endpoint.ID]++
-			list.Probed(now, endpoint.ID, observe(endpoint))
+			list.HandleHealthCheck(now, endpoint.ID, observe(endpoint))
 		}
 		view.take(list)
 	}
--- a/endpoints/watch.go
+++ b/endpoints/watch.go
@@ -42,7 +42,7 @@
 	l.accountObservedTime(now)
 	l.watch.cursor = update.Cursor
 	l.requestSave(false)
-	isFirstList := l.history.Watched == 0 && len(l.history.Events) == 0 && len(l.sorted) == 0
+	isFirstList := l.history.ObservedTime == 0 && len(l.history.Events) == 0 && len(l.sorted) == 0
 	for _, endpoint := range update.Endpoints {
 		if endpoint.State == balancer.Removed {
 			l.remove(now, l.entries[endpoint.ID])
@@ -117,9 +117,9 @@
 	}
 }
 
-// ConfirmCurrent handles the confirmation of service discovery that nothing changed after the last
+// HandleConfirmation handles the confirmation of service discovery that nothing changed after the last
 // watch event.
-func (l *List) ConfirmCurrent(now time.Time) {
+func (l *List) HandleConfirmation(now time.Time) {
 	l.accountObservedTime(now)
 	l.markConfirmed(now, false)
 	if !l.watch.live {
@@ -156,15 +156,15 @@
 		}
 	}
 	if len(l.sorted) == 0 && !l.hasPublished { // an empty list is a list, too
-		l.pending.Publish = append(l.pending.Publish, Publication{Kind: balancer.EndpointsSnapshot})
+		l.pending.Publications = append(l.pending.Publications, Publication{Kind: balancer.EndpointsSnapshot})
 	}
 	l.publishAll()
 	l.hasPublished = true
 }
 
-// WatchLost handles the end of the connection to service discovery. The list stays in use and its
+// HandleWatchLost handles the end of the connection to service discovery. The list stays in use and its
 // evidence ages.
-func (l *List) WatchLost(_ time.Time) {
+func (l *List) HandleWatchLost(_ time.Time) {
 	if !l.watch.live {
 		return
 	}
@@ -178,11 +178,11 @@
 	}
 }
 
-// ResetWatch handles a service discovery that numbers its events anew. The list stays in use until
+// HandleWatchReset handles a service discovery that numbers its events anew. The list stays in use until
 // the next full update.
-func (l *List) ResetWatch(now time.Time) {
+func (l *List) HandleWatchReset(now time.Time) {
 	l.log("endpoint watch reset, reading the full list")
-	l.WatchLost(now)
+	l.HandleWatchLost(now)
 	l.watch.epoch, l.watch.cursor = "", 0
 	l.requestSave(false)
 }
--- a/endpoints/watch_test.go
+++ b/endpoints/watch_test.go
@@ -15,8 +15,8 @@
 	list.Restore(startTime, cachedSnapshot(time.Minute, testEndpoint(1), testEndpoint(2)))
 	runHealthChecks(list, view, startTime, time.Second, answered)
 	now := startTime.Add(time.Second)
-	list.Probed(now, 2, Drains)
-	list.ConfirmCurrent(now.Add(100 * time.Millisecond))
+	list.HandleHealthCheck(now, 2, ReportedDraining)
+	list.HandleConfirmation(now.Add(100 * time.Millisecond))
 	view.take(list)
 	assert.Equal(t, []int{1}, view.active())
 	checks := runHealthChecks(list, view, now.Add(time.Second), 2*drainReportTTL, answered)
@@ -31,7 +31,7 @@
 	list.Restore(startTime, cachedSnapshot(time.Hour, testEndpoint(1), testEndpoint(2), testEndpoint(3)))
 	runHealthChecks(list, view, startTime, time.Second, func(endpoint Endpoint) Observation {
 		if endpoint.ID == 3 {
-			return Silent
+			return TimedOut
 		}
 		return Answered
 	})
@@ -43,18 +43,18 @@
 	list.HandleUpdate(now, Update{Cursor: 8, Endpoints: []Endpoint{removed, joined}})
 	view.take(list)
 	assert.Equal(t, []int{1, 9}, view.active(), "changes apply at once")
-	list.ConfirmCurrent(now)
-	for _, publication := range view.take(list).Publish {
+	list.HandleConfirmation(now)
+	for _, publication := range view.take(list).Publications {
 		assert.Equal(t, balancer.EndpointsDelta, publication.Kind, "the balancer keeps its state of the others")
 	}
 	assert.Equal(t, []int{1, 3, 9}, view.active(), "the others are as service discovery has them")
 	assert.Equal(t, now, view[9].Start, "the reported start time")
 	assert.False(t, list.InSlowStart())
-	var events []What
+	var events []EventKind
 	for _, event := range list.TakeSnapshot(now).History.Events {
-		events = append(events, event.What)
+		events = append(events, event.Kind)
 	}
-	assert.Equal(t, []What{Left, Joined}, events)
+	assert.Equal(t, []EventKind{Left, Joined}, events)
 	assert.Equal(t, int64(8), list.Cursor())
 }
 
@@ -69,7 +69,7 @@
 	view.take(list)
 	assert.Equal(t, []int{1, 2}, view.active())
 	assert.Equal(t, int64(50), list.Cursor())
-	list.ResetWatch(startTime)
+	list.HandleWatchReset(startTime)
 	view.take(list)
 	assert.Equal(t, []int{1, 2}, view.active(), "the list stays until the next full update")
 	full = []Endpoint{testEndpoint(2), testEndpoint(3)}
@@ -90,20 +90,20 @@
 	draining := testEndpoint(2)
 	draining.State = balancer.Draining
 	list.HandleUpdate(now, Update{Cursor: 8, Epoch: "e1", Endpoints: []Endpoint{draining}})
-	list.WatchLost(now)
+	list.HandleWatchLost(now)
 	view.take(list)
 	assert.Equal(t, []int{1, 3}, view.active())
-	assert.False(t, list.Live(), "a partial update does not make the list current")
+	assert.False(t, list.IsLive(), "a partial update does not make the list current")
 	checks := runHealthChecks(list, view, now, 20*time.Second, answered)
 	assert.Zero(t, checks[2])
 	assert.Equal(t, []int{1, 3}, view.active(), "an answer does not end a drain by service discovery")
 	now = now.Add(20 * time.Second)
-	list.ResetWatch(now)
+	list.HandleWatchReset(now)
 	full := []Endpoint{testEndpoint(3), testEndpoint(4)}
 	list.HandleUpdate(now, Update{Full: true, Epoch: "e2", Cursor: 1, Endpoints: full})
 	view.take(list)
 	assert.Equal(t, []int{3, 4}, view.active())
-	assert.True(t, list.Live())
+	assert.True(t, list.IsLive())
 	snapshot := list.TakeSnapshot(now)
 	assert.Equal(t, "e2", snapshot.Epoch)
 	assert.Len(t, snapshot.Endpoints, 2)
@@ -114,18 +114,18 @@
 	list, view := New(Config{}), balancerView{}
 	list.HandleUpdate(startTime, Update{Full: true, Cursor: 1, Endpoints: []Endpoint{testEndpoint(1), testEndpoint(2)}})
 	view.take(list)
-	list.WatchLost(startTime)
+	list.HandleWatchLost(startTime)
 	checks := runHealthChecks(list, view, startTime, time.Second, answered)
 	assert.Empty(t, checks, "just reported")
 	for now := startTime; now.Before(startTime.Add(12 * time.Hour)); now = now.Add(10 * time.Second) {
 		list.Tick(now)
-		for _, endpoint := range view.take(list).Probe {
+		for _, endpoint := range view.take(list).HealthChecks {
 			checks[endpoint.ID]++
 			observation := Answered
 			if endpoint.ID == 2 {
-				observation = Silent
+				observation = TimedOut
 			}
-			list.Probed(now, endpoint.ID, observation)
+			list.HandleHealthCheck(now, endpoint.ID, observation)
 		}
 		view.take(list)
 	}
--- a/internal/adminapi/banfile.go
+++ b/internal/adminapi/banfile.go
@@ -97,7 +97,7 @@
 		case <-ticker.C:
 		}
 		if update := s.reloadBans(); len(update.Endpoints) > 0 {
-			s.sources.Tell(update)
+			s.sources.UpdateEndpoints(update)
 		}
 	}
 }
@@ -114,12 +114,12 @@
 	if !changed {
 		return oakthread.EndpointUpdate{}
 	}
-	return s.state.Keep(banned, time.Now())
+	return s.state.SetEjected(banned, time.Now())
 }
 
 // saveBans writes the bans in force to the file. mu must be held.
 func (s *Server) saveBans() {
-	if err := s.bans.write(s.state.Banned()); err != nil {
+	if err := s.bans.write(s.state.Ejected()); err != nil {
 		s.log.Error("ban file write failed", "path", s.bans.path, "error", err)
 	}
 }
--- a/internal/adminapi/counters.go
+++ b/internal/adminapi/counters.go
@@ -13,13 +13,13 @@
 // metricPrefix begins the name of every counter.
 const metricPrefix = "edge_router"
 
-// Figures are the counters of the dispatcher beside those of the classes.
-type Figures struct {
-	Attempts       int64               // sent in full to workers
-	Pending        int64               // calls without an answer
-	Reloads, Fails int64               // configuration reloads that succeeded and that failed
-	Ejected        []balancer.WorkerID // workers that the balancer has ejected
-	Stale          bool                // the core did not answer in time: Attempts and Ejected are unknown
+// Counters are the counters of the dispatcher beside those of the classes.
+type Counters struct {
+	Attempts               int64               // sent in full to workers
+	Pending                int64               // calls without an answer
+	Reloads, FailedReloads int64               // configuration reloads that succeeded and that failed
+	Ejected                []balancer.WorkerID // workers that the balancer has ejected
+	Stale                  bool                // the core did not answer in time: Attempts and Ejected are unknown
 }
 
 // classCounters are the answered calls of one class.
@@ -31,14 +31,14 @@
 // handleCounters answers with all counters and gauges, one a line in statsd form.
 func (s *Server) handleCounters(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), coreTimeout)
-	counters := s.sources.Figures(ctx)
+	counters := s.sources.Counters(ctx)
 	cancel()
 	s.mu.Lock()
 	if counters.Stale { // the last values lag by less than a reader of the counters notices
 		counters.Attempts, counters.Ejected = s.lastCounters.Attempts, s.lastCounters.Ejected
 	}
 	s.lastCounters = counters
-	members, unavailable := s.state.Members(counters.Ejected)
+	members, unavailable := s.state.CountMembers(counters.Ejected)
 	s.mu.Unlock()
 
 	var text strings.Builder
@@ -52,7 +52,7 @@
 	writeGauge(&text, "members", int64(members))
 	writeGauge(&text, "members_unavailable", int64(unavailable))
 	writeGauge(&text, "config_reloads", counters.Reloads)
-	writeGauge(&text, "config_reload_errors", counters.Fails)
+	writeGauge(&text, "config_reload_errors", counters.FailedReloads)
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	_, _ = w.Write([]byte(text.String()))
 }
@@ -60,7 +60,7 @@
 // classCounters returns the counters of all classes, sorted by name.
 func (s *Server) classCounters() []classCounters {
 	var classes []classCounters
-	s.sources.Tally(func(class string, completed, rejected, failed int64) {
+	s.sources.EachClass(func(class string, completed, rejected, failed int64) {
 		classes = append(classes, classCounters{class, completed, rejected, failed})
 	})
 	slices.SortFunc(classes, func(a, b classCounters) int { return strings.Compare(a.class, b.class) })
--- a/internal/adminapi/golden_test.go
+++ b/internal/adminapi/golden_test.go
@@ -49,22 +49,24 @@
 func (g *goldenCore) sources() Sources {
 	src := g.fakeSources.sources()
 	src.CoreReady = func() bool { return !g.unready }
-	src.Figures = func(context.Context) Figures {
+	src.Counters = func(context.Context) Counters {
 		if g.stale {
-			return Figures{Pending: 15, Reloads: 16, Fails: 17, Stale: true}
+			return Counters{Pending: 15, Reloads: 16, FailedReloads: 17, Stale: true}
 		}
-		return Figures{Attempts: 11, Pending: 12, Reloads: 13, Fails: 14, Ejected: []balancer.WorkerID{2}}
+		return Counters{Attempts: 11, Pending: 12, Reloads: 13, FailedReloads: 14, Ejected: []balancer.WorkerID{2}}
 	}
-	src.Tally = func(fn func(string, int64, int64, int64)) {
+	src.EachClass = func(fn func(string, int64, int64, int64)) {
 		fn("path-check", 4, 5, 6)
 		fn("path-book", 1, 2, 3)
 	}
-	src.Verdicts = func(context.Context) ([]Verdict, bool) {
-		return []Verdict{
-			{Executor: math.MaxUint32, Zone: 1, Verdict: "left out", Evidence: "3 of 4 observers were not served",
-				Served: 2.5, Failed: 0.75, Pace: 1.125, Observers: [2]int{5, 6},
-				WordAgeMS: 7, TrialInMS: 8, Unreached: true},
-			{Executor: 9, Verdict: "well", WordAgeMS: -1},
+	src.WorkerHealth = func(context.Context) ([]WorkerHealth, bool) {
+		return []WorkerHealth{
+			{
+				Worker: math.MaxUint32, Zone: 1, State: "left out", Evidence: "3 of 4 observers were not served",
+				RecentSuccesses: 2.5, FailureFraction: 0.75, LatencyRatio: 1.125, Observers: [2]int{5, 6},
+				GossipAgeMS: 7, NextCheckInMS: 8, Unreachable: true,
+			},
+			{Worker: 9, State: "well", GossipAgeMS: -1},
 		}, !g.busy
 	}
 	return src
@@ -85,7 +87,7 @@
 func TestAnswersMatchGolden(t *testing.T) {
 	var core goldenCore
 	server := New(core.sources(), "", goldenWorkerID, slog.New(slog.DiscardHandler))
-	server.Listed(goldenEndpoints())
+	server.UpdateEndpoints(goldenEndpoints())
 	h := server.Handler()
 	var b strings.Builder
 	for _, step := range []struct {
@@ -97,8 +99,10 @@
 		{"the core has no list", func() { core.unready = true }, "GET", "ready"},
 		{"the core has a list", func() { core.unready = false }, "GET", "ready counters verdicts"},
 		{"the core is busy", func() { core.stale, core.busy = true, true }, "GET", "ready counters verdicts"},
-		{"the core answers again", func() { core.stale, core.busy = false, false }, "POST",
-			"executors/s-1/offline executors/s-1/offline executors/s-last/offline executors/s-2/online"},
+		{
+			"the core answers again", func() { core.stale, core.busy = false, false }, "POST",
+			"executors/s-1/offline executors/s-1/offline executors/s-last/offline executors/s-2/online",
+		},
 		{"two executors are offline", nil, "GET", "ready counters"},
 		{"two executors are offline", nil, "POST", "executors/s-1/online executors/s-last/online"},
 		{"none is offline", nil, "GET", "counters"},
@@ -138,7 +142,7 @@
 	var core goldenCore
 	path := filepath.Join(t.TempDir(), "bans.json")
 	server := New(core.sources(), path, goldenWorkerID, slog.New(slog.DiscardHandler))
-	server.Listed(goldenEndpoints())
+	server.UpdateEndpoints(goldenEndpoints())
 	assert.NoFileExists(t, path, "before any call")
 	for _, x := range []struct{ calls, golden string }{
 		{"s-last/offline s-1/offline", "bans.json"},
@@ -159,7 +163,7 @@
 	for name, want := range map[string][]balancer.WorkerID{"bans.json": {1, math.MaxUint32}, "no-bans.json": nil} {
 		var core goldenCore
 		server := New(core.sources(), filepath.Join("testdata", name), goldenWorkerID, slog.New(slog.DiscardHandler))
-		server.Listed(goldenEndpoints())
+		server.UpdateEndpoints(goldenEndpoints())
 		var drained []balancer.WorkerID
 		for _, m := range core.updates[0].Endpoints {
 			if m.State == balancer.Draining {
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -30,18 +30,18 @@
 type Sources struct {
 	// CoreReady reports whether the core has endpoints to dispatch to.
 	CoreReady func() bool
-	// Tell hands an update of the endpoint list to the core.
-	Tell func(oakthread.EndpointUpdate)
-	// Figures returns the counters of the dispatcher. It may block until ctx is done.
-	Figures func(ctx context.Context) Figures
-	// Tally calls fn with the completed, rejected and failed calls of each class.
-	Tally func(fn func(class string, completed, rejected, failed int64))
-	// Quiet is called when the dispatcher is taken out of service, with true, or put back. While
+	// UpdateEndpoints hands an update of the endpoint list to the core.
+	UpdateEndpoints func(oakthread.EndpointUpdate)
+	// Counters returns the counters of the dispatcher. It may block until ctx is done.
+	Counters func(ctx context.Context) Counters
+	// EachClass calls fn with the completed, rejected and failed calls of each class.
+	EachClass func(fn func(class string, completed, rejected, failed int64))
+	// SetOutOfService is called when the dispatcher is taken out of service, with true, or put back. While
 	// out of service it closes idle client connections.
-	Quiet func(outOfService bool)
-	// Verdicts returns the health of the workers. It is false if the core did not answer until ctx
+	SetOutOfService func(outOfService bool)
+	// WorkerHealth returns the health of the workers. It is false if the core did not answer until ctx
 	// was done.
-	Verdicts func(ctx context.Context) ([]Verdict, bool)
+	WorkerHealth func(ctx context.Context) ([]WorkerHealth, bool)
 }
 
 // Server is the operators' API of a dispatcher. It applies the operators' decisions to the endpoint
@@ -54,7 +54,7 @@
 	mu           sync.Mutex
 	state        admin.State
 	bans         banFile
-	lastCounters Figures
+	lastCounters Counters
 }
 
 // New returns a Server. The ids of workers that operators have taken offline are read from banPath
@@ -66,13 +66,13 @@
 	return s
 }
 
-// Listed applies the operators' decisions to an update of the endpoint list and hands it to the
+// UpdateEndpoints applies the operators' decisions to an update of the endpoint list and hands it to the
 // core.
-func (s *Server) Listed(update oakthread.EndpointUpdate) {
+func (s *Server) UpdateEndpoints(update oakthread.EndpointUpdate) {
 	s.mu.Lock()
 	effective := s.state.UpdateEndpoints(update)
 	s.mu.Unlock()
-	s.sources.Tell(effective)
+	s.sources.UpdateEndpoints(effective)
 }
 
 // Ready reports whether the dispatcher accepts calls: it is in service and the core is ready.
--- a/internal/adminapi/server_test.go
+++ b/internal/adminapi/server_test.go
@@ -32,30 +32,30 @@
 func (f *fakeSources) sources() Sources {
 	return Sources{
 		CoreReady: func() bool { return true },
-		Tell: func(update oakthread.EndpointUpdate) {
+		UpdateEndpoints: func(update oakthread.EndpointUpdate) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			f.updates = append(f.updates, update)
 		},
-		Figures: func(context.Context) Figures {
-			return Figures{Attempts: 7, Pending: 2, Reloads: 1, Fails: 1}
+		Counters: func(context.Context) Counters {
+			return Counters{Attempts: 7, Pending: 2, Reloads: 1, FailedReloads: 1}
 		},
-		Tally: func(fn func(string, int64, int64, int64)) { fn("call", 5, 1, 0) },
-		Quiet: func(outOfService bool) {
+		EachClass: func(fn func(string, int64, int64, int64)) { fn("call", 5, 1, 0) },
+		SetOutOfService: func(outOfService bool) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			f.outOfService = outOfService
 		},
-		Verdicts: func(context.Context) ([]Verdict, bool) {
+		WorkerHealth: func(context.Context) ([]WorkerHealth, bool) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			return []Verdict{testWorkerHealth}, !f.busy
+			return []WorkerHealth{testWorkerHealth}, !f.busy
 		},
 	}
 }
 
 // testWorkerHealth is the health of the one worker that fakeSources knows.
-var testWorkerHealth = Verdict{Executor: 7, Verdict: "left out", Evidence: "3 of 3 observers were not served"}
+var testWorkerHealth = WorkerHealth{Worker: 7, State: "left out", Evidence: "3 of 3 observers were not served"}
 
 // testWorkerID maps the ids of two workers.
 func testWorkerID(name string) balancer.WorkerID {
@@ -85,7 +85,7 @@
 	var f fakeSources
 	path := filepath.Join(t.TempDir(), "bans.json")
 	server := New(f.sources(), path, testWorkerID, slog.New(slog.DiscardHandler))
-	server.Listed(oneActiveWorker())
+	server.UpdateEndpoints(oneActiveWorker())
 	h := server.Handler()
 
 	code, _ := call(t, h, http.MethodGet, "/control/ready")
@@ -106,10 +106,12 @@
 
 	code, body := call(t, h, http.MethodGet, "/control/counters")
 	assert.Equal(t, 200, code)
-	for _, line := range []string{"edge_router.completed.call:5|c", "edge_router.rejected.call:1|c",
+	for _, line := range []string{
+		"edge_router.completed.call:5|c", "edge_router.rejected.call:1|c",
 		"edge_router.failed.call:0|c", "edge_router.upstream_requests:7|c", "edge_router.pending:2|g",
 		"edge_router.members:1|g", "edge_router.members_unavailable:1|g", "edge_router.config_reloads:1|g",
-		"edge_router.config_reload_errors:1|g"} {
+		"edge_router.config_reload_errors:1|g",
+	} {
 		assert.Contains(t, strings.Split(body, "\n"), line)
 	}
 
@@ -127,7 +129,7 @@
 	// The next version reads the ban before it receives its endpoint list.
 	var nextSources fakeSources
 	next := New(nextSources.sources(), path, testWorkerID, slog.New(slog.DiscardHandler))
-	next.Listed(oneActiveWorker())
+	next.UpdateEndpoints(oneActiveWorker())
 	nextSources.mu.Lock()
 	assert.Equal(t, balancer.Draining, nextSources.updates[0].Endpoints[0].State)
 	nextSources.mu.Unlock()
@@ -136,7 +138,7 @@
 	// The first version reads from the file that the ban was lifted.
 	server.reloadBans()
 	server.mu.Lock()
-	banned := server.state.Banned()
+	banned := server.state.Ejected()
 	server.mu.Unlock()
 	assert.Empty(t, banned)
 }
@@ -182,9 +184,9 @@
 	}
 	w := get()
 	assert.Equal(t, 200, w.Code)
-	var workers []Verdict
+	var workers []WorkerHealth
 	assert.NoError(t, json.Unmarshal(w.Body.Bytes(), &workers))
-	assert.Equal(t, []Verdict{testWorkerHealth}, workers)
+	assert.Equal(t, []WorkerHealth{testWorkerHealth}, workers)
 	f.busy = true
 	assert.Equal(t, 503, get().Code)
 }
--- a/internal/adminapi/service.go
+++ b/internal/adminapi/service.go
@@ -14,7 +14,7 @@
 // handleOutOfService takes the dispatcher out of service: it reports that it is not ready.
 func (s *Server) handleOutOfService(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
-	s.state.OutOfService()
+	s.state.TakeOutOfService()
 	s.mu.Unlock()
 	s.finishServiceChange(w, true)
 }
@@ -22,13 +22,13 @@
 // handleInService puts the dispatcher back in service.
 func (s *Server) handleInService(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
-	s.state.InService()
+	s.state.ReturnToService()
 	s.mu.Unlock()
 	s.finishServiceChange(w, false)
 }
 
 func (s *Server) finishServiceChange(w http.ResponseWriter, outOfService bool) {
-	s.sources.Quiet(outOfService)
+	s.sources.SetOutOfService(outOfService)
 	s.log.Info("admin service state changed", "out_of_service", outOfService)
 	_, _ = w.Write([]byte("ok\n"))
 }
--- a/internal/adminapi/workers.go
+++ b/internal/adminapi/workers.go
@@ -11,26 +11,26 @@
 	"oakthread/balancer"
 )
 
-// Verdict is the health of one worker as the dispatcher sees it, in the form of /control/verdicts.
-type Verdict struct {
-	Executor  balancer.WorkerID `json:"executor"` // as log lines name it
-	Zone      int               `json:"zone"`
-	Verdict   string            `json:"verdict"` // well, suspect, left out, on trial
-	Evidence  string            `json:"evidence"`
-	Served    float64           `json:"served_lately"` // own calls that succeeded, decaying
-	Failed    float64           `json:"failed_latest"` // fraction of the latest own calls that failed
-	Pace      float64           `json:"pace"`          // duration of its calls over the mean of all workers
-	Observers [2]int            `json:"observers"`     // of the last gossip: were served, were not
-	WordAgeMS int64             `json:"word_age_ms"`   // age of the last gossip; -1: none
-	TrialInMS int64             `json:"trial_in_ms"`   // time until the next health check; 0: none is due
-	Unreached bool              `json:"unreachable"`   // from this dispatcher
+// WorkerHealth is the health of one worker as the dispatcher sees it, in the form of /control/verdicts.
+type WorkerHealth struct {
+	Worker          balancer.WorkerID `json:"executor"` // as log lines name it
+	Zone            int               `json:"zone"`
+	State           string            `json:"verdict"` // well, suspect, left out, on trial
+	Evidence        string            `json:"evidence"`
+	RecentSuccesses float64           `json:"served_lately"` // own calls that succeeded, decaying
+	FailureFraction float64           `json:"failed_latest"` // fraction of the latest own calls that failed
+	LatencyRatio    float64           `json:"pace"`          // duration of its calls over the mean of all workers
+	Observers       [2]int            `json:"observers"`     // of the last gossip: were served, were not
+	GossipAgeMS     int64             `json:"word_age_ms"`   // age of the last gossip; -1: none
+	NextCheckInMS   int64             `json:"trial_in_ms"`   // time until the next health check; 0: none is due
+	Unreachable     bool              `json:"unreachable"`   // from this dispatcher
 }
 
 // handleWorkerHealth answers with the health of all workers as JSON.
 func (s *Server) handleWorkerHealth(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), coreTimeout)
 	defer cancel()
-	workers, ok := s.sources.Verdicts(ctx)
+	workers, ok := s.sources.WorkerHealth(ctx)
 	if !ok {
 		http.Error(w, "the dispatcher is busy; ask again", http.StatusServiceUnavailable)
 		return
@@ -71,7 +71,7 @@
 		return
 	}
 	if len(update.Endpoints) > 0 {
-		s.sources.Tell(update)
+		s.sources.UpdateEndpoints(update)
 	}
 	s.log.Info("admin worker state changed", "worker_id", name, "offline", offline)
 	_, _ = w.Write([]byte("ok\n"))
--- a/internal/capacity/digest_test.go
+++ b/internal/capacity/digest_test.go
@@ -12,7 +12,7 @@
 )
 
 func filled(n, of int) aggregate.NodeSet {
-	s := aggregate.NewSet(of)
+	s := aggregate.NewNodeSet(of)
 	for i := range n {
 		s.Add(i)
 	}
@@ -25,7 +25,7 @@
 	check := func(m aggregate.Message, dispatchers int, got Packed) {
 		t.Helper()
 		texts := m.Encode(dispatchers)
-		require.Equal(t, Packed{len(texts[0]), aggregate.Chars(texts), len(texts)}, got, "%d siblings, %+v",
+		require.Equal(t, Packed{len(texts[0]), aggregate.TotalLen(texts), len(texts)}, got, "%d siblings, %+v",
 			dispatchers, m)
 	}
 	beside := func(m *aggregate.Message, marks, counts, pairs int) {
@@ -42,7 +42,7 @@
 		row := make([]float64, figs)
 		m := aggregate.Message{FromLeader: true, Digest: aggregate.Digest{
 			Sums: row, MissingSums: row, MissingMoved: row,
-			Covered: filled(dispatchers, dispatchers), Missing: aggregate.NewSet(dispatchers),
+			Covered: filled(dispatchers, dispatchers), Missing: aggregate.NewNodeSet(dispatchers),
 		}}
 		beside(&m, marks, counts, pairs)
 		d := Digest{Dispatchers: dispatchers, Figures: figs, Marks: marks, Counts: counts, Pairs: pairs}
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -33,8 +33,8 @@
 
 func (e usageError) Unwrap() error { return e.error }
 
-// Code returns the exit code for an error of Run.
-func Code(err error) int {
+// ExitCode returns the exit code for an error of Run.
+func ExitCode(err error) int {
 	var usage usageError
 	switch {
 	case err == nil:
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -37,7 +37,7 @@
 	store, _, err := endpointcache.Open(path, "d7")
 	require.NoError(t, err)
 	saved := time.Now().Add(-6 * time.Hour)
-	snapshot := endpoints.Snapshot{Epoch: "e", Cursor: 9, Confirmed: saved, Saved: saved}
+	snapshot := endpoints.Snapshot{Epoch: "e", Cursor: 9, ConfirmedAt: saved, SavedAt: saved}
 	for i := 1; i <= 3; i++ {
 		snapshot.Endpoints = append(snapshot.Endpoints, endpoints.Endpoint{
 			ID:          balancer.WorkerID(i),
@@ -122,7 +122,7 @@
 func assertExitCode(t *testing.T, code int, args ...string) {
 	t.Helper()
 	_, err := run(t, args...)
-	assert.Equal(t, code, Code(err), "%v: %v", args, err)
+	assert.Equal(t, code, ExitCode(err), "%v: %v", args, err)
 	if err != nil {
 		assert.NotContains(t, err.Error(), "\n")
 	}
@@ -167,8 +167,8 @@
 	require.NoError(t, err)
 	imported, err := endpointcache.Read(other, "d8")
 	require.NoError(t, err)
-	assert.True(t, original.Kept.Confirmed.Equal(imported.Kept.Confirmed))
-	assert.Equal(t, original.Kept.Endpoints, imported.Kept.Endpoints)
+	assert.True(t, original.Snapshot.ConfirmedAt.Equal(imported.Snapshot.ConfirmedAt))
+	assert.Equal(t, original.Snapshot.Endpoints, imported.Snapshot.Endpoints)
 
 	_, err = run(t, name, "forget", path, "s-00000002")
 	require.NoError(t, err)
@@ -176,8 +176,8 @@
 	require.NoError(t, err)
 	original, err = endpointcache.Read(path, "d7")
 	require.NoError(t, err)
-	assert.Empty(t, original.Kept.Endpoints)
-	assert.Zero(t, original.Kept.Cursor, "discovery sends the list in full")
+	assert.Empty(t, original.Snapshot.Endpoints)
+	assert.Zero(t, original.Snapshot.Cursor, "discovery sends the list in full")
 
 	for text, want := range map[string]string{
 		"{":               "list.json",
@@ -218,12 +218,12 @@
 func testHealthShow(t *testing.T, name string) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		assert.Equal(t, "/control/verdicts", r.URL.Path)
-		_ = json.NewEncoder(w).Encode([]adminapi.Verdict{
+		_ = json.NewEncoder(w).Encode([]adminapi.WorkerHealth{
 			{
-				Executor: 16094, Verdict: "left out", Evidence: "3 of 3 observers were not served",
-				Observers: [2]int{0, 3}, WordAgeMS: 40,
+				Worker: 16094, State: "left out", Evidence: "3 of 3 observers were not served",
+				Observers: [2]int{0, 3}, GossipAgeMS: 40,
 			},
-			{Executor: 256, Verdict: "well", WordAgeMS: -1},
+			{Worker: 256, State: "well", GossipAgeMS: -1},
 		})
 	}))
 	defer server.Close()
@@ -241,7 +241,7 @@
 	assert.True(t, json.Valid([]byte(out)))
 	_, err = run(t, name, "show")
 	assert.ErrorContains(t, err, "name one by --console")
-	assert.Equal(t, 1, Code(err))
+	assert.Equal(t, 1, ExitCode(err))
 	server.Close()
 	_, err = run(t, name, "show", "--console", address)
 	assert.ErrorContains(t, err, "refused")
--- a/internal/cli/configcheck.go
+++ b/internal/cli/configcheck.go
@@ -30,8 +30,8 @@
 		return err
 	}
 	var list, http2, webhooks string
-	if f.List != nil {
-		list = fmt.Sprintf(", kept in %s", f.List.Path)
+	if f.EndpointCache != nil {
+		list = fmt.Sprintf(", kept in %s", f.EndpointCache.Path)
 	}
 	if f.HTTP2 != nil {
 		http2 = fmt.Sprintf(", at %s", f.HTTP2.Listen)
@@ -40,7 +40,7 @@
 		webhooks = fmt.Sprintf(", at %s, %d operators", f.Webhooks.Listen, len(f.Webhooks.Operators))
 	}
 	fmt.Fprintf(out, "%s is sound\n", path)
-	fmt.Fprintf(out, "  list      %s%s\n", onOff(f.List != nil), list)
+	fmt.Fprintf(out, "  list      %s%s\n", onOff(f.EndpointCache != nil), list)
 	fmt.Fprintf(out, "  http2     %s%s\n", onOff(f.HTTP2 != nil), http2)
 	fmt.Fprintf(out, "  webhooks  %s%s\n", onOff(f.Webhooks != nil), webhooks)
 	return nil
--- a/internal/cli/endpointchange.go
+++ b/internal/cli/endpointchange.go
@@ -46,7 +46,7 @@
 	if err != nil {
 		return err
 	}
-	removed, err := findWorkers(path, found.Kept, names)
+	removed, err := findWorkers(path, found.Snapshot, names)
 	if err != nil {
 		return err
 	}
@@ -97,5 +97,5 @@
 	if err != nil {
 		return err
 	}
-	return store.Write(change(found.Kept))
+	return store.Write(change(found.Snapshot))
 }
--- a/internal/cli/endpointlist.go
+++ b/internal/cli/endpointlist.go
@@ -52,40 +52,40 @@
 var stateNames = []string{"off", "draining", "on"}
 
 // newEndpointList returns the exported form of the list that was found in a file, as of now.
-func newEndpointList(found endpointcache.Found, now time.Time) endpointList {
+func newEndpointList(found endpointcache.Contents, now time.Time) endpointList {
 	list := endpoints.New(endpoints.Config{})
-	list.Restore(now, found.Kept)
-	snapshot, history := found.Kept, found.Kept.History
+	list.Restore(now, found.Snapshot)
+	snapshot, history := found.Snapshot, found.Snapshot.History
 	exported := endpointList{
 		Owner:       found.Owner,
 		Schema:      found.Schema,
 		Epoch:       snapshot.Epoch,
 		Cursor:      snapshot.Cursor,
-		Confirmed:   snapshot.Confirmed.UTC(),
-		Saved:       snapshot.Saved.UTC(),
+		Confirmed:   snapshot.ConfirmedAt.UTC(),
+		Saved:       snapshot.SavedAt.UTC(),
 		FailureRate: history.FailureRate(),
-		Watched:     history.Watched.Round(time.Second).String(),
-		Departures:  history.Leaves,
-		Restarts:    history.Returns,
-		Corrupt:     found.Unsound,
+		Watched:     history.ObservedTime.Round(time.Second).String(),
+		Departures:  history.Departures,
+		Restarts:    history.Restarts,
+		Corrupt:     found.CorruptRecords,
 		Endpoints:   []endpointRow{},
 	}
-	for _, row := range list.Rows(now) {
+	for _, row := range list.Report(now) {
 		exported.Endpoints = append(exported.Endpoints, newEndpointRow(row))
 	}
 	return exported
 }
 
-func newEndpointRow(row endpoints.Row) endpointRow {
+func newEndpointRow(row endpoints.EndpointReport) endpointRow {
 	age := "unknown"
-	if row.Age >= 0 {
-		age = row.Age.Round(time.Second).String()
+	if row.EvidenceAge >= 0 {
+		age = row.EvidenceAge.Round(time.Second).String()
 	}
 	return endpointRow{
 		ID:          fmt.Sprintf("s-%08x", uint32(row.ID)),
 		Addr:        row.Addr,
 		State:       stateNames[row.State],
-		Confidence:  row.Trust,
+		Confidence:  row.Confidence,
 		Age:         age,
 		Zone:        row.Zone,
 		Kind:        row.Kind,
@@ -101,14 +101,14 @@
 // snapshot returns the list in the form that is written to a file.
 func (l *endpointList) snapshot() (endpoints.Snapshot, error) {
 	snapshot := endpoints.Snapshot{
-		Epoch:     l.Epoch,
-		Cursor:    l.Cursor,
-		Confirmed: l.Confirmed,
-		Saved:     l.Saved,
-		History:   endpoints.History{Leaves: l.Departures, Returns: l.Restarts},
+		Epoch:       l.Epoch,
+		Cursor:      l.Cursor,
+		ConfirmedAt: l.Confirmed,
+		SavedAt:     l.Saved,
+		History:     endpoints.History{Departures: l.Departures, Restarts: l.Restarts},
 	}
 	var err error
-	if snapshot.History.Watched, err = time.ParseDuration(l.Watched); err != nil {
+	if snapshot.History.ObservedTime, err = time.ParseDuration(l.Watched); err != nil {
 		return snapshot, fmt.Errorf("watched: %w", err)
 	}
 	for i, row := range l.Endpoints {
--- a/internal/cli/endpoints.go
+++ b/internal/cli/endpoints.go
@@ -109,7 +109,7 @@
 
 // readEndpointList reads the list in the file at path without locking it.
 func readEndpointList(path string) (endpointList, error) {
-	found, err := endpointcache.Snapshot(path)
+	found, err := endpointcache.ReadShared(path)
 	if err != nil {
 		return endpointList{}, err
 	}
--- a/internal/cli/health.go
+++ b/internal/cli/health.go
@@ -67,7 +67,7 @@
 		_, err := out.Write(body)
 		return err
 	}
-	var workers []adminapi.Verdict
+	var workers []adminapi.WorkerHealth
 	if err := json.Unmarshal(body, &workers); err != nil {
 		return fmt.Errorf("health: the answer of %s: %w", address, err)
 	}
@@ -127,12 +127,12 @@
 }
 
 // printHealth prints a row for each worker, or only for those that are not healthy.
-func printHealth(out io.Writer, workers []adminapi.Verdict, all bool) error {
+func printHealth(out io.Writer, workers []adminapi.WorkerHealth, all bool) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "EXECUTOR\tZONE\tVERDICT\tSERVED\tFAILED\tPACE\tOBSERVERS\tTOLD\tTRIAL\tEVIDENCE")
 	healthy := 0
 	for _, worker := range workers {
-		if worker.Verdict == "well" {
+		if worker.State == "well" {
 			healthy++
 			if !all {
 				continue
@@ -147,17 +147,17 @@
 	return err
 }
 
-func printHealthRow(table io.Writer, worker adminapi.Verdict) {
+func printHealthRow(table io.Writer, worker adminapi.WorkerHealth) {
 	gossip, nextCheck := "-", "-"
-	if worker.WordAgeMS >= 0 {
-		gossip = milliseconds(worker.WordAgeMS).String() + " ago"
+	if worker.GossipAgeMS >= 0 {
+		gossip = milliseconds(worker.GossipAgeMS).String() + " ago"
 	}
-	if worker.TrialInMS > 0 {
-		nextCheck = "in " + milliseconds(worker.TrialInMS).String()
+	if worker.NextCheckInMS > 0 {
+		nextCheck = "in " + milliseconds(worker.NextCheckInMS).String()
 	}
 	fmt.Fprintf(table, "%d\t%d\t%s\t%.1f\t%.0f %%\t%.1f\t%d:%d\t%s\t%s\t%s\n",
-		worker.Executor, worker.Zone, worker.Verdict,
-		worker.Served, 100*worker.Failed, worker.Pace,
+		worker.Worker, worker.Zone, worker.State,
+		worker.RecentSuccesses, 100*worker.FailureFraction, worker.LatencyRatio,
 		worker.Observers[0], worker.Observers[1], gossip, nextCheck, worker.Evidence)
 }
 
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -17,18 +17,18 @@
 // File is the configuration file. A section that the file does not have is nil, and turns its part
 // of the program off.
 type File struct {
-	Path     string           `toml:"-"`
-	Log      Log              `toml:"log"`
-	List     *List            `toml:"list"`
-	HTTP2    *HTTP2           `toml:"http2"`
-	Webhooks *webhook.Options `toml:"webhooks"`
+	Path          string           `toml:"-"`
+	Log           Log              `toml:"log"`
+	EndpointCache *EndpointCache   `toml:"list"`
+	HTTP2         *HTTP2           `toml:"http2"`
+	Webhooks      *webhook.Options `toml:"webhooks"`
 }
 
 // HTTP2 configures the front for HTTP/2 without TLS.
 type HTTP2 struct {
-	Listen      string `toml:"listen"`
-	Connections int    `toml:"connections"` // maximum number of connections; 0: 64
-	Streams     int    `toml:"streams"`     // maximum number of open streams of a connection; 0: 250
+	Listen     string `toml:"listen"`
+	MaxConns   int    `toml:"connections"` // maximum number of connections; 0: 64
+	MaxStreams int    `toml:"streams"`     // maximum number of open streams of a connection; 0: 250
 }
 
 // Log configures the dispatcher's log.
@@ -37,31 +37,31 @@
 	Level  string `toml:"level"`  // debug, info, warn or error
 }
 
-// List configures the cached endpoint list, with which the dispatcher starts while discovery is
+// EndpointCache configures the cached endpoint list, with which the dispatcher starts while discovery is
 // down.
-type List struct {
+type EndpointCache struct {
 	// Path names the file, on a disk that outlives the process.
 	Path string `toml:"path"`
 	// Discovery lists the addresses of discovery, in the order of use; empty: the platform's.
 	Discovery []string `toml:"discovery"`
-	// Siblings is the number of dispatchers that may restart at the same time; 0: as the platform's
+	// Dispatchers is the number of dispatchers that may restart at the same time; 0: as the platform's
 	// settings say.
-	Siblings int `toml:"siblings"`
-	// Budget is the fraction of its former load that an endpoint receives at its first
+	Dispatchers int `toml:"siblings"`
+	// InitialLoadFraction is the fraction of its former load that an endpoint receives at its first
 	// verification.
-	Budget float64 `toml:"budget"`
-	// ProbeRate is the number of health checks a second at one endpoint, by all dispatchers
+	InitialLoadFraction float64 `toml:"budget"`
+	// HealthCheckRate is the number of health checks a second at one endpoint, by all dispatchers
 	// together.
-	ProbeRate float64 `toml:"probe_rate"`
-	// MaxWait is the longest Retry-After of a call that is rejected during the start.
-	MaxWait Span `toml:"max_wait"`
+	HealthCheckRate float64 `toml:"probe_rate"`
+	// MaxRetryAfter is the longest Retry-After of a call that is rejected during the start.
+	MaxRetryAfter Duration `toml:"max_wait"`
 }
 
-// Span is a duration in the text form of time.ParseDuration, such as "1.5s".
-type Span struct{ time.Duration }
+// Duration is a duration in the text form of time.ParseDuration, such as "1.5s".
+type Duration struct{ time.Duration }
 
 // UnmarshalText parses a duration.
-func (s *Span) UnmarshalText(text []byte) (err error) {
+func (s *Duration) UnmarshalText(text []byte) (err error) {
 	s.Duration, err = time.ParseDuration(string(text))
 	return err
 }
@@ -89,8 +89,8 @@
 	if err := f.validate(meta); err != nil {
 		return nil, locateError(path, text, err)
 	}
-	if f.List != nil {
-		f.List.Path = resolvePath(path, f.List.Path)
+	if f.EndpointCache != nil {
+		f.EndpointCache.Path = resolvePath(path, f.EndpointCache.Path)
 	}
 	if f.Webhooks != nil {
 		if err := f.Webhooks.Resolve(path); err != nil {
--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -54,11 +54,11 @@
 	f, err := Parse("etc/op.toml", "[log]\nformat='json'\nlevel='warn'\n"+
 		"[list]\npath='state/list.db'\ndiscovery=['127.0.0.1:7','127.0.0.1:8']\nmax_wait='2s'\n")
 	require.NoError(t, err)
-	assert.Equal(t, &List{
-		Path:      "etc/state/list.db",
-		Discovery: []string{"127.0.0.1:7", "127.0.0.1:8"},
-		MaxWait:   Span{2 * time.Second},
-	}, f.List)
+	assert.Equal(t, &EndpointCache{
+		Path:          "etc/state/list.db",
+		Discovery:     []string{"127.0.0.1:7", "127.0.0.1:8"},
+		MaxRetryAfter: Duration{2 * time.Second},
+	}, f.EndpointCache)
 	assert.Nil(t, f.Webhooks)
 	var out bytes.Buffer
 	log := slog.New(f.Handler(&out))
@@ -68,7 +68,7 @@
 	assert.NotContains(t, out.String(), "suppressed")
 	f, err = Parse("op.toml", "")
 	require.NoError(t, err)
-	assert.Nil(t, f.List, "an empty file turns nothing on")
+	assert.Nil(t, f.EndpointCache, "an empty file turns nothing on")
 }
 
 // The example configuration that operators start from is valid and has every section.
@@ -76,7 +76,7 @@
 	path := filepath.Join("..", "..", "deploy", "oakthread.toml")
 	f, err := Read(path)
 	require.NoError(t, err)
-	require.NotNil(t, f.List)
+	require.NotNil(t, f.EndpointCache)
 	raw, err := os.ReadFile(path)
 	require.NoError(t, err)
 	for _, key := range []string{
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -25,14 +25,20 @@
 
 // Every key sets the field that it set in an earlier build.
 func TestEveryKeySetsItsField(t *testing.T) {
-	webhooks := webhook.Options{Listen: "127.0.0.1:8443", State: "etc/state/webhooks.db",
+	webhooks := webhook.Options{
+		Listen: "127.0.0.1:8443", State: "etc/state/webhooks.db",
 		Classes: []string{"path-check", "path-book"}, NotifiedClasses: []string{"path-book"}, MaxReceipts: 5000,
 		Operators: []webhook.Operator{
-			{Name: "ironbridge", Tenant: "ironbridge-haul", SPIFFEID: "spiffe://ironbridge.example/hooks",
-				KeysFile: "etc/keys/ironbridge", NotifyURL: "https://ironbridge.example/settled"},
-			{Name: "soar", Tenant: "soar-freight", SPIFFEID: "spiffe://soar.example/hooks",
-				KeysFile: "/etc/oakthread/soar", NotifyURL: "https://soar.example/settled"},
-		}}
+			{
+				Name: "ironbridge", Tenant: "ironbridge-haul", SPIFFEID: "spiffe://ironbridge.example/hooks",
+				KeysFile: "etc/keys/ironbridge", NotifyURL: "https://ironbridge.example/settled",
+			},
+			{
+				Name: "soar", Tenant: "soar-freight", SPIFFEID: "spiffe://soar.example/hooks",
+				KeysFile: "/etc/oakthread/soar", NotifyURL: "https://soar.example/settled",
+			},
+		},
+	}
 	webhooks.ReceiptRetention.Duration, webhooks.InitialBackoff.Duration = 100*time.Hour, 6*time.Second
 	webhooks.MaxBackoff.Duration, webhooks.MaxTotalBackoff.Duration = 2*time.Hour, 50*time.Hour
 	webhooks.SPIFFE.SVID, webhooks.SPIFFE.Bundle = "etc/ids/svid.pem", "etc/ids/bundle.pem"
@@ -42,11 +48,12 @@
 	assert.Equal(t, &File{
 		Path: "etc/op.toml",
 		Log:  Log{Format: "json", Level: "warn"},
-		List: &List{
+		EndpointCache: &EndpointCache{
 			Path: "etc/state/list.db", Discovery: []string{"127.0.0.1:7001", "[::1]:7002"},
-			Siblings: 30, Budget: 0.36, ProbeRate: 300.5, MaxWait: Span{1500 * time.Millisecond},
+			Dispatchers: 30, InitialLoadFraction: 0.36, HealthCheckRate: 300.5,
+			MaxRetryAfter: Duration{1500 * time.Millisecond},
 		},
-		HTTP2:    &HTTP2{Listen: "127.0.0.1:9095", Connections: 65, Streams: 251},
+		HTTP2:    &HTTP2{Listen: "127.0.0.1:9095", MaxConns: 65, MaxStreams: 251},
 		Webhooks: &webhooks,
 	}, f)
 }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -20,7 +20,7 @@
 	if err := f.HTTP2.validate(meta); err != nil {
 		return err
 	}
-	return f.List.validate(meta)
+	return f.EndpointCache.validate(meta)
 }
 
 func (l *Log) validate() *keyError {
@@ -46,7 +46,7 @@
 	for _, limit := range []struct {
 		key   string
 		value int
-	}{{"connections", h.Connections}, {"streams", h.Streams}} {
+	}{{"connections", h.MaxConns}, {"streams", h.MaxStreams}} {
 		if meta.IsDefined("http2", limit.key) && (limit.value < 1 || limit.value > maxHTTP2Limit) {
 			return &keyError{"http2." + limit.key, fmt.Sprint(limit.value), "lies outside 1 to 10000"}
 		}
@@ -54,7 +54,7 @@
 	return nil
 }
 
-func (l *List) validate(meta toml.MetaData) *keyError {
+func (l *EndpointCache) validate(meta toml.MetaData) *keyError {
 	if l == nil {
 		return nil
 	}
@@ -70,10 +70,10 @@
 		key              string
 		value, low, high float64
 	}{
-		{"siblings", float64(l.Siblings), 1, 100_000},
-		{"budget", l.Budget, 0.01, 1},
-		{"probe_rate", l.ProbeRate, 1, 10_000},
-		{"max_wait", l.MaxWait.Seconds(), 0.05, 60},
+		{"siblings", float64(l.Dispatchers), 1, 100_000},
+		{"budget", l.InitialLoadFraction, 0.01, 1},
+		{"probe_rate", l.HealthCheckRate, 1, 10_000},
+		{"max_wait", l.MaxRetryAfter.Seconds(), 0.05, 60},
 	} {
 		inRange := setting.value >= setting.low && setting.value <= setting.high // false if not a number
 		if meta.IsDefined("list", setting.key) && !inRange {
--- a/internal/daemon/build.go
+++ b/internal/daemon/build.go
@@ -20,7 +20,7 @@
 	}
 	d.violations = &violation.Recorder{Log: d.log, Strict: d.options.Strict}
 	d.buildConsole()
-	if d.options.File != nil && d.options.File.List != nil {
+	if d.options.File != nil && d.options.File.EndpointCache != nil {
 		d.endpointCache = d.newEndpointCache()
 	}
 	return d.buildCore()
@@ -28,9 +28,9 @@
 
 // buildWorkers makes the pool of connections to workers.
 func (d *daemon) buildWorkers() {
-	d.workers = platform.NewFleet(d.cfg.Setup, d.sockets.workers)
+	d.workers = platform.NewExecutorPool(d.cfg.Settings, d.sockets.workers)
 	d.workers.Log = d.log
-	d.workers.Through(d.options.Network)
+	d.workers.SetNetwork(d.options.Network)
 }
 
 // buildPeers opens the socket for messages between dispatchers, if the settings allow them.
@@ -44,12 +44,12 @@
 // buildConsole makes the operators' console. It reads the core and the server only once it serves.
 func (d *daemon) buildConsole() {
 	sources := adminapi.Sources{
-		CoreReady: func() bool { return d.core.Ready() },
-		Tell:      func(update oakthread.EndpointUpdate) { d.core.UpdateEndpoints(update) },
-		Figures:   d.consoleFigures,
-		Tally:     d.answersByClass,
-		Quiet:     func(on bool) { d.server.SetKeepAlives(!on) },
-		Verdicts:  func(ctx context.Context) ([]adminapi.Verdict, bool) { return workerHealth(ctx, d.core) },
+		CoreReady:       func() bool { return d.core.Ready() },
+		UpdateEndpoints: func(update oakthread.EndpointUpdate) { d.core.UpdateEndpoints(update) },
+		Counters:        d.consoleFigures,
+		EachClass:       d.answersByClass,
+		SetOutOfService: func(on bool) { d.server.SetKeepAlives(!on) },
+		WorkerHealth:    func(ctx context.Context) ([]adminapi.WorkerHealth, bool) { return workerHealth(ctx, d.core) },
 	}
 	bans := adminapi.BanFile(os.TempDir(), d.cfg.Listen)
 	d.console = adminapi.New(sources, bans, platform.WorkerID, d.log)
@@ -61,7 +61,7 @@
 		Settings:    d.settings,
 		Seed:        d.cfg.Seed,
 		Workers:     d.workers,
-		MaxInFlight: d.cfg.Setup.Permissions.OpenCap,
+		MaxInFlight: d.cfg.Settings.Permissions.OpenCap,
 		Completed:   d.requestCompleted,
 		Violated:    d.recordViolation,
 		Log:         d.log,
@@ -82,11 +82,11 @@
 // is accepted.
 func (d *daemon) requestCompleted(completion oakthread.Completion) {
 	if d.webhooks != nil {
-		d.webhooks.Settled(completion)
+		d.webhooks.HandleCompletion(completion)
 	}
 }
 
 // recordViolation records a violated invariant that the core or a server has detected.
 func (d *daemon) recordViolation(rule, path, requestID, detail string) {
-	d.violations.Found(violation.Rule(rule), violation.Path(path), requestID, detail)
+	d.violations.Record(violation.Rule(rule), violation.Path(path), requestID, detail)
 }
--- a/internal/daemon/classtuner.go
+++ b/internal/daemon/classtuner.go
@@ -28,25 +28,25 @@
 
 // configuredClasses returns the classes of a configuration and their names, by index.
 func configuredClasses(cfg *platform.Config) (names []string, classes []balancer.Class) {
-	for _, category := range cfg.Setup.Categories {
+	for _, category := range cfg.Settings.Categories {
 		names = append(names, category.Name)
 	}
-	return names, cfg.Setup.Decide().Classes
+	return names, cfg.Settings.BalancerSettings().Classes
 }
 
 // apply puts the classes and the number of attempts of cfg in force: new requests take them, those
 // in flight keep theirs.
 func (t *classTuner) apply(cfg *platform.Config) error {
-	added, names := t.classes.Retune(configuredClasses(cfg))
+	added, names := t.classes.Compare(configuredClasses(cfg))
 	if len(added) > 0 {
 		// The core adds all or none, so that its numbers and those of the table stay the same.
 		if _, err := t.core.AddClasses(added); err != nil {
 			return fmt.Errorf("settings: classes: %w", err)
 		}
 	}
-	t.classes.Take(added, names)
-	t.workers.Classes(t.classes.Called())
-	t.server.Classes(t.classes.Names())
-	t.core.SetMaxAttempts(cfg.Setup.Permissions.SendCap)
+	t.classes.Apply(added, names)
+	t.workers.SetClasses(t.classes.NamesByNumber())
+	t.server.SetClasses(t.classes.NumbersByName())
+	t.core.SetMaxAttempts(cfg.Settings.Permissions.SendCap)
 	return nil
 }
--- a/internal/daemon/classtuner_test.go
+++ b/internal/daemon/classtuner_test.go
@@ -125,7 +125,7 @@
 	}()
 	log := slog.New(slog.NewTextHandler(logWriter, nil))
 	go func() {
-		d.ended <- Run(ctx, Options{Getenv: getenv, Hup: d.signals, Log: log, Shared: true})
+		d.ended <- Run(ctx, Options{Getenv: getenv, ReloadSignals: d.signals, Log: log, SharedProcess: true})
 	}()
 	d.awaitLog("msg=serving")
 	return d
--- a/internal/daemon/counters.go
+++ b/internal/daemon/counters.go
@@ -28,14 +28,14 @@
 		"called_off", results[balancer.Cancelled],
 		"orders", counters.LoadOrders,
 		"orders_held", counters.LoadOrdersWithheld,
-		"bad", m.server.Bad(),
+		"bad", m.server.Malformed(),
 		"peers_unread", counters.InvalidPeerMessages,
 		"peers_long", oversized,
 		"peers_unknown", unknownPeers,
-		"accepts_failed", m.server.AcceptsFailed(),
+		"accepts_failed", m.server.AcceptFailures(),
 		"connects_failed", m.workers.Shortages(),
 		"list_writes_failed", m.failedCacheWrites(),
-		"violations", m.violations.Sum())
+		"violations", m.violations.Total())
 }
 
 // failedCacheWrites returns the failed writes of the endpoint cache, or zero if there is none.
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -28,25 +28,25 @@
 
 // Options are what a daemon is started with.
 type Options struct {
-	Getenv   func(string) string // names the platform's configuration
-	File     *config.File        // the operator's file; nil if there is none
-	Webhooks *webhook.Options    // nil starts no webhook server
-	Hup      <-chan os.Signal    // each value reloads the configuration
-	Log      *slog.Logger
-	Shared   bool // other daemons run in this process, which keeps its runtime limits
-	Fresh    bool // baseline of experiments: a cached endpoint list counts as just received
-	Network  platform.Network
-	Strict   bool // for the laboratory: a violated invariant ends the process
+	Getenv          func(string) string // names the platform's configuration
+	File            *config.File        // the operator's file; nil if there is none
+	Webhooks        *webhook.Options    // nil starts no webhook server
+	ReloadSignals   <-chan os.Signal    // each value reloads the configuration
+	Log             *slog.Logger
+	SharedProcess   bool // other daemons run in this process, which keeps its runtime limits
+	TrustCachedList bool // baseline of experiments: a cached endpoint list counts as just received
+	Network         platform.Network
+	Strict          bool // for the laboratory: a violated invariant ends the process
 }
 
 // Run runs a daemon until ctx ends and the requests that it has accepted are answered. Errors of
 // the start name the part of the configuration that cannot be used.
 func Run(ctx context.Context, options Options) error {
-	cfg, err := platform.Load(options.Getenv)
+	cfg, err := platform.LoadConfig(options.Getenv)
 	if err != nil {
 		return err
 	}
-	if !options.Shared {
+	if !options.SharedProcess {
 		setRuntimeLimits(cfg)
 	}
 	d := newDaemon(options, cfg)
@@ -100,7 +100,7 @@
 	d := &daemon{
 		options:       options,
 		cfg:           cfg,
-		settings:      cfg.Setup.Decide(),
+		settings:      cfg.Settings.BalancerSettings(),
 		sockets:       newSocketBudget(cfg, options),
 		log:           options.Log.With("name", cfg.Name),
 		webhooksEnded: make(chan error, 1),
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -36,7 +36,7 @@
 func TestReloadReadsConfigurationAndWebhookKeys(t *testing.T) {
 	path, getenv := configFile(t, `{"listen":"127.0.0.1:1","channel":"127.0.0.1:2",`+
 		`"settings":{"categories":[{"name":"a","aim_ns":1}]}}`)
-	cfg, err := platform.Load(getenv)
+	cfg, err := platform.LoadConfig(getenv)
 	require.NoError(t, err)
 	logReader, logWriter := io.Pipe()
 	logLines := bufio.NewScanner(logReader)
@@ -45,7 +45,7 @@
 		signals:     signals,
 		getenv:      getenv,
 		initial:     cfg,
-		watcher:     platform.NewChannel(cfg, slog.New(slog.DiscardHandler)),
+		watcher:     platform.NewEndpointWatcher(cfg, slog.New(slog.DiscardHandler)),
 		webhookKeys: make(chan time.Time, 1),
 		log:         slog.New(slog.NewTextHandler(logWriter, nil)),
 	}
--- a/internal/daemon/endpointcache.go
+++ b/internal/daemon/endpointcache.go
@@ -12,34 +12,34 @@
 // newEndpointCache opens the cached endpoint list that the operator's file asks for. It starts with
 // the endpoints of the configuration.
 func (d *daemon) newEndpointCache() *endpointcache.Syncer {
-	list := d.options.File.List
-	settings := d.cfg.Setup.Decide()
-	dispatchers := list.Siblings
+	list := d.options.File.EndpointCache
+	settings := d.cfg.Settings.BalancerSettings()
+	dispatchers := list.Dispatchers
 	if dispatchers <= 0 {
 		dispatchers = max(dispatchers, settings.Dispatchers)
 	}
 	options := endpointcache.Options{
-		Path:  list.Path,
-		Owner: d.cfg.Name,
-		Util:  d.cfg.Setup.Field("cpu"),
-		Roster: endpoints.Config{
-			Seed:      d.cfg.Seed,
-			Siblings:  dispatchers,
-			Budget:    list.Budget,
-			ProbeRate: list.ProbeRate,
-			MaxWait:   list.MaxWait.Duration,
-			Fresh:     d.options.Fresh,
+		Path:             list.Path,
+		Owner:            d.cfg.Name,
+		UtilizationField: d.cfg.Settings.ReportField("cpu"),
+		List: endpoints.Config{
+			Seed:                d.cfg.Seed,
+			Dispatchers:         dispatchers,
+			InitialLoadFraction: list.InitialLoadFraction,
+			HealthCheckRate:     list.HealthCheckRate,
+			MaxRetryAfter:       list.MaxRetryAfter.Duration,
+			TrustCached:         d.options.TrustCachedList,
 		},
 	}
 	for _, class := range settings.Classes {
-		options.Aims = append(options.Aims, time.Duration(class.LatencyObjective))
+		options.LatencyObjectives = append(options.LatencyObjectives, time.Duration(class.LatencyObjective))
 	}
 	now := monotime.Now()
-	cache := endpointcache.NewKeeper(options, d.workers, d.console.Listed, now, d.log)
+	cache := endpointcache.NewSyncer(options, d.workers, d.console.UpdateEndpoints, now, d.log)
 	var known []oakthread.EndpointUpdate
-	for _, event := range d.cfg.Known {
-		known = append(known, event.Roster)
+	for _, event := range d.cfg.InitialEvents {
+		known = append(known, event.Update)
 	}
-	cache.Known(now, d.cfg.Cursor, known)
+	cache.ApplyConfigured(now, d.cfg.Cursor, known)
 	return cache
 }
--- a/internal/daemon/http2options.go
+++ b/internal/daemon/http2options.go
@@ -11,5 +11,5 @@
 	if file == nil || file.HTTP2 == nil {
 		return nil
 	}
-	return &h2.Options{Listen: file.HTTP2.Listen, Conns: file.HTTP2.Connections, Streams: file.HTTP2.Streams}
+	return &h2.Options{Listen: file.HTTP2.Listen, Conns: file.HTTP2.MaxConns, Streams: file.HTTP2.MaxStreams}
 }
--- a/internal/daemon/monitor.go
+++ b/internal/daemon/monitor.go
@@ -96,6 +96,6 @@
 	for _, total := range view.Totals {
 		likely = append(likely, math.Round(10*total.Likely)/10)
 	}
-	m.log.Debug("shared", "heard", view.Heard, "missing", view.Missing, "age", time.Duration(view.Age),
-		"never", view.Never, "likely", fmt.Sprint(likely))
+	m.log.Debug("shared", "heard", view.CoveredCount, "missing", view.MissingCount, "age", time.Duration(view.Age),
+		"never", view.NoDigest, "likely", fmt.Sprint(likely))
 }
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -30,7 +30,7 @@
 // newReloader returns the reloader of a daemon, which as yet applies no classes.
 func newReloader(d *daemon) *reloader {
 	return &reloader{
-		signals:     d.options.Hup,
+		signals:     d.options.ReloadSignals,
 		getenv:      d.options.Getenv,
 		initial:     d.cfg,
 		watcher:     d.watcher,
@@ -76,11 +76,11 @@
 
 // reload reads the configuration and applies its classes.
 func (r *reloader) reload() (*platform.Config, error) {
-	cfg, err := platform.Load(r.getenv)
+	cfg, err := platform.LoadConfig(r.getenv)
 	if err != nil {
 		return nil, err
 	}
-	if err := cfg.Fits(r.initial); err != nil {
+	if err := cfg.CheckReload(r.initial); err != nil {
 		return nil, err
 	}
 	if r.apply == nil {
--- a/internal/daemon/sockets.go
+++ b/internal/daemon/sockets.go
@@ -29,10 +29,10 @@
 func newSocketBudget(cfg *platform.Config, options Options) socketBudget {
 	clients, others := cfg.Sockets/clientDivisor+cfg.Sockets/spareClientDivisor, reservedSockets
 	if options.Webhooks != nil {
-		others += webhook.MaxConns + webhook.MaxOut
+		others += webhook.MaxConns + webhook.MaxDeliveryConns
 	}
 	if http2 := http2Options(options.File); http2 != nil {
-		others += http2.Places() + 1 // its listener
+		others += http2.MaxConns() + 1 // its listener
 	}
 	return socketBudget{
 		clients:     clients,
--- a/internal/daemon/start.go
+++ b/internal/daemon/start.go
@@ -15,7 +15,7 @@
 // clients, which serve uses. The webhook and HTTP/2 servers end with ctx and report it on their
 // channels; the rest ends with d.background.
 func (d *daemon) start(ctx context.Context) (net.Listener, error) {
-	listener, err := platform.ListenThrough(ctx, d.options.Network, d.cfg.Listen)
+	listener, err := platform.ListenBehind(ctx, d.options.Network, d.cfg.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: listen: %w", err)
 	}
@@ -27,9 +27,9 @@
 	if err := d.startWebhooks(ctx); err != nil {
 		return nil, err
 	}
-	d.server = platform.NewFront(d.core, d.cfg.Setup)
-	d.server.Gate = d.console.Ready
-	d.server.Violated = d.recordViolation
+	d.server = platform.NewServer(d.core, d.cfg.Settings)
+	d.server.ReadinessGate = d.console.Ready
+	d.server.OnViolation = d.recordViolation
 	d.reloader.apply = newClassTuner(d.cfg, d.core, d.server, d.workers).apply
 	go d.reloader.run(d.background)
 	if err := d.startConsole(ctx); err != nil {
@@ -45,18 +45,18 @@
 // startEndpointWatch starts to follow the endpoint list, through the endpoint cache if there is
 // one. close waits for the cache.
 func (d *daemon) startEndpointWatch() {
-	d.watcher = platform.NewChannel(d.cfg, d.log)
-	d.watcher.Through(d.options.Network)
+	d.watcher = platform.NewEndpointWatcher(d.cfg, d.log)
+	d.watcher.SetNetwork(d.options.Network)
 	if d.endpointCache == nil {
-		go func() { _ = oakthread.EndpointWatcher(d.watcher).Watch(d.background, d.console.Listed) }()
+		go func() { _ = oakthread.EndpointWatcher(d.watcher).Watch(d.background, d.console.UpdateEndpoints) }()
 		return
 	}
-	addrs := d.options.File.List.Discovery
+	addrs := d.options.File.EndpointCache.Discovery
 	if len(addrs) == 0 && d.cfg.Channel != "" {
 		addrs = []string{d.cfg.Channel}
 	}
 	dialer := endpoints.NewDialer(addrs, d.cfg.Seed)
-	d.watcher.Keep(d.endpointCache.Cursor(), d.endpointCache.Epoch(), dialer)
+	d.watcher.ResumeFrom(d.endpointCache.Cursor(), d.endpointCache.Epoch(), dialer)
 	d.cacheClosed = make(chan struct{})
 	go func() {
 		defer close(d.cacheClosed)
@@ -97,7 +97,8 @@
 	}
 	d.log.Info("http2: serving", "listen", options.Listen)
 	go func() {
-		d.http2Ended <- h2.Serve(ctx, listener, d.server, *options, linger, d.drainTimeout(), d.log)
+		drain := h2.Drain{Linger: linger, Timeout: d.drainTimeout()}
+		d.http2Ended <- h2.Serve(ctx, listener, d.server, *options, drain, d.log)
 	}()
 	return nil
 }
--- a/internal/daemon/webhooks.go
+++ b/internal/daemon/webhooks.go
@@ -39,11 +39,11 @@
 // webhookClasses returns the classes of the configuration as the webhook server needs them.
 func webhookClasses(cfg *platform.Config) []webhook.Class {
 	var classes []webhook.Class
-	for i, class := range cfg.Setup.Decide().Classes {
+	for i, class := range cfg.Settings.BalancerSettings().Classes {
 		classes = append(classes, webhook.Class{
-			Name:   cfg.Setup.Categories[i].Name,
-			GiveUp: time.Duration(class.ClientTimeout),
-			Effect: class.Idempotency,
+			Name:        cfg.Settings.Categories[i].Name,
+			Timeout:     time.Duration(class.ClientTimeout),
+			Idempotency: class.Idempotency,
 		})
 	}
 	return classes
@@ -52,7 +52,7 @@
 // tenantNames returns the names of the tenants by their index.
 func tenantNames(cfg *platform.Config) []string {
 	var names []string
-	for _, customer := range cfg.Setup.Customers {
+	for _, customer := range cfg.Settings.Customers {
 		names = append(names, customer.Name)
 	}
 	return names
--- a/internal/endpointcache/durability_test.go
+++ b/internal/endpointcache/durability_test.go
@@ -155,7 +155,7 @@
 		assert.FileExists(t, path+".damaged")
 		replaced = true
 	}
-	for _, endpoint := range found.Kept.Endpoints {
+	for _, endpoint := range found.Snapshot.Endpoints {
 		assert.Equal(t, want[endpoint.ID], endpoint, "only valid records")
 	}
 	if err := store.Write(sample(5)); err != nil {
@@ -166,7 +166,7 @@
 	require.NoError(t, store.Close())
 	found, err = Read(path, "d1")
 	require.NoError(t, err)
-	assert.Len(t, found.Kept.Endpoints, 5)
+	assert.Len(t, found.Snapshot.Endpoints, 5)
 	return replaced
 }
 
@@ -187,9 +187,9 @@
 		_ = cmd.Wait()
 		found, err := Read(path, "d1")
 		require.NoError(t, err)
-		require.Len(t, found.Kept.Endpoints, 50)
-		for _, endpoint := range found.Kept.Endpoints {
-			assert.Equal(t, int(found.Kept.Cursor), endpoint.Cell)
+		require.Len(t, found.Snapshot.Endpoints, 50)
+		for _, endpoint := range found.Snapshot.Endpoints {
+			assert.Equal(t, int(found.Snapshot.Cursor), endpoint.Cell)
 		}
 	}
 }
@@ -205,5 +205,5 @@
 	assert.Equal(t, "too long: true\nshort: <nil>\nclosed: <nil>\n", string(out))
 	found, err := Read(path, "d1")
 	require.NoError(t, err)
-	assert.Len(t, found.Kept.Endpoints, 30)
+	assert.Len(t, found.Snapshot.Endpoints, 30)
 }
--- a/internal/endpointcache/golden_test.go
+++ b/internal/endpointcache/golden_test.go
@@ -32,7 +32,7 @@
 func storedList() endpoints.Snapshot {
 	at := func(n int) time.Time { return startTime.Add(time.Duration(n) * (time.Hour + time.Nanosecond)) }
 	return endpoints.Snapshot{
-		Epoch: "epoch-3", Cursor: 1 << 40, Confirmed: at(1), Saved: at(2),
+		Epoch: "epoch-3", Cursor: 1 << 40, ConfirmedAt: at(1), SavedAt: at(2),
 		Endpoints: []endpoints.Endpoint{
 			{
 				ID: 1, Addr: "127.0.0.1:7001", Zone: 6, Kind: 3, Cell: 4, State: balancer.Active, Weight: 5.5,
@@ -53,12 +53,12 @@
 			},
 		},
 		History: endpoints.History{
-			Watched: 90*time.Hour + 1, Leaves: 3.5, Returns: 1.25,
+			ObservedTime: 90*time.Hour + 1, Departures: 3.5, Restarts: 1.25,
 			Events: []endpoints.Event{
-				{At: at(-6), Worker: 1, What: endpoints.Joined},
-				{At: at(-5), Worker: 12, What: endpoints.Left},
-				{At: at(-4), Worker: 23, What: endpoints.Restarted},
-				{At: at(-3), Worker: math.MaxUint32, What: endpoints.Drained},
+				{At: at(-6), Worker: 1, Kind: endpoints.Joined},
+				{At: at(-5), Worker: 12, Kind: endpoints.Left},
+				{At: at(-4), Worker: 23, Kind: endpoints.Restarted},
+				{At: at(-3), Worker: math.MaxUint32, Kind: endpoints.Drained},
 			},
 		},
 	}
@@ -122,7 +122,7 @@
 
 // A file of an earlier build is read with every field of every record.
 func TestStoredListIsReadable(t *testing.T) {
-	want := Found{Kept: storedList(), Owner: goldenOwner, Schema: 2}
+	want := Contents{Snapshot: storedList(), Owner: goldenOwner, Schema: 2}
 	path := copyOf(t, goldenList)
 	f, err := Read(path, goldenOwner)
 	require.NoError(t, err)
--- a/internal/endpointcache/inspect.go
+++ b/internal/endpointcache/inspect.go
@@ -21,11 +21,11 @@
 	if err != nil {
 		return nil, err
 	}
-	if found.Unsound > 0 {
-		faults = append(faults, fmt.Sprintf("%d records fail their checksum", found.Unsound))
+	if found.CorruptRecords > 0 {
+		faults = append(faults, fmt.Sprintf("%d records fail their checksum", found.CorruptRecords))
 	}
 	byAddr := map[string]balancer.WorkerID{}
-	for _, endpoint := range found.Kept.Endpoints {
+	for _, endpoint := range found.Snapshot.Endpoints {
 		if other, isDuplicate := byAddr[endpoint.Addr]; isDuplicate && endpoint.Addr != "" {
 			faults = append(faults, fmt.Sprintf("boxes s-%08x and s-%08x have one address, %s",
 				uint32(other), uint32(endpoint.ID), endpoint.Addr))
@@ -35,9 +35,9 @@
 	return faults, nil
 }
 
-// Snapshot reads a file that a dispatcher may have open, from a copy made while nothing was
+// ReadShared reads a file that a dispatcher may have open, from a copy made while nothing was
 // written. It changes nothing.
-func Snapshot(path string) (Found, error) {
+func ReadShared(path string) (Contents, error) {
 	found, err := Read(path, "")
 	if !errors.Is(err, ErrInUse) {
 		return found, err
@@ -52,19 +52,19 @@
 
 // readCopy reads a temporary copy of the file. It fails if the file was written while it was
 // copied.
-func readCopy(path string) (Found, error) {
+func readCopy(path string) (Contents, error) {
 	raw, err := readUnchanged(path)
 	if err != nil {
-		return Found{}, err
+		return Contents{}, err
 	}
 	temporary, err := os.CreateTemp("", "oakthread-list-*")
 	if err != nil {
-		return Found{}, err
+		return Contents{}, err
 	}
 	defer os.Remove(temporary.Name())
 	_, err = temporary.Write(raw)
 	if err = errors.Join(err, temporary.Close()); err != nil {
-		return Found{}, err
+		return Contents{}, err
 	}
 	return Read(temporary.Name(), "")
 }
--- a/internal/endpointcache/record.go
+++ b/internal/endpointcache/record.go
@@ -84,12 +84,12 @@
 func eventKey(event endpoints.Event) []byte {
 	key := binary.BigEndian.AppendUint64(nil, uint64(nanosFromTime(event.At)))
 	key = binary.BigEndian.AppendUint32(key, uint32(event.Worker))
-	return append(key, byte(event.What))
+	return append(key, byte(event.Kind))
 }
 
 // encodeEvent returns the record of an event.
 func encodeEvent(event endpoints.Event) *keptpb.Event {
-	return &keptpb.Event{At: nanosFromTime(event.At), Worker: uint32(event.Worker), What: int32(event.What)}
+	return &keptpb.Event{At: nanosFromTime(event.At), Worker: uint32(event.Worker), What: int32(event.Kind)}
 }
 
 // decodeEvent returns the event of a sealed record, and false if the record is invalid.
@@ -101,7 +101,7 @@
 	return endpoints.Event{
 		At:     timeFromNanos(record.At),
 		Worker: balancer.WorkerID(record.Worker),
-		What:   endpoints.What(record.What),
+		Kind:   endpoints.EventKind(record.What),
 	}, true
 }
 
@@ -112,28 +112,28 @@
 		Owner:     owner,
 		Epoch:     snapshot.Epoch,
 		Cursor:    snapshot.Cursor,
-		Confirmed: nanosFromTime(snapshot.Confirmed),
-		Saved:     nanosFromTime(snapshot.Saved),
-		Watched:   int64(snapshot.History.Watched),
-		Leaves:    snapshot.History.Leaves,
-		Returns:   snapshot.History.Returns,
+		Confirmed: nanosFromTime(snapshot.ConfirmedAt),
+		Saved:     nanosFromTime(snapshot.SavedAt),
+		Watched:   int64(snapshot.History.ObservedTime),
+		Leaves:    snapshot.History.Departures,
+		Returns:   snapshot.History.Restarts,
 	}
 }
 
 // decodeHead returns the contents that a head record describes, without endpoints and events.
-func decodeHead(head *keptpb.Head) Found {
-	return Found{
+func decodeHead(head *keptpb.Head) Contents {
+	return Contents{
 		Owner:  head.Owner,
 		Schema: int(head.Schema),
-		Kept: endpoints.Snapshot{
-			Epoch:     head.Epoch,
-			Cursor:    head.Cursor,
-			Confirmed: timeFromNanos(head.Confirmed),
-			Saved:     timeFromNanos(head.Saved),
+		Snapshot: endpoints.Snapshot{
+			Epoch:       head.Epoch,
+			Cursor:      head.Cursor,
+			ConfirmedAt: timeFromNanos(head.Confirmed),
+			SavedAt:     timeFromNanos(head.Saved),
 			History: endpoints.History{
-				Watched: time.Duration(head.Watched),
-				Leaves:  head.Leaves,
-				Returns: head.Returns,
+				ObservedTime: time.Duration(head.Watched),
+				Departures:   head.Leaves,
+				Restarts:     head.Returns,
 			},
 		},
 	}
--- a/internal/endpointcache/run.go
+++ b/internal/endpointcache/run.go
@@ -59,25 +59,25 @@
 		s.collectActions()
 	}
 	actions, s.pending = s.pending, endpoints.Actions{}
-	if actions.Save || actions.Urgent {
-		s.saver.request(saveRequest{snapshot: s.list.TakeSnapshot(now), urgent: actions.Urgent, requestedAt: now})
+	if actions.Save || actions.SaveUrgently {
+		s.saver.request(saveRequest{snapshot: s.list.TakeSnapshot(now), urgent: actions.SaveUrgently, requestedAt: now})
 	}
 	return actions, s.list.NextDeadline()
 }
 
 // carryOut publishes, logs and starts health checks.
 func (s *Syncer) carryOut(ctx context.Context, actions endpoints.Actions, background *sync.WaitGroup) {
-	for _, publication := range actions.Publish {
+	for _, publication := range actions.Publications {
 		update := oakthread.EndpointUpdate{Kind: publication.Kind}
 		for _, endpoint := range publication.Endpoints {
-			update.Endpoints = append(update.Endpoints, Member(endpoint))
+			update.Endpoints = append(update.Endpoints, ToCoreEndpoint(endpoint))
 		}
 		s.publish(update)
 	}
 	for _, event := range actions.Log {
 		s.log.LogAttrs(ctx, slog.LevelInfo, event.Message, event.Attrs...)
 	}
-	for _, endpoint := range actions.Probe {
+	for _, endpoint := range actions.HealthChecks {
 		background.Go(func() { s.checkHealth(ctx, endpoint) })
 	}
 }
@@ -103,22 +103,22 @@
 func (s *Syncer) checkHealth(ctx context.Context, endpoint endpoints.Endpoint) {
 	checkCtx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
 	defer cancel()
-	reply := s.checker.HealthCheck(checkCtx, Member(endpoint))
-	observation, isMeaningful := Sign(reply.Result, reply.Draining)
+	reply := s.checker.HealthCheck(checkCtx, ToCoreEndpoint(endpoint))
+	observation, isMeaningful := ObservationOf(reply.Result, reply.Draining)
 	if !isMeaningful {
 		if errors.Is(ctx.Err(), context.Canceled) {
 			return
 		}
-		observation = endpoints.Silent
+		observation = endpoints.TimedOut
 	}
 	if observation == endpoints.Answered && s.isOverloaded(reply.Report) {
-		observation = endpoints.Slow
+		observation = endpoints.AnsweredLate
 	}
-	s.apply(func(now time.Time, list *endpoints.List) { list.Probed(now, endpoint.ID, observation) })
+	s.apply(func(now time.Time, list *endpoints.List) { list.HandleHealthCheck(now, endpoint.ID, observation) })
 }
 
 // isOverloaded reports whether a load report has a CPU utilization above maxUtilization.
 func (s *Syncer) isOverloaded(report []float64) bool {
-	field := s.options.Util - 1
+	field := s.options.UtilizationField - 1
 	return field >= 0 && field < len(report) && report[field] > maxUtilization
 }
--- a/internal/endpointcache/saver.go
+++ b/internal/endpointcache/saver.go
@@ -53,18 +53,18 @@
 }
 
 // open opens the file before run and returns what it held.
-func (s *saver) open() Found {
+func (s *saver) open() Contents {
 	if s.path == "" {
-		return Found{None: true}
+		return Contents{IsEmpty: true}
 	}
 	store, found, err := Open(s.path, s.owner)
 	if err != nil {
 		s.log.Error("cached endpoint list not used", "error", err)
 	}
 	s.store = store
-	if found.Unsound > 0 {
-		s.log.Error("cached endpoint list partially read", "corrupt_records", found.Unsound,
-			"endpoints", len(found.Kept.Endpoints))
+	if found.CorruptRecords > 0 {
+		s.log.Error("cached endpoint list partially read", "corrupt_records", found.CorruptRecords,
+			"endpoints", len(found.Snapshot.Endpoints))
 	}
 	if found.Schema > 0 && found.Schema < Schema {
 		s.log.Info("cached endpoint list of an older schema", "schema", found.Schema)
--- a/internal/endpointcache/saver_test.go
+++ b/internal/endpointcache/saver_test.go
@@ -17,7 +17,7 @@
 // succeeds.
 func TestFailedWritesAreTriedAgain(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list.db")
-	syncer := NewKeeper(Options{Path: path, Owner: "d1"}, nil, func(oakthread.EndpointUpdate) {}, monotime.Now(),
+	syncer := NewSyncer(Options{Path: path, Owner: "d1"}, nil, func(oakthread.EndpointUpdate) {}, monotime.Now(),
 		slog.New(slog.DiscardHandler))
 	saver := syncer.saver
 	working := saver.store
@@ -48,5 +48,5 @@
 	require.NoError(t, working.Close())
 	found, err := Read(path, "d1")
 	require.NoError(t, err)
-	assert.Len(t, found.Kept.Endpoints, 3)
+	assert.Len(t, found.Snapshot.Endpoints, 3)
 }
--- a/internal/endpointcache/store.go
+++ b/internal/endpointcache/store.go
@@ -56,21 +56,21 @@
 	owner string
 }
 
-// Found is what a file held.
-type Found struct {
-	Kept    endpoints.Snapshot
-	Owner   string
-	Schema  int
-	Unsound int  // records that failed their checksum and were left out
-	None    bool // the file was new or empty
+// Contents is what a file held.
+type Contents struct {
+	Snapshot       endpoints.Snapshot
+	Owner          string
+	Schema         int
+	CorruptRecords int  // records that failed their checksum and were left out
+	IsEmpty        bool // the file was new or empty
 }
 
 // Open opens or creates the file of a dispatcher and reads it. A damaged file is renamed to
 // PATH.damaged and replaced by an empty one; the error then wraps ErrDamaged and comes with a Store
 // that works. Any other error comes without a Store, and the file is unchanged.
-func Open(path, owner string) (*Store, Found, error) {
+func Open(path, owner string) (*Store, Contents, error) {
 	if err := os.MkdirAll(filepath.Dir(path), dirMode); err != nil {
-		return nil, Found{None: true}, fmt.Errorf("list file %s: %w", path, err)
+		return nil, Contents{IsEmpty: true}, fmt.Errorf("list file %s: %w", path, err)
 	}
 	store, found, err := open(path, owner, false)
 	if !errors.Is(err, ErrDamaged) {
@@ -78,18 +78,18 @@
 	}
 	aside := path + damagedSuffix
 	if renameErr := os.Rename(path, aside); renameErr != nil {
-		return nil, Found{None: true}, fmt.Errorf("%w; it cannot be put aside: %w", err, renameErr)
+		return nil, Contents{IsEmpty: true}, fmt.Errorf("%w; it cannot be put aside: %w", err, renameErr)
 	}
 	store, found, reopenErr := open(path, owner, false)
 	if reopenErr != nil {
-		return nil, Found{None: true}, reopenErr
+		return nil, Contents{IsEmpty: true}, reopenErr
 	}
 	return store, found, fmt.Errorf("%w; put aside as %s", err, aside)
 }
 
 // Read reads a file that no process has open, and leaves it as it is. An empty owner reads the file
 // of any dispatcher.
-func Read(path, owner string) (Found, error) {
+func Read(path, owner string) (Contents, error) {
 	store, found, err := open(path, owner, true)
 	if err != nil {
 		return found, err
@@ -98,10 +98,10 @@
 }
 
 // open opens the file, reads it and checks that the owner may use it.
-func open(path, owner string, readOnly bool) (*Store, Found, error) {
+func open(path, owner string, readOnly bool) (*Store, Contents, error) {
 	if readOnly {
 		if _, err := os.Stat(path); err != nil {
-			return nil, Found{}, fmt.Errorf("list file: %w", err)
+			return nil, Contents{}, fmt.Errorf("list file: %w", err)
 		}
 	}
 	db, found, err := openDatabase(path, readOnly)
@@ -112,13 +112,13 @@
 		if db != nil {
 			_ = recoverFaults(db.Close)
 		}
-		return nil, Found{None: true}, fmt.Errorf("list file %s: %w", path, err)
+		return nil, Contents{IsEmpty: true}, fmt.Errorf("list file %s: %w", path, err)
 	}
 	return &Store{db: db, path: path, owner: owner}, found, nil
 }
 
 // openDatabase opens and reads the database. It may return a database beside an error.
-func openDatabase(path string, readOnly bool) (db *bbolt.DB, found Found, err error) {
+func openDatabase(path string, readOnly bool) (db *bbolt.DB, found Contents, err error) {
 	// The list of free pages is stored in the file. Without it the database walks all pages at each
 	// start on a goroutine of its own, where a panic over a torn page cannot be recovered.
 	options := &bbolt.Options{Timeout: lockTimeout, ReadOnly: readOnly, FreelistType: bbolt.FreelistMapType}
@@ -161,8 +161,8 @@
 }
 
 // checkUsable returns an error if the file is another owner's or has a later schema.
-func (f Found) checkUsable(owner string) error {
-	if !f.None && owner != "" && f.Owner != owner {
+func (f Contents) checkUsable(owner string) error {
+	if !f.IsEmpty && owner != "" && f.Owner != owner {
 		return fmt.Errorf("%w: %q, not %q", ErrOwner, f.Owner, owner)
 	}
 	if f.Schema > Schema {
--- a/internal/endpointcache/syncer.go
+++ b/internal/endpointcache/syncer.go
@@ -19,11 +19,11 @@
 
 // Options are the settings of the cached list, the [list] section of the operator's file.
 type Options struct {
-	Path   string // of the list's file; "": the list is not saved
-	Owner  string // name of the dispatcher
-	Roster endpoints.Config
-	Aims   []time.Duration // latency objective by class; an answer later than half of it is slow
-	Util   int             // 1 + index of the CPU utilization in a load report; 0: not reported
+	Path              string // of the list's file; "": the list is not saved
+	Owner             string // name of the dispatcher
+	List              endpoints.Config
+	LatencyObjectives []time.Duration // latency objective by class; an answer later than half of it is slow
+	UtilizationField  int             // 1 + index of the CPU utilization in a load report; 0: not reported
 }
 
 // Syncer keeps an endpoints.List synchronized with service discovery, attempts and health checks,
@@ -42,10 +42,10 @@
 	pending endpoints.Actions
 }
 
-// NewKeeper opens the file and starts the list from it. A fault of the file is logged, and the list
+// NewSyncer opens the file and starts the list from it. A fault of the file is logged, and the list
 // starts from the records that are valid. Run passes updates to publish, in order, from one
 // goroutine.
-func NewKeeper(options Options, checker HealthChecker, publish func(oakthread.EndpointUpdate), now time.Time,
+func NewSyncer(options Options, checker HealthChecker, publish func(oakthread.EndpointUpdate), now time.Time,
 	log *slog.Logger,
 ) *Syncer {
 	s := &Syncer{
@@ -55,18 +55,18 @@
 		log:     log,
 		saver:   newSaver(options.Path, options.Owner, log),
 		wake:    make(chan struct{}, 1),
-		list:    endpoints.New(options.Roster),
+		list:    endpoints.New(options.List),
 	}
-	if found := s.saver.open(); !found.None {
-		s.list.Restore(now, found.Kept)
+	if found := s.saver.open(); !found.IsEmpty {
+		s.list.Restore(now, found.Snapshot)
 		s.pending = s.list.TakeActions()
 	}
 	return s
 }
 
-// Known applies the updates of the configuration unless the cached list is newer. It is called
+// ApplyConfigured applies the updates of the configuration unless the cached list is newer. It is called
 // before Run.
-func (s *Syncer) Known(now time.Time, cursor int64, updates []oakthread.EndpointUpdate) {
+func (s *Syncer) ApplyConfigured(now time.Time, cursor int64, updates []oakthread.EndpointUpdate) {
 	if len(updates) == 0 || cursor < s.list.Cursor() {
 		return
 	}
@@ -90,36 +90,36 @@
 	return s.list.Epoch()
 }
 
-// Rows returns the report on all endpoints.
-func (s *Syncer) Rows() []endpoints.Row {
+// Report returns the report on all endpoints.
+func (s *Syncer) Report() []endpoints.EndpointReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.list.Rows(monotime.Now())
+	return s.list.Report(monotime.Now())
 }
 
 // FailedWrites returns the number of failed writes of the list. Each is retried.
 func (s *Syncer) FailedWrites() int64 { return s.saver.failures.Load() }
 
-// Told handles a watch event of service discovery.
-func (s *Syncer) Told(update oakthread.EndpointUpdate, epoch string, cursor int64) {
+// HandleUpdate handles a watch event of service discovery.
+func (s *Syncer) HandleUpdate(update oakthread.EndpointUpdate, epoch string, cursor int64) {
 	s.apply(func(now time.Time, list *endpoints.List) {
 		list.HandleUpdate(now, toListUpdate(update, epoch, cursor))
 	})
 }
 
-// Current handles the confirmation of service discovery that the list is current.
-func (s *Syncer) Current() {
-	s.apply(func(now time.Time, list *endpoints.List) { list.ConfirmCurrent(now) })
+// HandleHeartbeat handles the confirmation of service discovery that the list is current.
+func (s *Syncer) HandleHeartbeat() {
+	s.apply(func(now time.Time, list *endpoints.List) { list.HandleConfirmation(now) })
 }
 
-// Lost handles the end of the connection to service discovery.
-func (s *Syncer) Lost() {
-	s.apply(func(now time.Time, list *endpoints.List) { list.WatchLost(now) })
+// HandleLoss handles the end of the connection to service discovery.
+func (s *Syncer) HandleLoss() {
+	s.apply(func(now time.Time, list *endpoints.List) { list.HandleWatchLost(now) })
 }
 
-// StartedOver handles a service discovery that numbers its events anew.
-func (s *Syncer) StartedOver() {
-	s.apply(func(now time.Time, list *endpoints.List) { list.ResetWatch(now) })
+// HandleRestart handles a service discovery that numbers its events anew.
+func (s *Syncer) HandleRestart() {
+	s.apply(func(now time.Time, list *endpoints.List) { list.HandleWatchReset(now) })
 }
 
 // Admit decides whether a request is admitted now; a rejected one is to return after retryAfter.
@@ -133,21 +133,21 @@
 
 // Observe handles the result of an attempt or a load order.
 func (s *Syncer) Observe(result oakthread.Observation) {
-	observation, isMeaningful := Sign(result.Result, result.Draining)
+	observation, isMeaningful := ObservationOf(result.Result, result.Draining)
 	if !isMeaningful {
 		return
 	}
 	if observation == endpoints.Answered && s.isLate(result) {
-		observation = endpoints.Slow
+		observation = endpoints.AnsweredLate
 	}
-	s.apply(func(now time.Time, list *endpoints.List) { list.Observe(now, result.Worker, observation) })
+	s.apply(func(now time.Time, list *endpoints.List) { list.HandleObservation(now, result.Worker, observation) })
 }
 
 // isLate reports whether an attempt on a loaded function took more than half of its latency
 // objective.
 func (s *Syncer) isLate(result oakthread.Observation) bool {
-	return result.Kind == oakthread.ObservedAttempt && result.Class < len(s.options.Aims) && result.Warm &&
-		result.Duration > s.options.Aims[result.Class]/2
+	return result.Kind == oakthread.ObservedAttempt && result.Class < len(s.options.LatencyObjectives) && result.Warm &&
+		result.Duration > s.options.LatencyObjectives[result.Class]/2
 }
 
 // apply runs event on the list and wakes Run to carry out the actions that result.
@@ -162,11 +162,11 @@
 // mu held, or before Run.
 func (s *Syncer) collectActions() {
 	actions := s.list.TakeActions()
-	s.pending.Publish = append(s.pending.Publish, actions.Publish...)
-	s.pending.Probe = append(s.pending.Probe, actions.Probe...)
+	s.pending.Publications = append(s.pending.Publications, actions.Publications...)
+	s.pending.HealthChecks = append(s.pending.HealthChecks, actions.HealthChecks...)
 	s.pending.Log = append(s.pending.Log, actions.Log...)
 	s.pending.Save = s.pending.Save || actions.Save
-	s.pending.Urgent = s.pending.Urgent || actions.Urgent
+	s.pending.SaveUrgently = s.pending.SaveUrgently || actions.SaveUrgently
 	if !hasActions(actions) {
 		return
 	}
@@ -178,8 +178,8 @@
 
 // hasActions reports whether there is anything to carry out.
 func hasActions(actions endpoints.Actions) bool {
-	count := len(actions.Publish) + len(actions.Probe) + len(actions.Log)
-	return count > 0 || actions.Save || actions.Urgent
+	count := len(actions.Publications) + len(actions.HealthChecks) + len(actions.Log)
+	return count > 0 || actions.Save || actions.SaveUrgently
 }
 
 // toListUpdate converts a watch event for the list.
@@ -194,31 +194,31 @@
 	return converted
 }
 
-// Member returns a list's endpoint as the core has it.
-func Member(endpoint endpoints.Endpoint) oakthread.Endpoint {
+// ToCoreEndpoint returns a list's endpoint as the core has it.
+func ToCoreEndpoint(endpoint endpoints.Endpoint) oakthread.Endpoint {
 	return oakthread.Endpoint{
 		ID: endpoint.ID, Addr: endpoint.Addr, Zone: endpoint.Zone, Kind: endpoint.Kind, Cell: endpoint.Cell,
 		State: endpoint.State, Weight: endpoint.Weight, Start: endpoint.Start,
 	}
 }
 
-// Sign returns what the result of an attempt, health check or load order shows about the worker,
+// ObservationOf returns what the result of an attempt, health check or load order shows about the worker,
 // and false if it shows nothing, as where the attempt was canceled or never written.
-func Sign(result balancer.Result, isDraining bool) (observation endpoints.Observation, isMeaningful bool) {
+func ObservationOf(result balancer.Result, isDraining bool) (observation endpoints.Observation, isMeaningful bool) {
 	if isDraining {
-		return endpoints.Drains, true
+		return endpoints.ReportedDraining, true
 	}
 	switch result {
 	case balancer.OK, balancer.NotLoaded:
 		return endpoints.Answered, true
 	case balancer.QueueFull:
-		return endpoints.Busy, true
+		return endpoints.Overloaded, true
 	case balancer.ConnectFailed:
-		return endpoints.Refused, true
+		return endpoints.ConnectionRefused, true
 	case balancer.Timeout:
-		return endpoints.Silent, true
+		return endpoints.TimedOut, true
 	case balancer.Error, balancer.Reset:
-		return endpoints.Broken, true
+		return endpoints.ConnectionBroken, true
 	case balancer.Cancelled, balancer.NotSent:
 	}
 	return 0, false
--- a/internal/endpointcache/syncer_test.go
+++ b/internal/endpointcache/syncer_test.go
@@ -41,7 +41,7 @@
 func startSyncer(t *testing.T, options Options, replies map[balancer.WorkerID]oakthread.Reply) runningSyncer {
 	t.Helper()
 	published, log := make(chan oakthread.EndpointUpdate, 64), &logBuffer{}
-	syncer := NewKeeper(options, &fakeChecker{replies: replies},
+	syncer := NewSyncer(options, &fakeChecker{replies: replies},
 		func(update oakthread.EndpointUpdate) { published <- update }, time.Now(),
 		slog.New(slog.NewTextHandler(log, nil)))
 	ctx, cancel := context.WithCancel(t.Context())
@@ -55,7 +55,7 @@
 	t.Helper()
 	for begun := time.Now(); ; {
 		found, err := readCopy(path)
-		if err == nil && len(found.Kept.Endpoints) == 3 && found.Kept.Endpoints[2].State == balancer.Draining {
+		if err == nil && len(found.Snapshot.Endpoints) == 3 && found.Snapshot.Endpoints[2].State == balancer.Draining {
 			return
 		}
 		require.Less(t, time.Since(begun), 10*time.Second)
@@ -66,7 +66,7 @@
 // full list when the watch is restored.
 func TestRestartFromFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list.db")
-	options := Options{Path: path, Owner: "d1", Roster: endpoints.Config{Siblings: 2}}
+	options := Options{Path: path, Owner: "d1", List: endpoints.Config{Dispatchers: 2}}
 	syncer := startSyncer(t, options, nil)
 	full := oakthread.EndpointUpdate{Kind: balancer.EndpointsSnapshot}
 	for id := 1; id <= 3; id++ {
@@ -74,12 +74,12 @@
 			ID: balancer.WorkerID(id), Addr: "127.0.0.1:91", State: balancer.Active, Weight: 2,
 		})
 	}
-	syncer.Told(full, "e1", 5)
+	syncer.HandleUpdate(full, "e1", 5)
 	assert.Equal(t, full, <-syncer.published)
 	drain := oakthread.EndpointUpdate{Endpoints: []oakthread.Endpoint{full.Endpoints[2]}}
 	drain.Endpoints[0].State = balancer.Draining
 	reportedAt := time.Now()
-	syncer.Told(drain, "e1", 6)
+	syncer.HandleUpdate(drain, "e1", 6)
 	assert.Equal(t, balancer.Draining, (<-syncer.published).Endpoints[0].State)
 	waitForDrainOnDisk(t, path)
 	t.Logf("a drain was on disk %v after the report", time.Since(reportedAt))
@@ -102,14 +102,14 @@
 		changed := (<-syncer.published).Endpoints[0]
 		isRemoved = changed.ID == 1 && changed.State == balancer.Removed
 	}
-	syncer.Current()
+	syncer.HandleHeartbeat()
 	states := map[balancer.WorkerID]balancer.EndpointState{}
 	for states[1] != balancer.Active || states[2] != balancer.Active {
 		for _, endpoint := range (<-syncer.published).Endpoints {
 			states[endpoint.ID] = endpoint.State
 		}
 	}
-	assert.Len(t, syncer.Rows(), 3)
+	assert.Len(t, syncer.Report(), 3)
 	syncer.stop()
 }
 
@@ -120,7 +120,7 @@
 	require.NoError(t, err)
 	defer func() { require.NoError(t, held.Close()) }()
 	syncer := startSyncer(t, Options{Path: path, Owner: "d1"}, nil)
-	syncer.Told(oakthread.EndpointUpdate{
+	syncer.HandleUpdate(oakthread.EndpointUpdate{
 		Kind: balancer.EndpointsSnapshot, Endpoints: []oakthread.Endpoint{{ID: 1, State: balancer.Active}},
 	}, "", 1)
 	assert.Len(t, (<-syncer.published).Endpoints, 1)
@@ -134,34 +134,34 @@
 	for result, want := range map[balancer.Result]endpoints.Observation{
 		balancer.OK:            endpoints.Answered,
 		balancer.NotLoaded:     endpoints.Answered,
-		balancer.QueueFull:     endpoints.Busy,
-		balancer.ConnectFailed: endpoints.Refused,
-		balancer.Timeout:       endpoints.Silent,
-		balancer.Error:         endpoints.Broken,
-		balancer.Reset:         endpoints.Broken,
+		balancer.QueueFull:     endpoints.Overloaded,
+		balancer.ConnectFailed: endpoints.ConnectionRefused,
+		balancer.Timeout:       endpoints.TimedOut,
+		balancer.Error:         endpoints.ConnectionBroken,
+		balancer.Reset:         endpoints.ConnectionBroken,
 	} {
-		observation, isMeaningful := Sign(result, false)
+		observation, isMeaningful := ObservationOf(result, false)
 		assert.True(t, isMeaningful)
 		assert.Equal(t, want, observation, result)
 	}
 	for _, result := range []balancer.Result{balancer.Cancelled, balancer.NotSent} {
-		_, isMeaningful := Sign(result, false)
+		_, isMeaningful := ObservationOf(result, false)
 		assert.False(t, isMeaningful, result)
 	}
-	observation, _ := Sign(balancer.Error, true)
-	assert.Equal(t, endpoints.Drains, observation)
+	observation, _ := ObservationOf(balancer.Error, true)
+	assert.Equal(t, endpoints.ReportedDraining, observation)
 }
 
 func BenchmarkObserve(b *testing.B) {
-	options := Options{Aims: []time.Duration{time.Second}}
-	syncer := NewKeeper(options, nil, func(oakthread.EndpointUpdate) {}, time.Now(), slog.New(slog.DiscardHandler))
+	options := Options{LatencyObjectives: []time.Duration{time.Second}}
+	syncer := NewSyncer(options, nil, func(oakthread.EndpointUpdate) {}, time.Now(), slog.New(slog.DiscardHandler))
 	full := oakthread.EndpointUpdate{Kind: balancer.EndpointsSnapshot}
 	for i := range 60 {
 		full.Endpoints = append(full.Endpoints, oakthread.Endpoint{
 			ID: balancer.WorkerID(i), State: balancer.Active, Weight: 2,
 		})
 	}
-	syncer.Told(full, "", 1)
+	syncer.HandleUpdate(full, "", 1)
 	for b.Loop() {
 		syncer.Admit(nil)
 		syncer.Observe(oakthread.Observation{
--- a/internal/endpointcache/testing_test.go
+++ b/internal/endpointcache/testing_test.go
@@ -22,10 +22,10 @@
 // sample returns a snapshot with the given number of endpoints.
 func sample(count int) endpoints.Snapshot {
 	snapshot := endpoints.Snapshot{
-		Epoch: "e1", Cursor: 41, Confirmed: startTime, Saved: startTime.Add(time.Second),
+		Epoch: "e1", Cursor: 41, ConfirmedAt: startTime, SavedAt: startTime.Add(time.Second),
 		History: endpoints.History{
-			Watched: 90 * time.Hour, Leaves: 3, Returns: 1,
-			Events: []endpoints.Event{{At: startTime, Worker: 9, What: endpoints.Left}},
+			ObservedTime: 90 * time.Hour, Departures: 3, Restarts: 1,
+			Events: []endpoints.Event{{At: startTime, Worker: 9, Kind: endpoints.Left}},
 		},
 	}
 	for i := range count {
@@ -44,7 +44,7 @@
 	path := filepath.Join(t.TempDir(), "list.db")
 	store, found, err := Open(path, "d1")
 	require.NoError(t, err)
-	assert.True(t, found.None)
+	assert.True(t, found.IsEmpty)
 	require.NoError(t, store.Write(sample(count)))
 	require.NoError(t, store.Close())
 	return path
--- a/internal/endpointcache/transaction.go
+++ b/internal/endpointcache/transaction.go
@@ -20,14 +20,14 @@
 
 // readAll reads every record of the file. A file of a later schema is read no further than its
 // head.
-func readAll(tx *bbolt.Tx) (Found, error) {
+func readAll(tx *bbolt.Tx) (Contents, error) {
 	bucket := tx.Bucket(headBucket)
 	if bucket == nil {
-		return Found{None: true}, nil
+		return Contents{IsEmpty: true}, nil
 	}
 	var head keptpb.Head
 	if !unsealRecord(bucket.Get(headKey), &head) {
-		return Found{}, errMissingHead
+		return Contents{}, errMissingHead
 	}
 	found := decodeHead(&head)
 	if found.Schema > Schema {
@@ -40,32 +40,32 @@
 }
 
 // readEndpoints reads the records of the endpoints. Invalid ones are counted and left out.
-func (f *Found) readEndpoints(tx *bbolt.Tx) error {
+func (f *Contents) readEndpoints(tx *bbolt.Tx) error {
 	bucket := tx.Bucket(endpointBucket)
 	if bucket == nil {
 		return nil
 	}
 	return bucket.ForEach(func(key, sealed []byte) error {
 		if endpoint, ok := decodeEndpoint(key, sealed); ok {
-			f.Kept.Endpoints = append(f.Kept.Endpoints, endpoint)
+			f.Snapshot.Endpoints = append(f.Snapshot.Endpoints, endpoint)
 		} else {
-			f.Unsound++
+			f.CorruptRecords++
 		}
 		return nil
 	})
 }
 
 // readEvents reads the records of the history's events. Invalid ones are counted and left out.
-func (f *Found) readEvents(tx *bbolt.Tx) error {
+func (f *Contents) readEvents(tx *bbolt.Tx) error {
 	bucket := tx.Bucket(eventBucket)
 	if bucket == nil {
 		return nil
 	}
 	return bucket.ForEach(func(_, sealed []byte) error {
 		if event, ok := decodeEvent(sealed); ok {
-			f.Kept.History.Events = append(f.Kept.History.Events, event)
+			f.Snapshot.History.Events = append(f.Snapshot.History.Events, event)
 		} else {
-			f.Unsound++
+			f.CorruptRecords++
 		}
 		return nil
 	})
--- a/internal/fault/sockets/sockets_test.go
+++ b/internal/fault/sockets/sockets_test.go
@@ -32,7 +32,7 @@
 		var err error
 		for c, err = dial(t.Context(), "tcp", plain.Addr().String()); err != nil; c, err = dial(t.Context(), "tcp",
 			plain.Addr().String()) {
-			if !neterr.IsShortage(err) {
+			if !neterr.IsLocal(err) {
 				done <- err
 				return
 			}
--- a/internal/h2/h2.go
+++ b/internal/h2/h2.go
@@ -37,8 +37,8 @@
 	Streams int // limit on concurrent streams of one connection; 0: 250
 }
 
-// Places returns the limit on open connections.
-func (o Options) Places() int {
+// MaxConns returns the limit on open connections.
+func (o Options) MaxConns() int {
 	if o.Conns <= 0 {
 		return defaultConns
 	}
@@ -53,18 +53,23 @@
 	return o.Streams
 }
 
-// Serve serves ln until ctx ends. It then drains: it accepts streams for linger, sends GOAWAY, answers the
-// streams it has accepted within longest, and returns nil.
+// Drain bounds the graceful shutdown of a server.
+type Drain struct {
+	Linger  time.Duration // new streams are accepted for so long after the shutdown began
+	Timeout time.Duration // in which the streams in flight are answered, after GOAWAY
+}
+
+// Serve serves ln until ctx ends. It then drains: it accepts streams for drain.Linger, sends GOAWAY, answers
+// the streams it has accepted within drain.Timeout, and returns nil.
 func Serve(
-	ctx context.Context, ln net.Listener, handler http.Handler, options Options,
-	linger, longest time.Duration, log *slog.Logger,
+	ctx context.Context, ln net.Listener, handler http.Handler, options Options, drain Drain, log *slog.Logger,
 ) error {
 	server := newServer(handler, options, log)
 	served := make(chan error, 1)
 	go func() { // ends with the listener, which Shutdown and Close close
-		served <- server.Serve(netutil.LimitListener(neterr.NewListener(ln, log), options.Places()))
+		served <- server.Serve(netutil.LimitListener(neterr.NewListener(ln, log), options.MaxConns()))
 	}()
-	for _, wait := range []<-chan struct{}{ctx.Done(), after(ctx, linger)} {
+	for _, wait := range []<-chan struct{}{ctx.Done(), after(ctx, drain.Linger)} {
 		select {
 		case err := <-served:
 			return err
@@ -72,7 +77,7 @@
 		}
 	}
 	log.Info("http2 drain started")
-	drainCtx, cancel := context.WithTimeout(context.Background(), longest)
+	drainCtx, cancel := context.WithTimeout(context.Background(), drain.Timeout)
 	defer cancel()
 	err := server.Shutdown(drainCtx)
 	if errors.Is(err, context.DeadlineExceeded) {
--- a/internal/h2/h2_test.go
+++ b/internal/h2/h2_test.go
@@ -26,7 +26,8 @@
 	require.NoError(t, err)
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan error, 1)
-	go func() { done <- Serve(ctx, ln, handler, options, time.Millisecond, 20*time.Second, discardLog) }()
+	drain := Drain{Linger: time.Millisecond, Timeout: 20 * time.Second}
+	go func() { done <- Serve(ctx, ln, handler, options, drain, discardLog) }()
 	return ln.Addr().String(), func() <-chan error { stop(); return done }
 }
 
--- a/internal/httpreply/httpreply.go
+++ b/internal/httpreply/httpreply.go
@@ -32,7 +32,7 @@
 // knows a wait.
 func Write(w http.ResponseWriter, answer oakthread.Answer, err error) {
 	if err == nil && answer.Outcome == oakthread.Rejected {
-		ComeBack(w.Header(), answer.RetryAfter)
+		SetRetryAfter(w.Header(), answer.RetryAfter)
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set("Content-Length", strconv.Itoa(len(answer.Body)))
@@ -40,9 +40,9 @@
 	_, _ = w.Write(answer.Body) // fails where the client has left, which is owed no answer
 }
 
-// ComeBack sets Retry-After (RFC 9110, section 10.2.3), rounded up to seconds, where a wait is
+// SetRetryAfter sets Retry-After (RFC 9110, section 10.2.3), rounded up to seconds, where a wait is
 // advised.
-func ComeBack(header http.Header, wait time.Duration) {
+func SetRetryAfter(header http.Header, wait time.Duration) {
 	if wait <= 0 {
 		return
 	}
--- a/internal/lab/cachedlistsim.go
+++ b/internal/lab/cachedlistsim.go
@@ -89,7 +89,7 @@
 		node.dead = true
 		lists[n] = node.list.TakeSnapshot(w.now)
 		age := cachedListAges[n%len(cachedListAges)]
-		lists[n].Confirmed, lists[n].Saved = lists[n].Confirmed.Add(-age), lists[n].Saved.Add(-age)
+		lists[n].ConfirmedAt, lists[n].SavedAt = lists[n].ConfirmedAt.Add(-age), lists[n].SavedAt.Add(-age)
 		for i := range lists[n].Endpoints {
 			lists[n].Endpoints[i].VerifiedAt = time.Time{}
 		}
--- a/internal/lab/cachedlistworld.go
+++ b/internal/lab/cachedlistworld.go
@@ -222,12 +222,12 @@
 	if err != nil {
 		return err
 	}
-	if found.None || len(found.Kept.Endpoints) == 0 {
+	if found.IsEmpty || len(found.Snapshot.Endpoints) == 0 {
 		_ = s.Close()
 		return fmt.Errorf("list file %s holds no workers", path)
 	}
-	k := found.Kept
-	k.Confirmed, k.Saved = k.Confirmed.Add(-by), k.Saved.Add(-by)
+	k := found.Snapshot
+	k.ConfirmedAt, k.SavedAt = k.ConfirmedAt.Add(-by), k.SavedAt.Add(-by)
 	for i := range k.Endpoints {
 		b := &k.Endpoints[i]
 		if b.UpdatedAt = b.UpdatedAt.Add(-by); !b.VerifiedAt.IsZero() {
--- a/internal/lab/capacity.go
+++ b/internal/lab/capacity.go
@@ -276,7 +276,7 @@
 func (c *capacity) messageSlopes(ctx context.Context) (all []*CapacitySlope, err error) {
 	for _, name := range []string{"cpu.reading", "cpu.write"} {
 		all = append(all, &CapacitySlope{
-			Series: regression.Series{Name: name, Unit: "ns a second", Of: messagesAt},
+			Series: regression.Series{Name: name, Unit: "ns a second", Size: messagesAt},
 			Budget: budgetCore * 1e9, UsedUp: Figure(math.NaN()), timed: true,
 		})
 	}
@@ -304,7 +304,7 @@
 		c.o.Log("foretold at the most %s: %s by %s", messagesAt, slope.Name, slope)
 		if slope.Fit != nil {
 			slope.Foretold = &Foretold{
-				At: time.Now(), X: Figure(math.NaN()), Y: Figure(math.NaN()), Room: slope.Fit.Room(),
+				At: time.Now(), X: Figure(math.NaN()), Y: Figure(math.NaN()), Room: slope.Fit.Tolerance(),
 				Measured: Figure(math.NaN()),
 			}
 		}
@@ -333,7 +333,7 @@
 	var both []*CapacitySlope
 	for _, name := range []string{"cpu.choice.before", "cpu.choice"} {
 		both = append(both, &CapacitySlope{
-			Series: regression.Series{Name: name, Unit: "ns a call", Of: choiceAt}, Budget: budgetChoice,
+			Series: regression.Series{Name: name, Unit: "ns a call", Size: choiceAt}, Budget: budgetChoice,
 			UsedUp: Figure(math.NaN()), timed: true,
 		})
 	}
--- a/internal/lab/capacity_test.go
+++ b/internal/lab/capacity_test.go
@@ -70,14 +70,14 @@
 	assert.Len(t, c.Runs, 21+4+1, "the base's run is one of each dimension")
 	slopes := map[string]*CapacitySlope{}
 	for _, slope := range append(c.Slopes, c.Largest...) {
-		slopes[slope.Of+" "+slope.Name] = slope
+		slopes[slope.Size+" "+slope.Name] = slope
 		if slope.Foretold == nil {
-			assert.NotEmpty(t, slope.Fault, "%s over %s", slope.Name, slope.Of)
+			assert.NotEmpty(t, slope.Fault, "%s over %s", slope.Name, slope.Size)
 			continue
 		}
 		assert.False(t, slope.Foretold.At.Before(began))
 		assert.False(t, math.IsNaN(float64(slope.Foretold.Measured)), "%s over %s was not held against a run",
-			slope.Name, slope.Of)
+			slope.Name, slope.Size)
 	}
 	assert.Len(t, slopes, 5*len(capacityFigures())+2+len(capacityFigures()))
 	for _, run := range c.Runs {
@@ -193,7 +193,7 @@
 	assert.Zero(t, rep.Broken(), "%+v", rep.Bounds)
 	c := rep.Detail.(*Capacity)
 	for _, slope := range c.Slopes {
-		if slope.Of == "executors" && slope.Name == "heap" {
+		if slope.Size == "executors" && slope.Name == "heap" {
 			assert.InEpsilon(t, (budgetHeap-1e5-200*6-3*200)/5000, float64(slope.UsedUp), 0.05,
 				"the budget is used up there")
 		}
@@ -262,7 +262,7 @@
 			bounds[b.Name] = b
 		}
 		for _, slope := range rep.Detail.(*Capacity).Largest {
-			require.Equal(t, letterAt, slope.Of)
+			require.Equal(t, letterAt, slope.Size)
 			if slope.Name == "messages.in" {
 				assert.InEpsilon(t, 2+40.0, float64(slope.Foretold.Y), 0.05, "calls are part of it")
 			}
--- a/internal/lab/capacityfleet.go
+++ b/internal/lab/capacityfleet.go
@@ -67,7 +67,7 @@
 	var predicted []*CapacitySlope
 	for i, f := range capacityFigures() {
 		slope := &CapacitySlope{
-			Series: regression.Series{Name: f.name, Unit: f.unit, Of: section}, Budget: f.budget,
+			Series: regression.Series{Name: f.name, Unit: f.unit, Size: section}, Budget: f.budget,
 			UsedUp: Figure(math.NaN()), timed: f.timed,
 		}
 		if slope.Foretold, slope.Fault = c.combine(i, f.product, size); slope.Foretold != nil {
@@ -122,7 +122,7 @@
 			factor *= to / from
 		}
 		if d.of(c.plan.base) != d.of(size) {
-			squares += slope.Fit.Room() * slope.Fit.Room()
+			squares += slope.Fit.Tolerance() * slope.Fit.Tolerance()
 		}
 	}
 	p.Room = min(math.Sqrt(squares), largestRoom)
@@ -141,7 +141,7 @@
 		}{{"counts and bytes", false}, {"processor time", true}} {
 			all, off := 0, 0
 			for _, slope := range append(slices.Clone(c.detail.Slopes), c.detail.Largest...) {
-				if slope.Of != name || slope.timed != kind.timed || slope.Foretold == nil ||
+				if slope.Size != name || slope.timed != kind.timed || slope.Foretold == nil ||
 					math.IsNaN(float64(slope.Foretold.Measured)) {
 					continue
 				}
--- a/internal/lab/capacityoutput.go
+++ b/internal/lab/capacityoutput.go
@@ -25,10 +25,10 @@
 			continue
 		}
 		base := 0.0
-		if d, ok := capacityDims()[slope.Of]; ok {
+		if d, ok := capacityDims()[slope.Size]; ok {
 			base = d.of(c.Base)
 		}
-		out[slope.Name+"/"+slope.Of] = figures.Slope{
+		out[slope.Name+"/"+slope.Size] = figures.Slope{
 			Curve: slope.Fit, Base: base, Spread: slope.Fit.Spread,
 			Command: "testbed run capacity", Text: slope.Fit.String(),
 		}
@@ -61,8 +61,8 @@
 	of := ""
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, slope := range append(slices.Clone(c.Slopes), c.Largest...) {
-		if slope.Of != of {
-			of = slope.Of
+		if slope.Size != of {
+			of = slope.Size
 			unit := capacityUnits()[of]
 			if unit == "" {
 				unit = of
@@ -70,7 +70,7 @@
 			fmt.Fprintf(t, "over %s\tslope\tbudget used up at\tforetold at\t\troom\tmeasured\t\n", unit)
 		}
 		fit := slope.String()
-		if slope.Of == largestAt || slope.Of == letterAt {
+		if slope.Size == largestAt || slope.Size == letterAt {
 			fit = "all slopes together"
 		}
 		fmt.Fprintf(t, "  %s, %s\t%s\t%s\t", slope.Name, slope.Unit, fit, slope.UsedUp)
--- a/internal/lab/capacityslopes.go
+++ b/internal/lab/capacityslopes.go
@@ -16,7 +16,7 @@
 	var all []*CapacitySlope
 	for _, f := range capacityFigures() {
 		all = append(all, &CapacitySlope{
-			Series: regression.Series{Name: f.name, Unit: f.unit, Of: d.name},
+			Series: regression.Series{Name: f.name, Unit: f.unit, Size: d.name},
 			Budget: f.budget, UsedUp: Figure(math.NaN()), timed: f.timed,
 		})
 	}
@@ -48,14 +48,14 @@
 
 // fit fits the points so far.
 func (s *CapacitySlope) fit() {
-	fit, err := regression.Choose(s.Points)
+	fit, err := regression.Select(s.Points)
 	if err != nil {
 		s.Fault = err.Error()
 		return
 	}
 	s.Fit = &fit
 	if s.Budget > 0 {
-		if x, ok := fit.Crosses(s.Budget); ok && x <= farthest*fit.To {
+		if x, ok := fit.SizeAt(s.Budget); ok && x <= farthest*fit.To {
 			s.UsedUp = Figure(x)
 		}
 	}
@@ -65,7 +65,7 @@
 func (s *CapacitySlope) foretell(x float64) {
 	if s.Fit != nil {
 		s.Foretold = &Foretold{
-			At: time.Now(), X: Figure(x), Y: Figure(s.Fit.At(x)), Room: s.Fit.Room(),
+			At: time.Now(), X: Figure(x), Y: Figure(s.Fit.At(x)), Room: s.Fit.Tolerance(),
 			Measured: Figure(math.NaN()),
 		}
 	}
--- a/internal/lab/hollowhost_test.go
+++ b/internal/lab/hollowhost_test.go
@@ -30,7 +30,7 @@
 	s.run(s.began.Add(s.span + stageEnd))
 	assert.Empty(t, h.open, "calls without an end")
 	s.ends = h.ends
-	s.prove(h.list.Rows(s.now))
+	s.prove(h.list.Report(s.now))
 	return s
 }
 
--- a/internal/lab/hollowresult.go
+++ b/internal/lab/hollowresult.go
@@ -12,7 +12,7 @@
 	sum, there := 0, 0
 	for _, node := range h.nodes {
 		if !node.dead {
-			sum += node.d.FleetView().Heard
+			sum += node.d.FleetView().CoveredCount
 			there++
 		}
 	}
--- a/internal/lab/realhost_test.go
+++ b/internal/lab/realhost_test.go
@@ -53,9 +53,12 @@
 	h := &realHost{s: s, stub: s.nodes[0], calls: map[string]*simCall{}, kick: make(chan struct{}, 1)}
 	h.stub.dead = true
 	quiet := slog.New(slog.DiscardHandler)
-	h.keeper = endpointcache.NewKeeper(endpointcache.Options{
-		Roster: endpoints.Config{Seed: s.seed, Siblings: stageNodes, MaxWait: 1500 * time.Millisecond}, Util: 2,
-		Aims: s.f.latencyObjectives(),
+	h.keeper = endpointcache.NewSyncer(endpointcache.Options{
+		List: endpoints.Config{
+			Seed: s.seed, Dispatchers: stageNodes, MaxRetryAfter: 1500 * time.Millisecond,
+		},
+		UtilizationField:  2,
+		LatencyObjectives: s.f.latencyObjectives(),
 	}, h, func(r oakthread.EndpointUpdate) { h.core.UpdateEndpoints(r) }, s.now, quiet)
 	var err error
 	h.core, err = oakthread.New(oakthread.Config{
@@ -73,7 +76,7 @@
 	}
 	n := h.core.Counters()
 	s.ends = n.AttemptResults
-	s.prove(h.keeper.Rows())
+	s.prove(h.keeper.Report())
 	assert.Equal(t, n.Accepted, n.Served+n.Rejected+n.Failed+n.TimedOut, "calls without an end")
 	stop()
 	h.core.Close()
@@ -155,9 +158,9 @@
 		r.Kind = balancer.EndpointsSnapshot
 	}
 	for _, endpoint := range u.Endpoints {
-		r.Endpoints = append(r.Endpoints, endpointcache.Member(endpoint))
+		r.Endpoints = append(r.Endpoints, endpointcache.ToCoreEndpoint(endpoint))
 	}
-	h.keeper.Told(r, "", u.Cursor)
+	h.keeper.HandleUpdate(r, "", u.Cursor)
 }
 
 func (h *realHost) configure(k balancer.Class, attempts int) {
--- a/internal/lab/simattempt.go
+++ b/internal/lab/simattempt.go
@@ -75,12 +75,13 @@
 		node.w.tally(&node.w.goods)
 	}
 	// a load may take longer than we wait
-	if sign, informative := endpointcache.Sign(r, false); informative && (fl.open != nil || r != balancer.Timeout) {
+	sign, informative := endpointcache.ObservationOf(r, false)
+	if informative && (fl.open != nil || r != balancer.Timeout) {
 		if fl.open != nil && sign == endpoints.Answered && warm == balancer.WarmHit &&
 			now.Sub(fl.sent) > node.w.f.Classes[fl.open.call.class].LatencyObjective/2 {
-			sign = endpoints.Slow
+			sign = endpoints.AnsweredLate
 		}
-		node.list.Observe(now, fl.worker, sign)
+		node.list.HandleObservation(now, fl.worker, sign)
 		node.flush()
 	}
 	node.meter.begin(node.n, partChoice)
--- a/internal/lab/simnode.go
+++ b/internal/lab/simnode.go
@@ -79,8 +79,8 @@
 		s.meter = &w.hollow.meter
 	}
 	s.list = endpoints.New(endpoints.Config{
-		Seed: seed + uint64(n), Siblings: len(w.nodes),
-		MaxWait: 1500 * time.Millisecond, Fresh: fresh,
+		Seed: seed + uint64(n), Dispatchers: len(w.nodes),
+		MaxRetryAfter: 1500 * time.Millisecond, TrustCached: fresh,
 	})
 	set := w.f.settings(n, len(w.nodes))
 	set.Gossip, set.PeerPrice, set.FullScanLimit = w.messages, w.price, w.walk
@@ -99,7 +99,7 @@
 // flush carries out what the list ordered.
 func (s *simNode) flush() {
 	a := s.list.TakeActions()
-	for _, p := range a.Publish {
+	for _, p := range a.Publications {
 		var es []balancer.Endpoint
 		old := s.members
 		if p.Kind != balancer.EndpointsDelta {
@@ -128,7 +128,7 @@
 		s.d.UpdateEndpoints(s.w.now.UnixNano(), p.Kind, es)
 		s.meter.end()
 	}
-	for _, endpoint := range a.Probe {
+	for _, endpoint := range a.HealthChecks {
 		s.probe(endpoint.ID)
 	}
 }
@@ -139,23 +139,23 @@
 	sign, after := endpoints.Answered, 2*simLinkDelay
 	switch worker.fate {
 	case refuses, reused:
-		sign = endpoints.Refused
+		sign = endpoints.ConnectionRefused
 	case vanishes, cutOff:
-		sign, after = endpoints.Silent, simProbe
+		sign, after = endpoints.TimedOut, simProbe
 	}
 	if !s.w.reaches(s, worker) {
-		sign, after = endpoints.Silent, simProbe
+		sign, after = endpoints.TimedOut, simProbe
 	}
 	s.w.after(after, func() {
 		if s.dead {
 			return
 		}
 		if sign == endpoints.Answered && worker.model.Draining() {
-			sign = endpoints.Drains
+			sign = endpoints.ReportedDraining
 		} else if _, util := worker.model.Report(s.w.now); sign == endpoints.Answered && util > 0.9 {
-			sign = endpoints.Slow
+			sign = endpoints.AnsweredLate
 		}
-		s.list.Probed(s.w.now, id, sign)
+		s.list.HandleHealthCheck(s.w.now, id, sign)
 		s.flush()
 	})
 }
--- a/internal/lab/stage_test.go
+++ b/internal/lab/stage_test.go
@@ -89,7 +89,7 @@
 	s.actions = append(s.actions, action{s.now.Sub(s.began), fmt.Sprintf(format, args...)})
 }
 
-func (s *stage) prove(rows []endpoints.Row) {
+func (s *stage) prove(rows []endpoints.EndpointReport) {
 	s.proved = map[balancer.WorkerID]time.Duration{}
 	for _, r := range rows {
 		s.proved[r.ID] = r.VerifiedAt.Sub(s.began)
