--- a/internal/loganalysis/analysis.go
+++ b/internal/loganalysis/analysis.go
@@ -46,10 +46,10 @@
 // secondCounts are the events of one second at all dispatchers.
 type secondCounts struct{ attempts, loadOrders, calls, other Counts }
 
-// Ledger holds the events of a fleet. The zero value is ready to use.
-type Ledger struct {
+// FleetLog holds the events of a fleet. The zero value is ready to use.
+type FleetLog struct {
 	Lines, Skipped int             // lines read, and those of them that could not be parsed
-	Nodes          map[string]bool // names of the dispatchers
+	Dispatchers    map[string]bool // names of the dispatchers
 	attempts       []attempt
 	seconds        map[int64]*secondCounts // by Unix second
 	ejections      map[string][]time.Time  // by worker
@@ -59,9 +59,9 @@
 // Read reads the log of one dispatcher, in slog's text or JSON form. name is the dispatcher's name
 // if its lines do not state it. The error is that of r; lines that are cut, garbled or too long are
 // skipped.
-func (l *Ledger) Read(name string, r io.Reader) error {
-	if l.Nodes == nil {
-		l.Nodes = map[string]bool{}
+func (l *FleetLog) Read(name string, r io.Reader) error {
+	if l.Dispatchers == nil {
+		l.Dispatchers = map[string]bool{}
 		l.seconds = map[int64]*secondCounts{}
 		l.ejections = map[string][]time.Time{}
 	}
@@ -84,7 +84,7 @@
 }
 
 // addLine adds the event of one line and reports whether the line could be parsed.
-func (l *Ledger) addLine(name, line string) bool {
+func (l *FleetLog) addLine(name, line string) bool {
 	fields := parseFields(line)
 	at, err := time.Parse(time.RFC3339Nano, fields["time"])
 	message := fields["msg"]
@@ -92,7 +92,7 @@
 		return false
 	}
 	dispatcher := cmp.Or(fields["name"], name)
-	l.Nodes[dispatcher] = true
+	l.Dispatchers[dispatcher] = true
 	second := l.second(at)
 	switch {
 	case message == msgAttemptEnded || message == msgLoadOrderEnded:
@@ -116,7 +116,7 @@
 }
 
 // second returns the counts of the second of t.
-func (l *Ledger) second(t time.Time) *secondCounts {
+func (l *FleetLog) second(t time.Time) *secondCounts {
 	s := l.seconds[t.Unix()]
 	if s == nil {
 		s = &secondCounts{Counts{}, Counts{}, Counts{}, Counts{}}
@@ -153,7 +153,7 @@
 	return a, true
 }
 
-func (l *Ledger) addAttempt(second *secondCounts, a attempt) {
+func (l *FleetLog) addAttempt(second *secondCounts, a attempt) {
 	if a.isLoadOrder {
 		second.loadOrders[a.result]++
 	} else {
@@ -164,7 +164,7 @@
 
 // addEjectionChange adds the change that a line on a worker states. Such a line has the worker in
 // its message, and other lines on workers are ignored.
-func (l *Ledger) addEjectionChange(second *secondCounts, message, dispatcher string, at time.Time) {
+func (l *FleetLog) addEjectionChange(second *secondCounts, message, dispatcher string, at time.Time) {
 	worker, _, _ := strings.Cut(strings.TrimPrefix(message, msgWorkerPrefix), " ")
 	change := ejectionChange{at: at, dispatcher: dispatcher, worker: worker}
 	switch {
--- a/internal/loganalysis/analysis_test.go
+++ b/internal/loganalysis/analysis_test.go
@@ -12,9 +12,9 @@
 )
 
 // read returns the events in the logs of dispatchers, which are files of testdata by name.
-func read(t *testing.T, dispatchers ...string) *Ledger {
+func read(t *testing.T, dispatchers ...string) *FleetLog {
 	t.Helper()
-	var l Ledger
+	var l FleetLog
 	for _, name := range dispatchers {
 		text, err := os.ReadFile(filepath.Join("testdata", name+".log"))
 		require.NoError(t, err)
@@ -25,7 +25,7 @@
 
 // readFleetLogs returns the events of two dispatchers. Both have function 7 loaded, the second
 // while worker 1 holds its model; worker 2 fails and is ejected by the first.
-func readFleetLogs(t *testing.T) *Ledger {
+func readFleetLogs(t *testing.T) *FleetLog {
 	t.Helper()
 	return read(t, "n0", "n1")
 }
@@ -33,7 +33,7 @@
 // Lines that are cut, garbled or foreign are counted and skipped.
 func TestUnreadableLinesAreSkipped(t *testing.T) {
 	l := readFleetLogs(t)
-	require.Len(t, l.Nodes, 2)
+	require.Len(t, l.Dispatchers, 2)
 	require.Equal(t, 14, l.Lines)
 	require.Equal(t, 4, l.Skipped, "cut, ms no number, cut JSON, foreign")
 }
--- a/internal/loganalysis/loads.go
+++ b/internal/loganalysis/loads.go
@@ -17,7 +17,7 @@
 // Loads returns the number of loads that calls have started, and of those that were unnecessary:
 // another worker had answered a call of the function from a loaded model within retention before.
 // retention is the time that an idle model stays loaded.
-func (l *Ledger) Loads(retention time.Duration) (started, unnecessary int) {
+func (l *FleetLog) Loads(retention time.Duration) (started, unnecessary int) {
 	uses := l.modelUses()
 	for _, a := range l.attempts {
 		if !a.loadedModel {
@@ -31,7 +31,7 @@
 	return started, unnecessary
 }
 
-func (l *Ledger) modelUses() modelUses {
+func (l *FleetLog) modelUses() modelUses {
 	uses := modelUses{map[loadedModel][]time.Time{}, map[string][]string{}}
 	for _, a := range l.attempts {
 		if !a.hitLoadedModel {
--- a/internal/loganalysis/overload.go
+++ b/internal/loganalysis/overload.go
@@ -18,7 +18,7 @@
 
 // Overloaded returns every second of the workers that rejected the most attempts, at most limit
 // workers.
-func (l *Ledger) Overloaded(limit int) []WorkerSecond {
+func (l *FleetLog) Overloaded(limit int) []WorkerSecond {
 	full := l.fullByWorker()
 	workers := slices.SortedFunc(maps.Keys(full), func(a, b string) int {
 		return cmp.Or(full[b]-full[a], strings.Compare(a, b))
@@ -31,7 +31,7 @@
 }
 
 // fullByWorker returns the number of attempts that each worker rejected because its queue was full.
-func (l *Ledger) fullByWorker() Counts {
+func (l *FleetLog) fullByWorker() Counts {
 	full := Counts{}
 	for _, a := range l.attempts {
 		if a.result == resultFull && !a.isLoadOrder {
@@ -42,7 +42,7 @@
 }
 
 // workerSeconds returns every second in which an attempt at a worker ended.
-func (l *Ledger) workerSeconds(worker string) []WorkerSecond {
+func (l *FleetLog) workerSeconds(worker string) []WorkerSecond {
 	bySecond := map[int64]*WorkerSecond{}
 	dispatchers := map[int64]map[string]bool{}
 	for _, a := range l.attempts {
--- a/internal/loganalysis/report.go
+++ b/internal/loganalysis/report.go
@@ -17,10 +17,10 @@
 
 // Report writes the counts as tables. retention is the time that an idle model stays loaded.
 // Seconds are counted from the first one.
-func (l *Ledger) Report(w io.Writer, retention time.Duration) error {
+func (l *FleetLog) Report(w io.Writer, retention time.Duration) error {
 	started, unnecessary := l.Loads(retention)
 	fmt.Fprintf(w, "%d dispatchers, %d lines, %d not readable; %d loads begun by calls, %d of them needless\n\n",
-		len(l.Nodes), l.Lines, l.Skipped, started, unnecessary)
+		len(l.Dispatchers), l.Lines, l.Skipped, started, unnecessary)
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	first := l.firstSecond()
 	l.reportEvents(table, first)
@@ -31,7 +31,7 @@
 }
 
 // firstSecond returns the Unix second of the first event.
-func (l *Ledger) firstSecond() int64 {
+func (l *FleetLog) firstSecond() int64 {
 	first := int64(math.MaxInt64)
 	for at := range l.seconds {
 		first = min(first, at)
@@ -39,7 +39,7 @@
 	return first
 }
 
-func (l *Ledger) reportEvents(w io.Writer, first int64) {
+func (l *FleetLog) reportEvents(w io.Writer, first int64) {
 	fmt.Fprintln(w, "second\tattempts\torders\tanswers\tother")
 	for _, at := range slices.Sorted(maps.Keys(l.seconds)) {
 		s := l.seconds[at]
@@ -47,7 +47,7 @@
 	}
 }
 
-func (l *Ledger) reportSeconds(w io.Writer, first int64) {
+func (l *FleetLog) reportSeconds(w io.Writer, first int64) {
 	fmt.Fprintln(w, "\nsecond\tattempts\tfull\tfirst tries\tsecond\tthird\tfourth\tlater"+
 		"\tejections that stand\tdispatchers with a zone cut off")
 	for _, s := range l.Seconds() {
@@ -56,14 +56,14 @@
 	}
 }
 
-func (l *Ledger) reportOverloads(w io.Writer, first int64) {
+func (l *FleetLog) reportOverloads(w io.Writer, first int64) {
 	fmt.Fprintln(w, "\nfullest executors\tsecond\tattempts\tfull\tfrom dispatchers")
 	for _, s := range l.Overloaded(maxReportedOverloads) {
 		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\n", s.ID, s.At-first, s.Attempts, s.Full, s.Dispatchers)
 	}
 }
 
-func (l *Ledger) reportWorkers(w io.Writer) {
+func (l *FleetLog) reportWorkers(w io.Writer) {
 	fmt.Fprintln(w, "\nexecutor\tfrom\tbusiest 100 ms\tresults\torders\tfailed for\tejected\tmiddle one after")
 	workers := l.Workers()
 	for _, x := range workers[:min(maxReportedWorkers, len(workers))] {
--- a/internal/loganalysis/seconds.go
+++ b/internal/loganalysis/seconds.go
@@ -20,7 +20,7 @@
 }
 
 // Seconds returns every second in which an event happened.
-func (l *Ledger) Seconds() []Second {
+func (l *FleetLog) Seconds() []Second {
 	bySecond := map[int64]*Second{}
 	for at := range l.seconds {
 		bySecond[at] = &Second{At: at}
--- a/internal/loganalysis/workers.go
+++ b/internal/loganalysis/workers.go
@@ -30,7 +30,7 @@
 }
 
 // Workers returns what was done at each worker, those with the most failures first.
-func (l *Ledger) Workers() []Worker {
+func (l *FleetLog) Workers() []Worker {
 	stats := map[string]*workerStats{}
 	for _, a := range l.attempts {
 		s := stats[a.worker]
--- a/internal/neterr/backoff.go
+++ b/internal/neterr/backoff.go
@@ -13,13 +13,13 @@
 // Backoff is an exponential backoff: the wait doubles with each failure in a row. The zero value
 // waits from 5 ms to 100 ms. It is not safe for concurrent use.
 type Backoff struct {
-	Least, Most time.Duration // bounds of the wait; zero: the defaults
-	last        time.Duration // 0: no failure since the last success
+	Min, Max time.Duration // bounds of the wait; zero: the defaults
+	last     time.Duration // 0: no failure since the last success
 }
 
 // Next returns the wait after a further failure.
 func (b *Backoff) Next() time.Duration {
-	shortest, longest := b.Least, b.Most
+	shortest, longest := b.Min, b.Max
 	if shortest <= 0 {
 		shortest = defaultMin
 	}
--- a/internal/neterr/conn.go
+++ b/internal/neterr/conn.go
@@ -18,7 +18,7 @@
 // Read reads from conn like conn.Read, and retries where a shortage or an interruption prevented
 // it.
 func Read(conn net.Conn, b []byte) (n int, err error) {
-	backoff := Backoff{Least: minIOWait, Most: maxIOWait}
+	backoff := Backoff{Min: minIOWait, Max: maxIOWait}
 	for retries := 0; ; retries++ {
 		n, err = conn.Read(b)
 		if n > 0 || err == nil || retries == maxIORetries || !mayRetryIO(err) {
@@ -31,7 +31,7 @@
 // Write writes all of b to conn. It continues behind what was written where a shortage or an
 // interruption cut the write short.
 func Write(conn net.Conn, b []byte) (n int, err error) {
-	backoff := Backoff{Least: minIOWait, Most: maxIOWait}
+	backoff := Backoff{Min: minIOWait, Max: maxIOWait}
 	for retries := 0; ; {
 		var written int
 		written, err = conn.Write(b[n:])
@@ -53,4 +53,4 @@
 
 // mayRetryIO reports whether a read or write that failed with err may be repeated on the same
 // connection.
-func mayRetryIO(err error) bool { return IsShortage(err) && !mutant.On(mutant.TransferEnds) }
+func mayRetryIO(err error) bool { return IsLocal(err) && !mutant.On(mutant.TransferEnds) }
--- a/internal/neterr/neterr.go
+++ b/internal/neterr/neterr.go
@@ -114,9 +114,9 @@
 	return Classify(err) == Closed || mutant.On(mutant.AcceptEnds)
 }
 
-// IsShortage reports whether an error is caused by this process or machine alone, so that it proves
+// IsLocal reports whether an error is caused by this process or machine alone, so that it proves
 // nothing of the other side.
-func IsShortage(err error) bool {
+func IsLocal(err error) bool {
 	kind := Classify(err)
 	return kind == Shortage || kind == Interrupted
 }
--- a/internal/neterr/neterr_test.go
+++ b/internal/neterr/neterr_test.go
@@ -39,7 +39,7 @@
 	} {
 		assert.Equal(t, want, Classify(wrap(err)), "%v", err)
 		assert.Equal(t, want == Closed, EndsListener(wrap(err)), "%v", err)
-		assert.Equal(t, want == Shortage || want == Interrupted, IsShortage(wrap(err)), "%v", err)
+		assert.Equal(t, want == Shortage || want == Interrupted, IsLocal(wrap(err)), "%v", err)
 	}
 }
 
--- a/internal/platform/answer.go
+++ b/internal/platform/answer.go
@@ -13,8 +13,8 @@
 // Outcomes counts the responses of one class: completed (200), rejected (429, 503) and failed (any other).
 type Outcomes struct{ Completed, Rejected, Failed atomic.Int64 }
 
-// Tally calls fn for each class that has had a response, by the name that clients use.
-func (s *Server) Tally(fn func(class string, outcomes *Outcomes)) {
+// ForEachClass calls fn for each class that has had a response, by the name that clients use.
+func (s *Server) ForEachClass(fn func(class string, outcomes *Outcomes)) {
 	s.outcomes.Range(func(class, outcomes any) bool {
 		fn(class.(string), outcomes.(*Outcomes))
 		return true
--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -25,7 +25,7 @@
 // A reply counts as proof that nothing ran only where the protocol says so: else a non-idempotent call could run
 // twice.
 func TestParseReply(t *testing.T) {
-	pool := NewFleet(testSettings(t), 10)
+	pool := NewExecutorPool(testSettings(t), 10)
 	for _, c := range []struct {
 		status int
 		header string
@@ -70,7 +70,7 @@
 			received, append(header["Accept-Encoding"], header["X-Replay-Key"]...))
 	}))
 	defer backend.Close()
-	pool := NewFleet(testSettings(t), 10)
+	pool := NewExecutorPool(testSettings(t), 10)
 	defer pool.Close()
 	endpoint := endpointAt(backend.Listener.Addr().String())
 	reply := pool.Send(t.Context(), attemptTo(endpoint, body))
@@ -118,7 +118,7 @@
 				}()
 			}
 		}()
-		pool := NewFleet(testSettings(t), 10)
+		pool := NewExecutorPool(testSettings(t), 10)
 		pool.reuseDelay = 0 // the second uses the same connection at once
 		endpoint := endpointAt(ln.Addr().String())
 		assert.Equal(t, balancer.OK, pool.Send(t.Context(), attemptTo(endpoint, body)).Result)
@@ -134,7 +134,7 @@
 	require.NoError(t, err)
 	addr := ln.Addr().String()
 	ln.Close()
-	pool := NewFleet(testSettings(t), 1)
+	pool := NewExecutorPool(testSettings(t), 1)
 	assert.Equal(t, balancer.ConnectFailed, pool.Send(t.Context(), attemptTo(endpointAt(addr), "x")).Result)
 	assert.Empty(t, pool.socketSlots, "a failed dial keeps its slot")
 	pool.socketSlots <- struct{}{}
@@ -151,7 +151,7 @@
 	connectReset := &net.OpError{Op: "dial", Err: syscall.ECONNRESET}
 	for name, resetErr := range map[string]error{"during the connect": connectReset, "after the connect": nil} {
 		for resets, want := range []balancer.Result{balancer.OK, balancer.OK, balancer.NotSent} {
-			pool := NewFleet(testSettings(t), 10)
+			pool := NewExecutorPool(testSettings(t), 10)
 			dial, dials := pool.dialContext, 0
 			pool.dialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 				conn, err := dial(ctx, network, addr)
@@ -179,7 +179,7 @@
 	}
 	backend.Start()
 	defer backend.Close()
-	pool := NewFleet(testSettings(t), 10)
+	pool := NewExecutorPool(testSettings(t), 10)
 	defer pool.Close()
 	pool.reuseDelay = 0 // connections are used again at once
 	endpoint := endpointAt(backend.Listener.Addr().String())
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -17,26 +17,26 @@
 
 // Config is the configuration that the platform gives a dispatcher at its start.
 type Config struct {
-	Name       string
-	Listen     string
-	Seed       uint64
-	Cores      float64
-	Memory     int64 // bytes; 0: no limit is given
-	Sockets    int
-	PeerListen string
-	Peers      []netip.AddrPort // by number
-	PeersAll   netip.AddrPort
-	Channel    string
-	Console    string // address of the operators' console; "": there is none
-	Known      []Event
-	Cursor     int64 // of the last event in Known
-	Setup      *wire.Setup
-	keys       []string // the keys that the file holds
+	Name          string
+	Listen        string
+	Seed          uint64
+	Cores         float64
+	Memory        int64 // bytes; 0: no limit is given
+	Sockets       int
+	PeerListen    string
+	Peers         []netip.AddrPort // by number
+	PeersAll      netip.AddrPort
+	Channel       string
+	Console       string // address of the operators' console; "": there is none
+	InitialEvents []Event
+	Cursor        int64 // of the last event in Known
+	Settings      *wire.Settings
+	keys          []string // the keys that the file holds
 }
 
-// Load reads the file that ROUTER_CONFIG names. ROUTER_NAME, ROUTER_LISTEN and ROUTER_CONSOLE stand for
+// LoadConfig reads the file that ROUTER_CONFIG names. ROUTER_NAME, ROUTER_LISTEN and ROUTER_CONSOLE stand for
 // what it leaves out. Errors are of one line and begin with "configuration:".
-func Load(getenv func(string) string) (*Config, error) {
+func LoadConfig(getenv func(string) string) (*Config, error) {
 	path := getenv("ROUTER_CONFIG")
 	if path == "" {
 		return nil, errors.New("ROUTER_CONFIG is not set: it names the configuration file")
@@ -134,10 +134,10 @@
 	if len(file.Settings) == 0 {
 		return errors.New("settings are missing")
 	}
-	if c.Setup, err = wire.ReadSetup(file.Settings); err != nil {
+	if c.Settings, err = wire.ReadSettings(file.Settings); err != nil {
 		return err
 	}
-	if len(c.Setup.Categories) == 0 {
+	if len(c.Settings.Categories) == 0 {
 		return errors.New("settings: categories are missing")
 	}
 	return nil
@@ -174,14 +174,14 @@
 // stands.
 func (c *Config) parseKnown(file *configFile) error {
 	for i, raw := range file.Known.Cmds {
-		event, err := parseEvent(raw, c.Setup)
+		event, err := parseEvent(raw, c.Settings)
 		if err != nil {
 			return fmt.Errorf("known.cmds[%d]: %w", i, err)
 		}
 		if len(event.Invalid) > 0 {
 			return fmt.Errorf("known.cmds[%d]: %w", i, event.Invalid[0])
 		}
-		c.Known = append(c.Known, event)
+		c.InitialEvents = append(c.InitialEvents, event)
 		c.Cursor = max(c.Cursor, event.Cursor)
 	}
 	return nil
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -25,7 +25,7 @@
 	assert.Equal(t, oakthread.EndpointUpdate{Kind: balancer.EndpointsSnapshot, Endpoints: []oakthread.Endpoint{{
 		ID: 0xc41f7a, Addr: "127.0.0.1:4",
 		Zone: 1, Cell: 2, State: balancer.Active, Weight: 4, Start: time.UnixMilli(5),
-	}}}, config.Known[0].Roster)
+	}}}, config.InitialEvents[0].Update)
 	for old, invalid := range map[string]string{
 		`"8c1f`: `"xx`, `"127.0.0.1:2"`: `"nowhere"`, `"127.0.0.1:3"`: `"x"`,
 		`"Ready"`: `"Odd"`, `"127.0.0.1:4"`: `""`, `"settings"`: `"unset"`, `"s-00c41f7a"`: `""`, `{"cursor":2,`: `{`,
@@ -35,9 +35,9 @@
 	}
 	for line, want := range map[string]Event{
 		"41":                    {Cursor: 41, Heartbeat: true},
-		`{"cursor":4,"new":{}}`: {Cursor: 4, Roster: oakthread.EndpointUpdate{Kind: balancer.EndpointsDelta}},
+		`{"cursor":4,"new":{}}`: {Cursor: 4, Update: oakthread.EndpointUpdate{Kind: balancer.EndpointsDelta}},
 	} {
-		event, err := parseEvent([]byte(line), config.Setup)
+		event, err := parseEvent([]byte(line), config.Settings)
 		require.NoError(t, err, line)
 		assert.Equal(t, want, event)
 	}
--- a/internal/platform/disconnect_test.go
+++ b/internal/platform/disconnect_test.go
@@ -46,7 +46,7 @@
 				t.Run(fmt.Sprintf("%s, cancel %v, %s", way, cancel, class), func(t *testing.T) {
 					t.Parallel()
 					s := newTestbed(t, testbedOptions{
-						settings: func(settings *wire.Setup) { settings.Permissions.Cancel = cancel },
+						settings: func(settings *wire.Settings) { settings.Permissions.Cancel = cancel },
 					}, newRecordingExecutor(t, nil))
 					s.holdDialAfter(0)
 					client := s.send(firstID, class)
@@ -97,7 +97,7 @@
 	s.write(client, callText(firstID, "path-book", "x"))
 	require.NoError(t, client.Close())
 	for ended := int64(0); ended == 0; { // the handler may end before the call is admitted and a connection made
-		s.server.Tally(func(_ string, outcomes *Outcomes) { ended += outcomes.Failed.Load() })
+		s.server.ForEachClass(func(_ string, outcomes *Outcomes) { ended += outcomes.Failed.Load() })
 		runtime.Gosched()
 	}
 	s.core.Counters()
@@ -134,7 +134,7 @@
 func TestClientDisconnectsBeforeAHedge(t *testing.T) {
 	release := make(chan struct{})
 	silent := func(http.ResponseWriter, *http.Request) { <-release }
-	s := newTestbed(t, testbedOptions{settings: func(settings *wire.Setup) {
+	s := newTestbed(t, testbedOptions{settings: func(settings *wire.Settings) {
 		settings.Permissions.Cancel, settings.Permissions.SecondCopies = false, true
 	}}, newRecordingExecutor(t, silent), newRecordingExecutor(t, silent))
 	defer close(release)
@@ -181,7 +181,7 @@
 			call := callText(firstID, "path-book", "a body")
 			s.write(client, call[:len(call)-3])
 			require.NoError(t, leave(client))
-			for s.server.Bad() == 0 {
+			for s.server.Malformed() == 0 {
 				runtime.Gosched()
 			}
 			assert.Equal(t, 200, s.call(secondID, "path-book"))
@@ -197,7 +197,7 @@
 	arrived, release := make(chan string, 64), make(chan struct{})
 	silent := func(_ http.ResponseWriter, r *http.Request) { arrived <- r.Header.Get("X-Hop-Id"); <-release }
 	s := newTestbed(t, testbedOptions{
-		settings: func(settings *wire.Setup) { settings.Permissions.SecondCopies = true },
+		settings: func(settings *wire.Settings) { settings.Permissions.SecondCopies = true },
 	}, newRecordingExecutor(t, silent), newRecordingExecutor(t, silent))
 	defer close(release)
 	for i := range 10 {
--- a/internal/platform/event.go
+++ b/internal/platform/event.go
@@ -25,7 +25,7 @@
 	// Invalid has an error for each member that was left out, or that counts as draining because its
 	// phase is unknown.
 	Invalid []error
-	Roster  oakthread.EndpointUpdate
+	Update  oakthread.EndpointUpdate
 }
 
 // eventLine is an event as the command channel writes it.
@@ -56,7 +56,7 @@
 }
 
 // parseEvent decodes a line of the command channel.
-func parseEvent(line []byte, settings *wire.Setup) (Event, error) {
+func parseEvent(line []byte, settings *wire.Settings) (Event, error) {
 	text := strings.TrimSpace(string(line))
 	if number, err := strconv.ParseInt(text, 10, 64); err == nil && number >= 0 {
 		return Event{Cursor: number, Heartbeat: true}, nil
@@ -70,13 +70,13 @@
 	}
 	event := Event{
 		Cursor: *decoded.Cursor, Epoch: decoded.Epoch, HasUpdate: decoded.Nodes != nil,
-		Roster: oakthread.EndpointUpdate{Kind: balancer.EndpointsDelta},
+		Update: oakthread.EndpointUpdate{Kind: balancer.EndpointsDelta},
 	}
 	if decoded.Nodes == nil {
 		return event, nil // of an unknown kind: only its number counts
 	}
 	if decoded.Nodes.Complete {
-		event.Roster.Kind = balancer.EndpointsSnapshot
+		event.Update.Kind = balancer.EndpointsSnapshot
 	}
 	for i, member := range decoded.Nodes.Members {
 		event.addMember(i, member, settings)
@@ -85,7 +85,7 @@
 }
 
 // addMember adds the executor at an index of the event, or the reason why it cannot be used.
-func (e *Event) addMember(index int, member listedMember, settings *wire.Setup) {
+func (e *Event) addMember(index int, member listedMember, settings *wire.Settings) {
 	if member.ID == "" {
 		e.reject(index, errors.New("field id is missing"))
 		return
@@ -108,7 +108,7 @@
 	if member.UpSince > 0 {
 		endpoint.Start = time.UnixMilli(member.UpSince)
 	}
-	e.Roster.Endpoints = append(e.Roster.Endpoints, endpoint)
+	e.Update.Endpoints = append(e.Update.Endpoints, endpoint)
 }
 
 // reject notes why the member at an index cannot be used as it stands.
--- a/internal/platform/executorconn.go
+++ b/internal/platform/executorconn.go
@@ -135,7 +135,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.responsePending && !mutant.On(mutant.ReuseSpent) {
+	if !c.responsePending && !mutant.On(mutant.ReuseTainted) {
 		c.tainted = true
 		return 0, errUnsolicitedBytes
 	}
--- a/internal/platform/executorconn_test.go
+++ b/internal/platform/executorconn_test.go
@@ -127,7 +127,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			addr, seen := rawExecutor(t, c.first, ok("two"))
-			pool := NewFleet(testSettings(t), 10)
+			pool := NewExecutorPool(testSettings(t), 10)
 			defer pool.Close()
 			ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 			defer cancel()
@@ -211,7 +211,7 @@
 			}()
 		}
 	}()
-	pool := NewFleet(testSettings(t), 10)
+	pool := NewExecutorPool(testSettings(t), 10)
 	defer pool.Close()
 	pool.reuseDelay = time.Hour // the machine may be slow
 	pool.transportsFor(endpointAt(ln.Addr().String())).queued = maxQueuedRequests
@@ -233,7 +233,7 @@
 // written on a connection that is about to be closed, whichever is first.
 func TestRetiredConnectionsCarryNoRequest(t *testing.T) {
 	executor := newRecordingExecutor(t, nil)
-	pool := NewFleet(testSettings(t), 1)
+	pool := NewExecutorPool(testSettings(t), 1)
 	defer pool.Close()
 	endpoint := endpointAt(executor.addr())
 	require.Equal(t, balancer.OK, pool.Send(t.Context(), attemptTo(endpoint, "x")).Result)
--- a/internal/platform/executorpool.go
+++ b/internal/platform/executorpool.go
@@ -54,8 +54,8 @@
 	conns   map[*executorConn]struct{}
 }
 
-// NewFleet returns a pool that holds at most sockets connections at a time.
-func NewFleet(settings *wire.Setup, sockets int) *ExecutorPool {
+// NewExecutorPool returns a pool that holds at most sockets connections at a time.
+func NewExecutorPool(settings *wire.Settings, sockets int) *ExecutorPool {
 	p := &ExecutorPool{
 		connectTimeout: settings.ConnectTimeout(),
 		dialContext:    (&net.Dialer{}).DialContext,
@@ -69,7 +69,7 @@
 	for _, class := range settings.Categories {
 		names = append(names, class.Name)
 	}
-	p.Classes(names)
+	p.SetClasses(names)
 	if settings.Feedback.How != "off" {
 		p.reportFields = settings.Feedback.Fields
 	}
@@ -77,12 +77,12 @@
 	return p
 }
 
-// Through has the pool dial through network. It must be called before first use.
-func (p *ExecutorPool) Through(network Network) { p.dialContext = network.dial(p.dialContext) }
+// SetNetwork has the pool dial through network. It must be called before first use.
+func (p *ExecutorPool) SetNetwork(network Network) { p.dialContext = network.dial(p.dialContext) }
 
-// Classes sets the names of classes by number, as they stand in executors' paths. The list must hold
+// SetClasses sets the names of classes by number, as they stand in executors' paths. The list must hold
 // every number in use.
-func (p *ExecutorPool) Classes(names []string) {
+func (p *ExecutorPool) SetClasses(names []string) {
 	escaped := make([]string, len(names))
 	for i, name := range names {
 		escaped[i] = url.PathEscape(name)
@@ -176,7 +176,7 @@
 	var backoff neterr.Backoff
 	for {
 		conn, err := p.dialContext(ctx, network, addr)
-		if err == nil || !neterr.IsShortage(err) {
+		if err == nil || !neterr.IsLocal(err) {
 			return conn, err
 		}
 		p.dialShortages.Add(1)
--- a/internal/platform/executorpool_test.go
+++ b/internal/platform/executorpool_test.go
@@ -18,7 +18,7 @@
 
 // An attempt that times out before a connection is established is classified as not sent.
 func TestTimeoutBeforeAnyWriteIsNotSent(t *testing.T) {
-	pool := NewFleet(testSettings(t), 1)
+	pool := NewExecutorPool(testSettings(t), 1)
 	pool.socketSlots <- struct{}{}
 	attempt := attemptTo(endpointAt("127.0.0.1:1"), "x")
 	assert.Equal(t, balancer.NotSent, pool.Send(canceledContext(t), attempt).Result)
@@ -27,7 +27,7 @@
 
 // Transports that were created for a removed executor are dropped once they are unused for long.
 func TestUnusedTransportsAreDropped(t *testing.T) {
-	pool := NewFleet(testSettings(t), 1)
+	pool := NewExecutorPool(testSettings(t), 1)
 	endpoint := endpointAt("127.0.0.1:1")
 	for i := range 20 {
 		endpoint.ID = balancer.WorkerID(i)
@@ -40,7 +40,7 @@
 // is classified as not sent.
 func TestRevokedRequestsAreNotWritten(t *testing.T) {
 	executor := newRecordingExecutor(t, nil)
-	pool := NewFleet(testSettings(t), 10)
+	pool := NewExecutorPool(testSettings(t), 10)
 	defer pool.Close()
 	pool.reuseDelay = 0 // connections are used again at once
 	for _, reused := range []bool{false, true} {
@@ -69,7 +69,7 @@
 		syscall.EADDRNOTAVAIL, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 		syscall.ENETUNREACH, syscall.EPERM, syscall.EAGAIN,
 	} {
-		pool := NewFleet(testSettings(t), 10)
+		pool := NewExecutorPool(testSettings(t), 10)
 		dial, failures := pool.dialContext, 3
 		pool.dialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 			if failures--; failures >= 0 {
@@ -81,7 +81,7 @@
 		assert.Equal(t, balancer.OK, reply.Result, "%v", errno)
 		assert.EqualValues(t, 3, pool.dialShortages.Load())
 		pool.Close()
-		pool = NewFleet(testSettings(t), 10)
+		pool = NewExecutorPool(testSettings(t), 10)
 		pool.dialContext = func(_ context.Context, network, _ string) (net.Conn, error) {
 			return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("socket", errno)}
 		}
@@ -94,7 +94,7 @@
 // A few requests wait for a connection's reuse delay, until their deadlines; the next gets a connection at once.
 func TestQueueForAReusableConnectionIsBounded(t *testing.T) {
 	executor := newRecordingExecutor(t, nil)
-	pool := NewFleet(testSettings(t), 10)
+	pool := NewExecutorPool(testSettings(t), 10)
 	defer pool.Close()
 	endpoint := endpointAt(executor.addr())
 	require.Equal(t, balancer.OK, pool.Send(t.Context(), attemptTo(endpoint, "x")).Result)
@@ -120,7 +120,7 @@
 // A connection is reused once its delay is over.
 func TestConnectionsAreReusedAfterTheDelay(t *testing.T) {
 	executor := newRecordingExecutor(t, nil)
-	pool := NewFleet(testSettings(t), 10)
+	pool := NewExecutorPool(testSettings(t), 10)
 	defer pool.Close()
 	for range 5 {
 		pool.reuseDelay = 0 // as if the delay were over
--- a/internal/platform/fakediscovery_test.go
+++ b/internal/platform/fakediscovery_test.go
@@ -79,7 +79,7 @@
 // startWatch follows a discovery service from its first event on.
 func startWatch(t *testing.T, discovery *fakeDiscovery, log io.Writer) (*EndpointWatcher, eventRecorder) {
 	t.Helper()
-	watcher := NewChannel(&Config{Channel: discovery.addr(), Setup: testSettings(t)},
+	watcher := NewEndpointWatcher(&Config{Channel: discovery.addr(), Settings: testSettings(t)},
 		slog.New(slog.NewTextHandler(log, nil)))
 	events := make(eventRecorder, 64)
 	ctx, stop := context.WithCancel(t.Context())
--- a/internal/platform/golden_channel_test.go
+++ b/internal/platform/golden_channel_test.go
@@ -43,7 +43,8 @@
 	}()
 	ctx, stop := context.WithCancel(t.Context())
 	events, done := make(eventRecorder, 8), make(chan error, 1)
-	watcher := NewChannel(&Config{Channel: ln.Addr().String(), Cursor: 41, Setup: testSettings(t)}, discardLog)
+	config := &Config{Channel: ln.Addr().String(), Cursor: 41, Settings: testSettings(t)}
+	watcher := NewEndpointWatcher(config, discardLog)
 	go func() { done <- watcher.Follow(ctx, events) }()
 	assert.Equal(t, "current", <-events)
 	stop()
@@ -64,7 +65,7 @@
 		unparseable string // the error of a line
 	}{
 		{event: Event{Cursor: 41, Heartbeat: true}},
-		{event: Event{Cursor: 42, Epoch: "e7", HasUpdate: true, Roster: update(balancer.EndpointsSnapshot,
+		{event: Event{Cursor: 42, Epoch: "e7", HasUpdate: true, Update: update(balancer.EndpointsSnapshot,
 			oakthread.Endpoint{
 				ID: 0xc41f7a, Addr: "127.0.0.1:4001", Zone: 1, Cell: 2, State: balancer.Active, Weight: 4,
 				Start: time.UnixMilli(1500),
@@ -73,24 +74,24 @@
 				ID: WorkerID("box nine"), Addr: "[::1]:4002", Zone: 2, Kind: 1, Cell: 3,
 				State: balancer.Draining, Weight: 0.5,
 			})}},
-		{event: Event{Cursor: 43, HasUpdate: true, Roster: update(balancer.EndpointsDelta, oakthread.Endpoint{
+		{event: Event{Cursor: 43, HasUpdate: true, Update: update(balancer.EndpointsDelta, oakthread.Endpoint{
 			ID:   0xc41f7a,
 			Zone: 2, Kind: 1, State: balancer.Removed,
 		})}},
 		{
-			event: Event{Cursor: 44, HasUpdate: true, Roster: update(balancer.EndpointsDelta, oakthread.Endpoint{
+			event: Event{Cursor: 44, HasUpdate: true, Update: update(balancer.EndpointsDelta, oakthread.Endpoint{
 				ID:   2,
 				Addr: "127.0.0.1:4003", Zone: 2, Kind: 1, State: balancer.Draining, Weight: 1,
 			})},
 			invalid: `members[0]: phase "Cordoned" of "s-00000002" is not known`,
 		},
 		{
-			event: Event{Cursor: 45, HasUpdate: true, Roster: update(balancer.EndpointsDelta)},
+			event: Event{Cursor: 45, HasUpdate: true, Update: update(balancer.EndpointsDelta)},
 			invalid: "members[0]: field id is missing\n" +
 				`members[1]: host_port "nowhere" of "s-00000003": not an ip:port`,
 		},
-		{event: Event{Cursor: 46, Roster: update(balancer.EndpointsDelta)}},
-		{event: Event{Cursor: 47, Epoch: "e8", Roster: update(balancer.EndpointsDelta)}},
+		{event: Event{Cursor: 46, Update: update(balancer.EndpointsDelta)}},
+		{event: Event{Cursor: 47, Epoch: "e8", Update: update(balancer.EndpointsDelta)}},
 		{unparseable: "field cursor is missing"},
 		{unparseable: "field cursor is missing"},
 		{unparseable: "cannot unmarshal number"},
@@ -137,7 +138,7 @@
 	}
 	open := func(group netip.AddrPort) (*PeerTransport, chan string) {
 		transport, err := ListenPeers(&Config{
-			PeerListen: "127.0.0.1:0", PeersAll: group, Setup: testSettings(t),
+			PeerListen: "127.0.0.1:0", PeersAll: group, Settings: testSettings(t),
 			Peers: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:9"), oneAddr, twoAddr},
 		}, discardLog)
 		require.NoError(t, err)
--- a/internal/platform/golden_config_test.go
+++ b/internal/platform/golden_config_test.go
@@ -26,7 +26,7 @@
 func TestConfigurationFileIsReadWhole(t *testing.T) {
 	raw, err := os.ReadFile("testdata/config.json")
 	require.NoError(t, err)
-	settings := &wire.Setup{
+	settings := &wire.Settings{
 		Kinds: []string{"std-2core", "std-4core"}, Number: 1, OverShareWorth: 0.2, Quantum: 501,
 		RegistryMode: "on_request", Siblings: 7, Zone: 9, Zones: []string{"north-room", "south-room"},
 	}
@@ -55,8 +55,8 @@
 		Name: "router-3", Listen: "127.0.0.1:7001", Seed: 0x8c1f30d27a5be964, Cores: 1.5, Memory: 96 << 20,
 		Sockets: 300, PeerListen: "127.0.0.1:7002", PeersAll: netip.MustParseAddrPort("239.1.2.3:7004"),
 		Peers:   []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:7002"), netip.MustParseAddrPort("[::1]:7003")},
-		Channel: "127.0.0.1:7005", Console: "127.0.0.1:7006", Cursor: 5, Setup: settings,
-		Known: []Event{{Cursor: 5, Epoch: "e7", HasUpdate: true, Roster: oakthread.EndpointUpdate{
+		Channel: "127.0.0.1:7005", Console: "127.0.0.1:7006", Cursor: 5, Settings: settings,
+		InitialEvents: []Event{{Cursor: 5, Epoch: "e7", HasUpdate: true, Update: oakthread.EndpointUpdate{
 			Kind: balancer.EndpointsSnapshot,
 			Endpoints: []oakthread.Endpoint{{
 				ID: 0xc41f7a, Addr: "127.0.0.1:4001", Zone: 1, Kind: 1, Cell: 2,
@@ -91,7 +91,7 @@
 	var file map[string]any
 	require.NoError(t, json.Unmarshal(raw, &file))
 	settingsKeys := slices.Collect(maps.Keys(keysOf(file["settings"], "")))
-	assert.ElementsMatch(t, keysOfType(reflect.TypeFor[wire.Setup](), ""), settingsKeys)
+	assert.ElementsMatch(t, keysOfType(reflect.TypeFor[wire.Settings](), ""), settingsKeys)
 	delete(file, "settings")
 	inFile, known := map[string]bool{"settings": true}, map[string]bool{}
 	for path := range keysOf(file, "") {
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -77,7 +77,7 @@
 		id     string // of a call of path-book; "": request is sent as it is
 		from   string // replaced in the call
 		to     string
-		change func(*wire.Setup)
+		change func(*wire.Settings)
 	}{
 		{name: "served", id: firstID},
 		{name: "served-chunked-request", id: firstID, from: length, to: chunks},
@@ -85,9 +85,9 @@
 		{name: "refused-with-wait", id: refused},
 		{
 			name: "refused-with-wait-in-milliseconds", id: refused,
-			change: func(s *wire.Setup) { s.Permissions.RetryAfter = true },
+			change: func(s *wire.Settings) { s.Permissions.RetryAfter = true },
 		},
-		{name: "refused-without-wait", id: refused, change: func(s *wire.Setup) {
+		{name: "refused-without-wait", id: refused, change: func(s *wire.Settings) {
 			s.Permissions.RetryAfter, s.Permissions.MaxRetryAfter = true, 0
 		}},
 		{name: "failed", id: failed},
@@ -134,7 +134,7 @@
 			})
 			s := newTestbed(t, testbedOptions{settings: c.change}, executor)
 			if c.name == "ping-not-ready" {
-				s.server.Gate = func() bool { return false }
+				s.server.ReadinessGate = func() bool { return false }
 			}
 			request := c.to
 			if c.id != "" {
@@ -206,7 +206,7 @@
 
 // TestAttemptsMatchGoldenFiles follows calls from a client's socket to the executor's.
 func TestAttemptsMatchGoldenFiles(t *testing.T) {
-	addKeyed := func(settings *wire.Setup) {
+	addKeyed := func(settings *wire.Settings) {
 		category := settings.Categories[0]
 		category.Name, category.Idempotency, category.KeyScope = "path pay/1", "idempotency_key", "all"
 		settings.Categories = append(settings.Categories, category)
@@ -260,7 +260,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			executor, requests := newRawRecorder(t, plainOK)
-			pool := NewFleet(testSettings(t), 10)
+			pool := NewExecutorPool(testSettings(t), 10)
 			defer pool.Close()
 			order := oakthread.LoadOrder{Worker: endpointAt(executor.addr()), Key: "7F3a9c21e0b4d655", Count: 2}
 			do(t.Context(), pool, order)
@@ -327,7 +327,7 @@
 				length += "\r\n" + c.headers
 			}
 			executor, _ := newRawRecorder(t, "HTTP/1.1 "+c.status+"\r\n"+length+"\r\n\r\n"+c.body)
-			pool := NewFleet(testSettings(t), 10)
+			pool := NewExecutorPool(testSettings(t), 10)
 			defer pool.Close()
 			endpoint, got := endpointAt(executor.addr()), reply{}
 			switch c.by {
--- a/internal/platform/helpers_test.go
+++ b/internal/platform/helpers_test.go
@@ -26,9 +26,9 @@
 var discardLog = slog.New(slog.DiscardHandler)
 
 // testSettings returns settings of its own for each call.
-func testSettings(t testing.TB) *wire.Setup {
+func testSettings(t testing.TB) *wire.Settings {
 	t.Helper()
-	settings, err := wire.ReadSetup([]byte(settingsText))
+	settings, err := wire.ReadSettings([]byte(settingsText))
 	require.NoError(t, err)
 	return settings
 }
--- a/internal/platform/listen.go
+++ b/internal/platform/listen.go
@@ -24,8 +24,8 @@
 	return ln, nil
 }
 
-// ListenThrough is Listen for the clients' side, behind network.
-func ListenThrough(ctx context.Context, network Network, addr string) (net.Listener, error) {
+// ListenBehind is Listen for the clients' side, behind network.
+func ListenBehind(ctx context.Context, network Network, addr string) (net.Listener, error) {
 	ln, err := Listen(ctx, addr)
 	if err != nil {
 		return nil, err
--- a/internal/platform/peertransport.go
+++ b/internal/platform/peertransport.go
@@ -42,7 +42,7 @@
 
 // ListenPeers opens the socket for messages. It returns nil if the settings permit none.
 func ListenPeers(config *Config, log *slog.Logger) (*PeerTransport, error) {
-	if !config.Setup.Permissions.Peers || config.PeerListen == "" {
+	if !config.Settings.Permissions.Peers || config.PeerListen == "" {
 		return nil, nil
 	}
 	addr, err := netip.ParseAddrPort(config.PeerListen)
@@ -55,7 +55,7 @@
 	}
 	p := &PeerTransport{
 		conn: conn, group: config.PeersAll, peers: config.Peers, indexByAddr: map[netip.AddrPort]int{},
-		selfIndex: config.Setup.Number, sendQueue: make(chan datagram, sendQueueLength), log: log,
+		selfIndex: config.Settings.Number, sendQueue: make(chan datagram, sendQueueLength), log: log,
 	}
 	for i, peer := range config.Peers {
 		p.indexByAddr[peer] = i
--- a/internal/platform/peertransport_test.go
+++ b/internal/platform/peertransport_test.go
@@ -17,7 +17,7 @@
 	t.Helper()
 	settings := testSettings(t)
 	settings.Number = index
-	transport, err := ListenPeers(&Config{PeerListen: "127.0.0.1:0", Setup: settings}, discardLog)
+	transport, err := ListenPeers(&Config{PeerListen: "127.0.0.1:0", Settings: settings}, discardLog)
 	require.NoError(t, err)
 	return transport
 }
--- a/internal/platform/reload.go
+++ b/internal/platform/reload.go
@@ -46,10 +46,10 @@
 	}
 }
 
-// Fits returns an error unless c, read at SIGHUP, may replace previous: it must hold every key that
+// CheckReload returns an error unless c, read at SIGHUP, may replace previous: it must hold every key that
 // previous holds, and each class a deadline and each call a number of attempts above 0. A file that is
 // empty or was cut off thus changes nothing. The error names the file's key and value.
-func (c *Config) Fits(previous *Config) error {
+func (c *Config) CheckReload(previous *Config) error {
 	for _, key := range previous.keys {
 		if !slices.Contains(c.keys, key) {
 			return fmt.Errorf("key %s is missing", key)
@@ -57,7 +57,7 @@
 	}
 	hasAim := slices.Contains(previous.keys, "settings.categories[].aim_ns")
 	hasGiveUp := slices.Contains(previous.keys, "settings.categories[].give_up_ns")
-	for _, class := range c.Setup.Categories {
+	for _, class := range c.Settings.Categories {
 		if hasAim && class.Aim <= 0 {
 			return fmt.Errorf("settings.categories %q: aim_ns %d is not above 0", class.Name, class.Aim)
 		}
@@ -65,8 +65,8 @@
 			return fmt.Errorf("settings.categories %q: give_up_ns %d is not above 0", class.Name, class.GiveUp)
 		}
 	}
-	if slices.Contains(previous.keys, "settings.permissions.send_cap") && c.Setup.Permissions.SendCap <= 0 {
-		return fmt.Errorf("settings.permissions.send_cap %d is not above 0", c.Setup.Permissions.SendCap)
+	if slices.Contains(previous.keys, "settings.permissions.send_cap") && c.Settings.Permissions.SendCap <= 0 {
+		return fmt.Errorf("settings.permissions.send_cap %d is not above 0", c.Settings.Permissions.SendCap)
 	}
 	return nil
 }
--- a/internal/platform/request_test.go
+++ b/internal/platform/request_test.go
@@ -13,7 +13,7 @@
 
 // A request's headers are parsed; one that is malformed, repeated or out of range is an error.
 func TestParseHeader(t *testing.T) {
-	server := NewFront(nil, testSettings(t))
+	server := NewServer(nil, testSettings(t))
 	for name, c := range map[string]struct {
 		header, value string // replaces a valid header
 		invalid       bool
--- a/internal/platform/serve.go
+++ b/internal/platform/serve.go
@@ -44,7 +44,7 @@
 	case <-ctx.Done():
 	}
 	s.draining.Store(true)
-	if mutant.On(mutant.EndsAtOnce) {
+	if mutant.On(mutant.AbruptShutdown) {
 		linger = 0
 		limiter.setKeepAlives(false)
 	}
@@ -103,7 +103,7 @@
 	}
 	limiter.setKeepAlives(false)
 	if !limiter.waitUntilEmpty(ctx) && s.inFlight.Load() > 0 {
-		s.reportViolation(violation.Answered, violation.PathEnd, "",
+		s.reportViolation(violation.RuleAnswered, violation.PathShutdown, "",
 			fmt.Sprintf("%d calls are left without an answer", s.inFlight.Load()))
 		return context.DeadlineExceeded
 	}
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -25,9 +25,9 @@
 // Server serves the platform's clients over HTTP/1.1. It implements http.Handler.
 type Server struct {
 	// Violated, if set before Serve, is called for each rule that is found broken.
-	Violated func(rule, path, id, detail string)
+	OnViolation func(rule, path, id, detail string)
 	// Gate, if set before Serve, makes readiness fail while it returns false.
-	Gate func() bool
+	ReadinessGate func() bool
 
 	core               *oakthread.Core
 	mux                *http.ServeMux
@@ -43,8 +43,8 @@
 	limiter            atomic.Pointer[connLimiter]
 }
 
-// NewFront returns a server for the requests of core.
-func NewFront(core *oakthread.Core, settings *wire.Setup) *Server {
+// NewServer returns a server for the requests of core.
+func NewServer(core *oakthread.Core, settings *wire.Settings) *Server {
 	s := &Server{
 		core: core, tenantNumbers: map[string]int{}, sendsRetryAfter: settings.Permissions.RetryAfter,
 		mux: http.NewServeMux(),
@@ -62,18 +62,18 @@
 	return s
 }
 
-// Classes sets the class numbers by name for new requests; those in flight keep theirs. The map must not
+// SetClasses sets the class numbers by name for new requests; those in flight keep theirs. The map must not
 // be changed afterwards.
-func (s *Server) Classes(numbers map[string]int) { s.classNumbers.Store(&numbers) }
+func (s *Server) SetClasses(numbers map[string]int) { s.classNumbers.Store(&numbers) }
 
 // Pending returns the number of requests that have been read and not been answered.
 func (s *Server) Pending() int64 { return s.inFlight.Load() }
 
-// Bad returns the number of requests that could not be read.
-func (s *Server) Bad() int64 { return s.malformed.Load() }
+// Malformed returns the number of requests that could not be read.
+func (s *Server) Malformed() int64 { return s.malformed.Load() }
 
-// AcceptsFailed returns the number of accepts that failed and were retried.
-func (s *Server) AcceptsFailed() int64 {
+// AcceptFailures returns the number of accepts that failed and were retried.
+func (s *Server) AcceptFailures() int64 {
 	if limiter := s.limiter.Load(); limiter != nil {
 		return limiter.acceptFailures.Load()
 	}
@@ -127,7 +127,7 @@
 	if conn == nil || conn.limiter.beginRequest(conn) {
 		return
 	}
-	s.reportViolation(violation.Answered, violation.PathTake, requestID,
+	s.reportViolation(violation.RuleAnswered, violation.PathAccept, requestID,
 		"its connection was closed before it was taken")
 	panic(http.ErrAbortHandler)
 }
@@ -135,7 +135,7 @@
 // handlePing reports readiness: the endpoint list is loaded and the server does not drain.
 func (s *Server) handlePing(w http.ResponseWriter, r *http.Request) {
 	s.announceClose(w, r)
-	if !s.core.Ready() || s.draining.Load() || s.Gate != nil && !s.Gate() {
+	if !s.core.Ready() || s.draining.Load() || s.ReadinessGate != nil && !s.ReadinessGate() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
@@ -166,7 +166,7 @@
 	answer, err := s.core.Do(r.Context(), request)
 	s.announceClose(w, r)
 	if late := time.Since(request.Deadline); err == nil && began.Before(request.Deadline) && late > maxResponseDelay {
-		s.reportViolation(violation.InTime, violation.PathBook, request.ID,
+		s.reportViolation(violation.RuleInTime, violation.PathAnswer, request.ID,
 			fmt.Sprintf("answered %v after its time", late.Round(time.Millisecond)))
 	}
 	s.writeAnswer(w, answer, err)
@@ -183,7 +183,7 @@
 
 // reportViolation calls Violated for a rule that is found broken.
 func (s *Server) reportViolation(rule violation.Rule, path violation.Path, id, detail string) {
-	if s.Violated != nil {
-		s.Violated(string(rule), string(path), id, detail)
+	if s.OnViolation != nil {
+		s.OnViolation(string(rule), string(path), id, detail)
 	}
 }
--- a/internal/platform/server_test.go
+++ b/internal/platform/server_test.go
@@ -44,7 +44,7 @@
 	backend := httptest.NewServer(executor)
 	t.Cleanup(backend.Close)
 	core, err := oakthread.New(oakthread.Config{
-		Settings: testSettings(t).Decide(), Workers: NewFleet(testSettings(t), 50),
+		Settings: testSettings(t).BalancerSettings(), Workers: NewExecutorPool(testSettings(t), 50),
 	})
 	require.NoError(t, err)
 	t.Cleanup(core.Close)
@@ -52,7 +52,7 @@
 	require.NoError(t, err)
 	ctx, shutdown := context.WithCancel(t.Context())
 	s := &runningServer{
-		server: NewFront(core, testSettings(t)), url: "http://" + ln.Addr().String(),
+		server: NewServer(core, testSettings(t)), url: "http://" + ln.Addr().String(),
 		shutdown: shutdown, done: make(chan error, 1),
 	}
 	log := slog.New(slog.NewTextHandler(lines, nil))
@@ -124,7 +124,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, 413, resp.status)
 	assert.Equal(t, 405, getStatus(t, s.url+"/call/x/trigger"))
-	assert.Equal(t, int64(3), s.server.Bad())
+	assert.Equal(t, int64(3), s.server.Malformed())
 	s.shutdown()
 	require.NoError(t, <-s.done)
 	assert.Zero(t, s.server.Pending())
@@ -185,7 +185,7 @@
 		_, _ = io.Copy(w, r.Body)
 	})
 	var outOfService atomic.Bool
-	s.server.Gate = func() bool { return !outOfService.Load() }
+	s.server.ReadinessGate = func() bool { return !outOfService.Load() }
 	idle, err := net.Dial("tcp", strings.TrimPrefix(s.url, "http://"))
 	require.NoError(t, err)
 	defer idle.Close()
@@ -213,7 +213,7 @@
 	s.server.SetKeepAlives(true)
 	assert.Equal(t, 200, getStatus(t, s.url+"/ping"))
 	completed := map[string]int64{}
-	s.server.Tally(func(class string, outcomes *Outcomes) { completed[class] = outcomes.Completed.Load() })
+	s.server.ForEachClass(func(class string, outcomes *Outcomes) { completed[class] = outcomes.Completed.Load() })
 	assert.Equal(t, map[string]int64{"path-book": 1}, completed)
 	assert.Zero(t, s.server.Pending())
 	s.shutdown()
--- a/internal/platform/testbed_test.go
+++ b/internal/platform/testbed_test.go
@@ -71,7 +71,7 @@
 
 // testbedOptions change a testbed. The zero value changes nothing.
 type testbedOptions struct {
-	settings func(*wire.Setup)                   // changes the settings
+	settings func(*wire.Settings)                // changes the settings
 	listener func(*net.TCPListener) net.Listener // wraps the server's listener
 }
 
@@ -107,16 +107,16 @@
 		heldDial: make(chan net.Conn, 1), releaseDial: make(chan struct{}), logLines: make(notify, 64),
 		done: make(chan error, 1),
 	}
-	s.pool = NewFleet(settings, 50)
+	s.pool = NewExecutorPool(settings, 50)
 	s.pool.dialContext = s.holdDials(s.pool.dialContext)
 	var err error
 	s.core, err = oakthread.New(oakthread.Config{
-		Settings: settings.Decide(), Workers: s.pool,
+		Settings: settings.BalancerSettings(), Workers: s.pool,
 		Completed: func(completion oakthread.Completion) { s.completions <- completion },
 	})
 	require.NoError(t, err)
 	t.Cleanup(s.core.Close)
-	s.server = NewFront(s.core, settings)
+	s.server = NewServer(s.core, settings)
 	s.serve(options)
 	s.updateEndpoints(balancer.EndpointsSnapshot, func(int, *oakthread.Endpoint) {})
 	return s
@@ -267,10 +267,10 @@
 }
 
 // withoutCancellation forbids to cancel attempts.
-func withoutCancellation(settings *wire.Setup) { settings.Permissions.Cancel = false }
+func withoutCancellation(settings *wire.Settings) { settings.Permissions.Cancel = false }
 
 // withShortKeepAlive has copies expire soon, and forbids to cancel attempts.
-func withShortKeepAlive(settings *wire.Setup) {
+func withShortKeepAlive(settings *wire.Settings) {
 	settings.Specifics.LingerIdle, settings.Permissions.Cancel = int64(10*time.Millisecond), false
 }
 
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -33,23 +33,23 @@
 
 // EndpointHandler handles what the command channel brings, in order, from one goroutine.
 type EndpointHandler interface {
-	// Told handles a change of the endpoint list and the number of its event.
-	Told(r oakthread.EndpointUpdate, epoch string, cursor int64)
-	// Current handles a heartbeat: nothing has changed since the last event.
-	Current()
-	// Lost handles the end of a connection.
-	Lost()
-	// StartedOver handles a restart of the numbering: the next update holds the complete list.
-	StartedOver()
+	// HandleUpdate handles a change of the endpoint list and the number of its event.
+	HandleUpdate(r oakthread.EndpointUpdate, epoch string, cursor int64)
+	// HandleHeartbeat handles a heartbeat: nothing has changed since the last event.
+	HandleHeartbeat()
+	// HandleLoss handles the end of a connection.
+	HandleLoss()
+	// HandleRestart handles a restart of the numbering: the next update holds the complete list.
+	HandleRestart()
 }
 
 // updateFunc is the EndpointHandler of a dispatcher that stores no list.
 type updateFunc func(oakthread.EndpointUpdate)
 
-func (f updateFunc) Told(r oakthread.EndpointUpdate, _ string, _ int64) { f(r) }
-func (updateFunc) Current()                                             {}
-func (updateFunc) Lost()                                                {}
-func (updateFunc) StartedOver()                                         {}
+func (f updateFunc) HandleUpdate(r oakthread.EndpointUpdate, _ string, _ int64) { f(r) }
+func (updateFunc) HandleHeartbeat()                                             {}
+func (updateFunc) HandleLoss()                                                  {}
+func (updateFunc) HandleRestart()                                               {}
 
 // EndpointWatcher follows the command channel, on which discovery writes the endpoint list and its
 // changes. Each event is handled once and in order; the watch resumes after the last one on a new
@@ -57,7 +57,7 @@
 type EndpointWatcher struct {
 	addr           string
 	moves          chan string
-	settings       *wire.Setup
+	settings       *wire.Settings
 	initialEvents  []Event
 	cursor         int64 // of the last event that was handled
 	epoch          string
@@ -69,22 +69,22 @@
 	dial           DialFunc
 }
 
-// NewChannel returns a watcher of the channel named in config, which resumes after the events known there.
-func NewChannel(config *Config, log *slog.Logger) *EndpointWatcher {
+// NewEndpointWatcher returns a watcher of the channel named in config, which resumes after the events known there.
+func NewEndpointWatcher(config *Config, log *slog.Logger) *EndpointWatcher {
 	return &EndpointWatcher{
-		addr: config.Channel, moves: make(chan string, 1), settings: config.Setup,
-		initialEvents: config.Known, cursor: config.Cursor, log: log,
+		addr: config.Channel, moves: make(chan string, 1), settings: config.Settings,
+		initialEvents: config.InitialEvents, cursor: config.Cursor, log: log,
 		dial:   (&net.Dialer{Timeout: watchDialTimeout}).DialContext,
-		dialer: endpoints.NewDialer([]string{config.Channel}, config.Seed).Within(maxWatchRetryDelay),
+		dialer: endpoints.NewDialer([]string{config.Channel}, config.Seed).WithMaxBackoff(maxWatchRetryDelay),
 	}
 }
 
-// Through has the watcher dial through network. It must be called before Follow.
-func (w *EndpointWatcher) Through(network Network) { w.dial = network.dial(w.dial) }
+// SetNetwork has the watcher dial through network. It must be called before Follow.
+func (w *EndpointWatcher) SetNetwork(network Network) { w.dial = network.dial(w.dial) }
 
-// Keep has the watch resume after the event of a stored list, try several addresses in turn, and detect a
+// ResumeFrom has the watch resume after the event of a stored list, try several addresses in turn, and detect a
 // discovery that has restarted. It must be called before Follow.
-func (w *EndpointWatcher) Keep(cursor int64, epoch string, dialer *endpoints.Dialer) {
+func (w *EndpointWatcher) ResumeFrom(cursor int64, epoch string, dialer *endpoints.Dialer) {
 	w.cursor, w.epoch, w.dialer, w.persistent, w.initialEvents = cursor, epoch, dialer, true, nil
 }
 
@@ -108,7 +108,7 @@
 // ends. It returns the error of ctx.
 func (w *EndpointWatcher) Follow(ctx context.Context, handler EndpointHandler) error {
 	for _, event := range w.initialEvents {
-		handler.Told(event.Roster, event.Epoch, event.Cursor)
+		handler.HandleUpdate(event.Update, event.Epoch, event.Cursor)
 	}
 	for ctx.Err() == nil {
 		var delay time.Duration
@@ -162,10 +162,10 @@
 
 // handleLoss handles the end of a connection.
 func (w *EndpointWatcher) handleLoss(err error, handler EndpointHandler) {
-	handler.Lost()
+	handler.HandleLoss()
 	w.log.Warn("endpoint watch lost, reconnecting", "cursor", w.cursor, "error", err)
 	if errors.Is(err, errDiscoveryRestarted) {
-		w.dialer.Good()
+		w.dialer.Succeeded()
 	} else {
 		w.dialer.Failed()
 	}
@@ -174,7 +174,7 @@
 // setAddress moves the watch to an address.
 func (w *EndpointWatcher) setAddress(addr string) {
 	w.addr = addr
-	w.dialer.Move(addr)
+	w.dialer.Redirect(addr)
 	w.log.Info("endpoint watch moved", "addr", w.addr, "cursor", w.cursor)
 }
 
--- a/internal/platform/watch_test.go
+++ b/internal/platform/watch_test.go
@@ -46,8 +46,8 @@
 	var mu sync.Mutex
 	updates := 0
 	ctx, stop := context.WithCancel(t.Context())
-	watcher := NewChannel(&Config{
-		Channel: ln.Addr().String(), Cursor: 3, Setup: testSettings(t), Known: []Event{{Cursor: 3}},
+	watcher := NewEndpointWatcher(&Config{
+		Channel: ln.Addr().String(), Cursor: 3, Settings: testSettings(t), InitialEvents: []Event{{Cursor: 3}},
 	}, discardLog)
 	err = watcher.Watch(ctx, func(oakthread.EndpointUpdate) {
 		mu.Lock()
@@ -68,16 +68,16 @@
 // eventRecorder is an EndpointHandler that records what it handles.
 type eventRecorder chan string
 
-func (r eventRecorder) Told(update oakthread.EndpointUpdate, epoch string, cursor int64) {
+func (r eventRecorder) HandleUpdate(update oakthread.EndpointUpdate, epoch string, cursor int64) {
 	r <- fmt.Sprintf("update %d of %s, %d endpoints, complete %v",
 		cursor, epoch, len(update.Endpoints), update.Kind == balancer.EndpointsSnapshot)
 }
 
-func (r eventRecorder) Current() { r <- "current" }
+func (r eventRecorder) HandleHeartbeat() { r <- "current" }
 
-func (r eventRecorder) Lost() { r <- "lost" }
+func (r eventRecorder) HandleLoss() { r <- "lost" }
 
-func (r eventRecorder) StartedOver() { r <- "restarted" }
+func (r eventRecorder) HandleRestart() { r <- "restarted" }
 
 // The watch of a stored list resumes after its event. A discovery with a lower number, or of another epoch, has
 // restarted and is read from its first event. Several addresses are tried in turn.
@@ -112,8 +112,8 @@
 	refused, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	refused.Close()
-	watcher := NewChannel(&Config{Setup: testSettings(t)}, discardLog)
-	watcher.Keep(41, "e1", endpoints.NewDialer([]string{refused.Addr().String(), ln.Addr().String()}, 1))
+	watcher := NewEndpointWatcher(&Config{Settings: testSettings(t)}, discardLog)
+	watcher.ResumeFrom(41, "e1", endpoints.NewDialer([]string{refused.Addr().String(), ln.Addr().String()}, 1))
 	events, got := make(eventRecorder, 64), []string{}
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan error, 1)
@@ -137,7 +137,8 @@
 func TestReconnectsAreSpread(t *testing.T) {
 	bySlot := map[time.Duration]int{}
 	for seed := range uint64(80) {
-		watcher := NewChannel(&Config{Channel: "127.0.0.1:4", Seed: seed, Setup: testSettings(t)}, discardLog)
+		config := &Config{Channel: "127.0.0.1:4", Seed: seed, Settings: testSettings(t)}
+		watcher := NewEndpointWatcher(config, discardLog)
 		_, delay := watcher.dialer.Next()
 		require.Zero(t, delay, "the first connection is made at once")
 		for range 12 {
--- a/internal/platform/watchevents.go
+++ b/internal/platform/watchevents.go
@@ -16,7 +16,7 @@
 	}
 	if w.isRestart(event) {
 		w.cursor, w.epoch = 0, ""
-		handler.StartedOver()
+		handler.HandleRestart()
 		return errDiscoveryRestarted
 	}
 	if event.Epoch != "" {
@@ -32,7 +32,7 @@
 		return fmt.Errorf("events after %d are missing, the last is %d", w.cursor, event.Cursor)
 	}
 	if first {
-		w.dialer.Good()
+		w.dialer.Succeeded()
 	}
 	w.deliver(event, handler)
 	return nil
@@ -74,7 +74,7 @@
 func (w *EndpointWatcher) deliver(event Event, handler EndpointHandler) {
 	if event.Heartbeat {
 		if event.Cursor == w.cursor {
-			handler.Current()
+			handler.HandleHeartbeat()
 		}
 		return
 	}
@@ -83,6 +83,6 @@
 	}
 	w.cursor = event.Cursor
 	if event.HasUpdate {
-		handler.Told(event.Roster, w.epoch, w.cursor)
+		handler.HandleUpdate(event.Update, w.epoch, w.cursor)
 	}
 }
--- a/internal/platform/watchstream_test.go
+++ b/internal/platform/watchstream_test.go
@@ -107,14 +107,14 @@
 // that cannot be read is requested once more and then skipped. Each is logged once.
 func TestInvalidEventsDoNotEndTheWatch(t *testing.T) {
 	discovery, log := newDiscovery(t), &safeBuffer{}
-	watcher := NewChannel(&Config{Channel: discovery.addr(), Setup: testSettings(t)},
+	watcher := NewEndpointWatcher(&Config{Channel: discovery.addr(), Settings: testSettings(t)},
 		slog.New(slog.NewTextHandler(log, nil)))
 	members := memberText(1, "Ready") + "," + memberText(2, "Cordoned") +
 		`,{"id":"s-3","phase":"Ready"},{"phase":"Ready"}`
 	event, err := parseEvent([]byte(eventLineText(1, members)), testSettings(t))
 	require.NoError(t, err)
-	require.Len(t, event.Roster.Endpoints, 2)
-	assert.Equal(t, balancer.Draining, event.Roster.Endpoints[1].State)
+	require.Len(t, event.Update.Endpoints, 2)
+	assert.Equal(t, balancer.Draining, event.Update.Endpoints[1].State)
 	assert.Len(t, event.Invalid, 3)
 	events := make(eventRecorder, 64)
 	ctx, stop := context.WithCancel(t.Context())
--- a/internal/regression/choose.go
+++ b/internal/regression/choose.go
@@ -12,13 +12,13 @@
 	lastBendRatio  = 2    // the largest C over the largest size
 )
 
-// Choose fits every shape to the means of the sizes and selects one. The error is ErrPoints: fewer
+// Select fits every shape to the means of the sizes and selects one. The error is ErrPoints: fewer
 // than three sizes, a size below 1, a value below 0 or not a number.
 //
 // It selects the simplest shape whose residual is at most 1.5 times that of the best, or 1.5 times
 // the standard error of the means, or 0.02. Saturating, which has a parameter more, is selected
 // only if it predicts held-out sizes better: see saturates.
-func Choose(points []Point) (Fit, error) {
+func Select(points []Point) (Fit, error) {
 	s, err := newSample(points)
 	if err != nil {
 		return Fit{}, err
--- a/internal/regression/fit.go
+++ b/internal/regression/fit.go
@@ -81,22 +81,22 @@
 	return f.A + f.B*f.Shape.term(x, f.C)
 }
 
-// Room returns the tolerance of a prediction as a fraction of it: twice the spread, at least 0.1
+// Tolerance returns the tolerance of a prediction as a fraction of it: twice the spread, at least 0.1
 // and at most 0.3.
-func (f Fit) Room() float64 {
+func (f Fit) Tolerance() float64 {
 	return min(max(minTolerance, toleranceOverSpread*f.Spread), maxTolerance)
 }
 
-// Within reports whether y agrees with the prediction at x within its tolerance. A prediction of 0
+// Agrees reports whether y agrees with the prediction at x within its tolerance. A prediction of 0
 // agrees with 0 only.
-func (f Fit) Within(x, y float64) bool {
+func (f Fit) Agrees(x, y float64) bool {
 	predicted := f.At(x)
-	return math.Abs(y-predicted) <= f.Room()*predicted // false if y is not a number
+	return math.Abs(y-predicted) <= f.Tolerance()*predicted // false if y is not a number
 }
 
-// Crosses returns the size at which the value reaches budget: 0 if it does at any size. ok is false
+// SizeAt returns the size at which the value reaches budget: 0 if it does at any size. ok is false
 // if no size reaches it.
-func (f Fit) Crosses(budget float64) (x float64, ok bool) {
+func (f Fit) SizeAt(budget float64) (x float64, ok bool) {
 	if f.A >= budget {
 		return 0, true
 	}
--- a/internal/regression/fit_test.go
+++ b/internal/regression/fit_test.go
@@ -38,11 +38,11 @@
 func TestEachShapeIsSelectedForItsLaw(t *testing.T) {
 	for want, law := range laws() {
 		for seed := range uint64(20) {
-			f, err := Choose(points(law, 0.02, seed, sizes...))
+			f, err := Select(points(law, 0.02, seed, sizes...))
 			require.NoError(t, err)
 			require.Equal(t, want, f.Shape, "seed %d: %v", seed, f)
 			assert.InDelta(t, law(4800), f.At(4800), 0.06*law(4800), "%v", f)
-			assert.True(t, f.Within(4800, law(4800)), "%v", f)
+			assert.True(t, f.Agrees(4800, law(4800)), "%v", f)
 			assert.Equal(t, []any{120.0, 2400.0, 15}, []any{f.From, f.To, f.Points})
 			assert.InDelta(t, 0.025, f.Spread, 0.025)
 		}
@@ -53,37 +53,37 @@
 func TestWrongPredictionsFail(t *testing.T) {
 	// The small sizes do not show the quadratic term.
 	hidden := func(x float64) float64 { return 1000 + 10*x + 0.0008*x*x }
-	f, err := Choose(points(hidden, 0.02, 1, 120, 200, 300, 400, 600))
+	f, err := Select(points(hidden, 0.02, 1, 120, 200, 300, 400, 600))
 	require.NoError(t, err)
 	require.Equal(t, Linear, f.Shape)
-	assert.True(t, f.Within(1200, hidden(1200)), "the quadratic term is still small")
-	assert.False(t, f.Within(9600, hidden(9600)), "%v predicts %g, it is %g", f, f.At(9600), hidden(9600))
+	assert.True(t, f.Agrees(1200, hidden(1200)), "the quadratic term is still small")
+	assert.False(t, f.Agrees(9600, hidden(9600)), "%v predicts %g, it is %g", f, f.At(9600), hidden(9600))
 
 	square := func(x float64) float64 { return x * x }
 	s, err := newSample(points(square, 0.02, 1, sizes...))
 	require.NoError(t, err)
 	line := Linear.fit(s.means, 0)
 	line.Spread = 5 // the tolerance is bounded all the same
-	assert.False(t, line.Within(4800, square(4800)))
+	assert.False(t, line.Agrees(4800, square(4800)))
 
 	// The tolerance for points that are mostly noise stays at 0.3.
-	wild, err := Choose(points(laws()[Linear], 0.9, 3, sizes...))
+	wild, err := Select(points(laws()[Linear], 0.9, 3, sizes...))
 	require.NoError(t, err)
-	assert.Equal(t, maxTolerance, wild.Room())
-	assert.False(t, wild.Within(4800, 1.4*wild.At(4800)))
-	assert.False(t, wild.Within(4800, math.NaN()))
+	assert.Equal(t, maxTolerance, wild.Tolerance())
+	assert.False(t, wild.Agrees(4800, 1.4*wild.At(4800)))
+	assert.False(t, wild.Agrees(4800, math.NaN()))
 
 	// Sizes that show no growth predict none.
-	none, err := Choose([]Point{{X: 3}, {X: 30}, {X: 300}})
+	none, err := Select([]Point{{X: 3}, {X: 30}, {X: 300}})
 	require.NoError(t, err)
-	assert.Equal(t, []bool{true, false}, []bool{none.Within(1900, 0), none.Within(1900, 1)})
+	assert.Equal(t, []bool{true, false}, []bool{none.Agrees(1900, 0), none.Agrees(1900, 1)})
 }
 
 // A constant with noise that shows between the seeds is rarely fitted by a growing shape.
 func TestNoiseIsNotFittedAsGrowth(t *testing.T) {
 	grown := 0
 	for seed := range uint64(50) {
-		f, err := Choose(points(laws()[Constant], 0.2, seed, sizes...))
+		f, err := Select(points(laws()[Constant], 0.2, seed, sizes...))
 		require.NoError(t, err)
 		if f.Shape != Constant {
 			grown++
@@ -99,12 +99,12 @@
 func TestSaturatingIsSelectedForItsLaw(t *testing.T) {
 	law := func(x float64) float64 { return 1500 + 26000*(1-math.Exp(-x/40)) }
 	for seed := range uint64(20) {
-		f, err := Choose(points(law, 0.02, seed, saturatingSizes...))
+		f, err := Select(points(law, 0.02, seed, saturatingSizes...))
 		require.NoError(t, err)
 		require.Equal(t, Saturating, f.Shape, "seed %d: %v", seed, f)
 		assert.InEpsilon(t, 40, f.C, 0.25, "%v", f)
-		assert.True(t, f.Within(200, law(200)), "seed %d: %v predicts %g, it is %g", seed, f, f.At(200), law(200))
-		assert.False(t, f.Within(200, 2*law(200)), "another value is outside the tolerance")
+		assert.True(t, f.Agrees(200, law(200)), "seed %d: %v predicts %g, it is %g", seed, f, f.At(200), law(200))
+		assert.False(t, f.Agrees(200, 2*law(200)), "another value is outside the tolerance")
 	}
 }
 
@@ -116,7 +116,7 @@
 		for _, noise := range []float64{0, 0.02, 0.1, 0.3} {
 			for seed := range uint64(25) {
 				for _, xs := range [][]float64{sizes, saturatingSizes, {5, 10, 20, 50, 100, 200}} {
-					f, err := Choose(points(law, noise, seed, xs...))
+					f, err := Select(points(law, noise, seed, xs...))
 					require.NoError(t, err)
 					if f.Shape == Saturating {
 						selected++
@@ -128,31 +128,31 @@
 	assert.LessOrEqual(t, selected, 20, "of 1,500")
 
 	law := func(x float64) float64 { return 26000 * (1 - math.Exp(-x/40)) }
-	f, err := Choose(points(law, 0, 1, 5, 20, 50, 100))
+	f, err := Select(points(law, 0, 1, 5, 20, 50, 100))
 	require.NoError(t, err)
 	assert.NotEqual(t, Saturating, f.Shape, "no size of four can be held out")
 	// A law that bends beyond the measured sizes is fitted as linear, and the prediction fails.
 	late := func(x float64) float64 { return 400 + 9*min(x, 110) }
-	f, err = Choose(points(late, 0.01, 1, saturatingSizes...))
+	f, err = Select(points(late, 0.01, 1, saturatingSizes...))
 	require.NoError(t, err)
 	assert.Equal(t, Linear, f.Shape)
-	assert.False(t, f.Within(200, late(200)), "%v", f)
+	assert.False(t, f.Agrees(200, late(200)), "%v", f)
 	// A value that falls again does not saturate.
-	f, err = Choose(points(func(x float64) float64 { return x * math.Exp(-x/30) }, 0, 1, saturatingSizes...))
+	f, err = Select(points(func(x float64) float64 { return x * math.Exp(-x/30) }, 0, 1, saturatingSizes...))
 	require.NoError(t, err)
 	assert.NotEqual(t, Saturating, f.Shape)
 }
 
 // A mean of 0 has the weight of the smallest mean that is not 0.
 func TestZeroMeansDoNotOutweighOthers(t *testing.T) {
-	f, err := Choose([]Point{{120, 0, 1}, {600, 5000, 1}, {1200, 11000, 1}, {2400, 23000, 1}})
+	f, err := Select([]Point{{120, 0, 1}, {600, 5000, 1}, {1200, 11000, 1}, {2400, 23000, 1}})
 	require.NoError(t, err)
 	assert.InDelta(t, 23000, f.At(2400), 0.2*23000, "%v", f)
 }
 
 // Values that fall with size are fitted by a constant with a wide spread.
 func TestFallingValuesHaveAWideSpread(t *testing.T) {
-	f, err := Choose(points(func(x float64) float64 { return 1e5 / x }, 0, 1, sizes...))
+	f, err := Select(points(func(x float64) float64 { return 1e5 / x }, 0, 1, sizes...))
 	require.NoError(t, err)
 	assert.Zero(t, f.B)
 	assert.Greater(t, f.Spread, 0.3)
@@ -172,8 +172,8 @@
 		{"size 0", "point 1 has size 0, below 1", []Point{{1, 1, 1}, {0, 2, 1}, {3, 1, 1}}},
 		{"below 0", "point 0 has figure -1, below 0", []Point{{1, -1, 1}, {2, 2, 1}, {3, 1, 1}}},
 	} {
-		_, err := Choose(c.ps)
-		require.ErrorIs(t, err, ErrPoints, c.name)
+		_, err := Select(c.ps)
+		require.ErrorIs(t, err, ErrInvalidPoints, c.name)
 		if c.name == "two sizes" {
 			assert.ErrorContains(t, err, "2 points at 2 sizes, 3 different sizes are needed")
 			continue
@@ -191,31 +191,31 @@
 		{Shape: Quadratic, A: 3e4, B: 0.7},
 	} {
 		for _, at := range []float64{3, 120, 1900, 48000} {
-			x, ok := f.Crosses(f.At(at))
+			x, ok := f.SizeAt(f.At(at))
 			assert.True(t, ok)
 			assert.InEpsilon(t, at, x, 1e-6, "%v", f)
 		}
-		x, ok := f.Crosses(f.A / 2)
+		x, ok := f.SizeAt(f.A / 2)
 		assert.True(t, ok)
 		assert.Zero(t, x, "reached at any size")
 	}
 	limited := Fit{Shape: Saturating, A: 10, B: 90, C: 40}
 	for _, at := range []float64{3, 40, 120} {
-		x, ok := limited.Crosses(limited.At(at))
+		x, ok := limited.SizeAt(limited.At(at))
 		assert.True(t, ok)
 		assert.InEpsilon(t, at, x, 1e-6)
 	}
 	for _, budget := range []float64{100, 101} {
-		_, ok := limited.Crosses(budget)
+		_, ok := limited.SizeAt(budget)
 		assert.False(t, ok, "the limit is 100")
 	}
-	_, ok := Fit{Shape: Constant, A: 5}.Crosses(6)
+	_, ok := Fit{Shape: Constant, A: 5}.SizeAt(6)
 	assert.False(t, ok)
-	_, ok = Fit{Shape: Linear, A: 5}.Crosses(6)
+	_, ok = Fit{Shape: Linear, A: 5}.SizeAt(6)
 	assert.False(t, ok, "it does not grow")
-	_, ok = Fit{Shape: Log, A: 5, B: 1e-9}.Crosses(6)
+	_, ok = Fit{Shape: Log, A: 5, B: 1e-9}.SizeAt(6)
 	assert.False(t, ok, "the size is not finite")
-	x, ok := Fit{Shape: Constant, A: 7}.Crosses(6)
+	x, ok := Fit{Shape: Constant, A: 7}.SizeAt(6)
 	assert.True(t, ok && x == 0)
 }
 
@@ -240,9 +240,9 @@
 // The points of the largest size are separated from the others.
 func TestSplitSeparatesTheLargestSize(t *testing.T) {
 	s := Series{Points: []Point{{30, 1, 1}, {300, 3, 1}, {60, 2, 1}, {300, 4, 2}}}
-	fit, last := s.Split()
+	fit, last := s.HoldOutLargest()
 	assert.Equal(t, []Point{{30, 1, 1}, {60, 2, 1}}, fit)
 	assert.Equal(t, []Point{{300, 3, 1}, {300, 4, 2}}, last)
-	fit, last = Series{}.Split()
+	fit, last = Series{}.HoldOutLargest()
 	assert.Empty(t, append(fit, last...))
 }
--- a/internal/regression/points.go
+++ b/internal/regression/points.go
@@ -11,8 +11,8 @@
 // minSizes is the number of different sizes that a fit needs: one more than a model has parameters.
 const minSizes = 3
 
-// ErrPoints is returned for points that cannot be fitted.
-var ErrPoints = errors.New("regression: invalid points")
+// ErrInvalidPoints is returned for points that cannot be fitted.
+var ErrInvalidPoints = errors.New("regression: invalid points")
 
 // Point is a value Y measured at a size X, in a run with a seed.
 type Point struct {
@@ -25,12 +25,12 @@
 type Series struct {
 	Name   string  `json:"name"`
 	Unit   string  `json:"unit"`
-	Of     string  `json:"of"` // the size
+	Size   string  `json:"of"` // the size
 	Points []Point `json:"points"`
 }
 
-// Split separates the points of the largest size, which are held out to test the fit of the others.
-func (s Series) Split() (fit, last []Point) {
+// HoldOutLargest separates the points of the largest size, which are held out to test the fit of the others.
+func (s Series) HoldOutLargest() (fit, last []Point) {
 	largest := math.Inf(-1)
 	for _, p := range s.Points {
 		largest = max(largest, p.X)
@@ -69,7 +69,7 @@
 	}
 	if len(bySize) < minSizes {
 		return sample{}, fmt.Errorf("%w: %d points at %d sizes, %d different sizes are needed",
-			ErrPoints, len(points), len(bySize), minSizes)
+			ErrInvalidPoints, len(points), len(bySize), minSizes)
 	}
 	var s sample
 	var variance pooledVariance
@@ -93,11 +93,11 @@
 func (p Point) validate(i int) error {
 	switch {
 	case math.IsNaN(p.X) || math.IsInf(p.X, 0) || math.IsNaN(p.Y) || math.IsInf(p.Y, 0):
-		return fmt.Errorf("%w: point %d (%g, %g) is not a number", ErrPoints, i, p.X, p.Y)
+		return fmt.Errorf("%w: point %d (%g, %g) is not a number", ErrInvalidPoints, i, p.X, p.Y)
 	case p.X < 1:
-		return fmt.Errorf("%w: point %d has size %g, below 1", ErrPoints, i, p.X)
+		return fmt.Errorf("%w: point %d has size %g, below 1", ErrInvalidPoints, i, p.X)
 	case p.Y < 0:
-		return fmt.Errorf("%w: point %d has figure %g, below 0", ErrPoints, i, p.Y)
+		return fmt.Errorf("%w: point %d has figure %g, below 0", ErrInvalidPoints, i, p.Y)
 	}
 	return nil
 }
--- a/internal/violation/violation.go
+++ b/internal/violation/violation.go
@@ -18,10 +18,10 @@
 
 // Rules whose violation can be noticed by the process itself.
 const (
-	Answered Rule = "I1" // a request that was accepted gets its answer
-	Once     Rule = "I4" // a call that must not run twice does not
-	Refusal  Rule = "I5" // a rejected call had no effect
-	InTime   Rule = "I2" // a call is answered by its deadline, with half a second of tolerance
+	RuleAnswered             Rule = "I1" // a request that was accepted gets its answer
+	RuleAtMostOnce           Rule = "I4" // a call that must not run twice does not
+	RuleRejectionHasNoEffect Rule = "I5" // a rejected call had no effect
+	RuleInTime               Rule = "I2" // a call is answered by its deadline, with half a second of tolerance
 )
 
 // Path is where a violation was noticed.
@@ -29,10 +29,10 @@
 
 // Paths that check for violations.
 const (
-	PathTake   Path = "take"   // a call was read in full from a connection that had been closed
-	PathBook   Path = "book"   // a call gets its final answer
-	PathLanded Path = "landed" // an attempt has ended
-	PathEnd    Path = "end"    // the front has shut down
+	PathAccept     Path = "take"   // a call was read in full from a connection that had been closed
+	PathAnswer     Path = "book"   // a call gets its final answer
+	PathAttemptEnd Path = "landed" // an attempt has ended
+	PathShutdown   Path = "end"    // the front has shut down
 )
 
 // exitCode is that of a process that ends for a violation.
@@ -55,12 +55,12 @@
 	limit  neterr.LogLimit
 }
 
-// Found records a violation by the call with id requestID, empty where it is none of a call.
-func (r *Recorder) Found(rule Rule, path Path, requestID, detail string) {
+// Record records a violation by the call with id requestID, empty where it is none of a call.
+func (r *Recorder) Record(rule Rule, path Path, requestID, detail string) {
 	r.count(Key{rule, path})
 	r.log(rule, path, requestID, detail)
 	// A process that was stopped for a while answers late, which is no fault of the program.
-	if r.Strict && rule != InTime {
+	if r.Strict && rule != RuleInTime {
 		os.Exit(exitCode)
 	}
 }
@@ -95,8 +95,8 @@
 	return maps.Clone(r.counts)
 }
 
-// Sum returns the number of all violations so far.
-func (r *Recorder) Sum() (n int64) {
+// Total returns the number of all violations so far.
+func (r *Recorder) Total() (n int64) {
 	for _, count := range r.Counts() {
 		n += count
 	}
--- a/internal/violation/violation_test.go
+++ b/internal/violation/violation_test.go
@@ -13,14 +13,14 @@
 func TestViolationsAreCountedAndLoggedOnceASecond(t *testing.T) {
 	var log bytes.Buffer
 	r := &Recorder{Log: slog.New(slog.NewTextHandler(&log, nil))}
-	assert.Zero(t, r.Sum())
+	assert.Zero(t, r.Total())
 	for range 3 {
-		r.Found(Once, PathLanded, "id1", "it ran twice")
+		r.Record(RuleAtMostOnce, PathAttemptEnd, "id1", "it ran twice")
 	}
-	r.Found(Answered, PathTake, "id2", "")
-	assert.Equal(t, map[Key]int64{{Once, PathLanded}: 3, {Answered, PathTake}: 1}, r.Counts())
-	assert.EqualValues(t, 4, r.Sum())
+	r.Record(RuleAnswered, PathAccept, "id2", "")
+	assert.Equal(t, map[Key]int64{{RuleAtMostOnce, PathAttemptEnd}: 3, {RuleAnswered, PathAccept}: 1}, r.Counts())
+	assert.EqualValues(t, 4, r.Total())
 	assert.Equal(t, 1, bytes.Count(log.Bytes(), []byte("rule violated")))
 	assert.Contains(t, log.String(), "request_id=id1")
-	(&Recorder{}).Found(Once, PathBook, "", "") // without a log
+	(&Recorder{}).Record(RuleAtMostOnce, PathAnswer, "", "") // without a log
 }
--- a/internal/wire/balancersettings.go
+++ b/internal/wire/balancersettings.go
@@ -12,12 +12,12 @@
 	}
 )
 
-// Decide translates the deployment's settings into the balancer's.
-func (s *Setup) Decide() balancer.Settings {
+// BalancerSettings translates the deployment's settings into the balancer's.
+func (s *Settings) BalancerSettings() balancer.Settings {
 	settings := balancer.Settings{
 		OverQuotaWeight: s.OverShareWorth, DispatcherIndex: s.Number, Dispatchers: s.Siblings, Zone: s.Zone,
 		ClockResolution: s.Quantum, PollEndpoints: s.RegistryMode == "on_request",
-		InflightField: s.Field("active"), QueueField: s.Field("waiting"),
+		InflightField: s.ReportField("active"), QueueField: s.ReportField("waiting"),
 		ReportOnHealthCheck: s.Feedback.How == "on_probe",
 	}
 	s.addPermissions(&settings)
@@ -32,7 +32,7 @@
 }
 
 // addPermissions translates what the dispatcher may do.
-func (s *Setup) addPermissions(settings *balancer.Settings) {
+func (s *Settings) addPermissions(settings *balancer.Settings) {
 	permissions := &s.Permissions
 	settings.MaxAttempts = permissions.SendCap
 	settings.Hedging = permissions.SecondCopies
@@ -44,7 +44,7 @@
 }
 
 // addPrices translates the prices of what the dispatcher does.
-func (s *Setup) addPrices(settings *balancer.Settings) {
+func (s *Settings) addPrices(settings *balancer.Settings) {
 	prices := &s.Prices
 	settings.CrossZonePrice = prices.CrossZone
 	settings.WastePrice = prices.Waste
@@ -55,7 +55,7 @@
 }
 
 // addRules translates the rules of timing and of slow start.
-func (s *Setup) addRules(settings *balancer.Settings) {
+func (s *Settings) addRules(settings *balancer.Settings) {
 	rules := &s.Rules
 	settings.PollInterval = rules.AskWithin
 	settings.ResponseSlack = rules.AnswerSlack
@@ -67,7 +67,7 @@
 }
 
 // addSpecifics translates the rules on loading functions.
-func (s *Setup) addSpecifics(settings *balancer.Settings) {
+func (s *Settings) addSpecifics(settings *balancer.Settings) {
 	specifics := &s.Specifics
 	settings.LoadOrders = specifics.LoadControl
 	settings.LoadsOnMiss = specifics.OnMiss != "miss"
@@ -83,7 +83,7 @@
 }
 
 // addClasses translates the classes of requests.
-func (s *Setup) addClasses(settings *balancer.Settings) {
+func (s *Settings) addClasses(settings *balancer.Settings) {
 	for i := range s.Categories {
 		category := &s.Categories[i]
 		settings.Classes = append(settings.Classes, balancer.Class{
--- a/internal/wire/setup.go
+++ b/internal/wire/setup.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Setup is the settings object of a deployment, the same on the simulator's wire and in a dispatcher's
+// Settings is the settings object of a deployment, the same on the simulator's wire and in a dispatcher's
 // configuration. Unknown keys are ignored. Durations are in nanoseconds, as on the wire.
-type Setup struct {
+type Settings struct {
 	Categories []struct {
 		Name        string  `json:"name"`
 		Aim         int64   `json:"aim_ns"`
@@ -80,9 +80,9 @@
 	Zones []string `json:"zones"`
 }
 
-// ReadSetup decodes a settings object.
-func ReadSetup(raw []byte) (*Setup, error) {
-	s := &Setup{}
+// ReadSettings decodes a settings object.
+func ReadSettings(raw []byte) (*Settings, error) {
+	s := &Settings{}
 	if err := json.Unmarshal(raw, s); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
@@ -90,13 +90,13 @@
 }
 
 // ConnectTimeout returns how long the connect to a worker may take.
-func (s *Setup) ConnectTimeout() time.Duration { return time.Duration(s.Permissions.ConnectTimeout) }
+func (s *Settings) ConnectTimeout() time.Duration { return time.Duration(s.Permissions.ConnectTimeout) }
 
 // ConnIdle returns how long a worker keeps an idle connection open.
-func (s *Setup) ConnIdle() time.Duration { return time.Duration(s.Permissions.ConnIdle) }
+func (s *Settings) ConnIdle() time.Duration { return time.Duration(s.Permissions.ConnIdle) }
 
-// Field returns 1 + the index of a field in load reports, 0 if it is not reported.
-func (s *Setup) Field(name string) int {
+// ReportField returns 1 + the index of a field in load reports, 0 if it is not reported.
+func (s *Settings) ReportField(name string) int {
 	if s.Feedback.How == "off" {
 		return 0
 	}
--- a/loadorder.go
+++ b/loadorder.go
@@ -119,7 +119,7 @@
 	worker, function := load.order.Worker.ID, load.order.Func
 	// A timeout says nothing of the worker: a load may take longer than the core waits.
 	if c.cfg.Observed != nil && reply.Result != balancer.Timeout {
-		c.cfg.Observed(Observation{Kind: ObservedOrder, Worker: worker, Result: reply.Result})
+		c.cfg.Observed(Observation{Kind: ObservedLoadOrder, Worker: worker, Result: reply.Result})
 	}
 	c.cfg.Log.Debug("order ended", "worker", uint32(worker), "fn", uint64(function), "copies", reply.Copies,
 		"result", reply.Result.String(), "ms", time.Since(load.started).Milliseconds())
--- a/outlier/bench_test.go
+++ b/outlier/bench_test.go
@@ -12,7 +12,7 @@
 		d, workers := New(objective, true), make([]Stats, n)
 		digest := make([]GossipEvidence, 0, 12)
 		for i := range min(n, 12) {
-			digest = append(digest, GossipEvidence{&workers[i], 1, Evidence{Good: uint8(i), Bad: 5}})
+			digest = append(digest, GossipEvidence{&workers[i], 1, Evidence{Served: uint8(i), Failed: 5}})
 		}
 		b.Run(fmt.Sprintf("end_%d", n), func(b *testing.B) {
 			b.ReportAllocs()
@@ -20,7 +20,7 @@
 				stats := &workers[i%n]
 				d.RecordResponse(int64(i), stats, i%2)
 				if i%100 == 0 {
-					d.RecordFailure(int64(i), stats, Failure)
+					d.RecordFailure(int64(i), stats, WeightFailure)
 				} else {
 					d.RecordSuccess(int64(i), stats)
 				}
--- a/outlier/detector.go
+++ b/outlier/detector.go
@@ -33,21 +33,21 @@
 	maxEjectionFactor = 8
 )
 
-// Longest is the longest time between two trials of an ejected worker, in shortest latency
+// MaxEjectionFactor is the longest time between two trials of an ejected worker, in shortest latency
 // objectives.
-const Longest = maxEjectionFactor
+const MaxEjectionFactor = maxEjectionFactor
 
-// Weight is how strongly a failure indicates a fault of the worker, as its weight in the decaying
+// FailureWeight is how strongly a failure indicates a fault of the worker, as its weight in the decaying
 // mean of failures.
-type Weight float64
+type FailureWeight float64
 
 const (
-	// Hint is a failure that the network or the call itself may have caused as well.
-	Hint Weight = failureStep / 4
-	// Failure is a call that should have been served.
-	Failure Weight = failureStep
-	// Dead is a connection that was never established. A single one ejects the worker.
-	Dead Weight = ejectThreshold + 0.1
+	// WeightAmbiguous is a failure that the network or the call itself may have caused as well.
+	WeightAmbiguous FailureWeight = failureStep / 4
+	// WeightFailure is a call that should have been served.
+	WeightFailure FailureWeight = failureStep
+	// WeightUnreachable is a connection that was never established. A single one ejects the worker.
+	WeightUnreachable FailureWeight = ejectThreshold + 0.1
 )
 
 // Detector holds what is known of zones and of the workers ejected by gossip. Create one with New.
@@ -67,8 +67,8 @@
 	return &Detector{objective: max(objective, 1), perZone: perZone, zones: map[int]*zone{}}
 }
 
-// Pace changes the shortest latency objective.
-func (d *Detector) Pace(objective int64) { d.objective = max(objective, 1) }
+// SetObjective changes the shortest latency objective.
+func (d *Detector) SetObjective(objective int64) { d.objective = max(objective, 1) }
 
 // maxTrialInterval returns the longest time between two trials, in nanoseconds.
 func (d *Detector) maxTrialInterval() int64 { return maxEjectionFactor * d.objective }
@@ -102,11 +102,11 @@
 
 // RecordFailure records a failed call. The time until the next trial grows each time that a trial
 // fails.
-func (d *Detector) RecordFailure(now int64, stats *Stats, weight Weight) Event {
+func (d *Detector) RecordFailure(now int64, stats *Stats, weight FailureWeight) Event {
 	switch weight {
-	case Failure:
+	case WeightFailure:
 		stats.observed.addFailed(now)
-	case Hint:
+	case WeightAmbiguous:
 		stats.observed.ambiguousAt = now
 	}
 	if !d.addFailure(now, stats, weight) {
@@ -117,7 +117,7 @@
 
 // addFailure adds a failure to the mean, ejects the worker or extends its ejection where the mean
 // exceeds the threshold, and reports whether the worker was ejected by this failure.
-func (d *Detector) addFailure(now int64, stats *Stats, weight Weight) bool {
+func (d *Detector) addFailure(now int64, stats *Stats, weight FailureWeight) bool {
 	wasEjected := stats.ejected
 	d.FailureRate(now, stats)
 	stats.failureRate += (1 - stats.failureRate) * float64(weight)
--- a/outlier/detector_test.go
+++ b/outlier/detector_test.go
@@ -15,11 +15,11 @@
 // two successes restore, and the time between trials grows.
 func TestEjectionByOwnFailures(t *testing.T) {
 	d, stats := New(objective, false), &Stats{}
-	assert.Empty(t, d.RecordFailure(0, stats, Failure), "one failure does not eject")
-	assert.Contains(t, d.RecordFailure(ms, stats, Failure).String(), "ejected: 63%")
+	assert.Empty(t, d.RecordFailure(0, stats, WeightFailure), "one failure does not eject")
+	assert.Contains(t, d.RecordFailure(ms, stats, WeightFailure).String(), "ejected: 63%")
 	assert.False(t, d.TrialDue(100*ms, stats, 0))
 	assert.True(t, d.TrialDue(ms+objective, stats, 0), "a trial after one objective")
-	d.RecordFailure(ms+objective, stats, Failure)
+	d.RecordFailure(ms+objective, stats, WeightFailure)
 	assert.False(t, d.TrialDue(ms+2*objective, stats, 0), "the next one after two, once that failed")
 	assert.True(t, d.TrialDue(ms+3*objective, stats, 0))
 	assert.Empty(t, d.RecordResponse(ms+3*objective, stats, 0), "an answer alone proves nothing here")
--- a/outlier/evidence.go
+++ b/outlier/evidence.go
@@ -25,33 +25,33 @@
 
 // Mark is what one observer reports of a worker.
 type Mark struct {
-	Good uint8 // calls that the worker served lately, 0 to 15
-	Bad  uint8 // calls in a row that failed since the last one served, 0 to 15; 0 once the last failure is old
-	Pace uint8 // latency of its calls in quarters of the mean latency of all workers; 0: not slow
+	Served  uint8 // calls that the worker served lately, 0 to 15
+	Failed  uint8 // calls in a row that failed since the last one served, 0 to 15; 0 once the last failure is old
+	Latency uint8 // latency of its calls in quarters of the mean latency of all workers; 0: not slow
 }
 
 // Evidence is the marks of all observers of a worker, each observer counted once whatever its
 // traffic. So no single observer, slow, partitioned or wrong, can have a worker ejected or restored
 // for others.
 type Evidence struct {
-	Good uint8 // observers that the worker served, 0 to 15
-	Bad  uint8 // observers whose latest call to the worker failed, 0 to 15
-	Pace uint8 // median latency in quarters of the mean, where two observers or more reported one; 0: not slow
+	Served  uint8 // observers that the worker served, 0 to 15
+	Failed  uint8 // observers whose latest call to the worker failed, 0 to 15
+	Latency uint8 // median latency in quarters of the mean, where two observers or more reported one; 0: not slow
 }
 
 // Merge combines the marks of several observers, one each. responding is the number of further
 // observers that reported no mark but had a response of the worker.
 func Merge(marks []Mark, responding int) Evidence {
-	evidence := Evidence{Good: uint8(min(responding, maxCount))}
+	evidence := Evidence{Served: uint8(min(responding, maxCount))}
 	for _, mark := range marks {
 		switch {
-		case mark.Bad > 0:
-			evidence.Bad = min(evidence.Bad+1, maxCount)
-		case mark.Good > 0 || mark.Pace > 0:
-			evidence.Good = min(evidence.Good+1, maxCount)
+		case mark.Failed > 0:
+			evidence.Failed = min(evidence.Failed+1, maxCount)
+		case mark.Served > 0 || mark.Latency > 0:
+			evidence.Served = min(evidence.Served+1, maxCount)
 		}
 	}
-	evidence.Pace = medianLatency(marks)
+	evidence.Latency = medianLatency(marks)
 	return evidence
 }
 
@@ -61,9 +61,9 @@
 	var latencies []uint8
 	for _, mark := range marks {
 		switch {
-		case mark.Pace > 0:
-			latencies = append(latencies, mark.Pace)
-		case mark.Good > 0:
+		case mark.Latency > 0:
+			latencies = append(latencies, mark.Latency)
+		case mark.Served > 0:
 			latencies = append(latencies, latencyUnit) // served, and not slow: the mean
 		}
 	}
@@ -78,36 +78,40 @@
 	return median
 }
 
-// Says reports whether the evidence is to be sent. ejected says that the worker is ejected by
+// Reportable reports whether the evidence is to be sent. ejected says that the worker is ejected by
 // gossip, so that evidence in its favour counts too.
-func (e Evidence) Says(ejected bool) bool {
-	return e.Bad > 1 || e.Pace > 0 || ejected && e.observers() > 0
+func (e Evidence) Reportable(ejected bool) bool {
+	return e.Failed > 1 || e.Latency > 0 || ejected && e.observers() > 0
 }
 
-// Slow returns the latency of the worker in multiples of the mean; 0: not reported.
-func (e Evidence) Slow() float64 { return float64(e.Pace) / latencyUnit }
+// LatencyRatio returns the latency of the worker in multiples of the mean; 0: not reported.
+func (e Evidence) LatencyRatio() float64 { return float64(e.Latency) / latencyUnit }
 
-// Share returns the lower bound of the Wilson score interval (Wilson 1927, with z = wilsonZ) for
+// FailureLowerBound returns the lower bound of the Wilson score interval (Wilson 1927, with z = wilsonZ) for
 // the part of observers that the worker did not serve, 0 to 1.
-func (e Evidence) Share() float64 {
-	n := float64(e.Good) + float64(e.Bad)
+func (e Evidence) FailureLowerBound() float64 {
+	n := float64(e.Served) + float64(e.Failed)
 	if n == 0 {
 		return 0
 	}
 	const z, zz = wilsonZ, wilsonZ * wilsonZ
-	p := float64(e.Bad) / n
+	p := float64(e.Failed) / n
 	spread := z * math.Sqrt(p*(1-p)/n+zz/(4*n*n))
 	return max(0, (p+zz/(2*n)-spread)/(1+zz/n))
 }
 
 // observers returns the number of observers that the evidence counts.
-func (e Evidence) observers() int { return int(e.Good) + int(e.Bad) }
+func (e Evidence) observers() int { return int(e.Served) + int(e.Failed) }
 
-// Doubts reports whether an observer that has responses from some workers and finds others silent
+// ObserverIsolated reports whether an observer that has responses from some workers and finds others silent
 // must attribute this to itself: its reports are then given no weight.
-func Doubts(responding, silent int) bool { return silent > 1 && silent >= isolationRatio*responding }
+func ObserverIsolated(responding, silent int) bool {
+	return silent > 1 && silent >= isolationRatio*responding
+}
 
-// Silent reports whether so many observers that find a worker silent are enough for all
+// SilenceConfirmed reports whether so many observers that find a worker silent are enough for all
 // dispatchers. One alone may itself be partitioned or have stalled; of two dispatchers the other
 // one is all there is.
-func Silent(observers, dispatchers int) bool { return observers >= max(1, min(2, dispatchers-1)) }
+func SilenceConfirmed(observers, dispatchers int) bool {
+	return observers >= max(1, min(2, dispatchers-1))
+}
--- a/outlier/gossip.go
+++ b/outlier/gossip.go
@@ -27,9 +27,9 @@
 
 // GossipEvidence is the evidence of a digest about one worker.
 type GossipEvidence struct {
-	Box    *Stats
-	Weight float64 // capacity of the worker, in the unit of the total that ApplyGossip is given
-	Word   Evidence
+	Stats    *Stats
+	Capacity float64 // capacity of the worker, in the unit of the total that ApplyGossip is given
+	Evidence Evidence
 }
 
 // ApplyGossip applies the evidence of a digest and returns an event for each entry, in order.
@@ -48,14 +48,14 @@
 	budget := d.gossipBudget(now, capacity)
 	for _, i := range strongestFirst(digest) {
 		entry := digest[i]
-		if !d.shouldEject(now, entry) || budget < entry.Weight {
+		if !d.shouldEject(now, entry) || budget < entry.Capacity {
 			continue
 		}
-		budget -= entry.Weight
-		entry.Box.gossip.renewedAt = now
-		entry.Box.gossip.ejectedAt = now
+		budget -= entry.Capacity
+		entry.Stats.gossip.renewedAt = now
+		entry.Stats.gossip.ejectedAt = now
 		d.gossipEjected = append(d.gossipEjected, entry)
-		events[i] = gossipEvent(EventEjectedByGossip, entry.Word.Bad, entry.Word)
+		events[i] = gossipEvent(EventEjectedByGossip, entry.Evidence.Failed, entry.Evidence)
 	}
 	return events
 }
@@ -63,17 +63,17 @@
 // renewOrRestore stores the evidence about a worker and, where it is ejected by gossip, renews or
 // ends the ejection.
 func (d *Detector) renewOrRestore(now int64, entry GossipEvidence) Event {
-	gossip, evidence := &entry.Box.gossip, entry.Word
-	ejected := d.EjectedByGossip(now, entry.Box)
+	gossip, evidence := &entry.Stats.gossip, entry.Evidence
+	ejected := d.EjectedByGossip(now, entry.Stats)
 	gossip.evidence = evidence
 	gossip.receivedAt = now
 	switch {
 	case !ejected:
 		return Event{}
-	case evidence.Good > max(1, evidence.Bad):
+	case evidence.Served > max(1, evidence.Failed):
 		gossip.renewedAt = 0
-		return gossipEvent(EventRestoredByGossip, evidence.Good, evidence)
-	case evidence.Bad > 0:
+		return gossipEvent(EventRestoredByGossip, evidence.Served, evidence)
+	case evidence.Failed > 0:
 		gossip.renewedAt = now
 	}
 	return Event{}
@@ -81,20 +81,20 @@
 
 // shouldEject reports whether the evidence ejects a worker that is not ejected by gossip yet.
 func (d *Detector) shouldEject(now int64, entry GossipEvidence) bool {
-	if d.EjectedByGossip(now, entry.Box) {
+	if d.EjectedByGossip(now, entry.Stats) {
 		return false
 	}
-	return entry.Word.Bad > 1 && entry.Word.Share() > gossipEjectThreshold
+	return entry.Evidence.Failed > 1 && entry.Evidence.FailureLowerBound() > gossipEjectThreshold
 }
 
 // gossipBudget drops the workers whose ejection by gossip has ended and returns the capacity that
 // may still be ejected.
 func (d *Detector) gossipBudget(now int64, capacity float64) float64 {
-	ended := func(entry GossipEvidence) bool { return !d.EjectedByGossip(now, entry.Box) }
+	ended := func(entry GossipEvidence) bool { return !d.EjectedByGossip(now, entry.Stats) }
 	d.gossipEjected = slices.DeleteFunc(d.gossipEjected, ended)
 	budget := capacity / capacityDivisor
 	for _, entry := range d.gossipEjected {
-		budget -= entry.Weight
+		budget -= entry.Capacity
 	}
 	return budget
 }
@@ -107,7 +107,7 @@
 		order[i] = i
 	}
 	slices.SortStableFunc(order, func(a, b int) int {
-		return cmp.Compare(digest[b].Word.Share(), digest[a].Word.Share())
+		return cmp.Compare(digest[b].Evidence.FailureLowerBound(), digest[a].Evidence.FailureLowerBound())
 	})
 	return order
 }
@@ -123,10 +123,10 @@
 	return stats.gossip.renewedAt > 0 && now-stats.gossip.renewedAt < gossipFactor*d.objective
 }
 
-// ByWords reports whether a worker gets no calls but trials because of the evidence of other
+// ExcludedByGossip reports whether a worker gets no calls but trials because of the evidence of other
 // dispatchers. A call that the worker served for this dispatcher, at most one latency objective
 // before the ejection or after it, overrides the evidence.
-func (d *Detector) ByWords(now int64, stats *Stats) bool {
+func (d *Detector) ExcludedByGossip(now int64, stats *Stats) bool {
 	if !d.EjectedByGossip(now, stats) {
 		return false
 	}
--- a/outlier/gossip_test.go
+++ b/outlier/gossip_test.go
@@ -25,9 +25,9 @@
 		{2, 15, true},
 	} {
 		d, stats := New(objective, true), &Stats{}
-		evidence := Evidence{Good: c.good, Bad: c.bad}
+		evidence := Evidence{Served: c.good, Failed: c.bad}
 		events := d.ApplyGossip(1, []GossipEvidence{{stats, 1, evidence}}, 100)
-		assert.Equal(t, c.ejected, d.ByWords(1, stats), "%+v: %.2f", c, evidence.Share())
+		assert.Equal(t, c.ejected, d.ExcludedByGossip(1, stats), "%+v: %.2f", c, evidence.FailureLowerBound())
 		assert.Equal(t, c.ejected, !events[0].IsZero(), "%+v", c)
 	}
 }
@@ -39,38 +39,38 @@
 	workers := make([]Stats, 12)
 	digest := make([]GossipEvidence, len(workers))
 	for i := range workers {
-		digest[i] = GossipEvidence{&workers[i], 2, Evidence{Bad: uint8(3 + i)}}
+		digest[i] = GossipEvidence{&workers[i], 2, Evidence{Failed: uint8(3 + i)}}
 	}
 	d.RecordSuccess(0, &workers[11])
 	d.ApplyGossip(10*ms, digest, 24)
 	ejected := func(now int64) (n int) {
 		for i := range workers {
-			if d.ByWords(now, &workers[i]) {
+			if d.ExcludedByGossip(now, &workers[i]) {
 				n++
 			}
 		}
 		return n
 	}
-	assert.False(t, d.ByWords(10*ms, &workers[11]), "it served us")
-	assert.True(t, d.ByWords(10*ms, &workers[10]))
+	assert.False(t, d.ExcludedByGossip(10*ms, &workers[11]), "it served us")
+	assert.True(t, d.ExcludedByGossip(10*ms, &workers[10]))
 	assert.Equal(t, 2, ejected(10*ms), "three of twelve with the strongest evidence, less the one that served us")
 	assert.True(t, d.TrialDue(10*ms, &workers[10], 0), "a trial")
 	d.TrialStarted(10*ms, &workers[10], 0)
 	assert.False(t, d.TrialDue(20*ms, &workers[10], 0))
-	next := []GossipEvidence{{&workers[10], 2, Evidence{Bad: 1}}, {&workers[9], 2, Evidence{Good: 2}}}
+	next := []GossipEvidence{{&workers[10], 2, Evidence{Failed: 1}}, {&workers[9], 2, Evidence{Served: 2}}}
 	d.ApplyGossip(20*ms, next, 24)
-	assert.True(t, d.ByWords(15*ms+gossipFactor*objective, &workers[10]), "renewed by one observer")
-	assert.False(t, d.ByWords(20*ms, &workers[9]), "two observers that were served end it")
-	digest[10].Word.Bad = 13
+	assert.True(t, d.ExcludedByGossip(15*ms+gossipFactor*objective, &workers[10]), "renewed by one observer")
+	assert.False(t, d.ExcludedByGossip(20*ms, &workers[9]), "two observers that were served end it")
+	digest[10].Evidence.Failed = 13
 	assert.Equal(t, 0, ejected(20*ms+gossipFactor*objective), "no evidence comes any more")
 	d.ApplyGossip(3000*ms, digest, 24)
 	workers[10].Reset()
-	assert.False(t, d.ByWords(3000*ms, &workers[10]), "another process")
-	assert.True(t, d.ByWords(3000*ms, &workers[9]))
+	assert.False(t, d.ExcludedByGossip(3000*ms, &workers[10]), "another process")
+	assert.True(t, d.ExcludedByGossip(3000*ms, &workers[9]))
 	d.RecordSuccess(3000*ms, &workers[9])
-	assert.False(t, d.ByWords(3000*ms, &workers[9]), "it serves us")
-	d.RecordFailure(3000*ms, &workers[9], Failure)
-	assert.True(t, d.ByWords(3000*ms, &workers[9]), "our own evidence agrees")
+	assert.False(t, d.ExcludedByGossip(3000*ms, &workers[9]), "it serves us")
+	d.RecordFailure(3000*ms, &workers[9], WeightFailure)
+	assert.True(t, d.ExcludedByGossip(3000*ms, &workers[9]), "our own evidence agrees")
 }
 
 // TestGossipInvariantsUnderAnyEvents checks for any order of events that gossip ejects a quarter at
@@ -87,7 +87,7 @@
 			case 0:
 				d.RecordSuccess(now, &workers[i])
 			case 1:
-				d.RecordFailure(now, &workers[i], Failure)
+				d.RecordFailure(now, &workers[i], WeightFailure)
 			case 2:
 				d.RecordUnreachable(now, now-10*ms, &workers[i], i%2)
 			case 3:
@@ -99,14 +99,14 @@
 				alone := rapid.Bool().Draw(t, "one observer")
 				for k := range workers {
 					mark := Mark{
-						Good: uint8(rapid.IntRange(0, 15).Draw(t, "good")),
-						Bad:  uint8(rapid.IntRange(0, 15).Draw(t, "bad")),
+						Served: uint8(rapid.IntRange(0, 15).Draw(t, "good")),
+						Failed: uint8(rapid.IntRange(0, 15).Draw(t, "bad")),
 					}
 					marks := []Mark{mark}
 					if !alone {
-						marks = append(marks, mark, Mark{Good: uint8(rapid.IntRange(0, 1).Draw(t, "other"))})
+						marks = append(marks, mark, Mark{Served: uint8(rapid.IntRange(0, 1).Draw(t, "other"))})
 					}
-					if evidence := Merge(marks, 0); evidence.Says(false) {
+					if evidence := Merge(marks, 0); evidence.Reportable(false) {
 						digest = append(digest, GossipEvidence{&workers[k], 1, evidence})
 					}
 				}
@@ -120,7 +120,7 @@
 				own := &workers[k].observed
 				served[k] = own.served > 0 && now-own.servedAt < objective &&
 					own.servedAt >= workers[k].gossip.ejectedAt && own.failures == 0
-				if d.ByWords(now, &workers[k]) {
+				if d.ExcludedByGossip(now, &workers[k]) {
 					if ejected++; served[k] {
 						t.Fatalf("worker %d serves us and is ejected by gossip", k)
 					}
@@ -131,7 +131,7 @@
 			}
 		}
 		for k := range workers {
-			if d.ByWords(now+gossipFactor*objective, &workers[k]) {
+			if d.ExcludedByGossip(now+gossipFactor*objective, &workers[k]) {
 				t.Fatal("an ejection by gossip that does not expire")
 			}
 		}
@@ -149,7 +149,7 @@
 				for responding := range 4 {
 					for others := range 9 {
 						cases++
-						marks := []Mark{one, {Good: uint8(others % 3)}, {Good: uint8(others / 3)}}
+						marks := []Mark{one, {Served: uint8(others % 3)}, {Served: uint8(others / 3)}}
 						d, stats := New(objective, true), &Stats{}
 						evidence := Merge(marks, responding)
 						d.ApplyGossip(1, []GossipEvidence{{stats, 1, evidence}}, 100)
@@ -157,7 +157,7 @@
 							t.Fatalf("%+v alone, %d responding, others %+v: ejected by %+v",
 								one, responding, marks[1:], evidence)
 						}
-						d.ApplyGossip(2, []GossipEvidence{{stats, 1, Evidence{Bad: 3}}}, 100)
+						d.ApplyGossip(2, []GossipEvidence{{stats, 1, Evidence{Failed: 3}}}, 100)
 						d.ApplyGossip(3, []GossipEvidence{{stats, 1, Merge([]Mark{one}, 0)}}, 100)
 						if !d.EjectedByGossip(3, stats) {
 							t.Fatalf("%+v alone restores what three were not served by", one)
--- a/outlier/observations.go
+++ b/outlier/observations.go
@@ -59,13 +59,13 @@
 	}
 	servedLately := now-own.servedAt < lifetime
 	if !ambiguous && servedLately && (!ejected || own.servedAt >= stats.gossip.ejectedAt) {
-		mark.Good = uint8(min(math.Round(own.recentlyServed(now, d.evidenceDecay())), maxCount))
+		mark.Served = uint8(min(math.Round(own.recentlyServed(now, d.evidenceDecay())), maxCount))
 	}
 	if failedLately {
-		mark.Bad = uint8(min(own.failures, maxCount))
+		mark.Failed = uint8(min(own.failures, maxCount))
 	}
 	if slow {
-		mark.Pace = uint8(min(latencyRatio*latencyUnit, math.MaxUint8))
+		mark.Latency = uint8(min(latencyRatio*latencyUnit, math.MaxUint8))
 	}
-	return mark, mark.Bad > 0 || mark.Pace > 0 || ambiguous || ejected && mark.Good > 0
+	return mark, mark.Failed > 0 || mark.Latency > 0 || ambiguous || ejected && mark.Served > 0
 }
--- a/outlier/state.go
+++ b/outlier/state.go
@@ -30,33 +30,33 @@
 
 // State is what is known of one worker, for operators.
 type State struct {
-	Status      Status
-	Evidence    string   // why it has this status, in words
-	Good        float64  // own calls that it served lately, decaying
-	Bad         float64  // decaying mean of the failures of own calls, 0 to 1
-	Word        Evidence // of other dispatchers, as last received
-	WordAge     int64    // nanoseconds since that evidence was received; negative: never
-	TrialIn     int64    // nanoseconds until the next trial; 0 where it is due, or the worker is not ejected
-	Unreachable bool     // its connections are never established
+	Status       Status
+	Reason       string   // why it has this status, in words
+	RecentServed float64  // own calls that it served lately, decaying
+	FailureRate  float64  // decaying mean of the failures of own calls, 0 to 1
+	Gossip       Evidence // of other dispatchers, as last received
+	GossipAge    int64    // nanoseconds since that evidence was received; negative: never
+	NextTrialIn  int64    // nanoseconds until the next trial; 0 where it is due, or the worker is not ejected
+	Unreachable  bool     // its connections are never established
 }
 
 // State returns what is known of a worker whose calls take latencyRatio times the mean.
 func (d *Detector) State(now int64, stats *Stats, zoneID int, latencyRatio float64) State {
 	state := State{
-		Good:        stats.observed.recentlyServed(now, d.evidenceDecay()),
-		Bad:         d.FailureRate(now, stats),
-		Word:        stats.gossip.evidence,
-		WordAge:     -1,
-		Unreachable: stats.unreachable,
+		RecentServed: stats.observed.recentlyServed(now, d.evidenceDecay()),
+		FailureRate:  d.FailureRate(now, stats),
+		Gossip:       stats.gossip.evidence,
+		GossipAge:    -1,
+		Unreachable:  stats.unreachable,
 	}
 	if stats.gossip.receivedAt > 0 {
-		state.WordAge = now - stats.gossip.receivedAt
+		state.GossipAge = now - stats.gossip.receivedAt
 	}
-	state.Status, state.Evidence = d.status(now, stats, zoneID, latencyRatio)
+	state.Status, state.Reason = d.status(now, stats, zoneID, latencyRatio)
 	if state.Status != StatusEjected {
 		return state
 	}
-	state.TrialIn = max(0, d.trialAt(stats, zoneID)-now)
+	state.NextTrialIn = max(0, d.trialAt(stats, zoneID)-now)
 	if stats.lastTrial > 0 && now-stats.lastTrial < d.objective {
 		state.Status = StatusOnTrial
 	}
@@ -73,9 +73,9 @@
 		return StatusEjected, "it cannot be reached from here"
 	case d.Ejected(stats, zoneID):
 		return StatusEjected, fmt.Sprintf("%d%% of our late calls failed", stats.failurePercent())
-	case d.ByWords(now, stats):
+	case d.ExcludedByGossip(now, stats):
 		evidence := stats.gossip.evidence
-		return StatusEjected, fmt.Sprintf("%d of %d observers were not served", evidence.Bad, evidence.observers())
+		return StatusEjected, fmt.Sprintf("%d of %d observers were not served", evidence.Failed, evidence.observers())
 	case d.FailureRate(now, stats) > ejectThreshold/2:
 		return StatusSuspect, fmt.Sprintf("%d%% of our late calls failed", stats.failurePercent())
 	case latencyRatio >= slowThreshold:
--- a/outlier/trial.go
+++ b/outlier/trial.go
@@ -11,7 +11,7 @@
 	if d.Ejected(stats, zoneID) {
 		return now >= stats.nextTrial
 	}
-	if !d.ByWords(now, stats) {
+	if !d.ExcludedByGossip(now, stats) {
 		return false
 	}
 	return stats.lastTrial == 0 || now-stats.lastTrial >= d.evidenceLifetime()
--- a/outlier/zone.go
+++ b/outlier/zone.go
@@ -42,13 +42,13 @@
 // ended says nothing at all.
 func (d *Detector) RecordUnreachable(now, sent int64, stats *Stats, zoneID int) Event {
 	if !d.perZone {
-		return d.RecordFailure(now, stats, Dead)
+		return d.RecordFailure(now, stats, WeightUnreachable)
 	}
 	z := d.zone(zoneID)
 	if !z.partitioned && sent < z.restoredAt {
 		return Event{}
 	}
-	newlyEjected := d.addFailure(now, stats, Dead)
+	newlyEjected := d.addFailure(now, stats, WeightUnreachable)
 	counted := stats.unreachable && stats.unreachableEpoch == z.epoch
 	if !counted && sent >= z.lastResponse {
 		z.unreachable++
--- a/outlier/zone_test.go
+++ b/outlier/zone_test.go
@@ -80,7 +80,7 @@
 				d.RecordUnreachable(now, now-int64(rapid.IntRange(0, 800).Draw(t, "sent"))*ms, stats, zoneID)
 				unreachable[zoneID][i] = true
 			case 1:
-				d.RecordFailure(now, stats, Failure)
+				d.RecordFailure(now, stats, WeightFailure)
 			case 2:
 				event := d.RecordResponse(now, stats, zoneID)
 				clear(unreachable[zoneID])
--- a/request.go
+++ b/request.go
@@ -171,7 +171,7 @@
 	delete(c.state.requests, request.ID)
 	outcome := completion.Answer.Outcome
 	if outcome == Rejected && request.executions > 0 && c.cfg.isNonIdempotent(request.Class) {
-		c.reportViolation(violation.Refusal, violation.PathBook, request.ID,
+		c.reportViolation(violation.RuleRejectionHasNoEffect, violation.PathAnswer, request.ID,
 			"refused after an attempt that may have run")
 	}
 	for number := range request.attempts {
--- a/rules/conn.go
+++ b/rules/conn.go
@@ -45,7 +45,7 @@
 
 // MayCloseClient decides whether a client's connection may be closed.
 func MayCloseClient(conn ClientConn, cause CloseCause) Reason {
-	faulty := mutant.On(mutant.CloseBegun)
+	faulty := mutant.On(mutant.CloseBusy)
 	switch {
 	case conn.RequestInFlight:
 		return RequestInFlight
@@ -77,7 +77,7 @@
 // MayReuseWorker decides whether a connection to a worker may carry a further request.
 func MayReuseWorker(conn WorkerConn) Reason {
 	switch {
-	case conn.Tainted && !mutant.On(mutant.ReuseSpent):
+	case conn.Tainted && !mutant.On(mutant.ReuseTainted):
 		return ConnectionTainted
 	case conn.ResponsePending:
 		return ResponsePending
--- a/rules/loadquota.go
+++ b/rules/loadquota.go
@@ -12,7 +12,7 @@
 // requests were accepted and so many load orders written.
 func MayOrderLoad(quota LoadQuota, accepted, ordered int) Reason {
 	limit := quota.Base + quota.Ratio*float64(accepted)
-	if float64(ordered+1) > limit && !mutant.On(mutant.RationFree) {
+	if float64(ordered+1) > limit && !mutant.On(mutant.UnlimitedLoads) {
 		return LoadQuotaExhausted
 	}
 	return Allowed
--- a/rules/retry.go
+++ b/rules/retry.go
@@ -40,7 +40,7 @@
 	switch {
 	case attempt.InFlight && !hedging:
 		return AttemptInFlight
-	case attempt.MayHaveRun && attempt.NotRetryable && !mutant.On(mutant.RepeatRan):
+	case attempt.MayHaveRun && attempt.NotRetryable && !mutant.On(mutant.RetryAfterRun):
 		return MayHaveRun
 	}
 	return Allowed
@@ -49,7 +49,7 @@
 // MayReject decides whether a call may be rejected, which promises that it had no effect, as far as
 // an earlier attempt is concerned.
 func MayReject(attempt PriorAttempt) Reason {
-	if attempt.MayHaveRun && attempt.NotRetryable && !mutant.On(mutant.RefuseRan) {
+	if attempt.MayHaveRun && attempt.NotRetryable && !mutant.On(mutant.RejectAfterRun) {
 		return MayHaveRun
 	}
 	return Allowed
--- a/rules/write.go
+++ b/rules/write.go
@@ -39,7 +39,7 @@
 // RemainingMillis returns the client's remaining time as it is stated to a worker when its request
 // is written: rounded down to milliseconds, 1 at the least.
 func RemainingMillis(left time.Duration) int64 {
-	if mutant.On(mutant.TimeTold) {
+	if mutant.On(mutant.ExcessTime) {
 		left += plantedExtraTime
 	}
 	return max(1, left.Milliseconds())
--- a/webhook/decode.go
+++ b/webhook/decode.go
@@ -63,7 +63,7 @@
 		Func:        function,
 		Key:         data.Function,
 		Body:        data.Body,
-		Deadline:    time.Now().Add(data.timeout(rc.classes[class].GiveUp)),
+		Deadline:    time.Now().Add(data.timeout(rc.classes[class].Timeout)),
 		MemoryMB:    data.MemoryMB,
 		Concurrency: data.Concurrency,
 		LoadTime:    milliseconds(data.LoadMS),
--- a/webhook/disk_test.go
+++ b/webhook/disk_test.go
@@ -108,7 +108,7 @@
 				At:      time.Now(),
 			}
 			require.NoError(t, wallclock.Set(by)) // between the call and its notice's first try
-			d.notifier.Settled(completion)
+			d.notifier.HandleCompletion(completion)
 			tried := func() {
 				select {
 				case <-came:
--- a/webhook/execution.go
+++ b/webhook/execution.go
@@ -162,7 +162,7 @@
 	// A rejected call had no effect, so the message may be executed when it is delivered again; so
 	// may a failed call that is idempotent. Any other outcome is final.
 	repeatable := func(r receipt) bool {
-		return r.Status == statusRejected || class.Effect == balancer.Idempotent && r.Status != statusServed
+		return r.Status == statusRejected || class.Idempotency == balancer.Idempotent && r.Status != statusServed
 	}
 	msg := exec.msg
 	unstarted := rc.executing.unstartedCalls(exec.key)
--- a/webhook/front.go
+++ b/webhook/front.go
@@ -31,8 +31,8 @@
 // MaxConns is the number of senders' connections that the front holds, and MaxOut of its own
 // connections to operators' endpoints. Both count against the process's limit of open files.
 const (
-	MaxConns = 256
-	MaxOut   = maxDeliveries
+	MaxConns         = 256
+	MaxDeliveryConns = maxDeliveries
 )
 
 // Front is the webhook front of a core: a Receiver with its server, and a Notifier.
@@ -138,8 +138,10 @@
 	return t
 }
 
-// Settled takes a completion from the core. It does not block.
-func (f *Front) Settled(completion oakthread.Completion) { f.notifier.Settled(completion) }
+// HandleCompletion takes a completion from the core. It does not block.
+func (f *Front) HandleCompletion(completion oakthread.Completion) {
+	f.notifier.HandleCompletion(completion)
+}
 
 // Serve receives messages on ln and delivers notifications until ctx is done. Then it stops to
 // accept messages, answers those that it has accepted and closes the state file. A value on reload
--- a/webhook/front_test.go
+++ b/webhook/front_test.go
@@ -42,9 +42,11 @@
 	require.NoError(t, err)
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(t, err)
-	tmpl := &x509.Certificate{SerialNumber: big.NewInt(time.Now().UnixNano()), URIs: []*url.URL{u}, IsCA: ca,
+	tmpl := &x509.Certificate{
+		SerialNumber: big.NewInt(time.Now().UnixNano()), URIs: []*url.URL{u}, IsCA: ca,
 		BasicConstraintsValid: true, KeyUsage: x509.KeyUsageDigitalSignature,
-		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour)}
+		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour),
+	}
 	parent, signer := a.cert, a.key
 	if ca {
 		tmpl.KeyUsage, parent, signer = x509.KeyUsageCertSign, tmpl, key
--- a/webhook/golden_test.go
+++ b/webhook/golden_test.go
@@ -44,31 +44,59 @@
 
 func storedReceipts() []storedReceipt {
 	made := func(n int, class, status string, body []byte, wait time.Duration) receipt {
-		return receipt{BodyHash: []byte{byte(n), 0xfe}, CallID: fmt.Sprint("c", n), Class: class,
+		return receipt{
+			BodyHash: []byte{byte(n), 0xfe}, CallID: fmt.Sprint("c", n), Class: class,
 			Function: fmt.Sprintf("%016x", n), Status: status, Body: body, RetryAfter: wait,
-			ExpiresAt: goldenTime(1000 * n)}
+			ExpiresAt: goldenTime(1000 * n),
+		}
 	}
 	body := func(s string) []byte { return []byte(s) }
 	enqueued := func(id, operator, text string, seconds int) *notification {
 		return &notification{ID: id, Operator: operator, Body: body(text), CreatedAt: goldenTime(seconds)}
 	}
 	return []storedReceipt{
-		{"ironbridge", "m-1", []int{1}, made(1, "path-book", statusRunning, nil, 0),
-			oakthread.Answer{Outcome: oakthread.Failed}, nil},
-		{"ironbridge", "m-2", []int{2, 22, 222}, made(2, "path-book", statusServed, body("a path\n\x00\xff"), 0),
+		{
+			"ironbridge", "m-1",
+			[]int{1},
+			made(1, "path-book", statusRunning, nil, 0),
+			oakthread.Answer{Outcome: oakthread.Failed},
+			nil,
+		},
+		{
+			"ironbridge", "m-2",
+			[]int{2, 22, 222},
+			made(2, "path-book", statusServed, body("a path\n\x00\xff"), 0),
 			oakthread.Answer{Outcome: oakthread.Served, Body: body("a path\n\x00\xff")},
-			enqueued("msg_c2", "ironbridge", notificationBody, 20)},
-		{"ironbridge", "m-3", []int{3}, made(3, "path-check", statusRejected, body("full"), 1500*time.Millisecond),
+			enqueued("msg_c2", "ironbridge", notificationBody, 20),
+		},
+		{
+			"ironbridge", "m-3",
+			[]int{3},
+			made(3, "path-check", statusRejected, body("full"), 1500*time.Millisecond),
 			oakthread.Answer{Outcome: oakthread.Rejected, Body: body("full"), RetryAfter: 1500 * time.Millisecond},
-			nil},
-		{"soar", "m-1", []int{4}, made(4, "path-check", statusFailed, body("broken"), 0),
+			nil,
+		},
+		{
+			"soar", "m-1",
+			[]int{4},
+			made(4, "path-check", statusFailed, body("broken"), 0),
 			oakthread.Answer{Outcome: oakthread.Failed, Body: body("broken")},
-			enqueued("msg_c4", "soar", `{"n":4}`, 40)},
-		{"soar", "m-5", []int{5}, made(5, "path-book", statusTimedOut, body("late"), 2500*time.Millisecond),
+			enqueued("msg_c4", "soar", `{"n":4}`, 40),
+		},
+		{
+			"soar", "m-5",
+			[]int{5},
+			made(5, "path-book", statusTimedOut, body("late"), 2500*time.Millisecond),
 			oakthread.Answer{Outcome: oakthread.TimedOut, Body: body("late"), RetryAfter: 2500 * time.Millisecond},
-			enqueued("msg_c5", "soar", `{"n":5}`, 50)},
-		{"soar", "m-6", []int{6}, made(6, "path-book", statusServed, nil, 0),
-			oakthread.Answer{Outcome: oakthread.Served}, nil},
+			enqueued("msg_c5", "soar", `{"n":5}`, 50),
+		},
+		{
+			"soar", "m-6",
+			[]int{6},
+			made(6, "path-book", statusServed, nil, 0),
+			oakthread.Answer{Outcome: oakthread.Served},
+			nil,
+		},
 	}
 }
 
@@ -80,8 +108,10 @@
 
 func storedNotifications() []storedNotification {
 	made := func(n int, op string, tries int, waited time.Duration) notification {
-		return notification{ID: fmt.Sprint("msg_d", n), Operator: op, Body: fmt.Appendf(nil, `{"d":%d}`, n),
-			CreatedAt: goldenTime(100 * n), Attempts: tries, TotalBackoff: waited}
+		return notification{
+			ID: fmt.Sprint("msg_d", n), Operator: op, Body: fmt.Appendf(nil, `{"d":%d}`, n),
+			CreatedAt: goldenTime(100 * n), Attempts: tries, TotalBackoff: waited,
+		}
 	}
 	return []storedNotification{
 		{made(1, "ironbridge", 0, 0), goldenTime(100)},
@@ -100,8 +130,10 @@
 	never := func(receipt) bool { return false }
 	for _, x := range storedReceipts() {
 		for i, sec := range x.times {
-			fresh := receipt{BodyHash: x.r.BodyHash, CallID: x.r.CallID, Class: x.r.Class, Function: x.r.Function,
-				ExpiresAt: x.r.ExpiresAt}
+			fresh := receipt{
+				BodyHash: x.r.BodyHash, CallID: x.r.CallID, Class: x.r.Class, Function: x.r.Function,
+				ExpiresAt: x.r.ExpiresAt,
+			}
 			_, run, err := s.acquireReceipt(x.op, x.id, goldenTime(sec), fresh, nil, never)
 			require.NoError(t, err)
 			require.Equal(t, i == 0, run)
@@ -288,9 +320,11 @@
 // The body of a notification is the same as that of an earlier build.
 func TestNotificationBodyMatchesGolden(t *testing.T) {
 	d := newTestFront(t, "http://127.0.0.1:1/")
-	n := d.notifier.newNotification("ironbridge", completionData{CallID: "c1", MessageID: "m-1", Class: "path-book",
+	n := d.notifier.newNotification("ironbridge", completionData{
+		CallID: "c1", MessageID: "m-1", Class: "path-book",
 		Function: "00000000000000ff", Outcome: outcomeText(oakthread.TimedOut),
-		Reason: outcomeReason(oakthread.TimedOut, false)},
+		Reason: outcomeReason(oakthread.TimedOut, false),
+	},
 		goldenTime(1))
 	require.NotNil(t, n)
 	assert.Equal(t, "msg_c1", n.ID)
--- a/webhook/handler.go
+++ b/webhook/handler.go
@@ -119,7 +119,7 @@
 		if !errors.Is(err, errStoreFull) {
 			rc.log.Error("webhook receipt write failed", "error", err)
 		}
-		httpreply.ComeBack(w.Header(), storeRetryAfter)
+		httpreply.SetRetryAfter(w.Header(), storeRetryAfter)
 		http.Error(w, "no receipt could be written", http.StatusServiceUnavailable)
 	}
 }
--- a/webhook/notifier.go
+++ b/webhook/notifier.go
@@ -149,10 +149,10 @@
 	return false
 }
 
-// Settled takes a completion from the core's event loop and queues its notification in memory
+// HandleCompletion takes a completion from the core's event loop and queues its notification in memory
 // without blocking. A call that a webhook requested is skipped: its notification is written
 // together with its receipt.
-func (s *Notifier) Settled(completion oakthread.Completion) {
+func (s *Notifier) HandleCompletion(completion oakthread.Completion) {
 	request := completion.Request
 	operator, ok := s.operatorByTenant[request.Tenant]
 	if !ok || request.Ref != "" {
--- a/webhook/notifier_test.go
+++ b/webhook/notifier_test.go
@@ -26,7 +26,7 @@
 	defer receiver.Close()
 	d := newTestFront(t, receiver.URL)
 	complete := func(id string, class, tenant int) {
-		d.notifier.Settled(oakthread.Completion{
+		d.notifier.HandleCompletion(oakthread.Completion{
 			Request: oakthread.Request{ID: id, Class: class, Tenant: tenant, Key: testFunction},
 			Answer:  oakthread.Answer{Outcome: oakthread.TimedOut},
 			At:      time.Now(),
--- a/webhook/receiver.go
+++ b/webhook/receiver.go
@@ -28,9 +28,9 @@
 
 // Class is a class of calls as webhooks name it.
 type Class struct {
-	Name   string
-	GiveUp time.Duration        // time from the receipt of a message to the deadline of its call
-	Effect balancer.Idempotency // whether a call may run twice
+	Name        string
+	Timeout     time.Duration        // time from the receipt of a message to the deadline of its call
+	Idempotency balancer.Idempotency // whether a call may run twice
 }
 
 // Receiver executes the calls that signed messages request. It implements http.Handler and is safe
@@ -124,7 +124,7 @@
 		}
 	}
 	for name, i := range index {
-		if options.State == "" && classes[i].Effect != balancer.Idempotent {
+		if options.State == "" && classes[i].Idempotency != balancer.Idempotent {
 			return nil, fmt.Errorf("webhooks: class %q must not run twice, so a state file is needed", name)
 		}
 	}
--- a/workers.go
+++ b/workers.go
@@ -64,7 +64,7 @@
 // Subjects of observations.
 const (
 	ObservedAttempt ObservedKind = iota
-	ObservedOrder
+	ObservedLoadOrder
 )
 
 // Observation describes how an attempt or load order ended, for Config.Observed.
