--- a/internal/capacity/arithmetic.go
+++ b/internal/capacity/arithmetic.go
@@ -6,13 +6,13 @@
 
 // sizes are constants of other packages; TestSizesAreThoseOfTheSources reads them again.
 type sizes struct {
-	// aggregate/message.go, internal/platform/channel.go, core.go
+	// aggregate/encode.go, internal/platform/watch.go, core.go
 	textMax, marksMax, datagram, waiting, line, eventsWait float64
 	// package balancer
 	messageShare, messagePriceFloor, budgetMax, leaderTerm, maintenanceRounds, hello, pairPart float64
-	// s: internal/platform/channel.go
+	// s: internal/platform/watch.go
 	quiet, dial, most float64
-	// internal/platform/fleet.go, internal/daemon/daemon.go
+	// internal/platform/executorpool.go, internal/daemon/daemon.go
 	idleShare, reserved, clientSpare, memoryPart, datagramsInAReceive float64
 	// per cent: internal/daemon/daemon.go
 	collectAt float64
--- a/internal/capacity/byterows.go
+++ b/internal/capacity/byterows.go
@@ -12,7 +12,7 @@
 			budgetOf: ofLetter,
 			formula: "what calls pay for: 0.005 x calls/s x 256 / price; fewer where rounds and calls to new " +
 				"holders are fewer",
-			mechanism: noneYet + ": their price is counted by calls, not by seconds (`balancer.tell`)",
+			mechanism: noneYet + ": their price is counted by calls, not by seconds (`balancer.sendGossip`)",
 			of: func(r *reading) float64 {
 				rate, p := r.reports(r.CallsEach() * r.Busiest)
 				return rate * float64(p.All)
@@ -28,35 +28,36 @@
 		{
 			role: dispatcher, what: "messages in and out", unit: "B/s", along: Fleet, budget: b.Bytes,
 			budgetOf: ofLetter,
-			formula:  "bytes", mechanism: "`balancer.tell`", of: func(r *reading) float64 { return r.state("bytes") },
+			formula:  "bytes", mechanism: "`balancer.sendGossip`",
+			of: func(r *reading) float64 { return r.state("bytes") },
 		},
 		{
 			role: dispatcher, what: "messages in", unit: "B/s", along: Fleet, budget: math.NaN(),
-			formula: "bytes.in", mechanism: "`balancer.tell`",
+			formula: "bytes.in", mechanism: "`balancer.sendGossip`",
 			of: func(r *reading) float64 { return r.state("bytes.in") },
 		},
 		{
 			role: dispatcher, what: "messages out", unit: "B/s", along: Fleet, budget: math.NaN(),
-			formula: "bytes.out", mechanism: "`balancer.tell`",
+			formula: "bytes.out", mechanism: "`balancer.sendGossip`",
 			of: func(r *reading) float64 { return r.state("bytes.out") },
 		},
 		{
 			role: dispatcher, what: "messages out in its busiest second", unit: "B/s", along: Dispatchers,
 			budget:    math.NaN(),
 			formula:   "bytes.out.busiest",
-			mechanism: "`balancer.tell`",
+			mechanism: "`balancer.sendGossip`",
 			of:        func(r *reading) float64 { return r.state("bytes.out.busiest") },
 		},
 		{
 			role: dispatcher, what: "command channel", unit: "B/s", along: Changes, budget: b.Bytes, budgetOf: ofLetter,
-			mechanism: "changes alone (`internal/platform/channel.go`)",
+			mechanism: "changes alone (`internal/platform/watch.go`)",
 			formula:   "(changes/86,400 + list events/s) x bytes of an event + a number's line a second",
 			of:        func(r *reading) float64 { return r.listRate()*r.EventBytes + 8 },
 		},
 		{
 			role: dispatcher, what: "answers to its hellos after a restart", unit: "B", along: Fleet,
 			budget:    math.NaN(),
-			mechanism: "`balancer.Peer`; not priced",
+			mechanism: "`balancer.HandlePeerMessage`; not priced",
 			formula:   "3 x all holders that one believes, 6 B each: those of calls within the keep-alive",
 			of: func(r *reading) float64 {
 				return of.hello * float64(packed(3, 0, 0, int(Distinct(r.CallsEach()*r.KeepAlive, r.Functions))).All)
--- a/internal/capacity/collectorrows.go
+++ b/internal/capacity/collectorrows.go
@@ -79,7 +79,7 @@
 			role: collector, what: "price of a whole digest", along: Fleet, budget: of.budgetMax,
 			budgetOf:  ofTheProgram,
 			mechanism: noneYet + ": too dear, none is told; short ones where they fit",
-			formula:   "0.021/256 x receivers x characters; budget: what may be saved up (`purseMax`)",
+			formula:   "0.021/256 x receivers x characters; budget: what may be saved up (`maxGossipBudget`)",
 			of:        func(r *reading) float64 { return price(r.fullDigest(false), r) },
 		},
 		{
@@ -109,7 +109,7 @@
 		{
 			role: collector, what: "first text, nobody missing", unit: "B", along: Dispatchers, budget: of.datagram,
 			budgetOf:  ofTheProgram,
-			mechanism: "sums alone, no bits (`commons.Message.first`)",
+			mechanism: "sums alone, no bits (`aggregate.Message.Encode`)",
 			formula:   "4/3 x (5 + 2 figures)",
 			of:        func(r *reading) float64 { return float64(r.sums(false).Length().First) },
 		},
@@ -135,13 +135,13 @@
 		},
 		{
 			role: collector, what: "in its busiest second", unit: "B/s", along: Dispatchers, budget: math.NaN(),
-			mechanism: "`balancer.tell`",
+			mechanism: "`balancer.sendGossip`",
 			formula:   "collector.in.busiest",
 			of:        func(r *reading) float64 { return r.state("collector.in.busiest") },
 		},
 		{
 			role: collector, what: "out in its busiest second", unit: "B/s", along: Dispatchers, budget: math.NaN(),
-			mechanism: "`balancer.tell`",
+			mechanism: "`balancer.sendGossip`",
 			formula:   "collector.out.busiest",
 			of: func(r *reading) float64 {
 				return r.state("collector.out.busiest")
--- a/internal/capacity/executorrows.go
+++ b/internal/capacity/executorrows.go
@@ -13,13 +13,13 @@
 	return []spec{
 		{
 			role: executor, what: "calls", unit: "1/s", along: Fleet, budget: none,
-			mechanism: "`balancer.choose`",
+			mechanism: "`balancer.chooseWorker`",
 			formula:   "calls/s over executors",
 			of:        func(r *reading) float64 { return each(r.Case) },
 		},
 		{
 			role: executor, what: "connections open", along: Fleet, budget: none,
-			mechanism: "idle ones end after 9 s (`idleShare`)",
+			mechanism: "idle ones end after 9 s (`idleTimeoutRatio`)",
 			formula:   "dispatchers x (1 - exp(-9 s x calls/s of one dispatcher / listed))",
 			of:        open,
 		},
@@ -34,7 +34,7 @@
 		{
 			role: executor, what: "probes while all dispatchers start from a kept list", unit: "of a core",
 			along: Dispatchers, budget: none,
-			mechanism: "300 a second from all together, whatever their number (`roster.spread`)",
+			mechanism: "300 a second from all together, whatever their number (`endpoints.List.checkSpread`)",
 			formula:   "300/s x 0.4 ms", of: func(r *reading) float64 { return r.ProbeRate * r.ProbeWork },
 		},
 	}
--- a/internal/capacity/letterrows.go
+++ b/internal/capacity/letterrows.go
@@ -24,7 +24,7 @@
 		{
 			role: letter, what: "48,000 functions: calls of those called less than once a minute", unit: "of all",
 			along: Functions, budget: none,
-			mechanism: "their place by hash, the same at every dispatcher (`balancer.choose`)",
+			mechanism: "their place by hash, the same at every dispatcher (`balancer.chooseWorker`)",
 			formula:   "rare functions x calls/s / calls/s of all",
 			of:        func(r *reading) float64 { return r.rare() * r.RareCalls / r.Calls },
 		},
@@ -48,14 +48,14 @@
 		},
 		{
 			role: letter, what: "48,000 functions: loads of these", unit: "1/s", along: Functions, budget: none,
-			mechanism: "the store's; rationed (`balancer.order`)",
+			mechanism: "the store's; rationed (`balancer.orderLoad`)",
 			formula:   "rare functions x calls/s x part without a copy",
 			of:        func(r *reading) float64 { loads, _ := rareLoads(r.Case); return loads },
 		},
 		{
 			role: letter, what: "48,000 functions: copies that these hold", unit: "of the instances",
 			along: Functions, budget: none,
-			mechanism: "`balancer.trim`, the executors' keep-alive",
+			mechanism: "`balancer.unloadIdleCopies`, the executors' keep-alive",
 			formula:   "rare functions x (1 - exp(-calls/s x keep-alive) + loading) / instances",
 			of:        func(r *reading) float64 { _, copies := rareLoads(r.Case); return copies / r.Instances },
 		},
@@ -96,7 +96,7 @@
 		{
 			role: letter, what: "cold start, p99 in virtual time", unit: "s", along: Functions, budget: b.LoadWait,
 			budgetOf:  ofLetter,
-			mechanism: "an order to load, the call held meanwhile (`balancer.hold`)",
+			mechanism: "an order to load, the call held meanwhile (`balancer.holdForLoad`)",
 			formula:   "p99.cold",
 			of: func(r *reading) float64 {
 				return r.largest("p99.cold")
@@ -111,7 +111,7 @@
 		{
 			role: letter, what: "two machines a day: dispatchers missing at a time, an hour each", along: Fleet,
 			budget:    none,
-			mechanism: "remembered, not taken for idle (`commons`)",
+			mechanism: "remembered, not taken for idle (`aggregate`)",
 			formula:   "2 / 24, were all of them dispatchers'", of: func(r *reading) float64 { return r.Failing / 24 },
 		},
 		{
@@ -124,20 +124,20 @@
 		{
 			role: letter, what: "a rack of 40 executors gone: the rest bears more", unit: "of its calls",
 			along: Executors, budget: none,
-			mechanism: "silence told by two observers (`verdict`); each by itself where no digest comes",
+			mechanism: "silence told by two observers (`outlier`); each by itself where no digest comes",
 			formula:   "executors / (executors - 40)",
 			of:        func(r *reading) float64 { return r.Executors / max(1, r.Executors-40) },
 		},
 		{
 			role: letter, what: "a zone gone: the rest bears more", unit: "of its calls", along: Executors,
 			budget:    none,
-			mechanism: "zones judged as one (`verdict`)",
+			mechanism: "zones judged as one (`outlier`)",
 			formula:   "1 / (zones - 1)", of: func(r *reading) float64 { return 1 / (r.Zones - 1) },
 		},
 		{
 			role: letter, what: "a zone gone: its copies are loaded elsewhere within", unit: "s", along: Executors,
 			budget:    none,
-			mechanism: "rationed (`balancer.order`); the store's limit is not told in fetches a second",
+			mechanism: "rationed (`balancer.orderLoad`); the store's limit is not told in fetches a second",
 			formula:   "instances / zones x mean load / (executors left x 4.5 slots), evenly spread",
 			of: func(r *reading) float64 {
 				return r.Instances / r.Zones * r.Load / (r.Executors * (1 - 1/r.Zones) * r.LoadSlots)
@@ -147,14 +147,14 @@
 			role: letter, what: "regions that lose each other: members in a region's digest that count as missing",
 			along:     Dispatchers,
 			budget:    none,
-			mechanism: "totals with bounds, each side collects for itself (`commons`, `turns`)",
+			mechanism: "totals with bounds, each side collects for itself (`aggregate`, `leader`)",
 			formula:   "dispatchers x (1 - 1/regions)",
 			of:        func(r *reading) float64 { return r.Dispatchers * (1 - 1/r.Regions) },
 		},
 		{
 			role: letter, what: "all dispatchers restarted without discovery: until the ramp is over", unit: "s",
 			along: Dispatchers, budget: none,
-			mechanism: "kept list (`roster`): four proofs of an executor, each after dispatchers / 300 s",
+			mechanism: "kept list (`endpoints`): four proofs of an executor, each after dispatchers / 300 s",
 			formula:   "4 x dispatchers / 300", of: func(r *reading) float64 { return 4 * r.Dispatchers / r.ProbeRate },
 		},
 	}
@@ -179,19 +179,19 @@
 		},
 		{
 			role: letter, what: "loads, in virtual time", unit: "a call", along: Functions,
-			budget: none, mechanism: "`balancer.hold`, `balancer.order`", formula: "loads",
+			budget: none, mechanism: "`balancer.holdForLoad`, `balancer.orderLoad`", formula: "loads",
 			of: func(r *reading) float64 { return r.largest("loads") },
 		},
 		{
 			role: letter, what: "part of the fleet that a dispatcher's view covers, in virtual time",
 			along: Dispatchers, budget: none,
-			mechanism: "`commons.View`", formula: "covered",
+			mechanism: "`aggregate.View`", formula: "covered",
 			of: func(r *reading) float64 { return r.largest("covered") },
 		},
 		{
 			role: letter, what: "terms in which half of the dispatchers were told", unit: "of all",
 			along: Dispatchers, budget: none,
-			mechanism: "`balancer.tell`",
+			mechanism: "`balancer.sendGossip`",
 			formula:   "digests",
 			of:        func(r *reading) float64 { return r.largest("digests") },
 		},
--- a/internal/capacity/memoryrows.go
+++ b/internal/capacity/memoryrows.go
@@ -74,13 +74,13 @@
 		{
 			role: dispatcher, what: "executors that share a 16-bit tag with another, pairs",
 			formula: "n (n-1) / 2 / 2^16", along: Executors, budget: 1, budgetOf: ofOurs,
-			mechanism: noneYet + ": what is told of one counts for the other (`balancer.tag`)",
+			mechanism: noneYet + ": what is told of one counts for the other (`balancer.workerTag`)",
 			of:        func(r *reading) float64 { return Collisions(r.Listed(), 16) },
 		},
 		{
 			role: dispatcher, what: "functions that share a 32-bit tag with another, pairs",
 			formula: "n (n-1) / 2 / 2^32", along: Functions, budget: 1, budgetOf: ofOurs,
-			mechanism: noneYet + ": one row of the holder table for both (`balancer.funcTag`)",
+			mechanism: noneYet + ": one row of the holder table for both (`balancer.functionTag`)",
 			of:        func(r *reading) float64 { return Collisions(r.Functions, 32) },
 		},
 	}
@@ -93,15 +93,16 @@
 			role: dispatcher, what: "whole list: the loop stands still for", unit: "s",
 			formula:   "cpu.list.whole; budget: a housekeeping round, from which on it counts as having stood still",
 			along:     Executors,
-			mechanism: "`balancer.Roster`",
+			mechanism: "`balancer.UpdateEndpoints`",
 			budget:    base.LatencyObjective / of.maintenanceRounds, budgetOf: ofTheProgram,
 			of: func(r *reading) float64 { return 1e-9 * r.step("cpu.list.whole") },
 		},
 		{
 			role: dispatcher, what: "whole list: its line", unit: "B",
 			formula: "152 x listed; budget: the longest line that is read", along: Executors,
-			mechanism: "`maxLine` (`internal/platform/channel.go`); a longer one ends the connection, again and again",
-			budget:    of.line, budgetOf: ofTheProgram,
+			mechanism: "`maxEventBytes` (`internal/platform/watch.go`); " +
+				"a longer one ends the connection, again and again",
+			budget: of.line, budgetOf: ofTheProgram,
 			of: func(r *reading) float64 { return memberBytes * r.Listed() },
 		},
 	}
--- a/internal/lab/simnode.go
+++ b/internal/lab/simnode.go
@@ -10,7 +10,7 @@
 
 // simNode is one dispatcher: the real list and the real module, before a host that does with what
 // the module orders as the core does, and the platform's client under it (core.go,
-// internal/platform/fleet.go).
+// internal/platform/executorpool.go).
 type simNode struct {
 	w             *simWorld
 	n             int
