--- a/internal/lab/meshexperiment.go
+++ b/internal/lab/meshexperiment.go
@@ -86,19 +86,7 @@
 	enough()
 	m.Heal()
 	m.Quiet()
-	result.calm, result.first, result.later = m.Honest(at, began), m.Honest(began, settled), m.Honest(settled, end)
-	_, result.floodCalm = m.Share("a", at, began)
-	_, result.flood = m.Share("a", settled, end)
-	calls := 0
-	for _, call := range m.All() {
-		if call.Intended.After(at) && call.Intended.Before(began) {
-			calls++
-		}
-	}
-	result.bytes = BytesACall(m.PeerNetwork.Datagrams(), calls, at, began)
-	result.Breaches = m.Check(func(attempt Attempt) bool { // what crossed a death is owed nothing
-		return fault == MeshKilled && attempt.Sent.Before(began.Add(time.Second)) && attempt.Ended.After(began)
-	})
+	result.measure(m, fault, meshMoments{calm: at, began: began, settled: settled, end: end})
 	if fault == MeshKilled {
 		return result, nil
 	}
@@ -108,6 +96,33 @@
 	return result, nil
 }
 
+// meshMoments are the moments that bound the spans of a run.
+type meshMoments struct {
+	calm    time.Time // the workers are warm, and no fault has begun
+	began   time.Time // of the fault
+	settled time.Time // the first span of the fault is over
+	end     time.Time // of the fault
+}
+
+// measure fills in what clients, workers and links saw.
+func (r *meshResult) measure(m *Mesh, fault string, at meshMoments) {
+	r.calm = m.Honest(at.calm, at.began)
+	r.first = m.Honest(at.began, at.settled)
+	r.later = m.Honest(at.settled, at.end)
+	_, r.floodCalm = m.Share("a", at.calm, at.began)
+	_, r.flood = m.Share("a", at.settled, at.end)
+	calls := 0
+	for _, call := range m.All() {
+		if call.Intended.After(at.calm) && call.Intended.Before(at.began) {
+			calls++
+		}
+	}
+	r.bytes = BytesACall(m.PeerNetwork.Datagrams(), calls, at.calm, at.began)
+	r.Breaches = m.Check(func(attempt Attempt) bool { // what crossed a death is owed nothing
+		return fault == MeshKilled && attempt.Sent.Before(at.began.Add(time.Second)) && attempt.Ended.After(at.began)
+	})
+}
+
 // Apart returns by how much the totals of tenant a differ, relative to the lowest, as each of the
 // dispatchers that pick names (nil: all) first logs them in a span; NaN where one logs none. This
 // figure alone rests on what dispatchers report of themselves.
