--- a/internal/lab/hollowresult.go
+++ b/internal/lab/hollowresult.go
@@ -7,28 +7,29 @@
 	"time"
 )
 
-// views takes what the dispatchers know at the end of the span.
+// views records which part of the fleet the dispatchers' views cover at the end of the span, and the
+// part of the terms whose digest at least half of them received.
 func (h *hollowWorld) views(result *HollowResult) {
-	sum, there := 0, 0
+	covered, alive := 0, 0
 	for _, node := range h.nodes {
 		if !node.dead {
-			sum += node.d.FleetView().CoveredCount
-			there++
+			covered += node.d.FleetView().CoveredCount
+			alive++
 		}
 	}
-	result.Figures["covered"] = float64(sum) / float64(max(1, there*len(h.nodes)))
-	all, good := 0, 0
+	result.Figures["covered"] = float64(covered) / float64(max(1, alive*len(h.nodes)))
+	terms, received := 0, 0
 	for t := h.from.UnixNano()/h.term + 1; (t+1)*h.term <= h.until.UnixNano(); t++ {
-		if all++; 2*h.digestReaders[t] >= len(h.nodes) {
-			good++
+		if terms++; 2*h.digestReaders[t] >= len(h.nodes) {
+			received++
 		}
 	}
-	if all > 0 {
-		result.Figures["digests"] = float64(good) / float64(all)
+	if terms > 0 {
+		result.Figures["digests"] = float64(received) / float64(terms)
 	}
 }
 
-// figures takes what the meter has.
+// figures records service, processor time, messages and bytes of the span.
 func (h *hollowWorld) figures(result *HollowResult) {
 	f, m := result.Figures, &h.meter
 	span := min(h.size.Span, max(0, h.now.Sub(h.from))).Seconds()
--- a/internal/lab/rigbuild.go
+++ b/internal/lab/rigbuild.go
@@ -13,6 +13,17 @@
 	rigGroups
 )
 
+// Ports within a rig. Each group has addresses of its own, so that one port may stand in several.
+const (
+	portWorker     = 9100
+	portClients    = 9200 // of a dispatcher
+	portPeers      = 9300 // of a dispatcher, for datagrams
+	portChannel    = 9400 // of discovery, for one dispatcher, and of the link to it
+	portWorkerLink = 9500 // the first of the links from one dispatcher to the workers
+	portPeerLink   = 9600 // the first of the links from one dispatcher to its peers
+)
+
+// addr returns address i of a group of this rig.
 func (r *Rig) addr(group, i, port int) string { return r.Net.Addr(r.Group*rigGroups+group, i, port) }
 
 // build opens the workers and all links and writes the files of the dispatchers.
@@ -35,8 +46,8 @@
 	return nil
 }
 
-// buildWorkerLinks opens a link from each dispatcher to each worker, also to one that comes later:
-// port 9500 and up, at the address of the dispatcher whose link it is.
+// buildWorkerLinks opens a link from each dispatcher to each worker, also to one that comes later,
+// at the address of the dispatcher whose link it is.
 func (r *Rig) buildWorkerLinks() error {
 	all := r.RigSize.Workers + r.Later
 	place := map[string]int{}
@@ -46,7 +57,8 @@
 	r.Links.Workers = make([][]*Relay, r.Dispatchers)
 	for n := range r.Dispatchers {
 		for i := range all {
-			link, err := StartRelay(r.addr(groupLinks, n, 9500+i), r.addr(groupWorkers, i, 9100))
+			from, to := r.addr(groupLinks, n, portWorkerLink+i), r.addr(groupWorkers, i, portWorker)
+			link, err := StartRelay(from, to)
 			if err != nil {
 				return err
 			}
@@ -66,9 +78,9 @@
 func (r *Rig) buildPeerNetwork() (err error) {
 	var listens []string
 	for n := range r.Dispatchers {
-		listens = append(listens, r.addr(groupNodes, n, 9300))
+		listens = append(listens, r.addr(groupNodes, n, portPeers))
 	}
-	addr := func(i, j int) string { return r.addr(groupNodes, i, 9600+j) }
+	addr := func(i, j int) string { return r.addr(groupNodes, i, portPeerLink+j) }
 	r.PeerNetwork, err = StartPeerNetwork(r.Dispatchers, addr, listens, r.Seed)
 	return err
 }
@@ -76,10 +88,10 @@
 // buildDispatcher opens the command channel of dispatcher n and writes its files, and makes its
 // clients.
 func (r *Rig) buildDispatcher(n int) error {
-	if _, err := r.Disc.Listen(r.addr(groupNodes, n, 9400)); err != nil {
+	if _, err := r.Disc.Listen(r.addr(groupNodes, n, portChannel)); err != nil {
 		return err
 	}
-	link, err := StartRelay(r.addr(groupLinks, n, 9400), r.Disc.Addr(n))
+	link, err := StartRelay(r.addr(groupLinks, n, portChannel), r.Disc.Addr(n))
 	if err != nil {
 		return err
 	}
@@ -89,7 +101,7 @@
 		level = "debug"
 	}
 	dispatcher, err := Lay(DispatcherFiles{
-		Dir: r.dir, N: n, Addr: r.addr(groupNodes, n, 9200), Settings: r.settings(n), Peers: r.PeerNetwork.Peers(n),
+		Dir: r.dir, N: n, Addr: r.addr(groupNodes, n, portClients), Settings: r.settings(n), Peers: r.PeerNetwork.Peers(n),
 		Channel: link.Addr, Operators: fmt.Sprintf("[log]\nlevel = %q\n%s", level, r.Operators),
 	})
 	if err != nil {
@@ -133,7 +145,7 @@
 func (r *Rig) open(n int, start time.Time) error {
 	for range n {
 		i := len(r.Workers)
-		worker, err := StartStubWorker(workerName(i), r.addr(groupWorkers, i, 9100), r.Figures, start)
+		worker, err := StartStubWorker(workerName(i), r.addr(groupWorkers, i, portWorker), r.Figures, start)
 		if err != nil {
 			return err
 		}
--- a/internal/loganalysis/seconds.go
+++ b/internal/loganalysis/seconds.go
@@ -40,7 +40,7 @@
 			next++
 		}
 		second := bySecond[at]
-		second.Ejections, second.Partitioned = len(inForce.unreachable), len(inForce.partitioned)
+		second.Ejections, second.Partitioned = len(inForce.ejections), len(inForce.partitioned)
 		seconds = append(seconds, *second)
 	}
 	return seconds
@@ -57,20 +57,20 @@
 // ejection is a worker that a dispatcher has ejected.
 type ejection struct{ dispatcher, worker string }
 
-// ejectionState are the ejections in force at a time.
+// ejectionState holds the ejections in force at a time.
 type ejectionState struct {
-	unreachable map[ejection]bool // whether the worker was ejected because it cannot be reached
+	ejections   map[ejection]bool // true if the worker was ejected because it cannot be reached
 	partitioned map[string]bool   // dispatchers that hold a zone to be unreachable
 }
 
 func newEjectionState() *ejectionState {
-	return &ejectionState{unreachable: map[ejection]bool{}, partitioned: map[string]bool{}}
+	return &ejectionState{ejections: map[ejection]bool{}, partitioned: map[string]bool{}}
 }
 
 func (s *ejectionState) apply(change ejectionChange) {
 	key := ejection{change.dispatcher, change.worker}
 	if change.ejected {
-		s.unreachable[key] = change.unreachable
+		s.ejections[key] = change.unreachable
 		if change.zone {
 			s.partitioned[change.dispatcher] = true
 		}
@@ -78,9 +78,9 @@
 	}
 	if change.zone { // the zone can be reached again, and with it all workers that could not be
 		delete(s.partitioned, change.dispatcher)
-		maps.DeleteFunc(s.unreachable, func(e ejection, unreachable bool) bool {
+		maps.DeleteFunc(s.ejections, func(e ejection, unreachable bool) bool {
 			return e.dispatcher == change.dispatcher && unreachable
 		})
 	}
-	delete(s.unreachable, key)
+	delete(s.ejections, key)
 }
