--- a/internal/lab/rigbuild.go
+++ b/internal/lab/rigbuild.go
@@ -102,7 +102,7 @@
 	}
 	dispatcher, err := Lay(DispatcherFiles{
 		Dir: r.dir, N: n, Addr: r.addr(groupNodes, n, portClients), Settings: r.settings(n),
-		Peers: r.PeerNetwork.Peers(n),
+		Peers:   r.PeerNetwork.Peers(n),
 		Channel: link.Addr, Operators: fmt.Sprintf("[log]\nlevel = %q\n%s", level, r.Operators),
 	})
 	if err != nil {
