--- a/rules/conn.go
+++ b/rules/conn.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	// minIdleReused is how long a connection that has carried a request must be idle. The
-	// platform's protocol has clients send a request again once that crosses the close of an idle
-	// connection within 50 ms; twice that leaves room for a busy machine.
+	// minIdleReused is the minimum idle time of a connection that has carried a request. By the
+	// platform's protocol a client resends, once, a request that crosses the close of an idle
+	// connection within 50 ms; twice that leaves a margin for a busy machine.
 	minIdleReused = 100 * time.Millisecond
-	// minIdleNew is how long a new connection must be idle: it is opened for a request, which may
-	// still be on its way.
+	// minIdleNew is the minimum idle time of a new connection. A client opens a connection to send
+	// a request, which may still be in transit.
 	minIdleNew = 250 * time.Millisecond
 )
 
-// CloseCause is what a client's connection would be closed for.
+// CloseCause is the reason for closing a client's connection.
 type CloseCause int
 
-// Causes.
+// Causes of closing a client's connection.
 const (
-	CloseForCapacity CloseCause = iota // all places are taken, and another client waits for one
+	CloseForCapacity CloseCause = iota // the connection limit is reached, and another client waits to connect
 	CloseForDrain                      // the dispatcher is out of service or shuts down
 )
 
-// MinIdleTime returns how long a client's connection must have been idle before it is closed in
-// favour of another one. reused says that it has carried a request.
+// MinIdleTime returns how long a client's connection must have been idle before it may be closed to
+// make room for another client. reused states that the connection has carried a request.
 func MinIdleTime(reused bool) time.Duration {
 	if reused {
 		return minIdleReused
@@ -36,14 +36,14 @@
 
 // ClientConn is the state of a client's connection.
 type ClientConn struct {
-	RequestInFlight bool          // a call that was read in full has not been answered
-	PartlyRead      bool          // part of a request has been read, and its answer has not been written
-	UnreadData      bool          // the kernel holds bytes that have not been read
-	Reused          bool          // it has carried a request before
-	Idle            time.Duration // since anything happened on it
+	RequestInFlight bool          // a request that was read in full has not been answered
+	PartlyRead      bool          // part of a request has been read, and its response has not been written
+	UnreadData      bool          // the kernel's receive buffer holds bytes that have not been read
+	Reused          bool          // the connection has carried a request before
+	Idle            time.Duration // time since the last activity on the connection
 }
 
-// MayCloseClient decides whether a client's connection may be closed.
+// MayCloseClient decides whether a client's connection may be closed for a cause.
 func MayCloseClient(conn ClientConn, cause CloseCause) Reason {
 	faulty := mutant.On(mutant.CloseBusy)
 	switch {
@@ -61,11 +61,11 @@
 
 // WorkerConn is the state of a connection to a worker.
 type WorkerConn struct {
-	ResponsePending bool // a request was begun on it, and its response has not ended
-	Tainted         bool // it received bytes that belong to no response, or is about to be closed
+	ResponsePending bool // a request was started on it, and its response has not ended
+	Tainted         bool // it received bytes outside of a response, or is about to be closed
 }
 
-// MayCloseWorker decides whether an idle connection to a worker may be closed in favour of another
+// MayCloseWorker decides whether a connection to a worker may be closed to make room for another
 // one.
 func MayCloseWorker(conn WorkerConn) Reason {
 	if conn.ResponsePending {
@@ -74,7 +74,7 @@
 	return Allowed
 }
 
-// MayReuseWorker decides whether a connection to a worker may carry a further request.
+// MayReuseWorker decides whether a connection to a worker may carry another request.
 func MayReuseWorker(conn WorkerConn) Reason {
 	switch {
 	case conn.Tainted && !mutant.On(mutant.ReuseTainted):
--- a/rules/loadquota.go
+++ b/rules/loadquota.go
@@ -2,14 +2,14 @@
 
 import "oakthread/internal/mutant"
 
-// LoadQuota bounds the load orders of a time window.
+// LoadQuota limits the number of load orders in a time window.
 type LoadQuota struct {
-	Base  float64 // orders allowed in any case
-	Ratio float64 // further orders allowed for each request accepted in the same window
+	Base  float64 // load orders allowed regardless of traffic
+	Ratio float64 // additional load orders allowed per request accepted in the window
 }
 
-// MayOrderLoad decides whether one more load order may be written in a window in which so many
-// requests were accepted and so many load orders written.
+// MayOrderLoad decides whether another load order may be sent. accepted is the number of requests
+// accepted in the current window, ordered the number of load orders already sent in it.
 func MayOrderLoad(quota LoadQuota, accepted, ordered int) Reason {
 	limit := quota.Base + quota.Ratio*float64(accepted)
 	if float64(ordered+1) > limit && !mutant.On(mutant.UnlimitedLoads) {
--- a/rules/retry.go
+++ b/rules/retry.go
@@ -2,26 +2,26 @@
 
 import "oakthread/internal/mutant"
 
-// PriorAttempt is an attempt that a call has had, as far as it matters for a further one.
+// PriorAttempt describes an earlier attempt of a call, as far as retries and rejections depend on it.
 type PriorAttempt struct {
-	InFlight   bool // it has not ended
-	MayHaveRun bool // nothing proves that it did not run
-	// NotRetryable says that the call must not run again if the attempt has run: by its class, or
-	// because the workers' deduplication by idempotency key no longer covers it, by its time window
-	// or its group of workers.
+	InFlight   bool // the attempt has not ended
+	MayHaveRun bool // it is not proven that the worker did not run the call
+	// NotRetryable states that the call must not run again if this attempt has run: its class does
+	// not allow it, or the workers' deduplication by idempotency key does not cover another attempt,
+	// either by its time window or by its group of workers.
 	NotRetryable bool
 }
 
-// Retry is a further attempt of a call.
+// Retry describes a call for which another attempt is considered.
 type Retry struct {
-	Completed       bool // the call has its answer, or its answer has begun
+	Completed       bool // the response to the client is complete or has started
 	DeadlineReached bool // the call must be answered now
 	Attempts        int  // so far
 	MaxAttempts     int
 }
 
-// MayRetry decides whether a further attempt may begin, as far as the call itself is concerned.
-// Each of its earlier attempts must allow it too, see MayRetryAfter.
+// MayRetry decides whether the state of the call allows another attempt. Each earlier attempt must
+// allow it as well, see MayRetryAfter.
 func MayRetry(retry Retry) Reason {
 	switch {
 	case retry.Completed:
@@ -34,8 +34,8 @@
 	return Allowed
 }
 
-// MayRetryAfter decides whether an earlier attempt allows a further one. hedging says that the two
-// may be in flight at once.
+// MayRetryAfter decides whether an earlier attempt allows another one. hedging states that the two
+// may be in flight at the same time.
 func MayRetryAfter(attempt PriorAttempt, hedging bool) Reason {
 	switch {
 	case attempt.InFlight && !hedging:
@@ -46,8 +46,8 @@
 	return Allowed
 }
 
-// MayReject decides whether a call may be rejected, which promises that it had no effect, as far as
-// an earlier attempt is concerned.
+// MayReject decides whether an earlier attempt allows the call to be rejected. A rejection promises
+// the client that the call had no effect.
 func MayReject(attempt PriorAttempt) Reason {
 	if attempt.MayHaveRun && attempt.NotRetryable && !mutant.On(mutant.RejectAfterRun) {
 		return MayHaveRun
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -1,37 +1,38 @@
-// Package rules decides what may be done now: writing a request to a worker, closing a connection,
-// retrying or rejecting a call, ordering a worker to load a function. Each rule stands here once,
-// and all paths ask it: shutdown, reload, retry, hedge, cancellation, idle close, a full front. It
-// has no clock, goroutine or I/O; the answer is a Reason.
+// Package rules decides whether an action is allowed: writing a request to a worker, closing a
+// connection, retrying or rejecting a call, ordering a worker to load a function. Each rule is
+// implemented once, here, and every code path consults it: shutdown, reload, retry, hedge,
+// cancellation, idle close, and the connection limit for clients. The functions are pure, without
+// clock, goroutine or I/O, and return a Reason.
 //
-// docs/design/invariants.md lists the rules, the paths that keep them, and the tests.
+// docs/design/invariants.md lists the rules, the code paths that apply them, and the tests.
 package rules
 
 import "fmt"
 
-// Reason says why something may not be done now. Allowed, the zero value, says that it may.
+// Reason is the reason why an action is not allowed, or Allowed, the zero value, if it is.
 type Reason int
 
-// Reasons.
+// Reasons why an action is not allowed.
 const (
 	Allowed            Reason = iota
-	RequestInFlight           // the connection carries a call that has not been answered
-	RequestPartlyRead         // part of a request has been read, which is to be answered
-	UnreadData                // the kernel holds bytes of the connection that have not been read
-	TooRecent                 // a request may be on its way
+	RequestInFlight           // the client connection has a request that has not been answered
+	RequestPartlyRead         // part of a request has been read, and the request must be answered
+	UnreadData                // the kernel's receive buffer of the connection is not empty
+	TooRecent                 // a request may be in transit
 	CallerLeft                // the client has closed its connection or cancelled the call
-	RequestCompleted          // the request has its final answer, or the worker must get nothing new
-	LeaseExpired              // the worker may have begun to drain, and discovery cannot be asked
-	BudgetStale               // the time left, as stated to the worker, was computed too long ago
+	RequestCompleted          // the request has ended, or the worker must get no new requests
+	LeaseExpired              // the worker may be draining, and discovery is not available to tell
+	BudgetStale               // the remaining time stated to the worker was computed too long ago
 	MayHaveRun                // an attempt may have run, and the call must not run twice
-	AttemptInFlight           // an attempt has not ended, and the settings allow no second one beside it
-	NoAttemptsLeft            // the call has had all its attempts
+	AttemptInFlight           // an attempt has not ended, and hedging is not allowed
+	NoAttemptsLeft            // the call has used all its attempts
 	DeadlineReached           // the call must be answered now
-	LoadQuotaExhausted        // all load orders of this window are used up
-	ResponsePending           // the connection to a worker awaits a response
-	ConnectionTainted         // the connection to a worker must carry no further request
+	LoadQuotaExhausted        // the load orders allowed in this window are used up
+	ResponsePending           // the connection to a worker waits for a response
+	ConnectionTainted         // the connection to a worker must not be reused
 )
 
-// String returns the reason as logs and counters show it.
+// String returns the text of the reason in logs and counters.
 func (r Reason) String() string {
 	switch r {
 	case Allowed:
@@ -70,5 +71,5 @@
 	return fmt.Sprintf("Reason(%d)", int(r))
 }
 
-// OK reports whether it may be done.
+// OK reports whether the action is allowed.
 func (r Reason) OK() bool { return r == Allowed }
--- a/rules/rules_test.go
+++ b/rules/rules_test.go
@@ -46,7 +46,8 @@
 	assert.Equal(t, DeadlineReached, MayRetry(Retry{DeadlineReached: true, MaxAttempts: 2}))
 }
 
-// TestMayRetryAfter plays every prior attempt, with hedging and without.
+// TestMayRetryAfter covers every combination of the state of a prior attempt, with and without
+// hedging.
 func TestMayRetryAfter(t *testing.T) {
 	both := []bool{false, true}
 	for _, inFlight := range both {
@@ -77,7 +78,7 @@
 	assert.Equal(t, LoadQuotaExhausted, MayOrderLoad(quota, 3, 2))
 }
 
-func TestWorkerConnections(t *testing.T) {
+func TestMayReuseAndCloseWorker(t *testing.T) {
 	assert.Equal(t, Allowed, MayReuseWorker(WorkerConn{}))
 	assert.Equal(t, ConnectionTainted, MayReuseWorker(WorkerConn{Tainted: true, ResponsePending: true}))
 	assert.Equal(t, ResponsePending, MayReuseWorker(WorkerConn{ResponsePending: true}))
@@ -85,7 +86,7 @@
 	assert.Equal(t, ResponsePending, MayCloseWorker(WorkerConn{ResponsePending: true}))
 }
 
-// TestReasonTexts pins the texts that logs and counters show.
+// TestReasonTexts checks the texts that logs and counters show.
 func TestReasonTexts(t *testing.T) {
 	texts := []string{
 		"allowed", "call in hand", "request begun", "bytes unread", "too recent", "caller left", "request over",
--- a/rules/write.go
+++ b/rules/write.go
@@ -6,27 +6,28 @@
 	"oakthread/internal/mutant"
 )
 
-// maxBudgetAge is how long before its first byte is written a request may have stated the time
-// left. The operators allow it to exceed the actual time by 0.15 s; the rest is for the network.
+// maxBudgetAge is the maximum age of the remaining time that a request states, when the first byte
+// of the request is written. The operators allow the stated time to exceed the actual time by
+// 0.15 s; the difference is left for the network.
 const maxBudgetAge = 100 * time.Millisecond
 
-// plantedExtraTime is what the planted fault mutant.TimeTold adds to the time left.
-const plantedExtraTime = time.Second
+// injectedExtraTime is added to the remaining time by the injected fault mutant.ExcessTime.
+const injectedExtraTime = time.Second
 
-// Write is a request about to be written to a worker.
+// Write describes a request that is about to be written to a worker.
 type Write struct {
 	CallerLeft bool // the client has closed its connection or cancelled the call
-	Revoked    bool // the request has ended, or its worker drains, was removed or has restarted
-	// LeaseExpired says that the endpoint list cannot be relied on, and that nothing has shown lately
+	Revoked    bool // the request has ended, or its worker is draining, was removed or has restarted
+	// LeaseExpired states that the endpoint list may be outdated, and that there is no recent proof
 	// that the worker accepts work (package lease).
 	LeaseExpired bool
-	BudgetAge    time.Duration // since the time left that the request states was computed; 0: it states none
+	BudgetAge    time.Duration // since the remaining time in the request was computed; 0: none stated
 }
 
 // MayWrite decides whether the first byte of a request to a worker may be written.
 func MayWrite(write Write) Reason {
-	// A request ends when its client leaves, so the first planted fault must disable the second
-	// rule as well.
+	// A request ends when its client disconnects, so the injected fault mutant.CallerLeft must
+	// disable the rule on Revoked as well.
 	ignoreCaller := mutant.On(mutant.CallerLeft)
 	switch {
 	case write.CallerLeft && !ignoreCaller:
@@ -41,11 +42,11 @@
 	return Allowed
 }
 
-// RemainingMillis returns the client's remaining time as it is stated to a worker when its request
-// is written: rounded down to milliseconds, 1 at the least.
+// RemainingMillis returns the client's remaining time as the request states it to a worker: in
+// milliseconds, rounded down, at least 1.
 func RemainingMillis(left time.Duration) int64 {
 	if mutant.On(mutant.ExcessTime) {
-		left += plantedExtraTime
+		left += injectedExtraTime
 	}
 	return max(1, left.Milliseconds())
 }
