--- a/outlier/bench_test.go
+++ b/outlier/bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// BenchmarkDetector measures the end of one call, the marks of all workers, the evidence of one
-// digest and the merging of marks.
+// BenchmarkDetector measures recording the result of one call, computing the marks of all workers,
+// applying the evidence of one digest, and merging marks.
 func BenchmarkDetector(b *testing.B) {
 	for _, n := range []int{10, 60, 120} {
 		d, workers := New(objective, true), make([]Stats, n)
@@ -34,7 +34,7 @@
 				}
 			}
 		})
-		b.Run(fmt.Sprintf("words_%d", n), func(b *testing.B) {
+		b.Run(fmt.Sprintf("gossip_%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for i := range b.N {
 				d.ApplyGossip(int64(i), digest, float64(n))
@@ -46,7 +46,7 @@
 		for i := range marks {
 			marks[i] = Mark{uint8(i % 3), uint8(i % 2), uint8(i % 40)}
 		}
-		b.Run(fmt.Sprintf("pool_%d", n), func(b *testing.B) {
+		b.Run(fmt.Sprintf("merge_%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
 				Merge(marks, 3)
--- a/outlier/detector_test.go
+++ b/outlier/detector_test.go
@@ -11,8 +11,8 @@
 	objective = 240 * ms
 )
 
-// TestEjectionByOwnFailures covers a detector without zones: a refused connection ejects at once,
-// two successes restore, and the time between trials grows.
+// TestEjectionByOwnFailures covers a detector without zones: two failures or one unreachable
+// connection eject a worker, successes restore it, and the interval between trials grows.
 func TestEjectionByOwnFailures(t *testing.T) {
 	d, stats := New(objective, false), &Stats{}
 	assert.Empty(t, d.RecordFailure(0, stats, WeightFailure), "one failure does not eject")
@@ -20,9 +20,9 @@
 	assert.False(t, d.TrialDue(100*ms, stats, 0))
 	assert.True(t, d.TrialDue(ms+objective, stats, 0), "a trial after one objective")
 	d.RecordFailure(ms+objective, stats, WeightFailure)
-	assert.False(t, d.TrialDue(ms+2*objective, stats, 0), "the next one after two, once that failed")
+	assert.False(t, d.TrialDue(ms+2*objective, stats, 0), "two objectives after a failed trial")
 	assert.True(t, d.TrialDue(ms+3*objective, stats, 0))
-	assert.Empty(t, d.RecordResponse(ms+3*objective, stats, 0), "an answer alone proves nothing here")
+	assert.Empty(t, d.RecordResponse(ms+3*objective, stats, 0), "a response alone restores nothing without zones")
 	for d.Ejected(stats, 0) {
 		d.RecordSuccess(ms+3*objective, stats)
 	}
--- a/outlier/event.go
+++ b/outlier/event.go
@@ -8,31 +8,31 @@
 // Kinds of events.
 const (
 	EventNone               EventKind = iota // nothing has changed
-	EventEjectedFailing                      // too many of its latest calls failed
+	EventEjectedFailing                      // too many of its recent calls failed
 	EventEjectedUnreachable                  // a connection to it was never established
-	EventZonePartitioned                     // the same, and its zone counts as partitioned from now on
-	EventEjectedByGossip                     // other dispatchers were not served by it
-	EventRestoredServing                     // it serves calls again
-	EventRestoredReachable                   // it answers again
-	EventZoneRestored                        // it answers again, which ends the partition of its zone
-	EventRestoredByGossip                    // other dispatchers are served by it again
+	EventZonePartitioned                     // the same, and its zone is now considered partitioned
+	EventEjectedByGossip                     // it failed calls of other dispatchers
+	EventRestoredServing                     // it serves calls of this dispatcher again
+	EventRestoredReachable                   // it responds again
+	EventZoneRestored                        // it responds again, which ends the partition of its zone
+	EventRestoredByGossip                    // it serves calls of other dispatchers again
 )
 
-// Event is what one observation changed in the state of a worker, with the evidence for it. The
-// zero value is no change.
+// Event is a change in the state of a worker caused by one observation, with the evidence for it.
+// The zero value is no change.
 type Event struct {
 	Kind           EventKind
 	FailurePercent int // decaying mean of failed calls, 0 to 100: EventEjectedFailing, EventRestoredServing
 	Zone           int // EventZonePartitioned, EventZoneRestored
 	Unreachable    int // consecutive unreachable workers of the zone: EventZonePartitioned
-	Agreeing       int // observers that reported what the event says: EventEjectedByGossip, EventRestoredByGossip
-	Observers      int // observers that reported anything: as Agreeing
+	Agreeing       int // observers that agree with the event: EventEjectedByGossip, EventRestoredByGossip
+	Observers      int // observers counted in the evidence: same kinds as Agreeing
 }
 
-// IsZero reports whether nothing has changed.
+// IsZero reports whether the event is no change.
 func (e Event) IsZero() bool { return e.Kind == EventNone }
 
-// String returns the event as the log shows it, empty for EventNone.
+// String returns the text of the event in the log, empty for EventNone.
 func (e Event) String() string {
 	switch e.Kind {
 	case EventNone:
--- a/outlier/event_test.go
+++ b/outlier/event_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestEventTextsInTheLog pins the texts that operators search for.
+// TestEventTextsInTheLog checks the texts that operators search for.
 func TestEventTextsInTheLog(t *testing.T) {
 	for _, c := range []struct {
 		event Event
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestStatusTextsAtTheConsole pins the words that the console and the CLI show.
-func TestStatusTextsAtTheConsole(t *testing.T) {
+// TestStatusTextsOnTheConsole checks the texts that the console and the CLI show.
+func TestStatusTextsOnTheConsole(t *testing.T) {
 	for status, text := range []string{"well", "suspect", "left out", "on trial"} {
 		assert.Equal(t, text, Status(status).String())
 	}
--- a/outlier/gossip.go
+++ b/outlier/gossip.go
@@ -6,40 +6,40 @@
 )
 
 const (
-	// gossipEjectThreshold is the lower bound of the part of observers that were not served above
-	// which a worker is ejected: a call is then more likely to fail than to be served. An ejection
-	// by mistake costs less, a load on other workers.
+	// gossipEjectThreshold is the threshold for FailureLowerBound above which a worker is ejected:
+	// a call is then more likely to fail than to be served. A wrong ejection costs less than a
+	// failed call, namely additional load on other workers.
 	gossipEjectThreshold = 0.5
-	// gossipFactor is how long an ejection by gossip outlasts the last evidence for it, in latency
-	// objectives: two trials and the reports that follow them.
+	// gossipFactor is the duration of an ejection by gossip after the last evidence for it, in
+	// latency objectives: enough for two trials and the reports that follow them.
 	gossipFactor = 8
-	// capacityDivisor bounds the capacity that gossip may eject: one part in four.
+	// capacityDivisor limits the capacity that gossip may eject to a quarter of the total.
 	capacityDivisor = 4
 )
 
-// gossipState is what other dispatchers reported of one worker.
+// gossipState holds the reports of other dispatchers about one worker.
 type gossipState struct {
 	evidence   Evidence // as last received
 	receivedAt int64    // 0: never
 	ejectedAt  int64    // when the ejection by gossip began
-	renewedAt  int64    // when evidence for the ejection last came; 0: not ejected
+	renewedAt  int64    // when evidence for the ejection was last received; 0: not ejected
 }
 
 // GossipEvidence is the evidence of a digest about one worker.
 type GossipEvidence struct {
 	Stats    *Stats
-	Capacity float64 // capacity of the worker, in the unit of the total that ApplyGossip is given
+	Capacity float64 // capacity of the worker, in the unit of ApplyGossip's capacity
 	Evidence Evidence
 }
 
 // ApplyGossip applies the evidence of a digest and returns an event for each entry, in order.
-// capacity is the sum over all workers.
+// capacity is the total capacity of all workers.
 //
-// Workers are ejected in the order of the evidence against them, as long as all that are ejected by
-// gossip, also by earlier digests, make up a quarter of the capacity at the most. Any evidence
-// against an ejected worker renews its ejection, since only one observer at a time tries it. The
-// ejection ends with the first evidence that two observers or more were served, and more than were
-// not.
+// Workers are ejected in decreasing order of the evidence against them, as long as the workers
+// ejected by gossip, including those ejected by earlier digests, have at most a quarter of the
+// total capacity. Any evidence against an ejected worker renews its ejection, since only one
+// observer at a time sends it a trial. The ejection ends with the first evidence in which at least
+// two observers, and more than half of them, were served.
 func (d *Detector) ApplyGossip(now int64, digest []GossipEvidence, capacity float64) []Event {
 	events := make([]Event, len(digest))
 	for i, entry := range digest {
@@ -60,8 +60,8 @@
 	return events
 }
 
-// renewOrRestore stores the evidence about a worker and, where it is ejected by gossip, renews or
-// ends the ejection.
+// renewOrRestore stores the evidence about a worker and, if the worker is ejected by gossip, renews
+// or ends the ejection.
 func (d *Detector) renewOrRestore(now int64, entry GossipEvidence) Event {
 	gossip, evidence := &entry.Stats.gossip, entry.Evidence
 	ejected := d.EjectedByGossip(now, entry.Stats)
@@ -79,7 +79,7 @@
 	return Event{}
 }
 
-// shouldEject reports whether the evidence ejects a worker that is not ejected by gossip yet.
+// shouldEject reports whether a worker that is not ejected by gossip should be, by the evidence.
 func (d *Detector) shouldEject(now int64, entry GossipEvidence) bool {
 	if d.EjectedByGossip(now, entry.Stats) {
 		return false
@@ -87,8 +87,8 @@
 	return entry.Evidence.Failed > 1 && entry.Evidence.FailureLowerBound() > gossipEjectThreshold
 }
 
-// gossipBudget drops the workers whose ejection by gossip has ended and returns the capacity that
-// may still be ejected.
+// gossipBudget removes the workers whose ejection by gossip has ended from the list and returns the
+// capacity that may still be ejected.
 func (d *Detector) gossipBudget(now int64, capacity float64) float64 {
 	ended := func(entry GossipEvidence) bool { return !d.EjectedByGossip(now, entry.Stats) }
 	d.gossipEjected = slices.DeleteFunc(d.gossipEjected, ended)
@@ -99,8 +99,8 @@
 	return budget
 }
 
-// strongestFirst returns the indices of the entries by the evidence against their workers, the
-// strongest first. Entries with equal evidence stay in order.
+// strongestFirst returns the indices of the entries in decreasing order of the evidence against
+// their workers. The sort is stable.
 func strongestFirst(digest []GossipEvidence) []int {
 	order := make([]int, len(digest))
 	for i := range order {
@@ -112,20 +112,20 @@
 	return order
 }
 
-// gossipEvent returns an event with the number of observers that agree and of all.
+// gossipEvent returns an event with the numbers of agreeing and of all observers.
 func gossipEvent(kind EventKind, agreeing uint8, evidence Evidence) Event {
 	return Event{Kind: kind, Agreeing: int(agreeing), Observers: evidence.observers()}
 }
 
-// EjectedByGossip reports whether the evidence of other dispatchers stands against a worker,
-// whatever this dispatcher observed itself.
+// EjectedByGossip reports whether a worker is ejected because of the evidence of other dispatchers,
+// regardless of this dispatcher's own observations.
 func (d *Detector) EjectedByGossip(now int64, stats *Stats) bool {
 	return stats.gossip.renewedAt > 0 && now-stats.gossip.renewedAt < gossipFactor*d.objective
 }
 
-// ExcludedByGossip reports whether a worker gets no calls but trials because of the evidence of other
-// dispatchers. A call that the worker served for this dispatcher, at most one latency objective
-// before the ejection or after it, overrides the evidence.
+// ExcludedByGossip reports whether a worker gets no calls except trials because of the evidence of
+// other dispatchers. A call that the worker served for this dispatcher after the ejection, or at
+// most one latency objective before it, overrides the evidence unless a later call failed.
 func (d *Detector) ExcludedByGossip(now int64, stats *Stats) bool {
 	if !d.EjectedByGossip(now, stats) {
 		return false
--- a/outlier/gossip_test.go
+++ b/outlier/gossip_test.go
@@ -7,12 +7,12 @@
 	"pgregory.net/rapid"
 )
 
-// TestGossipEjectionNeedsSeveralObservers shows that one or two observers are never enough, three
-// that agree are, and observers that were served weigh against them.
+// TestGossipEjectionNeedsSeveralObservers checks that one or two observers are never enough, that
+// three that agree are, and that each observer that was served raises the number required.
 func TestGossipEjectionNeedsSeveralObservers(t *testing.T) {
 	for _, c := range []struct {
-		good, bad uint8
-		ejected   bool
+		served, failed uint8
+		ejected        bool
 	}{
 		{0, 1, false},
 		{0, 2, false},
@@ -25,15 +25,15 @@
 		{2, 15, true},
 	} {
 		d, stats := New(objective, true), &Stats{}
-		evidence := Evidence{Served: c.good, Failed: c.bad}
+		evidence := Evidence{Served: c.served, Failed: c.failed}
 		events := d.ApplyGossip(1, []GossipEvidence{{stats, 1, evidence}}, 100)
 		assert.Equal(t, c.ejected, d.ExcludedByGossip(1, stats), "%+v: %.2f", c, evidence.FailureLowerBound())
 		assert.Equal(t, c.ejected, !events[0].IsZero(), "%+v", c)
 	}
 }
 
-// TestGossipEjectionIsBounded shows the limits of gossip: own served calls override it, it ejects a
-// quarter of the capacity at the most, it expires, and a restart of the worker ends it.
+// TestGossipEjectionIsBounded checks the limits of gossip: own served calls override it, it ejects
+// at most a quarter of the capacity, it expires, and a restart of the worker ends it.
 func TestGossipEjectionIsBounded(t *testing.T) {
 	d := New(objective, true)
 	workers := make([]Stats, 12)
@@ -51,9 +51,9 @@
 		}
 		return n
 	}
-	assert.False(t, d.ExcludedByGossip(10*ms, &workers[11]), "it served us")
+	assert.False(t, d.ExcludedByGossip(10*ms, &workers[11]), "it served this dispatcher")
 	assert.True(t, d.ExcludedByGossip(10*ms, &workers[10]))
-	assert.Equal(t, 2, ejected(10*ms), "three of twelve with the strongest evidence, less the one that served us")
+	assert.Equal(t, 2, ejected(10*ms), "the three with the strongest evidence, less the one with an own served call")
 	assert.True(t, d.TrialDue(10*ms, &workers[10], 0), "a trial")
 	d.TrialStarted(10*ms, &workers[10], 0)
 	assert.False(t, d.TrialDue(20*ms, &workers[10], 0))
@@ -62,20 +62,20 @@
 	assert.True(t, d.ExcludedByGossip(15*ms+gossipFactor*objective, &workers[10]), "renewed by one observer")
 	assert.False(t, d.ExcludedByGossip(20*ms, &workers[9]), "two observers that were served end it")
 	digest[10].Evidence.Failed = 13
-	assert.Equal(t, 0, ejected(20*ms+gossipFactor*objective), "no evidence comes any more")
+	assert.Equal(t, 0, ejected(20*ms+gossipFactor*objective), "all evidence has expired")
 	d.ApplyGossip(3000*ms, digest, 24)
 	workers[10].Reset()
-	assert.False(t, d.ExcludedByGossip(3000*ms, &workers[10]), "another process")
+	assert.False(t, d.ExcludedByGossip(3000*ms, &workers[10]), "replaced by another process")
 	assert.True(t, d.ExcludedByGossip(3000*ms, &workers[9]))
 	d.RecordSuccess(3000*ms, &workers[9])
-	assert.False(t, d.ExcludedByGossip(3000*ms, &workers[9]), "it serves us")
+	assert.False(t, d.ExcludedByGossip(3000*ms, &workers[9]), "it serves this dispatcher")
 	d.RecordFailure(3000*ms, &workers[9], WeightFailure)
-	assert.True(t, d.ExcludedByGossip(3000*ms, &workers[9]), "our own evidence agrees")
+	assert.True(t, d.ExcludedByGossip(3000*ms, &workers[9]), "own evidence agrees with the gossip")
 }
 
-// TestGossipInvariantsUnderAnyEvents checks for any order of events that gossip ejects a quarter at
-// the most and no worker that served this dispatcher last, that the marks of one observer eject
-// nothing, and that ejections by gossip expire.
+// TestGossipInvariantsUnderAnyEvents checks for any order of events that gossip ejects at most a
+// quarter of the workers and none whose last call from this dispatcher was served, that the marks
+// of one observer eject no worker, and that ejections by gossip expire.
 func TestGossipInvariantsUnderAnyEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d, workers, now := New(objective, true), make([]Stats, 8), int64(1)
@@ -83,7 +83,7 @@
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
 			now += rapid.Int64Range(0, 500*ms).Draw(t, "gap")
 			i := rapid.IntRange(0, 7).Draw(t, "worker")
-			switch rapid.IntRange(0, 5).Draw(t, "what") {
+			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0:
 				d.RecordSuccess(now, &workers[i])
 			case 1:
@@ -99,8 +99,8 @@
 				alone := rapid.Bool().Draw(t, "one observer")
 				for k := range workers {
 					mark := Mark{
-						Served: uint8(rapid.IntRange(0, 15).Draw(t, "good")),
-						Failed: uint8(rapid.IntRange(0, 15).Draw(t, "bad")),
+						Served: uint8(rapid.IntRange(0, 15).Draw(t, "served")),
+						Failed: uint8(rapid.IntRange(0, 15).Draw(t, "failed")),
 					}
 					marks := []Mark{mark}
 					if !alone {
@@ -122,30 +122,31 @@
 					own.servedAt >= workers[k].gossip.ejectedAt && own.failures == 0
 				if d.ExcludedByGossip(now, &workers[k]) {
 					if ejected++; served[k] {
-						t.Fatalf("worker %d serves us and is ejected by gossip", k)
+						t.Fatalf("worker %d serves this dispatcher and is ejected by gossip", k)
 					}
 				}
 			}
 			if ejected > 2 {
-				t.Fatalf("%d of 8 are ejected by gossip", ejected)
+				t.Fatalf("%d of 8 workers are ejected by gossip", ejected)
 			}
 		}
 		for k := range workers {
 			if d.ExcludedByGossip(now+gossipFactor*objective, &workers[k]) {
-				t.Fatal("an ejection by gossip that does not expire")
+				t.Fatal("an ejection by gossip did not expire")
 			}
 		}
 	})
 }
 
-// TestSingleObserverNeverDecides plays every mark of one observer beside every two of others: alone
-// it never ejects a worker, nor does it restore one that three were not served by.
+// TestSingleObserverNeverDecides combines every mark of one observer with marks of two others that
+// report no failure: one observer alone never ejects a worker, nor restores one that failed the
+// calls of three.
 func TestSingleObserverNeverDecides(t *testing.T) {
 	cases := 0
-	for good := range uint8(4) {
-		for bad := range uint8(4) {
-			for _, pace := range []uint8{0, 4, 32, 255} {
-				one := Mark{good, bad, pace}
+	for served := range uint8(4) {
+		for failed := range uint8(4) {
+			for _, latency := range []uint8{0, 4, 32, 255} {
+				one := Mark{served, failed, latency}
 				for responding := range 4 {
 					for others := range 9 {
 						cases++
@@ -160,7 +161,7 @@
 						d.ApplyGossip(2, []GossipEvidence{{stats, 1, Evidence{Failed: 3}}}, 100)
 						d.ApplyGossip(3, []GossipEvidence{{stats, 1, Merge([]Mark{one}, 0)}}, 100)
 						if !d.EjectedByGossip(3, stats) {
-							t.Fatalf("%+v alone restores what three were not served by", one)
+							t.Fatalf("%+v alone restores a worker that failed the calls of three observers", one)
 						}
 					}
 				}
--- a/outlier/state.go
+++ b/outlier/state.go
@@ -2,18 +2,18 @@
 
 import "fmt"
 
-// Status is how a worker is treated.
+// Status is the treatment of a worker by outlier detection.
 type Status uint8
 
-// Statuses.
+// Statuses of a worker.
 const (
-	StatusHealthy Status = iota // nothing is known against it
+	StatusHealthy Status = iota // neither failing nor slow
 	StatusSuspect               // failing or slow, but not ejected
-	StatusEjected               // gets no calls but trials
+	StatusEjected               // gets no calls except trials
 	StatusOnTrial               // ejected, and a trial was sent to it within the last latency objective
 )
 
-// String returns the status as the console shows it.
+// String returns the text of the status on the console.
 func (s Status) String() string {
 	switch s {
 	case StatusHealthy:
@@ -28,19 +28,19 @@
 	return fmt.Sprintf("Status(%d)", uint8(s))
 }
 
-// State is what is known of one worker, for operators.
+// State describes one worker for operators.
 type State struct {
 	Status       Status
-	Reason       string   // why it has this status, in words
-	RecentServed float64  // own calls that it served lately, decaying
-	FailureRate  float64  // decaying mean of the failures of own calls, 0 to 1
-	Gossip       Evidence // of other dispatchers, as last received
+	Reason       string   // explanation of the status
+	RecentServed float64  // decaying count of own calls that it served
+	FailureRate  float64  // decaying mean of failures of own calls, 0 to 1
+	Gossip       Evidence // evidence of other dispatchers, as last received
 	GossipAge    int64    // nanoseconds since that evidence was received; negative: never
-	NextTrialIn  int64    // nanoseconds until the next trial; 0 where it is due, or the worker is not ejected
-	Unreachable  bool     // its connections are never established
+	NextTrialIn  int64    // nanoseconds until the next trial; 0 if it is due or the worker is not ejected
+	Unreachable  bool     // connections to it are never established
 }
 
-// State returns what is known of a worker whose calls take latencyRatio times the mean.
+// State returns the state of a worker whose mean latency is latencyRatio times that of all workers.
 func (d *Detector) State(now int64, stats *Stats, zoneID int, latencyRatio float64) State {
 	state := State{
 		RecentServed: stats.observed.recentlyServed(now, d.evidenceDecay()),
@@ -63,8 +63,8 @@
 	return state
 }
 
-// status returns the status of a worker, StatusEjected also while a trial is in progress, and the
-// reason in words.
+// status returns the status of a worker and the explanation of it. During a trial the status is
+// still StatusEjected.
 func (d *Detector) status(now int64, stats *Stats, zoneID int, latencyRatio float64) (status Status, reason string) {
 	switch {
 	case d.ZonePartitioned(zoneID):
--- a/outlier/trial.go
+++ b/outlier/trial.go
@@ -1,7 +1,8 @@
 package outlier
 
-// TrialDue reports whether a call may be spent on finding out whether a worker has recovered. A
-// partitioned zone has one trial at a time, at growing intervals, of its workers in turn.
+// TrialDue reports whether the next call to an ejected worker may be sent as a trial of its
+// recovery. A partitioned zone gets one trial at a time, at growing intervals, from its workers in
+// turn.
 func (d *Detector) TrialDue(now int64, stats *Stats, zoneID int) bool {
 	if d.ZonePartitioned(zoneID) {
 		z := d.zone(zoneID)
--- a/outlier/zone.go
+++ b/outlier/zone.go
@@ -1,27 +1,27 @@
 package outlier
 
-// partitionThreshold is the number of workers of a zone that must be found unreachable with no
-// response from the zone in between before it counts as partitioned. Where a fifth of all workers
-// fail at random, three in a row have a probability of 1 in 125.
+// partitionThreshold is the number of workers of a zone that must be found unreachable, with no
+// response from the zone in between, before the zone is considered partitioned. If a fifth of all
+// workers fail at random, three in a row have a probability of 1 in 125.
 const partitionThreshold = 3
 
-// zone is what is known of the workers of one zone together.
+// zone is the common state of the workers of one zone.
 type zone struct {
-	lastResponse int64 // when the last response came from the zone
-	unreachable  int   // workers found unreachable since then, each counted once
-	epoch        int   // number of responses; unreachable counts those of one epoch
+	lastResponse int64 // when the last response from the zone was received
+	unreachable  int   // workers found unreachable since the last response, each counted once
+	epoch        int   // number of responses; unreachable is the count of the current epoch
 
 	partitioned    bool
-	partitionEpoch int   // epoch in which the partition was found
-	nextTrial      int64 // while partitioned: when the next trial of any of its workers is due
+	partitionEpoch int   // epoch in which the partition was detected
+	nextTrial      int64 // while partitioned: when the next trial of one of its workers is due
 	trialInterval  int64 // time from the next trial to the one after it
 
 	restoredAt  int64 // when the last partition ended
-	healedFrom  int   // epochs [healedFrom, healedUntil) of the last partition that ended: workers found
-	healedUntil int   // unreachable in these were not at fault
+	healedFrom  int   // epochs [healedFrom, healedUntil) of the last ended partition: workers that were found
+	healedUntil int   // unreachable in these epochs are not at fault
 }
 
-// zone returns the state of a zone, creating it where nothing is known of it yet.
+// zone returns the state of a zone and creates it if there is none yet.
 func (d *Detector) zone(zoneID int) *zone {
 	z := d.zones[zoneID]
 	if z == nil {
@@ -31,15 +31,15 @@
 	return z
 }
 
-// ZonePartitioned reports whether a zone cannot be reached from here.
+// ZonePartitioned reports whether this dispatcher cannot reach a zone.
 func (d *Detector) ZonePartitioned(zoneID int) bool {
 	return d.partitions > 0 && d.zone(zoneID).partitioned
 }
 
-// RecordUnreachable records that the connection for a call sent at sent was never established. It
-// ejects the worker at once, and its zone after partitionThreshold workers in a row. A call sent
-// before the zone's last response says nothing about the zone, and one sent before a partition
-// ended says nothing at all.
+// RecordUnreachable records that the connection for a call was never established. It ejects the
+// worker immediately, and its zone after partitionThreshold consecutive workers. sent is the time
+// when the call was sent: a call sent before the last response from the zone is not counted for the
+// zone, and one sent before the end of a partition is ignored.
 func (d *Detector) RecordUnreachable(now, sent int64, stats *Stats, zoneID int) Event {
 	if !d.perZone {
 		return d.RecordFailure(now, stats, WeightUnreachable)
@@ -67,7 +67,7 @@
 
 // beginPartition marks a zone as partitioned and schedules its first trial.
 func (d *Detector) beginPartition(now int64, z *zone) {
-	// A zone that was partitioned a short while ago is flapping: its trial interval keeps growing.
+	// A zone that was partitioned recently is flapping: its trial interval continues to grow.
 	if z.trialInterval == 0 || now-z.restoredAt > d.maxTrialInterval() {
 		z.trialInterval = d.objective
 	}
@@ -77,8 +77,8 @@
 	d.partitions++
 }
 
-// RecordResponse records any response of a worker, also a failure: the worker can be reached, and
-// so can its zone. Workers that were found unreachable in the course of a partition are restored
+// RecordResponse records any response of a worker, including a failure: it proves that the worker
+// and its zone are reachable. Workers that were found unreachable during a partition are restored
 // with the zone.
 func (d *Detector) RecordResponse(now int64, stats *Stats, zoneID int) (event Event) {
 	if !d.perZone {
@@ -111,8 +111,7 @@
 	d.partitions--
 }
 
-// clearIfHealed restores a worker that was found unreachable in the course of a partition that has
-// ended.
+// clearIfHealed restores a worker that was found unreachable during a partition that has ended.
 func (z *zone) clearIfHealed(stats *Stats) {
 	healed := stats.unreachableEpoch >= z.healedFrom && stats.unreachableEpoch < z.healedUntil
 	if stats.unreachable && healed {
@@ -120,8 +119,7 @@
 	}
 }
 
-// clearUnreachable discards that a worker could not be reached, and the ejection that followed from
-// it.
+// clearUnreachable resets the unreachability of a worker and the ejection that resulted from it.
 func (s *Stats) clearUnreachable() {
 	s.unreachable = false
 	s.ejected = false
--- a/outlier/zone_test.go
+++ b/outlier/zone_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestZonePartitionAndRecovery shows that three unreachable workers in a row partition their zone,
-// that it then gets one trial at a time at growing intervals, and that one response restores all
-// workers but those unreachable before.
+// TestZonePartitionAndRecovery checks that a zone is considered partitioned after three consecutive
+// unreachable workers, that it then gets one trial at a time at growing intervals, and that one
+// response restores all workers except those that were unreachable before.
 func TestZonePartitionAndRecovery(t *testing.T) {
 	d := New(objective, true)
 	var workers [8]Stats
@@ -35,8 +35,8 @@
 			}
 		}
 	}
-	assert.LessOrEqual(t, trials, 7, "in six seconds")
-	assert.GreaterOrEqual(t, len(tried), 4, "of workers in turn")
+	assert.LessOrEqual(t, trials, 7, "trials in six seconds")
+	assert.GreaterOrEqual(t, len(tried), 4, "workers tried in turn")
 	assert.Contains(t, d.RecordResponse(7000*ms, &workers[4], 1).String(), "zone 1")
 	for i := range workers[:7] {
 		assert.False(t, d.Ejected(&workers[i], 1), i)
@@ -46,8 +46,8 @@
 	assert.False(t, d.Ejected(&workers[5], 1))
 }
 
-// TestUnreachableWorkersAmongResponsesAreNoPartition shows that responses of other workers in
-// between keep a zone in use.
+// TestUnreachableWorkersAmongResponsesAreNoPartition checks that a zone is not considered
+// partitioned while other workers respond in between.
 func TestUnreachableWorkersAmongResponsesAreNoPartition(t *testing.T) {
 	d := New(objective, true)
 	workers := make([]Stats, 30)
@@ -63,11 +63,11 @@
 }
 
 // TestZoneInvariantsUnderAnyEvents checks for any order of events that only unreachable workers
-// partition a zone, that one response ends the partition and the unreachability of its worker, and
-// that the time to the next trial is bounded.
+// cause a zone to be considered partitioned, that one response ends the partition and the
+// unreachability of its worker, and that the time until the next trial is bounded.
 func TestZoneInvariantsUnderAnyEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := New(objective, rapid.Bool().Draw(t, "zonal"))
+		d := New(objective, rapid.Bool().Draw(t, "per zone"))
 		workers := make([]Stats, 6)
 		unreachable := [2]map[int]bool{{}, {}}
 		now := int64(0)
@@ -85,7 +85,7 @@
 				event := d.RecordResponse(now, stats, zoneID)
 				clear(unreachable[zoneID])
 				if d.perZone && (d.ZonePartitioned(zoneID) || stats.unreachable) {
-					t.Fatal("it responded, and it or its zone counts as unreachable")
+					t.Fatal("it responded, but it or its zone is still considered unreachable")
 				}
 				if !event.IsZero() && !strings.Contains(event.String(), "back") {
 					t.Fatal(event)
@@ -98,14 +98,14 @@
 				}
 			}
 			if d.ZonePartitioned(zoneID) && len(unreachable[zoneID]) < partitionThreshold {
-				t.Fatalf("zone %d is partitioned by %d", zoneID, len(unreachable[zoneID]))
+				t.Fatalf("zone %d is partitioned after %d unreachable workers", zoneID, len(unreachable[zoneID]))
 			}
 			if rate := d.FailureRate(now, stats); rate < 0 || rate > 1 {
-				t.Fatalf("a failure rate of %v", rate)
+				t.Fatalf("failure rate %v is not between 0 and 1", rate)
 			}
 			latest := now + maxEjectionFactor*objective
 			if d.Ejected(stats, zoneID) && !d.ZonePartitioned(zoneID) && !d.TrialDue(latest, stats, zoneID) {
-				t.Fatal("no trial within the longest interval")
+				t.Fatal("no trial within the maximum interval")
 			}
 		}
 		partitions := 0
@@ -126,7 +126,7 @@
 			}
 		}
 		if partitions != d.partitions {
-			t.Fatalf("%d zones are partitioned, %d counted", partitions, d.partitions)
+			t.Fatalf("%d zones are partitioned, but the count is %d", partitions, d.partitions)
 		}
 	})
 }
--- a/rules/retry.go
+++ b/rules/retry.go
@@ -2,13 +2,14 @@
 
 import "oakthread/internal/mutant"
 
-// PriorAttempt describes an earlier attempt of a call, as far as retries and rejections depend on it.
+// PriorAttempt describes an earlier attempt of a call, as far as retries and rejections depend on
+// it.
 type PriorAttempt struct {
 	InFlight   bool // the attempt has not ended
 	MayHaveRun bool // it is not proven that the worker did not run the call
 	// NotRetryable states that the call must not run again if this attempt has run: its class does
-	// not allow it, or the workers' deduplication by idempotency key does not cover another attempt,
-	// either by its time window or by its group of workers.
+	// not allow it, or the workers' deduplication by idempotency key does not cover another
+	// attempt, either by its time window or by its group of workers.
 	NotRetryable bool
 }
 
