--- a/leader/elector.go
+++ b/leader/elector.go
@@ -1,43 +1,43 @@
-// Package leader determines, from the digests alone, which dispatchers are alive and which of them
-// is assigned a task that only some should do: to lead a term, that is to collect the reports and
-// send the digest, or to try an ejected worker. It has no clock, goroutine or I/O and does no task
-// itself; all dispatchers that have received the same digests come to the same result without a
-// message.
+// Package leader determines from the received digests which dispatchers are alive, and which of
+// them are assigned a task that only some should do, such as leading a term (collecting the reports
+// and sending the digest) or sending a trial to an ejected worker. It has no clock, goroutine or
+// I/O and executes no task. Dispatchers that have received the same digests compute the same
+// assignment without exchanging messages.
 //
-// A dispatcher is alive while a digest of the last terms covers it. So within these terms the tasks
-// of one that crashed fall to another; two halves that cannot reach each other have assignments of
-// their own, and one digest of each half after that is enough for both to know all. A dispatcher
-// that has received no digest lately takes all that are configured as alive.
+// A dispatcher is alive while a digest of the last aliveTerms terms covers it. The tasks of a
+// crashed dispatcher are therefore reassigned within these terms. The two sides of a network
+// partition have separate assignments; after it ends, one digest from each side is enough for all
+// to know every dispatcher again. A dispatcher that has received no recent digest considers all
+// configured dispatchers alive.
 //
 // Tasks are assigned by rendezvous hashing (highest random weight; Thaler and Ravishankar, 1998):
-// when a dispatcher comes or goes, only the tasks that are or were its own move. Digests are
-// numbered by their term, so that what a leader that had stalled sends for an old term is dropped
-// as late.
+// when a dispatcher joins or leaves, only its own tasks are reassigned. Digests are numbered by
+// term, so that a digest that a stalled leader sends for an old term is dropped as late.
 //
 // Times are nanoseconds of the caller's clock, as in package balancer.
 package leader
 
-// aliveTerms is the number of terms for which a digest keeps the dispatchers that it covers alive:
-// one digest in that time is enough, so one may be lost.
+// aliveTerms is the number of terms for which the dispatchers that a digest covers are considered
+// alive. With two, one digest may be lost.
 const aliveTerms = 2
 
 // Set is a set of dispatchers by index, such as aggregate.NodeSet.
 type Set interface{ Has(i int) bool }
 
-// Elector is what one dispatcher knows of the others. Create one with New. It is not safe for
-// concurrent use.
+// Elector is one dispatcher's view of which dispatchers are alive. Create one with New. It is not
+// safe for concurrent use.
 type Elector struct {
 	self       int
 	term       int64   // length of a term, nanoseconds
-	aliveUntil []int64 // by dispatcher; 0: no digest has covered it
+	aliveUntil []int64 // by dispatcher index; 0: no digest has covered it
 
 	elected     bool // electedTerm and leader are set
 	electedTerm int64
 	leader      int // of electedTerm
 }
 
-// New returns the Elector of dispatcher self, counted from 0, of so many dispatchers. term is the
-// length of a term in nanoseconds.
+// New returns the Elector of the dispatcher with index self in a fleet of the given number of
+// dispatchers. term is the length of a term in nanoseconds.
 func New(self, dispatchers int, term int64) *Elector {
 	return &Elector{self: self, term: max(1, term), aliveUntil: make([]int64, max(1, dispatchers))}
 }
@@ -54,8 +54,8 @@
 	}
 }
 
-// Alive reports whether dispatcher i is alive. All are until a digest has covered another than this
-// one lately.
+// Alive reports whether dispatcher i is alive. While this dispatcher is isolated, it considers all
+// alive.
 func (e *Elector) Alive(now int64, i int) bool {
 	return i == e.self || e.aliveUntil[i] > now || e.Isolated(now)
 }
@@ -70,7 +70,7 @@
 	return n
 }
 
-// Isolated reports whether no other dispatcher has been covered by a digest lately.
+// Isolated reports whether no digest of the last aliveTerms terms covers another dispatcher.
 func (e *Elector) Isolated(now int64) bool {
 	for i, until := range e.aliveUntil {
 		if i != e.self && until > now {
@@ -80,8 +80,8 @@
 	return true
 }
 
-// Assigned reports whether this dispatcher is among the k alive ones with the highest weights for a
-// task. The key identifies the task and its term.
+// Assigned reports whether this dispatcher is among the k alive dispatchers with the highest
+// weights for a task. The key identifies the task and its term.
 func (e *Elector) Assigned(now int64, key uint64, k int) bool {
 	own, isolated := weight(key, e.self), e.Isolated(now)
 	for i, until := range e.aliveUntil {
@@ -97,7 +97,7 @@
 	return k > 0
 }
 
-// Leader returns the index of the leader in the term of now. It does not change in the course of a
+// Leader returns the index of the leader in the term that contains now. It does not change during a
 // term.
 func (e *Elector) Leader(now int64) int {
 	if term := now / e.term; !e.elected || term != e.electedTerm {
@@ -106,7 +106,7 @@
 	return e.leader
 }
 
-// elect returns the alive dispatcher with the highest weight for a term.
+// elect returns the index of the alive dispatcher with the highest weight for a term.
 func (e *Elector) elect(now int64, term uint64) int {
 	best, highest, isolated := e.self, weight(term, e.self), e.Isolated(now)
 	for i, until := range e.aliveUntil {
@@ -121,8 +121,7 @@
 	return best
 }
 
-// weight returns the weight of dispatcher i for a key in rendezvous hashing. The dispatcher with
-// the highest is chosen.
+// weight returns the rendezvous-hashing weight of dispatcher i for a key.
 func weight(key uint64, i int) uint64 { return mix(key ^ mix(uint64(i)+1)) }
 
 // mix is the finalizer of SplitMix64 (Steele, Lea and Flood, OOPSLA 2014).
--- a/leader/elector_test.go
+++ b/leader/elector_test.go
@@ -14,7 +14,7 @@
 
 func (s set) Has(i int) bool { return s[i] }
 
-// newElectors returns the electors of n dispatchers.
+// newElectors returns one elector for each of n dispatchers.
 func newElectors(n int) (electors []*Elector) {
 	for i := range n {
 		electors = append(electors, New(i, n, term))
@@ -22,7 +22,7 @@
 	return electors
 }
 
-// setOf returns the set of some dispatchers.
+// setOf returns the set of the given indices.
 func setOf(indices ...int) set {
 	s := set{}
 	for _, i := range indices {
@@ -31,7 +31,7 @@
 	return s
 }
 
-// assignedCount returns how many of the dispatchers alive have a task assigned.
+// assignedCount returns the number of dispatchers in alive that have a task assigned.
 func assignedCount(electors []*Elector, now int64, key uint64, k int, alive set) (n int) {
 	for i, e := range electors {
 		if alive[i] && e.Assigned(now, key, k) {
@@ -41,40 +41,41 @@
 	return n
 }
 
-// TestTasksOfCrashedDispatchersPassOn shows that the tasks of crashed dispatchers are lost for two
-// terms at most, and that dispatchers that know the same assign each task to exactly k of them.
-func TestTasksOfCrashedDispatchersPassOn(t *testing.T) {
+// TestTasksOfCrashedDispatchersAreReassigned checks that the tasks of crashed dispatchers are
+// unassigned for at most two terms, and that dispatchers with the same view assign each task to
+// exactly k of them.
+func TestTasksOfCrashedDispatchersAreReassigned(t *testing.T) {
 	electors := newElectors(6)
 	all, survivors := setOf(0, 1, 2, 3, 4, 5), setOf(1, 4)
 	now := 100 * term
 	for key := range uint64(200) {
-		assert.Equal(t, 1, assignedCount(electors, now, key, 1, all), "no digest yet: all are alive")
+		assert.Equal(t, 1, assignedCount(electors, now, key, 1, all), "no digest yet: all are considered alive")
 		assert.Equal(t, 3, assignedCount(electors, now, key, 3, all))
 	}
 	for _, e := range electors {
 		e.ObserveDigest(now, all)
 	}
-	lost := 0
+	unassigned := 0
 	for key := range uint64(200) {
-		lost += 1 - assignedCount(electors, now+term, key, 1, survivors)
+		unassigned += 1 - assignedCount(electors, now+term, key, 1, survivors)
 	}
-	assert.Greater(t, lost, 100, "just after four of six crashed their tasks are lost")
+	assert.Greater(t, unassigned, 100, "the tasks of four of six are unassigned just after they crash")
 	for i := range survivors {
 		electors[i].ObserveDigest(now+term, survivors)
 	}
 	now += aliveTerms * term
 	for key := range uint64(200) {
-		assert.Equal(t, 1, assignedCount(electors, now, key, 1, survivors), "two terms later none is lost")
+		assert.Equal(t, 1, assignedCount(electors, now, key, 1, survivors), "two terms later every task is assigned")
 		assert.Equal(t, 2, assignedCount(electors, now, key, 5, survivors))
 	}
 	assert.Equal(t, 2, electors[1].AliveCount(now))
-	assert.Equal(t, 6, electors[1].AliveCount(now+aliveTerms*term), "without digests all count as alive")
+	assert.Equal(t, 6, electors[1].AliveCount(now+aliveTerms*term), "without digests all are considered alive")
 }
 
-// TestLeaderIsFixedForATerm shows that digests received in the course of a term do not change its
-// leader, and that both sides of a partition that has ended elect the same one after one digest of
-// each.
-func TestLeaderIsFixedForATerm(t *testing.T) {
+// TestLeaderDoesNotChangeDuringATerm checks that digests received during a term do not change its
+// leader, and that after a partition has ended both sides elect the same leader once they have one
+// digest from each side.
+func TestLeaderDoesNotChangeDuringATerm(t *testing.T) {
 	electors := newElectors(8)
 	now := 1000 * term
 	left, right := setOf(0, 1, 2, 3), setOf(4, 5, 6, 7)
@@ -89,30 +90,31 @@
 		at := now + step*term/20
 		for i, e := range electors {
 			elected := e.Leader(at)
-			assert.True(t, left[i] == left[elected], "dispatcher %d: a leader of its own side", i)
+			assert.True(t, left[i] == left[elected], "dispatcher %d: leader on its own side of the partition", i)
 			assert.Equal(t, electors[i/4*4].Leader(at), elected)
 		}
 	}
-	for _, e := range electors { // the partition ends, both digests come to all
+	for _, e := range electors { // the partition ends, and all receive both digests
 		before := e.Leader(now + term/2)
 		e.ObserveDigest(now+term/2, left)
 		e.ObserveDigest(now+term/2, right)
-		assert.Equal(t, before, e.Leader(now+3*term/4), "not within the term")
+		assert.Equal(t, before, e.Leader(now+3*term/4), "unchanged during the term")
 	}
 	for _, e := range electors {
 		assert.Equal(t, electors[0].Leader(now+term), e.Leader(now+term))
 	}
 }
 
-// TestTasksAreSharedEvenlyAndMoveLittle shows that tasks are shared evenly, that exactly k of the
-// alive dispatchers have each, and that they move only with dispatchers that come or go.
-func TestTasksAreSharedEvenlyAndMoveLittle(t *testing.T) {
+// TestTasksAreDistributedEvenlyWithFewReassignments checks that tasks are distributed evenly, that
+// each is assigned to exactly k alive dispatchers, and that a dispatcher that leaves causes no
+// other dispatcher to lose a task.
+func TestTasksAreDistributedEvenlyWithFewReassignments(t *testing.T) {
 	for _, n := range []int{3, 12, 80, 300} {
 		electors := newElectors(n)
 		count := make([]int, n)
 		const keys = 3000
 		for key := range uint64(keys * max(1, n/12)) {
-			for i, e := range electors[:min(n, 12)] { // a dozen are enough to see
+			for i, e := range electors[:min(n, 12)] { // a sample of twelve is enough
 				if e.Assigned(term, key*0x9e3779b97f4a7c15, 1) {
 					count[i]++
 				}
@@ -144,7 +146,7 @@
 		}
 		if aliveCount > 1 {
 			if got := assignedCount(electors, 2*term, key, k, alive); got != min(k, aliveCount) {
-				t.Fatalf("%d of %v are assigned a task of %d", got, alive, k)
+				t.Fatalf("assigned to %d of the alive dispatchers %v, task for %d", got, alive, k)
 			}
 		}
 		leaving := rapid.IntRange(0, n-1).Draw(t, "leaving")
@@ -161,16 +163,16 @@
 		}
 		for i := range n {
 			if remaining[i] && electors[i].Assigned(2*term, key, 1) && !after[i].Assigned(2*term, key, 1) {
-				t.Fatalf("%d lost a task as %d left", i, leaving)
+				t.Fatalf("dispatcher %d lost a task when dispatcher %d left", i, leaving)
 			}
 		}
 	})
 }
 
-// TestTasksUnderEveryViewOfThreeDispatchers plays every combination of digests that three
-// dispatchers may have received: a task is assigned to at most as many as there are different
-// views, and to exactly one where the views agree. Only while they differ may a task be assigned to
-// none.
+// TestTasksUnderEveryViewOfThreeDispatchers covers every combination of digests that three
+// dispatchers may have received: the number of dispatchers that are assigned a task is at most the
+// number of distinct views, and exactly one if the views agree. A task may be unassigned only while
+// the views differ.
 func TestTasksUnderEveryViewOfThreeDispatchers(t *testing.T) {
 	cases := 0
 	for views := range 8 * 8 * 8 {
@@ -179,9 +181,9 @@
 		for i := range electors {
 			v := views >> (3 * i) & 7
 			electors[i].ObserveDigest(term, setOf(pick(v, 0), pick(v, 1), pick(v, 2)))
-			v |= 1 << i // each knows of itself
+			v |= 1 << i // each considers itself alive
 			if v == 1<<i {
-				v = 7 // no digest: all are alive
+				v = 7 // isolated: all are considered alive
 			}
 			distinct[v] = true
 		}
@@ -189,14 +191,14 @@
 			cases++
 			got := assignedCount(electors, 2*term, key, 1, setOf(0, 1, 2))
 			if got > len(distinct) || got == 0 && len(distinct) == 1 {
-				t.Fatalf("views %o: assigned to %d, %d views", views, got, len(distinct))
+				t.Fatalf("views %o: assigned to %d dispatchers with %d distinct views", views, got, len(distinct))
 			}
 		}
 	}
 	t.Logf("%d cases", cases)
 }
 
-// pick returns i where bit i of v is set, else the index of no dispatcher.
+// pick returns i if bit i of v is set, else -1, which is the index of no dispatcher.
 func pick(v, i int) int {
 	if v>>i&1 != 0 {
 		return i
@@ -204,7 +206,7 @@
 	return -1
 }
 
-// BenchmarkAssigned measures one assignment.
+// BenchmarkAssigned measures one call of Assigned.
 func BenchmarkAssigned(b *testing.B) {
 	for _, n := range []int{5, 80, 300} {
 		e := New(0, n, term)
--- a/leader/successor.go
+++ b/leader/successor.go
@@ -1,14 +1,14 @@
 package leader
 
-// IsMember reports whether the others count on this dispatcher: a digest of the last terms covers it, or
-// none covers anybody else.
+// IsMember reports whether other dispatchers consider this dispatcher alive: a digest of the last
+// aliveTerms terms covers it, or this dispatcher is isolated.
 func (e *Elector) IsMember(now int64) bool { return e.aliveUntil[e.self] > now || e.Isolated(now) }
 
-// IsSuccessor reports whether this dispatcher is among the first k alive ones in the circle of all
-// dispatchers from a position on; the position is taken modulo their number. It is Assigned for tasks of
-// which there are so many that weights of all dispatchers for each would cost too much. When a dispatcher
-// comes or goes, only tasks of its neighbors in the circle move. One that the others do not count on has
-// none.
+// IsSuccessor reports whether this dispatcher is among the first k alive dispatchers on the circle
+// of indices, starting at position modulo their number. It replaces Assigned for tasks that are so
+// numerous that computing the weights of all dispatchers for each would cost too much. When a
+// dispatcher joins or leaves, only tasks of its neighbors on the circle are reassigned. A
+// dispatcher that is not a member (see IsMember) has no tasks.
 func (e *Elector) IsSuccessor(now int64, position uint64, k int) bool {
 	if !e.IsMember(now) {
 		return false
--- a/leader/successor_test.go
+++ b/leader/successor_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// dispatchers is a set of dispatchers by index.
+// dispatchers is a set of dispatcher indices.
 type dispatchers []int
 
 func (d dispatchers) Has(i int) bool {
@@ -18,7 +18,7 @@
 	return false
 }
 
-// Each position has k successors, the next alive dispatchers, as long as there are so many.
+// Each position has k successors, the next alive dispatchers, or all alive if there are fewer.
 func TestSuccessorsAreTheNextAliveDispatchers(t *testing.T) {
 	alive := dispatchers{0, 2, 3, 5}
 	for _, c := range []struct {
@@ -41,16 +41,16 @@
 	}
 }
 
-// A dispatcher that digests leave out has no tasks, though it takes itself to be alive.
-func TestNoSuccessorOfWhomOthersDoNotKnow(t *testing.T) {
+// A dispatcher that recent digests do not cover has no tasks, although it considers itself alive.
+func TestUncoveredDispatcherIsNoSuccessor(t *testing.T) {
 	elector := New(1, 6, 1000)
 	elector.ObserveDigest(100, dispatchers{0, 2, 3})
 	assert.False(t, elector.IsMember(100))
 	assert.False(t, elector.IsSuccessor(100, 1, 2))
-	assert.True(t, elector.IsMember(100+2*1000), "no digest covers others any more")
+	assert.True(t, elector.IsMember(100+2*1000), "the last digest has expired, so it is isolated")
 }
 
-// Without a digest all dispatchers count as alive.
+// An isolated dispatcher considers all dispatchers alive.
 func TestSuccessorsOfAnIsolatedDispatcher(t *testing.T) {
 	assert.True(t, New(2, 6, 1000).IsSuccessor(100, 1, 2))
 	assert.False(t, New(3, 6, 1000).IsSuccessor(100, 1, 2))
