--- a/ring/bench_test.go
+++ b/ring/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// BenchmarkRing measures lookups and changes of members, each with the lookup that follows it.
+// BenchmarkRing measures lookups, and changes of members each including the lookup after it.
 func BenchmarkRing(b *testing.B) {
 	for _, n := range []int{120, 600, 2400, 9600} {
 		ids := randomIDs(n+1, 1)
@@ -19,13 +19,13 @@
 				out = r.Window(out[:0], uint64(i), 0, 32)
 			}
 		})
-		b.Run(fmt.Sprint("AddAll/", n), func(b *testing.B) { // a first list, to its first look-up
+		b.Run(fmt.Sprint("AddAll/", n), func(b *testing.B) { // initial fill and the first lookup
 			b.ReportAllocs()
 			for range b.N {
 				fill(&Ring[uint32]{}, ids).Window(nil, 0, 0, 1)
 			}
 		})
-		b.Run(fmt.Sprint("AddOne/", n), func(b *testing.B) { // with the look-up after it, and the same for Remove
+		b.Run(fmt.Sprint("AddOne/", n), func(b *testing.B) { // includes the lookup after it, as does RemoveOne
 			b.ReportAllocs()
 			r, out := fill(&Ring[uint32]{}, ids), make([]uint32, 0, 1)
 			for range b.N {
--- a/ring/model_test.go
+++ b/ring/model_test.go
@@ -8,14 +8,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// model is a simple ring to compare with: it sorts all tokens at each change and walks them with a
-// map for each window.
+// model is a simple reference implementation of Ring: it sorts all tokens for each change, and
+// finds the distinct members of a window with a map.
 type model struct {
 	at []uint64
 	id []uint32
 }
 
-// modelOf returns the model of a ring whose members have so many tokens each.
+// modelOf returns the model of a ring with the given number of tokens per member.
 func modelOf(ids []uint32, tokens int) (m model) {
 	type point struct {
 		at uint64
@@ -34,7 +34,7 @@
 	return m
 }
 
-// window is Ring.Window.
+// window is the reference implementation of Ring.Window.
 func (m model) window(key uint64, skip, n int) []uint32 {
 	i := 0
 	for i < len(m.at) && m.at[i] < hashPosition(^key) {
@@ -43,7 +43,7 @@
 	return m.windowFrom(i, skip, n)
 }
 
-// windowFrom returns the window that begins at point i.
+// windowFrom returns the window that starts at point i.
 func (m model) windowFrom(i, skip, n int) (out []uint32) {
 	seen := map[uint32]bool{}
 	for j := 0; j < len(m.id) && len(out) < n; j++ {
@@ -57,21 +57,22 @@
 	return out
 }
 
-// shares returns the lowest and the highest share of a member, exactly, by the arcs between points:
-// the part of all keys in whose window of n it is, over the mean of all members.
+// shares returns the lowest and the highest share of any member. The share is the fraction of all
+// keys whose window of n contains the member, relative to the mean of all members. It is computed
+// exactly, from the arcs between points.
 func (m model) shares(members, n int) (lowest, highest float64) {
 	index, seen, part := map[uint32]int{}, make([]int, members), make([]float64, members)
-	who := make([]int, len(m.id))
+	memberAt := make([]int, len(m.id))
 	for i, id := range m.id {
 		if _, ok := index[id]; !ok {
 			index[id] = len(index)
 		}
-		who[i] = index[id]
+		memberAt[i] = index[id]
 	}
 	for i := range m.at {
-		arc := m.at[i] - m.at[(i+len(m.at)-1)%len(m.at)] // unsigned, so also correct across zero
-		for j, left := i, n; left > 0; j = (j + 1) % len(who) {
-			if w := who[j]; seen[w] != i+1 {
+		arc := m.at[i] - m.at[(i+len(m.at)-1)%len(m.at)] // unsigned, so correct across zero as well
+		for j, left := i, n; left > 0; j = (j + 1) % len(memberAt) {
+			if w := memberAt[j]; seen[w] != i+1 {
 				seen[w] = i + 1
 				part[w] += float64(arc) / (1 << 32) / (1 << 32)
 				left--
@@ -82,7 +83,7 @@
 	return slices.Min(part) / mean, slices.Max(part) / mean
 }
 
-// fill adds members with their ids as values.
+// fill adds members with their ids as values and returns the ring.
 func fill(r *Ring[uint32], ids []uint32) *Ring[uint32] {
 	for _, id := range ids {
 		r.Add(id, id)
@@ -90,7 +91,7 @@
 	return r
 }
 
-// shuffled returns a list in an order drawn from seed.
+// shuffled returns a copy of a list, shuffled by seed.
 func shuffled(ids []uint32, seed uint64) []uint32 {
 	ids = slices.Clone(ids)
 	rand.New(rand.NewPCG(seed, 1)).Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
@@ -105,7 +106,7 @@
 	return ids
 }
 
-// randomIDs returns n distinct ids drawn from seed.
+// randomIDs returns n distinct ids generated from seed.
 func randomIDs(n int, seed uint64) (ids []uint32) {
 	rng, seen := rand.New(rand.NewPCG(seed, 2)), map[uint32]bool{}
 	for len(ids) < n {
@@ -116,14 +117,14 @@
 	return ids
 }
 
-// requireSame fails where two windows differ; an empty one may be nil.
+// requireSame fails if two windows differ; nil and empty windows are equal.
 func requireSame(t require.TestingT, want, got []uint32, why ...any) {
 	if !slices.Equal(want, got) {
 		require.Equal(t, want, got, why...)
 	}
 }
 
-// without returns a list without some members.
+// without returns a copy of a list without the removed members.
 func without(ids []uint32, removed ...uint32) []uint32 {
 	in := map[uint32]bool{}
 	for _, id := range removed {
@@ -132,7 +133,7 @@
 	return slices.DeleteFunc(slices.Clone(ids), func(id uint32) bool { return in[id] })
 }
 
-// sharedCount returns how many members two windows have in common.
+// sharedCount returns the number of members that two windows have in common.
 func sharedCount(a, b []uint32) (n int) {
 	in := map[uint32]bool{}
 	for _, x := range a {
@@ -146,13 +147,13 @@
 	return n
 }
 
-// checkWindow fails where a window does not hold n distinct members, all where there are fewer, or
-// where one with skip is not its continuation.
+// checkWindow fails if a window does not hold n distinct members (all if there are fewer), or if
+// the window with skip is not the continuation of the one without.
 func checkWindow(t require.TestingT, r *Ring[uint32], ids []uint32, key uint64, skip, n int) {
 	w := r.Window(nil, key, 0, n)
 	require.Len(t, w, min(n, len(ids)))
-	require.Equal(t, len(w), sharedCount(ids, w), "a member that is none")
-	require.Len(t, slices.Compact(slices.Sorted(slices.Values(w))), len(w), "a member twice")
+	require.Equal(t, len(w), sharedCount(ids, w), "all are members of the ring")
+	require.Len(t, slices.Compact(slices.Sorted(slices.Values(w))), len(w), "no duplicates")
 	extended := r.Window(nil, key, 0, skip+n)
 	requireSame(t, w, extended[:len(w)])
 	requireSame(t, extended[min(skip, len(extended)):], r.Window(nil, key, skip, n))
--- a/ring/property_test.go
+++ b/ring/property_test.go
@@ -8,10 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestWindowsDependOnMembersAlone adds and removes 3 to 1,900 members in any order, with contiguous
-// losses, restarts and lookups in between: the windows are those of the model, which knows only the
-// members that are left.
-func TestWindowsDependOnMembersAlone(t *testing.T) {
+// TestWindowsDependOnlyOnMembers adds and removes 3 to 1,900 members in any order, with removals of
+// contiguous ranges, restarts and lookups in between, and compares the windows with those of a
+// model built from the remaining members only.
+func TestWindowsDependOnlyOnMembers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.OneOf(rapid.IntRange(3, 60), rapid.IntRange(3, 1900)).Draw(t, "members")
 		all := sequentialIDs(n)
@@ -34,15 +34,15 @@
 		events := rapid.IntRange(0, 12).Draw(t, "events")
 		for i := range events {
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
-			case 0: // one comes or goes
-				change(all[rapid.IntRange(0, n-1).Draw(t, "who")], rapid.Bool().Draw(t, "comes"))
-			case 1, 2: // a contiguous set goes, or comes
+			case 0: // one member is added or removed
+				change(all[rapid.IntRange(0, n-1).Draw(t, "member")], rapid.Bool().Draw(t, "add"))
+			case 1, 2: // a contiguous range is removed or added
 				from := rapid.IntRange(0, n-1).Draw(t, "from")
-				to, comes := rapid.IntRange(from, n).Draw(t, "to"), rapid.Bool().Draw(t, "comes")
+				to, add := rapid.IntRange(from, n).Draw(t, "to"), rapid.Bool().Draw(t, "add")
 				for _, id := range all[from:to] {
-					change(id, comes)
+					change(id, add)
 				}
-			case 3: // a restart: all go, all come in another order
+			case 3: // a restart: all are removed, then added in another order
 				for _, id := range shuffled(all, seed+uint64(i)) {
 					change(id, false)
 				}
@@ -70,46 +70,48 @@
 	})
 }
 
-// TestUnequalListsShareWindows compares two rings of which one has a members and the other has b
-// members that its fellow lacks: windows of n share n - max(a, b) in the same order, and one member
-// more or less changes a window by that one at the most.
-func TestUnequalListsShareWindows(t *testing.T) {
+// TestWindowsOfDifferentRingsOverlap compares two rings, the first with a members that the second
+// lacks and the second with b members that the first lacks: windows of n share at least
+// n - max(a, b) members, in the same order. It also checks that adding or removing one member
+// changes a window by at most one member.
+func TestWindowsOfDifferentRingsOverlap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(3, 1900).Draw(t, "members")
 		all := randomIDs(n, uint64(n))
-		from := func(what string) []uint32 { // the list without some contiguous set
-			i := rapid.IntRange(0, n-1).Draw(t, what)
-			j := min(n, i+rapid.OneOf(rapid.Just(1), rapid.IntRange(0, 40), rapid.IntRange(0, n)).Draw(t, "many"))
+		withoutRange := func(label string) []uint32 { // the list without a contiguous range
+			i := rapid.IntRange(0, n-1).Draw(t, label)
+			j := min(n, i+rapid.OneOf(rapid.Just(1), rapid.IntRange(0, 40), rapid.IntRange(0, n)).Draw(t, "count"))
 			return append(slices.Clone(all[:i]), all[j:]...)
 		}
-		left, right := from("left"), from("right")
+		left, right := withoutRange("left"), withoutRange("right")
 		both := sharedCount(left, right)
 		a, b := fill(&Ring[uint32]{}, left), fill(&Ring[uint32]{}, shuffled(right, uint64(n)))
 		for range 5 {
 			key, w := rapid.Uint64().Draw(t, "key"), rapid.IntRange(1, 64).Draw(t, "n")
 			x, y := a.Window(nil, key, 0, w), b.Window(nil, key, 0, w)
-			lack := max(len(left), len(right)) - both
-			require.GreaterOrEqual(t, sharedCount(x, y), min(w, len(left), len(right))-lack)
+			missing := max(len(left), len(right)) - both
+			require.GreaterOrEqual(t, sharedCount(x, y), min(w, len(left), len(right))-missing)
 			requireSame(t, without(x, without(x, y...)...), without(y, without(y, x...)...), "in the same order")
 			if len(left) == 0 {
 				continue
 			}
 			removed := left[rapid.IntRange(0, len(left)-1).Draw(t, "removed")]
-			if rapid.Bool().Draw(t, "of the window") {
+			if rapid.Bool().Draw(t, "in the window") {
 				removed = x[rapid.IntRange(0, len(x)-1).Draw(t, "removed")]
 			}
 			require.True(t, a.Remove(removed))
-			less, stay := a.Window(nil, key, 0, w), without(x, removed)
-			require.Len(t, less, min(w, len(left)-1))
-			requireSame(t, stay, less[:min(len(stay), len(less))], "those before stay")
+			after, remaining := a.Window(nil, key, 0, w), without(x, removed)
+			require.Len(t, after, min(w, len(left)-1))
+			requireSame(t, remaining, after[:min(len(remaining), len(after))], "the other members remain")
 			require.True(t, a.Add(removed, removed))
-			requireSame(t, x, a.Window(nil, key, 0, w), "it is back")
+			requireSame(t, x, a.Window(nil, key, 0, w), "the removed member is back")
 		}
 	})
 }
 
-// TestWindowsUnderEveryOrderOfSixMembers plays from each of the 64 sets of six members every order
-// of up to four events, a member that comes or goes or a lookup: windows are those of the model.
+// TestWindowsUnderEveryOrderOfSixMembers applies, to each of the 64 sets of six members, every
+// sequence of up to four events (a member is added or removed, or a lookup) and compares the
+// windows with those of the model.
 func TestWindowsUnderEveryOrderOfSixMembers(t *testing.T) {
 	const members, events, keys = 6, 4, 4
 	var want [1 << members][keys][]uint32
@@ -155,7 +157,7 @@
 		}
 		for key := range want[set] {
 			if out = r.Window(out[:0], uint64(key), key%3, 3); !slices.Equal(want[set][key], out) {
-				t.Fatalf("from set %06b by %v, key %d: %v, not %v", first, order, key, out, want[set][key])
+				t.Fatalf("from set %06b by events %v, key %d: got %v, want %v", first, order, key, out, want[set][key])
 			}
 		}
 	}
--- a/ring/ring.go
+++ b/ring/ring.go
@@ -1,14 +1,14 @@
-// Package ring implements consistent hashing (Karger et al., STOC 1997): for a key it finds a
-// window of members that is the same wherever the same members are known. Package balancer uses it
-// to place functions on workers. It has no I/O, clock, goroutine or randomness, and the result does
-// not depend on the order in which members came and went. It knows neither loads nor health: which
-// member of a window takes a call is the caller's decision.
+// Package ring implements consistent hashing (Karger et al., STOC 1997): it maps a key to a window
+// of members that depends only on the key and the set of members, not on the order in which members
+// were added and removed. Package balancer uses it to place functions on workers. It has no I/O,
+// clock, goroutine or randomness. It does not consider load or health: the caller selects the
+// member of a window that gets a call.
 //
 // Each member has a few tokens on a circle of 64-bit positions, and a key has one position. A
 // window holds the members whose tokens follow the key's position, each member once, in the order
-// of its first token. So adding or removing one member changes a window by one member at the most,
-// and two rings of which one has a members and the other has b members that its fellow lacks share
-// all but max(a, b) members of each window.
+// of its first token. Adding or removing one member therefore changes a window by at most one
+// member. If one ring has a members that a second ring lacks, and the second has b members that the
+// first lacks, their windows for a key share all but max(a, b) members.
 package ring
 
 import (
@@ -16,40 +16,41 @@
 	"slices"
 )
 
-// tokensPerMember is the number of tokens of a member. The table was measured by TestShares with
-// 9,600 members, over all keys, with members numbered in turn and three lists of random ids: the
-// part of all windows that a member is in, least to largest, over the mean.
+// tokensPerMember is the number of tokens of a member. The table shows the fraction of all windows
+// that contain a member, relative to the mean, from the smallest to the largest. TestShares
+// measured it over all keys for 9,600 members, with sequential ids and with three lists of random
+// ids.
 //
-//	tokens   windows of 16   windows of 32   bytes a member has in points
+//	tokens   windows of 16   windows of 32   bytes per member in points
 //	     1   0.26 to 2.31    0.45 to 1.81    16
 //	     2   0.34 to 2.30    0.38 to 1.67    32
 //	     4   0.54 to 1.59    0.62 to 1.48    64
 //	     8   0.66 to 1.38    0.71 to 1.27    128
 //
-// Two are hardly more even than one. Eight double the cost of a change of members for a fifth less
-// at the top, and a member that is in too many windows is avoided in some of them for its load
-// anyway. The cost of a lookup is much the same with all of these.
+// Two tokens are hardly more even than one. Eight double the cost of adding or removing a member
+// and reduce the largest share by only a fifth; a member in too many windows gets fewer calls in
+// some of them anyway, because of its load. The cost of a lookup is about the same for all.
 const tokensPerMember = 4
 
-// minPendingRemovals is the number of removed members from which Remove may rebuild the ring.
+// minPendingRemovals is the minimum number of pending removals for Remove to rebuild the ring.
 const minPendingRemovals = 64
 
 // Ring is a set of members, each with a value. The zero value is empty. It is not safe for
-// concurrent use, also of Window alone, which may rebuild it.
+// concurrent use; this includes concurrent calls of Window, which may rebuild the ring.
 type Ring[T any] struct {
-	slots        map[uint32]int32 // of each member, by id
-	members      []member[T]      // by slot
-	freeSlots    []int32          // without a member or tokens
-	removedSlots []int32          // without a member, whose tokens are still among points
-	points       []point          // of all tokens, by position; complete after rebuild
-	pending      []point          // of new tokens, not among points yet, unsorted
+	slots        map[uint32]int32 // slot of each member, by id
+	members      []member[T]      // indexed by slot
+	freeSlots    []int32          // slots without a member or tokens
+	removedSlots []int32          // slots without a member whose tokens are still in points
+	points       []point          // tokens sorted by position; up to date after rebuild
+	pending      []point          // new tokens that are not in points yet, unsorted
 }
 
 // member is a slot for one member.
 type member[T any] struct {
 	value     T
 	present   bool  // the slot has a member
-	lastPoint int32 // used by rebuild only: index of the last token of this member that it has passed
+	lastPoint int32 // used by rebuild only: index of the last processed token of this member
 }
 
 // point is the position of a token of a member. No two points have the same position, since
@@ -57,16 +58,16 @@
 type point struct {
 	position uint64
 	slot     int32
-	// distance is how many points before this one, round the circle, the previous token of the same
-	// member is.
+	// distance is the number of points from the previous token of the same member to this one,
+	// around the circle.
 	distance int32
 }
 
 // Len returns the number of members.
 func (r *Ring[T]) Len() int { return len(r.slots) }
 
-// Add adds a member with its value. It returns false where the member is present already; its value
-// is then replaced.
+// Add adds a member with its value. It returns false if the member is already present, and then
+// replaces its value.
 func (r *Ring[T]) Add(id uint32, value T) bool {
 	if slot, ok := r.slots[id]; ok {
 		r.members[slot].value = value
@@ -95,7 +96,7 @@
 	return int32(len(r.members) - 1)
 }
 
-// Remove removes a member. It returns false where there is none of that id.
+// Remove removes a member. It returns false if there is no member with that id.
 func (r *Ring[T]) Remove(id uint32) bool {
 	slot, ok := r.slots[id]
 	if !ok {
@@ -104,7 +105,7 @@
 	delete(r.slots, id)
 	r.members[slot] = member[T]{}
 	r.removedSlots = append(r.removedSlots, slot)
-	// Members that come and go without a lookup must not accumulate.
+	// Without lookups, the tokens of members that are added and removed must not accumulate.
 	if len(r.removedSlots) > minPendingRemovals+len(r.slots) {
 		r.rebuild()
 	}
@@ -112,9 +113,9 @@
 }
 
 // Window appends to out the values of the n distinct members that follow the key's position, after
-// skip others, and returns it; fewer where there are no more members. It takes O(log Len + skip +
-// n), and O(Len) more where members have been added or removed since the last call. It allocates
-// nothing where out has room and no member has been added since.
+// the first skip members, and returns out. It appends fewer if the ring has fewer members. It takes
+// O(log Len + skip + n), and an additional O(Len) if members have been added or removed since the
+// last call. It does not allocate if out has enough capacity and no member has been added since.
 func (r *Ring[T]) Window(out []T, key uint64, skip, n int) []T {
 	r.rebuild()
 	skip = max(skip, 0)
@@ -130,7 +131,7 @@
 		p := &r.points[i]
 		i++
 		if p.distance <= passed {
-			continue // an earlier token of this member has been passed
+			continue // an earlier token of this member has been visited already
 		}
 		if skip > 0 {
 			skip--
@@ -142,7 +143,7 @@
 	return out
 }
 
-// firstAtOrAfter returns the index of the first point at or after a position, len(points) where
+// firstAtOrAfter returns the index of the first point at or after a position, or len(points) if
 // there is none.
 func (r *Ring[T]) firstAtOrAfter(position uint64) int {
 	low, high := 0, len(r.points)
@@ -157,7 +158,7 @@
 	return low
 }
 
-// rebuild brings points up to date with the members, in O(Len) and the time to sort the new tokens.
+// rebuild updates points after changes of the members, in O(Len) plus the time to sort new tokens.
 func (r *Ring[T]) rebuild() {
 	if len(r.pending)+len(r.removedSlots) == 0 {
 		return
@@ -167,7 +168,7 @@
 	r.updateDistances()
 }
 
-// dropRemoved drops the tokens of removed members and frees their slots.
+// dropRemoved deletes the tokens of removed members and frees their slots.
 func (r *Ring[T]) dropRemoved() {
 	if len(r.removedSlots) == 0 {
 		return
@@ -195,7 +196,7 @@
 	}
 	r.pending = r.pending[:0]
 	if cap(r.pending) > len(r.points)/4 {
-		r.pending = nil // a first list of members, not a change of it: free the memory
+		r.pending = nil // after an initial fill rather than a small change: free the memory
 	}
 }
 
--- a/ring/ring_test.go
+++ b/ring/ring_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestZeroValueAndBounds shows that the zero value works, that values are replaced in place, and
-// that bounds outside of the ring yield no members.
+// TestZeroValueAndBounds checks that the zero value works, that values are replaced in place, and
+// that bounds outside of the ring return no members.
 func TestZeroValueAndBounds(t *testing.T) {
 	var r Ring[string]
 	assert.Empty(t, r.Window(nil, 1, 0, 5))
@@ -28,7 +28,7 @@
 		assert.Empty(t, r.Window(nil, 1, bounds[0], bounds[1]), bounds)
 	}
 	assert.Len(t, r.Window(nil, 1, -3, math.MaxInt), 2)
-	for i := range uint64(tokensPerMember) { // a key at the point of a token
+	for i := range uint64(tokensPerMember) { // a key at the position of a token
 		assert.Equal(t, []string{"c"}, r.Window(nil, ^(7*tokensPerMember+i), 0, 1))
 	}
 	out := r.Window([]string{"before"}, 1, 0, 2)
@@ -37,13 +37,13 @@
 	assert.True(t, r.Remove(7))
 	assert.False(t, r.Remove(7))
 	assert.Equal(t, []string{"b"}, r.Window(nil, 1, 0, 5))
-	assert.True(t, r.Add(7, "d"), "after it was removed it is new")
+	assert.True(t, r.Add(7, "d"), "added again after its removal")
 	assert.ElementsMatch(t, []string{"b", "d"}, r.Window(nil, 1, 0, 5))
 	assert.Equal(t, 2, r.Len())
 }
 
-// TestWindowsOfALargeFleet removes a rack, a zone and all of 9,600 members and adds them in another
-// order: windows are those of the model, and a lookup allocates nothing.
+// TestWindowsOfALargeFleet removes a rack, a zone and all of 9,600 members, adds them in another
+// order, compares the windows with those of the model, and checks that a lookup does not allocate.
 func TestWindowsOfALargeFleet(t *testing.T) {
 	all := sequentialIDs(9600)
 	r := fill(&Ring[uint32]{}, shuffled(all, 1))
@@ -68,8 +68,8 @@
 	assert.Zero(t, testing.AllocsPerRun(100, func() { out = r.Window(out[:0], rng.Uint64(), 8, 32) }))
 }
 
-// TestChurnDoesNotAccumulate shows that members that come and go without a lookup leave nothing
-// behind.
+// TestChurnDoesNotAccumulate checks that adding and removing members without a lookup does not grow
+// the memory of the ring.
 func TestChurnDoesNotAccumulate(t *testing.T) {
 	r := fill(&Ring[uint32]{}, sequentialIDs(100))
 	for i := range uint32(100_000) {
--- a/ring/shares_test.go
+++ b/ring/shares_test.go
@@ -7,21 +7,21 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// shareBounds returns the least and the largest share that any member may have of windows of n,
-// over the mean: wider than measured.
-func shareBounds(n int) (least, most float64) {
+// shareBounds returns the lowest and the highest allowed share of a member in windows of n,
+// relative to the mean. The bounds are wider than the measured shares.
+func shareBounds(n int) (lowest, highest float64) {
 	if n <= 16 {
 		return 0.45, 1.7
 	}
 	return 0.55, 1.6
 }
 
-// TestShares logs the shares by which tokensPerMember was chosen and checks the bounds of those
-// that it gives.
+// TestShares logs the shares on which the choice of tokensPerMember is based, and checks the bounds
+// of the shares for the chosen value.
 func TestShares(t *testing.T) {
 	for _, perMember := range []int{1, 2, 4, 8} {
 		for _, n := range []int{16, 32} {
-			least, most := shareBounds(n)
+			lowest, highest := shareBounds(n)
 			for seed := range uint64(4) {
 				ids := sequentialIDs(9600)
 				if seed > 0 {
@@ -31,17 +31,17 @@
 				t.Logf("%d tokens, windows of %d, list %d: a member's share %.2f to %.2f of the mean",
 					perMember, n, seed, low, high)
 				if perMember == tokensPerMember {
-					assert.Greater(t, low, least)
-					assert.Less(t, high, most)
+					assert.Greater(t, low, lowest)
+					assert.Less(t, high, highest)
 				}
 			}
 		}
 	}
 }
 
-// TestSmallKeysSpread shows that keys that are small numbers, as ids are, spread as evenly as any:
-// the count of each member in the windows of 48,000 of them is within the bound of TestShares and
-// five standard deviations.
+// TestSmallKeysSpread checks that small numbers as keys, such as ids, are distributed as evenly as
+// other keys: over the windows of 48,000 of them, the count of each member is below the bound of
+// TestShares plus five standard deviations.
 func TestSmallKeysSpread(t *testing.T) {
 	for _, ids := range [][]uint32{sequentialIDs(9600), randomIDs(9600, 1)} {
 		r, count, out := fill(&Ring[uint32]{}, ids), map[uint32]int{}, []uint32(nil)
@@ -52,12 +52,12 @@
 			}
 		}
 		largest, mean := 0, 48_000*32/9600.0
-		_, most := shareBounds(32)
+		_, highest := shareBounds(32)
 		for _, n := range count {
 			largest = max(largest, n)
 		}
-		t.Logf("%d members in some window; mean %v, most %d", len(count), mean, largest)
+		t.Logf("%d members in at least one window; mean %v, largest %d", len(count), mean, largest)
 		assert.Len(t, count, 9600)
-		assert.Less(t, float64(largest), most*mean+5*math.Sqrt(most*mean))
+		assert.Less(t, float64(largest), highest*mean+5*math.Sqrt(highest*mean))
 	}
 }
