--- a/aggregate/bench_test.go
+++ b/aggregate/bench_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// BenchmarkAggregator measures one report, one digest and one view.
+// BenchmarkAggregator measures sending and handling one report, building one digest, and one view.
 func BenchmarkAggregator(b *testing.B) {
 	for _, n := range []int{5, 80, 300} {
 		fleet := newFleet(n, 7)
 		now := 1000 * 1000 * ms
 		own := func(i int) []float64 { return []float64{float64(i), 1, 2, 3, 4, 5, 6} }
-		playTerm(fleet, now, 0, own, everyone)
+		runTerm(fleet, now, 0, own, allReachable)
 		b.Run(fmt.Sprintf("report_%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
@@ -35,10 +35,10 @@
 	}
 }
 
-// BenchmarkDigest measures one term's digest of a fleet with seven tenants and 120 workers: its
-// making by the leader from all reports, encoding, decoding and the view, with no dispatcher
-// missing and with one. longest/text and text/digest are the bytes of the longest text and of all
-// texts; the channel carries 256 bytes a text.
+// BenchmarkDigest measures the digest of one term in a fleet with seven tenants and 120 workers:
+// building it from all reports, encoding, decoding and the view, with no dispatcher missing and
+// with one. longest/text and text/digest are the lengths in bytes of the longest text and of all
+// texts; the channel carries 256 bytes per text.
 func BenchmarkDigest(b *testing.B) {
 	for _, n := range []int{300, 1_000, 1_900} {
 		for missing := range 2 {
@@ -53,14 +53,14 @@
 	now := 1000 * 1000 * ms
 	own := func(i int) []float64 { return []float64{float64(i), 1, 2, 3, 4, 5, 6, 200, 4} }
 	leader, reader := fleet[0], fleet[1]
-	// The first term has all; in the second, which stands while the benchmark runs, the last ones
-	// are missing.
-	playTerm(fleet, now, 0, own, everyone)
+	// The first term covers all dispatchers. In the second, which the benchmark measures, the last
+	// ones are missing.
+	runTerm(fleet, now, 0, own, allReachable)
 	now += term
-	playTerm(fleet, now, 0, own, func(from, to int) bool { return from < n-missing && to < n-missing })
+	runTerm(fleet, now, 0, own, func(from, to int) bool { return from < n-missing && to < n-missing })
 	digest := leader.NextDigest(now)
 	if digest.Missing.Len() != missing || digest.Covered.Len() != n-missing {
-		b.Fatalf("the digest covers %d and misses %d", digest.Covered.Len(), digest.Missing.Len())
+		b.Fatalf("the digest has %d dispatchers covered and %d missing", digest.Covered.Len(), digest.Missing.Len())
 	}
 	m := Message{FromLeader: true, Digest: digest}
 	for i := range 120 {
@@ -81,14 +81,14 @@
 			b.ReportMetric(float64(TotalLen(texts)), "text/digest")
 		})
 	}
-	step("made", func(*testing.B) { leader.NextDigest(now) })
-	step("written", func(*testing.B) { m.Encode(n) })
-	step("read", func(b *testing.B) {
+	step("build", func(*testing.B) { leader.NextDigest(now) })
+	step("encode", func(*testing.B) { m.Encode(n) })
+	step("decode", func(b *testing.B) {
 		for _, x := range texts {
 			if _, ok := Decode(x, n); !ok {
-				b.Fatal("a text cannot be read")
+				b.Fatal("a text could not be decoded")
 			}
 		}
 	})
-	step("viewed", func(*testing.B) { reader.View(now, 7) })
+	step("view", func(*testing.B) { reader.View(now, 7) })
 }
--- a/aggregate/codec_test.go
+++ b/aggregate/codec_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// values returns n values that the wire format holds exactly.
+// values returns n values that the wire format represents exactly.
 func values(n int) (out []float64) {
 	for i := range n {
 		out = append(out, float64(i)*12.5)
@@ -18,7 +18,7 @@
 	return out
 }
 
-// digestOf300 returns a digest of n values that covers 299 dispatchers and misses one.
+// digestOf300 returns a digest of n values with 299 dispatchers covered and one missing.
 func digestOf300(n int) Digest {
 	digest := Digest{
 		Sums:         values(n),
@@ -34,7 +34,8 @@
 	return digest
 }
 
-// TestMessageRoundTrip shows that messages decode to themselves, and that cut texts are rejected.
+// TestMessageRoundTrip checks that encoded messages decode to the originals, and that truncated
+// texts are rejected or decode to fewer counts and holders.
 func TestMessageRoundTrip(t *testing.T) {
 	truncated := digestOf300(15)
 	truncated.Truncated, truncated.Tick = true, 65535
@@ -68,15 +69,15 @@
 			x, ok := Decode(texts[0][:cut], 300)
 			complete := len(x.Counts)+len(x.Holders) == len(m.Counts)+len(m.Holders)
 			if ok && !x.Continued && complete && cut < len(texts[0])-1 {
-				t.Errorf("cut at %d of %d, it was read", cut, len(texts[0]))
+				t.Errorf("text truncated at %d of %d bytes was decoded", cut, len(texts[0]))
 			}
 		}
 	}
 }
 
-// TestTextsAreBounded shows that no text exceeds the channel's 256 bytes, also where the longest
-// sums and a dozen marks do not fit into one together, and that any number of dispatchers is
-// encoded without a panic.
+// TestTextsAreBounded checks that no text exceeds the channel's 256 bytes, even if the longest sums
+// and a dozen marks do not fit into one text together, and that a digest of any number of
+// dispatchers is encoded without a panic.
 func TestTextsAreBounded(t *testing.T) {
 	for i := range 20 {
 		full := Message{FromLeader: true, Digest: digestOf300(15), Counts: []Count{{Worker: 1, InFlight: 1}}}
@@ -92,8 +93,8 @@
 	}
 }
 
-// TestLongDigestsAreSplitAndTruncated shows that all counts arrive over several texts, and that a
-// digest cut to one text keeps its sums and the counts of silent workers.
+// TestLongDigestsAreSplitAndTruncated checks that counts are split over several texts without loss,
+// and that a digest truncated to one text keeps its sums and the counts of silent workers.
 func TestLongDigestsAreSplitAndTruncated(t *testing.T) {
 	big := Message{FromLeader: true, Digest: digestOf300(7)}
 	for i := range 120 {
@@ -112,7 +113,7 @@
 		short := big.Truncate(300, chars)
 		assert.LessOrEqual(t, TotalLen(short.Encode(300)), chars)
 		if chars < 10000 {
-			assert.Equal(t, big.Counts[77:78], short.Counts, "silent for some, responding to none")
+			assert.Equal(t, big.Counts[77:78], short.Counts, "the worker that is silent for some and responds to none")
 			m, ok := Decode(short.Encode(300)[0], 300)
 			assert.True(t, ok && m.Digest.Truncated)
 		}
@@ -120,8 +121,8 @@
 	assert.Equal(t, big, big.Truncate(300, 120), "not even the sums fit")
 }
 
-// TestValueEncodingPrecision shows that values keep a relative precision of 1 in 4,000, and that
-// NaN is 0.
+// TestValueEncodingPrecision checks that values keep a relative precision of 1 in 4,000, and that
+// NaN is encoded as 0.
 func TestValueEncodingPrecision(t *testing.T) {
 	for _, x := range []float64{0, 0.3, 12.5, 819, 7200, 1e6} {
 		assert.InDelta(t, x, decodeValue(encodeValue(x)), 0.01+x/4000)
@@ -129,8 +130,8 @@
 	assert.Zero(t, encodeValue(math.NaN()))
 }
 
-// TestEncodedLenIsTheLengthOfTheTexts checks the length by which a message is charged before it is
-// encoded.
+// TestEncodedLenIsTheLengthOfTheTexts checks the predicted length, by which a message is charged to
+// the budget before it is encoded.
 func TestEncodedLenIsTheLengthOfTheTexts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dispatchers := rapid.SampledFrom([]int{3, 80, 300, 1_000, 1_900, 6_000}).Draw(t, "dispatchers")
@@ -163,7 +164,8 @@
 	})
 }
 
-// FuzzDecode shows that any text decodes to a message that the state accepts or drops, or to none.
+// FuzzDecode checks that any text is either rejected or decodes to a message that an Aggregator can
+// handle.
 func FuzzDecode(f *testing.F) {
 	for _, m := range []Message{
 		{Report: Report{Values: []float64{1, 2}}},
--- a/aggregate/decode.go
+++ b/aggregate/decode.go
@@ -6,8 +6,8 @@
 	"math"
 )
 
-// Decode returns the message of one text. ok is false, and the message empty, where the text is
-// cut, of another version of the format, or of a fleet of another size.
+// Decode returns the message of one text. ok is false, and the message empty, if the text is
+// truncated, has another version of the format, or comes from a fleet of another size.
 func Decode(text string, dispatchers int) (m Message, ok bool) {
 	raw, err := base64.RawStdEncoding.DecodeString(text)
 	if err != nil || len(raw) < headerBytes {
@@ -35,13 +35,13 @@
 	return m, true
 }
 
-// decoder reads one text. It reads zeros past the end and remembers that the text is invalid.
+// decoder reads one text. Reads past the end return zeros and mark the text as invalid.
 type decoder struct {
-	values      int // number of values of a report, and of each sum of a digest
+	values      int // number of values in a report, and in each list of sums of a digest
 	marked      bool
 	flags       byte
 	dispatchers int
-	rest        []byte // not read yet
+	rest        []byte // bytes not read yet
 	invalid     bool
 }
 
@@ -67,10 +67,10 @@
 // has reports whether a flag is set.
 func (d *decoder) has(flag byte) bool { return d.flags&flag != 0 }
 
-// rejectFlags marks the text invalid where any of the flags is set.
+// rejectFlags marks the text as invalid if any of the flags is set.
 func (d *decoder) rejectFlags(flags byte) { d.invalid = d.invalid || d.flags&flags != 0 }
 
-// report reads a report after its number of calls.
+// report reads the part of a report that follows the number of calls.
 func (d *decoder) report() Report {
 	r := Report{Incarnation: d.byte(), Seq: d.byte(), Values: d.valueList(), Fresh: d.has(flagFresh)}
 	if d.has(flagLastCounted) {
@@ -79,8 +79,8 @@
 	return r
 }
 
-// digest reads a digest. Without flagCovered it covers all dispatchers, without flagMissing it
-// misses none.
+// digest reads a digest. Without flagCovered it covers all dispatchers, without flagMissing no
+// dispatcher is missing.
 func (d *decoder) digest() Digest {
 	digest := Digest{
 		Truncated: d.has(flagTruncated),
@@ -103,7 +103,7 @@
 	return digest
 }
 
-// lastCounted reads the quoted values of a report; values that are not quoted are NaN.
+// lastCounted reads the quoted values of a report. Values that are not quoted are NaN.
 func (d *decoder) lastCounted() []float64 {
 	var values []float64
 	present := d.nodeSet(d.values)
@@ -117,7 +117,7 @@
 	return values
 }
 
-// marks reads the marks and their number.
+// marks reads the number of marks and the marks.
 func (d *decoder) marks() (marks []Mark) {
 	for range d.byte() {
 		worker := binary.BigEndian.Uint16(d.take(2))
@@ -151,7 +151,7 @@
 	return counts
 }
 
-// holders reads the rest of the text.
+// holders reads holders up to the end of the text.
 func (d *decoder) holders() []Holder {
 	if len(d.rest)%holderBytes != 0 {
 		d.invalid = true
@@ -169,7 +169,8 @@
 	return holders
 }
 
-// take returns the next n bytes; zeros where there are fewer, which makes the text invalid.
+// take returns the next n bytes. If there are fewer, it returns zeros and marks the text as
+// invalid.
 func (d *decoder) take(n int) []byte {
 	if len(d.rest) < n {
 		d.invalid = true
@@ -186,7 +187,7 @@
 // value reads one value.
 func (d *decoder) value() float64 { return decodeValue(binary.BigEndian.Uint16(d.take(valueBytes))) }
 
-// valueList reads as many values as the header says.
+// valueList reads the number of values that the header states.
 func (d *decoder) valueList() []float64 {
 	values := make([]float64, 0, d.values)
 	for range d.values {
@@ -195,7 +196,7 @@
 	return values
 }
 
-// nodeSet reads a set with room for the indices below n; one beyond makes the text invalid.
+// nodeSet reads a set of indices below n. Any other index marks the text as invalid.
 func (d *decoder) nodeSet(n int) NodeSet {
 	set := NodeSet(d.take(setBytes(n)))
 	if set.hasBeyond(n) {
--- a/aggregate/digest.go
+++ b/aggregate/digest.go
@@ -2,20 +2,20 @@
 
 import "math"
 
-// Digest is what the leader sends to all dispatchers. Values and sums are in units of the caller.
+// Digest is the summary that the leader sends to all dispatchers. Sums are in the caller's units.
 type Digest struct {
-	Tick         uint16    // time of the leader's clock, in Settings.Tick; wraps around
-	Sums         []float64 // of the values of those in Covered
-	MissingSums  []float64 // of the values that those in Missing last added, decaying
-	MissingMoved []float64 // the part of MissingSums that has since been added by those in Covered
+	Tick         uint16    // time of the leader's clock, in units of Settings.Tick; wraps around
+	Sums         []float64 // sums of the values of the dispatchers in Covered
+	MissingSums  []float64 // decaying sums of the values that the dispatchers in Missing last contributed
+	MissingMoved []float64 // part of MissingSums by which the values of the dispatchers in Covered have grown since
 	Covered      NodeSet   // dispatchers with a current report
-	Missing      NodeSet   // dispatchers without one that the last digest covered or missed
-	Truncated    bool      // most of the counts that accompany it are left out
+	Missing      NodeSet   // dispatchers without a current report that the last digest listed as covered or missing
+	Truncated    bool      // most of the accompanying counts are omitted
 }
 
-// NextDigest returns the digest of this dispatcher as the leader: of the reports of this term, its
-// own values, and what the last digest has of those missing. Pass it to HandleDigest once it is
-// sent.
+// NextDigest returns the digest that this dispatcher sends as the leader. It is built from the
+// reports of this term, its own values, and the last digest's contribution of those missing. Pass
+// it to HandleDigest after sending it.
 func (a *Aggregator) NextDigest(now int64) Digest {
 	b := a.newDigestBuilder(now)
 	for i := range a.settings.Dispatchers {
@@ -28,8 +28,7 @@
 	return b.finish()
 }
 
-// currentReport returns the report of the dispatcher with index i; false where there is none of
-// this term.
+// currentReport returns the report of the dispatcher with index i, and whether it is of this term.
 func (a *Aggregator) currentReport(now int64, i int) (Report, bool) {
 	if i == a.settings.DispatcherIndex {
 		own := Report{Values: a.local, Fresh: !a.everCounted}
@@ -47,8 +46,8 @@
 	return r.valid && now-r.receivedAt < a.settings.Term
 }
 
-// Complete reports whether there are reports of this term of at least three quarters of the
-// dispatchers that a digest would cover or miss.
+// Complete reports whether at least three quarters of the dispatchers that the last digest lists as
+// covered or missing have sent a report of this term.
 func (a *Aggregator) Complete(now int64) bool {
 	current := 1 // this dispatcher
 	for i := range a.reports {
@@ -60,20 +59,20 @@
 	return 4*current >= 3*expected
 }
 
-// digestBuilder sums up reports into a digest.
+// digestBuilder builds a digest from reports.
 type digestBuilder struct {
 	digest Digest
-	last   *Digest // the digest before, nil: none
-	// keep is the part of the last digest's MissingSums that has not decayed, 0 to 1.
+	last   *Digest // previous digest; nil: none
+	// keep is the fraction of the last digest's MissingSums that remains after decay, 0 to 1.
 	keep        float64
-	lastMissing float64 // number of dispatchers that the last digest misses
-	// unclaimed is the last digest's Sums less what the present dispatchers had added to them: the
-	// values of those newly missing.
+	lastMissing float64 // number of dispatchers missing from the last digest
+	// unclaimed is the last digest's Sums less the contributions to them of the dispatchers that
+	// have reported: the contributions of those newly missing.
 	unclaimed []float64
-	growth    []float64 // by how much the values of present dispatchers exceed what they had added
+	growth    []float64 // increase of the values of dispatchers that have reported over their last contributions
 }
 
-// newDigestBuilder returns a builder of a digest that continues the last one.
+// newDigestBuilder returns a builder of the digest that follows the last one.
 func (a *Aggregator) newDigestBuilder(now int64) *digestBuilder {
 	dispatchers, values := a.settings.Dispatchers, a.settings.Values
 	b := &digestBuilder{
@@ -121,7 +120,7 @@
 		case wasCovered:
 			b.unclaimed[j] -= counted
 			b.growth[j] += x - counted
-		case wasMissing && report.Fresh: // it has lost what it had added: take its average part of what is missing
+		case wasMissing && report.Fresh: // restarted, so its contribution is unknown: use the mean of those missing
 			b.digest.MissingSums[j] -= b.last.MissingSums[j] * b.keep / b.lastMissing
 		case wasMissing:
 			b.digest.MissingSums[j] -= counted * b.keep
@@ -129,7 +128,7 @@
 	}
 }
 
-// counted returns what the last digest that covered the sender counted of its value j.
+// counted returns the sender's value j as the last digest that covered the sender counted it.
 func (r *Report) counted(j int) float64 {
 	if r.LastCounted != nil && !math.IsNaN(r.LastCounted[j]) {
 		return r.LastCounted[j]
@@ -137,7 +136,7 @@
 	return r.Values[j]
 }
 
-// finish returns the digest.
+// finish completes and returns the digest.
 func (b *digestBuilder) finish() Digest {
 	d := &b.digest
 	anyMissing := d.Missing.Len() > 0
--- a/aggregate/drainnotice.go
+++ b/aggregate/drainnotice.go
@@ -7,11 +7,11 @@
 
 // The wire format of a drain notice, before base64 without padding; numbers are big-endian:
 //
-//	byte 0   bits 0-1 noticeVersion, bit 2 from the leader, bit 3 watching, bit 4 complete, else 0
+//	byte 0   bits 0-1 noticeVersion, bit 2 from the leader, bit 3 watching, bit 4 complete, others 0
 //	workers  up to the end, 2 bytes each
 //
-// It has a version of its own, so that dispatchers which do not know it drop it as a text of another
-// version.
+// It has its own version number, so that dispatchers of older builds drop it as a text of an
+// unknown version.
 const (
 	noticeVersion     = 3
 	noticeFromLeader  = 1 << 2
@@ -20,20 +20,21 @@
 	noticeFlags       = noticeFromLeader | noticeWatching | noticeComplete
 	noticeHeaderBytes = 1
 	tagBytes          = 2
-	// maxNoticeTags is how many workers one text of a notice holds.
+	// maxNoticeTags is the maximum number of workers in one text of a notice.
 	maxNoticeTags = (maxTextBytes - noticeHeaderBytes) / tagBytes
 )
 
-// DrainNotice is what one dispatcher reports to others of workers that the endpoint list has as active. The
-// leader relays what others reported to it; its notice may name no worker.
+// DrainNotice tells other dispatchers which workers are draining although the endpoint list has
+// them as active. The leader relays the notices that it receives; its own notice may name no
+// worker.
 type DrainNotice struct {
 	FromLeader bool
-	Watching   bool     // of the leader: the dispatchers watch the workers for each other
-	Complete   bool     // to a dispatcher that started: names all workers that stand reported
-	Draining   []uint16 // tags of workers that drain, or have drained, by their own report
+	Watching   bool     // from the leader: dispatchers watch workers on behalf of each other
+	Complete   bool     // to a dispatcher that has started: names all workers currently reported
+	Draining   []uint16 // tags of workers that have reported that they are draining or have drained
 }
 
-// Encode returns the texts of a notice; none if it says nothing.
+// Encode returns the texts of a notice, none if the notice is empty.
 func (n DrainNotice) Encode() (texts []string) {
 	for len(n.Draining) > 0 || (n.FromLeader || n.Complete) && len(texts) == 0 {
 		count := min(len(n.Draining), maxNoticeTags)
@@ -47,7 +48,7 @@
 	return texts
 }
 
-// firstByte returns byte 0 of a text. Only the last text of a complete notice is one.
+// firstByte returns byte 0 of a text. Only the last text of a complete notice has the complete bit.
 func (n *DrainNotice) firstByte() byte {
 	first := byte(noticeVersion)
 	if n.FromLeader {
@@ -62,8 +63,8 @@
 	return first
 }
 
-// DecodeDrainNotice returns the notice of one text. ok is false, and the notice empty, where the text is
-// cut or is no notice.
+// DecodeDrainNotice returns the notice of one text. ok is false, and the notice empty, if the text
+// is truncated or is not a notice.
 func DecodeDrainNotice(text string) (notice DrainNotice, ok bool) {
 	raw, err := base64.RawStdEncoding.DecodeString(text)
 	if err != nil || len(raw) < noticeHeaderBytes || raw[0]&^noticeFlags != noticeVersion {
--- a/aggregate/drainnotice_test.go
+++ b/aggregate/drainnotice_test.go
@@ -7,8 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// The form of a drain notice is pinned, since dispatchers of different builds talk to each other.
-func TestDrainNoticeForm(t *testing.T) {
+// The wire format of a drain notice must not change, since dispatchers of different builds
+// communicate.
+func TestDrainNoticeWireFormat(t *testing.T) {
 	notice := DrainNotice{Draining: []uint16{1, 65535, 513}}
 	assert.Equal(t, []string{"AwAB//8CAQ"}, notice.Encode())
 	notice.FromLeader = true
@@ -17,8 +18,8 @@
 	assert.Equal(t, []string{"Dw"}, DrainNotice{FromLeader: true, Watching: true}.Encode())
 }
 
-// A notice is read as it was written, from texts that fit into a datagram, and by nothing else as one of
-// the other messages.
+// An encoded notice decodes to the original, its texts fit into a datagram, and Decode does not
+// accept them as a Message.
 func TestDrainNoticeRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		notice := DrainNotice{
@@ -36,7 +37,7 @@
 				t.Fatalf("text %q of %d bytes: %+v", text, len(text), part)
 			}
 			if _, isMessage := Decode(text, 20); isMessage {
-				t.Fatalf("text %q is read as another message", text)
+				t.Fatalf("text %q is decoded as a Message", text)
 			}
 			read.Draining = append(read.Draining, part.Draining...)
 		}
--- a/aggregate/encode.go
+++ b/aggregate/encode.go
@@ -12,15 +12,15 @@
 //	byte 1   flags
 //	byte 2   number of counts
 //	report   calls, incarnation, sequence: a byte each; values;
-//	         with flagLastCounted the set of values that are quoted, and these
+//	         with flagLastCounted the set of quoted values, and the quoted values
 //	digest   tick: 2 bytes; sums; with flagCovered the set of dispatchers covered;
-//	         with flagMissing the sums of those missing, what moved of them, and their set
+//	         with flagMissing the sums MissingSums and MissingMoved, and the set Missing
 //	marks    number: a byte; for each the worker: 2 bytes, served and failed: 4 bits each,
 //	         latency: a byte
 //	counts   for each the worker: 2 bytes, flags and calls in flight: a byte
-//	holders  up to the end, for each the function: 4 bytes, the worker: 2 bytes
+//	holders  up to the end; for each the function: 4 bytes, the worker: 2 bytes
 //
-// A continued text has neither report nor digest nor marks.
+// A text with flagContinued has no report, digest or marks.
 const (
 	// wireVersion changes with the format; a dispatcher drops texts of another version.
 	wireVersion = 2
@@ -28,22 +28,22 @@
 	valuesShift = 2
 	marksFollow = 1 << 6
 
-	// maxTextBytes keeps a text after base64 under the 256 bytes that the channel between
-	// dispatchers carries.
+	// maxTextBytes limits a text so that its base64 encoding fits into the 256 bytes that the
+	// channel between dispatchers carries.
 	maxTextBytes = 190
-	// maxValues is the number of values that four bits can express.
+	// maxValues is the maximum number of values, which has four bits in the header.
 	maxValues = 15
-	// maxMarks bounds the part of a text that marks take.
+	// maxMarks limits the space that marks use in a text.
 	maxMarks = 12
 
 	headerBytes    = 3
 	markBytes      = 4
 	countBytes     = 3
 	holderBytes    = 6
-	maxMarkCount   = 15  // calls or observers of a mark
-	maxInFlight    = 63  // calls of a count
-	maxCounts      = 255 // of one text
-	maxCalls       = 255 // of a report
+	maxMarkCount   = 15  // maximum of each count in a mark (calls or observers)
+	maxInFlight    = 63  // maximum calls in flight in a count
+	maxCounts      = 255 // maximum number of counts in one text
+	maxCalls       = 255 // maximum number of calls in a report
 	countResponded = 1 << 6
 	countSilent    = 1 << 7
 	countInFlight  = maxInFlight
@@ -57,12 +57,12 @@
 	flagContinued
 	flagLastCounted // of a report: LastCounted follows
 	flagFresh       // of a report
-	flagCovered     // of a digest: the set Covered follows, else it has all dispatchers
-	flagMissing     // of a digest: Missing and its sums follow, else none are missing
+	flagCovered     // of a digest: the set Covered follows, otherwise all dispatchers are covered
+	flagMissing     // of a digest: Missing and its sums follow, otherwise none is missing
 	flagTruncated   // of a digest
 )
 
-// Encode returns the texts of a message for a fleet of so many dispatchers.
+// Encode returns the texts of a message in a fleet of the given number of dispatchers.
 func (m Message) Encode(dispatchers int) (texts []string) {
 	for first := true; first || m.hasMore(); first = false {
 		e := encoder{raw: make([]byte, 0, maxTextBytes)}
@@ -75,8 +75,8 @@
 	return texts
 }
 
-// EncodedLen returns the length of all texts of Encode together, in bytes, without writing counts
-// and holders.
+// EncodedLen returns the total length in bytes of the texts that Encode returns, without encoding
+// counts and holders.
 func (m Message) EncodedLen(dispatchers int) (chars int) {
 	e := encoder{raw: make([]byte, 0, maxTextBytes)}
 	for first := true; first || m.hasMore(); first = false {
@@ -88,16 +88,16 @@
 	return chars
 }
 
-// hasMore reports whether counts or holders are left to be encoded.
+// hasMore reports whether counts or holders remain to be encoded.
 func (m *Message) hasMore() bool { return len(m.Counts)+len(m.Holders) > 0 }
 
 // encoder writes one text.
 type encoder struct {
-	raw []byte // begins with the header
+	raw []byte // starts with the header
 }
 
-// begin writes a text up to its counts and returns how many counts and holders of the message fit
-// behind that.
+// begin writes a text up to its counts and returns the numbers of counts and holders that fit into
+// the rest of it.
 func (e *encoder) begin(m *Message, continued bool, dispatchers int) (counts, holders int) {
 	e.raw = append(e.raw, wireVersion, 0, 0)
 	e.flag(flagSyncRequest, m.SyncRequest)
@@ -110,7 +110,8 @@
 		}
 		e.appendMarks(m.Marks)
 	}
-	// With some thousand dispatchers the sets alone exceed a text; the host drops such a text.
+	// With several thousand dispatchers the sets alone exceed maxTextBytes; the host drops such
+	// texts.
 	room := max(0, maxTextBytes-len(e.raw))
 	counts = min(len(m.Counts), room/countBytes, maxCounts)
 	holders = min(len(m.Holders), (room-countBytes*counts)/holderBytes)
@@ -118,7 +119,7 @@
 	return counts, holders
 }
 
-// flag sets a flag in the header where on, and returns on.
+// flag sets a flag in the header if on is true, and returns on.
 func (e *encoder) flag(flag byte, on bool) bool {
 	if on {
 		e.raw[1] |= flag
@@ -153,7 +154,7 @@
 	e.raw = appendValues(e.raw, quoted)
 }
 
-// appendDigest writes a digest, its sets only where they are not the default.
+// appendDigest writes a digest, with its sets only if they differ from the defaults.
 func (e *encoder) appendDigest(d *Digest, dispatchers int) {
 	sums := e.valueCount(d.Sums)
 	e.raw = binary.BigEndian.AppendUint16(e.raw, d.Tick)
@@ -185,7 +186,7 @@
 	}
 }
 
-// appendCounts writes counts, with calls in flight cut to maxInFlight.
+// appendCounts writes counts, with calls in flight limited to maxInFlight.
 func (e *encoder) appendCounts(counts []Count) {
 	for _, count := range counts {
 		b := byte(min(count.InFlight, maxInFlight))
@@ -199,7 +200,7 @@
 	}
 }
 
-// appendHolders writes holders up to the end of the text.
+// appendHolders writes holders, which extend to the end of the text.
 func (e *encoder) appendHolders(holders []Holder) {
 	for _, holder := range holders {
 		e.raw = binary.BigEndian.AppendUint32(e.raw, holder.Func)
--- a/aggregate/golden_test.go
+++ b/aggregate/golden_test.go
@@ -14,27 +14,27 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The files in testdata pin the wire form of datagrams between dispatchers. Dispatchers of
-// different builds talk to each other during an upgrade, so the files may change only together with
-// the version of the format.
+// The files in testdata record the wire format of datagrams between dispatchers. Dispatchers of
+// different builds communicate during an upgrade, so the files may change only together with the
+// version of the format.
 var update = flag.Bool("update", false, "write the golden files from the program's output before comparing")
 
 type goldenCase struct {
 	name        string
 	dispatchers int
 	message     Message
-	texts       []Message // what the texts decode to, one each; nil: one text that decodes to the message itself
+	texts       []Message // expected message of each text; nil: one text that decodes to the message itself
 }
 
-func setOf(dispatchers int, numbers ...int) NodeSet {
+func setOf(dispatchers int, indices ...int) NodeSet {
 	s := NewNodeSet(dispatchers)
-	for _, i := range numbers {
+	for _, i := range indices {
 		s.Add(i)
 	}
 	return s
 }
 
-func upTo[T any](n int, item func(i int) T) (out []T) {
+func generate[T any](n int, item func(i int) T) (out []T) {
 	for i := range n {
 		out = append(out, item(i))
 	}
@@ -42,17 +42,17 @@
 }
 
 func goldenCases() []goldenCase {
-	const largest = 4095 << 15 / 64.0 // the largest value that the format holds
+	const largest = 4095 << 15 / 64.0 // the largest value of the wire format
 	nan := math.NaN()
 	marks := []Mark{{Worker: 7, Served: 15, Latency: 255}, {Worker: 1 << 15, Failed: 9, Latency: 8}}
 	counts := []Count{{1, 5, true, false}, {2, 0, false, true}, {65535, 63, true, true}, {0, 1, false, false}}
 	holders := []Holder{{1 << 30, 9}, {math.MaxUint32, 65535}, {0, 0}}
-	manyCounts := upTo(70, func(i int) Count {
+	manyCounts := generate(70, func(i int) Count {
 		return Count{Worker: uint16(i * 900), InFlight: i % 64, Responded: i%2 == 0}
 	})
-	manyHolders := upTo(40, func(i int) Holder { return Holder{Func: uint32(i) << 24, Worker: uint16(i)} })
-	values := upTo(15, func(i int) float64 { return float64(i) * 12.5 })
-	quoted := upTo(15, func(i int) float64 { return []float64{0, nan, 1.5}[i%3] })
+	manyHolders := generate(40, func(i int) Holder { return Holder{Func: uint32(i) << 24, Worker: uint16(i)} })
+	values := generate(15, func(i int) float64 { return float64(i) * 12.5 })
+	quoted := generate(15, func(i int) float64 { return []float64{0, nan, 1.5}[i%3] })
 	sums, zeros := []float64{100, 7.5}, []float64{0, 0}
 	complete := Digest{
 		Tick: 513, Sums: sums, MissingSums: zeros, MissingMoved: zeros,
@@ -66,8 +66,8 @@
 	}
 	wide.Covered[0] = 0xfe
 	sample := Report{Incarnation: 200, Seq: 255, Values: []float64{12.5, 0.25}}
-	manyMarks := upTo(14, func(i int) Mark { return Mark{Worker: uint16(i), Served: 20, Failed: 16, Latency: 1} })
-	mostMarks := upTo(12, func(i int) Mark { return Mark{Worker: uint16(i), Served: 15, Failed: 15, Latency: 1} })
+	manyMarks := generate(14, func(i int) Mark { return Mark{Worker: uint16(i), Served: 20, Failed: 16, Latency: 1} })
+	mostMarks := generate(12, func(i int) Mark { return Mark{Worker: uint16(i), Served: 15, Failed: 15, Latency: 1} })
 
 	return []goldenCase{
 		{name: "sync-request", dispatchers: 3, message: Message{SyncRequest: true, Continued: true}},
@@ -167,7 +167,7 @@
 	}
 }
 
-// decoded is what the texts of a case decode to.
+// decoded returns the expected message of each text of a case.
 func (c goldenCase) decoded() []Message {
 	if c.texts == nil {
 		return []Message{c.message}
@@ -177,7 +177,7 @@
 
 func (c goldenCase) path() string { return filepath.Join("testdata", c.name+".golden") }
 
-// golden returns the texts recorded for a case; lines that begin with # are comments.
+// golden returns the recorded texts of a case. Lines that start with # are comments.
 func (c goldenCase) golden(t *testing.T) []string {
 	t.Helper()
 	data, err := os.ReadFile(c.path())
@@ -186,7 +186,7 @@
 	return slices.DeleteFunc(lines, func(line string) bool { return strings.HasPrefix(line, "#") })
 }
 
-// withoutNaN replaces NaN, which differs from itself, by a figure that no text holds.
+// withoutNaN replaces NaN, which is not equal to itself, by a value that no text can contain.
 func withoutNaN(m Message) Message {
 	m.Report.LastCounted = slices.Clone(m.Report.LastCounted)
 	for i, x := range m.Report.LastCounted {
@@ -217,7 +217,7 @@
 	if !t.Failed() {
 		files, err := filepath.Glob("testdata/*.golden")
 		require.NoError(t, err)
-		assert.ElementsMatch(t, paths, files, "each golden file belongs to a case")
+		assert.ElementsMatch(t, paths, files, "golden files and cases must match one to one")
 	}
 }
 
@@ -244,7 +244,7 @@
 	})
 }
 
-// The header is version and number of values, flags, and number of counts, a byte each.
+// The header has three bytes: version and number of values, flags, and number of counts.
 func TestGoldenDatagramsWithChangedHeaderDecodeDifferently(t *testing.T) {
 	eachGoldenCase(t, func(t *testing.T, c goldenCase) {
 		for i, text := range c.golden(t) {
@@ -254,7 +254,7 @@
 			differs := func(changed []byte, how string, at int) {
 				m, ok := Decode(base64.RawStdEncoding.EncodeToString(changed), c.dispatchers)
 				if ok && assert.ObjectsAreEqual(want, withoutNaN(m)) {
-					t.Errorf("text %d decodes to the same value with header byte %d %s", i, at, how)
+					t.Errorf("text %d decodes to the same message with header byte %d %s", i, at, how)
 				}
 			}
 			for at := range 3 {
@@ -264,7 +264,7 @@
 					differs(changed, "changed", at)
 				}
 				differs(slices.Delete(slices.Clone(raw), at, at+1), "removed", at)
-				differs(raw[:at], "and all after it cut off", at)
+				differs(raw[:at], "and everything after it removed", at)
 			}
 		}
 	})
--- a/aggregate/nodeset_test.go
+++ b/aggregate/nodeset_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestFullSetHasAllAndNoMore compares full sets with sets filled one by one.
-func TestFullSetHasAllAndNoMore(t *testing.T) {
+// TestFullSet compares fullSet with sets to which the indices are added one by one.
+func TestFullSet(t *testing.T) {
 	for _, n := range []int{0, 1, 7, 8, 9, 300, 1_900} {
 		want := NewNodeSet(n)
 		for i := range n {
--- a/aggregate/property_test.go
+++ b/aggregate/property_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestTotalsUnderEveryLossOfThreeDispatchers plays every loss of reports and digests among three
-// dispatchers over two terms: no total counts a report twice or is below the own value, and two
-// terms without loss later all agree.
+// TestTotalsUnderEveryLossOfThreeDispatchers simulates every combination of lost reports and
+// digests among three dispatchers over two terms. It checks that no total counts a report twice or
+// is below the dispatcher's own value, and that all agree after two terms without loss.
 func TestTotalsUnderEveryLossOfThreeDispatchers(t *testing.T) {
 	rate := []float64{60, 30, 10}
 	own := func(i int) []float64 { return []float64{rate[i]} }
@@ -20,7 +20,7 @@
 			fleet := newFleet(3, 1)
 			now := 1000 * 1000 * ms
 			now += term
-			playTerm(fleet, now, 0, own, everyone)
+			runTerm(fleet, now, 0, own, allReachable)
 			for r := range 2 {
 				now += term
 				bits := lost >> (6 * r)
@@ -28,7 +28,7 @@
 				if r == 1 {
 					leader = leaders / 3
 				}
-				playTerm(fleet, now, leader, own, func(from, to int) bool {
+				runTerm(fleet, now, leader, own, func(from, to int) bool {
 					return bits>>(from*2+(to-from+3)%3-1)&1 == 0
 				})
 				for i := range fleet {
@@ -41,7 +41,7 @@
 			}
 			for leader := range 2 {
 				now += term
-				playTerm(fleet, now, leader, own, everyone)
+				runTerm(fleet, now, leader, own, allReachable)
 			}
 			for i := range fleet {
 				if v := fleet[i].View(now, 0); math.Abs(v.Totals[0].Likely-100) > 2 || v.MissingCount > 0 {
@@ -54,9 +54,9 @@
 	t.Logf("%d runs", states)
 }
 
-// TestBoundsUnderAnyPartition checks for any partitions and steady traffic that the true total is
-// within the bounds of all dispatchers, and that two terms after the last partition all agree
-// within 5 %.
+// TestBoundsUnderAnyPartition checks for any partitions and constant traffic that the true total is
+// within the bounds of all dispatchers, and that all estimates are within 5 % of it two terms after
+// the last partition.
 func TestBoundsUnderAnyPartition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 9).Draw(t, "dispatchers")
@@ -69,8 +69,8 @@
 		}
 		own := func(i int) []float64 { return []float64{rate[i], 1} }
 		now := 1000 * 1000 * ms
-		step := func(leader int, reach func(int, int) bool) { now += term; playTerm(fleet, now, leader, own, reach) }
-		step(0, everyone)
+		step := func(leader int, reach func(int, int) bool) { now += term; runTerm(fleet, now, leader, own, reach) }
+		step(0, allReachable)
 		for range rapid.IntRange(1, 8).Draw(t, "terms") {
 			side := rapid.SliceOfN(rapid.IntRange(0, 2), n, n).Draw(t, "sides")
 			step(rapid.IntRange(0, n-1).Draw(t, "leader"), func(a, b int) bool { return side[a] == side[b] })
@@ -78,7 +78,7 @@
 				v := fleet[i].View(now, 0)
 				x := v.Totals[0]
 				if x.Low > total*1.02+1 || x.High < total*0.85-1 || x.Likely > total*1.1+2 || x.Likely < total*0.85-2 {
-					t.Fatalf("dispatcher %d of %d: %+v of %v, %d covered, %d missing",
+					t.Fatalf("dispatcher %d of %d: total %+v, true total %v, %d covered, %d missing",
 						i, n, x, total, v.CoveredCount, v.MissingCount)
 				}
 				if v.CoveredCount+v.MissingCount > n {
@@ -86,11 +86,11 @@
 				}
 			}
 		}
-		step(0, everyone)
-		step(n-1, everyone)
+		step(0, allReachable)
+		step(n-1, allReachable)
 		for i := range fleet {
 			if x := fleet[i].View(now, 0).Totals[0].Likely; math.Abs(x-total) > 0.05*total+1 {
-				t.Fatalf("dispatcher %d after two terms: %v of %v", i, x, total)
+				t.Fatalf("dispatcher %d after two terms: total %v, true total %v", i, x, total)
 			}
 		}
 	})
--- a/aggregate/report.go
+++ b/aggregate/report.go
@@ -5,29 +5,30 @@
 	"slices"
 )
 
-// minRelativeChange is by how much a value must differ from what the last digest counted to be
-// quoted, besides its root: for a rate averaged over some seconds, smaller differences are chance.
+// minRelativeChange is the relative change since the last digest, in addition to the square root of
+// the value, from which a value is quoted: for a rate averaged over some seconds, smaller
+// differences are random.
 const minRelativeChange = 0.1
 
-// Report is what one dispatcher reports to the leader.
+// Report contains the values that one dispatcher reports to the leader.
 type Report struct {
 	Incarnation uint8     // distinguishes restarts of the dispatcher; wraps around
-	Seq         uint8     // numbers the reports of an incarnation; wraps around
-	Values      []float64 // 0 or more, in units of the caller
-	// LastCounted are the values that the last digest counted of this dispatcher. NaN, or nil for
-	// all: about those in Values.
+	Seq         uint8     // sequence number within an incarnation; wraps around
+	Values      []float64 // 0 or more, in the caller's units
+	// LastCounted are this dispatcher's values as counted in the last digest. An element that is
+	// about equal to the one in Values is NaN; nil if all are.
 	LastCounted []float64
-	Fresh       bool // no digest has counted this dispatcher since its start
+	Fresh       bool // no digest has covered this dispatcher since its start
 }
 
-// receivedReport is the last report of one dispatcher.
+// receivedReport is the last report received from one dispatcher.
 type receivedReport struct {
 	Report
 	receivedAt int64
-	valid      bool // there is one
+	valid      bool // a report has been received
 }
 
-// NextReport returns the report to be sent next. Pass it to ReportSent once it is sent.
+// NextReport returns the next report to be sent. Pass it to ReportSent after sending it.
 func (a *Aggregator) NextReport() Report {
 	report := Report{
 		Incarnation: a.incarnation,
@@ -41,9 +42,9 @@
 	return report
 }
 
-// quotedValues returns what the last digest counted of this dispatcher, NaN for values that are
-// about the same, and nil where all are. Where the last digest does not cover this dispatcher, all
-// values are quoted.
+// quotedValues returns this dispatcher's values as counted in the last digest, with NaN for values
+// that are about the same now, or nil if all are. If the last digest does not cover this
+// dispatcher, all values are quoted.
 func (a *Aggregator) quotedValues() []float64 {
 	quoteAll := !a.digest.Covered.Has(a.settings.DispatcherIndex)
 	quotable := a.settings.Values - a.settings.Transient
@@ -65,14 +66,14 @@
 // ReportSent records that a report was sent.
 func (a *Aggregator) ReportSent(report Report) { a.lastSeq, a.sentValues = report.Seq, report.Values }
 
-// differs reports whether two values differ by more than chance.
+// differs reports whether two values differ by more than random variation.
 func differs(a, b float64) bool {
 	return math.Abs(a-b) > minRelativeChange*math.Max(a, b)+1+math.Sqrt(math.Max(a, b))
 }
 
-// HandleReport takes the report of the dispatcher with index from. It reports whether the report
-// was accepted; it is not where it is late, duplicate, of a past incarnation, of another size, or
-// of no other dispatcher.
+// HandleReport processes the report of the dispatcher with index from. It returns false if the
+// report is rejected: it is late, duplicate, from a previous incarnation, has a different number of
+// values, or does not come from another dispatcher of the fleet.
 func (a *Aggregator) HandleReport(now int64, from int, report Report) bool {
 	if !a.wellFormed(from, report) {
 		a.Dropped++
@@ -80,7 +81,8 @@
 	}
 	last := &a.reports[from]
 	// Sequence numbers wrap around, and a dispatcher may become the leader again after any number
-	// of reports to others. By then no old report is still on its way.
+	// of reports to other leaders, so numbers are compared only for a limited time. After that, no
+	// old report is still in transit.
 	recent := last.valid && now-last.receivedAt < maxSkewTerms*a.settings.Term
 	if recent && !report.follows(last.Report) {
 		a.Dropped++
@@ -102,7 +104,7 @@
 	return report.LastCounted == nil || len(report.LastCounted) == a.settings.Values
 }
 
-// follows reports whether r was sent after other, by incarnation and sequence.
+// follows reports whether r was sent after other, by incarnation and sequence number.
 func (r Report) follows(other Report) bool {
 	if r.Incarnation == other.Incarnation {
 		return newer(r.Seq, other.Seq)
@@ -110,6 +112,6 @@
 	return !newer(other.Incarnation, r.Incarnation)
 }
 
-// newer reports whether a follows b in numbers that wrap around (serial number arithmetic, RFC
-// 1982).
+// newer reports whether a follows b in numbers that wrap around (serial number arithmetic,
+// RFC 1982).
 func newer(a, b uint8) bool { return a != b && a-b < 128 }
--- a/aggregate/value.go
+++ b/aggregate/value.go
@@ -5,19 +5,18 @@
 	"math"
 )
 
-// Values are sent in sixteen bits: a mantissa of twelve bits and an exponent of four bits to the
-// base of two, in units of 1/64. The largest is about 2 million, the relative error at most 1 in
-// 4,000.
+// Values are encoded in 16 bits: a 12-bit mantissa and a 4-bit exponent to base 2, in units of
+// 1/64. The largest value is about 2 million, and the relative error is at most 1 in 4,000.
 const (
 	mantissaBits = 12
 	maxMantissa  = 1<<mantissaBits - 1
 	maxExponent  = 15
-	valueUnit    = 64 // units in 1
+	valueUnit    = 64 // units per 1
 	valueBytes   = 2
 )
 
-// encodeValue returns the nearest value of the wire format. Negative numbers and NaN are 0, numbers
-// beyond the range are the largest value.
+// encodeValue returns the nearest value of the wire format. Negative numbers and NaN are encoded as
+// 0, numbers beyond the range as the largest value.
 func encodeValue(x float64) uint16 {
 	if !(x > 0) { // also NaN
 		return 0
--- a/aggregate/view.go
+++ b/aggregate/view.go
@@ -5,29 +5,29 @@
 	"slices"
 )
 
-// staleAfterTerms is the number of terms without a digest after which this dispatcher counts as
-// isolated.
+// staleAfterTerms is the number of terms without a digest after which a view is stale and this
+// dispatcher is considered isolated.
 const staleAfterTerms = 4
 
-// Total is the sum of a value over the fleet. The bounds hold whether the missing dispatchers have
-// crashed, so that their calls have moved to others, are partitioned and go on as they were, or
-// have stopped, provided that traffic moves for no other reason.
+// Total is the sum of a value over the fleet: an estimate and its bounds. The bounds hold whether
+// the missing dispatchers have crashed, so that their calls have moved to others, are partitioned
+// and continue as before, or have stopped, provided that traffic does not move for other reasons.
 type Total struct{ Low, Likely, High float64 }
 
-// View is what a dispatcher knows of the totals.
+// View is one dispatcher's view of the totals.
 type View struct {
 	Totals       []Total
-	CoveredSums  []float64 // sums over the dispatchers covered alone: for ratios of values that change quickly
-	CoveredCount int       // number of dispatchers that the sums cover, this one included
-	MissingCount int       // number of dispatchers that are missing
-	Age          int64     // nanoseconds since the digest came; 0 without a digest
-	NoDigest     bool      // no digest has come since the start of this dispatcher
-	Stale        bool      // no digest has come for some terms, or none at all
-	Scale        float64   // ratio of the total to the sum covered, of the value named to Aggregator.View; at least 1
+	CoveredSums  []float64 // sums over covered dispatchers only, for ratios of values that change quickly
+	CoveredCount int       // number of dispatchers that the sums cover, including this one
+	MissingCount int       // number of missing dispatchers
+	Age          int64     // nanoseconds since the digest was received; 0 without a digest
+	NoDigest     bool      // no digest has been received since the start of this dispatcher
+	Stale        bool      // no digest has been received for staleAfterTerms terms, or none at all
+	Scale        float64   // total over covered sum, for the value chosen in Aggregator.View; at least 1
 }
 
-// View returns the totals as they are known. scaleBy is the index of the value that View.Scale is
-// computed from; without such a value Scale is 1.
+// View returns the current view of the totals. scaleBy is the index of the value from which
+// View.Scale is computed; if there is no such value, Scale is 1.
 func (a *Aggregator) View(now int64, scaleBy int) View {
 	if !a.hasDigest {
 		return a.viewWithoutDigest()
@@ -50,7 +50,7 @@
 }
 
 // viewWithoutDigest returns the view before the first digest. This dispatcher may have all the
-// traffic or as much as each of the others; the likely total is the geometric mean of the two.
+// traffic or an equal share of it; the likely total is the geometric mean of the two cases.
 func (a *Aggregator) viewWithoutDigest() View {
 	view := View{
 		Totals:       make([]Total, a.settings.Values),
@@ -67,8 +67,8 @@
 	return view
 }
 
-// total returns the total of value i. keep is the part of what other dispatchers had that has not
-// decayed, 0 to 1.
+// total returns the total of value i. keep is the fraction of the other dispatchers' values that
+// remains after decay, 0 to 1.
 func (a *Aggregator) total(i int, view *View, keep float64) Total {
 	own, sum := a.local[i], a.digest.Sums[i]
 	counted := a.countedInDigest(i)
@@ -79,7 +79,8 @@
 	}
 	total := Total{Low: own, Likely: own + others, High: own + othersAtMost}
 	if view.Stale {
-		// This dispatcher is isolated: what it has gained since may be what the others had.
+		// This dispatcher is isolated: its increase since may be traffic that moved from the
+		// others.
 		gained := max(0, own-counted)
 		total.Likely = max(own, own+keep*max(0, others-gained))
 	} else {
@@ -88,8 +89,8 @@
 	return total
 }
 
-// countedInDigest returns what the last digest holds of this dispatcher's value i, in its sums or
-// in those of the missing.
+// countedInDigest returns this dispatcher's contribution to value i in the last digest, in its Sums
+// or its MissingSums.
 func (a *Aggregator) countedInDigest(i int) float64 {
 	self := a.settings.DispatcherIndex
 	if a.everCounted && (a.digest.Covered.Has(self) || a.digest.Missing.Has(self)) {
@@ -98,8 +99,8 @@
 	return 0
 }
 
-// scale returns the ratio of the total of value i to the sum over the dispatchers covered, 1 or
-// more.
+// scale returns the ratio of the total of value i to the sum over the covered dispatchers, at least
+// 1.
 func (a *Aggregator) scale(i int) float64 {
 	d := &a.digest
 	if i < 0 || i >= a.settings.Values || !(d.Sums[i] > 0) { // also NaN
