--- a/outlier/detector.go
+++ b/outlier/detector.go
@@ -20,7 +20,7 @@
 	// failureStep is the weight of one failure in the decaying mean of failures. Two consecutive
 	// failures exceed ejectThreshold.
 	failureStep = 0.4
-	// successDecay is the factor by which a success reduces the mean.
+	// successDecay is the fraction of the mean that remains after a success.
 	successDecay = 0.7
 	// ejectThreshold is the mean of failures above which a worker is ejected: most of its recent
 	// calls failed.
@@ -114,7 +114,7 @@
 	return Event{Kind: EventEjectedFailing, FailurePercent: stats.failurePercent()}
 }
 
-// addFailure adds a failure to the mean, ejects the worker or extends its ejection where the mean
+// addFailure adds a failure to the mean, ejects the worker or extends its ejection if the mean
 // exceeds the threshold, and reports whether the worker was ejected by this failure.
 func (d *Detector) addFailure(now int64, stats *Stats, weight FailureWeight) bool {
 	wasEjected := stats.ejected
--- a/outlier/evidence.go
+++ b/outlier/evidence.go
@@ -20,7 +20,7 @@
 	// not: if one call in a hundred fails at random, two observers agree by chance every few
 	// minutes.
 	wilsonZ = 1.5
-	// isolationRatio is the ratio of silent to responding workers from which an observer is
+	// isolationRatio is the ratio of silent to responding workers at which an observer is
 	// considered isolated itself.
 	isolationRatio = 3
 )
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -1,8 +1,8 @@
 // Package rules decides whether an action is allowed: writing a request to a worker, closing a
 // connection, retrying or rejecting a call, ordering a worker to load a function. Each rule is
 // implemented once, here, and every code path consults it: shutdown, reload, retry, hedge,
-// cancellation, idle close, and the connection limit for clients. The functions are pure, without
-// clock, goroutine or I/O, and return a Reason.
+// cancellation, idle close, and the connection limit for clients. The package has no
+// clock, goroutine or I/O, and its functions return a Reason.
 //
 // docs/design/invariants.md lists the rules, the code paths that apply them, and the tests.
 package rules
