--- a/attempt.go
+++ b/attempt.go
@@ -11,14 +11,14 @@
 	"oakthread/internal/violation"
 )
 
-// attemptKey identifies an attempt by its request and its number among the attempts of that
-// request, from 0.
+// attemptKey identifies an attempt by the ID of its request and its number within that request,
+// starting at 0.
 type attemptKey struct {
 	requestID string
 	number    int
 }
 
-// inFlightAttempt is an attempt that Workers.Send has not returned from.
+// inFlightAttempt is an attempt for which Workers.Send has not returned yet.
 type inFlightAttempt struct {
 	writePermission
 
@@ -28,9 +28,9 @@
 	started time.Time
 }
 
-// startAttempt sends a request to a worker in a goroutine of its own, which ends with Workers.Send:
-// at the latest when its context is cancelled, by the deadline, CancelAttempt or Close. Its result
-// returns as one event.
+// startAttempt sends a request to a worker in a new goroutine, which ends when Workers.Send
+// returns: at the latest when its context is cancelled by the deadline, CancelAttempt or Close. The
+// result is posted to the event loop as one event.
 func (c *Core) startAttempt(request *pendingRequest, worker Endpoint, deadline time.Time) {
 	ctx, cancel := context.WithCancelCause(c.ctx)
 	ctx, release := context.WithDeadline(ctx, deadline)
@@ -66,9 +66,10 @@
 	}()
 }
 
-// resultAfter returns the result of an attempt in view of the end of its context. A context that
-// has ended turns results that leave the outcome open into Timeout or Cancelled. Results that prove
-// that the attempt did not run stay.
+// resultAfter adjusts the result of an attempt to the state of its context. If the context has
+// ended, a result that leaves the outcome open (Reset or Timeout) becomes Cancelled if
+// CancelAttempt ended the attempt, and Timeout otherwise. Other results are kept, among them those
+// that prove that the attempt did not run.
 func resultAfter(ctx context.Context, result balancer.Result) balancer.Result {
 	if ctx.Err() == nil || result != balancer.Reset && result != balancer.Timeout {
 		return result
@@ -121,8 +122,8 @@
 	})
 }
 
-// logAttempt logs the end of an attempt at level debug. The request is nil if it has completed
-// before.
+// logAttempt logs the end of an attempt at level debug. request is nil if the request has already
+// completed.
 func (c *Core) logAttempt(request *pendingRequest, attempt *inFlightAttempt, reply Reply, duration time.Duration) {
 	if !c.cfg.Log.Enabled(c.ctx, slog.LevelDebug) {
 		return
@@ -137,7 +138,7 @@
 		"report", fmt.Sprint(reply.Report), "ms", duration.Milliseconds())
 }
 
-// mayHaveRun reports whether an attempt with this result may have had an effect.
+// mayHaveRun reports whether an attempt with this result may have run the function.
 func mayHaveRun(result balancer.Result) bool {
 	switch result {
 	case balancer.OK, balancer.Error, balancer.Timeout, balancer.Reset, balancer.Cancelled:
@@ -149,17 +150,17 @@
 }
 
 // countExecution records that an attempt of the request may have run, and reports a violation if it
-// is the second one of a request that is not idempotent.
+// is the second such attempt of a non-idempotent request.
 func (c *Core) countExecution(request *pendingRequest) {
 	request.executions++
 	if request.executions > 1 && c.cfg.isNonIdempotent(request.Class) {
 		c.reportViolation(violation.RuleAtMostOnce, violation.PathAttemptEnd, request.ID,
-			"a second attempt ended that may have run")
+			"a second attempt of a non-idempotent request may have run")
 	}
 }
 
-// skipAttempt ends an attempt that is not sent, with the result NotSent or ConnectFailed: the
-// caller has left, or the worker accepts no requests.
+// skipAttempt ends an attempt without sending it. The result is NotSent if the caller has left, or
+// ConnectFailed if the worker is not listed as active.
 func (c *Core) skipAttempt(request *pendingRequest, worker balancer.WorkerID, result balancer.Result) {
 	number, started := request.attempts, time.Now()
 	request.attempts++
@@ -179,8 +180,8 @@
 	})
 }
 
-// revokeWorker revokes the attempts and load orders on their way to a worker that must not receive
-// new ones.
+// revokeWorker revokes the write permission of the attempts and load orders in flight to a worker
+// that must not receive new work.
 func (c *Core) revokeWorker(worker balancer.WorkerID) {
 	for _, attempt := range c.state.attempts {
 		if attempt.worker == worker {
--- a/config.go
+++ b/config.go
@@ -8,44 +8,48 @@
 	"oakthread/balancer"
 )
 
-// Config holds the parts that a Core is built from. Workers is required; the other fields have
+// Config holds the settings and dependencies of a Core. Workers is required; the other fields have
 // usable zero values.
 type Config struct {
 	Settings balancer.Settings
-	// Seed starts the random numbers of the balancer, so that its choices can be repeated.
+	// Seed seeds the random number generator of the balancer, so that its choices are reproducible.
 	Seed uint64
-	// MaxInFlight limits the requests in flight; requests beyond it are rejected. Zero means 4096.
+	// MaxInFlight is the maximum number of requests in flight; further requests are rejected. Zero
+	// means 4096.
 	MaxInFlight int
-	// Workers carries attempts, health checks and load orders.
+	// Workers sends attempts, health checks and load orders to workers.
 	Workers Workers
-	// Peers carries messages between dispatchers; nil means that there are no others.
+	// Peers exchanges messages with other dispatchers; nil means that there are none.
 	Peers Peers
-	// Admit is called once for each request, before the balancer sees it. If it returns false, the
-	// request is rejected with the returned wait as its Retry-After. It runs in the event loop and
-	// must not block. Nil admits every request.
+	// Admit is called once for each request, before it is passed to the balancer. If ok is false,
+	// the request is rejected with wait as its Retry-After. It runs in the event loop and must not
+	// block. Nil admits every request.
 	Admit func(*Request) (wait time.Duration, ok bool)
-	// Completed is called for every request that has its final answer. It runs in the event loop
-	// and must not block.
+	// Completed is called once for each accepted request when it has its final answer or is
+	// abandoned, but not for requests that Close ends. It runs in the event loop and must not
+	// block.
 	Completed func(Completion)
-	// Observed is called for every attempt and load order that ends. It runs in the event loop and
-	// must not block.
+	// Observed is called at the end of each attempt and load order that was passed to Workers,
+	// except for load orders that timed out. It runs in the event loop and must not block.
 	Observed func(Observation)
-	// Violated is called when an invariant of docs/design/invariants.md turns out to have been
-	// broken. It receives the id of the rule, the place of the detection and the id of the request.
+	// Violated is called when a violation of an invariant in docs/design/invariants.md is detected.
+	// It receives the ID of the rule, the code path that detected the violation, the ID of the
+	// request and a description. It runs in the event loop and must not block.
 	Violated func(rule, path, id, detail string)
-	// Log receives the log lines of the core; nil discards them.
+	// Log receives the log messages of the Core; nil discards them.
 	Log *slog.Logger
 }
 
 const (
-	// defaultMaxInFlight is the value of a MaxInFlight of zero.
+	// defaultMaxInFlight replaces a Config.MaxInFlight of zero.
 	defaultMaxInFlight = 4096
-	// eventQueueSize is the number of events that may wait for the event loop before post blocks.
+	// eventQueueSize is the number of events that can be queued for the event loop before post
+	// blocks.
 	eventQueueSize = 1024
 )
 
-// withDefaults returns the configuration with its zero values replaced, or an error if a required
-// field is missing.
+// withDefaults returns the configuration with zero values replaced by defaults, or an error if a
+// required field is missing.
 func (c Config) withDefaults() (Config, error) {
 	if c.Workers == nil {
 		return c, errors.New("oakthread: Config.Workers is nil")
@@ -59,8 +63,8 @@
 	return c, nil
 }
 
-// isNonIdempotent reports whether a request of the class must not run twice. Classes added by
-// AddClasses are not known here and count as idempotent.
+// isNonIdempotent reports whether requests of the class must not run twice. Classes added by
+// AddClasses are not part of the configuration and count as idempotent.
 func (c Config) isNonIdempotent(class int) bool {
 	classes := c.Settings.Classes
 	return class < len(classes) && classes[class].Idempotency == balancer.NotIdempotent
--- a/core.go
+++ b/core.go
@@ -11,8 +11,8 @@
 )
 
 // Core dispatches requests to workers. A single goroutine, the event loop, owns the balancer and
-// all state of requests; every other goroutine posts events to it. Its methods are safe for
-// concurrent use.
+// the state of all requests; all other goroutines post events to it. The methods of Core are safe
+// for concurrent use.
 type Core struct {
 	cfg    Config
 	events chan func()
@@ -21,8 +21,9 @@
 	loadLimiter loadOrderLimiter
 
 	ready atomic.Bool
-	// Times of the endpoint list in nanoseconds of the process clock, 0 for never: the latest heartbeat
-	// of discovery, when the next one is overdue, and until when the list counts as current.
+	// Times of the endpoint list in nanoseconds of the process clock, 0 for never: when discovery
+	// last confirmed the list, when its next heartbeat is overdue, and until when the list is
+	// current.
 	confirmedAt, heartbeatUntil, currentUntil atomic.Int64
 	classCount                                atomic.Int64 // classes that a request may name
 
@@ -30,8 +31,7 @@
 	closing   chan struct{}
 	stopped   chan struct{} // closed when the event loop has returned
 
-	// ctx is the parent of the contexts of attempts, load orders and health checks. Close cancels
-	// it.
+	// ctx is the parent context of attempts, load orders and health checks. Close cancels it.
 	ctx    context.Context
 	cancel context.CancelFunc
 }
@@ -40,7 +40,7 @@
 type loopState struct {
 	balancer  *balancer.Balancer
 	lastEvent int64    // time of the latest event, in nanoseconds of the process clock
-	deferred  []func() // run after the current event
+	deferred  []func() // to be run after the current event
 	requests  map[string]*pendingRequest
 	attempts  map[attemptKey]*inFlightAttempt
 	loads     map[*inFlightLoad]struct{}
@@ -49,8 +49,8 @@
 	counters  Counters
 }
 
-// New starts a Core, which runs until Close. It fails if cfg names no Workers or the balancer does
-// not accept the settings.
+// New starts a Core, which runs until Close is called. It returns an error if Config.Workers is nil
+// or the balancer rejects the settings.
 func New(cfg Config) (*Core, error) {
 	cfg, err := cfg.withDefaults()
 	if err != nil {
@@ -80,9 +80,9 @@
 	return c, nil
 }
 
-// Close stops the event loop and cancels what is in flight. Requests in flight get ErrClosed, so a
-// graceful shutdown waits for its requests first. Close returns without waiting for the methods of
-// Workers, which end with their contexts.
+// Close stops the event loop and cancels all attempts, load orders and health checks in flight. Do
+// returns ErrClosed for requests in flight, so a graceful shutdown must wait for them before it
+// calls Close. Close does not wait for calls of Workers methods, whose contexts it cancels.
 func (c *Core) Close() {
 	c.closeOnce.Do(func() { close(c.closing) })
 	<-c.stopped
@@ -106,7 +106,7 @@
 	}
 }
 
-// runDeferred runs the functions that an event deferred, and those that they defer in turn.
+// runDeferred runs the deferred functions, including those that they defer in turn.
 func (c *Core) runDeferred() {
 	for len(c.state.deferred) > 0 {
 		deferred := c.state.deferred
@@ -117,9 +117,9 @@
 	}
 }
 
-// deferEvent has the event loop run event after the current one. Methods of balancer.Host use it
-// for results that are known at once, since the balancer cannot be called from within its own calls
-// to the host.
+// deferEvent schedules event to run after the current event. The methods of balancer.Host use it
+// for results that are known immediately, because the balancer must not be called from within its
+// own calls to the host.
 func (c *Core) deferEvent(event func()) {
 	c.state.deferred = append(c.state.deferred, event)
 }
@@ -135,10 +135,11 @@
 	}
 }
 
-// query runs ask in the event loop and returns its result, or the zero value if the Core is closed.
-func query[T any](c *Core, ask func() T) (zero T) {
+// query runs read in the event loop and returns its result, or the zero value if the Core is
+// closed.
+func query[T any](c *Core, read func() T) (zero T) {
 	answer := make(chan T, 1)
-	if !c.post(func() { answer <- ask() }) {
+	if !c.post(func() { answer <- read() }) {
 		return zero
 	}
 	select {
@@ -149,8 +150,8 @@
 	}
 }
 
-// now returns the time of the current event in nanoseconds of the process clock, which steps of the
-// wall clock do not affect. It never goes backwards.
+// now returns the current time in nanoseconds of the process clock, which steps of the wall clock
+// do not affect. It never goes backwards.
 func (c *Core) now() int64 {
 	c.state.lastEvent = max(c.state.lastEvent, monotime.Now().UnixNano())
 	return c.state.lastEvent
--- a/counters.go
+++ b/counters.go
@@ -2,27 +2,27 @@
 
 import "oakthread/balancer"
 
-// Counters hold the totals of a Core since its start.
+// Counters holds the totals of a Core since its start.
 type Counters struct {
 	Accepted, Served, Rejected, Failed, TimedOut, Abandoned int64
 
-	RejectedByLimit     int64 // part of Rejected: more requests than Config.MaxInFlight
-	RejectedByAdmission int64 // part of Rejected: by Config.Admit
+	RejectedByLimit     int64 // subset of Rejected: beyond Config.MaxInFlight
+	RejectedByAdmission int64 // subset of Rejected: by Config.Admit
 
-	EndReasons [balancer.NumEndReasons]int64 // requests that the balancer ended, indexed by balancer.EndReason
+	EndReasons [balancer.NumEndReasons]int64 // requests ended by the balancer, by balancer.EndReason
 
-	Attempts       int64                      // attempts handed to Workers
-	AttemptResults [balancer.NumResults]int64 // ended attempts, indexed by balancer.Result
+	Attempts       int64                      // attempts passed to Workers
+	AttemptResults [balancer.NumResults]int64 // ended attempts, by balancer.Result
 
-	LoadOrders         int64 // load orders handed to Workers
-	LoadOrdersWithheld int64 // load orders of the balancer that were not sent
+	LoadOrders         int64 // load orders passed to Workers
+	LoadOrdersWithheld int64 // load orders that the balancer issued and the Core did not send
 
-	Leases balancer.LeaseCounts // health checks, and what they showed
+	Leases balancer.LeaseCounts // health checks and their results
 
-	InvalidPeerMessages int64 // messages of other dispatchers that could not be decoded
+	InvalidPeerMessages int64 // messages from other dispatchers that could not be decoded
 }
 
-// countCompletion adds a completed request.
+// countCompletion counts a completed request by its outcome, or as abandoned.
 func (c *Counters) countCompletion(outcome Outcome, abandoned bool) {
 	if abandoned {
 		c.Abandoned++
--- a/endpoints.go
+++ b/endpoints.go
@@ -11,36 +11,37 @@
 
 // Endpoint is the entry of a worker in the endpoint list.
 type Endpoint struct {
-	ID     balancer.WorkerID // the same at every dispatcher
-	Addr   string            // where the worker listens; may be given to another worker once this one is removed
+	ID     balancer.WorkerID // the same at all dispatchers
+	Addr   string            // listen address; may be reassigned to another worker after a removal
 	Zone   int
-	Kind   int // of hardware
+	Kind   int // kind of hardware
 	Cell   int
 	State  balancer.EndpointState
 	Weight float64
-	Start  time.Time // of the worker process; zero means long ago
+	Start  time.Time // start of the worker process; zero means long ago
 }
 
-// EndpointUpdate is a change of the endpoint list, or a snapshot of it.
+// EndpointUpdate is a change to the endpoint list, or a snapshot of the list.
 type EndpointUpdate struct {
 	Kind      balancer.EndpointUpdateKind
 	Endpoints []Endpoint
 }
 
-// replacesList reports whether the update names every endpoint there is.
+// replacesList reports whether the update holds the complete list, so that it replaces the current
+// one.
 func (u EndpointUpdate) replacesList() bool {
 	return u.Kind == balancer.EndpointsSnapshot || u.Kind == balancer.EndpointsCached
 }
 
 // EndpointWatcher watches the endpoint list.
 type EndpointWatcher interface {
-	// Watch passes each update to handle, in order and from one goroutine, until ctx ends.
+	// Watch passes each update to handle, in order and from a single goroutine, until ctx ends.
 	Watch(ctx context.Context, handle func(EndpointUpdate)) error
 }
 
-// listedEndpoint is an endpoint and the start of its worker in nanoseconds of the process clock.
-// The start is converted once, when it is first received: a repeated entry keeps it even if the
-// wall clock has been stepped in between.
+// listedEndpoint is an endpoint and the start time of its worker in nanoseconds of the process
+// clock. The start time is converted only when it is first received, so that a repeated entry keeps
+// it even if the wall clock has been stepped in between.
 type listedEndpoint struct {
 	Endpoint
 
@@ -52,8 +53,8 @@
 	c.post(func() { c.applyEndpoints(update) })
 }
 
-// ConfirmEndpoints takes that discovery has confirmed the endpoint list: every change known to it has
-// been passed to UpdateEndpoints.
+// ConfirmEndpoints records that discovery has confirmed the endpoint list: every change known to
+// discovery has been passed to UpdateEndpoints.
 func (c *Core) ConfirmEndpoints() {
 	c.post(func() {
 		now := c.now()
@@ -65,7 +66,7 @@
 	})
 }
 
-// leaseHolds reports whether a worker may get new work now, by the end of its lease. It is safe for
+// leaseHolds reports whether a worker whose lease ends at end may get new work now. It is safe for
 // concurrent use.
 func (c *Core) leaseHolds(end lease.End) bool {
 	if c.cfg.Settings.ConfirmInterval <= 0 {
@@ -79,8 +80,8 @@
 		now <= end.Heartbeats && now <= c.heartbeatUntil.Load()
 }
 
-// EndpointsAge returns the time since discovery last confirmed the endpoint list; ok is false if it
-// never has.
+// EndpointsAge returns the time since discovery last confirmed the endpoint list. ok is false if
+// discovery has not confirmed it yet.
 func (c *Core) EndpointsAge() (age time.Duration, ok bool) {
 	confirmedAt := c.confirmedAt.Load()
 	if confirmedAt == 0 {
@@ -89,7 +90,7 @@
 	return time.Duration(monotime.Now().UnixNano() - confirmedAt), true
 }
 
-// applyEndpoints applies an update to the table of endpoints and passes it to the balancer.
+// applyEndpoints applies an update to the endpoint table and passes it to the balancer.
 func (c *Core) applyEndpoints(update EndpointUpdate) {
 	entries := make([]balancer.Endpoint, 0, len(update.Endpoints))
 	for _, endpoint := range update.Endpoints {
@@ -111,9 +112,10 @@
 	c.state.balancer.UpdateEndpoints(c.now(), update.Kind, entries)
 }
 
-// applyEndpoint applies one entry and returns the start of its worker. Connections to a worker that
-// was removed, has restarted or has moved are closed, and what is on its way to a worker that is
-// not active is revoked.
+// applyEndpoint applies one entry and returns the start time of its worker. It closes the
+// connections to a worker that was removed, has restarted or has a new address, and revokes the
+// attempts and load orders to it that have not been written. It also revokes those to a worker that
+// is not active.
 func (c *Core) applyEndpoint(endpoint Endpoint) (started int64) {
 	known, listed := c.state.endpoints[endpoint.ID]
 	restarted := !known.Start.Equal(endpoint.Start)
@@ -136,7 +138,7 @@
 	return started
 }
 
-// removeUnlisted removes the endpoints that a snapshot does not name.
+// removeUnlisted removes the endpoints that are missing from a snapshot.
 func (c *Core) removeUnlisted(snapshot []Endpoint) {
 	listed := make(map[balancer.WorkerID]bool, len(snapshot))
 	for _, endpoint := range snapshot {
--- a/host.go
+++ b/host.go
@@ -8,17 +8,18 @@
 	"oakthread/internal/monotime"
 )
 
-// healthCheckTimeout limits a health check. A worker that does not answer within it counts as not
-// answering.
+// healthCheckTimeout is the timeout of a health check. A worker that does not answer in time counts
+// as unresponsive.
 const healthCheckTimeout = 250 * time.Millisecond
 
-// host carries out the actions of the balancer. Its methods run in the event loop, within the event
-// that causes them.
+// host implements balancer.Host. Its methods run in the event loop, within the event that causes
+// them.
 type host struct{ core *Core }
 
 var _ balancer.Host = host{}
 
-// SendAttempt sends a request to a worker. An until of zero means the deadline of the request.
+// SendAttempt sends a request to a worker. The attempt ends at until, in nanoseconds of the process
+// clock, or at the deadline of the request if until is zero or later.
 func (h host) SendAttempt(id string, worker balancer.WorkerID, until int64) {
 	request := h.core.state.requests[id]
 	if request == nil {
@@ -47,7 +48,8 @@
 	}
 }
 
-// Reject rejects a request; wait is its Retry-After in nanoseconds, no advice below 1.
+// Reject rejects a request. wait is its Retry-After in nanoseconds; if it is not positive, the
+// rejection has no Retry-After.
 func (h host) Reject(id string, wait int64) {
 	if request := h.core.state.requests[id]; request != nil {
 		request.endReason = h.core.state.balancer.EndReason().String()
@@ -55,7 +57,7 @@
 	}
 }
 
-// Fail fails a request that may have run.
+// Fail fails a request that may have had an effect.
 func (h host) Fail(id string) {
 	if request := h.core.state.requests[id]; request != nil {
 		request.endReason = h.core.state.balancer.EndReason().String()
@@ -63,7 +65,7 @@
 	}
 }
 
-// OrderLoad orders a worker to hold so many copies of a function.
+// OrderLoad orders a worker to hold the given number of loaded copies of a function.
 func (h host) OrderLoad(worker balancer.WorkerID, function balancer.FuncID, copies int) {
 	h.core.orderLoad(worker, function, copies)
 }
@@ -73,8 +75,8 @@
 	h.core.orderUnload(worker, function)
 }
 
-// HealthCheck checks a worker in a goroutine of its own, which ends at the latest after
-// healthCheckTimeout or with Close.
+// HealthCheck checks a worker in a new goroutine, which ends at the latest after healthCheckTimeout
+// or on Close.
 func (h host) HealthCheck(worker balancer.WorkerID) {
 	c := h.core
 	endpoint, listed := c.state.endpoints[worker]
@@ -103,7 +105,7 @@
 	}
 }
 
-// SetTimer has the balancer handle the timer ref after a delay in nanoseconds.
+// SetTimer calls the balancer's HandleTimer with ref after delay, in nanoseconds.
 func (h host) SetTimer(delay, ref int64) {
 	c := h.core
 	time.AfterFunc(time.Duration(delay), func() {
@@ -111,12 +113,12 @@
 	})
 }
 
-// CountTowardLoadQuota counts a request, which arrived at the given time, toward the quota on load
-// orders.
+// CountTowardLoadQuota counts a request toward the quota on load orders. at is its time of arrival
+// in nanoseconds of the process clock.
 func (h host) CountTowardLoadQuota(at int64) { h.core.loadLimiter.count(monotime.Time(at)) }
 
 // SubscribeEndpoints does nothing: the owner of the Core watches the endpoint list from the start.
 func (h host) SubscribeEndpoints() {}
 
-// Log logs a line of the balancer.
+// Log logs a message of the balancer at level info.
 func (h host) Log(text string) { h.core.cfg.Log.Info(text) }
--- a/loadorder.go
+++ b/loadorder.go
@@ -8,28 +8,30 @@
 )
 
 const (
-	// defaultLoadOrderTimeout is the timeout of a load order if the settings name none.
+	// defaultLoadOrderTimeout is the timeout of a load order if the settings do not specify one.
 	defaultLoadOrderTimeout = 10 * time.Second
-	// unloadTimeout limits an unload order, whose result nobody waits for.
+	// unloadTimeout is the timeout of an unload order, whose result is not used.
 	unloadTimeout = 2 * healthCheckTimeout
-	// recentFunctionTTL is how long a function may be named by load orders after its last request.
+	// recentFunctionTTL is how long after its latest request a function may be named in load
+	// orders.
 	recentFunctionTTL = time.Minute
 )
 
-// recentFunctions are the functions requested within recentFunctionTTL. Load orders name only
-// these, by the key that the latest request carried.
+// recentFunctions holds the functions requested within recentFunctionTTL. Load orders are sent only
+// for these, with the key of the latest request.
 type recentFunctions struct {
 	entries   map[balancer.FuncID]recentFunction
 	lastSweep time.Time
 }
 
-// recentFunction is the key and the time of the latest request for a function.
+// recentFunction holds the key and the time of the latest request for a function.
 type recentFunction struct {
 	key       string
 	requested time.Time
 }
 
-// add records a request for a function, and removes expired entries from time to time.
+// add records a request for a function. It removes expired entries at intervals of at least a tenth
+// of recentFunctionTTL.
 func (r *recentFunctions) add(function balancer.FuncID, key string, now time.Time) {
 	r.entries[function] = recentFunction{key, now}
 	if now.Sub(r.lastSweep) < recentFunctionTTL/10 {
@@ -43,7 +45,7 @@
 	}
 }
 
-// inFlightLoad is a load order that Workers.Load has not returned from.
+// inFlightLoad is a load order for which Workers.Load has not returned yet.
 type inFlightLoad struct {
 	writePermission
 
@@ -52,9 +54,9 @@
 	started     time.Time
 }
 
-// orderLoad sends a load order, unless its worker or function is not known, its worker accepts no
-// orders, or the quota is exhausted. To the balancer, a withheld order ends like one that the
-// worker rejects.
+// orderLoad sends a load order. The order is withheld if its worker is not listed, its function has
+// no recent request, it asks for copies at a worker that is not active, or the quota is exhausted.
+// The balancer gets the same result for a withheld order as for one that the worker rejects.
 func (c *Core) orderLoad(worker balancer.WorkerID, function balancer.FuncID, copies int) {
 	endpoint, listed := c.state.endpoints[worker]
 	recent, requested := c.state.functions.entries[function]
@@ -73,14 +75,15 @@
 	c.startLoad(&inFlightLoad{order: order, reservation: reservation})
 }
 
-// withholdLoad ends a load order that is not sent.
+// withholdLoad ends a load order without sending it.
 func (c *Core) withholdLoad(worker balancer.WorkerID, function balancer.FuncID) {
 	c.state.counters.LoadOrdersWithheld++
 	c.deferEvent(func() { c.state.balancer.HandleLoadResult(c.now(), worker, function, 0, balancer.QueueFull) })
 }
 
-// startLoad sends a load order in a goroutine of its own, which ends with Workers.Load: at the
-// latest when its context is cancelled, by the timeout or Close. Its result returns as one event.
+// startLoad sends a load order in a new goroutine, which ends when Workers.Load returns: at the
+// latest when its context is cancelled by the timeout or Close. The result is posted to the event
+// loop as one event.
 func (c *Core) startLoad(load *inFlightLoad) {
 	ctx, cancel := context.WithCancelCause(c.ctx)
 	load.caller, load.cancel = c.ctx, cancel
@@ -99,8 +102,8 @@
 	}()
 }
 
-// sendLoad sends a load order and waits for its result. A reservation of which nothing was written
-// is released.
+// sendLoad sends a load order and waits for its result. It releases the reservation of an order of
+// which nothing was written.
 func (c *Core) sendLoad(ctx context.Context, load *inFlightLoad) Reply {
 	timeout := time.Duration(c.cfg.Settings.LoadOrderTimeout)
 	if timeout <= 0 {
@@ -119,7 +122,8 @@
 func (c *Core) finishLoad(load *inFlightLoad, reply Reply) {
 	delete(c.state.loads, load)
 	worker, function := load.order.Worker.ID, load.order.Func
-	// A timeout says nothing of the worker: a load may take longer than the core waits.
+	// A timeout does not indicate a faulty worker: a load may take longer than the timeout of the
+	// order.
 	if c.cfg.Observed != nil && reply.Result != balancer.Timeout {
 		c.cfg.Observed(Observation{Kind: ObservedLoadOrder, Worker: worker, Result: reply.Result})
 	}
@@ -128,8 +132,8 @@
 	c.state.balancer.HandleLoadResult(c.now(), worker, function, reply.Copies, reply.Result)
 }
 
-// orderUnload sends an unload order in a goroutine of its own, which ends at the latest after
-// unloadTimeout or with Close. Its result is not used.
+// orderUnload sends an unload order in a new goroutine, which ends at the latest after
+// unloadTimeout or on Close. The result of the order is not used.
 func (c *Core) orderUnload(worker balancer.WorkerID, function balancer.FuncID) {
 	endpoint, listed := c.state.endpoints[worker]
 	recent, requested := c.state.functions.entries[function]
--- a/loadorderlimiter.go
+++ b/loadorderlimiter.go
@@ -9,28 +9,29 @@
 	"oakthread/rules"
 )
 
-// loadQuotaMargin is the time that a load order may spend on its way to the worker. Both ends of
-// the window of the quota are moved by it to the strict side.
+// loadQuotaMargin is the time that a load order may take to reach the worker. To stay within the
+// quota despite this delay, the limiter shortens the window in which it counts requests and
+// lengthens the one in which it counts orders, each by this margin.
 const loadQuotaMargin = 300 * time.Millisecond
 
-// loadOrderLimiter enforces the quota on load orders, rules.MayOrderLoad, when an order is given
-// and again when its first byte is written: a connection may be established late, and by then other
-// requests and orders are in the window. The balancer decides which requests count toward the
+// loadOrderLimiter enforces the quota on load orders (rules.MayOrderLoad) when an order is issued
+// and again when its first byte is written: establishing a connection takes time, after which the
+// window holds other requests and orders. The balancer decides which requests count toward the
 // quota. It is safe for concurrent use.
 type loadOrderLimiter struct {
 	window time.Duration // zero disables the limit
 	quota  rules.LoadQuota
 
 	mu       sync.Mutex
-	requests []time.Time // that count toward the quota, in ascending order
+	requests []time.Time // arrival times of the requests that count toward the quota, ascending
 	orders   []*loadReservation
 }
 
-// loadReservation is the place of one load order in the window: at first at the time of the
-// reservation, later at that of its first byte.
+// loadReservation is one load order that counts against the quota. at is the time of the
+// reservation, or that of the first byte once the order has been written.
 type loadReservation struct{ at time.Time }
 
-// newLoadOrderLimiter returns the limiter for the quota of the settings.
+// newLoadOrderLimiter returns a limiter for the quota in the settings.
 func newLoadOrderLimiter(settings balancer.Settings) loadOrderLimiter {
 	return loadOrderLimiter{
 		window: time.Duration(settings.LoadQuotaWindow),
@@ -38,7 +39,7 @@
 	}
 }
 
-// count adds a request that arrived at the given time. Times need not ascend.
+// count counts a request that arrived at the given time. Arrival times may be out of order.
 func (l *loadOrderLimiter) count(at time.Time) {
 	if l.window <= 0 {
 		return
@@ -51,7 +52,7 @@
 	l.requests = slices.Insert(l.requests, index, at)
 }
 
-// reserve takes a place for one order, or returns nil if the quota is exhausted.
+// reserve returns a reservation for one order, or nil if the quota is exhausted.
 func (l *loadOrderLimiter) reserve(now time.Time) *loadReservation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -63,9 +64,8 @@
 	return reservation
 }
 
-// write reports whether the first byte of an order may be written now, and if so moves its
-// reservation to now. A nil reservation is that of an order which asks for no further copies; it is
-// always allowed.
+// write reports whether the first byte of an order may be written now, and if so sets the time of
+// its reservation to now. An order of zero copies has a nil reservation and is always allowed.
 func (l *loadOrderLimiter) write(reservation *loadReservation, now time.Time) bool {
 	if reservation == nil {
 		return true
@@ -79,15 +79,16 @@
 	return true
 }
 
-// release gives back the reservation of an order of which nothing was written.
+// release cancels the reservation of an order of which nothing was written.
 func (l *loadOrderLimiter) release(reservation *loadReservation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.orders = slices.DeleteFunc(l.orders, func(other *loadReservation) bool { return other == reservation })
 }
 
-// allows reports whether the quota has room at now for one order besides all reservations except
-// own. It forgets what has left the window. The caller holds mu.
+// allows reports whether the quota allows one order at now, in addition to all reservations other
+// than own. It removes requests and reservations that are older than the window. The caller must
+// hold mu.
 func (l *loadOrderLimiter) allows(now time.Time, own *loadReservation) bool {
 	if l.window <= 0 {
 		return true
--- a/oakthread.go
+++ b/oakthread.go
@@ -1,11 +1,11 @@
-// Package oakthread dispatches function calls to the workers that hold the functions loaded. It is
-// the core of the oakthread daemon and can be embedded in any Go program: Core.Do takes a Request
-// and returns its one final Answer.
+// Package oakthread dispatches function calls to workers that have the function loaded. It is the
+// core of the oakthread daemon and can be embedded in any Go program: Core.Do dispatches a Request
+// and returns its final Answer.
 //
-// The package knows no wire protocol. Servers turn incoming calls into a Request and an Answer into
-// a response; a Workers implementation carries attempts to workers; an EndpointWatcher supplies the
-// list of workers; Peers carries messages between dispatchers. Package balancer makes the
-// decisions.
+// The package is independent of wire protocols. Servers convert incoming calls to Requests and
+// Answers to responses; a Workers implementation sends attempts to workers; an EndpointWatcher
+// supplies the endpoint list; Peers exchanges messages between dispatchers. Package balancer makes
+// the dispatch decisions.
 package oakthread
 
 import (
@@ -15,38 +15,39 @@
 	"oakthread/balancer"
 )
 
-// Errors that Core.Do returns besides that of its context.
+// Errors that Core.Do returns in addition to the error of its context.
 var (
-	// ErrClosed means that the Core is closed, or was closed before the request had its answer.
+	// ErrClosed means that the Core is closed, or was closed before the request was answered.
 	ErrClosed = errors.New("oakthread: dispatcher is closed")
-	// ErrDuplicate means that a request of the same ID is in flight.
-	ErrDuplicate = errors.New("oakthread: a request of this id is in hand")
+	// ErrDuplicate means that a request with the same ID is already in flight.
+	ErrDuplicate = errors.New("oakthread: a request with this ID is already in flight")
 	// ErrInvalid means that the request has no ID, no deadline or an unknown class.
-	ErrInvalid = errors.New("oakthread: request cannot be used")
+	ErrInvalid = errors.New("oakthread: invalid request: no ID, no deadline or an unknown class")
 )
 
-// Request is one call of a function. ID, Key, IdempotencyKey and Body are passed to the worker
+// Request is a single function call. ID, Key, IdempotencyKey and Body are passed to the worker
 // unchanged.
 type Request struct {
-	ID     string // differs between the calls that a client makes, also if one repeats another
-	Class  int    // index in Settings.Classes
-	Tenant int    // index in Settings.TenantQuota; -1 if none
+	ID     string // unique per call; a repeat of an earlier call has an ID of its own
+	Class  int    // index into Settings.Classes
+	Tenant int    // index into Settings.TenantQuota; -1 if none
 	Func   balancer.FuncID
-	Key    string // the function as the client wrote it
+	Key    string // function name as sent by the client
 	Body   []byte
-	// Deadline is when the client stops waiting.
+	// Deadline is the time after which the client no longer waits for the answer.
 	Deadline    time.Time
-	MemoryMB    float64       // of one loaded copy of the function
-	Concurrency int           // requests that a copy runs at a time
+	MemoryMB    float64       // memory of one loaded copy of the function, in MB
+	Concurrency int           // requests that one copy can run concurrently
 	LoadTime    time.Duration // expected time to load a copy
-	Retry       bool          // the client says that it repeats an earlier call
-	// IdempotencyKey is the same for all repeats of one call. Workers that support it drop repeats.
+	Retry       bool          // the client marks the call as a repeat of an earlier one
+	// IdempotencyKey is the same for all repeats of a call. Workers that support it drop repeats.
 	IdempotencyKey string
-	// CallerGone reports whether the client has left, as far as its connection shows; nil if only
-	// the context of the request shows it. It is called right before the first byte of each
-	// attempt, from any goroutine, and must not block.
+	// CallerGone reports whether the client has left, according to its connection; nil if only the
+	// context of the request shows that. It is called immediately before the first byte of each attempt is
+	// written, from any goroutine, and must not block.
 	CallerGone func() bool
-	// Ref is the name of the request at its source. It is passed to Config.Completed only.
+	// Ref identifies the request to the component that submitted it. The Core only passes it on to
+	// Config.Completed.
 	Ref string
 }
 
@@ -55,13 +56,13 @@
 
 // Outcomes of a request.
 const (
-	Served   Outcome = iota // Answer.Body is the response of a worker to this request
+	Served   Outcome = iota // Answer.Body is the worker's response to the request
 	Rejected                // the request had no effect; the client may repeat it
 	Failed                  // the request may have had an effect
-	TimedOut                // the deadline came; the request may have had an effect
+	TimedOut                // the deadline passed; the request may have had an effect
 )
 
-// String returns the outcome as log lines name it.
+// String returns the name of the outcome in log messages.
 func (o Outcome) String() string {
 	return [...]string{"served", "refused", "failed", "timed out"}[o]
 }
@@ -70,10 +71,10 @@
 type Answer struct {
 	Outcome    Outcome
 	Body       []byte
-	RetryAfter time.Duration // if rejected: when the client may repeat the request; zero gives no advice
+	RetryAfter time.Duration // after a rejection: delay before the client may repeat; zero if unknown
 }
 
-// Completion describes a request that has ended, for Config.Completed.
+// Completion describes a completed or abandoned request, for Config.Completed.
 type Completion struct {
 	Request   Request
 	Answer    Answer
--- a/request.go
+++ b/request.go
@@ -10,44 +10,44 @@
 	"oakthread/internal/violation"
 )
 
-// answerGrace is the time past its deadline after which the core ends a request that the balancer
-// left unanswered.
+// answerGrace is the time after its deadline at which the Core ends a request that the balancer has
+// not answered.
 const answerGrace = 20 * time.Millisecond
 
-// Reasons of the core to end a request, beside those of balancer.EndReason.
+// Reasons for which the Core itself ends a request, in addition to those of balancer.EndReason.
 const (
 	endedByInFlightLimit = "in_flight_limit"
 	endedByAdmission     = "admission"
 	endedOverdue         = "overdue"
 )
 
-// pendingRequest is a request without a final answer. Do owns it until admit; from then on the
-// event loop does.
+// pendingRequest is a request that has no final answer yet. It is owned by Do until admit runs, and
+// by the event loop from then on.
 type pendingRequest struct {
 	Request
 
 	ctx        context.Context // ends when the caller leaves
-	attempts   int             // attempts so far
-	executions int             // attempts that may have run
-	endReason  string          // why it was ended without a worker's answer; "" if it was not
-	answer     chan result     // receives the one final answer; has room for it
+	attempts   int             // number of attempts started
+	executions int             // number of attempts that may have run
+	endReason  string          // why it ended without a worker's response; "" otherwise
+	answer     chan result     // buffered, receives the only answer
 }
 
-// result is what Do returns.
+// result holds the return values of Do.
 type result struct {
 	Answer
 
 	err error
 }
 
-// Do dispatches a request and returns its final answer. If ctx ends first, the request is abandoned
-// and the error is that of ctx. Other errors are ErrInvalid, ErrDuplicate and ErrClosed; the
-// request was not accepted or its answer is unknown.
+// Do dispatches a request and returns its final answer. If ctx ends first, Do abandons the request
+// and returns the error of ctx. Other errors are ErrInvalid and ErrDuplicate, if the request was
+// not accepted, and ErrClosed, if it was not accepted or its answer is unknown.
 func (c *Core) Do(ctx context.Context, q Request) (Answer, error) {
 	if !c.isValid(&q) {
 		return Answer{}, ErrInvalid
 	}
-	q.Deadline = time.Now().Add(time.Until(q.Deadline)) // by the monotonic clock from here on
+	q.Deadline = time.Now().Add(time.Until(q.Deadline)) // from here on by the monotonic clock
 	request := &pendingRequest{Request: q, ctx: ctx, answer: make(chan result, 1)}
 	if !c.post(func() { c.admit(request) }) {
 		return Answer{}, ErrClosed
@@ -69,13 +69,13 @@
 	}
 }
 
-// isValid reports whether a request has an id, a deadline and a known class.
+// isValid reports whether a request has an ID, a deadline and a known class.
 func (c *Core) isValid(q *Request) bool {
 	return q.ID != "" && q.Class >= 0 && int64(q.Class) < c.classCount.Load() && !q.Deadline.IsZero()
 }
 
-// answerAfterClose returns the answer that the request got before the event loop stopped, or
-// ErrClosed.
+// answerAfterClose returns the answer that the request received before the event loop stopped, or
+// ErrClosed if there is none.
 func (p *pendingRequest) answerAfterClose() (Answer, error) {
 	select {
 	case result := <-p.answer:
@@ -85,11 +85,11 @@
 	}
 }
 
-// admit accepts a request into the table of requests, or rejects it because of the limit or
-// Config.Admit.
+// admit adds a request to the request table and dispatches it, unless it is rejected because of
+// Config.MaxInFlight or by Config.Admit.
 func (c *Core) admit(request *pendingRequest) {
 	if request.ctx.Err() != nil {
-		return // the caller has left before anything was done
+		return // the caller left before the request was admitted
 	}
 	if c.state.requests[request.ID] != nil {
 		request.answer <- result{err: ErrDuplicate}
@@ -117,8 +117,8 @@
 	c.dispatch(request)
 }
 
-// dispatch passes a request to the balancer, which answers through balancer.Host: with an attempt,
-// a rejection, or nothing yet.
+// dispatch passes a request to the balancer, which calls balancer.Host to start an attempt or to
+// reject the request, at once or later.
 func (c *Core) dispatch(request *pendingRequest) {
 	c.state.balancer.HandleRequest(c.now(), balancer.Request{
 		ID:          request.ID,
@@ -133,13 +133,13 @@
 	})
 }
 
-// reject completes a request as rejected. A retryAfter of zero gives no advice.
+// reject completes a request as rejected. If retryAfter is zero, the rejection has no Retry-After.
 func (c *Core) reject(request *pendingRequest, retryAfter time.Duration) {
 	c.complete(request, Answer{Outcome: Rejected, RetryAfter: retryAfter})
 }
 
-// fail completes a request that may have run: as timed out if its deadline has come, to the
-// resolution of the clock.
+// fail completes a request that may have had an effect: as timed out if its deadline has passed or
+// is within four times the clock resolution, as failed otherwise.
 func (c *Core) fail(request *pendingRequest) {
 	outcome := Failed
 	slack := time.Duration(4 * c.cfg.Settings.ClockResolution)
@@ -158,7 +158,7 @@
 	c.state.balancer.HandleClientGone(c.now(), request.ID)
 }
 
-// expire ends a request that the balancer has left without an answer past its deadline.
+// expire ends a request that the balancer has not answered after its deadline.
 func (c *Core) expire(request *pendingRequest) {
 	if c.state.requests[request.ID] != request {
 		return
@@ -176,14 +176,14 @@
 	}
 }
 
-// finish removes a request from the table, which makes its answer the only one, and reports the
-// completion.
+// finish removes a request from the request table, so that it gets no second answer, and reports
+// its completion. It revokes the write permission of the request's attempts in flight.
 func (c *Core) finish(request *pendingRequest, completion Completion) {
 	delete(c.state.requests, request.ID)
 	outcome := completion.Answer.Outcome
 	if outcome == Rejected && request.executions > 0 && c.cfg.isNonIdempotent(request.Class) {
 		c.reportViolation(violation.RuleRejectionHasNoEffect, violation.PathAnswer, request.ID,
-			"refused after an attempt that may have run")
+			"rejected after an attempt that may have run")
 	}
 	for number := range request.attempts {
 		if attempt := c.state.attempts[attemptKey{request.ID, number}]; attempt != nil {
@@ -209,7 +209,7 @@
 		"attempts", request.attempts, "left_ms", time.Until(request.Deadline).Milliseconds())
 }
 
-// reportViolation passes a broken invariant to Config.Violated.
+// reportViolation reports the violation of an invariant to Config.Violated.
 func (c *Core) reportViolation(rule violation.Rule, path violation.Path, requestID, detail string) {
 	if c.cfg.Violated != nil {
 		c.cfg.Violated(string(rule), string(path), requestID, detail)
--- a/workers.go
+++ b/workers.go
@@ -7,20 +7,19 @@
 	"oakthread/balancer"
 )
 
-// Workers carries attempts, health checks and load orders to workers. Each method blocks until its
-// result is known or ctx ends, is safe for concurrent use, and writes at most one request for each
-// call.
+// Workers sends attempts, health checks and load orders to workers. Its methods block until the
+// result is known or ctx ends, are safe for concurrent use, and write at most one request per call.
 type Workers interface {
-	// Send sends an attempt, after Attempt.BeforeWrite has allowed it.
-	Send(ctx context.Context, a Attempt) Reply
-	// HealthCheck asks a worker whether it is well.
-	HealthCheck(ctx context.Context, m Endpoint) Reply
-	// Load sends a load order, after LoadOrder.BeforeWrite has allowed it.
-	Load(ctx context.Context, o LoadOrder) Reply
-	// Unload asks a worker to drop the copies of a function.
-	Unload(ctx context.Context, o LoadOrder)
-	// CloseConnections closes the connections to a worker that was removed, has restarted or has
-	// moved.
+	// Send sends an attempt after Attempt.BeforeWrite has allowed it.
+	Send(ctx context.Context, attempt Attempt) Reply
+	// HealthCheck checks whether a worker responds and accepts requests.
+	HealthCheck(ctx context.Context, worker Endpoint) Reply
+	// Load sends a load order after LoadOrder.BeforeWrite has allowed it.
+	Load(ctx context.Context, order LoadOrder) Reply
+	// Unload asks a worker to unload its idle copies of a function.
+	Unload(ctx context.Context, order LoadOrder)
+	// CloseConnections closes the connections to a worker that was removed, has restarted or has a
+	// new address.
 	CloseConnections(id balancer.WorkerID)
 }
 
@@ -28,11 +27,12 @@
 type Attempt struct {
 	Request  *Request
 	Worker   Endpoint
-	Number   int // among the attempts of the request, from 0
+	Number   int // number within the request, starting at 0
 	Deadline time.Time
-	// BeforeWrite must be called right before the first byte is written, for each connection that
-	// is tried. If it returns false, nothing may be written and the result is balancer.NotSent: the
-	// caller may have left, or the worker begun to drain, while a connection was established.
+	// BeforeWrite must be called immediately before the first byte is written, on each connection
+	// that is tried. If it returns false, nothing may be written and the result is
+	// balancer.NotSent: while the connection was being established, the caller may have left or the
+	// worker may have begun to drain.
 	BeforeWrite func() bool
 }
 
@@ -40,28 +40,28 @@
 type LoadOrder struct {
 	Worker Endpoint
 	Func   balancer.FuncID
-	Key    string // the function as the latest client wrote it
+	Key    string // function name as sent with the latest request
 	Count  int
-	// BeforeWrite is as in Attempt. It is nil for Workers.Unload, which may always write.
+	// BeforeWrite is the same as in Attempt. It is nil for Workers.Unload, which may always write.
 	BeforeWrite func() bool
 }
 
-// Reply is the result of an attempt, a health check or a load order. What the worker did not report
-// is zero.
+// Reply is the result of an attempt, a health check or a load order. Fields that the worker did not
+// report are zero.
 type Reply struct {
 	Result             balancer.Result
 	Warmth             balancer.Warmth
-	ConcurrentRequests int       // for the same function at the worker
-	Report             []float64 // load report, in the order of the settings
-	Copies             int       // after a load order: copies that are loaded
+	ConcurrentRequests int       // requests for the same function that the worker runs
+	Report             []float64 // values of the load report, in the order of the settings
+	Copies             int       // after a load order: number of loaded copies
 	Draining           bool      // in a health check: the worker accepts no requests
 	Body               []byte
 }
 
-// ObservedKind is the subject of an Observation.
+// ObservedKind is the kind of operation that an Observation describes.
 type ObservedKind int
 
-// Subjects of observations.
+// Kinds of observed operations.
 const (
 	ObservedAttempt ObservedKind = iota
 	ObservedLoadOrder
@@ -71,18 +71,18 @@
 type Observation struct {
 	Kind     ObservedKind
 	Worker   balancer.WorkerID
-	Class    int // of an attempt
+	Class    int // request class of an attempt
 	Result   balancer.Result
-	Warm     bool // the copy was loaded before
+	Warm     bool // the attempt ran on a copy that was already loaded
 	Draining bool
 	Duration time.Duration
 }
 
-// Peers carries short messages between dispatchers. Messages may be lost.
+// Peers exchanges short messages between dispatchers. Messages may be lost.
 type Peers interface {
-	// SendMessage sends a message to a dispatcher by its index, or to all if to is negative. It
-	// must not block.
+	// SendMessage sends a message to the dispatcher with index to, or to all others if to is
+	// negative. It must not block.
 	SendMessage(to int, data string)
-	// Listen passes each received message to handle until ctx ends.
+	// Listen passes each received message, with the index of its sender, to handle until ctx ends.
 	Listen(ctx context.Context, handle func(from int, data string)) error
 }
--- a/writepermission.go
+++ b/writepermission.go
@@ -9,7 +9,7 @@
 	"oakthread/rules"
 )
 
-// Causes with which the context of an attempt or load order is cancelled.
+// Causes for which the context of an attempt or load order is cancelled.
 var (
 	errAttemptCancelled = errors.New("called off")
 	errAttemptRevoked   = errors.New("revoked before anything was written")
@@ -17,20 +17,21 @@
 
 // writePermission decides whether the first byte of an attempt or load order may be written. It is
 // revoked when the caller leaves, when the request completes, and when the worker drains, is
-// removed or restarts; it is denied once the worker's lease has run out. Whichever comes first, the
-// revocation or the write, wins: a revocation after the first byte has no effect. It is safe for concurrent use.
+// removed, restarts or has a new address; it is denied once the worker's lease has expired. A
+// revocation before the first byte cancels the attempt or load order. A later one does not, but
+// denies the write on another connection. A writePermission is safe for concurrent use.
 type writePermission struct {
 	caller     context.Context         // ends when the caller leaves
-	callerGone func() bool             // reports whether the caller has left; nil if only the context shows it
-	cancel     context.CancelCauseFunc // ends the attempt
-	leaseHolds func() bool             // reports whether the worker's lease holds; nil if it needs none
+	callerGone func() bool             // whether the caller has left; nil if only the context shows it
+	cancel     context.CancelCauseFunc // cancels the attempt or load order
+	leaseHolds func() bool             // whether the worker's lease is valid; nil if none is needed
 
 	mu             sync.Mutex
 	begun, revoked bool
 }
 
-// begin reports whether the first byte may be written now. It is asked again for a further
-// connection if nothing was written on the one before.
+// begin reports whether the first byte may be written now. It is called again for another
+// connection if nothing was written on the previous one.
 func (p *writePermission) begin() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -39,15 +40,16 @@
 	return p.begun
 }
 
-// leaseExpired reports whether the worker's lease has run out.
+// leaseExpired reports whether the worker's lease has expired.
 func (p *writePermission) leaseExpired() bool { return p.leaseHolds != nil && !p.leaseHolds() }
 
-// callerLeft reports whether the caller has left, by its context or by its connection.
+// callerLeft reports whether the caller has left, according to its context or its connection.
 func (p *writePermission) callerLeft() bool {
 	return p.caller.Err() != nil || p.callerGone != nil && p.callerGone()
 }
 
-// revoke denies every further write, and cancels the attempt if nothing of it has been written.
+// revoke denies all further writes, and cancels the attempt or load order if nothing has been
+// written.
 func (p *writePermission) revoke() {
 	p.mu.Lock()
 	p.revoked = true
