--- a/bench_test.go
+++ b/bench_test.go
@@ -9,7 +9,7 @@
 	"oakthread/balancer"
 )
 
-// BenchmarkDo measures a request through the Core to a worker that answers at once.
+// BenchmarkDo measures one request through the Core to a worker that answers immediately.
 func BenchmarkDo(b *testing.B) {
 	core, err := oakthread.New(oakthread.Config{Workers: localWorkers{}, Settings: balancer.Settings{
 		Classes: []balancer.Class{{
--- a/clock_test.go
+++ b/clock_test.go
@@ -15,7 +15,8 @@
 	"oakthread/internal/fault/wallclock"
 )
 
-// slowWorkers answer each attempt after a delay, or never if they are silent.
+// slowWorkers is a Workers implementation that answers each attempt after a delay, or never if
+// silent is set.
 type slowWorkers struct {
 	delay  time.Duration
 	silent bool
@@ -46,11 +47,11 @@
 func (w slowWorkers) Unload(context.Context, LoadOrder)  {}
 func (w slowWorkers) CloseConnections(balancer.WorkerID) {}
 
-// clientTimeout is the deadline of the requests of the clock tests.
+// clientTimeout is the time until the deadline of each request in the clock tests.
 const clientTimeout = 2 * time.Second
 
-// newCoreOf returns a Core with one active worker.
-func newCoreOf(t *testing.T, workers Workers) *Core {
+// newSingleWorkerCore returns a Core with one active worker.
+func newSingleWorkerCore(t *testing.T, workers Workers) *Core {
 	t.Helper()
 	core, err := New(Config{Workers: workers, Settings: balancer.Settings{
 		Classes: []balancer.Class{{
@@ -70,7 +71,7 @@
 	return core
 }
 
-// timedAnswer is an answer and the time that it took.
+// timedAnswer is an answer and the time from the request to the answer.
 type timedAnswer struct {
 	Answer
 
@@ -86,8 +87,9 @@
 	return timedAnswer{answer, time.Since(began)}
 }
 
-// A step of the wall clock in either direction, with a request in flight, changes nothing: requests
-// are served as before, and one that a worker never answers ends at its deadline.
+// Steps of the wall clock in either direction must not affect requests, whether they are in flight
+// or sent later: requests are served as before, and one that is never answered ends at its
+// deadline.
 func TestStepsOfTheWallClock(t *testing.T) {
 	const (
 		delay = 10 * time.Millisecond
@@ -96,14 +98,14 @@
 	for _, step := range []time.Duration{-time.Hour, -5 * time.Second, 5 * time.Second, time.Hour} {
 		t.Run(step.String(), func(t *testing.T) {
 			t.Cleanup(func() { require.NoError(t, wallclock.Set(0)) })
-			served := newCoreOf(t, slowWorkers{delay: delay})
-			silent := newCoreOf(t, slowWorkers{silent: true})
+			served := newSingleWorkerCore(t, slowWorkers{delay: delay})
+			silent := newSingleWorkerCore(t, slowWorkers{silent: true})
 			for i := range 5 {
 				require.Equal(t, Served, timedRequest(t, served, fmt.Sprintf("before %d", i)).Outcome)
 			}
 			inFlight := make(chan timedAnswer, 1)
 			go func() { inFlight <- timedRequest(t, silent, "in flight") }()
-			for silent.Counters().Attempts == 0 { // until it is sent
+			for silent.Counters().Attempts == 0 { // wait until the request is sent
 			}
 			require.NoError(t, wallclock.Set(step))
 			for i := range 20 {
--- a/core_test.go
+++ b/core_test.go
@@ -21,15 +21,15 @@
 	defer core.Close()
 	assert.False(t, core.Ready())
 	core.UpdateEndpoints(EndpointUpdate{Kind: balancer.EndpointsDelta})
-	core.Counters() // answers after the update
+	core.Counters() // returns after the update has been applied
 	assert.False(t, core.Ready())
 	core.UpdateEndpoints(EndpointUpdate{Kind: balancer.EndpointsSnapshot})
 	core.Counters()
 	assert.True(t, core.Ready())
 }
 
-// After an update no attempt, retry or load order goes to a worker that drains, and the connections
-// to one that is removed are closed.
+// After an update of the endpoint list, no attempt, retry or load order is sent to a draining
+// worker, and the connections to a removed worker are closed.
 func TestDrainReachesSendsRetriesAndOrders(t *testing.T) {
 	workers := newFakeWorkers()
 	core := newTestCore(t, workers, nil)
@@ -44,24 +44,25 @@
 	states[first-1] = balancer.Draining
 	core.UpdateEndpoints(snapshot(states...))
 	workers.reply(Reply{Result: balancer.NotSent})
-	assert.NotEqual(t, first, (<-workers.sent).Worker.ID, "a retry went to the draining worker")
+	assert.NotEqual(t, first, (<-workers.sent).Worker.ID, "retry sent to the draining worker")
 	workers.reply(Reply{Result: balancer.OK})
 	assert.Equal(t, Served, (<-answers).Outcome)
 	core.post(func() { host{core}.OrderLoad(first, 7, 1) })
 	assert.Equal(t, int64(1), core.Counters().LoadOrdersWithheld)
 	core.UpdateEndpoints(snapshot(balancer.Active))
-	assert.Equal(t, balancer.WorkerID(2), <-workers.closed, "connections of a removed worker stay open")
+	assert.Equal(t, balancer.WorkerID(2), <-workers.closed, "connections to the removed worker not closed")
 }
 
-// A class that is added binds new requests by its own rules: an idempotent one is sent again after
-// a reset, where a request of the first class, which may have run, fails.
-func TestAddedClassBindsNewRequests(t *testing.T) {
+// New requests follow the rules of a class added at run time: a request of an idempotent class is
+// retried after a reset, while one of the first, non-idempotent class fails because it may have
+// run.
+func TestAddedClassAppliesToNewRequests(t *testing.T) {
 	workers := newFakeWorkers()
 	core := newTestCore(t, workers, nil)
 	request := testRequest("0000000000000001")
 	request.Class = 1
 	_, err := core.Do(t.Context(), request)
-	require.ErrorIs(t, err, ErrInvalid, "not yet a class")
+	require.ErrorIs(t, err, ErrInvalid, "class not added yet")
 	_, err = core.AddClasses([]balancer.Class{{LatencyObjective: 0}})
 	require.Error(t, err, "a class without a latency objective")
 	first, err := core.AddClasses([]balancer.Class{testClass(balancer.Idempotent)})
@@ -74,11 +75,12 @@
 	workers.reply(Reply{Result: balancer.Reset})
 	answer, err = core.Do(t.Context(), testRequest("0000000000000002"))
 	require.NoError(t, err)
-	assert.Equal(t, Failed, answer.Outcome, "a request of the first class may have run and is not repeated")
+	assert.Equal(t, Failed, answer.Outcome, "non-idempotent request retried after it may have run")
 }
 
-// Messages that are cut, of another version, from an unknown dispatcher or about unlisted workers
-// are counted and change nothing: the next request is served.
+// Peer messages that are truncated, of another version or from an unknown dispatcher are counted as
+// invalid. Neither they nor valid messages about unlisted workers affect the next request, which is
+// served.
 func TestInvalidPeerMessagesAreCounted(t *testing.T) {
 	workers := newFakeWorkers()
 	core := newTestCore(t, workers, func(cfg *Config) {
@@ -88,8 +90,8 @@
 	invalid := []string{
 		"", "A", "=", "AAA", "\x00\xff", strings.Repeat("A", 255),
 		"AIAAAA", // an unknown flag
-		"AAAAAA", // the version before
-		"CQAAAA", // figures are missing
+		"AAAAAA", // previous version
+		"CQAAAA", // truncated: values missing
 		"AQACAA",
 	}
 	for _, message := range invalid {
@@ -99,7 +101,7 @@
 		core.HandlePeerMessage(sender, aggregate.Message{Continued: true}.Encode(3)[0])
 	}
 	report := aggregate.Report{Values: []float64{1, 2}}
-	counts := []aggregate.Count{{Worker: 65535, InFlight: 5}} // of a worker that is not listed
+	counts := []aggregate.Count{{Worker: 65535, InFlight: 5}} // for a worker that is not listed
 	core.HandlePeerMessage(1, aggregate.Message{Report: report, Counts: counts}.Encode(3)[0])
 	core.HandlePeerMessage(1, aggregate.Message{Report: report}.Encode(3)[0]) // a duplicate
 	assert.Equal(t, int64(len(invalid)+4), core.Counters().InvalidPeerMessages)
@@ -109,8 +111,8 @@
 	assert.Equal(t, Served, answer.Outcome)
 }
 
-// Config.Admit rejects a request with a Retry-After before any worker sees it, and Config.Observed
-// sees the end of each attempt.
+// Config.Admit can reject a request with a Retry-After before it is sent to a worker, and
+// Config.Observed is called at the end of each attempt.
 func TestAdmitRejectsAndObservedSeesAttempts(t *testing.T) {
 	workers := newFakeWorkers()
 	admits, observed := true, make(chan Observation, 4)
--- a/example_test.go
+++ b/example_test.go
@@ -14,11 +14,12 @@
 	"oakthread/middleware"
 )
 
-// localWorkers run requests in this process; real ones carry them to workers on other machines.
+// localWorkers runs requests in this process; a real implementation sends them to workers on other
+// machines.
 type localWorkers struct{}
 
 func (localWorkers) Send(_ context.Context, attempt oakthread.Attempt) oakthread.Reply {
-	if !attempt.BeforeWrite() { // the caller has left meanwhile
+	if !attempt.BeforeWrite() { // the caller has left in the meantime
 		return oakthread.Reply{Result: balancer.NotSent}
 	}
 	body := strings.ToUpper(string(attempt.Request.Body))
@@ -36,7 +37,8 @@
 func (localWorkers) Unload(context.Context, oakthread.LoadOrder) {}
 func (localWorkers) CloseConnections(balancer.WorkerID)          {}
 
-// readUpper makes a request of a call to /upper. Other calls pass to the next handler.
+// readUpper converts an HTTP request for /upper to a Request. Other HTTP requests are passed to the
+// next handler.
 func readUpper(r *http.Request) (oakthread.Request, error) {
 	if r.URL.Path != "/upper" {
 		return oakthread.Request{}, middleware.ErrPass
@@ -52,8 +54,8 @@
 	}, err
 }
 
-// A program dispatches calls behind its own HTTP server: the middleware takes the calls of a
-// function, other requests pass on.
+// A program dispatches calls received by its own HTTP server: the middleware handles the calls of a
+// function and passes other HTTP requests to the next handler.
 func Example() {
 	core, err := oakthread.New(oakthread.Config{Workers: localWorkers{}, Settings: balancer.Settings{
 		Classes: []balancer.Class{{
--- a/invariants_test.go
+++ b/invariants_test.go
@@ -12,13 +12,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pathsOfRules are the paths that the page of invariants must cover.
-var pathsOfRules = []string{
+// requiredPaths are the code paths that the invariants page must cover.
+var requiredPaths = []string{
 	"shutdown", "reload", "retry", "hedge", "cancel", "idle close", "full house", "watch", "restart", "hand-over",
 	"clock step", "failed syscall", "failed disk",
 }
 
-// definedFunctions are the names of all functions and methods of the module.
+// definedFunctions returns the names of all functions and methods of the module.
 func definedFunctions(t *testing.T) map[string]bool {
 	definition := regexp.MustCompile(`(?m)^func (?:\([^)]*\) )?(\w+)`)
 	names := map[string]bool{}
@@ -35,8 +35,8 @@
 	return names
 }
 
-// The page of invariants names functions and tests that are there, and leaves out no rule and no
-// path.
+// Functions and tests named on the invariants page must exist in the code, and the page must cover
+// every rule and every required path.
 func TestInvariantsPage(t *testing.T) {
 	text, err := os.ReadFile("docs/design/invariants.md")
 	require.NoError(t, err)
@@ -59,16 +59,16 @@
 		covered[cells[0]], paths[cells[1]] = true, true
 		for column, cell := range cells[2:] {
 			names := quoted.FindAllStringSubmatch(cell, -1)
-			assert.True(t, len(names) > 0 || cell == "*open*", "names nothing: %s", line)
+			assert.True(t, len(names) > 0 || cell == "*open*", "neither a name nor *open*: %s", line)
 			for _, name := range names {
-				assert.True(t, defined[name[1]], "%s is not in the code: %s", name[1], line)
+				assert.True(t, defined[name[1]], "%s does not exist in the code: %s", name[1], line)
 				assert.Equal(t, column == 1, strings.HasPrefix(name[1], "Test"), "%s: %s", name[1], line)
 			}
 		}
 	}
 	assert.NotEmpty(t, rules)
-	assert.Equal(t, rules, covered, "rules, and those with a row")
-	for _, path := range pathsOfRules {
+	assert.Equal(t, rules, covered, "every rule must have a row, and every row a rule")
+	for _, path := range requiredPaths {
 		assert.True(t, paths[path], "no row for the path %q", path)
 	}
 }
--- a/loadorderlimiter_test.go
+++ b/loadorderlimiter_test.go
@@ -10,15 +10,15 @@
 	"oakthread/rules"
 )
 
-// atMillis returns a time so many milliseconds into the test.
+// atMillis returns the time ms milliseconds after the start of the test's time line.
 func atMillis(ms int) time.Time {
 	return time.Unix(100, 0).Add(time.Duration(ms) * time.Millisecond)
 }
 
-// Load orders stay within the quota when they are given and when their first byte is written, and
-// name only functions that have been requested.
-func TestOrdersAreRationed(t *testing.T) {
-	t.Run("when given", func(t *testing.T) {
+// The quota on load orders is enforced when an order is issued and when its first byte is written,
+// and load orders are sent only for functions that have been requested.
+func TestLoadOrdersStayWithinQuota(t *testing.T) {
+	t.Run("when issued", func(t *testing.T) {
 		limiter := loadOrderLimiter{window: 5 * time.Second, quota: rules.LoadQuota{Base: 2, Ratio: 0.5}}
 		for _, order := range []struct {
 			ms, requests int
@@ -35,20 +35,20 @@
 	t.Run("when written", func(t *testing.T) {
 		limiter := loadOrderLimiter{window: 5 * time.Second, quota: rules.LoadQuota{Base: 1, Ratio: 0.5}}
 		limiter.count(atMillis(2))
-		limiter.count(atMillis(0)) // counted late, since its function was not known before
+		limiter.count(atMillis(0)) // counted late: its function was not known before
 		assert.Equal(t, []time.Time{atMillis(0), atMillis(2)}, limiter.requests)
 		first, late := limiter.reserve(atMillis(4000)), limiter.reserve(atMillis(4000))
 		require.NotNil(t, first)
 		require.NotNil(t, late)
 		assert.True(t, limiter.write(first, atMillis(4100)))
-		assert.False(t, limiter.write(late, atMillis(5000)), "the requests that allowed it have left the window")
+		assert.False(t, limiter.write(late, atMillis(5000)), "the requests that allowed it are no longer in the window")
 		limiter.release(late)
 		assert.Nil(t, limiter.reserve(atMillis(5000)))
 		limiter.release(first)
 		assert.NotNil(t, limiter.reserve(atMillis(5000)))
 		assert.True(t, limiter.write(nil, atMillis(5000)), "an order of zero copies is not limited")
 		limiter.count(atMillis(60_000))
-		assert.Len(t, limiter.requests, 1, "requests that have left the window are forgotten")
+		assert.Len(t, limiter.requests, 1, "requests older than the window are removed")
 	})
 	t.Run("for requested functions only", func(t *testing.T) {
 		workers := newFakeWorkers()
--- a/request_test.go
+++ b/request_test.go
@@ -42,7 +42,7 @@
 			assert.Equal(t, test.want, (<-completed).Answer.Outcome)
 			counters := core.Counters()
 			assert.Equal(t, int64(1), counters.Served+counters.Rejected+counters.Failed, "answers: %+v", counters)
-			assert.Empty(t, completed, "completed twice")
+			assert.Empty(t, completed, "completed more than once")
 		})
 	}
 }
@@ -74,8 +74,8 @@
 	require.Error(t, <-workers.ended)
 }
 
-// Requests are not accepted with the id of one in flight, beyond the limit, with an unknown class,
-// and once the Core is closed. Close ends the request in flight.
+// A request is not accepted if its ID is already in flight, the limit is reached, its class is
+// unknown or the Core is closed. Close ends the request in flight.
 func TestRequestsThatAreNotAccepted(t *testing.T) {
 	workers := newFakeWorkers()
 	core := newTestCore(t, workers, func(cfg *Config) { cfg.MaxInFlight = 1 })
@@ -98,7 +98,7 @@
 	require.ErrorIs(t, err, ErrClosed)
 }
 
-// A request whose caller has left before the event loop sees it is not accepted.
+// A request whose caller leaves before the event loop handles it is not accepted.
 func TestRequestOfGoneCallerIsNotAccepted(t *testing.T) {
 	workers := newFakeWorkers()
 	core := newTestCore(t, workers, nil)
@@ -113,8 +113,9 @@
 	assert.Equal(t, int64(1), core.Counters().Accepted)
 }
 
-// A caller that leaves between two attempts gets no further one. A second request waits through the
-// same backoff, so that the time of the first one's attempt has passed.
+// If the caller leaves during the backoff between two attempts, no further attempt is sent. A
+// second request goes through the same backoff, after which the next attempt of the first one would
+// have been due.
 func TestCallerLeavesInBackoff(t *testing.T) {
 	workers, completed := newFakeWorkers(), make(chan Completion, 4)
 	core := newTestCore(t, workers, func(cfg *Config) {
--- a/workers_test.go
+++ b/workers_test.go
@@ -10,14 +10,14 @@
 	"oakthread/balancer"
 )
 
-// fakeWorkers are workers in memory: each attempt waits for a reply on replies, or for the end of
-// its context.
+// fakeWorkers is an in-memory Workers implementation: each attempt waits for a reply on replies or
+// for the end of its context.
 type fakeWorkers struct {
 	sent    chan Attempt
-	ended   chan error // causes with which the contexts of attempts ended
+	ended   chan error // causes of the cancelled contexts of attempts
 	replies chan Reply
 	orders  chan LoadOrder
-	closed  chan balancer.WorkerID // whose connections were closed
+	closed  chan balancer.WorkerID // workers whose connections were closed
 }
 
 func newFakeWorkers() *fakeWorkers {
@@ -55,14 +55,14 @@
 func (f *fakeWorkers) Unload(_ context.Context, order LoadOrder) { f.orders <- order }
 func (f *fakeWorkers) CloseConnections(worker balancer.WorkerID) { f.closed <- worker }
 
-// reply has the next attempts end with these replies.
+// reply queues replies for the next attempts.
 func (f *fakeWorkers) reply(replies ...Reply) {
 	for _, reply := range replies {
 		f.replies <- reply
 	}
 }
 
-// snapshot returns an endpoint list of workers 1, 2, ... in these states.
+// snapshot returns an endpoint list with workers 1, 2, ... in the given states.
 func snapshot(states ...balancer.EndpointState) EndpointUpdate {
 	update := EndpointUpdate{Kind: balancer.EndpointsSnapshot}
 	for i, state := range states {
@@ -72,7 +72,7 @@
 	return update
 }
 
-// testClass returns a class with an objective of a second and a client timeout of three.
+// testClass returns a class with a latency objective of 1 s and a client timeout of 3 s.
 func testClass(idempotency balancer.Idempotency) balancer.Class {
 	return balancer.Class{
 		LatencyObjective: int64(time.Second),
@@ -82,8 +82,8 @@
 	}
 }
 
-// newTestCore returns a Core with one class, which is not idempotent, and one active worker. change
-// may alter its Config.
+// newTestCore returns a Core with one non-idempotent class and one active worker. change, if not
+// nil, modifies its Config.
 func newTestCore(t *testing.T, workers *fakeWorkers, change func(*Config)) *Core {
 	t.Helper()
 	cfg := Config{Workers: workers, Settings: balancer.Settings{
@@ -106,7 +106,7 @@
 	return core
 }
 
-// testRequest returns a request for function 7 with a minute until its deadline.
+// testRequest returns a request for function 7 with a deadline in one minute.
 func testRequest(id string) Request {
 	return Request{
 		ID:          id,
@@ -119,8 +119,8 @@
 	}
 }
 
-// blockedWorkers are workers whose attempts write only once the test allows it, as while a
-// connection is established.
+// blockedWorkers is a Workers implementation whose attempts wait for unblock before they write, as
+// if a connection were being established.
 type blockedWorkers struct {
 	*fakeWorkers
 
--- a/writepermission_test.go
+++ b/writepermission_test.go
@@ -12,8 +12,8 @@
 	"oakthread/lease"
 )
 
-// A caller leaves while the event loop is busy and has not seen it: the write of its attempt is
-// denied all the same.
+// If the caller leaves while the event loop is blocked and cannot handle this, the write of the
+// attempt is denied nevertheless.
 func TestWriteIsDeniedAfterCallerLeft(t *testing.T) {
 	workers := &blockedWorkers{newFakeWorkers(), make(chan struct{}), make(chan bool, 4)}
 	loopBlocked, unblockLoop := make(chan struct{}), make(chan struct{})
@@ -40,12 +40,12 @@
 	leave()
 	require.ErrorIs(t, <-ended, context.Canceled)
 	close(workers.unblock)
-	assert.False(t, <-workers.allowed, "written for a caller that has left")
+	assert.False(t, <-workers.allowed, "write allowed after the caller has left")
 	unblockLoop <- struct{}{}
 	assert.Zero(t, core.Counters().Served)
 }
 
-// A revocation after the first byte does not cancel the attempt, but denies the write on another
+// A revocation after the first byte does not cancel the attempt, but denies a write on another
 // connection.
 func TestRevocationAfterFirstByte(t *testing.T) {
 	permission := &writePermission{
@@ -54,11 +54,11 @@
 	}
 	require.True(t, permission.begin())
 	permission.revoke()
-	assert.False(t, permission.begin(), "asked again for another connection")
+	assert.False(t, permission.begin(), "write allowed on another connection after the revocation")
 }
 
-// An attempt that waited for a connection is not written after the grace of a worker that rejected a call,
-// however current the endpoint list is.
+// An attempt that waited for a connection is not written after the grace period of a worker that
+// rejected a call, even if the endpoint list is current.
 func TestNoWriteAfterTheGraceOfARejection(t *testing.T) {
 	core := newTestCore(t, newFakeWorkers(), func(cfg *Config) { cfg.Settings.ConfirmInterval = int64(time.Second) })
 	now := monotime.Now().UnixNano()
