--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -10,27 +10,28 @@
 const (
 	// defaultFullScanLimit is the length up to which a list is scanned in full for each choice.
 	defaultFullScanLimit = 256
-	// sampleSize is how many workers are drawn to stand for a long list. With ringWindow others,
-	// one of them is of the lightest tenth in 28 choices of 29.
+	// sampleSize is how many workers are drawn at random from a long list. Together with the
+	// ringWindow workers found on the ring, 28 choices of 29 include a worker of the least loaded
+	// tenth.
 	sampleSize = 16
 )
 
-// endpointTable holds the workers and, of a long list, those that a choice or a round has to look
-// at.
+// endpointTable holds the workers. For a long list it also tracks the subsets that a choice or a
+// maintenance round has to examine.
 type endpointTable struct {
 	fullScanLimit int
-	byID          map[WorkerID]*workerState // also removed ones with attempts in flight
+	byID          map[WorkerID]*workerState // including removed workers with attempts in flight
 	byTag         map[uint16]*workerState
-	listed        []*workerState // active or draining, in order of arrival
-	active        []*workerState // of these the active ones, as the ring has them
+	listed        []*workerState // active or draining, in the order in which they were added
+	active        []*workerState // the active workers of listed, the same set as in ring
 	ring          ring.Ring[*workerState]
 
-	inUse       []*workerState // with attempts of ours in flight or failed just now
-	recent      []*workerState // that something concerned lately
-	withHolders []*workerState // that may be believed to hold copies
-	sampled     []*workerState // scratch of a sample
+	inUse       []*workerState // with own attempts in flight or recently failed
+	recent      []*workerState // with recent calls, responses or messages
+	withHolders []*workerState // that may be expected to hold copies
+	sampled     []*workerState // reused buffer of sample
 
-	medianPeerCalls float64 // of the calls in flight from other dispatchers at a worker
+	medianPeerCalls float64 // median over workers of the calls in flight from other dispatchers
 }
 
 // newEndpointTable returns an empty table.
@@ -45,12 +46,12 @@
 // isLong reports whether the list is too long to be scanned in full.
 func (t *endpointTable) isLong() bool { return len(t.listed) > t.fullScanLimit }
 
-// apply takes an entry of the endpoint list and returns its worker. A worker that restarted begins
-// anew.
+// apply applies an entry of the endpoint list and returns its worker. What was learned of a worker
+// is discarded when it has restarted.
 func (t *endpointTable) apply(now int64, endpoint Endpoint) *workerState {
 	worker := t.byID[endpoint.Worker]
 	if worker == nil {
-		worker = &workerState{pacing: pacing{pace: 1}}
+		worker = &workerState{latencyRatios: latencyRatios{latencyRatio: 1}}
 		t.byID[endpoint.Worker], t.byTag[workerTag(endpoint.Worker)] = worker, worker
 	} else if endpoint.Start != worker.Start && endpoint.Start > 0 {
 		worker.beginAnew()
@@ -68,18 +69,18 @@
 	return worker
 }
 
-// retain unlists the workers that a complete list does not name.
+// retain marks as unlisted the workers that are missing from a complete list.
 func (t *endpointTable) retain(endpoints []Endpoint) {
-	named := make(map[WorkerID]bool, len(endpoints))
+	present := make(map[WorkerID]bool, len(endpoints))
 	for _, endpoint := range endpoints {
-		named[endpoint.Worker] = true
+		present[endpoint.Worker] = true
 	}
 	for _, worker := range t.listed {
-		worker.listed = worker.listed && named[worker.Worker]
+		worker.listed = worker.listed && present[worker.Worker]
 	}
 }
 
-// dropUnlisted takes the workers that are no longer listed out of the list and of the ring.
+// dropUnlisted removes the workers that are no longer listed from the list and from the ring.
 func (t *endpointTable) dropUnlisted() {
 	listed := t.listed[:0]
 	for _, worker := range t.listed {
@@ -95,7 +96,7 @@
 	t.active = slices.DeleteFunc(t.active, func(worker *workerState) bool { return !worker.listed })
 }
 
-// sweep forgets the workers that are neither listed nor in use.
+// sweep deletes the workers that are neither listed nor have attempts in flight.
 func (t *endpointTable) sweep() {
 	for id, worker := range t.byID {
 		if len(t.byID) == len(t.listed) {
@@ -111,7 +112,7 @@
 	}
 }
 
-// markActive takes that a call, a response or a message concerns a listed worker.
+// markActive records that a call, a response or a message concerned a listed worker.
 func (t *endpointTable) markActive(now int64, worker *workerState) {
 	if !worker.listed {
 		return
@@ -123,7 +124,7 @@
 	t.trackHolders(worker)
 }
 
-// markInUse takes that an attempt of ours is in flight at a worker, or has just ended there.
+// markInUse records that an own attempt is in flight at a worker, or has just ended there.
 func (t *endpointTable) markInUse(now int64, worker *workerState) {
 	t.markActive(now, worker)
 	if !worker.trackedInUse {
@@ -131,8 +132,8 @@
 	}
 }
 
-// workersInUse lists the workers, listed or not, with attempts of ours in flight or counted as
-// such.
+// workersInUse returns the workers, listed or not, with own attempts in flight or with failed
+// attempts that still count as in flight.
 func (t *endpointTable) workersInUse(now int64) []*workerState {
 	t.inUse = slices.DeleteFunc(t.inUse, func(worker *workerState) bool {
 		worker.trackedInUse = len(worker.inFlight) > 0 || worker.failuresAt(now) > 0
@@ -141,9 +142,9 @@
 	return t.inUse
 }
 
-// activeWorkers lists the workers of which there may be something to report: of a short list all,
-// of a long one those that something concerned lately, so that a round costs what was done and not
-// what is listed.
+// activeWorkers returns the workers that may have something to report: all workers of a short list,
+// and of a long list those with recent activity, so that the cost of a round depends on the
+// activity and not on the length of the list.
 func (t *endpointTable) activeWorkers() []*workerState {
 	if !t.isLong() {
 		return t.listed
@@ -151,7 +152,7 @@
 	return t.recent
 }
 
-// isActive reports whether activeWorkers lists a worker.
+// isActive reports whether activeWorkers includes a worker.
 func (t *endpointTable) isActive(worker *workerState) bool {
 	if !t.isLong() {
 		return worker.inTable
@@ -159,14 +160,15 @@
 	return worker.lastActivityAt != 0
 }
 
-// trackHolders takes that a worker may come to be believed to hold copies.
+// trackHolders records that a worker may become an expected holder of copies.
 func (t *endpointTable) trackHolders(worker *workerState) {
 	if !worker.trackedHolder {
 		worker.trackedHolder, t.withHolders = true, append(t.withHolders, worker)
 	}
 }
 
-// workersWithHolders lists the workers that may be believed to hold copies: of a short list all.
+// workersWithHolders returns the workers that may be expected to hold copies: all workers of a
+// short list.
 func (t *endpointTable) workersWithHolders() []*workerState {
 	if !t.isLong() {
 		return t.listed
@@ -178,8 +180,8 @@
 	return t.withHolders
 }
 
-// sample lists workers that stand for all: of a short list all, of a long one some drawn at random.
-// The result is valid until the next sample or choice.
+// sample returns all workers of a short list, and of a long list a random sample. The result is
+// valid until the next sample or choice.
 func (t *endpointTable) sample(rng *rand.Rand) []*workerState {
 	if !t.isLong() {
 		return t.listed
@@ -188,8 +190,8 @@
 	return t.sampled
 }
 
-// appendSample appends workers drawn from the active ones, some perhaps twice. Draining ones are
-// left out: in a rollout they may be a third of the list.
+// appendSample appends workers drawn with replacement from the active ones. Draining workers are
+// excluded, because during a rollout they may be a third of the list.
 func (t *endpointTable) appendSample(workers []*workerState, rng *rand.Rand) []*workerState {
 	for range min(sampleSize, len(t.active)) {
 		workers = append(workers, t.active[rng.IntN(len(t.active))])
--- a/balancer/endpointupdate.go
+++ b/balancer/endpointupdate.go
@@ -1,13 +1,13 @@
 package balancer
 
-// endpointPoller keeps a list that must be polled for up to date.
+// endpointPoller keeps the endpoint list up to date where it has to be polled.
 type endpointPoller struct {
 	subscribed bool
-	nextAt     int64 // when the host may be asked again
+	nextAt     int64 // earliest time of the next request to the host
 }
 
-// pollEndpoints asks the host for the list if it must be polled for; after failures again at a
-// bounded rate.
+// pollEndpoints asks the host for the list if it has to be polled. After failures it asks again at
+// a bounded rate.
 func (b *Balancer) pollEndpoints(now int64) {
 	if !b.settings.PollEndpoints || b.poller.subscribed || now < b.poller.nextAt {
 		return
@@ -17,7 +17,7 @@
 	b.host.SubscribeEndpoints()
 }
 
-// UpdateEndpoints takes changes of the endpoint list.
+// UpdateEndpoints applies changes of the endpoint list.
 func (b *Balancer) UpdateEndpoints(now int64, kind EndpointUpdateKind, endpoints []Endpoint) {
 	b.advanceClock(now)
 	defer b.armTimer()
@@ -39,7 +39,7 @@
 	b.recheckUnsentRequests(now)
 }
 
-// received takes the outcome of a poll. A cached list does not end the wait for a fresh one.
+// received records the outcome of a poll. A cached list does not end the wait for a current one.
 func (p *endpointPoller) received(now int64, kind EndpointUpdateKind) {
 	if kind == EndpointsUnavailable {
 		p.subscribed = false
@@ -49,8 +49,8 @@
 	p.subscribed = p.subscribed || kind != EndpointsCached
 }
 
-// recheckUnsentRequests has the requests that wait for a worker looked at as soon as their timers
-// fire.
+// recheckUnsentRequests makes the requests that wait for a worker due for a new check as soon as
+// their timers fire.
 func (b *Balancer) recheckUnsentRequests(now int64) {
 	for _, entry := range b.timers.entries {
 		if request := entry.request; request != nil && len(request.attempts) == 0 && !request.done {
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -6,51 +6,53 @@
 )
 
 const (
-	// syncPeers is how many dispatchers one that started asks for their holders.
+	// syncPeers is how many other dispatchers a started dispatcher asks for their holders.
 	syncPeers = 3
-	// forgetDispatcherDecays is the time constant, in decayTime, with which a dispatcher that no
-	// longer reports is forgotten.
+	// forgetDispatcherDecays is the time constant, in multiples of decayTime, with which a
+	// dispatcher that no longer reports is forgotten.
 	forgetDispatcherDecays = 20
 )
 
-// The columns of a dispatcher's figures: calls a second of each shared tenant, followed by these.
+// The columns of a dispatcher's figures: the call rate of each shared tenant per second, followed by
+// these.
 const (
-	completionsColumn = 0 // answers a second
-	queuedColumn      = 1 // calls in a queue
+	completionsColumn = 0 // answers per second
+	queuedColumn      = 1 // calls waiting in a queue
 	fleetColumns      = 2
-	// maxSharedTenants is how many tenants' figures are shared: a report holds no more.
+	// maxSharedTenants is how many tenants' figures are shared, limited by the size of a report.
 	maxSharedTenants = 13
 )
 
-// gossipState holds what this dispatcher sends to others and what it has from them. One dispatcher,
-// another in each term, is the leader: all others report to it alone, and it sends the sums to all
-// as a digest. So messages grow with the number of dispatchers and not with its square. They carry
-// hints only: nothing breaks if they are lost.
+// gossipState holds what this dispatcher sends to other dispatchers and what it received from them.
+// In each term another dispatcher is the leader: all others send their reports only to it, and it
+// sends the sums to all as a digest. The number of messages thus grows with the number of
+// dispatchers and not with its square. Messages carry hints only: correctness does not depend on
+// their delivery.
 type gossipState struct {
 	elector    *leader.Elector
 	aggregator *aggregate.Aggregator // of the figures of all dispatchers
-	view       aggregate.View        // of these as of the last round
-	reports    reports               // of other dispatchers, while we lead
+	view       aggregate.View        // sums over all dispatchers as of the last round
+	reports    reports               // of other dispatchers, while this one is the leader
 
 	reportBudget     tokenBucket
 	digestBudget     tokenBucket
 	callsSinceReport int
-	announcements    []*holderState // new holders that the next message announces
+	announcements    []*holderState // new holders to announce in the next message
 	syncRequests     int            // dispatchers asked for their holders since the start
-	lastCounts       int            // counts in the last message, to allocate as many
+	lastCounts       int            // number of counts in the last message, used to size the next
 
-	digestAt     int64 // when the last full digest came
+	digestAt     int64 // when the last full digest arrived
 	fullDigestAt int64 // the same, where the list is long
 }
 
-// earn adds what one call may cost in messages.
+// earn adds what one call may cost in messages to the budgets.
 func (g *gossipState) earn() {
 	g.reportBudget.refill(gossipCostShare)
 	g.digestBudget.refill(gossipCostShare)
 	g.callsSinceReport++
 }
 
-// requestSync asks some other dispatchers, after the start, for the holders that they know of.
+// requestSync asks some other dispatchers, after the start, for the holders that they know.
 func (b *Balancer) requestSync() {
 	others := b.settings.Dispatchers - 1
 	for ; b.gossip.syncRequests < min(syncPeers, others); b.gossip.syncRequests++ {
@@ -59,8 +61,8 @@
 	}
 }
 
-// sendGossip sends a report to the leader or, if that is this dispatcher, a digest to all, once the
-// budget allows it.
+// sendGossip sends a report to the leader or, if this dispatcher is the leader, a digest to all, as
+// soon as the budget allows it.
 func (b *Balancer) sendGossip(now int64) {
 	if !b.settings.Gossip || b.settings.Dispatchers < 2 {
 		return
@@ -74,7 +76,7 @@
 		return
 	}
 	out := b.channelTo(leading)
-	if b.endpoints.isLong() && !out.budget.coversLast() { // filling it would be wasted
+	if b.endpoints.isLong() && !out.budget.coversLast() { // a filled message would be discarded
 		return
 	}
 	b.fillMessage(now, &message)
@@ -82,7 +84,7 @@
 		return
 	}
 	if message.FromLeader && b.termElapsed(now) > b.leaderTerm()*3/4 && b.gossip.view.Stale {
-		message = message.Truncate(b.settings.Dispatchers, out.affordableBytes()) // a full one is too expensive
+		message = message.Truncate(b.settings.Dispatchers, out.affordableBytes()) // a full one exceeds the budget
 	}
 	if !out.spend(message.EncodedLen(b.settings.Dispatchers)) {
 		return
@@ -112,7 +114,7 @@
 	}
 }
 
-// updateView takes the sums as the aggregator has them now.
+// updateView takes the current sums from the aggregator.
 func (b *Balancer) updateView(now int64) {
 	b.gossip.view = b.gossip.aggregator.View(now, b.sharedTenants()+completionsColumn)
 }
@@ -131,7 +133,8 @@
 }
 
 // fleetSum returns the sum of a column over the dispatchers that the last digest covers, or 0 if
-// there was none. The others are left out: a queue passes sooner than they are forgotten.
+// there was none. Dispatchers that it does not cover are excluded: a queue drains faster than they
+// are forgotten.
 func (b *Balancer) fleetSum(column int) float64 {
 	if i := b.sharedTenants() + column; i < len(b.gossip.view.CoveredSums) {
 		return b.gossip.view.CoveredSums[i]
@@ -139,11 +142,10 @@
 	return 0
 }
 
-// FleetView returns what is known of the sums over all dispatchers, as of the last round. It
-// changes nothing.
+// FleetView returns the sums over all dispatchers as of the last round. It changes no state.
 func (b *Balancer) FleetView() aggregate.View { return b.gossip.view }
 
-// queueAnnouncement has the next message announce a holder.
+// queueAnnouncement queues a holder to be announced in the next message.
 func (b *Balancer) queueAnnouncement(now int64, holder *holderState) {
 	if b.settings.Gossip {
 		holder.announcedAt = now
@@ -151,8 +153,9 @@
 	}
 }
 
-// announce reports a new holder to others at once; where the list is long, only when the budget
-// covers the cost of the last message, as one message for each call may be too expensive.
+// announce reports a new holder to other dispatchers immediately. With a long list it does so only
+// when the budget covers the cost of the last message, because a message for each call may be too
+// expensive.
 func (b *Balancer) announce(now int64, holder *holderState) {
 	b.queueAnnouncement(now, holder)
 	budget := &b.gossip.reportBudget
--- a/balancer/gossip_test.go
+++ b/balancer/gossip_test.go
@@ -208,7 +208,7 @@
 		balancer.relativeLatency(now, balancer.endpoints.byID[1])); says {
 		t.Error("it is reported on")
 	}
-	balancer.endpoints.byID[2].pace, balancer.endpoints.byID[2].paceAt = 8, now
+	balancer.endpoints.byID[2].latencyRatio, balancer.endpoints.byID[2].latencyRatioAt = 8, now
 	if l := balancer.weightedLoad(now, balancer.endpoints.byID[2]); l < 30*before {
 		t.Errorf("load %.1f with eight times as long seen here", l)
 	}
--- a/balancer/gossipbudget.go
+++ b/balancer/gossipbudget.go
@@ -1,40 +1,40 @@
 package balancer
 
 const (
-	// gossipCostShare is what a call may cost in reports, and again in digests, as a share of its
-	// priority weight.
+	// gossipCostShare is what a call may cost in reports, and the same again in digests, as a share
+	// of its priority weight.
 	gossipCostShare = 0.005
-	// minMessagePrice is the price assumed where a lower one is configured: each message is read by
-	// its receiver.
+	// minMessagePrice is the price used where a lower one is configured, because each message also
+	// costs its receiver time to read.
 	minMessagePrice = 0.002
-	// maxGossipBudget bounds what may be saved up for messages, in calls.
+	// maxGossipBudget bounds the unused budget for messages, in calls.
 	maxGossipBudget = 10.0
-	// pricedBytes is the size of the message that the configured price is for: one full datagram.
+	// pricedBytes is the message size, one full datagram, to which the configured price applies.
 	pricedBytes = 256
 )
 
 // tokenBucket limits what is spent on messages. Its unit is the priority weight of one call.
 type tokenBucket struct {
 	tokens   float64
-	lastCost float64 // of the last message, sent or not
+	lastCost float64 // cost of the last message, sent or not
 }
 
-// refill adds tokens, up to the most that may be saved.
+// refill adds tokens, up to the capacity of the bucket.
 func (t *tokenBucket) refill(tokens float64) { t.tokens = min(t.tokens+tokens, maxGossipBudget) }
 
-// coversLast reports whether the tokens cover a message like the last one, or are as many as they
-// can be.
+// coversLast reports whether the tokens cover a message that costs the same as the last one, or the
+// bucket is full.
 func (t *tokenBucket) coversLast() bool { return t.tokens >= min(t.lastCost, maxGossipBudget) }
 
-// gossipChannel is where a message goes and what pays for it.
+// gossipChannel is the receiver of a message and the budget that pays for it.
 type gossipChannel struct {
 	budget       *tokenBucket
 	receiver     int     // index of a dispatcher, or allDispatchers
-	pricePerByte float64 // for all receivers
+	pricePerByte float64 // summed over all receivers
 }
 
-// channelTo returns the channel of a report to the leader or, if that is this dispatcher, of a
-// digest to all.
+// channelTo returns the channel for a report to the leader or, if this dispatcher is the leader,
+// for a digest to all.
 func (b *Balancer) channelTo(leader int) gossipChannel {
 	receivers := 1
 	channel := gossipChannel{budget: &b.gossip.reportBudget, receiver: leader}
@@ -46,10 +46,11 @@
 	return channel
 }
 
-// affordableBytes returns the size of the longest message that the budget allows.
+// affordableBytes returns the size in bytes of the longest message that the budget covers.
 func (c *gossipChannel) affordableBytes() int { return int(c.budget.tokens / c.pricePerByte) }
 
-// spend pays for a message of a size in bytes and reports whether the budget covers it.
+// spend deducts the cost of a message of a size in bytes if the budget covers it, and reports
+// whether it does.
 func (c *gossipChannel) spend(size int) bool {
 	cost := c.pricePerByte * float64(size)
 	c.budget.lastCost = cost
--- a/balancer/gossipmessage.go
+++ b/balancer/gossipmessage.go
@@ -7,12 +7,12 @@
 	"oakthread/outlier"
 )
 
-// countsPerHolder is how many workers a message reports for each new holder: others guess holders
-// by the hash, so that the counts come first.
+// countsPerHolder is how many workers a message reports for each announced holder. Counts have
+// priority, because other dispatchers can guess holders from the hash.
 const countsPerHolder = 8
 
-// fillMessage fills a report with what this dispatcher has and, for a digest, with what others
-// reported.
+// fillMessage fills a report with the data of this dispatcher and, for a digest, with what other
+// dispatchers reported.
 func (b *Balancer) fillMessage(now int64, message *aggregate.Message) {
 	if message.FromLeader {
 		message.Digest = b.gossip.aggregator.NextDigest(now)
@@ -21,9 +21,9 @@
 		message.Report = b.gossip.aggregator.NextReport()
 	}
 	workers := b.endpoints.activeWorkers()
-	sure := !b.doubtsItself(now, workers)
+	reportFaults := !b.isLikelyIsolated(now, workers)
 	for _, worker := range workers {
-		b.appendWorker(now, message, worker, sure)
+		b.appendWorker(now, message, worker, reportFaults)
 	}
 	b.gossip.lastCounts = len(message.Counts)
 	// A message has room for about a dozen marks.
@@ -33,12 +33,12 @@
 	b.appendAnnouncements(now, message)
 }
 
-// doubtsItself reports whether so many workers look faulty that the fault is likely this
+// isLikelyIsolated reports whether so many workers look faulty that the fault is likely this
 // dispatcher's own.
-func (b *Balancer) doubtsItself(now int64, workers []*workerState) bool {
+func (b *Balancer) isLikelyIsolated(now int64, workers []*workerState) bool {
 	responded, silent := 0, 0
 	for _, worker := range workers {
-		// Not isEjected, which is not inlined: this looks at every active worker.
+		// isEjected is not inlined, and this loop examines every active worker.
 		if b.outliers.Ejected(&worker.outlierStats, worker.Zone) || worker.hasOverdueAttempt(now) {
 			silent++
 		} else if now-worker.lastResponseAt < recentResponseObjectives*b.shortestObjective {
@@ -48,20 +48,20 @@
 	return outlier.ObserverIsolated(responded, silent)
 }
 
-// appendWorker appends what there is to report of a worker. Faults are reported only if this
-// dispatcher is sure.
-func (b *Balancer) appendWorker(now int64, message *aggregate.Message, worker *workerState, sure bool) {
+// appendWorker appends the count and the mark of a worker. Faults are included only if reportFaults
+// is set.
+func (b *Balancer) appendWorker(now int64, message *aggregate.Message, worker *workerState, reportFaults bool) {
 	overdue := worker.hasOverdueAttempt(now)
 	count := aggregate.Count{
 		Worker: workerTag(worker.Worker), InFlight: len(worker.inFlight),
-		Silent:    sure && (overdue || b.outliers.Ejected(&worker.outlierStats, worker.Zone)),
-		Responded: now-worker.lastResponseAt < b.shortestObjective, // a worker is found silent over about as long
+		Silent:    reportFaults && (overdue || b.outliers.Ejected(&worker.outlierStats, worker.Zone)),
+		Responded: now-worker.lastResponseAt < b.shortestObjective, // finding a worker silent takes about as long
 	}
-	if overdue { // what is stuck on its way is no load there
+	if overdue { // attempts that did not reach the worker are no load there
 		count.InFlight = 0
 	}
 	mark, marked := b.outliers.Mark(now, &worker.outlierStats, b.relativeLatency(now, worker))
-	marked = marked && sure
+	marked = marked && reportFaults
 	if message.FromLeader {
 		mark, marked = b.mergeReported(now, worker, &count, mark, marked)
 	}
@@ -83,7 +83,7 @@
 	message.Counts = append(message.Counts, count)
 }
 
-// appendAnnouncements appends new holders, as many as there is room for.
+// appendAnnouncements appends queued holders, up to the limit per message.
 func (b *Balancer) appendAnnouncements(now int64, message *aggregate.Message) {
 	limit := syncPeers + len(message.Counts)/countsPerHolder
 	for _, holder := range b.gossip.announcements {
@@ -93,7 +93,7 @@
 	}
 }
 
-// announcement returns the form in which messages carry a holder.
+// announcement returns the holder in the form used in messages.
 func (h *holderState) announcement() aggregate.Holder {
 	return aggregate.Holder{Func: functionTag(h.function.id), Worker: workerTag(h.worker.Worker)}
 }
--- a/balancer/gossipreceive.go
+++ b/balancer/gossipreceive.go
@@ -5,8 +5,8 @@
 	"oakthread/outlier"
 )
 
-// HandlePeerMessage takes a message from another dispatcher. It returns false, and changes nothing,
-// if the message cannot be read or its sender does not exist.
+// HandlePeerMessage handles a message from another dispatcher. It returns false, and applies
+// nothing of the message, if the message cannot be decoded or its sender does not exist.
 func (b *Balancer) HandlePeerMessage(now int64, from int, data string) bool {
 	b.advanceClock(now)
 	defer b.armTimer()
@@ -34,7 +34,7 @@
 	}
 	if !message.Continued {
 		if !b.gossip.aggregator.HandleReport(now, from, message.Report) {
-			return true // duplicate, late, or of before its sender's restart
+			return true // duplicate, late, or from before its sender restarted
 		}
 		b.fleetWatch.peerReportAt = now
 		b.gossip.digestBudget.refill(gossipCostShare * float64(message.Calls))
@@ -43,7 +43,7 @@
 	return true
 }
 
-// sendHolders sends all holders that are believed in to a dispatcher that has started.
+// sendHolders sends all valid holders to a dispatcher that has started.
 func (b *Balancer) sendHolders(now int64, receiver int) {
 	out := aggregate.Message{Continued: true}
 	for _, worker := range b.endpoints.listed {
@@ -54,9 +54,9 @@
 	b.sendParts(receiver, out)
 }
 
-// handleHolderAnnouncement takes a holder that another dispatcher reports. The leader passes on
-// what it did not know.
-func (b *Balancer) handleHolderAnnouncement(now int64, announcement aggregate.Holder, pass bool) {
+// handleHolderAnnouncement records a holder that another dispatcher reported. If forward is set, as
+// on the leader, a holder that was not known is announced again in the next message.
+func (b *Balancer) handleHolderAnnouncement(now int64, announcement aggregate.Holder, forward bool) {
 	worker := b.endpoints.byTag[announcement.Worker]
 	if worker == nil || !worker.listed {
 		return
@@ -65,15 +65,15 @@
 	b.endpoints.trackHolders(worker)
 	if holder.validUntil <= now {
 		holder.confirmed = false
-		if pass {
+		if forward {
 			b.gossip.announcements = append(b.gossip.announcements, holder)
 		}
 	}
 	holder.validUntil = max(holder.validUntil, now+b.settings.KeepAlive)
 }
 
-// handleDigest takes the sums over all dispatchers. The first part of a full digest says that the
-// workers it leaves out are idle.
+// handleDigest applies a digest, the sums over all dispatchers. A worker that the first part of a
+// full digest omits is idle.
 func (b *Balancer) handleDigest(now int64, from int, message aggregate.Message) {
 	if !message.Continued {
 		if !b.gossip.aggregator.HandleDigest(now, from, message.Digest) {
@@ -95,11 +95,12 @@
 	b.endpoints.medianPeerCalls = median(calls)
 }
 
-// beginDigest takes the first part of a digest.
+// beginDigest applies the first part of a digest.
 func (b *Balancer) beginDigest(now int64, message aggregate.Message) {
 	b.updateView(now)
-	// Of few dispatchers, one lost digest would change who takes part more often than a death does. A leader
-	// that hears nobody covers itself alone, which says nothing of the others.
+	// With few dispatchers, one lost digest would change the set of participants more often than a
+	// failed dispatcher does. A leader that receives no reports covers only itself, which says
+	// nothing about the others.
 	if b.fleetFactor() > 1 && message.Digest.Covered.Len() > 1 {
 		b.gossip.elector.ObserveDigest(now, message.Digest.Covered)
 	}
@@ -117,9 +118,9 @@
 	}
 }
 
-// applyCount takes what a digest reports of one worker. A truncated digest lists only silent
-// workers. A full one gives the calls of the dispatchers that it covers; the others are taken to
-// have as many there, by their share of the answers.
+// applyCount applies what a digest reports of one worker. A truncated digest lists only silent
+// workers. A full one gives the calls of the dispatchers that it covers; these are scaled up by
+// their share of the answers to account for the others.
 func (b *Balancer) applyCount(now int64, worker *workerState, count aggregate.Count, truncated bool) {
 	if truncated {
 		worker.reportedSilentAt = now
@@ -133,7 +134,7 @@
 	}
 }
 
-// applyEvidence takes what a digest reports of workers whose calls fail or take long.
+// applyEvidence applies what a digest reports of workers whose calls fail or take long.
 func (b *Balancer) applyEvidence(now int64, marks []aggregate.Mark) {
 	if len(marks) == 0 {
 		return
@@ -145,17 +146,17 @@
 		if worker == nil || !worker.listed {
 			continue
 		}
-		word := outlier.Evidence(outlier.Mark{Served: mark.Served, Failed: mark.Failed, Latency: mark.Latency})
+		merged := outlier.Evidence(outlier.Mark{Served: mark.Served, Failed: mark.Failed, Latency: mark.Latency})
 		b.endpoints.markActive(now, worker)
 		weight := max(worker.Weight, minWeight)
 		evidence = append(evidence, outlier.GossipEvidence{
 			Stats:    &worker.outlierStats,
 			Capacity: weight,
-			Evidence: word,
+			Evidence: merged,
 		})
 		workers = append(workers, worker)
-		if word.Latency > 0 {
-			worker.peerPace, worker.peerPaceAt = min(word.LatencyRatio(), maxPace), now
+		if merged.Latency > 0 {
+			worker.peerLatencyRatio, worker.peerLatencyRatioAt = min(merged.LatencyRatio(), maxLatencyRatio), now
 		}
 	}
 	for i, event := range b.outliers.ApplyGossip(now, evidence, b.endpoints.totalWeight()) {
--- a/balancer/holders.go
+++ b/balancer/holders.go
@@ -8,53 +8,56 @@
 // functionState is what is known of one function.
 type functionState struct {
 	id            FuncID
-	concurrency   int   // requests that one copy serves at a time
-	loadTime      int64 // usual time of a load; 0: not stated
+	concurrency   int   // requests that one copy serves concurrently
+	loadTime      int64 // usual duration of a load in nanoseconds; 0: unknown
 	lastRequestAt int64
-	recentCalls   decayingCounter // of this dispatcher, over callRateWindow
+	recentCalls   decayingCounter // calls at this dispatcher, over callRateWindow
 	holders       []*holderState
 	served        bool            // a worker has served it, so it exists
-	waiting       []*requestState // held here until a load ends
+	waiting       []*requestState // wait here until a load ends
 }
 
-// holderState is a worker that is believed to hold copies of a function, or is loading one for us.
+// holderState is the pairing of a function with a worker that is expected to hold copies of it, or
+// is loading one for this dispatcher.
 type holderState struct {
 	function          *functionState
 	worker            *workerState
-	validUntil        int64 // end of the belief; 0: it is not believed to hold any
-	inFlight          int   // our attempts for the function
+	validUntil        int64 // until when copies are expected; 0: none are expected
+	inFlight          int   // own attempts for the function
 	copies            int
-	orderedAt         int64 // the last load order
+	orderedAt         int64 // time of the last load order
 	orderInFlight     bool
-	confirmed         bool  // by a response of the worker itself rather than by a peer
+	confirmed         bool  // by a response of the worker rather than by a peer
 	lastWarmHitAt     int64 // when a call last found a copy loaded
-	orderBackoffUntil int64 // no load order before, since one failed
-	announcedAt       int64 // to the other dispatchers
+	orderBackoffUntil int64 // no load order until then, because one failed
+	announcedAt       int64 // time of the last announcement to other dispatchers
 }
 
-// copyExpected reports whether the worker is believed to hold a copy or to be loading one.
+// copyExpected reports whether the worker is expected to hold a copy or to be loading one.
 func (h *holderState) copyExpected(now int64) bool {
 	return h.validUntil > now || h.inFlight > 0 || h.orderInFlight
 }
 
-// hasFreeCapacity reports whether a copy that the worker itself confirmed can take one more call at
-// once.
+// hasFreeCapacity reports whether a copy that the worker itself confirmed can serve one more call
+// immediately.
 func (h *holderState) hasFreeCapacity(now int64) bool {
 	return h.validUntil > now && h.confirmed && h.inFlight < h.copies*h.function.concurrency
 }
 
-// isObsolete reports whether nothing is believed of, or under way at, the holder.
+// isObsolete reports whether no copy is expected at the holder and no attempt or load order is in
+// progress there.
 func (h *holderState) isObsolete(now, orderTimeout int64) bool {
 	ordered := h.orderedAt > 0 && now-h.orderedAt < orderTimeout
 	return h.inFlight == 0 && h.validUntil <= now && !ordered
 }
 
-// detach takes the holder off its worker.
+// detach removes the holder from its worker.
 func (h *holderState) detach() {
 	h.worker.holders = slices.DeleteFunc(h.worker.holders, func(other *holderState) bool { return other == h })
 }
 
-// holderAt returns the function's holder at a worker; if there is none it adds one or returns nil.
+// holderAt returns the function's holder at a worker. If there is none, it adds one if add is true,
+// and otherwise returns nil.
 func (f *functionState) holderAt(worker *workerState, add bool) *holderState {
 	for _, holder := range f.holders {
 		if holder.worker == worker {
@@ -86,7 +89,7 @@
 	})
 }
 
-// dropObsoleteHolders forgets the holders of which nothing is believed any more.
+// dropObsoleteHolders removes the obsolete holders of a function.
 func (f *functionState) dropObsoleteHolders(now, orderTimeout int64) {
 	current := f.holders[:0]
 	for _, holder := range f.holders {
@@ -99,16 +102,17 @@
 	f.holders = current
 }
 
-// holderTable holds the functions that were called or reported lately, with their holders.
+// holderTable holds the functions that were recently called here or reported by other dispatchers,
+// with their holders.
 type holderTable struct {
 	functions map[uint32]*functionState // by tag
-	expiring  []*holderState            // scratch of expiringWithin
+	expiring  []*holderState            // reused buffer of expiringWithin
 }
 
 // lookup returns a function, or nil if it is not known.
 func (t *holderTable) lookup(id FuncID) *functionState { return t.functions[functionTag(id)] }
 
-// functionFor returns the function that a request calls, as the request describes it.
+// functionFor returns the function that a request calls, updated from the request.
 func (t *holderTable) functionFor(now int64, request Request) *functionState {
 	function := t.lookup(request.Func)
 	if function == nil {
@@ -120,8 +124,8 @@
 	return function
 }
 
-// functionByTag returns the function with a tag. One that only other dispatchers have called gets
-// the tag as its ID until it is called here.
+// functionByTag returns the function with a tag. A function that only other dispatchers have called
+// has the tag as its ID until it is called here.
 func (t *holderTable) functionByTag(now int64, tag uint32) *functionState {
 	function := t.functions[tag]
 	if function == nil {
@@ -131,8 +135,9 @@
 	return function
 }
 
-// expiringWithin lists the holders at a worker whose belief ends within a time, by function ID, so
-// that nothing depends on the order of a map. The result is valid until the next call.
+// expiringWithin returns the holders at a worker that stop being valid within a time in
+// nanoseconds. They are sorted by function ID, so that the result does not depend on map order. The
+// result is valid until the next call.
 func (t *holderTable) expiringWithin(now int64, worker *workerState, within int64) []*holderState {
 	expiring := t.expiring[:0]
 	for _, holder := range worker.holders {
@@ -145,7 +150,8 @@
 	return expiring
 }
 
-// sweep forgets obsolete holders, and functions without holders that were not called for a time.
+// sweep removes obsolete holders, and functions without holders that have not been called for
+// keepFunctions nanoseconds.
 func (t *holderTable) sweep(now, orderTimeout, keepFunctions int64) {
 	for tag, function := range t.functions {
 		function.dropObsoleteHolders(now, orderTimeout)
@@ -155,8 +161,9 @@
 	}
 }
 
-// confirmHolder takes that the worker itself showed that it holds a copy, and has it announced to
-// the other dispatchers if that has not been done for half of the keep-alive.
+// confirmHolder records that the worker itself showed that it holds a copy. It queues an
+// announcement to the other dispatchers unless there was one within the last half of the
+// keep-alive.
 func (b *Balancer) confirmHolder(now int64, holder *holderState) {
 	if holder.validUntil <= now {
 		holder.copies = 1
--- a/balancer/load.go
+++ b/balancer/load.go
@@ -3,28 +3,31 @@
 import "math"
 
 const (
-	loadReportWeight = 0.5 // weight of a load report, which is late and noisy
-	paceWeight       = 0.3 // weight of an answer in a worker's pace: one of many dispatchers gets few
-	// maxPace bounds the pace of a worker: one call that was stuck is no reason to avoid it.
-	maxPace = 8.0
-	// failureRatePenalty is how many times its load a worker carries more if all its calls fail.
+	loadReportWeight   = 0.5 // smoothing weight of a load report, which is delayed and noisy
+	latencyRatioWeight = 0.3 // smoothing weight of one response: one of many dispatchers gets few
+	// maxLatencyRatio bounds the latency ratio of a worker, so that a single stuck call does not
+	// exclude it.
+	maxLatencyRatio = 8.0
+	// failureRatePenalty is how many times its own load is added to the load of a worker whose
+	// calls all fail.
 	failureRatePenalty = 4.0
-	// minWeight is the least weight of a worker: one without a weight still takes some calls.
+	// minWeight is the lowest weight of a worker: one without a weight still gets some calls.
 	minWeight = 0.1
 )
 
-// weightedLoad returns the load by which workers are compared: the calls in flight plus one over
-// the capacity, higher for a worker whose calls fail. Where one of many dispatchers has too few
-// calls at a worker to see its queue, it is higher also for one that takes longer than others.
+// weightedLoad returns the load by which workers are compared: the calls in flight plus one,
+// divided by the capacity, and increased by the failure rate. One of many dispatchers has too few
+// calls at a worker to observe its queue, so there the load is also increased for a worker that is
+// slower than others.
 func (b *Balancer) weightedLoad(now int64, worker *workerState) float64 {
 	load := (b.inFlightAt(now, worker) + 1) / (b.capacityFraction(now, worker) * max(worker.Weight, minWeight))
 	load *= 1 + (1-1/b.fleetFactor())*b.latencyPenalty(now, worker)
 	return load * (1 + failureRatePenalty*b.outliers.FailureRate(now, &worker.outlierStats))
 }
 
-// inFlightAt returns the calls in flight at a worker, ours and those of load reports and digests.
-// What is known of others' calls decays to the median: a worker without a recent report counts as
-// average.
+// inFlightAt returns the calls in flight at a worker: own calls plus those known from load reports
+// and digests. The calls of other dispatchers decay to the median, so that a worker without a
+// recent report counts as average.
 func (b *Balancer) inFlightAt(now int64, worker *workerState) float64 {
 	own := float64(len(worker.inFlight) + worker.failuresAt(now))
 	b.applyFullDigest(worker)
@@ -32,9 +35,9 @@
 	return own + medianCalls + decayed(worker.peerCalls-medianCalls, now-worker.peerCallsAt, b.decayTime())
 }
 
-// recordLoadReport takes the load report that came with a response: what a worker holds beyond our
-// own calls. One of many dispatchers, which has few calls there, goes by the queue if nothing else
-// is reported.
+// recordLoadReport records the load report of a response: the calls at a worker beyond our own. One
+// of many dispatchers, which has few calls there, uses the queue length if the report has no
+// in-flight count.
 func (b *Balancer) recordLoadReport(now int64, worker *workerState, report []float64) {
 	field := b.settings.InflightField - 1
 	if field < 0 && b.fleetFactor() > 1 {
@@ -53,8 +56,9 @@
 	b.updateMedianPeerCalls(now)
 }
 
-// updateMedianPeerCalls takes the median of what is known lately. Each worker counts once: by
-// responses the crowded ones would count most, and none would look heavy.
+// updateMedianPeerCalls recomputes the median from the workers with recent data. Each worker counts
+// once: weighted by responses, the most loaded workers would dominate, and none would look
+// overloaded.
 func (b *Balancer) updateMedianPeerCalls(now int64) {
 	calls := b.choice.loads[:0]
 	for _, worker := range b.endpoints.sample(b.rng) {
@@ -67,30 +71,31 @@
 	b.endpoints.medianPeerCalls = median(calls)
 }
 
-// applyFullDigest takes that a worker which the last full digest of a long list left out is idle
-// for others. That is done when the worker is looked at rather than for all of the list.
+// applyFullDigest sets the calls of other dispatchers to zero for a worker that the last full
+// digest of a long list omitted. This is done when a worker is examined, so that a digest does not
+// have to visit the whole list.
 func (b *Balancer) applyFullDigest(worker *workerState) {
 	if worker.peerCallsAt < b.gossip.fullDigestAt {
 		worker.peerCalls, worker.peerCallsAt = 0, b.gossip.fullDigestAt
 	}
 }
 
-// latencyPenalty returns the share by which a worker counts as heavier for its pace, by our own
-// calls or as others report it, whichever is more.
+// latencyPenalty returns the share by which the load of a worker is increased for its latency
+// ratio, the higher of the own one and the one that other dispatchers reported.
 func (b *Balancer) latencyPenalty(now int64, worker *workerState) float64 {
-	own := decayed(worker.pace*worker.pace-1, now-worker.paceAt, float64(b.callRateWindow()))
-	return max(own, decayed(max(0, worker.peerPace*worker.peerPace-1), now-worker.peerPaceAt, b.decayTime()))
+	own := decayed(worker.latencyRatio*worker.latencyRatio-1, now-worker.latencyRatioAt, float64(b.callRateWindow()))
+	return max(own, decayed(max(0, worker.peerLatencyRatio*worker.peerLatencyRatio-1), now-worker.peerLatencyRatioAt, b.decayTime()))
 }
 
-// relativeLatency returns the pace of a worker by our own calls, which decays to 1.
+// relativeLatency returns the latency ratio of a worker over own calls, which decays to 1.
 func (b *Balancer) relativeLatency(now int64, worker *workerState) float64 {
-	return 1 + decayed(worker.pace-1, now-worker.paceAt, float64(b.callRateWindow()))
+	return 1 + decayed(worker.latencyRatio-1, now-worker.latencyRatioAt, float64(b.callRateWindow()))
 }
 
-// observePace learns the pace of a worker from the response time of a loaded copy and the mean of
-// all.
+// observePace updates the latency ratio of a worker from the response time of a loaded copy and the
+// mean over all workers, both in nanoseconds.
 func (w *workerState) observePace(now int64, responseTime, mean float64) {
-	pace := min(max(responseTime/max(mean, 1), 1), maxPace)
-	w.pace += paceWeight * (pace - w.pace)
-	w.paceAt = now
+	ratio := min(max(responseTime/max(mean, 1), 1), maxLatencyRatio)
+	w.latencyRatio += latencyRatioWeight * (ratio - w.latencyRatio)
+	w.latencyRatioAt = now
 }
--- a/balancer/loadorders.go
+++ b/balancer/loadorders.go
@@ -1,16 +1,16 @@
 package balancer
 
 const (
-	// minCallsPerKeepAlive is the number of calls expected within the keep-alive below which a copy
-	// does not justify its memory.
+	// minCallsPerKeepAlive is the expected number of calls per keep-alive below which a copy does
+	// not justify its memory.
 	minCallsPerKeepAlive = 0.8
-	// minTrafficShare is the least share of all answers that this dispatcher takes for its own: a
-	// small one is known only roughly.
+	// minTrafficShare is the lowest share of all answers that this dispatcher assumes as its own,
+	// because a small share can only be estimated roughly.
 	minTrafficShare = 0.02
 )
 
-// orderLoad orders a copy of a holder's function, if its worker may get one and the quota allows
-// it, and reports whether it did. Every load order passes it (rules 3 and 5).
+// orderLoad orders a copy of a holder's function, if its worker is eligible and the quota allows
+// it, and reports whether it did. Every load order goes through it (rules 3 and 5).
 func (b *Balancer) orderLoad(now int64, holder *holderState) bool {
 	if !b.settings.LoadOrders || !b.eligible(now, holder.worker) ||
 		!b.leases.mayUseUnchecked(now, holder.worker) || !b.loadQuota.take(now) {
@@ -20,7 +20,7 @@
 	return true
 }
 
-// countTowardLoadQuota counts a call as taken for the quota of load orders.
+// countTowardLoadQuota counts an accepted call toward the quota of load orders.
 func (b *Balancer) countTowardLoadQuota(arrivedAt int64) {
 	if b.loadQuota.window <= 0 {
 		return
@@ -29,9 +29,10 @@
 	b.host.CountTowardLoadQuota(arrivedAt)
 }
 
-// unloadIdleCopies orders unloads of copies that have been idle for half of the keep-alive and that
-// all dispatchers, by our share of the answers, call less than once in it: they take memory for
-// which loads wait. A call that comes nevertheless costs one load more.
+// unloadIdleCopies orders unloads of copies that have been idle for half of the keep-alive and
+// that, extrapolated from our share of the answers, all dispatchers together call less than once
+// per keep-alive. They use memory that pending loads need. If a call does come, it costs one more
+// load.
 func (b *Balancer) unloadIdleCopies(now int64) {
 	share := b.trafficShare(now)
 	for _, worker := range b.endpoints.workersWithHolders() {
@@ -45,7 +46,8 @@
 	}
 }
 
-// trafficShare returns this dispatcher's share of all answers, by the last digest, or an equal one.
+// trafficShare returns this dispatcher's share of all answers according to the last digest, or an
+// equal share if there is no recent one.
 func (b *Balancer) trafficShare(now int64) float64 {
 	all := b.fleetSum(completionsColumn) * b.gossip.view.Scale
 	if now-b.gossip.digestAt >= 2*b.shortestObjective || all <= 0 {
@@ -54,7 +56,8 @@
 	return min(1, max(b.completionRate(now)*1e9/all, minTrafficShare))
 }
 
-// HandleLoadResult takes the result of a load order and dispatches the requests that waited for it.
+// HandleLoadResult records the result of a load order and dispatches the requests that waited for
+// it.
 func (b *Balancer) HandleLoadResult(now int64, id WorkerID, functionID FuncID, copies int, result Result) {
 	b.advanceClock(now)
 	defer b.armTimer()
@@ -80,8 +83,8 @@
 	b.dispatchWaiting(now, function)
 }
 
-// finishLoadOrder learns from the result of a load order. One that was reset or never sent says
-// nothing of the worker's room, and may be given again at once.
+// finishLoadOrder records the result of a load order. An order that was reset or never sent gives
+// no information about free memory at the worker, and may be repeated at once.
 func (b *Balancer) finishLoadOrder(now int64, holder *holderState, copies int, result Result) {
 	holder.orderInFlight = false
 	if copies <= 0 {
@@ -90,7 +93,7 @@
 		}
 		return
 	}
-	// An order that ended much sooner than a load takes found the copy loaded.
+	// An order that ended much sooner than a load takes found the copy already loaded.
 	duration := float64(now - holder.orderedAt)
 	if holder.orderedAt > 0 && duration > float64(holder.function.loadTime)/2 {
 		b.loads.observe(holder.function, duration)
@@ -99,7 +102,7 @@
 	holder.copies = copies
 }
 
-// dispatchWaiting dispatches the requests that were held here for a load of a function.
+// dispatchWaiting dispatches the requests that waited here for a load of a function.
 func (b *Balancer) dispatchWaiting(now int64, function *functionState) {
 	waiting := function.waiting
 	function.waiting = nil
--- a/balancer/rendezvous.go
+++ b/balancer/rendezvous.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// placementRankWeight weighs a dispatcher's own placement rank so heavily that it decides before
-// the rank that all dispatchers share.
+// placementRankWeight weighs a dispatcher's own placement rank so heavily that it takes precedence
+// over the rank that all dispatchers share.
 const placementRankWeight = 1e6
 
 // mix64 is the finalizer of SplitMix64 (Steele, Lea and Flood, OOPSLA 2014).
@@ -13,11 +13,11 @@
 	return x ^ x>>31
 }
 
-// workerTag returns the short form of a worker's ID that messages between dispatchers carry.
-// Workers of one tag share what is reported of it.
+// workerTag returns the short form of a worker's ID used in messages between dispatchers. Workers
+// with the same tag share what is reported about them.
 func workerTag(id WorkerID) uint16 { return uint16(id ^ id>>16) }
 
-// functionTag returns the short form of a function's ID that messages between dispatchers carry.
+// functionTag returns the short form of a function's ID used in messages between dispatchers.
 func functionTag(id FuncID) uint32 { return uint32(id ^ id>>32) }
 
 // hashRank returns the rank of a worker for a function, uniform in (0, 1) and the same at every
@@ -26,8 +26,8 @@
 	return (float64(mix64(uint64(function)^uint64(worker)*0x9e3779b97f4a7c15)>>11) + 0.5) / (1 << 53)
 }
 
-// rendezvousScore turns a uniform rank into a score that makes a worker the highest of its peers
-// with a probability in proportion to its weight (weighted rendezvous hashing).
+// rendezvousScore turns a uniform rank into a score with which a worker ranks highest among its
+// peers with a probability proportional to its weight (weighted rendezvous hashing).
 func rendezvousScore(rank, weight float64) float64 { return max(weight, 1e-9) / -math.Log(rank) }
 
 // ownPlacementKey returns a function's key in the ranking that only this dispatcher uses.
--- a/balancer/reportedstate.go
+++ b/balancer/reportedstate.go
@@ -5,26 +5,26 @@
 	"oakthread/outlier"
 )
 
-// reportedState is what others reported of one worker: sums of the counts that are no older than
-// the shortest latency objective, and scratch.
+// reportedState is what other dispatchers reported of one worker: sums over the counts that are
+// younger than the shortest latency objective, and working fields.
 type reportedState struct {
 	calls             int
-	silent, responded int // dispatchers that find it silent, or had a response
-	voidThrough       int // what the messages up to this one reported of it is void
+	silent, responded int // dispatchers that found it silent, or received a response
+	voidThrough       int // counts and marks from messages up to this number are discarded
 
-	message, index    int // a message that is being read, and where in its report the worker's count is
-	round, markedBy   int // of gathering, and one more than the dispatcher whose marks are gathered
+	message, index    int // the message being read, and the index of the worker's count in its report
+	round, markedBy   int // of gathering marks; 1 plus the index of the dispatcher being gathered
 	marks             []outlier.Mark
-	respondedWithMark int // of those that had a response, the ones that reported a mark as well
+	respondedWithMark int // dispatchers that received a response and also reported a mark
 }
 
-// include takes a count into its worker's sums.
+// include adds a count to its worker's sums.
 func (c *peerCount) include() {
 	c.included = true
 	c.add(1)
 }
 
-// exclude takes a count out of its worker's sums, if it is in them.
+// exclude removes a count from its worker's sums, if it is included.
 func (c *peerCount) exclude() {
 	if c.included && c.message > c.worker.reported.voidThrough {
 		c.add(-1)
@@ -32,7 +32,7 @@
 	c.included = false
 }
 
-// add adds a count to its worker's sums sign times.
+// add adds a count to its worker's sums if sign is 1, and subtracts it if sign is -1.
 func (c *peerCount) add(sign int) {
 	state := &c.worker.reported
 	state.calls += sign * int(c.calls)
@@ -44,7 +44,7 @@
 	}
 }
 
-// forRound returns the state with its scratch cleared for a round of gathering.
+// forRound returns the state, with its working fields cleared if the round of gathering is new.
 func (s *reportedState) forRound(round int) *reportedState {
 	if s.round != round {
 		s.round, s.markedBy, s.marks, s.respondedWithMark = round, 0, s.marks[:0], 0
@@ -52,8 +52,8 @@
 	return s
 }
 
-// mergeReported adds what others reported of a worker to our own count, and merges all marks, one
-// of each observer. It is called once in a round for each worker.
+// mergeReported adds what other dispatchers reported of a worker to our own count, and merges all
+// marks, one per observer. It must be called once per round for each worker.
 func (b *Balancer) mergeReported(
 	now int64, worker *workerState, count *aggregate.Count, own outlier.Mark, marked bool,
 ) (outlier.Mark, bool) {
@@ -71,7 +71,7 @@
 	count.Responded = count.Responded || state.responded > 0
 	count.Silent = outlier.SilenceConfirmed(silent, b.settings.Dispatchers)
 	ejected := b.outliers.EjectedByGossip(now, &worker.outlierStats)
-	if ejected { // a response may be older than the ejection: marks show who was served since
+	if ejected { // a response may be older than the ejection; marks show who has been served since
 		responded = 0
 	}
 	merged := outlier.Merge(state.marks, responded)
--- a/balancer/reports.go
+++ b/balancer/reports.go
@@ -7,21 +7,21 @@
 	"oakthread/outlier"
 )
 
-// reports holds the last reports of the other dispatchers while this one leads. They are held by
-// sender, so that the cost of reading one depends on its own length and its predecessor's, whatever
-// else is stored. The sums by worker are whole numbers, raised when a count is included and lowered
-// by the same when it is excluded: replaced, too old, or void with its worker.
+// reports holds the last report of each other dispatcher while this one is the leader. They are
+// stored by sender, so that the cost of reading a report depends only on its length and that of its
+// predecessor. The sums per worker are integers: including a count raises them, and excluding it
+// (replaced, too old, or discarded with its worker) lowers them by the same amount.
 type reports struct {
 	dispatchers int
-	bySender    []*peerReport   // by dispatcher; nil: none, or none at all
-	recent      []reportMessage // whose counts may be in sums, in order of arrival
-	messages    int             // that were read
-	round       int             // of gathering marks
+	bySender    []*peerReport   // by dispatcher index; nil elements: no report; nil slice: none at all
+	recent      []reportMessage // messages whose counts may be in sums, in order of arrival
+	messages    int             // number of messages read
+	round       int             // number of the current round of gathering marks
 }
 
-// peerReport is what one other dispatcher reported of workers last.
+// peerReport is the last report of another dispatcher about workers.
 type peerReport struct {
-	counts []peerCount // one of each worker
+	counts []peerCount // one per worker
 	marks  []peerMark
 }
 
@@ -31,7 +31,7 @@
 	at            int64
 }
 
-// peerCount is what a dispatcher reported of the calls and the responses of a worker.
+// peerCount is a dispatcher's report of the calls and the responses of a worker.
 type peerCount struct {
 	worker            *workerState
 	at                int64
@@ -41,7 +41,7 @@
 	included          bool // in the sums of its worker
 }
 
-// peerMark is what a dispatcher reported of the failures and the pace of a worker.
+// peerMark is a dispatcher's report of the failures and the latency ratio of a worker.
 type peerMark struct {
 	worker  *workerState
 	at      int64
@@ -49,8 +49,8 @@
 	mark    outlier.Mark
 }
 
-// handle takes what a report has of workers, in place of its sender's last one. A continuation of a
-// report adds to it.
+// handle stores what a report says of workers, replacing the sender's previous report. A
+// continuation adds to the report that it continues.
 func (rs *reports) handle(now int64, from int, message aggregate.Message, table *endpointTable) {
 	if rs.bySender == nil {
 		rs.bySender = make([]*peerReport, rs.dispatchers)
@@ -87,9 +87,9 @@
 	}
 }
 
-// addCounts adds the counts of a message; the last one of a worker replaces those before.
+// addCounts adds the counts of a message; a later count of a worker replaces an earlier one.
 func (r *peerReport) addCounts(now int64, message int, counts []aggregate.Count, table *endpointTable) {
-	for i := range r.counts { // of the messages before
+	for i := range r.counts { // of earlier messages of this report
 		state := &r.counts[i].worker.reported
 		state.message, state.index = message, i
 	}
@@ -119,7 +119,8 @@
 	}
 }
 
-// retain drops all but what is of use, by the worker, the time and the number of the message.
+// retain removes all counts and marks for which useful returns false, given the worker, the time of
+// arrival and the number of the message.
 func (r *peerReport) retain(useful func(worker *workerState, at int64, message int) bool) {
 	r.counts = slices.DeleteFunc(r.counts, func(count peerCount) bool {
 		if useful(count.worker, count.at, count.message) {
@@ -134,7 +135,7 @@
 	})
 }
 
-// excludeMessage takes the counts of one message out of the sums.
+// excludeMessage excludes the counts of one message from the sums.
 func (r *peerReport) excludeMessage(message int) {
 	for i := range r.counts {
 		if count := &r.counts[i]; count.message == message {
@@ -143,7 +144,7 @@
 	}
 }
 
-// expire takes the counts that are of the given age or older, in nanoseconds, out of the sums.
+// expire excludes the counts that have reached the given age, in nanoseconds, from the sums.
 func (rs *reports) expire(now, age int64) {
 	expired := 0
 	for _, old := range rs.recent {
@@ -166,7 +167,7 @@
 	return rs.bySender[sender]
 }
 
-// sweep drops what is of no use any more.
+// sweep removes what is no longer needed.
 func (rs *reports) sweep(now, shortestObjective int64, table *endpointTable) {
 	rs.expire(now, shortestObjective)
 	held := false
@@ -176,7 +177,7 @@
 		}
 		report.retain(func(worker *workerState, at int64, message int) bool {
 			old := now-at > leaderTermObjectives*shortestObjective && table.isActive(worker)
-			forgotten := !worker.listed && len(worker.inFlight) == 0 // by the sweep of the workers
+			forgotten := !worker.listed && len(worker.inFlight) == 0 // removed by the sweep of the endpoint table
 			return !old && message > worker.reported.voidThrough && !forgotten
 		})
 		if len(report.counts)+len(report.marks) == 0 {
@@ -190,8 +191,8 @@
 	}
 }
 
-// gatherMarks brings all sums up to date and gathers the marks of each worker for one digest. It
-// looks only at the reports that have any.
+// gatherMarks updates all sums and gathers the marks of each worker for one digest. It reads only
+// the reports that contain marks.
 func (rs *reports) gatherMarks(now, shortestObjective int64) {
 	rs.expire(now, shortestObjective)
 	rs.round++
@@ -202,8 +203,8 @@
 	}
 }
 
-// gatherMarks gathers the marks of one report up to an age, and counts the workers that its sender
-// marks although they responded to it.
+// gatherMarks gathers the marks of one report up to an age in nanoseconds, and counts the workers
+// that its sender marked although they responded to it.
 func (r *peerReport) gatherMarks(now, maxAge int64, round, sender int) {
 	for i := range r.marks {
 		mark := &r.marks[i]
--- a/balancer/worker.go
+++ b/balancer/worker.go
@@ -5,19 +5,19 @@
 	"oakthread/outlier"
 )
 
-// workerState is what is known of one worker. The fields that each choice reads stand first: in a
-// long list a candidate is in no cache.
+// workerState is the state kept for one worker. The fields that each choice reads come first: in a
+// long list a candidate is not in the CPU cache.
 type workerState struct {
 	Endpoint
 	candidate
-	listed         bool            // the endpoint list has it
-	responded      bool            // it has responded since it was listed or restarted
-	inFlight       []*attemptState // in order of sending
-	recentFailures []recentFailure // count as in flight for a while
+	listed         bool            // is in the endpoint list
+	responded      bool            // has responded since it was listed or restarted
+	inFlight       []*attemptState // in the order in which they were sent
+	recentFailures []recentFailure // still count as in flight
 	lastResponseAt int64
 
 	peerObservation
-	pacing
+	latencyRatios
 	slowStartBudget
 	outlierStats outlier.Stats
 	lease        lease.Lease
@@ -28,54 +28,54 @@
 	drainSuspicion drainSuspicion
 }
 
-// candidate is the state of a worker within one choice. A choice is known by its number, so that
-// nothing has to be reset between choices.
+// candidate is the state of a worker within one choice. Choices are numbered, so that nothing has
+// to be reset between them.
 type candidate struct {
 	examinedIn    int // the last choice that examined the worker
-	candidateIn   int // the last choice that may take it
+	candidateIn   int // the last choice in which it was a candidate
 	choiceLoad    float64
 	choiceHealthy bool
 }
 
-// peerObservation is what other dispatchers have at a worker, by load reports and digests.
+// peerObservation is what load reports and digests say about the use of a worker by other
+// dispatchers.
 type peerObservation struct {
-	reportedSilentAt int64   // when a digest last said that it answers nobody; 0: it does
+	reportedSilentAt int64   // when a digest last reported that it answers nobody; 0: it does answer
 	peerCalls        float64 // in flight from other dispatchers
 	peerCallsAt      int64
 }
 
-// pacing is how long a worker takes for a call at a loaded copy.
-type pacing struct {
-	pace       float64 // mean response time over that of all workers; at least 1
-	paceAt     int64
-	peerPace   float64 // the same as other dispatchers report it; never reported on
-	peerPaceAt int64
+// latencyRatios is how slow a worker is for calls to a loaded copy.
+type latencyRatios struct {
+	latencyRatio       float64 // ratio of the mean response time to that of all workers; at least 1
+	latencyRatioAt     int64
+	peerLatencyRatio   float64 // the ratio that other dispatchers report; not reported further
+	peerLatencyRatioAt int64
 }
 
-// slowStartBudget is what may still be sent to a worker in slow start.
+// slowStartBudget is the remaining budget of calls to a worker in slow start.
 type slowStartBudget struct {
-	slowStartSlot   int64 // for which tokens were last drawn
+	slowStartSlot   int64 // the slot for which tokens were last drawn
 	slowStartTokens int
 }
 
-// tracking says in which lists of the endpoint table and of slow start the worker stands.
+// tracking records which lists of the endpoint table and of slow start contain the worker.
 type tracking struct {
 	inTable          bool
 	trackedInUse     bool
 	trackedHolder    bool
 	trackedWarmingUp bool
 	followed         bool  // by leaseState
-	lastActivityAt   int64 // when a call, a response or a message last concerned it; 0: not listed as active
+	lastActivityAt   int64 // time of the last call, response or message; 0: not listed as active
 }
 
-// recentFailure is an attempt that failed and still counts as load of its worker.
+// recentFailure is a failed attempt that still counts toward the load of its worker.
 type recentFailure struct {
 	until     int64
 	queueFull bool // rejected by a full queue
 }
 
-// removeAttempt removes and returns an attempt in flight, or returns nil if there is no such
-// attempt.
+// removeAttempt removes an attempt in flight and returns it, or returns nil if there is none.
 func (w *workerState) removeAttempt(requestID string, index int) *attemptState {
 	for i, attempt := range w.inFlight {
 		if attempt.request.ID == requestID && attempt.index == index {
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// failuresAt returns the number of failed attempts that count as in flight at a time.
+// failuresAt returns the number of failed attempts that still count as in flight.
 func (w *workerState) failuresAt(now int64) (count int) {
 	for _, failure := range w.recentFailures {
 		if failure.until > now {
@@ -96,7 +96,7 @@
 	return count
 }
 
-// dropOldFailures forgets the failed attempts that no longer count.
+// dropOldFailures removes the failed attempts that no longer count as in flight.
 func (w *workerState) dropOldFailures(now int64) {
 	recent := w.recentFailures[:0]
 	for _, failure := range w.recentFailures {
@@ -107,15 +107,15 @@
 	w.recentFailures = recent
 }
 
-// beginAnew forgets what was learned of a worker's process, which has been replaced by another one.
+// beginAnew discards what was learned of a worker's process after another process has replaced it.
 func (w *workerState) beginAnew() {
 	w.forgetCopies()
 	w.slowStartSlot = 0
 	w.outlierStats.Reset()
 }
 
-// forgetCopies ends the belief that a worker holds any copies, after it restarted, left the list or
-// could not be reached.
+// forgetCopies marks all copies at a worker as no longer expected, after it restarted, left the
+// list or became unreachable.
 func (w *workerState) forgetCopies() {
 	for _, holder := range w.holders {
 		holder.validUntil, holder.copies, holder.confirmed = 0, 1, false
