--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -6,7 +6,7 @@
 )
 
 // TestDrainingAndRemovedWorkersGetNoAttempt proves that a draining or removed worker gets no
-// attempt, and a waiting call is sent as soon as a worker is listed.
+// attempt, and that a waiting call is sent as soon as a worker is listed.
 func TestDrainingAndRemovedWorkersGetNoAttempt(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 2)
 	balancer.UpdateEndpoints(ms, EndpointsDelta, []Endpoint{{Worker: 1, State: Draining, Weight: 1}})
@@ -21,12 +21,12 @@
 		}
 	}
 	if host.lastWorker["held"] != 0 {
-		t.Fatal("sent to a worker that is gone")
+		t.Fatal("sent to a removed worker")
 	}
 	balancer.UpdateEndpoints(50*ms, EndpointsDelta, activeEndpoints(3)[2:])
 	fireTimers(balancer, host, 50*ms, 200*ms)
 	if host.lastWorker["held"] != 3 {
-		t.Fatal("a held call was not sent when a worker came")
+		t.Fatal("the waiting call was not sent when a worker was listed")
 	}
 }
 
@@ -45,7 +45,7 @@
 	}
 }
 
-// TestEndpointListIsPolledAgainAfterFailure proves that a list that must be polled for is asked for
+// TestEndpointListIsPolledAgainAfterFailure proves that a list that has to be polled is requested
 // at the start, and after failures again at a bounded rate.
 func TestEndpointListIsPolledAgainAfterFailure(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
@@ -57,7 +57,7 @@
 	}
 	balancer.UpdateEndpoints(0, EndpointsCached, activeEndpoints(2))
 	if host.subscriptions != 1 {
-		t.Fatalf("%d subscriptions asked for at start", host.subscriptions)
+		t.Fatalf("%d subscription requests at the start", host.subscriptions)
 	}
 	for now := 100 * ms; now < 20000*ms; now += 100 * ms {
 		before := host.subscriptions
@@ -69,6 +69,6 @@
 		}
 	}
 	if host.subscriptions < 6 || host.subscriptions > 14 {
-		t.Fatalf("asked %d times in 20 s of failures, want about one in each quarter of AskWithin", host.subscriptions)
+		t.Fatalf("%d requests in 20 s of failures, want about one per quarter of PollInterval", host.subscriptions)
 	}
 }
--- a/balancer/gossip_test.go
+++ b/balancer/gossip_test.go
@@ -7,8 +7,8 @@
 	"oakthread/aggregate"
 )
 
-// TestGossipCostIsBounded proves that what a dispatcher sends is bounded by its calls and by the
-// number of its receivers.
+// TestGossipCostIsBounded proves that the cost of what a dispatcher sends is bounded by its calls,
+// counting each receiver of a message.
 func TestGossipCostIsBounded(t *testing.T) {
 	for _, size := range []int{3, 250} {
 		settings := testSettings(Idempotent, ScopeAll)
@@ -35,13 +35,13 @@
 			t.Errorf("%d dispatchers: messages cost %.2f, %.2f earned", size, spent, limit)
 		}
 		if len(host.messages) == 0 {
-			t.Errorf("%d dispatchers: nothing was reported", size)
+			t.Errorf("%d dispatchers: no message was sent", size)
 		}
 	}
 }
 
-// TestRestartedDispatcherLearnsHoldersFromPeers proves that a restarted dispatcher asks others for
-// their holders and does not load again what is loaded.
+// TestRestartedDispatcherLearnsHoldersFromPeers proves that a restarted dispatcher asks other
+// dispatchers for their holders and does not load again what is already loaded.
 func TestRestartedDispatcherLearnsHoldersFromPeers(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.Gossip = true
@@ -69,8 +69,8 @@
 	}
 }
 
-// TestHoldersAreAnnouncedInALargeFleet proves that new holders are announced, and none pile up,
-// also where the counts of many busy workers fill a message.
+// TestHoldersAreAnnouncedInALargeFleet proves that new holders are announced, and that none
+// accumulate, even when the counts of many busy workers fill a message.
 func TestHoldersAreAnnouncedInALargeFleet(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.Gossip = true
@@ -90,7 +90,7 @@
 	}
 	busy := 0
 	for _, worker := range b.endpoints.listed {
-		n := int(worker.peerCalls) // where a was the leader, b knows the sums; else a reported to b
+		n := int(worker.peerCalls) // b has the sums if a was the leader, otherwise the report of a
 		for _, report := range b.gossip.reports.bySender {
 			for i := 0; report != nil && i < len(report.counts); i++ {
 				if count := report.counts[i]; count.worker == worker {
@@ -106,19 +106,19 @@
 	}
 }
 
-// TestDigestCarriesTheQueueToAll proves that reports are summed by the leader, and the digest shows
+// TestDigestCarriesTheQueueToAll proves that the leader sums the reports, and that the digest shows
 // an overload to a dispatcher with little traffic.
 func TestDigestCarriesTheQueueToAll(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.Dispatchers, settings.Gossip = 3, true
 	balancer, _ := newTestBalancer(t, settings, 4)
-	calm := balancer.expectedQueueTime(5000 * ms)
+	idleWait := balancer.expectedQueueTime(5000 * ms)
 	balancer.HandlePeerMessage(5000*ms, 1, encodedDigest(balancer, 5000*ms, []float64{40, 80},
 		aggregate.Count{Worker: 1, InFlight: 9, Responded: true},
 		aggregate.Count{Worker: 2, InFlight: 3, Silent: true}))
-	if w := balancer.expectedQueueTime(5001 * ms); w < 2*calm {
+	if w := balancer.expectedQueueTime(5001 * ms); w < 2*idleWait {
 		t.Errorf("expected wait %.0f ms with 80 calls in queue and 40 answers a second, %.0f ms before", w/1e6,
-			calm/1e6)
+			idleWait/1e6)
 	}
 	if balancer.endpoints.byID[1].peerCalls != 9 || balancer.isUnresponsive(5001*ms, balancer.endpoints.byID[1]) ||
 		!balancer.isUnresponsive(5001*ms, balancer.endpoints.byID[2]) {
@@ -127,7 +127,7 @@
 				balancer.endpoints.byID[2]))
 	}
 	balancer.HandlePeerMessage(5010*ms, 1, encodedDigest(balancer, 5010*ms, []float64{40, 0}))
-	for i := range 40 { // what we see ourselves is newer than what was reported
+	for i := range 40 { // own observations are newer than the report
 		balancer.HandleRequest(5020*ms, testRequest(fmt.Sprint(i), 5020*ms, FuncID(i%4)))
 	}
 	for _, worker := range balancer.endpoints.listed {
@@ -135,16 +135,16 @@
 			attempt.expectedWarm = true
 		}
 	}
-	if w := balancer.expectedQueueTime(5030 * ms); w < 2*calm {
+	if w := balancer.expectedQueueTime(5030 * ms); w < 2*idleWait {
 		const format = "expected wait %.0f ms with 40 of our calls queued, %.0f ms after a digest of an idle fleet"
-		t.Errorf(format, w/1e6, calm/1e6)
+		t.Errorf(format, w/1e6, idleWait/1e6)
 	}
 	balancer.HandlePeerMessage(5040*ms, 99, encodedDigest(balancer, 5200*ms, []float64{1, 1})) // no such dispatcher
 	balancer.HandlePeerMessage(5000*ms, 1, "AAAA")
 }
 
-// TestLeaderSendsTheDigestItCanAfford proves that a leader of many that cannot pay for a full
-// digest sends, after some terms without one, the sums and the silent workers.
+// TestLeaderSendsTheDigestItCanAfford proves that a leader of many dispatchers whose budget does
+// not cover a full digest sends, after some terms without one, the sums and the silent workers.
 func TestLeaderSendsTheDigestItCanAfford(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.Dispatchers, settings.Gossip, settings.PeerPrice, settings.OverloadWindow = 300, true, 0.021, 0
@@ -156,7 +156,7 @@
 		if balancer.gossip.elector.Leader(at) != settings.DispatcherIndex {
 			continue
 		}
-		for from := 1; from < 300; from++ { // each took some three calls
+		for from := 1; from < 300; from++ { // each accepted three calls
 			row := aggregate.Message{
 				Calls:  3,
 				Report: aggregate.Report{Incarnation: 1, Seq: uint8(at / term), Values: []float64{7, 1}, Fresh: true},
@@ -167,31 +167,32 @@
 			}
 			balancer.HandlePeerMessage(at, from, row.Encode(300)[0])
 		}
-		reported := len(host.messages)
+		sentBefore := len(host.messages)
 		for in := at; in < at/term*term+term; in += 30 * ms {
 			balancer.sendGossip(in)
 		}
 		if at > 20000*term {
 			t.Fatal("never the leader")
 		}
-		if len(host.messages) == reported {
-			t.Fatalf("reported nothing, with %.1f earned", balancer.gossip.digestBudget.tokens)
+		if len(host.messages) == sentBefore {
+			t.Fatalf("no digest sent with a budget of %.1f", balancer.gossip.digestBudget.tokens)
 		}
-		message, ok := aggregate.Decode(host.messages[reported], 300)
+		message, ok := aggregate.Decode(host.messages[sentBefore], 300)
 		if !ok || message.Digest.Sums[0] < 299*7-1 || len(message.Counts) != 1 || message.Counts[0].Worker != 118 ||
 			!balancer.isReportedUnresponsive(at, balancer.endpoints.byID[118]) {
-			t.Fatalf("reported %+v", message)
+			t.Fatalf("sent %+v", message)
 		}
-		if len(host.messages) > reported+1 {
-			t.Fatalf("%d texts", len(host.messages)-reported)
+		if len(host.messages) > sentBefore+1 {
+			t.Fatalf("%d messages, want 1", len(host.messages)-sentBefore)
 		}
 		return
 	}
 }
 
-// TestReportedPaceIsNotReportedOn proves that a pace that others report weighs here, is not
-// reported on, and does not lessen what was observed here; else it would never fade.
-func TestReportedPaceIsNotReportedOn(t *testing.T) {
+// TestReportedLatencyRatioIsNotForwarded proves that a latency ratio that others report raises the
+// load here, is not reported further, and does not lower what was observed here. If it were
+// reported further, it would never decay.
+func TestReportedLatencyRatioIsNotForwarded(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.Dispatchers, settings.Gossip = 12, true
 	balancer, _ := newTestBalancer(t, settings, 4)
@@ -204,15 +205,15 @@
 	if l := balancer.weightedLoad(now, balancer.endpoints.byID[1]); l < 3*before {
 		t.Errorf("load %.1f with calls reported to take four times as long, %.1f before", l, before)
 	}
-	if _, says := balancer.outliers.Mark(now, &balancer.endpoints.byID[1].outlierStats,
-		balancer.relativeLatency(now, balancer.endpoints.byID[1])); says {
-		t.Error("it is reported on")
+	if _, marked := balancer.outliers.Mark(now, &balancer.endpoints.byID[1].outlierStats,
+		balancer.relativeLatency(now, balancer.endpoints.byID[1])); marked {
+		t.Error("the latency ratio reported by others is reported further")
 	}
 	balancer.endpoints.byID[2].latencyRatio, balancer.endpoints.byID[2].latencyRatioAt = 8, now
 	if l := balancer.weightedLoad(now, balancer.endpoints.byID[2]); l < 30*before {
-		t.Errorf("load %.1f with eight times as long seen here", l)
+		t.Errorf("load %.1f with calls observed here to take eight times as long", l)
 	}
 	if l := balancer.weightedLoad(now+10*int64(balancer.decayTime()), balancer.endpoints.byID[1]); l > 1.1*before {
-		t.Errorf("load %.1f long after", l)
+		t.Errorf("load %.1f after ten decay times", l)
 	}
 }
--- a/balancer/health_test.go
+++ b/balancer/health_test.go
@@ -8,23 +8,22 @@
 	"oakthread/outlier"
 )
 
-// TestSilentWorkerGetsNoCalls proves that a worker that answers nothing gets no calls after a
-// while.
+// TestSilentWorkerGetsNoCalls proves that a worker that answers no call stops getting calls.
 func TestSilentWorkerGetsNoCalls(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 4)
 	markAllResponded(balancer)
 	balancer.HandleRequest(0, testRequest("a", 0, 1))
-	quiet := host.lastWorker["a"]
+	silentWorker := host.lastWorker["a"]
 	for i := range 400 {
 		now := int64(i) * 10 * ms
 		id := fmt.Sprint(i)
 		balancer.HandleRequest(now, testRequest(id, now, 1))
-		if host.lastWorker[id] != quiet {
+		if host.lastWorker[id] != silentWorker {
 			balancer.HandleAttemptResult(now+5*ms, successful(id, host.lastWorker[id]))
 		} else if now > 2500*ms {
 			t.Fatalf("call at %d ms to a worker silent since the start", now/ms)
 		}
-		if worker := host.lastWorker["a"]; worker != quiet {
+		if worker := host.lastWorker["a"]; worker != silentWorker {
 			balancer.HandleAttemptResult(now+5*ms,
 				AttemptResult{ID: "a", Attempt: 1, Worker: worker, Result: OK, Finished: true})
 		}
@@ -33,10 +32,11 @@
 }
 
 // TestLostZoneIsTriedByFewDispatchers proves that after the loss of a zone with more than half of
-// the workers, the rest are used, and only a few dispatchers at a time try the lost ones.
+// the workers, calls go to the other workers, and only a few dispatchers at a time try the lost
+// ones.
 func TestLostZoneIsTriedByFewDispatchers(t *testing.T) {
 	const workers, lost = 10, 7
-	trials, heard := map[WorkerID]int{}, 0
+	trials, retried := map[WorkerID]int{}, 0
 	for i := range 80 {
 		settings := testSettings(Idempotent, ScopeAll)
 		settings.Dispatchers, settings.DispatcherIndex, settings.Gossip = 80, i, true
@@ -45,7 +45,7 @@
 		var counts []aggregate.Count
 		for w := range lost {
 			counts = append(counts, aggregate.Count{Worker: uint16(w + 1), Silent: true})
-			// its ejection will have run out
+			// this ejection has expired at now
 			balancer.recordFailure(0, balancer.endpoints.byID[WorkerID(w+1)], outlier.WeightUnreachable)
 		}
 		now := 20000 * ms
@@ -56,7 +56,7 @@
 			if worker := host.lastWorker[id]; worker <= lost {
 				trials[worker]++
 				if k > 0 && len(balancer.endpoints.byID[worker].inFlight) > 1 {
-					t.Fatalf("dispatcher %d: call %d went to worker %d, which nobody hears", i, k, worker)
+					t.Fatalf("dispatcher %d: call %d went to worker %d, which serves nobody", i, k, worker)
 				}
 			}
 		}
@@ -67,9 +67,9 @@
 		balancer.endpoints.byID[1].inFlight = nil
 		balancer.HandleRequest(later+ms, testRequest("back", later+ms, 99))
 		if host.lastWorker["back"] == 1 {
-			heard++
+			retried++
 		}
-		for _, many := range []int{3, 80} { // of few, each finds out for itself soon
+		for _, many := range []int{3, 80} { // few dispatchers each detect it soon by themselves
 			balancer.settings.Dispatchers = many
 			if reported := balancer.isReportedUnresponsive(now+3*balancer.shortestObjective,
 				balancer.endpoints.byID[2]); reported != (many == 80) {
@@ -82,13 +82,14 @@
 			t.Errorf("%d of 80 dispatchers tried worker %d, want some five", trials[worker], worker)
 		}
 	}
-	if heard < 70 {
-		t.Errorf("%d of 80 dispatchers tried worker 1 once it was heard again", heard)
+	if retried < 70 {
+		t.Errorf("%d of 80 dispatchers tried worker 1 once it responded again", retried)
 	}
 }
 
-// TestStallBlamesNoWorker proves that after the process stood still, the late timer blames no
-// worker and neither retries nor ends a request before the answers that came meanwhile are read.
+// TestStallBlamesNoWorker proves that after a stall of the process the late timer attributes no
+// failure to a worker, and neither retries nor ends a request before the answers that arrived
+// meanwhile are read.
 func TestStallBlamesNoWorker(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 4)
 	markAllResponded(balancer)
@@ -97,13 +98,13 @@
 		balancer.HandleRequest(1000*ms, testRequest(fmt.Sprint(i), 1000*ms, FuncID(i)))
 	}
 	fireTimers(balancer, host, 1000*ms, 1100*ms)
-	balancer.HandleTimer(3995*ms, host.timerRef) // 2.9 s later, inside the last moments of the calls
+	balancer.HandleTimer(3995*ms, host.timerRef) // 2.9 s later, just before the deadline of the calls
 	for i := range 8 {
 		id := fmt.Sprint(i)
 		balancer.HandleAttemptResult(3995*ms, successful(id, host.lastWorker[id]))
 	}
 	if len(host.attempts) != 8 || len(host.answers) > 0 || host.cancellations > 0 {
-		t.Fatalf("%d sends, answers %v, %d cancels after standing still", len(host.attempts), host.answers,
+		t.Fatalf("%d sends, answers %v, %d cancels after a stall", len(host.attempts), host.answers,
 			host.cancellations)
 	}
 	for _, worker := range balancer.endpoints.listed {
@@ -120,41 +121,41 @@
 }
 
 // TestResetConnectionsEjectNoWorker proves that a reset connection neither ejects its worker nor
-// ends the belief in its copies, since some networks reset everywhere; the call goes to the copy
-// once more. A refused connection shows at once that the worker is down.
+// invalidates its copies, since in some networks all connections are reset; the call is sent to the
+// copy once more. A refused connection shows at once that the worker is down.
 func TestResetConnectionsEjectNoWorker(t *testing.T) {
-	for lately, res := range map[int64]Result{100 * ms: Reset, 1500 * ms: Reset, 1501 * ms: ConnectFailed} {
+	for at, res := range map[int64]Result{100 * ms: Reset, 1500 * ms: Reset, 1501 * ms: ConnectFailed} {
 		balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 4)
 		markAllResponded(balancer)
 		balancer.HandleRequest(0, testRequest("a", 0, 1))
 		worker := balancer.endpoints.byID[host.lastWorker["a"]]
 		balancer.HandleAttemptResult(10*ms, successful("a", worker.Worker))
-		fireTimers(balancer, host, 20*ms, lately)
-		balancer.HandleRequest(lately, testRequest("b", lately, 1))
+		fireTimers(balancer, host, 20*ms, at)
+		balancer.HandleRequest(at, testRequest("b", at, 1))
 		if host.lastWorker["b"] != worker.Worker {
-			t.Fatal("the holder was not taken")
+			t.Fatal("not sent to the holder")
 		}
-		balancer.HandleAttemptResult(lately+5*ms, AttemptResult{ID: "b", Worker: worker.Worker, Result: res})
-		if dead := res != Reset; balancer.isEjected(worker) != dead || (worker.holders[0].validUntil == 0) != dead ||
-			(host.lastWorker["b"] != worker.Worker) != dead {
-			t.Fatalf("%d after %d ms: ejected %v, beliefs %v, sent to %d", res, lately/ms, balancer.isEjected(worker),
+		balancer.HandleAttemptResult(at+5*ms, AttemptResult{ID: "b", Worker: worker.Worker, Result: res})
+		if down := res != Reset; balancer.isEjected(worker) != down || (worker.holders[0].validUntil == 0) != down ||
+			(host.lastWorker["b"] != worker.Worker) != down {
+			t.Fatalf("%d after %d ms: ejected %v, valid until %v, sent to %d", res, at/ms, balancer.isEjected(worker),
 				worker.holders[0].validUntil, host.lastWorker["b"])
 		}
 		if ejected := balancer.Ejected(); (len(ejected) == 1 && ejected[0] == worker.Worker) != (res != Reset) {
-			t.Errorf("%d: Ejected says %v", res, ejected)
+			t.Errorf("%d: Ejected returns %v", res, ejected)
 		}
 		if res == Reset {
-			balancer.HandleAttemptResult(lately+9*ms,
+			balancer.HandleAttemptResult(at+9*ms,
 				AttemptResult{ID: "b", Attempt: 1, Worker: worker.Worker, Result: res})
 			if host.lastWorker["b"] == worker.Worker || balancer.isEjected(worker) {
-				t.Errorf("cut twice: sent to %d again, ejected %v", host.lastWorker["b"], balancer.isEjected(worker))
+				t.Errorf("reset twice: sent to %d again, ejected %v", host.lastWorker["b"], balancer.isEjected(worker))
 			}
 		}
 	}
 }
 
 // TestPartitionedZoneIsEjectedAndRestoredAsOne proves that after three unreachable workers in a row
-// their zone is left out, few calls are spent on it, and its first answer restores all of its
+// their zone is ejected, few calls are spent on it, and its first answer restores all of its
 // workers at once.
 func TestPartitionedZoneIsEjectedAndRestoredAsOne(t *testing.T) {
 	const cutAt, healAt, end, workers = 2000 * ms, 8000 * ms, 11000 * ms, 40
@@ -181,7 +182,7 @@
 		for now := int64(0); now < end; now += 5 * ms {
 			if now%(100*ms) == 0 {
 				function := FuncID(now/(100*ms)%25 + 1)
-				if now >= healAt { // held nowhere: its place is any worker's
+				if now >= healAt { // not loaded anywhere: any worker may be chosen
 					function += FuncID(now)
 				}
 				balancer.HandleRequest(now, testRequest(fmt.Sprint(now/ms), now, function))
@@ -202,7 +203,7 @@
 				at, result := now+40*ms, successful(attempt.id, attempt.worker)
 				result.Attempt = tries[attempt.id]
 				tries[attempt.id]++
-				if cut := attempt.worker%2 == 0 && now >= cutAt && now < healAt; cut {
+				if partitioned := attempt.worker%2 == 0 && now >= cutAt && now < healAt; partitioned {
 					at, result.Result, result.Finished, result.Warmth = now+250*ms, ConnectFailed, false, WarmthUnknown
 					if now < cutAt+1000*ms {
 						early++
@@ -216,10 +217,10 @@
 			}
 		}
 		if early > 8 || lateFails > 8 {
-			t.Errorf("seed %d: %d calls sent across the cut in its first second, %d after", seed, early, lateFails)
+			t.Errorf("seed %d: %d calls sent to the lost zone in its first second, %d after", seed, early, lateFails)
 		}
 		if back < 3 {
-			t.Errorf("seed %d: %d of 10 calls sent to the zone from 2 s after it was back", seed, back)
+			t.Errorf("seed %d: %d of 10 calls sent to the zone from 2 s after its restoration", seed, back)
 		}
 	}
 }
--- a/balancer/load.go
+++ b/balancer/load.go
@@ -84,7 +84,8 @@
 // ratio, the higher of the own one and the one that other dispatchers reported.
 func (b *Balancer) latencyPenalty(now int64, worker *workerState) float64 {
 	own := decayed(worker.latencyRatio*worker.latencyRatio-1, now-worker.latencyRatioAt, float64(b.callRateWindow()))
-	return max(own, decayed(max(0, worker.peerLatencyRatio*worker.peerLatencyRatio-1), now-worker.peerLatencyRatioAt, b.decayTime()))
+	return max(own, decayed(max(0, worker.peerLatencyRatio*worker.peerLatencyRatio-1),
+		now-worker.peerLatencyRatioAt, b.decayTime()))
 }
 
 // relativeLatency returns the latency ratio of a worker over own calls, which decays to 1.
@@ -92,8 +93,8 @@
 	return 1 + decayed(worker.latencyRatio-1, now-worker.latencyRatioAt, float64(b.callRateWindow()))
 }
 
-// observePace updates the latency ratio of a worker from the response time of a loaded copy and the
-// mean over all workers, both in nanoseconds.
+// observePace updates the latency ratio of a worker from the response time of a loaded
+// copy and the mean over all workers, both in nanoseconds.
 func (w *workerState) observePace(now int64, responseTime, mean float64) {
 	ratio := min(max(responseTime/max(mean, 1), 1), maxLatencyRatio)
 	w.latencyRatio += latencyRatioWeight * (ratio - w.latencyRatio)
--- a/balancer/loadorders_test.go
+++ b/balancer/loadorders_test.go
@@ -20,18 +20,18 @@
 	}
 }
 
-// TestCallsWaitForALoadAtTheDispatcher proves that calls for a copy that is loading wait at the
-// dispatcher rather than in a bounded queue; one order loads, and its result sends them. If the
-// load takes too long they are sent all the same, in time.
+// TestCallsWaitForALoadAtTheDispatcher proves that calls for a copy that is being loaded wait at
+// the dispatcher rather than in a bounded queue of the worker. One order loads the copy, and its
+// result releases the calls. If the load takes too long, they are sent in time without it.
 func TestCallsWaitForALoadAtTheDispatcher(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 3)
 	markAllResponded(balancer)
 	balancer.HandleRequest(0, testRequest("a", 0, 1))
 	if len(host.attempts) != 1 || len(host.loadOrders) != 0 {
-		t.Fatal("a function that no worker has served was ordered")
+		t.Fatal("a load was ordered for a function that no worker has served")
 	}
 	balancer.HandleAttemptResult(10*ms, successful("a", host.lastWorker["a"]))
-	now := 9000 * ms // the belief has lapsed
+	now := 9000 * ms // the holder is no longer valid
 	fireTimers(balancer, host, 20*ms, now)
 	for _, id := range []string{"b", "c"} {
 		balancer.HandleRequest(now, testRequest(id, now, 1))
@@ -50,16 +50,16 @@
 	balancer.HandleRequest(now, testRequest("d", now, 1))
 	fireTimers(balancer, host, now, now+1180*ms)
 	if host.lastWorker["d"] != 0 {
-		t.Fatal("not held")
+		t.Fatal("did not wait for the load")
 	}
 	fireTimers(balancer, host, now+1200*ms, now+1220*ms)
 	if host.lastWorker["d"] == 0 {
-		t.Fatal("held beyond its part of the time")
+		t.Fatal("waited for the load longer than its share of the time")
 	}
 }
 
 // TestIdleCopiesAreUnloaded proves that a copy that is hardly called is unloaded after half of the
-// keep-alive; one that is called now and then stays, and so does one with a call in flight.
+// keep-alive, and that a copy with occasional calls or with a call in flight is kept.
 func TestIdleCopiesAreUnloaded(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 3)
 	markAllResponded(balancer)
@@ -82,9 +82,9 @@
 	}
 }
 
-// TestInterruptedLoadOrdersAreRepeated proves that a load order that was reset or never sent says
-// nothing of the room at its worker: it is given again, within the quota. After a refusal the call
-// is sent.
+// TestInterruptedLoadOrdersAreRepeated proves that a load order that was reset or never sent is
+// repeated within the quota, because it gives no information about free memory at the worker. After
+// a rejection the call itself is sent.
 func TestInterruptedLoadOrdersAreRepeated(t *testing.T) {
 	for res, orders := range map[Result]int{Reset: 3, NotSent: 3, QueueFull: 1, Error: 1} {
 		settings := testSettings(Idempotent, ScopeAll)
@@ -93,20 +93,20 @@
 		markAllResponded(balancer)
 		balancer.HandleRequest(0, testRequest("a", 0, 1))
 		balancer.HandleAttemptResult(10*ms, successful("a", 1))
-		now := 9000 * ms // the belief has lapsed
+		now := 9000 * ms // the holder is no longer valid
 		fireTimers(balancer, host, 20*ms, now)
 		balancer.HandleRequest(now, testRequest("b", now, 1))
 		for i := range int64(4) {
 			balancer.HandleLoadResult(now+i*ms, 1, 1, 0, res)
 		}
 		if len(host.loadOrders) != orders || len(host.attempts) != 2 {
-			t.Errorf("order ended with %d: %d orders, %d sends", res, len(host.loadOrders), len(host.attempts))
+			t.Errorf("order ended with result %d: %d orders, %d sends", res, len(host.loadOrders), len(host.attempts))
 		}
 	}
 }
 
 // TestCallsOfUnknownFunctionsEarnNoLoadOrders proves that calls of functions that no worker serves
-// earn no load orders, since the platform does not count them.
+// do not raise the quota of load orders, since the platform does not count them.
 func TestCallsOfUnknownFunctionsEarnNoLoadOrders(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.LoadQuotaWindow, settings.LoadQuotaBase, settings.LoadQuotaRatio = 5000*ms, 1, 0.25
@@ -122,17 +122,17 @@
 	}
 	holder := balancer.holders.functionFor(50*ms, testRequest("", 50*ms, 1)).holderAt(balancer.endpoints.byID[1], true)
 	if !balancer.orderLoad(50*ms, holder) {
-		t.Fatal("the free order was not given")
+		t.Fatal("the order of the base quota was not sent")
 	}
 	if balancer.orderLoad(51*ms, holder) {
-		t.Fatal("an order was given for calls of functions that no worker serves")
+		t.Fatal("an order was sent for calls of functions that no worker serves")
 	}
-	for i := range 4 { // these count, also the first, whose answer shows that the function is there
+	for i := range 4 { // these count, including the first, whose answer shows that the function exists
 		id, now := fmt.Sprint("known", i), int64(60+10*i)*ms
 		balancer.HandleRequest(now, testRequest(id, now, 2))
 		balancer.HandleAttemptResult(now+ms, successful(id, host.lastWorker[id]))
 	}
 	if !balancer.orderLoad(100*ms, holder) {
-		t.Fatal("no order was given for four calls served")
+		t.Fatal("no order was sent for four served calls")
 	}
 }
--- a/balancer/longlist_test.go
+++ b/balancer/longlist_test.go
@@ -15,9 +15,9 @@
 	"oakthread/aggregate"
 )
 
-const scanAlways, scanNever = math.MaxInt, -1 // of Settings.FullScanLimit
+const scanAlways, scanNever = math.MaxInt, -1 // values of Settings.FullScanLimit
 
-// examinedWorkersOf are the workers that the last choice looked at.
+// examinedWorkersOf returns the workers that the last choice examined.
 func examinedWorkersOf(balancer *Balancer) (workers []*workerState) {
 	for _, worker := range balancer.endpoints.listed {
 		if worker.examinedIn == balancer.choice.number {
@@ -38,19 +38,19 @@
 			now := int64(i) * 5 * ms
 			id := fmt.Sprint(i)
 			balancer.HandleRequest(now, testRequest(id, now, FuncID(i%7)))
-			looked := examinedWorkersOf(balancer)
+			examined := examinedWorkersOf(balancer)
 			if n <= defaultFullScanLimit {
-				assert.Len(t, looked, n)
+				assert.Len(t, examined, n)
 			} else {
-				assert.LessOrEqual(t, len(looked), ringWindow+sampleSize+ringWindow, "%d workers", n)
+				assert.LessOrEqual(t, len(examined), ringWindow+sampleSize+ringWindow, "%d workers", n)
 			}
-			assert.Contains(t, looked, balancer.endpoints.byID[host.lastWorker[id]])
+			assert.Contains(t, examined, balancer.endpoints.byID[host.lastWorker[id]])
 			balancer.HandleAttemptResult(now+ms, successful(id, host.lastWorker[id]))
 		}
 	}
 }
 
-// TestLongListChoiceFindsTheHolder proves that a believed holder is found in a list of any length.
+// TestLongListChoiceFindsTheHolder proves that an expected holder is found in a long list.
 func TestLongListChoiceFindsTheHolder(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.Dispatchers = 300
@@ -68,8 +68,9 @@
 	}
 }
 
-// TestLongListUninformedDispatchersLoadInOnePlace proves that dispatchers that know nothing of each
-// other load a function in one place in a long list too, also where each lacks other workers of it.
+// TestLongListUninformedDispatchersLoadInOnePlace proves that dispatchers without information about
+// each other load a function at the same worker in a long list too, even where each lacks a
+// different worker of the list.
 func TestLongListUninformedDispatchersLoadInOnePlace(t *testing.T) {
 	places := func(scanLimit int) (n int) {
 		at := map[[2]int]bool{} // function and worker
@@ -87,12 +88,12 @@
 		}
 		return len(at)
 	}
-	whole, part := places(scanAlways), places(0)
-	assert.LessOrEqual(t, part, whole+4, "places of 20 functions over 40 dispatchers; %d where all is walked", whole)
+	scanned, sampled := places(scanAlways), places(0)
+	assert.LessOrEqual(t, sampled, scanned+4, "workers for 20 functions, 40 dispatchers; %d with a full scan", scanned)
 }
 
 // TestLongListHotFunctionSpreads proves that a hot function reaches as many workers as its calls
-// need, at once and not one after the other.
+// need at once and not one after the other.
 func TestLongListHotFunctionSpreads(t *testing.T) {
 	at := map[WorkerID]int{}
 	for i := range 100 {
@@ -102,17 +103,17 @@
 		markAllResponded(balancer)
 		request := testRequest("x", 3000*ms, 5)
 		function := balancer.holders.functionFor(3000*ms, request)
-		// one a second here, 200 in all: at 0.25 s and a copy's two slots half taken, 50 places
+		// 1 call/s here, 200/s in all: at 0.25 s each and two half-used slots per copy, 50 workers
 		function.recentCalls = decayingCounter{8, 3000 * ms}
 		balancer.HandleRequest(3000*ms, request)
 		at[host.lastWorker["x"]]++
 	}
-	assert.Greater(t, len(at), 25, "places of a function that needs some 50")
+	assert.Greater(t, len(at), 25, "workers for a function that needs about 50")
 	assert.Less(t, len(at), 120)
 }
 
-// TestLongListPlacesAreEven proves that no worker is the place of far more functions than its
-// share, and few of none.
+// TestLongListPlacesAreEven proves that no worker is the first choice for far more functions than
+// its share, and that few workers are the first choice for none.
 func TestLongListPlacesAreEven(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.Dispatchers = 300
@@ -132,12 +133,12 @@
 	for _, n := range at {
 		most = max(most, n)
 	}
-	assert.Less(t, most, 30, "functions of one worker, ten on the mean")
-	assert.Greater(t, len(at), 1880, "workers that are the place of any")
+	assert.Less(t, most, 30, "functions of one worker, with a mean of ten")
+	assert.Greater(t, len(at), 1880, "workers that are the first choice for any function")
 }
 
-// TestLongListChoiceAvoidsCrowdedWorkers proves that with three workers in ten crowded, hardly a
-// call goes to one of these.
+// TestLongListChoiceAvoidsCrowdedWorkers proves that hardly any call goes to an overloaded worker
+// when three workers in ten are overloaded.
 func TestLongListChoiceAvoidsCrowdedWorkers(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	balancer, _ := newTestBalancer(t, settings, 1900)
@@ -147,29 +148,29 @@
 			worker.peerCalls, worker.peerCallsAt = 20, 0
 		}
 	}
-	crowded := 0
+	overloaded := 0
 	for function := range FuncID(500) {
 		request := &requestState{
 			Request: testRequest("x", ms, function), class: &balancer.settings.Classes[0],
 			function: &functionState{id: function, concurrency: 2},
 		}
 		if worker, _ := balancer.chooseWorker(ms, request); worker.peerCalls > 0 {
-			crowded++
+			overloaded++
 		}
 	}
-	assert.Less(t, crowded, 15, "of 500 choices; none where all is walked")
+	assert.Less(t, overloaded, 15, "of 500 choices; none with a full scan")
 }
 
 // TestLongListTrialsReachEjectedWorkers proves that an ejected worker gets its trial in a long list
-// too, as soon as it is sampled.
+// too, as soon as it is part of a sample.
 func TestLongListTrialsReachEjectedWorkers(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.Dispatchers, settings.LoadsOnMiss = 1, false
 	balancer, host := newTestBalancer(t, settings, 600)
 	markAllResponded(balancer)
-	sick := balancer.endpoints.byID[7]
-	balancer.handleConnectionFailure(ms, 0, sick, ConnectFailed)
-	require.True(t, balancer.isEjected(sick))
+	ejected := balancer.endpoints.byID[7]
+	balancer.handleConnectionFailure(ms, 0, ejected, ConnectFailed)
+	require.True(t, balancer.isEjected(ejected))
 	tried := false
 	for i := range 2000 {
 		now := 2000*ms + int64(i)*5*ms
@@ -180,7 +181,7 @@
 		balancer.HandleTimer(now+2*ms, host.timerRef)
 	}
 	assert.True(t, tried)
-	assert.False(t, balancer.isEjected(sick), "back after trials that went well")
+	assert.False(t, balancer.isEjected(ejected), "ejected after successful trials")
 }
 
 // TestWorkerListedAsRemovedFirstBecomesActive proves that a worker that is first reported as
@@ -194,7 +195,7 @@
 }
 
 // TestLongListRetryFindsTheOneWorkerLeft proves that a call with an idempotency key may be retried
-// only in its own scope: the one worker left there is found, however long the list.
+// only in its own scope, and that the one worker left there is found in a list of any length.
 func TestLongListRetryFindsTheOneWorkerLeft(t *testing.T) {
 	for _, n := range []int{3, 300} {
 		balancer, _ := newTestBalancer(t, testSettings(IdempotentByKey, ScopeZone), n)
@@ -212,17 +213,17 @@
 }
 
 // TestLongListSamplesNoDrainingWorker proves that no sample of a long list contains a draining
-// worker, also when a third of the list drains.
+// worker, even when two thirds of the list are draining.
 func TestLongListSamplesNoDrainingWorker(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.Dispatchers = 300
 	balancer, _ := newTestBalancer(t, settings, 900)
 	markAllResponded(balancer)
-	var news []Endpoint
+	var updates []Endpoint
 	for i := range 600 {
-		news = append(news, Endpoint{Worker: WorkerID(1 + i), State: Draining, Weight: 1})
+		updates = append(updates, Endpoint{Worker: WorkerID(1 + i), State: Draining, Weight: 1})
 	}
-	balancer.UpdateEndpoints(ms, EndpointsDelta, news)
+	balancer.UpdateEndpoints(ms, EndpointsDelta, updates)
 	for function := range FuncID(50) {
 		request := &requestState{
 			Request: testRequest("x", ms, function), class: &balancer.settings.Classes[0],
@@ -230,16 +231,16 @@
 		}
 		worker, _ := balancer.chooseWorker(ms, request)
 		require.NotNil(t, worker)
-		looked := examinedWorkersOf(balancer)
-		assert.GreaterOrEqual(t, len(looked), ringWindow+sampleSize*3/4)
-		for _, w := range looked {
+		examined := examinedWorkersOf(balancer)
+		assert.GreaterOrEqual(t, len(examined), ringWindow+sampleSize*3/4)
+		for _, w := range examined {
 			assert.Equal(t, Active, w.State)
 		}
 	}
 }
 
-// TestRoundsOverActiveWorkersMissNone proves that what is gathered from the active workers is what
-// the complete list would give, over any events.
+// TestRoundsOverActiveWorkersMissNone proves that what is gathered from the active workers equals
+// what the complete list would give, over random events.
 func TestRoundsOverActiveWorkersMissNone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{3, 17, 64, 129, 400, 1900}).Draw(t, "workers")
@@ -248,18 +249,18 @@
 		settings.QueueField = 1
 		settings.LoadsOnMiss = rapid.Bool().Draw(t, "orders")
 		host := newFakeHost()
-		const began = 100_000 * ms
-		balancer, err := New(began, settings, 7, host)
+		const startedAt = 100_000 * ms
+		balancer, err := New(startedAt, settings, 7, host)
 		require.NoError(t, err)
-		balancer.UpdateEndpoints(began, EndpointsSnapshot, activeEndpoints(n))
+		balancer.UpdateEndpoints(startedAt, EndpointsSnapshot, activeEndpoints(n))
 		type flight struct {
 			id string
 			n  int
 			w  WorkerID
 		}
 		var out []flight
-		tries, now, seq := map[string]int{}, began, 0
-		take := func() {
+		tries, now, seq := map[string]int{}, startedAt, 0
+		collectAttempts := func() {
 			for _, attempt := range host.attempts {
 				worker := balancer.endpoints.byID[attempt.worker]
 				require.True(t, worker != nil && worker.listed && worker.State == Active, "sent to %d", attempt.worker)
@@ -268,13 +269,13 @@
 			}
 			host.attempts, host.messages, host.receivers = nil, nil, nil
 		}
-		few := func(label string) WorkerID { // of some, so that events meet; of large fleets others too
+		drawWorker := func(label string) WorkerID { // a few dozen workers, so that events coincide
 			return WorkerID(1 + rapid.IntRange(0, min(n, 40)-1).Draw(t, label)*max(1, n/40))
 		}
 		for range rapid.IntRange(20, 60).Draw(t, "events") {
 			now += rapid.SampledFrom([]int64{ms, 20 * ms, 130 * ms, 900 * ms, 4100 * ms}).Draw(t, "later")
 			balancer.HandleTimer(now, host.timerRef)
-			take()
+			collectAttempts()
 			switch rapid.IntRange(0, 9).Draw(t, "event") {
 			case 0, 1, 2:
 				seq++
@@ -294,7 +295,7 @@
 				}
 			case 6:
 				endpoint := Endpoint{
-					Worker: few("worker"),
+					Worker: drawWorker("worker"),
 					State:  EndpointState(rapid.IntRange(0, 2).Draw(t, "state")), Weight: 1,
 				}
 				if rapid.Bool().Draw(t, "restarts") {
@@ -313,35 +314,35 @@
 				for range rapid.IntRange(0, 3).Draw(t, "counts") {
 					message.Counts = append(message.Counts,
 						aggregate.Count{
-							Worker: workerTag(few("counted")), InFlight: 2,
+							Worker: workerTag(drawWorker("counted")), InFlight: 2,
 							Silent: rapid.Bool().Draw(t, "silent"), Responded: true,
 						})
 				}
-				message.Marks = []aggregate.Mark{{Worker: workerTag(few("marked")), Failed: 3}}
+				message.Marks = []aggregate.Mark{{Worker: workerTag(drawWorker("marked")), Failed: 3}}
 				balancer.HandlePeerMessage(now, rapid.IntRange(2, 6).Draw(t, "from"), message.Encode(20)[0])
 			case 9:
 				balancer.HandlePeerMessage(now, 3,
 					encodedDigest(balancer, now, []float64{5, 1},
-						aggregate.Count{Worker: workerTag(few("reported")), InFlight: 1, Silent: true}))
+						aggregate.Count{Worker: workerTag(drawWorker("reported")), InFlight: 1, Silent: true}))
 			}
-			take()
+			collectAttempts()
 			requireSameRounds(t, balancer, now)
 		}
 	})
 }
 
-// requireSameRounds compares what a dispatcher finds by what was touched with what it finds in the
-// whole list.
+// requireSameRounds compares the results gathered from the active workers with those from the
+// complete list.
 func requireSameRounds(t require.TestingT, balancer *Balancer, now int64) {
-	on := 0
+	activeCount := 0
 	for _, worker := range balancer.endpoints.listed {
 		if worker.State == Active {
-			on++
+			activeCount++
 		}
 	}
-	require.Equal(t, on, balancer.endpoints.ring.Len())
-	require.Len(t, balancer.endpoints.active, on)
-	n := 0.0 // the definition of queued, over the whole list
+	require.Equal(t, activeCount, balancer.endpoints.ring.Len())
+	require.Len(t, balancer.endpoints.active, activeCount)
+	n := 0.0 // the definition of queuedCalls, over the complete list
 	for _, worker := range balancer.endpoints.listed {
 		require.True(t, worker.listed && worker.State != Removed)
 		if !balancer.isHealthy(now, worker) {
@@ -361,7 +362,7 @@
 	}
 	require.Equal(t, n, balancer.queuedCalls(now))
 	for _, leader := range []bool{false, true} {
-		said := func(scanLimit int) (message aggregate.Message) {
+		gathered := func(scanLimit int) (message aggregate.Message) {
 			balancer.endpoints.fullScanLimit, message.FromLeader = scanLimit, leader
 			balancer.fillMessage(now, &message)
 			slices.SortFunc(message.Counts, func(a, b aggregate.Count) int { return cmp.Compare(a.Worker, b.Worker) })
@@ -369,15 +370,15 @@
 			message.Holders = nil
 			return message
 		}
-		part, whole := said(scanNever), said(scanAlways)
+		fromActive, fromAll := gathered(scanNever), gathered(scanAlways)
 		balancer.endpoints.fullScanLimit = scanNever
-		require.Equal(t, whole.Counts, part.Counts, "leader %v", leader)
-		require.Equal(t, whole.Marks, part.Marks, "leader %v", leader)
+		require.Equal(t, fromAll.Counts, fromActive.Counts, "leader %v", leader)
+		require.Equal(t, fromAll.Marks, fromActive.Marks, "leader %v", leader)
 	}
 }
 
-// TestGossipBudgetDelaysNoLongerThanItMust proves that what is not gathered because the last
-// message cost more than the budget holds is gathered later.
+// TestGossipBudgetDelaysNoLongerThanItMust proves that a message that is skipped because the last
+// one cost more than the budget holds is sent later.
 func TestGossipBudgetDelaysNoLongerThanItMust(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.Dispatchers, settings.Gossip, settings.PeerPrice = 6, true, 0.5
@@ -396,11 +397,11 @@
 		assert.GreaterOrEqual(t, balancer.gossip.reportBudget.tokens, 0.0)
 		assert.GreaterOrEqual(t, balancer.gossip.digestBudget.tokens, 0.0)
 	}
-	assert.Greater(t, reported, 20, "messages in 20 s: what a budget saves up is spent")
+	assert.Greater(t, reported, 20, "messages in 20 s: the saved budget is spent")
 }
 
-// TestLongListDigestLeavesOutIdleWorkers proves that a digest has the same effect on every worker
-// whether those that it leaves out are set at once or when they are looked at.
+// TestLongListDigestLeavesOutIdleWorkers proves that a digest has the same effect on every worker,
+// whether omitted workers are updated at once or when they are next examined.
 func TestLongListDigestLeavesOutIdleWorkers(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.Dispatchers, settings.Gossip = 20, true
--- a/balancer/placement_test.go
+++ b/balancer/placement_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestUninformedDispatchersLoadInOnePlace proves that dispatchers that know nothing of each other
-// load a function at one worker, and functions spread over the workers.
+// TestUninformedDispatchersLoadInOnePlace proves that dispatchers without information about each
+// other load a function at the same worker, and that functions spread over the workers.
 func TestUninformedDispatchersLoadInOnePlace(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.Dispatchers = 50
@@ -36,10 +36,10 @@
 }
 
 // TestDispatchersWithDifferentViewsLoadInOnePlace proves that many dispatchers with different views
-// of the loads still load a function in few places, while few dispatchers go by the load.
+// of the loads still load a function at few workers, while few dispatchers choose by load.
 func TestDispatchersWithDifferentViewsLoadInOnePlace(t *testing.T) {
 	const workers, functions = 40, 40
-	copies, heavy := map[int]int{}, map[int]int{}
+	copies, overloaded := map[int]int{}, map[int]int{}
 	for _, many := range []int{1, 3, 5, 80, 300} {
 		at := map[[2]int]bool{}
 		settings := testSettings(Idempotent, ScopeAll)
@@ -58,7 +58,7 @@
 				balancer.HandleRequest(ms, testRequest(id, ms, FuncID(k)))
 				at[[2]int{k, int(host.lastWorker[id])}] = true
 				if worker := balancer.endpoints.byID[host.lastWorker[id]]; worker.peerCalls > 3 {
-					heavy[many]++
+					overloaded[many]++
 				}
 				balancer.HandleAttemptResult(ms, successful(id, host.lastWorker[id]))
 			}
@@ -66,8 +66,8 @@
 		copies[many] = len(at)
 	}
 	for _, many := range []int{1, 3, 5} {
-		if heavy[many] > 0 {
-			t.Errorf("%d dispatchers: %d calls went to workers far heavier than the middle", many, heavy[many])
+		if overloaded[many] > 0 {
+			t.Errorf("%d dispatchers: %d calls went to workers far above the median load", many, overloaded[many])
 		}
 	}
 	for _, many := range []int{80, 300} {
@@ -78,7 +78,7 @@
 }
 
 // TestHotFunctionGetsThePlacesItNeeds proves that a hot function has as many first choices as its
-// calls need, and one that each dispatcher calls once keeps one.
+// calls need, and that a function that each dispatcher calls once has one.
 func TestHotFunctionGetsThePlacesItNeeds(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.Dispatchers = 50
@@ -86,7 +86,7 @@
 	for i := range settings.Dispatchers {
 		settings.DispatcherIndex = i
 		balancer, host := newTestBalancer(t, settings, 40)
-		for k := range 8 { // the calls come and go without an answer that would make a holder
+		for k := range 8 { // calls that end without an answer, which would add a holder
 			at := int64(k) * 100 * ms
 			id := fmt.Sprint(k)
 			balancer.HandleRequest(at, testRequest(id, at, 1))
@@ -105,8 +105,9 @@
 	}
 }
 
-// TestChanceCallsMakeNoFunctionHot proves that a function that each of many dispatchers met twice
-// by chance is loaded in few places, also while answers are slow because queues are long.
+// TestChanceCallsMakeNoFunctionHot proves that a function of which each of many dispatchers
+// received two calls by chance is loaded at few workers, even while answers are slow because queues
+// are long.
 func TestChanceCallsMakeNoFunctionHot(t *testing.T) {
 	for _, scanLimit := range []int{scanAlways, scanNever} {
 		const functions = 20
@@ -120,7 +121,7 @@
 			for k := range functions {
 				request := testRequest(fmt.Sprint(k), 8000*ms, FuncID(5+k*1_000_003))
 				function := balancer.holders.functionFor(8000*ms, request)
-				function.recentCalls = decayingCounter{1, 8000 * ms} // the call at hand is the second
+				function.recentCalls = decayingCounter{1, 8000 * ms} // the following call is the second
 				balancer.HandleRequest(8000*ms, request)
 				at[[2]int{k, int(host.lastWorker[request.ID])}] = true
 			}
--- a/balancer/reports_test.go
+++ b/balancer/reports_test.go
@@ -12,26 +12,26 @@
 	"oakthread/outlier"
 )
 
-// reportModel is the plain model of reports: it holds what others reported by worker and not by
-// sender, and adds up anew each time.
+// reportModel is the reference model of reports: it stores reports by worker instead of by sender,
+// and recomputes all sums each time.
 type reportModel struct {
 	balancer  *Balancer
 	byWorker  map[*workerState]*modelState
-	wasActive map[*workerState]bool // before the event at hand
+	wasActive map[*workerState]bool // before the current event
 	sweptAt   int64
 }
 
 type modelState struct {
-	counts []modelCount // one of each dispatcher
+	counts []modelCount // one per dispatcher
 	marks  []modelMark
 }
 
 type modelCount struct {
-	from   int
-	at     int64
-	n      int
-	silent bool
-	heard  bool
+	from      int
+	at        int64
+	n         int
+	silent    bool
+	responded bool
 }
 
 type modelMark struct {
@@ -47,7 +47,7 @@
 	return p.byWorker[worker]
 }
 
-// before notes what is listed as touched before an event.
+// before records which workers are active before an event.
 func (p *reportModel) before() {
 	p.wasActive, p.sweptAt = map[*workerState]bool{}, p.balancer.timers.sweptAt
 	for _, worker := range p.balancer.endpoints.byID {
@@ -55,8 +55,8 @@
 	}
 }
 
-// after follows what rounds do to what is held: a sweep drops what is old, and a long list what has
-// not been touched for long.
+// after applies what maintenance rounds remove: a sweep removes old counts and marks, and in a long
+// list those of workers without recent activity.
 func (p *reportModel) after(now int64) {
 	balancer := p.balancer
 	long := len(balancer.endpoints.listed) > balancer.endpoints.fullScanLimit
@@ -77,7 +77,8 @@
 	}
 }
 
-// handle takes a text of a report that the dispatcher heeds; active: what it listed as such before.
+// handle applies a message of a report that the dispatcher accepted; active lists the workers that
+// were active before it.
 func (p *reportModel) handle(now int64, from int, message aggregate.Message, active []*workerState) {
 	balancer := p.balancer
 	if !message.Continued {
@@ -105,19 +106,19 @@
 	}
 }
 
-// merged is the definition of what a digest says of w.
+// merged defines what a digest reports of a worker.
 func (p *reportModel) merged(now int64, worker *workerState, c *aggregate.Count, own outlier.Mark,
-	says bool,
+	marked bool,
 ) (outlier.Mark, bool) {
 	balancer, state := p.balancer, p.state(worker)
-	silent, heard, marks := 0, 0, []outlier.Mark(nil)
+	silent, responded, marks := 0, 0, []outlier.Mark(nil)
 	if c.Silent {
 		silent++
 	}
-	if says {
+	if marked {
 		marks = append(marks, own)
 	} else if c.Responded {
-		heard++
+		responded++
 	}
 	for _, mark := range state.marks {
 		if now-mark.at <= leaderTermObjectives*balancer.shortestObjective {
@@ -129,29 +130,29 @@
 			continue
 		}
 		c.InFlight += count.n
-		c.Responded = c.Responded || count.heard
+		c.Responded = c.Responded || count.responded
 		if count.silent {
 			silent++
 		}
-		if count.heard && !slices.ContainsFunc(state.marks,
+		if count.responded && !slices.ContainsFunc(state.marks,
 			func(mark modelMark) bool { return mark.from == count.from }) {
-			heard++
+			responded++
 		}
 	}
 	c.Silent = outlier.SilenceConfirmed(silent, balancer.settings.Dispatchers)
-	stands := balancer.outliers.EjectedByGossip(now, &worker.outlierStats)
-	if stands {
-		heard = 0
+	ejected := balancer.outliers.EjectedByGossip(now, &worker.outlierStats)
+	if ejected {
+		responded = 0
 	}
-	word := outlier.Merge(marks, heard)
-	return outlier.Mark(word), word.Reportable(stands)
+	mergedMark := outlier.Merge(marks, responded)
+	return outlier.Mark(mergedMark), mergedMark.Reportable(ejected)
 }
 
-// TestReportSumsMatchThePlainModel proves that the sums of reports are those of a model that adds
-// up anew, over any events: reports in several messages, lost, duplicated, late and of restarted
-// dispatchers, workers reported twice in a message, digests, complete and partial lists, restarts,
-// calls and time.
-func TestReportSumsMatchThePlainModel(t *testing.T) {
+// TestReportSumsMatchTheReferenceModel proves that the sums of reports match those of a model that
+// recomputes them, over random events: reports in several messages, lost, duplicated, late and from
+// restarted dispatchers, workers reported twice in a message, digests, complete and partial lists,
+// restarts, calls and time.
+func TestReportSumsMatchTheReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{3, 17, 64, 300, 960}).Draw(t, "workers")
 		settings := testSettings(Idempotent, ScopeAll)
@@ -162,19 +163,19 @@
 		settings.FullScanLimit = rapid.SampledFrom([]int{scanAlways, 0, scanNever}).Draw(t, "scanLimit")
 		settings.LoadsOnMiss = rapid.Bool().Draw(t, "orders")
 		host := newFakeHost()
-		const began = 100_000 * ms
-		balancer, err := New(began, settings, 7, host)
+		const startedAt = 100_000 * ms
+		balancer, err := New(startedAt, settings, 7, host)
 		require.NoError(t, err)
-		balancer.UpdateEndpoints(began, EndpointsSnapshot, activeEndpoints(n))
+		balancer.UpdateEndpoints(startedAt, EndpointsSnapshot, activeEndpoints(n))
 		model := &reportModel{balancer: balancer, byWorker: map[*workerState]*modelState{}}
-		type letter struct {
+		type sentMessage struct {
 			from int
 			text string
 		}
-		var sent []letter // texts that may come again
-		now, calls := began, 0
+		var sent []sentMessage // messages that may be delivered again
+		now, calls := startedAt, 0
 		seqs, incs := map[int]uint8{}, map[int]uint8{}
-		few := func(label string) WorkerID { // of some, so that events meet
+		drawWorker := func(label string) WorkerID { // a few workers, so that events coincide
 			return WorkerID(1 + rapid.IntRange(0, min(n, 12)-1).Draw(t, label)*max(1, n/12))
 		}
 		from := func() int {
@@ -185,7 +186,7 @@
 			do()
 			model.after(now)
 		}
-		read := func(l letter) {
+		read := func(l sentMessage) {
 			event(func() { balancer.advanceClock(now) })
 			message, ok := aggregate.Decode(l.text, settings.Dispatchers)
 			require.True(t, ok)
@@ -204,38 +205,38 @@
 			}).Draw(t, "later")
 			switch rapid.IntRange(0, 11).Draw(t, "event") {
 			case 0, 1, 2, 3, 4:
-				who := from()
-				seqs[who]++
+				sender := from()
+				seqs[sender]++
 				if rapid.IntRange(0, 9).Draw(t, "restarted") == 0 {
-					seqs[who], incs[who] = 1, incs[who]+1
+					seqs[sender], incs[sender] = 1, incs[sender]+1
 				}
 				message := aggregate.Message{
 					Calls:  9,
-					Report: aggregate.Report{Incarnation: incs[who], Seq: seqs[who], Values: []float64{1, 1}},
+					Report: aggregate.Report{Incarnation: incs[sender], Seq: seqs[sender], Values: []float64{1, 1}},
 				}
 				for range rapid.SampledFrom([]int{0, 1, 3, 8, 70}).Draw(t, "counts") {
 					message.Counts = append(message.Counts,
 						aggregate.Count{
-							Worker: workerTag(few("counted")), InFlight: rapid.IntRange(0, 3).Draw(t, "calls"),
+							Worker: workerTag(drawWorker("counted")), InFlight: rapid.IntRange(0, 3).Draw(t, "calls"),
 							Silent: rapid.Bool().Draw(t, "silent"), Responded: rapid.Bool().Draw(t, "heard"),
 						})
 				}
 				for range rapid.IntRange(0, 3).Draw(t, "marks") {
 					message.Marks = append(message.Marks,
 						aggregate.Mark{
-							Worker: workerTag(few("marked")),
+							Worker: workerTag(drawWorker("marked")),
 							Served: uint8(rapid.IntRange(0, 2).Draw(t, "good")),
 							Failed: uint8(rapid.IntRange(0, 2).Draw(t,
 								"bad")), Latency: uint8(rapid.SampledFrom([]int{0, 9}).Draw(t, "pace")),
 						})
 				}
 				for _, text := range message.Encode(settings.Dispatchers) {
-					if sent = append(sent, letter{who, text}); rapid.IntRange(0, 5).Draw(t, "lost") > 0 {
+					if sent = append(sent, sentMessage{sender, text}); rapid.IntRange(0, 5).Draw(t, "lost") > 0 {
 						read(sent[len(sent)-1])
 					}
 				}
 			case 5:
-				if len(sent) > 0 { // once more, or late
+				if len(sent) > 0 { // a duplicate or a late message
 					read(sent[len(sent)-1-rapid.IntRange(0, min(len(sent), 6)-1).Draw(t, "again")])
 				}
 			case 6:
@@ -261,7 +262,7 @@
 				}
 			case 9:
 				endpoint := Endpoint{
-					Worker: few("worker"),
+					Worker: drawWorker("worker"),
 					State:  EndpointState(rapid.IntRange(0, 2).Draw(t, "state")), Weight: 1,
 				}
 				if rapid.Bool().Draw(t, "restarts") {
@@ -278,7 +279,7 @@
 			case 11:
 				message := aggregate.Message{
 					FromLeader: true,
-					Marks:      []aggregate.Mark{{Worker: workerTag(few("judged")), Failed: 9}},
+					Marks:      []aggregate.Mark{{Worker: workerTag(drawWorker("judged")), Failed: 9}},
 					Digest: aggregate.Digest{
 						Tick:         uint16(now / balancer.settings.ClockResolution),
 						Sums:         []float64{9, 9},
@@ -289,21 +290,21 @@
 					},
 				}
 				for range rapid.IntRange(0, 3).Draw(t, "reported") {
-					tag := workerTag(few("reported"))
+					tag := workerTag(drawWorker("reported"))
 					silent := rapid.Bool().Draw(t, "mute")
 					message.Counts = append(message.Counts, aggregate.Count{Worker: tag, InFlight: 2, Silent: silent})
 				}
 				event(func() { balancer.advanceClock(now) })
 				event(func() { balancer.HandlePeerMessage(now, from(), message.Encode(settings.Dispatchers)[0]) })
 			}
-			if rapid.Bool().Draw(t, "gathered") { // else more than one thing happens between two digests
+			if rapid.Bool().Draw(t, "gathered") { // otherwise several events happen between two digests
 				requireSameSums(t, model, now)
 			}
 		}
 	})
 }
 
-// requireSameSums compares what a digest would say of each worker that it looks at.
+// requireSameSums compares what a digest would report of each active worker with the model.
 func requireSameSums(t *rapid.T, model *reportModel, now int64) {
 	balancer := model.balancer
 	balancer.gossip.reports.gatherMarks(now, balancer.shortestObjective)
@@ -314,18 +315,18 @@
 			Silent:    i%3 == 0,
 			Responded: i%2 == 0,
 		}
-		want, own, says := count, outlier.Mark{Failed: uint8(i % 4)}, i%4 > 0
-		wantMark, wantSays := model.merged(now, worker, &want, own, says)
-		mark, reports := balancer.mergeReported(now, worker, &count, own, says)
-		if count != want || mark != wantMark || reports != wantSays {
-			t.Fatalf("of worker %d: %+v %+v %v, made anew %+v %+v %v", worker.Worker, count, mark, reports, want,
-				wantMark, wantSays)
+		want, own, marked := count, outlier.Mark{Failed: uint8(i % 4)}, i%4 > 0
+		wantMark, wantMarked := model.merged(now, worker, &want, own, marked)
+		mark, gotMarked := balancer.mergeReported(now, worker, &count, own, marked)
+		if count != want || mark != wantMark || gotMarked != wantMarked {
+			t.Fatalf("of worker %d: %+v %+v %v, recomputed %+v %+v %v", worker.Worker, count, mark, gotMarked, want,
+				wantMark, wantMarked)
 		}
 	}
 }
 
 // TestReadingAReportExaminesOnlyItsOwnSender proves that reading a report examines neither the
-// reports of others nor any list: all of these are made unreadable meanwhile.
+// reports of other dispatchers nor the endpoint lists: meanwhile all their entries are nil.
 func TestReadingAReportExaminesOnlyItsOwnSender(t *testing.T) {
 	for _, n := range []int{120, 9600} {
 		settings := testSettings(Idempotent, ScopeAll)
@@ -346,14 +347,14 @@
 		for from := 1; from < settings.Dispatchers; from++ {
 			balancer.HandlePeerMessage(now, from, report(1, 1+from%n, 1+from*7%n, 1+from*13%n))
 		}
-		list, touched, reports := balancer.endpoints.listed, balancer.endpoints.recent, balancer.gossip.reports.bySender
+		list, recent, reports := balancer.endpoints.listed, balancer.endpoints.recent, balancer.gossip.reports.bySender
 		balancer.endpoints.listed = make([]*workerState, len(list))
-		balancer.endpoints.recent = make([]*workerState, len(touched))
+		balancer.endpoints.recent = make([]*workerState, len(recent))
 		balancer.gossip.reports.bySender = make([]*peerReport, settings.Dispatchers)
 		balancer.gossip.reports.bySender[5] = reports[5]
 		require.Len(t, reports[5].counts, 3)
 		require.True(t, balancer.HandlePeerMessage(now+ms, 5, report(2, 2, 3)), "%d workers", n)
-		balancer.endpoints.listed, balancer.endpoints.recent, balancer.gossip.reports.bySender = list, touched, reports
+		balancer.endpoints.listed, balancer.endpoints.recent, balancer.gossip.reports.bySender = list, recent, reports
 		require.Len(t, reports[5].counts, 2)
 		require.Len(t, reports[5].marks, 1)
 	}
--- a/balancer/worker.go
+++ b/balancer/worker.go
@@ -107,7 +107,7 @@
 	w.recentFailures = recent
 }
 
-// beginAnew discards what was learned of a worker's process after another process has replaced it.
+// beginAnew discards what was learned of a process after another one has replaced it.
 func (w *workerState) beginAnew() {
 	w.forgetCopies()
 	w.slowStartSlot = 0
