--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -13,7 +13,7 @@
 	forgetDispatcherDecays = 20
 )
 
-// The columns of a dispatcher's figures: the call rate of each shared tenant per second, followed by
+// The columns of a dispatcher's figures: the calls per second of each shared tenant, followed by
 // these.
 const (
 	completionsColumn = 0 // answers per second
@@ -84,7 +84,7 @@
 		return
 	}
 	if message.FromLeader && b.termElapsed(now) > b.leaderTerm()*3/4 && b.gossip.view.Stale {
-		message = message.Truncate(b.settings.Dispatchers, out.affordableBytes()) // a full one exceeds the budget
+		message = message.Truncate(b.settings.Dispatchers, out.affordableBytes()) // too expensive in full
 	}
 	if !out.spend(message.EncodedLen(b.settings.Dispatchers)) {
 		return
--- a/balancer/gossipmessage.go
+++ b/balancer/gossipmessage.go
@@ -55,7 +55,7 @@
 	count := aggregate.Count{
 		Worker: workerTag(worker.Worker), InFlight: len(worker.inFlight),
 		Silent:    reportFaults && (overdue || b.outliers.Ejected(&worker.outlierStats, worker.Zone)),
-		Responded: now-worker.lastResponseAt < b.shortestObjective, // finding a worker silent takes about as long
+		Responded: now-worker.lastResponseAt < b.shortestObjective, // silence takes as long to detect
 	}
 	if overdue { // attempts that did not reach the worker are no load there
 		count.InFlight = 0
--- a/balancer/health_test.go
+++ b/balancer/health_test.go
@@ -98,7 +98,7 @@
 		balancer.HandleRequest(1000*ms, testRequest(fmt.Sprint(i), 1000*ms, FuncID(i)))
 	}
 	fireTimers(balancer, host, 1000*ms, 1100*ms)
-	balancer.HandleTimer(3995*ms, host.timerRef) // 2.9 s later, just before the deadline of the calls
+	balancer.HandleTimer(3995*ms, host.timerRef) // 2.9 s later, just before the calls' deadline
 	for i := range 8 {
 		id := fmt.Sprint(i)
 		balancer.HandleAttemptResult(3995*ms, successful(id, host.lastWorker[id]))
--- a/balancer/loadorders_test.go
+++ b/balancer/loadorders_test.go
@@ -127,7 +127,7 @@
 	if balancer.orderLoad(51*ms, holder) {
 		t.Fatal("an order was sent for calls of functions that no worker serves")
 	}
-	for i := range 4 { // these count, including the first, whose answer shows that the function exists
+	for i := range 4 { // these count, also the first, whose answer shows that the function exists
 		id, now := fmt.Sprint("known", i), int64(60+10*i)*ms
 		balancer.HandleRequest(now, testRequest(id, now, 2))
 		balancer.HandleAttemptResult(now+ms, successful(id, host.lastWorker[id]))
--- a/balancer/loadtime.go
+++ b/balancer/loadtime.go
@@ -3,9 +3,9 @@
 import "cmp"
 
 const (
-	loadTimeWeight      = 0.1  // smoothing weight of the mean load time: about the last ten loads count
-	loadShareWeight     = 0.02 // smoothing weight of the share of loads: loads are rare, so about fifty answers count
-	storeSlowdownWeight = 0.2  // smoothing weight of the store's slowdown: a sudden change must show after a few loads
+	loadTimeWeight      = 0.1  // smoothing of the mean load time: about the last ten count
+	loadShareWeight     = 0.02 // smoothing of the share of loads: loads are rare, so about fifty count
+	storeSlowdownWeight = 0.2  // smoothing of the store's slowdown: few loads must show a sudden change
 	// maxStoreSlowdown bounds the slowdown: a store that is slower than this is as good as
 	// unavailable.
 	maxStoreSlowdown = 8.0
--- a/balancer/reportedstate.go
+++ b/balancer/reportedstate.go
@@ -12,7 +12,7 @@
 	silent, responded int // dispatchers that found it silent, or received a response
 	voidThrough       int // counts and marks from messages up to this number are discarded
 
-	message, index    int // the message being read, and the index of the worker's count in its report
+	message, index    int // the message being read, and the worker's index in its report's counts
 	round, markedBy   int // of gathering marks; 1 plus the index of the dispatcher being gathered
 	marks             []outlier.Mark
 	respondedWithMark int // dispatchers that received a response and also reported a mark
--- a/balancer/reports.go
+++ b/balancer/reports.go
@@ -13,7 +13,7 @@
 // (replaced, too old, or discarded with its worker) lowers them by the same amount.
 type reports struct {
 	dispatchers int
-	bySender    []*peerReport   // by dispatcher index; nil elements: no report; nil slice: none at all
+	bySender    []*peerReport   // by dispatcher index; nil: no report, or none at all
 	recent      []reportMessage // messages whose counts may be in sums, in order of arrival
 	messages    int             // number of messages read
 	round       int             // number of the current round of gathering marks
@@ -177,7 +177,7 @@
 		}
 		report.retain(func(worker *workerState, at int64, message int) bool {
 			old := now-at > leaderTermObjectives*shortestObjective && table.isActive(worker)
-			forgotten := !worker.listed && len(worker.inFlight) == 0 // removed by the sweep of the endpoint table
+			forgotten := !worker.listed && len(worker.inFlight) == 0 // by endpointTable.sweep
 			return !old && message > worker.reported.voidThrough && !forgotten
 		})
 		if len(report.counts)+len(report.marks) == 0 {
--- a/balancer/reports_test.go
+++ b/balancer/reports_test.go
@@ -297,7 +297,7 @@
 				event(func() { balancer.advanceClock(now) })
 				event(func() { balancer.HandlePeerMessage(now, from(), message.Encode(settings.Dispatchers)[0]) })
 			}
-			if rapid.Bool().Draw(t, "gathered") { // otherwise several events happen between two digests
+			if rapid.Bool().Draw(t, "gathered") { // otherwise several events come between digests
 				requireSameSums(t, model, now)
 			}
 		}
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -23,8 +23,8 @@
 // slowStartState limits the calls to recently started workers. All dispatchers together may send
 // such a worker the configured multiple of its current capacity. Each dispatcher draws its tokens
 // independently, an integer number per slot whose mean is its share of that multiple. The rate at
-// which one warm worker answers this dispatcher is its share of one worker's capacity, regardless of
-// its share of the traffic. Dispatchers without any such data together draw one token per slot.
+// which one warm worker answers this dispatcher is its share of one worker's capacity, regardless
+// of its share of the traffic. Dispatchers without any such data together draw one token per slot.
 type slowStartState struct {
 	window      int64           // duration of the warm-up after a worker's start, in nanoseconds
 	warmAnswers decayingCounter // answers from workers that are not warming up
