--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -1,31 +1,34 @@
 package balancer
 
-// The thresholds of admission. New requests of the least priority are rejected from the first value
-// on, all from the second: half of the calls take longer than the mean.
+// Admission thresholds. Rejection starts at the lower threshold with the lowest-priority requests
+// and covers every request at the upper one. The wait thresholds are below 1 because half of the
+// calls take longer than the mean.
 const (
 	rejectFirstWait      = 0.5  // expected response time as a share of the latency objective
 	rejectAllWait        = 0.9  // the same
-	rejectFirstOccupancy = 0.7  // requests in hand as a share of the most
+	rejectFirstOccupancy = 0.7  // pending requests as a share of MaxInFlight
 	rejectAllOccupancy   = 0.95 // the same
 )
 
-// classMixWeight is the weight of a request in the mix of classes: about the last hundred count.
+// classMixWeight is the weight of one request in the moving average of work by class, which spans
+// about the last hundred requests.
 const classMixWeight = 0.01
 
-// admissionState holds what decides whether a new request is rejected at once.
+// admissionState holds the measurements that admission control is based on.
 type admissionState struct {
-	completions decayingCounter   // answers, over two shortest latency objectives
+	completions decayingCounter   // successful answers, averaged over two shortest latency objectives
 	tenantCalls []decayingCounter // by tenant, over decayTime
 	mix         workMix
 }
 
-// workMix is the work of recent requests, in nanoseconds of response time a request.
+// workMix is a moving average of the work of recent requests, in nanoseconds of response time per
+// request.
 type workMix struct {
-	overQuota float64   // beyond the tenants' quotas, or of functions without a copy
+	overQuota float64   // requests for which countsOverQuota holds
 	byClass   []float64 // the rest
 }
 
-// observe takes in the work of one request.
+// observe adds the work of one request to the average.
 func (m *workMix) observe(class int, overQuota bool, work float64) {
 	m.overQuota -= classMixWeight * m.overQuota
 	for i := range m.byClass {
@@ -38,20 +41,20 @@
 	}
 }
 
-// demand is the recent work as a request of one class sees it.
+// demand is the recent work, split by priority relative to one class.
 type demand struct {
 	below     float64 // of lower priority
-	equal     float64 // of the same
+	equal     float64 // of the same priority
 	total     float64
-	priority  float64 // sum of the work times its priority
-	objective float64 // sum of the same times the latency objective
+	priority  float64 // sum of work times priority
+	objective float64 // sum of work times priority times latency objective
 }
 
-// shouldReject reports whether a new request is rejected before anything is done for it. The
-// expected response time shows a queue as it forms, before any answer is late (Little's law). First
-// rejected are requests over their tenant's quota or that need a load, by the shortest latency
-// objective, then the classes of the least priority for their work, by the mean objective. A load
-// occupies the slots of other calls while the store is slow.
+// shouldReject reports whether admission control rejects a new request. The expected response time,
+// by Little's law, shows a queue while it forms, before any answer is late. Requests that exceed
+// their tenant's quota or need a load are rejected first, measured against the shortest latency
+// objective; then the classes with the least priority per unit of work, measured against the mean
+// objective. Loads come first because a load from a slow store occupies slots that other calls need.
 func (b *Balancer) shouldReject(now int64, request Request) bool {
 	overQuota := b.countsOverQuota(now, request)
 	b.admission.mix.observe(request.Class, overQuota, b.latencies[request.Class].mean)
@@ -68,9 +71,9 @@
 	return now-b.startedAt > 2*b.shortestObjective && (late || b.isFull(rank))
 }
 
-// countsOverQuota reports whether a request is among the first to be rejected. So is one that the
-// client marks as a retry: clients that retry at once must not crowd out first attempts, nor do
-// retries count toward the tenant's rate.
+// countsOverQuota reports whether a request is among the first to be rejected: it exceeds its
+// tenant's quota, needs a load, or is marked by the client as a retry. Clients that retry at once
+// must not crowd out first attempts. Retries do not count toward the tenant's rate.
 func (b *Balancer) countsOverQuota(now int64, request Request) bool {
 	if request.Retry || b.rng.Float64() < b.overQuotaShare(now, request.Tenant) {
 		return true
@@ -79,14 +82,14 @@
 	return function == nil || !function.copyExpectedElsewhere(now, nil)
 }
 
-// isFull reports whether the requests in hand leave no room for one of a rank between 0 and 1. Once
-// it is full, requests are rejected whatever their priority.
+// isFull reports whether there are too many pending requests to admit one of the given rank, which
+// is between 0 and 1. At rejectAllOccupancy requests of any priority are rejected.
 func (b *Balancer) isFull(rank float64) bool {
 	limit := float64(b.settings.MaxInFlight) * (rejectFirstOccupancy + (rejectAllOccupancy-rejectFirstOccupancy)*rank)
 	return b.settings.MaxInFlight > 0 && float64(len(b.requests)) > limit
 }
 
-// demandSeenBy returns the recent work as a request of a class sees it.
+// demandSeenBy returns the recent work, split by priority relative to a class.
 func (b *Balancer) demandSeenBy(class int) demand {
 	mix := &b.admission.mix
 	own := b.priorityPerWork(class)
@@ -105,15 +108,15 @@
 	return seen
 }
 
-// priorityPerWork returns the priority weight of a class over the work that one of its requests
-// takes.
+// priorityPerWork returns the priority weight of a class divided by the mean response time of its
+// requests.
 func (b *Balancer) priorityPerWork(class int) float64 {
 	return b.settings.Classes[class].PriorityWeight / b.latencies[class].mean
 }
 
-// overQuotaShare returns the share of a tenant's requests, at all dispatchers, that is beyond its
-// quota, and counts one request of it. A dispatcher that no longer reports counts with its last
-// figure; where messages are not allowed all are taken to see as much as this one.
+// overQuotaShare counts one request of a tenant and returns the share of the tenant's requests, over
+// all dispatchers, that exceeds its quota. A dispatcher that no longer reports is counted with its
+// last reported rate; without gossip every dispatcher is assumed to have the rate of this one.
 func (b *Balancer) overQuotaShare(now int64, tenant int) float64 {
 	if tenant < 0 || tenant >= len(b.admission.tenantCalls) || b.settings.TenantQuota[tenant] <= 0 {
 		return 0
--- a/balancer/api.go
+++ b/balancer/api.go
@@ -5,20 +5,21 @@
 	WorkerID uint32
 	// FuncID identifies a function.
 	FuncID uint64
-	// Idempotency says what a repeat of a call may do.
+	// Idempotency says whether a call may be executed more than once.
 	Idempotency int
-	// IdempotencyScope says which workers drop repeats of a call with an idempotency key.
+	// IdempotencyScope says which workers deduplicate calls by idempotency key.
 	IdempotencyScope int
 )
 
-// The kinds of idempotency. The zero value is the cautious one.
+// The kinds of idempotency. The zero value, NotIdempotent, is the safe default.
 const (
 	NotIdempotent Idempotency = iota
 	IdempotentByKey
 	Idempotent
 )
 
-// The scopes of an idempotency key: no worker, or those of the cell, of the zone, or all.
+// The scopes of an idempotency key: no worker, the workers of the same cell, those of the same zone,
+// or all workers.
 const (
 	ScopeNone IdempotencyScope = iota
 	ScopeCell
@@ -26,7 +27,7 @@
 	ScopeAll
 )
 
-// EndpointUpdateKind says how to read an update of the endpoint list.
+// EndpointUpdateKind says how to interpret an update of the endpoint list.
 type EndpointUpdateKind int
 
 const (
@@ -34,13 +35,13 @@
 	EndpointsDelta EndpointUpdateKind = iota
 	// EndpointsSnapshot holds the complete list; a worker that is not in it was removed.
 	EndpointsSnapshot
-	// EndpointsCached holds the complete list as it was last known; it may be old.
+	// EndpointsCached holds the complete list from a cache; it may be outdated.
 	EndpointsCached
 	// EndpointsUnavailable says that polling failed; it has no entries.
 	EndpointsUnavailable
 )
 
-// EndpointState is what the endpoint list says of a worker.
+// EndpointState is the state of a worker in the endpoint list.
 type EndpointState int
 
 // The states of an endpoint.
@@ -50,16 +51,16 @@
 	Active
 )
 
-// Endpoint is the entry of one worker in the list.
+// Endpoint is the entry of one worker in the endpoint list.
 type Endpoint struct {
 	Worker           WorkerID
 	Zone, Kind, Cell int
 	State            EndpointState
 	Weight           float64
-	Start            int64 // when it started; 0: long ago
+	Start            int64 // when the worker started, in nanoseconds; 0: long ago
 }
 
-// Request is a client's call. The client stops waiting at Deadline.
+// Request is a client's call. The client stops waiting at Deadline. Times are nanoseconds.
 type Request struct {
 	ID            string
 	Class, Tenant int
@@ -67,11 +68,11 @@
 	Deadline      int64
 	MemoryMB      float64
 	Concurrency   int   // requests that one copy of the function serves at a time
-	LoadTime      int64 // usual time of a load; 0: not stated
+	LoadTime      int64 // usual duration of a load; 0: unknown
 	Retry         bool  // the client marks it as a retry of an earlier request
 }
 
-// Result is how an attempt, health check or load order ended.
+// Result is the outcome of an attempt, health check or load order.
 type Result int
 
 // The results.
@@ -85,10 +86,10 @@
 	Cancelled
 	NotSent
 	NotLoaded
-	NumResults // how many there are
+	NumResults // number of results
 )
 
-// String returns the name that logs and journals carry.
+// String returns the name used in logs and journals.
 func (r Result) String() string {
 	if r < 0 || r >= NumResults {
 		return "unknown"
@@ -96,11 +97,11 @@
 	return [...]string{"ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot", "miss"}[r]
 }
 
-// Warmth is what an answer says of the copy that it found.
+// Warmth is what an answer says about the copy of the function that served the call.
 type Warmth int
 
-// The kinds of warmth: not stated, a loaded copy, a load that the call began or waited for, or that
-// failed.
+// The kinds of warmth: not reported, a loaded copy, a load that the call started, a load that it
+// waited for, or a load that failed.
 const (
 	WarmthUnknown Warmth = iota
 	WarmHit
@@ -109,47 +110,48 @@
 	LoadFailed
 )
 
-// AttemptResult is the end of an attempt.
+// AttemptResult reports the end of an attempt. RTT is in nanoseconds.
 type AttemptResult struct {
 	ID                 string // of the request
 	Attempt            int    // its index among the attempts of the request
 	Worker             WorkerID
 	Result             Result
-	Finished           bool // no answer is owed for the request any more
+	Finished           bool // the request needs no further answer
 	Warmth             Warmth
-	ConcurrentRequests int // requests for the function that the worker held, where reported
+	ConcurrentRequests int // requests for the function at the worker, where reported
 	RTT                int64
 	Report             []float64 // load report
 }
 
-// Host carries out the actions of a Balancer. Its methods are called from within the event that
-// causes them.
+// Host carries out the actions of a Balancer. Its methods are called synchronously from the Handle
+// method that causes them. Times are nanoseconds.
 type Host interface {
-	// SendAttempt sends the next attempt of a request; until 0: it may take as long as the client
-	// waits.
+	// SendAttempt sends the next attempt of a request. The attempt ends at until; 0: it may take as
+	// long as the client waits.
 	SendAttempt(id string, worker WorkerID, until int64)
-	// CancelAttempt gives up an attempt that is in flight.
+	// CancelAttempt cancels an attempt that is in flight.
 	CancelAttempt(id string, attempt int)
-	// Reject is a final answer after which the client may try again, after a wait in nanoseconds.
+	// Reject gives the final answer to a request that the client may safely send again, after a wait
+	// in nanoseconds.
 	Reject(id string, wait int64)
-	// Fail is a final answer after which the call may have run.
+	// Fail gives the final answer to a request that may have run.
 	Fail(id string)
-	// OrderLoad orders copies of a function at a worker.
+	// OrderLoad orders a worker to load count copies of a function.
 	OrderLoad(worker WorkerID, function FuncID, count int)
-	// OrderUnload orders all idle copies of a function at a worker to be unloaded.
+	// OrderUnload orders a worker to unload all idle copies of a function.
 	OrderUnload(worker WorkerID, function FuncID)
-	// HealthCheck asks a worker for a sign of life.
+	// HealthCheck sends a health check to a worker.
 	HealthCheck(worker WorkerID)
 	// SendPeerMessage sends a datagram of up to 256 bytes to one other dispatcher by its index, or
-	// to all if the index is below 0.
+	// to all of them if the index is negative.
 	SendPeerMessage(to int, data string)
-	// SetTimer has HandleTimer called with ref after a delay in nanoseconds.
+	// SetTimer calls HandleTimer with ref after a delay in nanoseconds.
 	SetTimer(delay int64, ref int64)
-	// CountTowardLoadQuota takes that a call that came at a time counts toward the quota of load
-	// orders. The platform counts no calls of functions that do not exist, so one counts once a
-	// worker has served its function.
+	// CountTowardLoadQuota records a call that arrived at the given time for the quota of load
+	// orders. The platform does not count calls of functions that do not exist, so a call is counted
+	// only once a worker has served its function.
 	CountTowardLoadQuota(at int64)
-	// SubscribeEndpoints asks for the endpoint list and its updates.
+	// SubscribeEndpoints requests the endpoint list and its updates.
 	SubscribeEndpoints()
 	// Log writes a line for operators.
 	Log(text string)
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -11,13 +11,13 @@
 	"oakthread/rules"
 )
 
-// Balancer decides for one dispatcher. Use New. Its methods must be called from one goroutine, with
-// a clock that does not go back. What concerns a request, worker or attempt that it does not know
-// is ignored.
+// Balancer makes the dispatch decisions of one dispatcher. Use New to create one. Its methods must
+// be called from one goroutine, with a monotonic clock in nanoseconds. Events about unknown
+// requests, workers or attempts are ignored.
 type Balancer struct {
 	environment
 
-	requests  map[string]*requestState // in hand, by ID
+	requests  map[string]*requestState // pending, by ID
 	endpoints endpointTable
 	poller    endpointPoller
 	holders   holderTable
@@ -40,8 +40,8 @@
 	logs   logLimiter
 }
 
-// New returns a Balancer that knows no workers yet. It returns an error for settings that have no
-// safe reading.
+// New returns a Balancer that has no endpoint list yet. It returns an error if the host is nil or
+// the settings are invalid.
 func New(now int64, settings Settings, seed uint64, host Host) (*Balancer, error) {
 	if host == nil {
 		return nil, fmt.Errorf("balancer: host is nil")
@@ -83,7 +83,7 @@
 	return b, nil
 }
 
-// newGossip returns the state of gossip before any message.
+// newGossip returns the gossip state before the first message.
 func (b *Balancer) newGossip(now int64) gossipState {
 	s := &b.settings
 	return gossipState{
@@ -101,8 +101,8 @@
 	}
 }
 
-// appendClasses takes classes into the settings and prepares what is held by class. A request holds
-// its class by pointer, so that the classes it points to stay as they are.
+// appendClasses adds classes to the settings and initializes the per-class state. A pending request
+// points to its class, so existing classes are never modified.
 func (b *Balancer) appendClasses(classes []Class) {
 	b.settings.Classes = append(b.settings.Classes, classes...)
 	for i := range classes {
@@ -114,14 +114,14 @@
 	}
 }
 
-// AddClasses takes classes that requests may name from now on and returns the number of the first;
-// requests in hand keep the class they came with. All are taken or none: an error, for a class
-// without a positive latency objective or with figures that cannot be read, changes nothing.
+// AddClasses adds classes of requests and returns the index of the first one. Pending requests keep
+// their class. It adds all classes or none: it returns an error and changes nothing if a class has
+// a latency objective that is not positive, a negative duration, or a priority weight that is NaN.
 func (b *Balancer) AddClasses(now int64, classes []Class) (int, error) {
 	b.advanceClock(now)
 	for i := range classes {
 		if !classes[i].isValid() {
-			const format = "balancer: added class %d: Aim must be above 0, and Window, GiveUp and Worth be read"
+			const format = "balancer: added class %d: LatencyObjective <= 0, negative duration or NaN PriorityWeight"
 			return 0, fmt.Errorf(format, i)
 		}
 	}
@@ -133,14 +133,15 @@
 	return first, nil
 }
 
-// SetMaxAttempts changes how many attempts a request may have, from now on; at least one.
+// SetMaxAttempts changes the maximum number of attempts per request, with immediate effect. Values
+// below 1 are treated as 1.
 func (b *Balancer) SetMaxAttempts(now int64, attempts int) {
 	b.advanceClock(now)
 	b.settings.MaxAttempts = max(1, attempts)
 	b.armTimer()
 }
 
-// setDefaults fills in what was left out.
+// setDefaults replaces missing and out-of-range values with defaults.
 func (s *Settings) setDefaults() {
 	s.Dispatchers = max(1, s.Dispatchers)
 	s.MaxAttempts = max(1, s.MaxAttempts)
--- a/balancer/candidates.go
+++ b/balancer/candidates.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	// ringWindow is how many places on the ring a choice in a long list examines, and how many
-	// holders at most.
+	// ringWindow is how many positions on the hash ring a choice in a long list examines, and the
+	// maximum number of holders that it examines.
 	ringWindow = 16
-	// targetConcurrencyUse is the share of a copy's concurrency that is used on average where a
-	// function has as many places as it needs.
+	// targetConcurrencyUse is the average utilization of a copy's concurrency that the number of
+	// places of a function, the workers preferred for it, is calculated for.
 	targetConcurrencyUse = 0.5
 )
 
-// examinedWorkers is what a choice examines.
+// examinedWorkers holds the workers that a choice examines.
 type examinedWorkers struct {
 	workers        []*workerState
-	preferred      int     // the first so many are the function's places
-	representative int     // the first so many represent the list
-	placesShare    float64 // of the function's places that it needs
+	preferred      int     // length of the prefix that holds the function's places
+	representative int     // length of the prefix that is representative of the list
+	placesShare    float64 // share of the function's places that its call rate needs
 }
 
-// workersToExamine returns the workers that a choice examines: of a short list all. Of a long one a
-// window of the ring that is the same at all dispatchers (a hot function has several windows, each
-// dispatcher one of them), a random sample, and believed holders; the lightest worker and those due
-// for a trial are found only among these.
+// workersToExamine returns the workers that a choice examines. Of a short list these are all
+// workers. Of a long list they are a window of the hash ring that is the same at all dispatchers (a
+// hot function has several windows, of which each dispatcher uses one), a random sample, and known
+// holders; the least loaded worker and workers due for a trial are found only among these.
 func (b *Balancer) workersToExamine(now int64, request *requestState) examinedWorkers {
 	places := b.placesNeeded(now, request)
 	if count := len(b.endpoints.listed); !b.endpoints.isLong() {
@@ -48,8 +48,9 @@
 	return examinedWorkers{workers, preferred, representative, places / (windows * ringWindow)}
 }
 
-// appendTracked appends workers of a long list whose leases are renewed, from a random one on: while
-// workers are watched, most of those that a sample draws may not be used.
+// appendTracked appends workers of a long list whose leases are renewed, starting at a random one.
+// While the endpoint list is outdated, most workers of a random sample have no lease and may not be
+// used.
 func (b *Balancer) appendTracked(workers []*workerState) []*workerState {
 	tracked := b.endpoints.workersWithHolders()
 	first := b.rng.IntN(len(tracked) + 1)
@@ -59,7 +60,7 @@
 	return workers
 }
 
-// appendHolders appends the workers of a bounded number of holders, from a random one on.
+// appendHolders appends the workers of at most ringWindow holders, starting at a random one.
 func (b *Balancer) appendHolders(workers []*workerState, holders []*holderState) []*workerState {
 	first := b.rng.IntN(len(holders) + 1)
 	for i := range min(len(holders), ringWindow) {
@@ -68,14 +69,15 @@
 	return workers
 }
 
-// placesNeeded returns how many workers the calls of a function need, by Little's law: what this
-// dispatcher sends, taken for the share of every one, at the targeted use of one copy each. The
-// call at hand does not count, nor, of many dispatchers, what may be chance: else functions that
-// each calls once or twice would look hot to all.
+// placesNeeded returns how many workers the calls of a function need, by Little's law: the call rate
+// of this dispatcher times the number of dispatchers, at the target utilization of one copy per
+// worker. The current call is not counted. With many dispatchers up to one standard deviation of the
+// number of calls is subtracted as possible chance: otherwise a function that each dispatcher calls
+// once or twice would look hot to all of them.
 func (b *Balancer) placesNeeded(now int64, request *requestState) float64 {
 	function := request.function
 	window := float64(b.callRateWindow())
-	// A dispatcher that started lately has seen less than a window.
+	// A dispatcher that has just started has observed less than a full window.
 	observed := window * (1 - math.Exp(-float64(now-b.startedAt+b.shortestObjective/2)/window))
 	calls := function.recentCalls.valueAt(now, window)
 	calls = max(0, calls-(1-1/b.fleetFactor())*math.Sqrt(calls))
--- a/balancer/choose.go
+++ b/balancer/choose.go
@@ -3,44 +3,46 @@
 import "math"
 
 const (
-	// minLoadSlack is the least slack of a choice: a holder may carry this much more than the
-	// lightest worker, as a share of it (Bunt et al., Table 4).
+	// minLoadSlack is the minimum slack of a choice: by how much the load of a holder may exceed that
+	// of the least loaded worker, as a share of the latter (Bunt et al., Table 4).
 	minLoadSlack = 1.0
-	// loadPriceScale is the price of a load and of idle memory at which the share of loads counts
-	// as it is; at higher prices it counts for more.
+	// loadPriceScale is the price of a load plus idle memory at which the share of calls that cause
+	// a load is used unscaled; at higher prices it is scaled up in proportion.
 	loadPriceScale = 0.012
-	// similarLoadTolerance is how much heavier than the median a worker may be and still count as
-	// good as the lightest.
+	// similarLoadTolerance is by how much the load of a worker may exceed the median, as a share of
+	// it, and still be treated as equal to the least load.
 	similarLoadTolerance = 0.25
-	// failedOrderPenalty divides the score of a worker that had no room for a load just now.
+	// failedOrderPenalty divides the placement score of a worker whose load orders are backed off
+	// because it recently had no room for a load.
 	failedOrderPenalty = 1e9
 )
 
-// choiceState is the scratch of a choice.
+// choiceState holds the buffers that choices reuse.
 type choiceState struct {
-	number     int            // of the choice
+	number     int            // sequence number of the choice
 	examined   []*workerState // in a long list
-	candidates []*workerState // that may take the call
-	loads      []float64      // of which the median is taken
+	candidates []*workerState // workers that may get the call
+	loads      []float64      // for the median load
 	free       []*workerState // holders with free capacity
 	busy       []*workerState // other holders
 }
 
-// candidateSet is what a choice knows of its candidates.
+// candidateSet summarizes the candidates of a choice.
 type candidateSet struct {
-	preferred   int          // the first so many candidates stand in the function's ring window
+	preferred   int          // number of leading candidates from the function's ring window
 	total       int          // eligible workers
-	healthy     int          // of these
-	unreachable int          // of these: that no dispatcher reaches
-	trial       *workerState // due for the attempt that ends or renews its ejection
+	healthy     int          // eligible workers that are healthy
+	unreachable int          // eligible workers that no dispatcher reaches
+	trial       *workerState // worker due for the attempt that ends or renews its ejection
 	medianLoad  float64
 	minLoad     float64
 }
 
-// chooseWorker chooses a worker for the next attempt of a request, or nil if none is eligible;
-// trial is set if the attempt tests a worker whose ejection has run out. The rule is Load/Affinity
-// (Bunt et al.): the lightest holder with free capacity within a slack of the lightest worker, else
-// the lightest holder within it, else the lightest worker.
+// chooseWorker chooses a worker for the next attempt of a request, or returns nil if none is
+// eligible; trial is set if the attempt tests a worker whose ejection has expired. The rule is
+// Load/Affinity (Bunt et al.): the least loaded holder with free capacity whose load is within a
+// slack of the least load, else the least loaded holder within that slack, else the least loaded
+// worker.
 func (b *Balancer) chooseWorker(now int64, request *requestState) (best *workerState, trial bool) {
 	b.choice.number++
 	examined := b.workersToExamine(now, request)
@@ -66,8 +68,8 @@
 	return b.preferredWorker(now, request.function, where), false
 }
 
-// examine collects the eligible workers with their loads as candidates. It stops at a worker that
-// is due for a trial.
+// examine collects the eligible workers and their loads as candidates. It stops at the first worker
+// that is due for a trial.
 func (b *Balancer) examine(now int64, request *requestState, examined examinedWorkers) (set candidateSet) {
 	number := b.choice.number
 	b.choice.candidates, b.choice.loads = b.choice.candidates[:0], b.choice.loads[:0]
@@ -98,8 +100,8 @@
 	return set
 }
 
-// excludeUnhealthy takes the unhealthy workers out of the candidates, adjusts the loads of unknown
-// and of already tried ones, and returns the lightest load.
+// excludeUnhealthy excludes the unhealthy workers from the candidates, raises the loads of workers
+// that have not responded yet or were already tried, and returns the least load.
 func (b *Balancer) excludeUnhealthy(now int64, request *requestState, set candidateSet) (minLoad float64) {
 	trusted := set.ejectionsTrusted()
 	minLoad = math.Inf(1)
@@ -111,7 +113,7 @@
 		if !worker.responded {
 			worker.choiceLoad = max(worker.choiceLoad, set.medianLoad)
 		}
-		if request.triedAt(worker) { // what failed there may fail there again
+		if request.triedAt(worker) { // the call may fail there again
 			worker.choiceLoad += float64(b.settings.MaxAttempts) * (set.medianLoad + 1)
 		}
 		minLoad = min(minLoad, worker.choiceLoad)
@@ -119,25 +121,26 @@
 	return minLoad
 }
 
-// ejectionsTrusted reports whether enough candidates are healthy for the unhealthy ones to be left
-// out. If half look faulty, the fault is likely our own, and load alone decides. Workers that no
-// dispatcher reaches do not count: more than half may be cut off.
+// ejectionsTrusted reports whether enough candidates are healthy to exclude the unhealthy ones. If
+// half of them look faulty, the fault is likely at this dispatcher, and load alone decides. Workers
+// that no dispatcher reaches are not counted: more than half of the workers may be cut off.
 func (s *candidateSet) ejectionsTrusted() bool {
 	reachable := s.total - s.unreachable
 	return 2*s.healthy > reachable || 2*s.healthy == reachable && s.healthy > 1
 }
 
-// loadBase returns the load from which the slack for holders counts. Where nearly all calls find a
-// loaded copy it is the lightest load, as in the paper, and functions spread. Where loads are
-// frequent there are too many copies, and it moves up to the median: a worker below the median has
-// idle cores, so that being lighter saves less than a copy costs.
+// loadBase returns the load that the slack for holders is added to. When nearly all calls find a
+// loaded copy it is the least load, as in the paper, and functions spread. When loads are frequent
+// there are too many copies, and it moves up to the median load: a worker below the median has idle
+// cores, so a lower load saves less than another copy costs.
 func (b *Balancer) loadBase(set candidateSet) float64 {
 	price := max(b.settings.OriginPrice+b.settings.MemoryPrice, loadPriceScale) / loadPriceScale
 	return set.minLoad + max(0, set.medianLoad-set.minLoad)*min(1, b.loads.share*price)
 }
 
-// holdersWithin lists the candidates up to a load that hold a copy with free capacity or, if there
-// are none, those at which a copy is expected. The result is valid until the next choice.
+// holdersWithin returns the candidates with at most the given load that hold a copy with free
+// capacity or, if there are none, those where a copy is expected. The result is valid until the next
+// choice.
 func (b *Balancer) holdersWithin(now int64, function *functionState, limit float64) []*workerState {
 	free, busy := b.choice.free[:0], b.choice.busy[:0]
 	for _, holder := range function.holders {
@@ -157,9 +160,9 @@
 	return free
 }
 
-// lightestHolder returns the lightest of some holders. What is known of other dispatchers' calls is
-// known to all of them alike and grows old: the older it is, the wider the range of loads from
-// which one is drawn, lest all dispatchers meet at the lightest.
+// lightestHolder returns the least loaded of the given holders. The load caused by other dispatchers
+// is known from a digest that all dispatchers share. The older the digest, the wider the range of
+// loads from which a holder is drawn at random, so that the dispatchers do not all choose the same.
 func (b *Balancer) lightestHolder(now int64, holders []*workerState, medianLoad float64) (best *workerState) {
 	minLoad, count := math.Inf(1), 0
 	for _, worker := range holders {
@@ -179,18 +182,19 @@
 	return best
 }
 
-// placement says where a function without a usable holder is loaded.
+// placement limits where a function without a usable holder is loaded.
 type placement struct {
-	preferred   int     // the first so many candidates come first
-	maxLoad     float64 // of a worker that counts as good as the lightest
-	placesShare float64 // of the workers that each dispatcher ranks for itself
+	preferred   int     // number of leading candidates that take precedence
+	maxLoad     float64 // highest load that is treated as equal to the least load
+	placesShare float64 // share of the workers that each dispatcher ranks independently
 }
 
-// preferredWorker returns the candidate up to a load that ranks highest for a function, of its ring
-// window if that has one. Dispatchers rank alike, so that they load a function in one place; each
-// sees little of the load of any worker, and the more of them there are, the wider the range of
-// loads that count as alike. Of a function that needs more places, a share of the workers is ranked
-// by each dispatcher for itself.
+// preferredWorker returns the highest-ranked candidate for a function with at most where.maxLoad,
+// from the function's ring window if that has one. All dispatchers use the same ranking, so that
+// they load a function at the same worker. Each dispatcher sees only a small part of a worker's
+// load, so the more dispatchers there are, the wider the range of loads that are treated as equal.
+// For a function that needs more workers, each dispatcher ranks a share of the workers
+// independently.
 func (b *Balancer) preferredWorker(now int64, function *functionState, where placement) (best *workerState) {
 	topScore := 0.0
 	for i, worker := range b.choice.candidates {
@@ -207,8 +211,8 @@
 	return best
 }
 
-// placementScore ranks a worker as the place to load a function. The dispatcher ranks a share of
-// the workers for itself.
+// placementScore returns the score of a worker for loading a function; higher is better. The given
+// share of the workers is ranked independently of the other dispatchers.
 func (b *Balancer) placementScore(now int64, function *functionState, worker *workerState, share float64) float64 {
 	rank := hashRank(function.id, worker.Worker)
 	score := rendezvousScore(rank, worker.Weight*b.capacityFraction(now, worker))
@@ -221,9 +225,9 @@
 	return score
 }
 
-// eligible reports whether a worker may get attempts and load orders, perhaps after a health check:
-// it is listed, drains neither by the list nor by its own report, and is within its slow-start budget.
-// Every attempt and every load order passes it (rules 3 and 4).
+// eligible reports whether a worker may get attempts and load orders, possibly after a health check:
+// it is listed as active, does not report that it drains, and is within its slow-start budget. Every
+// attempt and every load order must pass this check (rules 3 and 4).
 func (b *Balancer) eligible(now int64, worker *workerState) bool {
 	return worker.listed && worker.State == Active && b.leases.mayUse(now, worker) && b.slowStartAllows(now, worker)
 }
--- a/balancer/dispatch.go
+++ b/balancer/dispatch.go
@@ -1,6 +1,6 @@
 package balancer
 
-// HandleRequest takes a call. Exactly one final answer follows before its deadline.
+// HandleRequest accepts or rejects a call. It gets exactly one final answer, before its deadline.
 func (b *Balancer) HandleRequest(now int64, request Request) {
 	b.advanceClock(now)
 	if b.requests[request.ID] != nil {
@@ -29,7 +29,7 @@
 	b.armTimer()
 }
 
-// acceptRequest takes a request in hand.
+// acceptRequest adds a request to the pending ones.
 func (b *Balancer) acceptRequest(now int64, request Request) *requestState {
 	function := b.holders.functionFor(now, request)
 	accepted := &requestState{
@@ -48,7 +48,8 @@
 	return accepted
 }
 
-// dispatch sends a request to the chosen worker, holds it for a load, or has it looked at again.
+// dispatch sends a request to the chosen worker, holds it until a load is done, or schedules a
+// recheck.
 func (b *Balancer) dispatch(now int64, request *requestState) {
 	request.awaitingCheck = nil
 	if now >= b.answerBy(request) || len(request.attempts) >= b.settings.MaxAttempts {
@@ -72,8 +73,8 @@
 	}
 }
 
-// awaitWorker has a request for which there is no worker looked at again, or ends it if none may
-// come: one that was never sent ends early, so that its client can go elsewhere.
+// awaitWorker schedules a recheck of a request that no worker is available for, or ends the request
+// if none is expected. A request that was never sent ends early so that its client can go elsewhere.
 func (b *Balancer) awaitWorker(now int64, request *requestState) {
 	hopeless, reason := now >= request.holdDeadline(), EndedWithoutWorker
 	if len(request.attempts) > 0 {
@@ -86,10 +87,11 @@
 	b.scheduleRecheck(request, now+max(b.shortestObjective/maintenanceRounds/2, b.settings.ClockResolution))
 }
 
-// holdForLoad has a copy loaded by order and holds the request here until it is loaded; it reports
-// whether it does. That keeps the bounded queues of workers free of calls that wait for a slow
-// store, and costs a round trip. A copy that only a peer reported is ordered too: it may still be
-// loading. A function that no worker has served is never ordered: it may not exist.
+// holdForLoad orders a load and holds the request at the dispatcher until the copy is loaded; it
+// reports whether it does. Holding costs a round trip, but keeps the bounded queues of workers free
+// of calls that wait for a slow store. A load is also ordered for a copy that only a peer reported,
+// since it may still be loading. A load is never ordered for a function that no worker has served,
+// since it may not exist.
 func (b *Balancer) holdForLoad(now int64, request *requestState, worker *workerState) bool {
 	if !b.settings.LoadsOnMiss || !request.function.served || len(request.attempts) > 0 ||
 		now >= request.holdDeadline() {
@@ -114,8 +116,8 @@
 	return true
 }
 
-// sendAttempt sends an attempt of a request to a worker. A request that may be retried is looked at
-// again when the attempt is overdue.
+// sendAttempt sends an attempt of a request to a worker. A request that may be retried is rechecked
+// when the attempt is overdue.
 func (b *Balancer) sendAttempt(now int64, request *requestState, worker *workerState, trial bool) {
 	holder := request.function.holderAt(worker, true)
 	attempt := &attemptState{
@@ -149,8 +151,9 @@
 	}
 }
 
-// timeUntilOverdue returns the time, in nanoseconds, after which an attempt is more likely lost
-// than delayed. A copy that only a peer reported may still be loading.
+// timeUntilOverdue returns the time, in nanoseconds, after which the answer to an attempt is more
+// likely lost than delayed. It includes the time of a load if no copy is expected or only a peer
+// reported it, since the copy may still be loading.
 func (b *Balancer) timeUntilOverdue(now int64, request *requestState, holder *holderState) int64 {
 	responseTime, deviations := b.latencies[request.Class], b.losses.overdueDeviations()
 	due := responseTime.mean + deviations*responseTime.deviation
@@ -160,8 +163,8 @@
 	return int64(due)
 }
 
-// finish gives the one final answer: rejected if the client may safely try again, else failed. The
-// reason is recorded unless the deadline has come or the attempts are used up.
+// finish ends a request with its final answer: rejected if the client may safely try again, else
+// failed. It records the given reason unless the deadline has passed or the attempts are used up.
 func (b *Balancer) finish(now int64, request *requestState, reason EndReason) {
 	b.ended.record(b.endReasonOf(now, request, reason))
 	if b.mayReject(now, request) {
@@ -172,7 +175,7 @@
 	b.endRequest(request)
 }
 
-// endRequest drops a request that is over and cancels its attempts in flight.
+// endRequest removes a request that has ended and cancels its attempts in flight.
 func (b *Balancer) endRequest(request *requestState) {
 	if request.done {
 		return
@@ -186,7 +189,7 @@
 	}
 }
 
-// HandleClientGone ends a request whose client left.
+// HandleClientGone ends a request whose client has disconnected.
 func (b *Balancer) HandleClientGone(now int64, id string) {
 	b.advanceClock(now)
 	if request := b.requests[id]; request != nil {
@@ -195,8 +198,8 @@
 	b.armTimer()
 }
 
-// HandleFirstByte binds a request to the stream of an attempt: it has no deadline and no retries
-// from now on.
+// HandleFirstByte records that the first byte of an attempt's answer was sent to the client. From
+// then on the request has no deadline and is not retried.
 func (b *Balancer) HandleFirstByte(now int64, id string, attempt int) {
 	b.advanceClock(now)
 	if request := b.requests[id]; request != nil {
--- a/balancer/endreason.go
+++ b/balancer/endreason.go
@@ -1,21 +1,21 @@
 package balancer
 
-// EndReason is why the balancer ended a request without an answer of a worker.
+// EndReason is why the balancer ended a request without an answer from a worker.
 type EndReason int
 
 // The reasons.
 const (
-	EndedByOverload        EndReason = iota // rejected at once: it was expected to wait for too long
-	EndedByClass                            // its class is not known
-	EndedByDeadline                         // no time is left
-	EndedByAttemptLimit                     // it has had all its attempts
-	EndedWithoutWorker                      // no worker may get it, and none is expected in time
-	EndedNotRetryable                       // an attempt may have run, and a further one might run it again
-	EndedByUnknownFunction                  // no worker is likely to know its function
-	NumEndReasons                           // how many there are
+	EndedByOverload        EndReason = iota // rejected by admission control
+	EndedByClass                            // unknown class
+	EndedByDeadline                         // the deadline has passed
+	EndedByAttemptLimit                     // all attempts are used up
+	EndedWithoutWorker                      // no worker is available, and none is expected in time
+	EndedNotRetryable                       // an attempt may have run, and a retry might run it again
+	EndedByUnknownFunction                  // probably no worker knows the function
+	NumEndReasons                           // number of reasons
 )
 
-// String returns the reason as logs and counters name it.
+// String returns the name of the reason used in logs and counters.
 func (r EndReason) String() string {
 	if r < 0 || r >= NumEndReasons {
 		return "unknown"
@@ -31,20 +31,20 @@
 	counts [NumEndReasons]int64
 }
 
-// record takes the reason of a request that is about to be ended.
+// record counts a request that is about to be ended.
 func (e *endReasons) record(reason EndReason) {
 	e.last = reason
 	e.counts[reason]++
 }
 
-// EndReason returns why the latest request was ended. A Host may ask for it in Reject and Fail.
+// EndReason returns why the most recent request was ended. A Host may call it from Reject and Fail.
 func (b *Balancer) EndReason() EndReason { return b.ended.last }
 
-// EndReasons returns how many requests were ended since the start, by reason.
+// EndReasons returns the number of requests ended since the start, indexed by reason.
 func (b *Balancer) EndReasons() [NumEndReasons]int64 { return b.ended.counts }
 
-// endReasonOf returns the reason to end a request now: its deadline or its attempts if they are
-// used up, else the given one.
+// endReasonOf returns the reason for ending a request now: the deadline if it has passed, the
+// attempt limit if it is reached, else the given reason.
 func (b *Balancer) endReasonOf(now int64, request *requestState, otherwise EndReason) EndReason {
 	switch {
 	case now >= b.answerBy(request):
--- a/balancer/hedge.go
+++ b/balancer/hedge.go
@@ -3,25 +3,26 @@
 const (
 	// hedgeBudgetRatio is the share of all requests that may be hedged against slow workers.
 	hedgeBudgetRatio = 0.1
-	// slowWorkerTolerance is how many times the overdue time a worker that answers others is given.
+	// slowWorkerTolerance is the time that a worker which answers other calls is given for an
+	// attempt, as a multiple of the time until it is overdue.
 	slowWorkerTolerance = 2.0
-	// hedgeCheckDelay is the time in nanoseconds that a health check is given before a hedge to its
+	// hedgeCheckDelay is the time, in nanoseconds, to wait for a health check before a hedge to that
 	// worker is considered again.
 	hedgeCheckDelay = int64(10e6)
 )
 
-// hedgeBudget limits the hedged requests against workers that answer others.
+// hedgeBudget limits hedges of attempts at workers that answer other calls.
 type hedgeBudget struct{ tokens float64 }
 
-// earn adds the share of one request, and of the answers that are lost.
+// earn adds the budget of one request: hedgeBudgetRatio plus the probability that its answer is lost.
 func (h *hedgeBudget) earn(lossProbability float64) {
 	h.tokens = min(h.tokens+hedgeBudgetRatio+lossProbability, 1/hedgeBudgetRatio)
 }
 
-// handleOverdue looks at a request whose attempt has been in flight for longer than is usual: its
-// worker may be silent or very slow, a message lost, or a load stuck. Against a silent worker it
-// acts at once; against one that answers others it draws on the hedge budget, since when all are
-// slow hedges are wasted work.
+// handleOverdue retries or hedges a request that is due for a recheck. If an attempt is in flight,
+// it is overdue: the worker may be unresponsive or very slow, a message lost, or a load stuck. A
+// request at an unresponsive worker is hedged at once. A hedge against a worker that answers other
+// calls uses the hedge budget, because hedges are wasted work when all workers are slow.
 func (b *Balancer) handleOverdue(now int64, request *requestState) {
 	last := request.lastInFlight()
 	if last == nil {
@@ -56,9 +57,9 @@
 	}
 }
 
-// deferHedge has a request whose worker answers others looked at again later, and reports whether
-// it does: the worker gets more time the fewer answers are lost, the budget may be spent, or the
-// answer would be too late for its objective.
+// deferHedge postpones the hedge of a request whose worker answers other calls, and reports whether
+// it does. It postpones if the worker still has time, of which it gets more the fewer answers are
+// lost, if the hedge budget is spent, or if a hedge would miss the latency objective.
 func (b *Balancer) deferHedge(now int64, request *requestState, last *attemptState) bool {
 	tolerance := slowWorkerTolerance - (slowWorkerTolerance-1)*min(1, b.losses.probability/hedgeBudgetRatio)
 	if slowAt := last.sentAt + int64(tolerance*float64(last.dueAt-last.sentAt)); now < slowAt {
@@ -73,9 +74,9 @@
 	return false
 }
 
-// chooseHedgeWorker returns the worker for a hedge, or nil. If the copy of the last attempt
-// answered others meanwhile, the answer is lost, and the same worker is asked again unless another
-// one has a copy: elsewhere the call would wait for a load.
+// chooseHedgeWorker returns the worker for a hedge, or nil. If the copy that got the last attempt
+// has answered other calls since, the answer is lost, and the hedge goes to the same worker unless
+// another one has a copy: elsewhere the call would wait for a load.
 func (b *Balancer) chooseHedgeWorker(now int64, request *requestState, last *attemptState, silent bool) *workerState {
 	worker, _ := b.chooseWorker(now, request)
 	answerLost := !silent && last.holder.lastWarmHitAt > last.sentAt &&
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -5,45 +5,45 @@
 	"math"
 )
 
-// minClockResolution is the least resolution assumed of the host's clock, one millisecond: that of
-// the platform's messages.
+// minClockResolution is the minimum of Settings.ClockResolution: one millisecond, the resolution of
+// times in the platform's messages.
 const minClockResolution int64 = 1_000_000
 
 // Class is a class of request. Times are nanoseconds.
 type Class struct {
-	LatencyObjective   int64 // wanted response time
-	ClientTimeout      int64 // after which the client stops waiting
-	IdempotencyWindow  int64 // for which workers know an idempotency key
+	LatencyObjective   int64 // target response time
+	ClientTimeout      int64 // time after which the client stops waiting
+	IdempotencyWindow  int64 // how long workers remember an idempotency key
 	PriorityWeight     float64
-	LatePriorityWeight float64 // of a request that misses the objective
+	LatePriorityWeight float64 // priority weight of a request that misses the objective
 	Idempotency        Idempotency
 	IdempotencyScope   IdempotencyScope
 }
 
-// isValid reports whether a class has a positive latency objective and figures that can be read.
+// isValid reports whether the latency objective is positive and the other numbers are valid.
 func (c *Class) isValid() bool {
 	return c.LatencyObjective > 0 && c.hasValidFigures()
 }
 
-// hasValidFigures reports whether all figures but the latency objective can be read.
+// hasValidFigures reports whether the durations other than the latency objective are not negative
+// and the priority weight is not NaN.
 func (c *Class) hasValidFigures() bool {
 	return c.IdempotencyWindow >= 0 && c.ClientTimeout >= 0 && !math.IsNaN(c.PriorityWeight)
 }
 
-// Settings are what the deployment states at the start. Times are nanoseconds. Zero values are read
-// in the cautious way.
+// Settings configure a Balancer. Times are nanoseconds. A zero value selects the safe behavior.
 type Settings struct {
 	Classes         []Class
-	TenantQuota     []float64 // requests a second by tenant, at all dispatchers together; 0: no limit
+	TenantQuota     []float64 // requests per second by tenant, over all dispatchers; 0: no limit
 	OverQuotaWeight float64   // share of its priority that a request over its tenant's quota keeps
 	DispatcherIndex int
 	Dispatchers     int
 	Zone            int
-	ClockResolution int64 // least time between the clocks of two events
+	ClockResolution int64 // smallest step of the clock between two events
 
 	MaxAttempts     int
-	FullScanLimit   int // length up to which a list is scanned in full for a choice; 0: 256
-	MaxInFlight     int // requests in hand at a time; 0: no limit
+	FullScanLimit   int // maximum length of an endpoint list that each choice scans in full; 0: 256
+	MaxInFlight     int // maximum number of pending requests; 0: no limit
 	Hedging         bool
 	HealthChecks    bool
 	Cancellation    bool
@@ -54,14 +54,14 @@
 	InflightField       int  // 1 + index in a load report; 0: not reported
 	QueueField          int  // the same
 	ReportOnHealthCheck bool // load reports come only with health checks
-	PollEndpoints       bool // the endpoint list must be asked for; else it is pushed
+	PollEndpoints       bool // the endpoint list is polled; else it is pushed
 	PollInterval        int64
 
-	// ConfirmInterval is the time between two calls of ConfirmEndpoints while discovery can be reached;
-	// 0: there are none, and a list without updates counts as current.
+	// ConfirmInterval is the time between two calls of ConfirmEndpoints while discovery can be
+	// reached; 0: there are no such calls, and a list without updates counts as current.
 	ConfirmInterval int64
-	// EndpointUpdateDelay is the time after which a change of the endpoint list counts as known,
-	// whether its update arrived or not.
+	// EndpointUpdateDelay is the time after which a change of the endpoint list is assumed to be
+	// known, whether or not its update has arrived.
 	EndpointUpdateDelay int64
 
 	ResponseSlack     int64
@@ -69,13 +69,13 @@
 	SlowStartWindow   int64
 	OverloadWindow    int64
 	OverloadFactor    float64
-	SlowStartCapacity float64 // share of its capacity with which a worker starts
+	SlowStartCapacity float64 // share of its full capacity that a worker starts with
 
 	LoadOrders         bool
 	LoadsOnMiss        bool
 	ReportsWarmth      bool
 	ReportsConcurrency bool
-	KeepAlive          int64 // for which an idle copy stays loaded
+	KeepAlive          int64 // how long an idle copy stays loaded
 	LoadQuotaWindow    int64
 	LoadOrderTimeout   int64
 	LoadQuotaBase      float64
@@ -85,22 +85,22 @@
 	CrossZonePrice     float64
 	WastePrice         float64
 	ProbePrice         float64
-	PeerPrice          float64 // of a full datagram to another dispatcher
+	PeerPrice          float64 // price of a full datagram to another dispatcher
 	LateFailurePrice   float64
-	OriginPrice        float64 // of a load
+	OriginPrice        float64 // price of a load
 }
 
-// validate returns an error for settings that have no safe reading.
+// validate returns an error if there are no classes, a class is invalid, or a duration is negative.
 func (s *Settings) validate() error {
 	if len(s.Classes) == 0 {
 		return fmt.Errorf("balancer: Classes is empty")
 	}
 	for i := range s.Classes {
 		if s.Classes[i].LatencyObjective <= 0 {
-			return fmt.Errorf("balancer: Classes[%d].Aim must be above 0", i)
+			return fmt.Errorf("balancer: Classes[%d].LatencyObjective must be above 0", i)
 		}
 		if !s.Classes[i].hasValidFigures() {
-			return fmt.Errorf("balancer: Classes[%d]: Window, GiveUp or Worth cannot be read", i)
+			return fmt.Errorf("balancer: Classes[%d]: negative duration or NaN PriorityWeight", i)
 		}
 	}
 	for _, setting := range []struct {
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -7,15 +7,15 @@
 	"testing"
 )
 
-// TestSettingsAreValidated proves that New returns an error that names the setting at fault.
+// TestSettingsAreValidated checks that New returns an error that names the invalid setting.
 func TestSettingsAreValidated(t *testing.T) {
 	if _, err := New(0, testSettings(Idempotent, ScopeAll), 1, nil); err == nil {
-		t.Error("a nil host was taken")
+		t.Error("New accepted a nil host")
 	}
-	for _, field := range []string{"Aim", "KeepAlive", "Classes"} {
+	for _, field := range []string{"LatencyObjective", "KeepAlive", "Classes"} {
 		settings := testSettings(Idempotent, ScopeAll)
 		switch field {
-		case "Aim":
+		case "LatencyObjective":
 			settings.Classes[0].LatencyObjective = 0
 		case "KeepAlive":
 			settings.KeepAlive = -1
@@ -23,13 +23,14 @@
 			settings.Classes = nil
 		}
 		if _, err := New(0, settings, 1, newFakeHost()); err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("%s: error %v does not name it", field, err)
+			t.Errorf("%s: error %v does not name the setting", field, err)
 		}
 	}
 }
 
-// TestFilesStaySmall bounds the size of each file of the package: 300 lines of 120 columns.
-// The limit of 910 lines over the files named under policy was withdrawn by the operators.
+// TestFilesStaySmall checks that each source file of the package has at most 300 lines of at most
+// 120 columns. An earlier limit of 910 lines in total over the policy files was withdrawn by the
+// operators.
 func TestFilesStaySmall(t *testing.T) {
 	const maxLines, maxColumns = 300, 120
 	files, err := filepath.Glob("*.go")
@@ -56,8 +57,9 @@
 	}
 }
 
-// TestInvalidInputChangesNothing proves that invalid messages, senders and results of unknown
-// workers change nothing in a large fleet.
+// TestInvalidInputChangesNothing checks that invalid messages, invalid senders and results of
+// unknown workers change nothing in a large fleet, and that a balancer with mostly zero settings
+// handles requests and timers.
 func TestInvalidInputChangesNothing(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.Dispatchers, settings.DispatcherIndex, settings.Gossip = 250, 7, true
@@ -70,7 +72,7 @@
 		balancer.HandlePeerMessage(ms, 3, text)
 	}
 	if balancer.fleetSum(completionsColumn) != 0 || len(balancer.holders.functions) != 1 {
-		t.Fatalf("bad messages were taken: %v, %d functions", balancer.fleetSum(completionsColumn),
+		t.Fatalf("invalid messages were accepted: completions %v, %d functions", balancer.fleetSum(completionsColumn),
 			len(balancer.holders.functions))
 	}
 	balancer.UpdateEndpoints(2*ms, EndpointsSnapshot, activeEndpoints(1))
@@ -81,7 +83,7 @@
 	balancer.HandleHealthCheck(5*ms, 9, OK, 1, []float64{1})
 	balancer.UpdateEndpoints(6*ms, EndpointUpdateKind(9), activeEndpoints(2))
 	if host.lastWorker["b"] != 1 {
-		t.Fatalf("sent to %d, one worker was listed", host.lastWorker["b"])
+		t.Fatalf("call sent to worker %d, only worker 1 was listed", host.lastWorker["b"])
 	}
 	zero, err := New(0, Settings{Classes: []Class{{LatencyObjective: 1000 * ms}}, Gossip: true}, 1, newFakeHost())
 	if err != nil {
