--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestOverloadRejectsTheLeastPriority proves that as a queue forms, requests of the class of less
-// priority are rejected first.
+// TestOverloadRejectsTheLeastPriority checks that while a queue forms, requests of the class with
+// the lower priority are rejected first.
 func TestOverloadRejectsTheLeastPriority(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.Classes = append(settings.Classes, settings.Classes[0])
@@ -14,7 +14,7 @@
 	balancer, host := newTestBalancer(t, settings, 4)
 	markAllResponded(balancer)
 	now := int64(5000 * ms)
-	for i := range 60 { // all functions loaded, nothing answered: a queue forms
+	for i := range 60 { // the function is loaded and nothing is answered: a queue forms
 		request := Request{ID: fmt.Sprint(i), Class: i % 2, Func: 1, Deadline: now + 3000*ms, Concurrency: 16}
 		balancer.HandleRequest(now, request)
 		holder := balancer.holders.functions[1].holderAt(balancer.endpoints.listed[i%4], true)
@@ -31,12 +31,12 @@
 		}
 	}
 	if low == 0 || high > low {
-		t.Fatalf("rejected %d of low worth and %d of high", low, high)
+		t.Fatalf("rejected %d requests of low priority and %d of high", low, high)
 	}
 }
 
-// TestStuckCallsDoNotCountAsQueued proves that calls that have been out for seconds are stuck and
-// do not count as a queue.
+// TestStuckCallsDoNotCountAsQueued checks that calls in flight for seconds are treated as stuck and
+// do not count as queued.
 func TestStuckCallsDoNotCountAsQueued(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 4)
 	markAllResponded(balancer)
@@ -52,12 +52,11 @@
 		worker.lastResponseAt = now + 2500*ms
 	}
 	if stuck := balancer.expectedQueueTime(now + 2600*ms); stuck > queued/2 {
-		t.Fatalf("expected time %.0f ms with overdue calls, %.0f ms with queued ones", stuck/1e6, queued/1e6)
+		t.Fatalf("expected response time %.0f ms with stuck calls, %.0f ms with queued ones", stuck/1e6, queued/1e6)
 	}
 }
 
-// TestRejectedCallsCountAsQueued proves that calls that a full queue rejected count as queued for a
-// while.
+// TestRejectedCallsCountAsQueued checks that calls recently rejected by a full queue count as queued.
 func TestRejectedCallsCountAsQueued(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(NotIdempotent, ScopeNone), 4)
 	markAllResponded(balancer)
@@ -68,17 +67,17 @@
 		balancer.HandleAttemptResult(ms, AttemptResult{ID: id, Worker: host.lastWorker[id], Result: QueueFull})
 	}
 	if after := balancer.expectedQueueTime(2 * ms); after < 1.5*before {
-		t.Fatalf("expected time %.0f ms after full answers, %.0f ms before", after/1e6, before/1e6)
+		t.Fatalf("expected response time %.0f ms after rejections, %.0f ms before", after/1e6, before/1e6)
 	}
 }
 
-// TestRetriesDoNotCrowdOutFirstAttempts proves that when calls queue, requests marked as retries
+// TestRetriesDoNotCrowdOutFirstAttempts checks that while calls queue, requests marked as retries
 // are rejected before others.
 func TestRetriesDoNotCrowdOutFirstAttempts(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 4)
 	markAllResponded(balancer)
 	now := int64(5000 * ms)
-	for i := range 90 { // all loaded, nothing answered: a queue forms
+	for i := range 90 { // the function is loaded and nothing is answered: a queue forms
 		id := fmt.Sprint(i)
 		balancer.HandleRequest(now, Request{ID: id, Func: 1, Deadline: now + 3000*ms, Concurrency: 16, Retry: i%3 > 0})
 		balancer.holders.functionFor(now, testRequest(id, now, 1)).holderAt(balancer.endpoints.listed[i%4],
@@ -95,12 +94,12 @@
 		}
 	}
 	if repeat == 0 || 2*first >= repeat {
-		t.Fatalf("rejected %d of 30 first tries and %d of 60 repeats", first, repeat)
+		t.Fatalf("rejected %d of 30 first attempts and %d of 60 retries", first, repeat)
 	}
 }
 
-// TestLoadedFunctionsAreAdmittedFirst proves that near the limit of requests in hand, those that
-// need a load are rejected first, and the others only when hardly any room is left.
+// TestLoadedFunctionsAreAdmittedFirst checks that near the limit of pending requests, those that
+// need a load are rejected first, and the others only shortly below the limit.
 func TestLoadedFunctionsAreAdmittedFirst(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.MaxInFlight = 100
@@ -111,7 +110,7 @@
 	for _, worker := range balancer.endpoints.listed {
 		balancer.holders.functions[1].holderAt(worker, true).validUntil = now + 8000*ms
 	}
-	// answers flow, so there is no queue
+	// a high completion rate, so that there is no queue
 	balancer.admission.completions.value, balancer.admission.completions.at = 1e6, now
 	cold, warm := 0, 0
 	for i := range 100 {
@@ -129,6 +128,6 @@
 		}
 	}
 	if cold == 0 || warm > cold/2 || len(balancer.requests) > 90 {
-		t.Fatalf("rejected %d that need a load and %d loaded, %d are open", cold, warm, len(balancer.requests))
+		t.Fatalf("rejected %d requests that need a load and %d others, %d pending", cold, warm, len(balancer.requests))
 	}
 }
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -7,8 +7,8 @@
 	"oakthread/aggregate"
 )
 
-// BenchmarkDecision is one call with its answer and what timers it sets; BenchmarkRound the digest
-// of a leader that holds the reports of all others.
+// BenchmarkDecision measures one call with its answer and the timers that it sets. BenchmarkRound
+// measures encoding the digest of a leader that has the reports of all other dispatchers.
 func BenchmarkDecision(b *testing.B) { benchmarkSizes(b, benchmarkDecision) }
 
 func BenchmarkRound(b *testing.B) { benchmarkSizes(b, benchmarkRound) }
@@ -48,7 +48,7 @@
 	}
 	for i := range b.N {
 		now := int64(i) * balancer.shortestObjective / maintenanceRounds
-		if i%maintenanceRounds == 0 { // as often as each of them reports
+		if i%maintenanceRounds == 0 { // as often as each dispatcher reports
 			b.StopTimer()
 			report.Report.Seq++
 			texts := report.Encode(settings.Dispatchers)
@@ -62,7 +62,7 @@
 		message := aggregate.Message{FromLeader: true}
 		balancer.fillMessage(now, &message)
 		if len(message.Encode(settings.Dispatchers)) == 0 || len(message.Counts) != workers {
-			b.Fatal("the digest lacks workers")
+			b.Fatal("the digest is empty or lacks workers")
 		}
 	}
 }
--- a/balancer/choose_test.go
+++ b/balancer/choose_test.go
@@ -7,8 +7,8 @@
 	"oakthread/aggregate"
 )
 
-// TestHolderWithFreeCapacityIsChosenFirst proves that a function stays at the worker that holds a
-// copy while that has free capacity.
+// TestHolderWithFreeCapacityIsChosenFirst checks that calls of a function go to the worker that
+// holds a copy as long as that has free capacity.
 func TestHolderWithFreeCapacityIsChosenFirst(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 4)
 	markAllResponded(balancer)
@@ -25,8 +25,8 @@
 	}
 }
 
-// TestBusyHolderBeyondSlackIsPassedOver proves that a hot function spreads once its holder carries
-// more than the slack allows.
+// TestBusyHolderBeyondSlackIsPassedOver checks that a hot function spreads to other workers once the
+// load of its holder exceeds the slack.
 func TestBusyHolderBeyondSlackIsPassedOver(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 4)
 	markAllResponded(balancer)
@@ -43,8 +43,8 @@
 	}
 }
 
-// TestHolderExpiresAtKeepAlive proves that a worker is believed to hold a copy exactly until the
-// keep-alive has passed.
+// TestHolderExpiresAtKeepAlive checks that a worker is assumed to hold a copy exactly until the
+// keep-alive time has passed.
 func TestHolderExpiresAtKeepAlive(t *testing.T) {
 	for _, c := range []struct {
 		at   int64
@@ -55,14 +55,14 @@
 		balancer.HandleAttemptResult(10*ms, successful("a", host.lastWorker["a"]))
 		holder := balancer.holders.functions[1].holderAt(balancer.endpoints.byID[host.lastWorker["a"]], false)
 		if (holder.validUntil > c.at) != c.held {
-			t.Errorf("at %d ms: believed %v, want %v", c.at/ms, !c.held, c.held)
+			t.Errorf("at %d ms: copy assumed %v, want %v", c.at/ms, !c.held, c.held)
 		}
 	}
 }
 
-// TestSlowWorkerWeighsMoreAmongManyDispatchers proves that one of many dispatchers, which has too
-// few calls at a worker to see its queue, goes by its response times; of few, each sees the queue
-// itself.
+// TestSlowWorkerWeighsMoreAmongManyDispatchers checks that with many dispatchers, each of which has
+// too few calls at a worker to see its queue, the load of a worker is weighted by its response
+// times, and that this wears off. With few dispatchers each sees the queue itself.
 func TestSlowWorkerWeighsMoreAmongManyDispatchers(t *testing.T) {
 	for _, many := range []int{1, 5, 80, 300} {
 		settings := testSettings(Idempotent, ScopeAll)
@@ -70,7 +70,7 @@
 		balancer, host := newTestBalancer(t, settings, 6)
 		markAllResponded(balancer)
 		now := int64(0)
-		for i := range 12 { // two answers each, of worker 1 four times as late as the others'
+		for i := range 12 { // two answers per worker; worker 1 takes four times as long as the others
 			worker := balancer.endpoints.listed[i%6]
 			holder := balancer.holders.functionFor(now, testRequest("x", now, FuncID(i))).holderAt(worker, true)
 			request := &requestState{
@@ -88,18 +88,18 @@
 		slow := balancer.weightedLoad(now+ms, balancer.endpoints.byID[1])
 		other := balancer.weightedLoad(now+ms, balancer.endpoints.byID[2])
 		if many <= 5 && slow != other || many > 5 && slow < 2*other {
-			t.Errorf("%d dispatchers: load %.2f at the slow worker, %.2f at another; %d sends", many, slow, other,
+			t.Errorf("%d dispatchers: load %.2f at the slow worker, %.2f at another; %d attempts", many, slow, other,
 				len(host.attempts))
 		}
 		if late := balancer.weightedLoad(now+20*balancer.settings.KeepAlive,
 			balancer.endpoints.byID[1]); late > 1.1*other {
-			t.Errorf("%d dispatchers: long after, load %.2f", many, late)
+			t.Errorf("%d dispatchers: load %.2f at the slow worker after 20 keep-alive times", many, late)
 		}
 	}
 }
 
-// TestUnknownWorkerGetsFirstCalls proves that a worker that has not responded yet gets some calls,
-// but is not flooded.
+// TestUnknownWorkerGetsFirstCalls checks that a worker that has not responded yet gets some calls,
+// but no more than half of them.
 func TestUnknownWorkerGetsFirstCalls(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 3)
 	markAllResponded(balancer)
@@ -114,11 +114,12 @@
 		balancer.HandleAttemptResult(int64(i)*ms, successful(id, host.lastWorker[id]))
 	}
 	if n < 3 || n > 30 {
-		t.Fatalf("%d of 60 calls to a worker not heard from", n)
+		t.Fatalf("%d of 60 calls went to the new worker, want 3 to 30", n)
 	}
 }
 
-// TestFastErrorsDoNotAttractCalls proves that a worker whose calls fail fast does not look light.
+// TestFastErrorsDoNotAttractCalls checks that a worker whose calls fail fast does not look lightly
+// loaded.
 func TestFastErrorsDoNotAttractCalls(t *testing.T) {
 	settings := testSettings(NotIdempotent, ScopeNone)
 	balancer, host := newTestBalancer(t, settings, 4)
@@ -136,12 +137,12 @@
 		}
 	}
 	if bad > 10 {
-		t.Fatalf("%d of 100 calls to a worker that fails them all", bad)
+		t.Fatalf("%d of 100 calls went to a worker that fails all of them", bad)
 	}
 }
 
-// TestSlowStoreWidensTheSlack proves that while the store is slow, calls wait for a busy holder
-// instead of loading elsewhere.
+// TestSlowStoreWidensTheSlack checks that while the store is slow, more calls wait for a busy holder
+// instead of causing a load elsewhere.
 func TestSlowStoreWidensTheSlack(t *testing.T) {
 	used := func(stress float64) int {
 		balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 6)
@@ -158,12 +159,12 @@
 		return len(on)
 	}
 	if calm, slow := used(1), used(8); slow >= calm {
-		t.Fatalf("%d workers used with a slow store, %d with a quick one", slow, calm)
+		t.Fatalf("%d workers used with a slow store, %d with a fast one", slow, calm)
 	}
 }
 
-// TestCrowdedWorkersDoNotHideEachOther proves that a few workers with many calls do not make each
-// other look light: loads are compared with the median.
+// TestCrowdedWorkersDoNotHideEachOther checks that several overloaded workers do not make each other
+// look lightly loaded: loads are compared with the median.
 func TestCrowdedWorkersDoNotHideEachOther(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.Dispatchers, settings.Gossip = 50, true
@@ -179,7 +180,7 @@
 	}
 	balancer.HandlePeerMessage(ms, 1, encodedDigest(balancer, ms, []float64{0, 0}, counts...))
 	for k := range 40 {
-		// believed at a crowded worker
+		// the copy is assumed to be at an overloaded worker
 		holder := balancer.holders.functionFor(ms,
 			testRequest("", ms, FuncID(k))).holderAt(balancer.endpoints.byID[1], true)
 		holder.validUntil = 8000 * ms
@@ -191,7 +192,7 @@
 	}
 }
 
-// TestExpensiveLoadsKeepTheHolder proves that a busy holder is kept as long as the wait for it
+// TestExpensiveLoadsKeepTheHolder checks that calls stay at a busy holder as long as waiting for it
 // costs less than a load.
 func TestExpensiveLoadsKeepTheHolder(t *testing.T) {
 	used := func(load int64) int {
@@ -210,6 +211,6 @@
 		return len(on)
 	}
 	if cheap, dear := used(250*ms), used(5000*ms); cheap < 2 || dear != 1 {
-		t.Fatalf("a cheap load spreads over %d workers, a dear one over %d", cheap, dear)
+		t.Fatalf("with short loads %d workers used, with long loads %d", cheap, dear)
 	}
 }
--- a/balancer/environment.go
+++ b/balancer/environment.go
@@ -38,7 +38,7 @@
 }
 
 // callRateWindow returns the time constant, in nanoseconds, for averaging the call rate of a
-// function and the relative speed of a worker.
+// function and the relative response time of a worker.
 func (e *environment) callRateWindow() int64 { return max(e.settings.KeepAlive, e.shortestObjective) }
 
 // leaderTerm returns the length of a leader's term in nanoseconds.
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -6,7 +6,7 @@
 	"oakthread/balancer"
 )
 
-// printer is a host that prints what it is reported to do; a real one sends requests and sets
+// printer is a Host that only prints the actions it is asked for. A real host sends requests and sets
 // timers.
 type printer struct{ worker balancer.WorkerID }
 
--- a/balancer/fake_test.go
+++ b/balancer/fake_test.go
@@ -8,7 +8,7 @@
 
 const ms = int64(1e6)
 
-// fakeHost records what it is asked to do.
+// fakeHost is a Host that records the actions it is asked for.
 type fakeHost struct {
 	attempts      []sentAttempt
 	answers       map[string]string
@@ -19,7 +19,7 @@
 	subscriptions int
 	messages      []string
 	receivers     []int
-	timerDelays   []int64 // delays
+	timerDelays   []int64
 	timerRef      int64
 	lastWorker    map[string]WorkerID
 }
@@ -119,25 +119,25 @@
 	return balancer, host
 }
 
-// testRequest returns a request with three seconds of time.
+// testRequest returns a request whose deadline is three seconds after now.
 func testRequest(id string, now int64, function FuncID) Request {
 	return Request{ID: id, Func: function, Deadline: now + 3000*ms, Concurrency: 2, LoadTime: 500 * ms}
 }
 
-// successful returns the result of a request's only attempt, answered by a loaded copy.
+// successful returns the result of a request's first attempt, answered by a loaded copy.
 func successful(id string, worker WorkerID) AttemptResult {
 	return AttemptResult{ID: id, Worker: worker, Result: OK, Finished: true, Warmth: WarmHit}
 }
 
-// fireTimers fires the timer all along, so that no stall is detected.
+// fireTimers fires the timer every 20 ms, so that no stall is detected.
 func fireTimers(balancer *Balancer, host *fakeHost, from, to int64) {
 	for now := from; now <= to; now += 20 * ms {
 		balancer.HandleTimer(now, host.timerRef)
 	}
 }
 
-// markAllResponded has every worker count as one that has responded, and no recent call as one that
-// needed a load.
+// markAllResponded marks every worker as having responded, and sets the share of recent calls that
+// caused a load to 0.
 func markAllResponded(balancer *Balancer) {
 	for _, worker := range balancer.endpoints.listed {
 		worker.responded = true
@@ -145,7 +145,7 @@
 	balancer.loads.share = 0
 }
 
-// encodedDigest returns the digest of a leader that has the reports of all.
+// encodedDigest returns the encoded digest of a leader that has the reports of all dispatchers.
 func encodedDigest(balancer *Balancer, now int64, sums []float64, counts ...aggregate.Count) string {
 	message := aggregate.Message{
 		FromLeader: true,
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -25,10 +25,10 @@
 	return settings
 }
 
-// peerDatagrams runs dispatcher 0 of three for 12 seconds of simulated time, six terms, and returns
-// what it reported, a line of destination and text each, and when. Calls fail at worker 2, some are
-// never answered, and the other two dispatchers send it reports, digests and a request for its
-// holders.
+// peerDatagrams runs dispatcher 0 of three for 12 seconds of simulated time, which are six terms. It
+// returns the datagrams that the dispatcher sent, one line of destination and text each, and their
+// times. Calls fail at worker 2, some are never answered, and the other two dispatchers send
+// reports, digests and a request for its holders.
 func peerDatagrams(t *testing.T) (lines []string, times []int64) {
 	t.Helper()
 	settings := peerSettings(0)
@@ -125,6 +125,6 @@
 	for _, kind := range []string{"sync request", "holders", "digest", "report with Prev", "report"} {
 		assert.Positive(t, kinds[kind], kind)
 	}
-	assert.Zero(t, balancer.gossip.aggregator.Dropped, "rows and digests not taken")
-	assert.False(t, balancer.FleetView().NoDigest, "a digest was taken")
+	assert.Zero(t, balancer.gossip.aggregator.Dropped, "rows and digests dropped")
+	assert.False(t, balancer.FleetView().NoDigest, "a digest was accepted")
 }
--- a/balancer/hedge_test.go
+++ b/balancer/hedge_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestLostAnswersHedgeSooner proves that the more answers are lost by workers that answer others,
-// the sooner a hedge is sent.
+// TestLostAnswersHedgeSooner checks that the more answers are lost by workers that answer other
+// calls, the sooner a hedge is sent.
 func TestLostAnswersHedgeSooner(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 1)
 	markAllResponded(balancer)
@@ -39,25 +39,26 @@
 		round(false)
 	}
 	if lossy > 0.7*calm || balancer.losses.overdueDeviations() < 0.9*calm {
-		t.Fatalf("overdue past %.1f deviations before, %.1f with a fifth lost, %.1f after", calm, lossy,
+		t.Fatalf("overdue after %.1f deviations at first, %.1f with a fifth of answers lost, %.1f later", calm, lossy,
 			balancer.losses.overdueDeviations())
 	}
 }
 
-// TestLoadsAreNotLostAnswers proves that a call that waits for a load does not count as a lost
-// answer, although its worker answers others: a copy that only a peer reported may be loading, and
-// one believed loaded may have been unloaded. Counted as lost, such calls would be hedged ever
-// sooner and cause more loads. An answer is lost where the same copy answered others meanwhile.
+// TestLoadsAreNotLostAnswers checks that a call that waits for a load does not count as a lost
+// answer although its worker answers other calls: a copy that only a peer reported may still be
+// loading, and one assumed to be loaded may have been unloaded. If such calls counted as lost, calls
+// would be hedged sooner and sooner and cause more loads. An answer counts as lost only if the same
+// copy has answered other calls since.
 func TestLoadsAreNotLostAnswers(t *testing.T) {
 	for name, c := range map[string]struct {
 		reported, hit, lost bool
 	}{
-		"the copy answered others": {hit: true, lost: true},
-		"another function's did":   {},
-		"a peer reported the copy": {reported: true},
+		"the same copy answered other calls":     {hit: true, lost: true},
+		"another function's copy answered calls": {},
+		"only a peer reported the copy":          {reported: true},
 	} {
 		settings := testSettings(Idempotent, ScopeAll)
-		settings.LoadsOnMiss = false // nothing is held for an order
+		settings.LoadsOnMiss = false // no request is held for a load order
 		balancer, host := newTestBalancer(t, settings, 1)
 		markAllResponded(balancer)
 		for i, function := range []FuncID{1, 2} {
@@ -69,7 +70,7 @@
 		holder.confirmed = !c.reported
 		balancer.HandleRequest(20*ms, testRequest("x", 20*ms, 1))
 		if attempt := balancer.requests["x"].attempts[0]; c.reported != (attempt.dueAt-attempt.sentAt > 1000*ms) {
-			t.Errorf("%s: due after %d ms", name, (attempt.dueAt-attempt.sentAt)/ms)
+			t.Errorf("%s: overdue after %d ms", name, (attempt.dueAt-attempt.sentAt)/ms)
 		}
 		other := FuncID(2)
 		if c.hit {
@@ -81,28 +82,28 @@
 		before := balancer.losses.probability
 		balancer.HandleAttemptResult(2900*ms, AttemptResult{ID: "x", Worker: 1, Result: Timeout, Finished: true})
 		if (balancer.losses.probability > before) != c.lost {
-			t.Errorf("%s: share of lost answers %v, before %v", name, balancer.losses.probability, before)
+			t.Errorf("%s: loss probability %v, before %v", name, balancer.losses.probability, before)
 		}
 	}
 }
 
-// TestLostAnswerIsRetriedAtTheSameWorker proves that a call whose answer is lost is sent to the
-// same worker again if that alone holds the copy; not before the copy has answered others, nor once
-// an answer cannot come in time.
+// TestLostAnswerIsRetriedAtTheSameWorker checks that a call whose answer is lost is sent to the same
+// worker again if only that worker holds a copy, but not before the copy has answered other calls,
+// nor when the answer would miss the latency objective.
 func TestLostAnswerIsRetriedAtTheSameWorker(t *testing.T) {
 	for name, c := range map[string]struct {
 		aim   int64
 		other FuncID
 		sends int
 	}{
-		"the copy answers others": {1500 * ms, 1, 2},
-		"another copy does":       {1500 * ms, 2, 1},
-		"too late to be in time":  {700 * ms, 1, 1},
+		"the same copy answers other calls":     {1500 * ms, 1, 2},
+		"another function's copy answers calls": {1500 * ms, 2, 1},
+		"too late for the latency objective":    {700 * ms, 1, 1},
 	} {
 		settings := testSettings(Idempotent, ScopeAll)
 		balancer, host := newTestBalancer(t, settings, 1)
 		markAllResponded(balancer)
-		balancer.settings.Classes[0].LatencyObjective = c.aim // learned times stay
+		balancer.settings.Classes[0].LatencyObjective = c.aim // the measured response times stay
 		for i, function := range []FuncID{1, 2} {
 			id := fmt.Sprint("a", i)
 			balancer.HandleRequest(0, testRequest(id, 0, function))
@@ -122,7 +123,7 @@
 			}
 		}
 		if n != c.sends {
-			t.Errorf("%s: sent %d times", name, n)
+			t.Errorf("%s: wrong number of attempts: %d", name, n)
 		}
 	}
 }
--- a/balancer/maintenance.go
+++ b/balancer/maintenance.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// maintenanceRounds is how many maintenance rounds there are in the shortest latency objective.
+	// maintenanceRounds is the number of maintenance rounds per shortest latency objective.
 	maintenanceRounds = 8
-	// idleObjectives is after how many shortest latency objectives without a request the rounds
-	// stop.
+	// idleObjectives is the time without requests, in shortest latency objectives, after which the
+	// maintenance rounds stop.
 	idleObjectives = 2 * outlier.MaxEjectionFactor
 )
 
-// advanceClock takes the time of an event, detects a stall, and schedules the next maintenance
-// round.
+// advanceClock sets the clock to the time of an event, detects a stall of the process, and schedules
+// the next maintenance round.
 func (b *Balancer) advanceClock(now int64) {
 	b.observeTime(now)
 	if b.timers.maintenanceAt == 0 {
@@ -25,14 +25,14 @@
 	}
 }
 
-// observeTime takes the time of an event and detects a stall.
+// observeTime sets the clock to the time of an event and detects a stall of the process.
 func (b *Balancer) observeTime(now int64) {
 	b.now = max(b.now, now)
 	b.excuseStall(b.now)
 }
 
-// excuseStall gives all attempts the time for which the process stood still: no worker is to blame
-// for that.
+// excuseStall detects a stall of the process and extends the time until every attempt in flight is
+// overdue by its length, since the stall is not the workers' fault.
 func (b *Balancer) excuseStall(now int64) {
 	late, stalled := b.timers.detectStall(now, b.shortestObjective/maintenanceRounds)
 	if !stalled {
@@ -45,7 +45,8 @@
 	}
 }
 
-// HandleTimer takes that the host's timer of a generation has fired.
+// HandleTimer handles the firing of the host's timer. The generation is the ref that was passed to
+// Host.SetTimer.
 func (b *Balancer) HandleTimer(now int64, generation int64) {
 	if b.timers.nextIsLeaseRound() {
 		b.observeTime(now)
@@ -67,7 +68,7 @@
 	b.armTimer()
 }
 
-// handleDue looks at a request whose time has come; nil stands for maintenance.
+// handleDue processes a request whose timer entry is due, or runs maintenance if request is nil.
 func (b *Balancer) handleDue(now int64, request *requestState) {
 	switch {
 	case request == nil:
@@ -81,12 +82,12 @@
 	}
 }
 
-// schedule has a request, or with nil the maintenance, looked at when a time comes.
+// schedule adds a timer entry for a request, or for maintenance if request is nil.
 func (b *Balancer) schedule(at int64, request *requestState) {
 	b.timers.entries.push(timerEntry{at: at, request: request})
 }
 
-// scheduleRecheck has a request looked at again at a time, unless it must be answered before.
+// scheduleRecheck schedules a recheck of a request, unless the request must be answered before.
 func (b *Balancer) scheduleRecheck(request *requestState, at int64) {
 	request.recheckAt = at
 	if at < b.answerBy(request) {
@@ -94,14 +95,16 @@
 	}
 }
 
-// armTimer sets the host's timer for the first entry, if that is due before the timer fires.
+// armTimer sets the host's timer for the first timer entry if that is due before the current timer
+// fires.
 func (b *Balancer) armTimer() {
 	if delay, changed := b.timers.rearm(b.now); changed {
 		b.host.SetTimer(delay, b.timers.generation)
 	}
 }
 
-// runMaintenance runs one maintenance round. The rounds stop when no request has come for a while.
+// runMaintenance runs one maintenance round. It schedules no further round once there have been no
+// requests for idleObjectives, unless the endpoint list is polled.
 func (b *Balancer) runMaintenance(now int64) {
 	b.pollEndpoints(now)
 	b.sendGossip(now)
@@ -118,11 +121,11 @@
 	}
 }
 
-// sweep drops what is no longer believed, listed or in flight, so that memory stays bounded.
+// sweep drops expired holders, reports and failures, and workers that are neither listed nor in use,
+// so that memory stays bounded.
 func (b *Balancer) sweep(now int64) {
 	b.holders.sweep(now, b.settings.LoadOrderTimeout, b.settings.KeepAlive+int64(b.decayTime()))
-	// Not all announcements are sent where messages are expensive or there are no other
-	// dispatchers.
+	// Announcements may remain unsent if messages are expensive or there are no other dispatchers.
 	b.gossip.announcements = slices.DeleteFunc(b.gossip.announcements, func(holder *holderState) bool {
 		return !holder.copyExpected(now)
 	})
@@ -134,9 +137,9 @@
 	b.endpoints.sweep()
 }
 
-// pruneActive takes workers off the active ones that are not listed, or of which there has been
-// nothing to report for some time. In a long list, what others reported of such a worker is too old
-// to count.
+// pruneActive removes workers from the recently active ones that are not listed or have had no
+// activity to report for some time. In a long list, it also discards what other dispatchers reported
+// about such a worker, since that is outdated.
 func (b *Balancer) pruneActive(now int64) {
 	b.endpoints.recent = slices.DeleteFunc(b.endpoints.recent, func(worker *workerState) bool {
 		if b.hasActivity(now, worker) && worker.listed {
@@ -150,7 +153,7 @@
 	})
 }
 
-// hasActivity reports whether there is something to report of a worker.
+// hasActivity reports whether there is anything to report to other dispatchers about a worker.
 func (b *Balancer) hasActivity(now int64, worker *workerState) bool {
 	_, marked := b.outliers.Mark(now, &worker.outlierStats, b.relativeLatency(now, worker))
 	recent := now-worker.lastActivityAt < recentResponseObjectives*b.shortestObjective
--- a/balancer/random_test.go
+++ b/balancer/random_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// TestRulesHoldUnderRandomEvents proves that the rules hold, seen from outside, over seeded random
-// days with hostile events.
+// TestRulesHoldUnderRandomEvents checks the rules from the host's side under seeded random sequences
+// of events, including invalid and duplicate ones.
 func TestRulesHoldUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(120) {
 		rng := rand.New(rand.NewPCG(seed%60, 1))
 		effect := Idempotency(seed % 3)
 		settings := testSettings(effect, IdempotencyScope(seed/3%4))
-		if seed >= 60 { // the same days where every list counts as long
+		if seed >= 60 { // the same sequences, but every list counts as long
 			settings.FullScanLimit = scanNever
 		}
 		settings.Hedging = seed%2 == 0
@@ -39,13 +39,13 @@
 		check := func() {
 			for _, attempt := range host.attempts {
 				if finished[attempt.id] || host.answers[attempt.id] != "" {
-					t.Fatalf("seed %d: sent after the end", seed)
+					t.Fatalf("seed %d: attempt sent after the request ended", seed)
 				}
 				if state[attempt.worker] != Active {
-					t.Fatalf("seed %d: sent to worker %d that is not on", seed, attempt.worker)
+					t.Fatalf("seed %d: sent to worker %d, which is not active", seed, attempt.worker)
 				}
 				if effect == NotIdempotent && mayRun[attempt.id] > 0 {
-					t.Fatalf("seed %d: unsafe call sent twice", seed)
+					t.Fatalf("seed %d: non-idempotent call sent again after it may have run", seed)
 				}
 				n := 0
 				for _, o := range out {
@@ -54,7 +54,7 @@
 					}
 				}
 				if n > 0 && !settings.Hedging {
-					t.Fatalf("seed %d: two attempts out", seed)
+					t.Fatalf("seed %d: two attempts in flight without hedging", seed)
 				}
 				mayRun[attempt.id]++
 				out = append(out, open{attempt.id, tries[attempt.id], attempt.worker})
@@ -66,7 +66,7 @@
 					t.Fatalf("seed %d: %s answered %q", seed, id, a)
 				}
 				if a == "rejected" && effect == NotIdempotent && mayRun[id] > 0 {
-					t.Fatalf("seed %d: unsafe call rejected after it may have run", seed)
+					t.Fatalf("seed %d: non-idempotent call rejected after it may have run", seed)
 				}
 				delete(host.answers, id)
 				finished[id] = true
@@ -77,9 +77,9 @@
 			host.timerDelays = host.timerDelays[:0]
 			for id, dl := range deadline {
 				if finished[id] {
-					delete(deadline, id) // nothing more is owed
+					delete(deadline, id) // no answer is due any more
 				} else if now > dl {
-					t.Fatalf("seed %d: %s lost at %d", seed, id, now)
+					t.Fatalf("seed %d: %s not answered by its deadline, now %d", seed, id, now)
 				}
 			}
 		}
@@ -141,8 +141,8 @@
 	}
 }
 
-// TestMemoryIsBounded proves that requests, functions, workers and timers that are over are
-// forgotten.
+// TestMemoryIsBounded checks that ended requests, unused functions, removed workers and old timer
+// entries are dropped.
 func TestMemoryIsBounded(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 4)
 	for i := range 20000 {
@@ -158,7 +158,7 @@
 	}
 	if len(balancer.requests) > 0 || len(balancer.holders.functions) > 3000 || len(balancer.endpoints.byID) > 10 ||
 		len(balancer.timers.entries) > 5000 {
-		t.Fatalf("%d requests, %d functions, %d workers, %d timers kept", len(balancer.requests),
+		t.Fatalf("kept %d requests, %d functions, %d workers, %d timer entries", len(balancer.requests),
 			len(balancer.holders.functions), len(balancer.endpoints.byID), len(balancer.timers.entries))
 	}
 }
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -1,19 +1,19 @@
 package balancer
 
-// requestState is one call in hand.
+// requestState is the state of a pending request.
 type requestState struct {
 	Request
 	class           *Class
 	function        *functionState
 	attempts        []*attemptState
-	inlineAttempts  [2]*attemptState // storage that attempts begins with
+	inlineAttempts  [2]*attemptState // initial backing array of attempts
 	arrivedAt       int64
 	recheckAt       int64
 	streaming       bool // its first byte was sent to the client
 	done            bool
 	orderedLoad     bool         // a load was ordered for it
-	awaitingCheck   *workerState // whose health check it waits for; nil: none
-	countedForQuota bool         // it counts toward the quota of load orders
+	awaitingCheck   *workerState // the worker whose health check it waits for; nil: none
+	countedForQuota bool         // it was counted toward the quota of load orders
 }
 
 // attemptState is one send of a request to a worker.
@@ -25,22 +25,22 @@
 	sentAt, dueAt int64
 	zone, cell    int
 	inFlight      bool
-	mayHaveRun    bool // until its result proves otherwise
-	trial         bool // tests a worker whose ejection has run out
-	expectedWarm  bool // the copy was believed to be loaded
-	excused       bool // its result says nothing of the worker, which may be tried once more
+	mayHaveRun    bool // true until the result proves otherwise
+	trial         bool // tests a worker whose ejection has expired
+	expectedWarm  bool // a loaded copy was expected
+	excused       bool // its result does not count against the worker, which may be tried once more
 }
 
-// holdTimeShare is the share of a request's time for which it waits here for a load; after that it
-// waits where the load is.
+// holdTimeShare is the share of the time until a request's deadline for which the dispatcher holds it
+// during a load; after that it waits at the worker that loads.
 const holdTimeShare = 0.4
 
-// holdDeadline returns when a request that waits here for a load is sent at the latest.
+// holdDeadline returns the latest time to send a request that is held for a load.
 func (r *requestState) holdDeadline() int64 {
 	return r.arrivedAt + int64(holdTimeShare*float64(r.Deadline-r.arrivedAt))
 }
 
-// lastInFlight returns the last attempt that is in flight, or nil.
+// lastInFlight returns the most recent attempt that is still in flight, or nil.
 func (r *requestState) lastInFlight() (last *attemptState) {
 	for _, attempt := range r.attempts {
 		if attempt.inFlight {
@@ -50,7 +50,8 @@
 	return last
 }
 
-// triedAt reports whether a worker had its chance: an attempt ended there, or two that are excused.
+// triedAt reports whether a request has used up its tries at a worker: one attempt that is not
+// excused, or two that are.
 func (r *requestState) triedAt(worker *workerState) bool {
 	excused := 0
 	for _, attempt := range r.attempts {
--- a/balancer/result.go
+++ b/balancer/result.go
@@ -2,7 +2,7 @@
 
 import "oakthread/outlier"
 
-// HandleAttemptResult takes the result of an attempt, learns from it, and ends or continues its
+// HandleAttemptResult updates the estimates with the result of an attempt, and ends or continues its
 // request.
 func (b *Balancer) HandleAttemptResult(now int64, result AttemptResult) {
 	b.advanceClock(now)
@@ -23,14 +23,14 @@
 	b.learnFromResult(now, attempt, result)
 	b.recordSuspectResult(attempt, result.Result)
 	if neverRan(result.Result) {
-		// A retry that went out meanwhile stays bound to the idempotency window of this attempt.
+		// If there were later attempts, they stay bound to the idempotency window of this one.
 		attempt.mayHaveRun = attempt.index < len(attempt.request.attempts)-1
 	}
 	b.continueRequest(now, attempt, result)
 }
 
-// isExcused reports whether a result says nothing of its worker: the connection was reset, or a
-// full queue rejected the call of one of many dispatchers.
+// isExcused reports whether a result does not count against its worker: the connection was reset,
+// the attempt was not sent, or, with many dispatchers, a full queue rejected the call.
 func (b *Balancer) isExcused(result Result) bool {
 	return result == Reset || result == NotSent || result == QueueFull && b.fleetFactor() > 1
 }
@@ -40,7 +40,7 @@
 	return result == QueueFull || result == ConnectFailed || result == NotSent || result == NotLoaded
 }
 
-// continueRequest ends the request of an attempt that has ended, or tries it again.
+// continueRequest ends or retries the request of an attempt that has ended.
 func (b *Balancer) continueRequest(now int64, attempt *attemptState, result AttemptResult) {
 	request := attempt.request
 	if result.Finished || request.done {
@@ -64,15 +64,15 @@
 	b.dispatch(now, request)
 }
 
-// isUnknownFunction reports whether an error suggests that no worker knows the function: it is the
-// second one, and nobody has served it.
+// isUnknownFunction reports whether an error suggests that no worker knows the function: there was
+// an earlier attempt, and no worker has served the function.
 func isUnknownFunction(request *requestState, result AttemptResult) bool {
 	failed := result.Result == Error && result.Warmth != LoadFailed
 	return failed && !request.function.served && len(request.attempts) > 1
 }
 
-// retryWithLoadOrder orders the load that a worker lacks where workers do not load by themselves,
-// and sends the request there again; it reports whether it did.
+// retryWithLoadOrder handles a NotLoaded result where workers do not load on a miss: it orders the
+// load and sends the request to the same worker again. It reports whether it sent the request.
 func (b *Balancer) retryWithLoadOrder(now int64, attempt *attemptState, result AttemptResult) bool {
 	if result.Result != NotLoaded || b.settings.LoadsOnMiss || result.Warmth == LoadFailed {
 		return false
@@ -89,10 +89,10 @@
 	return true
 }
 
-// backOff lets a request that a full queue rejected wait, and reports whether it does. A queue
-// needs time to drain, and at once others are full too. If calls of many dispatchers went where no
-// copy is expected, their loads would fill those queues as well: such calls wait no longer than a
-// load takes.
+// backOff delays the retry of a request that a full queue rejected, and reports whether it does. The
+// queue needs time to drain, and other queues are likely to be full too. With many dispatchers, calls
+// retried at once where no copy is expected would cause loads that fill those queues as well; such
+// calls wait, but no longer than a load takes.
 func (b *Balancer) backOff(now int64, attempt *attemptState, result AttemptResult) bool {
 	request := attempt.request
 	onlyHolder := b.fleetFactor() > 1 && !request.function.copyExpectedElsewhere(now, attempt.holder)
@@ -108,7 +108,7 @@
 	return true
 }
 
-// updateLease takes what the result of an attempt shows of whether its worker accepts work.
+// updateLease records what the result of an attempt shows about whether the worker accepts work.
 func (b *Balancer) updateLease(now int64, attempt *attemptState, result Result) {
 	switch result {
 	case OK, Error, NotLoaded:
@@ -119,11 +119,11 @@
 	}
 }
 
-// learnFromResult learns response times, holders and faults from the result of an attempt.
+// learnFromResult updates response times, holders and failures with the result of an attempt.
 func (b *Balancer) learnFromResult(now int64, attempt *attemptState, result AttemptResult) {
 	if result.Result != OK && result.Result != NotSent && result.Result != Cancelled {
-		// A failure must not make a worker look light: it stays in its load for a usual response
-		// time.
+		// A failed call stays in the load of its worker for the mean response time, so that failing
+		// fast does not make the worker look lightly loaded.
 		until := now + int64(b.latencies[attempt.request.Class].mean)
 		attempt.worker.recentFailures = append(attempt.worker.recentFailures,
 			recentFailure{until, result.Result == QueueFull})
@@ -142,7 +142,7 @@
 	}
 }
 
-// learnFromAnswer learns from a successful attempt.
+// learnFromAnswer updates the estimates with a successful attempt.
 func (b *Balancer) learnFromAnswer(now int64, attempt *attemptState, warmth Warmth) {
 	worker, request := attempt.worker, attempt.request
 	b.recordResponse(now, worker)
@@ -165,23 +165,24 @@
 	b.confirmHolder(now, attempt.holder)
 }
 
-// learnResponseTime learns from the time that an answer took: the load time if the call began a
-// load, the response time if it found a loaded copy.
+// learnResponseTime updates the load time if the call started a load, or the mean response time if
+// it found a loaded copy.
 func (b *Balancer) learnResponseTime(now int64, attempt *attemptState, warmth Warmth) {
 	responseTime, usual := float64(now-attempt.sentAt), &b.latencies[attempt.request.Class]
 	switch warmth {
 	case BeganLoad:
 		b.loads.observe(attempt.holder.function, max(0, responseTime-usual.mean))
 	case AwaitedLoad:
-	default: // a loaded copy, or not stated
+	default: // a loaded copy, or not reported
 		attempt.worker.observePace(now, responseTime, usual.mean)
 		usual.observe(responseTime, latencyWeight)
 		attempt.holder.lastWarmHitAt = now
 	}
 }
 
-// learnFromFailure learns from an answer that was an error or a rejection. An error for a function
-// that nobody has served is only a hint: no worker may know it.
+// learnFromFailure updates the estimates with an answer that was an error or a rejection. An error
+// for a function that no worker has served has less weight against the worker, since the function may
+// not exist.
 func (b *Balancer) learnFromFailure(now int64, attempt *attemptState, result AttemptResult) {
 	b.recordResponse(now, attempt.worker)
 	switch {
@@ -197,8 +198,9 @@
 	}
 }
 
-// learnFromSilence learns from an attempt that ended without an answer. The answer is lost rather
-// than late if the same copy answered others meanwhile; a copy that was unloaded may be loading.
+// learnFromSilence updates the estimates with an attempt that ended without an answer. The answer
+// counts as lost rather than late only if the same copy has answered other calls since the attempt:
+// otherwise the copy may have been unloaded and be loading again.
 func (b *Balancer) learnFromSilence(now int64, attempt *attemptState, result Result) {
 	if attempt.expectedWarm && now > attempt.dueAt && attempt.holder.lastWarmHitAt > attempt.sentAt {
 		b.losses.observe(b.losses.lossProbability(now-attempt.sentAt, b.latencies[attempt.request.Class]))
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -2,8 +2,8 @@
 
 import "oakthread/rules"
 
-// mayRetryAt reports whether a request may be sent to a worker, again if it was sent before. Every
-// attempt passes it (rule 2).
+// mayRetryAt reports whether a request may be sent to a worker, as the first attempt or as a retry.
+// Every attempt must pass this check (rule 2).
 func (b *Balancer) mayRetryAt(now int64, request *requestState, worker *workerState) bool {
 	call := rules.Retry{
 		Completed:       request.done || request.streaming,
@@ -27,8 +27,8 @@
 	return true
 }
 
-// mayReject reports whether a request may be rejected, after which the client may send it anew to
-// any worker (rule 2).
+// mayReject reports whether a request may be rejected, after which the client may send it again and
+// it may reach any worker (rule 2).
 func (b *Balancer) mayReject(now int64, request *requestState) bool {
 	for _, attempt := range request.attempts {
 		safe := b.repeatsSafely(now, attempt, request.class.IdempotencyScope == ScopeAll)
@@ -39,8 +39,8 @@
 	return !request.streaming
 }
 
-// repeatsSafely reports whether a repeat of an attempt does no harm if the attempt has run. One
-// with an idempotency key must reach the workers that know the key within its window.
+// repeatsSafely reports whether a repeat of an attempt is harmless if the attempt has run. A repeat
+// with an idempotency key must reach workers that know the key, within the idempotency window.
 func (b *Balancer) repeatsSafely(now int64, attempt *attemptState, keyKnown bool) bool {
 	class := attempt.request.class
 	switch class.Idempotency {
@@ -54,7 +54,8 @@
 	return true
 }
 
-// sharesIdempotencyScope reports whether a worker drops a repeat of the attempt with the same key.
+// sharesIdempotencyScope reports whether a worker recognizes the idempotency key of the attempt and
+// drops a repeat of it.
 func (a *attemptState) sharesIdempotencyScope(worker *workerState) bool {
 	switch a.request.class.IdempotencyScope {
 	case ScopeAll:
@@ -69,8 +70,9 @@
 	return false
 }
 
-// mayRetryAnywhere reports whether a request may be sent to any listed worker; true if there is
-// none, since one may come. Only with an idempotency key does it depend on the worker.
+// mayRetryAnywhere reports whether a request may be sent to at least one listed worker. It returns
+// true if the list is empty, since workers may be added. The answer depends on the worker only for
+// requests with an idempotency key.
 func (b *Balancer) mayRetryAnywhere(now int64, request *requestState) bool {
 	for _, worker := range b.endpoints.listed {
 		if b.mayRetryAt(now, request, worker) || request.class.Idempotency != IdempotentByKey {
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -5,25 +5,25 @@
 	"testing"
 )
 
-// TestRetriesFollowIdempotency proves that a retry goes out only as far as the class and the result
-// of the first attempt allow.
+// TestRetriesFollowIdempotency checks that a request is retried only if its class and the result of
+// the first attempt allow it.
 func TestRetriesFollowIdempotency(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		effect Idempotency
 		scope  IdempotencyScope
 		res    Result
-		at     int64 // when the outcome comes
+		at     int64 // when the result arrives
 		resend bool
-		zone   bool // the resend must stay in the zone
+		zone   bool // the retry must stay in the zone
 	}{
-		{"unsafe error", NotIdempotent, ScopeNone, Error, 100 * ms, false, false},
-		{"unsafe refused connection", NotIdempotent, ScopeNone, ConnectFailed, 100 * ms, true, false},
-		{"unsafe full", NotIdempotent, ScopeNone, QueueFull, 100 * ms, true, false},
-		{"safe error", Idempotent, ScopeNone, Error, 100 * ms, true, false},
-		{"keyed error within window", IdempotentByKey, ScopeZone, Error, 1997 * ms, true, true},
-		{"keyed error at window's end", IdempotentByKey, ScopeZone, Error, 1998 * ms, false, false},
-		{"keyed no group", IdempotentByKey, ScopeNone, Error, 100 * ms, false, false},
+		{"not idempotent, error", NotIdempotent, ScopeNone, Error, 100 * ms, false, false},
+		{"not idempotent, connect failed", NotIdempotent, ScopeNone, ConnectFailed, 100 * ms, true, false},
+		{"not idempotent, queue full", NotIdempotent, ScopeNone, QueueFull, 100 * ms, true, false},
+		{"idempotent, error", Idempotent, ScopeNone, Error, 100 * ms, true, false},
+		{"by key, error within the window", IdempotentByKey, ScopeZone, Error, 1997 * ms, true, true},
+		{"by key, error at the end of the window", IdempotentByKey, ScopeZone, Error, 1998 * ms, false, false},
+		{"by key, no scope", IdempotentByKey, ScopeNone, Error, 100 * ms, false, false},
 	} {
 		settings := testSettings(c.effect, c.scope)
 		settings.Hedging = false
@@ -32,19 +32,19 @@
 		first := host.lastWorker["a"]
 		balancer.HandleAttemptResult(c.at, AttemptResult{ID: "a", Worker: first, Result: c.res})
 		if got := len(host.attempts) == 2; got != c.resend {
-			t.Errorf("%s: resent %v, want %v", c.name, got, c.resend)
+			t.Errorf("%s: retried %v, want %v", c.name, got, c.resend)
 		}
 		if !c.resend && host.answers["a"] != "failed" {
 			t.Errorf("%s: answered %q, want failed", c.name, host.answers["a"])
 		}
 		if c.zone && host.lastWorker["a"]%2 != first%2 {
-			t.Errorf("%s: left the zone", c.name)
+			t.Errorf("%s: the retry left the zone", c.name)
 		}
 	}
 }
 
-// TestQueueFullRetriesBackOff proves that a call that full queues reject twice waits before the
-// next attempt.
+// TestQueueFullRetriesBackOff checks that a call that full queues have rejected twice waits before
+// the next attempt.
 func TestQueueFullRetriesBackOff(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 4)
 	balancer.HandleRequest(0, testRequest("a", 0, 1))
@@ -53,12 +53,12 @@
 			AttemptResult{ID: "a", Attempt: i, Worker: host.lastWorker["a"], Result: QueueFull})
 	}
 	if len(host.attempts) != 2 {
-		t.Fatalf("%d sends at once against full workers, want 2 and then a pause", len(host.attempts))
+		t.Fatalf("%d attempts without a pause, want 2", len(host.attempts))
 	}
 }
 
-// TestIdempotencyWindowCountsFromTheFirstAttempt proves that a hedged call with an idempotency key
-// stays bound to the window of its first attempt, also when that turns out not to have run.
+// TestIdempotencyWindowCountsFromTheFirstAttempt checks that a hedged call with an idempotency key
+// stays bound to the window of its first attempt, even if that turns out not to have run.
 func TestIdempotencyWindowCountsFromTheFirstAttempt(t *testing.T) {
 	for _, c := range []struct {
 		at     int64
@@ -70,9 +70,9 @@
 		host.attempts = nil
 		balancer.HandleRequest(0, testRequest("a", 0, 1))
 		first := host.lastWorker["a"]
-		fireTimers(balancer, host, 0, 1500*ms) // overdue: a second copy in the zone
+		fireTimers(balancer, host, 0, 1500*ms) // the attempt is overdue: a hedge in the zone
 		if len(host.attempts) != 2 {
-			t.Fatalf("%d sends, want a second copy", len(host.attempts))
+			t.Fatalf("%d attempts, want a first one and a hedge", len(host.attempts))
 		}
 		balancer.HandleAttemptResult(1600*ms, AttemptResult{
 			ID: "a", Worker: first, Result: NotLoaded,
@@ -83,25 +83,25 @@
 			Result: Error,
 		})
 		if got := len(host.attempts) == 3; got != c.resend {
-			t.Errorf("at %d ms: sent again %v, want %v", c.at/ms, got, c.resend)
+			t.Errorf("at %d ms: retried %v, want %v", c.at/ms, got, c.resend)
 		}
 	}
 }
 
-// TestStreamHasNoDeadline proves that a request whose first byte was sent is neither retried nor
-// ended at its deadline.
+// TestStreamHasNoDeadline checks that a request whose first byte was sent to the client is neither
+// retried nor ended at its deadline.
 func TestStreamHasNoDeadline(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 3)
 	balancer.HandleRequest(0, testRequest("a", 0, 1))
 	balancer.HandleFirstByte(100*ms, "a", 0)
 	balancer.HandleTimer(5000*ms, host.timerRef)
 	if len(host.attempts) != 1 || host.answers["a"] != "" {
-		t.Fatalf("%d sends, answered %q: a begun stream was touched", len(host.attempts), host.answers["a"])
+		t.Fatalf("stream retried or ended: %d attempts, answered %q", len(host.attempts), host.answers["a"])
 	}
 }
 
-// TestUnknownFunctionsBlameNoWorker proves that errors of functions that do not exist eject no
-// worker, and such a call is tried at most twice.
+// TestUnknownFunctionsBlameNoWorker checks that errors for functions that do not exist do not eject
+// a worker, and that such a call has at most two attempts.
 func TestUnknownFunctionsBlameNoWorker(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 3)
 	markAllResponded(balancer)
@@ -110,7 +110,7 @@
 		balancer.HandleRequest(now, testRequest(id, now, FuncID(i)))
 		for try := 0; host.answers[id] == ""; try++ {
 			if try == 2 {
-				t.Fatal("tried again and again")
+				t.Fatal("more than two attempts for an unknown function")
 			}
 			balancer.HandleAttemptResult(now+ms, AttemptResult{
 				ID: id, Attempt: try, Worker: host.lastWorker[id],
@@ -125,16 +125,17 @@
 	}
 }
 
-// TestFullPlaceIsRetriedBeforeLoadingElsewhere proves that a call that a full queue rejects is
-// retried at the same worker after a pause, no longer than a load takes nor than spreads its
-// attempts over its time, and only then goes elsewhere: if many dispatchers went on at once, each
-// would load the function in one more place and fill that queue too. It goes on at once where a
-// copy is expected elsewhere, and where there are few dispatchers.
+// TestFullPlaceIsRetriedBeforeLoadingElsewhere checks that a call rejected by a full queue is
+// retried at the same worker after a pause, and only then goes elsewhere. The pause is at most the
+// time of a load, and at most an even share of the time left for each remaining attempt. If many
+// dispatchers went elsewhere at once, each would load the function at another worker and fill that
+// queue too. The call goes elsewhere at once if a copy is expected there or there are few
+// dispatchers.
 func TestFullPlaceIsRetriedBeforeLoadingElsewhere(t *testing.T) {
 	const workers = 20
 	for _, c := range []struct {
 		dispatchers, scanLimit int
-		elsewhere              bool // a copy is believed to stand at another worker
+		elsewhere              bool // a copy is expected at another worker
 		waits                  bool
 	}{
 		{dispatchers: 3},
@@ -161,7 +162,7 @@
 				Result: QueueFull,
 			})
 		}
-		// until is when the next attempt goes out; 0: none does in time.
+		// until returns when the next attempt is sent; 0: none is sent before the deadline.
 		until := func(from int64) int64 {
 			for now, n := from, len(host.attempts); now < 3000*ms; now += ms {
 				if balancer.HandleTimer(now, host.timerRef); len(host.attempts) > n {
@@ -174,21 +175,21 @@
 		if !c.waits {
 			if len(host.attempts) != 2 || host.lastWorker["a"] == place || c.elsewhere &&
 				host.lastWorker["a"] != other {
-				t.Errorf("%+v: after full at %d the sends are %v", c, place, host.attempts)
+				t.Errorf("%+v: after a full queue at %d the attempts are %v", c, place, host.attempts)
 			}
 			continue
 		}
 		if len(host.attempts) != 1 {
-			t.Fatalf("%+v: a call turned away went on at once: %v", c, host.attempts)
+			t.Fatalf("%+v: a rejected call was retried without a pause: %v", c, host.attempts)
 		}
 		again := until(3 * ms)
 		if load := int64(balancer.loads.expected(balancer.holders.functions[functionTag(9)])); again == 0 ||
 			again > 3*ms+min(load, 3000*ms/int64(settings.MaxAttempts)) || host.lastWorker["a"] != place {
-			t.Fatalf("%+v: turned away by %d at 2 ms, it came again at %d ms: %v", c, place, again/ms, host.attempts)
+			t.Fatalf("%+v: rejected by %d at 2 ms, retried at %d ms: %v", c, place, again/ms, host.attempts)
 		}
 		full(1, again+ms)
 		if third := until(again + 2*ms); third == 0 || host.lastWorker["a"] == place {
-			t.Errorf("%+v: turned away twice by %d: %v", c, place, host.attempts)
+			t.Errorf("%+v: not retried elsewhere after two rejections by %d: %v", c, place, host.attempts)
 		}
 	}
 }
--- a/balancer/scale_test.go
+++ b/balancer/scale_test.go
@@ -14,15 +14,15 @@
 const (
 	scaleFuncs    = 48_000
 	scaleSiblings = 300
-	scaleStep     = 5 * ms   // of the clock between calls: 200 calls/s at one dispatcher
-	scaleAnswer   = 20 * ms  // a call at a loaded copy
-	scaleLoad     = 300 * ms // a load
-	scaleWarm     = 2000     // calls before those that count: more than the keep-alive
+	scaleStep     = 5 * ms   // time between calls: 200 calls/s at one dispatcher
+	scaleAnswer   = 20 * ms  // response time of a loaded copy
+	scaleLoad     = 300 * ms // duration of a load
+	scaleWarm     = 2000     // warm-up calls before the measurement; they take longer than the keep-alive
 )
 
-// BenchmarkChoice is one call with the answer and the timers that are due meanwhile: a step of 5 ms
-// of the clock, over the workers in the list, with functions drawn evenly and by a Zipf law.
-// Siblings are silent: words read are not part of it.
+// BenchmarkChoice measures a 5 ms step of the clock, which is one call with the answers and timers
+// due in it, for several lengths of the endpoint list, with functions drawn uniformly and from a
+// Zipf distribution. The other dispatchers send nothing, so handling peer messages is not included.
 func BenchmarkChoice(b *testing.B) {
 	for _, workers := range []int{120, 600, 2_400, 9_600} {
 		for _, law := range []struct {
@@ -52,33 +52,33 @@
 	}
 }
 
-// scaleHost answers what one dispatcher sends, at its own pace: workers have room for every copy
-// and call. Its own part of the cost is a ring of slots of the clock, and a short list of copies
-// for each function.
+// scaleHost is a Host that simulates the workers of one dispatcher, with room for every copy and
+// call. To keep its share of the measured time small, it uses a ring of time slots for events and a
+// short list of copies for each function.
 type scaleHost struct {
 	d                      *Balancer
 	rng                    *rand.Rand
-	sums                   []float64 // of the popularity of functions
+	sums                   []float64 // cumulative popularity of functions
 	copies                 [][]scaleCopy
 	ids                    []string
-	inHand                 map[string]scaleCall // by id
+	inHand                 map[string]scaleCall // by ID
 	ring                   [(scaleLoad+scaleAnswer)/scaleStep + 1][]scaleEvent
 	now                    int64
 	calls                  int
-	due, ref               int64 // of the timer: the last one set counts
+	due, ref               int64 // of the last timer set
 	loads, sends, rejected int
 }
 
 // scaleCall is a call's function and how many attempts it has had.
 type scaleCall struct{ fn, tries int }
 
-// scaleCopy is a copy that is loading until from and stands until it was idle for the keep-alive.
+// scaleCopy is a copy that is loading until from and stays loaded until the keep-alive has expired.
 type scaleCopy struct {
 	worker      WorkerID
 	from, until int64
 }
 
-// scaleEvent is an answer or, without an id, the end of an order.
+// scaleEvent is an answer or, if id is empty, the result of a load order.
 type scaleEvent struct {
 	id     string
 	try    int
@@ -97,7 +97,7 @@
 		sum += math.Pow(float64(i+1), -law)
 		host.sums = append(host.sums, sum)
 	}
-	for i := range 8192 { // more than are in hand at a time
+	for i := range 8192 { // more than are pending at a time
 		host.ids = append(host.ids, fmt.Sprint("call-", i))
 	}
 	balancer, err := New(0, settings, 7, host)
@@ -109,7 +109,7 @@
 	return host
 }
 
-// step is the next 5 ms of the clock: the timer if it is due, the answers that come, and a call.
+// step advances the clock by 5 ms: it fires the timer if due, delivers the results, and sends a call.
 func (x *scaleHost) step() {
 	x.now += scaleStep
 	for x.due <= x.now {
@@ -135,8 +135,8 @@
 	x.d.HandleRequest(x.now, testRequest(id, x.now, FuncID(f+1)))
 }
 
-// copy is the copy of a function at a worker, begun if there is none; it stands from now on for the
-// keep-alive.
+// copy returns the copy of a function at a worker, which it starts to load if there is none, and
+// renews the keep-alive of the copy.
 func (x *scaleHost) copy(f int, worker WorkerID) (c *scaleCopy, warmth Warmth) {
 	x.copies[f] = slices.DeleteFunc(x.copies[f], func(c scaleCopy) bool { return c.until <= x.now })
 	i := slices.IndexFunc(x.copies[f], func(c scaleCopy) bool { return c.worker == worker })
@@ -185,9 +185,10 @@
 func (x *scaleHost) SubscribeEndpoints()         {}
 func (x *scaleHost) Log(string)                  {}
 
-// BenchmarkReport is a report read by a collector that holds reports of all its dispatchers, each
-// of which reports up to 30 workers; what a digest costs to gather then, and to report or find too
-// dear late in a term; and a term: all reports read, and ten digests gathered meanwhile.
+// BenchmarkReport measures a leader that has the reports of all dispatchers, each with up to 30
+// workers: reading a report, gathering a digest, a gossip round late in a term, in which the digest
+// is sent or found too expensive, and a whole term, in which all reports are read and about ten
+// digests gathered.
 func BenchmarkReport(b *testing.B) {
 	for _, dispatchers := range []int{60, 300, 1_000, 1_900} {
 		for _, workers := range []int{120, 960, 9_600} {
@@ -228,11 +229,11 @@
 	}
 }
 
-// senders are what the dispatchers of dispatcher 0 report it, one after the other, each once in a
-// term.
+// senders delivers the reports of the other dispatchers to dispatcher 0, one after the other, each
+// once per term.
 type senders struct {
 	d     *Balancer
-	texts [3][][]string // by the round and the dispatcher; numbers of reports wrap round
+	texts [3][][]string // by round and dispatcher; the rounds span the wrap-around of sequence numbers
 	n     int
 	now   int64
 }
@@ -272,8 +273,8 @@
 	return x
 }
 
-// collect has all reports read in a term in which dispatcher 0 collects, and the clock stand in its
-// last eighth.
+// collect reads all reports in a term in which dispatcher 0 is the leader, and then sets the clock to
+// the last eighth of that term.
 func (x *senders) collect(b *testing.B) {
 	term := leaderTermObjectives * x.d.shortestObjective
 	for x.now = (x.now/term + 1) * term; x.d.gossip.elector.Leader(x.now) != 0; {
@@ -286,14 +287,14 @@
 	x.now = at + term*15/16
 }
 
-// read has the next dispatcher's report read.
+// read advances the clock and delivers the next dispatcher's report.
 func (x *senders) read(b *testing.B) {
 	dispatchers := len(x.texts[0])
 	from := 1 + x.n%(dispatchers-1)
 	x.now += leaderTermObjectives * x.d.shortestObjective / int64(dispatchers-1)
 	for _, text := range x.texts[x.n/(dispatchers-1)%len(x.texts)][from] {
 		if !x.d.HandlePeerMessage(x.now, from, text) {
-			b.Fatal("a report is not read")
+			b.Fatal("a report was not accepted")
 		}
 	}
 	x.n++
--- a/balancer/stats.go
+++ b/balancer/stats.go
@@ -5,27 +5,27 @@
 	"slices"
 )
 
-// noDeadline is a time that never comes.
+// noDeadline is a time that is never reached.
 const noDeadline = int64(math.MaxInt64)
 
-// latency holds exponentially weighted running means of a duration and of its absolute deviation,
+// latency holds exponentially weighted moving averages of a duration and of its absolute deviation,
 // in nanoseconds.
 type latency struct{ mean, deviation float64 }
 
-// observe takes in one duration, weighted against all earlier ones.
+// observe adds one duration to the averages, with a weight between 0 and 1.
 func (l *latency) observe(duration, weight float64) {
 	l.deviation += weight * (math.Abs(duration-l.mean) - l.deviation)
 	l.mean += weight * (duration - l.mean)
 }
 
-// decayingCounter counts events, each of which counts less the older it is.
+// decayingCounter counts events whose weight decays exponentially with their age.
 type decayingCounter struct {
 	value float64 // as of at
 	at    int64
 }
 
 // valueAt returns the count at a time. The argument timeConstant is the age, in nanoseconds, at
-// which an event counts 1/e.
+// which the weight of an event is 1/e.
 func (c *decayingCounter) valueAt(now int64, timeConstant float64) float64 {
 	return c.value * math.Exp(-float64(now-c.at)/timeConstant)
 }
@@ -36,8 +36,8 @@
 	c.at = now
 }
 
-// decayed returns what is left of a value of the given age, in nanoseconds. The exponential is
-// skipped for zero, which most values are.
+// decayed returns a value after exponential decay over the given age, in nanoseconds. It skips the
+// exponential for zero, because most values are zero.
 func decayed(value float64, age int64, timeConstant float64) float64 {
 	if value == 0 {
 		return 0
@@ -45,8 +45,8 @@
 	return value * math.Exp(-float64(age)/timeConstant)
 }
 
-// median sorts values and returns their median, or 0 if there are none. Loads are compared with the
-// median because a few crowded workers do not move it.
+// median sorts values in place and returns their median, or 0 if there are none. Loads are compared
+// with the median because it is not affected by a few overloaded workers.
 func median(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
@@ -55,7 +55,7 @@
 	return (values[len(values)/2] + values[(len(values)-1)/2]) / 2
 }
 
-// dropBefore returns the part of an ascending list of times that is not before from.
+// dropBefore returns the times of an ascending list that are not before from.
 func dropBefore(times []int64, from int64) []int64 {
 	for len(times) > 0 && times[0] < from {
 		times = times[1:]
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -1,26 +1,26 @@
 package balancer
 
-// timerEntry is a time at which a request is to be looked at again.
+// timerEntry is a time at which a request, maintenance or a lease round is due.
 type timerEntry struct {
 	at      int64
 	request *requestState // nil: maintenance, or a lease round
 	leases  bool          // a lease round
 }
 
-// timerQueue holds the times at which something is due, and the state of the host's one timer.
+// timerQueue holds the timer entries and the state of the host's single timer.
 type timerQueue struct {
 	entries       timerHeap
-	deadline      int64 // of the host's timer; noDeadline: it is not set
-	generation    int64 // number of the host's last timer
+	deadline      int64 // when the host's timer fires; noDeadline: it is not set
+	generation    int64 // sequence number of the host's last timer
 	stalledAt     int64 // when a stall of the process was last detected
 	leaseRoundAt  int64 // when the next lease round is due; 0: none is scheduled
-	maintenanceAt int64 // when the next round is due; 0: none is scheduled
+	maintenanceAt int64 // when the next maintenance round is due; 0: none is scheduled
 	lastRequestAt int64
 	sweptAt       int64
 }
 
-// rearm returns the delay, in nanoseconds, after which the host is to fire a new timer; changed is
-// false if the one that is set fires early enough.
+// rearm returns the delay, in nanoseconds, for a new host timer. It returns changed as false if there
+// are no entries or the current timer fires early enough.
 func (q *timerQueue) rearm(now int64) (delay int64, changed bool) {
 	if len(q.entries) == 0 {
 		return 0, false
@@ -34,16 +34,16 @@
 	return max(deadline-now, 1), true
 }
 
-// expired takes that the host's timer of a generation has fired. Generations are compared rather
-// than times because a host that rounds may fire a little early.
+// expired records that the host's timer of a generation has fired. It compares generations, not
+// times, because a host that rounds delays may fire a timer slightly early.
 func (q *timerQueue) expired(generation int64) {
 	if generation == q.generation {
 		q.deadline = noDeadline
 	}
 }
 
-// detectStall reports by how much the timer is late if that shows that the process stood still. One
-// stall is reported once an instant.
+// detectStall returns how late the host's timer is, in nanoseconds, if that exceeds the tolerance and
+// so shows that the process was stalled. It reports at most one stall for each clock value.
 func (q *timerQueue) detectStall(now, tolerance int64) (late int64, stalled bool) {
 	late = now - q.deadline
 	if q.deadline <= 0 || late <= tolerance || q.stalledAt >= now {
@@ -56,8 +56,8 @@
 // nextIsLeaseRound reports whether the first entry is a lease round.
 func (q *timerQueue) nextIsLeaseRound() bool { return len(q.entries) > 0 && q.entries[0].leases }
 
-// popDue removes the first entry that is due. At the instant of a stall nothing is due: what came
-// meanwhile is read before anything is given up.
+// popDue removes and returns the first entry if it is due. At the time a stall is detected no entry
+// is due, so that events which arrived during the stall are handled before any request is ended.
 func (q *timerQueue) popDue(now int64) (entry timerEntry, due bool) {
 	if q.stalledAt >= now || len(q.entries) == 0 || q.entries[0].at > now {
 		return timerEntry{}, false
@@ -65,11 +65,10 @@
 	return q.entries.pop(), true
 }
 
-// timerHeap is a binary heap by time that orders entries as container/heap does, without an
-// allocation for each entry.
+// timerHeap is a binary min-heap by time. It orders entries exactly as container/heap does, but
+// without an allocation per entry.
 type timerHeap []timerEntry
 
-// push adds an entry.
 func (h *timerHeap) push(entry timerEntry) {
 	*h = append(*h, entry)
 	entries := *h
@@ -90,12 +89,12 @@
 	entries[0], entries[last] = entries[last], entries[0]
 	entries[:last].siftDown()
 	first := entries[last]
-	entries[last] = timerEntry{} // lets the request be collected
+	entries[last] = timerEntry{} // allows the request to be garbage collected
 	*h = entries[:last]
 	return first
 }
 
-// siftDown moves the first entry down to its place.
+// siftDown restores the heap order after the first entry was replaced.
 func (h timerHeap) siftDown() {
 	for i := 0; ; {
 		child := 2*i + 1
--- a/balancer/timers_test.go
+++ b/balancer/timers_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestEarlyTimerIsSetAgain proves that a timer that fires a little early is set again, so that no
-// request is lost.
+// TestEarlyTimerIsSetAgain checks that a timer that fires slightly early is set again, so that the
+// request is still answered.
 func TestEarlyTimerIsSetAgain(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 0)
 	balancer.HandleRequest(0, testRequest("a", 0, 1))
@@ -24,13 +24,13 @@
 			return
 		}
 		if len(host.timerDelays) == 0 {
-			t.Fatalf("no timer after a timer at %d ms", now/ms)
+			t.Fatalf("no timer set after the one that fired at %d ms", now/ms)
 		}
 	}
-	t.Fatal("never answered")
+	t.Fatal("the request was never answered")
 }
 
-// standardHeap is the same heap as the standard library keeps it.
+// standardHeap is a timerHeap that is used through container/heap.
 type standardHeap struct{ timerHeap }
 
 func (h *standardHeap) Len() int { return len(h.timerHeap) }
@@ -50,8 +50,9 @@
 	return x
 }
 
-// TestTimerHeapOrdersAsContainerHeap proves that entries come out as from container/heap, also
-// those of the same time: the order of events, and with it every choice, depends on it.
+// TestTimerHeapOrdersAsContainerHeap checks that entries are popped in the same order as with
+// container/heap, including entries with equal times: the order of events, and so every choice,
+// depends on it.
 func TestTimerHeapOrdersAsContainerHeap(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	ours, theirs := timerHeap{}, &standardHeap{}
@@ -61,8 +62,8 @@
 			ours.push(x)
 			heap.Push(theirs, x)
 		} else if got, want := ours.pop(), heap.Pop(theirs).(timerEntry); got != want {
-			t.Fatalf("event %d: %d of %d, want %d of %d", i, got.at, got.request.arrivedAt, want.at,
-				want.request.arrivedAt)
+			t.Fatalf("step %d: popped time %d of request %d, want time %d of request %d", i, got.at,
+				got.request.arrivedAt, want.at, want.request.arrivedAt)
 		}
 		if len(ours) > 3000 {
 			ours, theirs.timerHeap = ours[:0], theirs.timerHeap[:0]
