--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -24,18 +24,18 @@
 // workMix is a moving average of the work of recent requests, in nanoseconds of response time per
 // request.
 type workMix struct {
-	overQuota float64   // requests for which countsOverQuota holds
+	sheddable float64   // requests that are rejected first, see isSheddable
 	byClass   []float64 // the rest
 }
 
 // observe adds the work of one request to the average.
-func (m *workMix) observe(class int, overQuota bool, work float64) {
-	m.overQuota -= classMixWeight * m.overQuota
+func (m *workMix) observe(class int, sheddable bool, work float64) {
+	m.sheddable -= classMixWeight * m.sheddable
 	for i := range m.byClass {
 		m.byClass[i] -= classMixWeight * m.byClass[i]
 	}
-	if overQuota {
-		m.overQuota += classMixWeight * work
+	if sheddable {
+		m.sheddable += classMixWeight * work
 	} else {
 		m.byClass[class] += classMixWeight * work
 	}
@@ -56,25 +56,25 @@
 // objective; then the classes with the least priority per unit of work, measured against the mean
 // objective. Loads come first because a load from a slow store occupies slots that other calls need.
 func (b *Balancer) shouldReject(now int64, request Request) bool {
-	overQuota := b.countsOverQuota(now, request)
-	b.admission.mix.observe(request.Class, overQuota, b.latencies[request.Class].mean)
-	seen := b.demandSeenBy(request.Class)
+	sheddable := b.isSheddable(now, request)
+	b.admission.mix.observe(request.Class, sheddable, b.latencies[request.Class].mean)
+	seen := b.demandRelativeTo(request.Class)
 	objective := seen.objective / seen.priority
-	if overQuota || seen.priority <= 0 {
+	if sheddable || seen.priority <= 0 {
 		objective = float64(b.shortestObjective)
 	}
-	if overQuota {
-		seen.below, seen.equal = 0, b.admission.mix.overQuota
+	if sheddable {
+		seen.below, seen.equal = 0, b.admission.mix.sheddable
 	}
 	rank := (seen.below + b.rng.Float64()*seen.equal) / max(seen.total, 1)
 	late := b.expectedQueueTime(now) > objective*(rejectFirstWait+(rejectAllWait-rejectFirstWait)*rank)
 	return now-b.startedAt > 2*b.shortestObjective && (late || b.isFull(rank))
 }
 
-// countsOverQuota reports whether a request is among the first to be rejected: it exceeds its
+// isSheddable reports whether a request is among the first to be rejected: it exceeds its
 // tenant's quota, needs a load, or is marked by the client as a retry. Clients that retry at once
 // must not crowd out first attempts. Retries do not count toward the tenant's rate.
-func (b *Balancer) countsOverQuota(now int64, request Request) bool {
+func (b *Balancer) isSheddable(now int64, request Request) bool {
 	if request.Retry || b.rng.Float64() < b.overQuotaShare(now, request.Tenant) {
 		return true
 	}
@@ -89,11 +89,11 @@
 	return b.settings.MaxInFlight > 0 && float64(len(b.requests)) > limit
 }
 
-// demandSeenBy returns the recent work, split by priority relative to a class.
-func (b *Balancer) demandSeenBy(class int) demand {
+// demandRelativeTo returns the recent work, split by priority relative to a class.
+func (b *Balancer) demandRelativeTo(class int) demand {
 	mix := &b.admission.mix
 	own := b.priorityPerWork(class)
-	seen := demand{below: mix.overQuota, total: mix.overQuota}
+	seen := demand{below: mix.sheddable, total: mix.sheddable}
 	for i, work := range mix.byClass {
 		priority := b.priorityPerWork(i)
 		seen.total += work
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestOverloadRejectsTheLeastPriority checks that while a queue forms, requests of the class with
-// the lower priority are rejected first.
-func TestOverloadRejectsTheLeastPriority(t *testing.T) {
+// TestOverloadRejectsLowestPriorityFirst checks that while a queue forms, requests of the class
+// with the lower priority are rejected first.
+func TestOverloadRejectsLowestPriorityFirst(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.Classes = append(settings.Classes, settings.Classes[0])
 	settings.Classes[1].PriorityWeight = 5
@@ -83,18 +83,18 @@
 		balancer.holders.functionFor(now, testRequest(id, now, 1)).holderAt(balancer.endpoints.listed[i%4],
 			true).validUntil = now + 8000*ms
 	}
-	first, repeat := 0, 0
+	first, retries := 0, 0
 	for i := range 90 {
 		if host.answers[fmt.Sprint(i)] == "rejected" {
 			if i%3 > 0 {
-				repeat++
+				retries++
 			} else {
 				first++
 			}
 		}
 	}
-	if repeat == 0 || 2*first >= repeat {
-		t.Fatalf("rejected %d of 30 first attempts and %d of 60 retries", first, repeat)
+	if retries == 0 || 2*first >= retries {
+		t.Fatalf("rejected %d of 30 first attempts and %d of 60 retries", first, retries)
 	}
 }
 
--- a/balancer/choose.go
+++ b/balancer/choose.go
@@ -57,15 +57,15 @@
 	set.minLoad = b.excludeUnhealthy(now, request, set)
 	slack := max(minLoadSlack, b.loads.expected(request.function)/b.latencies[request.Class].mean)
 	if holders := b.holdersWithin(now, request.function, b.loadBase(set)*(1+slack)); len(holders) > 0 {
-		return b.lightestHolder(now, holders, set.medianLoad), false
+		return b.leastLoadedHolder(now, holders, set.medianLoad), false
 	}
 	tolerance := min(slack, similarLoadTolerance*b.fleetFactor())
-	where := placement{
+	limits := placement{
 		preferred:   set.preferred,
 		maxLoad:     (1 + tolerance) * max(set.minLoad, set.medianLoad),
 		placesShare: examined.placesShare,
 	}
-	return b.preferredWorker(now, request.function, where), false
+	return b.preferredWorker(now, request.function, limits), false
 }
 
 // examine collects the eligible workers and their loads as candidates. It stops at the first worker
@@ -160,10 +160,11 @@
 	return free
 }
 
-// lightestHolder returns the least loaded of the given holders. The load caused by other dispatchers
-// is known from a digest that all dispatchers share. The older the digest, the wider the range of
-// loads from which a holder is drawn at random, so that the dispatchers do not all choose the same.
-func (b *Balancer) lightestHolder(now int64, holders []*workerState, medianLoad float64) (best *workerState) {
+// leastLoadedHolder returns the least loaded of the given holders, or one of similar load. The load
+// caused by other dispatchers is known from a digest that all dispatchers share. The older the
+// digest, the wider the range of loads from which a holder is drawn at random, so that the
+// dispatchers do not all choose the same.
+func (b *Balancer) leastLoadedHolder(now int64, holders []*workerState, medianLoad float64) (best *workerState) {
 	minLoad, count := math.Inf(1), 0
 	for _, worker := range holders {
 		minLoad = min(minLoad, worker.choiceLoad)
@@ -189,22 +190,22 @@
 	placesShare float64 // share of the workers that each dispatcher ranks independently
 }
 
-// preferredWorker returns the highest-ranked candidate for a function with at most where.maxLoad,
+// preferredWorker returns the highest-ranked candidate for a function with at most limits.maxLoad,
 // from the function's ring window if that has one. All dispatchers use the same ranking, so that
 // they load a function at the same worker. Each dispatcher sees only a small part of a worker's
 // load, so the more dispatchers there are, the wider the range of loads that are treated as equal.
 // For a function that needs more workers, each dispatcher ranks a share of the workers
 // independently.
-func (b *Balancer) preferredWorker(now int64, function *functionState, where placement) (best *workerState) {
+func (b *Balancer) preferredWorker(now int64, function *functionState, limits placement) (best *workerState) {
 	topScore := 0.0
 	for i, worker := range b.choice.candidates {
-		if i >= where.preferred && best != nil {
+		if i >= limits.preferred && best != nil {
 			break
 		}
-		if worker.candidateIn != b.choice.number || worker.choiceLoad > where.maxLoad {
+		if worker.candidateIn != b.choice.number || worker.choiceLoad > limits.maxLoad {
 			continue
 		}
-		if score := b.placementScore(now, function, worker, where.placesShare); best == nil || score > topScore {
+		if score := b.placementScore(now, function, worker, limits.placesShare); best == nil || score > topScore {
 			best, topScore = worker, score
 		}
 	}
--- a/balancer/choose_test.go
+++ b/balancer/choose_test.go
@@ -25,9 +25,9 @@
 	}
 }
 
-// TestBusyHolderBeyondSlackIsPassedOver checks that a hot function spreads to other workers once the
+// TestBusyHolderBeyondSlackIsSkipped checks that a hot function spreads to other workers once the
 // load of its holder exceeds the slack.
-func TestBusyHolderBeyondSlackIsPassedOver(t *testing.T) {
+func TestBusyHolderBeyondSlackIsSkipped(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 4)
 	markAllResponded(balancer)
 	balancer.HandleRequest(0, testRequest("a", 0, 1))
@@ -98,9 +98,9 @@
 	}
 }
 
-// TestUnknownWorkerGetsFirstCalls checks that a worker that has not responded yet gets some calls,
-// but no more than half of them.
-func TestUnknownWorkerGetsFirstCalls(t *testing.T) {
+// TestNewWorkerGetsSomeCalls checks that a worker that has not responded yet gets some calls, but no
+// more than half of them.
+func TestNewWorkerGetsSomeCalls(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 3)
 	markAllResponded(balancer)
 	balancer.UpdateEndpoints(ms, EndpointsDelta, []Endpoint{{Worker: 9, State: Active, Weight: 1}})
@@ -144,12 +144,12 @@
 // TestSlowStoreWidensTheSlack checks that while the store is slow, more calls wait for a busy holder
 // instead of causing a load elsewhere.
 func TestSlowStoreWidensTheSlack(t *testing.T) {
-	used := func(stress float64) int {
+	used := func(slowdown float64) int {
 		balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 6)
 		markAllResponded(balancer)
 		balancer.HandleRequest(0, testRequest("a", 0, 1))
 		balancer.HandleAttemptResult(10*ms, successful("a", host.lastWorker["a"]))
-		balancer.loads.slowdown = stress
+		balancer.loads.slowdown = slowdown
 		on := map[WorkerID]bool{}
 		for i := range 8 {
 			id := fmt.Sprint("b", i)
@@ -163,9 +163,9 @@
 	}
 }
 
-// TestCrowdedWorkersDoNotHideEachOther checks that several overloaded workers do not make each other
-// look lightly loaded: loads are compared with the median.
-func TestCrowdedWorkersDoNotHideEachOther(t *testing.T) {
+// TestOverloadedWorkersDoNotHideEachOther checks that several overloaded workers do not make each
+// other look lightly loaded: loads are compared with the median.
+func TestOverloadedWorkersDoNotHideEachOther(t *testing.T) {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.Dispatchers, settings.Gossip = 50, true
 	balancer, host := newTestBalancer(t, settings, 10)
@@ -187,7 +187,7 @@
 		balancer.loads.share = 1
 		balancer.HandleRequest(2*ms, testRequest(fmt.Sprint(k), 2*ms, FuncID(k)))
 		if worker := host.lastWorker[fmt.Sprint(k)]; worker <= 4 {
-			t.Fatalf("function %d sent to worker %d, which holds 50 calls where most hold 4", k, worker)
+			t.Fatalf("function %d sent to worker %d, which has 50 calls where most have 4", k, worker)
 		}
 	}
 }
@@ -210,7 +210,7 @@
 		}
 		return len(on)
 	}
-	if cheap, dear := used(250*ms), used(5000*ms); cheap < 2 || dear != 1 {
-		t.Fatalf("with short loads %d workers used, with long loads %d", cheap, dear)
+	if cheap, expensive := used(250*ms), used(5000*ms); cheap < 2 || expensive != 1 {
+		t.Fatalf("with short loads %d workers used, with long loads %d", cheap, expensive)
 	}
 }
--- a/balancer/dispatch.go
+++ b/balancer/dispatch.go
@@ -14,7 +14,7 @@
 	b.timers.lastRequestAt = now
 	b.gossip.earn()
 	b.leases.earn()
-	b.hedges.earn(b.losses.probability)
+	b.hedges.creditCall(b.losses.probability)
 	if b.shouldReject(now, request) {
 		if function := b.holders.lookup(request.Func); function != nil && function.served {
 			b.countTowardLoadQuota(now)
@@ -76,11 +76,11 @@
 // awaitWorker schedules a recheck of a request that no worker is available for, or ends the request
 // if none is expected. A request that was never sent ends early so that its client can go elsewhere.
 func (b *Balancer) awaitWorker(now int64, request *requestState) {
-	hopeless, reason := now >= request.holdDeadline(), EndedWithoutWorker
+	mustEnd, reason := now >= request.holdDeadline(), EndedWithoutWorker
 	if len(request.attempts) > 0 {
-		hopeless, reason = !b.mayRetryAnywhere(now, request), EndedNotRetryable
+		mustEnd, reason = !b.mayRetryAnywhere(now, request), EndedNotRetryable
 	}
-	if hopeless {
+	if mustEnd {
 		b.finish(now, request, reason)
 		return
 	}
--- a/balancer/hedge.go
+++ b/balancer/hedge.go
@@ -14,8 +14,9 @@
 // hedgeBudget limits hedges of attempts at workers that answer other calls.
 type hedgeBudget struct{ tokens float64 }
 
-// earn adds the budget of one request: hedgeBudgetRatio plus the probability that its answer is lost.
-func (h *hedgeBudget) earn(lossProbability float64) {
+// creditCall adds the budget of one request: hedgeBudgetRatio plus the probability that its answer
+// is lost.
+func (h *hedgeBudget) creditCall(lossProbability float64) {
 	h.tokens = min(h.tokens+hedgeBudgetRatio+lossProbability, 1/hedgeBudgetRatio)
 }
 
--- a/balancer/hedge_test.go
+++ b/balancer/hedge_test.go
@@ -92,9 +92,9 @@
 // nor when the answer would miss the latency objective.
 func TestLostAnswerIsRetriedAtTheSameWorker(t *testing.T) {
 	for name, c := range map[string]struct {
-		aim   int64
-		other FuncID
-		sends int
+		objective int64
+		other     FuncID
+		sends     int
 	}{
 		"the same copy answers other calls":     {1500 * ms, 1, 2},
 		"another function's copy answers calls": {1500 * ms, 2, 1},
@@ -103,7 +103,7 @@
 		settings := testSettings(Idempotent, ScopeAll)
 		balancer, host := newTestBalancer(t, settings, 1)
 		markAllResponded(balancer)
-		balancer.settings.Classes[0].LatencyObjective = c.aim // the measured response times stay
+		balancer.settings.Classes[0].LatencyObjective = c.objective // the measured response times stay
 		for i, function := range []FuncID{1, 2} {
 			id := fmt.Sprint("a", i)
 			balancer.HandleRequest(0, testRequest(id, 0, function))
--- a/balancer/maintenance.go
+++ b/balancer/maintenance.go
@@ -28,12 +28,12 @@
 // observeTime sets the clock to the time of an event and detects a stall of the process.
 func (b *Balancer) observeTime(now int64) {
 	b.now = max(b.now, now)
-	b.excuseStall(b.now)
+	b.compensateStall(b.now)
 }
 
-// excuseStall detects a stall of the process and extends the time until every attempt in flight is
-// overdue by its length, since the stall is not the workers' fault.
-func (b *Balancer) excuseStall(now int64) {
+// compensateStall detects a stall of the process and extends the time until every attempt in flight
+// is overdue by the length of the stall, which is not the workers' fault.
+func (b *Balancer) compensateStall(now int64) {
 	late, stalled := b.timers.detectStall(now, b.shortestObjective/maintenanceRounds)
 	if !stalled {
 		return
--- a/balancer/random_test.go
+++ b/balancer/random_test.go
@@ -11,8 +11,8 @@
 func TestRulesHoldUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(120) {
 		rng := rand.New(rand.NewPCG(seed%60, 1))
-		effect := Idempotency(seed % 3)
-		settings := testSettings(effect, IdempotencyScope(seed/3%4))
+		idempotency := Idempotency(seed % 3)
+		settings := testSettings(idempotency, IdempotencyScope(seed/3%4))
 		if seed >= 60 { // the same sequences, but every list counts as long
 			settings.FullScanLimit = scanNever
 		}
@@ -44,7 +44,7 @@
 				if state[attempt.worker] != Active {
 					t.Fatalf("seed %d: sent to worker %d, which is not active", seed, attempt.worker)
 				}
-				if effect == NotIdempotent && mayRun[attempt.id] > 0 {
+				if idempotency == NotIdempotent && mayRun[attempt.id] > 0 {
 					t.Fatalf("seed %d: non-idempotent call sent again after it may have run", seed)
 				}
 				n := 0
@@ -65,7 +65,7 @@
 				if a != "rejected" && a != "failed" || finished[id] {
 					t.Fatalf("seed %d: %s answered %q", seed, id, a)
 				}
-				if a == "rejected" && effect == NotIdempotent && mayRun[id] > 0 {
+				if a == "rejected" && idempotency == NotIdempotent && mayRun[id] > 0 {
 					t.Fatalf("seed %d: non-idempotent call rejected after it may have run", seed)
 				}
 				delete(host.answers, id)
--- a/balancer/result.go
+++ b/balancer/result.go
@@ -135,7 +135,7 @@
 	case Error, NotLoaded, QueueFull:
 		b.learnFromFailure(now, attempt, result)
 	case Timeout, Cancelled:
-		b.learnFromSilence(now, attempt, result.Result)
+		b.learnFromUnanswered(now, attempt, result.Result)
 	case ConnectFailed, Reset:
 		b.handleConnectionFailure(now, attempt.sentAt, attempt.worker, result.Result)
 	case NotSent, NumResults:
@@ -198,10 +198,10 @@
 	}
 }
 
-// learnFromSilence updates the estimates with an attempt that ended without an answer. The answer
-// counts as lost rather than late only if the same copy has answered other calls since the attempt:
-// otherwise the copy may have been unloaded and be loading again.
-func (b *Balancer) learnFromSilence(now int64, attempt *attemptState, result Result) {
+// learnFromUnanswered updates the estimates with an attempt that ended without an answer. The
+// answer counts as lost rather than late only if the same copy has answered other calls since the
+// attempt: otherwise the copy may have been unloaded and be loading again.
+func (b *Balancer) learnFromUnanswered(now int64, attempt *attemptState, result Result) {
 	if attempt.expectedWarm && now > attempt.dueAt && attempt.holder.lastWarmHitAt > attempt.sentAt {
 		b.losses.observe(b.losses.lossProbability(now-attempt.sentAt, b.latencies[attempt.request.Class]))
 	}
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -9,13 +9,13 @@
 // the first attempt allow it.
 func TestRetriesFollowIdempotency(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		effect Idempotency
-		scope  IdempotencyScope
-		res    Result
-		at     int64 // when the result arrives
-		resend bool
-		zone   bool // the retry must stay in the zone
+		name        string
+		idempotency Idempotency
+		scope       IdempotencyScope
+		result      Result
+		at          int64 // when the result arrives
+		retry       bool
+		zone        bool // the retry must stay in the zone
 	}{
 		{"not idempotent, error", NotIdempotent, ScopeNone, Error, 100 * ms, false, false},
 		{"not idempotent, connect failed", NotIdempotent, ScopeNone, ConnectFailed, 100 * ms, true, false},
@@ -25,16 +25,16 @@
 		{"by key, error at the end of the window", IdempotentByKey, ScopeZone, Error, 1998 * ms, false, false},
 		{"by key, no scope", IdempotentByKey, ScopeNone, Error, 100 * ms, false, false},
 	} {
-		settings := testSettings(c.effect, c.scope)
+		settings := testSettings(c.idempotency, c.scope)
 		settings.Hedging = false
 		balancer, host := newTestBalancer(t, settings, 8)
 		balancer.HandleRequest(0, testRequest("a", 0, 1))
 		first := host.lastWorker["a"]
-		balancer.HandleAttemptResult(c.at, AttemptResult{ID: "a", Worker: first, Result: c.res})
-		if got := len(host.attempts) == 2; got != c.resend {
-			t.Errorf("%s: retried %v, want %v", c.name, got, c.resend)
+		balancer.HandleAttemptResult(c.at, AttemptResult{ID: "a", Worker: first, Result: c.result})
+		if got := len(host.attempts) == 2; got != c.retry {
+			t.Errorf("%s: retried %v, want %v", c.name, got, c.retry)
 		}
-		if !c.resend && host.answers["a"] != "failed" {
+		if !c.retry && host.answers["a"] != "failed" {
 			t.Errorf("%s: answered %q, want failed", c.name, host.answers["a"])
 		}
 		if c.zone && host.lastWorker["a"]%2 != first%2 {
@@ -61,8 +61,8 @@
 // stays bound to the window of its first attempt, even if that turns out not to have run.
 func TestIdempotencyWindowCountsFromTheFirstAttempt(t *testing.T) {
 	for _, c := range []struct {
-		at     int64
-		resend bool
+		at    int64
+		retry bool
 	}{{1997 * ms, true}, {1998 * ms, false}} {
 		balancer, host := newTestBalancer(t, testSettings(IdempotentByKey, ScopeZone), 8)
 		balancer.HandleRequest(0, testRequest("z", 0, 1))
@@ -82,8 +82,8 @@
 			ID: "a", Attempt: 1, Worker: host.lastWorker["a"],
 			Result: Error,
 		})
-		if got := len(host.attempts) == 3; got != c.resend {
-			t.Errorf("at %d ms: retried %v, want %v", c.at/ms, got, c.resend)
+		if got := len(host.attempts) == 3; got != c.retry {
+			t.Errorf("at %d ms: retried %v, want %v", c.at/ms, got, c.retry)
 		}
 	}
 }
@@ -100,9 +100,9 @@
 	}
 }
 
-// TestUnknownFunctionsBlameNoWorker checks that errors for functions that do not exist do not eject
-// a worker, and that such a call has at most two attempts.
-func TestUnknownFunctionsBlameNoWorker(t *testing.T) {
+// TestUnknownFunctionsDoNotEjectWorkers checks that errors for functions that do not exist do not
+// eject a worker, and that such a call has at most two attempts.
+func TestUnknownFunctionsDoNotEjectWorkers(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 3)
 	markAllResponded(balancer)
 	for i := range 4 {
@@ -125,13 +125,13 @@
 	}
 }
 
-// TestFullPlaceIsRetriedBeforeLoadingElsewhere checks that a call rejected by a full queue is
+// TestFullWorkerIsRetriedBeforeLoadingElsewhere checks that a call rejected by a full queue is
 // retried at the same worker after a pause, and only then goes elsewhere. The pause is at most the
 // time of a load, and at most an even share of the time left for each remaining attempt. If many
 // dispatchers went elsewhere at once, each would load the function at another worker and fill that
 // queue too. The call goes elsewhere at once if a copy is expected there or there are few
 // dispatchers.
-func TestFullPlaceIsRetriedBeforeLoadingElsewhere(t *testing.T) {
+func TestFullWorkerIsRetriedBeforeLoadingElsewhere(t *testing.T) {
 	const workers = 20
 	for _, c := range []struct {
 		dispatchers, scanLimit int
@@ -150,8 +150,8 @@
 		balancer, host := newTestBalancer(t, settings, workers)
 		markAllResponded(balancer)
 		balancer.HandleRequest(ms, testRequest("a", ms, 9))
-		place := host.lastWorker["a"]
-		other := place%workers + 1
+		rejecting := host.lastWorker["a"]
+		other := rejecting%workers + 1
 		if c.elsewhere {
 			function := balancer.holders.functions[functionTag(9)]
 			balancer.confirmHolder(ms, function.holderAt(balancer.endpoints.byID[other], true))
@@ -173,9 +173,9 @@
 		}
 		full(0, 2*ms)
 		if !c.waits {
-			if len(host.attempts) != 2 || host.lastWorker["a"] == place || c.elsewhere &&
+			if len(host.attempts) != 2 || host.lastWorker["a"] == rejecting || c.elsewhere &&
 				host.lastWorker["a"] != other {
-				t.Errorf("%+v: after a full queue at %d the attempts are %v", c, place, host.attempts)
+				t.Errorf("%+v: after a full queue at %d the attempts are %v", c, rejecting, host.attempts)
 			}
 			continue
 		}
@@ -184,12 +184,12 @@
 		}
 		again := until(3 * ms)
 		if load := int64(balancer.loads.expected(balancer.holders.functions[functionTag(9)])); again == 0 ||
-			again > 3*ms+min(load, 3000*ms/int64(settings.MaxAttempts)) || host.lastWorker["a"] != place {
-			t.Fatalf("%+v: rejected by %d at 2 ms, retried at %d ms: %v", c, place, again/ms, host.attempts)
+			again > 3*ms+min(load, 3000*ms/int64(settings.MaxAttempts)) || host.lastWorker["a"] != rejecting {
+			t.Fatalf("%+v: rejected by %d at 2 ms, retried at %d ms: %v", c, rejecting, again/ms, host.attempts)
 		}
 		full(1, again+ms)
-		if third := until(again + 2*ms); third == 0 || host.lastWorker["a"] == place {
-			t.Errorf("%+v: not retried elsewhere after two rejections by %d: %v", c, place, host.attempts)
+		if third := until(again + 2*ms); third == 0 || host.lastWorker["a"] == rejecting {
+			t.Errorf("%+v: not retried elsewhere after two rejections by %d: %v", c, rejecting, host.attempts)
 		}
 	}
 }
--- a/balancer/scale_test.go
+++ b/balancer/scale_test.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	scaleFuncs    = 48_000
-	scaleSiblings = 300
-	scaleStep     = 5 * ms   // time between calls: 200 calls/s at one dispatcher
-	scaleAnswer   = 20 * ms  // response time of a loaded copy
-	scaleLoad     = 300 * ms // duration of a load
-	scaleWarm     = 2000     // warm-up calls before the measurement; they take longer than the keep-alive
+	scaleFunctions   = 48_000
+	scaleDispatchers = 300
+	scaleStep        = 5 * ms   // time between calls: 200 calls/s at one dispatcher
+	scaleAnswer      = 20 * ms  // response time of a loaded copy
+	scaleLoad        = 300 * ms // duration of a load
+	scaleWarmupCalls = 2000     // warm-up calls before the measurement; they take longer than the keep-alive
 )
 
 // BenchmarkChoice measures a 5 ms step of the clock, which is one call with the answers and timers
@@ -31,9 +31,9 @@
 		}{{"even", 0}, {"zipf", 1.1}} {
 			b.Run(fmt.Sprintf("%d_workers_%s", workers, law.name), func(b *testing.B) {
 				settings := testSettings(Idempotent, ScopeAll)
-				settings.Dispatchers, settings.Gossip, settings.PeerPrice = scaleSiblings, true, 0.01
+				settings.Dispatchers, settings.Gossip, settings.PeerPrice = scaleDispatchers, true, 0.01
 				host := newScaleHost(b, settings, workers, law.s)
-				for range scaleWarm {
+				for range scaleWarmupCalls {
 					host.step()
 				}
 				host.loads, host.sends, host.rejected = 0, 0, 0
@@ -61,7 +61,7 @@
 	sums                   []float64 // cumulative popularity of functions
 	copies                 [][]scaleCopy
 	ids                    []string
-	inHand                 map[string]scaleCall // by ID
+	pending                map[string]scaleCall // by ID
 	ring                   [(scaleLoad+scaleAnswer)/scaleStep + 1][]scaleEvent
 	now                    int64
 	calls                  int
@@ -89,11 +89,11 @@
 
 func newScaleHost(b *testing.B, settings Settings, workers int, law float64) *scaleHost {
 	host := &scaleHost{
-		rng: rand.New(rand.NewPCG(1, uint64(workers))), copies: make([][]scaleCopy, scaleFuncs),
-		inHand: map[string]scaleCall{}, due: noDeadline,
+		rng: rand.New(rand.NewPCG(1, uint64(workers))), copies: make([][]scaleCopy, scaleFunctions),
+		pending: map[string]scaleCall{}, due: noDeadline,
 	}
 	sum := 0.0
-	for i := range scaleFuncs {
+	for i := range scaleFunctions {
 		sum += math.Pow(float64(i+1), -law)
 		host.sums = append(host.sums, sum)
 	}
@@ -130,7 +130,7 @@
 	*slot = (*slot)[:0]
 	id := x.ids[x.calls%len(x.ids)]
 	f := sort.SearchFloat64s(x.sums, x.rng.Float64()*x.sums[len(x.sums)-1])
-	x.inHand[id] = scaleCall{fn: f}
+	x.pending[id] = scaleCall{fn: f}
 	x.calls++
 	x.d.HandleRequest(x.now, testRequest(id, x.now, FuncID(f+1)))
 }
@@ -160,11 +160,11 @@
 
 func (x *scaleHost) SendAttempt(id string, worker WorkerID, _ int64) {
 	x.sends++
-	call := x.inHand[id]
+	call := x.pending[id]
 	c, warmth := x.copy(call.fn, worker)
 	x.at(max(x.now, c.from)+scaleAnswer, scaleEvent{id: id, try: call.tries, worker: worker, warmth: warmth})
 	call.tries++
-	x.inHand[id] = call
+	x.pending[id] = call
 }
 
 func (x *scaleHost) OrderLoad(worker WorkerID, function FuncID, _ int) {
@@ -260,7 +260,7 @@
 			for range 3 {
 				message.Holders = append(message.Holders,
 					aggregate.Holder{
-						Func:   uint32(1 + rng.IntN(scaleFuncs)),
+						Func:   uint32(1 + rng.IntN(scaleFunctions)),
 						Worker: workerTag(WorkerID(1 + rng.IntN(workers))),
 					})
 			}
