--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -51,10 +51,11 @@
 }
 
 // shouldReject reports whether admission control rejects a new request. The expected response time,
-// by Little's law, shows a queue while it forms, before any answer is late. Requests that exceed
-// their tenant's quota or need a load are rejected first, measured against the shortest latency
-// objective; then the classes with the least priority per unit of work, measured against the mean
-// objective. Loads come first because a load from a slow store occupies slots that other calls need.
+// by Little's law, shows a queue while it forms, before any answer is late. Sheddable requests (see
+// isSheddable) are rejected first, measured against the shortest latency objective; then the
+// classes with the least priority per unit of work, measured against the mean objective. Requests
+// that need a load are among the first because a load from a slow store occupies slots that other
+// calls need.
 func (b *Balancer) shouldReject(now int64, request Request) bool {
 	sheddable := b.isSheddable(now, request)
 	b.admission.mix.observe(request.Class, sheddable, b.latencies[request.Class].mean)
@@ -114,9 +115,9 @@
 	return b.settings.Classes[class].PriorityWeight / b.latencies[class].mean
 }
 
-// overQuotaShare counts one request of a tenant and returns the share of the tenant's requests, over
-// all dispatchers, that exceeds its quota. A dispatcher that no longer reports is counted with its
-// last reported rate; without gossip every dispatcher is assumed to have the rate of this one.
+// overQuotaShare counts one request of a tenant and returns the share of the tenant's requests,
+// over all dispatchers, that exceeds its quota. A dispatcher that no longer reports is counted with
+// its last reported rate; without gossip every dispatcher is assumed to have the rate of this one.
 func (b *Balancer) overQuotaShare(now int64, tenant int) float64 {
 	if tenant < 0 || tenant >= len(b.admission.tenantCalls) || b.settings.TenantQuota[tenant] <= 0 {
 		return 0
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -56,7 +56,8 @@
 	}
 }
 
-// TestRejectedCallsCountAsQueued checks that calls recently rejected by a full queue count as queued.
+// TestRejectedCallsCountAsQueued checks that calls recently rejected by a full queue count as
+// queued.
 func TestRejectedCallsCountAsQueued(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(NotIdempotent, ScopeNone), 4)
 	markAllResponded(balancer)
--- a/balancer/api.go
+++ b/balancer/api.go
@@ -18,8 +18,8 @@
 	Idempotent
 )
 
-// The scopes of an idempotency key: no worker, the workers of the same cell, those of the same zone,
-// or all workers.
+// The scopes of an idempotency key: no worker, the workers of the same cell, those of the same
+// zone, or all workers.
 const (
 	ScopeNone IdempotencyScope = iota
 	ScopeCell
@@ -131,8 +131,8 @@
 	SendAttempt(id string, worker WorkerID, until int64)
 	// CancelAttempt cancels an attempt that is in flight.
 	CancelAttempt(id string, attempt int)
-	// Reject gives the final answer to a request that the client may safely send again, after a wait
-	// in nanoseconds.
+	// Reject gives the final answer to a request that the client may safely send again, after a
+	// wait in nanoseconds.
 	Reject(id string, wait int64)
 	// Fail gives the final answer to a request that may have run.
 	Fail(id string)
@@ -148,8 +148,8 @@
 	// SetTimer calls HandleTimer with ref after a delay in nanoseconds.
 	SetTimer(delay int64, ref int64)
 	// CountTowardLoadQuota records a call that arrived at the given time for the quota of load
-	// orders. The platform does not count calls of functions that do not exist, so a call is counted
-	// only once a worker has served its function.
+	// orders. The platform does not count calls of functions that do not exist, so a call is
+	// counted only once a worker has served its function.
 	CountTowardLoadQuota(at int64)
 	// SubscribeEndpoints requests the endpoint list and its updates.
 	SubscribeEndpoints()
--- a/balancer/candidates.go
+++ b/balancer/candidates.go
@@ -69,11 +69,11 @@
 	return workers
 }
 
-// placesNeeded returns how many workers the calls of a function need, by Little's law: the call rate
-// of this dispatcher times the number of dispatchers, at the target utilization of one copy per
-// worker. The current call is not counted. With many dispatchers up to one standard deviation of the
-// number of calls is subtracted as possible chance: otherwise a function that each dispatcher calls
-// once or twice would look hot to all of them.
+// placesNeeded returns how many workers the calls of a function need, by Little's law: the call
+// rate of this dispatcher times the number of dispatchers, at the target utilization of one copy
+// per worker. The current call is not counted. With many dispatchers up to one standard deviation
+// of the number of calls is subtracted as possible chance: otherwise a function that each
+// dispatcher calls once or twice would look hot to all of them.
 func (b *Balancer) placesNeeded(now int64, request *requestState) float64 {
 	function := request.function
 	window := float64(b.callRateWindow())
--- a/balancer/choose.go
+++ b/balancer/choose.go
@@ -3,8 +3,8 @@
 import "math"
 
 const (
-	// minLoadSlack is the minimum slack of a choice: by how much the load of a holder may exceed that
-	// of the least loaded worker, as a share of the latter (Bunt et al., Table 4).
+	// minLoadSlack is the minimum slack of a choice: by how much the load of a holder may exceed
+	// that of the least loaded worker, as a share of the latter (Bunt et al., Table 4).
 	minLoadSlack = 1.0
 	// loadPriceScale is the price of a load plus idle memory at which the share of calls that cause
 	// a load is used unscaled; at higher prices it is scaled up in proportion.
@@ -139,8 +139,8 @@
 }
 
 // holdersWithin returns the candidates with at most the given load that hold a copy with free
-// capacity or, if there are none, those where a copy is expected. The result is valid until the next
-// choice.
+// capacity or, if there are none, those where a copy is expected. The result is valid until the
+// next choice.
 func (b *Balancer) holdersWithin(now int64, function *functionState, limit float64) []*workerState {
 	free, busy := b.choice.free[:0], b.choice.busy[:0]
 	for _, holder := range function.holders {
@@ -226,9 +226,9 @@
 	return score
 }
 
-// eligible reports whether a worker may get attempts and load orders, possibly after a health check:
-// it is listed as active, does not report that it drains, and is within its slow-start budget. Every
-// attempt and every load order must pass this check (rules 3 and 4).
+// eligible reports whether a worker may get attempts and load orders, possibly after a health
+// check: it is listed as active, does not report that it drains, and is within its slow-start
+// budget. Every attempt and every load order must pass this check (rules 3 and 4).
 func (b *Balancer) eligible(now int64, worker *workerState) bool {
 	return worker.listed && worker.State == Active && b.leases.mayUse(now, worker) && b.slowStartAllows(now, worker)
 }
--- a/balancer/choose_test.go
+++ b/balancer/choose_test.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// TestNewWorkerGetsSomeCalls checks that a worker that has not responded yet gets some calls, but no
-// more than half of them.
+// TestNewWorkerGetsSomeCalls checks that a worker that has not responded yet gets some calls, but
+// no more than half of them.
 func TestNewWorkerGetsSomeCalls(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 3)
 	markAllResponded(balancer)
@@ -141,8 +141,8 @@
 	}
 }
 
-// TestSlowStoreWidensTheSlack checks that while the store is slow, more calls wait for a busy holder
-// instead of causing a load elsewhere.
+// TestSlowStoreWidensTheSlack checks that while the store is slow, more calls wait for a busy
+// holder instead of causing a load elsewhere.
 func TestSlowStoreWidensTheSlack(t *testing.T) {
 	used := func(slowdown float64) int {
 		balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 6)
--- a/balancer/dispatch.go
+++ b/balancer/dispatch.go
@@ -1,6 +1,7 @@
 package balancer
 
-// HandleRequest accepts or rejects a call. It gets exactly one final answer, before its deadline.
+// HandleRequest accepts or rejects a call. Each call gets exactly one final answer, before its
+// deadline. A request with the ID of a pending one is ignored.
 func (b *Balancer) HandleRequest(now int64, request Request) {
 	b.advanceClock(now)
 	if b.requests[request.ID] != nil {
@@ -74,7 +75,8 @@
 }
 
 // awaitWorker schedules a recheck of a request that no worker is available for, or ends the request
-// if none is expected. A request that was never sent ends early so that its client can go elsewhere.
+// if none is expected. A request that was never sent ends early so that its client can go
+// elsewhere.
 func (b *Balancer) awaitWorker(now int64, request *requestState) {
 	mustEnd, reason := now >= request.holdDeadline(), EndedWithoutWorker
 	if len(request.attempts) > 0 {
--- a/balancer/endreason.go
+++ b/balancer/endreason.go
@@ -5,7 +5,7 @@
 
 // The reasons.
 const (
-	EndedByOverload        EndReason = iota // rejected by admission control
+	EndedByOverload        EndReason = iota // rejected on arrival: long expected wait or too many pending
 	EndedByClass                            // unknown class
 	EndedByDeadline                         // the deadline has passed
 	EndedByAttemptLimit                     // all attempts are used up
--- a/balancer/environment.go
+++ b/balancer/environment.go
@@ -10,12 +10,13 @@
 	// wellInformedDispatchers is the largest number of dispatchers with which each one sees enough
 	// calls at every worker to judge it without the others' reports.
 	wellInformedDispatchers = 5.0
-	// leaderTermObjectives is the length of a leader's term in shortest latency objectives. It limits
-	// how long the dispatchers are without a leader when one fails.
+	// leaderTermObjectives is the length of a leader's term in shortest latency objectives. It
+	// limits how long the dispatchers are without a leader when one fails.
 	leaderTermObjectives = 2
 )
 
-// environment holds the settings, the host, the clock and the time scales derived from the settings.
+// environment holds the settings, the host, the clock and the time scales derived from the
+// settings.
 type environment struct {
 	settings           Settings
 	host               Host
@@ -26,13 +27,14 @@
 	hasIdempotentClass bool  // trials use only requests of idempotent classes if there are any
 }
 
-// fleetFactor returns the number of dispatchers as a multiple of wellInformedDispatchers, at least 1.
+// fleetFactor returns the number of dispatchers as a multiple of wellInformedDispatchers, at least
+// 1.
 func (e *environment) fleetFactor() float64 {
 	return max(1, float64(e.settings.Dispatchers)/wellInformedDispatchers)
 }
 
-// decayTime returns the time constant, in nanoseconds, with which most measurements decay. It equals
-// the longest ejection.
+// decayTime returns the time constant, in nanoseconds, with which most measurements decay. It
+// equals the longest ejection.
 func (e *environment) decayTime() float64 {
 	return float64(outlier.MaxEjectionFactor * e.shortestObjective)
 }
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -6,8 +6,8 @@
 	"oakthread/balancer"
 )
 
-// printer is a Host that only prints the actions it is asked for. A real host sends requests and sets
-// timers.
+// printer is a Host that only prints the actions it is asked for. A real host sends requests and
+// sets timers.
 type printer struct{ worker balancer.WorkerID }
 
 func (p *printer) SendAttempt(id string, w balancer.WorkerID, until int64) {
@@ -15,7 +15,7 @@
 	fmt.Println("send", id)
 }
 func (p *printer) CancelAttempt(id string, attempt int)              {}
-func (p *printer) Reject(id string, wait int64)                      { fmt.Println("refuse", id) }
+func (p *printer) Reject(id string, wait int64)                      { fmt.Println("reject", id) }
 func (p *printer) Fail(id string)                                    { fmt.Println("fail", id) }
 func (p *printer) OrderLoad(balancer.WorkerID, balancer.FuncID, int) {}
 func (p *printer) OrderUnload(balancer.WorkerID, balancer.FuncID)    {}
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -25,9 +25,9 @@
 	return settings
 }
 
-// peerDatagrams runs dispatcher 0 of three for 12 seconds of simulated time, which are six terms. It
-// returns the datagrams that the dispatcher sent, one line of destination and text each, and their
-// times. Calls fail at worker 2, some are never answered, and the other two dispatchers send
+// peerDatagrams runs dispatcher 0 of three for 12 seconds of simulated time, which are six terms.
+// It returns the datagrams that the dispatcher sent, one line of destination and text each, and
+// their times. Calls fail at worker 2, some are never answered, and the other two dispatchers send
 // reports, digests and a request for its holders.
 func peerDatagrams(t *testing.T) (lines []string, times []int64) {
 	t.Helper()
@@ -116,13 +116,13 @@
 			kinds["digest"]++
 			assert.Equal(t, -1, number, "a digest goes to all")
 		case message.Report.LastCounted != nil:
-			kinds["report with Prev"]++
+			kinds["report with LastCounted"]++
 		default:
 			kinds["report"]++
 		}
 		assert.True(t, balancer.HandlePeerMessage(times[i], 0, text), line)
 	}
-	for _, kind := range []string{"sync request", "holders", "digest", "report with Prev", "report"} {
+	for _, kind := range []string{"sync request", "holders", "digest", "report with LastCounted", "report"} {
 		assert.Positive(t, kinds[kind], kind)
 	}
 	assert.Zero(t, balancer.gossip.aggregator.Dropped, "rows and digests dropped")
--- a/balancer/hedge.go
+++ b/balancer/hedge.go
@@ -6,8 +6,8 @@
 	// slowWorkerTolerance is the time that a worker which answers other calls is given for an
 	// attempt, as a multiple of the time until it is overdue.
 	slowWorkerTolerance = 2.0
-	// hedgeCheckDelay is the time, in nanoseconds, to wait for a health check before a hedge to that
-	// worker is considered again.
+	// hedgeCheckDelay is the time, in nanoseconds, to wait for a health check before a hedge to
+	// that worker is considered again.
 	hedgeCheckDelay = int64(10e6)
 )
 
--- a/balancer/hedge_test.go
+++ b/balancer/hedge_test.go
@@ -46,9 +46,9 @@
 
 // TestLoadsAreNotLostAnswers checks that a call that waits for a load does not count as a lost
 // answer although its worker answers other calls: a copy that only a peer reported may still be
-// loading, and one assumed to be loaded may have been unloaded. If such calls counted as lost, calls
-// would be hedged sooner and sooner and cause more loads. An answer counts as lost only if the same
-// copy has answered other calls since.
+// loading, and one assumed to be loaded may have been unloaded. If such calls counted as lost,
+// calls would be hedged sooner and sooner and cause more loads. An answer counts as lost only if
+// the same copy has answered other calls since.
 func TestLoadsAreNotLostAnswers(t *testing.T) {
 	for name, c := range map[string]struct {
 		reported, hit, lost bool
@@ -87,9 +87,9 @@
 	}
 }
 
-// TestLostAnswerIsRetriedAtTheSameWorker checks that a call whose answer is lost is sent to the same
-// worker again if only that worker holds a copy, but not before the copy has answered other calls,
-// nor when the answer would miss the latency objective.
+// TestLostAnswerIsRetriedAtTheSameWorker checks that a call whose answer is lost is sent to the
+// same worker again if only that worker holds a copy, but not before the copy has answered other
+// calls, nor when the answer would miss the latency objective.
 func TestLostAnswerIsRetriedAtTheSameWorker(t *testing.T) {
 	for name, c := range map[string]struct {
 		objective int64
--- a/balancer/loss.go
+++ b/balancer/loss.go
@@ -17,10 +17,10 @@
 	probability float64
 }
 
-// overdueDeviations returns the number of deviations past the mean response time at which the answer
-// to an attempt is as likely lost as delayed. The more answers are lost, the sooner a hedge is sent;
-// at minLossProbability the result is about four. If the tail of the response times is longer than
-// exponential, hedges are sent too early.
+// overdueDeviations returns the number of deviations past the mean response time at which the
+// answer to an attempt is as likely lost as delayed. The more answers are lost, the sooner a hedge
+// is sent; at minLossProbability the result is about four. If the tail of the response times is
+// longer than exponential, hedges are sent too early.
 func (e *lossEstimator) overdueDeviations() float64 {
 	return max(0, (-math.Log(e.probability)-1)/exponentialDeviation)
 }
@@ -33,8 +33,8 @@
 	return e.probability / (e.probability + delayed)
 }
 
-// observe updates the estimate with an attempt that ended. The argument lost is 0 if the attempt was
-// answered, else the probability that its answer was lost.
+// observe updates the estimate with an attempt that ended. The argument lost is 0 if the attempt
+// was answered, else the probability that its answer was lost.
 func (e *lossEstimator) observe(lost float64) {
 	e.probability = max(minLossProbability, e.probability+latencyWeight*(lost-e.probability))
 }
--- a/balancer/maintenance.go
+++ b/balancer/maintenance.go
@@ -14,8 +14,8 @@
 	idleObjectives = 2 * outlier.MaxEjectionFactor
 )
 
-// advanceClock sets the clock to the time of an event, detects a stall of the process, and schedules
-// the next maintenance round.
+// advanceClock sets the clock to the time of an event, detects a stall of the process, and
+// schedules the next maintenance round.
 func (b *Balancer) advanceClock(now int64) {
 	b.observeTime(now)
 	if b.timers.maintenanceAt == 0 {
@@ -121,8 +121,8 @@
 	}
 }
 
-// sweep drops expired holders, reports and failures, and workers that are neither listed nor in use,
-// so that memory stays bounded.
+// sweep drops expired holders, reports and failures, and workers that are neither listed nor in
+// use, so that memory stays bounded.
 func (b *Balancer) sweep(now int64) {
 	b.holders.sweep(now, b.settings.LoadOrderTimeout, b.settings.KeepAlive+int64(b.decayTime()))
 	// Announcements may remain unsent if messages are expensive or there are no other dispatchers.
@@ -138,8 +138,8 @@
 }
 
 // pruneActive removes workers from the recently active ones that are not listed or have had no
-// activity to report for some time. In a long list, it also discards what other dispatchers reported
-// about such a worker, since that is outdated.
+// activity to report for some time. In a long list, it also discards what other dispatchers
+// reported about such a worker, since that is outdated.
 func (b *Balancer) pruneActive(now int64) {
 	b.endpoints.recent = slices.DeleteFunc(b.endpoints.recent, func(worker *workerState) bool {
 		if b.hasActivity(now, worker) && worker.listed {
--- a/balancer/random_test.go
+++ b/balancer/random_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestRulesHoldUnderRandomEvents checks the rules from the host's side under seeded random sequences
-// of events, including invalid and duplicate ones.
+// TestRulesHoldUnderRandomEvents checks the rules from the host's side under seeded random
+// sequences of events, including invalid and duplicate ones.
 func TestRulesHoldUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(120) {
 		rng := rand.New(rand.NewPCG(seed%60, 1))
@@ -23,7 +23,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		type open struct {
+		type openAttempt struct {
 			id string
 			n  int
 			w  WorkerID
@@ -33,7 +33,7 @@
 		finished := map[string]bool{}
 		mayRun := map[string]int{}
 		tries := map[string]int{}
-		var out []open
+		var inFlight []openAttempt
 		timers := [][2]int64{}
 		now := int64(0)
 		check := func() {
@@ -48,7 +48,7 @@
 					t.Fatalf("seed %d: non-idempotent call sent again after it may have run", seed)
 				}
 				n := 0
-				for _, o := range out {
+				for _, o := range inFlight {
 					if o.id == attempt.id {
 						n++
 					}
@@ -57,7 +57,7 @@
 					t.Fatalf("seed %d: two attempts in flight without hedging", seed)
 				}
 				mayRun[attempt.id]++
-				out = append(out, open{attempt.id, tries[attempt.id], attempt.worker})
+				inFlight = append(inFlight, openAttempt{attempt.id, tries[attempt.id], attempt.worker})
 				tries[attempt.id]++
 			}
 			host.attempts = host.attempts[:0]
@@ -117,10 +117,10 @@
 				balancer.HandleClientGone(now, "no such request")
 				balancer.HandleLoadResult(now, WorkerID(rng.IntN(9)), FuncID(rng.IntN(9)), rng.IntN(3),
 					Result(rng.IntN(int(NumResults))))
-			case len(out) > 0:
-				i := rng.IntN(len(out))
-				o := out[i]
-				out = append(out[:i], out[i+1:]...)
+			case len(inFlight) > 0:
+				i := rng.IntN(len(inFlight))
+				o := inFlight[i]
+				inFlight = append(inFlight[:i], inFlight[i+1:]...)
 				result := AttemptResult{
 					ID: o.id, Attempt: o.n, Worker: o.w,
 					Result: Result(rng.IntN(int(NumResults))), Warmth: Warmth(rng.IntN(5)),
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -28,11 +28,11 @@
 	mayHaveRun    bool // true until the result proves otherwise
 	trial         bool // tests a worker whose ejection has expired
 	expectedWarm  bool // a loaded copy was expected
-	excused       bool // its result does not count against the worker, which may be tried once more
+	excused       bool // its result says little about the worker, which may be tried once more
 }
 
-// holdTimeShare is the share of the time until a request's deadline for which the dispatcher holds it
-// during a load; after that it waits at the worker that loads.
+// holdTimeShare is the share of the time until a request's deadline for which the dispatcher holds
+// it during a load; after that it waits at the worker that loads.
 const holdTimeShare = 0.4
 
 // holdDeadline returns the latest time to send a request that is held for a load.
--- a/balancer/result.go
+++ b/balancer/result.go
@@ -2,8 +2,8 @@
 
 import "oakthread/outlier"
 
-// HandleAttemptResult updates the estimates with the result of an attempt, and ends or continues its
-// request.
+// HandleAttemptResult updates the estimates with the result of an attempt, and ends or continues
+// its request.
 func (b *Balancer) HandleAttemptResult(now int64, result AttemptResult) {
 	b.advanceClock(now)
 	defer b.armTimer()
@@ -29,8 +29,9 @@
 	b.continueRequest(now, attempt, result)
 }
 
-// isExcused reports whether a result does not count against its worker: the connection was reset,
-// the attempt was not sent, or, with many dispatchers, a full queue rejected the call.
+// isExcused reports whether a result says little about its worker, so that the request may be sent
+// there once more: the connection was reset, the attempt was not sent, or, with many dispatchers, a
+// full queue rejected the call.
 func (b *Balancer) isExcused(result Result) bool {
 	return result == Reset || result == NotSent || result == QueueFull && b.fleetFactor() > 1
 }
@@ -89,10 +90,10 @@
 	return true
 }
 
-// backOff delays the retry of a request that a full queue rejected, and reports whether it does. The
-// queue needs time to drain, and other queues are likely to be full too. With many dispatchers, calls
-// retried at once where no copy is expected would cause loads that fill those queues as well; such
-// calls wait, but no longer than a load takes.
+// backOff delays the retry of a request that a full queue rejected, and reports whether it does.
+// The queue needs time to drain, and other queues are likely to be full too. With many dispatchers,
+// calls retried at once where no copy is expected would cause loads that fill those queues as well;
+// such calls wait, but no longer than a load takes.
 func (b *Balancer) backOff(now int64, attempt *attemptState, result AttemptResult) bool {
 	request := attempt.request
 	onlyHolder := b.fleetFactor() > 1 && !request.function.copyExpectedElsewhere(now, attempt.holder)
@@ -181,8 +182,8 @@
 }
 
 // learnFromFailure updates the estimates with an answer that was an error or a rejection. An error
-// for a function that no worker has served has less weight against the worker, since the function may
-// not exist.
+// for a function that no worker has served has less weight against the worker, since the function
+// may not exist.
 func (b *Balancer) learnFromFailure(now int64, attempt *attemptState, result AttemptResult) {
 	b.recordResponse(now, attempt.worker)
 	switch {
--- a/balancer/scale_test.go
+++ b/balancer/scale_test.go
@@ -17,7 +17,7 @@
 	scaleStep        = 5 * ms   // time between calls: 200 calls/s at one dispatcher
 	scaleAnswer      = 20 * ms  // response time of a loaded copy
 	scaleLoad        = 300 * ms // duration of a load
-	scaleWarmupCalls = 2000     // warm-up calls before the measurement; they take longer than the keep-alive
+	scaleWarmupCalls = 2000     // calls before the measurement; they take longer than the keep-alive
 )
 
 // BenchmarkChoice measures a 5 ms step of the clock, which is one call with the answers and timers
@@ -109,7 +109,8 @@
 	return host
 }
 
-// step advances the clock by 5 ms: it fires the timer if due, delivers the results, and sends a call.
+// step advances the clock by 5 ms: it fires the timer if due, delivers the results, and sends a
+// call.
 func (x *scaleHost) step() {
 	x.now += scaleStep
 	for x.due <= x.now {
@@ -273,8 +274,8 @@
 	return x
 }
 
-// collect reads all reports in a term in which dispatcher 0 is the leader, and then sets the clock to
-// the last eighth of that term.
+// collect reads all reports in a term in which dispatcher 0 is the leader, and then sets the clock
+// to the last eighth of that term.
 func (x *senders) collect(b *testing.B) {
 	term := leaderTermObjectives * x.d.shortestObjective
 	for x.now = (x.now/term + 1) * term; x.d.gossip.elector.Leader(x.now) != 0; {
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -19,8 +19,8 @@
 	sweptAt       int64
 }
 
-// rearm returns the delay, in nanoseconds, for a new host timer. It returns changed as false if there
-// are no entries or the current timer fires early enough.
+// rearm returns the delay, in nanoseconds, for a new host timer. It returns changed as false if
+// there are no entries or the current timer fires early enough.
 func (q *timerQueue) rearm(now int64) (delay int64, changed bool) {
 	if len(q.entries) == 0 {
 		return 0, false
@@ -42,8 +42,8 @@
 	}
 }
 
-// detectStall returns how late the host's timer is, in nanoseconds, if that exceeds the tolerance and
-// so shows that the process was stalled. It reports at most one stall for each clock value.
+// detectStall returns how late the host's timer is, in nanoseconds, if that exceeds the tolerance
+// and so shows that the process was stalled. It reports at most one stall for each clock value.
 func (q *timerQueue) detectStall(now, tolerance int64) (late int64, stalled bool) {
 	late = now - q.deadline
 	if q.deadline <= 0 || late <= tolerance || q.stalledAt >= now {
