--- a/balancer/random_test.go
+++ b/balancer/random_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// TestRulesHoldUnderRandomEvents proves that the rules hold, seen from outside, over seeded random
-// days with hostile events.
+// TestRulesHoldUnderRandomEvents checks the rules from the host's side under seeded random
+// sequences of events, including invalid and duplicate ones.
 func TestRulesHoldUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(120) {
 		rng := rand.New(rand.NewPCG(seed%60, 1))
-		effect := Idempotency(seed % 3)
-		settings := testSettings(effect, IdempotencyScope(seed/3%4))
-		if seed >= 60 { // the same days where every list counts as long
+		idempotency := Idempotency(seed % 3)
+		settings := testSettings(idempotency, IdempotencyScope(seed/3%4))
+		if seed >= 60 { // the same sequences, but every list counts as long
 			settings.FullScanLimit = scanNever
 		}
 		settings.Hedging = seed%2 == 0
@@ -23,7 +23,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		type open struct {
+		type openAttempt struct {
 			id string
 			n  int
 			w  WorkerID
@@ -33,31 +33,31 @@
 		finished := map[string]bool{}
 		mayRun := map[string]int{}
 		tries := map[string]int{}
-		var out []open
+		var inFlight []openAttempt
 		timers := [][2]int64{}
 		now := int64(0)
 		check := func() {
 			for _, attempt := range host.attempts {
 				if finished[attempt.id] || host.answers[attempt.id] != "" {
-					t.Fatalf("seed %d: sent after the end", seed)
+					t.Fatalf("seed %d: attempt sent after the request ended", seed)
 				}
 				if state[attempt.worker] != Active {
-					t.Fatalf("seed %d: sent to worker %d that is not on", seed, attempt.worker)
+					t.Fatalf("seed %d: sent to worker %d, which is not active", seed, attempt.worker)
 				}
-				if effect == NotIdempotent && mayRun[attempt.id] > 0 {
-					t.Fatalf("seed %d: unsafe call sent twice", seed)
+				if idempotency == NotIdempotent && mayRun[attempt.id] > 0 {
+					t.Fatalf("seed %d: non-idempotent call sent again after it may have run", seed)
 				}
 				n := 0
-				for _, o := range out {
+				for _, o := range inFlight {
 					if o.id == attempt.id {
 						n++
 					}
 				}
 				if n > 0 && !settings.Hedging {
-					t.Fatalf("seed %d: two attempts out", seed)
+					t.Fatalf("seed %d: two attempts in flight without hedging", seed)
 				}
 				mayRun[attempt.id]++
-				out = append(out, open{attempt.id, tries[attempt.id], attempt.worker})
+				inFlight = append(inFlight, openAttempt{attempt.id, tries[attempt.id], attempt.worker})
 				tries[attempt.id]++
 			}
 			host.attempts = host.attempts[:0]
@@ -65,8 +65,8 @@
 				if a != "rejected" && a != "failed" || finished[id] {
 					t.Fatalf("seed %d: %s answered %q", seed, id, a)
 				}
-				if a == "rejected" && effect == NotIdempotent && mayRun[id] > 0 {
-					t.Fatalf("seed %d: unsafe call rejected after it may have run", seed)
+				if a == "rejected" && idempotency == NotIdempotent && mayRun[id] > 0 {
+					t.Fatalf("seed %d: non-idempotent call rejected after it may have run", seed)
 				}
 				delete(host.answers, id)
 				finished[id] = true
@@ -77,9 +77,9 @@
 			host.timerDelays = host.timerDelays[:0]
 			for id, dl := range deadline {
 				if finished[id] {
-					delete(deadline, id) // nothing more is owed
+					delete(deadline, id) // no answer is due any more
 				} else if now > dl {
-					t.Fatalf("seed %d: %s lost at %d", seed, id, now)
+					t.Fatalf("seed %d: %s not answered by its deadline, now %d", seed, id, now)
 				}
 			}
 		}
@@ -117,10 +117,10 @@
 				balancer.HandleClientGone(now, "no such request")
 				balancer.HandleLoadResult(now, WorkerID(rng.IntN(9)), FuncID(rng.IntN(9)), rng.IntN(3),
 					Result(rng.IntN(int(NumResults))))
-			case len(out) > 0:
-				i := rng.IntN(len(out))
-				o := out[i]
-				out = append(out[:i], out[i+1:]...)
+			case len(inFlight) > 0:
+				i := rng.IntN(len(inFlight))
+				o := inFlight[i]
+				inFlight = append(inFlight[:i], inFlight[i+1:]...)
 				result := AttemptResult{
 					ID: o.id, Attempt: o.n, Worker: o.w,
 					Result: Result(rng.IntN(int(NumResults))), Warmth: Warmth(rng.IntN(5)),
@@ -141,8 +141,8 @@
 	}
 }
 
-// TestMemoryIsBounded proves that requests, functions, workers and timers that are over are
-// forgotten.
+// TestMemoryIsBounded checks that ended requests, unused functions, removed workers and old timer
+// entries are dropped.
 func TestMemoryIsBounded(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(Idempotent, ScopeAll), 4)
 	for i := range 20000 {
@@ -158,7 +158,7 @@
 	}
 	if len(balancer.requests) > 0 || len(balancer.holders.functions) > 3000 || len(balancer.endpoints.byID) > 10 ||
 		len(balancer.timers.entries) > 5000 {
-		t.Fatalf("%d requests, %d functions, %d workers, %d timers kept", len(balancer.requests),
+		t.Fatalf("kept %d requests, %d functions, %d workers, %d timer entries", len(balancer.requests),
 			len(balancer.holders.functions), len(balancer.endpoints.byID), len(balancer.timers.entries))
 	}
 }
