--- a/endpoints/confidence.go
+++ b/endpoints/confidence.go
@@ -8,20 +8,21 @@
 
 const (
 	// connectionRefusedLikelihood and timeoutLikelihood are the probabilities that a running worker
-	// refuses a connection or does not answer a health check in time. By Bayes' rule such a failure
-	// of likelihood q turns a confidence p into pq/(pq+1-p).
+	// refuses a connection and that it does not answer in time. A worker that is not running is
+	// assumed to fail always, so by Bayes' rule a failure of likelihood q turns a confidence p into
+	// pq/(pq+1-p).
 	connectionRefusedLikelihood = 0.02
 	timeoutLikelihood           = 0.1
 
-	// maxPriorConfidence bounds the confidence that a failure is weighed against, since a worker
-	// that just answered may have ended right after.
+	// maxPriorConfidence is the maximum prior in Bayes' rule, since a worker that has just answered
+	// may have stopped right after.
 	maxPriorConfidence = 0.95
 
 	// exclusionThreshold is the confidence below which an endpoint is excluded.
 	exclusionThreshold = 0.05
 
-	// minCheckBackoff and maxCheckBackoff bound the backoff between health checks of an endpoint
-	// that fails.
+	// minCheckBackoff and maxCheckBackoff bound the backoff, before jitter, between health checks
+	// of an endpoint that fails.
 	minCheckBackoff = 100 * time.Millisecond
 	maxCheckBackoff = 30 * time.Second
 
@@ -29,10 +30,10 @@
 	divisionGuard = 1e-12
 )
 
-// evidence is the last sign that an endpoint's worker is running.
+// evidence is the confidence that an endpoint's worker is running as of the last observation of it.
 type evidence struct {
-	confidence float64   // right after the evidence
-	at         time.Time // zero: unknown
+	confidence float64   // probability at the time of the observation
+	at         time.Time // of the observation; zero: unknown
 	ageUnknown bool
 }
 
@@ -45,8 +46,8 @@
 	return now.Sub(confirmedAt)
 }
 
-// Confidence returns the probability that a worker is running as the list has it, 0 for a worker
-// not on the list.
+// Confidence returns the estimated probability, from 0 to 1, that a worker is running at now. It is
+// 0 for a worker that is not in the list.
 func (l *List) Confidence(now time.Time, id balancer.WorkerID) float64 {
 	if entry := l.entries[id]; entry != nil {
 		return l.confidence(now, entry)
@@ -54,8 +55,8 @@
 	return 0
 }
 
-// confidence returns the probability that the endpoint's worker is running. It falls with the age
-// of the evidence.
+// confidence returns the probability that the endpoint's worker is running. It is 1 for a reported
+// endpoint while the watch is live, otherwise it decreases with the age of the evidence.
 func (l *List) confidence(now time.Time, entry *listEntry) float64 {
 	if l.watch.live && entry.verification == Reported {
 		return 1
@@ -77,7 +78,9 @@
 }
 
 // lowerConfidence applies Bayes' rule to a failure that a running worker shows with the given
-// likelihood, and schedules the next health check after a growing, jittered backoff.
+// likelihood, and schedules the next health check after an exponential backoff with jitter. Below
+// exclusionThreshold the endpoint is excluded, otherwise it becomes suspect unless it is draining
+// or already excluded. The failure is also a setback in slow start.
 func (l *List) lowerConfidence(now time.Time, entry *listEntry, likelihood float64) {
 	prior := min(l.confidence(now, entry), maxPriorConfidence)
 	posterior := prior * likelihood / (prior*likelihood + 1 - prior + divisionGuard)
@@ -95,7 +98,7 @@
 	l.slowStart.recordSetback(now, entry)
 }
 
-// exclude marks an endpoint whose confidence fell below the exclusion threshold.
+// exclude marks an endpoint as excluded and requests a save if it was not excluded before.
 func (l *List) exclude(entry *listEntry) {
 	if entry.verification != Excluded {
 		l.requestSave(false)
--- a/endpoints/dialer.go
+++ b/endpoints/dialer.go
@@ -11,7 +11,7 @@
 	minDialBackoff = 100 * time.Millisecond
 	maxDialBackoff = 5 * time.Second
 
-	// maxBackoffDoublings bounds the exponent of the backoff so that it does not overflow.
+	// maxBackoffDoublings bounds the exponent of the backoff so that the shift does not overflow.
 	maxBackoffDoublings = 20
 
 	// dialerStream separates the dialer's random numbers from those of other components with the
@@ -19,10 +19,11 @@
 	dialerStream = 0x6469616c
 )
 
-// Dialer selects the service discovery address to connect to next and the wait before it. The wait
-// has full jitter over an exponential backoff, so that many dispatchers that lost service discovery
-// together do not reconnect together ("Exponential Backoff And Jitter", AWS Architecture Blog,
-// 2015). Create one with NewDialer. It is not safe for concurrent use.
+// Dialer selects the next service discovery address to connect to and how long to wait before the
+// attempt. The wait is an exponential backoff with full jitter, so that dispatchers that lost their
+// connections at the same time do not all reconnect at the same time ("Exponential Backoff And
+// Jitter", AWS Architecture Blog, 2015). Create one with NewDialer. It is not safe for concurrent
+// use.
 type Dialer struct {
 	addrs      []string
 	next       int // index of the address to return next
@@ -32,7 +33,7 @@
 	rng        *rand.Rand
 }
 
-// NewDialer returns a Dialer that cycles through the addresses in order, starting at a random one.
+// NewDialer returns a Dialer that cycles through addrs in order, starting at a random one.
 func NewDialer(addrs []string, seed uint64) *Dialer {
 	d := &Dialer{addrs: addrs, maxBackoff: maxDialBackoff, rng: rand.New(rand.NewPCG(seed, dialerStream))}
 	if len(addrs) > 1 {
@@ -41,17 +42,18 @@
 	return d
 }
 
-// WithMaxBackoff sets the maximum backoff and returns the Dialer.
+// WithMaxBackoff sets the maximum backoff, 5 s by default, and returns the Dialer.
 func (d *Dialer) WithMaxBackoff(maxBackoff time.Duration) *Dialer {
 	d.maxBackoff = maxBackoff
 	return d
 }
 
-// Redirect replaces the addresses by one, which is returned next without a wait.
+// Redirect replaces the addresses with addr, which Next then returns without a wait.
 func (d *Dialer) Redirect(addr string) { d.addrs, d.next, d.last, d.failures = []string{addr}, 0, 0, 0 }
 
-// Next returns the address to connect to and the wait before it. There is no wait after a success.
-// The backoff doubles with each round of failures over all addresses.
+// Next returns the address to connect to and the wait before the attempt. The wait is zero unless a
+// connection failed since the last success. The backoff doubles with each round of failures over
+// all addresses. Without addresses Next returns an empty one and a wait of 5 s.
 func (d *Dialer) Next() (addr string, wait time.Duration) {
 	if len(d.addrs) == 0 {
 		return "", maxDialBackoff
@@ -70,8 +72,8 @@
 // Failed records that the connection to the last address failed.
 func (d *Dialer) Failed() { d.failures++ }
 
-// Succeeded records that the connection to the last address succeeded. It resets the backoff and returns
-// that address next.
+// Succeeded records that the connection to the last address succeeded. It resets the backoff, and
+// Next returns the same address again.
 func (d *Dialer) Succeeded() {
 	d.failures = 0
 	d.next = d.last
--- a/endpoints/dialer_test.go
+++ b/endpoints/dialer_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// The dialer cycles through its addresses, waits after a full round of failures at most
-// maxDialBackoff, and returns the last address again after a success.
+// The dialer cycles through its addresses, waits at most maxDialBackoff however many connections
+// have failed, and returns the last address again after a success.
 func TestDialerCyclesAddressesWithBoundedBackoff(t *testing.T) {
 	dialer := NewDialer([]string{"a", "b", "c"}, 3)
 	first, wait := dialer.Next()
@@ -20,7 +20,7 @@
 		seen[addr] = true
 		assert.LessOrEqual(t, backoff, minDialBackoff)
 	}
-	assert.Len(t, seen, 3, "in turn")
+	assert.Len(t, seen, 3, "each address is returned once per round")
 	longest := time.Duration(0)
 	for range 200 {
 		dialer.Failed()
--- a/endpoints/entry.go
+++ b/endpoints/entry.go
@@ -16,32 +16,31 @@
 	ramp            rampState
 	traffic         responseRate
 	drainReportedAt time.Time // when the worker itself reported that it drains; zero: it did not
-	isPublished     bool      // the load balancer has it
-	published       Endpoint  // as the load balancer has it
+	isPublished     bool      // whether the load balancer has the endpoint
+	published       Endpoint  // the version that the load balancer has
 }
 
-// compareByID orders entries by the ID of the worker.
+// compareByID orders entries by worker ID.
 func compareByID(a, b *listEntry) int { return cmp.Compare(a.ID, b.ID) }
 
-// setVerified records evidence of a running worker at the given time.
+// setVerified sets the verification state and full confidence as of the given time.
 func (e *listEntry) setVerified(verification Verification, at time.Time) {
 	e.verification = verification
 	e.evidence = evidence{confidence: 1, at: at}
 }
 
-// drainReportHolds reports whether the worker's own report of draining takes precedence over
-// service discovery.
-func (e *listEntry) drainReportHolds(now time.Time) bool {
+// hasRecentDrainReport reports whether the worker itself reported draining within drainReportTTL.
+func (e *listEntry) hasRecentDrainReport(now time.Time) bool {
 	return !e.drainReportedAt.IsZero() && now.Sub(e.drainReportedAt) < drainReportTTL
 }
 
-// isDrainingByDiscovery reports whether service discovery, not the worker itself, reported the
-// drain.
+// isDrainingByDiscovery reports whether service discovery reported the drain and no report of the
+// worker itself is on record.
 func (e *listEntry) isDrainingByDiscovery() bool {
 	return e.State == balancer.Draining && e.drainReportedAt.IsZero()
 }
 
-// resetAfterRestart drops what a previous process at this endpoint showed.
+// resetAfterRestart discards the state observed from the previous process at this endpoint.
 func (e *listEntry) resetAfterRestart() {
 	e.drainReportedAt = time.Time{}
 	e.ramp.formerRate = 0
--- a/endpoints/healthcheck.go
+++ b/endpoints/healthcheck.go
@@ -13,15 +13,16 @@
 	// maxConcurrentChecks bounds the health checks that one dispatcher runs at a time.
 	maxConcurrentChecks = 32
 
-	// recheckConfidence is the confidence at which an endpoint in use is checked again while
-	// service discovery is unavailable.
+	// recheckConfidence is the confidence at which an endpoint without a scheduled check is checked
+	// again while service discovery is unavailable.
 	recheckConfidence = 0.9
 
-	// minRecheckInterval bounds the rate of those checks when the history has many departures.
+	// minRecheckInterval is the minimum interval of those checks. It limits their rate when the
+	// history has many departures.
 	minRecheckInterval = time.Second
 
-	// overloadRecheckInterval is the least time between health checks of a worker that rejects
-	// requests.
+	// overloadRecheckInterval is the minimum time from one health check to the next of a worker
+	// that rejects requests.
 	overloadRecheckInterval = 250 * time.Millisecond
 )
 
@@ -30,12 +31,13 @@
 	dueAt     time.Time // zero: when confidence has fallen to recheckConfidence
 	sentAt    time.Time // of the last check
 	isRunning bool
-	completed bool          // a check has ended since the start
-	initial   bool          // one of the first endpoints to be checked after a restore
-	backoff   time.Duration // grows with each failure
+	completed bool          // at least one check has ended
+	initial   bool          // selected by scheduleInitialChecks to be checked first
+	backoff   time.Duration // doubles with each failure
 }
 
-// NextDeadline returns when Tick is to be called at the latest; zero if there is no need.
+// NextDeadline returns when the earliest scheduled health check is due, which is when Tick must be
+// called at the latest. It is zero if no check is scheduled.
 func (l *List) NextDeadline() time.Time {
 	var earliest time.Time
 	for _, entry := range l.sorted {
@@ -47,14 +49,15 @@
 	return earliest
 }
 
-// checkDueAt returns when the endpoint is to be health checked, and false if it is not to be
-// checked.
+// checkDueAt returns when the next health check of the endpoint is due, and false if none is
+// scheduled.
 func (l *List) checkDueAt(entry *listEntry) (dueAt time.Time, isScheduled bool) {
 	if entry.check.isRunning || l.config.TrustCached {
 		return time.Time{}, false
 	}
 	if l.watch.live {
-		// Only a worker's own report of draining needs a check: service discovery may not have it.
+		// Only an endpoint whose worker itself reported draining needs a check: service discovery
+		// may not have the drain.
 		return entry.check.dueAt, entry.verification == Draining && entry.State == balancer.Active
 	}
 	if entry.isDrainingByDiscovery() {
@@ -66,16 +69,17 @@
 	return entry.check.dueAt, true
 }
 
-// recheckAt returns when the confidence in an endpoint in use will have fallen to
-// recheckConfidence, by the inverse of History.Survival.
+// recheckAt returns when the confidence in an endpoint will have fallen to recheckConfidence, by
+// the inverse of History.Survival. It assumes full confidence at the time of the evidence.
 func (l *List) recheckAt(entry *listEntry) time.Time {
 	exponent := -1 / (priorDepartures + l.history.Departures)
 	age := float64(priorObservedTime+l.history.ObservedTime) * (math.Pow(recheckConfidence, exponent) - 1)
 	return entry.evidence.at.Add(max(time.Duration(age), minRecheckInterval))
 }
 
-// Tick starts the health checks that are due, the longest overdue first, as far as
-// maxConcurrentChecks allows.
+// Tick starts the health checks that are due, as far as maxConcurrentChecks allows. Checks without
+// a scheduled time come first, which are due because confidence has fallen, then the others by
+// scheduled time. It also logs when no usable endpoint is left.
 func (l *List) Tick(now time.Time) {
 	var due []*listEntry
 	for _, entry := range l.sorted {
@@ -91,7 +95,7 @@
 	l.reportExhaustion()
 }
 
-// startCheck has the endpoint health checked.
+// startCheck adds a health check of the endpoint to the pending actions.
 func (l *List) startCheck(now time.Time, entry *listEntry) {
 	entry.check.isRunning = true
 	entry.check.sentAt = now
@@ -100,7 +104,8 @@
 	l.pending.HealthChecks = append(l.pending.HealthChecks, entry.Endpoint)
 }
 
-// reportExhaustion logs, once until the watch is live again, that no cached endpoint is left.
+// reportExhaustion logs, while the watch is not live, that every endpoint is excluded or draining.
+// It does so once until the watch is live again.
 func (l *List) reportExhaustion() {
 	if l.watch.live || l.reportedExhausted || len(l.sorted) == 0 || l.config.TrustCached {
 		return
--- a/endpoints/history_test.go
+++ b/endpoints/history_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// The survival probability follows the prior and the recorded departures; the history stays
-// bounded.
+// The survival probability follows from the prior and the recorded departures, and the size of the
+// history is bounded.
 func TestSurvivalFollowsBoundedHistory(t *testing.T) {
 	var history History
 	assert.InDelta(t, 0.5, history.Survival(36*time.Hour), 1e-9, "the prior alone: (12/48)^0.5")
@@ -19,7 +19,7 @@
 	assert.Equal(t, 1.0, history.Survival(-time.Second))
 	history.addObservedTime(1000, 90*24*time.Hour)
 	assert.Equal(t, maxObservedTime, history.ObservedTime, "bounded")
-	assert.Less(t, history.Departures, 10.0, "old departures fade with the time that they were counted in")
+	assert.Less(t, history.Departures, 10.0, "departures are scaled down with the observed time")
 	for range 3 * maxEvents {
 		history.recordEvent(startTime, 1, Left)
 	}
--- a/endpoints/list.go
+++ b/endpoints/list.go
@@ -1,10 +1,10 @@
 // Package endpoints maintains a dispatcher's list of endpoints: what service discovery reported
-// about each worker and what the worker itself has shown since. It lets a dispatcher start from a
-// cached list while service discovery is unavailable.
+// about each worker, and the results of requests to the worker since then. It lets a dispatcher
+// start from a cached list while service discovery is unavailable.
 //
 // A List is a single-threaded state machine: methods take events with the current time, TakeActions
-// returns the side effects to carry out. It has no clock, no goroutine and does no I/O. The choice
-// of a worker for a request is the balancer's.
+// returns the side effects to carry out. It has no clock and no goroutines, and does no I/O.
+// Selecting a worker for a request is left to package balancer.
 package endpoints
 
 import (
@@ -28,9 +28,9 @@
 	watch             watchState
 	slowStart         slowStart
 	pending           Actions
-	hasPublished      bool // the load balancer has been given a list
+	hasPublished      bool // whether the load balancer has received a list
 	runningChecks     int
-	reportedExhausted bool // the log says that no cached endpoint is left
+	reportedExhausted bool // whether reportExhaustion has logged since the watch was last live
 }
 
 // New returns an empty List.
@@ -42,7 +42,7 @@
 	}
 }
 
-// insert adds an endpoint that the list does not have.
+// insert adds an endpoint that is not in the list yet.
 func (l *List) insert(endpoint Endpoint) *listEntry {
 	entry := &listEntry{Endpoint: endpoint, evidence: evidence{confidence: 1}}
 	l.entries[endpoint.ID] = entry
@@ -51,7 +51,8 @@
 	return entry
 }
 
-// remove takes an endpoint that service discovery no longer has off the list; entry may be nil.
+// remove deletes an endpoint that service discovery no longer reports. It does nothing if entry is
+// nil.
 func (l *List) remove(now time.Time, entry *listEntry) {
 	if entry == nil {
 		return
@@ -67,19 +68,19 @@
 	l.sorted = slices.DeleteFunc(l.sorted, func(other *listEntry) bool { return other == entry })
 }
 
-// IsLive reports whether the list is the current one of service discovery.
+// IsLive reports whether the list is in sync with service discovery over a live watch.
 func (l *List) IsLive() bool { return l.watch.live }
 
-// Cursor returns the number of the last watch event applied.
+// Cursor returns the number of the last watch event that was applied.
 func (l *List) Cursor() int64 { return l.watch.cursor }
 
-// Epoch returns the epoch in which service discovery numbers its events.
+// Epoch returns the epoch of the event numbers of service discovery. Cursor belongs to it.
 func (l *List) Epoch() string { return l.watch.epoch }
 
 // InSlowStart reports whether slow start limits the admission of requests.
 func (l *List) InSlowStart() bool { return l.slowStart.active }
 
-// UsableCount returns the number of endpoints that the load balancer may give new requests.
+// UsableCount returns the number of endpoints to which the load balancer may send new requests.
 func (l *List) UsableCount() int {
 	count := 0
 	for _, entry := range l.sorted {
--- a/endpoints/observe.go
+++ b/endpoints/observe.go
@@ -7,7 +7,9 @@
 	"oakthread/balancer"
 )
 
-// HandleObservation handles what an attempt or a load order showed about a worker.
+// HandleObservation handles the outcome of an attempt or a load order at a worker. With a live
+// watch, or if cached endpoints are trusted, it updates only the response rate and the time of the
+// last answer.
 func (l *List) HandleObservation(now time.Time, id balancer.WorkerID, observation Observation) {
 	entry := l.entries[id]
 	if entry == nil {
@@ -45,8 +47,8 @@
 	l.publishChange(entry)
 }
 
-// recheckDrain handles, with a live watch, the health check of a worker that itself reported that
-// it drains: an answer ends the drain, anything else has it checked again.
+// recheckDrain handles, with a live watch, the health check of a worker that itself reported
+// draining: an answer ends the drain, any other result schedules another check.
 func (l *List) recheckDrain(now time.Time, entry *listEntry, observation Observation) {
 	if entry.verification != Draining || entry.State != balancer.Active {
 		return
@@ -59,8 +61,8 @@
 	l.publishAll()
 }
 
-// applyEvidence updates the standing of an endpoint by what its worker showed while service
-// discovery is unavailable.
+// applyEvidence updates the verification state of an endpoint from an observation of its worker. It
+// is called while service discovery is unavailable, and for a worker's own report of draining.
 func (l *List) applyEvidence(now time.Time, entry *listEntry, observation Observation, isHealthCheck bool) {
 	switch observation {
 	case Answered, AnsweredLate:
@@ -78,13 +80,14 @@
 	}
 }
 
-// handleResponse records an answer: the worker runs, and slow start gives it more or less load.
+// handleResponse records an answer: the worker is running, and slow start raises its load, or
+// lowers it if the answer was late.
 func (l *List) handleResponse(now time.Time, entry *listEntry, observation Observation, isHealthCheck bool) {
 	if entry.verification == Draining || entry.verification == Excluded {
 		if !isHealthCheck || entry.isDrainingByDiscovery() {
-			return // an answer to an earlier request, or service discovery reported the drain
+			return // the answer may be to an earlier request, or service discovery reported the drain
 		}
-		// Another process may have taken the address over, so it counts as just started.
+		// Another process may have taken over the address, so the worker counts as just started.
 		entry.drainReportedAt = time.Time{}
 		entry.State = balancer.Active
 		entry.Start = now
@@ -101,8 +104,8 @@
 	l.scheduleSlowStartCheck(now, entry)
 }
 
-// handleBrokenConnection handles a connection that broke after it was accepted. It shows that
-// something listens at the address, which is a failure only of an endpoint that never answered.
+// handleBrokenConnection handles a connection that broke after it was accepted. Something listens
+// at the address, so this counts as a failure only for an endpoint that is still unverified.
 func (l *List) handleBrokenConnection(now time.Time, entry *listEntry) {
 	switch entry.verification {
 	case Unverified:
@@ -113,8 +116,8 @@
 	}
 }
 
-// handleRejection handles a worker that rejected a request because it is full or drains. A health
-// check finds out which.
+// handleRejection handles a worker that rejected a request because it is overloaded or draining. It
+// schedules a health check to determine which.
 func (l *List) handleRejection(now time.Time, entry *listEntry) {
 	l.slowStart.recordSetback(now, entry)
 	if !entry.check.isRunning && entry.verification != Draining {
@@ -122,7 +125,7 @@
 	}
 }
 
-// handleDrainReport handles a worker's own report that it drains.
+// handleDrainReport handles a worker's own report that it is draining.
 func (l *List) handleDrainReport(now time.Time, entry *listEntry) {
 	if entry.verification != Draining {
 		l.log("worker reports draining", slog.Uint64("worker_id", uint64(entry.ID)))
--- a/endpoints/observe_test.go
+++ b/endpoints/observe_test.go
@@ -10,9 +10,9 @@
 	"oakthread/balancer"
 )
 
-// Without service discovery a 503 has the worker checked, and its own report of draining binds at
-// once.
-func TestOwnDrainReportBindsBeforeDiscovery(t *testing.T) {
+// Without service discovery, a request rejected with 503 causes a health check of the worker. If
+// the worker then reports draining itself, that is published and saved at once.
+func TestOwnDrainReportAppliesBeforeDiscovery(t *testing.T) {
 	list, view := New(Config{}), balancerView{}
 	list.Restore(startTime, cachedSnapshot(time.Minute, testEndpoint(1), testEndpoint(2)))
 	runHealthChecks(list, view, startTime, time.Second, answered)
@@ -29,17 +29,18 @@
 	assert.True(t, actions.SaveUrgently, "saved at once")
 	assert.Equal(t, balancer.Draining, list.TakeSnapshot(now).Endpoints[1].State)
 
-	// Service discovery learns of a drain late, so its report does not replace the worker's own for
-	// a while.
+	// A full update of service discovery that has the worker as active is newer than the worker's
+	// own report and replaces it.
 	list.HandleUpdate(now, Update{Full: true, Cursor: 8, Endpoints: []Endpoint{testEndpoint(1), testEndpoint(2)}})
 	view.take(list)
 	assert.True(t, list.IsLive())
 	list.HandleConfirmation(now.Add(time.Second))
 	view.take(list)
-	assert.Equal(t, []int{1, 2}, view.active(), "a newer report of this worker counts")
+	assert.Equal(t, []int{1, 2}, view.active(), "the newer report of service discovery counts")
 }
 
-// A full worker is checked four times a second at most, however many requests it rejects.
+// An overloaded worker is health checked at most four times per second, regardless of the number of
+// requests that it rejects.
 func TestOverloadedWorkerIsCheckedRarely(t *testing.T) {
 	list, view := New(Config{}), balancerView{}
 	list.Restore(startTime, cachedSnapshot(time.Minute, testEndpoint(1)))
@@ -55,11 +56,11 @@
 		}
 	}
 	assert.InDelta(t, 8, checks, 1)
-	assert.Equal(t, []int{1}, view.active(), "a full worker stays on the list")
+	assert.Equal(t, []int{1}, view.active(), "an overloaded worker stays published")
 }
 
-// A worker that answers at the address of an excluded endpoint may be another one, so it counts as
-// just started.
+// A worker that answers at the address of an excluded endpoint may be a different process, so it
+// counts as just started.
 func TestExcludedEndpointThatAnswersCountsAsJustStarted(t *testing.T) {
 	list, view := New(Config{}), balancerView{}
 	list.Restore(startTime, cachedSnapshot(time.Minute, testEndpoint(1), testEndpoint(2)))
--- a/endpoints/property_test.go
+++ b/endpoints/property_test.go
@@ -9,19 +9,20 @@
 	"oakthread/balancer"
 )
 
-// maxTestID is the highest worker ID that the random events name.
+// maxTestID is the highest worker ID in the random events.
 const maxTestID = 7
 
-// listMachine drives a list by random events, and remembers what the list must not publish as
-// active.
+// listMachine applies random events to a list and records which workers the list must not publish
+// as active.
 type listMachine struct {
 	list   *List
 	view   balancerView
 	now    time.Time
 	cursor int64
 
-	// banned holds when a worker was last reported as draining or removed, without a newer report.
-	banned map[balancer.WorkerID]time.Time
+	// inactiveSince is when a worker was last reported as draining or removed, without a newer
+	// report of it.
+	inactiveSince map[balancer.WorkerID]time.Time
 }
 
 // newListMachine returns a machine whose list is restored from a random snapshot.
@@ -29,7 +30,7 @@
 	config := Config{Seed: rapid.Uint64().Draw(t, "seed"), Dispatchers: rapid.IntRange(1, 50).Draw(t, "dispatchers")}
 	m := &listMachine{
 		list: New(config), view: balancerView{}, now: startTime, cursor: 7,
-		banned: map[balancer.WorkerID]time.Time{},
+		inactiveSince: map[balancer.WorkerID]time.Time{},
 	}
 	var cached []Endpoint
 	for i := range rapid.IntRange(0, 5).Draw(t, "cached") {
@@ -41,7 +42,7 @@
 	return m
 }
 
-// step advances the time and gives the list one random event.
+// step advances the time and applies one random event to the list.
 func (m *listMachine) step(t *rapid.T) {
 	m.now = m.now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "after")) * time.Millisecond)
 	id := balancer.WorkerID(rapid.IntRange(1, maxTestID).Draw(t, "worker"))
@@ -69,34 +70,35 @@
 	m.view.take(m.list)
 }
 
-// updateOne has service discovery report one endpoint.
+// updateOne applies a partial update of one endpoint.
 func (m *listMachine) updateOne(id balancer.WorkerID, state balancer.EndpointState) {
 	endpoint := testEndpoint(int(id))
 	endpoint.State = state
 	m.cursor++
 	m.list.HandleUpdate(m.now, Update{Cursor: m.cursor, Endpoints: []Endpoint{endpoint}})
-	delete(m.banned, id)
+	delete(m.inactiveSince, id)
 	if state != balancer.Active {
-		m.banned[id] = m.now
+		m.inactiveSince[id] = m.now
 	}
 }
 
-// updateAll has service discovery report a random complete list.
+// updateAll applies a full update with a random list.
 func (m *listMachine) updateAll(t *rapid.T) {
 	var all []Endpoint
-	clear(m.banned)
+	clear(m.inactiveSince)
 	for id := 1; id <= maxTestID; id++ {
 		if rapid.Bool().Draw(t, "listed") {
 			all = append(all, testEndpoint(id))
 		} else {
-			m.banned[balancer.WorkerID(id)] = m.now
+			m.inactiveSince[balancer.WorkerID(id)] = m.now
 		}
 	}
 	m.cursor++
 	m.list.HandleUpdate(m.now, Update{Full: true, Cursor: m.cursor, Endpoints: all})
 }
 
-// endCheck ends a health check. An answer of a worker whose entry is active ends its own drain.
+// endCheck ends a health check. An answer of a worker that service discovery has as active ends the
+// drain that the worker reported itself.
 func (m *listMachine) endCheck(id balancer.WorkerID, observation Observation) {
 	m.list.HandleHealthCheck(m.now, id, observation)
 	entry := m.list.entries[id]
@@ -105,16 +107,16 @@
 	}
 	switch {
 	case observation == ReportedDraining:
-		m.banned[id] = m.now
+		m.inactiveSince[id] = m.now
 	case observation.isResponse() && entry.State == balancer.Active:
-		delete(m.banned, id)
+		delete(m.inactiveSince, id)
 	}
 }
 
-// checkDrains fails if a worker is published as active within drainReportTTL of a report to the
-// contrary.
+// checkDrains fails if a worker is published as active within drainReportTTL after it was last
+// reported as draining or removed.
 func (m *listMachine) checkDrains(t *rapid.T) {
-	for id, reportedAt := range m.banned {
+	for id, reportedAt := range m.inactiveSince {
 		endpoint, isPublished := m.view[id]
 		age := m.now.Sub(reportedAt)
 		if isPublished && endpoint.State == balancer.Active && age < drainReportTTL {
@@ -123,8 +125,8 @@
 	}
 }
 
-// checkRows fails if a worker is listed twice, has a confidence outside 0..1 or one that grows with
-// age, or is published without being listed.
+// checkRows fails if a worker is listed twice, has a confidence outside 0..1 or one that increases
+// with time, or is published without being listed.
 func (m *listMachine) checkRows(t *rapid.T) {
 	listed := map[balancer.WorkerID]bool{}
 	for _, row := range m.list.Report(m.now) {
@@ -144,7 +146,7 @@
 	}
 }
 
-// The invariants of the published list and of confidence hold over random orders of all events.
+// The invariants of the published list and of confidence hold for random sequences of all events.
 func TestInvariantsHoldOverRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machine := newListMachine(t)
--- a/endpoints/publish.go
+++ b/endpoints/publish.go
@@ -2,9 +2,9 @@
 
 import "oakthread/balancer"
 
-// isUsable reports whether the load balancer may have the endpoint. A worker that has not answered
-// since the start gets health checks only, since a request sent to an address without a worker
-// would be lost.
+// isUsable reports whether the endpoint may be published to the load balancer. A worker from a
+// cached list gets health checks only until it answers, since a request sent to an address without
+// a worker would be lost.
 func (l *List) isUsable(entry *listEntry) bool {
 	switch entry.verification {
 	case Reported, Verified:
@@ -19,14 +19,15 @@
 	return false
 }
 
-// publishAll publishes every endpoint that changed for the load balancer.
+// publishAll calls publishChange for every endpoint.
 func (l *List) publishAll() {
 	for _, entry := range l.sorted {
 		l.publishChange(entry)
 	}
 }
 
-// publishChange publishes an endpoint if it changed for the load balancer.
+// publishChange publishes an endpoint if a field that the load balancer uses has changed, and its
+// removal if it is no longer usable.
 func (l *List) publishChange(entry *listEntry) {
 	if !l.isUsable(entry) {
 		if entry.isPublished {
@@ -48,21 +49,21 @@
 	}
 }
 
-// isSameForBalancer reports whether two versions of an endpoint agree in all that the load balancer
-// uses.
+// isSameForBalancer reports whether two versions of an endpoint are equal in all fields that the
+// load balancer uses.
 func isSameForBalancer(a, b Endpoint) bool {
 	return a.Addr == b.Addr && a.State == b.State && a.Weight == b.Weight && a.Start.Equal(b.Start) &&
 		a.Zone == b.Zone && a.Kind == b.Kind && a.Cell == b.Cell
 }
 
-// publishRemoval publishes an entry that leaves the list.
+// publishRemoval publishes an entry that is being removed from the list.
 func (l *List) publishRemoval(entry *listEntry) {
 	l.appendPublication(entry.Endpoint)
 	entry.isPublished = false
 }
 
-// appendPublication adds an endpoint to the pending publication, in place of an earlier version of
-// the same endpoint. The first publication of all is a complete list.
+// appendPublication adds an endpoint to the pending publication, replacing an earlier version of
+// the same endpoint. The first publication is a complete list.
 func (l *List) appendPublication(endpoint Endpoint) {
 	if count := len(l.pending.Publications); count > 0 {
 		l.pending.Publications[count-1].put(endpoint)
@@ -85,7 +86,7 @@
 	}
 }
 
-// put adds an endpoint or replaces its earlier version.
+// put adds an endpoint to the publication or replaces its earlier version.
 func (p *Publication) put(endpoint Endpoint) {
 	for i := range p.Endpoints {
 		if p.Endpoints[i].ID == endpoint.ID {
--- a/endpoints/responserate.go
+++ b/endpoints/responserate.go
@@ -14,9 +14,10 @@
 	minObservedFraction = 0.05
 )
 
-// responseRate measures the responses per second of one worker by an exponentially decaying count.
+// responseRate measures the responses per second of one worker with an exponentially decaying
+// count.
 type responseRate struct {
-	count     float64 // decayed to updatedAt
+	count     float64 // decayed as of updatedAt
 	updatedAt time.Time
 	startedAt time.Time // of the first response counted
 }
@@ -40,7 +41,7 @@
 	return r.count * decay(now.Sub(r.updatedAt), rateWindow) / (rateWindow.Seconds() * observed)
 }
 
-// decay returns the weight that remains of a count after elapsed, by an exponential decay with the
+// decay returns the fraction of a count that remains after elapsed under exponential decay with the
 // given time constant.
 func decay(elapsed, timeConstant time.Duration) float64 {
 	if elapsed <= 0 {
--- a/endpoints/restore.go
+++ b/endpoints/restore.go
@@ -10,27 +10,28 @@
 )
 
 const (
-	// immediateChecks is the number of health checks that a restored list sends at once. Three make
-	// it likely that one answers although some workers have left.
+	// immediateChecks is the number of health checks that a restored list starts immediately. With
+	// three it is likely that one worker answers even if some have left.
 	immediateChecks = 3
 
-	// initialCheckWindow is the time in which the initial health checks are sent, as many as the
-	// configured rate of all dispatchers together allows.
+	// initialCheckWindow is the time over which the initial health checks are spread. Their number
+	// is limited by the configured rate of all dispatchers together.
 	initialCheckWindow = 150 * time.Millisecond
 
-	// minInitialChecks bounds the number of initial health checks from below.
+	// minInitialChecks is the minimum number of initial health checks.
 	minInitialChecks = 8
 
-	// remainingCheckDelay postpones the other health checks until the initial ones have completed
-	// slow start.
+	// remainingCheckDelay delays the health checks of the other endpoints, so that the initially
+	// checked ones can complete slow start first.
 	remainingCheckDelay = 600 * time.Millisecond
 
-	// confidenceBands is the number of bands by which initial health checks prefer endpoints of
-	// higher confidence. Within a band the order is random and differs between dispatchers.
+	// confidenceBands is the number of equal intervals of confidence by which the initial health
+	// checks are ordered, highest first. Within an interval the order is random, so that it differs
+	// between dispatchers.
 	confidenceBands = 4
 )
 
-// Restore starts the list from a snapshot. It is the first event of a list that has one.
+// Restore starts the list from a snapshot. It must be called before any other event.
 func (l *List) Restore(now time.Time, snapshot Snapshot) {
 	l.history = snapshot.History
 	l.watch.epoch, l.watch.cursor, l.watch.confirmedAt = snapshot.Epoch, snapshot.Cursor, snapshot.ConfirmedAt
@@ -74,10 +75,11 @@
 	entry.ramp.formerRate = endpoint.RequestRate
 }
 
-// scheduleInitialChecks brings forward the health checks of as many endpoints as the configured
-// rate allows within initialCheckWindow, immediateChecks of them at once. Endpoints of higher
-// confidence come first, otherwise the choice is random so that dispatchers check different
-// workers. The other endpoints follow after remainingCheckDelay.
+// scheduleInitialChecks moves the health checks of some unverified endpoints forward: of as many as
+// the configured rate allows within initialCheckWindow, and immediateChecks of them to now.
+// Endpoints in a higher band of confidence come first; otherwise the choice is random, so that
+// dispatchers check different workers. The other unverified endpoints follow after
+// remainingCheckDelay.
 func (l *List) scheduleInitialChecks(now time.Time) {
 	var candidates []*listEntry
 	for _, entry := range l.sorted {
@@ -100,13 +102,14 @@
 }
 
 // initialChecks returns how many of the candidates this dispatcher may check within
-// initialCheckWindow.
+// initialCheckWindow: its share of the configured rate, but at least minInitialChecks. It may
+// exceed candidates.
 func (l *List) initialChecks(candidates int) int {
 	checksPerWorker := l.config.HealthCheckRate * initialCheckWindow.Seconds()
 	return max(int(checksPerWorker*float64(candidates)/float64(l.config.Dispatchers)), minInitialChecks)
 }
 
-// checkSpread returns the time over which every endpoint is checked once, so that all dispatchers
+// checkSpread returns the time over which each endpoint is checked once, such that all dispatchers
 // together keep to the configured rate of health checks.
 func (l *List) checkSpread() time.Duration {
 	return time.Duration(float64(l.config.Dispatchers) / l.config.HealthCheckRate * float64(time.Second))
--- a/endpoints/restore_test.go
+++ b/endpoints/restore_test.go
@@ -10,14 +10,14 @@
 	"oakthread/balancer"
 )
 
-// After a restore nothing is published before a worker has answered, then only the workers that
-// did.
+// After a restore nothing is published until a worker has answered, and then only the workers that
+// have answered.
 func TestOnlyVerifiedEndpointsArePublished(t *testing.T) {
 	list, view := New(Config{Dispatchers: 3}), balancerView{}
 	draining := testEndpoint(3)
 	draining.State = balancer.Draining
 	list.Restore(startTime, cachedSnapshot(6*time.Hour, testEndpoint(1), testEndpoint(2), draining))
-	assert.Empty(t, list.TakeActions().Publications, "no list before an answer")
+	assert.Empty(t, list.TakeActions().Publications, "no list is published before a worker answers")
 	checks := runHealthChecks(list, view, startTime, time.Second, func(endpoint Endpoint) Observation {
 		if endpoint.ID == 1 {
 			return Answered
@@ -30,7 +30,8 @@
 	assert.Equal(t, 1, list.UsableCount())
 }
 
-// A list without any endpoint left is logged once, and nothing is published.
+// When all endpoints of a restored list are excluded, that is logged once, and nothing is
+// published.
 func TestExhaustedListIsLoggedOnceAndNotPublished(t *testing.T) {
 	list := New(Config{})
 	list.Restore(startTime, cachedSnapshot(time.Hour, testEndpoint(1), testEndpoint(2)))
@@ -52,8 +53,8 @@
 	assert.Equal(t, 1, logged)
 }
 
-// The health checks of many dispatchers that restart together are spread and bounded at each
-// worker.
+// When many dispatchers restart at the same time, their health checks are spread over time, and
+// their number per worker is bounded.
 func TestHealthChecksOfRestartingFleetAreSpread(t *testing.T) {
 	var endpoints []Endpoint
 	for i := range 200 {
@@ -65,7 +66,7 @@
 	for dispatcher := range dispatchers {
 		list, view := New(Config{Dispatchers: dispatchers, Seed: uint64(dispatcher)}), balancerView{}
 		list.Restore(startTime, cachedSnapshot(time.Hour, endpoints...))
-		started := 0 // at most in one tick
+		started := 0 // maximum number started in one tick
 		for tick := range 100 {
 			now := startTime.Add(time.Duration(tick) * 5 * time.Millisecond)
 			list.Tick(now)
--- a/endpoints/slowstart.go
+++ b/endpoints/slowstart.go
@@ -7,74 +7,77 @@
 )
 
 const (
-	// defaultInitialLoadFraction is the part of its former load that a worker gets at its first
-	// success. A worker that starts has a fifth of its capacity at the least and fails at three
-	// times that, 0.6 of what it did before. The margin to 0.6 is for chance and for workers that
-	// were not fully used.
+	// defaultInitialLoadFraction is the fraction of its former load that a worker gets at its first
+	// success. A worker that has just started has at least a fifth of its capacity and fails at
+	// three times that, which is 0.6 of its former load. The margin to 0.6 allows for random
+	// variation and for workers that were not fully used.
 	defaultInitialLoadFraction = 0.36
 
-	// fullLoadSuccesses is the number of successes after which a worker is not limited. Each
-	// success doubles its load.
+	// fullLoadSuccesses is the number of successes after which a worker is no longer limited. Each
+	// success after the first doubles its load.
 	fullLoadSuccesses = 4
 
-	// minSuccessInterval is the least time between successes of one worker that count: by then the
-	// load that the last one admitted shows its effect.
+	// minSuccessInterval is the minimum time between two counted successes of one worker, so that
+	// the load admitted by the previous one takes effect before the next increase.
 	minSuccessInterval = 100 * time.Millisecond
 
-	// burstWindow is the time for which unused admissions are saved up.
+	// burstWindow is the time for which unused admissions accumulate in the token bucket. The
+	// capacity of the bucket is at least one.
 	burstWindow = 60 * time.Millisecond
 
-	// recoveryWindow is the time after slow start for which recoveryLoadFactor times the former
-	// load is admitted at the most, so that the requests rejected before do not return in one wave.
+	// recoveryWindow is the time after slow start in which at most recoveryLoadFactor times the
+	// former load is admitted, so that the requests rejected before do not all return at once.
 	recoveryWindow     = 3 * time.Second
 	recoveryLoadFactor = 1.5
 
-	// rateUpdateInterval is the least time between two computations of the admission rate, which
-	// visit every endpoint.
+	// rateUpdateInterval is the minimum time between two computations of the admission rate, since
+	// each iterates over all endpoints.
 	rateUpdateInterval = 2 * time.Millisecond
 
-	// retryLoadFraction is the part of the former load at which rejected requests are to return.
+	// retryLoadFraction is the rate at which rejected requests are told to return, as a fraction of
+	// the former load.
 	retryLoadFraction = 0.3
 
-	// minSlowStartWeight is the weight that an endpoint of no weight counts with.
+	// minSlowStartWeight is the minimum weight of an endpoint in the computation of the admission
+	// rate, so that an endpoint of weight 0 counts.
 	minSlowStartWeight = 0.1
 
-	// completedPercent is the part of the answering endpoints that must not be limited any more for
-	// slow start to end once every endpoint has been checked.
+	// completedPercent is the percentage of the answering endpoints that must no longer be limited
+	// for slow start to complete once every endpoint has been checked.
 	completedPercent = 90
 
-	// checkJitterDivisor bounds the jitter of the health checks of slow start to a part of their
-	// interval.
+	// checkJitterDivisor is the divisor of the health check interval in slow start that gives the
+	// maximum jitter.
 	checkJitterDivisor = 4
 )
 
 // slowStart limits the requests that a dispatcher admits after it has started from a cached list.
-// The admission rate grows with each success of a worker, as a congestion window does (RFC 5681,
-// section 3.1), summed over the workers that answer. Each dispatcher uses the share of a worker's
-// capacity that it used before, so that any number of dispatchers that restart together need not
-// coordinate.
+// The admission rate grows with each success of a worker, like a congestion window (RFC 5681,
+// section 3.1), summed over the workers that answer. Each dispatcher limits itself relative to the
+// load that it sent to the workers before, so any number of dispatchers can restart at the same
+// time without coordination.
 type slowStart struct {
 	active        bool
 	endedAt       time.Time
 	tokens        float64 // requests that may be admitted at refilledAt
 	refilledAt    time.Time
-	lastRetrySlot time.Time // the last time given to a rejected request
+	lastRetrySlot time.Time // when the last rejected request was told to return
 	rateUpdatedAt time.Time
 	admissionRate float64   // requests per second
 	formerRate    float64   // requests per second of all workers before the start
-	recoveryEnd   time.Time // zero: workers are still limited
+	recoveryEnd   time.Time // zero: recovery has not started
 }
 
 // rampState is the progress of one endpoint in slow start.
 type rampState struct {
 	formerRate float64 // requests per second that the worker answered this dispatcher before the start
-	successes  int     // less the setbacks
+	successes  int     // counted successes minus setbacks; a setback leaves at least 1
 	changedAt  time.Time
 	hadSetback bool
 }
 
-// startSlowStart begins slow start at the load of the cached list. Without a known former load it
-// does nothing, and the load balancer's own limits apply.
+// startSlowStart begins slow start relative to the load recorded in the cached list. If that is
+// unknown, slow start is skipped and only the load balancer's own limits apply.
 func (l *List) startSlowStart(now time.Time) {
 	s := &l.slowStart
 	for _, entry := range l.sorted {
@@ -84,7 +87,7 @@
 		return
 	}
 	s.active, s.refilledAt = true, now
-	s.tokens = l.rng.Float64() // dispatchers that restart together do not admit their first requests at one moment
+	s.tokens = l.rng.Float64() // random, so that restarted dispatchers admit their first requests at different times
 }
 
 // stop ends slow start.
@@ -94,8 +97,9 @@
 	}
 }
 
-// recordSuccess doubles the load of a worker that answered in time, unless it is no longer limited
-// or its last change is too recent for the success to count.
+// recordSuccess counts a success of a worker that answered in time, unless the worker is no longer
+// limited or its count changed less than minSuccessInterval ago. Each success after the first
+// doubles the worker's load.
 func (s *slowStart) recordSuccess(now time.Time, entry *listEntry) {
 	ramp := &entry.ramp
 	if s.active && ramp.successes < fullLoadSuccesses && now.Sub(ramp.changedAt) >= minSuccessInterval {
@@ -104,7 +108,8 @@
 	}
 }
 
-// recordSetback halves the load of a worker that failed, answered late or rejected a request.
+// recordSetback halves the load of a worker that failed, answered late or rejected a request, down
+// to the load at its first success.
 func (s *slowStart) recordSetback(now time.Time, entry *listEntry) {
 	ramp := &entry.ramp
 	if s.active && ramp.successes > 0 {
@@ -113,8 +118,8 @@
 	}
 }
 
-// weightFactor returns the factor of the endpoint's weight for the load balancer. It is below 1
-// after a setback until the worker is no longer limited.
+// weightFactor returns the factor by which the endpoint's weight is multiplied for the load
+// balancer. It is below 1 after a setback, until the worker is no longer limited.
 func (s *slowStart) weightFactor(entry *listEntry) float64 {
 	if !s.active || !entry.ramp.hadSetback || entry.ramp.successes >= fullLoadSuccesses {
 		return 1
@@ -122,8 +127,8 @@
 	return float64(entry.ramp.successes) / fullLoadSuccesses
 }
 
-// scheduleSlowStartCheck schedules the next health check of a limited endpoint that has none
-// scheduled. Attempts may complete its slow start sooner.
+// scheduleSlowStartCheck schedules the next health check of an endpoint that is still limited and
+// has none scheduled. Attempts may complete the slow start of the endpoint sooner.
 func (l *List) scheduleSlowStartCheck(now time.Time, entry *listEntry) {
 	if !l.slowStart.active || entry.ramp.successes >= fullLoadSuccesses || !entry.check.dueAt.IsZero() {
 		return
@@ -142,16 +147,16 @@
 	return max(minSuccessInterval, interval)
 }
 
-// slowStartProgress sums up the slow start of all endpoints.
+// slowStartProgress is the progress of slow start, summed over all endpoints.
 type slowStartProgress struct {
 	checkedWeight  float64 // of the endpoints with a completed health check
 	admittedWeight float64 // of the answering ones, doubled by each success after the first
-	unlimited      int     // answering endpoints with full load
-	answering      int
-	unchecked      int
+	unlimited      int     // answering endpoints that are no longer limited
+	answering      int     // usable endpoints with at least one success
+	unchecked      int     // endpoints without a completed health check
 }
 
-// slowStartProgress returns the progress of the endpoints.
+// slowStartProgress sums the progress over all endpoints.
 func (l *List) slowStartProgress() slowStartProgress {
 	var progress slowStartProgress
 	for _, entry := range l.sorted {
@@ -174,10 +179,11 @@
 	return progress
 }
 
-// updateAdmissionRate computes the admission rate from the endpoints checked so far. Their share of
-// the former load stands for all endpoints, since a dispatcher needs no more workers than can take
-// its load, and the others check different workers. Slow start passes to recovery when the rate is
-// no longer the limit.
+// updateAdmissionRate computes the admission rate from the endpoints checked so far. Their result
+// is extrapolated to all endpoints, since a dispatcher needs only as many workers as can take its
+// load, and other dispatchers check different workers. Recovery begins when the rate reaches
+// recoveryLoadFactor times the former load, or when all endpoints have been checked and at least
+// completedPercent of the answering ones are no longer limited.
 func (l *List) updateAdmissionRate(now time.Time) {
 	s := &l.slowStart
 	s.rateUpdatedAt = now
@@ -196,8 +202,8 @@
 	}
 }
 
-// Admit decides whether a request is admitted now. A rejected request is to return after
-// retryAfter. It is called once per request.
+// Admit decides whether a request is admitted now. A rejected request should be retried after
+// retryAfter. Admit must be called once per request.
 func (l *List) Admit(now time.Time) (retryAfter time.Duration, admitted bool) {
 	s := &l.slowStart
 	if !s.active {
@@ -222,7 +228,8 @@
 	return l.nextRetrySlot(now), false
 }
 
-// refill adds the tokens of the time since the last refill.
+// refill adds the tokens for the time since the last refill, at rate tokens per second, up to the
+// capacity.
 func (s *slowStart) refill(now time.Time, rate float64) {
 	if now.After(s.refilledAt) {
 		capacity := max(1, rate*burstWindow.Seconds())
@@ -231,9 +238,11 @@
 	}
 }
 
-// nextRetrySlot returns the wait of a rejected request. Every request gets a slot of its own after
-// slow start, by the virtual scheduling of the generic cell rate algorithm (ITU-T I.371): rejected
-// requests return spread out beside the usual load. No wait exceeds the configured maximum.
+// nextRetrySlot returns how long a rejected request should wait. Requests get successive slots, by
+// the virtual scheduling of the generic cell rate algorithm (ITU-T I.371), so that rejected
+// requests return spread out in addition to the usual load. To leave time for slow start, the first
+// slot is after two rounds of health checks. No wait exceeds the configured maximum; requests that
+// reach it at the same time share a slot.
 func (l *List) nextRetrySlot(now time.Time) time.Duration {
 	s := &l.slowStart
 	earliest := now.Add(2 * max(minSuccessInterval, l.checkSpread()))
--- a/endpoints/slowstart_test.go
+++ b/endpoints/slowstart_test.go
@@ -7,13 +7,13 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// The admission rate starts at a part of the former load, doubles with successes only and halves
-// with setbacks.
+// The admission rate starts at a fraction of the former load, increases only with successes and
+// decreases with setbacks.
 func TestAdmissionRateFollowsSuccessesAndSetbacks(t *testing.T) {
 	list, view := New(Config{}), balancerView{}
 	list.Restore(startTime, cachedSnapshot(time.Minute, testEndpoint(1), testEndpoint(2)))
 	_, ok := list.Admit(startTime)
-	for range 3 { // at most the random first token
+	for range 3 { // the bucket starts with less than one token
 		_, ok = list.Admit(startTime)
 	}
 	assert.False(t, ok, "no worker has answered")
@@ -36,8 +36,8 @@
 	now = now.Add(time.Second)
 	list.HandleObservation(now, 1, Overloaded)
 	list.HandleObservation(now, 2, AnsweredLate)
-	assert.InDelta(t, 2*0.36*10, admitted(now), 1.5, "setbacks halve")
-	list.HandleHealthCheck(now, 1, Answered) // any event publishes
+	assert.InDelta(t, 2*0.36*10, admitted(now), 1.5, "a setback halves the load, down to that of one success")
+	list.HandleHealthCheck(now, 1, Answered) // an event publishes the change of its endpoint
 	view.take(list)
 	assert.Less(t, view[2].Weight, testEndpoint(2).Weight, "the weight is reduced until the worker has recovered")
 }
@@ -51,7 +51,7 @@
 	for range 8 {
 		wait, ok := list.Admit(startTime)
 		if !ok {
-			assert.False(t, seen[wait] && wait < time.Second, "given twice: %v", wait)
+			assert.False(t, seen[wait] && wait < time.Second, "wait given twice: %v", wait)
 			assert.LessOrEqual(t, wait, time.Second)
 			assert.Positive(t, wait)
 			seen[wait] = true
--- a/endpoints/snapshot.go
+++ b/endpoints/snapshot.go
@@ -7,20 +7,20 @@
 	"oakthread/balancer"
 )
 
-// unknownEvidenceAge is the reported age of evidence whose age is unknown.
+// unknownEvidenceAge is the value of EndpointReport.EvidenceAge if the age is unknown.
 const unknownEvidenceAge time.Duration = -1
 
 // Snapshot is the persistent state of a List.
 type Snapshot struct {
 	Epoch       string
 	Cursor      int64
-	ConfirmedAt time.Time // when service discovery last confirmed that the list is current
-	SavedAt     time.Time
+	ConfirmedAt time.Time // when service discovery last confirmed that the list was current
+	SavedAt     time.Time // when the snapshot was taken
 	Endpoints   []Endpoint
 	History     History
 }
 
-// TakeSnapshot returns the state of the list for saving.
+// TakeSnapshot returns the state of the list as of now, for saving.
 func (l *List) TakeSnapshot(now time.Time) Snapshot {
 	snapshot := Snapshot{
 		Epoch:       l.watch.epoch,
@@ -41,9 +41,9 @@
 	return snapshot
 }
 
-// savedRate returns the request rate to save for an endpoint. Until the rate has been measured for
-// one window after slow start, a lower measurement does not replace the rate before the start:
-// admission was limited, not demand.
+// savedRate returns the request rate to save for an endpoint, in requests per second. While the
+// watch is not live, and until rateWindow after slow start, a lower measurement does not replace
+// the rate before the start: it may be low because admission was limited, not because demand fell.
 func (l *List) savedRate(now time.Time, entry *listEntry) float64 {
 	measured := entry.traffic.perSecond(now)
 	if l.watch.live && now.Sub(l.slowStart.endedAt) > rateWindow {
@@ -52,15 +52,15 @@
 	return max(measured, entry.ramp.formerRate)
 }
 
-// EndpointReport is the report on one endpoint.
+// EndpointReport is an endpoint with the state that the list derives for it.
 type EndpointReport struct {
 	Endpoint
-	Confidence   float64 // probability that the worker is running
+	Confidence   float64 // probability that the worker is running, from 0 to 1
 	Verification Verification
 	EvidenceAge  time.Duration // of the last evidence; below 0: unknown
 }
 
-// Report returns the report on all endpoints, ordered by ID.
+// Report returns the reports on all endpoints as of now, ordered by worker ID.
 func (l *List) Report(now time.Time) []EndpointReport {
 	rows := make([]EndpointReport, 0, len(l.sorted))
 	for _, entry := range l.sorted {
--- a/endpoints/testing_test.go
+++ b/endpoints/testing_test.go
@@ -23,7 +23,7 @@
 	return Snapshot{Epoch: "e1", Cursor: 7, ConfirmedAt: saved, SavedAt: saved, Endpoints: endpoints}
 }
 
-// balancerView is the list as the load balancer has it, built from the publications.
+// balancerView is the endpoint list of the load balancer, built from the publications.
 type balancerView map[balancer.WorkerID]Endpoint
 
 // take applies the list's publications and returns all its actions.
@@ -56,8 +56,8 @@
 	return ids
 }
 
-// runHealthChecks ticks the list for the duration, ends every health check by what observe returns,
-// and returns the number of checks of each worker.
+// runHealthChecks ticks the list for the duration, ends every health check with the result of
+// observe, and returns the number of checks of each worker.
 func runHealthChecks(list *List, view balancerView, from time.Time, duration time.Duration,
 	observe func(Endpoint) Observation,
 ) map[balancer.WorkerID]int {
--- a/endpoints/verification.go
+++ b/endpoints/verification.go
@@ -1,20 +1,20 @@
 package endpoints
 
-// Verification is the standing of an endpoint: where the list's knowledge of it comes from and
-// whether that holds.
+// Verification is the verification state of an endpoint: the source of what the list knows about
+// it, and whether observations of the worker have confirmed or contradicted that.
 type Verification int
 
-// The standings of an endpoint.
+// The verification states of an endpoint.
 const (
-	Reported   Verification = iota // reported by service discovery, whose watch is live
-	Unverified                     // known from a cached list only
-	Verified                       // answered this dispatcher
-	Suspect                        // failed, and some confidence is left
-	Excluded                       // failed until confidence fell below the exclusion threshold
-	Draining                       // reported that it accepts no new work
+	Reported   Verification = iota // reported by service discovery
+	Unverified                     // known only from a cached list
+	Verified                       // the worker answered this dispatcher, or was reported until the watch was lost
+	Suspect                        // failed, but confidence is not below the exclusion threshold
+	Excluded                       // failed, and confidence fell below the exclusion threshold
+	Draining                       // accepts no new requests, as reported by the worker or service discovery
 )
 
-// String returns the name of the standing.
+// String returns the name of the verification state.
 func (v Verification) String() string {
 	return [...]string{"reported", "unverified", "verified", "suspect", "excluded", "draining"}[v]
 }
--- a/endpoints/watch.go
+++ b/endpoints/watch.go
@@ -9,27 +9,28 @@
 )
 
 const (
-	// drainReportTTL is the time for which a worker's own report of draining takes precedence over
-	// service discovery, which learns of a drain seconds later. It is also the interval of the
-	// health checks of such a worker.
+	// drainReportTTL is the time for which a worker's own report of draining is kept when service
+	// discovery confirms the list, since service discovery learns of a drain seconds later. It is
+	// also the interval of the health checks of such a worker.
 	drainReportTTL = 10 * time.Second
 
-	// confirmationSaveInterval bounds by how much the saved age of the list is too old.
+	// confirmationSaveInterval is the minimum time between saves for confirmations alone. It limits
+	// how far the saved time of the last confirmation is behind.
 	confirmationSaveInterval = 5 * time.Second
 )
 
-// watchState is the position of the list in the watch events of service discovery.
+// watchState is the state of the watch on service discovery and the position in its events.
 type watchState struct {
 	epoch               string
 	cursor              int64
-	confirmedAt         time.Time // when service discovery last confirmed that the list is current
-	confirmationSavedAt time.Time
-	live                bool // the list is the current one of service discovery
+	confirmedAt         time.Time // when service discovery last confirmed that the list was current
+	confirmationSavedAt time.Time // when markConfirmed last requested a save
+	live                bool      // whether the list is in sync with service discovery
 }
 
-// HandleUpdate applies a watch event. It replaces what was cached, except a worker's own recent
-// report of draining. A partial update of another epoch is ignored, since its numbering is not that
-// of the list.
+// HandleUpdate applies a watch event. What it reports about an endpoint replaces the cached entry
+// and the worker's own report of draining. A partial update of another epoch is ignored, since its
+// event numbers are unrelated to those of the list.
 func (l *List) HandleUpdate(now time.Time, update Update) {
 	if update.Epoch != "" && l.watch.epoch != "" && update.Epoch != l.watch.epoch && !update.Full {
 		l.log("endpoint update of another epoch ignored", slog.String("epoch", update.Epoch),
@@ -59,8 +60,8 @@
 	l.markLive(now)
 }
 
-// applyReport takes one endpoint of a watch event into the list. The endpoints of the first list of
-// all are not recorded as joining.
+// applyReport adds or updates the entry of one endpoint in a watch event. The endpoints of the very
+// first list are not recorded as joined.
 func (l *List) applyReport(now time.Time, endpoint Endpoint, isFirstList bool) {
 	endpoint.UpdatedAt = now
 	entry := l.entries[endpoint.ID]
@@ -78,15 +79,16 @@
 	entry.setVerified(Reported, now)
 }
 
-// updateEntry replaces what service discovery reported about an endpoint. What the worker showed is
-// retained unless another start time or address says that a new process runs there.
+// updateEntry replaces the fields of an entry that service discovery reported. What was observed of
+// the worker is retained, unless a different start time or address indicates that it is a new
+// process.
 func (l *List) updateEntry(now time.Time, entry *listEntry, endpoint Endpoint) {
 	switch {
 	case !endpoint.Start.Equal(entry.Start) || endpoint.Addr != entry.Addr:
 		l.history.recordEvent(now, endpoint.ID, Restarted)
 		entry.resetAfterRestart()
 	case endpoint.State == balancer.Active && entry.State == balancer.Draining:
-		entry.drainReportedAt = time.Time{} // newer than the worker's own report
+		entry.drainReportedAt = time.Time{} // this report is newer than the worker's own
 	}
 	if endpoint.State == balancer.Draining && entry.State != balancer.Draining {
 		l.history.recordEvent(now, endpoint.ID, Drained)
@@ -95,7 +97,7 @@
 	entry.Endpoint = endpoint
 }
 
-// removeUnlisted removes every entry that a full list does not name.
+// removeUnlisted removes every entry that is not in a full list.
 func (l *List) removeUnlisted(now time.Time, listed []Endpoint) {
 	isListed := make(map[balancer.WorkerID]bool, len(listed))
 	for _, endpoint := range listed {
@@ -108,8 +110,8 @@
 	}
 }
 
-// accountObservedTime adds the time since the last confirmation to the history as time in which all
-// endpoints ran.
+// accountObservedTime adds the time since the last confirmation to the history, as time in which
+// all endpoints were running, and moves the time of the confirmation to now.
 func (l *List) accountObservedTime(now time.Time) {
 	if confirmedAt := l.watch.confirmedAt; !confirmedAt.IsZero() && now.After(confirmedAt) {
 		l.history.addObservedTime(len(l.sorted), now.Sub(confirmedAt))
@@ -117,8 +119,8 @@
 	}
 }
 
-// HandleConfirmation handles the confirmation of service discovery that nothing changed after the last
-// watch event.
+// HandleConfirmation handles the confirmation of service discovery that nothing has changed since
+// the last watch event.
 func (l *List) HandleConfirmation(now time.Time) {
 	l.accountObservedTime(now)
 	l.markConfirmed(now, false)
@@ -127,7 +129,7 @@
 	}
 }
 
-// markConfirmed records that service discovery confirmed the list. The list is saved for a full
+// markConfirmed records that service discovery confirmed the list. It requests a save for a full
 // update, otherwise at most once per confirmationSaveInterval.
 func (l *List) markConfirmed(now time.Time, isFull bool) {
 	l.watch.confirmedAt = now
@@ -137,8 +139,9 @@
 	}
 }
 
-// markLive makes the list the current one of service discovery: every entry counts as reported and
-// slow start ends.
+// markLive marks the list as in sync with service discovery: slow start ends, and every entry
+// counts as reported, or as draining if service discovery has it so. An entry whose worker itself
+// has recently reported draining is left unchanged.
 func (l *List) markLive(now time.Time) {
 	if !l.watch.live && l.hasPublished {
 		l.log("endpoint watch restored", slog.Int("endpoints", len(l.sorted)))
@@ -146,7 +149,7 @@
 	l.watch.live, l.reportedExhausted = true, false
 	l.slowStart.stop()
 	for _, entry := range l.sorted {
-		if entry.State == balancer.Active && entry.drainReportHolds(now) {
+		if entry.State == balancer.Active && entry.hasRecentDrainReport(now) {
 			continue
 		}
 		entry.setVerified(Reported, now)
@@ -155,15 +158,15 @@
 			entry.verification = Draining
 		}
 	}
-	if len(l.sorted) == 0 && !l.hasPublished { // an empty list is a list, too
+	if len(l.sorted) == 0 && !l.hasPublished { // an empty list must be published, too
 		l.pending.Publications = append(l.pending.Publications, Publication{Kind: balancer.EndpointsSnapshot})
 	}
 	l.publishAll()
 	l.hasPublished = true
 }
 
-// HandleWatchLost handles the end of the connection to service discovery. The list stays in use and its
-// evidence ages.
+// HandleWatchLost handles the loss of the connection to service discovery. The list stays in use,
+// and confidence in its endpoints decreases with time.
 func (l *List) HandleWatchLost(_ time.Time) {
 	if !l.watch.live {
 		return
@@ -178,8 +181,8 @@
 	}
 }
 
-// HandleWatchReset handles a service discovery that numbers its events anew. The list stays in use until
-// the next full update.
+// HandleWatchReset handles a restart of the event numbering of service discovery. The list stays in
+// use until the next full update replaces it.
 func (l *List) HandleWatchReset(now time.Time) {
 	l.log("endpoint watch reset, reading the full list")
 	l.HandleWatchLost(now)
--- a/endpoints/watch_test.go
+++ b/endpoints/watch_test.go
@@ -9,7 +9,7 @@
 	"oakthread/balancer"
 )
 
-// The confirmation of a list does not end a drain that the worker itself reported.
+// A confirmation of the list does not end a drain that the worker itself reported.
 func TestConfirmationKeepsOwnDrainReport(t *testing.T) {
 	list, view := New(Config{}), balancerView{}
 	list.Restore(startTime, cachedSnapshot(time.Minute, testEndpoint(1), testEndpoint(2)))
@@ -24,8 +24,8 @@
 	assert.Equal(t, []int{1, 2}, view.active())
 }
 
-// When the watch is restored, removed endpoints leave, new ones join with their start time, and the
-// rest is not published anew.
+// When the watch is restored, removed endpoints are dropped, new ones are added with their start
+// time, and the others are not published again as a full list.
 func TestLiveWatchReplacesCachedList(t *testing.T) {
 	list, view := New(Config{}), balancerView{}
 	list.Restore(startTime, cachedSnapshot(time.Hour, testEndpoint(1), testEndpoint(2), testEndpoint(3)))
@@ -45,9 +45,9 @@
 	assert.Equal(t, []int{1, 9}, view.active(), "changes apply at once")
 	list.HandleConfirmation(now)
 	for _, publication := range view.take(list).Publications {
-		assert.Equal(t, balancer.EndpointsDelta, publication.Kind, "the balancer keeps its state of the others")
+		assert.Equal(t, balancer.EndpointsDelta, publication.Kind, "the balancer keeps the other endpoints")
 	}
-	assert.Equal(t, []int{1, 3, 9}, view.active(), "the others are as service discovery has them")
+	assert.Equal(t, []int{1, 3, 9}, view.active(), "the others as last reported by service discovery")
 	assert.Equal(t, now, view[9].Start, "the reported start time")
 	assert.False(t, list.InSlowStart())
 	var events []EventKind
@@ -58,8 +58,8 @@
 	assert.Equal(t, int64(8), list.Cursor())
 }
 
-// A partial update of another epoch is ignored. After a reset the list stays until the next full
-// update.
+// A partial update of another epoch is ignored. After a reset the list stays in use until the next
+// full update.
 func TestUpdateOfAnotherEpochIsIgnored(t *testing.T) {
 	list, view := New(Config{}), balancerView{}
 	full := []Endpoint{testEndpoint(1), testEndpoint(2)}
@@ -71,7 +71,7 @@
 	assert.Equal(t, int64(50), list.Cursor())
 	list.HandleWatchReset(startTime)
 	view.take(list)
-	assert.Equal(t, []int{1, 2}, view.active(), "the list stays until the next full update")
+	assert.Equal(t, []int{1, 2}, view.active(), "the list stays in use until the next full update")
 	full = []Endpoint{testEndpoint(2), testEndpoint(3)}
 	list.HandleUpdate(startTime, Update{Full: true, Epoch: "e2", Cursor: 1, Endpoints: full})
 	view.take(list)
@@ -80,8 +80,9 @@
 	assert.Equal(t, "e2", list.Epoch())
 }
 
-// When the watch is lost after a partial update and restored with another epoch, the update applies
-// at once, the other endpoints stay by their own answers, and the full update replaces all.
+// The watch is lost after a partial update and restored with another epoch. The partial update
+// applies at once, the other endpoints stay published since their workers answer, and the full
+// update replaces the list.
 func TestInterruptedWatchKeepsVerifiedEndpoints(t *testing.T) {
 	list, view := New(Config{}), balancerView{}
 	list.Restore(startTime, cachedSnapshot(time.Hour, testEndpoint(1), testEndpoint(2), testEndpoint(3)))
@@ -109,14 +110,14 @@
 	assert.Len(t, snapshot.Endpoints, 2)
 }
 
-// While the watch is lost, endpoints without traffic are checked again as confidence falls.
+// While the watch is lost, endpoints without traffic are health checked again as confidence falls.
 func TestEndpointsAreRecheckedWhileWatchIsLost(t *testing.T) {
 	list, view := New(Config{}), balancerView{}
 	list.HandleUpdate(startTime, Update{Full: true, Cursor: 1, Endpoints: []Endpoint{testEndpoint(1), testEndpoint(2)}})
 	view.take(list)
 	list.HandleWatchLost(startTime)
 	checks := runHealthChecks(list, view, startTime, time.Second, answered)
-	assert.Empty(t, checks, "just reported")
+	assert.Empty(t, checks, "the endpoints were just reported")
 	for now := startTime; now.Before(startTime.Add(12 * time.Hour)); now = now.Add(10 * time.Second) {
 		list.Tick(now)
 		for _, endpoint := range view.take(list).HealthChecks {
