--- a/admin/classes.go
+++ b/admin/classes.go
@@ -6,17 +6,18 @@
 	"oakthread/balancer"
 )
 
-// Classes is the table of request classes across reloads of the settings. A class is known by its
-// number. Numbers are only added: a class whose rules change at a reload gets a new one, so that
-// requests in flight keep the rules that they began with, and a class that is dropped keeps its
-// number for those requests. The zero value has no class.
+// Classes is the table of request classes across reloads of the settings. A class is identified by
+// its number, and numbers are never removed. A class whose rules change in a reload gets a new
+// number, so that requests in flight keep the rules that they started with, and a class that is
+// dropped keeps its number for those requests. The zero value has no classes.
 type Classes struct {
-	numbers map[string]int   // of the classes in force, by name
+	numbers map[string]int   // of the current classes, by name
 	rules   []balancer.Class // by number
 	names   []string         // by number
 }
 
-// NewClasses returns the table at the start: class i has the name names[i].
+// NewClasses returns the initial table. Class number i has the name names[i] and the rules
+// rules[i].
 func NewClasses(names []string, rules []balancer.Class) Classes {
 	c := Classes{
 		numbers: make(map[string]int, len(names)),
@@ -29,9 +30,9 @@
 	return c
 }
 
-// Compare compares the settings of a reload with the table, without changing it. added are the new
-// classes, which get the numbers from Len on, in order; numbers is the table of names with them.
-// Both are put into force by the next method.
+// Compare compares the classes of reloaded settings with the table, without changing it. added are
+// the new or changed classes, which get the numbers from Len on, in order; numbers is the new table
+// of numbers by name. Apply puts both into effect.
 func (c *Classes) Compare(names []string, rules []balancer.Class) (added []balancer.Class, numbers map[string]int) {
 	numbers = make(map[string]int, len(names))
 	for i, name := range names {
@@ -45,7 +46,7 @@
 	return added, numbers
 }
 
-// Apply puts into force the result of a comparison.
+// Apply puts the results of Compare into effect.
 func (c *Classes) Apply(added []balancer.Class, numbers map[string]int) {
 	c.names = append(c.names, make([]string, len(added))...)
 	for name, number := range numbers {
@@ -57,12 +58,13 @@
 	c.numbers = numbers
 }
 
-// NamesByNumber returns the name of each number, of dropped classes too, as the paths to workers need
-// them.
+// NamesByNumber returns a copy of the class names, indexed by number. It includes dropped classes,
+// whose names the request paths to workers still need.
 func (c *Classes) NamesByNumber() []string { return slices.Clone(c.names) }
 
-// Len returns how many numbers there are, of dropped classes too.
+// Len returns the number of class numbers in the table, including those of dropped classes.
 func (c *Classes) Len() int { return len(c.rules) }
 
-// NumbersByName returns the number of each class in force by its name. The caller must not change it.
+// NumbersByName returns the number of each current class by name. The caller must not modify the
+// map.
 func (c *Classes) NumbersByName() map[string]int { return c.numbers }
--- a/admin/classes_test.go
+++ b/admin/classes_test.go
@@ -8,9 +8,9 @@
 	"oakthread/balancer"
 )
 
-// TestReloadKeepsNumbersOfRequestsInFlight shows that a class added at a reload or with changed
-// rules gets a new number, so that requests in flight keep the old one, that a dropped class is no
-// longer named, and that an unchanged one keeps its number.
+// TestReloadKeepsNumbersOfRequestsInFlight shows that a class that a reload adds or changes gets a
+// new number, so that requests in flight keep the old one, that a dropped class is no longer in the
+// table by name, and that an unchanged class keeps its number.
 func TestReloadKeepsNumbersOfRequestsInFlight(t *testing.T) {
 	a := balancer.Class{LatencyObjective: 1, ClientTimeout: 2, Idempotency: balancer.Idempotent}
 	b := balancer.Class{LatencyObjective: 3, ClientTimeout: 4}
@@ -23,7 +23,7 @@
 	assert.Equal(t, map[string]int{"b": 2, "x": 3}, numbers)
 	c.Apply(added, numbers)
 	assert.Equal(t, 4, c.Len())
-	assert.Equal(t, []string{"a", "b", "b", "x"}, c.NamesByNumber(), "every number keeps a name for the workers")
+	assert.Equal(t, []string{"a", "b", "b", "x"}, c.NamesByNumber(), "every number keeps its name for requests")
 	added, numbers = c.Compare([]string{"b", "x"}, []balancer.Class{b2, x})
 	assert.Empty(t, added, "nothing changed")
 	assert.Equal(t, map[string]int{"b": 2, "x": 3}, numbers)
--- a/admin/state.go
+++ b/admin/state.go
@@ -1,11 +1,10 @@
-// Package admin holds what the operators have changed of a running dispatcher: the workers taken
-// out by hand, whether the dispatcher is in service, and the table of classes across reloads of the
-// settings.
+// Package admin holds what operators change in a running dispatcher: the workers ejected manually,
+// whether the dispatcher is in service, and the table of classes across reloads of the settings.
 //
-// It is a pure state machine without socket, clock, file or goroutine: endpoint updates and the
-// operators' calls come in, and the endpoint updates for the core come out. It chooses no worker
-// for a call. An ejection by hand only has the core see the worker as draining, which package
-// balancer obeys for attempts, retries and load orders.
+// It is a pure state machine without sockets, clocks, files or goroutines: its inputs are endpoint
+// updates and operator requests, its outputs are endpoint updates for the core. It does not select
+// workers for calls. A manual ejection only makes the worker draining in the endpoint list of the
+// core, which package balancer respects for attempts, retries and load orders.
 package admin
 
 import (
@@ -17,16 +16,16 @@
 	"oakthread/balancer"
 )
 
-// State is the operators' side of one dispatcher. The zero value is in service, with no worker
+// State is the administrative state of one dispatcher. The zero value is in service, with no worker
 // listed or ejected. It is not safe for concurrent use.
 type State struct {
-	listed       map[balancer.WorkerID]oakthread.Endpoint // as the endpoint list has them, whether ejected or not
-	ejected      map[balancer.WorkerID]bool               // by hand
+	listed       map[balancer.WorkerID]oakthread.Endpoint // from the endpoint list, ejected or not
+	ejected      map[balancer.WorkerID]bool               // manually
 	outOfService bool
 }
 
-// UpdateEndpoints takes an update of the endpoint list and returns it as the core is to see it: an
-// ejected worker is draining, whatever the list says of it.
+// UpdateEndpoints applies an update of the endpoint list and returns the update for the core, in
+// which an ejected worker that the list has as active is draining.
 func (s *State) UpdateEndpoints(update oakthread.EndpointUpdate) oakthread.EndpointUpdate {
 	if s.listed == nil {
 		s.listed = map[balancer.WorkerID]oakthread.Endpoint{}
@@ -49,7 +48,8 @@
 	return adjusted
 }
 
-// adjust returns an endpoint as the core is to see it.
+// adjust returns the endpoint for the core: an active endpoint is draining if its worker is
+// ejected.
 func (s *State) adjust(endpoint oakthread.Endpoint) oakthread.Endpoint {
 	if s.ejected[endpoint.ID] && endpoint.State == balancer.Active {
 		endpoint.State = balancer.Draining
@@ -57,9 +57,9 @@
 	return endpoint
 }
 
-// Eject ejects a worker until Restore, and returns the update for the core, empty where the worker
-// is not listed. ok is false, and nothing changes, for an id that is neither listed nor ejected. A
-// second Eject changes nothing.
+// Eject ejects a worker until Restore and returns the update for the core, which is empty if the
+// worker is not listed. Ejecting a worker again has no further effect. For an id that is neither
+// listed nor ejected ok is false and nothing changes.
 func (s *State) Eject(id balancer.WorkerID) (update oakthread.EndpointUpdate, ok bool) {
 	if _, listed := s.listed[id]; !listed && !s.ejected[id] {
 		return update, false
@@ -67,10 +67,10 @@
 	return s.eject(id), true
 }
 
-// Restore ends an ejection, however many Eject calls came before, and returns the update for the
-// core. The operators have restarted the worker meanwhile: the core sees it as started at now, so
-// that no function counts as loaded there. ok is false for an id that is neither listed nor
-// ejected.
+// Restore ends an ejection, regardless of the number of Eject calls before, and returns the update
+// for the core. The worker is assumed to have been restarted meanwhile: the update says that it
+// started at now, so that no function counts as loaded on it. ok is false for an id that is neither
+// listed nor ejected.
 func (s *State) Restore(id balancer.WorkerID, now time.Time) (update oakthread.EndpointUpdate, ok bool) {
 	endpoint, listed := s.listed[id]
 	wasEjected := s.ejected[id]
@@ -87,9 +87,9 @@
 	return update, true
 }
 
-// SetEjected replaces the set of ejected workers by that of another process, such as the version before
-// an upgrade or the one beside this one, and returns the update for the core. Workers that are no
-// longer in the set are restored as by Restore at now.
+// SetEjected replaces the set of ejected workers with that of another process, such as the previous
+// version in an upgrade or one that runs alongside this process, and returns the update for the
+// core. Workers that are no longer in the set are restored as by Restore at now.
 func (s *State) SetEjected(ejected []balancer.WorkerID, now time.Time) (update oakthread.EndpointUpdate) {
 	update.Kind = balancer.EndpointsDelta
 	for _, id := range ejected {
@@ -106,8 +106,8 @@
 	return update
 }
 
-// eject marks a worker as ejected and returns the update for the core, empty where the worker is
-// not listed.
+// eject marks a worker as ejected and returns the update for the core, which is empty if the worker
+// is not listed.
 func (s *State) eject(id balancer.WorkerID) (update oakthread.EndpointUpdate) {
 	if s.ejected == nil {
 		s.ejected = map[balancer.WorkerID]bool{}
@@ -120,13 +120,14 @@
 	return update
 }
 
-// Ejected returns the ids of the workers ejected by hand, in order.
+// Ejected returns the ids of the manually ejected workers, in ascending order.
 func (s *State) Ejected() []balancer.WorkerID {
 	return slices.Sorted(maps.Keys(s.ejected))
 }
 
-// CountMembers returns the number of listed workers, and of those among them that get no calls: ejected
-// by hand, draining by the list, or among autoEjected, those that the balancer has ejected.
+// CountMembers returns the number of listed workers, and how many of them receive no calls because
+// they are ejected manually, not active in the endpoint list, or in autoEjected, the workers that
+// the balancer has ejected.
 func (s *State) CountMembers(autoEjected []balancer.WorkerID) (listed, unavailable int) {
 	for id, endpoint := range s.listed {
 		listed++
@@ -137,12 +138,12 @@
 	return listed, unavailable
 }
 
-// TakeOutOfService takes the dispatcher out of service: Ready is false until it is returned to service.
+// TakeOutOfService takes the dispatcher out of service: Ready is false until ReturnToService.
 func (s *State) TakeOutOfService() { s.outOfService = true }
 
 // ReturnToService returns the dispatcher to service.
 func (s *State) ReturnToService() { s.outOfService = false }
 
-// Ready reports whether the front may send clients: the core is ready, and the operators have not
-// taken the dispatcher out of service.
+// Ready reports whether the dispatcher may receive client requests: the core is ready, and
+// operators have not taken the dispatcher out of service.
 func (s *State) Ready(coreReady bool) bool { return coreReady && !s.outOfService }
--- a/admin/state_test.go
+++ b/admin/state_test.go
@@ -21,27 +21,27 @@
 	return update
 }
 
-// TestEjectionHoldsAgainstTheEndpointList shows that the core sees an ejected worker as draining,
-// whatever the endpoint list says later.
-func TestEjectionHoldsAgainstTheEndpointList(t *testing.T) {
+// TestEndpointListDoesNotEndEjection shows that an ejected worker is draining for the core even if
+// a later endpoint list has it as active.
+func TestEndpointListDoesNotEndEjection(t *testing.T) {
 	var s State
 	s.UpdateEndpoints(snapshot(1, 2))
 	update, ok := s.Eject(1)
 	require.True(t, ok)
 	require.Len(t, update.Endpoints, 1)
 	assert.Equal(t, balancer.Draining, update.Endpoints[0].State)
-	adjusted := s.UpdateEndpoints(snapshot(1, 2)) // the list says Ready again
+	adjusted := s.UpdateEndpoints(snapshot(1, 2)) // the list has worker 1 as active
 	assert.Equal(t, balancer.Draining, adjusted.Endpoints[0].State)
 	assert.Equal(t, balancer.Active, adjusted.Endpoints[1].State)
 	listed, unavailable := s.CountMembers(nil)
 	assert.Equal(t, 2, listed)
 	assert.Equal(t, 1, unavailable)
-	_, unavailable = s.CountMembers([]balancer.WorkerID{1, 2}) // ejected by the balancer too: each counted once
+	_, unavailable = s.CountMembers([]balancer.WorkerID{1, 2}) // worker 1 is ejected twice but counted once
 	assert.Equal(t, 2, unavailable)
 }
 
-// TestRestoreEndsSeveralEjections shows that one Restore ends two Ejects, and that the worker is
-// restored as started then, so that no function counts as loaded there.
+// TestRestoreEndsSeveralEjections shows that one Restore ends two Eject calls, and that the worker
+// counts as started at that time, so that no function counts as loaded on it.
 func TestRestoreEndsSeveralEjections(t *testing.T) {
 	var s State
 	s.UpdateEndpoints(snapshot(1))
@@ -59,7 +59,7 @@
 	assert.Equal(t, balancer.Active, s.UpdateEndpoints(snapshot(1)).Endpoints[0].State)
 }
 
-// TestUnknownWorkerIsRejected shows that ids that are not listed change nothing.
+// TestUnknownWorkerIsRejected shows that Eject and Restore of an unlisted worker change nothing.
 func TestUnknownWorkerIsRejected(t *testing.T) {
 	var s State
 	s.UpdateEndpoints(snapshot(1))
@@ -70,8 +70,9 @@
 	assert.Empty(t, s.Ejected())
 }
 
-// TestInheritedEjectionPrecedesTheEndpointList shows that an ejection of another process holds
-// before the endpoint list arrives, and after the worker has left the list.
+// TestInheritedEjectionPrecedesTheEndpointList shows that an ejection taken over from another
+// process applies when it precedes the endpoint list, and after the worker was removed from the
+// list.
 func TestInheritedEjectionPrecedesTheEndpointList(t *testing.T) {
 	var s State
 	s.SetEjected([]balancer.WorkerID{2}, time.Unix(1, 0))
@@ -84,11 +85,12 @@
 	_, ok := s.Eject(2) // no longer listed, but still ejected
 	assert.True(t, ok)
 	assert.Equal(t, []balancer.WorkerID{2}, s.Ejected())
-	s.SetEjected(nil, time.Unix(2, 0)) // restored at the other process
+	s.SetEjected(nil, time.Unix(2, 0)) // restored in the other process
 	assert.Empty(t, s.Ejected())
 }
 
-// TestOutOfService shows that readiness needs an endpoint list and a dispatcher in service.
+// TestOutOfService shows that Ready is true only if the core is ready and the dispatcher is in
+// service.
 func TestOutOfService(t *testing.T) {
 	var s State
 	assert.False(t, s.Ready(false), "no list yet")
