--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -1,6 +1,6 @@
 // Package config reads the dispatcher's configuration file: the TOML file that sets what the
-// platform's configuration does not. A key that is unknown or a value that cannot be used is an
-// error of one line that names the file, line and key.
+// platform's configuration does not. An unknown key or an invalid value is a one-line error that
+// names the file and the key, and the line if it is found.
 package config
 
 import (
@@ -14,8 +14,8 @@
 	"oakthread/webhook"
 )
 
-// File is the configuration file. A section that the file does not have is nil, and turns its part
-// of the program off.
+// File is the configuration file. EndpointCache, HTTP2 and Webhooks are nil if the file has no such
+// section, which turns that part of the program off.
 type File struct {
 	Path          string           `toml:"-"`
 	Log           Log              `toml:"log"`
@@ -24,11 +24,11 @@
 	Webhooks      *webhook.Options `toml:"webhooks"`
 }
 
-// HTTP2 configures the front for HTTP/2 without TLS.
+// HTTP2 configures the server for HTTP/2 without TLS.
 type HTTP2 struct {
 	Listen     string `toml:"listen"`
 	MaxConns   int    `toml:"connections"` // maximum number of connections; 0: 64
-	MaxStreams int    `toml:"streams"`     // maximum number of open streams of a connection; 0: 250
+	MaxStreams int    `toml:"streams"`     // maximum number of concurrent streams per connection; 0: 250
 }
 
 // Log configures the dispatcher's log.
@@ -37,20 +37,21 @@
 	Level  string `toml:"level"`  // debug, info, warn or error
 }
 
-// EndpointCache configures the cached endpoint list, with which the dispatcher starts while discovery is
-// down.
+// EndpointCache configures the cached endpoint list, from which the dispatcher starts while service
+// discovery is down.
 type EndpointCache struct {
-	// Path names the file, on a disk that outlives the process.
+	// Path is the file of the list, on a disk that outlives the process.
 	Path string `toml:"path"`
-	// Discovery lists the addresses of discovery, in the order of use; empty: the platform's.
+	// Discovery lists the addresses of service discovery, in order of preference; empty: that of the
+	// platform's configuration.
 	Discovery []string `toml:"discovery"`
-	// Dispatchers is the number of dispatchers that may restart at the same time; 0: as the platform's
-	// settings say.
+	// Dispatchers is the number of dispatchers that may restart at the same time; 0: the number in the
+	// platform's settings.
 	Dispatchers int `toml:"siblings"`
 	// InitialLoadFraction is the fraction of its former load that an endpoint receives at its first
-	// verification.
+	// verification, 0.01 to 1.
 	InitialLoadFraction float64 `toml:"budget"`
-	// HealthCheckRate is the number of health checks a second at one endpoint, by all dispatchers
+	// HealthCheckRate is the number of health checks per second of one endpoint, by all dispatchers
 	// together.
 	HealthCheckRate float64 `toml:"probe_rate"`
 	// MaxRetryAfter is the longest Retry-After of a call that is rejected during the start.
@@ -71,12 +72,13 @@
 func Read(path string) (*File, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("operator's file: %w", err)
+		return nil, fmt.Errorf("dispatcher's configuration file: %w", err)
 	}
 	return Parse(path, string(raw))
 }
 
-// Parse is Read for the text of a file. path names it in errors and is the base of relative paths.
+// Parse is like Read for the text of a file. Errors name path, and relative paths are resolved
+// against its directory.
 func Parse(path, text string) (*File, error) {
 	f := &File{Path: path}
 	meta, err := toml.Decode(text, f)
--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A key that is unknown or a value that cannot be used is an error of one line with file, line, key
-// and value.
+// An unknown key or an invalid value is a one-line error that names the file and, as far as they are
+// known, the line, key and value.
 func TestInvalidFilesAreRejected(t *testing.T) {
 	for text, want := range map[string][]string{
 		"[list]\npath = 3\n":                               {"line 2", "list.path", "path = 3"},
@@ -49,7 +49,8 @@
 	assert.ErrorContains(t, err, "none.toml")
 }
 
-// Paths are resolved, the log handler is the one configured, and an empty file turns nothing on.
+// Paths are resolved, the log handler has the configured format and level, and an empty file turns
+// nothing on.
 func TestParsedFile(t *testing.T) {
 	f, err := Parse("etc/op.toml", "[log]\nformat='json'\nlevel='warn'\n"+
 		"[list]\npath='state/list.db'\ndiscovery=['127.0.0.1:7','127.0.0.1:8']\nmax_wait='2s'\n")
@@ -71,7 +72,8 @@
 	assert.Nil(t, f.EndpointCache, "an empty file turns nothing on")
 }
 
-// The example configuration that operators start from is valid and has every section.
+// The example configuration that operators start from is valid and contains the documented sections
+// and keys.
 func TestDeployedExampleIsValid(t *testing.T) {
 	path := filepath.Join("..", "..", "deploy", "oakthread.toml")
 	f, err := Read(path)
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -15,7 +15,7 @@
 	"oakthread/webhook"
 )
 
-// everyKey returns a file that has every key.
+// everyKey returns the text of a configuration file that has every key.
 func everyKey(t *testing.T) string {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("testdata", "every-key.toml"))
@@ -23,7 +23,7 @@
 	return string(raw)
 }
 
-// Every key sets the field that it set in an earlier build.
+// Every key sets the same field as in an earlier build.
 func TestEveryKeySetsItsField(t *testing.T) {
 	webhooks := webhook.Options{
 		Listen: "127.0.0.1:8443", State: "etc/state/webhooks.db",
@@ -58,7 +58,7 @@
 	}, f)
 }
 
-// keysOf adds the keys that a struct is decoded from, by its tags.
+// keysOf adds the keys that a struct is decoded from to keys, according to its tags.
 func keysOf(t *testing.T, of reflect.Type, section string, keys map[string]bool) {
 	t.Helper()
 	for i := range of.NumField() {
@@ -83,7 +83,7 @@
 	}
 }
 
-// The structs have exactly the keys of the file that has every key.
+// The structs have exactly the keys that the golden file has.
 func TestStructsHaveExactlyTheGoldenKeys(t *testing.T) {
 	want, named := map[string]bool{}, map[string]bool{}
 	keysOf(t, reflect.TypeFor[File](), "", want)
--- a/internal/config/keyerror.go
+++ b/internal/config/keyerror.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// keyError is a key that is unknown or whose value cannot be used.
+// keyError is the error of a key that is unknown or has an invalid value.
 type keyError struct {
 	key    string // with its section, such as list.path
 	value  string // empty: not shown
@@ -23,7 +23,7 @@
 	return fmt.Sprintf("key %s: %q %s", e.key, e.value, e.reason)
 }
 
-// locateError wraps an error with the path of the file and, if it is found, the line of the key.
+// locateError wraps err with the path of the file and, if found, the line of the key.
 func locateError(path, text string, err *keyError) error {
 	if line := findKey(text, err.key); line > 0 {
 		return fmt.Errorf("%s: line %d, %w", path, line, err)
@@ -31,8 +31,8 @@
 	return fmt.Errorf("%s: %w", path, err)
 }
 
-// findKey returns the number of the line on which a key is set, or that of its section's header, or
-// 0 if neither is found. It reads only the common forms of TOML, since its result is a hint.
+// findKey returns the number of the line that sets a key, or that of its section's header, or 0 if
+// neither is found. It understands only the common forms of TOML, since its result is only a hint.
 func findKey(text, key string) int {
 	section, name := "", key
 	if i := strings.LastIndex(key, "."); i >= 0 {
@@ -57,11 +57,11 @@
 	return headerLine
 }
 
-// tomlError matches the text of the TOML library's errors: line, key and reason.
+// tomlError matches the errors of the TOML library. Its groups are the line, the key and the reason.
 var tomlError = regexp.MustCompile(`^toml: line (\d+) \(last key "([^"]*)"\): (?s:(.*))$`)
 
-// decodeError returns an error of the TOML library as one line with the text of the line at fault,
-// so that it shows the value.
+// decodeError converts an error of the TOML library to a single line that includes the text of the
+// faulty line, so that the value is shown.
 func decodeError(text string, err error) error {
 	match := tomlError.FindStringSubmatch(err.Error())
 	if match == nil {
--- a/internal/config/loghandler.go
+++ b/internal/config/loghandler.go
@@ -5,8 +5,8 @@
 	"log/slog"
 )
 
-// Handler returns the log handler that the file configures, writing to w. Of a nil File it writes
-// text from level info on.
+// Handler returns the log handler that the file configures, writing to w. For a nil File it writes
+// text at level info and above.
 func (f *File) Handler(w io.Writer) slog.Handler {
 	if f == nil {
 		return slog.NewTextHandler(w, &slog.HandlerOptions{})
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -8,11 +8,12 @@
 	"github.com/BurntSushi/toml"
 )
 
-// maxHTTP2Limit bounds the limits of the HTTP/2 front: beyond it they limit nothing.
+// maxHTTP2Limit is the upper bound of the limits of the HTTP/2 server, beyond which they would not
+// limit anything.
 const maxHTTP2Limit = 10_000
 
-// validate checks the values of the file. It returns the first error, in a fixed order, so that the
-// same file always gives the same error.
+// validate checks the values of the file. It returns the first error in a fixed order, so that the
+// same file always yields the same error.
 func (f *File) validate(meta toml.MetaData) *keyError {
 	if err := f.Log.validate(); err != nil {
 		return err
@@ -48,7 +49,7 @@
 		value int
 	}{{"connections", h.MaxConns}, {"streams", h.MaxStreams}} {
 		if meta.IsDefined("http2", limit.key) && (limit.value < 1 || limit.value > maxHTTP2Limit) {
-			return &keyError{"http2." + limit.key, fmt.Sprint(limit.value), "lies outside 1 to 10000"}
+			return &keyError{"http2." + limit.key, fmt.Sprint(limit.value), "is outside the range 1 to 10000"}
 		}
 	}
 	return nil
@@ -59,7 +60,7 @@
 		return nil
 	}
 	if l.Path == "" {
-		return &keyError{"list.path", "", "is missing: it names the file that the list is kept in"}
+		return &keyError{"list.path", "", "is missing: it names the file for the cached endpoint list"}
 	}
 	for _, address := range l.Discovery {
 		if !isHostPort(address) {
@@ -75,16 +76,16 @@
 		{"probe_rate", l.HealthCheckRate, 1, 10_000},
 		{"max_wait", l.MaxRetryAfter.Seconds(), 0.05, 60},
 	} {
-		inRange := setting.value >= setting.low && setting.value <= setting.high // false if not a number
+		inRange := setting.value >= setting.low && setting.value <= setting.high // false for NaN
 		if meta.IsDefined("list", setting.key) && !inRange {
-			reason := fmt.Sprintf("lies outside %v to %v", setting.low, setting.high)
+			reason := fmt.Sprintf("is outside the range %v to %v", setting.low, setting.high)
 			return &keyError{"list." + setting.key, fmt.Sprint(setting.value), reason}
 		}
 	}
 	return nil
 }
 
-// isHostPort reports whether address has the form HOST:PORT with a port.
+// isHostPort reports whether address has the form HOST:PORT with a non-empty port.
 func isHostPort(address string) bool {
 	_, port, err := net.SplitHostPort(address)
 	return err == nil && port != ""
