--- a/internal/adminapi/banfile.go
+++ b/internal/adminapi/banfile.go
@@ -15,29 +15,29 @@
 	"oakthread/balancer"
 )
 
-// banPollInterval is how often the file of bans is read for changes by another process: the next
-// version of the dispatcher, which runs beside this one while it drains.
+// banPollInterval is the interval at which the ban file is read for changes by another process: the
+// next version of the dispatcher, which runs beside this one while this one drains.
 const banPollInterval = 200 * time.Millisecond
 
-// BanFile returns the path in dir of the file of bans of the dispatcher that listens at listen. The
+// BanFilePath returns the path in dir of the ban file of the dispatcher that listens at listen. The
 // next version of the dispatcher finds the file by the same name.
-func BanFile(dir, listen string) string {
+func BanFilePath(dir, listen string) string {
 	name := strings.NewReplacer(":", "_", "/", "_", "[", "", "]", "").Replace(listen)
 	return filepath.Join(dir, "oakthread-bans-"+name+".json")
 }
 
-// bannedWorkers is the stored form of the file of bans.
+// bannedWorkers is the stored form of the ban file.
 type bannedWorkers struct {
 	Banned []uint32 `json:"banned"`
 }
 
 // banFile is the file that holds the ids of the workers that operators have taken offline.
 type banFile struct {
-	path    string // empty: there is no file
+	path    string // empty: no file is kept
 	content []byte // as last read or written
 }
 
-// read returns the banned workers if the file has changed since it was last read or written. A file
+// read returns the banned workers if the file has changed since it was last read or written. Content
 // that cannot be decoded is reported once.
 func (f *banFile) read() (banned []balancer.WorkerID, changed bool, err error) {
 	if f.path == "" {
@@ -45,7 +45,7 @@
 	}
 	raw, err := os.ReadFile(f.path)
 	if err != nil || bytes.Equal(raw, f.content) {
-		return nil, false, nil // a missing file is normal: no worker was ever banned
+		return nil, false, nil // a missing file is normal: no worker has ever been banned
 	}
 	f.content = raw
 	var stored bannedWorkers
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// watchBans applies changes that another process makes to the file of bans, until ctx is done.
+// watchBans applies changes that another process makes to the ban file, until ctx is done.
 func (s *Server) watchBans(ctx context.Context) {
 	if s.bans.path == "" {
 		return
@@ -102,8 +102,8 @@
 	}
 }
 
-// reloadBans applies the file of bans if it has changed, and returns the resulting update of the
-// endpoint list.
+// reloadBans applies the ban file if it has changed, and returns the resulting update of the endpoint
+// list.
 func (s *Server) reloadBans() oakthread.EndpointUpdate {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/adminapi/counters.go
+++ b/internal/adminapi/counters.go
@@ -10,31 +10,31 @@
 	"oakthread/balancer"
 )
 
-// metricPrefix begins the name of every counter.
+// metricPrefix is the prefix of every metric name.
 const metricPrefix = "edge_router"
 
-// Counters are the counters of the dispatcher beside those of the classes.
+// Counters are the counters of the dispatcher other than those of the classes.
 type Counters struct {
 	Attempts               int64               // sent in full to workers
-	Pending                int64               // calls without an answer
+	Pending                int64               // calls that have not been answered
 	Reloads, FailedReloads int64               // configuration reloads that succeeded and that failed
 	Ejected                []balancer.WorkerID // workers that the balancer has ejected
-	Stale                  bool                // the core did not answer in time: Attempts and Ejected are unknown
+	Stale                  bool                // the core did not respond in time: Attempts and Ejected are unset
 }
 
-// classCounters are the answered calls of one class.
+// classCounters are the numbers of answered calls of one class.
 type classCounters struct {
 	class                       string
 	completed, rejected, failed int64
 }
 
-// handleCounters answers with all counters and gauges, one a line in statsd form.
+// handleCounters responds with all counters and gauges, one per line in statsd format.
 func (s *Server) handleCounters(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), coreTimeout)
 	counters := s.sources.Counters(ctx)
 	cancel()
 	s.mu.Lock()
-	if counters.Stale { // the last values lag by less than a reader of the counters notices
+	if counters.Stale { // the previous values lag by less than readers of the counters notice
 		counters.Attempts, counters.Ejected = s.lastCounters.Attempts, s.lastCounters.Ejected
 	}
 	s.lastCounters = counters
@@ -60,7 +60,7 @@
 // classCounters returns the counters of all classes, sorted by name.
 func (s *Server) classCounters() []classCounters {
 	var classes []classCounters
-	s.sources.EachClass(func(class string, completed, rejected, failed int64) {
+	s.sources.ForEachClass(func(class string, completed, rejected, failed int64) {
 		classes = append(classes, classCounters{class, completed, rejected, failed})
 	})
 	slices.SortFunc(classes, func(a, b classCounters) int { return strings.Compare(a.class, b.class) })
--- a/internal/adminapi/golden_test.go
+++ b/internal/adminapi/golden_test.go
@@ -21,9 +21,9 @@
 	"oakthread/balancer"
 )
 
-var updateGolden = flag.Bool("update", false, "write the text golden files")
+var updateGolden = flag.Bool("update", false, "update the golden files")
 
-// golden compares text with a golden file.
+// golden compares text with a golden file, which -update writes first.
 func golden(t *testing.T, name, text string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -35,12 +35,12 @@
 	assert.Equal(t, string(want), text)
 }
 
-// goldenWorkerID maps the ids of three workers in the endpoint list and of one that is not.
+// goldenWorkerID maps the ids of the three workers in the endpoint list and of one that is not in it.
 func goldenWorkerID(name string) balancer.WorkerID {
 	return map[string]balancer.WorkerID{"s-1": 1, "s-2": 2, "s-last": math.MaxUint32, "s-9": 9}[name]
 }
 
-// goldenCore are Sources with a distinct value in every field.
+// goldenCore provides Sources with a distinct value in every field.
 type goldenCore struct {
 	fakeSources
 	unready, stale bool
@@ -55,7 +55,7 @@
 		}
 		return Counters{Attempts: 11, Pending: 12, Reloads: 13, FailedReloads: 14, Ejected: []balancer.WorkerID{2}}
 	}
-	src.EachClass = func(fn func(string, int64, int64, int64)) {
+	src.ForEachClass = func(fn func(string, int64, int64, int64)) {
 		fn("path-check", 4, 5, 6)
 		fn("path-book", 1, 2, 3)
 	}
@@ -83,7 +83,7 @@
 	}
 }
 
-// Every request is answered with the status, content type and body of an earlier build.
+// Every request is answered with the same status, content type and body as by an earlier build.
 func TestAnswersMatchGolden(t *testing.T) {
 	var core goldenCore
 	server := New(core.sources(), "", goldenWorkerID, slog.New(slog.DiscardHandler))
@@ -137,7 +137,7 @@
 	golden(t, "answers.golden", b.String())
 }
 
-// The file of bans is written byte for byte as by an earlier build, with bans and without.
+// The ban file is written byte for byte as by an earlier build, with bans and without.
 func TestBanFileIsWrittenIdentically(t *testing.T) {
 	var core goldenCore
 	path := filepath.Join(t.TempDir(), "bans.json")
@@ -158,7 +158,7 @@
 	}
 }
 
-// The bans in a file of an earlier build are in force.
+// The bans in a file that an earlier build wrote are applied.
 func TestGoldenBanFileIsReadable(t *testing.T) {
 	for name, want := range map[string][]balancer.WorkerID{"bans.json": {1, math.MaxUint32}, "no-bans.json": nil} {
 		var core goldenCore
@@ -174,7 +174,7 @@
 	}
 }
 
-// The file of bans has the name that an earlier build gave it.
+// The ban file has the same name as in an earlier build.
 func TestBanFileNameIsUnchanged(t *testing.T) {
 	for listen, want := range map[string]string{
 		"127.0.0.1:9090": "oakthread-bans-127.0.0.1_9090.json",
@@ -182,6 +182,6 @@
 		":9090":          "oakthread-bans-_9090.json",
 		"/run/oak.sock":  "oakthread-bans-_run_oak.sock.json",
 	} {
-		assert.Equal(t, filepath.Join("dir", want), BanFile("dir", listen))
+		assert.Equal(t, filepath.Join("dir", want), BanFilePath("dir", listen))
 	}
 }
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -16,36 +16,36 @@
 	"oakthread/internal/neterr"
 )
 
-// Every request is to be answered within a second, so a client that has not sent all of its request
-// is disconnected well before.
+// Timeouts and limits of the server. Every request must be answered within a second, so a client
+// that has not sent a complete request is disconnected well before that.
 const (
 	readHeaderTimeout = 400 * time.Millisecond
 	readTimeout       = 500 * time.Millisecond
 	writeTimeout      = 900 * time.Millisecond
-	coreTimeout       = 250 * time.Millisecond // of a query to the core
+	coreTimeout       = 250 * time.Millisecond // for a query to the core
 	maxHeaderBytes    = 8 << 10
 )
 
 // Sources are the parts of the dispatcher that the API reads and controls. All fields are required.
 type Sources struct {
-	// CoreReady reports whether the core has endpoints to dispatch to.
+	// CoreReady reports whether the core has received an endpoint list.
 	CoreReady func() bool
-	// UpdateEndpoints hands an update of the endpoint list to the core.
+	// UpdateEndpoints passes an update of the endpoint list to the core.
 	UpdateEndpoints func(oakthread.EndpointUpdate)
 	// Counters returns the counters of the dispatcher. It may block until ctx is done.
 	Counters func(ctx context.Context) Counters
-	// EachClass calls fn with the completed, rejected and failed calls of each class.
-	EachClass func(fn func(class string, completed, rejected, failed int64))
-	// SetOutOfService is called when the dispatcher is taken out of service, with true, or put back. While
-	// out of service it closes idle client connections.
+	// ForEachClass calls fn with the completed, rejected and failed calls of each class.
+	ForEachClass func(fn func(class string, completed, rejected, failed int64))
+	// SetOutOfService is called with true when the dispatcher is taken out of service, and with false
+	// when it is put back. While out of service, the dispatcher keeps no idle client connections.
 	SetOutOfService func(outOfService bool)
-	// WorkerHealth returns the health of the workers. It is false if the core did not answer until ctx
-	// was done.
+	// WorkerHealth returns the health of the workers. It returns false if the core did not respond
+	// before ctx was done.
 	WorkerHealth func(ctx context.Context) ([]WorkerHealth, bool)
 }
 
-// Server is the operators' API of a dispatcher. It applies the operators' decisions to the endpoint
-// list and keeps them in a file.
+// Server is the admin API of a dispatcher. It applies the operators' decisions to the endpoint list
+// and the readiness, and stores the ids of workers taken offline in the ban file.
 type Server struct {
 	sources  Sources
 	workerID func(string) balancer.WorkerID // maps the id of a worker in the endpoint list
@@ -57,17 +57,17 @@
 	lastCounters Counters
 }
 
-// New returns a Server. The ids of workers that operators have taken offline are read from banPath
-// and written there; an empty path keeps none. workerID maps the id of a worker in the endpoint
-// list to the dispatcher's.
+// New returns a Server. The ids of workers that operators have taken offline are read from and
+// written to the file banPath; if it is empty, they are not stored. workerID maps the id of a worker
+// in the endpoint list to the dispatcher's.
 func New(sources Sources, banPath string, workerID func(string) balancer.WorkerID, log *slog.Logger) *Server {
 	s := &Server{sources: sources, workerID: workerID, log: log, bans: banFile{path: banPath}}
-	s.reloadBans() // the core has no endpoints yet, so there is no update to hand on
+	s.reloadBans() // the core has no endpoints yet, so there is no update to pass on
 	return s
 }
 
-// UpdateEndpoints applies the operators' decisions to an update of the endpoint list and hands it to the
-// core.
+// UpdateEndpoints applies the operators' decisions to an update of the endpoint list and passes it to
+// the core.
 func (s *Server) UpdateEndpoints(update oakthread.EndpointUpdate) {
 	s.mu.Lock()
 	effective := s.state.UpdateEndpoints(update)
@@ -96,7 +96,8 @@
 }
 
 // Serve serves the API on ln until ctx is done, and applies changes that another process makes to
-// the file of bans. After an error of ln those changes are still applied until ctx is done.
+// the ban file. If ln fails, it returns the error, and those changes are still applied until ctx is
+// done.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
 	server := &http.Server{
 		Handler:           s.Handler(),
--- a/internal/adminapi/server_test.go
+++ b/internal/adminapi/server_test.go
@@ -21,12 +21,12 @@
 	"oakthread/balancer"
 )
 
-// fakeSources are Sources that record what the API hands to the dispatcher.
+// fakeSources provide Sources that record what the API passes to the dispatcher.
 type fakeSources struct {
 	mu           sync.Mutex
 	updates      []oakthread.EndpointUpdate
 	outOfService bool
-	busy         bool // the core does not answer
+	busy         bool // the core does not respond
 }
 
 func (f *fakeSources) sources() Sources {
@@ -40,7 +40,7 @@
 		Counters: func(context.Context) Counters {
 			return Counters{Attempts: 7, Pending: 2, Reloads: 1, FailedReloads: 1}
 		},
-		EachClass: func(fn func(string, int64, int64, int64)) { fn("call", 5, 1, 0) },
+		ForEachClass: func(fn func(string, int64, int64, int64)) { fn("call", 5, 1, 0) },
 		SetOutOfService: func(outOfService bool) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
@@ -54,7 +54,7 @@
 	}
 }
 
-// testWorkerHealth is the health of the one worker that fakeSources knows.
+// testWorkerHealth is the health of the only worker of fakeSources.
 var testWorkerHealth = WorkerHealth{Worker: 7, State: "left out", Evidence: "3 of 3 observers were not served"}
 
 // testWorkerID maps the ids of two workers.
@@ -62,7 +62,7 @@
 	return map[string]balancer.WorkerID{"s-1": 1, "s-2": 2}[name]
 }
 
-// call makes a request and returns the status and body of its answer.
+// call sends a request and returns the status and body of the response.
 func call(t *testing.T, h http.Handler, method, path string) (int, string) {
 	t.Helper()
 	w := httptest.NewRecorder()
@@ -71,7 +71,7 @@
 	return w.Code, string(body)
 }
 
-// oneActiveWorker returns an endpoint list of worker 1.
+// oneActiveWorker returns an endpoint list that contains worker 1 only.
 func oneActiveWorker() oakthread.EndpointUpdate {
 	return oakthread.EndpointUpdate{
 		Kind:      balancer.EndpointsSnapshot,
@@ -79,8 +79,8 @@
 	}
 }
 
-// Each request changes the endpoint list or the readiness as it says, and a ban is in force in the
-// next version of the dispatcher, which shares the file.
+// Each request changes the endpoint list or the readiness accordingly, and a ban also applies in the
+// next version of the dispatcher, which shares the ban file.
 func TestRequestsTakeEffectAndBansAreShared(t *testing.T) {
 	var f fakeSources
 	path := filepath.Join(t.TempDir(), "bans.json")
@@ -135,7 +135,7 @@
 	nextSources.mu.Unlock()
 	code, _ = call(t, next.Handler(), http.MethodPost, "/control/executors/s-1/online")
 	assert.Equal(t, 200, code)
-	// The first version reads from the file that the ban was lifted.
+	// The first version learns from the file that the ban was lifted.
 	server.reloadBans()
 	server.mu.Lock()
 	banned := server.state.Ejected()
@@ -143,7 +143,7 @@
 	assert.Empty(t, banned)
 }
 
-// A client that holds a connection without completing its request does not delay others and is
+// A client that keeps a connection open without completing its request does not delay others and is
 // disconnected.
 func TestIdleClientsDoNotDelayOthersAndAreDisconnected(t *testing.T) {
 	var f fakeSources
@@ -173,7 +173,7 @@
 	}
 }
 
-// The health of workers is answered as JSON, or with 503 if the core does not answer.
+// The health of workers is returned as JSON, or the status is 503 if the core does not respond.
 func TestWorkerHealthIsAnswered(t *testing.T) {
 	f := &fakeSources{}
 	server := New(f.sources(), "", testWorkerID, slog.New(slog.DiscardHandler))
--- a/internal/adminapi/service.go
+++ b/internal/adminapi/service.go
@@ -2,7 +2,7 @@
 
 import "net/http"
 
-// handleReady answers whether the dispatcher accepts calls, for load balancers in front of it.
+// handleReady responds with whether the dispatcher accepts calls, for load balancers in front of it.
 func (s *Server) handleReady(w http.ResponseWriter, _ *http.Request) {
 	if !s.Ready() {
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
@@ -11,7 +11,7 @@
 	_, _ = w.Write([]byte("ready\n"))
 }
 
-// handleOutOfService takes the dispatcher out of service: it reports that it is not ready.
+// handleOutOfService takes the dispatcher out of service, which makes it report that it is not ready.
 func (s *Server) handleOutOfService(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	s.state.TakeOutOfService()
--- a/internal/adminapi/workers.go
+++ b/internal/adminapi/workers.go
@@ -13,20 +13,20 @@
 
 // WorkerHealth is the health of one worker as the dispatcher sees it, in the form of /control/verdicts.
 type WorkerHealth struct {
-	Worker          balancer.WorkerID `json:"executor"` // as log lines name it
+	Worker          balancer.WorkerID `json:"executor"` // as in log lines
 	Zone            int               `json:"zone"`
 	State           string            `json:"verdict"` // well, suspect, left out, on trial
 	Evidence        string            `json:"evidence"`
-	RecentSuccesses float64           `json:"served_lately"` // own calls that succeeded, decaying
-	FailureFraction float64           `json:"failed_latest"` // fraction of the latest own calls that failed
-	LatencyRatio    float64           `json:"pace"`          // duration of its calls over the mean of all workers
-	Observers       [2]int            `json:"observers"`     // of the last gossip: were served, were not
+	RecentSuccesses float64           `json:"served_lately"` // decaying count of own calls that succeeded
+	FailureFraction float64           `json:"failed_latest"` // decaying mean of the failures of own calls, 0 to 1
+	LatencyRatio    float64           `json:"pace"`          // response time over the mean of all workers, at least 1
+	Observers       [2]int            `json:"observers"`     // of the last gossip: served and not served
 	GossipAgeMS     int64             `json:"word_age_ms"`   // age of the last gossip; -1: none
-	NextCheckInMS   int64             `json:"trial_in_ms"`   // time until the next health check; 0: none is due
+	NextCheckInMS   int64             `json:"trial_in_ms"`   // time until the next trial; 0: due, or not ejected
 	Unreachable     bool              `json:"unreachable"`   // from this dispatcher
 }
 
-// handleWorkerHealth answers with the health of all workers as JSON.
+// handleWorkerHealth responds with the health of all workers as JSON.
 func (s *Server) handleWorkerHealth(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), coreTimeout)
 	defer cancel()
@@ -51,9 +51,9 @@
 	})
 }
 
-// changeWorker applies an operator's decision on a worker, keeps it in the file of bans and hands
-// the update of the endpoint list to the core. apply is called with mu held; it is false for a
-// worker that is not known.
+// changeWorker applies an operator's decision on a worker, saves the bans and passes the update of
+// the endpoint list to the core. apply is called with mu held; it returns false for an unknown
+// worker.
 func (s *Server) changeWorker(
 	w http.ResponseWriter, r *http.Request, offline bool,
 	apply func(balancer.WorkerID) (oakthread.EndpointUpdate, bool),
--- a/internal/daemon/build.go
+++ b/internal/daemon/build.go
@@ -11,29 +11,29 @@
 	"oakthread/internal/violation"
 )
 
-// build makes the parts that open no listener: the pool of connections to workers, the socket of
-// the peers, the console, the endpoint cache and the core.
+// build creates the components that need no listener: the pool of connections to workers, the
+// socket for peer messages, the admin API, the endpoint cache and the core.
 func (d *daemon) build() error {
 	d.buildWorkers()
 	if err := d.buildPeers(); err != nil {
 		return err
 	}
 	d.violations = &violation.Recorder{Log: d.log, Strict: d.options.Strict}
-	d.buildConsole()
+	d.buildAdminAPI()
 	if d.options.File != nil && d.options.File.EndpointCache != nil {
 		d.endpointCache = d.newEndpointCache()
 	}
 	return d.buildCore()
 }
 
-// buildWorkers makes the pool of connections to workers.
+// buildWorkers creates the pool of connections to workers.
 func (d *daemon) buildWorkers() {
 	d.workers = platform.NewExecutorPool(d.cfg.Settings, d.sockets.workers)
 	d.workers.Log = d.log
 	d.workers.SetNetwork(d.options.Network)
 }
 
-// buildPeers opens the socket for messages between dispatchers, if the settings allow them.
+// buildPeers opens the socket for messages between dispatchers, if the settings allow peer messages.
 func (d *daemon) buildPeers() (err error) {
 	if d.peers, err = platform.ListenPeers(d.cfg, d.log); err != nil {
 		return fmt.Errorf("configuration: %w", err)
@@ -41,21 +41,22 @@
 	return nil
 }
 
-// buildConsole makes the operators' console. It reads the core and the server only once it serves.
-func (d *daemon) buildConsole() {
+// buildAdminAPI creates the admin API, which uses d.core and d.server only after build and start
+// have set them.
+func (d *daemon) buildAdminAPI() {
 	sources := adminapi.Sources{
 		CoreReady:       func() bool { return d.core.Ready() },
 		UpdateEndpoints: func(update oakthread.EndpointUpdate) { d.core.UpdateEndpoints(update) },
-		Counters:        d.consoleFigures,
-		EachClass:       d.answersByClass,
+		Counters:        d.adminCounters,
+		ForEachClass:    d.forEachClass,
 		SetOutOfService: func(on bool) { d.server.SetKeepAlives(!on) },
 		WorkerHealth:    func(ctx context.Context) ([]adminapi.WorkerHealth, bool) { return workerHealth(ctx, d.core) },
 	}
-	bans := adminapi.BanFile(os.TempDir(), d.cfg.Listen)
-	d.console = adminapi.New(sources, bans, platform.WorkerID, d.log)
+	banPath := adminapi.BanFilePath(os.TempDir(), d.cfg.Listen)
+	d.adminAPI = adminapi.New(sources, banPath, platform.WorkerID, d.log)
 }
 
-// buildCore makes the core, which starts its event loop.
+// buildCore creates the core, which starts its event loop.
 func (d *daemon) buildCore() (err error) {
 	cfg := oakthread.Config{
 		Settings:    d.settings,
@@ -66,7 +67,7 @@
 		Violated:    d.recordViolation,
 		Log:         d.log,
 	}
-	if d.peers != nil { // a nil pointer in the interface would count as peers
+	if d.peers != nil { // an interface holding a nil pointer would not compare equal to nil
 		cfg.Peers = d.peers
 	}
 	if d.endpointCache != nil {
@@ -78,15 +79,15 @@
 	return nil
 }
 
-// requestCompleted passes completions to the webhook server, which is set before the first request
-// is accepted.
+// requestCompleted passes completions to the webhook server, which start sets before the server for
+// clients accepts requests.
 func (d *daemon) requestCompleted(completion oakthread.Completion) {
 	if d.webhooks != nil {
 		d.webhooks.HandleCompletion(completion)
 	}
 }
 
-// recordViolation records a violated invariant that the core or a server has detected.
+// recordViolation records an invariant violation that the core or the server has detected.
 func (d *daemon) recordViolation(rule, path, requestID, detail string) {
 	d.violations.Record(violation.Rule(rule), violation.Path(path), requestID, detail)
 }
--- a/internal/daemon/classtuner.go
+++ b/internal/daemon/classtuner.go
@@ -9,24 +9,24 @@
 	"oakthread/internal/platform"
 )
 
-// classTuner applies the classes and the number of attempts of a reloaded configuration to the
+// classUpdater applies the classes and the number of attempts of a reloaded configuration to the
 // core, the server and the workers. It is not safe for concurrent use.
-type classTuner struct {
+type classUpdater struct {
 	core    *oakthread.Core
 	server  *platform.Server
 	workers *platform.ExecutorPool
 	classes admin.Classes
 }
 
-// newClassTuner returns a tuner for the classes in force, those of cfg.
-func newClassTuner(
+// newClassUpdater returns a classUpdater whose current classes are those of cfg.
+func newClassUpdater(
 	cfg *platform.Config, core *oakthread.Core, server *platform.Server, workers *platform.ExecutorPool,
-) *classTuner {
+) *classUpdater {
 	names, classes := configuredClasses(cfg)
-	return &classTuner{core: core, server: server, workers: workers, classes: admin.NewClasses(names, classes)}
+	return &classUpdater{core: core, server: server, workers: workers, classes: admin.NewClasses(names, classes)}
 }
 
-// configuredClasses returns the classes of a configuration and their names, by index.
+// configuredClasses returns the names and the classes of a configuration; class i has names[i].
 func configuredClasses(cfg *platform.Config) (names []string, classes []balancer.Class) {
 	for _, category := range cfg.Settings.Categories {
 		names = append(names, category.Name)
@@ -34,19 +34,20 @@
 	return names, cfg.Settings.BalancerSettings().Classes
 }
 
-// apply puts the classes and the number of attempts of cfg in force: new requests take them, those
-// in flight keep theirs.
-func (t *classTuner) apply(cfg *platform.Config) error {
-	added, names := t.classes.Compare(configuredClasses(cfg))
+// apply applies the classes and the maximum number of attempts of cfg. Requests in flight keep their
+// class; the number of attempts changes for them as well.
+func (u *classUpdater) apply(cfg *platform.Config) error {
+	added, numbers := u.classes.Compare(configuredClasses(cfg))
 	if len(added) > 0 {
-		// The core adds all or none, so that its numbers and those of the table stay the same.
-		if _, err := t.core.AddClasses(added); err != nil {
+		// AddClasses adds all classes or none, so the class numbers of the core and of u.classes
+		// stay identical.
+		if _, err := u.core.AddClasses(added); err != nil {
 			return fmt.Errorf("settings: classes: %w", err)
 		}
 	}
-	t.classes.Apply(added, names)
-	t.workers.SetClasses(t.classes.NamesByNumber())
-	t.server.SetClasses(t.classes.NumbersByName())
-	t.core.SetMaxAttempts(cfg.Settings.Permissions.SendCap)
+	u.classes.Apply(added, numbers)
+	u.workers.SetClasses(u.classes.NamesByNumber())
+	u.server.SetClasses(u.classes.NumbersByName())
+	u.core.SetMaxAttempts(cfg.Settings.Permissions.SendCap)
 	return nil
 }
--- a/internal/daemon/classtuner_test.go
+++ b/internal/daemon/classtuner_test.go
@@ -18,8 +18,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// configFormat takes the address of the daemon, those of two workers, the classes and the number of
-// attempts.
+// configFormat is the format of a platform configuration. Its arguments are the address of the
+// daemon, those of two workers, the classes and the number of attempts.
 const configFormat = `{"name":"n0","listen":%q,
 "known":{"cursor":1,"cmds":[{"cursor":1,"nodes":{"complete":true,"members":[
 {"id":"s-1","host_port":%q,"phase":"Ready","size":1},{"id":"s-2","host_port":%q,"phase":"Ready","size":1}]}}]},
@@ -27,14 +27,14 @@
 "connect_timeout_ns":250000000,"conn_idle_ns":15000000000},
 "specifics":{"linger_idle_ns":8000000000,"on_miss":"load"}}}`
 
-// Functions that the workers of the test treat in their own way.
+// Functions that fakeWorkers treats specially, and one that it does not.
 const (
 	fullFunction    = "00000000000000f0" // rejected by every worker
 	blockedFunction = "00000000000000aa" // answered once the test allows it
 	otherFunction   = "00000000000000bb"
 )
 
-// classConfig returns the configuration of classes of these names.
+// classConfig returns the configuration of classes with the given names.
 func classConfig(names ...string) string {
 	classes := make([]string, len(names))
 	for i, name := range names {
@@ -44,7 +44,7 @@
 	return strings.Join(classes, ",")
 }
 
-// fakeWorkers are the workers of a test. They count the attempts by path and function.
+// fakeWorkers are the workers of a test. They count attempts by path and function.
 type fakeWorkers struct {
 	blocked chan struct{} // receives a value for each attempt of blockedFunction
 	unblock chan struct{}
@@ -87,7 +87,7 @@
 	return f.attempts["/c/"+class+" "+function]
 }
 
-// runningDaemon is a daemon that the test has started.
+// runningDaemon is a daemon started by startDaemon.
 type runningDaemon struct {
 	t        *testing.T
 	addr     string
@@ -100,7 +100,7 @@
 	requests int
 }
 
-// startDaemon runs a daemon and returns once it serves.
+// startDaemon starts a daemon and returns once it serves.
 func startDaemon(t *testing.T, addr string, getenv func(string) string) *runningDaemon {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
@@ -137,13 +137,13 @@
 	}
 }
 
-// reload sends the daemon a SIGHUP and waits for the log line that says what became of it.
+// reload sends the daemon a SIGHUP and waits for the log line that reports the outcome.
 func (d *runningDaemon) reload(outcome string) {
 	d.signals <- syscall.SIGHUP
 	d.awaitLog(outcome)
 }
 
-// request sends a request and returns the status of its answer.
+// request sends a request and returns the status of the response.
 func (d *runningDaemon) request(class, function string) int {
 	d.mu.Lock()
 	d.requests++
@@ -167,9 +167,9 @@
 	return listener.Addr().String()
 }
 
-// A reload reaches server, core and workers: a class that is added is served under its own name,
-// one that is dropped is unknown to new requests while the request in flight is answered, and the
-// number of attempts changes at once. A configuration that cannot be used changes none of it.
+// A reload is applied to the server, the core and the workers: an added class is served under its
+// name, a dropped class is unknown to new requests while a request in flight is still answered, and
+// the number of attempts changes at once. An invalid configuration changes nothing.
 func TestReloadAppliesClassesAndAttempts(t *testing.T) {
 	workers := newFakeWorkers()
 	first, second, addr := workers.start(t), workers.start(t), unusedAddr(t)
@@ -191,9 +191,9 @@
 	daemon.reload("configuration reloaded")
 	assert.Equal(t, 200, daemon.request("path-book", "00000000000000cc"))
 	assert.Equal(t, 1, workers.count("path-book", "00000000000000cc"))
-	assert.Equal(t, 400, daemon.request("route-price", otherFunction), "no class any more")
+	assert.Equal(t, 400, daemon.request("route-price", otherFunction), "no longer a class")
 	assert.Equal(t, 503, daemon.request("path-check", fullFunction))
-	assert.Equal(t, 3, workers.count("path-check", fullFunction), "one attempt more")
+	assert.Equal(t, 3, workers.count("path-check", fullFunction), "one more attempt")
 
 	writeFile(t, path, "{")
 	daemon.reload("configuration not reloaded")
--- a/internal/daemon/consoledata.go
+++ b/internal/daemon/consoledata.go
@@ -10,48 +10,49 @@
 	"oakthread/internal/platform"
 )
 
-// answersByClass calls report with the served, rejected and failed requests of each class.
-func (d *daemon) answersByClass(report func(class string, served, rejected, failed int64)) {
+// forEachClass calls report with the numbers of served, rejected and failed requests of each class
+// that has had a response.
+func (d *daemon) forEachClass(report func(class string, served, rejected, failed int64)) {
 	d.server.ForEachClass(func(class string, outcomes *platform.Outcomes) {
 		report(class, outcomes.Completed.Load(), outcomes.Rejected.Load(), outcomes.Failed.Load())
 	})
 }
 
-// consoleFigures returns the totals that the console shows besides the answers. Those of the core
-// are marked stale if it does not answer before ctx ends.
-func (d *daemon) consoleFigures(ctx context.Context) adminapi.Counters {
-	figures := adminapi.Counters{
+// adminCounters returns the counters that the admin API shows besides those of the classes. If the
+// core does not respond before ctx ends, the result is marked stale and lacks the core's counters.
+func (d *daemon) adminCounters(ctx context.Context) adminapi.Counters {
+	counters := adminapi.Counters{
 		Pending:       d.server.Pending(),
 		Reloads:       d.reloader.succeeded.Load(),
 		FailedReloads: d.reloader.failed.Load(),
 	}
-	type coreFigures struct {
+	type coreCounters struct {
 		counters oakthread.Counters
 		ejected  []balancer.WorkerID
 	}
-	answer := make(chan coreFigures, 1)
-	go func() { answer <- coreFigures{d.core.Counters(), d.core.Ejected()} }() // ends when the core answers or closes
+	answer := make(chan coreCounters, 1)
+	go func() { answer <- coreCounters{d.core.Counters(), d.core.Ejected()} }() // ends when the core responds or closes
 	select {
-	case of := <-answer:
-		// Of an attempt whose connection failed, nothing was written.
-		figures.Attempts = of.counters.Attempts - of.counters.AttemptResults[balancer.ConnectFailed]
-		figures.Ejected = of.ejected
+	case core := <-answer:
+		// Nothing was sent by an attempt whose connection could not be established.
+		counters.Attempts = core.counters.Attempts - core.counters.AttemptResults[balancer.ConnectFailed]
+		counters.Ejected = core.ejected
 	case <-ctx.Done():
-		figures.Stale = true
+		counters.Stale = true
 	}
-	return figures
+	return counters
 }
 
-// workerHealth returns the health of each worker in the form of the console, and false if the core
-// does not answer before ctx ends.
+// workerHealth returns the health of each worker in the form of the admin API. It returns false if
+// the core does not respond before ctx ends.
 func workerHealth(ctx context.Context, core *oakthread.Core) ([]adminapi.WorkerHealth, bool) {
 	answer := make(chan []balancer.WorkerHealth, 1)
-	go func() { answer <- core.WorkerHealth() }() // ends when the core answers or closes
+	go func() { answer <- core.WorkerHealth() }() // ends when the core responds or closes
 	select {
 	case workers := <-answer:
 		rows := make([]adminapi.WorkerHealth, 0, len(workers))
 		for _, worker := range workers {
-			rows = append(rows, consoleRow(worker))
+			rows = append(rows, adminWorkerHealth(worker))
 		}
 		return rows, true
 	case <-ctx.Done():
@@ -59,8 +60,8 @@
 	}
 }
 
-// consoleRow returns the health of a worker in the form of the console.
-func consoleRow(worker balancer.WorkerHealth) adminapi.WorkerHealth {
+// adminWorkerHealth converts the health of a worker to the form of the admin API.
+func adminWorkerHealth(worker balancer.WorkerHealth) adminapi.WorkerHealth {
 	row := adminapi.WorkerHealth{
 		Worker:          worker.Worker,
 		Zone:            worker.Zone,
--- a/internal/daemon/counters.go
+++ b/internal/daemon/counters.go
@@ -7,7 +7,7 @@
 	"oakthread/balancer"
 )
 
-// logCounters logs the counters of the core and of the parts around it.
+// logCounters logs the counters of the core and of the components around it.
 func (m *monitor) logCounters(counters oakthread.Counters) {
 	results := &counters.AttemptResults
 	ended := &counters.EndReasons
@@ -57,13 +57,15 @@
 		"violations", m.violations.Total())
 }
 
-// listAge returns the time since discovery last confirmed the endpoint list, or zero if it never has.
+// listAge returns the time since service discovery last confirmed the endpoint list, or zero if it
+// never has.
 func (m *monitor) listAge() time.Duration {
 	age, _ := m.core.EndpointsAge()
 	return age
 }
 
-// failedCacheWrites returns the failed writes of the endpoint cache, or zero if there is none.
+// failedCacheWrites returns the number of failed writes of the endpoint cache, or zero if there is
+// no cache.
 func (m *monitor) failedCacheWrites() int64 {
 	if m.endpointCache == nil {
 		return 0
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,6 +1,6 @@
-// Package daemon runs the dispatcher as a process: it builds the core and its surroundings from the
-// platform's configuration and the operator's file, serves until it is told to end, and closes
-// everything in order.
+// Package daemon runs the dispatcher as a process: it builds the core and the components around it
+// from the platform's configuration and the dispatcher's configuration file, serves until its
+// context ends, and then shuts everything down in order.
 package daemon
 
 import (
@@ -22,25 +22,25 @@
 	"oakthread/webhook"
 )
 
-// linger is how long new requests are accepted after the shutdown begins, since clients learn of it
-// late.
+// linger is how long new requests are still accepted after the shutdown begins, because clients
+// notice the shutdown with a delay.
 const linger = 700 * time.Millisecond
 
-// Options are what a daemon is started with.
+// Options configure a daemon.
 type Options struct {
-	Getenv          func(string) string // names the platform's configuration
-	File            *config.File        // the operator's file; nil if there is none
+	Getenv          func(string) string // environment, which names the platform's configuration
+	File            *config.File        // the dispatcher's configuration file; nil if there is none
 	Webhooks        *webhook.Options    // nil starts no webhook server
 	ReloadSignals   <-chan os.Signal    // each value reloads the configuration
 	Log             *slog.Logger
-	SharedProcess   bool // other daemons run in this process, which keeps its runtime limits
-	TrustCachedList bool // baseline of experiments: a cached endpoint list counts as just received
+	SharedProcess   bool // other code runs in this process: the limits of the Go runtime are not set
+	TrustCachedList bool // for baseline experiments: a cached endpoint list counts as just received
 	Network         platform.Network
-	Strict          bool // for the laboratory: a violated invariant ends the process
+	Strict          bool // for experiments: an invariant violation other than a late response ends the process
 }
 
-// Run runs a daemon until ctx ends and the requests that it has accepted are answered. Errors of
-// the start name the part of the configuration that cannot be used.
+// Run runs a daemon until ctx ends and the accepted requests are answered or their drain timeout
+// expires. Startup errors name the invalid part of the configuration.
 func Run(ctx context.Context, options Options) error {
 	cfg, err := platform.LoadConfig(options.Getenv)
 	if err != nil {
@@ -70,24 +70,24 @@
 	log      *slog.Logger
 	parts
 
-	// background is the context of what the last answers still need: the endpoint watch, the
-	// messages of peers, the console, reloads and the monitor. It outlives the context of Run and
-	// ends in close.
+	// background is the context of the goroutines that keep running while the last requests are
+	// answered: the endpoint watch, peer messages, the admin API, reloads and the monitor. It
+	// outlives the context of Run and is canceled by close.
 	background     context.Context
 	stopBackground context.CancelFunc
-	cacheClosed    chan struct{} // closed when the endpoint cache has written its last state; nil before it runs
+	cacheClosed    chan struct{} // closed once the endpoint cache has written its final state; nil before it runs
 
-	webhooksEnded chan error // receives one value, the end of the webhook server
-	http2Ended    chan error // receives one value, the end of the HTTP/2 server
+	webhooksEnded chan error // receives the result of the webhook server, once
+	http2Ended    chan error // receives the result of the HTTP/2 server, once
 }
 
 // parts are the components of a daemon.
 type parts struct {
 	workers       *platform.ExecutorPool
-	peers         *platform.PeerTransport // nil if the settings allow no messages
+	peers         *platform.PeerTransport // nil if the settings allow no peer messages
 	core          *oakthread.Core
-	console       *adminapi.Server
-	endpointCache *endpointcache.Syncer // nil if the operator's file asks for none
+	adminAPI      *adminapi.Server
+	endpointCache *endpointcache.Syncer // nil if the configuration file has no section for it
 	watcher       *platform.EndpointWatcher
 	server        *platform.Server
 	webhooks      *webhook.Front // nil if there is no webhook server
@@ -95,7 +95,7 @@
 	violations    *violation.Recorder
 }
 
-// newDaemon returns a daemon of which nothing has been built.
+// newDaemon returns a daemon whose components have not been built yet.
 func newDaemon(options Options, cfg *platform.Config) *daemon {
 	d := &daemon{
 		options:       options,
@@ -115,8 +115,8 @@
 	return d
 }
 
-// serve answers clients until ctx ends and all accepted requests are answered, then waits for the
-// other servers.
+// serve answers clients until ctx ends and the drain has completed or timed out, then waits for the
+// HTTP/2 and webhook servers.
 func (d *daemon) serve(ctx context.Context, listener net.Listener) error {
 	d.log.Info("serving", "listen", d.cfg.Listen, "executors_after", d.cfg.Cursor)
 	err := d.server.Serve(ctx, listener, d.sockets.clients, linger, d.drainTimeout(), d.log)
@@ -131,8 +131,8 @@
 	return errors.Join(err, <-d.webhooksEnded)
 }
 
-// drainTimeout is how long accepted requests have for their answers after the shutdown begins: the
-// longest timeout of a class, after the last request that is accepted.
+// drainTimeout returns how long after the beginning of the shutdown accepted requests may still be
+// answered: the longest client timeout of a class, counted from the last accepted request.
 func (d *daemon) drainTimeout() time.Duration {
 	var longest time.Duration
 	for _, class := range d.settings.Classes {
@@ -141,9 +141,9 @@
 	return longest + linger
 }
 
-// close ends what has been built and started so far, in the reverse order. It waits for the
-// endpoint cache, which writes its last state to disk. The other goroutines of the background end
-// with their context and are not waited for.
+// close closes what has been built and started so far, in reverse order. It waits for the endpoint
+// cache, which writes its final state to disk. The other background goroutines end with their
+// context and are not waited for.
 func (d *daemon) close() {
 	d.stopBackground()
 	if d.cacheClosed != nil {
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -17,8 +17,8 @@
 	"oakthread/internal/platform"
 )
 
-// configFile returns the path of a configuration file with the given text, and the environment that
-// names it.
+// configFile writes a configuration file with the given text and returns its path and an
+// environment that names it.
 func configFile(t *testing.T, text string) (path string, getenv func(string) string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "config.json")
@@ -31,8 +31,8 @@
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 }
 
-// A signal reloads the configuration and asks the webhook server to read its keys, also if the
-// server has yet to do so after an earlier signal. Configurations that cannot be used are counted.
+// A signal reloads the configuration and asks the webhook server to reload its keys; a second signal
+// does not block if that request is still pending. Invalid configurations are counted as failed.
 func TestReloadReadsConfigurationAndWebhookKeys(t *testing.T) {
 	path, getenv := configFile(t, `{"listen":"127.0.0.1:1","channel":"127.0.0.1:2",`+
 		`"settings":{"categories":[{"name":"a","aim_ns":1}]}}`)
--- a/internal/daemon/endpointcache.go
+++ b/internal/daemon/endpointcache.go
@@ -9,8 +9,8 @@
 	"oakthread/internal/monotime"
 )
 
-// newEndpointCache opens the cached endpoint list that the operator's file asks for. It starts with
-// the endpoints of the configuration.
+// newEndpointCache opens the endpoint cache that the configuration file asks for, and applies the
+// endpoints of the platform's configuration unless the cached list is newer.
 func (d *daemon) newEndpointCache() *endpointcache.Syncer {
 	list := d.options.File.EndpointCache
 	settings := d.cfg.Settings.BalancerSettings()
@@ -35,7 +35,7 @@
 		options.LatencyObjectives = append(options.LatencyObjectives, time.Duration(class.LatencyObjective))
 	}
 	now := monotime.Now()
-	cache := endpointcache.NewSyncer(options, d.workers, d.console.UpdateEndpoints, now, d.log)
+	cache := endpointcache.NewSyncer(options, d.workers, d.adminAPI.UpdateEndpoints, now, d.log)
 	var known []oakthread.EndpointUpdate
 	for _, event := range d.cfg.InitialEvents {
 		known = append(known, event.Update)
--- a/internal/daemon/http2options.go
+++ b/internal/daemon/http2options.go
@@ -5,8 +5,8 @@
 	"oakthread/internal/h2"
 )
 
-// http2Options returns the options of the HTTP/2 server that the operator's file asks for, or nil
-// if it asks for none.
+// http2Options returns the options of the HTTP/2 server, or nil if the configuration file turns it
+// off.
 func http2Options(file *config.File) *h2.Options {
 	if file == nil || file.HTTP2 == nil {
 		return nil
--- a/internal/daemon/monitor.go
+++ b/internal/daemon/monitor.go
@@ -12,67 +12,68 @@
 )
 
 const (
-	// monitorInterval is the time between two looks at the event loop and the clocks.
+	// monitorInterval is the time between two checks of the event loop and the clocks.
 	monitorInterval = time.Second
-	// counterInterval is the least time between two log lines of counters.
+	// counterInterval is the minimum time between two log lines of counters.
 	counterInterval = 10 * time.Second
-	// stallThreshold is the delay of the process or the event loop that is logged. Clients notice a
-	// delay this long.
+	// stallThreshold is the delay of the process or the event loop beyond which a stall is logged.
+	// Clients notice a delay this long.
 	stallThreshold = 300 * time.Millisecond
-	// clockStepThreshold is the step of the wall clock that is logged.
+	// clockStepThreshold is the step of the wall clock beyond which it is logged.
 	clockStepThreshold = 100 * time.Millisecond
-	// listAgeThreshold is the time without a confirmation of the endpoint list that is logged.
-	// Discovery confirms it every second.
+	// listAgeThreshold is the time without a confirmation beyond which the endpoint list is logged
+	// as unconfirmed. Service discovery confirms it every second.
 	listAgeThreshold = 2 * time.Second
 )
 
-// monitor logs the counters, stalls of the process and steps of the wall clock.
+// monitor logs the counters, stalls of the process, steps of the wall clock and losses of the
+// confirmation of the endpoint list.
 type monitor struct {
 	parts
 	log *slog.Logger
 
-	logged     oakthread.Counters // as last logged
-	nextLog    time.Time
-	lastLook   time.Time
-	loggedStep time.Duration // of the wall clock since the start, as last logged
-	listLostAt time.Time     // when discovery had last confirmed the endpoint list; zero while it does
+	logged           oakthread.Counters // as last logged
+	nextLog          time.Time
+	lastCheck        time.Time
+	loggedStep       time.Duration // of the wall clock since the start, as last logged
+	unconfirmedSince time.Time     // last confirmation of the endpoint list; zero unless logged as unconfirmed
 }
 
-// newMonitor returns a monitor of the parts of a daemon.
+// newMonitor returns a monitor of the components of a daemon.
 func newMonitor(d *daemon) *monitor {
 	return &monitor{parts: d.parts, log: d.log}
 }
 
-// run looks at the daemon at every interval until ctx ends.
+// run checks the daemon every monitorInterval until ctx ends.
 func (m *monitor) run(ctx context.Context) {
 	ticker := time.NewTicker(monitorInterval)
 	defer ticker.Stop()
 	m.loggedStep = monotime.Step()
-	m.lastLook = time.Now()
+	m.lastCheck = time.Now()
 	m.nextLog = time.Now().Add(counterInterval)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			m.look(ctx)
+			m.check(ctx)
 		}
 	}
 }
 
-// look logs what has changed since the last look.
-func (m *monitor) look(ctx context.Context) {
+// check logs what has changed since the last check.
+func (m *monitor) check(ctx context.Context) {
 	woken := time.Now()
 	counters := m.core.Counters()
 	m.detectClockStep()
-	m.detectListLoss(woken)
-	m.detectStall(woken.Sub(m.lastLook)-monitorInterval, time.Since(woken))
+	m.detectUnconfirmedList(woken)
+	m.detectStall(woken.Sub(m.lastCheck)-monitorInterval, time.Since(woken))
 	if m.peers != nil && m.log.Enabled(ctx, slog.LevelDebug) {
 		m.logFleetView()
 	}
-	m.lastLook = time.Now()
-	if counters != m.logged && !m.lastLook.Before(m.nextLog) {
-		m.logged, m.nextLog = counters, m.lastLook.Add(counterInterval)
+	m.lastCheck = time.Now()
+	if counters != m.logged && !m.lastCheck.Before(m.nextLog) {
+		m.logged, m.nextLog = counters, m.lastCheck.Add(counterInterval)
 		m.logCounters(counters)
 	}
 }
@@ -86,22 +87,22 @@
 	}
 }
 
-// detectListLoss logs that discovery has not confirmed the endpoint list for a while, and when it does
-// again.
-func (m *monitor) detectListLoss(now time.Time) {
+// detectUnconfirmedList logs when service discovery has not confirmed the endpoint list for
+// listAgeThreshold, and when it confirms the list again.
+func (m *monitor) detectUnconfirmedList(now time.Time) {
 	age, ok := m.core.EndpointsAge()
 	switch {
-	case ok && age > listAgeThreshold && m.listLostAt.IsZero():
-		m.listLostAt = now.Add(-age)
+	case ok && age > listAgeThreshold && m.unconfirmedSince.IsZero():
+		m.unconfirmedSince = now.Add(-age)
 		m.log.Warn("endpoint list unconfirmed", "age", age)
-	case ok && age <= listAgeThreshold && !m.listLostAt.IsZero():
-		m.log.Info("endpoint list confirmed again", "unconfirmed_for", now.Sub(m.listLostAt))
-		m.listLostAt = time.Time{}
+	case ok && age <= listAgeThreshold && !m.unconfirmedSince.IsZero():
+		m.log.Info("endpoint list confirmed again", "unconfirmed_for", now.Sub(m.unconfirmedSince))
+		m.unconfirmedSince = time.Time{}
 	}
 }
 
-// detectStall logs a stall of the process, which woke late, or of the event loop, which answered
-// late.
+// detectStall logs a stall of the process, whose timer fired late, or of the event loop, which
+// responded late.
 func (m *monitor) detectStall(processDelay, loopDelay time.Duration) {
 	if processDelay > stallThreshold || loopDelay > stallThreshold {
 		m.log.Warn("event loop stalled", "process_delay", processDelay, "loop_delay", loopDelay)
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -10,24 +10,23 @@
 	"oakthread/internal/platform"
 )
 
-// reloader reads the configuration again at each signal. A file that cannot be used changes
-// nothing.
+// reloader reloads the platform's configuration at each signal. An invalid file changes nothing.
 type reloader struct {
 	signals <-chan os.Signal
 	getenv  func(string) string
-	initial *platform.Config // of the start, which a reloaded one has to fit
+	initial *platform.Config // as read at the start; a reloaded one must be compatible with it
 	watcher *platform.EndpointWatcher
-	// webhookKeys asks the webhook server to read its keys again.
+	// webhookKeys asks the webhook server to reload its keys.
 	webhookKeys chan time.Time
-	// apply puts the classes and the number of attempts of a reloaded configuration in force; nil
-	// applies none.
+	// apply applies the classes and the number of attempts of a reloaded configuration; nil applies
+	// nothing.
 	apply func(*platform.Config) error
 	log   *slog.Logger
 
-	succeeded, failed atomic.Int64 // reloads so far
+	succeeded, failed atomic.Int64 // numbers of reloads
 }
 
-// newReloader returns the reloader of a daemon, which as yet applies no classes.
+// newReloader returns the reloader of a daemon. The caller sets apply.
 func newReloader(d *daemon) *reloader {
 	return &reloader{
 		signals:     d.options.ReloadSignals,
@@ -65,8 +64,8 @@
 	}
 }
 
-// reloadWebhookKeys asks the webhook server to read its keys, unless it has yet to do so after an
-// earlier signal.
+// reloadWebhookKeys asks the webhook server to reload its keys, unless an earlier request is still
+// pending.
 func (r *reloader) reloadWebhookKeys() {
 	select {
 	case r.webhookKeys <- time.Now():
@@ -74,7 +73,7 @@
 	}
 }
 
-// reload reads the configuration and applies its classes.
+// reload reads and validates the configuration, and applies its classes and number of attempts.
 func (r *reloader) reload() (*platform.Config, error) {
 	cfg, err := platform.LoadConfig(r.getenv)
 	if err != nil {
--- a/internal/daemon/runtimelimits.go
+++ b/internal/daemon/runtimelimits.go
@@ -9,15 +9,16 @@
 )
 
 const (
-	// memoryLimitRatio is the part of the memory limit that the Go runtime gets as its soft limit,
-	// beyond which the garbage collector works harder.
+	// memoryLimitRatio is the fraction of the configured memory limit that the Go runtime gets as its
+	// soft limit, beyond which the garbage collector runs more often.
 	memoryLimitRatio = 0.7
-	// gcPercent is the growth of the heap in per cent that starts a collection. A small heap
+	// gcPercent is the heap growth in percent that triggers a garbage collection. A small heap
 	// touches little fresh memory.
 	gcPercent = 150
 )
 
-// setRuntimeLimits fits the Go runtime to the limits of the configuration.
+// setRuntimeLimits sets the limits of the Go runtime to the CPU and memory limits of the
+// configuration.
 func setRuntimeLimits(cfg *platform.Config) {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Cores))))
 	debug.SetGCPercent(gcPercent)
--- a/internal/daemon/sockets.go
+++ b/internal/daemon/sockets.go
@@ -6,26 +6,26 @@
 )
 
 const (
-	// reservedSockets are the descriptors for everything but clients and workers: the standard
-	// streams, epoll, the listeners and the endpoint watch.
+	// reservedSockets is the number of descriptors reserved for everything but clients and workers:
+	// the standard streams, epoll, the listeners and the endpoint watch.
 	reservedSockets = 20
-	// spareClientDivisor gives this part of the descriptors to connections of clients that come and
-	// go.
+	// spareClientDivisor is the divisor for the share of the descriptors that is added for client
+	// connections without a request, since clients connect and disconnect.
 	spareClientDivisor = 16
-	// clientDivisor gives at most this part of the descriptors to connections of clients with a
-	// request.
+	// clientDivisor is the divisor for the share of the descriptors that client connections with a
+	// request get at most.
 	clientDivisor = 3
 )
 
-// socketBudget divides the file descriptors of the process. Workers get what the others leave,
-// since a lack of sockets to workers rejects requests.
+// socketBudget divides the file descriptors of the process. Connections to workers get all that
+// remain, because requests are rejected when there are too few of them.
 type socketBudget struct {
-	clients     int // connections of clients
-	maxRequests int // requests in flight: one on each connection, without the spare ones
+	clients     int // client connections, including the spare ones
+	maxRequests int // requests in flight: one for each client connection that is not spare
 	workers     int // connections to workers
 }
 
-// newSocketBudget returns the budget for the limit that the configuration names.
+// newSocketBudget returns the budget for the descriptor limit of the configuration.
 func newSocketBudget(cfg *platform.Config, options Options) socketBudget {
 	clients, others := cfg.Sockets/clientDivisor+cfg.Sockets/spareClientDivisor, reservedSockets
 	if options.Webhooks != nil {
--- a/internal/daemon/start.go
+++ b/internal/daemon/start.go
@@ -11,8 +11,8 @@
 )
 
 // start opens the listeners and starts the goroutines of the daemon. It returns the listener for
-// clients, which serve uses. The webhook and HTTP/2 servers end with ctx and report it on their
-// channels; the rest ends with d.background.
+// clients, which serve uses. The webhook and HTTP/2 servers shut down when ctx ends and send their
+// result to d.webhooksEnded and d.http2Ended; the rest ends with d.background.
 func (d *daemon) start(ctx context.Context) (net.Listener, error) {
 	listener, err := platform.ListenBehind(ctx, d.options.Network, d.cfg.Listen)
 	if err != nil {
@@ -27,11 +27,11 @@
 		return nil, err
 	}
 	d.server = platform.NewServer(d.core, d.cfg.Settings)
-	d.server.ReadinessGate = d.console.Ready
+	d.server.ReadinessGate = d.adminAPI.Ready
 	d.server.OnViolation = d.recordViolation
-	d.reloader.apply = newClassTuner(d.cfg, d.core, d.server, d.workers).apply
+	d.reloader.apply = newClassUpdater(d.cfg, d.core, d.server, d.workers).apply
 	go d.reloader.run(d.background)
-	if err := d.startConsole(ctx); err != nil {
+	if err := d.startAdminAPI(ctx); err != nil {
 		return nil, err
 	}
 	go newMonitor(d).run(d.background)
@@ -41,13 +41,13 @@
 	return listener, nil
 }
 
-// startEndpointWatch starts to follow the endpoint list, through the endpoint cache if there is
-// one. close waits for the cache.
+// startEndpointWatch starts watching the endpoint list, through the endpoint cache if there is one.
+// close waits for the cache.
 func (d *daemon) startEndpointWatch() {
 	d.watcher = platform.NewEndpointWatcher(d.cfg, d.log)
 	d.watcher.SetNetwork(d.options.Network)
 	if d.endpointCache == nil {
-		feed := newEndpointFeed(platform.UpdateHandler(d.console.UpdateEndpoints), d.core)
+		feed := newEndpointFeed(platform.UpdateHandler(d.adminAPI.UpdateEndpoints), d.core)
 		go func() { _ = d.watcher.Follow(d.background, feed) }()
 		return
 	}
@@ -66,8 +66,8 @@
 	go func() { _ = d.watcher.Follow(d.background, feed) }()
 }
 
-// startConsole starts the operators' console, if the configuration names an address for it.
-func (d *daemon) startConsole(ctx context.Context) error {
+// startAdminAPI starts the admin API, if the configuration has an address for it.
+func (d *daemon) startAdminAPI(ctx context.Context) error {
 	if d.cfg.Console == "" {
 		return nil
 	}
@@ -77,14 +77,14 @@
 	}
 	d.log.Info("console: serving", "listen", d.cfg.Console)
 	go func() {
-		if err := d.console.Serve(d.background, listener); err != nil {
+		if err := d.adminAPI.Serve(d.background, listener); err != nil {
 			d.log.Error("console: ended", "error", err)
 		}
 	}()
 	return nil
 }
 
-// startHTTP2 starts the HTTP/2 server, if the operator's file asks for it. Its end comes on
+// startHTTP2 starts the HTTP/2 server, if the configuration file turns it on. Its result is sent to
 // d.http2Ended.
 func (d *daemon) startHTTP2(ctx context.Context) error {
 	options := http2Options(d.options.File)
--- a/internal/daemon/webhooks.go
+++ b/internal/daemon/webhooks.go
@@ -9,8 +9,8 @@
 	"oakthread/webhook"
 )
 
-// startWebhooks opens the webhook server, if the options ask for it, and serves it until ctx ends.
-// Its end comes on d.webhooksEnded.
+// startWebhooks starts the webhook server, if the options ask for it. The server runs until ctx
+// ends, and its result is sent to d.webhooksEnded.
 func (d *daemon) startWebhooks(ctx context.Context) error {
 	options := d.options.Webhooks
 	if options == nil {
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// webhookClasses returns the classes of the configuration as the webhook server needs them.
+// webhookClasses returns the classes of the configuration in the form of the webhook server.
 func webhookClasses(cfg *platform.Config) []webhook.Class {
 	var classes []webhook.Class
 	for i, class := range cfg.Settings.BalancerSettings().Classes {
@@ -49,7 +49,7 @@
 	return classes
 }
 
-// tenantNames returns the names of the tenants by their index.
+// tenantNames returns the names of the tenants, by index.
 func tenantNames(cfg *platform.Config) []string {
 	var names []string
 	for _, customer := range cfg.Settings.Customers {
