--- a/cmd/dispatcher/main.go
+++ b/cmd/dispatcher/main.go
@@ -12,12 +12,12 @@
 )
 
 func main() {
-	// Before anything else, since a SIGHUP that is not caught ends the process, also during its start.
+	// Catch SIGHUP first: an uncaught SIGHUP terminates the process, even during startup.
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	env := cli.Env{Getenv: os.Getenv, Hup: hup, Out: os.Stdout, Err: os.Stderr}
+	env := cli.Env{Getenv: os.Getenv, ReloadSignals: hup, Out: os.Stdout, Err: os.Stderr}
 	err := cli.Run(ctx, env, os.Args[1:])
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "oakthread:", err)
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is the command line of the dispatcher. Its commands read the files of a running
-// dispatcher, but never change one that a dispatcher has open.
+// Package cli is the command line of the dispatcher. Its commands can read the files of a running
+// dispatcher, but never change a file that a dispatcher has open.
 package cli
 
 import (
@@ -17,21 +17,21 @@
 const (
 	exitOK    = 0
 	exitError = 1
-	exitUsage = 2 // the command line cannot be understood
+	exitUsage = 2 // invalid command line
 )
 
 // Env is the environment that a command runs in.
 type Env struct {
-	Getenv   func(string) string
-	Hup      <-chan os.Signal
-	Out, Err io.Writer
-	Log      *slog.Logger // nil: as the configuration file says, to Err
-	// SharedProcess says that other things run in this process, which keeps its limits of threads and
-	// memory.
+	Getenv        func(string) string
+	ReloadSignals <-chan os.Signal
+	Out, Err      io.Writer
+	Log           *slog.Logger // nil: to Err, as configured by the configuration file
+	// SharedProcess is true if other code runs in this process, so that the thread and memory limits
+	// of the Go runtime are not set.
 	SharedProcess bool
 }
 
-// usageError is an error of the command line itself.
+// usageError is an error in the command line itself.
 type usageError struct{ error }
 
 func (e usageError) Unwrap() error { return e.error }
@@ -48,7 +48,7 @@
 	return exitError
 }
 
-// Run runs the command that args, without the program's name, ask for.
+// Run runs the command in args, which do not include the program's name.
 func Run(ctx context.Context, env Env, args []string) error {
 	root := newRootCommand(env)
 	root.SetArgs(rewriteLegacyFlag(args))
@@ -58,8 +58,8 @@
 	return root.ExecuteContext(ctx)
 }
 
-// rewriteLegacyFlag replaces -webhooks, a form of --webhooks that cobra would read as several short
-// flags.
+// rewriteLegacyFlag replaces -webhooks by --webhooks, since cobra would parse the former as several
+// short flags.
 func rewriteLegacyFlag(args []string) []string {
 	rewritten := make([]string, 0, len(args))
 	for _, arg := range args {
@@ -71,12 +71,12 @@
 	return rewritten
 }
 
-// newRootCommand returns the program's command, which serves if no subcommand is named.
+// newRootCommand returns the program's command, which serves if no subcommand is given.
 func newRootCommand(env Env) *cobra.Command {
 	root := &cobra.Command{
 		Use:   "oakthread",
-		Short: "Dispatch calls of models to the workers that hold them loaded",
-		Long: "oakthread dispatches calls of models to the least loaded worker believed to have them loaded.\n" +
+		Short: "Dispatch model calls to the workers that have the model loaded",
+		Long: "oakthread dispatches each model call to the least loaded worker believed to have the model loaded.\n" +
 			"Without a command it serves. ROUTER_CONFIG names the platform's configuration file.",
 		SilenceErrors: true,
 		SilenceUsage:  true,
@@ -102,13 +102,13 @@
 	return root
 }
 
-// hidden returns a command that works under a former name and is not shown in the help text.
+// hidden hides a command that is kept under a former name from the help text, and returns it.
 func hidden(command *cobra.Command) *cobra.Command {
 	command.Hidden = true
 	return command
 }
 
-// Args returns a check whose error is a usage error that names the command's help.
+// Args returns check with its errors turned into usage errors that refer to the command's help.
 func Args(check cobra.PositionalArgs) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if err := check(c, args); err != nil {
@@ -118,8 +118,8 @@
 	}
 }
 
-// Group returns a command that only holds subcommands. Without one it prints its help and returns a
-// usage error.
+// Group returns a command that only groups subcommands. When run without a subcommand, it prints its
+// help and returns a usage error.
 func Group(use, short string) *cobra.Command {
 	return &cobra.Command{
 		Use:   use,
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -21,7 +21,7 @@
 	"oakthread/internal/endpointcache"
 )
 
-// run runs a command line and returns what it prints to both outputs.
+// run runs a command line and returns its combined output and its error.
 func run(t *testing.T, args ...string) (out string, err error) {
 	t.Helper()
 	var b bytes.Buffer
@@ -53,10 +53,10 @@
 	return path
 }
 
-// formerNames maps the commands of today to the hidden names that they had.
+// formerNames maps the current names of commands to their former, hidden names.
 var formerNames = map[string]string{"endpoints": "list", "health": "verdicts"}
 
-// withFormerNames runs a test for a command under its name and under its former one.
+// withFormerNames runs a test for a command under its current and its former name.
 func withFormerNames(t *testing.T, name string, test func(t *testing.T, name string)) {
 	t.Helper()
 	for _, n := range []string{name, formerNames[name]} {
@@ -64,7 +64,7 @@
 	}
 }
 
-// A command line that cannot be understood ends with 2, a command that fails with 1, help with 0.
+// The exit code is 2 for an invalid command line, 1 for a command that fails, and 0 for help.
 func TestExitCodes(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.toml")
 	require.NoError(t, os.WriteFile(bad, []byte("[list]\npaht='x'\n"), 0o600))
@@ -118,7 +118,7 @@
 	})
 }
 
-// assertExitCode runs a command line and checks its exit code, and that an error has one line.
+// assertExitCode runs a command line and checks its exit code and that an error has a single line.
 func assertExitCode(t *testing.T, code int, args ...string) {
 	t.Helper()
 	_, err := run(t, args...)
@@ -128,7 +128,7 @@
 	}
 }
 
-// The help text shows the commands of today, not their former names.
+// The help text shows the current names of commands, not their former names.
 func TestFormerNamesAreHidden(t *testing.T) {
 	out, err := run(t, "--help")
 	require.NoError(t, err)
@@ -138,8 +138,8 @@
 	}
 }
 
-// A list that is exported and imported is the same list, forget removes what is named, and a list
-// that a dispatcher has open can be read but not changed.
+// Exporting and importing a list preserves it, forget removes the named workers, and a list that a
+// dispatcher has open can be read but not changed.
 func TestEndpointListCommands(t *testing.T) {
 	withFormerNames(t, "endpoints", testEndpointListCommands)
 }
@@ -177,7 +177,7 @@
 	original, err = endpointcache.Read(path, "d7")
 	require.NoError(t, err)
 	assert.Empty(t, original.Snapshot.Endpoints)
-	assert.Zero(t, original.Snapshot.Cursor, "discovery sends the list in full")
+	assert.Zero(t, original.Snapshot.Cursor, "so that discovery sends the full list")
 
 	for text, want := range map[string]string{
 		"{":               "list.json",
@@ -195,10 +195,10 @@
 	_, err = run(t, name, "forget", other, "--all")
 	require.ErrorIs(t, err, endpointcache.ErrInUse)
 	_, err = run(t, name, "show", other)
-	require.NoError(t, err, "reading beside a running dispatcher")
+	require.NoError(t, err, "reading while a dispatcher has the file open")
 }
 
-// The check says that the file is sound and which parts it turns on.
+// The check reports that the file is valid and which parts it turns on.
 func TestConfigCheck(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "op.toml")
 	require.NoError(t, os.WriteFile(path, []byte("[list]\npath='l.db'\n"), 0o600))
@@ -209,8 +209,8 @@
 	assert.Contains(t, out, "webhooks  off")
 }
 
-// The health of workers is a row for each that is not healthy, or for all with --all, or JSON. An
-// error has one line that says what is wrong.
+// The health of workers is printed as a row for each worker that is not healthy, for every worker
+// with --all, or as JSON. Errors say what is wrong.
 func TestHealthShow(t *testing.T) {
 	withFormerNames(t, "health", testHealthShow)
 }
--- a/internal/cli/configcheck.go
+++ b/internal/cli/configcheck.go
@@ -9,12 +9,12 @@
 	"oakthread/internal/config"
 )
 
-// newConfigCommand returns the commands on the dispatcher's configuration file.
+// newConfigCommand returns the commands for the dispatcher's configuration file.
 func newConfigCommand() *cobra.Command {
-	group := Group("config", "Look at the dispatcher's configuration file")
+	group := Group("config", "Inspect the dispatcher's configuration file")
 	group.AddCommand(&cobra.Command{
 		Use:   "check FILE",
-		Short: "Check a configuration file and say what it sets",
+		Short: "Check a configuration file and show what it turns on",
 		Args:  Args(cobra.ExactArgs(1)),
 		RunE: func(c *cobra.Command, args []string) error {
 			return checkConfig(c.OutOrStdout(), args[0])
--- a/internal/cli/endpointchange.go
+++ b/internal/cli/endpointchange.go
@@ -14,7 +14,7 @@
 )
 
 // importEndpoints replaces the list in the file at path by the exported one in the file at
-// jsonPath. An empty owner leaves it to the dispatcher that it was exported from.
+// jsonPath. If owner is empty, the list keeps the owner that it was exported with.
 func importEndpoints(out io.Writer, path, jsonPath, owner string) error {
 	raw, err := os.ReadFile(jsonPath)
 	if err != nil {
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// findWorkers returns the ids of the named workers. It returns a usage error for a name that is no
-// id, and an error for a worker that the list does not hold.
+// findWorkers returns the ids of the named workers. It returns a usage error for a name that is not
+// a worker id, and an error for a worker that is not in the list.
 func findWorkers(path string, snapshot endpoints.Snapshot, names []string) (map[balancer.WorkerID]bool, error) {
 	ids := map[balancer.WorkerID]bool{}
 	for _, name := range names {
@@ -81,7 +81,7 @@
 		}
 		hasID := func(e endpoints.Endpoint) bool { return e.ID == id }
 		if !slices.ContainsFunc(snapshot.Endpoints, hasID) {
-			return nil, fmt.Errorf("list file %s: worker %s is not in it", path, name)
+			return nil, fmt.Errorf("list file %s: worker %s is not in the list", path, name)
 		}
 		ids[id] = true
 	}
--- a/internal/cli/endpointlist.go
+++ b/internal/cli/endpointlist.go
@@ -24,7 +24,7 @@
 	Confirmed   time.Time     `json:"confirmed"`
 	Saved       time.Time     `json:"saved"`
 	FailureRate float64       `json:"leaves_per_box_hour"` // departures per worker and hour
-	Watched     string        `json:"watched"`             // sum over the workers of the time watched
+	Watched     string        `json:"watched"`             // observed time, summed over all workers
 	Departures  float64       `json:"leaves"`
 	Restarts    float64       `json:"restarts"`
 	Corrupt     int           `json:"records_left_out,omitempty"`
@@ -36,7 +36,7 @@
 	ID          string     `json:"id"`
 	Addr        string     `json:"addr"`
 	State       string     `json:"state"`
-	Confidence  float64    `json:"trust"` // probability that the worker still runs
+	Confidence  float64    `json:"trust"` // probability that the worker is still running
 	Age         string     `json:"age"`   // of the last evidence, or "unknown"
 	Zone        int        `json:"zone"`
 	Kind        int        `json:"kind"`
@@ -51,7 +51,7 @@
 // stateNames are the names of the states of an endpoint, by balancer.EndpointState.
 var stateNames = []string{"off", "draining", "on"}
 
-// newEndpointList returns the exported form of the list that was found in a file, as of now.
+// newEndpointList returns the exported form of a list that was read from a file, as of now.
 func newEndpointList(found endpointcache.Contents, now time.Time) endpointList {
 	list := endpoints.New(endpoints.Config{})
 	list.Restore(now, found.Snapshot)
@@ -98,7 +98,7 @@
 	}
 }
 
-// snapshot returns the list in the form that is written to a file.
+// snapshot converts the list to the form that is written to a file.
 func (l *endpointList) snapshot() (endpoints.Snapshot, error) {
 	snapshot := endpoints.Snapshot{
 		Epoch:       l.Epoch,
@@ -128,7 +128,7 @@
 	}
 	state := slices.Index(stateNames, r.State)
 	if state < 0 {
-		return endpoints.Endpoint{}, fmt.Errorf("state %q is not known", r.State)
+		return endpoints.Endpoint{}, fmt.Errorf("unknown state %q", r.State)
 	}
 	return endpoints.Endpoint{
 		ID:          id,
@@ -145,7 +145,7 @@
 	}, nil
 }
 
-// printTable prints the list for people to read.
+// printTable prints the list as a human-readable table.
 func (l *endpointList) printTable(out io.Writer) error {
 	fmt.Fprintf(out, "dispatcher %s, epoch %q, cursor %d\n", l.Owner, l.Epoch, l.Cursor)
 	fmt.Fprintf(out, "confirmed %s, saved %s\n", l.Confirmed.Format(time.RFC3339), l.Saved.Format(time.RFC3339))
@@ -175,7 +175,7 @@
 	}
 	n, err := strconv.ParseUint(digits, 16, 32)
 	if err != nil {
-		return 0, fmt.Errorf("worker %q: want s- and 8 hex digits, as endpoints show prints", s)
+		return 0, fmt.Errorf("worker %q: want s- and 8 hex digits, as printed by endpoints show", s)
 	}
 	return balancer.WorkerID(n), nil
 }
--- a/internal/cli/endpoints.go
+++ b/internal/cli/endpoints.go
@@ -12,11 +12,11 @@
 	"oakthread/internal/endpointcache"
 )
 
-// newEndpointsCommand returns the commands on the file of a cached endpoint list, under the given
-// name. Those that read the file also work while a dispatcher has it open; import and forget need
-// it to be closed.
+// newEndpointsCommand returns the commands for the file of a cached endpoint list, under the given
+// name. Those that read the file also work while a dispatcher has it open; import and forget do
+// not.
 func newEndpointsCommand(name string) *cobra.Command {
-	group := Group(name, "Look at the file of a cached endpoint list, or change it")
+	group := Group(name, "Inspect or change the file of a cached endpoint list")
 	group.AddCommand(
 		newEndpointsShowCommand(),
 		newEndpointsVerifyCommand(),
@@ -51,7 +51,7 @@
 func newEndpointsVerifyCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "verify FILE",
-		Short: "Read every record; exit 1 if anything is wrong",
+		Short: "Read every record; exit with 1 if there is a fault",
 		Args:  Args(cobra.ExactArgs(1)),
 		RunE: func(c *cobra.Command, args []string) error {
 			return verifyEndpoints(c.OutOrStdout(), args[0])
@@ -78,7 +78,7 @@
 	var owner string
 	command := &cobra.Command{
 		Use:   "import FILE JSON",
-		Short: "Replace the list in the file by an exported one; the dispatcher must be stopped",
+		Short: "Replace the list in the file with an exported one; the dispatcher must be stopped",
 		Args:  Args(cobra.ExactArgs(2)),
 		RunE: func(c *cobra.Command, args []string) error {
 			return importEndpoints(c.OutOrStdout(), args[0], args[1], owner)
@@ -97,7 +97,7 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			path, workers := args[0], args[1:]
 			if all == (len(workers) > 0) {
-				return usageError{errors.New("name the workers to forget, or --all")}
+				return usageError{errors.New("name either the workers to forget or --all")}
 			}
 			return forgetEndpoints(c.OutOrStdout(), path, workers)
 		},
@@ -116,7 +116,7 @@
 	return newEndpointList(found, time.Now()), nil
 }
 
-// verifyEndpoints prints what is wrong in the file at path. It returns an error if anything is.
+// verifyEndpoints prints the faults of the file at path. It returns an error if there are any.
 func verifyEndpoints(out io.Writer, path string) error {
 	faults, err := endpointcache.Check(path)
 	if err != nil {
--- a/internal/cli/health.go
+++ b/internal/cli/health.go
@@ -28,25 +28,25 @@
 // newHealthCommand returns the command that shows the health of workers as a running dispatcher
 // sees it, under the given name.
 func newHealthCommand(name string, getenv func(string) string) *cobra.Command {
-	group := Group(name, "The health of workers as a running dispatcher sees it, and why")
+	group := Group(name, "Show the health of workers as a running dispatcher sees it, and why")
 	var options healthOptions
 	show := &cobra.Command{
 		Use:   "show",
-		Short: "A row for each worker that is not healthy; --all for every one",
+		Short: "Show a row for each worker that is not healthy; --all for every worker",
 		Args:  Args(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error {
 			return showHealth(c.Context(), c.OutOrStdout(), options, getenv)
 		},
 	}
 	show.Flags().StringVar(&options.address, "console", "",
-		"the dispatcher's admin API, host:port; without it $ROUTER_CONSOLE, then what $ROUTER_CONFIG sets")
+		"address of the dispatcher's admin API, host:port; default: $ROUTER_CONSOLE, then what $ROUTER_CONFIG sets")
 	show.Flags().BoolVar(&options.json, "json", false, "as JSON, every worker")
 	show.Flags().BoolVar(&options.all, "all", false, "also those that are healthy")
 	group.AddCommand(show)
 	return group
 }
 
-// healthOptions are the flags of the command.
+// healthOptions are the flags of the health show command.
 type healthOptions struct {
 	address string // of the admin API; empty: see adminAddress
 	json    bool
@@ -69,12 +69,12 @@
 	}
 	var workers []adminapi.WorkerHealth
 	if err := json.Unmarshal(body, &workers); err != nil {
-		return fmt.Errorf("health: the answer of %s: %w", address, err)
+		return fmt.Errorf("health: response of %s: %w", address, err)
 	}
 	return printHealth(out, workers, options.all)
 }
 
-// adminAddress returns the address of the dispatcher's admin API: that of the flag, or else of
+// adminAddress returns the address of the dispatcher's admin API: the value of the flag, or else of
 // ROUTER_CONSOLE, or else of the key console in the file that ROUTER_CONFIG names.
 func adminAddress(flag string, getenv func(string) string) (string, error) {
 	if flag != "" {
@@ -103,7 +103,7 @@
 	return file.Console, nil
 }
 
-// get returns the body of a response with status 200, and an error for any other.
+// get returns the body of the response to a GET request. A status other than 200 is an error.
 func get(ctx context.Context, url string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, adminTimeout)
 	defer cancel()
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -11,12 +11,12 @@
 	"oakthread/webhook"
 )
 
-// addServe has a command run the dispatcher, with the flags for it.
+// addServe sets up a command to run the dispatcher, and adds the flags for it.
 func addServe(command *cobra.Command, env Env) {
 	configPath := command.Flags().String("config", "",
-		"dispatcher's configuration file, such as deploy/oakthread.toml; empty: all of its parts are off")
+		"dispatcher's configuration file, such as deploy/oakthread.toml; empty: everything it configures is off")
 	webhooksPath := command.Flags().String("webhooks", "",
-		"configuration file of the webhook front alone, as in deploy/webhooks.toml")
+		"configuration file of the webhook server only, such as deploy/webhooks.toml")
 	command.RunE = func(c *cobra.Command, _ []string) error {
 		options, err := daemonOptions(env, *configPath, *webhooksPath)
 		if err != nil {
@@ -26,11 +26,11 @@
 	}
 }
 
-// daemonOptions reads the configuration files. The webhook front is configured by a section of
-// configPath or by webhooksPath, not by both.
+// daemonOptions reads the configuration files. The webhook server is configured by a section of the
+// file at configPath or by the file at webhooksPath, not by both.
 func daemonOptions(env Env, configPath, webhooksPath string) (options daemon.Options, err error) {
 	options = daemon.Options{
-		Getenv: env.Getenv, ReloadSignals: env.Hup, Log: env.Log, SharedProcess: env.SharedProcess,
+		Getenv: env.Getenv, ReloadSignals: env.ReloadSignals, Log: env.Log, SharedProcess: env.SharedProcess,
 	}
 	if configPath != "" {
 		if options.File, err = config.Read(configPath); err != nil {
@@ -40,7 +40,7 @@
 	}
 	if webhooksPath != "" {
 		if options.Webhooks != nil {
-			return options, usageError{fmt.Errorf("--webhooks and section webhooks of %s: one of them", configPath)}
+			return options, usageError{fmt.Errorf("--webhooks excludes section webhooks of %s", configPath)}
 		}
 		if options.Webhooks, err = webhook.ReadOptions(webhooksPath); err != nil {
 			return options, err
