--- a/internal/endpointcache/durability_test.go
+++ b/internal/endpointcache/durability_test.go
@@ -19,11 +19,11 @@
 )
 
 const (
-	// writerEnv has the test binary write lists to the file it names, until it is killed.
+	// writerEnv names a file. It makes the test binary write lists to the file until it is killed.
 	writerEnv = "OAKTHREAD_KEPT_WRITER"
 
-	// fullDiskEnv has the test binary write a list to the file it names that a limit on file sizes
-	// does not allow, and another once the limit is gone.
+	// fullDiskEnv names a file. It makes the test binary write a list to the file that exceeds a
+	// limit on file sizes, and another one after the limit is lifted.
 	fullDiskEnv = "OAKTHREAD_KEPT_FULL"
 
 	pageSize = 4096
@@ -31,18 +31,18 @@
 
 func TestMain(m *testing.M) {
 	if path := os.Getenv(fullDiskEnv); path != "" {
-		must(writeToFullDisk(path))
+		panicOnError(writeToFullDisk(path))
 		return
 	}
 	if path := os.Getenv(writerEnv); path != "" {
-		must(writeWithoutEnd(path))
+		panicOnError(writeUntilKilled(path))
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// must panics with an error of a child process, whose parent sees that it failed.
-func must(err error) {
+// panicOnError panics on an error in a child process, so that its parent sees a failure.
+func panicOnError(err error) {
 	if err != nil {
 		panic(err)
 	}
@@ -58,17 +58,17 @@
 	if err := store.Write(sample(20)); err != nil {
 		return err
 	}
-	var usual syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_FSIZE, &usual); err != nil {
+	var original syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_FSIZE, &original); err != nil {
 		return err
 	}
-	small := usual
-	small.Cur = 128 << 10
-	if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &small); err != nil {
+	lowered := original
+	lowered.Cur = 128 << 10
+	if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &lowered); err != nil {
 		return err
 	}
 	fmt.Println("too long:", store.Write(sample(20_000)) != nil)
-	if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &usual); err != nil {
+	if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &original); err != nil {
 		return err
 	}
 	fmt.Println("short:", store.Write(sample(30)))
@@ -76,8 +76,9 @@
 	return nil
 }
 
-// writeWithoutEnd writes lists whose endpoints all name the number of the write.
-func writeWithoutEnd(path string) error {
+// writeUntilKilled writes lists in which the cursor and the Cell of every endpoint are the number
+// of the write.
+func writeUntilKilled(path string) error {
 	store, _, err := Open(path, "d1")
 	if err != nil {
 		return err
@@ -99,8 +100,8 @@
 	}
 }
 
-// damage returns a copy of a file with one fault: a flipped bit, a cut, or a page of noise or of
-// zeros.
+// damage returns a copy of a file with one fault: a flipped bit, a truncation, or a page of random
+// bytes or zeros.
 func damage(rng *rand.Rand, kind int, file []byte) []byte {
 	damaged := append([]byte(nil), file...)
 	switch kind % 4 {
@@ -120,8 +121,8 @@
 	return damaged
 }
 
-// Whatever page of a file is torn or flipped, a start goes on with the valid records or none, and
-// the next list can be written. 400 files are damaged, each in its own way.
+// Opening a damaged file returns intact records only, or none. The next list is written, or the
+// write fails with ErrDamaged. 400 files are tested, each with a random fault.
 func TestDamagedFiles(t *testing.T) {
 	intact, err := os.ReadFile(writeSample(t, 40))
 	require.NoError(t, err)
@@ -146,7 +147,7 @@
 func useDamagedFile(t *testing.T, path string, want map[balancer.WorkerID]endpoints.Endpoint) (replaced bool) {
 	t.Helper()
 	store, found, err := Open(path, "d1")
-	if err != nil && store == nil { // such as another owner's name by a flipped bit
+	if err != nil && store == nil { // without a Store there is nothing to write to
 		assert.NotContains(t, err.Error(), "\n")
 		return false
 	}
@@ -170,7 +171,7 @@
 	return replaced
 }
 
-// The file holds one complete list whenever its writer is killed.
+// The file holds one complete list, no matter when its writer is killed.
 func TestKilledWhileWriting(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list.db")
 	rng := rand.New(rand.NewPCG(3, 4))
@@ -182,7 +183,7 @@
 		require.NoError(t, cmd.Start())
 		_, err = out.Read(make([]byte, 8))
 		require.NoError(t, err)
-		<-time.After(time.Duration(rng.IntN(40)) * time.Millisecond) // wherever the writer is by then
+		<-time.After(time.Duration(rng.IntN(40)) * time.Millisecond) // kill after a random time
 		require.NoError(t, cmd.Process.Kill())
 		_ = cmd.Wait()
 		found, err := Read(path, "d1")
--- a/internal/endpointcache/golden_test.go
+++ b/internal/endpointcache/golden_test.go
@@ -20,15 +20,15 @@
 	"oakthread/endpoints"
 )
 
-var updateGolden = flag.Bool("update", false, "write the text golden files, and the database where there is none")
+var updateGolden = flag.Bool("update", false, "rewrite the text golden files, and create the database if it is missing")
 
 const (
 	goldenList  = "testdata/list.db"
 	goldenOwner = "dispatcher-7"
 )
 
-// storedList returns what testdata/list.db, written by an earlier build, holds: endpoints in every
-// state, events of every kind, and no value twice in a record.
+// storedList returns the contents of testdata/list.db, which an earlier build wrote: endpoints in
+// every state, events of every kind, and no value twice in a record.
 func storedList() endpoints.Snapshot {
 	at := func(n int) time.Time { return startTime.Add(time.Duration(n) * (time.Hour + time.Nanosecond)) }
 	return endpoints.Snapshot{
@@ -46,7 +46,7 @@
 				ID: 23, Addr: "[::1]:7003", Zone: 24, Kind: 25, Cell: 26, State: balancer.Removed, Weight: 27.5,
 				Start: at(-29), UpdatedAt: at(-28), VerifiedAt: at(-27), RequestRate: 28.25,
 			},
-			{ID: 34, Addr: "box.example:7004", State: balancer.Active}, // everything optional left out
+			{ID: 34, Addr: "box.example:7004", State: balancer.Active}, // without the optional fields
 			{
 				ID: math.MaxUint32, Addr: "127.0.0.1:7005", Zone: -1, Kind: -2, Cell: -3, State: balancer.Active,
 				Weight: 0.1, Start: time.Unix(0, 1), UpdatedAt: at(-38), VerifiedAt: at(-37), RequestRate: 1e9,
@@ -64,9 +64,9 @@
 	}
 }
 
-// copyOf copies a file of testdata to a temporary folder, where it may be changed, and returns its
-// path.
-func copyOf(t *testing.T, path string) string {
+// copyToTemp copies a file of testdata to a temporary directory, where it may be changed, and
+// returns the path of the copy.
+func copyToTemp(t *testing.T, path string) string {
 	t.Helper()
 	raw, err := os.ReadFile(path)
 	require.NoError(t, err)
@@ -96,14 +96,14 @@
 	t.Helper()
 	path := filepath.Join("testdata", "records.golden")
 	if *updateGolden {
-		require.NoError(t, os.WriteFile(path, []byte(records(t, copyOf(t, goldenList))), 0o600))
+		require.NoError(t, os.WriteFile(path, []byte(records(t, copyToTemp(t, goldenList))), 0o600))
 	}
 	want, err := os.ReadFile(path)
 	require.NoError(t, err)
 	return string(want)
 }
 
-// writeList writes storedList to a file, new or not.
+// writeList writes storedList to a new or existing file.
 func writeList(t *testing.T, path string) {
 	t.Helper()
 	s, _, err := Open(path, goldenOwner)
@@ -113,17 +113,17 @@
 }
 
 // The committed database exists. With -update it is created if it is missing, and never replaced.
-func TestStoredListIsThere(t *testing.T) {
+func TestGoldenDatabaseExists(t *testing.T) {
 	if _, err := os.Stat(goldenList); *updateGolden && errors.Is(err, fs.ErrNotExist) {
 		writeList(t, goldenList)
 	}
 	assert.FileExists(t, goldenList)
 }
 
-// A file of an earlier build is read with every field of every record.
+// All fields of all records are read from a file of an earlier build.
 func TestStoredListIsReadable(t *testing.T) {
 	want := Contents{Snapshot: storedList(), Owner: goldenOwner, Schema: 2}
-	path := copyOf(t, goldenList)
+	path := copyToTemp(t, goldenList)
 	f, err := Read(path, goldenOwner)
 	require.NoError(t, err)
 	assert.Equal(t, want, f, "read")
@@ -131,16 +131,16 @@
 	require.NoError(t, err)
 	assert.Equal(t, want, f, "opened")
 	require.NoError(t, s.Close())
-	wrong, err := Check(path)
+	faults, err := Check(path)
 	require.NoError(t, err)
-	assert.Empty(t, wrong)
+	assert.Empty(t, faults)
 }
 
-// The same list gives the same records, byte for byte, in a new file and over that of an earlier
-// build.
-func TestStoredListIsWrittenTheSame(t *testing.T) {
+// The same list gives the same records, byte for byte, whether written to a new file or over a file
+// of an earlier build.
+func TestWrittenRecordsMatchGolden(t *testing.T) {
 	want := storedRecords(t)
-	path := copyOf(t, goldenList)
+	path := copyToTemp(t, goldenList)
 	assert.Equal(t, want, records(t, path), "as committed")
 	writeList(t, path)
 	assert.Equal(t, want, records(t, path), "written again")
--- a/internal/endpointcache/inspect.go
+++ b/internal/endpointcache/inspect.go
@@ -8,14 +8,14 @@
 	"oakthread/balancer"
 )
 
-// snapshotTries is the number of attempts to copy a file between two writes of its owner.
-const snapshotTries = 5
+// maxCopyAttempts is the number of attempts to copy a file while its owner may be writing to it.
+const maxCopyAttempts = 5
 
-// errChangedWhileCopied is the error of a copy that may mix two versions of the file.
-var errChangedWhileCopied = errors.New("it was written meanwhile")
+// errChangedDuringCopy is the error of a copy that may contain parts of two versions of the file.
+var errChangedDuringCopy = errors.New("written to while it was copied")
 
-// Check reads every record of the file and returns a line for each fault. The database's own check
-// is not used: it runs on a goroutine where a panic over a torn page cannot be recovered.
+// Check reads every record of the file and returns a line for each fault. bbolt's own check is
+// not used: it runs in a separate goroutine, where a panic on a torn page cannot be recovered.
 func Check(path string) (faults []string, err error) {
 	found, err := Read(path, "")
 	if err != nil {
@@ -27,7 +27,7 @@
 	byAddr := map[string]balancer.WorkerID{}
 	for _, endpoint := range found.Snapshot.Endpoints {
 		if other, isDuplicate := byAddr[endpoint.Addr]; isDuplicate && endpoint.Addr != "" {
-			faults = append(faults, fmt.Sprintf("boxes s-%08x and s-%08x have one address, %s",
+			faults = append(faults, fmt.Sprintf("workers s-%08x and s-%08x have the same address, %s",
 				uint32(other), uint32(endpoint.ID), endpoint.Addr))
 		}
 		byAddr[endpoint.Addr] = endpoint.ID
@@ -35,25 +35,24 @@
 	return faults, nil
 }
 
-// ReadShared reads a file that a dispatcher may have open, from a copy made while nothing was
-// written. It changes nothing.
+// ReadShared reads a file that a dispatcher may have open. If one has, a copy is read that was made
+// while the file did not change. The file itself is not changed.
 func ReadShared(path string) (Contents, error) {
 	found, err := Read(path, "")
 	if !errors.Is(err, ErrInUse) {
 		return found, err
 	}
-	for range snapshotTries {
+	for range maxCopyAttempts {
 		if found, err = readCopy(path); err == nil {
 			return found, nil
 		}
 	}
-	return found, fmt.Errorf("list file %s: no copy of it is whole, it is written all the time: %w", path, err)
+	return found, fmt.Errorf("list file %s: no consistent copy could be read: %w", path, err)
 }
 
-// readCopy reads a temporary copy of the file. It fails if the file was written while it was
-// copied.
+// readCopy reads a temporary copy of the file. It fails if the file changed while it was copied.
 func readCopy(path string) (Contents, error) {
-	raw, err := readUnchanged(path)
+	raw, err := readConsistent(path)
 	if err != nil {
 		return Contents{}, err
 	}
@@ -69,8 +68,9 @@
 	return Read(temporary.Name(), "")
 }
 
-// readUnchanged reads a file that has the same size and time of change before and after.
-func readUnchanged(path string) ([]byte, error) {
+// readConsistent reads a file. It fails with errChangedDuringCopy if the file's size or
+// modification time is not the same after the read as before it.
+func readConsistent(path string) ([]byte, error) {
 	before, err := os.Stat(path)
 	if err != nil {
 		return nil, err
@@ -84,7 +84,7 @@
 		return nil, err
 	}
 	if !before.ModTime().Equal(after.ModTime()) || before.Size() != after.Size() {
-		return nil, errChangedWhileCopied
+		return nil, errChangedDuringCopy
 	}
 	return raw, nil
 }
--- a/internal/endpointcache/record.go
+++ b/internal/endpointcache/record.go
@@ -17,8 +17,8 @@
 
 var checksumTable = crc32.MakeTable(crc32.Castagnoli)
 
-// sealRecord encodes a record with its checksum before it.
-func sealRecord(record proto.Message) ([]byte, error) {
+// encodeRecord returns the checksum and the encoding of a record, in this order.
+func encodeRecord(record proto.Message) ([]byte, error) {
 	raw, err := proto.Marshal(record)
 	if err != nil {
 		return nil, err
@@ -26,13 +26,13 @@
 	return append(binary.BigEndian.AppendUint32(nil, crc32.Checksum(raw, checksumTable)), raw...), nil
 }
 
-// unsealRecord decodes a record and reports whether its checksum and encoding are valid.
-func unsealRecord(sealed []byte, record proto.Message) bool {
-	if len(sealed) < checksumSize {
+// decodeRecord decodes a record and reports whether its checksum and encoding are valid.
+func decodeRecord(encoded []byte, record proto.Message) bool {
+	if len(encoded) < checksumSize {
 		return false
 	}
-	raw := sealed[checksumSize:]
-	return crc32.Checksum(raw, checksumTable) == binary.BigEndian.Uint32(sealed) && proto.Unmarshal(raw, record) == nil
+	raw := encoded[checksumSize:]
+	return crc32.Checksum(raw, checksumTable) == binary.BigEndian.Uint32(encoded) && proto.Unmarshal(raw, record) == nil
 }
 
 // endpointKey returns the key of an endpoint's record.
@@ -55,10 +55,11 @@
 	}
 }
 
-// decodeEndpoint returns the endpoint of a sealed record, and false if the record is invalid.
-func decodeEndpoint(key, sealed []byte) (endpoints.Endpoint, bool) {
+// decodeEndpoint decodes the record of an endpoint. It returns false if the record is invalid or
+// stored under another endpoint's key.
+func decodeEndpoint(key, encoded []byte) (endpoints.Endpoint, bool) {
 	var record keptpb.Box
-	if !unsealRecord(sealed, &record) || record.State < 0 || record.State > int32(balancer.Active) {
+	if !decodeRecord(encoded, &record) || record.State < 0 || record.State > int32(balancer.Active) {
 		return endpoints.Endpoint{}, false
 	}
 	if string(key) != string(endpointKey(balancer.WorkerID(record.Id))) {
@@ -79,8 +80,9 @@
 	}, true
 }
 
-// eventKey returns the key of an event's record. Keys are ordered by time, so that the records of
-// events already in the file are not written again.
+// eventKey returns the key of an event's record. It holds the whole event, so that writeEvents
+// finds stored events by their key and does not write them again. The time comes first: keys are in
+// order of time.
 func eventKey(event endpoints.Event) []byte {
 	key := binary.BigEndian.AppendUint64(nil, uint64(nanosFromTime(event.At)))
 	key = binary.BigEndian.AppendUint32(key, uint32(event.Worker))
@@ -92,10 +94,10 @@
 	return &keptpb.Event{At: nanosFromTime(event.At), Worker: uint32(event.Worker), What: int32(event.Kind)}
 }
 
-// decodeEvent returns the event of a sealed record, and false if the record is invalid.
-func decodeEvent(sealed []byte) (endpoints.Event, bool) {
+// decodeEvent decodes the record of an event. It returns false if the record is invalid.
+func decodeEvent(encoded []byte) (endpoints.Event, bool) {
 	var record keptpb.Event
-	if !unsealRecord(sealed, &record) || record.What < 0 || record.What > int32(endpoints.Drained) {
+	if !decodeRecord(encoded, &record) || record.What < 0 || record.What > int32(endpoints.Drained) {
 		return endpoints.Event{}, false
 	}
 	return endpoints.Event{
@@ -105,7 +107,7 @@
 	}, true
 }
 
-// encodeHead returns the head record of a snapshot.
+// encodeHead returns the head record for a snapshot.
 func encodeHead(owner string, snapshot endpoints.Snapshot) *keptpb.Head {
 	return &keptpb.Head{
 		Schema:    Schema,
@@ -120,7 +122,7 @@
 	}
 }
 
-// decodeHead returns the contents that a head record describes, without endpoints and events.
+// decodeHead converts a head record. The result has neither endpoints nor events.
 func decodeHead(head *keptpb.Head) Contents {
 	return Contents{
 		Owner:  head.Owner,
--- a/internal/endpointcache/run.go
+++ b/internal/endpointcache/run.go
@@ -15,11 +15,11 @@
 const (
 	healthCheckTimeout = 250 * time.Millisecond
 
-	// maxUtilization is the CPU utilization above which an answered health check counts as slow:
+	// maxUtilization is the CPU utilization above which an answered health check counts as late:
 	// the worker has no capacity for more load.
 	maxUtilization = 0.9
 
-	// idleInterval is the longest sleep of Run, when the list needs no call at any time.
+	// idleInterval is the time that Run waits while the list has no deadline.
 	idleInterval = time.Hour
 
 	// minTimerInterval keeps Run from spinning when a deadline has just passed.
@@ -37,7 +37,7 @@
 	for {
 		actions, deadline := s.takeActions()
 		s.carryOut(ctx, actions, &background)
-		timer.Reset(sleepUntil(deadline))
+		timer.Reset(timeUntil(deadline))
 		select {
 		case <-ctx.Done():
 			s.saveFinal()
@@ -48,8 +48,8 @@
 	}
 }
 
-// takeActions gives the list its due tick, requests a save if one is pending, and returns the other
-// pending actions and the time of the next tick.
+// takeActions calls the list's Tick if its deadline has passed and requests a save if one is
+// pending. It returns the pending actions and the next deadline, which is zero if there is none.
 func (s *Syncer) takeActions() (actions endpoints.Actions, deadline time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,7 +65,7 @@
 	return actions, s.list.NextDeadline()
 }
 
-// carryOut publishes, logs and starts health checks.
+// carryOut publishes updates, writes log lines and starts health checks.
 func (s *Syncer) carryOut(ctx context.Context, actions endpoints.Actions, background *sync.WaitGroup) {
 	for _, publication := range actions.Publications {
 		update := oakthread.EndpointUpdate{Kind: publication.Kind}
@@ -82,15 +82,16 @@
 	}
 }
 
-// sleepUntil returns the time until a deadline, idleInterval if there is none.
-func sleepUntil(deadline time.Time) time.Duration {
+// timeUntil returns the time until a deadline, at least minTimerInterval. It returns idleInterval
+// if there is no deadline.
+func timeUntil(deadline time.Time) time.Duration {
 	if deadline.IsZero() {
 		return idleInterval
 	}
 	return max(time.Until(deadline), minTimerInterval)
 }
 
-// saveFinal requests the last save and ends the saver.
+// saveFinal requests the last save and closes the request channel, which ends the saver.
 func (s *Syncer) saveFinal() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,7 +100,8 @@
 	close(s.saver.requests)
 }
 
-// checkHealth checks the health of one worker and gives the list the result.
+// checkHealth checks the health of one worker and passes the result to the list. A check without a
+// conclusive result counts as timed out, unless it was canceled because Run ends.
 func (s *Syncer) checkHealth(ctx context.Context, endpoint endpoints.Endpoint) {
 	checkCtx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
 	defer cancel()
--- a/internal/endpointcache/saver.go
+++ b/internal/endpointcache/saver.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// urgentSaveDelay is the time for which an urgent save waits for further changes. A drain or a
-	// removal is on disk within 100 ms of the report.
+	// urgentSaveDelay is the time for which an urgent save waits for further changes. It is short
+	// so that a drain or a removal is on disk within 100 ms of the report.
 	urgentSaveDelay = 30 * time.Millisecond
 
-	// saveDelay is the same for all other saves.
+	// saveDelay is the corresponding time for all other saves.
 	saveDelay = time.Second
 
 	// reopenInterval is the time between attempts to open a file that cannot be opened.
@@ -36,10 +36,10 @@
 type saver struct {
 	path, owner string
 	log         *slog.Logger
-	requests    chan saveRequest // capacity 1; closed by the owner of run after the last request
+	requests    chan saveRequest // capacity 1; closed by Syncer.saveFinal after the last request
 	failures    atomic.Int64
 
-	// The fields below belong to the goroutine of run.
+	// The fields below are accessed only by the goroutine of run, once it has started.
 	store    *Store // nil: the file is not open
 	latest   saveRequest
 	unsaved  bool // latest is not on disk after a failure
@@ -47,12 +47,12 @@
 	reopenAt time.Time
 }
 
-// newSaver returns a saver of the file at path; "": nothing is saved.
+// newSaver returns a saver for the file at path. If path is empty, nothing is saved.
 func newSaver(path, owner string, log *slog.Logger) *saver {
 	return &saver{path: path, owner: owner, log: log, requests: make(chan saveRequest, 1)}
 }
 
-// open opens the file before run and returns what it held.
+// open opens the file and returns its contents. It is called before run.
 func (s *saver) open() Contents {
 	if s.path == "" {
 		return Contents{IsEmpty: true}
@@ -106,8 +106,8 @@
 	}
 }
 
-// coalesce waits for newer requests until the delay of the first one is over, or that of an urgent
-// one.
+// coalesce replaces the request by newer ones until the delay of the first request is over, or that
+// of an urgent one if that is earlier. It returns the newest.
 func (s *saver) coalesce(request saveRequest) saveRequest {
 	due := request.requestedAt.Add(saveDelay)
 	if request.urgent {
@@ -134,7 +134,7 @@
 	}
 }
 
-// write saves the latest snapshot, opening the file first where that is due.
+// write saves the latest snapshot. If the file is not open, it first tries to open it.
 func (s *saver) write() {
 	if s.path == "" {
 		return
@@ -161,11 +161,11 @@
 		return
 	}
 	s.reopenAt = monotime.Now().Add(reopenInterval)
-	s.store, _, _ = Open(s.path, s.owner) // the cause was logged at the start or at the failed write
+	s.store, _, _ = Open(s.path, s.owner) // open or handleFailure has logged the original error
 }
 
-// handleFailure logs the first of several failures in a row, and gives up a damaged file so that
-// the retry replaces it.
+// handleFailure logs the first of several consecutive failures. It closes a damaged file, so that
+// the retry calls Open, which replaces it.
 func (s *saver) handleFailure(err error) {
 	s.failures.Add(1)
 	if !s.unsaved {
@@ -178,7 +178,7 @@
 	}
 }
 
-// close tries a last time to save an unsaved snapshot and closes the file.
+// close makes a last attempt to write an unsaved snapshot and closes the file.
 func (s *saver) close() {
 	if s.unsaved {
 		s.write()
--- a/internal/endpointcache/saver_test.go
+++ b/internal/endpointcache/saver_test.go
@@ -15,7 +15,7 @@
 
 // A failed write is retried without further requests, and the list is on disk once a write
 // succeeds.
-func TestFailedWritesAreTriedAgain(t *testing.T) {
+func TestFailedWritesAreRetried(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list.db")
 	syncer := NewSyncer(Options{Path: path, Owner: "d1"}, nil, func(oakthread.EndpointUpdate) {}, monotime.Now(),
 		slog.New(slog.DiscardHandler))
@@ -39,8 +39,8 @@
 	ended := make(chan struct{})
 	go func() { defer close(ended); saver.run() }()
 	saver.request(saveRequest{snapshot: sample(5), urgent: true, requestedAt: monotime.Now()})
-	for begun := time.Now(); syncer.FailedWrites() < 4; {
-		require.Less(t, time.Since(begun), 10*time.Second, "one request, and no retry")
+	for startedAt := time.Now(); syncer.FailedWrites() < 4; {
+		require.Less(t, time.Since(startedAt), 10*time.Second, "the failed write was not retried")
 		time.Sleep(time.Millisecond)
 	}
 	close(saver.requests)
--- a/internal/endpointcache/store.go
+++ b/internal/endpointcache/store.go
@@ -22,12 +22,12 @@
 	"oakthread/endpoints"
 )
 
-// Schema is the version of the records' meaning. Schema 1 had no history and no request rates: such
-// a file is read, and written as schema 2.
+// Schema is the version of the record format. Schema 1 had no history and no request rates; a file
+// with it is read and then written with schema 2.
 const Schema = 2
 
 const (
-	// lockTimeout is the time that opening waits for another process to close the file.
+	// lockTimeout is how long opening waits for another process to release the lock on the file.
 	lockTimeout = 200 * time.Millisecond
 
 	dirMode  = 0o700
@@ -36,27 +36,28 @@
 	// damagedSuffix is appended to the name of a damaged file.
 	damagedSuffix = ".damaged"
 
-	// maxFaultLength bounds the text of a fault that the database panicked with.
+	// maxFaultLength is the maximum length, in characters, of a panic's text in an error.
 	maxFaultLength = 120
 )
 
 // Errors of a file that exists and cannot be used.
 var (
-	ErrInUse       = errors.New("another process has it open")
-	ErrOwner       = errors.New("it is another dispatcher's")
-	ErrSchema      = errors.New("it was written by a later version")
-	ErrDamaged     = errors.New("it is damaged")
-	errMissingHead = errors.New("its head record is missing or damaged")
+	ErrInUse       = errors.New("in use by another process")
+	ErrOwner       = errors.New("owned by another dispatcher")
+	ErrSchema      = errors.New("written by a later version")
+	ErrDamaged     = errors.New("damaged")
+	errMissingHead = errors.New("head record missing or damaged")
 )
 
-// Store is the file of the list. One process has it open at a time.
+// Store is an open file of the list. While it is open, other attempts to open the file fail with
+// ErrInUse.
 type Store struct {
 	db    *bbolt.DB
 	path  string
 	owner string
 }
 
-// Contents is what a file held.
+// Contents is the decoded content of a file.
 type Contents struct {
 	Snapshot       endpoints.Snapshot
 	Owner          string
@@ -66,8 +67,9 @@
 }
 
 // Open opens or creates the file of a dispatcher and reads it. A damaged file is renamed to
-// PATH.damaged and replaced by an empty one; the error then wraps ErrDamaged and comes with a Store
-// that works. Any other error comes without a Store, and the file is unchanged.
+// PATH.damaged and replaced by an empty one; the returned error then wraps ErrDamaged and the Store
+// is usable. With any other error the Store is nil. The file is then unchanged, unless it was
+// damaged and has been renamed, but no new one could be opened.
 func Open(path, owner string) (*Store, Contents, error) {
 	if err := os.MkdirAll(filepath.Dir(path), dirMode); err != nil {
 		return nil, Contents{IsEmpty: true}, fmt.Errorf("list file %s: %w", path, err)
@@ -76,19 +78,19 @@
 	if !errors.Is(err, ErrDamaged) {
 		return store, found, err
 	}
-	aside := path + damagedSuffix
-	if renameErr := os.Rename(path, aside); renameErr != nil {
-		return nil, Contents{IsEmpty: true}, fmt.Errorf("%w; it cannot be put aside: %w", err, renameErr)
+	renamedPath := path + damagedSuffix
+	if renameErr := os.Rename(path, renamedPath); renameErr != nil {
+		return nil, Contents{IsEmpty: true}, fmt.Errorf("%w; it cannot be renamed: %w", err, renameErr)
 	}
 	store, found, reopenErr := open(path, owner, false)
 	if reopenErr != nil {
 		return nil, Contents{IsEmpty: true}, reopenErr
 	}
-	return store, found, fmt.Errorf("%w; put aside as %s", err, aside)
+	return store, found, fmt.Errorf("%w; renamed to %s", err, renamedPath)
 }
 
-// Read reads a file that no process has open, and leaves it as it is. An empty owner reads the file
-// of any dispatcher.
+// Read reads a file without changing it. It fails with ErrInUse if a Store has the file open. An
+// empty owner reads the file of any dispatcher.
 func Read(path, owner string) (Contents, error) {
 	store, found, err := open(path, owner, true)
 	if err != nil {
@@ -106,7 +108,7 @@
 	}
 	db, found, err := openDatabase(path, readOnly)
 	if err == nil {
-		err = found.checkUsable(owner)
+		err = found.checkOwnerAndSchema(owner)
 	}
 	if err != nil {
 		if db != nil {
@@ -117,10 +119,12 @@
 	return &Store{db: db, path: path, owner: owner}, found, nil
 }
 
-// openDatabase opens and reads the database. It may return a database beside an error.
+// openDatabase opens and reads the database. If reading fails, it returns the open database along
+// with the error, and the caller closes it.
 func openDatabase(path string, readOnly bool) (db *bbolt.DB, found Contents, err error) {
-	// The list of free pages is stored in the file. Without it the database walks all pages at each
-	// start on a goroutine of its own, where a panic over a torn page cannot be recovered.
+	// The free list is stored in the file: NoFreelistSync stays false. Without a stored free list,
+	// bbolt scans all pages on each open in a separate goroutine, where a panic on a torn page
+	// cannot be recovered.
 	options := &bbolt.Options{Timeout: lockTimeout, ReadOnly: readOnly, FreelistType: bbolt.FreelistMapType}
 	err = recoverFaults(func() error {
 		var err error
@@ -135,7 +139,8 @@
 	return db, found, classifyOpenError(err)
 }
 
-// classifyOpenError returns an error of the database as one of the package's errors.
+// classifyOpenError maps a lock timeout to ErrInUse and wraps invalid contents in ErrDamaged. Other
+// errors are returned unchanged.
 func classifyOpenError(err error) error {
 	switch {
 	case err == nil:
@@ -148,7 +153,7 @@
 	return err
 }
 
-// isDamage reports whether an error of the database says that the file's contents are invalid.
+// isDamage reports whether an error of the database means that the file's contents are invalid.
 func isDamage(err error) bool {
 	for _, damage := range []error{
 		ErrDamaged, errMissingHead, berrors.ErrInvalid, berrors.ErrChecksum, berrors.ErrVersionMismatch,
@@ -157,16 +162,17 @@
 			return true
 		}
 	}
-	return strings.Contains(err.Error(), "file size too small") // the database has no sentinel for it
+	return strings.Contains(err.Error(), "file size too small") // bbolt has no error value for it
 }
 
-// checkUsable returns an error if the file is another owner's or has a later schema.
-func (f Contents) checkUsable(owner string) error {
+// checkOwnerAndSchema returns an error if the file belongs to another owner or has a later schema.
+// An empty owner matches any.
+func (f Contents) checkOwnerAndSchema(owner string) error {
 	if !f.IsEmpty && owner != "" && f.Owner != owner {
 		return fmt.Errorf("%w: %q, not %q", ErrOwner, f.Owner, owner)
 	}
 	if f.Schema > Schema {
-		return fmt.Errorf("%w: schema %d, known up to %d", ErrSchema, f.Schema, Schema)
+		return fmt.Errorf("%w: schema %d, supported up to %d", ErrSchema, f.Schema, Schema)
 	}
 	return nil
 }
@@ -174,9 +180,9 @@
 // Close closes the file.
 func (s *Store) Close() error { return recoverFaults(s.db.Close) }
 
-// recoverFaults runs access to the file and returns a panic or memory fault as ErrDamaged. The
-// database panics over some torn pages, and a mapped page behind the end of a truncated file
-// faults.
+// recoverFaults calls access and returns a panic or memory fault in it as ErrDamaged. bbolt panics
+// on some torn pages, and access to a mapped page beyond the end of a truncated file is a memory
+// fault.
 func recoverFaults(access func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
--- a/internal/endpointcache/store_test.go
+++ b/internal/endpointcache/store_test.go
@@ -13,7 +13,7 @@
 	"oakthread/internal/endpointcache/keptpb"
 )
 
-// A file holds the snapshot that was written last, and nothing of those before.
+// A file holds the snapshot that was written last and no records of earlier ones.
 func TestLastSnapshotIsRead(t *testing.T) {
 	path := writeSample(t, 3)
 	found, err := Read(path, "d1")
@@ -28,14 +28,14 @@
 	require.NoError(t, store.Close())
 	found, err = Read(path, "d1")
 	require.NoError(t, err)
-	assert.Len(t, found.Snapshot.Endpoints, 2, "what left the list leaves the file")
+	assert.Len(t, found.Snapshot.Endpoints, 2, "an endpoint removed from the list is deleted from the file")
 	assert.Empty(t, found.Snapshot.History.Events)
 	faults, err := Check(path)
 	require.NoError(t, err)
 	assert.Empty(t, faults)
 }
 
-// The file of another dispatcher is not used and stays as it is.
+// The file of another dispatcher is neither used nor changed.
 func TestFileOfAnotherOwnerIsUnchanged(t *testing.T) {
 	path := writeSample(t, 1)
 	before, err := os.ReadFile(path)
@@ -49,7 +49,7 @@
 	assert.Equal(t, before, after)
 }
 
-// A file that is open cannot be opened again, and can be read from a copy.
+// A file that is open cannot be opened again, but can be read from a copy.
 func TestOpenFileIsReadFromACopy(t *testing.T) {
 	path := writeSample(t, 1)
 	store, _, err := Open(path, "d1")
@@ -57,14 +57,14 @@
 	_, _, err = Open(path, "d1")
 	require.ErrorIs(t, err, ErrInUse)
 	found, err := ReadShared(path)
-	require.NoError(t, err, "reading beside a running dispatcher")
+	require.NoError(t, err, "reading while a dispatcher has it open")
 	assert.Len(t, found.Snapshot.Endpoints, 1)
 	require.NoError(t, store.Close())
 }
 
 // A file of a later schema is not used; one of an older schema is read and written in the current
 // one.
-func TestSchemas(t *testing.T) {
+func TestSchemaVersions(t *testing.T) {
 	path := writeSample(t, 1)
 	changeHead(t, path, func(head *keptpb.Head) { head.Schema = Schema + 1 })
 	_, _, err := Open(path, "d1")
@@ -96,9 +96,9 @@
 	path := writeSample(t, 3)
 	updateDatabase(t, path, func(tx *bbolt.Tx) error {
 		bucket := tx.Bucket(endpointBucket)
-		sealed := append([]byte(nil), bucket.Get([]byte{0, 0, 0, 2})...)
-		sealed[9] ^= 4
-		return bucket.Put([]byte{0, 0, 0, 2}, sealed)
+		encoded := append([]byte(nil), bucket.Get([]byte{0, 0, 0, 2})...)
+		encoded[9] ^= 4
+		return bucket.Put([]byte{0, 0, 0, 2}, encoded)
 	})
 	store, found, err := Open(path, "d1")
 	require.NoError(t, err)
@@ -110,7 +110,7 @@
 	assert.Equal(t, []string{"1 records fail their checksum"}, faults)
 }
 
-// A write to a database that is closed is an error.
+// A write to a closed database is an error.
 func TestWriteToClosedDatabaseFails(t *testing.T) {
 	db, err := bbolt.Open(filepath.Join(t.TempDir(), "ro.db"), 0o600, nil)
 	require.NoError(t, err)
--- a/internal/endpointcache/syncer.go
+++ b/internal/endpointcache/syncer.go
@@ -12,7 +12,7 @@
 	"oakthread/internal/monotime"
 )
 
-// HealthChecker asks a worker for its load.
+// HealthChecker checks the health of a worker. The reply may carry a load report.
 type HealthChecker interface {
 	HealthCheck(ctx context.Context, endpoint oakthread.Endpoint) oakthread.Reply
 }
@@ -22,7 +22,7 @@
 	Path              string // of the list's file; "": the list is not saved
 	Owner             string // name of the dispatcher
 	List              endpoints.Config
-	LatencyObjectives []time.Duration // latency objective by class; an answer later than half of it is slow
+	LatencyObjectives []time.Duration // by class; an answer after more than half of it is late
 	UtilizationField  int             // 1 + index of the CPU utilization in a load report; 0: not reported
 }
 
@@ -42,9 +42,8 @@
 	pending endpoints.Actions
 }
 
-// NewSyncer opens the file and starts the list from it. A fault of the file is logged, and the list
-// starts from the records that are valid. Run passes updates to publish, in order, from one
-// goroutine.
+// NewSyncer opens the file and restores the list from it. Faults of the file are logged, and only
+// its valid records are restored. Run passes updates to publish, in order, from one goroutine.
 func NewSyncer(options Options, checker HealthChecker, publish func(oakthread.EndpointUpdate), now time.Time,
 	log *slog.Logger,
 ) *Syncer {
@@ -64,8 +63,8 @@
 	return s
 }
 
-// ApplyConfigured applies the updates of the configuration unless the cached list is newer. It is called
-// before Run.
+// ApplyConfigured applies the updates of the configuration unless the cached list is newer, that
+// is, its cursor is higher. It is called before Run.
 func (s *Syncer) ApplyConfigured(now time.Time, cursor int64, updates []oakthread.EndpointUpdate) {
 	if len(updates) == 0 || cursor < s.list.Cursor() {
 		return
@@ -76,14 +75,15 @@
 	s.collectActions()
 }
 
-// Cursor returns the number of the watch event after which service discovery is to continue.
+// Cursor returns the number of the last watch event that the list includes. The watch resumes after
+// it.
 func (s *Syncer) Cursor() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.list.Cursor()
 }
 
-// Epoch returns the epoch of the cursor.
+// Epoch returns the epoch that the cursor belongs to.
 func (s *Syncer) Epoch() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,7 +107,8 @@
 	})
 }
 
-// HandleHeartbeat handles the confirmation of service discovery that the list is current.
+// HandleHeartbeat handles a heartbeat of service discovery, which confirms that the list is
+// current.
 func (s *Syncer) HandleHeartbeat() {
 	s.apply(func(now time.Time, list *endpoints.List) { list.HandleConfirmation(now) })
 }
@@ -117,12 +118,13 @@
 	s.apply(func(now time.Time, list *endpoints.List) { list.HandleWatchLost(now) })
 }
 
-// HandleRestart handles a service discovery that numbers its events anew.
+// HandleRestart handles a restart of service discovery's event numbering, after which the cursor is
+// no longer valid.
 func (s *Syncer) HandleRestart() {
 	s.apply(func(now time.Time, list *endpoints.List) { list.HandleWatchReset(now) })
 }
 
-// Admit decides whether a request is admitted now; a rejected one is to return after retryAfter.
+// Admit decides whether a request is admitted now. A rejected one may be retried after retryAfter.
 func (s *Syncer) Admit(*oakthread.Request) (retryAfter time.Duration, admitted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -143,14 +145,14 @@
 	s.apply(func(now time.Time, list *endpoints.List) { list.HandleObservation(now, result.Worker, observation) })
 }
 
-// isLate reports whether an attempt on a loaded function took more than half of its latency
-// objective.
+// isLate reports whether an attempt whose function was already loaded took more than half of its
+// class's latency objective.
 func (s *Syncer) isLate(result oakthread.Observation) bool {
 	return result.Kind == oakthread.ObservedAttempt && result.Class < len(s.options.LatencyObjectives) && result.Warm &&
 		result.Duration > s.options.LatencyObjectives[result.Class]/2
 }
 
-// apply runs event on the list and wakes Run to carry out the actions that result.
+// apply calls event with the list and wakes Run if actions result.
 func (s *Syncer) apply(event func(now time.Time, list *endpoints.List)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,8 +160,8 @@
 	s.collectActions()
 }
 
-// collectActions adds the list's new actions to the pending ones and wakes Run. It is called with
-// mu held, or before Run.
+// collectActions adds the list's new actions to the pending ones and wakes Run if there are any. It
+// is called with mu held, or before Run.
 func (s *Syncer) collectActions() {
 	actions := s.list.TakeActions()
 	s.pending.Publications = append(s.pending.Publications, actions.Publications...)
@@ -182,7 +184,8 @@
 	return count > 0 || actions.Save || actions.SaveUrgently
 }
 
-// toListUpdate converts a watch event for the list.
+// toListUpdate converts a watch event to an update of the list. Every kind but EndpointsDelta
+// becomes a full update.
 func toListUpdate(update oakthread.EndpointUpdate, epoch string, cursor int64) endpoints.Update {
 	converted := endpoints.Update{Full: update.Kind != balancer.EndpointsDelta, Epoch: epoch, Cursor: cursor}
 	for _, endpoint := range update.Endpoints {
@@ -194,7 +197,7 @@
 	return converted
 }
 
-// ToCoreEndpoint returns a list's endpoint as the core has it.
+// ToCoreEndpoint converts an endpoint of the list to the type of package oakthread.
 func ToCoreEndpoint(endpoint endpoints.Endpoint) oakthread.Endpoint {
 	return oakthread.Endpoint{
 		ID: endpoint.ID, Addr: endpoint.Addr, Zone: endpoint.Zone, Kind: endpoint.Kind, Cell: endpoint.Cell,
@@ -202,8 +205,9 @@
 	}
 }
 
-// ObservationOf returns what the result of an attempt, health check or load order shows about the worker,
-// and false if it shows nothing, as where the attempt was canceled or never written.
+// ObservationOf converts the result of an attempt, health check or load order to an observation of
+// the worker. It returns false if the result says nothing about the worker, such as for an attempt
+// that was canceled or never sent.
 func ObservationOf(result balancer.Result, isDraining bool) (observation endpoints.Observation, isMeaningful bool) {
 	if isDraining {
 		return endpoints.ReportedDraining, true
--- a/internal/endpointcache/syncer_test.go
+++ b/internal/endpointcache/syncer_test.go
@@ -17,7 +17,7 @@
 	"oakthread/endpoints"
 )
 
-// fakeChecker answers health checks by worker.
+// fakeChecker answers health checks with a fixed reply for each worker.
 type fakeChecker struct {
 	mu      sync.Mutex
 	replies map[balancer.WorkerID]oakthread.Reply
@@ -53,17 +53,17 @@
 // waitForDrainOnDisk returns once the file has three endpoints, the third of them draining.
 func waitForDrainOnDisk(t *testing.T, path string) {
 	t.Helper()
-	for begun := time.Now(); ; {
+	for startedAt := time.Now(); ; {
 		found, err := readCopy(path)
 		if err == nil && len(found.Snapshot.Endpoints) == 3 && found.Snapshot.Endpoints[2].State == balancer.Draining {
 			return
 		}
-		require.Less(t, time.Since(begun), 10*time.Second)
+		require.Less(t, time.Since(startedAt), 10*time.Second)
 	}
 }
 
-// A drain is on disk at once. A restart publishes the endpoints of the file that answer, and the
-// full list when the watch is restored.
+// A drain is saved while the Syncer runs. After a restart, the cached endpoint that is active and
+// answers its health check is published, and the failed ones once a heartbeat confirms the list.
 func TestRestartFromFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list.db")
 	options := Options{Path: path, Owner: "d1", List: endpoints.Config{Dispatchers: 2}}
@@ -129,7 +129,7 @@
 	assert.Contains(t, syncer.log.String(), ErrInUse.Error())
 }
 
-// The result of an attempt shows something about the worker only if the worker caused it.
+// Results that the worker did not cause, such as a cancellation, give no observation of it.
 func TestObservationsOfResults(t *testing.T) {
 	for result, want := range map[balancer.Result]endpoints.Observation{
 		balancer.OK:            endpoints.Answered,
--- a/internal/endpointcache/testing_test.go
+++ b/internal/endpointcache/testing_test.go
@@ -56,11 +56,11 @@
 	updateDatabase(t, path, func(tx *bbolt.Tx) error {
 		var head keptpb.Head
 		bucket := tx.Bucket(headBucket)
-		require.True(t, unsealRecord(bucket.Get(headKey), &head))
+		require.True(t, decodeRecord(bucket.Get(headKey), &head))
 		change(&head)
-		sealed, err := sealRecord(&head)
+		encoded, err := encodeRecord(&head)
 		require.NoError(t, err)
-		return bucket.Put(headKey, sealed)
+		return bucket.Put(headKey, encoded)
 	})
 }
 
--- a/internal/endpointcache/transaction.go
+++ b/internal/endpointcache/transaction.go
@@ -10,7 +10,7 @@
 	"oakthread/internal/endpointcache/keptpb"
 )
 
-// The names of the buckets and of the head record are part of the stored form.
+// The names of the buckets and the key of the head record are part of the file format.
 var (
 	headBucket     = []byte("head")
 	endpointBucket = []byte("boxes")
@@ -18,15 +18,14 @@
 	headKey        = []byte("head")
 )
 
-// readAll reads every record of the file. A file of a later schema is read no further than its
-// head.
+// readAll reads every record of the file. Only the head is read of a file with a later schema.
 func readAll(tx *bbolt.Tx) (Contents, error) {
 	bucket := tx.Bucket(headBucket)
 	if bucket == nil {
 		return Contents{IsEmpty: true}, nil
 	}
 	var head keptpb.Head
-	if !unsealRecord(bucket.Get(headKey), &head) {
+	if !decodeRecord(bucket.Get(headKey), &head) {
 		return Contents{}, errMissingHead
 	}
 	found := decodeHead(&head)
@@ -45,8 +44,8 @@
 	if bucket == nil {
 		return nil
 	}
-	return bucket.ForEach(func(key, sealed []byte) error {
-		if endpoint, ok := decodeEndpoint(key, sealed); ok {
+	return bucket.ForEach(func(key, encoded []byte) error {
+		if endpoint, ok := decodeEndpoint(key, encoded); ok {
 			f.Snapshot.Endpoints = append(f.Snapshot.Endpoints, endpoint)
 		} else {
 			f.CorruptRecords++
@@ -61,8 +60,8 @@
 	if bucket == nil {
 		return nil
 	}
-	return bucket.ForEach(func(_, sealed []byte) error {
-		if event, ok := decodeEvent(sealed); ok {
+	return bucket.ForEach(func(_, encoded []byte) error {
+		if event, ok := decodeEvent(encoded); ok {
 			f.Snapshot.History.Events = append(f.Snapshot.History.Events, event)
 		} else {
 			f.CorruptRecords++
@@ -116,7 +115,8 @@
 	return deleteUnless(bucket, func(key []byte) bool { return isListed[string(key)] })
 }
 
-// writeEvents adds the events that the file does not have and deletes those before the first one.
+// writeEvents adds the events that are missing in the file and deletes those older than the first
+// given event.
 func writeEvents(tx *bbolt.Tx, events []endpoints.Event) error {
 	bucket, err := tx.CreateBucketIfNotExists(eventBucket)
 	if err != nil {
@@ -138,19 +138,19 @@
 	return deleteUnless(bucket, func(key []byte) bool { return string(key) >= first })
 }
 
-// putRecord writes a record unless the bucket has the same one.
+// putRecord writes a record unless the bucket already holds it unchanged.
 func putRecord(bucket *bbolt.Bucket, key []byte, record proto.Message) error {
-	sealed, err := sealRecord(record)
+	encoded, err := encodeRecord(record)
 	if err != nil {
 		return err
 	}
-	if string(bucket.Get(key)) == string(sealed) {
+	if string(bucket.Get(key)) == string(encoded) {
 		return nil
 	}
-	return bucket.Put(key, sealed)
+	return bucket.Put(key, encoded)
 }
 
-// deleteUnless deletes the records that keep does not hold for.
+// deleteUnless deletes the records for whose key keep returns false.
 func deleteUnless(bucket *bbolt.Bucket, keep func(key []byte) bool) error {
 	var obsolete [][]byte
 	collect := func(key, _ []byte) error {
