--- a/internal/wire/balancersettings.go
+++ b/internal/wire/balancersettings.go
@@ -2,7 +2,7 @@
 
 import "oakthread/balancer"
 
-// The idempotency of classes, and the scope of their idempotency keys, by their names on the wire.
+// The kinds of idempotency and the scopes of idempotency keys by their names on the wire.
 var (
 	idempotencies = map[string]balancer.Idempotency{
 		"read_like": balancer.Idempotent, "idempotency_key": balancer.IdempotentByKey,
@@ -12,7 +12,8 @@
 	}
 )
 
-// BalancerSettings translates the deployment's settings into the balancer's.
+// BalancerSettings converts the deployment's settings to those of package balancer. Durations stay
+// in nanoseconds.
 func (s *Settings) BalancerSettings() balancer.Settings {
 	settings := balancer.Settings{
 		OverQuotaWeight: s.OverShareWorth, DispatcherIndex: s.Number, Dispatchers: s.Siblings, Zone: s.Zone,
@@ -31,7 +32,7 @@
 	return settings
 }
 
-// addPermissions translates what the dispatcher may do.
+// addPermissions converts the permissions of the dispatcher.
 func (s *Settings) addPermissions(settings *balancer.Settings) {
 	permissions := &s.Permissions
 	settings.MaxAttempts = permissions.SendCap
@@ -43,7 +44,7 @@
 	settings.MaxRetryAfter = permissions.MaxRetryAfter
 }
 
-// addPrices translates the prices of what the dispatcher does.
+// addPrices converts the prices of the dispatcher's actions.
 func (s *Settings) addPrices(settings *balancer.Settings) {
 	prices := &s.Prices
 	settings.CrossZonePrice = prices.CrossZone
@@ -54,7 +55,7 @@
 	settings.OriginPrice = prices.Origin
 }
 
-// addRules translates the rules of timing and of slow start.
+// addRules converts the rules for timing, overload and slow start.
 func (s *Settings) addRules(settings *balancer.Settings) {
 	rules := &s.Rules
 	settings.PollInterval = rules.AskWithin
@@ -66,7 +67,7 @@
 	settings.SlowStartCapacity = rules.StartCapacity
 }
 
-// addSpecifics translates the rules on loading functions.
+// addSpecifics converts the rules for loading functions.
 func (s *Settings) addSpecifics(settings *balancer.Settings) {
 	specifics := &s.Specifics
 	settings.LoadOrders = specifics.LoadControl
@@ -82,7 +83,7 @@
 	settings.KindMemoryMB = specifics.KindMemory
 }
 
-// addClasses translates the classes of requests.
+// addClasses converts the classes of requests.
 func (s *Settings) addClasses(settings *balancer.Settings) {
 	for i := range s.Categories {
 		category := &s.Categories[i]
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -45,8 +45,9 @@
 	return nil
 }
 
-// Decode decodes one line: an object with one key, the event's name. It returns a pointer to the event, an
-// *Unknown if the name is not known.
+// Decode decodes one line: an object with one key, the event's name. It returns a pointer to the
+// event, or an *Unknown if the name is not known. The error is ErrNotAnEvent or describes what is
+// malformed.
 func Decode(line []byte) (any, error) {
 	line = bytes.TrimSpace(line)
 	colon := bytes.IndexByte(line, ':')
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -2,12 +2,12 @@
 
 import "encoding/json"
 
-// Clock sets the time of the events that follow.
+// Clock sets the simulated time of the events that follow.
 type Clock struct {
 	Now *int64 `json:"sim_time_ns"`
 }
 
-// Boot starts an instance with a deployment's settings.
+// Boot starts an instance with the settings of a deployment.
 type Boot struct {
 	Who   string          `json:"who"`
 	Seed  uint64          `json:"prng"`
@@ -25,7 +25,7 @@
 	UpSince   int64   `json:"up_since_ns"`
 }
 
-// DefineList defines an endpoint list that a Sync may name.
+// DefineList defines an endpoint list that a Sync refers to by its Bank.
 type DefineList struct {
 	Bank    int     `json:"bank"`
 	Entries []Entry `json:"entries"`
@@ -53,13 +53,13 @@
 	Repeat     bool    `json:"repeat"`
 }
 
-// Bell is the expiry of an instance's timer.
+// Bell reports the expiry of an instance's timer.
 type Bell struct {
 	Who string `json:"who"`
 	Ref int64  `json:"ref"`
 }
 
-// FirstByte is the first byte of an attempt's response.
+// FirstByte reports the first byte of an attempt's response.
 type FirstByte struct {
 	Who    string `json:"who"`
 	ID     string `json:"xid"`
@@ -89,12 +89,12 @@
 	Load   []float64 `json:"load"`
 }
 
-// Killed is the end of an instance.
+// Killed reports that an instance has been terminated.
 type Killed struct {
 	Who string `json:"who"`
 }
 
-// NoteFrom is a message of a peer.
+// NoteFrom is a message from a peer.
 type NoteFrom struct {
 	Who    string `json:"who"`
 	Sender int    `json:"sender"`
@@ -111,14 +111,14 @@
 	RTT     int64  `json:"rtt_ns"`
 }
 
-// Vanished says that the client of a request has gone.
+// Vanished reports that the client of a request has disconnected.
 type Vanished struct {
 	Who string `json:"who"`
 	ID  string `json:"xid"`
 }
 
-// OverToYou ends the events of a turn: the reply is expected.
+// OverToYou ends a turn of events: the simulator now expects the reply.
 type OverToYou struct{}
 
-// Unknown is an event of a kind that is not known.
+// Unknown is an event whose name is not known.
 type Unknown struct{ Name string }
--- a/internal/wire/setup.go
+++ b/internal/wire/setup.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Settings is the settings object of a deployment, the same on the simulator's wire and in a dispatcher's
-// configuration. Unknown keys are ignored. Durations are in nanoseconds, as on the wire.
+// Settings is the settings object of a deployment. It has the same form in the simulator's protocol
+// and in a dispatcher's configuration. Unknown keys are ignored. Durations are in nanoseconds.
 type Settings struct {
 	Categories []struct {
 		Name        string  `json:"name"`
@@ -80,7 +80,8 @@
 	Zones []string `json:"zones"`
 }
 
-// ReadSettings decodes a settings object.
+// ReadSettings decodes a settings object. It returns an error if raw is not valid JSON or a value
+// has the wrong type.
 func ReadSettings(raw []byte) (*Settings, error) {
 	s := &Settings{}
 	if err := json.Unmarshal(raw, s); err != nil {
@@ -89,13 +90,13 @@
 	return s, nil
 }
 
-// ConnectTimeout returns how long the connect to a worker may take.
+// ConnectTimeout returns the maximum time for connecting to a worker.
 func (s *Settings) ConnectTimeout() time.Duration { return time.Duration(s.Permissions.ConnectTimeout) }
 
 // ConnIdle returns how long a worker keeps an idle connection open.
 func (s *Settings) ConnIdle() time.Duration { return time.Duration(s.Permissions.ConnIdle) }
 
-// ReportField returns 1 + the index of a field in load reports, 0 if it is not reported.
+// ReportField returns 1 + the index of a field in load reports, or 0 if it is not reported.
 func (s *Settings) ReportField(name string) int {
 	if s.Feedback.How == "off" {
 		return 0
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -24,7 +24,7 @@
 	f.Fuzz(func(_ *testing.T, line []byte) { _, _ = Decode(line) })
 }
 
-// Writer escapes strings and pads function ids.
+// Writer escapes strings and pads function IDs to 16 digits.
 func TestWriterWritesActionLines(t *testing.T) {
 	var writer Writer
 	writer.Open("shed", `d"1`).Str("xid", "r").Int("wait_ns", -2).Fn(0xab).End()
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -5,11 +5,11 @@
 	"strconv"
 )
 
-// Writer builds a reply of actions, one a line. The zero value is ready for use. An action is begun by Open,
-// filled by Int, Str and Fn, and closed by End.
+// Writer builds a reply in Buf, one action per line. The zero value is ready to use. Open begins an
+// action, Int, Str and Fn add its fields, and End completes it.
 type Writer struct{ Buf []byte }
 
-// Open begins an action of an instance.
+// Open begins an action with the given name for the instance who.
 func (w *Writer) Open(name, who string) *Writer {
 	w.Buf = append(w.Buf, `{"`...)
 	w.Buf = append(w.Buf, name...)
@@ -17,18 +17,18 @@
 	return w.Str("who", who)
 }
 
-// Int adds a whole number to the open action.
+// Int adds an integer field to the open action.
 func (w *Writer) Int(key string, value int64) *Writer {
 	w.key(key)
 	w.Buf = strconv.AppendInt(w.Buf, value, 10)
 	return w
 }
 
-// Str adds a string to the open action.
+// Str adds a string field to the open action.
 func (w *Writer) Str(key, value string) *Writer {
 	w.key(key)
 	if needsEscape(value) {
-		quoted, _ := json.Marshal(value) // of a string, which cannot fail
+		quoted, _ := json.Marshal(value) // cannot fail for a string
 		w.Buf = append(w.Buf, quoted...)
 		return w
 	}
@@ -38,7 +38,7 @@
 	return w
 }
 
-// Fn adds a function id, as 16 hex digits.
+// Fn adds a function ID as 16 hexadecimal digits to the open action.
 func (w *Writer) Fn(function uint64) *Writer {
 	w.key("target_fn")
 	w.Buf = append(w.Buf, '"')
@@ -49,13 +49,13 @@
 	return w
 }
 
-// End closes the action and its line.
+// End completes the open action and its line.
 func (w *Writer) End() { w.Buf = append(w.Buf, "}}\n"...) }
 
 // Yield ends the reply.
 func (w *Writer) Yield() { w.Buf = append(w.Buf, "{\"yield\":{}}\n"...) }
 
-// key adds a key to the open action.
+// key appends a key, after a comma unless it is the action's first.
 func (w *Writer) key(name string) {
 	if w.Buf[len(w.Buf)-1] != '{' {
 		w.Buf = append(w.Buf, ',')
@@ -65,7 +65,8 @@
 	w.Buf = append(w.Buf, '"', ':')
 }
 
-// needsEscape reports whether a string holds bytes other than printable ASCII without quote and backslash.
+// needsEscape reports whether a string contains a quote, a backslash or any byte that is not
+// printable ASCII.
 func needsEscape(s string) bool {
 	for i := range len(s) {
 		if c := s[i]; c < 0x20 || c == '"' || c == '\\' || c >= 0x7f {
