--- a/cmd/simadapter/handlers.go
+++ b/cmd/simadapter/handlers.go
@@ -30,17 +30,18 @@
 	"failed": balancer.EndpointsUnavailable,
 }
 
-// An attempt's info holds its warmth in the low bits and the concurrent requests above them.
+// The info field of an attempt's end holds the warmth in its low bits and the number of concurrent
+// requests above them.
 const (
 	warmthBits = 3
 	warmthMask = 1<<warmthBits - 1
 )
 
-// nanosPerMilli converts the wire's milliseconds.
+// nanosPerMilli converts milliseconds on the wire to nanoseconds.
 const nanosPerMilli = 1e6
 
-// parseResult returns the result of a name. An unknown name proves nothing and counts as an error
-// of the worker.
+// parseResult returns the result with the given name on the wire. An unknown name gives no
+// information and counts as an error of the worker.
 func parseResult(name string) balancer.Result {
 	if result, ok := results[name]; ok {
 		return result
@@ -48,7 +49,8 @@
 	return balancer.Error
 }
 
-// parseState returns the state of an endpoint. Unknown names count as removed.
+// parseState returns the state of an endpoint with the given readiness. Unknown values count as
+// removed.
 func parseState(readiness string) balancer.EndpointState {
 	switch readiness {
 	case "on":
@@ -59,7 +61,7 @@
 	return balancer.Removed
 }
 
-// handleClock sets the time of the events that follow.
+// handleClock sets the simulated time of the events that follow.
 func (s *session) handleClock(e *wire.Clock) error {
 	if e.Now == nil {
 		return errors.New("clock: field sim_time_ns is missing")
@@ -89,7 +91,7 @@
 	return nil
 }
 
-// handleBoot starts an instance, in place of an earlier one of the same name.
+// handleBoot starts an instance and replaces an earlier one of the same name.
 func (s *session) handleBoot(e *wire.Boot) error {
 	setup, err := wire.ReadSettings(e.Setup)
 	if err != nil {
@@ -104,7 +106,8 @@
 	return nil
 }
 
-// handleEndpointUpdate passes a defined list, or the news that there is none, to an instance.
+// handleEndpointUpdate passes a defined list, or the information that no list is available, to an
+// instance.
 func (s *session) handleEndpointUpdate(e *wire.Sync) error {
 	target, err := s.balancer(e.Who)
 	if err != nil {
@@ -200,7 +203,7 @@
 	return nil
 }
 
-// handlePeerMessage passes a message of another instance to an instance.
+// handlePeerMessage passes a message from another instance to an instance.
 func (s *session) handlePeerMessage(e *wire.NoteFrom) error {
 	target, err := s.balancer(e.Who)
 	if err != nil {
@@ -225,7 +228,7 @@
 	return nil
 }
 
-// handleClientGone passes the leaving of a client to an instance.
+// handleClientGone passes the disconnection of a client to an instance.
 func (s *session) handleClientGone(e *wire.Vanished) error {
 	target, err := s.balancer(e.Who)
 	if err != nil {
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
 // Command simadapter runs balancers inside the simulator: it reads the simulator's events from
-// standard input, one JSON object a line, and writes the actions of the balancers to standard
+// standard input, one JSON object per line, and writes the actions of the balancers to standard
 // output.
 package main
 
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// bootedInstance are the lines that start an instance with one worker.
-const bootedInstance = `{"clock":{"sim_time_ns":1000000000}}
+// bootLines are the events that start an instance with one worker.
+const bootLines = `{"clock":{"sim_time_ns":1000000000}}
 {"boot":{"who":"dispatcher_1","prng":5,"setup":{"siblings":1,"quantum_ns":2000000,` +
 	`"categories":[{"aim_ns":1000000000,"give_up_ns":3000000000,"credit":1,"idempotency":"read_like"}],` +
 	`"permissions":{"send_cap":3},"specifics":{"on_miss":"load"}}}}
@@ -26,7 +26,7 @@
 
 // Without workers a request gets no attempt, so that only the timer rejects it.
 func TestTimerReachesBalancer(t *testing.T) {
-	out, err := serveLines(t, bootedInstance+`{"sync":{"who":"dispatcher_1","kind":"delta","seq_no":2,"bank":0}}
+	out, err := serveLines(t, bootLines+`{"sync":{"who":"dispatcher_1","kind":"delta","seq_no":2,"bank":0}}
 {"define_list":{"bank":0,"entries":[]}}
 {"sync":{"who":"dispatcher_1","kind":"full","seq_no":3,"bank":0}}
 {"demand":{"who":"dispatcher_1","xid":"rq_a","kind":0,"target_fn":"00000000000000ff",`+
@@ -47,7 +47,7 @@
 }
 
 func TestRequestIsSentToWorker(t *testing.T) {
-	out, err := serveLines(t, bootedInstance+
+	out, err := serveLines(t, bootLines+
 		`{"demand":{"who":"dispatcher_1","xid":"rq_a","kind":0,"target_fn":"00000000000000ff",`+
 		`"valid_until_ns":4000000000,"lanes":1}}
 {"over_to_you":{}}
@@ -61,13 +61,13 @@
 	}
 }
 
-func TestMalformedInputIsNamed(t *testing.T) {
+func TestErrorsNameMalformedInput(t *testing.T) {
 	for _, test := range []struct{ name, lines, want string }{
 		{"no JSON", "nonsense\n", "line 1"},
-		{"unknown instance", bootedInstance + `{"bell":{"who":"dispatcher_9","ref":1}}` + "\n", "dispatcher_9"},
-		{"unknown list", bootedInstance +
+		{"unknown instance", bootLines + `{"bell":{"who":"dispatcher_9","ref":1}}` + "\n", "dispatcher_9"},
+		{"unknown list", bootLines +
 			`{"sync":{"who":"dispatcher_1","kind":"full","seq_no":2,"bank":4}}` + "\n", "field bank"},
-		{"malformed function", bootedInstance +
+		{"malformed function", bootLines +
 			`{"demand":{"who":"dispatcher_1","xid":"a","target_fn":"no number"}}` + "\n", "field target_fn"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/cmd/simadapter/session.go
+++ b/cmd/simadapter/session.go
@@ -11,10 +11,11 @@
 	"oakthread/internal/wire"
 )
 
-// readBufferSize is the size of the input buffer. Lines of long endpoint lists fit into it.
+// readBufferSize is the size of the input buffer in bytes. Lines of long endpoint lists fit into
+// it.
 const readBufferSize = 1 << 20
 
-// session is the state of one conversation with the simulator.
+// session is the state of one connection to the simulator.
 type session struct {
 	now       int64 // simulated time in nanoseconds
 	instances map[string]*instance
@@ -22,8 +23,8 @@
 	reply     wire.Writer                 // actions that have not been written yet
 }
 
-// serve handles the events of in until its end and writes the actions to out, each time that the
-// simulator yields. Errors name the line of the event.
+// serve handles the events of in until its end. It writes the resulting actions to out at the end
+// of each turn of the simulator. Errors of events name the line number.
 func serve(in io.Reader, out io.Writer) error {
 	reader := bufio.NewReaderSize(in, readBufferSize)
 	s := &session{instances: map[string]*instance{}, lists: map[int][]balancer.Endpoint{}}
@@ -54,7 +55,7 @@
 	}
 }
 
-// yield writes the actions since the last one to out and gives the turn back to the simulator.
+// yield writes the actions since the previous yield to out and returns the turn to the simulator.
 func (s *session) yield(out io.Writer) error {
 	s.reply.Yield()
 	_, err := out.Write(s.reply.Buf)
