--- a/internal/endpointcache/transaction.go
+++ b/internal/endpointcache/transaction.go
@@ -115,8 +115,8 @@
 	return deleteUnless(bucket, func(key []byte) bool { return isListed[string(key)] })
 }
 
-// writeEvents adds the events that are missing in the file and deletes those older than the first
-// given event.
+// writeEvents adds the events that are missing in the file and deletes those whose key precedes
+// that of the first given event, or all if none is given.
 func writeEvents(tx *bbolt.Tx, events []endpoints.Event) error {
 	bucket, err := tx.CreateBucketIfNotExists(eventBucket)
 	if err != nil {
