--- a/balancer/drainreports.go
+++ b/balancer/drainreports.go
@@ -21,23 +21,23 @@
 		leading = allDispatchers
 	}
 	if leading != b.settings.DispatcherIndex {
-		b.sendDrainNotice(leading, aggregate.DrainNotice{Draining: tagsOf(w.standing)})
+		b.sendDrainNotice(leading, aggregate.DrainNotice{Draining: workerTags(w.reported)})
 		return
 	}
-	for _, worker := range w.standing {
-		b.relay(worker)
+	for _, worker := range w.reported {
+		b.queueRelay(worker)
 	}
 }
 
-// relay has the leader's next notice name a worker.
-func (b *Balancer) relay(worker *workerState) {
-	if w := &b.fleetWatch; !slices.Contains(w.relays, worker) {
-		w.relays = append(w.relays, worker)
+// queueRelay has the leader's next notice name a worker.
+func (b *Balancer) queueRelay(worker *workerState) {
+	if w := &b.fleetWatch; !slices.Contains(w.pendingRelays, worker) {
+		w.pendingRelays = append(w.pendingRelays, worker)
 	}
 }
 
-// tagsOf returns the tags of workers.
-func tagsOf(workers []*workerState) (tags []uint16) {
+// workerTags returns the tags of workers.
+func workerTags(workers []*workerState) (tags []uint16) {
 	for _, worker := range workers {
 		tags = append(tags, workerTag(worker.Worker))
 	}
@@ -64,7 +64,7 @@
 			b.leases.counts.DrainReports++
 			b.leases.keeper.RecordReport(now, &worker.lease)
 			if !notice.FromLeader && b.leads(now) {
-				b.relay(worker)
+				b.queueRelay(worker)
 			}
 		}
 	}
@@ -82,7 +82,7 @@
 // sendCompleteNotice sends the workers that stand reported to a dispatcher that has started, if this one
 // receives the leaders' notices and so knows them all.
 func (b *Balancer) sendCompleteNotice(now int64, receiver int) {
-	if w := &b.fleetWatch; !w.enabled || now-w.noticeReceivedAt > maxNoticeGap/2 || !b.leases.keeper.Covered(now) {
+	if w := &b.fleetWatch; !w.enabled || now-w.noticeReceivedAt > maxNoticeGap/2 || !b.leases.keeper.CoveredByPeers(now) {
 		return
 	}
 	notice := aggregate.DrainNotice{Complete: true}
@@ -108,9 +108,9 @@
 	return worker
 }
 
-// hearsReports reports whether the others' reports reach this dispatcher. As the leader it would receive those
+// receivesPeerReports reports whether the others' reports reach this dispatcher. As the leader it would receive those
 // of drains as well.
-func (b *Balancer) hearsReports(now int64) bool {
+func (b *Balancer) receivesPeerReports(now int64) bool {
 	w := &b.fleetWatch
 	return w.peerReportAt > 0 && now-w.peerReportAt <= b.leaderTerm()
 }
@@ -119,15 +119,15 @@
 // take its silence for good news.
 func (b *Balancer) sendLeaderNotice(now int64) {
 	w := &b.fleetWatch
-	watching := b.hearsReports(now) && b.fleetShouldWatch(now)
-	if !watching && len(w.relays) == 0 {
+	watching := b.receivesPeerReports(now) && b.fleetShouldWatch(now)
+	if !watching && len(w.pendingRelays) == 0 {
 		return
 	}
 	b.sendDrainNotice(allDispatchers, aggregate.DrainNotice{
 		FromLeader: true,
 		Watching:   watching,
-		Draining:   tagsOf(w.relays),
+		Draining:   workerTags(w.pendingRelays),
 	})
-	w.relays = w.relays[:0]
+	w.pendingRelays = w.pendingRelays[:0]
 	b.recordLeaderNotice(now, watching)
 }
--- a/balancer/drainsuspicion.go
+++ b/balancer/drainsuspicion.go
@@ -12,8 +12,8 @@
 	confirmed    bool // it drains: a call was rejected, or it rejects checks and no call came
 }
 
-// callEnd returns until when the call may be written; 0 if none is under way.
-func (d *drainSuspicion) callEnd() int64 {
+// callDeadline returns until when the call may be written; 0 if none is under way.
+func (d *drainSuspicion) callDeadline() int64 {
 	if !d.callSent || d.confirmed {
 		return 0
 	}
@@ -32,29 +32,29 @@
 	w.suspects = append(w.suspects, worker)
 }
 
-// standsReported reports whether a watched worker is reported still: it was not seen to accept work since,
+// stillReported reports whether a watched worker is reported still: it was not seen to accept work since,
 // or may have been replaced by another process that discovery has yet to tell of.
-func (b *Balancer) standsReported(worker *workerState) bool {
+func (b *Balancer) stillReported(worker *workerState) bool {
 	suspicion, keeper := &worker.drainSuspicion, b.leases.keeper
 	if !suspicion.confirmed {
 		return false
 	}
-	if keeper.Interrupted(&worker.lease) || keeper.VerifiedAt(&worker.lease) <= suspicion.since {
+	if keeper.ContradictsList(&worker.lease) || keeper.VerifiedAt(&worker.lease) <= suspicion.since {
 		return true
 	}
 	*suspicion = drainSuspicion{}
 	return false
 }
 
-// answersSome reports whether a suspected worker answers anything, as far as is known: it rejects health
+// isResponsive reports whether a suspected worker answers anything, as far as is known: it rejects health
 // checks, or no dispatcher finds it silent. A call to one that does not would be lost time.
-func (b *Balancer) answersSome(now int64, worker *workerState) bool {
-	return b.leases.keeper.Rejecting(&worker.lease) || b.isHealthy(now, worker)
+func (b *Balancer) isResponsive(now int64, worker *workerState) bool {
+	return b.leases.keeper.RejectsChecks(&worker.lease) || b.isHealthy(now, worker)
 }
 
-// knownLately reports whether a worker was known to accept work so lately that it may get a call though it
+// recentlyAccepting reports whether a worker was known to accept work so lately that it may get a call though it
 // may drain.
-func (b *Balancer) knownLately(now int64, worker *workerState) bool {
+func (b *Balancer) recentlyAccepting(now int64, worker *workerState) bool {
 	return now-b.leases.keeper.KnownUntil(&worker.lease) <= b.settings.EndpointUpdateDelay-suspicionTimeout
 }
 
@@ -64,7 +64,7 @@
 	if suspicion.callSent || suspicion.confirmed || now <= suspicion.since {
 		return false
 	}
-	return b.knownLately(now, worker) && b.answersSome(now, worker) && !b.leases.keeper.Reported(now, &worker.lease)
+	return b.recentlyAccepting(now, worker) && b.isResponsive(now, worker) && !b.leases.keeper.Reported(now, &worker.lease)
 }
 
 // chooseSuspect returns a suspected worker that a request is to be sent to, or nil. A request that may not
@@ -126,27 +126,27 @@
 	switch {
 	case suspicion.since == 0:
 		return true
-	case !keeper.Doubtful(&worker.lease) && !suspicion.confirmed, !worker.listed || worker.State != Active:
+	case !keeper.ChecksFailing(&worker.lease) && !suspicion.confirmed, !worker.listed || worker.State != Active:
 		*suspicion = drainSuspicion{}
 		return true
-	case suspicion.confirmed, timedOut && b.drainsWithoutRejection(now, worker):
+	case suspicion.confirmed, timedOut && b.presumedDraining(now, worker):
 		suspicion.confirmed = true
 		b.reportDrain(now, worker)
 		return true
-	case timedOut, !b.answersSome(now, worker):
+	case timedOut, !b.isResponsive(now, worker):
 		*suspicion = drainSuspicion{}
 		return true
 	}
 	return false
 }
 
-// drainsWithoutRejection reports whether a suspected worker is taken to drain though no call was rejected: it
+// presumedDraining reports whether a suspected worker is taken to drain though no call was rejected: it
 // rejects health checks and did not answer the call, or no call came, or a peer has reported it. What a
 // dispatcher finds that has not known the worker for long is left to other watchers.
-func (b *Balancer) drainsWithoutRejection(now int64, worker *workerState) bool {
+func (b *Balancer) presumedDraining(now int64, worker *workerState) bool {
 	keeper := b.leases.keeper
 	if keeper.Reported(now, &worker.lease) {
 		return true
 	}
-	return b.knownLately(now, worker) && (!worker.drainSuspicion.callSent || keeper.Rejecting(&worker.lease))
+	return b.recentlyAccepting(now, worker) && (!worker.drainSuspicion.callSent || keeper.RejectsChecks(&worker.lease))
 }
--- a/balancer/fleetwatch.go
+++ b/balancer/fleetwatch.go
@@ -49,9 +49,9 @@
 	reportedAt       int64 // to the leader
 	noticeSentAt     int64 // when this dispatcher, as the leader, last sent a notice
 
-	suspects []*workerState // watched workers whose health checks speak against them, not reported yet
-	standing []*workerState // watched workers that are reported, as of the last scan
-	relays   []*workerState // reported workers that the leader has yet to relay
+	suspects      []*workerState // watched workers whose health checks speak against them, not reported yet
+	reported      []*workerState // watched workers that are reported, as of the last scan
+	pendingRelays []*workerState // reported workers that the leader has yet to relay
 }
 
 // newFleetWatch returns the watch of a dispatcher that has received no notice yet. Few dispatchers see enough by
@@ -76,7 +76,7 @@
 	}
 	w.noticeReceivedAt = now
 	if now-w.noticesSince >= minNoticeSpan && len(b.endpoints.active) <= maxWatchedWorkers {
-		b.leases.keeper.SetCovered(now - watchDelay)
+		b.leases.keeper.SetPeerCoverage(now - watchDelay)
 	}
 }
 
@@ -91,7 +91,7 @@
 func (b *Balancer) fleetShouldWatch(now int64) bool {
 	calls := b.fleetSum(completionsColumn) * b.gossip.view.Scale
 	return len(b.endpoints.active) <= maxWatchedWorkers &&
-		b.watchRate() <= watchCheckRate/2*float64(b.gossip.elector.AliveCount(now)) &&
+		b.watchRate() <= periodicCheckRate/2*float64(b.gossip.elector.AliveCount(now)) &&
 		(now-b.startedAt < watchDuration || b.watchRate() <= maxChecksPerCall*calls)
 }
 
@@ -107,13 +107,13 @@
 		b.scanWatchedWorkers(now)
 	}
 	b.confirmDrains(now)
-	if now-w.reportedAt >= reportInterval && len(w.standing) > 0 {
+	if now-w.reportedAt >= reportInterval && len(w.reported) > 0 {
 		w.reportedAt = now
 		b.reportToLeader(now)
 	}
 	sinceNotice := now - w.noticeSentAt
-	noticeDue := sinceNotice >= noticeInterval && b.leads(now) && b.hearsReports(now)
-	if noticeDue || sinceNotice >= relayInterval && len(w.relays) > 0 {
+	noticeDue := sinceNotice >= noticeInterval && b.leads(now) && b.receivesPeerReports(now)
+	if noticeDue || sinceNotice >= relayInterval && len(w.pendingRelays) > 0 {
 		w.noticeSentAt = now
 		b.sendLeaderNotice(now)
 	}
@@ -127,13 +127,13 @@
 // scanWatchedWorkers looks at each worker that this dispatcher watches.
 func (b *Balancer) scanWatchedWorkers(now int64) {
 	w, l := &b.fleetWatch, &b.leases
-	w.standing = w.standing[:0]
+	w.reported = w.reported[:0]
 	for _, worker := range b.endpoints.active {
 		if !b.watches(now, worker) {
 			continue
 		}
-		if b.standsReported(worker) {
-			w.standing = append(w.standing, worker)
+		if b.stillReported(worker) {
+			w.reported = append(w.reported, worker)
 		}
 		if l.keeper.WatchDue(now, &worker.lease, watchInterval) {
 			b.startWatchCheck(now, worker)
@@ -144,17 +144,17 @@
 // startWatchCheck has a worker health checked for all dispatchers, as far as the rate of periodic checks
 // allows.
 func (b *Balancer) startWatchCheck(now int64, worker *workerState) {
-	if l := &b.leases; l.watch >= 1 {
-		l.watch--
+	if l := &b.leases; l.checkTokens >= 1 {
+		l.checkTokens--
 		l.counts.WatchChecks++
 		b.startCheck(now, worker)
 	}
 }
 
-// examinesRejection reports whether this dispatcher has a worker health checked that rejected a call. Of
+// shouldCheckRejection reports whether this dispatcher has a worker health checked that rejected a call. Of
 // many that all may meet the same full worker a few do, as long as their reports reach each other.
-func (b *Balancer) examinesRejection(now int64) bool {
-	if !b.fleetWatch.enabled || !b.leases.keeper.Covered(now) {
+func (b *Balancer) shouldCheckRejection(now int64) bool {
+	if !b.fleetWatch.enabled || !b.leases.keeper.CoveredByPeers(now) {
 		return true
 	}
 	return b.rng.Float64()*b.fleetFactor() < 1
--- a/balancer/fleetwatch_test.go
+++ b/balancer/fleetwatch_test.go
@@ -16,18 +16,18 @@
 	lossRate             float64 // of datagrams
 	checkHangs           bool    // draining workers answer no health check; else they reject it
 	restartEvery         int64   // one dispatcher after the other restarts with the list of the start; 0: none
-	deafFor              int64   // after so long, for which a third of the dispatchers get no datagram
+	partitionFor         int64   // after so long, for which a third of the dispatchers get no datagram
 }
 
 const (
-	fleetStep     = 5 * ms
-	fleetDrainAt  = 12_000 * ms
-	fleetRunsFor  = 40_000 * ms
-	fleetDeafAt   = 10_000 * ms
-	fleetDraining = 2
-	// fleetAllowed is for how long after its drain a worker may get calls: it counts as known 7 s later,
+	fleetStep            = 5 * ms
+	fleetDrainAt         = 12_000 * ms
+	fleetRunDuration     = 40_000 * ms
+	fleetPartitionAt     = 10_000 * ms
+	fleetDrainingWorkers = 2
+	// fleetCallLimit is for how long after its drain a worker may get calls: it counts as known 7 s later,
 	// and after that the grace of half a second is left.
-	fleetAllowed = 7_500 * ms
+	fleetCallLimit = 7_500 * ms
 )
 
 // virtualFleet runs the dispatchers of a fleet against workers in virtual time.
@@ -92,7 +92,7 @@
 }
 
 func (f *virtualFleet) drains(worker WorkerID) bool {
-	return worker <= fleetDraining && f.now >= fleetDrainAt
+	return worker <= fleetDrainingWorkers && f.now >= fleetDrainAt
 }
 
 func (m *fleetMember) SetTimer(delay, ref int64) { m.timerAt, m.timer = m.fleet.now+delay, ref }
@@ -128,7 +128,7 @@
 		m.rejected[worker] = f.now
 	}
 	sinceDrain, sinceRejected := f.now-fleetDrainAt, f.now-m.rejected[worker]
-	if sinceDrain <= fleetAllowed && sinceRejected <= leaseSettings().DrainGrace {
+	if sinceDrain <= fleetCallLimit && sinceRejected <= leaseSettings().DrainGrace {
 		return
 	}
 	const format = "dispatcher %d, up for %d ms, to %d, %d ms after its drain, %d ms after a rejection: %+v"
@@ -170,22 +170,22 @@
 func (m *fleetMember) SendPeerMessage(to int, data string) {
 	f := m.fleet
 	for i, peer := range f.members {
-		if i == m.index || to >= 0 && i != to || f.rng.Float64() < f.lossRate || f.isDeaf(i) {
+		if i == m.index || to >= 0 && i != to || f.rng.Float64() < f.lossRate || f.isPartitioned(i) {
 			continue
 		}
 		f.after(ms, func() { peer.balancer.HandlePeerMessage(f.now, m.index, data) })
 	}
 }
 
-// isDeaf reports whether a dispatcher gets no datagrams now.
-func (f *virtualFleet) isDeaf(dispatcher int) bool {
-	return dispatcher%3 == 0 && f.now >= fleetDeafAt && f.now < fleetDeafAt+f.deafFor
+// isPartitioned reports whether a dispatcher gets no datagrams now.
+func (f *virtualFleet) isPartitioned(dispatcher int) bool {
+	return dispatcher%3 == 0 && f.now >= fleetPartitionAt && f.now < fleetPartitionAt+f.partitionFor
 }
 
 // run runs the fleet to its end.
 func (f *virtualFleet) run(t *testing.T) {
 	t.Helper()
-	for f.now = fleetStep; f.now < fleetRunsFor; f.now += fleetStep {
+	for f.now = fleetStep; f.now < fleetRunDuration; f.now += fleetStep {
 		for _, do := range f.events[f.now] {
 			do()
 		}
@@ -227,8 +227,8 @@
 		{dispatchers: 20, workers: 40, callsPerSecond: 0.3},
 		{dispatchers: 45, workers: 22, callsPerSecond: 3, lossRate: 0.2},
 		{dispatchers: 30, workers: 60, callsPerSecond: 4, checkHangs: true},
-		{dispatchers: 30, workers: 20, callsPerSecond: 4, deafFor: 25_000 * ms},
-		{dispatchers: 24, workers: 24, callsPerSecond: 6, deafFor: 3000 * ms, lossRate: 0.1, restartEvery: 3000 * ms},
+		{dispatchers: 30, workers: 20, callsPerSecond: 4, partitionFor: 25_000 * ms},
+		{dispatchers: 24, workers: 24, callsPerSecond: 6, partitionFor: 3000 * ms, lossRate: 0.1, restartEvery: 3000 * ms},
 	} {
 		for seed := range uint64(3) {
 			spec := spec
@@ -238,13 +238,13 @@
 	}
 	for name, spec := range map[string]fleetSpec{
 		// A third of the dispatchers, also of the leaders, is deaf for longer than a report stands.
-		"deaf leaders": {seed: 22, dispatchers: 30, workers: 20, callsPerSecond: 4, deafFor: 25_000 * ms},
+		"deaf leaders": {seed: 22, dispatchers: 30, workers: 20, callsPerSecond: 4, partitionFor: 25_000 * ms},
 		// Others take the notices of a deaf leader, who hears of no drain, for good news.
-		"notices of deaf leaders": {seed: 42, dispatchers: 30, workers: 20, callsPerSecond: 4, deafFor: 25_000 * ms},
+		"notices of deaf leaders": {seed: 42, dispatchers: 30, workers: 20, callsPerSecond: 4, partitionFor: 25_000 * ms},
 		// The dispatchers that watch a worker are deaf, and the others count on them.
-		"deaf watchers": {seed: 68, dispatchers: 30, workers: 20, callsPerSecond: 4, deafFor: 25_000 * ms},
+		"deaf watchers": {seed: 68, dispatchers: 30, workers: 20, callsPerSecond: 4, partitionFor: 25_000 * ms},
 		// A call is rejected that was sent before the worker was suspected.
-		"rejected after suspected": {seed: 90, dispatchers: 30, workers: 20, callsPerSecond: 4, deafFor: 25_000 * ms},
+		"rejected after suspected": {seed: 90, dispatchers: 30, workers: 20, callsPerSecond: 4, partitionFor: 25_000 * ms},
 		// The health checks of a worker fail after it rejected a call.
 		"rejected before suspected": {seed: 5, dispatchers: 20, workers: 22, callsPerSecond: 12},
 	} {
--- a/balancer/lease.go
+++ b/balancer/lease.go
@@ -3,15 +3,15 @@
 import "oakthread/lease"
 
 const (
-	// watchCheckRate is how many periodic health checks a second this dispatcher makes at most, over all
+	// periodicCheckRate is how many periodic health checks a second this dispatcher makes at most, over all
 	// workers. That is enough to see each of the 256 workers of a short list in time.
-	watchCheckRate = 50.0
-	// watchCheckBurst is how many of them may be made at once.
-	watchCheckBurst = 10.0
-	// precautionsPerCall is how many checks of unseen workers each request pays for where they are limited,
+	periodicCheckRate = 50.0
+	// periodicCheckBurst is how many of them may be made at once.
+	periodicCheckBurst = 10.0
+	// unseenChecksPerCall is how many checks of unseen workers each request pays for where they are limited,
 	// and maxPrecautions how many may be saved up.
-	precautionsPerCall = 0.05
-	maxPrecautions     = 10.0
+	unseenChecksPerCall  = 0.05
+	maxUnseenCheckTokens = 10.0
 	// checkWaitLimit is after how many nanoseconds a request that waits for a health check is looked at
 	// again even if no result has come.
 	checkWaitLimit = int64(105e6)
@@ -19,25 +19,25 @@
 
 // leaseState holds the leases of the workers, and the rates of health checks that renew them.
 type leaseState struct {
-	keeper   *lease.Keeper
-	watch    float64 // periodic checks that may be made now
-	watchAt  int64
-	next     int            // index in the list from which the next round goes on
-	followed []*workerState // to be checked whatever the trust in the list: they rejected work, or drained
-	// precaution says when an unseen worker is checked before a call though the list is current, and
+	keeper        *lease.Keeper
+	checkTokens   float64 // periodic checks that may be made now
+	checkTokensAt int64
+	next          int            // index in the list from which the next round goes on
+	followed      []*workerState // to be checked whatever the trust in the list: they rejected work, or drained
+	// unseenChecks says when an unseen worker is checked before a call though the list is current, and
 	// precautions how many such checks may be made now if they are limited.
-	precaution  precaution
-	precautions float64
-	counts      LeaseCounts
+	unseenChecks      unseenCheckPolicy
+	unseenCheckTokens float64
+	counts            LeaseCounts
 }
 
-// precaution says when an unseen worker is health checked before a call though the endpoint list is current.
-type precaution int
+// unseenCheckPolicy says when an unseen worker is health checked before a call though the endpoint list is current.
+type unseenCheckPolicy int
 
 const (
-	neverCheckUnseen  precaution = iota // no health checks are allowed
-	limitUnseenChecks                   // many dispatchers without a shared watch: within a budget
-	alwaysCheckUnseen                   // few dispatchers, or many with a shared watch
+	neverCheckUnseen  unseenCheckPolicy = iota // no health checks are allowed
+	limitUnseenChecks                          // many dispatchers without a shared watch: within a budget
+	alwaysCheckUnseen                          // few dispatchers, or many with a shared watch
 )
 
 // LeaseCounts are totals since the start.
@@ -62,7 +62,7 @@
 		HealthChecks:    s.HealthChecks,
 		Dispatchers:     s.Dispatchers,
 	})
-	return leaseState{keeper: keeper, precautions: maxPrecautions}
+	return leaseState{keeper: keeper, unseenCheckTokens: maxUnseenCheckTokens}
 }
 
 // updatePrecaution decides anew when unseen workers are checked, after the list has changed. A call of one
@@ -72,16 +72,18 @@
 	few := b.fleetFactor() <= 1
 	switch {
 	case !b.settings.HealthChecks:
-		b.leases.precaution = neverCheckUnseen
+		b.leases.unseenChecks = neverCheckUnseen
 	case few || b.fleetWatch.enabled && len(b.endpoints.active) <= maxWatchedWorkers:
-		b.leases.precaution = alwaysCheckUnseen
+		b.leases.unseenChecks = alwaysCheckUnseen
 	default:
-		b.leases.precaution = limitUnseenChecks
+		b.leases.unseenChecks = limitUnseenChecks
 	}
 }
 
 // earn adds what one request may cost in limited checks.
-func (l *leaseState) earn() { l.precautions = min(l.precautions+precautionsPerCall, maxPrecautions) }
+func (l *leaseState) earn() {
+	l.unseenCheckTokens = min(l.unseenCheckTokens+unseenChecksPerCall, maxUnseenCheckTokens)
+}
 
 // mayUse reports whether a worker may be chosen: it may get new work, perhaps after a health check.
 func (l *leaseState) mayUse(now int64, worker *workerState) bool {
@@ -96,7 +98,7 @@
 // mayUseUnchecked reports whether a worker may get new work without a health check.
 func (l *leaseState) mayUseUnchecked(now int64, worker *workerState) bool {
 	status := l.keeper.Status(now, &worker.lease)
-	return status == lease.Valid || status == lease.Unseen && l.precaution != alwaysCheckUnseen
+	return status == lease.Valid || status == lease.Unseen && l.unseenChecks != alwaysCheckUnseen
 }
 
 // needsCheck reports whether a worker is to be health checked before it gets the call at hand: it must be,
@@ -115,17 +117,17 @@
 // spendUnseenCheck reports whether an unseen worker is checked before the call at hand. Where such checks are
 // limited it takes one from the budget.
 func (l *leaseState) spendUnseenCheck() bool {
-	switch l.precaution {
+	switch l.unseenChecks {
 	case neverCheckUnseen:
 		return false
 	case alwaysCheckUnseen:
 		return true
 	case limitUnseenChecks:
 	}
-	if l.precautions < 1 {
+	if l.unseenCheckTokens < 1 {
 		return false
 	}
-	l.precautions--
+	l.unseenCheckTokens--
 	return true
 }
 
@@ -147,7 +149,7 @@
 	if worker == nil {
 		return lease.End{}
 	}
-	if end := worker.drainSuspicion.callEnd(); end > 0 {
+	if end := worker.drainSuspicion.callDeadline(); end > 0 {
 		return lease.End{Heartbeats: end}
 	}
 	return b.leases.keeper.End(b.now, &worker.lease)
--- a/balancer/lease_test.go
+++ b/balancer/lease_test.go
@@ -115,7 +115,7 @@
 	settings.Gossip = false
 	checks := checksOfUnseen(t, settings, false)
 	assert.Positive(t, checks)
-	assert.LessOrEqual(t, checks, int64(maxPrecautions+200*precautionsPerCall))
+	assert.LessOrEqual(t, checks, int64(maxUnseenCheckTokens+200*unseenChecksPerCall))
 }
 
 // checksOfUnseen returns the health checks that 200 requests of as many functions at 40 workers cause. If
--- a/balancer/leasecheck.go
+++ b/balancer/leasecheck.go
@@ -33,7 +33,7 @@
 		b.recordLoadReport(now, worker, report)
 	}
 	b.finishCheck(now, worker, checkResult(result))
-	if b.leases.keeper.Doubtful(&worker.lease) {
+	if b.leases.keeper.ChecksFailing(&worker.lease) {
 		b.beginSuspicion(now, worker)
 	}
 	b.dispatchAfterCheck(now, worker)
@@ -95,7 +95,7 @@
 
 // recordRejection takes that a worker rejected a call that was sent at a time.
 func (b *Balancer) recordRejection(now, sentAt int64, worker *workerState) {
-	if !b.examinesRejection(now) {
+	if !b.shouldCheckRejection(now) {
 		b.leases.keeper.NoteRejection(now, sentAt, &worker.lease)
 		return
 	}
@@ -131,17 +131,17 @@
 		return
 	}
 	b.detectContradictions(now)
-	elapsed := float64(now-l.watchAt) / 1e9
-	l.watch, l.watchAt = min(l.watch+elapsed*watchCheckRate, watchCheckBurst), now
+	elapsed := float64(now-l.checkTokensAt) / 1e9
+	l.checkTokens, l.checkTokensAt = min(l.checkTokens+elapsed*periodicCheckRate, periodicCheckBurst), now
 	workers, interval := b.workersToCheck(now), l.keeper.CheckInterval()
 	for range workers {
-		if l.watch < 1 {
+		if l.checkTokens < 1 {
 			return
 		}
 		worker := workers[l.next%len(workers)]
 		l.next = (l.next + 1) % len(workers)
 		if worker.listed && worker.State == Active && l.keeper.CheckDue(now, &worker.lease, interval) {
-			l.watch--
+			l.checkTokens--
 			b.startCheck(now, worker)
 		}
 	}
@@ -178,11 +178,11 @@
 func (b *Balancer) detectContradictions(now int64) {
 	keeper, contradicted, proven := b.leases.keeper, false, false
 	for _, worker := range b.leases.followedWorkers() {
-		if !keeper.Interrupted(&worker.lease) {
+		if !keeper.ContradictsList(&worker.lease) {
 			continue
 		}
 		contradicted = true
-		proven = proven || !keeper.Covered(now) && keeper.ProvesOutdated(now, &worker.lease)
+		proven = proven || !keeper.CoveredByPeers(now) && keeper.ProvesOutdated(now, &worker.lease)
 	}
 	wasOutdated := keeper.Trust(now) == lease.Outdated
 	if !keeper.SetContradicted(now, contradicted, proven) {
--- a/lease/check.go
+++ b/lease/check.go
@@ -32,13 +32,13 @@
 	switch {
 	case l.drainingSince > 0, k.onProbation(l):
 		return now-l.checkSentAt >= interval
-	case l.checkWanted, l.rejections > 0:
+	case l.checkRequested, l.rejections > 0:
 		return true
 	}
 	if trust := k.Trust(now); trust == Current || trust == Lagging {
 		return false
 	}
-	return l.failures > 0 || now-max(k.lastWatched(l), l.checkSentAt) >= interval
+	return l.failures > 0 || now-max(k.lastTrackedAt(l), l.checkSentAt) >= interval
 }
 
 // WatchDue reports whether a worker that this dispatcher watches for its peers is to be health checked: it
@@ -47,17 +47,17 @@
 	return k.MayCheck(now, l) && now-max(l.verifiedAt, l.checkSentAt) >= interval
 }
 
-// Doubtful reports whether the latest checks of a worker speak against it: they were rejected, or failed.
-func (k *Keeper) Doubtful(l *Lease) bool { return l.rejections+l.failures > 0 }
+// ChecksFailing reports whether the latest checks of a worker speak against it: they were rejected, or failed.
+func (k *Keeper) ChecksFailing(l *Lease) bool { return l.rejections+l.failures > 0 }
 
-// Rejecting reports whether the latest checks of a worker were rejected.
-func (k *Keeper) Rejecting(l *Lease) bool { return l.rejections > 0 }
+// RejectsChecks reports whether the latest checks of a worker were rejected.
+func (k *Keeper) RejectsChecks(l *Lease) bool { return l.rejections > 0 }
 
 // RecordAcceptedCall takes that a worker whose health checks speak against it accepted a call that was sent
 // after they began to: it does not drain, its checks fail.
 func (k *Keeper) RecordAcceptedCall(l *Lease, sentAt int64) {
 	if sentAt > l.drainingSince {
-		l.drainingSince, l.rejections, l.failures, l.checkWanted = 0, 0, 0, false
+		l.drainingSince, l.rejections, l.failures, l.checkRequested = 0, 0, 0, false
 		k.verify(l, sentAt)
 	}
 }
@@ -65,7 +65,7 @@
 // ConfirmDue reports whether a doubtful worker that is watched is to be checked again: an interval has
 // passed since the latest check.
 func (k *Keeper) ConfirmDue(now int64, l *Lease, interval int64) bool {
-	return k.Doubtful(l) && k.MayCheck(now, l) && now-l.checkSentAt >= interval
+	return k.ChecksFailing(l) && k.MayCheck(now, l) && now-l.checkSentAt >= interval
 }
 
 // MayCheck reports whether a check for a call may be sent now.
@@ -76,13 +76,13 @@
 // in time by each.
 func (k *Keeper) CheckInterval() int64 {
 	shared := int64(k.settings.Dispatchers) * 1e9 / workerCheckRate
-	longest := int64(float64(k.maxGap()) / checksPerGap)
+	longest := int64(float64(k.maxUnseenTime()) / checksPerUnseenTime)
 	return min(max(minCheckInterval, shared), max(longest, minCheckInterval/10))
 }
 
 // CheckStarted takes that a health check is being sent.
 func (k *Keeper) CheckStarted(now int64, l *Lease) {
-	l.checking, l.checkWanted, l.checkSentAt = true, false, now
+	l.checking, l.checkRequested, l.checkSentAt = true, false, now
 }
 
 // RecordCheck takes the result of the health check in flight, and returns what it changed.
@@ -112,12 +112,12 @@
 	k.verify(l, l.checkSentAt)
 	switch {
 	case wasDraining:
-		l.probationSince, l.interrupted = l.checkSentAt, true
+		l.probationSince, l.hasDrained = l.checkSentAt, true
 		return BeganProbation
 	case !wasOnProbation && k.onProbation(l):
 		return BeganProbation
-	case wasOnProbation && l.checkSentAt-l.probationSince >= k.settings.UpdateDelay+settleDelay:
-		l.probationSince, l.interrupted = 0, false
+	case wasOnProbation && l.checkSentAt-l.probationSince >= k.settings.UpdateDelay+startRecordingDelay:
+		l.probationSince, l.hasDrained = 0, false
 		return Readmitted
 	}
 	return Unchanged
@@ -135,7 +135,7 @@
 	if l.drainingSince > 0 {
 		return Unchanged
 	}
-	l.drainingSince, l.probationSince, l.interrupted = now, 0, false
+	l.drainingSince, l.probationSince, l.hasDrained = now, 0, false
 	return BeganDraining
 }
 
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -21,9 +21,9 @@
 	// confirmationTolerance is how many intervals may pass from one confirmation of the list to the
 	// next before the list counts as unconfirmed.
 	confirmationTolerance = 1.25
-	// settleDelay is added to the longest delay of discovery's updates for a worker that accepts work
+	// startRecordingDelay is added to the longest delay of discovery's updates for a worker that accepts work
 	// again: discovery records a start up to this much later than it happened.
-	settleDelay = int64(3 * time.Second)
+	startRecordingDelay = int64(3 * time.Second)
 
 	// minGrace is the least time for which a lease lasts. A shorter one would run out while the health
 	// check that renews it is on its way.
@@ -35,23 +35,23 @@
 
 	// minCheckInterval is the least time between two periodic checks of a worker.
 	minCheckInterval = int64(time.Second)
-	// checksPerGap is how many periodic checks fall into the time in which a worker must be seen.
-	checksPerGap = 2.4
+	// checksPerUnseenTime is how many periodic checks fall into the time in which a worker must be seen.
+	checksPerUnseenTime = 2.4
 	// workerCheckRate is how many periodic checks a second one worker gets from all dispatchers
 	// together, as long as that suffices to see it in time.
 	workerCheckRate = 100
 
 	// confirmDrainDelay is the time from a check that was rejected to the one that confirms it.
 	confirmDrainDelay = int64(50 * time.Millisecond)
-	// recentlySeen is the least time from when a worker was seen to accept work to the check that a
+	// rejectionCheckDelay is the least time from when a worker was seen to accept work to the check that a
 	// rejection calls for. One that is full may accept another call within it, which saves the check.
-	recentlySeen = int64(500 * time.Millisecond)
+	rejectionCheckDelay = int64(500 * time.Millisecond)
 	// rejectionCheckInterval is the least time between checks of a worker that rejects calls.
 	rejectionCheckInterval = int64(time.Second)
 	// rejectionCheckLead is how long before the end of the grace a rejection is looked into at the latest.
 	rejectionCheckLead = int64(100 * time.Millisecond)
-	// slowCheck is after how long a call no longer waits for a health check: it goes elsewhere.
-	slowCheck = int64(100 * time.Millisecond)
+	// maxCheckWait is after how long a call no longer waits for a health check: it goes elsewhere.
+	maxCheckWait = int64(100 * time.Millisecond)
 	// minRetryDelay and maxRetryDelay bound the time from a check that failed to the next one, which
 	// doubles with each failure.
 	minRetryDelay = int64(50 * time.Millisecond)
@@ -124,27 +124,27 @@
 	graceEnd       int64 // until when it may be used after it rejected that call
 	drainingSince  int64 // when it was found to drain, by its own report; 0: it does not
 	probationSince int64 // since when it accepts work again after an interruption; 0: there was none
-	interrupted    bool  // that interruption was seen: it drained. Else it went unseen for too long
+	hasDrained     bool  // that interruption was seen: it drained. Else it went unseen for too long
 
-	checkSentAt  int64 // of the latest check
-	nextCheckAt  int64 // not before
-	checking     bool  // a check is in flight
-	checkWanted  bool  // a rejection is to be looked into
-	rejections   int   // checks in a row that were rejected
-	failures     int   // checks in a row that failed
-	listedActive bool  // the list has it as active
+	checkSentAt    int64 // of the latest check
+	nextCheckAt    int64 // not before
+	checking       bool  // a check is in flight
+	checkRequested bool  // a rejection is to be looked into
+	rejections     int   // checks in a row that were rejected
+	failures       int   // checks in a row that failed
+	listedActive   bool  // the list has it as active
 
 	reportedAt int64 // when a peer last reported that it drains, or that it answers no health check
 }
 
 // Keeper grants the leases of one dispatcher. Use New.
 type Keeper struct {
-	settings     Settings
-	heartbeatAt  int64 // when discovery last sent a heartbeat
-	watchedAt    int64 // when the list was last not known to be outdated
-	coveredUntil int64 // each worker that drained by then was reported by a peer
-	lagging      bool  // a worker contradicts the list
-	outdated     bool  // for longer than discovery takes to tell
+	settings          Settings
+	heartbeatAt       int64 // when discovery last sent a heartbeat
+	notOutdatedAt     int64 // when the list was last not known to be outdated
+	peerCoverageUntil int64 // each worker that drained by then was reported by a peer
+	lagging           bool  // a worker contradicts the list
+	outdated          bool  // for longer than discovery takes to tell
 }
 
 // New returns a Keeper of a list that is not confirmed yet.
@@ -161,7 +161,7 @@
 func (k *Keeper) Confirm(now int64) {
 	k.heartbeatAt = max(k.heartbeatAt, now)
 	if !k.outdated {
-		k.watchedAt = k.heartbeatAt
+		k.notOutdatedAt = k.heartbeatAt
 	}
 }
 
@@ -199,13 +199,13 @@
 // NeedsAttention reports whether a worker is to be looked at however far the list is trusted: it rejected
 // a call or a check, drains, or is on probation.
 func (k *Keeper) NeedsAttention(l *Lease) bool {
-	return k.Enabled() && (l.checkWanted || l.rejections > 0 || l.drainingSince > 0 || k.onProbation(l))
+	return k.Enabled() && (l.checkRequested || l.rejections > 0 || l.drainingSince > 0 || k.onProbation(l))
 }
 
-// Interrupted reports whether a worker that the list has as active contradicts it: it drains, or has
+// ContradictsList reports whether a worker that the list has as active contradicts it: it drains, or has
 // drained and is on probation.
-func (k *Keeper) Interrupted(l *Lease) bool {
-	return l.drainingSince > 0 || l.probationSince > 0 && l.interrupted
+func (k *Keeper) ContradictsList(l *Lease) bool {
+	return l.drainingSince > 0 || l.probationSince > 0 && l.hasDrained
 }
 
 // ProvesOutdated reports whether such a worker has drained for longer than discovery takes to tell.
@@ -220,7 +220,7 @@
 	outdated := contradicted && (proven || k.outdated)
 	changed = contradicted != k.lagging || outdated != k.outdated
 	if outdated && !k.outdated {
-		k.watchedAt = now
+		k.notOutdatedAt = now
 	}
 	k.lagging, k.outdated = contradicted, outdated
 	return changed
@@ -248,18 +248,18 @@
 		return Suspect
 	}
 	trust := k.Trust(now)
-	seenAt, doubted := k.seenAt(l, trust), k.doubted(now, l)
+	seenAt, doubted := k.seenAt(l, trust), k.verificationRequired(now, l)
 	switch {
 	case seenAt > 0 && now <= seenAt+k.duration(trust) && !doubted:
 		return Valid
-	case l.failures > 0 && (trust != Current || now < l.nextCheckAt), l.checking && now-l.checkSentAt > slowCheck:
+	case l.failures > 0 && (trust != Current || now < l.nextCheckAt), l.checking && now-l.checkSentAt > maxCheckWait:
 		return Suspect
 	case doubted:
 		return Expired
 	case trust == Current:
 		return Unseen
 	case !k.settings.HealthChecks:
-		return k.statusUnchecked(l)
+		return k.statusWithoutHealthChecks(l)
 	}
 	return Expired
 }
@@ -272,10 +272,10 @@
 	return max(k.settings.UpdateDelay, k.settings.Grace)
 }
 
-// statusUnchecked returns the status of a worker without a valid lease where health checks are not
+// statusWithoutHealthChecks returns the status of a worker without a valid lease where health checks are not
 // allowed: only what it answers to calls can tell that it drains, so that it is used until it has
 // rejected one and accepted none since.
-func (k *Keeper) statusUnchecked(l *Lease) Status {
+func (k *Keeper) statusWithoutHealthChecks(l *Lease) Status {
 	if l.rejectedAt > l.verifiedAt {
 		return Suspect
 	}
@@ -294,7 +294,7 @@
 	switch {
 	case l.drainingSince > 0 || k.onProbation(l) || k.Reported(now, l):
 		return End{}
-	case !k.settings.HealthChecks && k.statusUnchecked(l) == Valid:
+	case !k.settings.HealthChecks && k.statusWithoutHealthChecks(l) == Valid:
 		return End{Heartbeats: math.MaxInt64, Silent: math.MaxInt64}
 	}
 	if seenAt := k.seenAt(l, Current); seenAt > 0 {
@@ -303,7 +303,7 @@
 	if l.verifiedAt > 0 {
 		end.Silent = l.verifiedAt + k.duration(Silent)
 	}
-	if k.settings.HealthChecks && k.rejectionStands(l) {
+	if k.settings.HealthChecks && k.rejectionUnresolved(l) {
 		end.Grace = l.graceEnd
 	}
 	return end
@@ -312,15 +312,15 @@
 // onProbation reports whether a worker is on probation. That of one that only went unseen ends as the
 // list is current again: discovery is back, and had no entry of it.
 func (k *Keeper) onProbation(l *Lease) bool {
-	return l.probationSince > 0 && (l.interrupted || l.probationSince >= k.watchedAt)
+	return l.probationSince > 0 && (l.hasDrained || l.probationSince >= k.notOutdatedAt)
 }
 
-// lastWatched returns when a worker was last seen, or the list last not outdated; 0 if neither was.
-func (k *Keeper) lastWatched(l *Lease) int64 { return max(l.verifiedAt, k.watchedAt) }
+// lastTrackedAt returns when a worker was last seen, or the list last not outdated; 0 if neither was.
+func (k *Keeper) lastTrackedAt(l *Lease) int64 { return max(l.verifiedAt, k.notOutdatedAt) }
 
-// maxGap returns the longest time in which a worker may go unseen. In a longer one it may have
+// maxUnseenTime returns the longest time in which a worker may go unseen. In a longer one it may have
 // drained, ended and started again, and the drain may count as known while the start does not.
-func (k *Keeper) maxGap() int64 {
+func (k *Keeper) maxUnseenTime() int64 {
 	return max(k.settings.UpdateDelay-k.settings.Grace, k.settings.Grace)
 }
 
@@ -333,7 +333,7 @@
 		l.failures = 0
 	}
 	if sentAt > l.rejectedAt {
-		l.checkWanted = false
+		l.checkRequested = false
 	}
 	k.verify(l, sentAt)
 }
@@ -346,8 +346,8 @@
 	if l.drainingSince > 0 {
 		return
 	}
-	l.checkWanted = true
-	dueAt := max(l.checkSentAt+rejectionCheckInterval, l.verifiedAt+recentlySeen)
+	l.checkRequested = true
+	dueAt := max(l.checkSentAt+rejectionCheckInterval, l.verifiedAt+rejectionCheckDelay)
 	l.nextCheckAt = max(l.nextCheckAt, min(dueAt, l.graceEnd-rejectionCheckLead))
 }
 
@@ -360,21 +360,21 @@
 // the worker may have drained when that came.
 func (k *Keeper) NoteRejection(now, sentAt int64, l *Lease) {
 	l.rejectedAt = now
-	if !k.rejectionStands(l) {
+	if !k.rejectionUnresolved(l) {
 		l.rejectedSince, l.graceEnd = now, sentAt+k.settings.Grace-graceMargin
 	}
 }
 
-// rejectionStands reports whether a worker rejected a call and was not known to accept work since.
-func (k *Keeper) rejectionStands(l *Lease) bool { return l.rejectedSince > k.KnownUntil(l) }
+// rejectionUnresolved reports whether a worker rejected a call and was not known to accept work since.
+func (k *Keeper) rejectionUnresolved(l *Lease) bool { return l.rejectedSince > k.KnownUntil(l) }
 
-// doubted reports whether a worker rejected a call and nothing has shown since that it does not drain: a
+// verificationRequired reports whether a worker rejected a call and nothing has shown since that it does not drain: a
 // health check after that failed, or the grace is over. Without health checks nothing else could show it.
-func (k *Keeper) doubted(now int64, l *Lease) bool {
+func (k *Keeper) verificationRequired(now int64, l *Lease) bool {
 	if l.failures > 0 && l.rejectedAt > l.verifiedAt {
 		return true
 	}
-	return k.settings.HealthChecks && k.rejectionStands(l) && now > l.graceEnd
+	return k.settings.HealthChecks && k.rejectionUnresolved(l) && now > l.graceEnd
 }
 
 // Rejected reports whether a worker rejected a call and was not seen to accept work since.
@@ -383,7 +383,7 @@
 // verify takes that a worker accepted work at a time. One that went unseen for too long is put on
 // probation, unless it is seen for the first time, or no health check could ever end that.
 func (k *Keeper) verify(l *Lease, at int64) {
-	if seen := k.lastWatched(l); k.settings.HealthChecks && seen > 0 && at-seen > k.maxGap() {
+	if seen := k.lastTrackedAt(l); k.settings.HealthChecks && seen > 0 && at-seen > k.maxUnseenTime() {
 		l.probationSince = at
 	}
 	l.verifiedAt = max(l.verifiedAt, at)
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -78,7 +78,7 @@
 	keeper.Listed(other, true, true)
 	check(keeper, 10*second, worker, CheckRejected)
 	check(keeper, 10*second, worker, CheckRejected)
-	assert.True(t, keeper.Interrupted(worker))
+	assert.True(t, keeper.ContradictsList(worker))
 	assert.False(t, keeper.ProvesOutdated(17*second, worker))
 	assert.True(t, keeper.ProvesOutdated(17*second+1, worker))
 	keeper.Confirm(17 * second)
@@ -135,8 +135,8 @@
 	assert.Equal(t, Unseen, keeper.Status(12*second, worker))
 }
 
-// drained returns a keeper whose list went unconfirmed, and a worker that drains.
-func drained() (*Keeper, *Lease) {
+// drainingWorker returns a keeper whose list went unconfirmed, and a worker that drains.
+func drainingWorker() (*Keeper, *Lease) {
 	keeper, worker := confirmedKeeper(platformSettings(), 10*second)
 	check(keeper, 12*second, worker, CheckRejected)
 	check(keeper, 12*second+confirmDrainDelay, worker, CheckRejected)
@@ -146,7 +146,7 @@
 // Without a confirmed list a worker that drained is used again only once discovery must have told of
 // its start, and only if it was seen all the time since.
 func TestProbation(t *testing.T) {
-	keeper, worker := drained()
+	keeper, worker := drainingWorker()
 	assert.Equal(t, BeganProbation, check(keeper, 20*second, worker, CheckPassed))
 	for at := 21 * second; at < 30*second; at += second {
 		assert.Equal(t, Probation, keeper.Status(at, worker))
@@ -156,12 +156,12 @@
 	assert.Equal(t, Readmitted, check(keeper, 30*second, worker, CheckPassed))
 	assert.Equal(t, Valid, keeper.Status(30*second, worker))
 
-	keeper, worker = drained()
+	keeper, worker = drainingWorker()
 	check(keeper, 20*second, worker, CheckPassed)
 	check(keeper, 27*second, worker, CheckPassed)
 	assert.Equal(t, 27*second, keeper.ProbationSince(worker), "it went unseen for 7 s and begins again")
 
-	keeper, worker = drained()
+	keeper, worker = drainingWorker()
 	check(keeper, 20*second, worker, CheckPassed)
 	keeper.Listed(worker, true, true)
 	assert.Equal(t, Expired, keeper.Status(21*second, worker), "discovery is back")
@@ -185,12 +185,12 @@
 
 // An entry of the list ends a worker's own report of draining only if it tells more than was known.
 func TestListedAgain(t *testing.T) {
-	keeper, worker := drained()
+	keeper, worker := drainingWorker()
 	keeper.Listed(worker, true, false)
 	assert.Equal(t, Draining, keeper.Status(13*second, worker), "the same entry again")
 	keeper.Listed(worker, true, true)
 	assert.NotEqual(t, Draining, keeper.Status(13*second, worker), "it restarted")
-	keeper, worker = drained()
+	keeper, worker = drainingWorker()
 	keeper.Listed(worker, false, false)
 	keeper.Listed(worker, true, false)
 	assert.NotEqual(t, Draining, keeper.Status(13*second, worker), "it drained, and is active again")
@@ -217,7 +217,7 @@
 		settings := platformSettings()
 		settings.Dispatchers = dispatchers
 		keeper := New(settings)
-		assert.LessOrEqual(t, 2*keeper.CheckInterval(), keeper.maxGap(), dispatchers)
+		assert.LessOrEqual(t, 2*keeper.CheckInterval(), keeper.maxUnseenTime(), dispatchers)
 		assert.GreaterOrEqual(t, keeper.CheckInterval(), minCheckInterval, dispatchers)
 	}
 }
--- a/lease/report.go
+++ b/lease/report.go
@@ -6,8 +6,8 @@
 // times within that, as long as the worker drains.
 const reportDuration = int64(2500 * time.Millisecond)
 
-// coverMargin is what the silence of peers leaves of the grace: a call takes a while to get there.
-const coverMargin = int64(400 * time.Millisecond)
+// peerCoverageMargin is what the silence of peers leaves of the grace: a call takes a while to get there.
+const peerCoverageMargin = int64(400 * time.Millisecond)
 
 // RecordReport takes that a peer found a worker to drain that the list has as active. The worker is not used
 // for a while, unless this dispatcher itself sees later that it accepts work.
@@ -18,19 +18,19 @@
 	return l.reportedAt > l.verifiedAt && now < l.reportedAt+reportDuration
 }
 
-// SetCovered takes that peers have watched all workers up to a time: each that drained by then was
+// SetPeerCoverage takes that peers have watched all workers up to a time: each that drained by then was
 // reported.
-func (k *Keeper) SetCovered(until int64) { k.coveredUntil = max(k.coveredUntil, until) }
+func (k *Keeper) SetPeerCoverage(until int64) { k.peerCoverageUntil = max(k.peerCoverageUntil, until) }
 
-// Covered reports whether a worker of which this dispatcher has seen nothing may be used for what peers
+// CoveredByPeers reports whether a worker of which this dispatcher has seen nothing may be used for what peers
 // watch and report.
-func (k *Keeper) Covered(now int64) bool {
-	return k.coveredUntil > 0 && k.Trust(now) < Outdated && now <= k.coverSeenAt()+k.duration(Current)
+func (k *Keeper) CoveredByPeers(now int64) bool {
+	return k.peerCoverageUntil > 0 && k.Trust(now) < Outdated && now <= k.peerCoverageSeenAt()+k.duration(Current)
 }
 
 // KnownUntil returns up to when a worker was known to accept work, by what this dispatcher saw or by the
 // silence of its peers; 0 if it never was.
-func (k *Keeper) KnownUntil(l *Lease) int64 { return max(l.verifiedAt, k.coveredUntil) }
+func (k *Keeper) KnownUntil(l *Lease) int64 { return max(l.verifiedAt, k.peerCoverageUntil) }
 
 // seenAt returns when a worker was last known to accept work, by what this dispatcher saw and by the
 // silence of the peers that watch it.
@@ -38,14 +38,14 @@
 	if trust >= Outdated {
 		return l.verifiedAt
 	}
-	return max(l.verifiedAt, k.coverSeenAt())
+	return max(l.verifiedAt, k.peerCoverageSeenAt())
 }
 
-// coverSeenAt returns the time at which the silence of peers counts as an answer of each worker. It is later
+// peerCoverageSeenAt returns the time at which the silence of peers counts as an answer of each worker. It is later
 // than coveredUntil by most of the grace, for which calls to a draining worker are allowed.
-func (k *Keeper) coverSeenAt() int64 {
-	if k.coveredUntil == 0 {
+func (k *Keeper) peerCoverageSeenAt() int64 {
+	if k.peerCoverageUntil == 0 {
 		return 0
 	}
-	return k.coveredUntil + max(0, k.settings.Grace-coverMargin)
+	return k.peerCoverageUntil + max(0, k.settings.Grace-peerCoverageMargin)
 }
--- a/lease/report_test.go
+++ b/lease/report_test.go
@@ -29,17 +29,17 @@
 // not while heartbeats are missing, nor for a worker that rejected a call and answered no check since.
 func TestSilenceOfPeersStandsForALease(t *testing.T) {
 	keeper, worker := confirmedKeeper(platformSettings(), 10*second)
-	assert.False(t, keeper.Covered(10*second))
-	keeper.SetCovered(6 * second)
+	assert.False(t, keeper.CoveredByPeers(10*second))
+	keeper.SetPeerCoverage(6 * second)
 	assert.Equal(t, Valid, keeper.Status(10*second, worker))
 	assert.Equal(t, End{Heartbeats: 13*second + 600*ms}, keeper.End(10*second, worker))
-	assert.True(t, keeper.Covered(10*second))
+	assert.True(t, keeper.CoveredByPeers(10*second))
 	keeper.Confirm(13 * second)
 	assert.Equal(t, Valid, keeper.Status(13*second+600*ms, worker))
 	assert.Equal(t, Unseen, keeper.Status(13*second+601*ms, worker))
 	assert.Equal(t, Expired, keeper.Status(14*second+251*ms, worker), "silence")
 
-	keeper.SetCovered(12 * second)
+	keeper.SetPeerCoverage(12 * second)
 	keeper.Confirm(15 * second)
 	assert.Equal(t, Expired, keeper.Status(16*second+251*ms, worker), "no heartbeats")
 	keeper.Confirm(16 * second)
@@ -54,7 +54,7 @@
 // during the grace, and after that once a check passed or peers would have reported it.
 func TestRejectionLeftToPeers(t *testing.T) {
 	keeper, worker := confirmedKeeper(platformSettings(), 10*second)
-	keeper.SetCovered(9 * second)
+	keeper.SetPeerCoverage(9 * second)
 	check(keeper, 9*second, worker, CheckPassed)
 	keeper.NoteRejection(10*second, 10*second, worker)
 	assert.False(t, keeper.CheckDue(10*second, worker, second))
@@ -69,19 +69,19 @@
 	assert.Equal(t, Expired, keeper.Status(11*second+902*ms, worker), "the grace counts from the first rejection")
 	keeper.Confirm(13 * second)
 	assert.Equal(t, Expired, keeper.Status(13*second, worker))
-	keeper.SetCovered(12 * second)
+	keeper.SetPeerCoverage(12 * second)
 	assert.Equal(t, Valid, keeper.Status(13*second, worker))
 }
 
 // A list that a worker proves outdated is not helped by peers: workers may have restarted unseen.
 func TestNoCoverOfAnOutdatedList(t *testing.T) {
 	keeper, worker := confirmedKeeper(platformSettings(), 10*second)
-	keeper.SetCovered(9 * second)
+	keeper.SetPeerCoverage(9 * second)
 	keeper.SetContradicted(10*second, true, false)
 	assert.Equal(t, Valid, keeper.Status(10*second, worker))
 	keeper.SetContradicted(10*second, true, true)
 	assert.Equal(t, Expired, keeper.Status(10*second, worker))
-	assert.False(t, keeper.Covered(10*second))
+	assert.False(t, keeper.CoveredByPeers(10*second))
 }
 
 // A watched worker is due for a check once it was neither seen nor checked for an interval. One whose check
@@ -94,19 +94,19 @@
 	keeper.RecordAnswer(worker, 12*second)
 	assert.False(t, keeper.WatchDue(15*second-1, worker, 3*second))
 	assert.True(t, keeper.WatchDue(15*second, worker, 3*second))
-	assert.False(t, keeper.Doubtful(worker))
+	assert.False(t, keeper.ChecksFailing(worker))
 	check(keeper, 15*second, worker, CheckFailed)
-	assert.True(t, keeper.Doubtful(worker))
+	assert.True(t, keeper.ChecksFailing(worker))
 	assert.True(t, keeper.ConfirmDue(15*second+300*ms, worker, 300*ms))
 	assert.Equal(t, 12*second, keeper.KnownUntil(worker))
 	keeper.RecordAcceptedCall(worker, 15*second+1)
-	assert.False(t, keeper.Doubtful(worker))
+	assert.False(t, keeper.ChecksFailing(worker))
 	assert.False(t, keeper.ConfirmDue(16*second, worker, 300*ms))
 }
 
 // A worker that rejects health checks and accepts a call sent after it was found to does not drain.
 func TestAcceptedCallEndsADrain(t *testing.T) {
-	keeper, worker := drained()
+	keeper, worker := drainingWorker()
 	keeper.RecordAcceptedCall(worker, 12*second)
 	assert.Equal(t, Draining, keeper.Status(13*second, worker), "a call of before")
 	keeper.RecordAcceptedCall(worker, 13*second)
