--- a/balancer/drainreports.go
+++ b/balancer/drainreports.go
@@ -6,15 +6,16 @@
 	"oakthread/aggregate"
 )
 
-// reportDrain reports to all that a watched worker drains.
+// reportDrain reports to all dispatchers that a watched worker is draining.
 func (b *Balancer) reportDrain(now int64, worker *workerState) {
 	const format = "worker %d reported to peers as draining, call rejected: %t"
 	b.logf(now, format, worker.Worker, worker.drainSuspicion.callRejected)
 	b.sendDrainNotice(allDispatchers, aggregate.DrainNotice{Draining: []uint16{workerTag(worker.Worker)}})
 }
 
-// reportToLeader reports to the leader what this dispatcher found. As the leader it relays that. One that
-// hears of nobody does not know the leader, and reports to all: they may hear of it, and count on it.
+// reportToLeader sends this dispatcher's reports to the leader; as the leader it queues them for
+// its own notices. An isolated dispatcher does not know the leader and reports to all: they may
+// still receive its messages and rely on its reports.
 func (b *Balancer) reportToLeader(now int64) {
 	w, leading := &b.fleetWatch, b.gossip.elector.Leader(now)
 	if b.gossip.elector.Isolated(now) {
@@ -29,7 +30,7 @@
 	}
 }
 
-// queueRelay has the leader's next notice name a worker.
+// queueRelay adds a worker to those named in the leader's next notice.
 func (b *Balancer) queueRelay(worker *workerState) {
 	if w := &b.fleetWatch; !slices.Contains(w.pendingRelays, worker) {
 		w.pendingRelays = append(w.pendingRelays, worker)
@@ -51,7 +52,7 @@
 	}
 }
 
-// handleDrainNotice takes a notice of a watcher, or of the leader.
+// handleDrainNotice handles a drain notice from a watcher or from the leader.
 func (b *Balancer) handleDrainNotice(now int64, notice aggregate.DrainNotice) {
 	if notice.FromLeader {
 		defer b.recordLeaderNotice(now, notice.Watching)
@@ -70,8 +71,8 @@
 	}
 }
 
-// recordCompleteNotice takes that a peer has named all workers that stand reported: this dispatcher knows as
-// much as if it had received the leaders' notices as well.
+// recordCompleteNotice records that a peer has sent all workers currently reported. This
+// dispatcher then knows as much as if it had received the leaders' notices.
 func (b *Balancer) recordCompleteNotice(now int64) {
 	if w := &b.fleetWatch; w.enabled && w.noticeReceivedAt == 0 {
 		w.noticeReceivedAt, w.noticesSince = now, now-minNoticeSpan
@@ -79,8 +80,8 @@
 	}
 }
 
-// sendCompleteNotice sends the workers that stand reported to a dispatcher that has started, if this one
-// receives the leaders' notices and so knows them all.
+// sendCompleteNotice sends all currently reported workers to a dispatcher that has started,
+// provided that this one receives the leaders' notices and so knows them all.
 func (b *Balancer) sendCompleteNotice(now int64, receiver int) {
 	if w := &b.fleetWatch; !w.enabled || now-w.noticeReceivedAt > maxNoticeGap/2 || !b.leases.keeper.CoveredByPeers(now) {
 		return
@@ -94,12 +95,13 @@
 	b.sendDrainNotice(receiver, notice)
 }
 
-// leads reports whether this dispatcher leads the term, also in the eyes of others.
+// leads reports whether this dispatcher is the leader of the term and is a member in the view of
+// others.
 func (b *Balancer) leads(now int64) bool {
 	return b.gossip.elector.Leader(now) == b.settings.DispatcherIndex && b.gossip.elector.IsMember(now)
 }
 
-// activeByTag returns the worker of a tag if the list has it as active, else nil.
+// activeByTag returns the worker with a tag if the list has it as active, else nil.
 func (b *Balancer) activeByTag(tag uint16) *workerState {
 	worker := b.endpoints.byTag[tag]
 	if worker == nil || !worker.listed || worker.State != Active {
@@ -108,15 +110,15 @@
 	return worker
 }
 
-// receivesPeerReports reports whether the others' reports reach this dispatcher. As the leader it would receive those
-// of drains as well.
+// receivesPeerReports reports whether reports of other dispatchers reach this one. If so, it
+// would also receive their drain reports as the leader.
 func (b *Balancer) receivesPeerReports(now int64) bool {
 	w := &b.fleetWatch
 	return w.peerReportAt > 0 && now-w.peerReportAt <= b.leaderTerm()
 }
 
-// sendLeaderNotice sends to all what others reported to this dispatcher as the leader, and whether they may
-// take its silence for good news.
+// sendLeaderNotice sends to all dispatchers the workers that were reported to this one as the
+// leader, and whether workers that it does not name may be taken to accept work.
 func (b *Balancer) sendLeaderNotice(now int64) {
 	w := &b.fleetWatch
 	watching := b.receivesPeerReports(now) && b.fleetShouldWatch(now)
--- a/balancer/drainsuspicion.go
+++ b/balancer/drainsuspicion.go
@@ -2,17 +2,18 @@
 
 import "slices"
 
-// drainSuspicion is the state of a watched worker whose health checks speak against it: it rejects them, or
-// does not answer. One call is sent there to find out: a worker that drains rejects calls as well, one whose
-// checks fail for another reason accepts them.
+// drainSuspicion is the state of a watched worker whose health checks are rejected or not
+// answered. One call is sent to it for verification: a draining worker rejects calls as well,
+// while one whose checks fail for another reason accepts them.
 type drainSuspicion struct {
 	since        int64 // 0: the worker is not suspected
-	callSent     bool  // the call that is to find out
+	callSent     bool  // the verification call was sent
 	callRejected bool
-	confirmed    bool // it drains: a call was rejected, or it rejects checks and no call came
+	confirmed    bool // it is draining: a call was rejected, or presumedDraining held at the time-out
 }
 
-// callDeadline returns until when the call may be written; 0 if none is under way.
+// callDeadline returns the time until which the verification call may be written; 0 if none is
+// in progress.
 func (d *drainSuspicion) callDeadline() int64 {
 	if !d.callSent || d.confirmed {
 		return 0
@@ -20,8 +21,9 @@
 	return d.since + suspicionTimeout
 }
 
-// beginSuspicion takes that the health checks of a worker speak against it. It concerns the watchers of the
-// worker alone. A call that it has rejected already confirms the suspicion.
+// beginSuspicion begins the suspicion of a worker whose health checks fail, if this dispatcher
+// is one of its watchers. A call that the worker has already rejected confirms the suspicion at
+// once.
 func (b *Balancer) beginSuspicion(now int64, worker *workerState) {
 	w := &b.fleetWatch
 	if !w.enabled || worker.drainSuspicion.since > 0 || !b.watches(now, worker) {
@@ -32,8 +34,9 @@
 	w.suspects = append(w.suspects, worker)
 }
 
-// stillReported reports whether a watched worker is reported still: it was not seen to accept work since,
-// or may have been replaced by another process that discovery has yet to tell of.
+// stillReported reports whether a watched worker is to be reported further: it was not verified
+// to accept work since, or it may have been replaced by another process that discovery has not
+// reported yet. Otherwise its suspicion is reset.
 func (b *Balancer) stillReported(worker *workerState) bool {
 	suspicion, keeper := &worker.drainSuspicion, b.leases.keeper
 	if !suspicion.confirmed {
@@ -46,19 +49,20 @@
 	return false
 }
 
-// isResponsive reports whether a suspected worker answers anything, as far as is known: it rejects health
-// checks, or no dispatcher finds it silent. A call to one that does not would be lost time.
+// isResponsive reports whether a suspected worker is believed to respond: it rejects health
+// checks, or no dispatcher finds it unresponsive. A call to an unresponsive worker would only lose time.
 func (b *Balancer) isResponsive(now int64, worker *workerState) bool {
 	return b.leases.keeper.RejectsChecks(&worker.lease) || b.isHealthy(now, worker)
 }
 
-// recentlyAccepting reports whether a worker was known to accept work so lately that it may get a call though it
-// may drain.
+// recentlyAccepting reports whether a worker was known to accept work recently enough that it
+// may get a call although it may be draining.
 func (b *Balancer) recentlyAccepting(now int64, worker *workerState) bool {
 	return now-b.leases.keeper.KnownUntil(&worker.lease) <= b.settings.EndpointUpdateDelay-suspicionTimeout
 }
 
-// mayCallSuspect reports whether a suspected worker may get the call that is to find out whether it drains.
+// mayCallSuspect reports whether a suspected worker may get the call that verifies whether it is
+// draining.
 func (b *Balancer) mayCallSuspect(now int64, worker *workerState) bool {
 	suspicion := &worker.drainSuspicion
 	if suspicion.callSent || suspicion.confirmed || now <= suspicion.since {
@@ -67,8 +71,8 @@
 	return b.recentlyAccepting(now, worker) && b.isResponsive(now, worker) && !b.leases.keeper.Reported(now, &worker.lease)
 }
 
-// chooseSuspect returns a suspected worker that a request is to be sent to, or nil. A request that may not
-// simply be repeated is sent to none: a worker that does not drain may fail it.
+// chooseSuspect returns a suspected worker to which a request is to be sent for verification, or
+// nil. Only idempotent requests are used: a worker that is not draining may fail the call.
 func (b *Balancer) chooseSuspect(now int64, request *requestState) *workerState {
 	if len(b.fleetWatch.suspects) == 0 || len(request.attempts) > 0 || request.class.Idempotency != Idempotent {
 		return nil
@@ -84,8 +88,9 @@
 	return nil
 }
 
-// recordSuspectResult takes the result of an attempt. A rejection shows that a suspected worker drains, and an
-// answer to one that was sent since it is suspected that it does not.
+// recordSuspectResult records the result of an attempt at a suspected worker. A rejection shows
+// that the worker is draining; an answer to an attempt sent after the suspicion began shows that
+// it is not.
 func (b *Balancer) recordSuspectResult(attempt *attemptState, result Result) {
 	worker := attempt.worker
 	if worker.drainSuspicion.since == 0 {
@@ -103,9 +108,9 @@
 	}
 }
 
-// confirmDrains reports the suspected workers that drain, and has the others checked again until a check
-// passes or the time for a call is over. One that answers neither checks nor the call is not reported: it
-// is unreachable.
+// confirmDrains reports the suspected workers that are draining, and checks the others again
+// until a check passes or the time for a call is over. A worker that answers neither checks nor
+// the call is not reported: it is unreachable.
 func (b *Balancer) confirmDrains(now int64) {
 	w := &b.fleetWatch
 	w.suspects = slices.DeleteFunc(w.suspects, func(worker *workerState) bool {
@@ -118,8 +123,8 @@
 	}
 }
 
-// endSuspicion ends the suspicion of a worker if it is confirmed, refuted or too old, and reports whether it
-// does.
+// endSuspicion ends the suspicion of a worker if it is confirmed, refuted or timed out, and
+// reports whether it did.
 func (b *Balancer) endSuspicion(now int64, worker *workerState) bool {
 	suspicion, keeper := &worker.drainSuspicion, b.leases.keeper
 	timedOut := now-suspicion.since >= suspicionTimeout
@@ -140,9 +145,10 @@
 	return false
 }
 
-// presumedDraining reports whether a suspected worker is taken to drain though no call was rejected: it
-// rejects health checks and did not answer the call, or no call came, or a peer has reported it. What a
-// dispatcher finds that has not known the worker for long is left to other watchers.
+// presumedDraining reports whether a suspected worker counts as draining although no call was
+// rejected: it rejects health checks and did not answer the call, or no call was sent, or a peer
+// has reported it. A dispatcher that has not recently known the worker to accept work leaves the
+// decision to other watchers.
 func (b *Balancer) presumedDraining(now int64, worker *workerState) bool {
 	keeper := b.leases.keeper
 	if keeper.Reported(now, &worker.lease) {
--- a/balancer/fleetwatch.go
+++ b/balancer/fleetwatch.go
@@ -1,61 +1,65 @@
 package balancer
 
 const (
-	// allDispatchers is the receiver that stands for all other dispatchers.
+	// allDispatchers is the receiver index that addresses all other dispatchers.
 	allDispatchers = -1
-	// watchersPerWorker is how many dispatchers watch each worker for all of them.
+	// watchersPerWorker is how many dispatchers watch each worker on behalf of all.
 	watchersPerWorker = 2
-	// watchInterval is after how many nanoseconds a watcher has a worker health checked that it has not
-	// seen to accept work.
+	// watchInterval is the time, in nanoseconds, after which a watcher checks a worker that it has
+	// not verified meanwhile.
 	watchInterval = int64(2e9)
-	// suspicionTimeout is for how many nanoseconds a worker is suspected before it is reported without a
-	// rejected call, and confirmInterval the time between its health checks meanwhile.
+	// suspicionTimeout is how long, in nanoseconds, a worker is suspected before it may be reported
+	// without a rejected call; confirmInterval is the time between its health checks meanwhile.
 	suspicionTimeout = int64(800e6)
 	confirmInterval  = int64(200e6)
-	// watchScanInterval is the least time between two looks for workers that are due for that.
+	// watchScanInterval is the minimum time between two scans for watched workers that are due for a
+	// check, in nanoseconds.
 	watchScanInterval = int64(250e6)
-	// watchDelay is the time within which a drain is found by the watchers and known to all dispatchers
-	// that receive the leaders' notices.
+	// watchDelay is the time within which the watchers detect a drain and all dispatchers that
+	// receive the leaders' notices learn of it.
 	watchDelay = watchInterval + int64(1e9)
-	// reportInterval is the time between two reports of a watcher to the leader, relayInterval the least
-	// time from one notice of the leader to one that relays a report, and noticeInterval to any other.
+	// reportInterval is the time between two reports of a watcher to the leader, relayInterval the
+	// minimum time from one leader notice to one that relays a report, and noticeInterval to any
+	// other notice.
 	reportInterval = int64(300e6)
 	relayInterval  = int64(300e6)
 	noticeInterval = int64(800e6)
-	// minNoticeSpan is for how long a dispatcher must receive notices to know each report that stands.
+	// minNoticeSpan is how long a dispatcher must receive notices before it knows every current
+	// report.
 	minNoticeSpan = int64(700e6)
-	// maxNoticeGap is the longest time from one notice of a leader to the next: some may have died.
+	// maxNoticeGap is the longest time between two leader notices: several leaders may have failed.
 	maxNoticeGap = int64(3e9)
-	// watchDuration is for how long watchers go on without a notice that they are to watch.
+	// watchDuration is how long watchers continue without a notice that tells them to watch.
 	watchDuration = int64(5e9)
-	// maxWatchedWorkers is up to how many workers in the list are watched.
+	// maxWatchedWorkers is the largest number of active workers for which the shared watch runs.
 	maxWatchedWorkers = defaultFullScanLimit
-	// maxChecksPerCall is up to how many health checks of watchers for each call of the fleet there is a
-	// watch: with few calls a check before each costs less.
+	// maxChecksPerCall is the largest number of watchers' health checks per call of the fleet for
+	// which the shared watch runs: with few calls, a check before each call costs less.
 	maxChecksPerCall = 0.25
 )
 
-// fleetWatch lets many dispatchers share the watch for workers that drain while discovery does not report
-// it. Each sees most workers too rarely to notice by itself. So each worker is watched by a few of them, who
-// report one that drains to all at once, and then repeatedly to the leader, who relays that to all in its
-// notices. A dispatcher that receives the notices takes the workers that they do not name to accept work.
+// fleetWatch lets many dispatchers share the detection of draining workers that discovery does
+// not report. Each dispatcher contacts most workers too rarely to notice by itself. So each
+// worker is watched by a few dispatchers, which report a drain to all at once and then
+// repeatedly to the leader, which relays it in its notices. A dispatcher that receives the
+// notices takes workers that they do not name to accept work.
 type fleetWatch struct {
 	enabled          bool
-	watchUntil       int64 // for so long this dispatcher does its part, by the notices of leaders
-	noticeReceivedAt int64 // when a notice of a leader last came, or was sent
-	noticesSince     int64 // since when they come without a long gap
-	peerReportAt     int64 // when a report last came from another dispatcher
+	watchUntil       int64 // this dispatcher takes part until then, as leader notices ask
+	noticeReceivedAt int64 // when a leader notice was last received or sent
+	noticesSince     int64 // start of the current series of notices without a long gap
+	peerReportAt     int64 // when a report was last received from another dispatcher
 	scannedAt        int64
-	reportedAt       int64 // to the leader
+	reportedAt       int64 // when it last reported to the leader
 	noticeSentAt     int64 // when this dispatcher, as the leader, last sent a notice
 
-	suspects      []*workerState // watched workers whose health checks speak against them, not reported yet
+	suspects      []*workerState // watched workers whose health checks fail, not reported yet
 	reported      []*workerState // watched workers that are reported, as of the last scan
 	pendingRelays []*workerState // reported workers that the leader has yet to relay
 }
 
-// newFleetWatch returns the watch of a dispatcher that has received no notice yet. Few dispatchers see enough by
-// themselves.
+// newFleetWatch returns the watch of a dispatcher that has received no notice yet. It is enabled
+// only with many dispatchers: with few, each verifies the workers often enough by itself.
 func newFleetWatch(now int64, s *Settings) fleetWatch {
 	many := float64(s.Dispatchers) > wellInformedDispatchers
 	return fleetWatch{
@@ -64,7 +68,8 @@
 	}
 }
 
-// recordLeaderNotice takes that a notice of the leader came, or that this dispatcher sent it as the leader.
+// recordLeaderNotice records that a leader notice was received, or sent by this dispatcher as
+// the leader.
 func (b *Balancer) recordLeaderNotice(now int64, watching bool) {
 	w := &b.fleetWatch
 	if !w.enabled || !watching {
@@ -80,14 +85,14 @@
 	}
 }
 
-// watchRate returns the health checks a second of all watchers.
+// watchRate returns the health checks per second of all watchers together.
 func (b *Balancer) watchRate() float64 {
 	return float64(len(b.endpoints.active)*watchersPerWorker) / float64(watchInterval) * 1e9
 }
 
-// fleetShouldWatch reports whether the dispatchers are to watch the workers for each other: those that are
-// alive can do so in time, and the fleet has enough calls for the health checks. A dispatcher that started
-// lately does not know the calls yet.
+// fleetShouldWatch reports whether the shared watch is to run: the dispatchers that are alive
+// can check all workers in time, and the fleet has enough calls to justify the health checks.
+// The call rate is ignored for watchDuration after the start, since it is not known yet.
 func (b *Balancer) fleetShouldWatch(now int64) bool {
 	calls := b.fleetSum(completionsColumn) * b.gossip.view.Scale
 	return len(b.endpoints.active) <= maxWatchedWorkers &&
@@ -95,8 +100,8 @@
 		(now-b.startedAt < watchDuration || b.watchRate() <= maxChecksPerCall*calls)
 }
 
-// watchForPeers has the workers health checked that this dispatcher watches and that are due for it, and
-// reports what it found.
+// watchForPeers checks the workers that this dispatcher watches and that are due, and sends the
+// resulting reports and notices.
 func (b *Balancer) watchForPeers(now int64) {
 	w := &b.fleetWatch
 	if !w.enabled {
@@ -119,12 +124,13 @@
 	}
 }
 
-// watches reports whether this dispatcher watches a worker for all.
+// watches reports whether this dispatcher watches a worker on behalf of all.
 func (b *Balancer) watches(now int64, worker *workerState) bool {
 	return b.gossip.elector.IsSuccessor(now, mix64(uint64(worker.Worker)), watchersPerWorker)
 }
 
-// scanWatchedWorkers looks at each worker that this dispatcher watches.
+// scanWatchedWorkers updates the reported workers and starts the checks that are due, over all
+// workers that this dispatcher watches.
 func (b *Balancer) scanWatchedWorkers(now int64) {
 	w, l := &b.fleetWatch, &b.leases
 	w.reported = w.reported[:0]
@@ -141,8 +147,8 @@
 	}
 }
 
-// startWatchCheck has a worker health checked for all dispatchers, as far as the rate of periodic checks
-// allows.
+// startWatchCheck starts a health check of a worker on behalf of all dispatchers, within the
+// rate limit of periodic checks.
 func (b *Balancer) startWatchCheck(now int64, worker *workerState) {
 	if l := &b.leases; l.checkTokens >= 1 {
 		l.checkTokens--
@@ -151,8 +157,8 @@
 	}
 }
 
-// shouldCheckRejection reports whether this dispatcher has a worker health checked that rejected a call. Of
-// many that all may meet the same full worker a few do, as long as their reports reach each other.
+// shouldCheckRejection reports whether this dispatcher checks a worker that rejected a call.
+// With peer coverage only a random few of the dispatchers that may meet the same full worker do.
 func (b *Balancer) shouldCheckRejection(now int64) bool {
 	if !b.fleetWatch.enabled || !b.leases.keeper.CoveredByPeers(now) {
 		return true
--- a/balancer/lease.go
+++ b/balancer/lease.go
@@ -3,35 +3,38 @@
 import "oakthread/lease"
 
 const (
-	// periodicCheckRate is how many periodic health checks a second this dispatcher makes at most, over all
-	// workers. That is enough to see each of the 256 workers of a short list in time.
+	// periodicCheckRate is the maximum number of periodic health checks per second of this
+	// dispatcher, over all workers. It suffices to verify each of the 256 workers of a short list in
+	// time.
 	periodicCheckRate = 50.0
-	// periodicCheckBurst is how many of them may be made at once.
+	// periodicCheckBurst is how many of them may be sent at once.
 	periodicCheckBurst = 10.0
-	// unseenChecksPerCall is how many checks of unseen workers each request pays for where they are limited,
-	// and maxPrecautions how many may be saved up.
+	// unseenChecksPerCall is how many checks of unseen workers each request adds to the budget where
+	// they are limited, and maxUnseenCheckTokens the maximum of that budget.
 	unseenChecksPerCall  = 0.05
 	maxUnseenCheckTokens = 10.0
-	// checkWaitLimit is after how many nanoseconds a request that waits for a health check is looked at
-	// again even if no result has come.
+	// checkWaitLimit is the time, in nanoseconds, after which a request that waits for a health
+	// check is dispatched again even without a result.
 	checkWaitLimit = int64(105e6)
 )
 
-// leaseState holds the leases of the workers, and the rates of health checks that renew them.
+// leaseState holds the leases of the workers and the rate limits of the health checks that renew
+// them.
 type leaseState struct {
 	keeper        *lease.Keeper
-	checkTokens   float64 // periodic checks that may be made now
+	checkTokens   float64 // periodic checks that may be sent now
 	checkTokensAt int64
-	next          int            // index in the list from which the next round goes on
-	followed      []*workerState // to be checked whatever the trust in the list: they rejected work, or drained
-	// unseenChecks says when an unseen worker is checked before a call though the list is current, and
-	// precautions how many such checks may be made now if they are limited.
+	next          int            // list index at which the next round continues
+	followed      []*workerState // to be checked at any degree of trust in the list: they rejected work or drained
+	// unseenChecks is the policy for checks of unseen workers while the list is current, and
+	// unseenCheckTokens is how many such checks may be sent now if they are limited.
 	unseenChecks      unseenCheckPolicy
 	unseenCheckTokens float64
 	counts            LeaseCounts
 }
 
-// unseenCheckPolicy says when an unseen worker is health checked before a call though the endpoint list is current.
+// unseenCheckPolicy says when an unseen worker is health checked before a call while the
+// endpoint list is current.
 type unseenCheckPolicy int
 
 const (
@@ -53,7 +56,7 @@
 	Readmissions   int64 // workers whose probation ended with nothing found
 }
 
-// newLeaseState returns the leases of a list that is not confirmed yet.
+// newLeaseState returns the leases for a list that is not confirmed yet.
 func newLeaseState(s *Settings) leaseState {
 	keeper := lease.New(lease.Settings{
 		ConfirmInterval: s.ConfirmInterval,
@@ -65,9 +68,9 @@
 	return leaseState{keeper: keeper, unseenCheckTokens: maxUnseenCheckTokens}
 }
 
-// updatePrecaution decides anew when unseen workers are checked, after the list has changed. A call of one
-// of many dispatchers mostly meets a worker that this dispatcher has not seen for a while: without a shared
-// watch a check before each would cost too much.
+// updatePrecaution updates the policy for checks of unseen workers after a list change. With
+// many dispatchers, a call mostly goes to a worker that its dispatcher has not verified for a
+// while: without a shared watch, a check before each call would cost too much.
 func (b *Balancer) updatePrecaution() {
 	few := b.fleetFactor() <= 1
 	switch {
@@ -80,7 +83,7 @@
 	}
 }
 
-// earn adds what one request may cost in limited checks.
+// earn adds one request's share to the budget for checks of unseen workers.
 func (l *leaseState) earn() {
 	l.unseenCheckTokens = min(l.unseenCheckTokens+unseenChecksPerCall, maxUnseenCheckTokens)
 }
@@ -101,8 +104,9 @@
 	return status == lease.Valid || status == lease.Unseen && l.unseenChecks != alwaysCheckUnseen
 }
 
-// needsCheck reports whether a worker is to be health checked before it gets the call at hand: it must be,
-// or it is unseen and the budget allows it.
+// needsCheck reports whether a worker must be health checked before the current call: its lease
+// requires it, or it is unseen and the policy asks for a check. It spends from the budget where
+// such checks are limited.
 func (l *leaseState) needsCheck(now int64, worker *workerState) bool {
 	switch l.keeper.Status(now, &worker.lease) {
 	case lease.Valid:
@@ -114,8 +118,8 @@
 	return true
 }
 
-// spendUnseenCheck reports whether an unseen worker is checked before the call at hand. Where such checks are
-// limited it takes one from the budget.
+// spendUnseenCheck reports whether an unseen worker is checked before the current call. Where
+// such checks are limited it takes one from the budget.
 func (l *leaseState) spendUnseenCheck() bool {
 	switch l.unseenChecks {
 	case neverCheckUnseen:
@@ -131,8 +135,8 @@
 	return true
 }
 
-// ConfirmEndpoints takes a heartbeat of discovery: every change of the endpoint list that it has told was
-// passed to UpdateEndpoints.
+// ConfirmEndpoints records a heartbeat of discovery: every list change that discovery has sent
+// was passed to UpdateEndpoints.
 func (b *Balancer) ConfirmEndpoints(now int64) {
 	b.observeTime(now)
 	b.leases.keeper.Confirm(now)
@@ -143,7 +147,8 @@
 // LeaseCounts returns the totals of leases and health checks.
 func (b *Balancer) LeaseCounts() LeaseCounts { return b.leases.counts }
 
-// LeaseEnd returns until when a worker may get new work, in nanoseconds of the clock of events.
+// LeaseEnd returns the time until which a worker may get new work, in nanoseconds of the event
+// clock; zero if the worker is unknown.
 func (b *Balancer) LeaseEnd(id WorkerID) lease.End {
 	worker := b.endpoints.byID[id]
 	if worker == nil {
@@ -155,14 +160,15 @@
 	return b.leases.keeper.End(b.now, &worker.lease)
 }
 
-// ListTerms returns when the next heartbeat of discovery is overdue, and until when the endpoint list is
-// current by what is known now; 0 if it is not.
+// ListTerms returns when the next heartbeat of discovery is overdue, and the time until which
+// the endpoint list counts as current, in nanoseconds of the event clock; currentUntil is 0 if
+// it is not current.
 func (b *Balancer) ListTerms() (heartbeatUntil, currentUntil int64) {
 	return b.leases.keeper.HeartbeatUntil(), b.leases.keeper.CurrentUntil()
 }
 
-// awaitLease holds a request until its worker has been health checked, if it needs that, and reports
-// whether it does. The worker may have begun to drain since it was last seen to accept work.
+// awaitLease holds a request until its worker has been health checked, if that is needed, and
+// reports whether it does. The worker may have begun to drain since it was last verified.
 func (b *Balancer) awaitLease(now int64, request *requestState, worker *workerState) bool {
 	if !b.leases.needsCheck(now, worker) {
 		return false
@@ -175,8 +181,9 @@
 	return true
 }
 
-// scheduleLeaseRound schedules the next lease round of an idle dispatcher, unless one is scheduled: for when
-// the next heartbeat of discovery is overdue, or in the pace of maintenance if it is.
+// scheduleLeaseRound schedules the next lease round of an idle dispatcher, unless one is
+// scheduled: when the next heartbeat is overdue, or at the maintenance interval if it already
+// is.
 func (b *Balancer) scheduleLeaseRound(now int64) {
 	if !b.leases.keeper.Enabled() || b.timers.leaseRoundAt > 0 {
 		return
@@ -186,8 +193,8 @@
 	b.timers.entries.push(timerEntry{at: b.timers.leaseRoundAt, leases: true})
 }
 
-// runLeaseRound renews leases while no maintenance does, since no request comes. It does nothing else: an
-// idle dispatcher sends no gossip.
+// runLeaseRound renews leases while maintenance does not run because no requests arrive. It does
+// nothing else: an idle dispatcher sends no gossip.
 func (b *Balancer) runLeaseRound(now int64) {
 	b.timers.leaseRoundAt = 0
 	if b.timers.maintenanceAt == 0 {
--- a/balancer/leasecheck.go
+++ b/balancer/leasecheck.go
@@ -6,22 +6,23 @@
 	"oakthread/lease"
 )
 
-// checkForCall has a worker health checked for a call, unless a check is in flight or has just failed.
+// checkForCall starts a health check of a worker for a call, unless a check is in flight or has
+// just failed.
 func (b *Balancer) checkForCall(now int64, worker *workerState) {
 	if b.leases.keeper.MayCheck(now, &worker.lease) {
 		b.startCheck(now, worker)
 	}
 }
 
-// startCheck has a worker health checked.
+// startCheck starts a health check of a worker.
 func (b *Balancer) startCheck(now int64, worker *workerState) {
 	b.leases.keeper.CheckStarted(now, &worker.lease)
 	b.leases.counts.Checks++
 	b.host.HealthCheck(worker.Worker)
 }
 
-// HandleHealthCheck takes the result of a health check, with the load report that came with it.
-// QueueFull says that the worker accepts no work.
+// HandleHealthCheck records the result of a health check with its load report; rtt is in
+// nanoseconds. QueueFull means that the worker accepts no work.
 func (b *Balancer) HandleHealthCheck(now int64, id WorkerID, result Result, rtt int64, report []float64) {
 	b.advanceClock(now)
 	defer b.armTimer()
@@ -39,7 +40,7 @@
 	b.dispatchAfterCheck(now, worker)
 }
 
-// checkResult returns what the result of a health check says of a lease.
+// checkResult maps the result of a health check to that of a lease.
 func checkResult(result Result) lease.CheckResult {
 	switch result {
 	case OK:
@@ -53,7 +54,7 @@
 	return lease.CheckFailed
 }
 
-// finishCheck takes the result of a health check into the lease of a worker.
+// finishCheck records the result of a health check in the lease of a worker.
 func (b *Balancer) finishCheck(now int64, worker *workerState, result lease.CheckResult) {
 	counts := &b.leases.counts
 	switch result {
@@ -82,7 +83,7 @@
 	}
 }
 
-// logDrainFound logs that a worker drains by its own report, and what was known of it before.
+// logDrainFound logs that a worker is draining by its own report, and when it was last verified.
 func (b *Balancer) logDrainFound(now int64, worker *workerState, seenAt int64) {
 	trust := b.leases.keeper.Trust(now)
 	if seenAt == 0 {
@@ -93,7 +94,7 @@
 	b.logf(now, format, worker.Worker, (now-seenAt)/1e6, trust)
 }
 
-// recordRejection takes that a worker rejected a call that was sent at a time.
+// recordRejection records that a worker rejected a call sent at sentAt.
 func (b *Balancer) recordRejection(now, sentAt int64, worker *workerState) {
 	if !b.shouldCheckRejection(now) {
 		b.leases.keeper.NoteRejection(now, sentAt, &worker.lease)
@@ -103,8 +104,8 @@
 	b.leases.follow(worker)
 }
 
-// readmit takes that a worker is used again after its probation. It may be another process, which has
-// started no later than its probation began.
+// readmit returns a worker to use after its probation. It may be a new process, which started no
+// later than the probation.
 func (b *Balancer) readmit(now int64, worker *workerState, startedAt int64) {
 	worker.Start = startedAt
 	worker.beginAnew()
@@ -123,8 +124,8 @@
 	}
 }
 
-// renewLeases has the workers health checked that are due for it, as far as the rate of periodic checks
-// allows, each round from where the last one ended.
+// renewLeases starts the health checks that are due, within the rate limit of periodic checks.
+// Each round continues where the last one ended.
 func (b *Balancer) renewLeases(now int64) {
 	l := &b.leases
 	if !l.keeper.Enabled() {
@@ -147,7 +148,7 @@
 	}
 }
 
-// follow has a worker looked at in each round until it needs no attention any more.
+// follow includes a worker in each round until it needs no more attention.
 func (l *leaseState) follow(worker *workerState) {
 	if l.keeper.NeedsAttention(&worker.lease) && !worker.followed {
 		worker.followed, l.followed = true, append(l.followed, worker)
@@ -163,9 +164,10 @@
 	return l.followed
 }
 
-// workersToCheck returns the workers of which one may be due for a health check: those that need attention,
-// and while workers are watched all of a short list, and of a long one those that may hold copies. The
-// others of a long list cannot all be seen in time, and are on probation once they are needed.
+// workersToCheck returns the candidates for a health check: workers that need attention, or,
+// while the list is outdated or silent, all of a short list and those of a long one that may
+// hold copies. The others of a long list cannot all be verified in time, and are put on
+// probation once they are needed.
 func (b *Balancer) workersToCheck(now int64) []*workerState {
 	if b.leases.keeper.Trust(now) >= lease.Outdated {
 		return b.endpoints.workersWithHolders()
@@ -173,8 +175,8 @@
 	return b.leases.followed
 }
 
-// detectContradictions looks for workers that contradict the endpoint list. While peers report those that
-// drain, one alone does not prove the list outdated: it may be failing.
+// detectContradictions looks for workers that contradict the endpoint list. While peers cover
+// the workers, a single such worker does not prove the list outdated: it may be failing.
 func (b *Balancer) detectContradictions(now int64) {
 	keeper, contradicted, proven := b.leases.keeper, false, false
 	for _, worker := range b.leases.followedWorkers() {
--- a/lease/check.go
+++ b/lease/check.go
@@ -17,14 +17,14 @@
 // The changes.
 const (
 	Unchanged      Change = iota
-	BeganDraining         // it drains, by its own report
-	BeganProbation        // it accepts work again, and discovery may still report its end
-	Readmitted            // its probation is over, it counts as started when that began
+	BeganDraining         // the worker reported that it is draining
+	BeganProbation        // it accepts work again, but discovery may still report its termination
+	Readmitted            // its probation ended; it counts as started when the probation began
 )
 
-// CheckDue reports whether a worker is to be health checked without a call for it: it drains or is on
-// probation, it rejected a call or a check, or, while workers are watched, its latest check failed or
-// it went unseen for an interval.
+// CheckDue reports whether a worker needs a health check independent of any call. It does if it
+// is draining or on probation, if it rejected a call or a check, or, while the list is outdated
+// or silent, if its latest check failed or it was not verified within interval (nanoseconds).
 func (k *Keeper) CheckDue(now int64, l *Lease, interval int64) bool {
 	if !k.Enabled() || !k.settings.HealthChecks || l.checking || now < l.nextCheckAt {
 		return false
@@ -41,20 +41,20 @@
 	return l.failures > 0 || now-max(k.lastTrackedAt(l), l.checkSentAt) >= interval
 }
 
-// WatchDue reports whether a worker that this dispatcher watches for its peers is to be health checked: it
-// was neither seen nor checked for an interval.
+// WatchDue reports whether a worker that this dispatcher watches for its peers needs a health
+// check: it was neither verified nor checked within interval (nanoseconds).
 func (k *Keeper) WatchDue(now int64, l *Lease, interval int64) bool {
 	return k.MayCheck(now, l) && now-max(l.verifiedAt, l.checkSentAt) >= interval
 }
 
-// ChecksFailing reports whether the latest checks of a worker speak against it: they were rejected, or failed.
+// ChecksFailing reports whether the latest health checks of a worker were rejected or failed.
 func (k *Keeper) ChecksFailing(l *Lease) bool { return l.rejections+l.failures > 0 }
 
 // RejectsChecks reports whether the latest checks of a worker were rejected.
 func (k *Keeper) RejectsChecks(l *Lease) bool { return l.rejections > 0 }
 
-// RecordAcceptedCall takes that a worker whose health checks speak against it accepted a call that was sent
-// after they began to: it does not drain, its checks fail.
+// RecordAcceptedCall records that a worker whose health checks fail accepted a call sent after
+// they began to fail. The worker is not draining; only its health checks fail.
 func (k *Keeper) RecordAcceptedCall(l *Lease, sentAt int64) {
 	if sentAt > l.drainingSince {
 		l.drainingSince, l.rejections, l.failures, l.checkRequested = 0, 0, 0, false
@@ -62,8 +62,8 @@
 	}
 }
 
-// ConfirmDue reports whether a doubtful worker that is watched is to be checked again: an interval has
-// passed since the latest check.
+// ConfirmDue reports whether a watched worker whose checks fail is to be checked again: interval
+// (nanoseconds) has passed since the latest check.
 func (k *Keeper) ConfirmDue(now int64, l *Lease, interval int64) bool {
 	return k.ChecksFailing(l) && k.MayCheck(now, l) && now-l.checkSentAt >= interval
 }
@@ -71,21 +71,21 @@
 // MayCheck reports whether a check for a call may be sent now.
 func (k *Keeper) MayCheck(now int64, l *Lease) bool { return !l.checking && now >= l.nextCheckAt }
 
-// CheckInterval returns the time between two periodic checks of a worker while workers are watched, in
-// nanoseconds. Many dispatchers check more rarely, as far as the worker is still seen
-// in time by each.
+// CheckInterval returns the time between two periodic checks of a worker while the list is
+// outdated or silent, in nanoseconds. It grows with the number of dispatchers, but stays short
+// enough for each dispatcher to verify the worker in time.
 func (k *Keeper) CheckInterval() int64 {
 	shared := int64(k.settings.Dispatchers) * 1e9 / workerCheckRate
 	longest := int64(float64(k.maxUnseenTime()) / checksPerUnseenTime)
 	return min(max(minCheckInterval, shared), max(longest, minCheckInterval/10))
 }
 
-// CheckStarted takes that a health check is being sent.
+// CheckStarted records that a health check is being sent.
 func (k *Keeper) CheckStarted(now int64, l *Lease) {
 	l.checking, l.checkRequested, l.checkSentAt = true, false, now
 }
 
-// RecordCheck takes the result of the health check in flight, and returns what it changed.
+// RecordCheck records the result of the health check in flight and returns the resulting change.
 func (k *Keeper) RecordCheck(now int64, l *Lease, result CheckResult) Change {
 	if !l.checking {
 		return Unchanged
@@ -105,7 +105,7 @@
 	return Unchanged
 }
 
-// checkPassed takes that a worker accepted work when its check was sent.
+// checkPassed records that a worker accepted work at the time its check was sent.
 func (k *Keeper) checkPassed(l *Lease) Change {
 	wasDraining, wasOnProbation := l.drainingSince > 0, k.onProbation(l)
 	l.drainingSince, l.rejections, l.failures = 0, 0, 0
@@ -123,8 +123,8 @@
 	return Unchanged
 }
 
-// checkRejected takes that a worker rejected a check. A second one confirms it: a worker that is
-// short of room for checks may reject one.
+// checkRejected records that a worker rejected a check. Draining is confirmed by a second
+// rejection, since a worker that is short of capacity for checks may reject one.
 func (k *Keeper) checkRejected(now int64, l *Lease) Change {
 	l.rejections++
 	l.failures = 0
@@ -139,7 +139,7 @@
 	return BeganDraining
 }
 
-// ProbationSince returns since when a worker accepts work again; 0 if it is not on probation.
+// ProbationSince returns when the probation of a worker began; 0 if it is not on probation.
 func (k *Keeper) ProbationSince(l *Lease) int64 {
 	if !k.onProbation(l) {
 		return 0
--- a/lease/report.go
+++ b/lease/report.go
@@ -2,38 +2,40 @@
 
 import "time"
 
-// reportDuration is for how long the report of a peer keeps a worker out of use: peers repeat it a few
-// times within that, as long as the worker drains.
+// reportDuration is how long a peer's report keeps a worker out of use, in nanoseconds. Peers
+// repeat the report several times within it while the worker drains.
 const reportDuration = int64(2500 * time.Millisecond)
 
-// peerCoverageMargin is what the silence of peers leaves of the grace: a call takes a while to get there.
+// peerCoverageMargin is the part of the grace that peer coverage may not use, in nanoseconds: a
+// call takes time to reach the worker.
 const peerCoverageMargin = int64(400 * time.Millisecond)
 
-// RecordReport takes that a peer found a worker to drain that the list has as active. The worker is not used
-// for a while, unless this dispatcher itself sees later that it accepts work.
+// RecordReport records a peer's report that a worker listed as active is draining. The worker is
+// not used for reportDuration, unless this dispatcher itself verifies afterwards that it accepts
+// work.
 func (k *Keeper) RecordReport(now int64, l *Lease) { l.reportedAt = now }
 
-// Reported reports whether a worker is out of use by the report of a peer.
+// Reported reports whether a worker is out of use because of a peer's report.
 func (k *Keeper) Reported(now int64, l *Lease) bool {
 	return l.reportedAt > l.verifiedAt && now < l.reportedAt+reportDuration
 }
 
-// SetPeerCoverage takes that peers have watched all workers up to a time: each that drained by then was
-// reported.
+// SetPeerCoverage records that peers have watched all workers up to a time: every worker that
+// was draining by then has been reported.
 func (k *Keeper) SetPeerCoverage(until int64) { k.peerCoverageUntil = max(k.peerCoverageUntil, until) }
 
-// CoveredByPeers reports whether a worker of which this dispatcher has seen nothing may be used for what peers
-// watch and report.
+// CoveredByPeers reports whether a worker that this dispatcher has not verified itself may be
+// used because peers watch it and have not reported it.
 func (k *Keeper) CoveredByPeers(now int64) bool {
 	return k.peerCoverageUntil > 0 && k.Trust(now) < Outdated && now <= k.peerCoverageSeenAt()+k.duration(Current)
 }
 
-// KnownUntil returns up to when a worker was known to accept work, by what this dispatcher saw or by the
-// silence of its peers; 0 if it never was.
+// KnownUntil returns the latest time at which a worker was known to accept work, verified by
+// this dispatcher or covered by peers; 0 if it never was.
 func (k *Keeper) KnownUntil(l *Lease) int64 { return max(l.verifiedAt, k.peerCoverageUntil) }
 
-// seenAt returns when a worker was last known to accept work, by what this dispatcher saw and by the
-// silence of the peers that watch it.
+// seenAt returns when a worker was last known to accept work, verified by this dispatcher or
+// covered by the peers that watch it.
 func (k *Keeper) seenAt(l *Lease, trust Trust) int64 {
 	if trust >= Outdated {
 		return l.verifiedAt
@@ -41,8 +43,9 @@
 	return max(l.verifiedAt, k.peerCoverageSeenAt())
 }
 
-// peerCoverageSeenAt returns the time at which the silence of peers counts as an answer of each worker. It is later
-// than coveredUntil by most of the grace, for which calls to a draining worker are allowed.
+// peerCoverageSeenAt returns the time at which each unreported worker counts as verified through
+// peers. It is later than peerCoverageUntil by most of the grace, during which calls to a
+// draining worker are allowed.
 func (k *Keeper) peerCoverageSeenAt() int64 {
 	if k.peerCoverageUntil == 0 {
 		return 0
