--- a/balancer/drainsuspicion.go
+++ b/balancer/drainsuspicion.go
@@ -50,7 +50,8 @@
 }
 
 // isResponsive reports whether a suspected worker is believed to respond: it rejects health
-// checks, or no dispatcher finds it unresponsive. A call to an unresponsive worker would only lose time.
+// checks, or no dispatcher finds it unresponsive. A call to an unresponsive worker would only
+// lose time.
 func (b *Balancer) isResponsive(now int64, worker *workerState) bool {
 	return b.leases.keeper.RejectsChecks(&worker.lease) || b.isHealthy(now, worker)
 }
--- a/balancer/fleetwatch_test.go
+++ b/balancer/fleetwatch_test.go
@@ -8,15 +8,15 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// fleetSpec is a fleet in virtual time whose discovery goes on with heartbeats and tells nothing.
+// fleetSpec describes a simulated fleet whose discovery sends heartbeats but reports no changes.
 type fleetSpec struct {
 	seed                 uint64
 	dispatchers, workers int
-	callsPerSecond       float64 // of each dispatcher
-	lossRate             float64 // of datagrams
-	checkHangs           bool    // draining workers answer no health check; else they reject it
-	restartEvery         int64   // one dispatcher after the other restarts with the list of the start; 0: none
-	partitionFor         int64   // after so long, for which a third of the dispatchers get no datagram
+	callsPerSecond       float64 // per dispatcher
+	lossRate             float64 // share of datagrams lost
+	checkHangs           bool    // draining workers do not answer health checks; otherwise they reject them
+	restartEvery         int64   // interval at which dispatchers restart in turn, with the initial list; 0: never
+	partitionFor         int64   // how long a third of the dispatchers receives no datagrams, from fleetPartitionAt
 }
 
 const (
@@ -25,12 +25,12 @@
 	fleetRunDuration     = 40_000 * ms
 	fleetPartitionAt     = 10_000 * ms
 	fleetDrainingWorkers = 2
-	// fleetCallLimit is for how long after its drain a worker may get calls: it counts as known 7 s later,
-	// and after that the grace of half a second is left.
+	// fleetCallLimit is how long after its drain a worker may get calls: the drain counts as known
+	// after 7 s, followed by a grace of half a second.
 	fleetCallLimit = 7_500 * ms
 )
 
-// virtualFleet runs the dispatchers of a fleet against workers in virtual time.
+// virtualFleet simulates the dispatchers and workers of a fleet in virtual time.
 type virtualFleet struct {
 	fleetSpec
 
@@ -55,7 +55,7 @@
 	timer     int64
 	startedAt int64
 	attempts  map[string]int
-	rejected  map[WorkerID]int64 // when the first call was sent that a draining worker rejected
+	rejected  map[WorkerID]int64 // send time of the first call that each draining worker rejected
 }
 
 func newVirtualFleet(t *testing.T, spec fleetSpec) *virtualFleet {
@@ -69,7 +69,7 @@
 	return f
 }
 
-// start starts the dispatcher anew.
+// start starts or restarts the dispatcher.
 func (m *fleetMember) start(t *testing.T) {
 	t.Helper()
 	f := m.fleet
@@ -85,7 +85,7 @@
 	balancer.ConfirmEndpoints(f.now)
 }
 
-// after has something done after a time, at the next step at the earliest.
+// after schedules a function after a delay, at the next step at the earliest.
 func (f *virtualFleet) after(delay int64, do func()) {
 	at := (f.now + max(delay, fleetStep)) / fleetStep * fleetStep
 	f.events[at] = append(f.events[at], do)
@@ -120,8 +120,8 @@
 	})
 }
 
-// recordRejected records a call to a draining worker, as late if it comes after the drain counts as known or
-// after the grace that began with the first one of this dispatcher.
+// recordRejected records a call to a draining worker. The call is late if it comes after
+// fleetCallLimit, or after the grace that began with this dispatcher's first rejected call.
 func (m *fleetMember) recordRejected(worker WorkerID) {
 	f := m.fleet
 	if m.rejected[worker] == 0 {
@@ -177,7 +177,7 @@
 	}
 }
 
-// isPartitioned reports whether a dispatcher gets no datagrams now.
+// isPartitioned reports whether a dispatcher currently receives no datagrams.
 func (f *virtualFleet) isPartitioned(dispatcher int) bool {
 	return dispatcher%3 == 0 && f.now >= fleetPartitionAt && f.now < fleetPartitionAt+f.partitionFor
 }
@@ -199,7 +199,7 @@
 	}
 }
 
-// step has a dispatcher handle its timer, a heartbeat and the calls of one step.
+// step handles the timer, heartbeat and calls of one dispatcher in one step.
 func (m *fleetMember) step() {
 	f := m.fleet
 	if m.timerAt > 0 && m.timerAt <= f.now {
@@ -217,9 +217,10 @@
 	m.balancer.HandleRequest(f.now, request)
 }
 
-// While heartbeats go on and no event comes, no dispatcher of a fleet sends to a worker that drains once
-// that counts as known: not one that sees workers rarely, has restarted, or lost datagrams for a while.
-func TestFleetFindsDrainsThatDiscoveryDoesNotTell(t *testing.T) {
+// Guards against calls to a draining worker after its drain counts as known, while discovery
+// sends heartbeats but reports no change. Dispatchers that contact workers rarely, restart, or
+// lose datagrams for a while must not send such calls either.
+func TestFleetDetectsDrainsNotReportedByDiscovery(t *testing.T) {
 	for _, spec := range []fleetSpec{
 		{dispatchers: 6, workers: 12, callsPerSecond: 5},
 		{dispatchers: 20, workers: 22, callsPerSecond: 12},
@@ -237,13 +238,15 @@
 		}
 	}
 	for name, spec := range map[string]fleetSpec{
-		// A third of the dispatchers, also of the leaders, is deaf for longer than a report stands.
-		"deaf leaders": {seed: 22, dispatchers: 30, workers: 20, callsPerSecond: 4, partitionFor: 25_000 * ms},
-		// Others take the notices of a deaf leader, who hears of no drain, for good news.
-		"notices of deaf leaders": {seed: 42, dispatchers: 30, workers: 20, callsPerSecond: 4, partitionFor: 25_000 * ms},
-		// The dispatchers that watch a worker are deaf, and the others count on them.
-		"deaf watchers": {seed: 68, dispatchers: 30, workers: 20, callsPerSecond: 4, partitionFor: 25_000 * ms},
-		// A call is rejected that was sent before the worker was suspected.
+		// A third of the dispatchers, leaders included, receive no datagrams for longer than a report
+		// lasts.
+		"partitioned leaders": {seed: 22, dispatchers: 30, workers: 20, callsPerSecond: 4, partitionFor: 25_000 * ms},
+		// A partitioned leader receives no drain reports; others must not take workers that its notices
+		// omit to accept work.
+		"partitioned leader notices": {seed: 42, dispatchers: 30, workers: 20, callsPerSecond: 4, partitionFor: 25_000 * ms},
+		// The dispatchers that watch a worker are partitioned, and the others rely on them.
+		"partitioned watchers": {seed: 68, dispatchers: 30, workers: 20, callsPerSecond: 4, partitionFor: 25_000 * ms},
+		// A call that was sent before the worker was suspected is rejected.
 		"rejected after suspected": {seed: 90, dispatchers: 30, workers: 20, callsPerSecond: 4, partitionFor: 25_000 * ms},
 		// The health checks of a worker fail after it rejected a call.
 		"rejected before suspected": {seed: 5, dispatchers: 20, workers: 22, callsPerSecond: 12},
@@ -252,7 +255,7 @@
 	}
 }
 
-// assertNoLateCalls runs a fleet and checks what its workers got.
+// assertNoLateCalls runs a fleet and checks that no call was late and at least 97 % were served.
 func assertNoLateCalls(t *testing.T, spec fleetSpec) {
 	t.Helper()
 	t.Parallel()
--- a/balancer/lease_test.go
+++ b/balancer/lease_test.go
@@ -9,7 +9,7 @@
 	"oakthread/aggregate"
 )
 
-// leaseSettings are those of a deployment whose discovery sends heartbeats.
+// leaseSettings returns the settings of a deployment whose discovery sends heartbeats.
 func leaseSettings() Settings {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.HealthChecks = true
@@ -18,8 +18,8 @@
 	return settings
 }
 
-// runUntil fires the timers of a balancer in steps until a time. Health checks get the result that answer
-// returns.
+// runUntil advances the timers of a balancer in steps until a time. Health checks get the result
+// that answer returns.
 func runUntil(balancer *Balancer, host *fakeHost, from, until int64, answer func(WorkerID) Result) {
 	for now := from; now <= until; now += 50 * ms {
 		balancer.HandleTimer(now, host.timerRef)
@@ -31,9 +31,9 @@
 	}
 }
 
-// Without heartbeats a call waits for the health check of its worker. It goes where a check passes, and
-// not to a worker that drains.
-func TestCallWaitsForHealthCheckInSilence(t *testing.T) {
+// Without heartbeats a call waits for the health check of its worker. It is sent to a worker
+// whose check passes, not to one that is draining.
+func TestCallWaitsForHealthCheckWithoutHeartbeats(t *testing.T) {
 	balancer, host := newTestBalancer(t, leaseSettings(), 2)
 	balancer.ConfirmEndpoints(0)
 	now := 3000 * ms
@@ -81,9 +81,9 @@
 	assert.False(t, slices.ContainsFunc(host.attempts, func(sent sentAttempt) bool { return sent.worker == first }))
 }
 
-// An idle dispatcher goes on checking its workers while discovery is silent: when a request comes after a
-// long quiet time they are known, and it does not wait.
-func TestIdleDispatcherWatchesWorkersInSilence(t *testing.T) {
+// An idle dispatcher keeps checking its workers while heartbeats are missing, so that a request
+// after a long idle time need not wait.
+func TestIdleDispatcherChecksWorkersWithoutHeartbeats(t *testing.T) {
 	balancer, host := newTestBalancer(t, leaseSettings(), 3)
 	balancer.ConfirmEndpoints(0)
 	checked := map[WorkerID]int{}
@@ -102,9 +102,9 @@
 	assert.Len(t, host.attempts, 1)
 }
 
-// While heartbeats come and no worker contradicts the list, each unseen worker is checked first by one of
-// few dispatchers, and by one of many as long as it hears nothing of the others. One that hears of them
-// checks none. Where many may not talk to each other, checks are limited.
+// While heartbeats arrive and no worker contradicts the list, unseen workers are checked before
+// a call by each of few dispatchers, and by each of many that receives no leader notices. One
+// that receives them sends no checks. Without gossip, many dispatchers limit their checks.
 func TestChecksOfUnseenWorkers(t *testing.T) {
 	settings := leaseSettings()
 	settings.Dispatchers = 3
@@ -118,8 +118,9 @@
 	assert.LessOrEqual(t, checks, int64(maxUnseenCheckTokens+200*unseenChecksPerCall))
 }
 
-// checksOfUnseen returns the health checks that 200 requests of as many functions at 40 workers cause. If
-// it hears leaders, the dispatcher does so in the seconds before the first request on.
+// checksOfUnseen returns the number of health checks caused by 200 requests for different
+// functions at 40 workers. If hears is set, the dispatcher receives leader notices before the
+// first request.
 func checksOfUnseen(t *testing.T, settings Settings, hears bool) int64 {
 	t.Helper()
 	balancer, host := newTestBalancer(t, settings, 40)
@@ -142,7 +143,7 @@
 	return balancer.LeaseCounts().Checks
 }
 
-// The rounds of an idle dispatcher cost other dispatchers nothing: it sends no gossip in them.
+// An idle dispatcher's lease rounds send no gossip, so they cost other dispatchers nothing.
 func TestIdleDispatcherSendsNoGossip(t *testing.T) {
 	settings := leaseSettings()
 	settings.Gossip, settings.Dispatchers = true, 20
@@ -160,8 +161,8 @@
 	assert.Empty(t, host.messages)
 }
 
-// An unseen worker gets no call while its health check is under way: not the one that the check is for, and
-// no other.
+// An unseen worker gets no call while its health check is in flight: neither the call that
+// caused the check nor any other.
 func TestCallsWaitForOneCheckOfAnUnseenWorker(t *testing.T) {
 	balancer, host := newTestBalancer(t, leaseSettings(), 1)
 	balancer.ConfirmEndpoints(5 * ms)
@@ -175,9 +176,9 @@
 	assert.Len(t, host.attempts, 3)
 }
 
-// Hedges, retries and load orders go to a worker that was not seen lately only after a health check, like
-// any call.
-func TestNothingGoesToAnUnseenWorkerWithoutCheck(t *testing.T) {
+// Hedges, retries and load orders are sent to a worker that was not recently verified only after
+// a health check, like any call.
+func TestNothingIsSentToUnseenWorkerWithoutCheck(t *testing.T) {
 	balancer, host := newTestBalancer(t, leaseSettings(), 1)
 	balancer.ConfirmEndpoints(5 * ms)
 	balancer.HandleRequest(10*ms, testRequest("a", 10*ms, 7))
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -13,14 +13,14 @@
 	ms     = int64(time.Millisecond)
 )
 
-// platformSettings are those of the platform's page.
+// platformSettings returns the documented settings of the platform.
 func platformSettings() Settings {
 	return Settings{
 		ConfirmInterval: second, Grace: second, UpdateDelay: 7 * second, HealthChecks: true, Dispatchers: 3,
 	}
 }
 
-// confirmedKeeper returns a keeper whose list was confirmed at a time, and a worker of it.
+// confirmedKeeper returns a keeper whose list was confirmed at a time, and an active worker.
 func confirmedKeeper(settings Settings, at int64) (*Keeper, *Lease) {
 	keeper, worker := New(settings), &Lease{}
 	keeper.Listed(worker, true, true)
@@ -28,34 +28,34 @@
 	return keeper, worker
 }
 
-// check makes a health check that is answered at once.
+// check runs a health check that is answered immediately.
 func check(k *Keeper, at int64, l *Lease, result CheckResult) Change {
 	k.CheckStarted(at, l)
 	return k.RecordCheck(at, l, result)
 }
 
-func TestStatusWithoutNews(t *testing.T) {
+func TestStatusWithoutHeartbeats(t *testing.T) {
 	keeper, worker := confirmedKeeper(platformSettings(), 10*second)
 	assert.Equal(t, Unseen, keeper.Status(10*second, worker), "never seen")
 	keeper.RecordAnswer(worker, 10*second)
 	assert.Equal(t, Valid, keeper.Status(11*second+250*ms, worker), "heartbeats")
-	assert.Equal(t, Expired, keeper.Status(11*second+251*ms, worker), "silence")
+	assert.Equal(t, Expired, keeper.Status(11*second+251*ms, worker), "heartbeats are missing")
 	keeper.RecordAnswer(worker, 11*second)
 	assert.Equal(t, Valid, keeper.Status(12*second, worker), "an answer")
 	assert.Equal(t, Expired, keeper.Status(12*second+1, worker))
 	assert.Equal(t, Unchanged, check(keeper, 13*second, worker, CheckPassed))
 	assert.Equal(t, Valid, keeper.Status(14*second, worker), "a check")
 	check(keeper, 15*second, worker, CheckFailed)
-	assert.Equal(t, Suspect, keeper.Status(15*second, worker), "nobody waits for a worker that did not answer")
-	assert.False(t, keeper.CheckDue(15*second, worker, second), "it is given a moment")
+	assert.Equal(t, Suspect, keeper.Status(15*second, worker), "calls do not wait for a worker that did not answer")
+	assert.False(t, keeper.CheckDue(15*second, worker, second), "the retry delay is not over")
 	assert.True(t, keeper.CheckDue(15*second+minRetryDelay, worker, second))
 	keeper.Confirm(16 * second)
-	assert.Equal(t, Valid, keeper.Status(16*second, worker), "its lease of 13 s holds again")
+	assert.Equal(t, Valid, keeper.Status(16*second, worker), "its lease from 13 s is valid again")
 }
 
-// While heartbeats go on, a lease lasts until a change must have arrived. Without one a worker may still be
-// used, preferably after a check, unless another worker shows that the list lags.
-func TestLeaseWhileHeartbeatsGoOn(t *testing.T) {
+// While heartbeats arrive, a lease lasts for the update delay of discovery. A worker without one
+// may still be used, preferably after a check, unless another worker shows that the list lags.
+func TestLeaseWithHeartbeats(t *testing.T) {
 	keeper, worker := confirmedKeeper(platformSettings(), 10*second)
 	check(keeper, 10*second, worker, CheckPassed)
 	for at := 11 * second; at <= 17*second; at += second {
@@ -69,9 +69,9 @@
 	assert.Zero(t, keeper.CurrentUntil())
 }
 
-// A worker that drains while the list has it as active shows that the list lags, and after longer than
-// discovery takes to tell that it is outdated, whatever heartbeats say. Then all workers are watched, and
-// one that went unseen is put on probation.
+// A worker that drains while listed as active shows that the list lags, and, after the update
+// delay of discovery, that it is outdated, even if heartbeats arrive. All workers are then
+// checked periodically, and one that went unverified is put on probation.
 func TestOutdatedList(t *testing.T) {
 	keeper, worker := confirmedKeeper(platformSettings(), 10*second)
 	other := &Lease{}
@@ -113,8 +113,8 @@
 	keeper, worker := confirmedKeeper(platformSettings(), 10*second)
 	check(keeper, 9*second, worker, CheckPassed)
 	keeper.RecordRejection(9*second+100*ms, 9*second+100*ms, worker)
-	assert.False(t, keeper.CheckDue(9*second+100*ms, worker, second), "it accepted work a moment ago")
-	assert.True(t, keeper.CheckDue(10*second, worker, second), "a rejection is looked into")
+	assert.False(t, keeper.CheckDue(9*second+100*ms, worker, second), "it recently accepted work")
+	assert.True(t, keeper.CheckDue(10*second, worker, second), "a rejection calls for a check")
 	keeper.RecordAnswer(worker, 9*second+200*ms)
 	assert.False(t, keeper.CheckDue(10*second, worker, second), "it accepted a later call")
 	keeper.RecordRejection(10*second, 10*second, worker)
@@ -130,12 +130,12 @@
 	assert.True(t, keeper.CheckDue(11*second+confirmDrainDelay, worker, second))
 	assert.Equal(t, BeganProbation, check(keeper, 11*second+100*ms, worker, CheckPassed))
 	keeper.Confirm(12 * second)
-	assert.Equal(t, Probation, keeper.Status(12*second, worker), "a heartbeat tells nothing of it")
+	assert.Equal(t, Probation, keeper.Status(12*second, worker), "a heartbeat carries no entry for it")
 	keeper.Listed(worker, true, true)
 	assert.Equal(t, Unseen, keeper.Status(12*second, worker))
 }
 
-// drainingWorker returns a keeper whose list went unconfirmed, and a worker that drains.
+// drainingWorker returns a keeper whose list went unconfirmed, and a draining worker.
 func drainingWorker() (*Keeper, *Lease) {
 	keeper, worker := confirmedKeeper(platformSettings(), 10*second)
 	check(keeper, 12*second, worker, CheckRejected)
@@ -143,8 +143,8 @@
 	return keeper, worker
 }
 
-// Without a confirmed list a worker that drained is used again only once discovery must have told of
-// its start, and only if it was seen all the time since.
+// Without a confirmed list, a worker that drained is used again only once discovery must have
+// reported its start, and only if it was verified continuously since.
 func TestProbation(t *testing.T) {
 	keeper, worker := drainingWorker()
 	assert.Equal(t, BeganProbation, check(keeper, 20*second, worker, CheckPassed))
@@ -159,7 +159,7 @@
 	keeper, worker = drainingWorker()
 	check(keeper, 20*second, worker, CheckPassed)
 	check(keeper, 27*second, worker, CheckPassed)
-	assert.Equal(t, 27*second, keeper.ProbationSince(worker), "it went unseen for 7 s and begins again")
+	assert.Equal(t, 27*second, keeper.ProbationSince(worker), "it went unverified for 7 s, so probation restarts")
 
 	keeper, worker = drainingWorker()
 	check(keeper, 20*second, worker, CheckPassed)
@@ -167,15 +167,15 @@
 	assert.Equal(t, Expired, keeper.Status(21*second, worker), "discovery is back")
 }
 
-// A worker that went unseen may have ended and started again: it is put on probation. One that is seen
-// for the first time is not.
+// A worker that went unverified may have ended and restarted, so it is put on probation. A
+// worker that is verified for the first time is not.
 func TestUnseenWorkerIsPutOnProbation(t *testing.T) {
 	keeper, worker := confirmedKeeper(platformSettings(), 10*second)
 	assert.Equal(t, Unchanged, check(keeper, 16*second, worker, CheckPassed), "6 s unseen")
 	assert.Equal(t, BeganProbation, check(keeper, 22*second+1, worker, CheckPassed))
 	assert.Zero(t, keeper.End(22*second+1, worker))
 	keeper.Confirm(23 * second)
-	assert.Equal(t, Valid, keeper.Status(23*second, worker), "heartbeats are back, and brought no entry of it")
+	assert.Equal(t, Valid, keeper.Status(23*second, worker), "heartbeats are back without an entry for it")
 
 	never, first := New(platformSettings()), &Lease{}
 	assert.Equal(t, Expired, never.Status(100*second, first))
@@ -183,8 +183,8 @@
 	assert.Equal(t, Valid, never.Status(100*second, first))
 }
 
-// An entry of the list ends a worker's own report of draining only if it tells more than was known.
-func TestListedAgain(t *testing.T) {
+// A list entry overrides a worker's own report of draining only if it carries new information.
+func TestListEntryOverridesDraining(t *testing.T) {
 	keeper, worker := drainingWorker()
 	keeper.Listed(worker, true, false)
 	assert.Equal(t, Draining, keeper.Status(13*second, worker), "the same entry again")
@@ -211,8 +211,8 @@
 	assert.Equal(t, Valid, keeper.Status(30*second, worker))
 }
 
-// Each worker is seen in time by each dispatcher, however many there are.
-func TestCheckIntervalFitsTheGap(t *testing.T) {
+// Each dispatcher verifies each worker in time for any number of dispatchers.
+func TestCheckIntervalWithinMaxUnseenTime(t *testing.T) {
 	for _, dispatchers := range []int{1, 3, 58, 300, 900, 100_000} {
 		settings := platformSettings()
 		settings.Dispatchers = dispatchers
@@ -222,9 +222,9 @@
 	}
 }
 
-// Whatever happens, a worker that neither discovery, an answer nor a check showed to accept work within
-// the grace gets nothing new while the list is unconfirmed, and one that drains by its own report gets
-// nothing at all.
+// In any sequence of events, a worker not shown to accept work within the grace, by discovery,
+// an answer or a check, gets no new work while the list is unconfirmed, and a worker that drains
+// by its own report gets none at all.
 func TestNoLeaseWithoutEvidence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := platformSettings()
@@ -270,8 +270,8 @@
 	})
 }
 
-// A worker that rejected a call and answered no health check since is used again only after a check, however
-// lately it accepted work: it may drain and answer none.
+// A worker that rejected a call and has answered no health check since is used again only after
+// a check, however recently it accepted work: it may be draining and answering no checks.
 func TestRejectionAndUnansweredCheck(t *testing.T) {
 	keeper, worker := confirmedKeeper(platformSettings(), 10*second)
 	check(keeper, 9*second, worker, CheckPassed)
@@ -284,8 +284,8 @@
 	assert.Equal(t, Valid, keeper.Status(11*second, worker))
 }
 
-// A worker that rejected a call gets none after the grace, which began when that call was sent, unless a
-// check has passed by then. This dispatcher has the rejection looked into before.
+// A worker that rejected a call gets none after the grace, which began when that call was sent,
+// unless a check has passed by then. This dispatcher checks the worker before the grace ends.
 func TestGraceAfterARejection(t *testing.T) {
 	keeper, worker := confirmedKeeper(platformSettings(), 10*second)
 	check(keeper, 10*second, worker, CheckPassed)
@@ -305,7 +305,8 @@
 	assert.Zero(t, keeper.End(graceEnd+2, worker).Grace)
 }
 
-// Without health checks a worker that rejects calls stays in use: only a call can show that it was full.
+// Without health checks a worker that rejects calls stays in use: only another call can show
+// whether it was full.
 func TestNoGraceEndWithoutHealthChecks(t *testing.T) {
 	settings := platformSettings()
 	settings.HealthChecks = false
--- a/lease/report_test.go
+++ b/lease/report_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A worker that a peer reports is out of use until the reports end, or until this dispatcher sees itself
-// that it accepts work.
+// A worker reported by a peer is out of use until the reports end, or until this dispatcher
+// verifies that it accepts work.
 func TestReportedWorkerIsOutOfUse(t *testing.T) {
 	keeper, worker := confirmedKeeper(platformSettings(), 10*second)
 	check(keeper, 10*second, worker, CheckPassed)
@@ -16,7 +16,7 @@
 	assert.Equal(t, Suspect, keeper.Status(10*second+100*ms, worker))
 	assert.Zero(t, keeper.End(10*second+100*ms, worker))
 	keeper.RecordAnswer(worker, 10*second)
-	assert.Equal(t, Suspect, keeper.Status(10*second+200*ms, worker), "an answer to a call of before")
+	assert.Equal(t, Suspect, keeper.Status(10*second+200*ms, worker), "an answer to a call sent before the report")
 	keeper.Confirm(12 * second)
 	assert.Equal(t, Valid, keeper.Status(10*second+100*ms+reportDuration, worker))
 	keeper.RecordReport(13*second, worker)
@@ -25,9 +25,9 @@
 	assert.Equal(t, Valid, keeper.Status(13*second+1, worker))
 }
 
-// While heartbeats go on, the silence of peers stands for a lease, until a change must have arrived. It does
-// not while heartbeats are missing, nor for a worker that rejected a call and answered no check since.
-func TestSilenceOfPeersStandsForALease(t *testing.T) {
+// While heartbeats arrive, peer coverage acts as a lease for the update delay. It does not while
+// heartbeats are missing, nor for a worker that rejected a call and has answered no check since.
+func TestPeerCoverageActsAsLease(t *testing.T) {
 	keeper, worker := confirmedKeeper(platformSettings(), 10*second)
 	assert.False(t, keeper.CoveredByPeers(10*second))
 	keeper.SetPeerCoverage(6 * second)
@@ -37,7 +37,7 @@
 	keeper.Confirm(13 * second)
 	assert.Equal(t, Valid, keeper.Status(13*second+600*ms, worker))
 	assert.Equal(t, Unseen, keeper.Status(13*second+601*ms, worker))
-	assert.Equal(t, Expired, keeper.Status(14*second+251*ms, worker), "silence")
+	assert.Equal(t, Expired, keeper.Status(14*second+251*ms, worker), "heartbeats are missing")
 
 	keeper.SetPeerCoverage(12 * second)
 	keeper.Confirm(15 * second)
@@ -50,8 +50,8 @@
 	assert.Equal(t, Expired, keeper.Status(16*second+minRetryDelay, worker))
 }
 
-// A worker that rejected a call of this dispatcher, which left it to peers to have it checked, is used again
-// during the grace, and after that once a check passed or peers would have reported it.
+// A worker whose rejected call is left to peers to check is used during the grace, and
+// afterwards only once a check passed or peers would have reported a drain.
 func TestRejectionLeftToPeers(t *testing.T) {
 	keeper, worker := confirmedKeeper(platformSettings(), 10*second)
 	keeper.SetPeerCoverage(9 * second)
@@ -73,8 +73,9 @@
 	assert.Equal(t, Valid, keeper.Status(13*second, worker))
 }
 
-// A list that a worker proves outdated is not helped by peers: workers may have restarted unseen.
-func TestNoCoverOfAnOutdatedList(t *testing.T) {
+// Peer coverage has no effect once a worker proves the list outdated: workers may have restarted
+// unnoticed.
+func TestNoPeerCoverageOfOutdatedList(t *testing.T) {
 	keeper, worker := confirmedKeeper(platformSettings(), 10*second)
 	keeper.SetPeerCoverage(9 * second)
 	keeper.SetContradicted(10*second, true, false)
@@ -84,8 +85,8 @@
 	assert.False(t, keeper.CoveredByPeers(10*second))
 }
 
-// A watched worker is due for a check once it was neither seen nor checked for an interval. One whose check
-// failed is doubtful until it accepts a call that was sent later.
+// A watched worker is due for a check once it was neither verified nor checked for an interval.
+// After a failed check, its checks count as failing until it accepts a call sent later.
 func TestWatchDue(t *testing.T) {
 	keeper, worker := confirmedKeeper(platformSettings(), 10*second)
 	assert.True(t, keeper.WatchDue(10*second, worker, 3*second))
@@ -104,11 +105,12 @@
 	assert.False(t, keeper.ConfirmDue(16*second, worker, 300*ms))
 }
 
-// A worker that rejects health checks and accepts a call sent after it was found to does not drain.
-func TestAcceptedCallEndsADrain(t *testing.T) {
+// A worker that rejects health checks but accepts a call sent after it was found draining is not
+// draining.
+func TestAcceptedCallClearsDraining(t *testing.T) {
 	keeper, worker := drainingWorker()
 	keeper.RecordAcceptedCall(worker, 12*second)
-	assert.Equal(t, Draining, keeper.Status(13*second, worker), "a call of before")
+	assert.Equal(t, Draining, keeper.Status(13*second, worker), "a call sent before it was found draining")
 	keeper.RecordAcceptedCall(worker, 13*second)
 	assert.Equal(t, Valid, keeper.Status(13*second, worker))
 }
