--- a/balancer/drainreports.go
+++ b/balancer/drainreports.go
@@ -72,7 +72,7 @@
 }
 
 // recordCompleteNotice records that a peer has sent all workers currently reported. This
-// dispatcher then knows as much as if it had received the leaders' notices.
+// dispatcher then knows the same reports as if it had received the leaders' notices.
 func (b *Balancer) recordCompleteNotice(now int64) {
 	if w := &b.fleetWatch; w.enabled && w.noticeReceivedAt == 0 {
 		w.noticeReceivedAt, w.noticesSince = now, now-minNoticeSpan
--- a/balancer/lease.go
+++ b/balancer/lease.go
@@ -53,7 +53,7 @@
 	Probations     int64 // workers that were put on probation
 	WatchChecks    int64 // health checks of workers that are watched for other dispatchers
 	DrainReports   int64 // reports of other dispatchers that a worker drains
-	Readmissions   int64 // workers whose probation ended with nothing found
+	Readmissions   int64 // workers whose probation ended without an interruption reported by discovery
 }
 
 // newLeaseState returns the leases for a list that is not confirmed yet.
--- a/balancer/lease_test.go
+++ b/balancer/lease_test.go
@@ -52,9 +52,9 @@
 	assert.LessOrEqual(t, counts.Drains, int64(1))
 }
 
-// A worker that rejects a call is checked, and gets nothing more once it is found to drain though the list
-// has it as active; calls go on elsewhere without waiting.
-func TestRejectionFindsDrain(t *testing.T) {
+// A worker that rejects a call is checked, and gets no more calls once it is found to be
+// draining although the list has it as active. Calls go to other workers without waiting.
+func TestRejectionDetectsDrain(t *testing.T) {
 	balancer, host := newTestBalancer(t, leaseSettings(), 2)
 	balancer.ConfirmEndpoints(0)
 	ok := func(WorkerID) Result { return OK }
@@ -119,15 +119,15 @@
 }
 
 // checksOfUnseen returns the number of health checks caused by 200 requests for different
-// functions at 40 workers. If hears is set, the dispatcher receives leader notices before the
-// first request.
-func checksOfUnseen(t *testing.T, settings Settings, hears bool) int64 {
+// functions at 40 workers. If receivesNotices is set, the dispatcher receives leader notices
+// before the first request.
+func checksOfUnseen(t *testing.T, settings Settings, receivesNotices bool) int64 {
 	t.Helper()
 	balancer, host := newTestBalancer(t, settings, 40)
 	balancer.fleetWatch.scannedAt = noDeadline / 2 // it watches none itself
 	const begin = 6000 * ms
 	notice := aggregate.DrainNotice{FromLeader: true, Watching: true}.Encode()[0]
-	for now := int64(0); now <= begin && hears; now += 500 * ms {
+	for now := int64(0); now <= begin && receivesNotices; now += 500 * ms {
 		balancer.HandlePeerMessage(now, 1, notice)
 	}
 	for i := range int64(200) {
@@ -192,7 +192,7 @@
 	assert.True(t, balancer.orderLoad(16*ms, holder))
 }
 
-// Where health checks are not allowed, none is made.
+// No health checks are sent where they are not allowed.
 func TestNoHealthChecksWhereTheyAreNotAllowed(t *testing.T) {
 	settings := leaseSettings()
 	settings.HealthChecks = false
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -107,7 +107,7 @@
 	Valid     Status = iota // it may get new work
 	Unseen                  // it may get new work, preferably after a health check
 	Expired                 // it may get new work only after a health check
-	Suspect                 // not now: its latest check failed or was rejected, or a peer reported it
+	Suspect                 // not now: its latest check failed or was rejected, or a peer reported it; a check may follow
 	Draining                // no: it reports that it is draining
 	Probation               // no: it accepts work again after an interruption that discovery may still report
 )
@@ -254,13 +254,13 @@
 		return Suspect
 	}
 	trust := k.Trust(now)
-	seenAt, doubted := k.seenAt(l, trust), k.verificationRequired(now, l)
+	seenAt, verificationRequired := k.seenAt(l, trust), k.verificationRequired(now, l)
 	switch {
-	case seenAt > 0 && now <= seenAt+k.duration(trust) && !doubted:
+	case seenAt > 0 && now <= seenAt+k.duration(trust) && !verificationRequired:
 		return Valid
 	case l.failures > 0 && (trust != Current || now < l.nextCheckAt), l.checking && now-l.checkSentAt > maxCheckWait:
 		return Suspect
-	case doubted:
+	case verificationRequired:
 		return Expired
 	case trust == Current:
 		return Unseen
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -107,8 +107,9 @@
 	assert.False(t, keeper.CheckDue(7200*second, worker, second))
 }
 
-// A worker drains once two checks in a row were rejected, confirmed list or not. Once checks pass again
-// it is on probation until the list has an entry of it: it may have restarted.
+// A worker counts as draining once two consecutive checks were rejected, whether or not the list
+// is confirmed. Once checks pass again it is on probation until the list has a new entry for it,
+// since it may have restarted.
 func TestDrainByOwnReport(t *testing.T) {
 	keeper, worker := confirmedKeeper(platformSettings(), 10*second)
 	check(keeper, 9*second, worker, CheckPassed)
@@ -196,7 +197,8 @@
 	assert.NotEqual(t, Draining, keeper.Status(13*second, worker), "it drained, and is active again")
 }
 
-// Where health checks are not allowed, a worker is used until it rejects a call and accepts none after.
+// Where health checks are not allowed, a worker is used until it rejects a call and accepts none
+// since.
 func TestWithoutHealthChecks(t *testing.T) {
 	settings := platformSettings()
 	settings.HealthChecks = false
