--- a/balancer/drainreports.go
+++ b/balancer/drainreports.go
@@ -83,7 +83,7 @@
 // sendCompleteNotice sends all currently reported workers to a dispatcher that has started,
 // provided that this one receives the leaders' notices and so knows them all.
 func (b *Balancer) sendCompleteNotice(now int64, receiver int) {
-	if w := &b.fleetWatch; !w.enabled || now-w.noticeReceivedAt > maxNoticeGap/2 || !b.leases.keeper.CoveredByPeers(now) {
+	if w := &b.fleetWatch; !w.enabled || now-w.noticeReceivedAt > maxNoticeGap/2 || !b.leases.keeper.PeerCovered(now) {
 		return
 	}
 	notice := aggregate.DrainNotice{Complete: true}
--- a/balancer/drainsuspicion.go
+++ b/balancer/drainsuspicion.go
@@ -49,10 +49,10 @@
 	return false
 }
 
-// isResponsive reports whether a suspected worker is believed to respond: it rejects health
+// responds reports whether a suspected worker is believed to respond: it rejects health
 // checks, or no dispatcher finds it unresponsive. A call to an unresponsive worker would only
 // lose time.
-func (b *Balancer) isResponsive(now int64, worker *workerState) bool {
+func (b *Balancer) responds(now int64, worker *workerState) bool {
 	return b.leases.keeper.RejectsChecks(&worker.lease) || b.isHealthy(now, worker)
 }
 
@@ -69,7 +69,7 @@
 	if suspicion.callSent || suspicion.confirmed || now <= suspicion.since {
 		return false
 	}
-	return b.recentlyAccepting(now, worker) && b.isResponsive(now, worker) && !b.leases.keeper.Reported(now, &worker.lease)
+	return b.recentlyAccepting(now, worker) && b.responds(now, worker) && !b.leases.keeper.Reported(now, &worker.lease)
 }
 
 // chooseSuspect returns a suspected worker to which a request is to be sent for verification, or
@@ -139,7 +139,7 @@
 		suspicion.confirmed = true
 		b.reportDrain(now, worker)
 		return true
-	case timedOut, !b.isResponsive(now, worker):
+	case timedOut, !b.responds(now, worker):
 		*suspicion = drainSuspicion{}
 		return true
 	}
--- a/balancer/fleetwatch.go
+++ b/balancer/fleetwatch.go
@@ -160,7 +160,7 @@
 // shouldCheckRejection reports whether this dispatcher checks a worker that rejected a call.
 // With peer coverage only a random few of the dispatchers that may meet the same full worker do.
 func (b *Balancer) shouldCheckRejection(now int64) bool {
-	if !b.fleetWatch.enabled || !b.leases.keeper.CoveredByPeers(now) {
+	if !b.fleetWatch.enabled || !b.leases.keeper.PeerCovered(now) {
 		return true
 	}
 	return b.rng.Float64()*b.fleetFactor() < 1
--- a/balancer/fleetwatch_test.go
+++ b/balancer/fleetwatch_test.go
@@ -16,7 +16,7 @@
 	lossRate             float64 // share of datagrams lost
 	checkHangs           bool    // draining workers do not answer health checks; otherwise they reject them
 	restartEvery         int64   // interval at which dispatchers restart in turn, with the initial list; 0: never
-	partitionFor         int64   // how long a third of the dispatchers receives no datagrams, from fleetPartitionAt
+	outage               int64   // how long a third of the dispatchers receives no datagrams, from fleetPartitionAt
 }
 
 const (
@@ -179,7 +179,7 @@
 
 // isPartitioned reports whether a dispatcher currently receives no datagrams.
 func (f *virtualFleet) isPartitioned(dispatcher int) bool {
-	return dispatcher%3 == 0 && f.now >= fleetPartitionAt && f.now < fleetPartitionAt+f.partitionFor
+	return dispatcher%3 == 0 && f.now >= fleetPartitionAt && f.now < fleetPartitionAt+f.outage
 }
 
 // run runs the fleet to its end.
@@ -228,8 +228,8 @@
 		{dispatchers: 20, workers: 40, callsPerSecond: 0.3},
 		{dispatchers: 45, workers: 22, callsPerSecond: 3, lossRate: 0.2},
 		{dispatchers: 30, workers: 60, callsPerSecond: 4, checkHangs: true},
-		{dispatchers: 30, workers: 20, callsPerSecond: 4, partitionFor: 25_000 * ms},
-		{dispatchers: 24, workers: 24, callsPerSecond: 6, partitionFor: 3000 * ms, lossRate: 0.1, restartEvery: 3000 * ms},
+		{dispatchers: 30, workers: 20, callsPerSecond: 4, outage: 25_000 * ms},
+		{dispatchers: 24, workers: 24, callsPerSecond: 6, outage: 3000 * ms, lossRate: 0.1, restartEvery: 3000 * ms},
 	} {
 		for seed := range uint64(3) {
 			spec := spec
@@ -240,14 +240,14 @@
 	for name, spec := range map[string]fleetSpec{
 		// A third of the dispatchers, leaders included, receive no datagrams for longer than a report
 		// lasts.
-		"partitioned leaders": {seed: 22, dispatchers: 30, workers: 20, callsPerSecond: 4, partitionFor: 25_000 * ms},
+		"partitioned leaders": {seed: 22, dispatchers: 30, workers: 20, callsPerSecond: 4, outage: 25_000 * ms},
 		// A partitioned leader receives no drain reports; others must not take workers that its notices
 		// omit to accept work.
-		"partitioned leader notices": {seed: 42, dispatchers: 30, workers: 20, callsPerSecond: 4, partitionFor: 25_000 * ms},
+		"partitioned leader notices": {seed: 42, dispatchers: 30, workers: 20, callsPerSecond: 4, outage: 25_000 * ms},
 		// The dispatchers that watch a worker are partitioned, and the others rely on them.
-		"partitioned watchers": {seed: 68, dispatchers: 30, workers: 20, callsPerSecond: 4, partitionFor: 25_000 * ms},
+		"partitioned watchers": {seed: 68, dispatchers: 30, workers: 20, callsPerSecond: 4, outage: 25_000 * ms},
 		// A call that was sent before the worker was suspected is rejected.
-		"rejected after suspected": {seed: 90, dispatchers: 30, workers: 20, callsPerSecond: 4, partitionFor: 25_000 * ms},
+		"rejected after suspected": {seed: 90, dispatchers: 30, workers: 20, callsPerSecond: 4, outage: 25_000 * ms},
 		// The health checks of a worker fail after it rejected a call.
 		"rejected before suspected": {seed: 5, dispatchers: 20, workers: 22, callsPerSecond: 12},
 	} {
--- a/balancer/leasecheck.go
+++ b/balancer/leasecheck.go
@@ -184,7 +184,7 @@
 			continue
 		}
 		contradicted = true
-		proven = proven || !keeper.CoveredByPeers(now) && keeper.ProvesOutdated(now, &worker.lease)
+		proven = proven || !keeper.PeerCovered(now) && keeper.ProvesOutdated(now, &worker.lease)
 	}
 	wasOutdated := keeper.Trust(now) == lease.Outdated
 	if !keeper.SetContradicted(now, contradicted, proven) {
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -107,7 +107,7 @@
 	Valid     Status = iota // it may get new work
 	Unseen                  // it may get new work, preferably after a health check
 	Expired                 // it may get new work only after a health check
-	Suspect                 // not now: its latest check failed or was rejected, or a peer reported it; a check may follow
+	Suspect                 // not now: its latest check failed or was rejected, or a peer reported it; may be checked
 	Draining                // no: it reports that it is draining
 	Probation               // no: it accepts work again after an interruption that discovery may still report
 )
--- a/lease/report.go
+++ b/lease/report.go
@@ -24,9 +24,9 @@
 // was draining by then has been reported.
 func (k *Keeper) SetPeerCoverage(until int64) { k.peerCoverageUntil = max(k.peerCoverageUntil, until) }
 
-// CoveredByPeers reports whether a worker that this dispatcher has not verified itself may be
+// PeerCovered reports whether a worker that this dispatcher has not verified itself may be
 // used because peers watch it and have not reported it.
-func (k *Keeper) CoveredByPeers(now int64) bool {
+func (k *Keeper) PeerCovered(now int64) bool {
 	return k.peerCoverageUntil > 0 && k.Trust(now) < Outdated && now <= k.peerCoverageSeenAt()+k.duration(Current)
 }
 
--- a/lease/report_test.go
+++ b/lease/report_test.go
@@ -29,11 +29,11 @@
 // heartbeats are missing, nor for a worker that rejected a call and has answered no check since.
 func TestPeerCoverageActsAsLease(t *testing.T) {
 	keeper, worker := confirmedKeeper(platformSettings(), 10*second)
-	assert.False(t, keeper.CoveredByPeers(10*second))
+	assert.False(t, keeper.PeerCovered(10*second))
 	keeper.SetPeerCoverage(6 * second)
 	assert.Equal(t, Valid, keeper.Status(10*second, worker))
 	assert.Equal(t, End{Heartbeats: 13*second + 600*ms}, keeper.End(10*second, worker))
-	assert.True(t, keeper.CoveredByPeers(10*second))
+	assert.True(t, keeper.PeerCovered(10*second))
 	keeper.Confirm(13 * second)
 	assert.Equal(t, Valid, keeper.Status(13*second+600*ms, worker))
 	assert.Equal(t, Unseen, keeper.Status(13*second+601*ms, worker))
@@ -82,7 +82,7 @@
 	assert.Equal(t, Valid, keeper.Status(10*second, worker))
 	keeper.SetContradicted(10*second, true, true)
 	assert.Equal(t, Expired, keeper.Status(10*second, worker))
-	assert.False(t, keeper.CoveredByPeers(10*second))
+	assert.False(t, keeper.PeerCovered(10*second))
 }
 
 // A watched worker is due for a check once it was neither verified nor checked for an interval.
