--- a/balancer/lease_test.go
+++ b/balancer/lease_test.go
@@ -9,7 +9,7 @@
 	"oakthread/aggregate"
 )
 
-// leaseSettings are those of a deployment whose discovery sends heartbeats.
+// leaseSettings returns the settings of a deployment whose discovery sends heartbeats.
 func leaseSettings() Settings {
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.HealthChecks = true
@@ -18,8 +18,8 @@
 	return settings
 }
 
-// runUntil fires the timers of a balancer in steps until a time. Health checks get the result that answer
-// returns.
+// runUntil advances the timers of a balancer in steps until a time. Health checks get the result
+// that answer returns.
 func runUntil(balancer *Balancer, host *fakeHost, from, until int64, answer func(WorkerID) Result) {
 	for now := from; now <= until; now += 50 * ms {
 		balancer.HandleTimer(now, host.timerRef)
@@ -31,9 +31,9 @@
 	}
 }
 
-// Without heartbeats a call waits for the health check of its worker. It goes where a check passes, and
-// not to a worker that drains.
-func TestCallWaitsForHealthCheckInSilence(t *testing.T) {
+// Without heartbeats a call waits for the health check of its worker. It is sent to a worker
+// whose check passes, not to one that is draining.
+func TestCallWaitsForHealthCheckWithoutHeartbeats(t *testing.T) {
 	balancer, host := newTestBalancer(t, leaseSettings(), 2)
 	balancer.ConfirmEndpoints(0)
 	now := 3000 * ms
@@ -52,9 +52,9 @@
 	assert.LessOrEqual(t, counts.Drains, int64(1))
 }
 
-// A worker that rejects a call is checked, and gets nothing more once it is found to drain though the list
-// has it as active; calls go on elsewhere without waiting.
-func TestRejectionFindsDrain(t *testing.T) {
+// A worker that rejects a call is checked, and gets no more calls once it is found to be
+// draining although the list has it as active. Calls go to other workers without waiting.
+func TestRejectionDetectsDrain(t *testing.T) {
 	balancer, host := newTestBalancer(t, leaseSettings(), 2)
 	balancer.ConfirmEndpoints(0)
 	ok := func(WorkerID) Result { return OK }
@@ -81,9 +81,9 @@
 	assert.False(t, slices.ContainsFunc(host.attempts, func(sent sentAttempt) bool { return sent.worker == first }))
 }
 
-// An idle dispatcher goes on checking its workers while discovery is silent: when a request comes after a
-// long quiet time they are known, and it does not wait.
-func TestIdleDispatcherWatchesWorkersInSilence(t *testing.T) {
+// An idle dispatcher keeps checking its workers while heartbeats are missing, so that a request
+// after a long idle time need not wait.
+func TestIdleDispatcherChecksWorkersWithoutHeartbeats(t *testing.T) {
 	balancer, host := newTestBalancer(t, leaseSettings(), 3)
 	balancer.ConfirmEndpoints(0)
 	checked := map[WorkerID]int{}
@@ -102,9 +102,9 @@
 	assert.Len(t, host.attempts, 1)
 }
 
-// While heartbeats come and no worker contradicts the list, each unseen worker is checked first by one of
-// few dispatchers, and by one of many as long as it hears nothing of the others. One that hears of them
-// checks none. Where many may not talk to each other, checks are limited.
+// While heartbeats arrive and no worker contradicts the list, unseen workers are checked before
+// a call by each of few dispatchers, and by each of many that receives no leader notices. One
+// that receives them sends no checks. Without gossip, many dispatchers limit their checks.
 func TestChecksOfUnseenWorkers(t *testing.T) {
 	settings := leaseSettings()
 	settings.Dispatchers = 3
@@ -115,18 +115,19 @@
 	settings.Gossip = false
 	checks := checksOfUnseen(t, settings, false)
 	assert.Positive(t, checks)
-	assert.LessOrEqual(t, checks, int64(maxPrecautions+200*precautionsPerCall))
+	assert.LessOrEqual(t, checks, int64(maxUnseenCheckTokens+200*unseenChecksPerCall))
 }
 
-// checksOfUnseen returns the health checks that 200 requests of as many functions at 40 workers cause. If
-// it hears leaders, the dispatcher does so in the seconds before the first request on.
-func checksOfUnseen(t *testing.T, settings Settings, hears bool) int64 {
+// checksOfUnseen returns the number of health checks caused by 200 requests for different
+// functions at 40 workers. If receivesNotices is set, the dispatcher receives leader notices
+// before the first request.
+func checksOfUnseen(t *testing.T, settings Settings, receivesNotices bool) int64 {
 	t.Helper()
 	balancer, host := newTestBalancer(t, settings, 40)
 	balancer.fleetWatch.scannedAt = noDeadline / 2 // it watches none itself
 	const begin = 6000 * ms
 	notice := aggregate.DrainNotice{FromLeader: true, Watching: true}.Encode()[0]
-	for now := int64(0); now <= begin && hears; now += 500 * ms {
+	for now := int64(0); now <= begin && receivesNotices; now += 500 * ms {
 		balancer.HandlePeerMessage(now, 1, notice)
 	}
 	for i := range int64(200) {
@@ -142,7 +143,7 @@
 	return balancer.LeaseCounts().Checks
 }
 
-// The rounds of an idle dispatcher cost other dispatchers nothing: it sends no gossip in them.
+// An idle dispatcher's lease rounds send no gossip, so they cost other dispatchers nothing.
 func TestIdleDispatcherSendsNoGossip(t *testing.T) {
 	settings := leaseSettings()
 	settings.Gossip, settings.Dispatchers = true, 20
@@ -160,8 +161,8 @@
 	assert.Empty(t, host.messages)
 }
 
-// An unseen worker gets no call while its health check is under way: not the one that the check is for, and
-// no other.
+// An unseen worker gets no call while its health check is in flight: neither the call that
+// caused the check nor any other.
 func TestCallsWaitForOneCheckOfAnUnseenWorker(t *testing.T) {
 	balancer, host := newTestBalancer(t, leaseSettings(), 1)
 	balancer.ConfirmEndpoints(5 * ms)
@@ -175,9 +176,9 @@
 	assert.Len(t, host.attempts, 3)
 }
 
-// Hedges, retries and load orders go to a worker that was not seen lately only after a health check, like
-// any call.
-func TestNothingGoesToAnUnseenWorkerWithoutCheck(t *testing.T) {
+// Hedges, retries and load orders are sent to a worker that was not recently verified only after
+// a health check, like any call.
+func TestNothingIsSentToUnseenWorkerWithoutCheck(t *testing.T) {
 	balancer, host := newTestBalancer(t, leaseSettings(), 1)
 	balancer.ConfirmEndpoints(5 * ms)
 	balancer.HandleRequest(10*ms, testRequest("a", 10*ms, 7))
@@ -191,7 +192,7 @@
 	assert.True(t, balancer.orderLoad(16*ms, holder))
 }
 
-// Where health checks are not allowed, none is made.
+// No health checks are sent where they are not allowed.
 func TestNoHealthChecksWhereTheyAreNotAllowed(t *testing.T) {
 	settings := leaseSettings()
 	settings.HealthChecks = false
