--- a/admin/state.go
+++ b/admin/state.go
@@ -125,10 +125,10 @@
 	return slices.Sorted(maps.Keys(s.ejected))
 }
 
-// CountMembers returns the number of listed workers, and how many of them receive no calls because
+// CountWorkers returns the number of listed workers, and how many of them receive no calls because
 // they are ejected manually, not active in the endpoint list, or in autoEjected, the workers that
 // the balancer has ejected.
-func (s *State) CountMembers(autoEjected []balancer.WorkerID) (listed, unavailable int) {
+func (s *State) CountWorkers(autoEjected []balancer.WorkerID) (listed, unavailable int) {
 	for id, endpoint := range s.listed {
 		listed++
 		if s.ejected[id] || endpoint.State != balancer.Active || slices.Contains(autoEjected, id) {
--- a/admin/state_test.go
+++ b/admin/state_test.go
@@ -33,10 +33,10 @@
 	adjusted := s.UpdateEndpoints(snapshot(1, 2)) // the list has worker 1 as active
 	assert.Equal(t, balancer.Draining, adjusted.Endpoints[0].State)
 	assert.Equal(t, balancer.Active, adjusted.Endpoints[1].State)
-	listed, unavailable := s.CountMembers(nil)
+	listed, unavailable := s.CountWorkers(nil)
 	assert.Equal(t, 2, listed)
 	assert.Equal(t, 1, unavailable)
-	_, unavailable = s.CountMembers([]balancer.WorkerID{1, 2}) // worker 1 is ejected twice but counted once
+	_, unavailable = s.CountWorkers([]balancer.WorkerID{1, 2}) // worker 1 is ejected twice but counted once
 	assert.Equal(t, 2, unavailable)
 }
 
--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -68,7 +68,7 @@
 		seen.below, seen.equal = 0, b.admission.mix.sheddable
 	}
 	rank := (seen.below + b.rng.Float64()*seen.equal) / max(seen.total, 1)
-	late := b.expectedQueueTime(now) > objective*(rejectFirstWait+(rejectAllWait-rejectFirstWait)*rank)
+	late := b.expectedResponseTime(now) > objective*(rejectFirstWait+(rejectAllWait-rejectFirstWait)*rank)
 	return now-b.startedAt > 2*b.shortestObjective && (late || b.isFull(rank))
 }
 
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -47,11 +47,11 @@
 		inFlight := balancer.endpoints.byID[host.lastWorker[id]].inFlight
 		inFlight[len(inFlight)-1].expectedWarm = true
 	}
-	queued := balancer.expectedQueueTime(now + ms)
+	queued := balancer.expectedResponseTime(now + ms)
 	for _, worker := range balancer.endpoints.listed { // every worker answers other calls meanwhile
 		worker.lastResponseAt = now + 2500*ms
 	}
-	if stuck := balancer.expectedQueueTime(now + 2600*ms); stuck > queued/2 {
+	if stuck := balancer.expectedResponseTime(now + 2600*ms); stuck > queued/2 {
 		t.Fatalf("expected response time %.0f ms with stuck calls, %.0f ms with queued ones", stuck/1e6, queued/1e6)
 	}
 }
@@ -61,13 +61,13 @@
 func TestRejectedCallsCountAsQueued(t *testing.T) {
 	balancer, host := newTestBalancer(t, testSettings(NotIdempotent, ScopeNone), 4)
 	markAllResponded(balancer)
-	before := balancer.expectedQueueTime(0)
+	before := balancer.expectedResponseTime(0)
 	for i := range 8 {
 		id := fmt.Sprint(i)
 		balancer.HandleRequest(0, testRequest(id, 0, FuncID(i)))
 		balancer.HandleAttemptResult(ms, AttemptResult{ID: id, Worker: host.lastWorker[id], Result: QueueFull})
 	}
-	if after := balancer.expectedQueueTime(2 * ms); after < 1.5*before {
+	if after := balancer.expectedResponseTime(2 * ms); after < 1.5*before {
 		t.Fatalf("expected response time %.0f ms after rejections, %.0f ms before", after/1e6, before/1e6)
 	}
 }
--- a/balancer/dispatch.go
+++ b/balancer/dispatch.go
@@ -13,8 +13,8 @@
 		return
 	}
 	b.timers.lastRequestAt = now
-	b.gossip.earn()
-	b.leases.earn()
+	b.gossip.creditCall()
+	b.leases.accrueUnseenChecks()
 	b.hedges.creditCall(b.losses.probability)
 	if b.shouldReject(now, request) {
 		if function := b.holders.lookup(request.Func); function != nil && function.served {
--- a/balancer/drainreports.go
+++ b/balancer/drainreports.go
@@ -64,7 +64,7 @@
 		if worker := b.activeByTag(tag); worker != nil {
 			b.leases.counts.DrainReports++
 			b.leases.keeper.RecordReport(now, &worker.lease)
-			if !notice.FromLeader && b.leads(now) {
+			if !notice.FromLeader && b.isRecognizedLeader(now) {
 				b.queueRelay(worker)
 			}
 		}
@@ -95,9 +95,9 @@
 	b.sendDrainNotice(receiver, notice)
 }
 
-// leads reports whether this dispatcher is the leader of the term and is a member in the view of
+// isRecognizedLeader reports whether this dispatcher is the leader of the term and is a member in the view of
 // others.
-func (b *Balancer) leads(now int64) bool {
+func (b *Balancer) isRecognizedLeader(now int64) bool {
 	return b.gossip.elector.Leader(now) == b.settings.DispatcherIndex && b.gossip.elector.IsMember(now)
 }
 
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -54,7 +54,7 @@
 		worker = &workerState{latencyRatios: latencyRatios{latencyRatio: 1}}
 		t.byID[endpoint.Worker], t.byTag[workerTag(endpoint.Worker)] = worker, worker
 	} else if endpoint.Start != worker.Start && endpoint.Start > 0 {
-		worker.beginAnew()
+		worker.resetProcessState()
 	}
 	worker.Endpoint, worker.listed = endpoint, endpoint.State != Removed
 	if worker.listed && !worker.inTable {
--- a/balancer/endpointupdate.go
+++ b/balancer/endpointupdate.go
@@ -26,14 +26,14 @@
 		known := b.endpoints.byID[endpoint.Worker]
 		restarted := known == nil || endpoint.Start > 0 && endpoint.Start != known.Start
 		worker := b.endpoints.apply(b.now, endpoint)
-		b.leases.keeper.Listed(&worker.lease, endpoint.State == Active, restarted)
+		b.leases.keeper.ApplyListEntry(&worker.lease, endpoint.State == Active, restarted)
 		b.slowStart.track(b.now, worker)
 	}
 	if kind == EndpointsSnapshot || kind == EndpointsCached {
 		b.endpoints.retain(endpoints)
 	}
 	b.endpoints.dropUnlisted()
-	b.updatePrecaution()
+	b.updateUnseenCheckPolicy()
 	b.pruneActive(now)
 	b.pollEndpoints(now)
 	b.recheckUnsentRequests(now)
--- a/balancer/fleetwatch.go
+++ b/balancer/fleetwatch.go
@@ -117,7 +117,7 @@
 		b.reportToLeader(now)
 	}
 	sinceNotice := now - w.noticeSentAt
-	noticeDue := sinceNotice >= noticeInterval && b.leads(now) && b.receivesPeerReports(now)
+	noticeDue := sinceNotice >= noticeInterval && b.isRecognizedLeader(now) && b.receivesPeerReports(now)
 	if noticeDue || sinceNotice >= relayInterval && len(w.pendingRelays) > 0 {
 		w.noticeSentAt = now
 		b.sendLeaderNotice(now)
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -45,8 +45,8 @@
 	fullDigestAt int64 // the same, where the list is long
 }
 
-// earn adds what one call may cost in messages to the budgets.
-func (g *gossipState) earn() {
+// creditCall adds what one call may cost in messages to the budgets.
+func (g *gossipState) creditCall() {
 	g.reportBudget.refill(gossipCostShare)
 	g.digestBudget.refill(gossipCostShare)
 	g.callsSinceReport++
--- a/balancer/gossip_test.go
+++ b/balancer/gossip_test.go
@@ -112,11 +112,11 @@
 	settings := testSettings(Idempotent, ScopeAll)
 	settings.Dispatchers, settings.Gossip = 3, true
 	balancer, _ := newTestBalancer(t, settings, 4)
-	idleWait := balancer.expectedQueueTime(5000 * ms)
+	idleWait := balancer.expectedResponseTime(5000 * ms)
 	balancer.HandlePeerMessage(5000*ms, 1, encodedDigest(balancer, 5000*ms, []float64{40, 80},
 		aggregate.Count{Worker: 1, InFlight: 9, Responded: true},
 		aggregate.Count{Worker: 2, InFlight: 3, Silent: true}))
-	if w := balancer.expectedQueueTime(5001 * ms); w < 2*idleWait {
+	if w := balancer.expectedResponseTime(5001 * ms); w < 2*idleWait {
 		t.Errorf("expected wait %.0f ms with 80 calls in queue and 40 answers a second, %.0f ms before", w/1e6,
 			idleWait/1e6)
 	}
@@ -135,7 +135,7 @@
 			attempt.expectedWarm = true
 		}
 	}
-	if w := balancer.expectedQueueTime(5030 * ms); w < 2*idleWait {
+	if w := balancer.expectedResponseTime(5030 * ms); w < 2*idleWait {
 		const format = "expected wait %.0f ms with 40 of our calls queued, %.0f ms after a digest of an idle fleet"
 		t.Errorf(format, w/1e6, idleWait/1e6)
 	}
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -113,10 +113,10 @@
 
 // WorkerHealth is the health of one worker as shown to operators.
 type WorkerHealth struct {
-	Worker WorkerID
-	Zone   int
-	Pace   float64 // ratio of the mean response time to that of all workers
-	Silent bool    // several dispatchers found it silent, and none received a response
+	Worker       WorkerID
+	Zone         int
+	LatencyRatio float64 // ratio of the mean response time to that of all workers
+	Silent       bool    // several dispatchers found it silent, and none received a response
 	outlier.State
 }
 
@@ -127,11 +127,11 @@
 		latencyRatio := b.relativeLatency(now, worker)
 		silent := b.isReportedUnresponsive(now, worker) && !b.outliers.ExcludedByGossip(now, &worker.outlierStats)
 		health := WorkerHealth{
-			Worker: worker.Worker,
-			Zone:   worker.Zone,
-			Pace:   latencyRatio,
-			Silent: silent,
-			State:  b.outliers.State(now, &worker.outlierStats, worker.Zone, latencyRatio),
+			Worker:       worker.Worker,
+			Zone:         worker.Zone,
+			LatencyRatio: latencyRatio,
+			Silent:       silent,
+			State:        b.outliers.State(now, &worker.outlierStats, worker.Zone, latencyRatio),
 		}
 		if health.Silent && health.Status == outlier.StatusHealthy {
 			health.Status = outlier.StatusEjected
--- a/balancer/lease.go
+++ b/balancer/lease.go
@@ -68,10 +68,10 @@
 	return leaseState{keeper: keeper, unseenCheckTokens: maxUnseenCheckTokens}
 }
 
-// updatePrecaution updates the policy for checks of unseen workers after a list change. With
+// updateUnseenCheckPolicy updates the policy for checks of unseen workers after a list change. With
 // many dispatchers, a call mostly goes to a worker that its dispatcher has not verified for a
 // while: without a shared watch, a check before each call would cost too much.
-func (b *Balancer) updatePrecaution() {
+func (b *Balancer) updateUnseenCheckPolicy() {
 	few := b.fleetFactor() <= 1
 	switch {
 	case !b.settings.HealthChecks:
@@ -83,8 +83,8 @@
 	}
 }
 
-// earn adds one request's share to the budget for checks of unseen workers.
-func (l *leaseState) earn() {
+// accrueUnseenChecks adds one request's share to the budget for checks of unseen workers.
+func (l *leaseState) accrueUnseenChecks() {
 	l.unseenCheckTokens = min(l.unseenCheckTokens+unseenChecksPerCall, maxUnseenCheckTokens)
 }
 
@@ -160,10 +160,10 @@
 	return b.leases.keeper.End(b.now, &worker.lease)
 }
 
-// ListTerms returns when the next heartbeat of discovery is overdue, and the time until which
+// ListExpiry returns when the next heartbeat of discovery is overdue, and the time until which
 // the endpoint list counts as current, in nanoseconds of the event clock; currentUntil is 0 if
 // it is not current.
-func (b *Balancer) ListTerms() (heartbeatUntil, currentUntil int64) {
+func (b *Balancer) ListExpiry() (heartbeatUntil, currentUntil int64) {
 	return b.leases.keeper.HeartbeatUntil(), b.leases.keeper.CurrentUntil()
 }
 
--- a/balancer/leasecheck.go
+++ b/balancer/leasecheck.go
@@ -97,7 +97,7 @@
 // recordRejection records that a worker rejected a call sent at sentAt.
 func (b *Balancer) recordRejection(now, sentAt int64, worker *workerState) {
 	if !b.shouldCheckRejection(now) {
-		b.leases.keeper.NoteRejection(now, sentAt, &worker.lease)
+		b.leases.keeper.RecordRejectionWithoutCheck(now, sentAt, &worker.lease)
 		return
 	}
 	b.leases.keeper.RecordRejection(now, sentAt, &worker.lease)
@@ -108,7 +108,7 @@
 // later than the probation.
 func (b *Balancer) readmit(now int64, worker *workerState, startedAt int64) {
 	worker.Start = startedAt
-	worker.beginAnew()
+	worker.resetProcessState()
 	b.slowStart.track(now, worker)
 	b.logf(now, "worker %d readmitted, as just started", worker.Worker)
 }
--- a/balancer/load.go
+++ b/balancer/load.go
@@ -93,9 +93,9 @@
 	return 1 + decayed(worker.latencyRatio-1, now-worker.latencyRatioAt, float64(b.callRateWindow()))
 }
 
-// observePace updates the latency ratio of a worker from the response time of a loaded
+// observeLatencyRatio updates the latency ratio of a worker from the response time of a loaded
 // copy and the mean over all workers, both in nanoseconds.
-func (w *workerState) observePace(now int64, responseTime, mean float64) {
+func (w *workerState) observeLatencyRatio(now int64, responseTime, mean float64) {
 	ratio := min(max(responseTime/max(mean, 1), 1), maxLatencyRatio)
 	w.latencyRatio += latencyRatioWeight * (ratio - w.latencyRatio)
 	w.latencyRatioAt = now
--- a/balancer/queuetime.go
+++ b/balancer/queuetime.go
@@ -21,11 +21,11 @@
 	return latency{initialLatencyShare * objective, initialLatencyShare / 2 * objective}
 }
 
-// expectedQueueTime returns the expected response time, in nanoseconds, of calls at loaded copies,
+// expectedResponseTime returns the expected response time, in nanoseconds, of calls at loaded copies,
 // by Little's law: calls in flight divided by the completion rate. It is computed for this
 // dispatcher and, if there is a recent digest, for all dispatchers; the larger value is returned.
 // Calls that wait for a load are not counted.
-func (b *Balancer) expectedQueueTime(now int64) float64 {
+func (b *Balancer) expectedResponseTime(now int64) float64 {
 	usual := b.usualResponseTime()
 	own := (b.queuedCalls(now) + waitPriorCalls) / (b.completionRate(now) + waitPriorCalls/usual)
 	completions := b.fleetSum(completionsColumn)
--- a/balancer/result.go
+++ b/balancer/result.go
@@ -175,7 +175,7 @@
 		b.loads.observe(attempt.holder.function, max(0, responseTime-usual.mean))
 	case AwaitedLoad:
 	default: // a loaded copy, or not reported
-		attempt.worker.observePace(now, responseTime, usual.mean)
+		attempt.worker.observeLatencyRatio(now, responseTime, usual.mean)
 		usual.observe(responseTime, latencyWeight)
 		attempt.holder.lastWarmHitAt = now
 	}
--- a/balancer/worker.go
+++ b/balancer/worker.go
@@ -107,8 +107,8 @@
 	w.recentFailures = recent
 }
 
-// beginAnew discards what was learned of a process after another one has replaced it.
-func (w *workerState) beginAnew() {
+// resetProcessState discards what was learned of a process after another one has replaced it.
+func (w *workerState) resetProcessState() {
 	w.forgetCopies()
 	w.slowStartSlot = 0
 	w.outlierStats.Reset()
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -43,10 +43,10 @@
 
 // command returns the root command with all experiments.
 func command() *cobra.Command {
-	root := cli.Group("testbed", "The laboratory: experiments on loopback that set our ways beside baselines")
+	root := cli.NewGroup("testbed", "The laboratory: experiments on loopback that set our ways beside baselines")
 	root.SilenceErrors, root.SilenceUsage = true, true
 	root.CompletionOptions.HiddenDefaultCmd = true
-	run := cli.Group("run", "Run an experiment; ends 0 only if all its bounds hold")
+	run := cli.NewGroup("run", "Run an experiment; ends 0 only if all its bounds hold")
 	for _, e := range lab.Experiments() {
 		run.AddCommand(experiment(e))
 	}
@@ -147,7 +147,7 @@
 			if err != nil {
 				return err
 			}
-			o.File, o.Webhooks = f, f.Webhooks
+			o.ConfigFile, o.Webhooks = f, f.Webhooks
 		}
 		if *faults != "" {
 			plan, err := fault.Read(*faults)
@@ -159,7 +159,7 @@
 			}
 			o.Strict = true
 		}
-		o.Log = slog.New(o.File.Handler(io.Writer(os.Stderr)))
+		o.Log = slog.New(o.ConfigFile.Handler(io.Writer(os.Stderr)))
 		return daemon.Run(c.Context(), o)
 	}
 	return c
--- a/endpoints.go
+++ b/endpoints.go
@@ -60,7 +60,7 @@
 		now := c.now()
 		c.state.balancer.ConfirmEndpoints(now)
 		c.confirmedAt.Store(now)
-		heartbeatUntil, currentUntil := c.state.balancer.ListTerms()
+		heartbeatUntil, currentUntil := c.state.balancer.ListExpiry()
 		c.heartbeatUntil.Store(heartbeatUntil)
 		c.currentUntil.Store(currentUntil)
 	})
--- a/internal/adminapi/counters.go
+++ b/internal/adminapi/counters.go
@@ -38,7 +38,7 @@
 		counters.Attempts, counters.Ejected = s.lastCounters.Attempts, s.lastCounters.Ejected
 	}
 	s.lastCounters = counters
-	members, unavailable := s.state.CountMembers(counters.Ejected)
+	members, unavailable := s.state.CountWorkers(counters.Ejected)
 	s.mu.Unlock()
 
 	var text strings.Builder
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -118,9 +118,9 @@
 	}
 }
 
-// Group returns a command that only groups subcommands. When run without a subcommand, it prints its
+// NewGroup returns a command that only groups subcommands. When run without a subcommand, it prints its
 // help and returns a usage error.
-func Group(use, short string) *cobra.Command {
+func NewGroup(use, short string) *cobra.Command {
 	return &cobra.Command{
 		Use:   use,
 		Short: short,
--- a/internal/cli/configcheck.go
+++ b/internal/cli/configcheck.go
@@ -11,7 +11,7 @@
 
 // newConfigCommand returns the commands for the dispatcher's configuration file.
 func newConfigCommand() *cobra.Command {
-	group := Group("config", "Inspect the dispatcher's configuration file")
+	group := NewGroup("config", "Inspect the dispatcher's configuration file")
 	group.AddCommand(&cobra.Command{
 		Use:   "check FILE",
 		Short: "Check a configuration file and show what it turns on",
--- a/internal/cli/endpoints.go
+++ b/internal/cli/endpoints.go
@@ -16,7 +16,7 @@
 // name. Those that read the file also work while a dispatcher has it open; import and forget do
 // not.
 func newEndpointsCommand(name string) *cobra.Command {
-	group := Group(name, "Inspect or change the file of a cached endpoint list")
+	group := NewGroup(name, "Inspect or change the file of a cached endpoint list")
 	group.AddCommand(
 		newEndpointsShowCommand(),
 		newEndpointsVerifyCommand(),
--- a/internal/cli/health.go
+++ b/internal/cli/health.go
@@ -28,7 +28,7 @@
 // newHealthCommand returns the command that shows the health of workers as a running dispatcher
 // sees it, under the given name.
 func newHealthCommand(name string, getenv func(string) string) *cobra.Command {
-	group := Group(name, "Show the health of workers as a running dispatcher sees it, and why")
+	group := NewGroup(name, "Show the health of workers as a running dispatcher sees it, and why")
 	var options healthOptions
 	show := &cobra.Command{
 		Use:   "show",
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -33,10 +33,10 @@
 		Getenv: env.Getenv, ReloadSignals: env.ReloadSignals, Log: env.Log, SharedProcess: env.SharedProcess,
 	}
 	if configPath != "" {
-		if options.File, err = config.Read(configPath); err != nil {
+		if options.ConfigFile, err = config.Read(configPath); err != nil {
 			return options, err
 		}
-		options.Webhooks = options.File.Webhooks
+		options.Webhooks = options.ConfigFile.Webhooks
 	}
 	if webhooksPath != "" {
 		if options.Webhooks != nil {
@@ -47,7 +47,7 @@
 		}
 	}
 	if options.Log == nil {
-		options.Log = slog.New(options.File.Handler(env.Err))
+		options.Log = slog.New(options.ConfigFile.Handler(env.Err))
 	}
 	return options, nil
 }
--- a/internal/daemon/consoledata.go
+++ b/internal/daemon/admindata.go
@@ -69,7 +69,7 @@
 		Evidence:        worker.Reason,
 		RecentSuccesses: worker.RecentServed,
 		FailureFraction: worker.FailureRate,
-		LatencyRatio:    worker.Pace,
+		LatencyRatio:    worker.LatencyRatio,
 		Observers:       [2]int{int(worker.Gossip.Served), int(worker.Gossip.Failed)},
 		GossipAgeMS:     -1,
 		NextCheckInMS:   time.Duration(worker.NextTrialIn).Milliseconds(),
--- a/internal/daemon/build.go
+++ b/internal/daemon/build.go
@@ -20,7 +20,7 @@
 	}
 	d.violations = &violation.Recorder{Log: d.log, Strict: d.options.Strict}
 	d.buildAdminAPI()
-	if d.options.File != nil && d.options.File.EndpointCache != nil {
+	if d.options.ConfigFile != nil && d.options.ConfigFile.EndpointCache != nil {
 		d.endpointCache = d.newEndpointCache()
 	}
 	return d.buildCore()
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -29,7 +29,7 @@
 // Options configure a daemon.
 type Options struct {
 	Getenv          func(string) string // environment, which names the platform's configuration
-	File            *config.File        // the dispatcher's configuration file; nil if there is none
+	ConfigFile      *config.File        // the dispatcher's configuration file; nil if there is none
 	Webhooks        *webhook.Options    // nil starts no webhook server
 	ReloadSignals   <-chan os.Signal    // each value reloads the configuration
 	Log             *slog.Logger
@@ -107,7 +107,7 @@
 		http2Ended:    make(chan error, 1),
 	}
 	d.settings.MaxInFlight = d.sockets.maxRequests
-	if cfg.Channel != "" || options.File != nil && options.File.EndpointCache != nil {
+	if cfg.Channel != "" || options.ConfigFile != nil && options.ConfigFile.EndpointCache != nil {
 		d.settings.ConfirmInterval = int64(platform.HeartbeatInterval)
 		d.settings.EndpointUpdateDelay = int64(platform.EndpointUpdateDelay)
 	}
--- a/internal/daemon/endpointcache.go
+++ b/internal/daemon/endpointcache.go
@@ -12,7 +12,7 @@
 // newEndpointCache opens the endpoint cache that the configuration file asks for, and applies the
 // endpoints of the platform's configuration unless the cached list is newer.
 func (d *daemon) newEndpointCache() *endpointcache.Syncer {
-	list := d.options.File.EndpointCache
+	list := d.options.ConfigFile.EndpointCache
 	settings := d.cfg.Settings.BalancerSettings()
 	dispatchers := list.Dispatchers
 	if dispatchers <= 0 {
--- a/internal/daemon/sockets.go
+++ b/internal/daemon/sockets.go
@@ -31,7 +31,7 @@
 	if options.Webhooks != nil {
 		others += webhook.MaxConns + webhook.MaxDeliveryConns
 	}
-	if http2 := http2Options(options.File); http2 != nil {
+	if http2 := http2Options(options.ConfigFile); http2 != nil {
 		others += http2.MaxConns() + 1 // its listener
 	}
 	return socketBudget{
--- a/internal/daemon/start.go
+++ b/internal/daemon/start.go
@@ -51,7 +51,7 @@
 		go func() { _ = d.watcher.Follow(d.background, feed) }()
 		return
 	}
-	addrs := d.options.File.EndpointCache.Discovery
+	addrs := d.options.ConfigFile.EndpointCache.Discovery
 	if len(addrs) == 0 && d.cfg.Channel != "" {
 		addrs = []string{d.cfg.Channel}
 	}
@@ -87,7 +87,7 @@
 // startHTTP2 starts the HTTP/2 server, if the configuration file turns it on. Its result is sent to
 // d.http2Ended.
 func (d *daemon) startHTTP2(ctx context.Context) error {
-	options := http2Options(d.options.File)
+	options := http2Options(d.options.ConfigFile)
 	if options == nil {
 		d.http2Ended <- nil
 		return nil
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -232,9 +232,9 @@
 	return changed
 }
 
-// Listed applies a list entry for a worker. If the worker restarted or was not active before,
+// ApplyListEntry applies a list entry for a worker. If the worker restarted or was not active before,
 // its lease is reset: discovery then knows more than the worker's earlier reports.
-func (k *Keeper) Listed(l *Lease, active, restarted bool) {
+func (k *Keeper) ApplyListEntry(l *Lease, active, restarted bool) {
 	if active && (restarted || !l.listedActive) {
 		*l = Lease{checking: l.checking, checkSentAt: l.checkSentAt}
 	}
@@ -351,7 +351,7 @@
 // A health check tells which; it is scheduled after rejectionCheckDelay and before the end of
 // the grace, and is dropped if the worker accepts a later call first.
 func (k *Keeper) RecordRejection(now, sentAt int64, l *Lease) {
-	k.NoteRejection(now, sentAt, l)
+	k.RecordRejectionWithoutCheck(now, sentAt, l)
 	if l.drainingSince > 0 {
 		return
 	}
@@ -363,11 +363,11 @@
 // VerifiedAt returns when a worker was last verified to accept work; 0 if it never was.
 func (k *Keeper) VerifiedAt(l *Lease) int64 { return l.verifiedAt }
 
-// NoteRejection records that a worker rejected a call sent at sentAt, and leaves the health
+// RecordRejectionWithoutCheck records that a worker rejected a call sent at sentAt, and leaves the health
 // check to peers. After the grace, this dispatcher uses the worker again only after a check of
 // its own, after an accepted call, or once peers would have reported a drain. The grace begins
 // with the first rejected call: the worker may have been draining when it arrived.
-func (k *Keeper) NoteRejection(now, sentAt int64, l *Lease) {
+func (k *Keeper) RecordRejectionWithoutCheck(now, sentAt int64, l *Lease) {
 	l.rejectedAt = now
 	if !k.rejectionUnresolved(l) {
 		l.rejectedSince, l.graceEnd = now, sentAt+k.settings.Grace-graceMargin
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -23,7 +23,7 @@
 // confirmedKeeper returns a keeper whose list was confirmed at a time, and an active worker.
 func confirmedKeeper(settings Settings, at int64) (*Keeper, *Lease) {
 	keeper, worker := New(settings), &Lease{}
-	keeper.Listed(worker, true, true)
+	keeper.ApplyListEntry(worker, true, true)
 	keeper.Confirm(at)
 	return keeper, worker
 }
@@ -75,7 +75,7 @@
 func TestOutdatedList(t *testing.T) {
 	keeper, worker := confirmedKeeper(platformSettings(), 10*second)
 	other := &Lease{}
-	keeper.Listed(other, true, true)
+	keeper.ApplyListEntry(other, true, true)
 	check(keeper, 10*second, worker, CheckRejected)
 	check(keeper, 10*second, worker, CheckRejected)
 	assert.True(t, keeper.ContradictsList(worker))
@@ -132,7 +132,7 @@
 	assert.Equal(t, BeganProbation, check(keeper, 11*second+100*ms, worker, CheckPassed))
 	keeper.Confirm(12 * second)
 	assert.Equal(t, Probation, keeper.Status(12*second, worker), "a heartbeat carries no entry for it")
-	keeper.Listed(worker, true, true)
+	keeper.ApplyListEntry(worker, true, true)
 	assert.Equal(t, Unseen, keeper.Status(12*second, worker))
 }
 
@@ -164,7 +164,7 @@
 
 	keeper, worker = drainingWorker()
 	check(keeper, 20*second, worker, CheckPassed)
-	keeper.Listed(worker, true, true)
+	keeper.ApplyListEntry(worker, true, true)
 	assert.Equal(t, Expired, keeper.Status(21*second, worker), "discovery is back")
 }
 
@@ -187,13 +187,13 @@
 // A list entry overrides a worker's own report of draining only if it carries new information.
 func TestListEntryOverridesDraining(t *testing.T) {
 	keeper, worker := drainingWorker()
-	keeper.Listed(worker, true, false)
+	keeper.ApplyListEntry(worker, true, false)
 	assert.Equal(t, Draining, keeper.Status(13*second, worker), "the same entry again")
-	keeper.Listed(worker, true, true)
+	keeper.ApplyListEntry(worker, true, true)
 	assert.NotEqual(t, Draining, keeper.Status(13*second, worker), "it restarted")
 	keeper, worker = drainingWorker()
-	keeper.Listed(worker, false, false)
-	keeper.Listed(worker, true, false)
+	keeper.ApplyListEntry(worker, false, false)
+	keeper.ApplyListEntry(worker, true, false)
 	assert.NotEqual(t, Draining, keeper.Status(13*second, worker), "it drained, and is active again")
 }
 
--- a/lease/report_test.go
+++ b/lease/report_test.go
@@ -56,14 +56,14 @@
 	keeper, worker := confirmedKeeper(platformSettings(), 10*second)
 	keeper.SetPeerCoverage(9 * second)
 	check(keeper, 9*second, worker, CheckPassed)
-	keeper.NoteRejection(10*second, 10*second, worker)
+	keeper.RecordRejectionWithoutCheck(10*second, 10*second, worker)
 	assert.False(t, keeper.CheckDue(10*second, worker, second))
 	assert.Equal(t, Valid, keeper.Status(10*second+900*ms, worker))
 	assert.Equal(t, Expired, keeper.Status(10*second+901*ms, worker))
 	check(keeper, 11*second, worker, CheckPassed)
 	assert.Equal(t, Valid, keeper.Status(11*second, worker))
 	for at := 11*second + 1; at < 12*second; at += 100 * ms {
-		keeper.NoteRejection(at, at, worker)
+		keeper.RecordRejectionWithoutCheck(at, at, worker)
 	}
 	assert.Equal(t, Valid, keeper.Status(11*second+900*ms, worker))
 	assert.Equal(t, Expired, keeper.Status(11*second+902*ms, worker), "the grace counts from the first rejection")
