--- a/balancer/fleetwatch_test.go
+++ b/balancer/fleetwatch_test.go
@@ -255,7 +255,7 @@
 	}
 }
 
-// assertNoLateCalls runs a fleet and checks that no call was late and at least 97 % were served.
+// assertNoLateCalls runs a fleet and checks that no call was late and more than 97 % were served.
 func assertNoLateCalls(t *testing.T, spec fleetSpec) {
 	t.Helper()
 	t.Parallel()
