--- a/internal/mutant/off.go
+++ b/internal/mutant/off.go
@@ -2,5 +2,5 @@
 
 package mutant
 
-// On reports whether a fault is planted: none is.
+// On always returns false: no fault is injected without the tag mutants.
 func On(Name) bool { return false }
--- a/internal/mutant/on.go
+++ b/internal/mutant/on.go
@@ -4,11 +4,11 @@
 
 import "os"
 
-// variable is the environment variable that names the planted fault.
+// variable is the environment variable that selects the fault.
 const variable = "OAKTHREAD_MUTANT"
 
-// planted is the fault that this process has.
-var planted = Name(os.Getenv(variable))
+// injected is the fault selected for this process, empty for none.
+var injected = Name(os.Getenv(variable))
 
-// On reports whether a fault is planted.
-func On(n Name) bool { return n == planted }
+// On reports whether a fault is injected into this process.
+func On(n Name) bool { return n == injected }
