--- a/internal/violation/violation.go
+++ b/internal/violation/violation.go
@@ -1,6 +1,6 @@
-// Package violation counts violations of the rules in docs/design/invariants.md that can be noticed
-// only afterwards. None is expected, so each is logged with what is known of it, once a second at
-// the most; in the test laboratory it ends the process.
+// Package violation counts violations of the rules in docs/design/invariants.md that can be
+// detected only after the fact. None is expected, so they are logged with their details, at most
+// one line per second. In strict mode, which is meant for tests, a violation ends the process.
 package violation
 
 import (
@@ -16,50 +16,50 @@
 // Rule is the id of a rule in docs/design/invariants.md.
 type Rule string
 
-// Rules whose violation can be noticed by the process itself.
+// Rules whose violation the process itself can detect.
 const (
-	RuleAnswered             Rule = "I1" // a request that was accepted gets its answer
-	RuleAtMostOnce           Rule = "I4" // a call that must not run twice does not
+	RuleAnswered             Rule = "I1" // an accepted request is answered
+	RuleAtMostOnce           Rule = "I4" // a call that must not run twice runs at most once
 	RuleRejectionHasNoEffect Rule = "I5" // a rejected call had no effect
 	RuleInTime               Rule = "I2" // a call is answered by its deadline, with half a second of tolerance
 )
 
-// Path is where a violation was noticed.
+// Path is where a violation was detected.
 type Path string
 
 // Paths that check for violations.
 const (
-	PathAccept     Path = "take"   // a call was read in full from a connection that had been closed
-	PathAnswer     Path = "book"   // a call gets its final answer
+	PathAccept     Path = "take"   // a complete call was read from a connection that had been closed
+	PathAnswer     Path = "book"   // a call receives its final answer
 	PathAttemptEnd Path = "landed" // an attempt has ended
-	PathShutdown   Path = "end"    // the front has shut down
+	PathShutdown   Path = "end"    // the server has shut down
 )
 
-// exitCode is that of a process that ends for a violation.
+// exitCode is the exit code of a process that ends because of a violation.
 const exitCode = 3
 
-// Key is what violations are counted by.
+// Key identifies a counter of violations.
 type Key struct {
 	Rule Rule
 	Path Path
 }
 
-// Recorder counts violations. The zero value counts and logs nothing. It is safe for concurrent
+// Recorder counts violations. The zero value counts but does not log. It is safe for concurrent
 // use.
 type Recorder struct {
 	Log    *slog.Logger // nil: nothing is logged
-	Strict bool         // any violation but a late answer ends the process with exit code 3
+	Strict bool         // any violation except a late answer ends the process with exit code 3
 
 	mu     sync.Mutex
 	counts map[Key]int64
 	limit  neterr.LogLimit
 }
 
-// Record records a violation by the call with id requestID, empty where it is none of a call.
+// Record records a violation. requestID is the id of the call, empty if no call is involved.
 func (r *Recorder) Record(rule Rule, path Path, requestID, detail string) {
 	r.count(Key{rule, path})
 	r.log(rule, path, requestID, detail)
-	// A process that was stopped for a while answers late, which is no fault of the program.
+	// A process that was suspended for a while answers late, which is not a bug of the program.
 	if r.Strict && rule != RuleInTime {
 		os.Exit(exitCode)
 	}
@@ -75,7 +75,7 @@
 	r.counts[key]++
 }
 
-// log logs a violation, once a second at the most unless it ends the process.
+// log logs a violation: at most one line per second, but every one in strict mode.
 func (r *Recorder) log(rule Rule, path Path, requestID, detail string) {
 	if r.Log == nil {
 		return
@@ -88,7 +88,7 @@
 		"suppressed", suppressed)
 }
 
-// Counts returns the number of violations so far by rule and path.
+// Counts returns a copy of the number of violations so far, by rule and path.
 func (r *Recorder) Counts() map[Key]int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/violation/violation_test.go
+++ b/internal/violation/violation_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestViolationsAreCountedAndLoggedOnceASecond shows that each violation is counted, and that a
-// flood of them is logged once.
+// TestViolationsAreCountedAndLoggedOnceASecond checks that every violation is counted, and that
+// several within one second write a single log line.
 func TestViolationsAreCountedAndLoggedOnceASecond(t *testing.T) {
 	var log bytes.Buffer
 	r := &Recorder{Log: slog.New(slog.NewTextHandler(&log, nil))}
@@ -22,5 +22,5 @@
 	assert.EqualValues(t, 4, r.Total())
 	assert.Equal(t, 1, bytes.Count(log.Bytes(), []byte("rule violated")))
 	assert.Contains(t, log.String(), "request_id=id1")
-	(&Recorder{}).Record(RuleAtMostOnce, PathAnswer, "", "") // without a log
+	(&Recorder{}).Record(RuleAtMostOnce, PathAnswer, "", "") // no logger
 }
