--- a/internal/httpreply/httpreply.go
+++ b/internal/httpreply/httpreply.go
@@ -1,5 +1,5 @@
-// Package httpreply writes the core's answers as HTTP responses, the same at every front. It holds
-// the table of status codes, which depend on the answer alone, not on the request.
+// Package httpreply writes the core's answers as HTTP responses, in the same way for all HTTP
+// servers of the dispatcher. The status code depends on the answer alone, not on the request.
 package httpreply
 
 import (
@@ -11,7 +11,7 @@
 	"oakthread"
 )
 
-// Status returns the HTTP status code for an answer, or for the error in place of one.
+// Status returns the HTTP status code for an answer, or for err if it is not nil.
 func Status(answer oakthread.Answer, err error) int {
 	switch {
 	case errors.Is(err, oakthread.ErrDuplicate):
@@ -28,8 +28,8 @@
 	return http.StatusOK
 }
 
-// Write writes an answer, its body unchanged. A rejection has a Retry-After header where the core
-// knows a wait.
+// Write writes an answer with its body unchanged. A rejection gets a Retry-After header if the core
+// advises a delay.
 func Write(w http.ResponseWriter, answer oakthread.Answer, err error) {
 	if err == nil && answer.Outcome == oakthread.Rejected {
 		SetRetryAfter(w.Header(), answer.RetryAfter)
@@ -37,11 +37,11 @@
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set("Content-Length", strconv.Itoa(len(answer.Body)))
 	w.WriteHeader(Status(answer, err))
-	_, _ = w.Write(answer.Body) // fails where the client has left, which is owed no answer
+	_, _ = w.Write(answer.Body) // an error means that the client has disconnected
 }
 
-// SetRetryAfter sets Retry-After (RFC 9110, section 10.2.3), rounded up to seconds, where a wait is
-// advised.
+// SetRetryAfter sets Retry-After (RFC 9110, section 10.2.3) to wait, rounded up to seconds. It sets
+// nothing if wait is not positive.
 func SetRetryAfter(header http.Header, wait time.Duration) {
 	if wait <= 0 {
 		return
--- a/internal/httpreply/httpreply_test.go
+++ b/internal/httpreply/httpreply_test.go
@@ -11,7 +11,7 @@
 	"oakthread"
 )
 
-// TestAnswersAsHTTP pins the status code, the body and Retry-After of each kind of answer.
+// TestAnswersAsHTTP checks the status code, the body and Retry-After of each kind of answer.
 func TestAnswersAsHTTP(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -23,7 +23,7 @@
 		{"served", oakthread.Answer{Outcome: oakthread.Served, Body: []byte("result")}, nil, http.StatusOK, ""},
 		{"rejected", oakthread.Answer{Outcome: oakthread.Rejected}, nil, http.StatusServiceUnavailable, ""},
 		{
-			"rejected with a wait",
+			"rejected with a delay",
 			oakthread.Answer{Outcome: oakthread.Rejected, RetryAfter: 1001 * time.Millisecond},
 			nil, http.StatusServiceUnavailable, "2",
 		},
