--- a/internal/neterr/backoff.go
+++ b/internal/neterr/backoff.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Default bounds of a Backoff. Clients' requests wait in the backlog of a listener meanwhile, some
-// with little time left: ten failed accepts a second cost next to nothing, while a wait of a second
-// was seen to cost a request its answer.
+// Default bounds of a Backoff. During the delay, clients' requests wait in the backlog of the
+// listener, some with little time left: ten failed accepts per second cost next to nothing, while a
+// delay of 1 s was seen to leave a request unanswered.
 const (
 	defaultMin = 5 * time.Millisecond
 	defaultMax = 100 * time.Millisecond
 )
 
-// Backoff is an exponential backoff: the wait doubles with each failure in a row. The zero value
-// waits from 5 ms to 100 ms. It is not safe for concurrent use.
+// Backoff is an exponential backoff: the delay doubles with each consecutive failure. The zero
+// value gives delays from 5 ms to 100 ms. It is not safe for concurrent use.
 type Backoff struct {
-	Min, Max time.Duration // bounds of the wait; zero: the defaults
+	Min, Max time.Duration // bounds of the delay; zero: the defaults
 	last     time.Duration // 0: no failure since the last success
 }
 
-// Next returns the wait after a further failure.
+// Next records a failure and returns the delay before the next try.
 func (b *Backoff) Next() time.Duration {
 	shortest, longest := b.Min, b.Max
 	if shortest <= 0 {
@@ -30,5 +30,5 @@
 	return b.last
 }
 
-// Reset records a success.
+// Reset records a success: the next delay is the shortest one.
 func (b *Backoff) Reset() { b.last = 0 }
--- a/internal/neterr/conn.go
+++ b/internal/neterr/conn.go
@@ -7,16 +7,16 @@
 	"oakthread/internal/mutant"
 )
 
-// Shortages on an open connection pass within milliseconds; after these retries in a row the call
-// fails.
+// Resource shortages on an open connection pass within milliseconds. After maxIORetries consecutive
+// retries without progress the call fails.
 const (
 	maxIORetries = 8
 	minIOWait    = time.Millisecond
 	maxIOWait    = 50 * time.Millisecond
 )
 
-// Read reads from conn like conn.Read, and retries where a shortage or an interruption prevented
-// it.
+// Read reads from conn like conn.Read, and retries if a resource shortage or an interrupted system
+// call prevented it.
 func Read(conn net.Conn, b []byte) (n int, err error) {
 	backoff := Backoff{Min: minIOWait, Max: maxIOWait}
 	for retries := 0; ; retries++ {
@@ -28,8 +28,8 @@
 	}
 }
 
-// Write writes all of b to conn. It continues behind what was written where a shortage or an
-// interruption cut the write short.
+// Write writes all of b to conn. If a resource shortage or an interrupted system call cut a write
+// short, it continues after the bytes written. It returns the number of bytes written.
 func Write(conn net.Conn, b []byte) (n int, err error) {
 	backoff := Backoff{Min: minIOWait, Max: maxIOWait}
 	for retries := 0; ; {
@@ -51,6 +51,6 @@
 	}
 }
 
-// mayRetryIO reports whether a read or write that failed with err may be repeated on the same
+// mayRetryIO reports whether a read or write that failed with err may be retried on the same
 // connection.
 func mayRetryIO(err error) bool { return IsLocal(err) && !mutant.On(mutant.TransferEnds) }
--- a/internal/neterr/listener.go
+++ b/internal/neterr/listener.go
@@ -9,7 +9,7 @@
 )
 
 // Listener is a net.Listener whose Accept retries after temporary errors, with a bounded backoff.
-// net/http ends its server on most of them.
+// net/http stops its server on most of these errors.
 type Listener struct {
 	net.Listener
 	log       *slog.Logger
@@ -24,8 +24,7 @@
 	return &Listener{Listener: ln, log: log, closed: make(chan struct{})}
 }
 
-// Accept returns the next connection. It fails only where the listener is closed or of no further
-// use.
+// Accept returns the next connection. It fails only if the listener is closed or no longer usable.
 func (l *Listener) Accept() (net.Conn, error) {
 	var backoff Backoff
 	for {
@@ -47,7 +46,7 @@
 	}
 }
 
-// logFailure logs a failed accept that is retried after wait, once a second at the most.
+// logFailure logs a failed accept that is retried after wait, at most one line per second.
 func (l *Listener) logFailure(err error, wait time.Duration) {
 	suppressed, ok := l.limit.Allow(time.Now())
 	if !ok {
@@ -61,7 +60,7 @@
 // Failed returns the number of accepts that failed and were retried.
 func (l *Listener) Failed() int64 { return l.failed.Load() }
 
-// Close closes the listener and ends an Accept that waits.
+// Close closes the listener and makes a blocked Accept return.
 func (l *Listener) Close() error {
 	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
--- a/internal/neterr/neterr.go
+++ b/internal/neterr/neterr.go
@@ -1,6 +1,7 @@
-// Package neterr classifies errors of a socket's system calls: as temporary, as a lack of resources
-// of this process or machine, as concerning one connection, or as a socket that is of no further
-// use. All that accept, dial, read and write ask it, so that they treat an error alike.
+// Package neterr classifies errors of socket system calls: as temporary, as a lack of resources of
+// this process or machine, as an error of one connection, or as a socket that is no longer usable.
+// Code that accepts, dials, reads or writes uses it, so that an error is handled the same way
+// everywhere.
 //
 // The classes follow accept(2), connect(2), socket(2), send(2), recv(2) and tcp(7) of the Linux
 // manual pages.
@@ -16,28 +17,28 @@
 	"oakthread/internal/mutant"
 )
 
-// Kind is what an error is about.
+// Kind is the class of an error.
 type Kind int
 
 const (
-	// Unknown is an error that the manual pages do not name. It is treated as concerning the one
+	// Unknown is an error that the manual pages do not list. It is treated as an error of one
 	// connection.
 	Unknown Kind = iota
-	// Interrupted is a call that did nothing and may be repeated at once.
+	// Interrupted is a call that did nothing and may be retried at once.
 	Interrupted
 	// Shortage is a lack of resources of this process or machine: descriptors, memory, buffers,
-	// ports, a route, or the right to use them. It says nothing of the other side, and it is
+	// ports, a route, or permission to use them. It says nothing about the peer, and it is
 	// temporary.
 	Shortage
-	// Connection is an error of one connection or of the other side.
+	// Connection is an error of one connection or of its peer.
 	Connection
-	// Timeout is a deadline that has passed.
+	// Timeout is an expired deadline.
 	Timeout
-	// Closed is a socket that is closed, or none: repeating the call is of no use.
+	// Closed is a descriptor that is closed or not a socket: retrying the call is of no use.
 	Closed
 )
 
-// String returns the kind as logs show it.
+// String returns the kind as it appears in logs.
 func (k Kind) String() string {
 	switch k {
 	case Unknown:
@@ -56,10 +57,10 @@
 	return fmt.Sprintf("Kind(%d)", int(k))
 }
 
-// kinds is what each error of a system call is about; any other is Unknown.
+// kinds maps error numbers of system calls to their kind; any other is Unknown.
 var kinds = map[syscall.Errno]Kind{
 	syscall.EINTR:  Interrupted,
-	syscall.EAGAIN: Interrupted, // of connect(2) also a lack of local ports or routing cache, which is temporary too
+	syscall.EAGAIN: Interrupted, // from connect(2) also a lack of local ports or routing cache, temporary as well
 
 	syscall.EMFILE:        Shortage,
 	syscall.ENFILE:        Shortage,
@@ -92,7 +93,7 @@
 	syscall.EFAULT:   Closed,
 }
 
-// Classify returns what err is about; Unknown for nil.
+// Classify returns the kind of err, Unknown for nil.
 func Classify(err error) Kind {
 	if errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrClosed) {
 		return Closed
@@ -107,15 +108,14 @@
 	return Unknown
 }
 
-// EndsListener reports whether an accept that failed with err shows that the listener is of no
-// further use. Any other error is temporary, or concerns the one connection that was to be
-// accepted.
+// EndsListener reports whether an accept that failed with err shows that the listener is no longer
+// usable. Any other error is temporary or concerns only the connection that was to be accepted.
 func EndsListener(err error) bool {
 	return Classify(err) == Closed || mutant.On(mutant.AcceptEnds)
 }
 
-// IsLocal reports whether an error is caused by this process or machine alone, so that it proves
-// nothing of the other side.
+// IsLocal reports whether an error is caused by this process or machine alone, so that it says
+// nothing about the peer.
 func IsLocal(err error) bool {
 	kind := Classify(err)
 	return kind == Shortage || kind == Interrupted
--- a/internal/neterr/neterr_test.go
+++ b/internal/neterr/neterr_test.go
@@ -75,13 +75,13 @@
 	return l.Listener.Accept()
 }
 
-// TestListenerRetriesAccept shows that temporary errors do not end a listener, that they are logged
-// once a second, and that Close ends an Accept.
+// TestListenerRetriesAccept checks that temporary errors do not stop a listener, that they write at
+// most one log line per second, and that Accept fails after Close.
 func TestListenerRetriesAccept(t *testing.T) {
 	in, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	var log bytes.Buffer
-	errs := []error{syscall.ENOBUFS, syscall.EPROTO, errors.New("not a system call's")}
+	errs := []error{syscall.ENOBUFS, syscall.EPROTO, errors.New("not from a system call")}
 	l := NewListener(&scriptedListener{Listener: in, errs: errs}, slog.New(slog.NewTextHandler(&log, nil)))
 	out, err := net.Dial("tcp", in.Addr().String())
 	require.NoError(t, err)
@@ -90,14 +90,14 @@
 	require.NoError(t, err)
 	require.NoError(t, c.Close())
 	assert.EqualValues(t, 3, l.Failed())
-	assert.Equal(t, 1, bytes.Count(log.Bytes(), []byte("accept failed")), "one line a second")
+	assert.Equal(t, 1, bytes.Count(log.Bytes(), []byte("accept failed")), "one line per second")
 	ended := make(chan error, 1)
 	go func() { _, err := l.Accept(); ended <- err }()
 	require.NoError(t, l.Close())
 	require.ErrorIs(t, <-ended, net.ErrClosed)
 }
 
-// TestCloseEndsWaitingAccept shows that Close ends an Accept that waits for its next retry.
+// TestCloseEndsWaitingAccept checks that Close ends an Accept that is waiting for its next retry.
 func TestCloseEndsWaitingAccept(t *testing.T) {
 	in, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -114,7 +114,7 @@
 	require.ErrorIs(t, <-ended, net.ErrClosed)
 }
 
-// flakyConn fails every other call with a shortage, after one byte of each write.
+// flakyConn fails every other call with err. A write that fails has written one byte.
 type flakyConn struct {
 	net.Conn
 	calls int
@@ -137,8 +137,8 @@
 	return c.got.Write(b)
 }
 
-// TestReadAndWriteRetry shows that shortages and interruptions end neither a read nor a write, and
-// that an error of the connection does.
+// TestReadAndWriteRetry checks that reads and writes are retried after resource shortages and
+// interruptions, and that a connection error makes a write fail.
 func TestReadAndWriteRetry(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EINTR, syscall.ENOBUFS, syscall.ENOMEM} {
 		c := &flakyConn{err: fmt.Errorf("write: %w", errno)}
@@ -153,12 +153,12 @@
 	}
 	c := &flakyConn{err: syscall.ECONNRESET}
 	_, err := Write(c, []byte("answer"))
-	require.ErrorIs(t, err, syscall.ECONNRESET, "an error of the connection ends the write")
+	require.ErrorIs(t, err, syscall.ECONNRESET, "a connection error ends the write")
 	assert.Equal(t, "a", c.got.String())
 }
 
-// TestFailedAcceptsWaitBriefly shows that accepts that fail again and again do not keep a request
-// waiting for long once one works.
+// TestFailedAcceptsWaitBriefly checks that repeated accept failures do not raise the retry delay so
+// far that a client waits for long once accepts succeed again.
 func TestFailedAcceptsWaitBriefly(t *testing.T) {
 	in, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
