--- a/internal/h2/h2.go
+++ b/internal/h2/h2.go
@@ -1,5 +1,5 @@
-// Package h2 serves HTTP/2 without TLS, by prior knowledge (RFC 9113, section 3.3). Requests are read and
-// answered by the same handler as on the platform's port.
+// Package h2 serves HTTP/2 without TLS, with prior knowledge (RFC 9113, section 3.3). The handler
+// is the one that serves the platform's HTTP/1.1 port.
 package h2
 
 import (
@@ -19,25 +19,26 @@
 	defaultConns   = 64
 	defaultStreams = 250
 
-	readTimeout     = 2 * time.Second  // for a connection preface, and for a complete request
-	pingInterval    = 15 * time.Second // without a frame, after which a ping detects a dead connection
+	readTimeout     = 2 * time.Second  // for the head of the connection preface
+	pingInterval    = 15 * time.Second // time without a frame before a PING checks the connection
 	pingTimeout     = 5 * time.Second
-	writeTimeout    = 5 * time.Second // a client that accepts no byte for this long loses its connection
+	writeTimeout    = 5 * time.Second // without a byte written, the connection is closed
 	connIdleTimeout = time.Minute
 
 	maxHeaderBytes = 16 << 10
-	// receiveWindowBytes limits the bytes of requests in transit on one connection.
+	// receiveWindowBytes is the flow-control window for request bytes, per stream and per
+	// connection.
 	receiveWindowBytes = 64 << 10
 )
 
-// Options are the operator's [http2] section.
+// Options are the [http2] section of the configuration.
 type Options struct {
 	Listen  string
 	Conns   int // limit on open connections; 0: 64
 	Streams int // limit on concurrent streams of one connection; 0: 250
 }
 
-// MaxConns returns the limit on open connections.
+// MaxConns returns the limit on open connections, the default if none is set.
 func (o Options) MaxConns() int {
 	if o.Conns <= 0 {
 		return defaultConns
@@ -45,7 +46,8 @@
 	return o.Conns
 }
 
-// maxStreams returns the limit on concurrent streams of one connection.
+// maxStreams returns the limit on concurrent streams of one connection, the default if none is
+// set.
 func (o Options) maxStreams() int {
 	if o.Streams <= 0 {
 		return defaultStreams
@@ -55,21 +57,22 @@
 
 // Drain bounds the graceful shutdown of a server.
 type Drain struct {
-	Linger  time.Duration // new streams are accepted for so long after the shutdown began
-	Timeout time.Duration // in which the streams in flight are answered, after GOAWAY
+	Linger  time.Duration // new streams are accepted for this long after the shutdown began
+	Timeout time.Duration // time to answer the streams in flight after GOAWAY
 }
 
-// Serve serves ln until ctx ends. It then drains: it accepts streams for drain.Linger, sends GOAWAY, answers
-// the streams it has accepted within drain.Timeout, and returns nil.
+// Serve serves ln until ctx ends. It then drains: it accepts streams for drain.Linger, sends
+// GOAWAY, answers the accepted streams within drain.Timeout, and returns nil. It returns the error
+// of the listener if that fails first.
 func Serve(
 	ctx context.Context, ln net.Listener, handler http.Handler, options Options, drain Drain, log *slog.Logger,
 ) error {
 	server := newServer(handler, options, log)
 	served := make(chan error, 1)
-	go func() { // ends with the listener, which Shutdown and Close close
+	go func() { // returns once Shutdown or Close has closed the listener
 		served <- server.Serve(netutil.LimitListener(neterr.NewListener(ln, log), options.MaxConns()))
 	}()
-	for _, wait := range []<-chan struct{}{ctx.Done(), after(ctx, drain.Linger)} {
+	for _, wait := range []<-chan struct{}{ctx.Done(), afterDone(ctx, drain.Linger)} {
 		select {
 		case err := <-served:
 			return err
@@ -86,7 +89,7 @@
 	return err
 }
 
-// newServer returns a server that speaks HTTP/2 by prior knowledge only.
+// newServer returns a server that speaks only HTTP/2 with prior knowledge.
 func newServer(handler http.Handler, options Options, log *slog.Logger) *http.Server {
 	protocols := &http.Protocols{}
 	protocols.SetUnencryptedHTTP2(true)
@@ -110,21 +113,22 @@
 	}
 }
 
-// streamWriter writes the response of one stream. It drops the Connection header with which the handler
-// ends an HTTP/1.1 connection behind a malformed request: the other streams are not affected by it.
+// streamWriter writes the response of one stream. It drops the Connection header with which the
+// handler closes an HTTP/1.1 connection after a malformed request: on HTTP/2 the other streams of
+// the connection are not affected.
 type streamWriter struct{ http.ResponseWriter }
 
-// Unwrap returns the writer below, for http.ResponseController.
+// Unwrap returns the wrapped writer, for http.ResponseController.
 func (s streamWriter) Unwrap() http.ResponseWriter { return s.ResponseWriter }
 
-// WriteHeader writes the head of the response.
+// WriteHeader writes the response header without Connection.
 func (s streamWriter) WriteHeader(code int) {
 	s.Header().Del("Connection")
 	s.ResponseWriter.WriteHeader(code)
 }
 
-// after returns a channel that is closed linger after ctx has ended.
-func after(ctx context.Context, linger time.Duration) <-chan struct{} {
+// afterDone returns a channel that is closed linger after ctx has ended.
+func afterDone(ctx context.Context, linger time.Duration) <-chan struct{} {
 	ended := make(chan struct{})
 	context.AfterFunc(ctx, func() { time.AfterFunc(linger, func() { close(ended) }) })
 	return ended
--- a/internal/h2/h2_test.go
+++ b/internal/h2/h2_test.go
@@ -19,7 +19,8 @@
 
 var discardLog = slog.New(slog.DiscardHandler)
 
-// startServer serves a handler. end starts the drain and returns the result of Serve.
+// startServer serves a handler. end starts the drain and returns the channel that gets Serve's
+// result.
 func startServer(t *testing.T, handler http.Handler, options Options) (addr string, end func() <-chan error) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -31,7 +32,7 @@
 	return ln.Addr().String(), func() <-chan error { stop(); return done }
 }
 
-// newClient returns a client that speaks HTTP/2 by prior knowledge.
+// newClient returns a client that speaks HTTP/2 with prior knowledge.
 func newClient() *http.Client {
 	protocols := &http.Protocols{}
 	protocols.SetUnencryptedHTTP2(true)
@@ -48,7 +49,8 @@
 	return resp.StatusCode, nil
 }
 
-// Many streams share a connection. A drain answers all that were accepted after its GOAWAY, and accepts no new one.
+// Many streams share one connection. A drain answers all streams that were accepted before, and
+// accepts no new connection.
 func TestDrainAnswersAcceptedStreams(t *testing.T) {
 	const calls = 40
 	arrived, release, conns := make(chan bool, calls), make(chan bool), make(chan string, calls)
@@ -81,7 +83,7 @@
 		assert.Equal(t, first, <-conns, "one connection")
 	}
 	done := end()
-	for { // until the listener is closed, which Shutdown does first of all
+	for { // until the listener is closed, which is the first step of Shutdown
 		conn, err := net.Dial("tcp", addr)
 		if err != nil {
 			break
@@ -98,10 +100,10 @@
 	}
 	require.NoError(t, <-done)
 	_, err := getStatus(newClient(), "http://"+addr+"/call")
-	require.Error(t, err, "nothing new")
+	require.Error(t, err, "no new request is accepted")
 }
 
-// A reset of a stream cancels its request, while other streams of the connection go on.
+// Resetting a stream cancels its request and does not affect other streams of the connection.
 func TestResetCancelsOnlyItsRequest(t *testing.T) {
 	arrived, cancelled, release := make(chan string, 2), make(chan bool), make(chan bool)
 	addr, end := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -137,7 +139,8 @@
 	require.NoError(t, <-end())
 }
 
-// HTTP/1.1, an upgrade and part of a preface end their connection, and reach no handler.
+// Connections that send HTTP/1.1, an upgrade request or an incomplete preface are closed without
+// reaching the handler.
 func TestOtherProtocolsReachNoHandler(t *testing.T) {
 	seen := make(chan bool, 8)
 	addr, end := startServer(t, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { seen <- true }), Options{})
--- a/internal/h2/streamlimit/decision.go
+++ b/internal/h2/streamlimit/decision.go
@@ -1,34 +1,34 @@
 package streamlimit
 
-// Decision is what becomes of a frame or a connection.
+// Decision is how a frame or a connection is handled.
 type Decision int
 
-// Decisions, in the order of their severity.
+// Decisions, in order of severity.
 const (
 	Allow        Decision = iota
-	RefuseStream          // the stream is reset with REFUSED_STREAM: it was not processed
-	GoAway                // the connection takes no more streams and ends once those open have
-	CloseConn             // the connection ends now
+	RefuseStream          // the stream is reset with REFUSED_STREAM: its request was not processed
+	GoAway                // the connection accepts no more streams and ends after the open ones
+	CloseConn             // the connection is closed immediately
 )
 
-// String returns the decision in words.
+// String returns the decision as text.
 func (d Decision) String() string { return [...]string{"let", "refuse", "go away", "close"}[d] }
 
-// Reason says why a decision was made, for GOAWAY's debug data, logs and counters.
+// Reason is why a decision was made, for GOAWAY debug data, logs and counters.
 type Reason string
 
 // Reasons of decisions other than Allow.
 const (
-	TooManyStreams      Reason = "too many streams open"
-	TooManyTotalStreams Reason = "all places for streams are taken"
-	ResetFlood          Reason = "too many resets"
-	OrphanFlood         Reason = "too much work left behind by resets"
-	ControlFlood        Reason = "too many control frames"
-	SlowReader          Reason = "the reader moves nothing"
-	TooMuchBuffered     Reason = "answers that wait for readers take too much memory"
+	TooManyStreams      Reason = "too many streams on the connection"
+	TooManyTotalStreams Reason = "too many streams on all connections"
+	ResetFlood          Reason = "stream reset rate exceeded"
+	OrphanFlood         Reason = "too many requests running for reset streams"
+	ControlFlood        Reason = "control frame rate exceeded"
+	SlowReader          Reason = "client does not read its responses"
+	TooMuchBuffered     Reason = "too many response bytes buffered"
 	Idle                Reason = "idle"
 	MaxAgeReached       Reason = "old"
-	Draining            Reason = "asked to go away"
+	Draining            Reason = "connection is draining"
 )
 
 // ConnID identifies a connection.
--- a/internal/h2/streamlimit/table.go
+++ b/internal/h2/streamlimit/table.go
@@ -1,11 +1,13 @@
-// Package streamlimit limits what the connections of an HTTP/2 server (RFC 9113) may open, reset, buffer
-// and cost, each and together. A Table is a single-threaded state machine: events go in with their time,
-// decisions come out; it has no clock, goroutine or I/O. It is wired in nowhere yet.
+// Package streamlimit limits the streams, resets, control frames and buffered response bytes of the
+// connections of an HTTP/2 server (RFC 9113), per connection and in total. A Table is a
+// single-threaded state machine: it is given events with their time and returns decisions; it has
+// no clock, goroutine or I/O. No server uses it yet.
 package streamlimit
 
 import "time"
 
-// Table is the state of all connections of a server. Use New.
+// Table is the state of all connections of a server. Use New to create one. It is not safe for
+// concurrent use.
 type Table struct {
 	limits      Limits
 	conns       map[ConnID]*connState
@@ -22,7 +24,7 @@
 // OpenStreams returns the number of streams open on all connections.
 func (t *Table) OpenStreams() int { return t.openStreams }
 
-// BufferedBytes returns the bytes of responses that wait for clients on all connections.
+// BufferedBytes returns the response bytes buffered on all connections.
 func (t *Table) BufferedBytes() int64 { return t.buffered }
 
 // HandleOpen handles a new connection.
@@ -32,7 +34,8 @@
 	}
 }
 
-// HandleClose handles the end of a connection. The server cancels the requests in flight on its streams.
+// HandleClose handles the end of a connection. Cancelling the requests in flight on its streams is
+// up to the server.
 func (t *Table) HandleClose(id ConnID) {
 	if conn := t.conns[id]; conn != nil {
 		t.openStreams -= len(conn.streams)
@@ -41,7 +44,7 @@
 	}
 }
 
-// HandleRequest handles a stream that a client opens.
+// HandleRequest handles a request with which a client opens a stream.
 func (t *Table) HandleRequest(now time.Time, id ConnID, stream StreamID) (Decision, Reason) {
 	conn := t.conns[id]
 	switch {
@@ -60,8 +63,8 @@
 	return Allow, ""
 }
 
-// HandleResponse handles a complete response, of which some bytes now wait for the client. A stream without
-// any ends.
+// HandleResponse handles a complete response, of which the given number of bytes is buffered for
+// the client. If that is 0, the stream ends.
 func (t *Table) HandleResponse(now time.Time, id ConnID, stream StreamID, bytes int64) (Decision, Reason) {
 	conn := t.conns[id]
 	if conn == nil || conn.streams[stream] == nil {
@@ -86,7 +89,8 @@
 	return Allow, ""
 }
 
-// HandleWritten handles bytes of a response that the client has read. The stream ends with the last one.
+// HandleWritten handles bytes of a response that the client has read. The stream ends after the
+// last byte of its response.
 func (t *Table) HandleWritten(now time.Time, id ConnID, stream StreamID, bytes int64) {
 	conn := t.conns[id]
 	if conn == nil || conn.streams[stream] == nil || bytes <= 0 {
@@ -103,8 +107,9 @@
 	}
 }
 
-// HandleReset handles a client's reset of a stream. orphan says that its request runs on and cannot be
-// cancelled, until HandleOrphanEnd. A reset behind a complete response leaves no orphan.
+// HandleReset handles a client's reset of a stream. orphan means that its request cannot be
+// cancelled and continues to run until HandleOrphanEnd. A reset after a complete response leaves no
+// orphan.
 func (t *Table) HandleReset(now time.Time, id ConnID, stream StreamID, orphan bool) (Decision, Reason) {
 	conn := t.conns[id]
 	if conn == nil {
@@ -115,7 +120,7 @@
 			conn.orphans++
 		}
 		t.closeStream(now, conn, stream)
-		if conn.orphans > t.limits.OrphansPerConn { // of streams opened before the limit was reached
+		if conn.orphans > t.limits.OrphansPerConn { // streams opened before the limit was reached
 			conn.draining = true
 			return t.reject(GoAway, OrphanFlood)
 		}
@@ -134,8 +139,8 @@
 	}
 }
 
-// HandleControlFrame handles a frame that causes work and opens no stream: SETTINGS, PING, PRIORITY or an
-// empty DATA.
+// HandleControlFrame handles a frame that causes work without opening a stream: SETTINGS, PING,
+// PRIORITY or an empty DATA.
 func (t *Table) HandleControlFrame(now time.Time, id ConnID) (Decision, Reason) {
 	conn := t.conns[id]
 	if conn == nil || conn.control.take(now, t.limits.ControlRate, t.limits.ControlBurst) {
@@ -145,7 +150,7 @@
 	return t.reject(CloseConn, ControlFlood)
 }
 
-// Drain has a connection take no more streams.
+// Drain makes a connection refuse new streams.
 func (t *Table) Drain(id ConnID) {
 	if conn := t.conns[id]; conn != nil {
 		conn.draining = true
@@ -158,7 +163,7 @@
 	return decision, reason
 }
 
-// closeStream removes a stream and what it has buffered.
+// closeStream removes a stream and subtracts its buffered bytes from the totals.
 func (t *Table) closeStream(now time.Time, conn *connState, stream StreamID) {
 	buffered := conn.streams[stream].buffered
 	conn.buffered -= buffered
--- a/internal/h2/streamlimit/table_test.go
+++ b/internal/h2/streamlimit/table_test.go
@@ -20,7 +20,8 @@
 	return t
 }
 
-// A stream over a connection's limit or the total is refused, and a response frees its place.
+// A stream over the limit of a connection or of the server is refused. A complete response or the
+// end of a connection frees its streams.
 func TestStreamsOverALimitAreRefused(t *testing.T) {
 	tab := newTable(Limits{StreamsPerConn: 2, TotalStreams: 3}, 1, 2)
 	open := func(id ConnID, s StreamID) Reason {
@@ -38,10 +39,11 @@
 	assert.Equal(t, 2, tab.OpenStreams())
 	tab.Drain(2)
 	assert.Equal(t, Draining, open(2, 5))
-	assert.Equal(t, Draining, open(9, 1), "a connection that is not known")
+	assert.Equal(t, Draining, open(9, 1), "unknown connection")
 }
 
-// A client that opens and resets streams is limited by its rate, and by the requests that run on.
+// A client that opens and resets streams in a loop is limited by the reset rate and by the number
+// of its requests that continue to run.
 func TestResetFloodsAreLimited(t *testing.T) {
 	tab := newTable(Limits{ResetRate: 10, ResetBurst: 20, OrphansPerConn: 3}, 1, 2)
 	s := StreamID(1)
@@ -74,8 +76,8 @@
 	assert.Zero(t, tab.OpenStreams())
 }
 
-// A reset behind a complete response leaves no orphan.
-func TestResetBehindAResponseLeavesNoOrphan(t *testing.T) {
+// A reset after a complete response leaves no orphan.
+func TestResetAfterResponseLeavesNoOrphan(t *testing.T) {
 	tab := newTable(Limits{OrphansPerConn: 1}, 1)
 	for s := StreamID(1); s < 20; s += 2 {
 		v, _ := tab.HandleRequest(start, 1, s)
@@ -86,7 +88,7 @@
 	assert.Zero(t, tab.BufferedBytes())
 }
 
-// Control frames over the burst close the connection, and the bucket refills at the rate.
+// Control frames beyond the burst close the connection. The bucket is refilled at the given rate.
 func TestControlFloodsCloseTheConnection(t *testing.T) {
 	tab := newTable(Limits{ControlRate: 10, ControlBurst: 5}, 1)
 	for range 5 {
@@ -100,8 +102,8 @@
 	assert.Equal(t, ControlFlood, r)
 }
 
-// A client that reads nothing loses its connection after the stall timeout, and before that, the one with the
-// greatest weight does when the total is exceeded.
+// The connection of a client that reads nothing is closed after the stall timeout. If the total of
+// buffered bytes is exceeded, the connection with the greatest weight is closed earlier.
 func TestSlowReadersLoseTheirConnection(t *testing.T) {
 	tab := newTable(Limits{BufferedPerConn: 100, TotalBuffered: 150, StallTimeout: 5 * time.Second}, 1, 2, 3)
 	for id := ConnID(1); id <= 3; id++ {
@@ -113,11 +115,11 @@
 	tab.HandleResponse(start.Add(2*time.Second), 3, 1, 40)
 	got := tab.HandleTimer(start.Add(3 * time.Second))
 	assert.Equal(t, []Action{{1, CloseConn, TooMuchBuffered}}, got,
-		"60 bytes for 3 s weigh 240, 80 for 2 s the same, the first is closed")
+		"60 bytes for 3 s and 80 bytes for 2 s both weigh 240: the lower id is closed")
 	tab.HandleClose(1)
 	tab.HandleWritten(start.Add(4*time.Second), 2, 1, 30)
 	got = tab.HandleTimer(start.Add(7 * time.Second))
-	assert.Equal(t, []Action{{3, CloseConn, SlowReader}}, got, "2 has read lately")
+	assert.Equal(t, []Action{{3, CloseConn, SlowReader}}, got, "the client of 2 has read recently")
 	tab.HandleClose(3)
 	tab.HandleWritten(start.Add(8*time.Second), 2, 1, 50)
 	assert.Zero(t, tab.OpenStreams(), "the last byte ends the stream")
@@ -127,19 +129,20 @@
 	assert.Equal(t, TooMuchBuffered, r)
 }
 
-// A connection without streams is closed, and an old one is asked to go away once.
+// A connection without streams is closed after the idle timeout. One that has reached its maximum
+// age gets GOAWAY once.
 func TestIdleAndOldConnectionsEnd(t *testing.T) {
 	tab := newTable(Limits{IdleTimeout: time.Minute, MaxAge: time.Hour}, 1)
 	tab.HandleRequest(start, 1, 1)
 	assert.Empty(t, tab.HandleTimer(start.Add(2*time.Minute)), "a stream is open")
 	assert.Equal(t, []Action{{1, GoAway, MaxAgeReached}}, tab.HandleTimer(start.Add(time.Hour)))
-	assert.Empty(t, tab.HandleTimer(start.Add(time.Hour)), "sent once")
+	assert.Empty(t, tab.HandleTimer(start.Add(time.Hour)), "GOAWAY is sent once")
 	tab.HandleResponse(start.Add(time.Hour), 1, 1, 0)
 	assert.Equal(t, []Action{{1, CloseConn, Idle}}, tab.HandleTimer(start.Add(time.Hour+time.Minute)))
 }
 
-// Over random orders of events no limit is exceeded, totals agree with their parts, and closed
-// connections buffer nothing.
+// For random sequences of events no limit is exceeded, totals equal the sums of their parts, and
+// closed connections have nothing buffered.
 func TestLimitsHoldForRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{
--- a/internal/h2/streamlimit/timer.go
+++ b/internal/h2/streamlimit/timer.go
@@ -12,12 +12,13 @@
 	now      time.Time
 	ids      []ConnID // sorted, so that the same events lead to the same actions
 	actions  []Action
-	buffered int64 // by the connections that are not closed
+	buffered int64 // bytes buffered by the connections that the pass has not closed
 }
 
-// HandleTimer ends connections for the passing of time: clients that read nothing, idle and old
-// connections. While more than TotalBuffered is buffered, it also closes the connection whose buffered
-// bytes, weighted by the time for which its client has read nothing, are the most.
+// HandleTimer closes connections that are stalled or idle, and sends GOAWAY on those that have
+// reached their maximum age. While more than TotalBuffered bytes are buffered, it also closes the
+// connection with the most buffered bytes, weighted by the time since its client last read. The
+// caller executes the actions returned.
 func (t *Table) HandleTimer(now time.Time) []Action {
 	pass := &timerPass{table: t, now: now, ids: slices.Sorted(maps.Keys(t.conns)), buffered: t.buffered}
 	for _, id := range pass.ids {
@@ -34,7 +35,7 @@
 	return pass.actions
 }
 
-// checkTimeouts ends a connection whose time is over.
+// checkTimeouts ends a connection that is stalled, idle or too old.
 func (p *timerPass) checkTimeouts(conn *connState) {
 	limits := p.table.limits
 	switch {
@@ -48,8 +49,8 @@
 	}
 }
 
-// heaviest returns the connection with the greatest bufferWeight that is not closed, nil if none buffers
-// anything.
+// heaviest returns the connection with the greatest bufferWeight among those that the pass has not
+// closed, nil if none of them has bytes buffered.
 func (p *timerPass) heaviest() *connState {
 	var heaviest *connState
 	greatest := 0.0
@@ -62,7 +63,7 @@
 	return heaviest
 }
 
-// end adds an action on a connection, which takes no more streams.
+// end adds an action that ends a connection, which accepts no more streams from now on.
 func (p *timerPass) end(conn *connState, decision Decision, reason Reason) {
 	conn.draining = true
 	p.table.Rejections[reason]++
