--- a/internal/platform/accept.go
+++ b/internal/platform/accept.go
@@ -8,16 +8,17 @@
 	"oakthread/internal/neterr"
 )
 
-// backlogTimeout bounds the wait for a connection that the kernel reports as pending.
+// backlogTimeout limits the wait in Accept for a connection that the kernel reports as pending.
 const backlogTimeout = 20 * time.Millisecond
 
-// errAcceptStopped ends the server's accept loop after stopAccepting.
+// errAcceptStopped is returned by Accept after stopAccepting, and ends the server's accept loop.
 var errAcceptStopped = errors.New("no more connections are accepted")
 
 // deadliner is a listener whose Accept can be interrupted.
 type deadliner interface{ SetDeadline(time.Time) error }
 
-// accept accepts a connection from the listener. Transient errors are retried with bounded backoff.
+// accept accepts a connection from the listener. Transient errors are retried with a bounded
+// backoff.
 func (l *connLimiter) accept() (net.Conn, error) {
 	var backoff neterr.Backoff
 	for {
@@ -25,11 +26,11 @@
 		if err == nil {
 			return conn, nil
 		}
-		atOnce, err := l.handleAcceptError(err)
+		retryNow, err := l.handleAcceptError(err)
 		if err != nil {
 			return nil, err
 		}
-		if atOnce {
+		if retryNow {
 			continue
 		}
 		select {
@@ -39,9 +40,10 @@
 	}
 }
 
-// handleAcceptError handles an error of the listener. It returns an error if no more connections are
-// accepted, and else whether to retry at once, since the kernel still has connections after stopAccepting.
-func (l *connLimiter) handleAcceptError(err error) (atOnce bool, _ error) {
+// handleAcceptError handles an error of the listener. It returns an error if no more connections
+// are accepted. Otherwise retryNow reports whether to retry without a delay, because connections
+// are still pending in the kernel after stopAccepting.
+func (l *connLimiter) handleAcceptError(err error) (retryNow bool, _ error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.stopping {
@@ -61,8 +63,8 @@
 	return false, nil
 }
 
-// stopAccepting has Accept accept what the kernel has accepted so far, and then return errAcceptStopped.
-// Closing the listener would reset the connections in its backlog.
+// stopAccepting makes Accept return the connections that are in the kernel's backlog and then
+// errAcceptStopped. Closing the listener right away would reset the connections in its backlog.
 func (l *connLimiter) stopAccepting() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/platform/clientconn.go
+++ b/internal/platform/clientconn.go
@@ -13,23 +13,24 @@
 	"oakthread/internal/neterr"
 )
 
-// pastDeadline interrupts a read at once.
+// pastDeadline is a deadline that interrupts a read immediately.
 var pastDeadline = time.Unix(1, 0)
 
-// clientConn is a connection of a client. It follows the bounds of requests, and it reads on while a
-// request is in flight: net/http reads only one byte ahead, and does not see the client leave behind it.
-// Its limiter may have it closed while nothing is under way on it.
+// clientConn is a connection of a client. It tracks where requests begin and end, and it reads
+// ahead while a request is in flight: net/http reads only one byte ahead, so it does not notice a
+// client that disconnects after sending more. Its limiter may close it while no request is in
+// progress on it.
 type clientConn struct {
 	net.Conn
 	limiter   *connLimiter
 	tracker   requestTracker
-	ambiguous atomic.Bool // the lengths of a request contradicted each other: what follows cannot be trusted
+	ambiguous atomic.Bool // a request had contradictory lengths: data after it cannot be trusted
 	ahead     readAhead
 
 	mu             sync.Mutex
-	deadline       time.Time // for reading, as set last
-	isTimeout      bool      // deadline was in the future when it was set: it does not interrupt a read at once
-	closeRequested bool      // the reader is to close the connection unless it finds bytes
+	deadline       time.Time // the read deadline that was set last
+	isTimeout      bool      // deadline was in the future when set: it is no interruption
+	closeRequested bool      // the reader closes the connection unless it finds bytes
 
 	connActivity // guarded by the limiter's mu
 }
@@ -37,13 +38,14 @@
 // clientConnKey is the context key of a request's connection.
 type clientConnKey struct{}
 
-// clientConnFrom returns the connection of a request, nil if it is not of a limiter.
+// clientConnFrom returns the connection of a request, nil if it was not accepted by a connLimiter.
 func clientConnFrom(ctx context.Context) *clientConn {
 	conn, _ := ctx.Value(clientConnKey{}).(*clientConn)
 	return conn
 }
 
-// Read is called by one goroutine at a time: the server's, or its read ahead while a request is in flight.
+// Read reads bytes for net/http, which calls it from one goroutine at a time. It ends the
+// read-ahead, and starts it again if a request is in flight.
 func (c *clientConn) Read(b []byte) (int, error) {
 	if err := c.stopReadAhead(); err != nil {
 		return 0, err
@@ -58,7 +60,7 @@
 	return n, err
 }
 
-// readNext reads what was read ahead, and then from the kernel.
+// readNext reads the bytes that were read ahead, or from the socket if there are none.
 func (c *clientConn) readNext(b []byte) (int, error) {
 	if c.ahead.isEmpty() {
 		return c.readSocket(b)
@@ -66,7 +68,7 @@
 	return c.ahead.take(b)
 }
 
-// restoreDeadline sets the read deadline that was set last, unless the connection is to be closed.
+// restoreDeadline sets the last read deadline again, unless a close is requested.
 func (c *clientConn) restoreDeadline() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,8 +78,8 @@
 	return c.Conn.SetReadDeadline(c.deadline)
 }
 
-// readSocket reads from the kernel. If a close is requested and nothing has arrived, it closes the
-// connection and returns io.EOF.
+// readSocket reads from the socket. If a close is requested and no bytes have arrived, it closes
+// the connection and returns io.EOF.
 func (c *clientConn) readSocket(b []byte) (int, error) {
 	for {
 		c.limiter.beginRead(c)
@@ -97,10 +99,10 @@
 	}
 }
 
-// readAfterTimeout reads what the kernel holds when a read has timed out. After a stall of this process
-// (stopped, or without CPU) its timers expire before it reads its sockets, and a request that arrived
-// meanwhile would be reset. A client that sends slowly gains nothing: where nothing is held, the read has
-// timed out.
+// readAfterTimeout reads the bytes that the kernel holds when a read has timed out. After a stall
+// of this process (stopped, or without CPU time) its timers expire before it reads its sockets, and
+// a connection on which a request arrived meanwhile would be reset. Slow clients get no extra time:
+// if the kernel holds nothing, the read has timed out.
 func (c *clientConn) readAfterTimeout(b []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -110,7 +112,7 @@
 	if err := c.Conn.SetReadDeadline(time.Time{}); err != nil {
 		return 0, err
 	}
-	n, err := neterr.Read(c.Conn, b) // returns at once
+	n, err := neterr.Read(c.Conn, b) // does not block, as the kernel holds bytes
 	if restoreErr := c.Conn.SetReadDeadline(c.deadline); err == nil {
 		err = restoreErr
 	}
@@ -125,14 +127,14 @@
 	_ = c.Conn.SetReadDeadline(pastDeadline)
 }
 
-// isCloseRequested reports whether the reader is to close the connection.
+// isCloseRequested reports whether the reader is asked to close the connection.
 func (c *clientConn) isCloseRequested() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closeRequested
 }
 
-// cancelClose withdraws a request to close, since bytes have arrived.
+// cancelClose cancels requestClose, since bytes have arrived.
 func (c *clientConn) cancelClose() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -143,10 +145,11 @@
 	return c.Conn.SetReadDeadline(c.deadline)
 }
 
-// Write writes all of a response, also where a shortage in the system cuts a write short.
+// Write writes all of b, also if a lack of system resources cuts a write short.
 func (c *clientConn) Write(b []byte) (int, error) { return neterr.Write(c.Conn, b) }
 
-// SetReadDeadline sets the deadline for reads, which takes effect once no close is requested.
+// SetReadDeadline sets the deadline for reads. While a close is requested, it is stored and takes
+// effect only if the close is cancelled.
 func (c *clientConn) SetReadDeadline(deadline time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -165,8 +168,8 @@
 	return c.SetWriteDeadline(deadline)
 }
 
-// Close closes the connection and gives its place to another. The place is freed last, so that no more
-// connections are open than there are places.
+// Close closes the connection and then removes it from the limiter. In this order there are never
+// more open connections than the limit.
 func (c *clientConn) Close() error {
 	err := c.Conn.Close()
 	c.limiter.remove(c)
--- a/internal/platform/connactivity.go
+++ b/internal/platform/connactivity.go
@@ -9,24 +9,25 @@
 	"oakthread/rules"
 )
 
-// unusedConnWeight is the weight of the idle time of a connection without any response. It may belong to a
-// client that never sends a request, while another idle one saves its next request a handshake.
+// unusedConnWeight is the factor for the idle time of a connection that has not had any response.
+// Its client may never send a request, while a reused idle connection saves the next request a
+// handshake.
 const unusedConnWeight = 4
 
-// connActivity is what a limiter knows of a connection when it looks for one to close.
+// connActivity is the state by which a limiter chooses a connection to close.
 type connActivity struct {
 	lastActivity    time.Time
-	reused          bool               // a request on it has been answered
-	requestInFlight bool               // a complete request has no response
-	pipelined       bool               // bytes have arrived behind the request in flight
-	partlyRead      bool               // some of a request has been read and it has no response
-	reading         bool               // a read is under way: bytes may have left the kernel uncounted
-	cancelRequest   context.CancelFunc // cancels the request in flight; its client has left
+	reused          bool               // a response has been written on it
+	requestInFlight bool               // a complete request has no response yet
+	pipelined       bool               // bytes have arrived after the request in flight
+	partlyRead      bool               // part or all of a request without a response has been read
+	reading         bool               // a read is in progress: it may hold uncounted bytes
+	cancelRequest   context.CancelFunc // cancels the request in flight if its client disconnects
 	closed          bool
 }
 
-// weightedIdleTime is how long the connection has been idle, with more weight if nothing was answered on
-// it.
+// weightedIdleTime returns how long the connection has been idle, multiplied by unusedConnWeight if
+// no response has been written on it.
 func (a *connActivity) weightedIdleTime(now time.Time) time.Duration {
 	idle := now.Sub(a.lastActivity)
 	if !a.reused {
@@ -35,37 +36,38 @@
 	return idle
 }
 
-// state returns what the rule on closing depends on, except for what the kernel holds.
+// state returns the input of the rule for closing connections, except for UnreadData.
 func (a *connActivity) state(now time.Time) rules.ClientConn {
 	return rules.ClientConn{
 		RequestInFlight: a.requestInFlight, PartlyRead: a.partlyRead, Reused: a.reused, Idle: now.Sub(a.lastActivity),
 	}
 }
 
-// setCancel sets what cancels the request whose handler runs.
+// setCancel sets the function that cancels the request whose handler is running.
 func (l *connLimiter) setCancel(conn *clientConn, cancelRequest context.CancelFunc) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	conn.cancelRequest = cancelRequest
 }
 
-// isPipelined reports whether bytes have arrived behind the request in flight.
+// isPipelined reports whether bytes have arrived after the request in flight.
 func (l *connLimiter) isPipelined(conn *clientConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return conn.pipelined
 }
 
-// beginRead notes that bytes may leave the kernel before endRead counts them.
+// beginRead records that a read begins: until endRead, bytes may have left the kernel uncounted.
 func (l *connLimiter) beginRead(conn *clientConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	conn.reading = true
 }
 
-// endRead notes the end of a read: whether it brought bytes of a request, and whether bytes have arrived
-// behind the request in flight. If a request is in flight, it returns what cancels that, and the connection
-// counts as being read, by the read ahead, up to the next read.
+// endRead records the end of a read, whether it returned bytes, and whether bytes have arrived
+// after the request in flight. If a request is in flight, it returns the function that cancels it;
+// the caller then starts the read-ahead, and the connection counts as being read until the next
+// read.
 func (l *connLimiter) endRead(conn *clientConn, hasBytes, pipelined bool) context.CancelFunc {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -75,7 +77,7 @@
 	}
 	_ = conn.cancelClose()
 	conn.lastActivity, conn.partlyRead, conn.pipelined = time.Now(), true, pipelined
-	l.changed.Broadcast() // an Accept that waits for this one to be closed looks for another
+	l.changed.Broadcast() // an Accept that waits for this one to be closed must choose another
 	if !conn.requestInFlight {
 		return nil
 	}
@@ -85,8 +87,8 @@
 	return conn.cancelRequest
 }
 
-// beginRequest notes that a complete request is in flight. It reports false if the connection has been
-// closed.
+// beginRequest records that a complete request is in flight. It reports false if the connection has
+// been closed.
 func (l *connLimiter) beginRequest(conn *clientConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -94,8 +96,8 @@
 	return !conn.closed
 }
 
-// handleConnState follows the states of the server's connections: one is active when a request begins to
-// arrive, and idle after a response.
+// handleConnState is the ConnState hook of the http.Server. A connection becomes active when a
+// request begins to arrive, and idle after a response.
 func (l *connLimiter) handleConnState(netConn net.Conn, state http.ConnState) {
 	conn, ok := netConn.(*clientConn)
 	if !ok || state != http.StateActive && state != http.StateIdle {
@@ -109,7 +111,7 @@
 	}
 }
 
-// endRequest notes that a response has been written. The caller holds mu.
+// endRequest records that a response has been written. The caller holds mu.
 func (l *connLimiter) endRequest(conn *clientConn) {
 	conn.reused, conn.requestInFlight, conn.cancelRequest = true, false, nil
 	conn.tracker.answered++
--- a/internal/platform/connclose.go
+++ b/internal/platform/connclose.go
@@ -8,8 +8,8 @@
 	"oakthread/rules"
 )
 
-// setKeepAlives turns keep-alives on or off. Turning them off closes the connections on which nothing is
-// under way, now and as they become idle.
+// setKeepAlives turns keep-alives on or off. Turning them off closes all idle connections, and each
+// other one when it becomes idle.
 func (l *connLimiter) setKeepAlives(on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -19,28 +19,28 @@
 	}
 }
 
-// closeIfIdle closes a connection if idle ones are to be closed, unless a request has begun to arrive on
-// it. The caller holds mu.
+// closeIfIdle closes a connection if keep-alives are off and the connection is idle: no request is
+// in flight on it or has begun to arrive. The caller holds mu.
 func (l *connLimiter) closeIfIdle(conn *clientConn) {
 	if l.closeIdle && l.mayClose(conn, rules.CloseForDrain, time.Now()).OK() {
-		l.closeUnread(conn)
+		l.closeOrRequestClose(conn)
 	}
 }
 
-// mayClose decides whether a connection may be closed. The caller holds mu.
+// mayClose decides whether a connection may be closed for cause. The caller holds mu.
 func (l *connLimiter) mayClose(conn *clientConn, cause rules.CloseCause, now time.Time) rules.Reason {
 	state := conn.state(now)
 	if reason := rules.MayCloseClient(state, cause); !reason.OK() {
 		return reason
 	}
-	state.UnreadData = hasUnread(conn.Conn) // costs a system call, hence last
+	state.UnreadData = hasUnread(conn.Conn) // checked last, as it costs a system call
 	return rules.MayCloseClient(state, cause)
 }
 
-// closeUnread closes a connection on which nothing is under way. During a read, bytes may have left the
-// kernel that have not been counted: the reader closes the connection then, unless it finds some. The
-// caller holds mu.
-func (l *connLimiter) closeUnread(conn *clientConn) {
+// closeOrRequestClose closes an idle connection. If a read is in progress, bytes may have left the
+// kernel without being counted: then the reader is asked to close the connection unless it finds
+// bytes. The caller holds mu.
+func (l *connLimiter) closeOrRequestClose(conn *clientConn) {
 	if conn.reading {
 		conn.requestClose()
 		return
@@ -48,8 +48,8 @@
 	l.closeNow(conn)
 }
 
-// closeIfEmpty closes a connection for its reader, which holds no bytes of it. It reports false if a
-// request is under way or the kernel holds bytes.
+// closeIfEmpty closes a connection whose reader has found no bytes. It reports false, and does not
+// close it, if a request is in flight or partly read or the kernel holds unread bytes.
 func (l *connLimiter) closeIfEmpty(conn *clientConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -57,14 +57,14 @@
 		return true
 	}
 	if conn.requestInFlight || conn.partlyRead || hasUnread(conn.Conn) {
-		l.changed.Broadcast() // another may be closed in its place
+		l.changed.Broadcast() // wakes an Accept, which may close another connection instead
 		return false
 	}
 	l.closeNow(conn)
 	return true
 }
 
-// closeNow closes a connection and frees its place. The caller holds mu.
+// closeNow closes a connection and removes it from the limiter. The caller holds mu.
 func (l *connLimiter) closeNow(conn *clientConn) {
 	conn.closed = true
 	delete(l.conns, conn)
@@ -72,7 +72,7 @@
 	l.changed.Broadcast()
 }
 
-// remove frees the place of a connection that the server has closed.
+// remove removes a connection that the server has closed.
 func (l *connLimiter) remove(conn *clientConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -83,8 +83,9 @@
 	}
 }
 
-// longestIdle returns the connection that may be closed for another and has been idle for longest. If there
-// is none, wait is the time until one becomes so by time alone, 0 if none does. The caller holds mu.
+// longestIdle returns the connection with the longest weighted idle time among those that may be
+// closed for a new one. If there is none, wait is the time after which one may be closed if nothing
+// arrives on it, 0 if there is no such connection either. The caller holds mu.
 func (l *connLimiter) longestIdle(now time.Time) (conn *clientConn, wait time.Duration) {
 	var candidates []*clientConn
 	for conn := range l.conns {
--- a/internal/platform/connlimiter.go
+++ b/internal/platform/connlimiter.go
@@ -11,26 +11,27 @@
 	"oakthread/internal/neterr"
 )
 
-// connLimiter is a listener that holds at most max connections. It closes connections on which nothing is
-// under way: for one beyond max, while keep-alives are off, and at the end. Clients that open connections
-// and send nothing thus do not keep others out. A connection on which a request has begun to arrive is
-// never closed; if all are such, further ones wait in the kernel's backlog.
+// connLimiter is a listener that keeps at most max connections open. It closes idle connections to
+// make room for new ones, while keep-alives are off, and during a drain, so that clients that open
+// connections and send nothing do not keep others out. A connection on which a request has begun to
+// arrive is never closed; if that holds for all of them, new connections wait, most of them in the
+// kernel's backlog.
 type connLimiter struct {
 	net.Listener
 	max            int
 	log            *slog.Logger
 	logLimit       neterr.LogLimit
 	acceptFailures atomic.Int64  // accepts that failed and were retried
-	stopped        chan struct{} // closed once stopping
+	stopped        chan struct{} // closed by stopAccepting
 
 	mu        sync.Mutex
-	changed   *sync.Cond // a connection was closed or has become active or idle
+	changed   *sync.Cond // signalled when a connection is closed or its activity changes
 	conns     map[*clientConn]struct{}
-	closeIdle bool // connections are closed once nothing is under way on them
-	stopping  bool // only what the kernel has accepted is still accepted
+	closeIdle bool // connections are closed once they are idle
+	stopping  bool // only connections in the kernel's backlog are still accepted
 }
 
-// newConnLimiter returns a limiter of the connections of a listener.
+// newConnLimiter returns a limiter of the connections that ln accepts.
 func newConnLimiter(ln net.Listener, maxConns int, log *slog.Logger) *connLimiter {
 	l := &connLimiter{
 		Listener: ln, max: maxConns, log: log, stopped: make(chan struct{}), conns: map[*clientConn]struct{}{},
@@ -39,8 +40,8 @@
 	return l
 }
 
-// Accept accepts the next connection and waits until there is a place for it. After stopAccepting it
-// returns errAcceptStopped once the backlog is empty.
+// Accept accepts the next connection and waits until fewer than max connections are open. After
+// stopAccepting it returns errAcceptStopped once the backlog is empty.
 func (l *connLimiter) Accept() (net.Conn, error) {
 	accepted, err := l.accept()
 	if err != nil {
@@ -58,19 +59,20 @@
 	return conn, nil
 }
 
-// makeRoom closes the connection that has been idle for longest, or has its reader close it. made reports
-// whether there is a place now; if not, wait is the time until a connection may be closed by time alone, 0
-// if none may. The caller holds mu.
+// makeRoom closes the connection with the longest weighted idle time, or asks its reader to close
+// it. made reports whether a connection has been closed. If not, wait is the time after which one
+// may be closed if nothing arrives on it; 0 means to wait for a change. The caller holds mu.
 func (l *connLimiter) makeRoom(now time.Time) (made bool, wait time.Duration) {
 	conn, wait := l.longestIdle(now)
 	if conn == nil {
 		return false, wait
 	}
-	l.closeUnread(conn)
+	l.closeOrRequestClose(conn)
 	return conn.closed, 0
 }
 
-// waitForRoom waits until a connection changes, and at most for a time above 0. The caller holds mu.
+// waitForRoom waits until the state of a connection changes, but no longer than wait if that is
+// above 0. The caller holds mu.
 func (l *connLimiter) waitForRoom(wait time.Duration) {
 	if wait > 0 {
 		timer := time.AfterFunc(wait, l.wake)
@@ -79,14 +81,14 @@
 	l.changed.Wait()
 }
 
-// wake wakes all that wait for a change.
+// wake wakes all goroutines that wait on changed.
 func (l *connLimiter) wake() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.changed.Broadcast()
 }
 
-// waitUntilEmpty waits until no connection is open. It reports false if ctx ends first.
+// waitUntilEmpty waits until no connection is open. It reports false if ctx ends before that.
 func (l *connLimiter) waitUntilEmpty(ctx context.Context) bool {
 	defer context.AfterFunc(ctx, l.wake)()
 	l.mu.Lock()
--- a/internal/platform/drainterms.go
+++ b/internal/platform/drainterms.go
@@ -3,24 +3,25 @@
 import "time"
 
 const (
-	// maxKillDeadline is the most that the longest deadline of the deployment counts for when the
-	// platform decides how soon after SIGTERM it may send SIGKILL.
+	// maxKillDeadline caps the longest deadline of the deployment in the rule by which the platform
+	// decides how soon after SIGTERM it may send SIGKILL.
 	maxKillDeadline = 3 * time.Second
-	// killReserve is the time before the earliest SIGKILL at which a late request is answered, for the
-	// way of the response on a busy machine.
+	// killReserve is the time between the latest deadline of a late request and the earliest
+	// SIGKILL. It is left for sending the response on a busy machine.
 	killReserve = 250 * time.Millisecond
-	// minLateTime is what a late request gets all the same.
+	// minLateTime is the minimum time for a late request, even if it ends after the earliest
+	// SIGKILL.
 	minLateTime = 20 * time.Millisecond
 )
 
-// drainTerms are the times of a drain.
+// drainTerms holds the times of a drain.
 type drainTerms struct {
-	acceptUntil  time.Time // a request that is complete by then may take as long as its client waits
+	acceptUntil  time.Time // requests that are complete by then keep their deadlines
 	earliestKill time.Time // the platform sends SIGKILL no sooner
 }
 
-// newDrainTerms returns the times of a drain that begins now: it accepts requests for linger, and longest
-// is the longest time that a client waits, with linger.
+// newDrainTerms returns the times of a drain that begins now and accepts requests for linger.
+// longest is the longest deadline of the deployment plus linger.
 func newDrainTerms(now time.Time, linger, longest time.Duration) *drainTerms {
 	return &drainTerms{
 		acceptUntil:  now.Add(linger),
@@ -28,8 +29,8 @@
 	}
 }
 
-// bound returns the deadline of a request that is complete now. One that comes late is owed an answer
-// before the earliest SIGKILL, which would leave it without one.
+// bound returns the deadline of a request that is complete now. A late request must be answered
+// before the earliest SIGKILL, since it would get no answer after that.
 func (d *drainTerms) bound(deadline, now time.Time) time.Time {
 	if !now.After(d.acceptUntil) {
 		return deadline
--- a/internal/platform/framing.go
+++ b/internal/platform/framing.go
@@ -8,31 +8,33 @@
 )
 
 const (
-	// maxKeptLineBytes is how much of a header line is kept; the headers that bound a message fit.
+	// maxKeptLineBytes is how much of a header line is kept. Content-Length and Transfer-Encoding
+	// fit.
 	maxKeptLineBytes = 128
-	// unknownLength is a length that was not given, or a body whose end cannot be seen.
+	// unknownLength stands for a length that was not given, or for a body whose end is not known.
 	unknownLength = -1
 )
 
-// framer follows the bounds of HTTP/1.1 messages (RFC 9112, section 6) in the bytes of one direction,
-// beside net/http. It detects messages that two parsers may read differently: net/http ignores a
-// Content-Length beside Transfer-Encoding, and reads what follows a response as the next response.
+// framer finds the boundaries of HTTP/1.1 messages (RFC 9112, section 6) in the bytes of one
+// direction, independently of net/http. It detects messages that two parsers may read differently:
+// net/http ignores a Content-Length beside a Transfer-Encoding, and reads data after a response as
+// the next response.
 type framer struct {
-	responses bool // follows responses rather than requests
+	responses bool // the messages are responses rather than requests
 
-	line            []byte // the line that is being read, up to maxKeptLineBytes
-	lineCount       int    // lines of this head so far
+	line            []byte // the current line, up to maxKeptLineBytes
+	lineCount       int    // lines of the current head so far
 	status          int
 	contentLength   int64 // unknownLength: the head has none so far
 	transferEncoded bool  // the head has a Transfer-Encoding
 	ambiguous       bool  // the lengths in the head contradict each other or cannot be read
 
 	inBody   bool
-	bodyLeft int64 // bytes of the body still to come; unknownLength: up to the end of the connection
-	ended    bool  // the message of the last consume has ended
+	bodyLeft int64 // bytes of the body that have not arrived; unknownLength: the end is not tracked
+	ended    bool  // the last call of consume reached the end of a message
 }
 
-// consume follows bytes up to the end of a message and returns how many belong to it.
+// consume reads bytes up to the end of the current message and returns how many belong to it.
 func (f *framer) consume(b []byte) (n int) {
 	if f.ended || f.line == nil {
 		*f = framer{responses: f.responses, line: f.line[:0], contentLength: unknownLength}
@@ -47,7 +49,7 @@
 	return n
 }
 
-// consumeBody follows bytes of a body and returns how many belong to it.
+// consumeBody reads bytes of a body and returns how many belong to it.
 func (f *framer) consumeBody(b []byte) int {
 	if f.bodyLeft == unknownLength {
 		return len(b)
@@ -58,7 +60,8 @@
 	return int(n)
 }
 
-// consumeLine follows bytes of a head up to the end of a line and returns how many these are.
+// consumeLine reads bytes of a head up to the end of a line and returns how many belong to the
+// line.
 func (f *framer) consumeLine(b []byte) int {
 	part, _, complete := bytes.Cut(b, []byte{'\n'})
 	f.line = append(f.line, part[:min(len(part), max(0, maxKeptLineBytes-len(f.line)))]...)
@@ -70,12 +73,12 @@
 	return len(part) + 1
 }
 
-// atBoundary reports whether nothing of the next message has been seen.
+// atBoundary reports whether nothing of the next message has arrived.
 func (f *framer) atBoundary() bool {
 	return f.ended || f.lineCount == 0 && len(f.line) == 0 && !f.inBody
 }
 
-// parseLine reads a line of a head, which an empty line ends.
+// parseLine parses a line of a head. An empty line ends the head.
 func (f *framer) parseLine(line string) {
 	f.lineCount++
 	switch {
@@ -90,14 +93,14 @@
 	}
 }
 
-// parseStartLine reads the status of a response.
+// parseStartLine parses the status of a response.
 func (f *framer) parseStartLine(line string) {
 	if _, rest, ok := strings.Cut(line, " "); ok && f.responses {
 		f.status, _ = strconv.Atoi(rest[:min(3, len(rest))])
 	}
 }
 
-// parseField reads a header that bounds the message.
+// parseField parses the header fields that determine the length of the message.
 func (f *framer) parseField(line string) {
 	name, value, _ := strings.Cut(line, ":")
 	switch strings.ToLower(strings.TrimSpace(name)) {
@@ -114,7 +117,7 @@
 // endHead ends a head and determines the body that follows it.
 func (f *framer) endHead() {
 	if f.isInterim() {
-		*f = framer{responses: true, line: f.line, contentLength: unknownLength} // the final response follows
+		*f = framer{responses: true, line: f.line, contentLength: unknownLength} // a final one follows
 		return
 	}
 	f.ambiguous = f.ambiguous || f.transferEncoded && f.contentLength != unknownLength
@@ -122,13 +125,13 @@
 	f.inBody, f.ended = true, f.bodyLeft == 0
 }
 
-// isInterim reports whether the head is that of a 1xx response, which a final one follows. After a 101
-// the connection carries no further messages.
+// isInterim reports whether the head belongs to a 1xx response that a final response follows. After
+// a 101 the connection carries no further messages.
 func (f *framer) isInterim() bool {
 	return f.responses && f.status/100 == 1 && f.status != http.StatusSwitchingProtocols
 }
 
-// bodyLength returns the length of the body behind the head, or unknownLength.
+// bodyLength returns the length of the body that follows the head, or unknownLength.
 func (f *framer) bodyLength() int64 {
 	switch {
 	case f.responses && (f.status == http.StatusNoContent || f.status == http.StatusNotModified):
--- a/internal/platform/headers.go
+++ b/internal/platform/headers.go
@@ -1,17 +1,17 @@
 package platform
 
-// Headers of a client's request.
+// Headers of a request from a client.
 const (
 	callIDHeader         = "X-Call-Id"
 	classHeader          = "X-Class"
 	customerHeader       = "X-Customer"
 	patienceHeader       = "X-Patience-Ms"
 	extrasHeader         = "X-Extras"
-	idempotencyKeyHeader = "X-Dedupe-Key" // for classes that are idempotent by key
-	retryHeader          = "X-Repeat"     // set by clients on their own retries
+	idempotencyKeyHeader = "X-Dedupe-Key" // for classes whose calls are idempotent by key
+	retryHeader          = "X-Repeat"     // marks a retry by the client
 )
 
-// retryAfterMillisHeader is Retry-After in milliseconds, in a rejection to a client.
+// retryAfterMillisHeader is Retry-After in milliseconds, sent to a client with a rejection.
 const retryAfterMillisHeader = "X-Come-Back-Ms"
 
 // Headers of a request to an executor.
@@ -19,9 +19,9 @@
 	requestIDHeader    = "X-Hop-Id"
 	functionHeader     = "X-Thing"
 	executorKeyHeader  = "X-Replay-Key" // the idempotency key
-	budgetHeader       = "X-Budget"     // milliseconds until the client's deadline
-	userAgentHeader    = "User-Agent"   // written without a value, so that net/http adds none of its own
-	executorCallPath   = "/c/"          // then a class, or a function
+	budgetHeader       = "X-Budget"     // milliseconds until the deadline of the client
+	userAgentHeader    = "User-Agent"   // set to no value, so that net/http adds no default
+	executorCallPath   = "/c/"          // followed by a class or a function
 	executorHealthPath = "/busy"
 )
 
@@ -29,7 +29,7 @@
 const (
 	noEffectHeader   = "X-No-Effect" // "1": the request has not run
 	warmthHeader     = "X-Tell"
-	concurrentHeader = "X-Same" // requests that the copy has in flight
-	copiesHeader     = "X-N"    // copies that an order has loaded
+	concurrentHeader = "X-Same" // requests in flight on the copy
+	copiesHeader     = "X-N"    // copies loaded by a load order
 	loadReportHeader = "X-Report"
 )
--- a/internal/platform/listen.go
+++ b/internal/platform/listen.go
@@ -9,13 +9,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// reusePortConfig opens sockets with SO_REUSEPORT, so that a new version of the dispatcher can listen on
-// the same addresses beside the old one during a handover. The kernel lets only sockets of the same user
-// share a port (socket(7)).
+// reusePortConfig opens sockets with SO_REUSEPORT, so that a new version of the dispatcher can
+// listen on the same addresses as the old one while it takes over. The kernel lets only sockets of
+// the same user share a port (socket(7)).
 var reusePortConfig = net.ListenConfig{Control: setReusePort}
 
-// Listen opens a TCP listener on addr that a second process of the same user may open as well. Errors name
-// the address.
+// Listen opens a TCP listener on addr. A second process of the same user may listen on addr as
+// well. Errors contain the address.
 func Listen(ctx context.Context, addr string) (net.Listener, error) {
 	ln, err := reusePortConfig.Listen(ctx, "tcp", addr)
 	if err != nil {
@@ -24,7 +24,8 @@
 	return ln, nil
 }
 
-// ListenBehind is Listen for the clients' side, behind network.
+// ListenBehind opens a listener for clients on addr like Listen, and wraps it with the Listener
+// function of network.
 func ListenBehind(ctx context.Context, network Network, addr string) (net.Listener, error) {
 	ln, err := Listen(ctx, addr)
 	if err != nil {
@@ -33,7 +34,8 @@
 	return network.listener(ln), nil
 }
 
-// ListenPacket opens a UDP socket on addr that a second process of the same user may open as well.
+// ListenPacket opens a UDP socket on addr. A second process of the same user may open it as well.
+// Errors contain the address.
 func ListenPacket(ctx context.Context, addr string) (*net.UDPConn, error) {
 	conn, err := reusePortConfig.ListenPacket(ctx, "udp", addr)
 	if err != nil {
--- a/internal/platform/readahead.go
+++ b/internal/platform/readahead.go
@@ -10,23 +10,24 @@
 )
 
 const (
-	// maxReadAheadBytes limits what is read behind a request in flight: a head and a body.
+	// maxReadAheadBytes limits the bytes read after a request in flight. A head and a body fit.
 	maxReadAheadBytes = 32 << 10
-	// readAheadChunkBytes is the size of one read.
+	// readAheadChunkBytes is the buffer size of one read.
 	readAheadChunkBytes = 1 << 10
 )
 
-// readAhead holds the bytes read behind the request in flight, for net/http to read after it.
+// readAhead holds the bytes read after the request in flight, until net/http reads them.
 type readAhead struct {
 	buffer bytes.Buffer
-	err    error         // what ended the reading, returned once the bytes are read
-	done   chan struct{} // closed when the reading has ended; nil: none has begun
+	err    error         // the error that ended the read-ahead, returned after the bytes
+	done   chan struct{} // closed when the read-ahead has ended; nil: none is running
 }
 
-// isEmpty reports whether there is neither a byte nor an error to return.
+// isEmpty reports whether there are neither bytes nor an error to return.
 func (a *readAhead) isEmpty() bool { return a.buffer.Len() == 0 && a.err == nil }
 
-// take copies bytes that were read ahead, or returns the error that ended the reading if there are none.
+// take copies bytes that were read ahead to b. If there are none, it returns the error that ended
+// the read-ahead.
 func (a *readAhead) take(b []byte) (n int, err error) {
 	if a.buffer.Len() > 0 {
 		n, _ = a.buffer.Read(b)
@@ -36,7 +37,8 @@
 	return 0, err
 }
 
-// startReadAhead reads on, in a goroutine that stopReadAhead waits for, while a request is in flight.
+// startReadAhead starts a goroutine that reads ahead while a request is in flight. stopReadAhead
+// ends it and waits for it.
 func (c *clientConn) startReadAhead(cancelRequest context.CancelFunc) {
 	done := make(chan struct{})
 	c.ahead.done = done
@@ -46,7 +48,8 @@
 	}()
 }
 
-// stopReadAhead ends the read ahead: the request has its response, or the server's read was interrupted.
+// stopReadAhead ends the read-ahead, if one is running, and restores the read deadline. It is
+// called when net/http reads again.
 func (c *clientConn) stopReadAhead() error {
 	if c.ahead.done == nil {
 		return nil
@@ -57,8 +60,8 @@
 	return c.restoreDeadline()
 }
 
-// readAheadUntilError reads up to maxReadAheadBytes, and cancels the request in flight once its client has
-// left.
+// readAheadUntilError reads up to about maxReadAheadBytes or until an error, which cancels the
+// request in flight: its client has disconnected. An interrupted read only ends the read-ahead.
 func (c *clientConn) readAheadUntilError(cancelRequest context.CancelFunc) {
 	chunk := make([]byte, readAheadChunkBytes)
 	for c.ahead.buffer.Len() < maxReadAheadBytes {
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -16,25 +16,27 @@
 const (
 	maxRequestBytes  = 16 << 10
 	maxClientTimeout = time.Hour
-	// responseTimeReserve is held in reserve from a client's timeout for the way of the response, and at most
-	// responseTimeReserveRatio of the timeout. On a crowded core either way may take tens of milliseconds.
+	// responseTimeReserve is subtracted from a client's timeout for sending the response, but no
+	// more than responseTimeReserveRatio of the timeout. On a busy CPU core each direction may take
+	// tens of milliseconds.
 	responseTimeReserve      = 200 * time.Millisecond
 	responseTimeReserveRatio = 0.2
 
-	// Higher figures in X-Extras are rejected: no model has them.
+	// Higher values in X-Extras are rejected: no function has them.
 	maxConcurrency = 1 << 10
 	maxMemoryMB    = 1 << 24
 	maxLoadTime    = time.Hour
 )
 
-// singleHeaders must not be repeated in a request: which of the values counts would be anyone's guess.
+// singleHeaders must not be repeated in a request, since it would be undefined which value applies.
 var singleHeaders = [...]string{
 	callIDHeader, classHeader, customerHeader, patienceHeader, extrasHeader, idempotencyKeyHeader, retryHeader,
 }
 
-// arrivalTime returns when the last bytes of a request arrived that are there by now. The request may have
-// waited in the kernel for a place, or for this process. A body that is still to come makes it no later, so
-// that its deadline is a little early.
+// arrivalTime returns when the last bytes on a request's connection arrived. The request may have
+// waited in the kernel because of the connection limit or because this process did not run. The
+// part of a body that arrives later is not considered, so the deadline of such a request is a
+// little early.
 func arrivalTime(r *http.Request) time.Time {
 	now := time.Now()
 	if conn := clientConnFrom(r.Context()); conn != nil {
@@ -43,8 +45,8 @@
 	return now
 }
 
-// readRequest reads a request that arrived at a time. If it returns an error, status is that of the
-// response.
+// readRequest reads a request that arrived at the given time. If it returns an error, status is the
+// HTTP status of the response.
 func (s *Server) readRequest(
 	w http.ResponseWriter, r *http.Request, arrived time.Time,
 ) (request oakthread.Request, status int, err error) {
@@ -63,7 +65,7 @@
 	return request, http.StatusBadRequest, err
 }
 
-// parseHeader reads a request without its body: key is the function in its path.
+// parseHeader parses a request without its body. key is the function in the path.
 func (s *Server) parseHeader(
 	key string, header http.Header, arrived time.Time,
 ) (request oakthread.Request, err error) {
@@ -82,8 +84,8 @@
 	if err != nil {
 		return request, err
 	}
-	// The client's clock has run since it wrote its last byte, and the response must be complete when it
-	// expires.
+	// The client's timeout began when it wrote the last byte, and the response must have arrived
+	// when it expires.
 	reserve := min(responseTimeReserve, time.Duration(responseTimeReserveRatio*float64(timeout)))
 	request.Deadline = arrived.Add(timeout - reserve)
 	if err := parseExtras(&request, header); err != nil {
@@ -94,7 +96,7 @@
 	return request, nil
 }
 
-// parseIDs reads the function and the id of a request.
+// parseIDs parses the function and the id of a request.
 func parseIDs(request *oakthread.Request, key string, header http.Header) error {
 	function, err := parseHex16(key)
 	if err != nil {
@@ -107,7 +109,7 @@
 	return nil
 }
 
-// parseClass reads the class and the tenant of a request; without a customer, the tenant is -1.
+// parseClass parses the class and the tenant of a request. Without a customer, the tenant is -1.
 func (s *Server) parseClass(request *oakthread.Request, header http.Header) error {
 	class, ok := (*s.classNumbers.Load())[header.Get(classHeader)]
 	if !ok {
@@ -122,7 +124,7 @@
 	return nil
 }
 
-// parseTimeout reads how long the client waits for its response.
+// parseTimeout parses how long the client waits for its response.
 func parseTimeout(header http.Header) (time.Duration, error) {
 	millis, err := strconv.ParseFloat(header.Get(patienceHeader), 64)
 	if err != nil || !(millis > 0) || millis > float64(maxClientTimeout/time.Millisecond) { // NaN is not above 0
@@ -131,7 +133,7 @@
 	return time.Duration(millis * float64(time.Millisecond)), nil
 }
 
-// parseExtras reads what the client says of the function: its concurrency, memory and time to load.
+// parseExtras parses the client's figures for the function: concurrency, memory and load time.
 func parseExtras(request *oakthread.Request, header http.Header) error {
 	extras, err := parseFigures(header.Get(extrasHeader))
 	if err != nil {
@@ -156,7 +158,7 @@
 	return true
 }
 
-// parseHex16 reads a number of exactly 16 hex digits.
+// parseHex16 parses a number of exactly 16 hex digits.
 func parseHex16(s string) (uint64, error) {
 	if len(s) != 16 || strings.ContainsAny(s, "+-_") {
 		return 0, strconv.ErrSyntax
--- a/internal/platform/requesttracker.go
+++ b/internal/platform/requesttracker.go
@@ -1,6 +1,6 @@
 package platform
 
-// requestTracker counts the requests that have arrived complete on a client's connection, and the
+// requestTracker counts the complete requests that have arrived on a client's connection, and the
 // responses written.
 type requestTracker struct {
 	framer    framer
@@ -8,7 +8,8 @@
 	answered  int
 }
 
-// consume follows bytes that were read. It reports whether the lengths of a request contradict each other.
+// consume processes bytes that were read. It reports whether the lengths of a request contradict
+// each other.
 func (t *requestTracker) consume(b []byte) (ambiguous bool) {
 	for at := 0; at < len(b); {
 		at += t.framer.consume(b[at:])
@@ -20,12 +21,12 @@
 	return ambiguous
 }
 
-// hasUnanswered reports whether a request has arrived, in whole or in part, that has no response.
+// hasUnanswered reports whether a complete or partial request has arrived that has no response.
 func (t *requestTracker) hasUnanswered() bool {
 	return t.completed > t.answered || !t.framer.atBoundary()
 }
 
-// hasPipelined reports whether bytes have arrived behind the request in flight.
+// hasPipelined reports whether bytes have arrived after the request in flight.
 func (t *requestTracker) hasPipelined() bool {
 	return t.completed > t.answered+1 || t.completed > t.answered && !t.framer.atBoundary()
 }
--- a/internal/platform/serve.go
+++ b/internal/platform/serve.go
@@ -15,21 +15,22 @@
 )
 
 const (
-	clientIdleTimeout = 5 * time.Second // clients close after 4 s; the connections left are dead
-	// headerTimeout and bodyTimeout bound the time from connecting to a complete head and from there to a
-	// complete body. Together they are below requestReadTimeout.
+	clientIdleTimeout = 5 * time.Second // clients close after 4 s: connections still open are dead
+	// headerTimeout and bodyTimeout limit the time to a complete head and from there to a complete
+	// body. Their sum is below requestReadTimeout.
 	headerTimeout = 1500 * time.Millisecond
 	bodyTimeout   = 1200 * time.Millisecond
-	// requestReadTimeout is the time by which the platform requires a rejection or a close of a client that
-	// never sends a complete request.
+	// requestReadTimeout is the time within which the platform requires that a client that does not
+	// send a complete request is rejected or its connection closed.
 	requestReadTimeout = 3 * time.Second
-	// maxRequestHeaderBytes limits the head of a client's request.
+	// maxRequestHeaderBytes limits the head of a request.
 	maxRequestHeaderBytes = 16 << 10
 )
 
-// Serve serves ln, with at most conns connections, until ctx ends. It then drains: it accepts requests for
-// linger, since clients learn late, answers all it has read, and returns nil. Requests in flight get at
-// least the time longest. It returns context.DeadlineExceeded if some are left without a response.
+// Serve serves ln, with at most conns connections, until ctx ends. It then drains: it still accepts
+// requests for linger, since clients learn of the shutdown with a delay, answers all requests that
+// it has read, and returns nil. After linger, requests in flight get at least the time longest. It
+// returns context.DeadlineExceeded if some are left without a response.
 func (s *Server) Serve(
 	ctx context.Context, ln net.Listener, conns int, linger, longest time.Duration, log *slog.Logger,
 ) error {
@@ -37,7 +38,7 @@
 	httpServer := s.newHTTPServer(limiter, log)
 	s.limiter.Store(limiter)
 	served := make(chan error, 1)
-	go func() { served <- httpServer.Serve(limiter) }() // ends with the listener, at the latest on Close
+	go func() { served <- httpServer.Serve(limiter) }() // returns with the listener, or on Close
 	select {
 	case err := <-served:
 		return err
@@ -62,7 +63,7 @@
 	return s.drain(drainCtx, limiter, served)
 }
 
-// newHTTPServer returns the HTTP server for the connections of a limiter.
+// newHTTPServer returns an HTTP server for the connections of a limiter.
 func (s *Server) newHTTPServer(limiter *connLimiter, log *slog.Logger) *http.Server {
 	return &http.Server{
 		Handler:           s,
@@ -77,8 +78,8 @@
 	}
 }
 
-// drainDeadline returns when a drain gives up: linger after the latest deadline of a request, and not
-// before longest is over.
+// drainDeadline returns when a drain gives up: linger after the latest deadline of all requests,
+// but not before the time longest has passed.
 func (s *Server) drainDeadline(linger, longest time.Duration) time.Time {
 	deadline := time.Now().Add(longest)
 	if latest := monotime.Time(s.latestDeadline.Load()).Add(linger); latest.After(deadline) {
@@ -87,13 +88,13 @@
 	return deadline
 }
 
-// drain accepts what the kernel has accepted and closes connections as nothing is under way on them, until
-// none is left or ctx ends. http.Server.Shutdown would reset the backlog and close kept connections on
-// which part of a head has arrived.
+// drain accepts the connections in the kernel's backlog and closes each connection once it is idle,
+// until none is left or ctx ends. http.Server.Shutdown would reset the connections in the backlog
+// and close kept-alive connections on which part of a head has arrived.
 func (s *Server) drain(ctx context.Context, limiter *connLimiter, served <-chan error) error {
 	s.keepAlivesDisabled.Store(true)
 	if err := limiter.stopAccepting(); err != nil {
-		return fmt.Errorf("end the listener: %w", err)
+		return fmt.Errorf("stop accepting connections: %w", err)
 	}
 	select {
 	case err := <-served:
@@ -105,8 +106,8 @@
 	limiter.setKeepAlives(false)
 	if !limiter.waitUntilEmpty(ctx) && s.inFlight.Load() > 0 {
 		s.reportViolation(violation.RuleAnswered, violation.PathShutdown, "",
-			fmt.Sprintf("%d calls are left without an answer", s.inFlight.Load()))
+			fmt.Sprintf("%d calls in flight were not answered before the drain deadline", s.inFlight.Load()))
 		return context.DeadlineExceeded
 	}
-	return nil // connections without a request in flight may be left
+	return nil // connections without a request in flight may still be open
 }
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -16,30 +16,31 @@
 	"oakthread/internal/wire"
 )
 
-// maxResponseDelay is how far past its deadline a response is as good as none.
+// maxResponseDelay is the delay past its deadline above which a response counts as a violation: it
+// is of no more use than none.
 const maxResponseDelay = 500 * time.Millisecond
 
-// errAmbiguousLengths rejects a request that other parsers may bound differently.
+// errAmbiguousLengths rejects a request whose end other parsers may see elsewhere.
 var errAmbiguousLengths = errors.New("the lengths of a request on this connection contradict each other")
 
 // Server serves the platform's clients over HTTP/1.1. It implements http.Handler.
 type Server struct {
-	// Violated, if set before Serve, is called for each rule that is found broken.
+	// OnViolation, if set before Serve, is called for each violation of a rule.
 	OnViolation func(rule, path, id, detail string)
-	// Gate, if set before Serve, makes readiness fail while it returns false.
+	// ReadinessGate, if set before Serve, makes readiness checks fail while it returns false.
 	ReadinessGate func() bool
 
 	core               *oakthread.Core
 	mux                *http.ServeMux
 	classNumbers       atomic.Pointer[map[string]int] // by name, for new requests
 	tenantNumbers      map[string]int
-	sendsRetryAfter    bool         // rejections carry Retry-After in milliseconds as well
+	sendsRetryAfter    bool         // rejections also carry the delay in milliseconds
 	inFlight           atomic.Int64 // requests in the handler
 	malformed          atomic.Int64 // requests that could not be read
 	latestDeadline     atomic.Int64 // of all requests, in nanoseconds of package monotime
 	draining           atomic.Bool
-	drainTerms         atomic.Pointer[drainTerms] // nil: it does not drain
-	keepAlivesDisabled atomic.Bool                // each connection ends with its response
+	drainTerms         atomic.Pointer[drainTerms] // nil: not draining
+	keepAlivesDisabled atomic.Bool                // connections are closed after a response
 	outcomes           sync.Map                   // class name → *Outcomes
 	limiter            atomic.Pointer[connLimiter]
 }
@@ -63,11 +64,11 @@
 	return s
 }
 
-// SetClasses sets the class numbers by name for new requests; those in flight keep theirs. The map must not
-// be changed afterwards.
+// SetClasses sets the class numbers by name for new requests. Requests in flight keep their
+// numbers. The map must not be changed afterwards.
 func (s *Server) SetClasses(numbers map[string]int) { s.classNumbers.Store(&numbers) }
 
-// Pending returns the number of requests that have been read and not been answered.
+// Pending returns the number of calls that are being read or have not been answered yet.
 func (s *Server) Pending() int64 { return s.inFlight.Load() }
 
 // Malformed returns the number of requests that could not be read.
@@ -81,8 +82,9 @@
 	return 0
 }
 
-// SetKeepAlives turns keep-alives on or off. Turning them off closes the idle connections of clients and
-// ends every other one after its response. It takes effect once Serve runs and until the server drains.
+// SetKeepAlives turns keep-alives on or off. Turning them off closes the idle connections of
+// clients and closes every other one after its response. It takes effect once Serve runs, and does
+// nothing while the server drains.
 func (s *Server) SetKeepAlives(on bool) {
 	if s.draining.Load() {
 		return
@@ -93,7 +95,7 @@
 	}
 }
 
-// ServeHTTP rejects what cannot be trusted and passes everything else to its handler.
+// ServeHTTP rejects requests with contradictory lengths and passes all others to their handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn := clientConnFrom(r.Context())
 	if conn != nil {
@@ -107,12 +109,12 @@
 		return
 	}
 	if r.ContentLength != 0 {
-		// Bounds bodies without end, also where the server reads what a handler has left.
+		// Limits the time for a body, also while the server discards what a handler has not read.
 		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyTimeout))
 	} else {
 		s.beginRequest(conn, r.Header.Get(callIDHeader))
 	}
-	if len(r.TransferEncoding) > 0 { // only the server knows where it ends: nothing behind it is read
+	if len(r.TransferEncoding) > 0 { // only net/http sees its end: no request is read after it
 		w.Header().Set("Connection", "close")
 	}
 	if _, pattern := s.mux.Handler(r); pattern == "" {
@@ -122,18 +124,19 @@
 	s.mux.ServeHTTP(w, r)
 }
 
-// beginRequest notes that a complete request is in flight on its connection, which is nil for one that is
-// not of a limiter. It aborts the handler if the connection has been closed.
+// beginRequest records that a complete request is in flight on conn, which is nil for a connection
+// without a limiter. It aborts the handler if the connection has been closed.
 func (s *Server) beginRequest(conn *clientConn, requestID string) {
 	if conn == nil || conn.limiter.beginRequest(conn) {
 		return
 	}
 	s.reportViolation(violation.RuleAnswered, violation.PathAccept, requestID,
-		"its connection was closed before it was taken")
+		"connection was closed before the request was accepted")
 	panic(http.ErrAbortHandler)
 }
 
-// handlePing reports readiness: the endpoint list is loaded and the server does not drain.
+// handlePing answers readiness checks: 200 if the endpoint list is loaded, the server is not draining
+// and ReadinessGate allows it, else 503.
 func (s *Server) handlePing(w http.ResponseWriter, r *http.Request) {
 	s.announceClose(w, r)
 	if !s.core.Ready() || s.draining.Load() || s.ReadinessGate != nil && !s.ReadinessGate() {
@@ -141,7 +144,7 @@
 	}
 }
 
-// handleCall reads a request, passes it to the core and writes the answer.
+// handleCall reads a call, passes it to the core and writes the answer.
 func (s *Server) handleCall(w http.ResponseWriter, r *http.Request) {
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
@@ -153,7 +156,7 @@
 	}
 	conn := clientConnFrom(r.Context())
 	if conn != nil && r.ContentLength != 0 {
-		if conn.ambiguous.Load() { // found while the body arrived
+		if conn.ambiguous.Load() { // detected while the body arrived
 			s.rejectMalformed(w, http.StatusBadRequest, errAmbiguousLengths)
 			return
 		}
@@ -171,13 +174,13 @@
 	s.announceClose(w, r)
 	if late := time.Since(request.Deadline); err == nil && began.Before(request.Deadline) && late > maxResponseDelay {
 		s.reportViolation(violation.RuleInTime, violation.PathAnswer, request.ID,
-			fmt.Sprintf("answered %v after its time", late.Round(time.Millisecond)))
+			fmt.Sprintf("answered %v after its deadline", late.Round(time.Millisecond)))
 	}
 	s.writeAnswer(w, answer, err)
 	s.countOutcome(r.Header.Get(classHeader), httpreply.Status(answer, err))
 }
 
-// noteDeadline raises the latest deadline, up to which a drain waits.
+// noteDeadline raises latestDeadline, which a drain waits for, to deadline if that is later.
 func (s *Server) noteDeadline(deadline time.Time) {
 	nanos, latest := monotime.Nanos(deadline), s.latestDeadline.Load()
 	for nanos > latest && !s.latestDeadline.CompareAndSwap(latest, nanos) {
@@ -185,7 +188,7 @@
 	}
 }
 
-// reportViolation calls Violated for a rule that is found broken.
+// reportViolation calls OnViolation, if set, for a violation of a rule.
 func (s *Server) reportViolation(rule violation.Rule, path violation.Path, id, detail string) {
 	if s.OnViolation != nil {
 		s.OnViolation(string(rule), string(path), id, detail)
--- a/internal/platform/socketstate.go
+++ b/internal/platform/socketstate.go
@@ -8,17 +8,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxDataAge is the greatest age of data that is believed: no request waits in the kernel for longer.
+// maxDataAge is the greatest plausible age of data: no request waits in the kernel for longer.
 const maxDataAge = time.Minute
 
-// hasUnread reports whether the kernel holds bytes of a connection that have not been read.
+// hasUnread reports whether the kernel holds unread bytes of a connection.
 func hasUnread(conn net.Conn) bool {
 	return socketValuePositive(conn, func(fd int) (int, error) { return unix.IoctlGetInt(fd, unix.TIOCINQ) })
 }
 
-// lastDataAge returns how long ago the last bytes arrived at a socket, read or not, in whole milliseconds.
-// The kernel measures it also while this process does not run or its accepts wait. It is 0 where the kernel
-// does not tell (tcp(7), TCP_INFO).
+// lastDataAge returns how long ago the last bytes arrived at a socket, read or not, in whole
+// milliseconds (tcp(7), TCP_INFO). The kernel also measures it while this process does not run or
+// does not accept. It is 0 if the kernel gives no age or one above maxDataAge.
 func lastDataAge(conn net.Conn) time.Duration {
 	info := tcpInfo(conn)
 	if info == nil {
@@ -31,14 +31,15 @@
 	return age
 }
 
-// clientHasClosed reports whether the other side has closed the connection or its sending side, or has
-// reset it, whether or not this process has read up to there. It is false where the kernel does not tell.
+// clientHasClosed reports whether the client has closed the connection or its sending side, or has
+// reset it, even if this process has not read up to that point. It is false if the kernel gives no
+// state.
 func clientHasClosed(conn net.Conn) bool {
 	info := tcpInfo(conn)
 	return info != nil && info.State != unix.BPF_TCP_ESTABLISHED
 }
 
-// tcpInfo returns what the kernel knows of a connection, nil if nothing.
+// tcpInfo returns the kernel's TCP_INFO of a connection, nil if it is not available.
 func tcpInfo(conn net.Conn) (info *unix.TCPInfo) {
 	socketValuePositive(conn, func(fd int) (int, error) {
 		known, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
@@ -50,15 +51,15 @@
 	return info
 }
 
-// hasPendingConn reports whether a listener has connections that have not been accepted.
+// hasPendingConn reports whether a listener has connections waiting to be accepted.
 func hasPendingConn(ln net.Listener) bool {
 	return socketValuePositive(ln, func(fd int) (int, error) {
 		return unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, 0)
 	})
 }
 
-// socketValuePositive reports whether a value that query reads from a socket's descriptor is above 0. It is
-// false where the socket has no descriptor or query fails.
+// socketValuePositive reports whether the value that query reads from a socket's descriptor is
+// above 0. It is false if the socket has no descriptor or query fails.
 func socketValuePositive(socket any, query func(fd int) (int, error)) bool {
 	withDescriptor, ok := socket.(syscall.Conn)
 	if !ok {
