--- a/internal/platform/accept_test.go
+++ b/internal/platform/accept_test.go
@@ -31,8 +31,8 @@
 	return l.TCPListener.Accept()
 }
 
-// transientAcceptErrors are the transient errors of accept(2): of the connection that was to be accepted, of the
-// network below it, or for lack of a resource that others may free.
+// transientAcceptErrors are the transient errors of accept(2): errors of the connection that was to
+// be accepted, errors of its network, and a lack of resources that may be freed later.
 var transientAcceptErrors = []syscall.Errno{
 	syscall.EINTR, syscall.EAGAIN, syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE,
 	syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN, syscall.ENETUNREACH,
@@ -40,7 +40,7 @@
 	syscall.ETIMEDOUT, syscall.ECONNRESET,
 }
 
-// After a transient error of an accept the server accepts the next connection.
+// The server continues to accept connections after a transient error of accept.
 func TestTransientAcceptErrorsAreRetried(t *testing.T) {
 	for _, errno := range transientAcceptErrors {
 		t.Run(errno.Error(), func(t *testing.T) {
@@ -57,7 +57,8 @@
 	}
 }
 
-// callOnce sends one call on a connection of its own and reports whether a complete response arrived.
+// callOnce sends one call on a connection of its own and reports whether a complete response
+// arrived.
 func callOnce(addr, id string) bool {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -76,8 +77,8 @@
 	return err == nil
 }
 
-// Every request gets a response while more clients call at once than the server has places, each on a new
-// connection.
+// Every request gets a response while the number of concurrent clients reaches and exceeds the
+// limit on connections, with a new connection for each request.
 func TestFullServerAnswersEveryRequest(t *testing.T) {
 	const (
 		requests    = 2000
@@ -88,7 +89,7 @@
 		t.Run(strconv.Itoa(clients), func(t *testing.T) {
 			s := newTestbed(t, testbedOptions{}, newRecordingExecutor(t, serve))
 			go func() {
-				for range s.completions { // drained, as nothing else reads them
+				for range s.completions { // discards them, as nothing else reads the channel
 				}
 			}()
 			var next, unanswered atomic.Int64
--- a/internal/platform/connlimiter_test.go
+++ b/internal/platform/connlimiter_test.go
@@ -14,7 +14,7 @@
 	"oakthread/rules"
 )
 
-// acceptPair returns a connection as a limiter holds it, and its client's end.
+// acceptPair returns a connection that a limiter has accepted, and the client's end of it.
 func acceptPair(t *testing.T, limiter *connLimiter) (accepted *clientConn, client *net.TCPConn) {
 	t.Helper()
 	dialed, err := net.Dial("tcp", limiter.Addr().String())
@@ -25,16 +25,16 @@
 	return conn.(*clientConn), dialed.(*net.TCPConn)
 }
 
-// newTestLimiter returns a limiter that holds at most places connections.
-func newTestLimiter(t *testing.T, places int) *connLimiter {
+// newTestLimiter returns a limiter that keeps at most maxConns connections open.
+func newTestLimiter(t *testing.T, maxConns int) *connLimiter {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
-	return newConnLimiter(ln, places, discardLog)
+	return newConnLimiter(ln, maxConns, discardLog)
 }
 
-// backdateActivity makes a connection an hour more idle.
+// backdateActivity increases the idle time of a connection by an hour.
 func backdateActivity(conn *clientConn) {
 	conn.limiter.mu.Lock()
 	defer conn.limiter.mu.Unlock()
@@ -48,11 +48,12 @@
 	}
 }
 
-// minUnusedIdleTime is the longest time for which a connection must be idle before it is closed for another.
+// minUnusedIdleTime is the longest time for which a connection must be idle before it is closed for
+// another.
 var minUnusedIdleTime = rules.MinIdleTime(false)
 
-// pausedReadConn is a connection whose reads wait for resume once their bytes have left the kernel and have not been
-// counted.
+// pausedReadConn is a connection whose read waits for resume when its bytes have left the kernel
+// and have not been counted yet.
 type pausedReadConn struct {
 	*net.TCPConn
 	bytesRead, resume chan struct{}
@@ -67,11 +68,11 @@
 	return n, err
 }
 
-// Clients that open connections and send nothing do not keep others out: their connections are closed, and one with
-// a request in flight is not.
+// Clients that open connections and send nothing do not keep others out: their connections are
+// closed for new ones, while a connection with a request in flight is kept.
 func TestIdleConnectionsAreClosedForNewOnes(t *testing.T) {
 	arrived, release := make(chan bool), make(chan bool)
-	s := startServer(t, time.Millisecond, make(notify, 8), func(http.ResponseWriter, *http.Request) {
+	s := startServer(t, time.Millisecond, make(logLineWriter, 8), func(http.ResponseWriter, *http.Request) {
 		arrived <- true
 		<-release
 	})
@@ -82,7 +83,7 @@
 		}
 	}()
 	<-arrived
-	for range 60 { // the server holds 50
+	for range 60 { // the limit is 50
 		conn, err := net.Dial("tcp", strings.TrimPrefix(s.url, "http://"))
 		require.NoError(t, err)
 		defer conn.Close()
@@ -99,7 +100,7 @@
 	assert.Zero(t, s.server.Pending())
 }
 
-// A full limiter accepts a new connection at once, and closes the one that has been idle for longest of those
+// A full limiter accepts a new connection and closes the one with the longest idle time among those
 // without a request in flight.
 func TestLongestIdleConnectionIsClosed(t *testing.T) {
 	limiter := newTestLimiter(t, 2)
@@ -114,7 +115,7 @@
 	first, second := accept(), accept()
 	require.True(t, limiter.beginRequest(first))
 	third := accept()
-	assert.False(t, first.closed, "one with a request in flight was closed")
+	assert.False(t, first.closed, "a connection with a request in flight was closed")
 	assert.True(t, second.closed)
 	assert.False(t, limiter.beginRequest(second), "a request began on a closed connection")
 	limiter.handleConnState(first, http.StateIdle)
@@ -125,8 +126,8 @@
 	assert.Len(t, limiter.conns, 2)
 }
 
-// A connection on which a byte of a request has arrived, whether read or not, is not closed for another: that one
-// waits.
+// A connection on which part of a request has arrived, read or unread, is not closed for a new one:
+// the new one waits.
 func TestConnectionWithARequestIsNotClosed(t *testing.T) {
 	const part = "POST /call"
 	for name, read := range map[string]bool{"unread": false, "read, incomplete": true} {
@@ -148,7 +149,7 @@
 			go func() { _, err := limiter.Accept(); accepted <- err }()
 			select {
 			case <-accepted:
-				t.Fatal("a connection with a request on it was closed for another")
+				t.Fatal("a connection with part of a request on it was closed for another")
 			case <-time.After(2 * minUnusedIdleTime):
 			}
 			assert.False(t, held.closed)
@@ -158,7 +159,8 @@
 	}
 }
 
-// A connection is not closed while bytes of a request have left the kernel and have not been counted.
+// A connection is not closed while a read is in progress that has taken bytes of a request from the
+// kernel: neither the kernel nor the tracker shows these bytes yet.
 func TestConnectionBeingReadIsNotClosed(t *testing.T) {
 	limiter := newTestLimiter(t, 1)
 	held, client := acceptPair(t, limiter)
@@ -177,12 +179,12 @@
 	limiter.mu.Unlock()
 	assert.False(t, made)
 	close(paused.resume)
-	require.NoError(t, <-got, "the read that had bytes")
+	require.NoError(t, <-got, "the read that returned bytes")
 	assert.False(t, held.closed)
 	assert.False(t, held.isCloseRequested())
 }
 
-// A connection that waits in a read for a first byte is closed by its reader.
+// A connection whose reader waits for the first byte is closed by that reader.
 func TestSilentConnectionIsClosedByItsReader(t *testing.T) {
 	limiter := newTestLimiter(t, 1)
 	held, client := acceptPair(t, limiter)
--- a/internal/platform/disconnect_test.go
+++ b/internal/platform/disconnect_test.go
@@ -18,18 +18,18 @@
 	"oakthread/internal/wire"
 )
 
-// leaveWays are the ways in which a client can leave while its call is in flight.
-var leaveWays = map[string]func(c *net.TCPConn) error{
+// disconnectModes are the ways in which a client can disconnect while its call is in flight.
+var disconnectModes = map[string]func(c *net.TCPConn) error{
 	"close":      func(c *net.TCPConn) error { return c.Close() },
 	"reset":      func(c *net.TCPConn) error { _ = c.SetLinger(0); return c.Close() },
 	"half-close": func(c *net.TCPConn) error { return c.CloseWrite() },
-	"close behind part of a next request": func(c *net.TCPConn) error {
+	"close after part of a next request": func(c *net.TCPConn) error {
 		if _, err := io.WriteString(c, "POST /call/7f3a9c21e0b4d655/trigger HT"); err != nil {
 			return err
 		}
 		return c.Close()
 	},
-	"close behind a complete next request": func(c *net.TCPConn) error {
+	"close after a complete next request": func(c *net.TCPConn) error {
 		if _, err := io.WriteString(c, callText(thirdID, "path-check", "x")); err != nil {
 			return err
 		}
@@ -37,13 +37,14 @@
 	},
 }
 
-// A call whose connection to its executor is established only after its client has left is never written, also
-// where nothing may be cancelled. The connection serves the next call.
+// A call is not written to its executor if the connection to it is established only after the
+// client has disconnected, even if the settings forbid to cancel attempts. The connection serves
+// the next call.
 func TestNothingIsWrittenForADisconnectedClient(t *testing.T) {
-	for way, leave := range leaveWays {
+	for mode, disconnect := range disconnectModes {
 		for _, cancel := range []bool{true, false} {
 			for _, class := range []string{"path-check", "path-book"} {
-				t.Run(fmt.Sprintf("%s, cancel %v, %s", way, cancel, class), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s, cancel %v, %s", mode, cancel, class), func(t *testing.T) {
 					t.Parallel()
 					s := newTestbed(t, testbedOptions{
 						settings: func(settings *wire.Settings) { settings.Permissions.Cancel = cancel },
@@ -51,7 +52,7 @@
 					s.holdDialAfter(0)
 					client := s.send(firstID, class)
 					<-s.heldDial
-					require.NoError(t, leave(client))
+					require.NoError(t, disconnect(client))
 					s.awaitAbandoned(firstID)
 					close(s.releaseDial)
 					assert.Equal(t, 200, s.call(secondID, class))
@@ -66,18 +67,18 @@
 	}
 }
 
-// Nothing is written for a client that left while its request waited in the kernel. Found by the soak with
-// seed 1031: accepts that fail, and processes that end.
+// Nothing is written for a client that disconnected while its connection was in the accept backlog.
+// The soak test found this with seed 1031, which makes accepts fail and processes end.
 func TestNothingIsWrittenForAClientGoneFromTheBacklog(t *testing.T) {
-	for way, leave := range leaveWays {
-		t.Run(way, func(t *testing.T) {
+	for mode, disconnect := range disconnectModes {
+		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
 			listener := newPausingListener()
 			s := newTestbed(t, testbedOptions{listener: listener.wrap}, newRecordingExecutor(t, nil))
-			require.Equal(t, http.StatusOK, s.call(firstID, "path-check")) // accepts wait from here on
+			require.Equal(t, http.StatusOK, s.call(firstID, "path-check")) // later accepts wait
 			const clients = 20
 			for i := range clients {
-				require.NoError(t, leave(s.send(fmt.Sprintf("%016x", 0x100+i), "path-book")))
+				require.NoError(t, disconnect(s.send(fmt.Sprintf("%016x", 0x100+i), "path-book")))
 			}
 			close(listener.resume)
 			require.Equal(t, http.StatusOK, s.call(thirdID, "path-check"))
@@ -89,14 +90,15 @@
 	}
 }
 
-// The close may arrive in one segment with the call: an attempt may begin with it, and none later.
+// If the close of the connection arrives together with the call, an attempt may begin, but nothing
+// is written for it.
 func TestRequestAndCloseInOneSegment(t *testing.T) {
 	s := newTestbed(t, testbedOptions{settings: withoutCancellation}, newRecordingExecutor(t, nil))
 	s.holdDialAfter(0)
 	client := s.dial()
 	s.write(client, callText(firstID, "path-book", "x"))
 	require.NoError(t, client.Close())
-	for ended := int64(0); ended == 0; { // the handler may end before the call is admitted and a connection made
+	for ended := int64(0); ended == 0; { // the handler may end before the call is admitted
 		s.server.ForEachClass(func(_ string, outcomes *Outcomes) { ended += outcomes.Failed.Load() })
 		runtime.Gosched()
 	}
@@ -108,7 +110,8 @@
 	s.close()
 }
 
-// A client may leave before the second connection of an attempt, whose first was reset before any write.
+// Nothing is written for a client that disconnects before the second connection of an attempt,
+// whose first connection failed before any write.
 func TestClientDisconnectsBeforeTheSecondConnection(t *testing.T) {
 	s := newTestbed(t, testbedOptions{settings: withoutCancellation}, newRecordingExecutor(t, nil))
 	dial, dials := s.pool.dialContext, 0
@@ -130,7 +133,8 @@
 	s.close()
 }
 
-// The first executor is silent, a hedge is about to be written to the other, and the client leaves before it is.
+// A hedge is not written if the client disconnects while the connection for it is being
+// established. The first executor does not respond.
 func TestClientDisconnectsBeforeAHedge(t *testing.T) {
 	release := make(chan struct{})
 	silent := func(http.ResponseWriter, *http.Request) { <-release }
@@ -148,7 +152,7 @@
 	if held.RemoteAddr().String() != hedged.addr() {
 		hedged = s.executors[1]
 	}
-	// A further attempt is written, so that the hedge would have been by now.
+	// After a further attempt to the same executor the hedge would have been written as well.
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
 	attempt := attemptTo(endpointAt(hedged.addr()), "x")
@@ -157,7 +161,7 @@
 	assert.NotContains(t, hedged.requests(), firstID)
 }
 
-// A call that waits for a load order is not sent once its client has left.
+// A call that waits for a load order is not sent after its client has disconnected.
 func TestClientDisconnectsDuringALoadOrder(t *testing.T) {
 	s, ordered, release := newLoadOrderTestbed(t)
 	client := s.send(firstID, "path-book")
@@ -170,17 +174,18 @@
 	s.close()
 }
 
-// Nothing is sent for a client that leaves within its body, and its place is free again.
+// Nothing is sent for a client that disconnects before its body is complete. Later calls are
+// served.
 func TestClientDisconnectsWithinItsBody(t *testing.T) {
-	for _, way := range []string{"close", "reset", "half-close"} {
-		leave := leaveWays[way]
-		t.Run(way, func(t *testing.T) {
+	for _, mode := range []string{"close", "reset", "half-close"} {
+		disconnect := disconnectModes[mode]
+		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
 			s := newTestbed(t, testbedOptions{}, newRecordingExecutor(t, nil))
 			client := s.dial()
 			call := callText(firstID, "path-book", "a body")
 			s.write(client, call[:len(call)-3])
-			require.NoError(t, leave(client))
+			require.NoError(t, disconnect(client))
 			for s.server.Malformed() == 0 {
 				runtime.Gosched()
 			}
@@ -192,7 +197,8 @@
 	}
 }
 
-// Clients that give up early and retry at once cause one attempt for each retry, counted at the executors.
+// Clients that give up early and retry immediately cause one attempt per retry, counted at the
+// executors.
 func TestClientRetriesDoNotMultiplyAttempts(t *testing.T) {
 	arrived, release := make(chan string, 64), make(chan struct{})
 	silent := func(_ http.ResponseWriter, r *http.Request) { arrived <- r.Header.Get("X-Hop-Id"); <-release }
@@ -210,8 +216,9 @@
 	assert.Len(t, append(s.executors[0].requests(), s.executors[1].requests()...), 10)
 }
 
-// What a call holds (places, sockets, counts) is released once, whether its client's close or its response comes
-// first. A non-idempotent call is not written again, and its late result is still counted.
+// The resources of a call (slots, sockets, counts) are released once, whether the client's close or
+// the executor's response comes first. A non-idempotent call is not written again, and its late
+// result is still counted.
 func TestDisconnectedRequestIsCompletedOnce(t *testing.T) {
 	for _, closeFirst := range []bool{true, false} {
 		t.Run(fmt.Sprint("close first: ", closeFirst), func(t *testing.T) {
--- a/internal/platform/drain_test.go
+++ b/internal/platform/drain_test.go
@@ -12,7 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Calls in the accept backlog are answered: the kernel has accepted their connections, the server has not.
+// Calls in the accept backlog are answered: the kernel has accepted their connections, but the
+// server has not yet.
 func TestDrainAnswersTheBacklog(t *testing.T) {
 	listener := newPausingListener()
 	s := newTestbed(t, testbedOptions{listener: listener.wrap}, newRecordingExecutor(t, nil))
@@ -27,7 +28,8 @@
 	require.NoError(t, <-s.done)
 }
 
-// A request that is unread on a reused connection when idle connections are closed is answered.
+// A request that has arrived unread on a reused connection when a drain closes the idle connections
+// is answered.
 func TestDrainAnswersAnUnreadRequest(t *testing.T) {
 	var accepted *pausingConn
 	wrap := func(conn *net.TCPConn) net.Conn {
@@ -42,7 +44,7 @@
 	s.shutdown()
 	select {
 	case <-accepted.closed:
-		t.Fatal("closed with a request unread on it")
+		t.Fatal("connection closed with an unread request on it")
 	case <-accepted.inspected:
 	case <-time.After(10 * time.Second):
 	}
@@ -51,8 +53,8 @@
 	require.NoError(t, <-s.done)
 }
 
-// A request that is partly read on a reused connection when idle connections are closed is answered: net/http
-// calls such a connection idle until the head is complete.
+// A request that has been partly read on a reused connection when a drain closes the idle
+// connections is answered. net/http considers such a connection idle until the head is complete.
 func TestDrainAnswersAPartlyReadRequest(t *testing.T) {
 	reads := make(chan struct{}, 16)
 	wrap := func(conn *net.TCPConn) net.Conn { return newReportingConn(conn, reads) }
@@ -71,7 +73,7 @@
 	require.ErrorIs(t, err, io.EOF, "idle connections are closed")
 	select {
 	case err := <-s.done:
-		t.Fatal("ended with part of a request on a connection", err)
+		t.Fatal("server ended with part of a request on a connection", err)
 	case <-time.After(50 * time.Millisecond):
 	}
 	s.write(client, call[40:])
@@ -79,7 +81,7 @@
 	require.NoError(t, <-s.done)
 }
 
-// A request that was sent in one segment with the one before it, and is in the server's buffer when that one is
+// A pipelined request, which is already in the server's buffer when the request before it is
 // answered, is answered as well.
 func TestDrainAnswersAPipelinedRequest(t *testing.T) {
 	arrived, release := make(chan bool, 2), make(chan bool)
@@ -98,13 +100,13 @@
 		_, _ = io.Copy(io.Discard, resp.Body)
 		resp.Body.Close()
 		assert.Equal(t, 200, resp.StatusCode)
-		assert.Equal(t, i == 1, resp.Close, "only the last response ends the connection")
+		assert.Equal(t, i == 1, resp.Close, "only the last response closes the connection")
 	}
 	require.NoError(t, <-s.done)
 }
 
-// Calls that wait, one for a load order and one between two attempts, get their responses, and the server ends
-// only then.
+// Calls that wait for a load order or between two attempts get their responses before the server
+// ends.
 func TestDrainAnswersQueuedRequests(t *testing.T) {
 	s, ordered, release := newLoadOrderTestbed(t)
 	client := s.send(firstID, "path-book")
@@ -113,7 +115,7 @@
 	s.awaitLog("drain stopped accepting")
 	select {
 	case err := <-s.done:
-		t.Fatal("ended with a call that waits for a load order", err)
+		t.Fatal("server ended while a call waits for a load order", err)
 	case <-time.After(20 * time.Millisecond):
 	}
 	close(release)
@@ -129,16 +131,17 @@
 	s = newTestbed(t, testbedOptions{}, newRecordingExecutor(t, rejectAll))
 	client = s.send(firstID, "path-book")
 	<-arrived
-	<-arrived // it waits for the third attempt now
+	<-arrived // now it waits for the third attempt
 	s.shutdown()
 	assert.Equal(t, 503, s.readStatus(client))
 	require.NoError(t, <-s.done)
 	assert.Len(t, s.executors[0].requests(), 3)
 }
 
-// A request that arrived during a stall of the process is answered, although the timers for reading it expire
-// before its socket is read; where nothing has arrived, the read times out. Found in CI: a dispatcher that stalled
-// for 2 s reset a connection on which a request was unread, and rejected a partly read one with 400.
+// A request that arrived during a stall of the process is answered, although its read timers expire
+// before the socket is read. If nothing has arrived, the read times out. In CI a dispatcher that
+// stalled for 2 s reset a connection with an unread request and rejected a partly read request with
+// 400.
 func TestRequestThatArrivedDuringAStallIsAnswered(t *testing.T) {
 	for _, c := range []struct {
 		name     string
--- a/internal/platform/drainterms_test.go
+++ b/internal/platform/drainterms_test.go
@@ -16,8 +16,8 @@
 	}{
 		{"in time", 5000, 700, 5000, 5000},
 		{"late, with a long deadline", 5000, 900, 5000, 3450},
-		{"late, with a short one", 5000, 900, 1500, 1500},
-		{"deployment of short deadlines", 400, 800, 1200, 850},
+		{"late, with a short deadline", 5000, 900, 1500, 1500},
+		{"deployment with short deadlines", 400, 800, 1200, 850},
 		{"hardly any time is left", 400, 840, 1200, 860},
 	} {
 		ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
--- a/internal/platform/framing_test.go
+++ b/internal/platform/framing_test.go
@@ -13,12 +13,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The bounds of a message are found however its bytes are split.
+// The framer finds the end of a message independently of how its bytes are split into reads.
 func TestFramerFindsMessageBounds(t *testing.T) {
 	for _, c := range []struct {
 		text      string
 		responses bool
-		at        int // bytes up to the end of the first message; 0: no end is seen
+		at        int // bytes up to the end of the first message; 0: no end is found
 		ambiguous bool
 	}{
 		{"POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nabcGET", false, 41, false},
@@ -49,7 +49,7 @@
 	}
 }
 
-// exchangeRaw writes text to a server on a connection of its own and returns what arrives until it is closed.
+// exchangeRaw writes text to a server on a new connection and returns all that it receives.
 func exchangeRaw(t *testing.T, url, text string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", strings.TrimPrefix(url, "http://"))
@@ -61,11 +61,12 @@
 	return string(got)
 }
 
-// A request hidden in the body of another by ambiguous lengths is rejected with it, and the connection ends. Chunks
-// alone are a body like any other, but nothing behind them is read.
+// A request smuggled in the body of another by ambiguous lengths is not forwarded: the outer
+// request is rejected and the connection is closed. A request with a chunked body alone is served,
+// but nothing after the body is read.
 func TestSmuggledRequestsAreRejected(t *testing.T) {
 	ran := make(chan string, 8)
-	s := startServer(t, time.Millisecond, make(notify, 8), func(_ http.ResponseWriter, r *http.Request) {
+	s := startServer(t, time.Millisecond, make(logLineWriter, 8), func(_ http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		ran <- r.Header.Get("X-Hop-Id") + " " + string(body)
 	})
--- a/internal/platform/helpers_test.go
+++ b/internal/platform/helpers_test.go
@@ -13,7 +13,8 @@
 	"oakthread/internal/wire"
 )
 
-// settingsText is the settings object of the tests: path-check may run twice, path-book must not.
+// settingsText is the settings object of the tests: path-check calls may run twice, path-book calls
+// must not.
 const settingsText = `{"categories":[
 {"name":"path-check","aim_ns":400000000,"give_up_ns":5000000000,"credit":1,"idempotency":"read_like"},
 {"name":"path-book","aim_ns":750000000,"give_up_ns":4000000000,"credit":5,"idempotency":"non_idempotent"}],
@@ -25,7 +26,7 @@
 
 var discardLog = slog.New(slog.DiscardHandler)
 
-// testSettings returns settings of its own for each call.
+// testSettings returns a new copy of the settings for each call.
 func testSettings(t testing.TB) *wire.Settings {
 	t.Helper()
 	settings, err := wire.ReadSettings([]byte(settingsText))
@@ -33,12 +34,12 @@
 	return settings
 }
 
-// endpointAt returns worker 1 at an address.
+// endpointAt returns the endpoint of worker 1 at an address.
 func endpointAt(addr string) oakthread.Endpoint {
 	return oakthread.Endpoint{ID: 1, Addr: addr, State: balancer.Active, Weight: 1}
 }
 
-// attemptTo returns an attempt of a path-book call, with a second until its deadline.
+// attemptTo returns an attempt of a path-book call, whose deadline is in 1 s.
 func attemptTo(endpoint oakthread.Endpoint, body string) oakthread.Attempt {
 	return oakthread.Attempt{Worker: endpoint, Deadline: time.Now().Add(time.Second), Request: &oakthread.Request{
 		ID: "9b1f03aa5c7e2d41", Class: 1, Key: "7F3a9c21e0b4d655", Body: []byte(body),
--- a/internal/platform/listen_test.go
+++ b/internal/platform/listen_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// A second process of the same user, such as a new version, can listen on the addresses of the first.
+// A second process of the same user, such as a new version, can listen on the addresses of the
+// first. The test opens both sockets in one process.
 func TestListenTwiceOnOneAddress(t *testing.T) {
 	ctx := context.Background()
 	first, err := Listen(ctx, "127.0.0.1:0")
@@ -29,7 +30,7 @@
 		t.Fatalf("second datagram socket on %s: %v", firstPacket.LocalAddr(), err)
 	}
 	defer func() { _ = secondPacket.Close() }()
-	// Sockets without the option still cannot take the port.
+	// A socket without the option cannot be bound to the port.
 	if plain, err := net.Listen("tcp", first.Addr().String()); err == nil {
 		plain.Close()
 		t.Fatalf("a socket without SO_REUSEPORT took %s", first.Addr())
--- a/internal/platform/pausing_test.go
+++ b/internal/platform/pausing_test.go
@@ -11,13 +11,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// pausingListener is a listener whose Accept waits for resume, from the second connection on.
+// pausingListener is a listener whose Accept waits for resume after the first connection.
 type pausingListener struct {
 	*net.TCPListener
 	mu       sync.Mutex
 	accepted int
 	resume   chan struct{}
-	stopped  chan struct{} // closed when the server begins to close it
+	stopped  chan struct{} // closed on the first call of SetDeadline or Close
 	once     sync.Once
 }
 
@@ -25,7 +25,7 @@
 	return &pausingListener{resume: make(chan struct{}), stopped: make(chan struct{})}
 }
 
-// wrap sets the listener below.
+// wrap sets the wrapped listener.
 func (l *pausingListener) wrap(ln *net.TCPListener) net.Listener {
 	l.TCPListener = ln
 	return l
@@ -55,19 +55,20 @@
 	return l.TCPListener.Close()
 }
 
-// pausingConn is a connection on which the read that follows the first interrupted one waits for resume. Its
-// channels report that wait, reads, its close and a query of what is unread.
+// pausingConn is a connection on which the read after the first interrupted read waits for resume.
+// Its channels report that wait, each read, the close, and the first access to its descriptor,
+// which the server uses to look for unread bytes.
 type pausingConn struct {
 	*net.TCPConn
 	reads                  chan struct{}
-	paused, resume         chan struct{} // nil: it never waits
+	paused, resume         chan struct{} // nil: it never pauses
 	closed, inspected      chan struct{}
 	closeOnce, inspectOnce sync.Once
 	pauseOnce              sync.Once
 	pauseNext              bool
 }
 
-// newPausingConn returns a connection that pauses and reports no reads.
+// newPausingConn returns a connection that pauses and does not report reads.
 func newPausingConn(conn *net.TCPConn) *pausingConn {
 	return &pausingConn{
 		TCPConn: conn, paused: make(chan struct{}), resume: make(chan struct{}),
@@ -75,7 +76,7 @@
 	}
 }
 
-// newReportingConn returns a connection that never pauses and reports its reads.
+// newReportingConn returns a connection that does not pause and reports its reads.
 func newReportingConn(conn *net.TCPConn, reads chan struct{}) *pausingConn {
 	return &pausingConn{
 		TCPConn: conn, reads: reads, closed: make(chan struct{}), inspected: make(chan struct{}),
@@ -109,12 +110,13 @@
 	return c.TCPConn.SyscallConn()
 }
 
-// wrapConns returns a wrapper of listeners that wraps each connection accepted.
+// wrapConns returns a wrapper for listeners, with which each accepted connection is wrapped by
+// wrap.
 func wrapConns(wrap func(*net.TCPConn) net.Conn) func(*net.TCPListener) net.Listener {
 	return func(ln *net.TCPListener) net.Listener { return connListener{ln, wrap} }
 }
 
-// connListener is a listener that wraps each connection accepted.
+// connListener is a listener that wraps each accepted connection.
 type connListener struct {
 	*net.TCPListener
 	wrap func(*net.TCPConn) net.Conn
@@ -128,14 +130,14 @@
 	return l.wrap(conn.(*net.TCPConn)), nil
 }
 
-// expiredConn is a connection on which one read times out before it looks at the socket, as after a stall of
-// the process: with bytes that arrived meanwhile or, if empty, with none.
+// expiredConn is a connection on which one read times out before it reads the socket, as after a
+// stall of the process. Unless empty is set, bytes have arrived by then.
 type expiredConn struct {
 	*net.TCPConn
-	expireAt  int // the number of the read, from 1 on
+	expireAt  int // number of the read, counted from 1
 	empty     bool
 	readCount int
-	readSizes chan int // bytes of each read
+	readSizes chan int // number of bytes of each read
 }
 
 func (c *expiredConn) Read(b []byte) (int, error) {
@@ -152,7 +154,7 @@
 	return n, err
 }
 
-// expire waits for unread bytes, unless there are to be none, and lets the deadline for reads pass.
+// expire waits for unread bytes, unless empty is set, and sets an expired read deadline.
 func (c *expiredConn) expire() error {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -166,7 +168,7 @@
 	return c.SetReadDeadline(time.Unix(1, 0))
 }
 
-// hasBytes reports whether a socket has unread bytes, or cannot tell.
+// hasBytes reports whether a socket has unread bytes or the query failed.
 func hasBytes(fd uintptr) bool {
 	n, err := unix.IoctlGetInt(int(fd), unix.TIOCINQ)
 	return n > 0 || err != nil
--- a/internal/platform/request_test.go
+++ b/internal/platform/request_test.go
@@ -11,7 +11,8 @@
 	"oakthread"
 )
 
-// A request's headers are parsed; one that is malformed, repeated or out of range is an error.
+// TestParseHeader checks that the headers of a request are parsed, and that malformed, repeated and
+// out-of-range values are errors.
 func TestParseHeader(t *testing.T) {
 	server := NewServer(nil, testSettings(t))
 	for name, c := range map[string]struct {
@@ -72,5 +73,5 @@
 		"X-Call-Id": {"9b1f03aa5c7e2d41", "9b1f03aa5c7e2d42"},
 	}, time.Now())
 	assert.ErrorContains(t, err, "2 times")
-	assert.Less(t, headerTimeout+bodyTimeout, requestReadTimeout, "a late head and a body that never arrives")
+	assert.Less(t, headerTimeout+bodyTimeout, requestReadTimeout, "a late head and an incomplete body")
 }
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -135,8 +135,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// handlePing answers readiness checks: 200 if the endpoint list is loaded, the server is not draining
-// and ReadinessGate allows it, else 503.
+// handlePing answers readiness checks: 200 if the endpoint list is loaded, the server is not
+// draining and ReadinessGate allows it, else 503.
 func (s *Server) handlePing(w http.ResponseWriter, r *http.Request) {
 	s.announceClose(w, r)
 	if !s.core.Ready() || s.draining.Load() || s.ReadinessGate != nil && !s.ReadinessGate() {
--- a/internal/platform/server_test.go
+++ b/internal/platform/server_test.go
@@ -21,15 +21,15 @@
 	"oakthread/balancer"
 )
 
-// notify is a writer for logs that sends each line.
-type notify chan string
+// logLineWriter is a log writer that sends each line to a channel.
+type logLineWriter chan string
 
-func (n notify) Write(b []byte) (int, error) {
+func (n logLineWriter) Write(b []byte) (int, error) {
 	n <- string(b)
 	return len(b), nil
 }
 
-// runningServer is a server over one executor.
+// runningServer is a server with one executor.
 type runningServer struct {
 	server   *Server
 	url      string
@@ -37,9 +37,9 @@
 	done     chan error
 }
 
-// startServer starts a server that drains for linger and logs to lines. It is not ready before its endpoint list
-// is loaded.
-func startServer(t *testing.T, linger time.Duration, lines notify, executor http.HandlerFunc) *runningServer {
+// startServer starts a server that accepts requests for linger while it drains, and logs to lines.
+// It checks that the server is not ready before its endpoint list is loaded.
+func startServer(t *testing.T, linger time.Duration, lines logLineWriter, executor http.HandlerFunc) *runningServer {
 	t.Helper()
 	backend := httptest.NewServer(executor)
 	t.Cleanup(backend.Close)
@@ -57,7 +57,7 @@
 	}
 	log := slog.New(slog.NewTextHandler(lines, nil))
 	go func() { s.done <- s.server.Serve(ctx, ln, 50, linger, 5*time.Second, log) }()
-	assert.Equal(t, 503, getStatus(t, s.url+"/ping"), "ready before a list was loaded")
+	assert.Equal(t, 503, getStatus(t, s.url+"/ping"), "ready before the endpoint list was loaded")
 	core.UpdateEndpoints(oakthread.EndpointUpdate{
 		Kind: balancer.EndpointsSnapshot, Endpoints: []oakthread.Endpoint{endpointAt(backend.Listener.Addr().String())},
 	})
@@ -80,7 +80,7 @@
 	status int
 	header http.Header
 	body   string
-	close  bool // it ends its connection
+	close  bool // the response closes its connection
 }
 
 // post sends a call and returns its response.
@@ -99,10 +99,11 @@
 	return callResponse{resp.StatusCode, resp.Header, string(text), resp.Close}, err
 }
 
-// The response to a call is the executor's. A malformed request gets a 4xx and is counted. A rejection carries
-// Retry-After, and its form in milliseconds only where the settings allow it.
+// The client receives the executor's response. A malformed request gets a 4xx and is counted. A
+// rejection has a Retry-After header, but no delay in milliseconds, which the settings do not allow
+// here.
 func TestServerAnswers(t *testing.T) {
-	s := startServer(t, time.Millisecond, make(notify, 8), func(w http.ResponseWriter, r *http.Request) {
+	s := startServer(t, time.Millisecond, make(logLineWriter, 8), func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("X-Hop-Id") == "00000000000000ff" {
 			w.Header().Set("X-No-Effect", "1")
 			w.WriteHeader(http.StatusGatewayTimeout)
@@ -130,10 +131,11 @@
 	assert.Zero(t, s.server.Pending())
 }
 
-// A drain serves calls that arrive within linger, answers each call it has read, and ends only then.
+// A drain serves calls that arrive within linger and answers every call that was read before the
+// server ends.
 func TestDrainAnswersAllRequests(t *testing.T) {
 	arrived, release := make(chan bool, 2), make(chan bool)
-	lines := make(notify, 8)
+	lines := make(logLineWriter, 8)
 	s := startServer(t, 3*time.Second, lines, func(http.ResponseWriter, *http.Request) { arrived <- true; <-release })
 	statuses := make(chan int, 2)
 	call := func(id string) {
@@ -150,7 +152,7 @@
 	<-arrived
 	select {
 	case err := <-s.done:
-		t.Fatal("ended with calls in flight", err)
+		t.Fatal("server ended with calls in flight", err)
 	default:
 	}
 	close(release)
@@ -159,10 +161,10 @@
 	assert.Zero(t, s.server.Pending())
 }
 
-// Once a client has left, the executor sees the connection of its attempt closed.
+// When a client disconnects, the connection of its attempt is closed, which the executor notices.
 func TestClientDisconnectCancelsTheAttempt(t *testing.T) {
 	arrived, cancelled := make(chan bool, 1), make(chan bool, 1)
-	s := startServer(t, time.Millisecond, make(notify, 8), func(_ http.ResponseWriter, r *http.Request) {
+	s := startServer(t, time.Millisecond, make(logLineWriter, 8), func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		arrived <- true
 		<-r.Context().Done()
@@ -178,10 +180,10 @@
 	assert.Zero(t, s.server.Pending())
 }
 
-// A server that is out of service is not ready, closes idle connections, and ends others after their response. It
-// is ready again when it returns to service, and counts outcomes by class.
+// A server that is out of service is not ready, closes idle connections, and closes others after
+// their response. It is ready again after its return to service, and counts outcomes by class.
 func TestOutOfServiceServerClosesIdleConnections(t *testing.T) {
-	s := startServer(t, time.Millisecond, make(notify, 8), func(w http.ResponseWriter, r *http.Request) {
+	s := startServer(t, time.Millisecond, make(logLineWriter, 8), func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(w, r.Body)
 	})
 	var outOfService atomic.Bool
@@ -207,7 +209,7 @@
 	answer, err := post(t.Context(), t, s.url, "0000000000000001", "kept")
 	require.NoError(t, err)
 	assert.Equal(t, "200 kept", fmt.Sprint(answer.status, " ", answer.body))
-	assert.True(t, answer.close, "the connection ends after its response")
+	assert.True(t, answer.close, "the connection is closed after the response")
 
 	outOfService.Store(false)
 	s.server.SetKeepAlives(true)
--- a/internal/platform/testbed_test.go
+++ b/internal/platform/testbed_test.go
@@ -23,18 +23,19 @@
 	"oakthread/internal/wire"
 )
 
-// IDs of requests.
+// Request IDs.
 const firstID, secondID, thirdID = "0000000000000001", "0000000000000002", "0000000000000003"
 
 // recordingExecutor is an executor that records the complete requests it receives.
 type recordingExecutor struct {
 	*httptest.Server
 	mu          sync.Mutex
-	received    []string // ids of calls, methods of other requests
-	connections []string // the client address of each
+	received    []string // ids of calls; methods of other requests
+	connections []string // remote address of each request
 }
 
-// newRecordingExecutor starts an executor that answers with answer, or with an empty 200 if that is nil.
+// newRecordingExecutor starts an executor that responds with answer, or with an empty 200 if that
+// is nil.
 func newRecordingExecutor(t *testing.T, answer http.HandlerFunc) *recordingExecutor {
 	t.Helper()
 	e := &recordingExecutor{}
@@ -49,7 +50,7 @@
 	return e
 }
 
-// record notes a request.
+// record records a request.
 func (e *recordingExecutor) record(r *http.Request) {
 	name := r.Header.Get("X-Hop-Id")
 	if name == "" {
@@ -62,21 +63,22 @@
 
 func (e *recordingExecutor) addr() string { return e.Listener.Addr().String() }
 
-// requests returns what has been received so far.
+// requests returns the requests received so far.
 func (e *recordingExecutor) requests() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]string{}, e.received...)
 }
 
-// testbedOptions change a testbed. The zero value changes nothing.
+// testbedOptions modify a testbed. The zero value changes nothing.
 type testbedOptions struct {
 	settings func(*wire.Settings)                // changes the settings
 	listener func(*net.TCPListener) net.Listener // wraps the server's listener
 }
 
-// testbed is a server, a core and a pool over executors, on real sockets. It can hold one of the pool's
-// connects until the other side of a race has happened; docs/design/crossings.md lists these races.
+// testbed is a server with a core and a pool of executors, on real sockets. To force the order of a
+// race, it can hold one of the pool's new connections until another event has happened.
+// docs/design/crossings.md lists these races.
 type testbed struct {
 	t           *testing.T
 	addr        string
@@ -87,11 +89,11 @@
 	completions chan oakthread.Completion
 	shutdown    func()
 	done        chan error
-	logLines    notify
+	logLines    logLineWriter
 
 	mu              sync.Mutex
-	dialsBeforeHold int           // connects that pass before one is held; below 0: none is
-	heldDial        chan net.Conn // the connection that is held
+	dialsBeforeHold int           // dials to pass before one is held; below 0: none is held
+	heldDial        chan net.Conn // receives the connection that is held
 	releaseDial     chan struct{}
 }
 
@@ -104,7 +106,7 @@
 	}
 	s := &testbed{
 		t: t, executors: executors, completions: make(chan oakthread.Completion, 64), dialsBeforeHold: -1,
-		heldDial: make(chan net.Conn, 1), releaseDial: make(chan struct{}), logLines: make(notify, 64),
+		heldDial: make(chan net.Conn, 1), releaseDial: make(chan struct{}), logLines: make(logLineWriter, 64),
 		done: make(chan error, 1),
 	}
 	s.pool = NewExecutorPool(settings, 50)
@@ -136,7 +138,8 @@
 	go func() { s.done <- s.server.Serve(ctx, ln, 50, time.Millisecond, 5*time.Second, log) }()
 }
 
-// holdDials returns a DialFunc that holds a connection, once made, where holdDialAfter says so.
+// holdDials returns a DialFunc that dials with dial and holds the connection selected by
+// holdDialAfter.
 func (s *testbed) holdDials(dial DialFunc) DialFunc {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := dial(ctx, network, addr)
@@ -152,7 +155,7 @@
 	}
 }
 
-// updateEndpoints updates the core with all executors, as change leaves them.
+// updateEndpoints sends the core an update with the endpoints of all executors, modified by change.
 func (s *testbed) updateEndpoints(
 	kind balancer.EndpointUpdateKind, change func(index int, endpoint *oakthread.Endpoint),
 ) {
@@ -168,14 +171,14 @@
 	s.core.Counters() // returns after the update was handled
 }
 
-// holdDialAfter has the pool hold a connection after n others.
+// holdDialAfter makes the pool hold the connection that follows n others; below 0: none.
 func (s *testbed) holdDialAfter(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.dialsBeforeHold = n
 }
 
-// dial opens a client's connection.
+// dial opens a client connection to the server.
 func (s *testbed) dial() *net.TCPConn {
 	s.t.Helper()
 	conn, err := net.Dial("tcp", s.addr)
@@ -184,7 +187,7 @@
 	return conn.(*net.TCPConn)
 }
 
-// callText returns a call as it stands on the wire.
+// callText returns a call as an HTTP/1.1 request.
 func callText(id, class, body string) string {
 	return fmt.Sprintf("POST /call/7f3a9c21e0b4d655/trigger HTTP/1.1\r\nHost: x\r\nX-Class: %s\r\nX-Call-Id: %s\r\n"+
 		"X-Patience-Ms: 4000\r\nContent-Length: %d\r\n\r\n%s", class, id, len(body), body)
@@ -196,13 +199,13 @@
 	require.NoError(s.t, err)
 }
 
-// call sends a call on a connection of its own and returns the status of the response.
+// call sends a call on a new connection and returns the status of the response.
 func (s *testbed) call(id, class string) int {
 	s.t.Helper()
 	return s.readStatus(s.send(id, class))
 }
 
-// send sends a call on a connection of its own.
+// send sends a call on a new connection and returns the connection.
 func (s *testbed) send(id, class string) *net.TCPConn {
 	s.t.Helper()
 	conn := s.dial()
@@ -221,7 +224,7 @@
 	return resp.StatusCode
 }
 
-// awaitAbandoned waits until a call has been completed because its client has left.
+// awaitAbandoned waits until a call is completed as abandoned, since its client has disconnected.
 func (s *testbed) awaitAbandoned(id string) {
 	s.t.Helper()
 	for {
@@ -232,18 +235,18 @@
 				return
 			}
 		case <-time.After(10 * time.Second):
-			s.t.Fatal("the client's leaving was not noticed")
+			s.t.Fatal("the client's disconnect was not detected")
 		}
 	}
 }
 
-// awaitLog waits for a log line with a text.
+// awaitLog waits for a log line that contains text.
 func (s *testbed) awaitLog(text string) {
 	for !strings.Contains(<-s.logLines, text) {
 	}
 }
 
-// close ends the server, which must not fail.
+// close shuts down the server, which must not return an error.
 func (s *testbed) close() {
 	s.t.Helper()
 	s.shutdown()
@@ -258,24 +261,24 @@
 	}
 }
 
-// expireWarmth makes a function known and lets its copy's keep-alive expire, so that the next call waits for
-// a load order.
+// expireWarmth calls a function once and lets the keep-alive of its copy expire, so that the next
+// call waits for a load order.
 func (s *testbed) expireWarmth() {
 	s.t.Helper()
 	require.Equal(s.t, 200, s.call(thirdID, "path-check"))
-	time.Sleep(20 * time.Millisecond) // more than the keep-alive
+	time.Sleep(20 * time.Millisecond) // longer than the keep-alive
 }
 
-// withoutCancellation forbids to cancel attempts.
+// withoutCancellation forbids cancelling attempts.
 func withoutCancellation(settings *wire.Settings) { settings.Permissions.Cancel = false }
 
-// withShortKeepAlive has copies expire soon, and forbids to cancel attempts.
+// withShortKeepAlive sets the keep-alive of copies to 10 ms and forbids cancelling attempts.
 func withShortKeepAlive(settings *wire.Settings) {
 	settings.Specifics.LingerIdle, settings.Permissions.Cancel = int64(10*time.Millisecond), false
 }
 
-// newLoadOrderTestbed returns a testbed on which the next call waits for a load order. The order is reported
-// on ordered and ends with release.
+// newLoadOrderTestbed returns a testbed in which the next call waits for a load order. The order is
+// reported on ordered and completes when release is closed or sent to.
 func newLoadOrderTestbed(t *testing.T) (s *testbed, ordered, release chan bool) {
 	t.Helper()
 	ordered, release = make(chan bool, 1), make(chan bool)
