--- a/middleware/middleware.go
+++ b/middleware/middleware.go
@@ -1,5 +1,5 @@
 // Package middleware adds a dispatcher to an HTTP server: requests that call a function are
-// dispatched to a worker, all others pass on to the next handler unread.
+// dispatched to a worker, all others are passed to the next handler.
 package middleware
 
 import (
@@ -16,15 +16,17 @@
 	Do(ctx context.Context, request oakthread.Request) (oakthread.Answer, error)
 }
 
-// ErrPass is returned by a Reader for an HTTP request that calls no function. It passes to the next
-// handler.
+// ErrPass is returned by a Reader for an HTTP request that calls no function. The request is then
+// passed to the next handler.
 var ErrPass = errors.New("middleware: not a call")
 
-// Reader makes a request to dispatch from an HTTP request. ErrPass passes the HTTP request on; any
-// other error is answered with status 400 and the text of the error.
+// Reader builds the request to dispatch from an HTTP request. If it returns ErrPass, the HTTP
+// request is passed to the next handler as the Reader left it, so it should not have read the body.
+// Any other error is answered with status 400 and the text of the error.
 type Reader func(r *http.Request) (oakthread.Request, error)
 
-// Dispatch returns the middleware. A request is abandoned when its client closes the connection.
+// Dispatch returns middleware that dispatches the requests read by read through core. A request is
+// abandoned when its client closes the connection.
 func Dispatch(core Doer, read Reader) func(http.Handler) http.Handler {
 	return func(next http.Handler) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/spiffe/spiffe.go
+++ b/spiffe/spiffe.go
@@ -1,6 +1,6 @@
 // Package spiffe configures mutual TLS with X.509 SVIDs, from files or from any source of
-// go-spiffe, such as a client of the Workload API. Peers are accepted only by the SPIFFE IDs that
-// the caller names.
+// go-spiffe, such as a client of the Workload API. A peer is accepted only if its SPIFFE ID is
+// among those that the caller names.
 package spiffe
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/spiffe/go-spiffe/v2/svid/x509svid"
 )
 
-// Source supplies the own SVID and the trust bundles that verify those of peers.
+// Source supplies the SVID of this process and the trust bundles that verify the SVIDs of peers.
 type Source interface {
 	x509svid.Source
 	x509bundle.Source
@@ -31,19 +31,20 @@
 	current atomic.Pointer[identity]
 }
 
-// identity is what one reading of the files has found.
+// identity is the result of one reading of the files.
 type identity struct {
 	svid   *x509svid.SVID
 	bundle *x509bundle.Bundle
 }
 
-// NewFiles reads an SVID, its key and the trust bundle of its trust domain from files.
+// NewFiles reads an SVID, its key and the trust bundle of its trust domain from files. It returns
+// an error if one of them cannot be read or parsed.
 func NewFiles(svidPath, keyPath, bundlePath string) (*Files, error) {
 	f := &Files{svidPath: svidPath, keyPath: keyPath, bundlePath: bundlePath}
 	return f, f.Reload()
 }
 
-// Reload reads the files again. On an error the identity of the last reading stays in force.
+// Reload reads the files again. On an error the identity that was read before stays in use.
 func (f *Files) Reload() error {
 	svid, err := x509svid.Load(f.svidPath, f.keyPath)
 	if err != nil {
@@ -57,7 +58,7 @@
 	return nil
 }
 
-// Watch reloads the files at each tick until ctx ends, and logs errors.
+// Watch reloads the files at every tick until ctx is done, and logs errors.
 func (f *Files) Watch(ctx context.Context, ticks <-chan time.Time, log *slog.Logger) {
 	for {
 		select {
@@ -79,25 +80,25 @@
 	return f.current.Load().bundle.GetX509BundleForTrustDomain(domain)
 }
 
-// ServerTLS returns a configuration that accepts only connections from the named identities.
+// ServerTLS returns a TLS configuration that accepts connections only from peers with one of ids.
 func ServerTLS(source Source, ids ...spiffeid.ID) *tls.Config {
 	cfg := tlsconfig.MTLSServerConfig(source, source, tlsconfig.AuthorizeOneOf(ids...))
 	cfg.MinVersion = tls.VersionTLS12
 	return cfg
 }
 
-// ClientTLS returns a configuration that connects only to the named identities.
+// ClientTLS returns a TLS configuration that connects only to peers with one of ids.
 func ClientTLS(source Source, ids ...spiffeid.ID) *tls.Config {
 	cfg := tlsconfig.MTLSClientConfig(source, source, tlsconfig.AuthorizeOneOf(ids...))
 	cfg.MinVersion = tls.VersionTLS12
 	return cfg
 }
 
-// Peer returns the identity of the peer of a connection that ServerTLS or ClientTLS has verified.
-// It is an error if the connection has no peer certificate.
+// Peer returns the SPIFFE ID of the peer of a connection whose peer certificate was verified under
+// ServerTLS or ClientTLS. It returns an error if the connection has no peer certificate.
 func Peer(state *tls.ConnectionState) (spiffeid.ID, error) {
 	if state == nil || len(state.PeerCertificates) == 0 {
-		return spiffeid.ID{}, errors.New("spiffe: the peer showed no certificate")
+		return spiffeid.ID{}, errors.New("spiffe: peer presented no certificate")
 	}
 	return x509svid.IDFromCert(state.PeerCertificates[0])
 }
--- a/webhook/counters.go
+++ b/webhook/counters.go
@@ -2,7 +2,7 @@
 
 import "sync/atomic"
 
-// Counters count the messages that a Receiver has handled since its start, by result.
+// Counters holds the numbers of messages that a Receiver has handled since its start, by result.
 type Counters struct {
 	Executed        int64 // started an execution
 	FromReceipt     int64 // answered from a receipt
@@ -12,10 +12,10 @@
 	BodyMismatch    int64 // 409: same id with another body
 	Forbidden       int64 // 403: SPIFFE ID of another operator
 	Malformed       int64 // 400, 408 or 413
-	Unavailable     int64 // 503: no receipt could be written
+	Unavailable     int64 // 503: the receipt could not be written
 }
 
-// receiverCounters are the live form of Counters, safe for concurrent use.
+// receiverCounters holds the values of Counters for concurrent updates.
 type receiverCounters struct {
 	executed, fromReceipt, joined                      atomic.Int64
 	unauthenticated, replayed, bodyMismatch, forbidden atomic.Int64
--- a/webhook/decode.go
+++ b/webhook/decode.go
@@ -18,8 +18,8 @@
 // functionDigits is the length of a function's id in hexadecimal digits.
 const functionDigits = 16
 
-// maxQuantity bounds every number of a message, so that none overflows a time.Duration of
-// nanoseconds.
+// maxQuantity is the upper limit of every number in a message. It keeps conversions from
+// milliseconds to a time.Duration from overflowing.
 const maxQuantity = 1e9
 
 // callData is the data of a message that requests a call.
@@ -32,8 +32,8 @@
 	LoadMS      float64 `json:"load_ms"`
 }
 
-// decode turns a verified message into a request to the core. The text of an error is answered to
-// the sender.
+// decode converts a verified message to a request to the core. The text of an error is sent to the
+// sender in the response.
 func (rc *Receiver) decode(msg verifiedMessage) (request oakthread.Request, err error) {
 	var envelope struct {
 		Type string   `json:"type"`
@@ -71,7 +71,7 @@
 	}, nil
 }
 
-// validate checks the fields of a call and returns its function.
+// validate checks the fields of a call and returns its function ID.
 func (d *callData) validate() (balancer.FuncID, error) {
 	function, err := strconv.ParseUint(d.Function, 16, 64)
 	if err != nil || len(d.Function) != functionDigits {
@@ -88,8 +88,8 @@
 	return balancer.FuncID(function), nil
 }
 
-// timeout returns the time within which the call must be answered: that of its class, or less where
-// the message says so.
+// timeout returns the time within which the call must be answered: the timeout of its class, or a
+// shorter one that the message requests.
 func (d *callData) timeout(classTimeout time.Duration) time.Duration {
 	if d.TimeoutMS <= 0 {
 		return classTimeout
--- a/webhook/delivery.go
+++ b/webhook/delivery.go
@@ -14,12 +14,12 @@
 
 const (
 	deliveryTimeout          = 15 * time.Second // of one attempt
-	maxDeliveries            = 8                // at a time
+	maxDeliveries            = 8                // in progress at a time
 	maxDeliveriesPerOperator = 3                // so that a slow operator does not hold up the others
 )
 
-// deliveries are the attempts in progress. It belongs to the goroutine of Run; only ended is
-// shared.
+// deliveries tracks the delivery attempts in progress. Only the goroutine of Run may use it, except
+// for ended, to which the goroutines of the attempts send.
 type deliveries struct {
 	byID       map[string]bool
 	byOperator map[string]int
@@ -30,7 +30,8 @@
 	return &deliveries{byID: map[string]bool{}, byOperator: map[string]int{}, ended: make(chan *notification)}
 }
 
-// reserve reports whether an attempt to deliver n may start now, and counts it if so.
+// reserve reports whether an attempt to deliver n may start now. If so, it counts the attempt as in
+// progress.
 func (d *deliveries) reserve(n *notification) bool {
 	if d.byID[n.ID] || len(d.byID) >= maxDeliveries || d.byOperator[n.Operator] >= maxDeliveriesPerOperator {
 		return false
@@ -53,8 +54,9 @@
 	}
 }
 
-// startDue writes the notifications in memory to the outbox, starts an attempt for each that is
-// due, as far as the limits allow, and returns the time until the outbox is to be looked at again.
+// startDue writes the notifications in memory to the outbox, starts a delivery attempt for each
+// notification that is due, within the limits on deliveries in progress, and returns the time until
+// the outbox must be checked again.
 func (s *Notifier) startDue(ctx context.Context, active *deliveries) time.Duration {
 	wait := s.options.InitialBackoff.Duration
 	if err := s.Flush(); err != nil {
@@ -67,7 +69,7 @@
 		wait = min(wait, next.Sub(monotime.Now().Round(0)))
 	}
 	for _, n := range ready {
-		go func() { // Run receives from ended, or waits for it at its end
+		go func() { // Run receives from ended, also while it shuts down
 			s.deliver(ctx, n)
 			active.ended <- n
 		}()
@@ -99,8 +101,9 @@
 	}
 }
 
-// backoff returns the wait after a number of attempts: it doubles from Retry up to RetryMax, less a
-// random part of up to one half, so that many notifications do not come back together.
+// backoff returns the wait after a number of attempts: it doubles from InitialBackoff up to
+// MaxBackoff, less a random part of up to one half, so that the retries of many notifications are
+// spread out.
 func (s *Notifier) backoff(attempts int) time.Duration {
 	wait := s.options.InitialBackoff.Duration
 	for i := 1; i < attempts && wait < s.options.MaxBackoff.Duration; i++ {
@@ -110,8 +113,8 @@
 	return wait/2 + rand.N(wait/2+1)
 }
 
-// post sends a notification once, signed with the current time. It returns the status and the
-// Retry-After of the response, at most RetryMax.
+// post sends a notification once, signed with the current time. It returns the status of the
+// response and its Retry-After, capped at MaxBackoff; 0 if there is none in seconds.
 func (s *Notifier) post(ctx context.Context, n *notification) (status int, retryAfter time.Duration, err error) {
 	header, operator, err := s.keys.sign(n.Operator, n.ID, time.Now(), n.Body)
 	if err != nil {
@@ -135,7 +138,7 @@
 	return response.StatusCode, retryAfter, nil
 }
 
-// newClient returns the client for an operator's endpoint. It does not follow redirects.
+// newClient returns the HTTP client for an operator's endpoint. It does not follow redirects.
 func newClient(operator Operator, transport func(Operator) http.RoundTripper) *http.Client {
 	client := &http.Client{
 		Timeout:       deliveryTimeout,
--- a/webhook/execution.go
+++ b/webhook/execution.go
@@ -20,12 +20,13 @@
 	// it is canceled.
 	answerReserve = 5 * time.Second
 
-	// Bounds of what is remembered of receipts whose write failed.
+	// Limits on the call ids that are kept of receipts whose write failed.
 	maxUnstartedPerMessage = 64
 	maxUnstartedMessages   = 4096
 )
 
-// execution is one execution of a message's call. answer is set before done is closed.
+// execution is one execution of the call that a message requests. answer is set before done is
+// closed.
 type execution struct {
 	key      string // of the message
 	msg      verifiedMessage
@@ -45,14 +46,14 @@
 
 // executions holds the executions in progress by message key.
 type executions struct {
-	// messageLocks serialize the deliveries of one message, striped by its key: a receipt and its
-	// execution change together.
+	// messageLocks are striped by message key. They serialize the deliveries of one message, so
+	// that a receipt and its execution change together.
 	messageLocks [messageLockCount]sync.Mutex
 
 	mu      sync.Mutex
 	running map[string]*execution
-	// unstarted holds the call ids of receipts whose write failed, by message. If the file has such
-	// a receipt all the same, its execution never started.
+	// unstarted holds the call ids of receipts whose write failed, by message. If the file
+	// nevertheless holds such a receipt, its execution never started.
 	unstarted map[string][]string
 }
 
@@ -60,8 +61,8 @@
 	return &executions{running: map[string]*execution{}, unstarted: map[string][]string{}}
 }
 
-// lockMessage locks a message against its other deliveries and returns the function that unlocks
-// it.
+// lockMessage locks a message against its other deliveries and returns the function that releases
+// the lock.
 func (e *executions) lockMessage(key string) (unlock func()) {
 	hash := fnv.New32a()
 	hash.Write([]byte(key))
@@ -96,8 +97,9 @@
 	return e.unstarted[key]
 }
 
-// addUnstarted remembers a call whose receipt could not be written. Beyond the bounds it is not
-// remembered: such a receipt, if the file has it, then reads as failed and is not executed.
+// addUnstarted records a call whose receipt could not be written. Beyond the limits it is not
+// recorded: if the file nevertheless holds the receipt, the call then counts as failed and is not
+// executed.
 func (e *executions) addUnstarted(key, callID string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -114,8 +116,9 @@
 }
 
 // admit writes the receipt of a delivery, and starts an execution, joins the one in progress or
-// returns the recorded outcome, in which case fromReceipt is true. Errors that are answered to the
-// sender are errReplayed, errBodyMismatch and errStoreFull; any other is of the state file.
+// returns the recorded outcome, in which case fromReceipt is true. The error is errReplayed,
+// errBodyMismatch or errStoreFull if the delivery is rejected; any other is a failure of the state
+// file.
 func (rc *Receiver) admit(msg verifiedMessage, request oakthread.Request) (_ *execution, fromReceipt bool, err error) {
 	hash := sha256.Sum256(msg.body)
 	exec := &execution{
@@ -126,7 +129,7 @@
 		done:     make(chan struct{}),
 	}
 	// The lock is held from before the receipt is written until the execution can be found, so that
-	// a second delivery meets either neither or both.
+	// a second delivery finds either neither or both.
 	defer rc.executing.lockMessage(exec.key)()
 	r, start, err := rc.acquireReceipt(exec)
 	if err != nil {
@@ -183,8 +186,8 @@
 	return nil, cause
 }
 
-// execute has the core answer the call, independently of the connection that brought the message,
-// and records the outcome.
+// execute runs the call through the core, independently of the connection that delivered the
+// message, and records the outcome.
 func (rc *Receiver) execute(exec *execution) {
 	ctx, cancel := context.WithDeadline(rc.ctx, exec.request.Deadline.Add(answerReserve))
 	answer, err := rc.core.Do(ctx, exec.request)
@@ -219,17 +222,17 @@
 func (rc *Receiver) recordOutcome(exec *execution, n *notification) {
 	var backoff neterr.Backoff
 	var answered sync.Once
-	var lastAttempt time.Time // time after which no further attempt is made; zero before Close
+	var retryDeadline time.Time // an attempt that fails after this time is final; zero before Close
 	for {
-		final, err := rc.tryRecordOutcome(exec, n, lastAttempt)
+		final, err := rc.tryRecordOutcome(exec, n, retryDeadline)
 		answered.Do(func() { close(exec.done) })
 		if err == nil {
 			rc.notifier.wake()
 			return
 		}
 		if final {
-			// The receipt still says that the call is running: after a restart it counts as failed
-			// and is not repeated.
+			// The receipt still has the status running: after a restart the call is recorded as
+			// failed and, unless it is idempotent, not executed again.
 			rc.log.Error("webhook outcome lost at shutdown", "request_id", exec.request.ID, "error", err)
 			return
 		}
@@ -239,8 +242,8 @@
 		}
 		select {
 		case <-rc.closing:
-			if lastAttempt.IsZero() {
-				lastAttempt = time.Now().Add(shutdownGrace)
+			if retryDeadline.IsZero() {
+				retryDeadline = time.Now().Add(shutdownGrace)
 			}
 			time.Sleep(backoff.Next())
 		case <-time.After(backoff.Next()):
@@ -250,10 +253,10 @@
 
 // tryRecordOutcome makes one attempt to write an outcome. The execution is removed once the outcome
 // is recorded, or if the attempt failed and was the final one.
-func (rc *Receiver) tryRecordOutcome(exec *execution, n *notification, lastAttempt time.Time) (final bool, err error) {
+func (rc *Receiver) tryRecordOutcome(exec *execution, n *notification, retryDeadline time.Time) (final bool, err error) {
 	defer rc.executing.lockMessage(exec.key)()
 	err = rc.store.recordOutcome(exec.msg.operator.Name, exec.msg.id, exec.answer, n)
-	final = err == nil || !lastAttempt.IsZero() && time.Now().After(lastAttempt)
+	final = err == nil || !retryDeadline.IsZero() && time.Now().After(retryDeadline)
 	if final {
 		rc.executing.remove(exec.key)
 	}
--- a/webhook/front.go
+++ b/webhook/front.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	keyReloadInterval  = 2 * time.Second // keys and SVIDs are in force this long after their files change, at most
+	keyReloadInterval  = 2 * time.Second // longest delay until changed key and SVID files are read
 	pruneInterval      = 10 * time.Minute
 	counterLogInterval = time.Minute
 	readHeaderTimeout  = 5 * time.Second
@@ -28,14 +28,15 @@
 	maxHeaderBytes     = 16 << 10
 )
 
-// MaxConns is the number of senders' connections that the front holds, and MaxOut of its own
-// connections to operators' endpoints. Both count against the process's limit of open files.
+// MaxConns is the maximum number of inbound connections from senders. MaxDeliveryConns is the
+// maximum number of deliveries, each over an outbound connection to an operator's endpoint, that
+// are in progress at a time. Both count against the process's limit of open files.
 const (
 	MaxConns         = 256
 	MaxDeliveryConns = maxDeliveries
 )
 
-// Front is the webhook front of a core: a Receiver with its server, and a Notifier.
+// Front is the webhook frontend of a core: a Receiver with its HTTP server, and a Notifier.
 type Front struct {
 	*Receiver
 	options        *Options
@@ -44,12 +45,14 @@
 	notifier       *Notifier
 	identities     spiffe.Source // nil: no mTLS
 	svidFiles      *spiffe.Files // identities from files; nil: given to Open, or none
-	temporaryState string        // path of a state file to remove at the end; empty: none
+	temporaryState string        // path of a temporary state file to remove on release; empty: none
 	log            *slog.Logger
 }
 
-// Open returns a Front on the state file of options. identities gives the identities for mTLS; if
-// it is nil they are read from the files that options name, if any.
+// Open returns a Front that uses the state file named in options. identities supplies the SVID and
+// trust bundles for mTLS; if it is nil they are read from the files named in options, and without
+// such files the front serves without TLS. It returns an error if options do not fit classes and
+// tenants, or if the keys, the SVID files or the state file cannot be read.
 func Open(
 	options *Options, core Doer, classes []Class, tenants []string, identities spiffe.Source, log *slog.Logger,
 ) (*Front, error) {
@@ -92,14 +95,15 @@
 	}
 	for _, operator := range f.keys.operators() {
 		if (f.identities != nil) == operator.id.IsZero() {
-			return fmt.Errorf("webhooks: operator %s: spiffe_id and the spiffe section go together", operator.Name)
+			return fmt.Errorf("webhooks: operator %s: spiffe_id and the spiffe section must be set together",
+				operator.Name)
 		}
 	}
 	return nil
 }
 
-// openStore opens the state file. Without a configured path it is a temporary one, because
-// idempotent calls too need receipts as long as the process runs.
+// openStore opens the state file. Without a configured path it creates a temporary one, because
+// idempotent calls need receipts too, for as long as the process runs.
 func (f *Front) openStore() error {
 	path := f.options.State
 	if path == "" {
@@ -118,7 +122,7 @@
 	return nil
 }
 
-// release closes the state file, and removes it if it is a temporary one.
+// release closes the state file, and removes it if it is temporary.
 func (f *Front) release() {
 	if f.store != nil {
 		_ = f.store.Close()
@@ -128,8 +132,8 @@
 	}
 }
 
-// transport returns the transport to an operator's endpoint. With identities it connects to that
-// operator alone.
+// transport returns the transport to an operator's endpoint. With identities it uses
+// mTLS and connects only to a peer with that operator's SPIFFE ID.
 func (f *Front) transport(operator Operator) http.RoundTripper {
 	t := &http.Transport{Proxy: nil, MaxConnsPerHost: maxDeliveriesPerOperator, IdleConnTimeout: idleTimeout}
 	if f.identities != nil {
@@ -138,14 +142,16 @@
 	return t
 }
 
-// HandleCompletion takes a completion from the core. It does not block.
+// HandleCompletion queues the notification of a completion that the core reports, if one is
+// configured. It does not block.
 func (f *Front) HandleCompletion(completion oakthread.Completion) {
 	f.notifier.HandleCompletion(completion)
 }
 
-// Serve receives messages on ln and delivers notifications until ctx is done. Then it stops to
-// accept messages, answers those that it has accepted and closes the state file. A value on reload
-// has the keys read again at once.
+// Serve receives messages on ln and delivers notifications until ctx is done. Then it stops
+// accepting messages, answers those that it has accepted and closes the state file. A value on
+// reload makes it reload the keys immediately. It returns nil after such a shutdown, and otherwise
+// the error that ended the server.
 func (f *Front) Serve(ctx context.Context, ln net.Listener, reload <-chan time.Time) error {
 	server := &http.Server{
 		Handler:           f.Receiver,
@@ -157,7 +163,7 @@
 	ln = netutil.LimitListener(neterr.NewListener(ln, f.log), MaxConns)
 	stopBackground := f.startBackground(reload)
 	served := make(chan error, 1)
-	go func() { served <- f.serve(server, ln) }() // ends by Shutdown or by itself
+	go func() { served <- f.serve(server, ln) }() // returns after Shutdown, or when accepting fails
 	f.log.Info("webhook front serving", "listen", ln.Addr().String(), "operators", len(f.options.Operators),
 		"mtls", f.identities != nil)
 	var err error
@@ -189,8 +195,8 @@
 	return server.ServeTLS(ln, "", "")
 }
 
-// startBackground starts the notifier and the periodic tasks. The function that it returns stops
-// them and waits for their end.
+// startBackground starts the notifier and the periodic tasks. The returned function stops them and
+// waits until they have ended.
 func (f *Front) startBackground(reload <-chan time.Time) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var tasks sync.WaitGroup
--- a/webhook/handler.go
+++ b/webhook/handler.go
@@ -12,11 +12,11 @@
 	"oakthread/spiffe"
 )
 
-// storeRetryAfter is the Retry-After of a message whose receipt could not be written: a disk or a
-// full store does not recover in less.
+// storeRetryAfter is the Retry-After of a message whose receipt could not be written: a failed
+// disk or a full store rarely recovers sooner.
 const storeRetryAfter = time.Minute
 
-// ServeHTTP verifies and decodes a message, admits it and answers with the outcome of its
+// ServeHTTP verifies and decodes a message, admits it and responds with the outcome of its
 // execution.
 func (rc *Receiver) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodPost {
@@ -72,7 +72,7 @@
 }
 
 // readBody reads the body of a message within bodyTimeout. If it returns false, the message has
-// been answered or its sender has left.
+// been answered or its sender has disconnected.
 func (rc *Receiver) readBody(w http.ResponseWriter, r *http.Request) (body []byte, ok bool) {
 	controller := http.NewResponseController(w)
 	_ = controller.SetReadDeadline(time.Now().Add(rc.bodyTimeout))
@@ -89,7 +89,7 @@
 		http.Error(w, "message took too long to come", http.StatusRequestTimeout)
 		return nil, false
 	case err != nil:
-		return nil, false // the sender has left
+		return nil, false // the sender disconnected
 	}
 	_ = controller.SetReadDeadline(time.Time{})
 	return body, true
@@ -105,7 +105,7 @@
 	return err == nil && id == operator.id
 }
 
-// writeRejection answers a message that was not admitted.
+// writeRejection writes the response to a message that was not admitted.
 func (rc *Receiver) writeRejection(w http.ResponseWriter, err error) {
 	switch {
 	case errors.Is(err, errReplayed):
--- a/webhook/keyset.go
+++ b/webhook/keyset.go
@@ -17,15 +17,19 @@
 )
 
 const (
-	minKeyLineLength   = 32  // length of a whsec_ secret of 24 bytes, the minimum of the specification
-	maxMessageIDLength = 256 // bounds the keys of the state file
+	// minKeyLineLength is the base64 length of a secret of 24 bytes, the minimum of the
+	// specification. The whsec_ prefix counts towards it, so with the prefix secrets of 19 bytes or
+	// more are accepted.
+	minKeyLineLength = 32
+
+	maxMessageIDLength = 256 // in bytes; bounds the length of keys in the state file
 )
 
 // errInvalidSignature is returned for every message that cannot be authenticated. It does not say
 // why, so that a caller learns nothing about the keys.
-var errInvalidSignature = errors.New("no known key made this signature")
+var errInvalidSignature = errors.New("invalid message id, timestamp or signature")
 
-// KeySet holds the operators with the keys in force. It is safe for concurrent use; Reload may run
+// KeySet holds the operators with their current keys. It is safe for concurrent use; Reload may run
 // while messages are being verified and signed.
 type KeySet struct {
 	current    atomic.Pointer[[]Operator]
@@ -33,7 +37,8 @@
 	log        *slog.Logger
 }
 
-// NewKeySet reads the keys of every operator.
+// NewKeySet reads the keys of every operator. It returns an error if an operator's SPIFFE ID is
+// invalid or its key file is unreadable, malformed or empty.
 func NewKeySet(operators []Operator, log *slog.Logger) (*KeySet, error) {
 	k := &KeySet{configured: operators, log: log}
 	if _, err := k.Reload(); err != nil {
@@ -42,8 +47,8 @@
 	return k, nil
 }
 
-// Reload reads the keys again and reports whether they differ from those in force. On an error the
-// keys in force stay.
+// Reload reads the keys again and reports whether they changed. On an error the current keys stay
+// in use.
 func (k *KeySet) Reload() (changed bool, err error) {
 	operators := make([]Operator, 0, len(k.configured))
 	for _, operator := range k.configured {
@@ -61,8 +66,8 @@
 	return previous == nil || !equalKeys(*previous, operators), nil
 }
 
-// readKeys reads a file of whsec_ secrets, one a line. Blank lines and lines that begin with # are
-// skipped.
+// readKeys reads a file of base64 secrets, one per line, each with or without the whsec_ prefix.
+// Blank lines and lines that begin with # are skipped.
 func readKeys(path string) ([]*standardwebhooks.Webhook, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -77,18 +82,19 @@
 		// The library's error is not wrapped: it may quote the secret.
 		key, err := standardwebhooks.NewWebhook(line)
 		if err != nil || len(line) < minKeyLineLength {
-			return nil, fmt.Errorf("line %d is no key of 24 bytes or more", i+1)
+			return nil, fmt.Errorf("line %d: want a base64 secret of at least 24 bytes", i+1)
 		}
 		keys = append(keys, key)
 	}
 	if len(keys) == 0 {
-		return nil, errors.New("holds no key")
+		return nil, errors.New("file contains no secrets")
 	}
 	return keys, nil
 }
 
-// equalKeys reports whether the operators of two key sets, which are the same operators, hold the
-// same keys. The library does not expose a key, so signatures of an empty message are compared.
+// equalKeys reports whether the keys of all operators are the same in previous and current, which
+// list the same operators in the same order. The library does not expose a key, so signatures of an
+// empty message are compared.
 func equalKeys(previous, current []Operator) bool {
 	for i := range current {
 		if len(previous[i].keys) != len(current[i].keys) {
@@ -122,7 +128,7 @@
 	}
 }
 
-// operators returns the operators with the keys in force.
+// operators returns the operators with their current keys.
 func (k *KeySet) operators() []Operator { return *k.current.Load() }
 
 // verifiedMessage is a message whose signature was verified.
@@ -141,8 +147,8 @@
 	if err != nil {
 		return msg, errInvalidSignature
 	}
-	// The signed content joins id, timestamp and body by dots, so an id that holds one is
-	// ambiguous.
+	// The signed content is id, timestamp and body joined by dots, so an id that contains a dot
+	// would be ambiguous.
 	if msg.id == "" || len(msg.id) > maxMessageIDLength || strings.ContainsRune(msg.id, '.') {
 		return msg, errInvalidSignature
 	}
@@ -158,8 +164,9 @@
 	return msg, errInvalidSignature
 }
 
-// sign returns the headers of an outbound message and the operator that it goes to. The message is
-// signed with every key in force, because during a rotation the operator may know only one of them.
+// sign returns the headers of an outbound message and the operator that it is sent to. The message
+// is signed with every current key, because during a rotation the operator may know only one of
+// them.
 func (k *KeySet) sign(name, id string, timestamp time.Time, body []byte) (http.Header, Operator, error) {
 	for _, operator := range k.operators() {
 		if operator.Name != name {
@@ -179,5 +186,5 @@
 		header.Set(standardwebhooks.HeaderWebhookSignature, strings.Join(signatures, " "))
 		return header, operator, nil
 	}
-	return nil, Operator{}, fmt.Errorf("operator %q is not set up", name)
+	return nil, Operator{}, fmt.Errorf("operator %q is not configured", name)
 }
--- a/webhook/notifier.go
+++ b/webhook/notifier.go
@@ -18,7 +18,8 @@
 	// maxUnwritten bounds the notifications in memory that wait to be written to the state file.
 	maxUnwritten = 65536
 
-	// shutdownGrace is how long deliveries in progress and failing writes are given at shutdown.
+	// shutdownGrace is how long shutdown waits for deliveries in progress and retries failed
+	// writes.
 	shutdownGrace = 2 * time.Second
 )
 
@@ -32,7 +33,8 @@
 	Reason    string `json:"reason,omitempty"`
 }
 
-// outcomeText returns the outcome as notifications state it: a call that timed out has failed.
+// outcomeText returns the outcome as written in notifications, where a call that timed out is
+// failed.
 func outcomeText(outcome oakthread.Outcome) string {
 	if outcome == oakthread.TimedOut {
 		return statusFailed
@@ -40,7 +42,8 @@
 	return outcome.String()
 }
 
-// outcomeReason returns the reason of an outcome as notifications state it, or "" if it has none.
+// outcomeReason returns the reason of an outcome as written in notifications, or "" if there is
+// none.
 func outcomeReason(outcome oakthread.Outcome, abandoned bool) string {
 	switch {
 	case abandoned:
@@ -52,8 +55,8 @@
 }
 
 // Notifier queues notifications of completions in the state file and delivers them to the
-// operators. A notification is delivered at least once, signed anew for each attempt, until the
-// operator's endpoint accepts it or it is abandoned.
+// operators. A notification is sent, with a new signature for each attempt, until the operator's
+// endpoint accepts it or it is abandoned. An endpoint may receive it more than once.
 type Notifier struct {
 	options          *Options
 	keys             *KeySet
@@ -63,14 +66,14 @@
 	notifiedClasses  map[string]bool
 	operatorByTenant map[int]string
 	log              *slog.Logger
-	wakeup           chan struct{} // buffered; has Run look at the outbox
+	wakeup           chan struct{} // buffered; makes Run check the outbox
 
 	mu        sync.Mutex
 	unwritten []*notification // not yet in the state file
 	dropped   int             // since the last write, because unwritten was full
 }
 
-// notifierConfig holds what a Notifier is made from.
+// notifierConfig holds the settings and dependencies of a Notifier.
 type notifierConfig struct {
 	options   *Options
 	keys      *KeySet
@@ -81,7 +84,8 @@
 	log       *slog.Logger
 }
 
-// newNotifier returns a Notifier. It returns an error if notifications are configured without a
+// newNotifier returns a Notifier. Notifications in the outbox whose due time was set by a clock
+// that was ahead become due now. It returns an error if notifications are configured without a
 // state file.
 func newNotifier(cfg notifierConfig) (*Notifier, error) {
 	if cfg.store != nil {
@@ -107,7 +111,7 @@
 	for _, class := range cfg.options.NotifiedClasses {
 		s.notifiedClasses[class] = true
 		if cfg.options.State == "" {
-			return nil, fmt.Errorf("webhooks: notices of class %q need a state file", class)
+			return nil, fmt.Errorf("webhooks: notifications of class %q need a state file", class)
 		}
 	}
 	for i, tenant := range cfg.tenants {
@@ -120,9 +124,9 @@
 	return s, nil
 }
 
-// newNotification returns the notification of a completion, or nil if the operator or class is not
-// to be notified. Its ID is derived from the call's, so that a completion that is reported twice
-// gives one notification.
+// newNotification returns the notification of a completion, or nil if notifications are not
+// configured for the operator or the class. Its ID is derived from the call's, so that a completion
+// that is reported twice results in one notification.
 func (s *Notifier) newNotification(operator string, data completionData, now time.Time) *notification {
 	if !s.notifiedClasses[data.Class] || !s.hasEndpoint(operator) {
 		return nil
@@ -149,9 +153,9 @@
 	return false
 }
 
-// HandleCompletion takes a completion from the core's event loop and queues its notification in memory
-// without blocking. A call that a webhook requested is skipped: its notification is written
-// together with its receipt.
+// HandleCompletion is called by the core's event loop. It queues the notification of a completion
+// in memory without blocking. Calls that a webhook requested are skipped: their notifications are
+// written together with the outcome in the receipt.
 func (s *Notifier) HandleCompletion(completion oakthread.Completion) {
 	request := completion.Request
 	operator, ok := s.operatorByTenant[request.Tenant]
@@ -178,7 +182,7 @@
 	s.wake()
 }
 
-// wake has Run look at the outbox at once.
+// wake makes Run check the outbox immediately.
 func (s *Notifier) wake() {
 	select {
 	case s.wakeup <- struct{}{}:
@@ -186,7 +190,8 @@
 	}
 }
 
-// Flush writes the notifications in memory to the state file. On an error they stay in memory.
+// Flush writes the notifications in memory to the state file. On an error they stay in memory and
+// are written by the next call.
 func (s *Notifier) Flush() error {
 	s.mu.Lock()
 	unwritten, dropped := s.unwritten, s.dropped
@@ -224,7 +229,8 @@
 	}
 }
 
-// Pending returns the numbers of notifications that are not yet delivered and that were abandoned.
+// Pending returns the numbers of queued and of abandoned notifications in the state file, after
+// writing those in memory to it.
 func (s *Notifier) Pending() (queued, abandoned int, err error) {
 	if err := s.Flush(); err != nil {
 		return 0, 0, err
@@ -232,8 +238,8 @@
 	return s.store.notificationCounts()
 }
 
-// Run delivers notifications until ctx is done. Then it gives deliveries in progress shutdownGrace
-// to end and writes the notifications in memory to the state file.
+// Run delivers notifications until ctx is done. Then it waits up to shutdownGrace for deliveries in
+// progress, cancels those that remain and writes the notifications in memory to the state file.
 func (s *Notifier) Run(ctx context.Context) {
 	deliveryCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
--- a/webhook/options.go
+++ b/webhook/options.go
@@ -31,17 +31,19 @@
 	State string `toml:"state"`
 	// Classes are those that webhooks may request; empty: all.
 	Classes []string `toml:"classes"`
-	// NotifiedClasses are those whose completions are notified.
+	// NotifiedClasses are those whose completions are sent to operators as notifications.
 	NotifiedClasses []string `toml:"notify"`
-	// MaxReceipts bounds the receipts in the state file.
+	// MaxReceipts is the maximum number of receipts in the state file.
 	MaxReceipts int `toml:"receipts"`
-	// ReceiptRetention must exceed the time over which any sender retries.
+	// ReceiptRetention is the time until a receipt expires. It must exceed the time over which any
+	// sender retries.
 	ReceiptRetention duration `toml:"keep"`
-	// InitialBackoff is the wait before the second delivery of a notification. It doubles with each
-	// further one, up to MaxBackoff.
+	// InitialBackoff is the wait before the second delivery attempt of a notification. It doubles
+	// with each further attempt, up to MaxBackoff.
 	InitialBackoff duration `toml:"retry"`
 	MaxBackoff     duration `toml:"retry_max"`
-	// MaxTotalBackoff is the sum of the waits after which a notification is abandoned.
+	// MaxTotalBackoff is the sum of the waits between attempts beyond which a notification is
+	// abandoned.
 	MaxTotalBackoff duration `toml:"give_up"`
 	SPIFFE          struct {
 		SVID   string `toml:"svid"` // PEM files
@@ -56,7 +58,7 @@
 	Name      string `toml:"name"`
 	Tenant    string `toml:"tenant"`
 	SPIFFEID  string `toml:"spiffe_id"` // identity that the operator must present under mTLS
-	KeysFile  string `toml:"keys_file"` // one whsec_ secret a line, the newest first
+	KeysFile  string `toml:"keys_file"` // one whsec_ secret per line, the newest first
 	NotifyURL string `toml:"notify"`    // URL that receives notifications; empty: none
 
 	id   spiffeid.ID
@@ -109,7 +111,7 @@
 	return filepath.Join(filepath.Dir(file), path)
 }
 
-// applyDefaults sets the options that were left out and validates the result.
+// applyDefaults sets the omitted options to their defaults and validates the result.
 func (o *Options) applyDefaults() error {
 	for _, setting := range []struct {
 		value        *duration
@@ -124,17 +126,17 @@
 			setting.value.Duration = setting.defaultValue
 		}
 		if setting.value.Duration < 0 {
-			return errors.New("a time is below 0")
+			return errors.New("keep, retry, retry_max and give_up must not be negative")
 		}
 	}
 	if o.MaxReceipts == 0 {
 		o.MaxReceipts = defaultMaxReceipts
 	}
 	if o.ReceiptRetention.Duration < 2*Tolerance {
-		return fmt.Errorf("keep: must be %v at least, or a replayed message would outlive its receipt", 2*Tolerance)
+		return fmt.Errorf("keep: must be at least %v, or a message could be replayed after its receipt expires", 2*Tolerance)
 	}
 	if len(o.Operators) == 0 {
-		return errors.New("no operator is set up")
+		return errors.New("no operator is configured")
 	}
 	return nil
 }
--- a/webhook/outbox.go
+++ b/webhook/outbox.go
@@ -67,8 +67,8 @@
 	})
 }
 
-// due returns the notifications that are due and wanted, in the order of their due times, and the
-// due time of the first that is not yet due; zero if there is none.
+// due returns the notifications that are due and for which want returns true, in the order of their
+// due times, and the due time of the first that is not yet due; zero if there is none.
 func (s *Store) due(now time.Time, want func(*notification) bool) (ready []*notification, next time.Time, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		cursor := tx.Bucket(outboxBucket).Cursor()
@@ -95,7 +95,7 @@
 	return s.db.Batch(func(tx *bbolt.Tx) error { return unschedule(tx, id) })
 }
 
-// reschedule has a notification that was not delivered due again at the given time.
+// reschedule makes an undelivered notification due again at the given time.
 func (s *Store) reschedule(n *notification, due time.Time) error {
 	return s.db.Batch(func(tx *bbolt.Tx) error {
 		if err := unschedule(tx, n.ID); err != nil {
@@ -105,7 +105,7 @@
 	})
 }
 
-// abandon moves a notification out of the outbox. It stays available to operators until it is
+// abandon moves a notification out of the outbox. It stays in the state file until it is
 // pruned.
 func (s *Store) abandon(n *notification) error {
 	return s.db.Batch(func(tx *bbolt.Tx) error {
@@ -126,8 +126,8 @@
 	return queued, abandoned, err
 }
 
-// resetFarSchedule has notifications that are due later than maxDelay from now due now. A clock
-// that was ahead when they were rescheduled has set such a due time.
+// resetFarSchedule makes notifications due now if their due time is more than maxDelay after now.
+// Such a due time was set while the clock was ahead.
 func (s *Store) resetFarSchedule(now time.Time, maxDelay time.Duration) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		var far []*notification
--- a/webhook/receipts.go
+++ b/webhook/receipts.go
@@ -13,8 +13,9 @@
 	"oakthread"
 )
 
-// Statuses of a receipt, as stored. Whether a call had its effect is unknown if its receipt is
-// still running when the state file is opened: the process that executed it was interrupted.
+// Statuses of a receipt, as stored. If a receipt still has the status running when the state file
+// is opened, the process that executed the call was interrupted, and whether the call took effect
+// is unknown.
 const (
 	statusRunning  = "running"
 	statusServed   = "served"
@@ -30,23 +31,24 @@
 	statusTimedOut: oakthread.TimedOut,
 }
 
-// maxTimestamps bounds the signatures that are remembered of one message. A sender that signs anew
-// more often within the tolerance is in a loop.
+// maxTimestamps limits the timestamps of signed deliveries that are kept per message. A sender that
+// signs a message again more often than that within the tolerance is assumed to be in a loop.
 const maxTimestamps = 128
 
-// Errors of a delivery that is not admitted. Their texts are answered to the sender.
+// Errors of a delivery that is not admitted. The texts of errReplayed and errBodyMismatch are sent
+// to the sender in the response.
 var (
 	errReplayed     = errors.New("this signature was seen before")
 	errBodyMismatch = errors.New("this id came with another body")
-	errStoreFull    = errors.New("no room for another receipt")
+	errStoreFull    = errors.New("receipt limit reached")
 )
 
 var errReceiptMissing = errors.New("receipt is missing")
 
 // receipt is the stored record of a message, by operator and message id.
 type receipt struct {
-	BodyHash   []byte        `json:"sum"`  // SHA-256; the same id with another body is another message
-	Timestamps []int64       `json:"seen"` // of the deliveries, Unix seconds; the same one again is a replay
+	BodyHash   []byte        `json:"sum"`  // SHA-256; the same id with another body is rejected
+	Timestamps []int64       `json:"seen"` // of the deliveries, Unix seconds; a repeated one is a replay
 	CallID     string        `json:"call"` // of the last execution
 	Class      string        `json:"class"`
 	Function   string        `json:"function"`
@@ -57,7 +59,7 @@
 }
 
 // answer returns the recorded outcome. A receipt without one counts as failed, since its call may
-// have had its effect.
+// have taken effect.
 func (r *receipt) answer() oakthread.Answer {
 	outcome, known := outcomeByStatus[r.Status]
 	if !known {
@@ -67,7 +69,7 @@
 }
 
 // addDelivery adds the delivery that fresh describes to the receipt. It returns errBodyMismatch,
-// errReplayed, or errStoreFull if too many deliveries came within the tolerance.
+// errReplayed, or errStoreFull if there were too many deliveries within the tolerance.
 func (r *receipt) addDelivery(fresh receipt, timestamp time.Time) error {
 	if !bytes.Equal(r.BodyHash, fresh.BodyHash) {
 		return errBodyMismatch
@@ -85,7 +87,8 @@
 }
 
 // pruneTimestamps returns the timestamps that a receipt keeps: all, as long as there are fewer than
-// maxTimestamps, else those that are not rejected as stale in any case, by the wall clock.
+// maxTimestamps, else those recent enough, by the wall clock, that a replay might not be rejected
+// as stale.
 func pruneTimestamps(timestamps []int64) []int64 {
 	if len(timestamps) < maxTimestamps {
 		return timestamps
@@ -100,11 +103,11 @@
 func receiptKey(operator, id string) []byte { return []byte(operator + "\x00" + id) }
 
 // acquireReceipt writes the receipt of a delivery and reports whether its call is to be executed,
-// under r.CallID. If it is not, r holds what is known of the message.
+// under r.CallID. If it is not, r is the recorded receipt of the message.
 //
 // fresh describes the delivery. unstarted lists the call ids of earlier receipts whose write
-// failed: if the file has one all the same, its execution never started. repeatable reports whether
-// a message with a recorded outcome may be executed again.
+// failed: if the file nevertheless holds one, its execution never started. repeatable reports
+// whether a message with a recorded outcome may be executed again.
 func (s *Store) acquireReceipt(
 	operator, id string, timestamp time.Time, fresh receipt, unstarted []string, repeatable func(receipt) bool,
 ) (r receipt, start bool, err error) {
@@ -184,7 +187,7 @@
 }
 
 // failInterrupted records the calls that an earlier process left running as failed, because they
-// may have had their effect, and returns their number. newNotification returns the notification of
+// may have taken effect, and returns their number. newNotification returns the notification of
 // such a call, or nil.
 func (s *Store) failInterrupted(
 	newNotification func(operator, id string, r receipt) *notification,
--- a/webhook/receiver.go
+++ b/webhook/receiver.go
@@ -16,9 +16,9 @@
 
 const (
 	maxMessageBytes  = 64 << 10        // a call's body has at most 16 KiB and grows by a third in base64
-	maxCallBytes     = 16 << 10        // the platform's limit on a call's body
+	maxCallBytes     = 16 << 10        // the platform's limit on the body of a call
 	bodyReadTimeout  = 5 * time.Second // bounds how long a slow sender holds one of the front's connections
-	messageLockCount = 64              // stripes of the message locks
+	messageLockCount = 64              // number of lock stripes
 )
 
 // Doer executes calls. The core implements it.
@@ -26,10 +26,10 @@
 	Do(ctx context.Context, request oakthread.Request) (oakthread.Answer, error)
 }
 
-// Class is a class of calls as webhooks name it.
+// Class is a class of calls that messages refer to by name.
 type Class struct {
 	Name        string
-	Timeout     time.Duration        // time from the receipt of a message to the deadline of its call
+	Timeout     time.Duration        // longest time from decoding a message to the deadline of its call
 	Idempotency balancer.Idempotency // whether a call may run twice
 }
 
@@ -61,7 +61,7 @@
 	closeOnce  sync.Once
 }
 
-// receiverConfig holds what a Receiver is made from.
+// receiverConfig holds the settings and dependencies of a Receiver.
 type receiverConfig struct {
 	options  *Options
 	core     Doer
@@ -73,9 +73,9 @@
 	log      *slog.Logger
 }
 
-// newReceiver returns a Receiver. Receipts that an earlier process left running are recorded as
-// failed first. It returns an error for a class or tenant that is not configured, and for a class
-// that is not idempotent without a state file.
+// newReceiver returns a Receiver. Before that, it records the calls that an earlier process left
+// running as failed. It returns an error for a class or tenant that is not configured, and for a
+// class that is not idempotent without a state file.
 func newReceiver(cfg receiverConfig) (*Receiver, error) {
 	rc := &Receiver{
 		core:        cfg.core,
@@ -131,8 +131,8 @@
 	return index, nil
 }
 
-// failInterrupted records the executions that an earlier process left running as failed, and
-// notifies their operators.
+// failInterrupted records the executions that an earlier process left running as failed, and queues
+// notifications of them.
 func (rc *Receiver) failInterrupted() error {
 	count, err := rc.store.failInterrupted(func(operator, id string, r receipt) *notification {
 		return rc.notifier.newNotification(operator, completionData{
@@ -164,7 +164,7 @@
 	rc.cancel()
 }
 
-// Prune drops expired receipts and abandoned notifications at every tick until ctx is done.
+// Prune deletes expired receipts and old abandoned notifications at every tick until ctx is done.
 func (rc *Receiver) Prune(ctx context.Context, ticks <-chan time.Time) {
 	for {
 		select {
--- a/webhook/store.go
+++ b/webhook/store.go
@@ -8,14 +8,15 @@
 	"go.etcd.io/bbolt"
 )
 
-// Buckets of the state file. Their names and the JSON of their records are the stored form.
+// Buckets of the state file. Their names and the JSON encoding of their records are the storage
+// format.
 var (
-	receiptBucket     = []byte("receipts") // operator NUL message id: receipt
+	receiptBucket     = []byte("receipts") // operator, NUL, message id: receipt
 	outboxBucket      = []byte("outbox")   // due time, notification id: notification
 	outboxIndexBucket = []byte("queued")   // notification id: key in the outbox
 	abandonedBucket   = []byte("aside")    // notification id: abandoned notification
 	metaBucket        = []byte("meta")     // number of receipts
-	receiptCountKey   = []byte("receipts") // in metaBucket: 64 bit, big endian
+	receiptCountKey   = []byte("receipts") // in metaBucket: 64-bit big endian
 )
 
 const (
@@ -23,7 +24,7 @@
 	maxBatchDelay = 2 * time.Millisecond // bounds how long a write waits for others to share its sync
 )
 
-// database is the part of bbolt that a Store uses. Tests replace it by one whose disk fails.
+// database is the part of bbolt that a Store uses. Tests replace it with one whose writes fail.
 type database interface {
 	Update(func(*bbolt.Tx) error) error
 	Batch(func(*bbolt.Tx) error) error
@@ -32,14 +33,16 @@
 	Close() error
 }
 
-// Store is the state file: receipts of messages, and the outbox of notifications. Every change is
-// synced to disk before the method that makes it returns. One process has the file open at a time.
+// Store is the state file. It holds the receipts of messages and the outbox of notifications. Every
+// change is synced to disk before the method that makes it returns. Only one process can have the
+// file open at a time.
 type Store struct {
 	db          database
 	maxReceipts uint64
 }
 
-// OpenStore opens the state file at path, or creates it. It holds at most maxReceipts receipts.
+// OpenStore opens the state file at path, or creates it. It holds at most maxReceipts receipts. It
+// returns an error if another process keeps the file open for openTimeout.
 func OpenStore(path string, maxReceipts int) (*Store, error) {
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: openTimeout})
 	if err != nil {
