--- a/webhook/execution.go
+++ b/webhook/execution.go
@@ -252,11 +252,12 @@
 }
 
 // tryRecordOutcome makes one attempt to write an outcome. The execution is removed once the outcome
-// is recorded, or if the attempt failed and was the final one.
-func (rc *Receiver) tryRecordOutcome(exec *execution, n *notification, retryDeadline time.Time) (final bool, err error) {
+// is recorded, or if the attempt failed after deadline and is thus the final one. A zero deadline is
+// none.
+func (rc *Receiver) tryRecordOutcome(exec *execution, n *notification, deadline time.Time) (final bool, err error) {
 	defer rc.executing.lockMessage(exec.key)()
 	err = rc.store.recordOutcome(exec.msg.operator.Name, exec.msg.id, exec.answer, n)
-	final = err == nil || !retryDeadline.IsZero() && time.Now().After(retryDeadline)
+	final = err == nil || !deadline.IsZero() && time.Now().After(deadline)
 	if final {
 		rc.executing.remove(exec.key)
 	}
--- a/webhook/options.go
+++ b/webhook/options.go
@@ -133,7 +133,7 @@
 		o.MaxReceipts = defaultMaxReceipts
 	}
 	if o.ReceiptRetention.Duration < 2*Tolerance {
-		return fmt.Errorf("keep: must be at least %v, or a message could be replayed after its receipt expires", 2*Tolerance)
+		return fmt.Errorf("keep: must be at least %v, or messages could be replayed after receipts expire", 2*Tolerance)
 	}
 	if len(o.Operators) == 0 {
 		return errors.New("no operator is configured")
