--- a/middleware/middleware_test.go
+++ b/middleware/middleware_test.go
@@ -27,7 +27,7 @@
 	return c.answer, c.err
 }
 
-// read dispatches calls of /call, finds those of /invalid malformed and passes on all others.
+// read accepts requests to /call, rejects those to /invalid as malformed and passes on all others.
 func read(r *http.Request) (oakthread.Request, error) {
 	switch r.URL.Path {
 	case "/call":
@@ -38,8 +38,8 @@
 	return oakthread.Request{}, middleware.ErrPass
 }
 
-// Answers and errors have the same HTTP responses through net/http and through Echo, and other
-// requests pass on.
+// Answers and errors result in the same HTTP responses through net/http and through Echo, and other
+// requests are passed to the next handler.
 func TestResponseOfEachAnswer(t *testing.T) {
 	for _, test := range []struct {
 		name, path string
--- a/webhook/disk_test.go
+++ b/webhook/disk_test.go
@@ -19,20 +19,20 @@
 	"oakthread/internal/fault/wallclock"
 )
 
-// An outcome whose write fails is written again until that succeeds, then its notification is
-// delivered. Meanwhile the message is answered from memory.
+// An outcome whose write fails is retried until it is written, then its notification is delivered.
+// Meanwhile the message is answered from memory.
 func TestOutcomeIsRecordedAfterDiskRecovers(t *testing.T) {
-	noticed := make(chan string, 4)
+	received := make(chan string, 4)
 	operator := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		b, _ := io.ReadAll(r.Body)
-		noticed <- string(b)
+		body, _ := io.ReadAll(r.Body)
+		received <- string(body)
 	}))
 	defer operator.Close()
 	d := newTestFront(t, operator.URL)
 	var disk *failingDisk
-	d.core.answer = func(q oakthread.Request) (oakthread.Answer, error) {
-		disk = d.failWrites(3, 0) // after the receipt
-		return echo(q)
+	d.core.answer = func(request oakthread.Request) (oakthread.Answer, error) {
+		disk = d.failWrites(3, 0) // the receipt is written already
+		return echo(request)
 	}
 	now, body := time.Now(), requestBody("path-book", testFunction, "x")
 	assert.Equal(t, 200, d.deliver(signed(t, secret(1), "m", now, body), body).Code)
@@ -40,10 +40,10 @@
 	assert.Equal(t, 200, w.Code)
 	assert.Equal(t, "x", w.Body.String())
 	select {
-	case text := <-noticed:
+	case text := <-received:
 		assert.Contains(t, text, `"outcome":"served"`)
 	case <-time.After(10 * time.Second):
-		t.Error("the notice never came")
+		t.Error("the notification was not delivered")
 	}
 	assert.GreaterOrEqual(t, disk.failed, 3)
 	d.stop()
@@ -54,8 +54,8 @@
 	assert.Equal(t, map[string]int{"m": 1}, d.core.runs)
 }
 
-// A receipt that reached the file although its write failed belongs to an execution that never
-// started: the message was rejected, and is executed when it is delivered again.
+// A receipt that reached the file although its write was reported as failed belongs to an execution
+// that never started: the message was rejected, and must be executed when it is delivered again.
 func TestUnstartedExecutionRunsOnRedelivery(t *testing.T) {
 	d := newTestFront(t, "")
 	d.failWrites(0, 1)
@@ -82,23 +82,23 @@
 	assert.Equal(t, map[string]int{"m": 1}, d.core.runs)
 }
 
-// A notification is retried after its backoff and abandoned after its time, whatever steps the wall
-// clock makes meanwhile.
+// Steps of the wall clock, backward or forward, neither delay the retries of a notification nor
+// make it abandoned early.
 func TestNotificationRetriesSurviveClockSteps(t *testing.T) {
-	for _, by := range []time.Duration{-time.Hour, time.Hour} {
-		t.Run(by.String(), func(t *testing.T) {
+	for _, step := range []time.Duration{-time.Hour, time.Hour} {
+		t.Run(step.String(), func(t *testing.T) {
 			t.Cleanup(func() { require.NoError(t, wallclock.Set(0)) })
-			came := make(chan bool, 16)
+			received := make(chan bool, 16)
 			var mu sync.Mutex
-			tries := 0
+			attempts := 0
 			operator := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				mu.Lock()
-				tries++
-				if tries < 3 {
+				attempts++
+				if attempts < 3 {
 					w.WriteHeader(http.StatusServiceUnavailable)
 				}
 				mu.Unlock()
-				came <- true
+				received <- true
 			}))
 			defer operator.Close()
 			d := newTestFront(t, operator.URL)
@@ -107,29 +107,30 @@
 				Request: oakthread.Request{ID: "c1", Class: 1, Tenant: 0, Key: testFunction},
 				At:      time.Now(),
 			}
-			require.NoError(t, wallclock.Set(by)) // between the call and its notice's first try
+			require.NoError(t, wallclock.Set(step)) // between the completion and the first delivery attempt
 			d.notifier.HandleCompletion(completion)
-			tried := func() {
+			awaitAttempt := func() {
 				select {
-				case <-came:
+				case <-received:
 				case <-time.After(5 * time.Second):
-					t.Error("the notice was not tried again")
+					t.Error("no delivery attempt within 5 s")
 				}
 			}
-			tried()
-			tried()
-			require.NoError(t, wallclock.Set(-by))
-			tried()
+			awaitAttempt()
+			awaitAttempt()
+			require.NoError(t, wallclock.Set(-step))
+			awaitAttempt()
 			d.stop()
 			d.start()
-			open, given, err := d.notifier.Pending()
+			queued, abandoned, err := d.notifier.Pending()
 			require.NoError(t, err)
-			assert.Equal(t, []int{0, 0}, []int{open, given}, "waiting and given up")
+			assert.Equal(t, []int{0, 0}, []int{queued, abandoned}, "queued and abandoned")
 		})
 	}
 }
 
-// Notifications that a wrong clock has scheduled far ahead are due at once after a start.
+// Notifications that were scheduled far ahead while the clock was wrong are due at once after a
+// start.
 func TestFarScheduledNotificationsAreResetOnStart(t *testing.T) {
 	d := newTestFront(t, "http://127.0.0.1:1/")
 	d.stop()
--- a/webhook/failingdisk_test.go
+++ b/webhook/failingdisk_test.go
@@ -9,13 +9,13 @@
 )
 
 // failingDisk is a database whose writes fail on demand: before anything is written, as on a full
-// disk, or after all of it was written, as by a sync that the disk never confirmed.
+// disk, or after everything is written, as when the sync reports an error.
 type failingDisk struct {
 	*bbolt.DB
 	mu              sync.Mutex
-	failBeforeWrite int // number of writes that fail so
-	failAfterWrite  int
-	failed          int
+	failBeforeWrite int // number of writes that are to fail before the write
+	failAfterWrite  int // number of writes that are to fail after the write
+	failed          int // number of writes that have failed
 }
 
 func (f *failingDisk) write(do func(func(*bbolt.Tx) error) error, change func(*bbolt.Tx) error) error {
@@ -29,7 +29,7 @@
 	return fmt.Errorf("sync: %w", syscall.EIO)
 }
 
-// nextFailure reports how the next write fails, if it does.
+// nextFailure reports whether the next write fails before or after writing, and counts the failure.
 func (f *failingDisk) nextFailure() (before, after bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -49,7 +49,8 @@
 func (f *failingDisk) Update(change func(*bbolt.Tx) error) error { return f.write(f.DB.Update, change) }
 func (f *failingDisk) Batch(change func(*bbolt.Tx) error) error  { return f.write(f.DB.Batch, change) }
 
-// failWrites has the next writes fail: first those before the write, then those after it.
+// failWrites sets how many of the next writes fail before writing, and how many of those that
+// follow fail after writing.
 func (d *testFront) failWrites(before, after int) *failingDisk {
 	d.disk.mu.Lock()
 	defer d.disk.mu.Unlock()
--- a/webhook/front_test.go
+++ b/webhook/front_test.go
@@ -24,7 +24,8 @@
 	"oakthread/spiffe"
 )
 
-// authority is a trust domain that writes the SVIDs that it signs to files.
+// authority is the certificate authority of a trust domain. It writes the SVIDs that it signs to
+// files in dir.
 type authority struct {
 	dir  string
 	cert *x509.Certificate
@@ -73,11 +74,11 @@
 	return f
 }
 
-// trustDomain begins the SPIFFE IDs of the test.
+// trustDomain is the prefix of the SPIFFE IDs in the test.
 const trustDomain = "spiffe://trentvale.example/"
 
-// identityFront is a front that serves under mTLS to operators a and b, whose keys are secrets 1
-// and 2.
+// identityFront is a front that serves operators a and b over mTLS. Their signing keys are secrets
+// 1 and 2.
 type identityFront struct {
 	*Front
 	core    *fakeCore
@@ -112,7 +113,8 @@
 	}}
 }
 
-// send sends a message under an identity, signed by a secret, and returns the status of its answer.
+// send sends a message signed with secret over a connection that presents identity, and returns the
+// status of the response.
 func (f *identityFront) send(t *testing.T, identity spiffe.Source, secret, id string) (int, error) {
 	t.Helper()
 	body := requestBody("path-book", testFunction, "x")
@@ -129,8 +131,9 @@
 	return response.StatusCode, nil
 }
 
-// Over real sockets an operator's key is valid only under that operator's SPIFFE ID, an unknown
-// identity gets no connection, and the dispatcher's own SVID can be renewed while it serves.
+// Over real sockets, an operator's key is accepted only together with that operator's SPIFFE ID, an
+// unknown identity gets no connection, and the dispatcher's own SVID can be renewed while it
+// serves.
 func TestOperatorIdentityIsEnforced(t *testing.T) {
 	ca := newAuthority(t)
 	f := startIdentityFront(t, ca)
@@ -144,7 +147,7 @@
 	_, err = f.send(t, unknown, secret(1), "m3")
 	require.Error(t, err, "an identity that no operator has")
 	_, err = f.send(t, newAuthority(t).files(t, "a", trustDomain+"a"), secret(1), "m4")
-	require.Error(t, err, "the right identity, by another authority")
+	require.Error(t, err, "the same SPIFFE ID, issued by another authority")
 
 	ca.issue(t, "daemon", trustDomain+"oakthread", false)
 	require.NoError(t, f.svidFiles.Reload())
@@ -155,7 +158,7 @@
 	require.Error(t, f.svidFiles.Reload())
 	code, err = f.send(t, a, secret(1), "m6")
 	require.NoError(t, err)
-	assert.Equal(t, 200, code, "the old identity stays")
+	assert.Equal(t, 200, code, "the previous SVID stays in use")
 	assert.Equal(t, map[string]int{"m1": 1, "m5": 1, "m6": 1}, f.core.runs)
 	require.NoError(t, f.stop())
 }
--- a/webhook/golden_test.go
+++ b/webhook/golden_test.go
@@ -25,7 +25,7 @@
 
 const goldenState = "testdata/state.db"
 
-// goldenTime returns a time in the golden file; n is in seconds.
+// goldenTime returns the time that is n seconds after the base time of the golden file.
 func goldenTime(n int) time.Time { return time.Unix(1_800_000_000+int64(n), 987_654_321).UTC() }
 
 // notificationBody is the body of a notification as an operator receives it.
@@ -35,15 +35,15 @@
 
 // storedReceipt is a receipt in the golden file, with the answer that it records.
 type storedReceipt struct {
-	op, id string
-	times  []int // of its deliveries
-	r      receipt
-	answer oakthread.Answer
-	notice *notification // written with the outcome
+	operator, id string
+	times        []int // of its deliveries
+	r            receipt
+	answer       oakthread.Answer
+	notification *notification // written with the outcome; nil: none
 }
 
 func storedReceipts() []storedReceipt {
-	made := func(n int, class, status string, body []byte, wait time.Duration) receipt {
+	newReceipt := func(n int, class, status string, body []byte, wait time.Duration) receipt {
 		return receipt{
 			BodyHash: []byte{byte(n), 0xfe}, CallID: fmt.Sprint("c", n), Class: class,
 			Function: fmt.Sprintf("%016x", n), Status: status, Body: body, RetryAfter: wait,
@@ -58,71 +58,71 @@
 		{
 			"ironbridge", "m-1",
 			[]int{1},
-			made(1, "path-book", statusRunning, nil, 0),
+			newReceipt(1, "path-book", statusRunning, nil, 0),
 			oakthread.Answer{Outcome: oakthread.Failed},
 			nil,
 		},
 		{
 			"ironbridge", "m-2",
 			[]int{2, 22, 222},
-			made(2, "path-book", statusServed, body("a path\n\x00\xff"), 0),
+			newReceipt(2, "path-book", statusServed, body("a path\n\x00\xff"), 0),
 			oakthread.Answer{Outcome: oakthread.Served, Body: body("a path\n\x00\xff")},
 			enqueued("msg_c2", "ironbridge", notificationBody, 20),
 		},
 		{
 			"ironbridge", "m-3",
 			[]int{3},
-			made(3, "path-check", statusRejected, body("full"), 1500*time.Millisecond),
+			newReceipt(3, "path-check", statusRejected, body("full"), 1500*time.Millisecond),
 			oakthread.Answer{Outcome: oakthread.Rejected, Body: body("full"), RetryAfter: 1500 * time.Millisecond},
 			nil,
 		},
 		{
 			"soar", "m-1",
 			[]int{4},
-			made(4, "path-check", statusFailed, body("broken"), 0),
+			newReceipt(4, "path-check", statusFailed, body("broken"), 0),
 			oakthread.Answer{Outcome: oakthread.Failed, Body: body("broken")},
 			enqueued("msg_c4", "soar", `{"n":4}`, 40),
 		},
 		{
 			"soar", "m-5",
 			[]int{5},
-			made(5, "path-book", statusTimedOut, body("late"), 2500*time.Millisecond),
+			newReceipt(5, "path-book", statusTimedOut, body("late"), 2500*time.Millisecond),
 			oakthread.Answer{Outcome: oakthread.TimedOut, Body: body("late"), RetryAfter: 2500 * time.Millisecond},
 			enqueued("msg_c5", "soar", `{"n":5}`, 50),
 		},
 		{
 			"soar", "m-6",
 			[]int{6},
-			made(6, "path-book", statusServed, nil, 0),
+			newReceipt(6, "path-book", statusServed, nil, 0),
 			oakthread.Answer{Outcome: oakthread.Served},
 			nil,
 		},
 	}
 }
 
-// storedNotification is a notification in the golden file of a call that came by another front.
+// storedNotification is a notification in the golden file of a call that no webhook requested.
 type storedNotification struct {
 	n   notification
-	due time.Time // zero: put aside
+	due time.Time // zero: abandoned
 }
 
 func storedNotifications() []storedNotification {
-	made := func(n int, op string, tries int, waited time.Duration) notification {
+	newNotification := func(n int, operator string, attempts int, totalBackoff time.Duration) notification {
 		return notification{
-			ID: fmt.Sprint("msg_d", n), Operator: op, Body: fmt.Appendf(nil, `{"d":%d}`, n),
-			CreatedAt: goldenTime(100 * n), Attempts: tries, TotalBackoff: waited,
+			ID: fmt.Sprint("msg_d", n), Operator: operator, Body: fmt.Appendf(nil, `{"d":%d}`, n),
+			CreatedAt: goldenTime(100 * n), Attempts: attempts, TotalBackoff: totalBackoff,
 		}
 	}
 	return []storedNotification{
-		{made(1, "ironbridge", 0, 0), goldenTime(100)},
-		{made(2, "soar", 3, 35*time.Second), goldenTime(235)},
-		{made(3, "ironbridge", 17, 73*time.Hour), time.Time{}},
-		{made(4, "soar", 1, 0), time.Time{}},
+		{newNotification(1, "ironbridge", 0, 0), goldenTime(100)},
+		{newNotification(2, "soar", 3, 35*time.Second), goldenTime(235)},
+		{newNotification(3, "ironbridge", 17, 73*time.Hour), time.Time{}},
+		{newNotification(4, "soar", 1, 0), time.Time{}},
 	}
 }
 
-// writeState writes the receipts and notifications to a state file by the methods that the front
-// calls.
+// writeState writes the receipts and notifications to a state file with the methods that the front
+// uses.
 func writeState(t *testing.T, path string) {
 	t.Helper()
 	s, err := OpenStore(path, 100)
@@ -134,12 +134,12 @@
 				BodyHash: x.r.BodyHash, CallID: x.r.CallID, Class: x.r.Class, Function: x.r.Function,
 				ExpiresAt: x.r.ExpiresAt,
 			}
-			_, run, err := s.acquireReceipt(x.op, x.id, goldenTime(sec), fresh, nil, never)
+			_, run, err := s.acquireReceipt(x.operator, x.id, goldenTime(sec), fresh, nil, never)
 			require.NoError(t, err)
 			require.Equal(t, i == 0, run)
 		}
 		if x.r.Status != statusRunning {
-			require.NoError(t, s.recordOutcome(x.op, x.id, x.answer, x.notice))
+			require.NoError(t, s.recordOutcome(x.operator, x.id, x.answer, x.notification))
 		}
 	}
 	for _, x := range storedNotifications() {
@@ -170,7 +170,8 @@
 	return s
 }
 
-// dumpRecords returns all records, one a line: bucket, key, and the value, quoted if it is no JSON.
+// dumpRecords returns all records, one per line: bucket, key, and the value, quoted if it is not
+// JSON.
 func dumpRecords(t *testing.T, s *Store) string {
 	t.Helper()
 	var b strings.Builder
@@ -189,7 +190,8 @@
 	return b.String()
 }
 
-// With -update the golden file is made if there is none; one that exists is never replaced.
+// The golden state file must exist. With -update a missing one is created; an existing one is never
+// replaced.
 func TestGoldenStateExists(t *testing.T) {
 	if _, err := os.Stat(goldenState); *updateGolden && errors.Is(err, fs.ErrNotExist) {
 		writeState(t, goldenState)
@@ -197,7 +199,7 @@
 	assert.FileExists(t, goldenState)
 }
 
-// Receipts of an earlier build are read with every field and give the outcomes that were recorded.
+// Receipts written by an earlier build can be read with every field and give the recorded outcomes.
 func TestGoldenReceiptsAreReadable(t *testing.T) {
 	s := openGolden(t)
 	for _, x := range storedReceipts() {
@@ -206,83 +208,85 @@
 		}
 		var r receipt
 		require.NoError(t, s.db.View(func(tx *bbolt.Tx) error {
-			known, err := getJSON(tx.Bucket(receiptBucket), receiptKey(x.op, x.id), &r)
-			assert.True(t, known, x.op+" "+x.id)
+			known, err := getJSON(tx.Bucket(receiptBucket), receiptKey(x.operator, x.id), &r)
+			assert.True(t, known, x.operator+" "+x.id)
 			return err
 		}))
-		assert.Equal(t, x.r, r, x.op+" "+x.id)
-		assert.Equal(t, x.answer, r.answer(), x.op+" "+x.id)
+		assert.Equal(t, x.r, r, x.operator+" "+x.id)
+		assert.Equal(t, x.answer, r.answer(), x.operator+" "+x.id)
 	}
 	require.NoError(t, s.db.View(func(tx *bbolt.Tx) error {
 		n, err := s.addReceiptCount(tx, 0)
 		assert.EqualValues(t, len(storedReceipts()), n)
 		return err
 	}))
-	var cut []string
-	_, err := s.failInterrupted(func(op, id string, _ receipt) *notification {
-		cut = append(cut, op+" "+id)
+	var interrupted []string
+	_, err := s.failInterrupted(func(operator, id string, _ receipt) *notification {
+		interrupted = append(interrupted, operator+" "+id)
 		return nil
 	})
 	require.NoError(t, err)
-	assert.Equal(t, []string{"ironbridge m-1"}, cut, "left running")
+	assert.Equal(t, []string{"ironbridge m-1"}, interrupted, "left running")
 }
 
-// Messages that an earlier build received are matched by operator, id and body, and not executed.
+// Messages that an earlier build received are matched by operator, id and body, and not executed
+// again.
 func TestGoldenReceiptsAreMatchedOnRedelivery(t *testing.T) {
 	s := openGolden(t)
 	never := func(receipt) bool { return false }
 	for _, x := range storedReceipts() {
-		_, _, err := s.acquireReceipt(x.op, x.id, goldenTime(x.times[0]), receipt{BodyHash: x.r.BodyHash}, nil, never)
-		require.ErrorIs(t, err, errReplayed, x.op+" "+x.id)
-		_, _, err = s.acquireReceipt(x.op, x.id, goldenTime(7), receipt{BodyHash: []byte("other")}, nil, never)
-		require.ErrorIs(t, err, errBodyMismatch, x.op+" "+x.id)
+		_, _, err := s.acquireReceipt(
+			x.operator, x.id, goldenTime(x.times[0]), receipt{BodyHash: x.r.BodyHash}, nil, never)
+		require.ErrorIs(t, err, errReplayed, x.operator+" "+x.id)
+		_, _, err = s.acquireReceipt(x.operator, x.id, goldenTime(7), receipt{BodyHash: []byte("other")}, nil, never)
+		require.ErrorIs(t, err, errBodyMismatch, x.operator+" "+x.id)
 		redelivered := receipt{BodyHash: x.r.BodyHash, CallID: "new"}
-		r, run, err := s.acquireReceipt(x.op, x.id, goldenTime(7), redelivered, nil, never)
+		r, run, err := s.acquireReceipt(x.operator, x.id, goldenTime(7), redelivered, nil, never)
 		require.NoError(t, err)
 		assert.False(t, run)
 		assert.Equal(t, x.r.CallID, r.CallID)
-		assert.Equal(t, x.answer, r.answer(), x.op+" "+x.id)
+		assert.Equal(t, x.answer, r.answer(), x.operator+" "+x.id)
 	}
 }
 
-// Notifications of an earlier build are read with every field and due time, and so are abandoned
-// ones.
+// Notifications written by an earlier build, queued or abandoned, can be read with every field, and
+// queued ones with their due times.
 func TestGoldenNotificationsAreReadable(t *testing.T) {
 	s := openGolden(t)
-	type dueNotice struct {
+	type dueNotification struct {
 		n  notification
 		at time.Time
 	}
-	var want, got []dueNotice
-	given := map[string]notification{}
+	var want, got []dueNotification
+	abandoned := map[string]notification{}
 	for _, x := range storedReceipts() {
-		if x.notice != nil {
-			want = append(want, dueNotice{*x.notice, x.notice.CreatedAt})
+		if x.notification != nil {
+			want = append(want, dueNotification{*x.notification, x.notification.CreatedAt})
 		}
 	}
 	for _, x := range storedNotifications() {
 		if x.due.IsZero() {
-			given[x.n.ID] = x.n
+			abandoned[x.n.ID] = x.n
 		} else {
-			want = append(want, dueNotice{x.n, x.due})
+			want = append(want, dueNotification{x.n, x.due})
 		}
 	}
 	_, next, err := s.due(time.Unix(0, 0), nil)
 	require.NoError(t, err)
 	for !next.IsZero() {
 		at := next
-		var ns []*notification
-		ns, next, err = s.due(at, func(*notification) bool { return true })
+		var ready []*notification
+		ready, next, err = s.due(at, func(*notification) bool { return true })
 		require.NoError(t, err)
-		require.Len(t, ns, len(got)+1, "one more is due")
-		got = append(got, dueNotice{*ns[len(got)], at.UTC()})
+		require.Len(t, ready, len(got)+1, "one more is due")
+		got = append(got, dueNotification{*ready[len(got)], at.UTC()})
 	}
 	assert.Equal(t, want, got)
-	open, aborted, err := s.notificationCounts()
+	queued, abandonedCount, err := s.notificationCounts()
 	require.NoError(t, err)
-	assert.Equal(t, []int{len(want), len(given)}, []int{open, aborted}, "waiting and given up")
+	assert.Equal(t, []int{len(want), len(abandoned)}, []int{queued, abandonedCount}, "queued and abandoned")
 	require.NoError(t, s.db.View(func(tx *bbolt.Tx) error {
-		for id, x := range given {
+		for id, x := range abandoned {
 			var n notification
 			known, err := getJSON(tx.Bucket(abandonedBucket), []byte(id), &n)
 			require.NoError(t, err)
@@ -294,12 +298,13 @@
 	for _, x := range want {
 		require.NoError(t, s.remove(x.n.ID))
 	}
-	ns, _, err := s.due(time.Unix(0, math.MaxInt64), func(*notification) bool { return true })
+	ready, _, err := s.due(time.Unix(0, math.MaxInt64), func(*notification) bool { return true })
 	require.NoError(t, err)
-	assert.Empty(t, ns, "found by id")
+	assert.Empty(t, ready, "all are removed by id")
 }
 
-// The same receipts and notifications give the same records, byte for byte.
+// The same receipts and notifications are stored as the same records, byte for byte, as in an
+// earlier build.
 func TestGoldenRecordsAreWrittenIdentically(t *testing.T) {
 	golden := filepath.Join("testdata", "records.golden")
 	committed := dumpRecords(t, openGolden(t))
--- a/webhook/handler_test.go
+++ b/webhook/handler_test.go
@@ -36,7 +36,7 @@
 	assert.Equal(t, int64(7), d.receiver.Counters().Malformed)
 }
 
-// A sender that does not complete its message in time is answered with 408 and disconnected.
+// A sender that does not send the whole message in time is answered with 408 and disconnected.
 func TestSlowRequestBodyTimesOut(t *testing.T) {
 	d := newTestFront(t, "")
 	d.receiver.bodyTimeout = 20 * time.Millisecond
@@ -48,7 +48,7 @@
 	_, err = io.WriteString(conn, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nhalf")
 	require.NoError(t, err)
 	response, err := io.ReadAll(conn)
-	require.NoError(t, err, "the connection ends")
+	require.NoError(t, err, "the server closes the connection")
 	assert.Contains(t, string(response), "HTTP/1.1 408 ")
 	assert.Equal(t, int64(1), d.receiver.Counters().Malformed)
 }
--- a/webhook/helpers_test.go
+++ b/webhook/helpers_test.go
@@ -35,15 +35,15 @@
 	tenants = []string{"ironbridge-haul", "soar-freight"}
 )
 
-// secret returns the n-th signing secret.
+// secret returns the signing secret with number n.
 func secret(n byte) string {
 	return "whsec_" + base64.StdEncoding.EncodeToString(bytes.Repeat([]byte{n}, 24))
 }
 
-// fakeCore is a Doer that counts executions and answers by a function.
+// fakeCore is a Doer that counts executions and takes its answers from a function.
 type fakeCore struct {
 	mu     sync.Mutex
-	runs   map[string]int // by the message's id
+	runs   map[string]int // by message id
 	answer func(request oakthread.Request) (oakthread.Answer, error)
 }
 
@@ -61,7 +61,8 @@
 	return oakthread.Answer{Outcome: oakthread.Served, Body: request.Body}, nil
 }
 
-// testFront is the webhook front with its files. It can be stopped and started again.
+// testFront is a webhook front with its files but without a listener. It can be stopped and started
+// again.
 type testFront struct {
 	t        *testing.T
 	dir      string
@@ -75,7 +76,7 @@
 	stop     func()
 }
 
-// newTestFront starts a front with two operators, the first of which is notified at notifyURL.
+// newTestFront starts a front with two operators. Notifications to the first are sent to notifyURL.
 func newTestFront(t *testing.T, notifyURL string) *testFront {
 	t.Helper()
 	d := &testFront{t: t, dir: t.TempDir(), core: newFakeCore()}
@@ -135,7 +136,7 @@
 	}
 }
 
-// deliver has the receiver handle a message and returns its answer.
+// deliver passes a message to the receiver and returns the response.
 func (d *testFront) deliver(header http.Header, body []byte) *httptest.ResponseRecorder {
 	request := httptest.NewRequest(http.MethodPost, "/webhooks", bytes.NewReader(body))
 	request.Header = header.Clone()
@@ -153,7 +154,7 @@
 	return raw
 }
 
-// signed returns the headers of a message that is signed by a secret.
+// signed returns the headers of a message that is signed with secret.
 func signed(t *testing.T, secret, id string, timestamp time.Time, body []byte) http.Header {
 	t.Helper()
 	key, err := standardwebhooks.NewWebhook(secret)
--- a/webhook/keyset_test.go
+++ b/webhook/keyset_test.go
@@ -9,12 +9,12 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A message that is altered in any part, stale, early or signed by a key that is not in force is
-// answered with 401 and not executed.
+// A message that is altered in any part, has a timestamp too far in the past or in the future, or
+// is signed with an unknown key is answered with 401 and not executed.
 func TestInvalidSignatureIsRejectedWithoutExecution(t *testing.T) {
 	d := newTestFront(t, "")
 	now, body := time.Now(), requestBody("path-book", testFunction, "x")
-	// set returns a change that replaces a header by a function of its value.
+	// set returns a change that replaces the value of a header with a function of it.
 	set := func(key string, value func(old string) string) func(http.Header) {
 		return func(h http.Header) { h.Set(key, value(h.Get(key))) }
 	}
--- a/webhook/notifier_test.go
+++ b/webhook/notifier_test.go
@@ -13,7 +13,7 @@
 	"oakthread"
 )
 
-// Completions of calls that came by other fronts are notified too, those of classes and operators
+// Completions of calls that no webhook requested are notified too, those of classes and operators
 // without notifications are not, and a notification that the operator answers with 410 is
 // abandoned.
 func TestCompletionsOfOtherFrontsAreNotified(t *testing.T) {
--- a/webhook/options_test.go
+++ b/webhook/options_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Options under which a call could run twice or the front could not start are rejected with an
-// error of one line.
+// Options with which a call could run twice, or that the front cannot start with, are rejected with
+// a one-line error.
 func TestInvalidOptionsAreRejected(t *testing.T) {
 	dir := t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "keys"), []byte("# rotated today\n"+secret(1)+"\n"), 0o600))
--- a/webhook/receiver_test.go
+++ b/webhook/receiver_test.go
@@ -15,9 +15,9 @@
 	"oakthread"
 )
 
-// A second delivery with the same signature is a replay, one that is signed anew is answered with
-// the recorded outcome, and one with another body is rejected. A call that was rejected, or that
-// failed and is idempotent, is executed again.
+// A second delivery with the same signature is rejected as a replay, one with a new signature is
+// answered with the recorded outcome, and one with another body is rejected. A call that was
+// rejected, or that failed and is idempotent, is executed again.
 func TestRedeliveryIsAnsweredFromReceipt(t *testing.T) {
 	rejected := oakthread.Answer{Outcome: oakthread.Rejected, RetryAfter: 1500 * time.Millisecond}
 	for name, c := range map[string]struct {
@@ -61,7 +61,7 @@
 	}
 }
 
-// A delivery that comes while the message is being executed joins that execution.
+// A delivery that arrives while the message is being executed joins that execution.
 func TestConcurrentRedeliveryJoinsExecution(t *testing.T) {
 	d := newTestFront(t, "")
 	started, release := make(chan bool), make(chan bool)
@@ -75,7 +75,7 @@
 	send := func(at time.Time) { codes <- d.deliver(signed(t, secret(1), "m", at, body), body).Code }
 	go send(now)
 	<-started
-	ctx, cancel := context.WithCancel(t.Context()) // a sender that leaves does not end the execution
+	ctx, cancel := context.WithCancel(t.Context()) // a sender that disconnects does not end the execution
 	cancel()
 	request := httptest.NewRequestWithContext(ctx, http.MethodPost, "/", bytes.NewReader(body))
 	request.Header = signed(t, secret(1), "m", now.Add(time.Second), body)
@@ -115,7 +115,8 @@
 	assert.Equal(t, map[string]int{"m": 1}, d.core.runs)
 }
 
-// The number of receipts is bounded, and no receipt is dropped before it expires to make room.
+// The number of receipts is limited, and no receipt is deleted before it expires to make room for
+// another.
 func TestReceiptsAreBoundedAndPruned(t *testing.T) {
 	d := newTestFront(t, "")
 	d.store.maxReceipts = 2
@@ -125,12 +126,12 @@
 	}
 	assert.Equal(t, []int{200, 200, 503}, []int{deliver("a").Code, deliver("b").Code, deliver("c").Code})
 	assert.Equal(t, "60", deliver("c").Header().Get("Retry-After"))
-	dropped, err := d.store.prune(time.Now(), time.Hour)
+	deleted, err := d.store.prune(time.Now(), time.Hour)
 	require.NoError(t, err)
-	assert.Zero(t, dropped)
-	dropped, err = d.store.prune(time.Now().Add(d.options.ReceiptRetention.Duration+time.Second), time.Hour)
+	assert.Zero(t, deleted)
+	deleted, err = d.store.prune(time.Now().Add(d.options.ReceiptRetention.Duration+time.Second), time.Hour)
 	require.NoError(t, err)
-	assert.Equal(t, 2, dropped)
+	assert.Equal(t, 2, deleted)
 	assert.Equal(t, 200, deliver("c").Code)
 	assert.Equal(t, map[string]int{"a": 1, "b": 1, "c": 1}, d.core.runs)
 }
--- a/webhook/roundtrip_test.go
+++ b/webhook/roundtrip_test.go
@@ -19,8 +19,8 @@
 	"oakthread"
 )
 
-// notificationEndpoint stands for the system of an operator that rejects the first two attempts of
-// each notification.
+// notificationEndpoint is the HTTP endpoint of an operator. It rejects the first two delivery
+// attempts of each notification.
 type notificationEndpoint struct {
 	expected int           // notifications
 	complete chan struct{} // closed when all expected notifications were accepted
@@ -28,7 +28,7 @@
 	mu       sync.Mutex
 	accepted map[string]string // by notification id: message id and outcome
 	attempts map[string]int    // by notification id
-	forged   int
+	forged   int               // notifications with an invalid signature
 }
 
 func newNotificationEndpoint(expected int) *notificationEndpoint {
@@ -63,7 +63,7 @@
 	}
 }
 
-// signedByAny reports whether one of the secrets signed a message.
+// signedByAny reports whether a message is signed with one of the secrets.
 func signedByAny(header http.Header, body []byte, secrets ...string) bool {
 	for _, secret := range secrets {
 		key, _ := standardwebhooks.NewWebhook(secret)
@@ -74,8 +74,8 @@
 	return false
 }
 
-// A sender repeats, alters and replays its messages while the keys are rotated and the front is
-// restarted. Each message is executed once, and each outcome is notified under one id.
+// A sender redelivers, alters and replays its messages while the keys are rotated and the front is
+// restarted. Each message is executed once, and all notifications of an outcome have the same id.
 func TestEachMessageExecutesOnceAcrossKeyRotationAndRestart(t *testing.T) {
 	const messages = 60
 	endpoint := newNotificationEndpoint(messages)
@@ -91,7 +91,7 @@
 	key, codes, now := secret(1), map[int]int{}, time.Now()
 	for i := range messages {
 		switch i {
-		case messages / 3: // the new key is added beside the old one
+		case messages / 3: // the new key is added, the old one remains
 			d.writeKeys("ironbridge", secret(3), secret(1))
 		case messages / 2:
 			d.stop()
@@ -112,7 +112,7 @@
 		codes[d.deliver(signed(t, secret(9), id, now, body), body).Code]++            // unknown key: 401
 	}
 	body := requestBody("path-book", testFunction, "")
-	assert.Equal(t, 401, d.deliver(signed(t, secret(1), "old", now, body), body).Code, "key no longer in force")
+	assert.Equal(t, 401, d.deliver(signed(t, secret(1), "old", now, body), body).Code, "removed key")
 	assert.Equal(t, map[int]int{200: 2 * (messages - 6), 502: 2 * 6, 409: messages, 401: 2 * messages}, codes)
 	assert.Len(t, d.core.runs, messages)
 	for id, n := range d.core.runs {
@@ -125,7 +125,7 @@
 	outcomes := map[string]bool{}
 	for id, outcome := range endpoint.accepted {
 		outcomes[outcome] = true
-		assert.Equal(t, 3, endpoint.attempts[id], "deliveries of %s under one id", id)
+		assert.Equal(t, 3, endpoint.attempts[id], "delivery attempts of %s", id)
 	}
 	for i := range messages {
 		want := statusServed
