--- a/internal/platform/attempt.go
+++ b/internal/platform/attempt.go
@@ -7,7 +7,7 @@
 	"oakthread"
 )
 
-// Send makes one attempt. At most one request is written for it.
+// Send makes one attempt. It writes at most one request, even if it needs a second connection.
 func (p *ExecutorPool) Send(ctx context.Context, attempt oakthread.Attempt) oakthread.Reply {
 	call := attempt.Request
 	header := withoutUserAgent()
@@ -30,5 +30,6 @@
 	return p.parseReply(response)
 }
 
-// withoutUserAgent returns a header that keeps net/http from adding its own User-Agent.
+// withoutUserAgent returns a header with an empty User-Agent, so that net/http adds none of its
+// own.
 func withoutUserAgent() http.Header { return http.Header{userAgentHeader: {""}} }
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -12,34 +12,35 @@
 	"oakthread/internal/wire"
 )
 
-// defaultSockets is the limit on sockets where the file names none.
+// defaultSockets limits the number of sockets if the configuration file sets no limit.
 const defaultSockets = 1024
 
-// Config is the configuration that the platform gives a dispatcher at its start.
+// Config is a dispatcher's configuration, decoded from the platform's configuration file.
 type Config struct {
 	Name          string
 	Listen        string
 	Seed          uint64
 	Cores         float64
-	Memory        int64 // bytes; 0: no limit is given
+	Memory        int64 // limit in bytes; 0: the file sets none
 	Sockets       int
 	PeerListen    string
-	Peers         []netip.AddrPort // by number
-	PeersAll      netip.AddrPort
+	Peers         []netip.AddrPort // indexed by dispatcher number
+	PeersAll      netip.AddrPort   // reaches all peers; the zero value: there is no such address
 	Channel       string
-	Console       string // address of the operators' console; "": there is none
+	Console       string // address of the operators' console; "": disabled
 	InitialEvents []Event
-	Cursor        int64 // of the last event in Known
+	Cursor        int64 // number of the last event that the file accounts for
 	Settings      *wire.Settings
-	keys          []string // the keys that the file holds
+	keys          []string // sorted keys of the file, for CheckReload
 }
 
-// LoadConfig reads the file that ROUTER_CONFIG names. ROUTER_NAME, ROUTER_LISTEN and ROUTER_CONSOLE stand for
-// what it leaves out. Errors are of one line and begin with "configuration:".
+// LoadConfig reads the file named by ROUTER_CONFIG. ROUTER_NAME, ROUTER_LISTEN and ROUTER_CONSOLE
+// supply the name, the listen address and the console address if the file omits them. Errors are
+// single lines; apart from an unset ROUTER_CONFIG they begin with "configuration:".
 func LoadConfig(getenv func(string) string) (*Config, error) {
 	path := getenv("ROUTER_CONFIG")
 	if path == "" {
-		return nil, errors.New("ROUTER_CONFIG is not set: it names the configuration file")
+		return nil, errors.New("ROUTER_CONFIG is not set; it must name the configuration file")
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -61,7 +62,7 @@
 	return config, nil
 }
 
-// applyEnv fills what the file leaves out from the environment.
+// applyEnv fills in the name and addresses that the file omits from environment variables.
 func (c *Config) applyEnv(getenv func(string) string) {
 	if c.Name == "" {
 		c.Name = getenv("ROUTER_NAME")
@@ -74,7 +75,7 @@
 	}
 }
 
-// configFile is the configuration as the file writes it.
+// configFile is the JSON form of the configuration file.
 type configFile struct {
 	Name   string `json:"name"`
 	Listen string `json:"listen"`
@@ -96,7 +97,8 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// parseConfig decodes and checks a configuration file. What cannot be used is an error.
+// parseConfig decodes a configuration file and validates its seed, settings, peers, channel and
+// events.
 func parseConfig(raw []byte) (*Config, error) {
 	var file configFile
 	if err := json.Unmarshal(raw, &file); err != nil {
@@ -111,7 +113,7 @@
 		config.Sockets = defaultSockets
 	}
 	for _, parse := range []func(*configFile) error{
-		config.parseSeed, config.parseSettings, config.parsePeers, config.checkChannel, config.parseKnown,
+		config.parseSeed, config.parseSettings, config.parsePeers, config.checkChannel, config.parseInitialEvents,
 	} {
 		if err := parse(&file); err != nil {
 			return nil, err
@@ -170,9 +172,9 @@
 	return nil
 }
 
-// parseKnown decodes the events known at the start. Unlike on the channel, each must be usable as it
-// stands.
-func (c *Config) parseKnown(file *configFile) error {
+// parseInitialEvents decodes the events in the file. Unlike on the command channel, an invalid
+// member is an error.
+func (c *Config) parseInitialEvents(file *configFile) error {
 	for i, raw := range file.Known.Cmds {
 		event, err := parseEvent(raw, c.Settings)
 		if err != nil {
--- a/internal/platform/event.go
+++ b/internal/platform/event.go
@@ -15,20 +15,21 @@
 	"oakthread/internal/wire"
 )
 
-// Event is one line of the command channel: a change of the endpoint list, or a heartbeat, which consists
-// of the number of the last event, bare or as the only field of an object.
+// Event is one line of the command channel: a change of the endpoint list, an event of an unknown
+// kind, or a heartbeat. A heartbeat consists of the number of the last event, either as a plain
+// number or as the only field of an object.
 type Event struct {
-	Cursor    int64
+	Cursor    int64 // number of the event; in a heartbeat, of the last event
 	Heartbeat bool
-	Epoch     string // of the numbering; "" where discovery sends none
-	HasUpdate bool   // the event is of a known kind and Roster holds its change
-	// Invalid has an error for each member that was left out, or that counts as draining because its
-	// phase is unknown.
+	Epoch     string // epoch of the event numbers; "" if discovery sends none
+	HasUpdate bool   // the event changes the endpoint list, and Update holds the change
+	// Invalid has an error for each member that was skipped, or that is treated as draining because
+	// its phase is unknown.
 	Invalid []error
 	Update  oakthread.EndpointUpdate
 }
 
-// eventLine is an event as the command channel writes it.
+// eventLine is the JSON form of an event on the command channel.
 type eventLine struct {
 	Cursor *int64 `json:"cursor"`
 	Epoch  string `json:"epoch"`
@@ -38,7 +39,7 @@
 	} `json:"nodes"`
 }
 
-// listedMember is an executor as the command channel writes it.
+// listedMember is the JSON form of an executor in an event.
 type listedMember struct {
 	ID       string  `json:"id"`
 	HostPort string  `json:"host_port"`
@@ -50,8 +51,8 @@
 	UpSince  int64   `json:"up_since_ms"`
 }
 
-// memberStates are the phases of executors that are known.
-var memberStates = map[string]balancer.EndpointState{
+// stateByPhase maps the known phases of executors to endpoint states.
+var stateByPhase = map[string]balancer.EndpointState{
 	"Ready": balancer.Active, "Terminating": balancer.Draining, "Gone": balancer.Removed,
 }
 
@@ -73,8 +74,8 @@
 		Update: oakthread.EndpointUpdate{Kind: balancer.EndpointsDelta},
 	}
 	if decoded.Nodes == nil {
-		event.Heartbeat = isNumberAlone(text)
-		return event, nil // else of an unknown kind: only its number counts
+		event.Heartbeat = hasOnlyCursor(text)
+		return event, nil // an event of an unknown kind matters for its cursor and epoch alone
 	}
 	if decoded.Nodes.Complete {
 		event.Update.Kind = balancer.EndpointsSnapshot
@@ -85,26 +86,28 @@
 	return event, nil
 }
 
-// isNumberAlone reports whether an object on the channel has its number and nothing else.
-func isNumberAlone(text string) bool {
+// hasOnlyCursor reports whether the JSON object of an event, which has a cursor, has no other
+// field.
+func hasOnlyCursor(text string) bool {
 	var fields map[string]json.RawMessage
 	return json.Unmarshal([]byte(text), &fields) == nil && len(fields) == 1
 }
 
-// addMember adds the executor at an index of the event, or the reason why it cannot be used.
+// addMember adds the executor at an index of the event to the update. It records an error if it
+// skips the executor or if the phase is unknown.
 func (e *Event) addMember(index int, member listedMember, settings *wire.Settings) {
 	if member.ID == "" {
-		e.reject(index, errors.New("field id is missing"))
+		e.addInvalid(index, errors.New("field id is missing"))
 		return
 	}
-	state, known := memberStates[member.Phase]
+	state, known := stateByPhase[member.Phase]
 	if !known {
 		state = balancer.Draining
-		e.reject(index, fmt.Errorf("phase %q of %q is not known", member.Phase, member.ID))
+		e.addInvalid(index, fmt.Errorf("phase %q of %q is not known", member.Phase, member.ID))
 	}
 	if state != balancer.Removed {
 		if _, err := netip.ParseAddrPort(member.HostPort); err != nil {
-			e.reject(index, fmt.Errorf("host_port %q of %q: %w", member.HostPort, member.ID, err))
+			e.addInvalid(index, fmt.Errorf("host_port %q of %q: %w", member.HostPort, member.ID, err))
 			return
 		}
 	}
@@ -118,13 +121,13 @@
 	e.Update.Endpoints = append(e.Update.Endpoints, endpoint)
 }
 
-// reject notes why the member at an index cannot be used as it stands.
-func (e *Event) reject(index int, err error) {
+// addInvalid records the error of the member at an index.
+func (e *Event) addInvalid(index int, err error) {
 	e.Invalid = append(e.Invalid, fmt.Errorf("members[%d]: %w", index, err))
 }
 
-// WorkerID returns the number in an id such as s-00c41f7a, and a hash (32-bit FNV-1a) of an id of another
-// form. It is the same at every dispatcher.
+// WorkerID returns the hexadecimal number in an id such as s-00c41f7a, or the 32-bit FNV-1a hash of
+// an id of another form. All dispatchers derive the same WorkerID from an id.
 func WorkerID(id string) balancer.WorkerID {
 	if _, hex, ok := strings.Cut(id, "-"); ok && len(hex) == 8 {
 		if n, err := strconv.ParseUint(hex, 16, 32); err == nil {
@@ -136,8 +139,8 @@
 	return balancer.WorkerID(hash.Sum32())
 }
 
-// indexOrNext returns the index of a name in a list of the settings, or the first unused index if the
-// name is not listed.
+// indexOrNext returns the index of a name in a list of the settings, or the first unused index if
+// the name is not listed.
 func indexOrNext(names []string, name string) int {
 	for i, listed := range names {
 		if listed == name {
--- a/internal/platform/executorconn.go
+++ b/internal/platform/executorconn.go
@@ -12,22 +12,22 @@
 )
 
 // executorConn is a connection to an executor. It counts the bytes written, so that a failure shows
-// whether any of a request was sent, and it follows the bounds of responses. http.Transport would read
-// bytes behind a response, such as a second copy of it, as the response to the next request; a connection
-// on which such bytes arrived is tainted and carries no further request.
+// whether any part of a request was sent, and it tracks where each response ends. http.Transport
+// would read bytes after a response, such as a second copy of it, as the response to the next
+// request; a connection that has received such bytes is tainted and carries no further request.
 type executorConn struct {
 	net.Conn
 	pool         *ExecutorPool
 	closeOnce    sync.Once
-	reuseDelay   time.Duration // between a response and the next request
-	bytesWritten atomic.Int64  // bytes whose writing has begun and has not failed
+	reuseDelay   time.Duration // minimum time between a response and the next request
+	bytesWritten atomic.Int64  // bytes written, including those of a write in progress
 
 	mu              sync.Mutex
 	framer          framer
-	responsePending bool      // a request was begun and its response has not ended
-	lastResponse    time.Time // when the last response ended, at first when the connection was opened
+	responsePending bool      // a request has begun and its response has not ended
+	lastResponse    time.Time // end of the last response; initially when the connection was opened
 	tainted         bool
-	mayWrite        func() rules.Reason // asked before the first byte of the next request; nil: always allowed
+	mayWrite        func() rules.Reason // called before the first byte of the next request; nil: always allowed
 }
 
 // idleTime returns how long the connection has been idle, 0 while a response is pending.
@@ -40,8 +40,8 @@
 	return time.Since(c.lastResponse)
 }
 
-// retire has the connection carry no further request. It reports false if a request has begun on it,
-// which keeps it open.
+// retire marks an idle connection so that it carries no further request. It returns false and
+// changes nothing if a request has begun on the connection.
 func (c *executorConn) retire() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,7 +52,7 @@
 	return true
 }
 
-// state returns what the rules on this connection depend on. The caller holds mu.
+// state returns the connection's state as input for package rules. The caller holds mu.
 func (c *executorConn) state() rules.WorkerConn {
 	return rules.WorkerConn{ResponsePending: c.responsePending, Tainted: c.tainted}
 }
@@ -72,20 +72,21 @@
 }
 
 // Write writes part of a request. It returns errUnsolicitedBytes on a tainted connection and a
-// notPermittedError if the request must not be written any more.
+// notPermittedError if the request may no longer be written.
 func (c *executorConn) Write(b []byte) (int, error) {
 	if err := c.beginRequest(); err != nil {
 		return 0, err
 	}
-	// Counted before the write: a failure seen meanwhile must not pass for proof that nothing was sent.
+	// Counted before the write, so that a failure during the write is not taken as proof that
+	// nothing was sent.
 	c.bytesWritten.Add(int64(len(b)))
 	n, err := neterr.Write(c.Conn, b)
 	c.bytesWritten.Add(int64(n - len(b)))
 	return n, err
 }
 
-// beginRequest readies the connection for a request, unless it must carry none or the request must not be
-// written any more.
+// beginRequest prepares the connection for the first bytes of a request. It returns an error if the
+// connection must carry no further request or the request may no longer be written.
 func (c *executorConn) beginRequest() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -96,7 +97,7 @@
 	switch rules.MayReuseWorker(c.state()) {
 	case rules.ConnectionTainted:
 		return errUnsolicitedBytes
-	case rules.ResponsePending: // the rest of a request, or the next one behind a response without a visible end
+	case rules.ResponsePending: // the rest of a request, or a request after a response whose end is unknown
 		return nil
 	}
 	if c.mayWrite != nil {
@@ -108,23 +109,24 @@
 	return nil
 }
 
-// awaitReuseDelay waits until the reuse delay after the last response is over. The caller holds mu, which
-// is released meanwhile.
+// awaitReuseDelay waits until the reuse delay after the last response has elapsed. The caller holds
+// mu, which is released during the wait.
 func (c *executorConn) awaitReuseDelay() {
-	rest := c.reuseDelay - time.Since(c.lastResponse)
-	if c.responsePending || rest <= 0 || !c.hasResponded() {
+	remaining := c.reuseDelay - time.Since(c.lastResponse)
+	if c.responsePending || remaining <= 0 || !c.hasResponded() {
 		return
 	}
 	c.mu.Unlock()
-	time.Sleep(rest)
+	time.Sleep(remaining)
 	c.mu.Lock()
 }
 
-// hasResponded reports whether the connection has brought a response. The caller holds mu.
+// hasResponded reports whether any response has begun to arrive on the connection. The caller holds
+// mu.
 func (c *executorConn) hasResponded() bool { return c.framer.lineCount > 0 }
 
-// Read reads part of a response. Bytes that belong to none are dropped with errUnsolicitedBytes, and the
-// connection is tainted.
+// Read reads part of a response. If bytes arrive while no response is pending, it discards them,
+// taints the connection and returns errUnsolicitedBytes.
 func (c *executorConn) Read(b []byte) (int, error) {
 	if c.isRetired() {
 		return 0, errUnsolicitedBytes
@@ -154,8 +156,9 @@
 }
 
 // followResponse returns how many of the bytes read belong to the pending response. It taints the
-// connection if more bytes follow, or if the end of the response cannot be seen, and returns
-// errResponseUnbounded if the lengths in its head contradict each other. The caller holds mu.
+// connection if more bytes follow or if the end of the response cannot be detected. If the lengths
+// in the head contradict each other or cannot be parsed, it taints the connection and returns
+// errResponseUnbounded. The caller holds mu.
 func (c *executorConn) followResponse(b []byte) (int, error) {
 	used := c.framer.consume(b)
 	switch {
@@ -171,7 +174,7 @@
 	return used, nil
 }
 
-// Close closes the connection and frees its socket slot, once.
+// Close closes the connection. The first call also frees the connection's socket slot.
 func (c *executorConn) Close() error {
 	err := c.Conn.Close()
 	c.closeOnce.Do(func() { c.pool.untrack(c) })
--- a/internal/platform/executorerrors.go
+++ b/internal/platform/executorerrors.go
@@ -10,33 +10,34 @@
 )
 
 var (
-	errNoSocketSlot      = errors.New("no socket left")
-	errUnsolicitedBytes  = errors.New("bytes arrived that belong to no response")
-	errLocalShortage     = errors.New("this machine lacks the resources for a connection")
-	errResponseTooLarge  = errors.New("the response is too large")
-	errResponseUnbounded = errors.New("the length of the response is missing or ambiguous")
+	errNoSocketSlot      = errors.New("no free socket slot")
+	errUnsolicitedBytes  = errors.New("connection retired, or unsolicited bytes received on it")
+	errLocalResources    = errors.New("connect kept failing for lack of local resources")
+	errResponseTooLarge  = errors.New("response exceeds the size or memory limit")
+	errResponseUnbounded = errors.New("response length is missing or ambiguous")
 )
 
-// notPermittedError reports that a request must not be written, or not with the budget in its head.
+// notPermittedError reports that a request may not be written, for example because the X-Budget in
+// its head is out of date.
 type notPermittedError struct{ reason rules.Reason }
 
 func (e notPermittedError) Error() string {
-	return "the request must not be written: " + e.reason.String()
+	return "request may not be written: " + e.reason.String()
 }
 
-// dialError wraps the error of a connection that was never established, which proves that nothing ran.
+// dialError wraps a connect error. No connection was established, so the request cannot have run.
 type dialError struct{ error }
 
 func (e dialError) Unwrap() error { return e.error }
 
-// classifyFailure returns what an error proves about an attempt; unsent says that none of its request was
-// written. A connection reset while it was being established was accepted by a process: unlike a refused
-// one it does not count as a failed connect.
+// classifyFailure returns the result of a request that ended with an error; unsent says that no
+// byte of it was written. A connect that was reset, unlike one that was refused, had reached a
+// process that accepts connections, so it does not count as ConnectFailed.
 func classifyFailure(ctx context.Context, unsent bool, err error) balancer.Result {
 	var dial dialError
 	switch {
-	case errors.Is(err, errNoSocketSlot), errors.Is(err, errLocalShortage):
-		return balancer.NotSent // for lack of local resources, no fault of the executor's
+	case errors.Is(err, errNoSocketSlot), errors.Is(err, errLocalResources):
+		return balancer.NotSent // lack of local resources says nothing about the executor
 	case ctx.Err() != nil && unsent:
 		return balancer.NotSent // timed out or cancelled before anything was written
 	case errors.As(err, &dial) && !errors.Is(err, syscall.ECONNRESET):
@@ -44,7 +45,7 @@
 	case ctx.Err() != nil:
 		return balancer.Timeout
 	case unsent:
-		return balancer.NotSent // the connection was established and cut: the executor is reachable
+		return balancer.NotSent // the connection was reset or closed before any write: the executor is reachable
 	}
 	return balancer.Reset
 }
--- a/internal/platform/executorpool.go
+++ b/internal/platform/executorpool.go
@@ -17,35 +17,37 @@
 )
 
 const (
-	// idleTimeoutRatio is the part of an executor's idle timeout after which the pool closes a
-	// connection itself, so that few requests meet one that the executor is about to close.
+	// idleTimeoutRatio is the fraction of the executors' idle timeout after which the pool closes
+	// an idle connection, so that few requests are sent on one that the executor is about to close.
 	idleTimeoutRatio = 0.6
-	// minIdleTime is how long a connection must have been idle before it is closed for another. One
-	// that was used more recently is likely to be used again.
+	// minIdleTime is how long a connection must have been idle before it may be closed in favour of
+	// another one. A connection that was used more recently is likely to be used again.
 	minIdleTime = 100 * time.Millisecond
 	// reuseDelay is the time between the end of a response and the next request on its connection.
-	// Unsolicited bytes, such as a second response, arrive within it.
+	// It leaves time for unsolicited bytes, such as a second response, to arrive and be detected.
 	reuseDelay = 10 * time.Millisecond
 )
 
 var _ oakthread.Workers = (*ExecutorPool)(nil)
 
-// ExecutorPool carries attempts, health checks and load orders to executors. It implements
-// oakthread.Workers. Each executor has transports of its own, so that a connection is never used for
-// another executor that has taken over its address; one limit on sockets holds over all of them.
+// ExecutorPool sends attempts, health checks and load orders to executors. It implements
+// oakthread.Workers. Each executor has its own transports, so that a connection is never used for
+// another executor that has taken over the address; a single limit on sockets applies to all of
+// them.
 type ExecutorPool struct {
-	// Log receives connection events at level debug; nil disables them. It must be set before first use.
-	Log            *slog.Logger
-	classNames     atomic.Pointer[[]string] // by number, escaped for a path; only grows
-	reportFields   []string
-	connectTimeout time.Duration
-	dialContext    DialFunc
-	idleTimeout    time.Duration
-	reuseDelay     time.Duration
-	socketSlots    chan struct{} // holds one element for each open connection
-	responseMemory atomic.Int64  // bytes that responses may still take
-	dialShortages  atomic.Int64  // connects that failed for lack of local resources
-	logLimit       neterr.LogLimit
+	// Log receives dials at level debug, and at level warn connects that failed for lack of local
+	// resources; nil disables both. It must be set before first use.
+	Log               *slog.Logger
+	classNames        atomic.Pointer[[]string] // indexed by class number, path-escaped; may only grow
+	reportFields      []string
+	connectTimeout    time.Duration
+	dialContext       DialFunc
+	idleTimeout       time.Duration
+	reuseDelay        time.Duration
+	socketSlots       chan struct{} // one element for each connection that is open or being opened
+	responseMemory    atomic.Int64  // bytes by which response buffers may still grow
+	localDialFailures atomic.Int64  // connects that failed for lack of local resources
+	logLimit          neterr.LogLimit
 
 	mu        sync.Mutex
 	executors map[balancer.WorkerID]*executorTransports
@@ -54,7 +56,7 @@
 	conns   map[*executorConn]struct{}
 }
 
-// NewExecutorPool returns a pool that holds at most sockets connections at a time.
+// NewExecutorPool returns a pool that has at most sockets connections open at a time.
 func NewExecutorPool(settings *wire.Settings, sockets int) *ExecutorPool {
 	p := &ExecutorPool{
 		connectTimeout: settings.ConnectTimeout(),
@@ -77,11 +79,11 @@
 	return p
 }
 
-// SetNetwork has the pool dial through network. It must be called before first use.
+// SetNetwork makes the pool dial through network. It must be called before first use.
 func (p *ExecutorPool) SetNetwork(network Network) { p.dialContext = network.dial(p.dialContext) }
 
-// SetClasses sets the names of classes by number, as they stand in executors' paths. The list must hold
-// every number in use.
+// SetClasses sets the class names that are used in request paths, indexed by class number. The list
+// must cover every class number in use.
 func (p *ExecutorPool) SetClasses(names []string) {
 	escaped := make([]string, len(names))
 	for i, name := range names {
@@ -90,11 +92,12 @@
 	p.classNames.Store(&escaped)
 }
 
-// Shortages returns how many connects failed for lack of local resources and were retried.
-func (p *ExecutorPool) Shortages() int64 { return p.dialShortages.Load() }
+// Shortages returns how many connects failed for lack of local resources. Such connects are
+// retried.
+func (p *ExecutorPool) Shortages() int64 { return p.localDialFailures.Load() }
 
-// CloseConnections closes the idle connections to an executor that was removed or has restarted, and
-// forgets its transports.
+// CloseConnections closes the idle connections to an executor that was removed or has restarted,
+// and removes its transports.
 func (p *ExecutorPool) CloseConnections(id balancer.WorkerID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -113,8 +116,8 @@
 	}
 }
 
-// dial opens a connection within the connect timeout and takes a socket slot for it. Errors of the
-// connect are wrapped in dialError.
+// dial acquires a socket slot and opens a connection, both within the connect timeout. Connect
+// errors are wrapped in dialError.
 func (p *ExecutorPool) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.connectTimeout)
 	defer cancel()
@@ -132,8 +135,8 @@
 	return p.track(conn), nil
 }
 
-// acquireSlot takes a socket slot, for which it closes an idle connection if there is none left. It
-// returns errNoSocketSlot when ctx ends first.
+// acquireSlot acquires a socket slot. If none is free, it closes the connection that has been idle
+// longest and waits for a slot. It returns errNoSocketSlot if ctx ends first.
 func (p *ExecutorPool) acquireSlot(ctx context.Context) error {
 	select {
 	case p.socketSlots <- struct{}{}:
@@ -149,7 +152,7 @@
 	}
 }
 
-// track wraps a new connection that holds a socket slot, and lists it as open.
+// track wraps a new connection that holds a socket slot, and adds it to the open connections.
 func (p *ExecutorPool) track(conn net.Conn) *executorConn {
 	tracked := &executorConn{
 		Conn: conn, pool: p, reuseDelay: p.reuseDelay,
@@ -170,8 +173,8 @@
 }
 
 // dialWithRetry connects, and retries with backoff while the connect fails for lack of local
-// resources, which says nothing about the executor. Once ctx has ended, it returns errLocalShortage
-// joined with the last error.
+// resources, which says nothing about the executor. Once ctx has ended, it returns
+// errLocalResources joined with the last error.
 func (p *ExecutorPool) dialWithRetry(ctx context.Context, network, addr string) (net.Conn, error) {
 	var backoff neterr.Backoff
 	for {
@@ -179,7 +182,7 @@
 		if err == nil || !neterr.IsLocal(err) {
 			return conn, err
 		}
-		p.dialShortages.Add(1)
+		p.localDialFailures.Add(1)
 		if suppressed, ok := p.logLimit.Allow(time.Now()); ok && p.Log != nil {
 			p.Log.Warn("connect failed for lack of local resources",
 				"addr", addr, "error", err, "suppressed", suppressed)
@@ -188,12 +191,13 @@
 		select {
 		case <-time.After(backoff.Next()):
 		case <-ctx.Done():
-			return nil, errors.Join(errLocalShortage, err)
+			return nil, errors.Join(errLocalResources, err)
 		}
 	}
 }
 
-// closeLongestIdle closes the connection that has been idle for longest, if that is over minIdleTime.
+// closeLongestIdle closes the connection that has been idle longest, provided that this is more
+// than minIdleTime and no request has begun on the connection meanwhile.
 func (p *ExecutorPool) closeLongestIdle() {
 	var longest *executorConn
 	longestIdle := minIdleTime
--- a/internal/platform/executorpool_test.go
+++ b/internal/platform/executorpool_test.go
@@ -79,7 +79,7 @@
 		}
 		reply := pool.Send(t.Context(), attemptTo(endpointAt(executor.addr()), "x"))
 		assert.Equal(t, balancer.OK, reply.Result, "%v", errno)
-		assert.EqualValues(t, 3, pool.dialShortages.Load())
+		assert.EqualValues(t, 3, pool.localDialFailures.Load())
 		pool.Close()
 		pool = NewExecutorPool(testSettings(t), 10)
 		pool.dialContext = func(_ context.Context, network, _ string) (net.Conn, error) {
--- a/internal/platform/healthcheck.go
+++ b/internal/platform/healthcheck.go
@@ -8,7 +8,8 @@
 	"oakthread/balancer"
 )
 
-// HealthCheck asks an executor for its load. A 503 means that the executor drains.
+// HealthCheck sends a health check to an executor, which returns its load report. A 503 means that
+// the executor is draining.
 func (p *ExecutorPool) HealthCheck(ctx context.Context, endpoint oakthread.Endpoint) oakthread.Reply {
 	response, unsent, err := p.roundTrip(ctx, endpoint, executorRequest{
 		method: http.MethodGet, path: executorHealthPath, header: withoutUserAgent(),
--- a/internal/platform/loadreport.go
+++ b/internal/platform/loadreport.go
@@ -7,26 +7,28 @@
 	"strings"
 )
 
-// reportAliases are the names that load reports on sockets use for the fields named in the settings.
+// reportAliases maps field names of the settings to the other names that load reports on the wire
+// use.
 var reportAliases = map[string]string{
 	"active": "inflight", "waiting": "queue", "cpu": "util", "avg_ms": "latency_ms", "rps": "qps", "err_rps": "eps",
 }
 
-// parseReport reads a load report such as "inflight:7;util:0.61" and returns its values in the order of
-// the settings. It returns nil if a field is missing or a value is not a number.
+// parseReport parses a load report such as "inflight:7;util:0.61" and returns its values in the
+// order of the settings. It returns nil if the settings name no fields, a field is missing or a
+// value is invalid.
 func (p *ExecutorPool) parseReport(text string) []float64 {
 	if text == "" || len(p.reportFields) == 0 {
 		return nil
 	}
-	byName, err := parseFigures(text)
+	valuesByName, err := parseFigures(text)
 	if err != nil {
 		return nil
 	}
 	values := make([]float64, 0, len(p.reportFields))
 	for _, field := range p.reportFields {
-		value, ok := byName[field]
+		value, ok := valuesByName[field]
 		if !ok {
-			value, ok = byName[reportAliases[field]]
+			value, ok = valuesByName[reportAliases[field]]
 		}
 		if !ok {
 			return nil
@@ -36,8 +38,8 @@
 	return values
 }
 
-// parseFigures reads pairs of the form name:number that are separated by semicolons. Numbers are finite
-// and not negative.
+// parseFigures parses name:number pairs separated by semicolons. Numbers must be finite and not
+// negative. Clients receive its error when their X-Extras header is invalid.
 func parseFigures(text string) (map[string]float64, error) {
 	values := map[string]float64{}
 	for _, part := range strings.Split(text, ";") {
--- a/internal/platform/network.go
+++ b/internal/platform/network.go
@@ -8,16 +8,16 @@
 // DialFunc opens a connection, as net.Dialer.DialContext does.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Network stands between the dispatcher and the system's sockets, for fault injection. The zero value uses
-// the sockets as they are.
+// Network wraps the dispatcher's connections, for fault injection. The zero value wraps none.
 type Network struct {
-	// Listener wraps the listener of the clients. The result must have SetDeadline and SyscallConn.
+	// Listener wraps the listener for client connections. The result must have SetDeadline and
+	// SyscallConn.
 	Listener func(net.Listener) net.Listener
-	// Dial wraps the connects to executors and to discovery.
+	// Dial wraps the function that connects to executors and to discovery.
 	Dial func(DialFunc) DialFunc
 }
 
-// listener returns a listener as it stands behind the network.
+// listener returns ln, wrapped if n.Listener is set.
 func (n Network) listener(ln net.Listener) net.Listener {
 	if n.Listener == nil {
 		return ln
@@ -25,7 +25,7 @@
 	return n.Listener(ln)
 }
 
-// dial returns a DialFunc as it stands behind the network.
+// dial returns plain, wrapped if n.Dial is set.
 func (n Network) dial(plain DialFunc) DialFunc {
 	if n.Dial == nil {
 		return plain
--- a/internal/platform/peertransport.go
+++ b/internal/platform/peertransport.go
@@ -14,24 +14,25 @@
 
 const (
 	maxDatagramBytes = 256
-	// sendQueueLength is how many datagrams may wait to be sent. Further ones are dropped.
+	// sendQueueLength is how many datagrams may be queued for sending. Further ones are dropped.
 	sendQueueLength = 256
-	// readErrorPause follows a failed read, so that an error that persists does not spin.
+	// readErrorPause is the pause after a failed read, so that a persistent error causes no busy
+	// loop.
 	readErrorPause = 10 * time.Millisecond
 )
 
-// PeerTransport carries messages between dispatchers as UDP datagrams of at most maxDatagramBytes. It
-// implements oakthread.Peers.
+// PeerTransport exchanges messages with other dispatchers as UDP datagrams of at most
+// maxDatagramBytes. It implements oakthread.Peers.
 type PeerTransport struct {
 	conn        *net.UDPConn
-	group       netip.AddrPort // reaches all peers; the zero value: each is written to on its own
+	group       netip.AddrPort // reaches all peers; the zero value: messages to all are sent to each peer
 	peers       []netip.AddrPort
 	indexByAddr map[netip.AddrPort]int
 	selfIndex   int
 	sendQueue   chan datagram
 	log         *slog.Logger
 
-	unknownSender, oversized atomic.Int64 // datagrams that were dropped
+	unknownSender, oversized atomic.Int64 // received datagrams that were dropped
 }
 
 // datagram is a message that waits to be sent.
@@ -40,7 +41,8 @@
 	data    string
 }
 
-// ListenPeers opens the socket for messages. It returns nil if the settings permit none.
+// ListenPeers opens the socket for peer messages. It returns nil if the settings permit no peers or
+// no address is configured, and an error if the address is invalid or cannot be bound.
 func ListenPeers(config *Config, log *slog.Logger) (*PeerTransport, error) {
 	if !config.Settings.Permissions.Peers || config.PeerListen == "" {
 		return nil, nil
@@ -63,17 +65,17 @@
 	return p, nil
 }
 
-// Dropped returns how many datagrams were read and dropped: from addresses of no peer, and too long. A nil
-// transport has dropped none.
-func (p *PeerTransport) Dropped() (strangers, long int64) {
+// Dropped returns how many received datagrams were dropped because their sender was no other peer,
+// and because they were too long. A nil transport has dropped none.
+func (p *PeerTransport) Dropped() (unknownSender, oversized int64) {
 	if p == nil {
 		return 0, 0
 	}
 	return p.unknownSender.Load(), p.oversized.Load()
 }
 
-// SendMessage queues a message to the peer of an index, or to all peers if that is negative. It does not
-// block: a message that is too long, or that finds the queue full, is dropped.
+// SendMessage queues a message for the peer with index to, or for all other peers if to is
+// negative. It does not block: messages that are too long or do not fit into the queue are dropped.
 func (p *PeerTransport) SendMessage(to int, data string) {
 	if len(data) > maxDatagramBytes {
 		p.log.Error("peer message too long, dropped", "bytes", len(data))
@@ -101,8 +103,9 @@
 	}
 }
 
-// Listen sends queued messages and calls handle with those of peers until ctx ends, and closes the socket.
-// Datagrams from other addresses, and longer ones, are dropped.
+// Listen sends queued messages and passes those received from peers to handle until ctx ends. Then
+// it closes the socket and returns the error of ctx. Datagrams from unknown addresses and those
+// longer than maxDatagramBytes are dropped.
 func (p *PeerTransport) Listen(ctx context.Context, handle func(from int, data string)) error {
 	writeCtx, stopWriting := context.WithCancel(ctx)
 	var writer sync.WaitGroup
@@ -116,7 +119,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return ctx.Err()
 		}
-		if err != nil { // such as a peer that is down
+		if err != nil { // for example because a peer is down
 			p.handleReadError(ctx, err)
 			continue
 		}
@@ -149,8 +152,8 @@
 	}
 }
 
-// accept returns the index of the peer that sent a datagram of n bytes. It reports false, and counts the
-// datagram as dropped, if it is from no peer or too long.
+// accept returns the index of the peer that sent a datagram of n bytes. It returns false, and
+// counts the datagram as dropped, if the sender is no other peer or the datagram is too long.
 func (p *PeerTransport) accept(from netip.AddrPort, n int) (sender int, ok bool) {
 	sender, known := p.indexByAddr[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 	switch {
--- a/internal/platform/reload.go
+++ b/internal/platform/reload.go
@@ -7,8 +7,9 @@
 	"slices"
 )
 
-// configKeys returns the sorted keys of a configuration file: those at the top, of settings, of each
-// section of settings, and of the objects in its lists, such as "settings.categories[].name".
+// configKeys returns the sorted keys of a configuration file: those at the top level, in settings,
+// in each section of settings, and in the objects of lists there, such as
+// "settings.categories[].name".
 func configKeys(raw []byte) []string {
 	var top map[string]json.RawMessage
 	if json.Unmarshal(raw, &top) != nil {
@@ -28,7 +29,8 @@
 	return slices.Sorted(maps.Keys(keys))
 }
 
-// addSectionKeys adds the keys of a section of the settings, which is an object or a list of objects.
+// addSectionKeys adds the keys of a section of the settings, which is an object or a list of
+// objects.
 func addSectionKeys(keys map[string]bool, path string, value json.RawMessage) {
 	var object map[string]json.RawMessage
 	if json.Unmarshal(value, &object) == nil {
@@ -46,9 +48,10 @@
 	}
 }
 
-// CheckReload returns an error unless c, read at SIGHUP, may replace previous: it must hold every key that
-// previous holds, and each class a deadline and each call a number of attempts above 0. A file that is
-// empty or was cut off thus changes nothing. The error names the file's key and value.
+// CheckReload returns an error unless c, read on SIGHUP, may replace previous. c must have every
+// key that previous has. Of the keys that previous has, aim_ns and give_up_ns of each class and
+// send_cap, the limit on a call's attempts, must be above 0. An empty or truncated file is thus
+// rejected. The error names the key and, if a value is at fault, the value.
 func (c *Config) CheckReload(previous *Config) error {
 	for _, key := range previous.keys {
 		if !slices.Contains(c.keys, key) {
--- a/internal/platform/response.go
+++ b/internal/platform/response.go
@@ -12,14 +12,14 @@
 
 const (
 	maxResponseBytes = 1 << 20
-	// initialResponseBuffer is the memory that any response may take. Beyond it a response counts
-	// against maxBufferedResponseBytes.
+	// initialResponseBuffer limits the buffer with which a response starts. Growth of the buffer
+	// counts against maxBufferedResponseBytes.
 	initialResponseBuffer = 16 << 10
-	// maxBufferedResponseBytes limits the memory of all larger responses together.
+	// maxBufferedResponseBytes limits the growth of the buffers of all responses together.
 	maxBufferedResponseBytes = 4 << 20
 	// minBufferGrowth is the least number of bytes by which the buffer of a response grows.
 	minBufferGrowth = 1 << 10
-	// maxConcurrentRequests is the highest X-Same that is used; more says nothing further.
+	// maxConcurrentRequests caps X-Same; higher values carry no further information.
 	maxConcurrentRequests = 30
 )
 
@@ -37,8 +37,8 @@
 	return executorResponse{status: response.StatusCode, header: response.Header, body: body}, err
 }
 
-// readBody reads the body of a response within the limits on memory. The length must be known from the
-// head or from chunks, else a body that was cut off would pass for a complete one.
+// readBody reads the body of a response within the limits on memory. The length must be given by
+// the head or by chunked encoding, or a truncated body would be taken for a complete one.
 func (p *ExecutorPool) readBody(response *http.Response) ([]byte, error) {
 	unbounded := response.ContentLength < 0 && len(response.TransferEncoding) == 0
 	if response.StatusCode == http.StatusSwitchingProtocols || unbounded {
@@ -71,14 +71,14 @@
 	}
 }
 
-// warmthByName holds the values of X-Tell, which says whether the function was loaded.
+// warmthByName maps the values of X-Tell, which says whether the function was loaded.
 var warmthByName = map[string]balancer.Warmth{
 	"hit": balancer.WarmHit, "spawn": balancer.BeganLoad,
 	"pending": balancer.AwaitedLoad, "spawn_failed": balancer.LoadFailed,
 }
 
-// parseReply translates an executor's response. Only a 404, and a 503 or 504 with X-No-Effect, prove that
-// nothing ran.
+// parseReply translates an executor's response. Only a 404, and a 503 or 504 with X-No-Effect,
+// prove that the request did not run.
 func (p *ExecutorPool) parseReply(response executorResponse) oakthread.Reply {
 	header := response.header
 	reply := oakthread.Reply{
@@ -102,7 +102,7 @@
 	return reply
 }
 
-// positiveInt returns the number in a header's value, 0 if there is none above 0.
+// positiveInt parses a header's value. It returns 0 unless the value is a positive integer.
 func positiveInt(value string) int {
 	n, err := strconv.Atoi(value)
 	if err != nil {
--- a/internal/platform/roundtrip.go
+++ b/internal/platform/roundtrip.go
@@ -22,18 +22,18 @@
 	header       http.Header
 	body         []byte
 	deadline     time.Time   // the time left until then is sent as X-Budget; zero: none is sent
-	beforeWrite  func() bool // asked right before the first byte is written; nil: always allowed
+	beforeWrite  func() bool // called right before the first byte is written; nil: always allowed
 }
 
-// setBudget sets the time left in a head that is about to be written.
+// setBudget sets X-Budget, in milliseconds, in a head that is about to be written.
 func (r *executorRequest) setBudget(head http.Header) {
 	if !r.deadline.IsZero() {
 		head.Set(budgetHeader, strconv.FormatInt(rules.RemainingMillis(time.Until(r.deadline)), 10))
 	}
 }
 
-// mayWrite decides right before the first byte whether the request may be written with the budget that
-// was set at budgetTime.
+// mayWrite decides, right before the first byte is written, whether the request may be written with
+// the budget that was set at budgetTime.
 func (r *executorRequest) mayWrite(budgetTime time.Time) rules.Reason {
 	write := rules.Write{Revoked: r.beforeWrite != nil && !r.beforeWrite()}
 	if !r.deadline.IsZero() {
@@ -42,9 +42,10 @@
 	return rules.MayWrite(write)
 }
 
-// nonReplayableBody returns a body that http.Transport can neither rewind nor take for absent, so that it
-// never sends a request a second time by itself, which could run it twice. It does not replay an empty
-// PUT or DELETE anyway, and would send one with such a body in chunks.
+// nonReplayableBody returns a body that http.Transport can neither rewind nor treat as absent, so
+// that it never resends a request on its own, which could run the call twice. An empty PUT or
+// DELETE does not need such a body: http.Transport does not resend it, and with such a body would
+// send it in chunks.
 func nonReplayableBody(method string, body []byte) io.ReadCloser {
 	if len(body) == 0 && method != http.MethodGet {
 		return http.NoBody
@@ -52,7 +53,7 @@
 	return io.NopCloser(struct{ io.Reader }{bytes.NewReader(body)})
 }
 
-// exchange is one try at writing a request and reading its response.
+// exchange is one try to write a request and read its response on one connection.
 type exchange struct {
 	request       *executorRequest
 	header        http.Header
@@ -61,7 +62,7 @@
 	writtenBefore int64         // bytes written on conn before this request
 }
 
-// newRequest returns the request for the transport. It is traced by handleGotConn.
+// newRequest returns the request for the transport, with handleGotConn as its trace hook.
 func (x *exchange) newRequest(ctx context.Context, addr string) *http.Request {
 	request := &http.Request{
 		Method: x.request.method, URL: &url.URL{Scheme: "http", Host: addr, Opaque: x.request.path}, Host: addr,
@@ -71,8 +72,9 @@
 	return request.WithContext(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: x.handleGotConn}))
 }
 
-// handleGotConn notes the connection that the transport has assigned, before it writes the head. The
-// budget is set here rather than earlier because the connection may have taken long to be established.
+// handleGotConn records the connection that the transport has assigned and sets the budget, before
+// the transport writes the head. The budget is not set earlier because establishing the connection
+// may have taken long.
 func (x *exchange) handleGotConn(info httptrace.GotConnInfo) {
 	x.conn, _ = info.Conn.(*executorConn)
 	if x.conn == nil {
@@ -84,8 +86,8 @@
 	x.conn.setMayWrite(func() rules.Reason { return x.request.mayWrite(budgetTime) })
 }
 
-// abort closes the connection of a failed exchange, so that nothing more is written on it whatever goes
-// on in the transport, and reports whether nothing of the request was written.
+// abort closes the connection of a failed exchange, so that the transport can write nothing more on
+// it, and reports whether no byte of the request was written.
 func (x *exchange) abort() (unsent bool) {
 	if x.conn == nil {
 		return true
@@ -94,8 +96,9 @@
 	return x.conn.bytesWritten.Load() == x.writtenBefore
 }
 
-// isRetryable reports whether a failed exchange may be tried on another connection: the executor closed
-// an idle connection, or reset a new one, before anything was written on it.
+// isRetryable reports whether a failed exchange may be retried on another connection: the connect
+// was reset, or the connection failed before any of the request was written, for example because
+// the executor closed an idle connection or reset a new one.
 func (x *exchange) isRetryable(unsent bool, err error) bool {
 	if x.conn == nil {
 		return errors.Is(err, syscall.ECONNRESET)
@@ -103,10 +106,11 @@
 	return unsent
 }
 
-// roundTrip writes one request and reads its whole response. It retries once, on another connection, if
-// nothing was written on the first. unsent reports that no byte of the request was written. Whether the
-// request may be written is decided right before its first byte; a connection that is established too late
-// for it is kept for the next.
+// roundTrip writes one request and reads its whole response. It retries once, on another
+// connection, if no byte of the request was written on the first and isRetryable allows it. unsent
+// reports that no byte of the request was written. Whether the request may be written is decided
+// right before its first byte; a connection that is established too late for the request is kept
+// for the next one.
 func (p *ExecutorPool) roundTrip(
 	ctx context.Context, endpoint oakthread.Endpoint, request executorRequest,
 ) (response executorResponse, unsent bool, err error) {
@@ -132,8 +136,8 @@
 	}
 }
 
-// finishExchange notes the end of a response and closes its connection if that must carry no further
-// request.
+// finishExchange records the end of a response and closes its connection if that must carry no
+// further request.
 func (p *ExecutorPool) finishExchange(x *exchange, transport *pooledTransport) {
 	p.markResponse(transport)
 	if x.conn != nil && x.conn.isTainted() {
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -16,46 +16,50 @@
 	"oakthread/internal/wire"
 )
 
-// Times that the platform states of its command channel.
+// Times that the platform specifies for its command channel.
 const (
 	// HeartbeatInterval is the time between two heartbeats.
 	HeartbeatInterval = time.Second
-	// EndpointUpdateDelay is the time after which a change of the endpoint list counts as known to a
-	// dispatcher, whether its event arrived or not.
+	// EndpointUpdateDelay is the time after which the platform regards a change of the endpoint
+	// list as known to a dispatcher, whether or not its event arrived.
 	EndpointUpdateDelay = 7 * time.Second
 )
 
 const (
 	watchDialTimeout = time.Second
-	// watchReadTimeout ends a connection on which nothing arrives: discovery writes a line every second.
+	// watchReadTimeout closes a connection on which nothing arrives: discovery writes a line every
+	// second.
 	watchReadTimeout = 2 * time.Second
-	// maxWatchRetryDelay bounds the pause between two connects: a change counts as known 2 s after the
-	// connection was lost.
+	// maxWatchRetryDelay limits the delay between two connects: a change is regarded as known 2 s
+	// after the connection was lost.
 	maxWatchRetryDelay = 400 * time.Millisecond
 	maxEventBytes      = 4 << 20
-	// initialEventBytes is the size of the read buffer before a longer line arrives.
+	// initialEventBytes is the initial size of the read buffer, which grows for longer lines.
 	initialEventBytes = 4 << 10
 )
 
-// errDiscoveryRestarted reports that discovery numbers its events anew.
-var errDiscoveryRestarted = errors.New("discovery started over: its list is read from the first event")
+// errDiscoveryRestarted reports that discovery has restarted its event numbering.
+var errDiscoveryRestarted = errors.New("discovery has restarted; reading its events from the first one")
 
-// EndpointHandler handles what the command channel brings, in order, from one goroutine.
+// EndpointHandler handles the events of the command channel. Its methods are called in order, from
+// one goroutine.
 type EndpointHandler interface {
-	// HandleUpdate handles a change of the endpoint list and the number of its event.
-	HandleUpdate(r oakthread.EndpointUpdate, epoch string, cursor int64)
+	// HandleUpdate handles a change of the endpoint list, with the epoch and number of its event.
+	HandleUpdate(update oakthread.EndpointUpdate, epoch string, cursor int64)
 	// HandleHeartbeat handles a heartbeat: nothing has changed since the last event.
 	HandleHeartbeat()
-	// HandleLoss handles the end of a connection.
+	// HandleLoss handles the loss of the connection.
 	HandleLoss()
-	// HandleRestart handles a restart of the numbering: the next update holds the complete list.
+	// HandleRestart handles a restart of the event numbering: the next update holds the complete
+	// list.
 	HandleRestart()
 }
 
-// UpdateHandler is an EndpointHandler that passes on the changes of the list and nothing else.
+// UpdateHandler is an EndpointHandler that is called with each change of the list and ignores all
+// else.
 type UpdateHandler func(oakthread.EndpointUpdate)
 
-// HandleUpdate passes on a change.
+// HandleUpdate calls f with a change.
 func (f UpdateHandler) HandleUpdate(update oakthread.EndpointUpdate, _ string, _ int64) { f(update) }
 
 // HandleHeartbeat does nothing.
@@ -68,24 +72,25 @@
 func (UpdateHandler) HandleRestart() {}
 
 // EndpointWatcher follows the command channel, on which discovery writes the endpoint list and its
-// changes. Each event is handled once and in order; the watch resumes after the last one on a new
-// connection. It implements oakthread.EndpointWatcher.
+// changes. Each event is handled once and in order; after a reconnect the watch resumes after the
+// last event handled. It implements oakthread.EndpointWatcher.
 type EndpointWatcher struct {
 	addr           string
 	moves          chan string
 	settings       *wire.Settings
 	initialEvents  []Event
-	cursor         int64 // of the last event that was handled
+	cursor         int64 // number of the last event handled
 	epoch          string
 	dialer         *endpoints.Dialer
-	persistent     bool   // the list is stored on disk, so that discovery may have restarted meanwhile
-	unreadableLine string // the last line that could not be read
-	skippedLine    bool   // such a line was skipped: the next event is accepted whatever its number
+	persistent     bool   // the list was restored from disk; discovery may have restarted since it was stored
+	unreadableLine string // the last line that could not be parsed
+	skippedLine    bool   // such a line was skipped: the next event may have any higher number
 	log            *slog.Logger
 	dial           DialFunc
 }
 
-// NewEndpointWatcher returns a watcher of the channel named in config, which resumes after the events known there.
+// NewEndpointWatcher returns a watcher of the command channel named in config, which resumes after
+// the initial events there.
 func NewEndpointWatcher(config *Config, log *slog.Logger) *EndpointWatcher {
 	return &EndpointWatcher{
 		addr: config.Channel, moves: make(chan string, 1), settings: config.Settings,
@@ -95,17 +100,18 @@
 	}
 }
 
-// SetNetwork has the watcher dial through network. It must be called before Follow.
+// SetNetwork makes the watcher dial through network. It must be called before Follow.
 func (w *EndpointWatcher) SetNetwork(network Network) { w.dial = network.dial(w.dial) }
 
-// ResumeFrom has the watch resume after the event of a stored list, try several addresses in turn, and detect a
-// discovery that has restarted. It must be called before Follow.
+// ResumeFrom makes the watch resume after the last event of a stored list, use the addresses of
+// dialer, and detect that discovery has restarted. It must be called before Follow.
 func (w *EndpointWatcher) ResumeFrom(cursor int64, epoch string, dialer *endpoints.Dialer) {
 	w.cursor, w.epoch, w.dialer, w.persistent, w.initialEvents = cursor, epoch, dialer, true, nil
 }
 
-// Move continues the watch at another address, at once and after the last event known. It does not block;
-// of two moves in a row the later one counts. It must be called from one goroutine.
+// Move switches the watch to another address at once; it resumes after the last event handled. Move
+// does not block, and replaces a move that has not taken effect yet. It must be called from one
+// goroutine.
 func (w *EndpointWatcher) Move(addr string) {
 	select {
 	case <-w.moves:
@@ -114,14 +120,14 @@
 	w.moves <- addr
 }
 
-// Watch calls update with the events known at the start and then with those of the channel, until ctx
-// ends.
+// Watch calls update with the initial events and then with those of the channel, until ctx ends. It
+// returns the error of ctx.
 func (w *EndpointWatcher) Watch(ctx context.Context, update func(oakthread.EndpointUpdate)) error {
 	return w.Follow(ctx, UpdateHandler(update))
 }
 
-// Follow handles the events known at the start and then those of the channel, and reconnects, until ctx
-// ends. It returns the error of ctx.
+// Follow passes the initial events and then those of the channel to handler, and reconnects after
+// each loss, until ctx ends. It returns the error of ctx.
 func (w *EndpointWatcher) Follow(ctx context.Context, handler EndpointHandler) error {
 	for _, event := range w.initialEvents {
 		handler.HandleUpdate(event.Update, event.Epoch, event.Cursor)
@@ -144,7 +150,7 @@
 	return ctx.Err()
 }
 
-// waitOrMove waits, and reports whether the watch was moved meanwhile.
+// waitOrMove waits for delay, and reports whether the watch was moved during the wait.
 func (w *EndpointWatcher) waitOrMove(ctx context.Context, delay time.Duration) (moved bool) {
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
@@ -158,8 +164,8 @@
 	return false
 }
 
-// readUntilMove reads one connection until it fails or the watch is moved. A move cancels whatever goes
-// on at the old address, which may be silent or refuse connections.
+// readUntilMove reads one connection until it fails or the watch is moved. A move cancels
+// connecting to or reading from the old address, which may not respond.
 func (w *EndpointWatcher) readUntilMove(ctx context.Context, handler EndpointHandler) (moved bool, err error) {
 	streamCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -176,7 +182,8 @@
 	}
 }
 
-// handleLoss handles the end of a connection.
+// handleLoss reports the end of a connection to the handler and to the dialer, for which a restart
+// of discovery is no failure.
 func (w *EndpointWatcher) handleLoss(err error, handler EndpointHandler) {
 	handler.HandleLoss()
 	w.log.Warn("endpoint watch lost, reconnecting", "cursor", w.cursor, "error", err)
@@ -194,8 +201,8 @@
 	w.log.Info("endpoint watch moved", "addr", w.addr, "cursor", w.cursor)
 }
 
-// readStream reads the channel at one address until it fails or ctx ends. Without an address it only
-// waits for ctx.
+// readStream reads the channel at one address until it fails or ctx ends. Without an address it
+// only waits for ctx.
 func (w *EndpointWatcher) readStream(ctx context.Context, handler EndpointHandler) error {
 	if w.addr == "" {
 		<-ctx.Done()
@@ -216,8 +223,8 @@
 	return w.readLines(conn, handler)
 }
 
-// readLines handles the lines of a connection until it ends. Each has to arrive within watchReadTimeout
-// of the one before.
+// readLines handles the lines of a connection until it ends. Each must arrive within
+// watchReadTimeout of the previous one.
 func (w *EndpointWatcher) readLines(conn net.Conn, handler EndpointHandler) error {
 	lines := bufio.NewScanner(conn)
 	lines.Buffer(make([]byte, 0, initialEventBytes), maxEventBytes)
@@ -240,8 +247,8 @@
 	return io.EOF
 }
 
-// splitCompleteLines is a bufio.SplitFunc that drops a line cut off by the end of the connection, whose
-// beginning may read as another number.
+// splitCompleteLines is a bufio.SplitFunc that discards a line truncated by the end of the
+// connection, because the first digits of a number could be read as a different number.
 func splitCompleteLines(data []byte, _ bool) (advance int, token []byte, err error) {
 	if i := bytes.IndexByte(data, '\n'); i >= 0 {
 		return i + 1, data[:i], nil
--- a/internal/platform/watchevents.go
+++ b/internal/platform/watchevents.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// handleLine handles one line of the channel; first says that it is the first of its connection. Events
-// that were handled before are ignored. An error ends the connection: numbers that are skipped mean that
-// events are missing, which are requested again on a new one. The first event there is accepted whatever
-// its number, since discovery has no earlier one.
+// handleLine handles one line of the channel; first says that it is the first of its connection.
+// Events that were already handled are ignored. An error ends the connection: a gap in the numbers
+// means that events are missing, which are requested again on a new connection. A gap before the
+// first event there is accepted, because discovery no longer has the events in between.
 func (w *EndpointWatcher) handleLine(line []byte, first bool, handler EndpointHandler) error {
 	event, err := parseEvent(line, w.settings)
 	if err != nil {
@@ -29,7 +29,7 @@
 		}
 	}
 	if w.hasGapBefore(event, first) {
-		return fmt.Errorf("events after %d are missing, the last is %d", w.cursor, event.Cursor)
+		return fmt.Errorf("event gap: last handled %d, received %d", w.cursor, event.Cursor)
 	}
 	if first {
 		w.dialer.Succeeded()
@@ -38,8 +38,9 @@
 	return nil
 }
 
-// handleUnreadable handles a line that cannot be read. The connection may be at fault, so that the line is
-// requested once more; one that is unreadable again is skipped, else no later event would be handled.
+// handleUnreadable handles a line that cannot be parsed. The connection may have corrupted it, so
+// it is requested once more. If it is unreadable again, it is skipped, or no later event would be
+// handled.
 func (w *EndpointWatcher) handleUnreadable(line []byte, err error) error {
 	if w.unreadableLine != string(line) {
 		w.unreadableLine = string(line)
@@ -51,8 +52,8 @@
 	return nil
 }
 
-// isRestart reports whether discovery has restarted since a list was stored: its last number is lower than
-// ours, or its epoch is another one.
+// isRestart reports whether discovery has restarted since a list was stored: its last event number
+// is lower than that of the last event handled, or its epoch differs.
 func (w *EndpointWatcher) isRestart(event Event) bool {
 	if !w.persistent {
 		return false
@@ -62,7 +63,7 @@
 	return lowerNumber || otherEpoch
 }
 
-// hasGapBefore reports whether events between the last one handled and this one are missing.
+// hasGapBefore reports whether events are missing between the last one handled and this one.
 func (w *EndpointWatcher) hasGapBefore(event Event, first bool) bool {
 	if event.Heartbeat {
 		return event.Cursor > w.cursor
@@ -70,7 +71,7 @@
 	return !first && event.Cursor > w.cursor+1
 }
 
-// deliver hands an event to the handler, unless it was handled before.
+// deliver passes an event to the handler, unless the event was already handled.
 func (w *EndpointWatcher) deliver(event Event, handler EndpointHandler) {
 	if event.Heartbeat {
 		if event.Cursor == w.cursor {
