--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -22,8 +22,8 @@
 	"oakthread/balancer"
 )
 
-// A reply counts as proof that nothing ran only where the protocol says so: else a non-idempotent call could run
-// twice.
+// Only the responses that the protocol defines so are taken as proof that a request did not run.
+// Otherwise a non-idempotent call could be sent again and run twice.
 func TestParseReply(t *testing.T) {
 	pool := NewExecutorPool(testSettings(t), 10)
 	for _, c := range []struct {
@@ -60,7 +60,7 @@
 	}
 }
 
-// Id, class, key and body reach the executor unchanged.
+// The id, class, function, idempotency key and body of a call reach the executor unchanged.
 func TestRequestIsForwardedUnchanged(t *testing.T) {
 	body := string([]byte{0, 255, '\r', '\n', 0x80})
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -81,13 +81,14 @@
 	assert.Equal(t, fmt.Sprintf("POST /c/path-book 9b1f03aa5c7e2d41 7F3a9c21e0b4d655 %q [3f:a b;c]", body),
 		string(reply.Body))
 	reply = pool.Send(t.Context(), attemptTo(endpoint, ""))
-	assert.Equal(t, `GET /c/path-book 9b1f03aa5c7e2d41 7F3a9c21e0b4d655 "" []`, string(reply.Body), "no body is a GET")
+	assert.Equal(t, `GET /c/path-book 9b1f03aa5c7e2d41 7F3a9c21e0b4d655 "" []`, string(reply.Body), "no body means GET")
 	order := oakthread.LoadOrder{Worker: endpoint, Key: "7F3a9c21e0b4d655", Count: 2}
 	assert.Equal(t, balancer.OK, pool.Load(t.Context(), order).Result)
 }
 
-// http.Transport does not replay a request by itself. On a reused connection that ends once the request is written
-// it would send a GET without a body again, and a non-idempotent call would run twice.
+// http.Transport does not resend a request on its own. If a reused connection was closed after the
+// request had been written, it would resend a GET without a body, and a non-idempotent call would
+// run twice.
 func TestAttemptWritesOneRequest(t *testing.T) {
 	for _, body := range []string{"", "book"} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -111,7 +112,7 @@
 						_, _ = io.Copy(io.Discard, r.Body)
 						requests.Add(1)
 						if n == 1 {
-							return // with the complete second request
+							return // closes the connection after the complete second request
 						}
 						_, _ = io.WriteString(conn, plainOK)
 					}
@@ -119,7 +120,7 @@
 			}
 		}()
 		pool := NewExecutorPool(testSettings(t), 10)
-		pool.reuseDelay = 0 // the second uses the same connection at once
+		pool.reuseDelay = 0 // so that the second attempt reuses the connection at once
 		endpoint := endpointAt(ln.Addr().String())
 		assert.Equal(t, balancer.OK, pool.Send(t.Context(), attemptTo(endpoint, body)).Result)
 		assert.Equal(t, balancer.Reset, pool.Send(t.Context(), attemptTo(endpoint, body)).Result, "it may have run")
@@ -128,7 +129,8 @@
 	}
 }
 
-// A refused connection, a lack of sockets and a timeout are each classified by what they prove.
+// A refused connection, a lack of socket slots and a timeout after a write are classified as
+// ConnectFailed, NotSent and Timeout.
 func TestUnsentAttemptsAreClassified(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -136,14 +138,15 @@
 	ln.Close()
 	pool := NewExecutorPool(testSettings(t), 1)
 	assert.Equal(t, balancer.ConnectFailed, pool.Send(t.Context(), attemptTo(endpointAt(addr), "x")).Result)
-	assert.Empty(t, pool.socketSlots, "a failed dial keeps its slot")
+	assert.Empty(t, pool.socketSlots, "a failed dial did not free its slot")
 	pool.socketSlots <- struct{}{}
 	assert.Equal(t, balancer.NotSent, pool.Send(t.Context(), attemptTo(endpointAt(addr), "x")).Result)
 	assert.Equal(t, balancer.Timeout, classifyFailure(canceledContext(t), false, errors.New("cut")))
 }
 
-// A new connection that is reset, while it is established or before anything is written on it, is replaced once and
-// at once. If that one is reset as well, the result says that nothing ran and that the executor is reachable.
+// If a new connection is reset, during the connect or before anything is written on it, the request
+// is retried once on another connection, without delay. If that is reset as well, the result is
+// NotSent, which says that the request did not run and does not count as a failed connect.
 func TestResetNewConnectionIsRetriedOnce(t *testing.T) {
 	backend := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	defer backend.Close()
@@ -163,12 +166,13 @@
 			reply := pool.Send(t.Context(), attemptTo(endpointAt(addr), "x"))
 			assert.Equal(t, want, reply.Result, "%s, %d", name, resets)
 			pool.Close()
-			assert.Empty(t, pool.socketSlots, "a reset connection keeps its slot")
+			assert.Empty(t, pool.socketSlots, "a reset connection did not free its slot")
 		}
 	}
 }
 
-// The connections of an executor are not used for its successor at the same address.
+// Connections to an executor are not reused after it restarted or after another executor took over
+// its address.
 func TestReusedAddressGetsNewConnections(t *testing.T) {
 	var conns atomic.Int64
 	backend := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
@@ -181,7 +185,7 @@
 	defer backend.Close()
 	pool := NewExecutorPool(testSettings(t), 10)
 	defer pool.Close()
-	pool.reuseDelay = 0 // connections are used again at once
+	pool.reuseDelay = 0 // connections can be reused at once
 	endpoint := endpointAt(backend.Listener.Addr().String())
 	pool.Send(t.Context(), attemptTo(endpoint, "x"))
 	pool.Send(t.Context(), attemptTo(endpoint, "x"))
--- a/internal/platform/budget_test.go
+++ b/internal/platform/budget_test.go
@@ -12,7 +12,8 @@
 	"oakthread/rules"
 )
 
-// budgetRecorder is an executor's handler that records the budget of each request and when it arrived.
+// budgetRecorder is an executor's handler that records the budget of each request and when it
+// arrived.
 type budgetRecorder struct {
 	budgets  chan time.Duration
 	arrivals chan time.Time
@@ -30,8 +31,8 @@
 	b.budgets <- time.Duration(millis) * time.Millisecond
 }
 
-// assertWithin fails the test unless the recorded budget is at most what a client has left that sent its call at
-// a time and waits for 4 s.
+// assertWithin checks that the recorded budget is at most the remaining time of a client that sent
+// its call at sent with a timeout of 4 s.
 func (b *budgetRecorder) assertWithin(t *testing.T, sent time.Time) {
 	t.Helper()
 	const slack = 150 * time.Millisecond
@@ -41,9 +42,9 @@
 	assert.False(t, arrived.Before(sent))
 }
 
-// The budget sent to an executor is at most the time that the client has left when the request is written, however
-// late its connection was established.
-func TestBudgetIsTheTimeLeftAtTheWrite(t *testing.T) {
+// The budget sent to an executor is at most the client's remaining time when the request is
+// written, even if the connection was established late.
+func TestBudgetIsRemainingTimeAtWrite(t *testing.T) {
 	const late = 600 * time.Millisecond
 	recorder := newBudgetRecorder()
 	s := newTestbed(t, testbedOptions{},
@@ -59,7 +60,7 @@
 	s.close()
 }
 
-// A request whose budget was set long before its first byte is not written.
+// A request is not written if its budget was set too long before its first byte.
 func TestStaleBudgetIsNotWritten(t *testing.T) {
 	request := executorRequest{deadline: time.Now().Add(time.Second)}
 	assert.Equal(t, rules.Allowed, request.mayWrite(time.Now()))
@@ -68,12 +69,13 @@
 	assert.Equal(t, rules.RequestCompleted, request.mayWrite(time.Now()))
 	withoutDeadline := executorRequest{beforeWrite: request.beforeWrite}
 	assert.Equal(t, rules.RequestCompleted, withoutDeadline.mayWrite(time.Time{}))
-	assert.Equal(t, rules.Allowed, (&executorRequest{}).mayWrite(time.Time{}), "without a budget, none is stale")
+	assert.Equal(t, rules.Allowed, (&executorRequest{}).mayWrite(time.Time{}), "no budget, so none can be stale")
 }
 
-// The deadline of a request counts from its last byte, also while it waits in the kernel until its connection is
-// accepted. Found by the soak with seed 118, a burst of clients at a full server: it was counted from the read, and
-// executors got a greater budget than the client had left.
+// The deadline of a request counts from the arrival of its last byte, even if it then waits in the
+// kernel for its connection to be accepted. Found by the soak test (seed 118, a burst of clients at
+// a full server): the deadline was counted from the read, so that executors got a larger budget
+// than the client's remaining time.
 func TestDeadlineCountsFromTheLastByte(t *testing.T) {
 	const backlogTime = 700 * time.Millisecond
 	listener, recorder := newPausingListener(), newBudgetRecorder()
@@ -83,7 +85,7 @@
 				recorder.record(t, r)
 			}
 		}))
-	require.Equal(t, http.StatusOK, s.call(firstID, "path-check")) // accepts wait from here on
+	require.Equal(t, http.StatusOK, s.call(firstID, "path-check")) // accepts are paused from here on
 	sent := time.Now()
 	client := s.send(secondID, "path-check")
 	<-time.After(backlogTime)
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -12,7 +12,7 @@
 	"oakthread/balancer"
 )
 
-// A configuration and its events are parsed; a value that cannot be used is an error.
+// A configuration and its events are parsed; an invalid value is an error.
 func TestParseConfigAndEvents(t *testing.T) {
 	valid := `{"name":"n3","listen":"127.0.0.1:1","seed":"8c1f30d27a5be964","peers":["127.0.0.1:2"],
 		"channel":"127.0.0.1:3","known":{"cursor":3,"cmds":[{"cursor":2,"nodes":{"complete":true,"members":[
--- a/internal/platform/executorconn_test.go
+++ b/internal/platform/executorconn_test.go
@@ -18,7 +18,7 @@
 	"oakthread/balancer"
 )
 
-// scriptedConn is a connection that returns its input in one read and keeps what is written.
+// scriptedConn is a connection that returns its input in one read and records what is written.
 type scriptedConn struct {
 	net.Conn
 	input, output []byte
@@ -35,17 +35,18 @@
 	return len(b), nil
 }
 
-// Bytes behind a response are not returned, and no further request is written on their connection.
+// Bytes that follow a response are not returned, and no further request is written on that
+// connection.
 func TestUnsolicitedBytesTaintAConnection(t *testing.T) {
-	const answer = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none"
+	const response = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none"
 	for name, c := range map[string]struct {
 		input     string
 		nextError error
 	}{
-		"alone":       {answer, nil},
-		"second copy": {answer + answer, errUnsolicitedBytes},
-		"noise":       {answer + "~", errUnsolicitedBytes},
-		"no bounds":   {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", errUnsolicitedBytes},
+		"alone":       {response, nil},
+		"second copy": {response + response, errUnsolicitedBytes},
+		"noise":       {response + "~", errUnsolicitedBytes},
+		"chunked":     {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", errUnsolicitedBytes},
 	} {
 		script := &scriptedConn{input: []byte(c.input)}
 		conn := &executorConn{Conn: script, framer: framer{responses: true}}
@@ -54,8 +55,8 @@
 		buffer := make([]byte, 4096)
 		n, err := conn.Read(buffer)
 		require.NoError(t, err)
-		if name != "no bounds" {
-			assert.Equal(t, answer, string(buffer[:n]), name)
+		if name != "chunked" {
+			assert.Equal(t, response, string(buffer[:n]), name)
 		}
 		_, err = conn.Write([]byte("GET"))
 		assert.Equal(t, c.nextError, err, name)
@@ -66,16 +67,16 @@
 	}
 }
 
-// rawExecutor starts an executor that writes one of its answers, as it is, for each complete request. seen returns
-// the number of requests.
-func rawExecutor(t *testing.T, answers ...string) (addr string, seen func() int) {
+// rawExecutor starts an executor that writes the next of the raw responses for each complete
+// request. seen returns the number of requests.
+func rawExecutor(t *testing.T, responses ...string) (addr string, seen func() int) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
-	next := make(chan string, len(answers))
-	for _, answer := range answers {
-		next <- answer
+	next := make(chan string, len(responses))
+	for _, response := range responses {
+		next <- response
 	}
 	go func() {
 		for {
@@ -96,10 +97,10 @@
 			}()
 		}
 	}()
-	return ln.Addr().String(), func() int { return len(answers) - len(next) }
+	return ln.Addr().String(), func() int { return len(responses) - len(next) }
 }
 
-// What follows a response is never read as the response to the next request.
+// Bytes that follow a response are never read as the response to the next request.
 func TestExcessResponseBytesReachNoRequest(t *testing.T) {
 	ok := func(body string) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
@@ -143,8 +144,8 @@
 	}
 }
 
-// A second response that is unread in the kernel is not read as the response to the next request. Found by the soak
-// with seed 123: executors that respond twice, and a burst.
+// A second response that waits unread in the kernel is not read as the response to the next
+// request. Found by the soak test (seed 123: executors that respond twice, and a burst of calls).
 func TestUnreadSecondResponseTaintsAConnection(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -155,33 +156,34 @@
 	executor, err := ln.Accept()
 	require.NoError(t, err)
 	defer executor.Close()
-	const answer = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none"
+	const response = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none"
 	conn := &executorConn{Conn: dialed, framer: framer{responses: true}}
 	_, err = conn.Write([]byte("GET"))
 	require.NoError(t, err)
-	_, err = io.WriteString(executor, answer)
+	_, err = io.WriteString(executor, response)
 	require.NoError(t, err)
-	n, err := io.ReadFull(conn, make([]byte, len(answer)))
+	n, err := io.ReadFull(conn, make([]byte, len(response)))
 	require.NoError(t, err)
-	require.Equal(t, len(answer), n)
-	_, err = io.WriteString(executor, answer)
+	require.Equal(t, len(response), n)
+	_, err = io.WriteString(executor, response)
 	require.NoError(t, err)
 	awaitUnread(dialed)
 	_, err = conn.Write([]byte("GET"))
 	require.ErrorIs(t, err, errUnsolicitedBytes, "the next request would get the second response")
 }
 
-// A second response may arrive only when the executor has read the next call. That call uses another connection and
-// gets its own response, and the first connection carries no further request.
+// A second response may arrive so late that the executor has already read the next call. Within
+// the reuse delay, each call uses a new connection and so gets its own response; the earlier
+// connections carry no further request.
 func TestLateSecondResponseIsDiscarded(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer ln.Close()
-	answer := func(conn net.Conn, body string) {
+	respond := func(conn net.Conn, body string) {
 		_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	}
 	var mu sync.Mutex
-	var previous net.Conn // on which the call before was answered
+	var previous net.Conn // of the previous call
 	conns := 0
 	go func() {
 		for {
@@ -201,10 +203,10 @@
 					}
 					_, _ = io.Copy(io.Discard, r.Body)
 					mu.Lock()
-					if previous != nil { // late: the next call has been read
-						answer(previous, "of the call before")
+					if previous != nil { // the late second response: the next call has been read
+						respond(previous, "of the call before")
 					}
-					answer(conn, "of "+r.Header.Get("X-Hop-Id"))
+					respond(conn, "of "+r.Header.Get("X-Hop-Id"))
 					previous = conn
 					mu.Unlock()
 				}
@@ -213,7 +215,7 @@
 	}()
 	pool := NewExecutorPool(testSettings(t), 10)
 	defer pool.Close()
-	pool.reuseDelay = time.Hour // the machine may be slow
+	pool.reuseDelay = time.Hour // does not elapse during the test, even on a slow machine
 	pool.transportsFor(endpointAt(ln.Addr().String())).queued = maxQueuedRequests
 	for i := range 5 {
 		attempt := attemptTo(endpointAt(ln.Addr().String()), "x")
@@ -229,8 +231,9 @@
 	assert.Equal(t, 5, conns)
 }
 
-// When the longest idle connection is closed for another and a request begins on it at the same time, no request is
-// written on a connection that is about to be closed, whichever is first.
+// If the connection that has been idle longest is closed in favour of another while a request
+// begins on it, no request is written on a connection that is about to be closed, whichever comes
+// first.
 func TestRetiredConnectionsCarryNoRequest(t *testing.T) {
 	executor := newRecordingExecutor(t, nil)
 	pool := NewExecutorPool(testSettings(t), 1)
--- a/internal/platform/executorpool_test.go
+++ b/internal/platform/executorpool_test.go
@@ -25,7 +25,8 @@
 	assert.Equal(t, balancer.NotSent, classifyFailure(canceledContext(t), true, context.Canceled))
 }
 
-// Transports that were created for a removed executor are dropped once they are unused for long.
+// Transports that were created for a removed executor are removed once they have been unused for
+// long enough.
 func TestUnusedTransportsAreDropped(t *testing.T) {
 	pool := NewExecutorPool(testSettings(t), 1)
 	endpoint := endpointAt("127.0.0.1:1")
@@ -36,13 +37,13 @@
 	assert.Len(t, pool.executors, 1)
 }
 
-// A request that is revoked right before its first byte is not written, on a new connection nor on a reused one, and
-// is classified as not sent.
+// A request that is revoked right before its first byte is not written, neither on a new connection
+// nor on a reused one, and is classified as not sent.
 func TestRevokedRequestsAreNotWritten(t *testing.T) {
 	executor := newRecordingExecutor(t, nil)
 	pool := NewExecutorPool(testSettings(t), 10)
 	defer pool.Close()
-	pool.reuseDelay = 0 // connections are used again at once
+	pool.reuseDelay = 0 // connections can be reused at once
 	for _, reused := range []bool{false, true} {
 		attempt := attemptTo(endpointAt(executor.addr()), "x")
 		if reused {
@@ -61,9 +62,9 @@
 	}
 }
 
-// A connect that fails for lack of local resources says nothing of the executor: it is retried, and if that lasts,
-// the attempt is classified as not sent.
-func TestLocalShortagesBlameNoExecutor(t *testing.T) {
+// A connect that fails for lack of local resources says nothing about the executor: it is retried,
+// and if it keeps failing, the attempt is classified as not sent.
+func TestLocalDialFailuresAreNotExecutorFailures(t *testing.T) {
 	executor := newRecordingExecutor(t, nil)
 	for _, errno := range []syscall.Errno{
 		syscall.EADDRNOTAVAIL, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
@@ -87,11 +88,12 @@
 		}
 		reply = pool.Send(t.Context(), attemptTo(endpointAt(executor.addr()), "x"))
 		assert.Equal(t, balancer.NotSent, reply.Result, "%v", errno)
-		assert.Empty(t, pool.socketSlots, "a failed dial keeps its slot")
+		assert.Empty(t, pool.socketSlots, "a failed dial did not free its slot")
 	}
 }
 
-// A few requests wait for a connection's reuse delay, until their deadlines; the next gets a connection at once.
+// Up to maxQueuedRequests requests wait for a connection's reuse delay, at most until they are
+// cancelled; further ones get a new connection at once.
 func TestQueueForAReusableConnectionIsBounded(t *testing.T) {
 	executor := newRecordingExecutor(t, nil)
 	pool := NewExecutorPool(testSettings(t), 10)
@@ -117,13 +119,13 @@
 	assert.Len(t, executor.requests(), 2)
 }
 
-// A connection is reused once its delay is over.
+// A connection is reused once its reuse delay has elapsed.
 func TestConnectionsAreReusedAfterTheDelay(t *testing.T) {
 	executor := newRecordingExecutor(t, nil)
 	pool := NewExecutorPool(testSettings(t), 10)
 	defer pool.Close()
 	for range 5 {
-		pool.reuseDelay = 0 // as if the delay were over
+		pool.reuseDelay = 0 // as if the delay had elapsed
 		require.Equal(t, balancer.OK, pool.Send(t.Context(), attemptTo(endpointAt(executor.addr()), "x")).Result)
 	}
 	assert.Len(t, pool.socketSlots, 1)
--- a/internal/platform/fakediscovery_test.go
+++ b/internal/platform/fakediscovery_test.go
@@ -15,14 +15,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fakeDiscovery is a discovery service on whose connections the test writes.
+// fakeDiscovery is a discovery service that hands its connections to the test.
 type fakeDiscovery struct {
 	t     *testing.T
 	ln    net.Listener
 	conns chan fakeWatch
 }
 
-// fakeWatch is one connection of a watcher, and the line that it sent.
+// fakeWatch is one connection of a watcher, with the request line that the watcher sent.
 type fakeWatch struct {
 	net.Conn
 	request string
@@ -51,7 +51,7 @@
 
 func (d *fakeDiscovery) addr() string { return d.ln.Addr().String() }
 
-// nextWatch returns the next connection, which must resume after the event of a number.
+// nextWatch returns the next connection, whose request must be to resume after event cursor.
 func (d *fakeDiscovery) nextWatch(cursor int) fakeWatch {
 	d.t.Helper()
 	watch := <-d.conns
@@ -66,17 +66,18 @@
 	require.NoError(t, err)
 }
 
-// eventLineText returns the line of an event; the first one holds the complete list.
+// eventLineText returns the line of an event; event 1 holds the complete list.
 func eventLineText(cursor int, members string) string {
 	return fmt.Sprintf(`{"cursor":%d,"nodes":{"complete":%v,"members":[%s]}}`+"\n", cursor, cursor == 1, members)
 }
 
-// memberText returns a member of an event.
+// memberText returns a member of an event as JSON.
 func memberText(id int, phase string) string {
 	return fmt.Sprintf(`{"id":"s-%08x","host_port":"127.0.0.1:4","phase":%q,"size":1}`, id, phase)
 }
 
-// startWatch follows a discovery service from its first event on.
+// startWatch starts a watcher that follows a discovery service from its first event and logs to
+// log.
 func startWatch(t *testing.T, discovery *fakeDiscovery, log io.Writer) (*EndpointWatcher, eventRecorder) {
 	t.Helper()
 	watcher := NewEndpointWatcher(&Config{Channel: discovery.addr(), Settings: testSettings(t)},
@@ -89,7 +90,7 @@
 	return watcher, events
 }
 
-// safeBuffer is a buffer for logs that are written by another goroutine.
+// safeBuffer is a buffer that one goroutine may write while another reads it.
 type safeBuffer struct {
 	mu sync.Mutex
 	bytes.Buffer
--- a/internal/platform/golden_channel_test.go
+++ b/internal/platform/golden_channel_test.go
@@ -21,7 +21,7 @@
 	"oakthread/balancer"
 )
 
-// What a watcher writes on the command channel is that of the golden file.
+// The bytes that a watcher writes on the command channel match the golden file.
 func TestChannelRequestMatchesGoldenFile(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -38,7 +38,7 @@
 		reader := bufio.NewReader(io.TeeReader(conn, &raw))
 		_, _ = reader.ReadString('\n')
 		_, _ = io.WriteString(conn, "41\n")
-		_, _ = io.Copy(io.Discard, reader) // whatever else is written, up to the end
+		_, _ = io.Copy(io.Discard, reader) // all further bytes, up to the end of the connection
 		request <- raw.Bytes()
 	}()
 	ctx, stop := context.WithCancel(t.Context())
@@ -52,8 +52,8 @@
 	matchGolden(t, "channel-request", <-request)
 }
 
-// Each kind of event line is read, and what cannot be used is reported.
-func TestEventLinesAreRead(t *testing.T) {
+// Each kind of event line is parsed, and errors of lines and members are reported.
+func TestEventLinesAreParsed(t *testing.T) {
 	raw, err := os.ReadFile("testdata/events.txt")
 	require.NoError(t, err)
 	update := func(kind balancer.EndpointUpdateKind, endpoints ...oakthread.Endpoint) oakthread.EndpointUpdate {
@@ -112,10 +112,10 @@
 		got.Invalid = nil
 		assert.Equal(t, w.event, got, lines[i])
 	}
-	assert.Equal(t, balancer.WorkerID(0xf4092e46), WorkerID("box nine"), "the hash of an id that holds no number")
+	assert.Equal(t, balancer.WorkerID(0xf4092e46), WorkerID("box nine"), "the hash of an id that contains no number")
 }
 
-// Datagrams are written and read byte for byte, to one peer, to each, and to the group.
+// Datagrams to one peer, to each peer and to the group are written and read byte for byte.
 func TestDatagramsMatchGoldenFile(t *testing.T) {
 	const data = "w1 \x00\xff\n"
 	listen := func() (*net.UDPConn, netip.AddrPort) {
@@ -128,7 +128,7 @@
 	one, oneAddr := listen()
 	two, twoAddr := listen()
 	group, groupAddr := listen()
-	stranger, _ := listen()
+	nonPeer, _ := listen()
 	var raw strings.Builder
 	read := func(name string, conn *net.UDPConn) {
 		buffer := make([]byte, 1<<10)
@@ -155,13 +155,13 @@
 	read("to peer 1", one)
 	read("to all, at peer 1", one)
 	read("to all, at peer 2", two)
-	for _, conn := range []*net.UDPConn{stranger, two} {
+	for _, conn := range []*net.UDPConn{nonPeer, two} {
 		_, err := conn.WriteToUDP([]byte(data), unicast.conn.LocalAddr().(*net.UDPAddr))
 		require.NoError(t, err)
 	}
 	fmt.Fprintln(&raw, "read", <-received)
-	strangers, _ := unicast.Dropped()
-	assert.Equal(t, int64(1), strangers)
+	unknownSender, _ := unicast.Dropped()
+	assert.Equal(t, int64(1), unknownSender)
 	multicast, _ := open(groupAddr)
 	multicast.SendMessage(-1, data+"all")
 	multicast.SendMessage(2, data+"two")
--- a/internal/platform/golden_config_test.go
+++ b/internal/platform/golden_config_test.go
@@ -23,7 +23,7 @@
 )
 
 // Every value of the configuration file is read.
-func TestConfigurationFileIsReadWhole(t *testing.T) {
+func TestConfigurationFileIsReadCompletely(t *testing.T) {
 	raw, err := os.ReadFile("testdata/config.json")
 	require.NoError(t, err)
 	settings := &wire.Settings{
@@ -74,7 +74,7 @@
 		"retry_after": &permissions.RetryAfter, "second_copies": &permissions.SecondCopies,
 		"load_control":        &specifics.LoadControl,
 		"notes_peers_in_hand": &specifics.NotesPeers, "warm_notes": &specifics.WarmNotes,
-	} { // each alone: all of them are true above
+	} { // each on its own: all of them are true above
 		got, err := parseConfig(bytes.Replace(raw, []byte(`"`+key+`": true`), []byte(`"`+key+`": false`), 1))
 		require.NoError(t, err)
 		*value = false
@@ -83,8 +83,9 @@
 	}
 }
 
-// TestConfigurationFileHoldsEveryKey compares the file's keys with those that the program knows: of the settings by
-// their type, of the rest by the tags in this package's source.
+// TestConfigurationFileHoldsEveryKey compares the keys of the test file with those that the program
+// knows: for the settings those of their type, for the rest those of the JSON tags in this
+// package's source.
 func TestConfigurationFileHoldsEveryKey(t *testing.T) {
 	raw, err := os.ReadFile("testdata/config.json")
 	require.NoError(t, err)
@@ -112,7 +113,7 @@
 	assert.Equal(t, known, inFile)
 }
 
-// keysOf returns the paths of all keys in decoded JSON. Objects of a list count as one.
+// keysOf returns the paths of all keys in decoded JSON. The objects of a list share one path.
 func keysOf(v any, path string) map[string]bool {
 	keys := map[string]bool{}
 	switch v := v.(type) {
@@ -129,7 +130,7 @@
 	return keys
 }
 
-// keysOfType returns the paths of all keys that JSON of a type may have.
+// keysOfType returns the paths of all keys that the JSON form of a type may have.
 func keysOfType(typ reflect.Type, path string) (keys []string) {
 	if typ.Kind() == reflect.Slice {
 		typ = typ.Elem()
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -25,12 +25,14 @@
 	"oakthread/internal/wire"
 )
 
-// The tests in this file compare what is written on the platform's sockets, and what is read there, with files in
-// testdata. The files are written with -update alone, and then only where the protocol is meant to change.
+// The tests in this file compare the bytes written to and read from the platform's sockets with the
+// golden files in testdata. Those are written only with -update, which is meant for intended
+// changes of the protocol.
 
-var update = flag.Bool("update", false, "write the golden files in testdata anew")
+var update = flag.Bool("update", false, "rewrite the golden files in testdata")
 
-// masks replace what depends on the clock or on ports. The form of a value is checked by its pattern.
+// masks replace values that depend on the clock or on ports. The pattern checks the form of such a
+// value.
 var masks = []struct {
 	pattern *regexp.Regexp
 	with    string
@@ -40,7 +42,7 @@
 	{regexp.MustCompile(`(?m)^X-Budget: [1-9]\d*\r$`), "X-Budget: <ms>\r"},
 }
 
-// matchGolden compares raw bytes, once masked, with testdata/name.golden.
+// matchGolden masks raw bytes and compares them with testdata/name.golden.
 func matchGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	for _, mask := range masks {
@@ -55,7 +57,7 @@
 	assert.Equal(t, string(want), string(got), path)
 }
 
-// readRaw returns the bytes of one response, and of what arrived with it.
+// readRaw returns the bytes of one response and any bytes that arrived with it.
 func readRaw(t *testing.T, conn net.Conn, method string) []byte {
 	t.Helper()
 	var raw bytes.Buffer
@@ -67,14 +69,14 @@
 	return raw.Bytes()
 }
 
-// What clients are sent for each kind of request is that of the golden files.
-func TestClientAnswersMatchGoldenFiles(t *testing.T) {
+// The responses to each kind of client request match the golden files.
+func TestClientResponsesMatchGoldenFiles(t *testing.T) {
 	const refused, failed, held = "00000000000000f1", "00000000000000f2", "00000000000000f3"
 	const head, ping = "POST /call/7f3a9c21e0b4d655/trigger", "GET /ping HTTP/1.1\r\nHost: x\r\n\r\n"
 	const length, chunks = "Content-Length: 1\r\n\r\nx", "Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n"
 	for _, c := range []struct {
 		name   string
-		id     string // of a call of path-book; "": request is sent as it is
+		id     string // of a call of class path-book; "": to is sent as the whole request
 		from   string // replaced in the call
 		to     string
 		change func(*wire.Settings)
@@ -158,16 +160,16 @@
 	}
 }
 
-// newRawRecorder starts an executor that sends the raw bytes of each request, and then writes the next of its answers;
-// the last of them again and again.
-func newRawRecorder(t *testing.T, answers ...string) (*recordingExecutor, <-chan []byte) {
+// newRawRecorder starts an executor that sends the raw bytes of each request on the returned
+// channel and then writes the next response; it repeats the last one.
+func newRawRecorder(t *testing.T, responses ...string) (*recordingExecutor, <-chan []byte) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
-	requests, next := make(chan []byte, 16), make(chan string, len(answers))
-	for _, answer := range answers {
-		next <- answer
+	requests, next := make(chan []byte, 16), make(chan string, len(responses))
+	for _, response := range responses {
+		next <- response
 	}
 	serve := func(conn net.Conn) {
 		defer conn.Close()
@@ -179,12 +181,12 @@
 			}
 			_, _ = io.Copy(io.Discard, r.Body)
 			requests <- bytes.Clone(raw.Bytes())
-			answer := answers[len(answers)-1]
+			response := responses[len(responses)-1]
 			select {
-			case answer = <-next:
+			case response = <-next:
 			default:
 			}
-			if _, err := io.WriteString(conn, answer); err != nil || !strings.Contains(answer, "Length") {
+			if _, err := io.WriteString(conn, response); err != nil || !strings.Contains(response, "Length") {
 				return
 			}
 		}
@@ -204,18 +206,19 @@
 // plainOK is an empty 200.
 const plainOK = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
-// TestAttemptsMatchGoldenFiles follows calls from a client's socket to the executor's.
+// TestAttemptsMatchGoldenFiles sends calls on a client's socket and compares the attempts on the
+// executor's socket with the golden files.
 func TestAttemptsMatchGoldenFiles(t *testing.T) {
 	addKeyed := func(settings *wire.Settings) {
 		category := settings.Categories[0]
 		category.Name, category.Idempotency, category.KeyScope = "path pay/1", "idempotency_key", "all"
 		settings.Categories = append(settings.Categories, category)
-		settings.Specifics.LoadControl = false // attempts alone
+		settings.Specifics.LoadControl = false // so that only attempts are written
 	}
 	noEffect := "HTTP/1.1 504 Gateway Timeout\r\nX-No-Effect: 1\r\nContent-Length: 0\r\n\r\n"
 	for _, c := range []struct {
 		name, class, body, header string
-		answers                   []string
+		responses                 []string
 	}{
 		{name: "read-like", class: "path-check", body: "a\x00b\r\n\xff"},
 		{name: "non-idempotent", class: "path-book", body: "x"},
@@ -227,30 +230,30 @@
 			name: "all-headers", class: "path-book", body: "x",
 			header: "X-Customer: ironbridge-haul\r\nX-Extras: memory_mb:512;lanes:2;load_ms:640\r\nX-Other: 1",
 		},
-		{name: "second", class: "path-check", body: "x", answers: []string{noEffect, plainOK}},
+		{name: "second", class: "path-check", body: "x", responses: []string{noEffect, plainOK}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			executor, requests := newRawRecorder(t, append(c.answers, plainOK)...)
+			executor, requests := newRawRecorder(t, append(c.responses, plainOK)...)
 			s := newTestbed(t, testbedOptions{settings: addKeyed}, executor)
 			conn := s.dial()
 			request := callText("9b1f03aa5c7e2d41", c.class, c.body)
 			if c.header != "" {
 				request = strings.Replace(request, "Host: x", "Host: x\r\n"+c.header, 1)
 			}
-			s.write(conn, strings.Replace(request, "7f3a", "7F3a", 1)) // the function's case is kept
+			s.write(conn, strings.Replace(request, "7f3a", "7F3a", 1)) // the case of the function's key is preserved
 			assert.Equal(t, http.StatusOK, s.readStatus(conn))
-			if len(c.answers) > 0 {
+			if len(c.responses) > 0 {
 				matchGolden(t, "attempt-"+c.name+"-before", <-requests)
 			}
 			matchGolden(t, "attempt-"+c.name, <-requests)
-			assert.Empty(t, requests, "more was written")
+			assert.Empty(t, requests, "further requests were written")
 			s.close()
 		})
 	}
 }
 
-// What is written for load orders and health checks is that of the golden files.
-func TestOrdersAndProbesMatchGoldenFiles(t *testing.T) {
+// The requests for load orders and health checks match the golden files.
+func TestLoadOrdersAndHealthChecksMatchGoldenFiles(t *testing.T) {
 	for name, do := range map[string]func(context.Context, *ExecutorPool, oakthread.LoadOrder){
 		"load": func(ctx context.Context, pool *ExecutorPool, order oakthread.LoadOrder) { pool.Load(ctx, order) },
 		"drop": func(ctx context.Context, pool *ExecutorPool, order oakthread.LoadOrder) { pool.Unload(ctx, order) },
@@ -269,8 +272,8 @@
 	}
 }
 
-// Each kind of response of an executor is read.
-func TestExecutorAnswersAreRead(t *testing.T) {
+// Each kind of executor response is parsed.
+func TestExecutorResponsesAreParsed(t *testing.T) {
 	const send, load, probe = "send", "load", "probe"
 	type reply = oakthread.Reply
 	report, none, body := []float64{7, 0.61}, []byte{}, []byte("a\x00\r\n")
--- a/internal/platform/peertransport_test.go
+++ b/internal/platform/peertransport_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newPeerTransport returns the transport of the dispatcher with an index.
+// newPeerTransport returns the transport of the dispatcher with the given index.
 func newPeerTransport(t *testing.T, index int) *PeerTransport {
 	t.Helper()
 	settings := testSettings(t)
@@ -22,19 +22,20 @@
 	return transport
 }
 
-// Messages of at most 256 bytes reach peers, which are known by their address; others are dropped.
+// Messages of at most 256 bytes from a peer's address are delivered; longer ones and those from
+// other addresses are not.
 func TestMessagesGoToKnownPeersOnly(t *testing.T) {
-	sender, receiver, stranger := newPeerTransport(t, 0), newPeerTransport(t, 1), newPeerTransport(t, 2)
+	sender, receiver, nonPeer := newPeerTransport(t, 0), newPeerTransport(t, 1), newPeerTransport(t, 2)
 	addr := func(p *PeerTransport) netip.AddrPort { return p.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
-	for _, transport := range []*PeerTransport{sender, receiver, stranger} {
+	for _, transport := range []*PeerTransport{sender, receiver, nonPeer} {
 		transport.peers = []netip.AddrPort{addr(sender), addr(receiver)}
 	}
 	receiver.indexByAddr = map[netip.AddrPort]int{addr(sender): 0, addr(receiver): 1}
-	stranger.SendMessage(1, "who")
+	nonPeer.SendMessage(1, "who")
 	sender.SendMessage(1, strings.Repeat("x", 257))
 	sender.SendMessage(-1, "hello")
 	ctx, stop := context.WithCancel(t.Context())
-	for _, transport := range []*PeerTransport{sender, stranger} {
+	for _, transport := range []*PeerTransport{sender, nonPeer} {
 		go func() { _ = transport.Listen(ctx, func(int, string) {}) }()
 	}
 	var got []string
@@ -42,7 +43,8 @@
 	assert.Equal(t, []string{"0hello"}, got)
 }
 
-// Datagrams that are too long, or from no peer's address, are dropped and counted. Others arrive unchanged.
+// Datagrams that are too long or come from an address of no peer are dropped and counted. Others
+// arrive unchanged.
 func TestInvalidDatagramsAreCounted(t *testing.T) {
 	transport := newPeerTransport(t, 1)
 	dial := func() *net.UDPConn {
@@ -51,17 +53,17 @@
 		t.Cleanup(func() { _ = conn.Close() })
 		return conn
 	}
-	peer, stranger := dial(), dial()
+	peer, nonPeer := dial(), dial()
 	transport.indexByAddr = map[netip.AddrPort]int{peer.LocalAddr().(*net.UDPAddr).AddrPort(): 0}
 	for _, message := range []struct {
 		from *net.UDPConn
 		data string
 	}{
-		{stranger, "AAAA"},
+		{nonPeer, "AAAA"},
 		{peer, strings.Repeat("x", 257)},
 		{peer, strings.Repeat("x", 9000)},
 		{peer, ""},
-		{stranger, ""},
+		{nonPeer, ""},
 		{peer, "last"},
 	} {
 		_, err := message.from.Write([]byte(message.data))
@@ -76,6 +78,6 @@
 		}
 	})
 	assert.Equal(t, []string{"", "last"}, got)
-	strangers, long := transport.Dropped()
-	assert.Equal(t, [2]int64{2, 2}, [2]int64{strangers, long})
+	unknownSender, oversized := transport.Dropped()
+	assert.Equal(t, [2]int64{2, 2}, [2]int64{unknownSender, oversized})
 }
--- a/internal/platform/response_test.go
+++ b/internal/platform/response_test.go
@@ -15,8 +15,8 @@
 	"oakthread/balancer"
 )
 
-// truncatingExecutor answers each request with text and then closes or resets the connection. It records the ids of
-// the requests on ran.
+// truncatingExecutor responds to each request with text and then closes or resets the connection.
+// It sends the ids of the requests to ran.
 func truncatingExecutor(t *testing.T, text string, reset bool, ran chan<- string) (addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -42,26 +42,27 @@
 	return ln.Addr().String()
 }
 
-// A response that is cut off in its head or body, by a close or a reset, in chunks or not, reaches no client as a
-// complete one, and a non-idempotent call that may have run fails. A reset behind a complete response cuts nothing.
+// A response that is truncated in its head or body, by a close or a reset, chunked or not, reaches
+// no client as a complete one, and a non-idempotent call that may have run fails. A reset after a
+// complete response does no harm.
 func TestTruncatedResponsesReachNoClient(t *testing.T) {
 	for name, c := range map[string]struct {
-		answer string
-		want   int
+		response string
+		want     int
 	}{
 		"nothing":               {"", 502},
 		"in the head":           {"HTTP/1.1 200 OK\r\nContent-Le", 502},
-		"behind the head":       {"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n", 502},
+		"after the head":        {"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n", 502},
 		"in the body":           {"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nslo", 502},
 		"in a chunk":            {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nsl", 502},
 		"before the last chunk": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nslot\r\n", 502},
-		"behind the answer":     {"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nslot", 200},
+		"after the response":    {"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nslot", 200},
 	} {
 		for _, reset := range []bool{false, true} {
 			t.Run(fmt.Sprint(name, ", reset ", reset), func(t *testing.T) {
 				t.Parallel()
 				ran := make(chan string, 8)
-				executor := endpointAt(truncatingExecutor(t, c.answer, reset, ran))
+				executor := endpointAt(truncatingExecutor(t, c.response, reset, ran))
 				s := newTestbed(t, testbedOptions{})
 				s.core.UpdateEndpoints(oakthread.EndpointUpdate{
 					Kind: balancer.EndpointsSnapshot, Endpoints: []oakthread.Endpoint{executor},
--- a/internal/platform/watch_test.go
+++ b/internal/platform/watch_test.go
@@ -19,7 +19,7 @@
 	"oakthread/endpoints"
 )
 
-// A watch resumes after the last event on a new connection, and handles none twice.
+// On a new connection a watch resumes after the last event, and handles no event twice.
 func TestWatchResumesAfterTheLastEvent(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -52,7 +52,7 @@
 	err = watcher.Watch(ctx, func(oakthread.EndpointUpdate) {
 		mu.Lock()
 		defer mu.Unlock()
-		if updates++; updates == 5 { // the initial one, 4, 5, 6, and 9 as the next
+		if updates++; updates == 5 { // the initial event, 4, 5, 6, and then 9
 			stop()
 		}
 	})
@@ -65,7 +65,7 @@
 	assert.Equal(t, int64(9), watcher.cursor)
 }
 
-// eventRecorder is an EndpointHandler that records what it handles.
+// eventRecorder is an EndpointHandler that sends a description of each event it handles.
 type eventRecorder chan string
 
 func (r eventRecorder) HandleUpdate(update oakthread.EndpointUpdate, epoch string, cursor int64) {
@@ -79,8 +79,9 @@
 
 func (r eventRecorder) HandleRestart() { r <- "restarted" }
 
-// The watch of a stored list resumes after its event. A discovery with a lower number, or of another epoch, has
-// restarted and is read from its first event. Several addresses are tried in turn.
+// The watch of a stored list resumes after the last event of the list. If discovery is at a lower
+// event number or in another epoch, it has restarted and is read from its first event. Several
+// addresses are tried in turn.
 func TestWatchOfAStoredList(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -119,7 +120,7 @@
 	done := make(chan error, 1)
 	go func() { done <- watcher.Follow(ctx, events) }()
 	for len(got) == 0 || !strings.HasPrefix(got[len(got)-1], "current") || len(got) < 8 {
-		if event := <-events; event != "lost" { // how often depends on which address is first
+		if event := <-events; event != "lost" { // their number depends on which address is tried first
 			got = append(got, event)
 		}
 	}
@@ -132,8 +133,8 @@
 	assert.Equal(t, []string{"resume 41", "resume 0", "resume 1", "resume 0"}, requests)
 }
 
-// Dispatchers that lost discovery together do not reconnect together, and none waits for longer than
-// maxWatchRetryDelay.
+// Dispatchers that lose the connection to discovery at the same time do not reconnect at the same
+// time, and none waits longer than maxWatchRetryDelay.
 func TestReconnectsAreSpread(t *testing.T) {
 	bySlot := map[time.Duration]int{}
 	for seed := range uint64(80) {
--- a/internal/platform/watchstream_test.go
+++ b/internal/platform/watchstream_test.go
@@ -14,9 +14,9 @@
 	"oakthread/balancer"
 )
 
-// A watch that falls silent is given up within watchReadTimeout, and what has happened meanwhile is handled once. One
-// on which only heartbeats arrive is kept.
-func TestSilentWatchReconnectsAndAnIdleOneStays(t *testing.T) {
+// A connection on which nothing arrives is closed after watchReadTimeout, and events that occurred
+// meanwhile are handled once. One on which only heartbeats arrive is kept.
+func TestSilentWatchReconnectsAndIdleWatchStays(t *testing.T) {
 	discovery := newDiscovery(t)
 	_, events := startWatch(t, discovery, io.Discard)
 	watch := discovery.nextWatch(0)
@@ -30,26 +30,26 @@
 	}
 	select {
 	case watch := <-discovery.conns:
-		t.Fatal("a healthy idle watch was given up, then", watch.request)
+		t.Fatal("a healthy idle connection was closed, then", watch.request)
 	default:
 	}
 	began := time.Now() // silent from here on
 	watch = discovery.nextWatch(1)
-	assert.GreaterOrEqual(t, time.Since(began), watchReadTimeout/2, "given up too soon")
+	assert.GreaterOrEqual(t, time.Since(began), watchReadTimeout/2, "closed too early")
 	assert.Equal(t, "lost", <-events)
 	watch.send(t, eventLineText(2, memberText(2, "Ready"))+"2\n")
 	assert.Equal(t, "update 2 of , 1 endpoints, complete false", <-events)
 	assert.Equal(t, "current", <-events)
 }
 
-// Events that arrive in parts, twice or with a gap, or are cut off, are each handled once and in order.
+// Events that arrive in parts, twice, with a gap or truncated are each handled once and in order.
 func TestPartialRepeatedAndMissingEvents(t *testing.T) {
 	discovery := newDiscovery(t)
 	_, events := startWatch(t, discovery, io.Discard)
 	one, two := eventLineText(1, memberText(1, "Ready")), eventLineText(2, memberText(2, "Ready"))
 	watch := discovery.nextWatch(0)
 	watch.send(t, one[:25])
-	time.Sleep(10 * time.Millisecond) // two reads as a rule; the test holds in one as well
+	time.Sleep(10 * time.Millisecond) // usually makes two reads; the test passes with one as well
 	watch.send(t, one[25:]+one+two[:30])
 	assert.Equal(t, "update 1 of , 1 endpoints, complete true", <-events)
 	watch.Close() // within an event
@@ -67,8 +67,8 @@
 	}
 }
 
-// A move of the watch, as by SIGHUP, loses and repeats no event: within an event, while reconnecting, and back
-// again.
+// A move of the watch, as on SIGHUP, neither loses nor repeats an event: not within an event, nor
+// while reconnecting, nor on a move back.
 func TestMoveLosesAndRepeatsNoEvent(t *testing.T) {
 	first, second := newDiscovery(t), newDiscovery(t)
 	watcher, events := startWatch(t, first, io.Discard)
@@ -89,7 +89,7 @@
 		assert.Equal(t, "lost", event)
 	}
 	watcher.Move(second.addr())
-	watcher.Move(first.addr()) // at once: the later one counts
+	watcher.Move(first.addr()) // at once: it replaces the first move
 	for found := false; !found; {
 		select {
 		case watch = <-first.conns:
@@ -104,8 +104,8 @@
 	}
 }
 
-// Invalid events do not end the watch: an executor that cannot be used is left out or counts as draining, and a line
-// that cannot be read is requested once more and then skipped. Each is logged once.
+// Invalid events do not end the watch: an unusable executor is skipped or treated as draining, and
+// a line that cannot be parsed is requested once more and then skipped. Each is logged once.
 func TestInvalidEventsDoNotEndTheWatch(t *testing.T) {
 	discovery, log := newDiscovery(t), &safeBuffer{}
 	watcher := NewEndpointWatcher(&Config{Channel: discovery.addr(), Settings: testSettings(t)},
--- a/internal/platform/workerdrain_test.go
+++ b/internal/platform/workerdrain_test.go
@@ -11,8 +11,8 @@
 	"oakthread/balancer"
 )
 
-// The endpoint list changes while the connection for a call is being established: nothing is written on that
-// connection, and the call is served by another worker, once.
+// If a worker drains, is removed, restarts or moves while the connection for a call is being
+// established, nothing is written on that connection, and another worker serves the call, once.
 func TestDrainingWorkerGetsNoNewAttempt(t *testing.T) {
 	for name, change := range map[string]func(*oakthread.Endpoint){
 		"drains":    func(endpoint *oakthread.Endpoint) { endpoint.State = balancer.Draining },
@@ -46,7 +46,7 @@
 	}
 }
 
-// A load order is not written either once its worker drains.
+// A load order is not written either if its worker starts to drain during the connect.
 func TestDrainingWorkerGetsNoLoadOrder(t *testing.T) {
 	closing := func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("Connection", "close") }
 	s := newTestbed(t, testbedOptions{settings: withShortKeepAlive}, newRecordingExecutor(t, closing))
