--- a/internal/daemon/counters.go
+++ b/internal/daemon/counters.go
@@ -52,7 +52,7 @@
 		"peers_long", oversized,
 		"peers_unknown", unknownPeers,
 		"accepts_failed", m.server.AcceptFailures(),
-		"connects_failed", m.workers.Shortages(),
+		"connects_failed", m.workers.LocalDialFailures(),
 		"list_writes_failed", m.failedCacheWrites(),
 		"violations", m.violations.Total())
 }
--- a/internal/endpointcache/syncer.go
+++ b/internal/endpointcache/syncer.go
@@ -113,14 +113,14 @@
 	s.apply(func(now time.Time, list *endpoints.List) { list.HandleConfirmation(now) })
 }
 
-// HandleLoss handles the end of the connection to service discovery.
-func (s *Syncer) HandleLoss() {
+// HandleWatchLost handles the end of the connection to service discovery.
+func (s *Syncer) HandleWatchLost() {
 	s.apply(func(now time.Time, list *endpoints.List) { list.HandleWatchLost(now) })
 }
 
-// HandleRestart handles a restart of service discovery's event numbering, after which the cursor is
+// HandleWatchReset handles a restart of service discovery's event numbering, after which the cursor is
 // no longer valid.
-func (s *Syncer) HandleRestart() {
+func (s *Syncer) HandleWatchReset() {
 	s.apply(func(now time.Time, list *endpoints.List) { list.HandleWatchReset(now) })
 }
 
--- a/internal/platform/executorpool.go
+++ b/internal/platform/executorpool.go
@@ -92,9 +92,9 @@
 	p.classNames.Store(&escaped)
 }
 
-// Shortages returns how many connects failed for lack of local resources. Such connects are
+// LocalDialFailures returns how many connects failed for lack of local resources. Such connects are
 // retried.
-func (p *ExecutorPool) Shortages() int64 { return p.localDialFailures.Load() }
+func (p *ExecutorPool) LocalDialFailures() int64 { return p.localDialFailures.Load() }
 
 // CloseConnections closes the idle connections to an executor that was removed or has restarted,
 // and removes its transports.
--- a/internal/platform/loadreport.go
+++ b/internal/platform/loadreport.go
@@ -20,7 +20,7 @@
 	if text == "" || len(p.reportFields) == 0 {
 		return nil
 	}
-	valuesByName, err := parseFigures(text)
+	valuesByName, err := parseNumberPairs(text)
 	if err != nil {
 		return nil
 	}
@@ -38,9 +38,9 @@
 	return values
 }
 
-// parseFigures parses name:number pairs separated by semicolons. Numbers must be finite and not
+// parseNumberPairs parses name:number pairs separated by semicolons. Numbers must be finite and not
 // negative. Clients receive its error when their X-Extras header is invalid.
-func parseFigures(text string) (map[string]float64, error) {
+func parseNumberPairs(text string) (map[string]float64, error) {
 	values := map[string]float64{}
 	for _, part := range strings.Split(text, ";") {
 		if part = strings.TrimSpace(part); part == "" {
--- a/internal/platform/request.go
+++ b/internal/platform/request.go
@@ -135,7 +135,7 @@
 
 // parseExtras parses the client's figures for the function: concurrency, memory and load time.
 func parseExtras(request *oakthread.Request, header http.Header) error {
-	extras, err := parseFigures(header.Get(extrasHeader))
+	extras, err := parseNumberPairs(header.Get(extrasHeader))
 	if err != nil {
 		return fmt.Errorf("X-Extras: %w", err)
 	}
--- a/internal/platform/testbed_test.go
+++ b/internal/platform/testbed_test.go
@@ -261,9 +261,9 @@
 	}
 }
 
-// expireWarmth calls a function once and lets the keep-alive of its copy expire, so that the next
+// expireKeepAlive calls a function once and lets the keep-alive of its copy expire, so that the next
 // call waits for a load order.
-func (s *testbed) expireWarmth() {
+func (s *testbed) expireKeepAlive() {
 	s.t.Helper()
 	require.Equal(s.t, 200, s.call(thirdID, "path-check"))
 	time.Sleep(20 * time.Millisecond) // longer than the keep-alive
@@ -290,7 +290,7 @@
 		}
 	})
 	s = newTestbed(t, testbedOptions{settings: withShortKeepAlive}, executor)
-	s.expireWarmth()
+	s.expireKeepAlive()
 	return s, ordered, release
 }
 
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -48,11 +48,11 @@
 	HandleUpdate(update oakthread.EndpointUpdate, epoch string, cursor int64)
 	// HandleHeartbeat handles a heartbeat: nothing has changed since the last event.
 	HandleHeartbeat()
-	// HandleLoss handles the loss of the connection.
-	HandleLoss()
-	// HandleRestart handles a restart of the event numbering: the next update holds the complete
+	// HandleWatchLost handles the loss of the connection.
+	HandleWatchLost()
+	// HandleWatchReset handles a restart of the event numbering: the next update holds the complete
 	// list.
-	HandleRestart()
+	HandleWatchReset()
 }
 
 // UpdateHandler is an EndpointHandler that is called with each change of the list and ignores all
@@ -65,11 +65,11 @@
 // HandleHeartbeat does nothing.
 func (UpdateHandler) HandleHeartbeat() {}
 
-// HandleLoss does nothing.
-func (UpdateHandler) HandleLoss() {}
+// HandleWatchLost does nothing.
+func (UpdateHandler) HandleWatchLost() {}
 
-// HandleRestart does nothing.
-func (UpdateHandler) HandleRestart() {}
+// HandleWatchReset does nothing.
+func (UpdateHandler) HandleWatchReset() {}
 
 // EndpointWatcher follows the command channel, on which discovery writes the endpoint list and its
 // changes. Each event is handled once and in order; after a reconnect the watch resumes after the
@@ -185,7 +185,7 @@
 // handleLoss reports the end of a connection to the handler and to the dialer, for which a restart
 // of discovery is no failure.
 func (w *EndpointWatcher) handleLoss(err error, handler EndpointHandler) {
-	handler.HandleLoss()
+	handler.HandleWatchLost()
 	w.log.Warn("endpoint watch lost, reconnecting", "cursor", w.cursor, "error", err)
 	if errors.Is(err, errDiscoveryRestarted) {
 		w.dialer.Succeeded()
--- a/internal/platform/watch_test.go
+++ b/internal/platform/watch_test.go
@@ -75,9 +75,9 @@
 
 func (r eventRecorder) HandleHeartbeat() { r <- "current" }
 
-func (r eventRecorder) HandleLoss() { r <- "lost" }
+func (r eventRecorder) HandleWatchLost() { r <- "lost" }
 
-func (r eventRecorder) HandleRestart() { r <- "restarted" }
+func (r eventRecorder) HandleWatchReset() { r <- "restarted" }
 
 // The watch of a stored list resumes after the last event of the list. If discovery is at a lower
 // event number or in another epoch, it has restarted and is read from its first event. Several
--- a/internal/platform/watchevents.go
+++ b/internal/platform/watchevents.go
@@ -16,7 +16,7 @@
 	}
 	if w.isRestart(event) {
 		w.cursor, w.epoch = 0, ""
-		handler.HandleRestart()
+		handler.HandleWatchReset()
 		return errDiscoveryRestarted
 	}
 	if event.Epoch != "" {
--- a/internal/platform/workerdrain_test.go
+++ b/internal/platform/workerdrain_test.go
@@ -50,7 +50,7 @@
 func TestDrainingWorkerGetsNoLoadOrder(t *testing.T) {
 	closing := func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("Connection", "close") }
 	s := newTestbed(t, testbedOptions{settings: withShortKeepAlive}, newRecordingExecutor(t, closing))
-	s.expireWarmth()
+	s.expireKeepAlive()
 	s.holdDialAfter(0)
 	client := s.send(firstID, "path-book")
 	<-s.heldDial
