--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -24,45 +24,45 @@
 	"oakthread/internal/loganalysis"
 )
 
-var errBroken = errors.New("not all bounds hold")
+var errChecksFailed = errors.New("checks failed")
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	root := command()
+	root := rootCommand()
 	root.SetContext(ctx)
 	err := root.ExecuteContext(ctx)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "testbed:", err)
 	}
 	if errors.Is(err, lab.ErrDimension) {
-		os.Exit(2) // as for all that cannot be read
+		os.Exit(2) // as for any command line that cannot be parsed
 	}
 	os.Exit(cli.ExitCode(err))
 }
 
-// command returns the root command with all experiments.
-func command() *cobra.Command {
+// rootCommand returns the root command with all experiments.
+func rootCommand() *cobra.Command {
 	root := cli.Group("testbed", "The laboratory: experiments on loopback that set our ways beside baselines")
 	root.SilenceErrors, root.SilenceUsage = true, true
 	root.CompletionOptions.HiddenDefaultCmd = true
 	run := cli.Group("run", "Run an experiment; ends 0 only if all its bounds hold")
 	for _, e := range lab.Experiments() {
-		run.AddCommand(experiment(e))
+		run.AddCommand(experimentCommand(e))
 	}
 	run.AddCommand(soakCommand())
 	demo := &cobra.Command{
-		Use: "demo", Short: "Start discovery, a dozen boxes and a dispatcher, and send some seconds of calls",
+		Use: "demo", Short: "Start discovery, a dozen workers and a dispatcher, and send some seconds of calls",
 		Args: cli.Args(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error { return lab.Demo(c.Context(), c.OutOrStdout()) },
 	}
-	root.AddCommand(run, demo, fleetLedger(), dispatch())
+	root.AddCommand(run, demo, ledgerCommand(), dispatchCommand())
 	return root
 }
 
-// experiment returns the command that runs one experiment. It ends with errBroken unless all bounds
-// hold.
-func experiment(e lab.Experiment) *cobra.Command {
+// experimentCommand returns the command that runs one experiment. It returns errChecksFailed unless
+// all bounds hold.
+func experimentCommand(e lab.Experiment) *cobra.Command {
 	o := lab.Options{}
 	out := ""
 	c := &cobra.Command{Use: e.Name, Short: e.Short, Args: cli.Args(cobra.NoArgs)}
@@ -91,7 +91,7 @@
 		if err != nil && (rep == nil || rep.Partial == "") {
 			return err
 		}
-		rep.Print(c.OutOrStdout()) // of a run that was broken off, what there was until then
+		rep.Print(c.OutOrStdout()) // for an interrupted run, the results until then
 		if out != "" {
 			err = errors.Join(err, rep.Write(out))
 		}
@@ -99,15 +99,15 @@
 			return err
 		}
 		if n := rep.Broken(); n > 0 {
-			return fmt.Errorf("%w: %d of %d do not", errBroken, n, len(rep.Bounds))
+			return fmt.Errorf("%w: %d of %d bounds do not hold", errChecksFailed, n, len(rep.Bounds))
 		}
 		return nil
 	}
 	return c
 }
 
-// fleetLedger counts over the logs of many dispatchers.
-func fleetLedger() *cobra.Command {
+// ledgerCommand returns the command that evaluates the debug logs of many dispatchers together.
+func ledgerCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "ledger LOG...",
 		Short: "Count over the debug logs of a fleet, one file a dispatcher: herds, duplicate loads, faults that go on",
@@ -132,8 +132,8 @@
 	return c
 }
 
-// dispatch is the daemon as experiments start it.
-func dispatch() *cobra.Command {
+// dispatchCommand returns the hidden command that runs the daemon for experiments.
+func dispatchCommand() *cobra.Command {
 	c := &cobra.Command{Use: "dispatch", Hidden: true, Args: cli.Args(cobra.NoArgs)}
 	file := c.Flags().String("config", "", "operator's file")
 	fresh := c.Flags().Bool("fresh", false, "baseline: a kept list counts as if just told")
--- a/cmd/testbed/soak.go
+++ b/cmd/testbed/soak.go
@@ -11,7 +11,7 @@
 	"oakthread/internal/soak"
 )
 
-// soakCommand returns the command that runs real processes under faults drawn from seeds.
+// soakCommand returns the command that runs real processes under random faults drawn from seeds.
 func soakCommand() *cobra.Command {
 	var o soak.Options
 	var kinds, replay string
@@ -43,14 +43,14 @@
 			}
 			o.Replay, o.Processes, o.Seeds = &s, s.Processes, 1
 		}
-		return playSoak(c, o)
+		return runSoak(c, o)
 	}
 	return c
 }
 
-// playSoak plays a campaign with this executable as the program and prints it. The error is
-// errBroken where a run has violations.
-func playSoak(c *cobra.Command, o soak.Options) (err error) {
+// runSoak runs a campaign with this executable as the program and prints the results. It returns
+// errChecksFailed if a run has violations.
+func runSoak(c *cobra.Command, o soak.Options) (err error) {
 	if o.Dir == "" {
 		if o.Dir, err = os.MkdirTemp("", "testbed-soak-*"); err != nil {
 			return err
@@ -71,7 +71,7 @@
 		return err
 	}
 	if n := len(campaign.Failed()); n > 0 {
-		return fmt.Errorf("%w: violations in %d of %d runs", errBroken, n, len(campaign.Runs))
+		return fmt.Errorf("%w: violations in %d of %d runs", errChecksFailed, n, len(campaign.Runs))
 	}
 	return nil
 }
--- a/cmd/testbed/soak_test.go
+++ b/cmd/testbed/soak_test.go
@@ -12,20 +12,22 @@
 	"oakthread/internal/soak"
 )
 
-// asProgram, where set, has the test binary be the program, so that processes and exit codes are real.
-const asProgram = "OAKLAB_AS_PROGRAM"
+// runAsProgramEnv, if set, makes the test binary run the program itself, so that processes and exit
+// codes are real.
+const runAsProgramEnv = "OAKLAB_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(runAsProgramEnv) != "" {
 		main()
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// One short play of real processes under overlapping faults breaks no rule.
-func TestOnePlayUnderTroubles(t *testing.T) {
-	program := lab.Program{Path: os.Args[0], Args: []string{"dispatch"}, Env: []string{asProgram + "=1"}}
+// A short run of real processes under overlapping faults has no violations, and a second run in the
+// same directory is refused.
+func TestSoakRunUnderFaults(t *testing.T) {
+	program := lab.Program{Path: os.Args[0], Args: []string{"dispatch"}, Env: []string{runAsProgramEnv + "=1"}}
 	s := soak.Draw(1, 4, []soak.Kind{
 		soak.Terminate, soak.ClientsLeave, soak.AcceptFails, soak.ClockStep,
 		soak.ExecutorReset, soak.ReloadInvalid,
@@ -34,7 +36,7 @@
 	r, err := soak.Run(t.Context(), s, dir, program)
 	require.NoError(t, err)
 	if r.Inconclusive() {
-		t.Logf("inconclusive: the laboratory stood still for %v", r.Stalled)
+		t.Logf("inconclusive: the test process stalled for %v", r.Stalled)
 	}
 	assert.Empty(t, r.Violations)
 	assert.Greater(t, r.Served, 100, "of %d requests", r.Requests)
@@ -42,26 +44,27 @@
 	assert.ErrorIs(t, err, soak.ErrUsed)
 }
 
-// Short plays from seeds break no rule: signals in series with the kill at the platform's earliest, a crowd
-// that keeps its connections, and a long outage of discovery with executors that drain meanwhile. The long
-// run is testbed run soak.
-func TestSeededPlays(t *testing.T) {
-	program := lab.Program{Path: os.Args[0], Args: []string{"dispatch"}, Env: []string{asProgram + "=1"}}
+// Short runs drawn from seeds have no violations: series of signals, with SIGKILL as early as the
+// platform may send it, many clients that keep their connections, shutdowns while workers hang, and
+// a long discovery outage during which workers drain. The command "testbed run soak" is the long
+// form.
+func TestSeededSoakRuns(t *testing.T) {
+	program := lab.Program{Path: os.Args[0], Args: []string{"dispatch"}, Env: []string{runAsProgramEnv + "=1"}}
 	for _, test := range []struct {
 		name string
 		seed uint64
 		only []soak.Kind
 	}{
 		{"outage", 4002, nil},
-		{"signals and crowd", 3, []soak.Kind{soak.Signals, soak.ClientsCrowd, soak.Reload}},
-		{"ends while executors hang", 4, []soak.Kind{soak.Terminate, soak.ExecutorHang, soak.ClientsCrowd}},
+		{"signals and many clients", 3, []soak.Kind{soak.Signals, soak.ClientsCrowd, soak.Reload}},
+		{"shutdowns while workers hang", 4, []soak.Kind{soak.Terminate, soak.ExecutorHang, soak.ClientsCrowd}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			dir := filepath.Join(t.TempDir(), "run")
 			run, err := soak.Run(t.Context(), soak.Draw(test.seed, 4, test.only), dir, program)
 			require.NoError(t, err)
-			t.Logf("%d requests, %d unsent, %d served; laboratory stalled %v",
+			t.Logf("%d requests, %d unsent, %d served; test process stalled for %v",
 				run.Requests, run.Unsent, run.Served, run.Stalled)
 			assert.Empty(t, run.Violations)
 		})
