--- a/cmd/dispatcher/configuration_test.go
+++ b/cmd/dispatcher/configuration_test.go
@@ -18,7 +18,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A configuration that cannot be used ends the start with an error of one line.
+// An invalid configuration makes the start fail with an error of one line.
 func TestBadConfiguration(t *testing.T) {
 	threads, memory := runtime.GOMAXPROCS(0), debug.SetMemoryLimit(-1)
 	discard := slog.New(slog.DiscardHandler)
@@ -37,12 +37,12 @@
 	require.Error(t, run(t.Context(), func(string) string { return "" }, discard), "no configuration")
 	usable := environ(t, `{"listen":"127.0.0.1:0","settings":`+settings+`}`)
 	require.Error(t, run(t.Context(), usable, discard, "-odd"), "unknown flag")
-	assert.Equal(t, threads, runtime.GOMAXPROCS(0), "the tests' process keeps its threads")
-	assert.Equal(t, memory, debug.SetMemoryLimit(-1), "and its memory")
+	assert.Equal(t, threads, runtime.GOMAXPROCS(0), "GOMAXPROCS of the test process changed")
+	assert.Equal(t, memory, debug.SetMemoryLimit(-1), "memory limit of the test process changed")
 }
 
-// listenForWatches accepts connections of dispatchers until the test ends, and writes the name and
-// the first line of each to requests.
+// listenForWatches accepts connections of dispatchers until the test ends, and sends the given name
+// and the first line of each connection to requests.
 func listenForWatches(t *testing.T, name string, requests chan<- string) (addr string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -62,9 +62,10 @@
 	return listener.Addr().String()
 }
 
-// SIGHUP does not end the program. The endpoint watch moves to a new address at once, with its
-// cursor, while the old address stays silent. A file that cannot be used changes nothing.
-func TestReloadMovesTheChannel(t *testing.T) {
+// SIGHUP reloads the configuration without ending the program. The endpoint watch moves to the new
+// address at once and keeps its cursor, even though the old address sends nothing. An invalid file
+// changes nothing.
+func TestReloadMovesEndpointWatch(t *testing.T) {
 	t.Parallel()
 	requests := make(chan string, 4)
 	before, after := listenForWatches(t, "old", requests), listenForWatches(t, "new", requests)
@@ -88,12 +89,13 @@
 	require.NoError(t, program.Wait())
 }
 
-// failingFunction is one whose attempts end with an error that leaves open whether they ran.
+// failingFunction is a function whose attempts fail with an error after which they may or may not
+// have run.
 const failingFunction = "00000000000000ee"
 
-// The same calls are served under settings of other kinds: the program does not depend on one
-// deployment.
-func TestSettingsAlone(t *testing.T) {
+// The same calls are served under the settings of different deployments: classes, deadlines and
+// limits come from the settings alone.
+func TestSettingsOfOtherDeployments(t *testing.T) {
 	t.Parallel()
 	var attempts atomic.Int64
 	worker := startWorker(t, func(w http.ResponseWriter, r *http.Request) {
@@ -106,7 +108,7 @@
 	})
 	for _, test := range []struct {
 		name, class, settings string
-		failingAttempts       int64 // of a call whose attempts may all have run
+		failingAttempts       int64 // attempts of a call, each of which may have run
 	}{
 		{
 			"one class that may not be repeated", "ein Los",
@@ -131,7 +133,7 @@
 			"specifics":{"on_miss":"miss"}}`, 1,
 		},
 		{
-			// A function that no worker has ever served is given up after two errors.
+			// Calls of a function that no worker has ever served are given up after two errors.
 			"keyed within a zone", "k",
 			`{"categories":[{"name":"k","aim_ns":400000000,"give_up_ns":3000000000,"credit":1,` +
 				`"idempotency":"idempotency_key","key_scope":"zone","window_ns":60000000000}],
--- a/cmd/dispatcher/discoveryoutage_test.go
+++ b/cmd/dispatcher/discoveryoutage_test.go
@@ -12,18 +12,19 @@
 	"oakthread/internal/lab"
 )
 
-// outageRig is a fleet whose dispatchers lose discovery.
+// outageRig is a fleet that runs through a discovery outage.
 type outageRig struct {
 	*lab.Rig
 
 	before, lostAt, backAt, end time.Time
 
-	killed, ready time.Time // when the first dispatcher was killed, and was ready again; zero: it was not
+	killed, ready time.Time // when the first dispatcher was killed, and was ready again; zero: not killed
 }
 
-// assertSound is as the function of the same name. What crossed the death of the killed dispatcher is
-// owed no answer, nor is what came before it was ready again: the platform's front waits for that.
-func (r *outageRig) assertSound(t *testing.T) {
+// assertInvariants does as the function of the same name, after Quiet. Attempts that overlap the
+// time from the kill of the dispatcher until it is ready again need no answer: the platform's front
+// end sends a dispatcher no calls before it is ready.
+func (r *outageRig) assertInvariants(t *testing.T) {
 	t.Helper()
 	excused := func(attempt lab.Attempt) bool {
 		return !r.killed.IsZero() && attempt.Sent.Before(r.ready) && attempt.Ended.After(r.killed)
@@ -33,11 +34,11 @@
 	assert.NoError(t, r.Stop())
 }
 
-// newOutageRig starts a fleet and its clients. After a time, four in ten of the models come in a new
-// version, which has to be loaded somewhere; 0: never.
+// newOutageRig starts a fleet and its clients. After newVersionsAfter, four in ten of the models
+// get a new version, which has to be loaded; 0: never.
 func newOutageRig(t *testing.T, dispatchers, workers int, newVersionsAfter time.Duration) *outageRig {
 	t.Helper()
-	rig := fleet(t, lab.RigSize{
+	rig := startFleet(t, lab.RigSize{
 		Dispatchers: dispatchers, Workers: workers, Seed: 46,
 		Load: lab.Load{Models: 40, Zipf: 0.8}, Rate: func(int) float64 { return 240 / float64(dispatchers) },
 	})
@@ -47,33 +48,33 @@
 		}
 	}
 	rig.Send(t.Context(), nil)
-	span(t, 2*time.Second)
+	sleep(t, 2*time.Second)
 	return &outageRig{Rig: rig, before: time.Now()}
 }
 
-// outage is a way in which discovery is out of reach.
+// outage is a kind of discovery outage.
 type outage string
 
 const (
-	silent   outage = "silent watches"  // connections come up, and nothing passes on them
+	silent   outage = "silent watches"  // connections are established, but carry no data
 	refused  outage = "refused watches" // connections are refused
-	withheld outage = "heartbeats only" // heartbeats go on, and no event comes
+	withheld outage = "heartbeats only" // heartbeats go on without events
 )
 
-// begin takes discovery out of reach of every dispatcher.
+// begin starts the outage for every dispatcher.
 func (o outage) begin(t *testing.T, r *outageRig) { o.set(t, r, true) }
 
-// end puts discovery back into reach.
+// end ends the outage.
 func (o outage) end(t *testing.T, r *outageRig) { o.set(t, r, false) }
 
-func (o outage) set(t *testing.T, r *outageRig, out bool) {
+func (o outage) set(t *testing.T, r *outageRig, down bool) {
 	t.Helper()
 	if o == withheld {
-		r.Disc.Hold(out)
+		r.Disc.Hold(down)
 		return
 	}
 	state := lab.Open
-	if out {
+	if down {
 		state = map[outage]lab.Fault{silent: lab.Freeze, refused: lab.Deny}[o]
 	}
 	for _, channel := range r.Links.Channels {
@@ -81,8 +82,8 @@
 	}
 }
 
-// lateAt counts the calls and load orders that came to a worker after a time.
-func lateAt(worker *lab.StubWorker, after time.Time) (calls, orders int) {
+// countObservedAfter counts the calls and load orders that a worker received after a time.
+func countObservedAfter(worker *lab.StubWorker, after time.Time) (calls, orders int) {
 	seen, ordered := worker.Observations()
 	for _, call := range seen {
 		if call.At.After(after) {
@@ -97,8 +98,8 @@
 	return calls, orders
 }
 
-// percentile99 returns the 99th percentile of the time to the answer of the calls intended in a span
-// that were served.
+// percentile99 returns the 99th percentile latency of the served calls that were scheduled in a
+// span of time.
 func percentile99(calls []*lab.Call, from, until time.Time) time.Duration {
 	var latencies []time.Duration
 	for _, call := range calls {
@@ -113,7 +114,8 @@
 	return latencies[len(latencies)*99/100]
 }
 
-// assertServed checks what was served during the outage and after it, and how fast, against before.
+// assertServed checks the share of calls served before, during and after the outage, and that
+// latency during and after it stays close to that before.
 func (r *outageRig) assertServed(t *testing.T) {
 	t.Helper()
 	all := r.Calls(nil)
@@ -126,25 +128,26 @@
 	assert.Greater(t, before, 0.97)
 	assert.Greater(t, during, 0.97)
 	assert.Greater(t, after, 0.97)
-	const slower = 150 * time.Millisecond // a load
+	const slower = 150 * time.Millisecond // the time of a load
 	assert.Less(t, latencyDuring, latencyBefore+slower)
 	assert.Less(t, latencyAfter, latencyBefore+slower)
 }
 
-// Seen: discovery was out of reach of every dispatcher for tens of seconds, and dispatchers sent calls
-// and load orders to draining workers long after the drain counted as known; all were turned away.
-// Cause: the balancer took an endpoint list without news for one without changes, and a rejection by
-// a draining worker for a full queue. Shown by the watch's cursor, which never moved, and by workers
-// that were chosen five times for one request; health checks of draining workers say 503.
+// Guards against calls and load orders to draining workers during a discovery outage. When
+// discovery was unreachable for tens of seconds, dispatchers kept sending to workers long after
+// their drain counted as known, and every request was rejected. The balancer took an endpoint list
+// without updates for an unchanged one, and a rejection by a draining worker for a full queue, so
+// that it chose one worker five times for one request. The cursor of the watch never moved, and
+// health checks of draining workers answered 503.
 //
-// The test takes discovery out of reach, by watches that are silent or refused, or by one that goes on
-// with heartbeats and tells nothing. Two workers begin to drain and stay up. They are to get nothing once
-// the grace is over, from 7 s on where heartbeats go on; a dispatcher that was restarted meanwhile with
-// the list of before sends them nothing either. Service goes on.
+// In the drain cases watches are silent or refused, or heartbeats go on without events. Two workers
+// begin to drain and stay up. They must get nothing after the grace period, which begins with the
+// drain, or 7 s later where heartbeats go on. A dispatcher that is restarted meanwhile with the
+// list from before the outage must send them nothing either, and calls must be served as before.
 //
-// In the restart cases the workers end and start again under their names and addresses. Their start
-// counts as known 7 s later, so that they get nothing until then though they answer; afterwards they
-// serve again, before discovery is back.
+// In the restart cases two workers drain, end and start again under the same names and addresses.
+// Their start counts as known 7 s later: until then they must get nothing although they respond,
+// and after that they must serve again before discovery is back.
 func TestDiscoveryOutage(t *testing.T) {
 	running := make(chan struct{}, maxParallelRigs)
 	for _, kind := range []outage{silent, withheld} {
@@ -158,7 +161,7 @@
 	for _, test := range []struct {
 		outage               outage
 		dispatchers, workers int
-		known                time.Duration // after which the drain counts as known
+		known                time.Duration // from the start of a drain until it counts as known
 	}{
 		{silent, 3, 11, 0},
 		{refused, 20, 22, 0},
@@ -170,31 +173,31 @@
 			running <- struct{}{}
 			defer func() { <-running }()
 			rig := newOutageRig(t, test.dispatchers, test.workers, 0)
-			rig.lostAt = span(t, 3*time.Second)
+			rig.lostAt = sleep(t, 3*time.Second)
 			restarted := rig.Nodes[0]
 			require.NoError(t, restarted.Know(rig.Disc.Known(0)))
 			test.outage.begin(t, rig)
-			span(t, 500*time.Millisecond)
+			sleep(t, 500*time.Millisecond)
 			drains := func(worker int) bool { return worker < 2 }
 			rig.Drain(drains)
-			span(t, 9*time.Second)
+			sleep(t, 9*time.Second)
 			rig.killed = time.Now()
 			require.NoError(t, restarted.Kill())
 			require.NoError(t, restarted.Start())
 			require.NoError(t, restarted.WaitReady(t.Context()))
 			rig.ready = time.Now()
-			rig.backAt = span(t, 3*time.Second)
+			rig.backAt = sleep(t, 3*time.Second)
 			test.outage.end(t, rig)
-			rig.end = span(t, 4*time.Second)
+			rig.end = sleep(t, 4*time.Second)
 			rig.Quiet()
 			const graceAndSlack = time.Second + 50*time.Millisecond
 			for _, worker := range rig.Workers[:2] {
-				calls, orders := lateAt(worker, worker.Drained().Add(test.known+graceAndSlack))
-				assert.Zero(t, calls, "calls to %s after the grace", worker.ID)
-				assert.Zero(t, orders, "load orders to %s after the grace", worker.ID)
+				calls, orders := countObservedAfter(worker, worker.Drained().Add(test.known+graceAndSlack))
+				assert.Zero(t, calls, "calls to %s after the grace period", worker.ID)
+				assert.Zero(t, orders, "load orders to %s after the grace period", worker.ID)
 			}
 			rig.assertServed(t)
-			rig.assertSound(t)
+			rig.assertInvariants(t)
 		})
 	}
 }
@@ -202,12 +205,12 @@
 func testRestartDuringOutage(t *testing.T, kind outage) {
 	t.Helper()
 	rig := newOutageRig(t, 3, 8, 19*time.Second)
-	rig.lostAt = span(t, 2*time.Second)
+	rig.lostAt = sleep(t, 2*time.Second)
 	kind.begin(t, rig)
-	span(t, 500*time.Millisecond)
+	sleep(t, 500*time.Millisecond)
 	restarts := func(worker int) bool { return worker < 2 }
 	rig.Drain(restarts)
-	span(t, 2*time.Second)
+	sleep(t, 2*time.Second)
 	var restarted time.Time
 	for worker := range 2 {
 		require.NoError(t, rig.Replace(worker))
@@ -215,23 +218,23 @@
 		restarted = time.Now()
 	}
 	rig.Announce(restarts)
-	rig.backAt = span(t, 16*time.Second)
-	again := 0
+	rig.backAt = sleep(t, 16*time.Second)
+	callsAfterRestart := 0
 	for _, worker := range rig.Workers[:2] {
-		calls, _ := lateAt(worker, rig.Replaced[0].Drained())
-		again += calls
+		calls, _ := countObservedAfter(worker, rig.Replaced[0].Drained())
+		callsAfterRestart += calls
 	}
 	kind.end(t, rig)
-	rig.end = span(t, 3*time.Second)
+	rig.end = sleep(t, 3*time.Second)
 	rig.Quiet()
 	for _, worker := range rig.Workers[:2] {
 		seen, orders := worker.Observations()
 		early := func(at time.Time) bool { return at.Before(restarted.Add(7 * time.Second)) }
 		assert.False(t, slices.ContainsFunc(seen, func(call lab.ObservedCall) bool { return early(call.At) }),
 			"calls to %s before its start counts as known", worker.ID)
-		assert.False(t, slices.ContainsFunc(orders, early), "load orders to %s", worker.ID)
+		assert.False(t, slices.ContainsFunc(orders, early), "early load orders to %s", worker.ID)
 	}
-	assert.Greater(t, again, 10, "calls that the restarted workers get before discovery is back")
+	assert.Greater(t, callsAfterRestart, 10, "calls to the restarted workers before discovery is back")
 	rig.assertServed(t)
-	rig.assertSound(t)
+	rig.assertInvariants(t)
 }
--- a/cmd/dispatcher/fleet_test.go
+++ b/cmd/dispatcher/fleet_test.go
@@ -14,23 +14,23 @@
 	"oakthread/internal/lab"
 )
 
-// underTest returns this program, or the older one that OAKTHREAD_BEFORE names, to see a test fail
-// there.
-func underTest() lab.Program {
+// testedProgram returns this program, or the older one that OAKTHREAD_BEFORE names, which serves to
+// check that a test fails there.
+func testedProgram() lab.Program {
 	if path := os.Getenv("OAKTHREAD_BEFORE"); path != "" {
 		return lab.Program{Path: path, Args: []string{"serve"}}
 	}
-	return lab.Program{Path: os.Args[0], Args: []string{"serve"}, Env: []string{asProgram + "=1"}}
+	return lab.Program{Path: os.Args[0], Args: []string{"serve"}, Env: []string{runAsProgramEnv + "=1"}}
 }
 
-// fleet starts dispatchers as processes of this program, with a relay on each connection between
-// processes.
-func fleet(t *testing.T, size lab.RigSize) *lab.Rig {
+// startFleet starts dispatchers as processes of the tested program, with a relay on each connection
+// between processes, and waits until they are ready.
+func startFleet(t *testing.T, size lab.RigSize) *lab.Rig {
 	t.Helper()
 	net, err := lab.ClaimNet()
 	require.NoError(t, err)
 	t.Cleanup(net.Close)
-	size.Program = underTest()
+	size.Program = testedProgram()
 	if size.Figures == nil {
 		size.Figures = lab.PlannerFigures()
 	}
@@ -43,9 +43,9 @@
 	return rig
 }
 
-// span lets time pass, over which the fleet is measured, and returns its end. It ends the test with
-// its context.
-func span(t *testing.T, duration time.Duration) time.Time {
+// sleep waits for a duration and returns the time at its end. It fails the test if the test's
+// context ends first.
+func sleep(t *testing.T, duration time.Duration) time.Time {
 	t.Helper()
 	select {
 	case <-t.Context().Done():
@@ -55,51 +55,52 @@
 	return time.Now()
 }
 
-// assertSound ends a run and checks that nothing was lost, duplicated or sent where it must not go,
-// and that every process shut down well.
-func assertSound(t *testing.T, rig *lab.Rig) {
+// assertInvariants stops the clients and checks that no call was lost, run twice or sent where it
+// must not go, and that every process shut down without an error.
+func assertInvariants(t *testing.T, rig *lab.Rig) {
 	t.Helper()
 	rig.Quiet()
 	assert.Zero(t, rig.Check(nil).Sum(), "%+v", rig.Check(nil))
 	assert.NoError(t, rig.Stop())
 }
 
-// allPairs selects the connections between all dispatchers.
+// allPairs selects the links between all dispatchers.
 func allPairs(_, _ int) bool { return true }
 
-// A third of the workers is cut off for 3 s: few handshakes are lost in the second half, since the
-// zone is recognized as unreachable, and from 2 s after the end all is as before.
+// A zone with a third of the workers is cut off for 3 s. Few handshakes are lost in the second half
+// of that time, since the zone is recognized as unreachable, and from 2 s after the partition calls
+// are served as before.
 func TestFleetRecoversFromPartition(t *testing.T) {
-	rig := fleet(t, lab.RigSize{
+	rig := startFleet(t, lab.RigSize{
 		Dispatchers: 6, Workers: 48, Zones: 3, Seed: 3,
 		Load: lab.Load{Rate: 60, Models: 200, Zipf: 0.4, Retries: 1},
 	})
 	rig.Send(t.Context(), nil)
-	began := span(t, 1500*time.Millisecond)
-	cutAt := span(t, 1500*time.Millisecond)
+	began := sleep(t, 1500*time.Millisecond)
+	cutAt := sleep(t, 1500*time.Millisecond)
 	isCut := func(_, worker int) bool { return worker%3 == 0 }
 	rig.PeerNetwork.Set(lab.Lost, allPairs)
 	require.NoError(t, rig.Links.Between(lab.Cut, 0, isCut))
 	atStart, counted := lab.Swallowed()
-	span(t, 1500*time.Millisecond)
+	sleep(t, 1500*time.Millisecond)
 	atHalf, _ := lab.Swallowed()
-	span(t, 1500*time.Millisecond)
+	sleep(t, 1500*time.Millisecond)
 	atEnd, _ := lab.Swallowed()
 	rig.PeerNetwork.Set(lab.PeerLink{}, allPairs)
 	require.NoError(t, rig.Links.Between(lab.Open, 0, isCut))
-	after := span(t, 2*time.Second)
-	end := span(t, 1500*time.Millisecond)
+	after := sleep(t, 2*time.Second)
+	end := sleep(t, 1500*time.Millisecond)
 	rig.Quiet()
-	t.Logf("handshakes swallowed: %d, then %d", atHalf-atStart, atEnd-atHalf)
-	if counted { // tests of other packages lose a few as well
+	t.Logf("handshakes lost: %d, then %d", atHalf-atStart, atEnd-atHalf)
+	if counted { // the count is of the whole machine: tests of other packages lose a few as well
 		limit := float64(atHalf-atStart)/3 + 20
-		assert.Less(t, float64(atEnd-atHalf), limit, "handshakes lost in the second half of the cut")
+		assert.Less(t, float64(atEnd-atHalf), limit, "handshakes lost in the second half of the partition")
 	}
 	servedBefore := lab.Served(rig.Calls(nil), began, cutAt, nil)
 	servedAfter := lab.Served(rig.Calls(nil), after, end, nil)
-	assert.Greater(t, servedAfter, 0.95*servedBefore, "served, of those before")
+	assert.Greater(t, servedAfter, 0.95*servedBefore, "share of calls served, compared with before")
 	_, full := rig.Between(after, end)
-	assert.Less(t, full, 30, "turned away from 2 s after on")
+	assert.Less(t, full, 30, "calls rejected from 2 s after the partition")
 	atCutWorkers := 0
 	for i, worker := range rig.Workers {
 		calls, _ := worker.Observations()
@@ -109,30 +110,30 @@
 			}
 		}
 	}
-	assert.Greater(t, atCutWorkers, 20, "calls at the boxes that were cut off")
-	assertSound(t, rig)
+	assert.Greater(t, atCutWorkers, 20, "calls at the workers that were cut off")
+	assertInvariants(t, rig)
 }
 
 // Workers that have just started get no more calls from all dispatchers together than the slow
-// start allows, counted at the workers: with 20 and with 30 dispatchers, under uneven traffic, a
-// part of them restarted and a part not heard.
-func TestColdBoxesBearTheSumOfAll(t *testing.T) {
+// start allows, counted at the workers: with 20 and with 30 dispatchers, under uneven traffic,
+// while some dispatchers restart and datagrams from some and to others get lost.
+func TestSlowStartAcrossDispatchers(t *testing.T) {
 	for _, dispatchers := range []int{20, 30} {
 		t.Run(fmt.Sprint(dispatchers, " processes"), func(t *testing.T) {
 			figures := lab.PlannerFigures()
-			for i := range figures.Classes { // so that the budget of a worker is some dozens of calls
+			for i := range figures.Classes { // so that the slow start of a worker allows a few dozen calls
 				figures.Classes[i].Work *= 5
 			}
 			figures.Worker.Cores, figures.Worker.Queue = 2, 24
 			rate := func(dispatcher int) float64 {
 				return 230 / float64(dispatchers) * []float64{0.25, 0.25, 0.5, 3}[dispatcher%4]
 			}
-			rig := fleet(t, lab.RigSize{
+			rig := startFleet(t, lab.RigSize{
 				Dispatchers: dispatchers, Workers: 12, Zones: 2, Seed: uint64(dispatchers), Figures: figures,
 				Load: lab.Load{Models: 60, Zipf: 0.8, Retries: 1}, Rate: rate,
 			})
 			rig.Send(t.Context(), nil)
-			span(t, 3*time.Second)
+			sleep(t, 3*time.Second)
 			restarted := func(dispatcher int) bool { return dispatcher%5 == 0 }
 			for i, dispatcher := range rig.Nodes {
 				if restarted(i) {
@@ -146,38 +147,39 @@
 			}
 			rig.Announce(func(worker int) bool { return worker%3 == 0 })
 			require.NoError(t, rig.Start(t.Context(), restarted))
-			span(t, figures.Worker.Warm)
+			sleep(t, figures.Worker.Warm)
 			rig.Quiet()
 			calls := 0
 			for _, worker := range replaced {
 				seen, _ := rig.Workers[worker].Observations()
 				load := lab.WarmingLoad(figures, time.UnixMilli(rig.Listed[worker].UpSince), seen)
-				t.Logf("box %d: %d calls, at most %.2f of what is put down to chance", worker, len(seen), load)
-				assert.Less(t, load, 1.0, "box %d", worker)
+				t.Logf("worker %d: %d calls, at most %.2f of the permitted load", worker, len(seen), load)
+				assert.Less(t, load, 1.0, "load of worker %d", worker)
 				calls += len(seen)
 			}
-			assert.Greater(t, calls, 20, "fresh boxes are hardly used")
+			assert.Greater(t, calls, 20, "calls at the workers that have just started")
 			assert.NoError(t, rig.Stop())
 		})
 	}
 }
 
-// Four in ten of the loaded functions come in a new version at once, on a quiet day: there is no
-// storm of loads, the load orders stay within the quota, calls are served as before, and the old
-// copies are unloaded. Counted at the workers.
-func TestNewVersionsOnAQuietDay(t *testing.T) {
+// Four in ten of the loaded functions get a new version at the same time under low load. The new
+// versions are loaded fewer than three times each on average, the load orders stay within the
+// quota, calls are served as before, and the old copies are unloaded. Counted at the workers.
+func TestSimultaneousNewVersions(t *testing.T) {
 	const dispatchers, workers, models = 6, 8, 40
 	figures := lab.PlannerFigures()
 	figures.Worker.Keep = 3 * time.Second
 	load := lab.Load{Rate: 20, Models: models, Zipf: 0.6, Retries: 1}
-	rig := fleet(t, lab.RigSize{Dispatchers: dispatchers, Workers: workers, Seed: 14, Figures: figures, Load: load})
+	rig := startFleet(t,
+		lab.RigSize{Dispatchers: dispatchers, Workers: workers, Seed: 14, Figures: figures, Load: load})
 	load.NewAt = time.Now().Add(4 * time.Second)
 	for _, client := range rig.Called {
 		client.Renew(load.NewAt)
 	}
 	rig.Send(t.Context(), nil)
-	span(t, time.Until(load.NewAt))
-	span(t, 2*figures.Worker.Keep)
+	sleep(t, time.Until(load.NewAt))
+	sleep(t, 2*figures.Worker.Keep)
 	rig.Quiet()
 	renewed, loads := countLoads(t, rig, load, models)
 	t.Logf("%d loads of %d new versions", loads, renewed)
@@ -188,11 +190,11 @@
 	after := lab.Served(rig.Calls(nil), load.NewAt, load.NewAt.Add(2*figures.Worker.Keep), nil)
 	t.Logf("served %.3f before, %.3f after", before, after)
 	assert.Greater(t, after, before-0.05)
-	assertSound(t, rig)
+	assertInvariants(t, rig)
 }
 
-// countLoads returns the models that have a new version and the loads of those at all workers, and
-// checks that no worker holds the old version any more.
+// countLoads returns the number of models that have a new version and the number of their loads at
+// all workers, and checks that no worker still holds an old version.
 func countLoads(t *testing.T, rig *lab.Rig, load lab.Load, models int) (renewed, loads int) {
 	t.Helper()
 	end := time.Now()
@@ -203,16 +205,17 @@
 		}
 		renewed++
 		for i, worker := range rig.Workers {
-			worker.Change(func(box *lab.WorkerModel) {
-				loads += box.Loads(after)
-				assert.False(t, box.Holds(end, before), "box %d still holds the old version of model %d", i, rank)
+			worker.Change(func(model *lab.WorkerModel) {
+				loads += model.Loads(after)
+				assert.False(t, model.Holds(end, before), "worker %d still holds the old version of model %d", i, rank)
 			})
 		}
 	}
 	return renewed, loads
 }
 
-// assertLoadQuota checks that the load orders of all dispatchers stay within the quota of all.
+// assertLoadQuota checks that the load orders of all dispatchers stay within the sum of their
+// quotas.
 func assertLoadQuota(t *testing.T, rig *lab.Rig, dispatchers float64) {
 	t.Helper()
 	var orders, calls []time.Time
@@ -228,5 +231,5 @@
 	slices.SortFunc(orders, time.Time.Compare)
 	slices.SortFunc(calls, time.Time.Compare)
 	beyond := lab.OverRation(orders, calls, 5*time.Second, 6*dispatchers, 0.3, 0.15)
-	assert.Zero(t, beyond, "orders beyond the ration of all")
+	assert.Zero(t, beyond, "load orders beyond the quota of all dispatchers")
 }
--- a/cmd/dispatcher/fleetdrains_test.go
+++ b/cmd/dispatcher/fleetdrains_test.go
@@ -13,16 +13,18 @@
 	"oakthread/internal/lab"
 )
 
-// Guards against late calls of many dispatchers, each of which sees a worker rarely, to workers that drain
-// while heartbeats go on and no event comes. Workers drain in pairs, early and late in the outage; meanwhile
-// dispatchers are killed and started again with the list of before, and datagrams between them get lost.
+// Guards against late calls from many dispatchers, each of which rarely calls a given worker, to
+// workers that drain while heartbeats go on without events. Workers drain in pairs, early and late
+// in the outage; meanwhile dispatchers are killed and restarted with the endpoint list from before
+// the outage. In one case 30 % of the datagrams between dispatchers are lost, in another health
+// checks of draining workers hang.
 func TestDrainsThatNoEventTellsManyDispatchers(t *testing.T) {
 	running := make(chan struct{}, maxParallelRigs)
 	for _, test := range []struct {
 		dispatchers, workers int
 		callsPerSecond       float64 // of all dispatchers
 		peers                lab.PeerLink
-		checksHang           bool // of draining workers
+		checksHang           bool // health checks of draining workers hang
 		seed                 uint64
 	}{
 		{dispatchers: 6, workers: 12, callsPerSecond: 60, seed: 1},
@@ -35,7 +37,7 @@
 			t.Parallel()
 			running <- struct{}{}
 			defer func() { <-running }()
-			rig := &outageRig{Rig: fleet(t, lab.RigSize{
+			rig := &outageRig{Rig: startFleet(t, lab.RigSize{
 				Dispatchers: test.dispatchers, Workers: test.workers, Seed: test.seed,
 				Load: lab.Load{Models: 40, Zipf: 0.8},
 				Rate: func(int) float64 { return test.callsPerSecond / float64(test.dispatchers) },
@@ -45,29 +47,29 @@
 				hangChecksInDrain(rig.Workers[:4])
 			}
 			rig.Send(t.Context(), nil)
-			span(t, 2*time.Second)
+			sleep(t, 2*time.Second)
 			rig.before = time.Now()
-			rig.lostAt = span(t, 3*time.Second)
+			rig.lostAt = sleep(t, 3*time.Second)
 			known := rig.Disc.Known(0)
 			withheld.begin(t, rig)
-			span(t, 500*time.Millisecond)
+			sleep(t, 500*time.Millisecond)
 			rig.Drain(func(worker int) bool { return worker < 2 })
-			span(t, 5*time.Second)
+			sleep(t, 5*time.Second)
 			rig.Drain(func(worker int) bool { return worker == 2 || worker == 3 })
 			var restarts []restart
 			for _, n := range []int{1, 2, 3} {
 				restarts = append(restarts, restartWith(t, rig.Rig, n, known))
-				span(t, 2*time.Second)
+				sleep(t, 2*time.Second)
 			}
-			rig.backAt = span(t, 3*time.Second)
+			rig.backAt = sleep(t, 3*time.Second)
 			withheld.end(t, rig)
-			rig.end = span(t, 3*time.Second)
+			rig.end = sleep(t, 3*time.Second)
 			rig.Quiet()
 			const graceAndSlack = time.Second + 50*time.Millisecond
 			for _, worker := range rig.Workers[:4] {
-				calls, orders := lateAt(worker, worker.Drained().Add(7*time.Second+graceAndSlack))
-				assert.Zero(t, calls, "calls to %s after the grace", worker.ID)
-				assert.Zero(t, orders, "load orders to %s after the grace", worker.ID)
+				calls, orders := countObservedAfter(worker, worker.Drained().Add(7*time.Second+graceAndSlack))
+				assert.Zero(t, calls, "calls to %s after the grace period", worker.ID)
+				assert.Zero(t, orders, "load orders to %s after the grace period", worker.ID)
 			}
 			rig.assertServed(t)
 			breaches := rig.Check(func(attempt lab.Attempt) bool {
@@ -79,7 +81,7 @@
 	}
 }
 
-// hangChecksInDrain has workers answer no health check once they drain.
+// hangChecksInDrain makes workers leave health checks unanswered once they drain.
 func hangChecksInDrain(workers []*lab.StubWorker) {
 	for _, worker := range workers {
 		worker.Wrap(func(next http.Handler) http.Handler {
@@ -94,15 +96,16 @@
 	}
 }
 
-// restart is the death of a dispatcher, and when it was ready again.
+// restart holds when a dispatcher was killed and when it was ready again.
 type restart struct{ killed, ready time.Time }
 
-// excuses reports whether an attempt of a client crossed the restart.
+// excuses reports whether an attempt overlapped the restart, so that no answer is due.
 func (r restart) excuses(attempt lab.Attempt) bool {
 	return attempt.Sent.Before(r.ready) && attempt.Ended.After(r.killed)
 }
 
-// restartWith kills a dispatcher and starts it again with a list.
+// restartWith kills a dispatcher, starts it again with an endpoint list and waits until it is
+// ready.
 func restartWith(t *testing.T, rig *lab.Rig, n int, known map[string]any) (r restart) {
 	t.Helper()
 	dispatcher := rig.Nodes[n]
--- a/cmd/dispatcher/helpers_test.go
+++ b/cmd/dispatcher/helpers_test.go
@@ -24,12 +24,13 @@
 	"oakthread/internal/cli"
 )
 
-// Environment variables of the test binary.
+// Environment variables that the test binary reads.
 const (
-	// asProgram, if set, makes the binary the program itself, so that signals and exit codes are real.
-	asProgram = "OAKTHREAD_AS_PROGRAM"
-	// descriptors is the limit of file descriptors of the program.
-	descriptors = "OAKTHREAD_DESCRIPTORS"
+	// runAsProgramEnv, if set, makes the binary run the program itself, so that signals and exit
+	// codes are real.
+	runAsProgramEnv = "OAKTHREAD_AS_PROGRAM"
+	// fdLimitEnv sets the limit of open file descriptors of the program.
+	fdLimitEnv = "OAKTHREAD_DESCRIPTORS"
 )
 
 const (
@@ -37,7 +38,7 @@
 	callID   = "9b1f03aa5c7e2d41"
 )
 
-// settings are the settings of a deployment with one class.
+// settings are the platform settings of a deployment with one class.
 const settings = `{"categories":[{"name":"path-check","aim_ns":400000000,"give_up_ns":5000000000,"credit":1,` +
 	`"idempotency":"read_like"}],
 "quantum_ns":4000000,
@@ -45,10 +46,10 @@
 "specifics":{"linger_idle_ns":8000000000,"on_miss":"load"}}`
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) == "" {
+	if os.Getenv(runAsProgramEnv) == "" {
 		os.Exit(m.Run())
 	}
-	if n, err := strconv.ParseUint(os.Getenv(descriptors), 10, 64); err == nil {
+	if n, err := strconv.ParseUint(os.Getenv(fdLimitEnv), 10, 64); err == nil {
 		if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: n, Max: n}); err != nil {
 			panic(err)
 		}
@@ -56,7 +57,8 @@
 	main()
 }
 
-// configuration returns a configuration of 120 sockets with an endpoint list, which may be empty.
+// configuration returns a configuration with a limit of 120 sockets and an endpoint list, which may
+// be empty.
 func configuration(listen, channel, list, settings string) string {
 	cursor := 0
 	if list != "" {
@@ -66,13 +68,13 @@
 		`"known":{"cursor":%d,"cmds":[%s]},"settings":%s}`, listen, channel, cursor, list, settings)
 }
 
-// endpointList returns a list of one worker.
+// endpointList returns an endpoint list event that contains one worker.
 func endpointList(addr string) string {
 	return fmt.Sprintf(`{"cursor":1,"nodes":{"complete":true,"members":[`+
 		`{"id":"s-1","host_port":%q,"phase":"Ready","size":1}]}}`, addr)
 }
 
-// environ returns an environment that names a file with the configuration.
+// environ writes the configuration to a file and returns an environment that names it.
 func environ(t *testing.T, config string) func(string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -80,14 +82,14 @@
 	return func(name string) string { return map[string]string{"ROUTER_CONFIG": path}[name] }
 }
 
-// run runs the program within the test. The process keeps its limits: the workers, relays and clients of
-// other tests run in it.
+// run runs the program within the test process. The limits of the process are left as they are,
+// since the workers, relays and clients of other tests run in it.
 func run(ctx context.Context, getenv func(string) string, log *slog.Logger, args ...string) error {
 	env := cli.Env{Getenv: getenv, Out: io.Discard, Err: io.Discard, Log: log, SharedProcess: true}
 	return cli.Run(ctx, env, args)
 }
 
-// logLines receives the lines of a log.
+// logLines is a log writer that passes on each line.
 type logLines chan string
 
 func (l logLines) Write(line []byte) (int, error) {
@@ -101,13 +103,13 @@
 	}
 }
 
-// daemon is the program running within the test.
+// daemon is the program running within the test process.
 type daemon struct {
 	log  logLines
-	stop func() // ends it and waits for that
+	stop func() // shuts it down and waits for its end
 }
 
-// startDaemon runs the program within the test until it is stopped.
+// startDaemon runs the program within the test process until it is stopped.
 func startDaemon(t *testing.T, config string, args ...string) daemon {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -120,7 +122,7 @@
 	}}
 }
 
-// process is the program running as a process of its own.
+// process is the program running as a separate process.
 type process struct {
 	*exec.Cmd
 
@@ -129,14 +131,14 @@
 	log        *bufio.Scanner
 }
 
-// startProcess starts the program as a process with a configuration and further environment
-// variables.
+// startProcess starts the program as a separate process with a configuration and further
+// environment variables.
 func startProcess(t *testing.T, config string, env ...string) *process {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	require.NoError(t, os.WriteFile(path, []byte(config), 0o600))
 	cmd := exec.CommandContext(t.Context(), os.Args[0])
-	cmd.Env = append(append(os.Environ(), env...), asProgram+"=1", "ROUTER_CONFIG="+path)
+	cmd.Env = append(append(os.Environ(), env...), runAsProgramEnv+"=1", "ROUTER_CONFIG="+path)
 	out, err := cmd.StderrPipe()
 	require.NoError(t, err)
 	require.NoError(t, cmd.Start())
@@ -160,7 +162,7 @@
 	require.NoError(p.t, p.Process.Signal(signal))
 }
 
-// awaitExit waits until the program has logged its end and exited with code 0.
+// awaitExit waits until the program has logged that it ended and has exited with code 0.
 func (p *process) awaitExit() {
 	p.t.Helper()
 	p.await("msg=ended")
@@ -170,8 +172,8 @@
 // addresses counts the loopback addresses that unusedAddr has returned.
 var addresses atomic.Uint32
 
-// unusedAddr returns an address on a loopback IP that no other socket of the tests uses, also while
-// nobody listens there.
+// unusedAddr returns an address on a loopback IP of its own, so that no other socket of the tests
+// takes the port while nobody listens on it.
 func unusedAddr(t *testing.T) string {
 	t.Helper()
 	n := addresses.Add(1)
@@ -189,10 +191,11 @@
 	return server.Listener.Addr().String()
 }
 
-// echo answers a request with its body.
+// echo responds with the body of the request.
 func echo(w http.ResponseWriter, r *http.Request) { _, _ = io.Copy(w, r.Body) }
 
-// send sends a call to a dispatcher and returns the status and the body of the answer.
+// send sends a call to a dispatcher and returns the status, body and HTTP major version of the
+// response.
 func send(t *testing.T, client *http.Client, addr, function, class, id string) (status int, body string, protocol int) {
 	t.Helper()
 	url := "http://" + addr + "/call/" + function + "/trigger"
@@ -209,7 +212,7 @@
 	return resp.StatusCode, string(text), resp.ProtoMajor
 }
 
-// call sends a call of the function to a dispatcher.
+// call sends a call of the test function over HTTP/1.1.
 func call(t *testing.T, addr, class, id string) (status int, body string) {
 	t.Helper()
 	status, body, _ = send(t, http.DefaultClient, addr, function, class, id)
--- a/cmd/dispatcher/partition_test.go
+++ b/cmd/dispatcher/partition_test.go
@@ -11,26 +11,28 @@
 	"oakthread/internal/lab"
 )
 
-// maxParallelRigs is the number of rigs that run at a time, so that the machine keeps up.
+// maxParallelRigs limits how many rigs of a test run at the same time, so that the machine keeps
+// up.
 const maxParallelRigs = 3
 
-// newMesh makes a mesh of six dispatchers and two workers.
+// newMesh creates a mesh of six dispatchers and two workers.
 func newMesh(t *testing.T, size lab.MeshSize) *lab.Mesh {
 	t.Helper()
 	net, err := lab.ClaimNet()
 	require.NoError(t, err)
 	t.Cleanup(net.Close)
-	size.Dispatchers, size.Workers, size.Slow, size.Program = 6, 2, 2, underTest()
+	size.Dispatchers, size.Workers, size.Slow, size.Program = 6, 2, 2, testedProgram()
 	mesh, err := lab.NewMesh(net, t.TempDir(), size)
 	require.NoError(t, err)
 	t.Cleanup(mesh.Close)
 	return mesh
 }
 
-// Tenants keep their quotas while parts of the fleet do not hear each other: b and c, who ask for
-// less than theirs, lose little by a flood of a's requests at other dispatchers, and a gains little
-// by what the fleet cannot know. Six processes and two workers in seconds are coarse: the bounds
-// only catch a collapse, testbed run mesh has the narrow ones.
+// Tenant quotas hold while dispatchers cannot exchange gossip, stop or are killed: tenants b and c,
+// who ask for less than their quotas, lose little to a flood of requests of tenant a at other
+// dispatchers, and a gains little from the missing gossip. Runs of seconds with six processes and
+// two workers are coarse: the bounds here only detect a collapse. The command "testbed run mesh"
+// has narrow bounds.
 func TestTenantQuotasDuringPartitions(t *testing.T) {
 	running := make(chan struct{}, maxParallelRigs)
 	for i, fault := range []string{
@@ -41,12 +43,12 @@
 			t.Parallel()
 			running <- struct{}{}
 			defer func() { <-running }()
-			mesh, quotas := runPartition(t, fault, uint64(i))
-			t.Logf("b and c: %.2f of their calls in the first second, %.2f after; a: %.2f of its calls/s before",
-				quotas.servedAtFirst, quotas.served, quotas.floodRatio)
-			assert.Greater(t, quotas.served, 0.6, "b's and c's calls served, after the first second")
-			assert.Less(t, quotas.floodRatio, 1.7, "a's calls served, of those before")
-			if fault != lab.MeshKilled { // calls to a process that is killed need no answer
+			mesh, outcome := runPartition(t, fault, uint64(i))
+			t.Logf("b and c: %.2f of their calls in the first second, %.2f after; a: %.2f of its earlier rate",
+				outcome.servedAtFirst, outcome.served, outcome.floodRatio)
+			assert.Greater(t, outcome.served, 0.6, "share of calls of b and c served after the first second")
+			assert.Less(t, outcome.floodRatio, 1.7, "rate of served calls of a, relative to before the fault")
+			if fault != lab.MeshKilled { // calls to a killed process need no answer
 				assert.Zero(t, mesh.Check(nil).Sum(), "%+v", mesh.Check(nil))
 				assert.NoError(t, mesh.Stop())
 			}
@@ -54,15 +56,15 @@
 	}
 }
 
-// quotas are what the tenants got during a fault.
-type quotas struct {
-	servedAtFirst float64 // part of b's and c's calls that is served in the first second
-	served        float64 // the same part after that
-	floodRatio    float64 // a's served calls, relative to those before the fault
+// tenantOutcome describes the calls served for each tenant during a fault.
+type tenantOutcome struct {
+	servedAtFirst float64 // share of calls of b and c served in the first second, the lower of the two
+	served        float64 // the same share after the first second
+	floodRatio    float64 // rate of served calls of a, relative to that before the fault
 }
 
-// runPartition runs a mesh through a fault.
-func runPartition(t *testing.T, fault string, seed uint64) (*lab.Mesh, quotas) {
+// runPartition runs a mesh under a fault.
+func runPartition(t *testing.T, fault string, seed uint64) (*lab.Mesh, tenantOutcome) {
 	t.Helper()
 	mesh := newMesh(t, lab.MeshSize{LatencyObjective: 100 * time.Millisecond, Seed: seed})
 	mesh.Prepare(fault)
@@ -72,33 +74,33 @@
 	ctx, stopCalls := context.WithCancel(t.Context())
 	defer stopCalls()
 	mesh.Run(ctx)
-	measuredFrom := span(t, 2500*time.Millisecond)
-	began := span(t, 1500*time.Millisecond)
+	measuredFrom := sleep(t, 2500*time.Millisecond)
+	began := sleep(t, 1500*time.Millisecond)
 	require.NoError(t, mesh.Begin(ctx, fault))
-	settled := span(t, time.Second)
-	end := span(t, 2500*time.Millisecond)
+	settled := sleep(t, time.Second)
+	end := sleep(t, 2500*time.Millisecond)
 	stopCalls()
 	mesh.Heal()
 	mesh.Quiet()
 	_, before := mesh.Share("a", measuredFrom, began)
 	_, after := mesh.Share("a", settled, end)
-	return mesh, quotas{
+	return mesh, tenantOutcome{
 		servedAtFirst: mesh.Honest(began, settled),
 		served:        mesh.Honest(settled, end),
 		floodRatio:    after / max(before, 1),
 	}
 }
 
-// Workers are ejected on the word of several dispatchers, never on that of one that is cut off,
-// stopped or alone. Six dispatchers and twelve workers; every case checks the rules by what
-// workers, clients and connections saw.
+// Workers are ejected on reports of several dispatchers, never on those of a single dispatcher that
+// is cut off, stopped or alone. Six dispatchers and twelve workers; every case checks the
+// invariants by what workers, clients and connections observed.
 func TestOutlierEjectionUnderFaults(t *testing.T) {
 	running := make(chan struct{}, maxParallelRigs)
 	for _, test := range []struct {
 		fault     string
-		served    float64 // least part of the calls served at dispatchers that the fault does not hit; 0 checks none
-		kept      float64 // least part of the others' calls that the workers of the fault keep; 0 checks none
-		maxFailed int     // most failed calls; 0 checks none
+		served    float64 // minimum share of calls served at unaffected dispatchers; 0: not checked
+		kept      float64 // minimum of faultOutcome.kept; 0: not checked
+		maxFailed int     // maximum of failed calls at the affected workers; 0: not checked
 	}{
 		{lab.OutlierOneDispatcher, 0.97, 0.8, 0},
 		{lab.OutlierFrozen, 0.97, 0.6, 0},
@@ -113,9 +115,9 @@
 			running <- struct{}{}
 			defer func() { <-running }()
 			rig, seen := runFault(t, test.fault)
-			t.Logf("%.3f served; the boxes in question keep %.2f of the others' calls, "+
-				"%d spoilt, %d from 2 s after the end",
-				seen.served, seen.kept, seen.failed, seen.servedAfter)
+			t.Logf("%.3f served; affected workers keep %.2f of the traffic from unaffected dispatchers, "+
+				"%d calls failed, %d came from 2 s after the end",
+				seen.served, seen.kept, seen.failed, seen.callsAfter)
 			if test.served > 0 {
 				assert.GreaterOrEqual(t, seen.served, test.served)
 			}
@@ -126,7 +128,7 @@
 				assert.LessOrEqual(t, seen.failed, test.maxFailed)
 			}
 			if test.fault == lab.OutlierRecovers {
-				assert.Greater(t, seen.servedAfter, 3, "taken back")
+				assert.Greater(t, seen.callsAfter, 3, "calls to the worker after it recovered")
 			}
 			violations := rig.Check(lab.Excused(test.fault))
 			assert.Zero(t, violations.Sum(), "%+v", violations)
@@ -135,21 +137,21 @@
 	}
 }
 
-// faultOutcome is what dispatchers and workers saw of a fault.
+// faultOutcome is what clients and workers observed of a fault.
 type faultOutcome struct {
-	served      float64 // part of the calls served at dispatchers that the fault does not hit
-	kept        float64 // part of the others' calls that the workers of the fault keep
-	failed      int     // calls that failed at them
-	servedAfter int     // calls that they served from 2 s after the fault on
+	served     float64 // share of calls served at unaffected dispatchers
+	kept       float64 // call rate from unaffected dispatchers to the affected workers, relative to before
+	failed     int     // calls from unaffected dispatchers that failed at the affected workers
+	callsAfter int     // calls from them to the affected workers from 2 s after the fault on
 }
 
-// runFault runs a rig through a fault.
+// runFault runs a fleet under a fault.
 func runFault(t *testing.T, fault string) (*lab.Rig, faultOutcome) {
 	t.Helper()
 	net, err := lab.ClaimNet()
 	require.NoError(t, err)
 	t.Cleanup(net.Close)
-	size := lab.RigSize{Dispatchers: 6, Workers: 12, Seed: 5, Program: underTest()}
+	size := lab.RigSize{Dispatchers: 6, Workers: 12, Seed: 5, Program: testedProgram()}
 	rig, err := lab.NewOutlierRig(net, t.TempDir(), size)
 	require.NoError(t, err)
 	t.Cleanup(rig.Close)
@@ -157,31 +159,32 @@
 	defer cancel()
 	require.NoError(t, rig.Start(ready, nil))
 	rig.Send(t.Context(), nil)
-	measuredFrom := span(t, 2*time.Second)
-	began := span(t, 2*time.Second)
+	measuredFrom := sleep(t, 2*time.Second)
+	began := sleep(t, 2*time.Second)
 	require.NoError(t, rig.InjectFault(t.Context(), fault))
 	over := time.Now()
-	end := span(t, max(2*time.Second, 5*time.Second-over.Sub(began)))
+	end := sleep(t, max(2*time.Second, 5*time.Second-over.Sub(began)))
 	if fault == lab.OutlierRecovers {
-		end = span(t, 3*time.Second)
+		end = sleep(t, 3*time.Second)
 	}
 	rig.Quiet()
 	workers, others := lab.AffectedBy(fault)
 	_, failed := rig.At(began, end, workers, others)
-	servedAfter, _ := rig.At(over.Add(2*time.Second), end, workers, others)
+	callsAfter, _ := rig.At(over.Add(2*time.Second), end, workers, others)
 	return rig, faultOutcome{
-		served:      lab.Served(rig.Calls(others), began, end, nil),
-		kept:        rig.RetainedTraffic(fault, measuredFrom, began, began.Add(time.Second), end),
-		failed:      failed,
-		servedAfter: servedAfter,
+		served:     lab.Served(rig.Calls(others), began, end, nil),
+		kept:       rig.RetainedTraffic(fault, measuredFrom, began, began.Add(time.Second), end),
+		failed:     failed,
+		callsAfter: callsAfter,
 	}
 }
 
-// The leadership of a term passes to the dispatchers that are left: four of six are killed at once,
-// and from three terms later on no term goes by in which the two others do not hear each other.
-func TestTurnsPassToTheLiving(t *testing.T) {
+// Leadership passes to the remaining dispatchers: four of six are killed at once, and from three
+// terms later on the time between two messages of the remaining two stays below one and a half
+// terms.
+func TestLeadershipPassesToSurvivors(t *testing.T) {
 	t.Parallel()
-	rig := fleet(t, lab.RigSize{
+	rig := startFleet(t, lab.RigSize{
 		Dispatchers: 6, Workers: 12, Zones: 3, Seed: 4,
 		Load: lab.Load{Rate: 40, Models: 60, Zipf: 0.4, Retries: 1},
 	})
@@ -189,45 +192,46 @@
 	ctx, stopCalls := context.WithCancel(t.Context())
 	defer stopCalls()
 	rig.Send(ctx, survives)
-	span(t, 3*time.Second)
+	sleep(t, 3*time.Second)
 	for i, dispatcher := range rig.Nodes {
 		if !survives(i) {
 			require.NoError(t, dispatcher.Kill())
 		}
 	}
 	term := 2 * rig.Figures.Classes[0].LatencyObjective
-	from := span(t, 3*term)
-	end := span(t, 8*term)
+	from := sleep(t, 3*term)
+	end := sleep(t, 8*term)
 	stopCalls()
 	rig.Quiet()
 	gap := lab.Silence(rig.PeerNetwork.Datagrams(), survives, from, end)
-	t.Logf("longest time without a message: %s", gap)
+	t.Logf("longest time without a message between the survivors: %s", gap)
 	assert.Less(t, gap, 3*term/2)
 	assert.Zero(t, rig.Check(nil).Sum(), "%+v", rig.Check(nil))
 }
 
-// Dispatchers agree on the totals of a fleet that grows from three to six, has one killed and
-// restarted in the terms of others and its own, and shrinks again by graceful shutdowns: no report
-// is counted for another dispatcher, and one that is new knows what the others know.
+// Dispatchers agree on the fleet totals while the fleet grows from three to six, one dispatcher is
+// killed and restarted in its own term and in those of others, and the fleet shrinks again by
+// graceful shutdowns. Guards against reports that are counted for another dispatcher, and against
+// new dispatchers that do not learn the totals.
 func TestFleetTotalsAgreeDuringMembershipChanges(t *testing.T) {
 	t.Parallel()
 	mesh := newMesh(t, lab.MeshSize{Seed: 8, Debug: true})
 	ready, cancel := context.WithTimeout(t.Context(), 40*time.Second)
 	defer cancel()
-	old := func(dispatcher int) bool { return dispatcher < 3 }
+	initial := func(dispatcher int) bool { return dispatcher < 3 }
 	added := func(dispatcher int) bool { return dispatcher >= 3 }
 	assertAgree := func(stage string, pick func(int) bool) {
 		t.Helper()
-		from := span(t, 2500*time.Millisecond)
-		until := span(t, 1500*time.Millisecond)
-		apart := mesh.Apart(from, until, pick)
-		t.Logf("%s: totals %.3f apart", stage, apart)
-		assert.Less(t, apart, 0.2, stage)
+		from := sleep(t, 2500*time.Millisecond)
+		until := sleep(t, 1500*time.Millisecond)
+		difference := mesh.Apart(from, until, pick)
+		t.Logf("%s: totals differ by %.3f", stage, difference)
+		assert.Less(t, difference, 0.2, stage)
 	}
-	require.NoError(t, mesh.Start(ready, old))
-	mesh.Send(t.Context(), old)
-	span(t, 4*time.Second)
-	assertAgree("three", old)
+	require.NoError(t, mesh.Start(ready, initial))
+	mesh.Send(t.Context(), initial)
+	sleep(t, 4*time.Second)
+	assertAgree("three", initial)
 
 	require.NoError(t, mesh.Start(ready, added))
 	ctx, stopAdded := context.WithCancel(t.Context())
@@ -240,16 +244,16 @@
 		require.NoError(t, mesh.Nodes[restarted].Kill())
 		require.NoError(t, mesh.Nodes[restarted].Start())
 		require.NoError(t, mesh.Nodes[restarted].WaitReady(ready))
-		span(t, 300*time.Millisecond)
+		sleep(t, 300*time.Millisecond)
 	}
 	assertAgree("one restarted", nil)
 
 	stopAdded()
-	span(t, 500*time.Millisecond)
+	sleep(t, 500*time.Millisecond)
 	for i := 3; i < 6; i++ {
 		require.NoError(t, mesh.Nodes[i].Stop())
 	}
-	assertAgree("three again", old)
+	assertAgree("three again", initial)
 	mesh.Quiet()
 	toRestarted := func(attempt lab.Attempt) bool { return attempt.ID[:3] == "004" }
 	assert.Zero(t, mesh.Check(toRestarted).Sum(), "%+v", mesh.Check(toRestarted))
--- a/cmd/dispatcher/scale_test.go
+++ b/cmd/dispatcher/scale_test.go
@@ -11,56 +11,56 @@
 	"oakthread/internal/lab"
 )
 
-// The endpoint list is too long to be scanned for each choice, in four processes. Copies of a model
-// are in few places, though no process looks at more than a part of the list and no gossip about
-// holders passes between them. A zone that is cut off from half of the processes, and heals, breaks
-// no rule and costs the others no calls.
-func TestLongListThroughACut(t *testing.T) {
+// Four processes have an endpoint list too long to be scanned for each choice. Copies of a model
+// are at few workers, although no process looks at more than a part of the list and no gossip about
+// holders passes between them. While a zone is cut off from half of the processes, the others serve
+// their calls, and all serve as before once it is reachable again. No invariant is violated.
+func TestLongListDuringPartition(t *testing.T) {
 	const models, workers = 40, 272
-	rig := fleet(t, lab.RigSize{
+	rig := startFleet(t, lab.RigSize{
 		Dispatchers: 4, Workers: workers, Zones: 4, Seed: 6,
 		Load: lab.Load{Rate: 50, Models: models, Retries: 1},
 	})
 	rig.PeerNetwork.Set(lab.Lost, allPairs)
 	rig.Send(t.Context(), nil)
-	from := span(t, 3*time.Second)
-	cutAt := span(t, 2*time.Second)
+	from := sleep(t, 3*time.Second)
+	cutAt := sleep(t, 2*time.Second)
 	isCut := func(dispatcher, worker int) bool { return dispatcher < 2 && worker%4 == 0 }
 	require.NoError(t, rig.Links.Between(lab.Cut, 0, isCut))
-	span(t, 2*time.Second)
+	sleep(t, 2*time.Second)
 	require.NoError(t, rig.Links.Between(lab.Open, 0, isCut))
 	healed := time.Now()
-	after := span(t, 1500*time.Millisecond)
-	end := span(t, 2*time.Second)
+	after := sleep(t, 1500*time.Millisecond)
+	end := sleep(t, 2*time.Second)
 	rig.Quiet()
 	notCut := func(dispatcher int) bool { return dispatcher >= 2 }
 	before := lab.Served(rig.Calls(nil), from, cutAt, nil)
 	during := lab.Served(rig.Calls(notCut), cutAt, healed, nil)
-	again := lab.Served(rig.Calls(nil), after, end, nil)
-	places, used := modelPlaces(rig, from, cutAt)
-	t.Logf("served %.3f before, %.3f at those not cut off meanwhile, %.3f after; "+
-		"%d models in %d places at %d of %d boxes",
-		before, during, again, models, places, used, workers)
+	recovered := lab.Served(rig.Calls(nil), after, end, nil)
+	placements, used := modelPlacements(rig, from, cutAt)
+	t.Logf("served %.3f before, %.3f at unaffected dispatchers during the partition, %.3f after; "+
+		"%d models in %d placements at %d of %d workers",
+		before, during, recovered, models, placements, used, workers)
 	assert.Greater(t, before, 0.95)
 	assert.Greater(t, during, 0.9)
-	assert.Greater(t, again, 0.95*before)
-	assert.Less(t, places, 2*models, "places of models: a window of each dispatcher's own gives four")
-	assertSound(t, rig)
+	assert.Greater(t, recovered, 0.95*before)
+	assert.Less(t, placements, 2*models, "placements: a separate window per dispatcher gives four per model")
+	assertInvariants(t, rig)
 }
 
-// modelPlaces returns the pairs of a model and a worker that served it in a time, and the workers
-// among them.
-func modelPlaces(rig *lab.Rig, from, until time.Time) (places, workers int) {
-	type place struct {
+// modelPlacements returns the number of pairs of a model and a worker that ran a call of it in a
+// span of time, and the number of different workers in them.
+func modelPlacements(rig *lab.Rig, from, until time.Time) (placements, workers int) {
+	type placement struct {
 		model  uint64
 		worker int
 	}
-	served, used := map[place]bool{}, map[int]bool{}
+	served, used := map[placement]bool{}, map[int]bool{}
 	for i, worker := range rig.Workers {
 		calls, _ := worker.Observations()
 		for _, call := range calls {
 			if call.Took && !call.At.Before(from) && call.At.Before(until) {
-				served[place{call.Model, i}] = true
+				served[placement{call.Model, i}] = true
 				used[i] = true
 			}
 		}
@@ -68,15 +68,15 @@
 	return len(served), len(used)
 }
 
-// release is a rolling release of a long endpoint list: a third of the workers drain in steps while
-// as many new ones are added, and two dispatchers restart.
+// release is a rolling release in a fleet with a long endpoint list: a third of the workers drain
+// in steps while as many new ones are added, and two dispatchers restart.
 type release struct {
 	*lab.Rig
 
 	figures *lab.Figures
 
-	began, over         time.Time // of the steps
-	after, end          time.Time // of the measurement after them
+	began, over         time.Time // start and end of the steps
+	after, end          time.Time // start and end of the measurement after the steps
 	restartsAt, readyAt [releaseDispatchers]time.Time
 }
 
@@ -84,40 +84,40 @@
 	releaseDispatchers = 4
 	releaseWorkers     = 300
 	releaseSteps       = 5
-	releaseStep        = 20 // workers that are added in a step
+	releaseStepSize    = 20 // workers added in a step
 )
 
-// isDrained reports whether a worker drains in the release.
+// isDrained reports whether a worker is drained by the release.
 func isDrained(worker int) bool { return worker < releaseWorkers && worker%3 == 0 }
 
-// isAdded reports whether a worker is added in the release.
+// isAdded reports whether a worker is added by the release.
 func isAdded(worker int) bool { return worker >= releaseWorkers }
 
-// A release with a list too long to be scanned for each choice, in four processes: a third of 300
-// workers drains in steps while as many cold ones are added, and two of the processes restart,
-// their clients going on. It breaks no rule, calls are served as before, and the new workers take
-// their share. Functions change, so that workers are chosen for them all the time. That no choice
-// looks at workers that drain, and that the list is not scanned, cannot be seen here, since calls
-// are served alike; TestLongListSamplesNoDrainingWorker in package balancer shows it.
+// A rolling release with four processes and a list too long to be scanned for each choice: a third
+// of 300 workers drains in steps while as many new ones are added, and two of the processes restart
+// while their clients keep sending. No invariant is violated, calls are served as before, and the
+// new workers take their share. The set of called functions changes, so that workers are chosen all
+// the time. That no choice considers draining workers or scans the list does not show here, since
+// calls are served either way; TestLongListSamplesNoDrainingWorker in package balancer tests it.
 func TestReleaseInALongList(t *testing.T) {
 	figures := lab.PlannerFigures()
-	for i := range figures.Classes { // so that a new worker bears some ten calls before it is overloaded
+	for i := range figures.Classes { // so that a new worker takes about ten calls before it is overloaded
 		figures.Classes[i].Work *= 10
 	}
 	figures.Worker.Cores, figures.Worker.Queue, figures.Worker.Warm = 1, 16, 3*time.Second
-	rig := fleet(t, lab.RigSize{
-		Dispatchers: releaseDispatchers, Workers: releaseWorkers, Later: releaseSteps * releaseStep,
+	rig := startFleet(t, lab.RigSize{
+		Dispatchers: releaseDispatchers, Workers: releaseWorkers, Later: releaseSteps * releaseStepSize,
 		Zones: 4, Seed: 9, Figures: figures,
 		Load: lab.Load{Rate: 50, Models: 150, Zipf: 0.4, Turn: 3 * time.Second, Retries: 2},
 	})
 	r := &release{Rig: rig, figures: figures}
 	r.Send(t.Context(), nil)
-	from := span(t, time.Second)
-	r.began = span(t, 2*time.Second)
-	r.play(t)
+	from := sleep(t, time.Second)
+	r.began = sleep(t, 2*time.Second)
+	r.run(t)
 	r.over = time.Now()
-	r.after = span(t, 1500*time.Millisecond)
-	r.end = span(t, 2*time.Second)
+	r.after = sleep(t, 1500*time.Millisecond)
+	r.end = sleep(t, 2*time.Second)
 	r.Quiet()
 
 	calls := r.callsToRunning()
@@ -125,29 +125,29 @@
 	during := lab.Served(calls, r.began, r.over, nil)
 	after := lab.Served(calls, r.after, r.end, nil)
 	seen := r.seenByWorkers()
-	t.Logf("served %.3f before, %.3f during a release of %s, %.3f after; %d path-books ran during it; "+
-		"then %d of %d calls came to new boxes, %d to drained ones; "+
-		"cold ones had at most %.2f of what is put down to chance; %d requests crossed a planned end's close",
-		before, during, r.over.Sub(r.began), after, seen.bookings,
-		seen.toAdded, seen.afterwards, seen.toDrained, seen.maxColdLoad, r.crossed())
+	t.Logf("served %.3f before, %.3f during a release of %s, %.3f after; %d non-idempotent calls ran during it; "+
+		"then %d of %d calls came to new workers, %d to drained ones; "+
+		"new ones had at most %.2f of the permitted load; %d requests crossed the close of a connection at shutdown",
+		before, during, r.over.Sub(r.began), after, seen.nonIdempotent,
+		seen.toAdded, seen.afterwards, seen.toDrained, seen.maxLoad, r.crossed())
 	assert.Greater(t, before, 0.95)
 	assert.Greater(t, during, 0.95*before)
 	assert.Greater(t, after, 0.95*before)
-	assert.Greater(t, seen.bookings, 50)
-	assert.Greater(t, float64(seen.toAdded), 0.12*float64(seen.afterwards), "a third of the boxes that are on are new")
-	assert.Zero(t, seen.toDrained, "calls that came to drained boxes at the end")
-	assert.Less(t, seen.maxColdLoad, 1.0, "cold boxes")
-	assertSound(t, r.Rig)
+	assert.Greater(t, seen.nonIdempotent, 50)
+	assert.Greater(t, float64(seen.toAdded), 0.12*float64(seen.afterwards), "a third of the running workers are new")
+	assert.Zero(t, seen.toDrained, "calls to drained workers after the release")
+	assert.Less(t, seen.maxLoad, 1.0, "load of new workers")
+	assertInvariants(t, r.Rig)
 }
 
-// play goes through the steps of the release and waits for the dispatchers that restart.
-func (r *release) play(t *testing.T) {
+// run performs the steps of the release and waits until the restarted dispatchers are ready.
+func (r *release) run(t *testing.T) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
 	restarted := make(chan error, 2)
 	for step := range releaseSteps {
-		require.NoError(t, r.Join(releaseStep))
+		require.NoError(t, r.Join(releaseStepSize))
 		r.Drain(func(worker int) bool {
 			return isDrained(worker) && worker/(releaseWorkers/releaseSteps) == step
 		})
@@ -159,15 +159,15 @@
 				restarted <- err
 			}()
 		}
-		span(t, 700*time.Millisecond)
+		sleep(t, 700*time.Millisecond)
 	}
 	for range cap(restarted) {
 		require.NoError(t, <-restarted)
 	}
 }
 
-// callsToRunning returns the calls to dispatchers that had not been told to restart, or were ready
-// again.
+// callsToRunning returns the calls that were scheduled before the restart of their dispatcher
+// began, or after it was ready again.
 func (r *release) callsToRunning() []*lab.Call {
 	var running []*lab.Call
 	for dispatcher := range r.Nodes {
@@ -180,7 +180,8 @@
 	return running
 }
 
-// crossed returns the attempts that crossed the close of their connection by a graceful shutdown.
+// crossed returns the number of attempts that crossed the close of their connection by a graceful
+// shutdown.
 func (r *release) crossed() int {
 	crossed := 0
 	for _, call := range r.Calls(nil) {
@@ -193,39 +194,39 @@
 	return crossed
 }
 
-// workerView is what the workers saw of a release.
-type workerView struct {
-	bookings    int     // calls that must not run twice, served during the release
-	afterwards  int     // calls after the release
-	toAdded     int     // those at workers that were added
-	toDrained   int     // those at workers that had drained
-	maxColdLoad float64 // greatest load of an added worker, relative to the slow start
+// workerObservations sums up the calls that the workers saw during and after a release.
+type workerObservations struct {
+	nonIdempotent int     // calls that must not run twice, run during the release
+	afterwards    int     // calls after the release
+	toAdded       int     // those at workers that were added
+	toDrained     int     // those at workers that had drained
+	maxLoad       float64 // highest load of an added worker, as a share of the permitted load
 }
 
-// seenByWorkers returns what the workers saw of the release.
-func (r *release) seenByWorkers() workerView {
-	var view workerView
+// seenByWorkers evaluates the calls that the workers saw.
+func (r *release) seenByWorkers() workerObservations {
+	var result workerObservations
 	for i, worker := range r.Workers {
 		seen, _ := worker.Observations()
 		if isAdded(i) {
 			load := lab.WarmingLoad(r.figures, time.UnixMilli(r.Listed[i].UpSince), seen)
-			view.maxColdLoad = max(view.maxColdLoad, load)
+			result.maxLoad = max(result.maxLoad, load)
 		}
 		for _, call := range seen {
 			during := !call.At.Before(r.began) && call.At.Before(r.over)
 			switch {
 			case during && call.Took && r.figures.Classes[call.Class].NotIdempotent:
-				view.bookings++
+				result.nonIdempotent++
 			case !call.At.Before(r.after) && call.At.Before(r.end):
-				view.afterwards++
+				result.afterwards++
 				if isAdded(i) {
-					view.toAdded++
+					result.toAdded++
 				}
 				if isDrained(i) {
-					view.toDrained++
+					result.toDrained++
 				}
 			}
 		}
 	}
-	return view
+	return result
 }
--- a/cmd/dispatcher/shutdown_test.go
+++ b/cmd/dispatcher/shutdown_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// blockedWorker is a worker that answers a call only when the test allows it.
+// blockedWorker is a worker that blocks each call until the test unblocks it.
 type blockedWorker struct {
 	addr    string
 	called  chan struct{}
@@ -32,7 +32,8 @@
 	return w
 }
 
-// callBlocked sends a call and returns once the worker has it. The status of the answer follows.
+// callBlocked sends a call and returns once the worker has received it. The returned channel
+// delivers the status of the response.
 func (w blockedWorker) callBlocked(t *testing.T, addr string) <-chan int {
 	t.Helper()
 	status := make(chan int, 1)
@@ -45,7 +46,7 @@
 }
 
 // After SIGTERM a call in flight is answered, and only then does the program exit with 0. A program
-// that cannot start exits with 1 and one line that says why.
+// that cannot start exits with 1 and a one-line error.
 func TestSignalsAndExitCodes(t *testing.T) {
 	t.Parallel()
 	worker, addr := startBlockedWorker(t), unusedAddr(t)
@@ -68,9 +69,9 @@
 	assert.Equal(t, 1, exit.ExitCode())
 }
 
-// Further signals during the shutdown, SIGTERM and SIGHUP, end nothing early: the call in flight is
-// answered and the program exits with 0.
-func TestSignalsDuringTheEnd(t *testing.T) {
+// Further SIGTERM and SIGHUP signals do not cut the shutdown short: the call in flight is answered
+// and the program exits with 0.
+func TestSignalsDuringShutdown(t *testing.T) {
 	t.Parallel()
 	worker, addr := startBlockedWorker(t), unusedAddr(t)
 	program := startProcess(t, configuration(addr, "", endpointList(worker.addr), settings))
@@ -88,8 +89,8 @@
 	program.awaitExit()
 }
 
-// A program that is not ready, since discovery is silent, exits with 0 as well.
-func TestEndBeforeReadiness(t *testing.T) {
+// A program that is not ready because discovery sends nothing exits with 0 on SIGTERM as well.
+func TestShutdownBeforeReadiness(t *testing.T) {
 	t.Parallel()
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -102,9 +103,10 @@
 	program.awaitExit()
 }
 
-// A request that is complete only after the time in which new ones are accepted is answered before the
-// platform may kill the program: the longest deadline, counted as 3 s at most, and 0.7 s after SIGTERM.
-// Its worker never answers, and its own deadline lies later.
+// A request that is completely received only after the program has stopped accepting new ones is
+// answered before the platform may send SIGKILL, although its worker never answers and its own
+// deadline is later. The platform sends SIGKILL no earlier than the longest deadline, or 3 s if that
+// is shorter, plus 0.7 s after SIGTERM.
 func TestLateRequestIsAnsweredBeforeTheKill(t *testing.T) {
 	for _, longest := range []time.Duration{400 * time.Millisecond, 5 * time.Second} {
 		t.Run(longest.String(), func(t *testing.T) {
@@ -132,7 +134,7 @@
 			earliestKill := terminated.Add(min(longest, 3*time.Second) + 700*time.Millisecond)
 			require.NoError(t, conn.SetReadDeadline(earliestKill))
 			response, err := http.ReadResponse(bufio.NewReader(conn), nil)
-			require.NoError(t, err, "no answer before the kill")
+			require.NoError(t, err, "no response before the earliest SIGKILL")
 			response.Body.Close()
 			assert.NotEqual(t, 200, response.StatusCode)
 		})
--- a/cmd/dispatcher/sockets_test.go
+++ b/cmd/dispatcher/sockets_test.go
@@ -20,7 +20,7 @@
 func processorTime(t *testing.T, pid int) time.Duration {
 	t.Helper()
 	const (
-		userField, systemField = 11, 12 // after the name of the program, see proc(5)
+		userField, systemField = 11, 12 // counted after the program name, see proc(5)
 		clockTick              = 10 * time.Millisecond
 	)
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
@@ -34,14 +34,14 @@
 	return time.Duration(user+system) * clockTick
 }
 
-// Idle clients take all sockets that they can while discovery is down. Another client is still
-// answered, the endpoint watch recovers with discovery, workers are connected to, and the program
-// neither ends nor spins.
-func TestIdleClientsFillTheDescriptors(t *testing.T) {
+// Idle clients occupy all sockets that they can get while discovery is down. Another client still
+// gets responses, the endpoint watch connects once discovery is back, connections to workers
+// succeed, and the program neither ends nor busy-loops.
+func TestIdleClientsAtDescriptorLimit(t *testing.T) {
 	t.Parallel()
 	const limit = 120
 	worker, channel, addr := startWorker(t, echo), unusedAddr(t), unusedAddr(t)
-	program := startProcess(t, configuration(addr, channel, "", settings), fmt.Sprintf("%s=%d", descriptors, limit))
+	program := startProcess(t, configuration(addr, channel, "", settings), fmt.Sprintf("%s=%d", fdLimitEnv, limit))
 	program.await("msg=serving")
 	for range 400 {
 		conn, err := net.Dial("tcp", addr)
@@ -49,11 +49,11 @@
 		defer conn.Close()
 	}
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	assert.Equal(t, 503, ping(t, client, addr), "no list yet")
+	assert.Equal(t, 503, ping(t, client, addr), "no endpoint list yet")
 	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", program.Process.Pid))
 	require.NoError(t, err)
-	assert.Greater(t, len(open), limit/3, "the idle clients hold what they can")
-	assert.Less(t, len(open), limit-20, "and leave room for the watch and the workers")
+	assert.Greater(t, len(open), limit/3, "open descriptors: idle clients hold as many as they can get")
+	assert.Less(t, len(open), limit-20, "open descriptors: some remain for the watch and the workers")
 
 	discovery, err := net.Listen("tcp", channel)
 	require.NoError(t, err)
@@ -68,8 +68,8 @@
 	assert.Equal(t, "200 x", fmt.Sprint(status, " ", body))
 
 	before, began := processorTime(t, program.Process.Pid), time.Now()
-	time.Sleep(time.Second) // the time over which it is measured
-	assert.Less(t, processorTime(t, program.Process.Pid)-before, time.Since(began)/2, "it spins")
+	time.Sleep(time.Second) // processor time is measured over this second
+	assert.Less(t, processorTime(t, program.Process.Pid)-before, time.Since(began)/2, "processor time while idle")
 	program.signal(syscall.SIGTERM)
 	program.awaitExit()
 }
--- a/cmd/dispatcher/startup_test.go
+++ b/cmd/dispatcher/startup_test.go
@@ -35,15 +35,16 @@
 	return fmt.Errorf("not ready after %v", limit)
 }
 
-// With a list in its configuration a program is ready within 10 s whatever discovery does, and so
-// are eight that start at once.
-func TestReadyWhateverDiscoveryDoes(t *testing.T) {
+// With an endpoint list in its configuration the program is ready within 10 s, whether discovery is
+// not configured, refuses connections, is silent or sends malformed data, also if eight processes
+// start at once.
+func TestReadyDuringDiscoveryFailures(t *testing.T) {
 	t.Parallel()
 	worker := startWorker(t, echo)
-	silent, err := net.Listen("tcp", "127.0.0.1:0") // the kernel accepts connections, nobody answers
+	silent, err := net.Listen("tcp", "127.0.0.1:0") // the kernel accepts connections, and nothing is sent
 	require.NoError(t, err)
 	defer silent.Close()
-	malformed, err := net.Listen("tcp", "127.0.0.1:0") // answers what cannot be decoded and closes
+	malformed, err := net.Listen("tcp", "127.0.0.1:0") // sends malformed data and closes
 	require.NoError(t, err)
 	defer malformed.Close()
 	go func() {
@@ -82,8 +83,7 @@
 	}
 }
 
-// startLabWorker starts a worker of the laboratory and returns it with its entry in the endpoint
-// list.
+// startLabWorker starts a stub worker and returns it with its entry in the endpoint list.
 func startLabWorker(t *testing.T, id string) (*lab.StubWorker, lab.Listed) {
 	t.Helper()
 	started := time.Now().Add(-time.Hour)
@@ -93,15 +93,16 @@
 	return worker, entry
 }
 
-// uniqueCall sends a call with an id of its own and returns the status of the answer.
+// uniqueCall sends a call with a unique ID and returns the status of the response.
 func uniqueCall(t *testing.T, addr string) (status int) {
 	t.Helper()
 	status, _ = call(t, addr, "path-check", fmt.Sprintf("%016x", time.Now().UnixNano()))
 	return status
 }
 
-// A program that is restarted while discovery is down serves from its cached list and sends nothing
-// to a worker that has gone. It follows discovery again once that is back, under another epoch.
+// A program that is restarted while discovery is down serves from its cached endpoint list,
+// although one of the listed workers has gone. It follows discovery again once that is back under
+// another epoch.
 func TestStartsWithoutDiscovery(t *testing.T) {
 	t.Parallel()
 	discovery := lab.NewDiscovery("e1")
--- a/cmd/dispatcher/webhooks_test.go
+++ b/cmd/dispatcher/webhooks_test.go
@@ -18,10 +18,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// bookings is the number of messages that the webhook test sends.
+// bookings is the number of different bookings that the webhook test sends.
 const bookings = 20
 
-// bookingWorker books what the body of a call names, and counts the bookings of each.
+// bookingWorker books the slot that the body of a call names, and counts the bookings of each slot.
 type bookingWorker struct {
 	mu     sync.Mutex
 	booked map[string]int
@@ -35,8 +35,8 @@
 	fmt.Fprintf(w, "booked %s", slot)
 }
 
-// notificationReceiver receives the notifications of outcomes. It closes all once every booking is
-// notified as served.
+// notificationReceiver receives the notifications of outcomes. It closes the channel all once it
+// has been notified of every booking as served.
 type notificationReceiver struct {
 	all chan struct{}
 
@@ -58,19 +58,19 @@
 	}
 }
 
-// webhookKey returns the n-th key of the test.
+// webhookKey returns the n-th signing key of the test.
 func webhookKey(n byte) string {
 	return "whsec_" + base64.StdEncoding.EncodeToString(bytes.Repeat([]byte{n}, 24))
 }
 
-// message is a webhook message. Its signature may be that of another body.
+// message is a webhook message. It is signed for signedBody, which may differ from body.
 type message struct {
 	key, id          string
 	at               time.Time
 	body, signedBody string
 }
 
-// sendMessage sends a webhook message and returns the status and the body of the answer.
+// sendMessage sends a webhook message and returns the status and the body of the response.
 func sendMessage(t *testing.T, addr string, m message) (status int, body string) {
 	t.Helper()
 	webhook, err := standardwebhooks.NewWebhook(m.key)
@@ -92,9 +92,9 @@
 	return resp.StatusCode, string(text)
 }
 
-// A sender books, repeats, alters and replays messages while a key rotates and the daemon restarts,
-// with its options in a file of their own and in the operator's file. Each booking runs once and is
-// notified once.
+// A sender sends, repeats, alters and replays booking messages while its key is rotated and the
+// daemon restarts. The webhook options are first in a file of their own, then in the operator's
+// file. Each booking runs once, and a notification is sent for each.
 func TestWebhooksThroughTheDaemon(t *testing.T) {
 	t.Parallel()
 	worker := &bookingWorker{booked: map[string]int{}}
@@ -122,7 +122,7 @@
 		addr, endpointList(workerAddr), bookingSettings)
 	start := func(args ...string) daemon {
 		program := startDaemon(t, config, args...)
-		program.log.await("serving") // of the webhook server and of the platform's
+		program.log.await("serving") // once for the webhook server and once for the platform's
 		program.log.await("serving")
 		return program
 	}
@@ -131,7 +131,7 @@
 	statuses, at, key := map[int]int{}, time.Now(), oldKey
 	for i := range bookings {
 		switch i {
-		case bookings / 4: // the daemon reads the new key by itself; until then it is unknown
+		case bookings / 4: // the daemon picks up the new key without a signal; until then it answers 401
 			write("keys", newKey+"\n"+oldKey)
 			probe := `{"type":"none"}`
 			for status := http.StatusUnauthorized; status == http.StatusUnauthorized; {
@@ -148,8 +148,8 @@
 		for _, sent := range []message{
 			{key, id, at, body, body},                  // a booking
 			{key, id, at, body, body},                  // repeated
-			{key, id, at, body + " ", body},            // altered: the signature does not fit
-			{key, id, at.Add(time.Second), body, body}, // replayed under another time
+			{key, id, at, body + " ", body},            // altered: the signature does not match
+			{key, id, at.Add(time.Second), body, body}, // replayed with another timestamp
 		} {
 			status, answer := sendMessage(t, webhookAddr, sent)
 			statuses[status]++
