--- a/internal/loganalysis/analysis.go
+++ b/internal/loganalysis/analysis.go
@@ -30,7 +30,7 @@
 	started, ended               time.Time
 	result                       string
 	hitLoadedModel               bool // the worker had the model loaded
-	loadedModel                  bool // the attempt had the worker load the model
+	loadedModel                  bool // the attempt made the worker load the model
 	isLoadOrder                  bool
 }
 
@@ -162,8 +162,8 @@
 	l.attempts = append(l.attempts, a)
 }
 
-// addEjectionChange adds the change that a line on a worker states. Such a line has the worker in
-// its message, and other lines on workers are ignored.
+// addEjectionChange adds the ejection or recovery that a line about a worker reports. The message
+// names the worker; messages about a worker that report neither are ignored.
 func (l *FleetLog) addEjectionChange(second *secondCounts, message, dispatcher string, at time.Time) {
 	worker, _, _ := strings.Cut(strings.TrimPrefix(message, msgWorkerPrefix), " ")
 	change := ejectionChange{at: at, dispatcher: dispatcher, worker: worker}
--- a/internal/loganalysis/analysis_test.go
+++ b/internal/loganalysis/analysis_test.go
@@ -23,7 +23,7 @@
 	return &l
 }
 
-// readFleetLogs returns the events of two dispatchers. Both have function 7 loaded, the second
+// readFleetLogs returns the events of two dispatchers. Both load function 7, the second
 // while worker 1 holds its model; worker 2 fails and is ejected by the first.
 func readFleetLogs(t *testing.T) *FleetLog {
 	t.Helper()
--- a/internal/loganalysis/loads.go
+++ b/internal/loganalysis/loads.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// loadedModel is a function's model that a worker holds.
+// loadedModel is a function's model loaded on a worker.
 type loadedModel struct{ function, worker string }
 
 // modelUses are the times at which attempts found a model loaded.
--- a/internal/loganalysis/overload.go
+++ b/internal/loganalysis/overload.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// WorkerSecond is one worker in one second.
+// WorkerSecond holds the counts of one worker in one second.
 type WorkerSecond struct {
 	At          int64 // Unix second
 	ID          string
--- a/internal/loganalysis/seconds.go
+++ b/internal/loganalysis/seconds.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// numberedAttempts is how many attempts of a call are counted by their number; later ones are
+// numberedAttempts is the number of attempts of a call that are counted separately; later ones are
 // counted together with the last.
 const numberedAttempts = 5
 
-// Second is one second of the fleet.
+// Second holds the counts of the whole fleet in one second.
 type Second struct {
 	At          int64 // Unix second
 	Attempts    int
 	Full        int                   // attempts that a worker rejected because its queue was full
 	ByNumber    [numberedAttempts]int // attempts by their number in the call
 	Ejections   int                   // in force at its end, over all dispatchers
-	Partitioned int                   // dispatchers that hold a zone to be unreachable at its end
+	Partitioned int                   // dispatchers that consider a zone unreachable at its end
 }
 
 // Seconds returns every second in which an event happened.
@@ -60,7 +60,7 @@
 // ejectionState holds the ejections in force at a time.
 type ejectionState struct {
 	ejections   map[ejection]bool // true if the worker was ejected because it cannot be reached
-	partitioned map[string]bool   // dispatchers that hold a zone to be unreachable
+	partitioned map[string]bool   // dispatchers that consider a zone unreachable
 }
 
 func newEjectionState() *ejectionState {
--- a/internal/loganalysis/workers.go
+++ b/internal/loganalysis/workers.go
@@ -9,12 +9,12 @@
 // peakWindow is the length of the busiest window of a worker.
 const peakWindow = 100 * time.Millisecond
 
-// Worker is what all dispatchers did at one worker.
+// Worker holds the totals of one worker over all dispatchers.
 type Worker struct {
 	ID            string
 	Results       Counts        // of attempts
 	LoadOrders    Counts        // results of load orders
-	Peak          int           // attempts and load orders that started within peakWindow, at the most
+	Peak          int           // most attempts and load orders started within one peakWindow
 	Dispatchers   int           // that sent to it
 	FailedFor     time.Duration // from the end of the first failed attempt to that of the last
 	Ejections     int           // by dispatchers
@@ -29,7 +29,7 @@
 	firstFailure, lastFailure time.Time
 }
 
-// Workers returns what was done at each worker, those with the most failures first.
+// Workers returns the totals of each worker, those with the most failures first.
 func (l *FleetLog) Workers() []Worker {
 	stats := map[string]*workerStats{}
 	for _, a := range l.attempts {
