--- a/internal/fault/sockets/sockets.go
+++ b/internal/fault/sockets/sockets.go
@@ -1,10 +1,10 @@
 // Package sockets injects faults between a dispatcher and the system's sockets: accepts and
-// connects that fail as the manual pages document, reads and writes that are short, interrupted or
-// delayed by a shortage.
+// connects that fail with errors documented in the manual pages, connects that complete late, and
+// reads and writes that are short, interrupted or fail for lack of memory or buffers.
 //
-// It implements the interfaces net.Listener and net.Conn inside the process. It shows what the
-// program does with the errors, and not that the Go runtime passes them on; datagrams and the
-// poller are not covered.
+// It implements net.Listener and net.Conn inside the process. So it tests how the program handles
+// the errors, but not whether the Go runtime passes them on; datagrams and the poller are not
+// covered.
 package sockets
 
 import (
@@ -19,35 +19,35 @@
 	"oakthread/internal/platform"
 )
 
-// Rates are the shares of calls that fail.
+// Rates are the shares of socket calls that fail, from 0 to 1.
 type Rates struct {
-	Accept  float64 `json:"accept,omitempty"`
-	Connect float64 `json:"connect,omitempty"`
-	IO      float64 `json:"io,omitempty"`
-	Late    float64 `json:"late,omitempty"` // of connects that come up late, by up to LateMost
+	Accept         float64 `json:"accept,omitempty"`
+	Connect        float64 `json:"connect,omitempty"`
+	IO             float64 `json:"io,omitempty"`
+	DelayedConnect float64 `json:"late,omitempty"` // share of connects that are delayed, by up to MaxConnectDelay
 }
 
-// LateMost is how late a connection comes up at the most.
-const LateMost = time.Second
+// MaxConnectDelay is the upper limit of the delay of a connect.
+const MaxConnectDelay = time.Second
 
-// Injector makes calls fail at the rates in force. Its methods may be called from many goroutines.
+// Injector makes socket calls fail at the current rates. It is safe for concurrent use.
 type Injector struct {
 	mu    sync.Mutex
 	rng   *rand.Rand
 	rates Rates
 }
 
-// New makes an Injector that lets all pass.
+// New returns an Injector that injects no faults until rates are set. seed seeds its random choices.
 func New(seed uint64) *Injector { return &Injector{rng: rand.New(rand.NewPCG(seed, 0x6661756c74))} }
 
-// Set puts rates in force.
+// Set replaces the current rates.
 func (i *Injector) Set(r Rates) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.rates = r
 }
 
-// Network is what a dispatcher's sockets go through.
+// Network returns listener and dial wrappers that inject the faults.
 func (i *Injector) Network() platform.Network {
 	return platform.Network{Listener: i.listener, Dial: i.dial}
 }
@@ -64,8 +64,8 @@
 	ioErrors = []syscall.Errno{syscall.EINTR, syscall.ENOBUFS, syscall.ENOMEM}
 )
 
-// fails draws whether a call fails, and how.
-func (i *Injector) fails(rate func(Rates) float64, errs []syscall.Errno) (syscall.Errno, bool) {
+// drawError decides at random whether a call fails and with which error.
+func (i *Injector) drawError(rate func(Rates) float64, errs []syscall.Errno) (syscall.Errno, bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if i.rng.Float64() >= rate(i.rates) {
@@ -74,28 +74,28 @@
 	return errs[i.rng.IntN(len(errs))], true
 }
 
-// part draws how much of n bytes goes through before a call is cut short; 0 also.
-func (i *Injector) part(n int) int {
+// drawLength returns how many of n bytes a short call transfers, from 0 to n.
+func (i *Injector) drawLength(n int) int {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.rng.IntN(n + 1)
 }
 
-// lateness draws how late a connection comes up.
-func (i *Injector) lateness() time.Duration {
+// drawConnectDelay returns the delay of a connect, 0 for one that is not delayed.
+func (i *Injector) drawConnectDelay() time.Duration {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if i.rng.Float64() >= i.rates.Late {
+	if i.rng.Float64() >= i.rates.DelayedConnect {
 		return 0
 	}
-	return time.Duration(i.rng.Int64N(int64(LateMost)))
+	return time.Duration(i.rng.Int64N(int64(MaxConnectDelay)))
 }
 
-func asSystem(op string, errno syscall.Errno) error {
+func syscallError(op string, errno syscall.Errno) error {
 	return &net.OpError{Op: op, Net: "tcp", Err: os.NewSyscallError(op, errno)}
 }
 
-// listener is a net.Listener whose accepts fail as the plan says.
+// listener is a net.Listener whose accepts fail at the current rate.
 type listener struct {
 	*net.TCPListener
 	faults *Injector
@@ -109,10 +109,10 @@
 	return &listener{tcp, i}
 }
 
-// Accept fails before it takes a connection, which stays with the kernel.
+// Accept fails before it accepts a connection, which stays in the kernel's queue.
 func (l *listener) Accept() (net.Conn, error) {
-	if errno, fails := l.faults.fails(func(r Rates) float64 { return r.Accept }, acceptErrors); fails {
-		return nil, asSystem("accept", errno)
+	if errno, fails := l.faults.drawError(func(r Rates) float64 { return r.Accept }, acceptErrors); fails {
+		return nil, syscallError("accept", errno)
 	}
 	c, err := l.TCPListener.Accept()
 	if err != nil {
@@ -121,18 +121,18 @@
 	return l.faults.conn(c), nil
 }
 
-// dial wraps a dial function: some connects fail, others come up late.
+// dial wraps a dial function: some connects fail, others are delayed.
 func (i *Injector) dial(next platform.DialFunc) platform.DialFunc {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
-		if errno, fails := i.fails(func(r Rates) float64 { return r.Connect }, connectErrors); fails {
-			return nil, asSystem("connect", errno)
+		if errno, fails := i.drawError(func(r Rates) float64 { return r.Connect }, connectErrors); fails {
+			return nil, syscallError("connect", errno)
 		}
 		c, err := next(ctx, network, addr)
 		if err != nil {
 			return nil, err
 		}
 		select {
-		case <-time.After(i.lateness()):
+		case <-time.After(i.drawConnectDelay()):
 		case <-ctx.Done():
 			_ = c.Close()
 			return nil, ctx.Err()
@@ -141,8 +141,8 @@
 	}
 }
 
-// conn is a connection whose reads and writes may be short. Only the plain methods of a connection are shown, so that
-// nothing goes past them.
+// conn is a connection whose reads and writes may be short. Apart from SyscallConn it has only the
+// methods of net.Conn, so that no ReadFrom or WriteTo bypasses the faults.
 type conn struct {
 	net.Conn
 	raw    *net.TCPConn
@@ -157,48 +157,48 @@
 	return &conn{c, tcp, i}
 }
 
-// SyscallConn lets the program ask the kernel what lies unread.
+// SyscallConn lets the program query the kernel for unread bytes.
 func (c *conn) SyscallConn() (syscall.RawConn, error) { return c.raw.SyscallConn() }
 
-// Read reads from the connection; when a fault is drawn, fewer bytes than asked for, or none with an
-// error of the system.
+// Read reads from the connection. On an injected fault it reads at most 16 bytes, or none and returns
+// a system error.
 func (c *conn) Read(b []byte) (int, error) {
-	errno, fails := c.faults.fails(func(r Rates) float64 { return r.IO }, ioErrors)
+	errno, fails := c.faults.drawError(func(r Rates) float64 { return r.IO }, ioErrors)
 	if !fails || len(b) == 0 {
 		return c.Conn.Read(b)
 	}
-	if n := c.faults.part(min(len(b), 16)); n > 0 {
+	if n := c.faults.drawLength(min(len(b), 16)); n > 0 {
 		return c.Conn.Read(b[:n])
 	}
-	return 0, asSystem("read", errno)
+	return 0, syscallError("read", errno)
 }
 
-// Write writes to the connection; when a fault is drawn, a part of the bytes with an error of the
-// system.
+// Write writes to the connection. On an injected fault it writes fewer bytes than given, possibly
+// none, and returns a system error.
 func (c *conn) Write(b []byte) (int, error) {
-	errno, fails := c.faults.fails(func(r Rates) float64 { return r.IO }, ioErrors)
+	errno, fails := c.faults.drawError(func(r Rates) float64 { return r.IO }, ioErrors)
 	if !fails || len(b) == 0 {
 		return c.Conn.Write(b)
 	}
-	n := c.faults.part(len(b) - 1)
+	n := c.faults.drawLength(len(b) - 1)
 	if n > 0 {
 		var err error
 		if n, err = c.Conn.Write(b[:n]); err != nil {
 			return n, err
 		}
 	}
-	return n, asSystem("write", errno)
+	return n, syscallError("write", errno)
 }
 
-// Window is a time in which rates are in force.
+// Window is a time during which its rates apply.
 type Window struct {
 	From  time.Time `json:"from"`
 	Until time.Time `json:"until"`
 	Rates Rates     `json:"rates"`
 }
 
-// Follow puts the windows' rates in force when their time comes.
-func (i *Injector) Follow(ws []Window) {
+// Schedule applies the rates of each window from its From on, and removes all faults at its Until.
+func (i *Injector) Schedule(ws []Window) {
 	for _, w := range ws {
 		if !w.Until.After(time.Now()) {
 			continue
--- a/internal/fault/sockets/sockets_test.go
+++ b/internal/fault/sockets/sockets_test.go
@@ -14,13 +14,14 @@
 	"oakthread/internal/neterr"
 )
 
-// All that passes is passed unchanged, and every error is one that the program must be able to go on after.
+// Injected faults neither change nor lose transferred bytes, and every injected error is one that the
+// program can continue after: none of accept that ends the listener, none of connect that is not local.
 func TestBytesPassUnchanged(t *testing.T) {
 	plain, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer plain.Close()
 	i := New(1)
-	i.Follow([]Window{{From: time.Now(), Until: time.Now().Add(time.Hour)}})
+	i.Schedule([]Window{{From: time.Now(), Until: time.Now().Add(time.Hour)}})
 	i.Set(Rates{Accept: 0.5, Connect: 0.5, IO: 0.5})
 	network := i.Network()
 	ln := network.Listener(plain)
--- a/internal/fault/wallclock/unsupported.go
+++ b/internal/fault/wallclock/unsupported.go
@@ -1,6 +1,6 @@
 //go:build !(linux && amd64 && cgo)
 
-// Package wallclock steps the wall clock of the running process; on this platform it cannot.
+// Package wallclock steps the wall clock of the running process. This platform is not supported.
 package wallclock
 
 import (
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// ErrUnsupported says that this process's vDSO cannot be changed as this package needs.
+// ErrUnsupported states that the wall clock of this process cannot be stepped.
 var ErrUnsupported = errors.New("wallclock: needs linux, amd64 and cgo")
 
 // Set returns ErrUnsupported.
--- a/internal/fault/wallclock/wallclock.go
+++ b/internal/fault/wallclock/wallclock.go
@@ -1,15 +1,15 @@
 //go:build linux && amd64 && cgo
 
-// Package wallclock steps the wall clock of the running process and of no other, so that tests can show what a step of
-// the system's clock does to a real program. The monotonic clock and timers are left alone, as the kernel leaves them
-// when CLOCK_REALTIME is set.
+// Package wallclock steps the wall clock of the running process only, so that tests can show how a
+// program reacts to a step of the system's clock. The monotonic clock and timers do not change, as
+// when CLOCK_REALTIME is set in the kernel.
 //
-// It stands on the process's own copy of the vDSO: the entry of clock_gettime is replaced by a
-// function that asks the kernel and adds the offset to CLOCK_REALTIME. So every time.Now of the
-// program sees the step. It does not show what the kernel does with absolute timers of
-// CLOCK_REALTIME, of which the Go runtime makes none, nor the times of files.
+// It patches the process's own copy of the vDSO: the entry of clock_gettime jumps to a function that
+// queries the kernel and adds the offset to CLOCK_REALTIME and CLOCK_REALTIME_COARSE. So every
+// time.Now of the program sees the step. Absolute kernel timers of CLOCK_REALTIME, of which the Go
+// runtime creates none, and file times do not see it.
 //
-// It is for tests and the laboratory: no production program may import it.
+// It is for tests and the testbed; no production program may import it.
 package wallclock
 
 /*
@@ -59,8 +59,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrUnsupported says that this process's vDSO cannot be changed as this package needs.
-var ErrUnsupported = errors.New("wallclock: the vDSO of this process cannot be changed")
+// ErrUnsupported states that the vDSO of this process cannot be patched.
+var ErrUnsupported = errors.New("wallclock: the vDSO of this process cannot be patched")
 
 const (
 	entrySymbol    = "__vdso_clock_gettime"
@@ -69,13 +69,14 @@
 )
 
 var (
-	install    sync.Once
-	installErr error
+	installOnce sync.Once
+	installErr  error
 )
 
-// Set moves the wall clock of this process to the system's plus offset, at once. The first call changes the vDSO.
+// Set sets the wall clock of this process to the system's clock plus offset. The first call patches
+// the vDSO; if that fails, this and all later calls return an error that is ErrUnsupported.
 func Set(offset time.Duration) error {
-	install.Do(func() { installErr = replaceEntry() })
+	installOnce.Do(func() { installErr = replaceEntry() })
 	if installErr != nil {
 		return installErr
 	}
@@ -83,14 +84,14 @@
 	return nil
 }
 
-// replaceEntry has clock_gettime of the vDSO jump to ours: by a near jump, written in one store, to a far one in the
-// unused end of the mapping.
+// replaceEntry redirects clock_gettime of the vDSO to stepped_clock_gettime. The entry gets a near
+// jump, written in one atomic store, to a far jump in the unused end of the mapping.
 func replaceEntry() error {
-	base, size, err := mapping()
+	base, size, err := vdsoMapping()
 	if err != nil {
 		return err
 	}
-	// The mapping lives as long as the process: nothing moves or frees it.
+	// The vDSO stays mapped at the same address for the life of the process.
 	image := unsafe.Slice((*byte)(*(*unsafe.Pointer)(unsafe.Pointer(&base))), size)
 	entry, err := entryOffset(image)
 	if err != nil {
@@ -116,8 +117,8 @@
 	return nil
 }
 
-// mapping is where this process's vDSO lies.
-func mapping() (base uintptr, size int, err error) {
+// vdsoMapping returns the address and the size in bytes of this process's vDSO.
+func vdsoMapping() (base uintptr, size int, err error) {
 	maps, err := os.Open("/proc/self/maps")
 	if err != nil {
 		return 0, 0, fmt.Errorf("%w: %w", ErrUnsupported, err)
@@ -136,7 +137,7 @@
 	return 0, 0, ErrUnsupported
 }
 
-// entryOffset is where clock_gettime begins in the vDSO's image.
+// entryOffset returns the offset of clock_gettime in the vDSO image.
 func entryOffset(image []byte) (int, error) {
 	file, err := elf.NewFile(bytes.NewReader(image))
 	if err != nil {
--- a/internal/fault/wallclock/wallclock_test.go
+++ b/internal/fault/wallclock/wallclock_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A step moves the wall alone: what is measured by the monotonic clock goes on, and a step back undoes it.
-func TestSetMovesTheWallAlone(t *testing.T) {
+// A step changes only the wall clock: the monotonic clock runs on, and an offset of 0 undoes the step.
+func TestSetStepsWallClockOnly(t *testing.T) {
 	const tolerance = 30 * time.Second
 	begun := time.Now()
 	system := begun.Round(0)
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -176,7 +176,7 @@
 			case ConnectLate:
 				p.Sockets = append(p.Sockets, sockets.Window{
 					From: from, Until: until,
-					Rates: sockets.Rates{Late: 0.3 + 0.6*t.Amount},
+					Rates: sockets.Rates{DelayedConnect: 0.3 + 0.6*t.Amount},
 				})
 			case TransferFails:
 				p.Sockets = append(p.Sockets, sockets.Window{
