--- a/internal/fault/plan.go
+++ b/internal/fault/plan.go
@@ -1,5 +1,5 @@
-// Package fault injects faults into the testbed's own dispatcher processes: steps of their wall clock
-// and socket faults, at times given in a file. Production programs do not import it.
+// Package fault injects faults into the testbed's own dispatcher processes: steps of their wall
+// clock and socket faults, at times given in a file. Production programs do not import it.
 package fault
 
 import (
--- a/internal/fault/sockets/sockets.go
+++ b/internal/fault/sockets/sockets.go
@@ -37,7 +37,8 @@
 	rates Rates
 }
 
-// New returns an Injector that injects no faults until rates are set. seed seeds its random choices.
+// New returns an Injector that injects no faults until rates are set. seed seeds its random
+// choices.
 func New(seed uint64) *Injector { return &Injector{rng: rand.New(rand.NewPCG(seed, 0x6661756c74))} }
 
 // Set replaces the current rates.
@@ -160,8 +161,8 @@
 // SyscallConn lets the program query the kernel for unread bytes.
 func (c *conn) SyscallConn() (syscall.RawConn, error) { return c.raw.SyscallConn() }
 
-// Read reads from the connection. On an injected fault it reads at most 16 bytes, or none and returns
-// a system error.
+// Read reads from the connection. On an injected fault it reads at most 16 bytes, or none and
+// returns a system error.
 func (c *conn) Read(b []byte) (int, error) {
 	errno, fails := c.faults.drawError(func(r Rates) float64 { return r.IO }, ioErrors)
 	if !fails || len(b) == 0 {
--- a/internal/fault/sockets/sockets_test.go
+++ b/internal/fault/sockets/sockets_test.go
@@ -14,8 +14,9 @@
 	"oakthread/internal/neterr"
 )
 
-// Injected faults neither change nor lose transferred bytes, and every injected error is one that the
-// program can continue after: none of accept that ends the listener, none of connect that is not local.
+// Injected faults neither change nor lose transferred bytes, and every injected error is one that
+// the program can continue after: none of accept that ends the listener, none of connect that is
+// not local.
 func TestBytesPassUnchanged(t *testing.T) {
 	plain, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/fault/wallclock/wallclock.go
+++ b/internal/fault/wallclock/wallclock.go
@@ -4,8 +4,8 @@
 // program reacts to a step of the system's clock. The monotonic clock and timers do not change, as
 // when CLOCK_REALTIME is set in the kernel.
 //
-// It patches the process's own copy of the vDSO: the entry of clock_gettime jumps to a function that
-// queries the kernel and adds the offset to CLOCK_REALTIME and CLOCK_REALTIME_COARSE. So every
+// It patches the process's own copy of the vDSO: the entry of clock_gettime jumps to a function
+// that queries the kernel and adds the offset to CLOCK_REALTIME and CLOCK_REALTIME_COARSE. So every
 // time.Now of the program sees the step. Absolute kernel timers of CLOCK_REALTIME, of which the Go
 // runtime creates none, and file times do not see it.
 //
--- a/internal/fault/wallclock/wallclock_test.go
+++ b/internal/fault/wallclock/wallclock_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// A step changes only the wall clock: the monotonic clock runs on, and an offset of 0 undoes the step.
+// A step changes only the wall clock: the monotonic clock runs on, and an offset of 0 undoes it.
 func TestSetStepsWallClockOnly(t *testing.T) {
 	const tolerance = 30 * time.Second
 	begun := time.Now()
--- a/internal/loganalysis/logline.go
+++ b/internal/loganalysis/logline.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// parseFields returns the fields of a line of slog's text or JSON handler. A text line may start with
-// a prefix added by a log collector. It returns nil for any other line.
+// parseFields returns the fields of a line of slog's text or JSON handler. A text line may start
+// with a prefix added by a log collector. It returns nil for any other line.
 func parseFields(line string) map[string]string {
 	if strings.HasPrefix(line, "{") {
 		return parseJSONFields(line)
--- a/internal/soak/campaign.go
+++ b/internal/soak/campaign.go
@@ -1,6 +1,6 @@
 package soak
 
-// A campaign: runs over many seeds, some at a time, the shortening of what fails, and the table.
+// A campaign: concurrent runs over many seeds, shortening of failing schedules, and the table.
 
 import (
 	"context"
@@ -20,15 +20,15 @@
 	"oakthread/internal/lab"
 )
 
-// Options of a campaign.
+// Options configure a campaign.
 type Options struct {
 	Seed      uint64 // the first
 	Seeds     int
 	Processes int
-	Jobs      int    // runs at a time
+	Jobs      int    // concurrent runs; 0: half the CPUs, at least 1
 	Only      []Kind // empty: all kinds
 	Replay    *Schedule
-	Shorten   bool // what fails is run again with less, to the shortest that fails
+	Shorten   bool // shorten failing schedules by running them again with fewer and shorter faults
 	Dir       string
 	Program   lab.Program
 	Progress  func(format string, args ...any)
@@ -37,31 +37,31 @@
 // Limits of a campaign on this machine.
 const (
 	maxProcesses           = 40
-	maxConcurrentProcesses = 240                // processes of all runs together
+	maxConcurrentProcesses = 240                // in all concurrent runs together
 	maxMemoryBytes         = 12 << 30           // bytes
-	processMemoryBytes     = 48 << 20           // bytes that a process may come to
-	shortenTime            = 4 * time.Minute    // for all that fails
-	hardTime               = 90 * time.Second   // for one run
-	seedsQuick             = 3                  // of the quick form
-	processQuick           = 10                 // and its processes
+	processMemoryBytes     = 48 << 20           // bytes budgeted for one process
+	shortenTimeout         = 4 * time.Minute    // for all failing schedules together
+	runTimeout             = 90 * time.Second   // for one run
+	quickSeeds             = 3                  // of Options.Quick
+	quickProcesses         = 10                 // of Options.Quick
 	tableColumn            = 2                  // spaces between columns of the table
-	progressEvery          = 10                 // runs between two lines of progress
+	progressEvery          = 10                 // runs between two progress lines
 	maxViolationsPrinted   = 12                 // of one run
 	jsonIndent             = " "                // of the report
-	reportName             = "soak.json"        // in the campaign's folder
-	scheduleName           = "shortest.json"    // of what fails, in the run's folder
+	reportName             = "soak.json"        // in the campaign's directory
+	scheduleName           = "shortest.json"    // the shortened schedule, in the run's directory
 	runFolder              = "seed-%d"          // of a run
-	shorterFolder          = "seed-%d-short-%d" // of a shortened one
+	shorterFolder          = "seed-%d-short-%d" // of a run of a shortened schedule
 )
 
-// ErrTooLarge says that a campaign would take more processes or memory than it may.
+// ErrTooLarge states that the options of a campaign exceed its limits of processes or memory.
 var ErrTooLarge = errors.New("soak: too many processes at a time")
 
-// Campaign is what came of all runs.
+// Campaign holds the results of all runs.
 type Campaign struct {
 	Runs  []Result            `json:"runs"`
 	Pairs map[string]*Pair    `json:"pairs"`
-	Short map[uint64]Schedule `json:"short,omitempty"` // the shortest schedules that fail, by seed
+	Short map[uint64]Schedule `json:"short,omitempty"` // shortened failing schedules, by seed
 }
 
 // Pair counts the runs in which two faults overlapped.
@@ -69,7 +69,7 @@
 	Played, Failed int
 }
 
-// Failed are the runs with violations, inconclusive ones left out.
+// Failed returns the runs with violations, without the inconclusive ones.
 func (c *Campaign) Failed() (out []Result) {
 	for _, result := range c.Runs {
 		if len(result.Violations) > 0 && !result.Inconclusive() {
@@ -79,26 +79,26 @@
 	return out
 }
 
-// Quick are the options of the short form: three seeds of ten processes.
+// Quick returns the options of a short campaign: three seeds of ten processes, without shortening.
 func (o Options) Quick() Options {
-	o.Seeds, o.Processes, o.Shorten = seedsQuick, processQuick, false
+	o.Seeds, o.Processes, o.Shorten = quickSeeds, quickProcesses, false
 	return o
 }
 
-// check refuses what the machine is not to bear.
+// check rejects options that exceed the limits of a campaign.
 func (o Options) check() error {
 	switch {
 	case o.Processes < 1 || o.Processes > maxProcesses || o.Seeds < 1 || o.Jobs < 1:
-		return fmt.Errorf("%w: 1 to %d processes, one seed and one job at the least", ErrTooLarge, maxProcesses)
+		return fmt.Errorf("%w: need 1 to %d processes, at least one seed and one job", ErrTooLarge, maxProcesses)
 	case o.Processes*o.Jobs > maxConcurrentProcesses || o.Processes*o.Jobs*processMemoryBytes > maxMemoryBytes:
-		return fmt.Errorf("%w: %d, and %d may run", ErrTooLarge, o.Processes*o.Jobs,
+		return fmt.Errorf("%w: %d requested, at most %d allowed", ErrTooLarge, o.Processes*o.Jobs,
 			min(maxConcurrentProcesses, maxMemoryBytes/processMemoryBytes))
 	}
 	return nil
 }
 
-// Play runs a campaign. The error reports runs that could not be made; violations are in the
-// campaign.
+// Play runs a campaign. The error reports invalid options, runs that could not be carried out and a
+// report that could not be written; violations are in the campaign.
 func Play(ctx context.Context, options Options) (*Campaign, error) {
 	if options.Jobs == 0 {
 		options.Jobs = max(1, runtime.NumCPU()/2)
@@ -123,19 +123,19 @@
 	return c, errors.Join(err, c.write(filepath.Join(options.Dir, reportName)))
 }
 
-// playAll plays schedules, some at a time.
+// playAll runs the schedules, at most options.Jobs at a time.
 func (c *Campaign) playAll(ctx context.Context, options Options, schedules []Schedule) error {
 	var mu sync.Mutex
 	var failed error
 	var runs sync.WaitGroup
-	places := make(chan struct{}, options.Jobs)
+	slots := make(chan struct{}, options.Jobs)
 	for _, schedule := range schedules {
-		places <- struct{}{}
+		slots <- struct{}{}
 		runs.Go(func() {
-			defer func() { <-places }()
-			one, cancel := context.WithTimeout(ctx, hardTime)
+			defer func() { <-slots }()
+			runCtx, cancel := context.WithTimeout(ctx, runTimeout)
 			defer cancel()
-			result, err := Run(one, schedule, filepath.Join(options.Dir, fmt.Sprintf(runFolder, schedule.Seed)),
+			result, err := Run(runCtx, schedule, filepath.Join(options.Dir, fmt.Sprintf(runFolder, schedule.Seed)),
 				options.Program)
 			mu.Lock()
 			defer mu.Unlock()
@@ -150,13 +150,13 @@
 	return failed
 }
 
-// reportProgress writes progress.
+// reportProgress reports the violations of a run, and the number of runs done from time to time.
 func reportProgress(options Options, result Result, done, all int) {
 	if options.Progress == nil {
 		return
 	}
 	if result.Inconclusive() {
-		options.Progress("seed %d: inconclusive, the laboratory stood still for %v (%d violations not counted)",
+		options.Progress("seed %d: inconclusive, the testbed process stalled for %v (%d violations not counted)",
 			result.Schedule.Seed, result.Stalled, len(result.Violations))
 	} else if len(result.Violations) > 0 {
 		options.Progress("seed %d: %d violations, in %s", result.Schedule.Seed, len(result.Violations), result.Dir)
@@ -169,7 +169,7 @@
 	}
 }
 
-// add takes a run into the campaign and counts its pairs of faults.
+// add adds the result of a run and counts its pairs of faults, unless it is inconclusive.
 func (c *Campaign) add(result Result) {
 	c.Runs = append(c.Runs, result)
 	if result.Inconclusive() {
@@ -186,25 +186,27 @@
 	}
 }
 
-// shorten runs what failed again with less, as far as it still breaks one of the same rules.
+// shorten shortens each failing schedule as far as it still violates one of the same rules, within
+// shortenTimeout.
 func (c *Campaign) shorten(ctx context.Context, options Options) {
-	within, cancel := context.WithTimeout(ctx, shortenTime)
+	shortenCtx, cancel := context.WithTimeout(ctx, shortenTimeout)
 	defer cancel()
 	for _, result := range c.Failed() {
 		runs := 0
 		short := result.Schedule.Shorten(func(schedule Schedule) bool {
-			if within.Err() != nil {
+			if shortenCtx.Err() != nil {
 				return false
 			}
 			runs++
-			again, err := Run(within, schedule, filepath.Join(options.Dir,
+			again, err := Run(shortenCtx, schedule, filepath.Join(options.Dir,
 				fmt.Sprintf(shorterFolder, schedule.Seed, runs)), options.Program)
 			return err == nil && !again.Inconclusive() && sharesRule(result.Violations, again.Violations)
 		})
 		c.Short[result.Schedule.Seed] = short
 		path := filepath.Join(result.Dir, scheduleName)
 		if err := short.Write(path); err == nil && options.Progress != nil {
-			options.Progress("seed %d: shortest that fails, of %d runs: %v; play it with testbed run soak --replay %s",
+			options.Progress(
+				"seed %d: shortest failing schedule after %d runs: %v; replay it with testbed run soak --replay %s",
 				result.Schedule.Seed, runs, short.Faults, path)
 		}
 	}
@@ -224,8 +226,8 @@
 	return os.WriteFile(path, raw, 0o600)
 }
 
-// Print writes the table: by pair of faults how often it was played and failed, then the sums by
-// rule.
+// Print writes a table with the number of runs and of failed runs of each pair of faults, then the
+// totals and the violations of each rule.
 func (c *Campaign) Print(out io.Writer) {
 	t := tabwriter.NewWriter(out, 0, 0, tableColumn, ' ', 0)
 	fmt.Fprintln(t, "troubles\tplayed\tfailed")
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -1,7 +1,7 @@
 package soak
 
-// The clients: raw connections on which requests are written and answers read, and a record of each
-// request. Whether a rule was broken is decided by the oracle alone.
+// The clients: they write requests to raw connections, read the answers and record each request.
+// Only the oracle decides whether a rule was violated.
 
 import (
 	"bufio"
@@ -20,56 +20,56 @@
 	"oakthread/internal/lab"
 )
 
-// End is how a request ended for its client.
+// End is the way in which a request ended for its client.
 type End string
 
 // Ends of a request.
 const (
-	NotSent    End = "not sent"    // no connection, or it ended before the last byte was written
-	Answered   End = "answered"    // a complete answer came
-	Cut        End = "cut"         // a part of an answer came
-	Closed     End = "closed"      // the connection ended, and nothing came
-	Overdue    End = "overdue"     // nothing came in time
-	Left       End = "left"        // the client left before
-	Incomplete End = "never whole" // the client did not write all of it
+	NotSent    End = "not sent"    // no connection, or it failed before the last byte was written
+	Answered   End = "answered"    // a complete answer was received
+	Truncated  End = "cut"         // only a part of an answer was received
+	Closed     End = "closed"      // the connection ended without an answer
+	Overdue    End = "overdue"     // no complete answer within the client's timeout and slack
+	Left       End = "left"        // the client left before the answer
+	Incomplete End = "never whole" // the client did not send the complete request
 )
 
 // Request is the record of one request.
 type Request struct {
-	ID      string        `json:"id"`
-	Node    int           `json:"node"`
-	Class   int           `json:"class"`
-	Reused  bool          `json:"reused"` // its connection had carried another before
-	Sent    time.Time     `json:"sent"`   // before its first byte
-	SentAt  time.Time     `json:"whole"`  // when its last byte was written
-	Timeout time.Duration `json:"patience"`
-	Ended   time.Time     `json:"ended"`
-	End     End           `json:"end"`
-	Status  int           `json:"status"`
-	Wrong   bool          `json:"wrong"` // served with what no executor made for it
-	Second  bool          `json:"second"`
-	LeftAt  time.Time     `json:"left_at"`
-	Err     string        `json:"err,omitempty"`
+	ID           string        `json:"id"`
+	Node         int           `json:"node"`
+	Class        int           `json:"class"`
+	Reused       bool          `json:"reused"` // its connection had carried an earlier request
+	SendStart    time.Time     `json:"sent"`   // before its first byte was written
+	SendEnd      time.Time     `json:"whole"`  // when its last byte was written
+	Timeout      time.Duration `json:"patience"`
+	Ended        time.Time     `json:"ended"`
+	End          End           `json:"end"`
+	Status       int           `json:"status"`
+	WrongBody    bool          `json:"wrong"` // status 200 with a body that no executor produced for it
+	SecondAnswer bool          `json:"second"`
+	LeftAt       time.Time     `json:"left_at"`
+	Err          string        `json:"err,omitempty"`
 }
 
-// behaviour is what the clients of a node do, each by a share of their calls.
+// behaviour holds the shares of calls, from 0 to 1, that show each kind of client behaviour.
 type behaviour struct {
-	Leave, Dawdle, Retry, Brief float64
+	Leave, SlowSend, Retry, ShortTimeout float64
 }
 
 const (
-	late                  = 500 * time.Millisecond // an answer so much past its time earns nothing; later it is lost
-	readSlack             = 300 * time.Millisecond // for this machine, beyond that
+	lateAnswerSlack       = 500 * time.Millisecond // an answer up to this late earns nothing, a later one is lost
+	readSlack             = 300 * time.Millisecond // beyond that, for a busy machine
 	dialTime              = time.Second
 	maxIdleConns          = 16
-	slowRequestTime       = 900 * time.Millisecond // in pieces, but within the front's time for a head and a body
+	slowRequestTime       = 900 * time.Millisecond // of a request in pieces; within the dispatcher's limit
 	incompleteRequestTime = 4 * time.Second
-	briefTime             = 60 * time.Millisecond // at the most, for clients in a hurry
-	keepFor               = 3500 * time.Millisecond
-	crowdPause            = 100 * time.Millisecond // on the mean, between two calls of a client in a crowd
+	maxShortTimeout       = 60 * time.Millisecond // for clients with a short timeout
+	maxIdleTime           = 3500 * time.Millisecond
+	crowdPause            = 100 * time.Millisecond // mean pause between two calls of a crowd client
 )
 
-// Clients are the clients of one dispatcher.
+// Clients simulates the clients of one dispatcher.
 type Clients struct {
 	node    int
 	addr    string
@@ -78,12 +78,12 @@
 	models  int
 	rng     *rand.Rand
 
-	mu      sync.Mutex
-	how     behaviour
-	idle    []*clientConn
-	records []*Request
-	seq     atomic.Int64
-	wait    sync.WaitGroup
+	mu        sync.Mutex
+	behaviour behaviour
+	idle      []*clientConn
+	records   []*Request
+	seq       atomic.Int64
+	calls     sync.WaitGroup
 }
 
 // clientConn is a pooled connection of a client.
@@ -100,24 +100,24 @@
 	}
 }
 
-// behave changes what the clients do from now on.
-func (c *Clients) behave(change func(*behaviour)) {
+// changeBehaviour changes the behaviour of later calls.
+func (c *Clients) changeBehaviour(change func(*behaviour)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	change(&c.how)
+	change(&c.behaviour)
 }
 
-// Records are the requests so far; complete once run has returned.
+// Records returns the requests that have ended so far; all of them once run has returned.
 func (c *Clients) Records() []*Request {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]*Request(nil), c.records...)
 }
 
-// run sends calls at random moments until ctx ends, then waits for the last answers.
+// run sends calls as a Poisson process until ctx ends, then waits for the last answers.
 func (c *Clients) run(ctx context.Context) {
 	defer func() {
-		c.wait.Wait()
+		c.calls.Wait()
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		for _, conn := range c.idle {
@@ -136,27 +136,27 @@
 			return
 		case <-time.After(time.Until(next)):
 		}
-		c.wait.Go(func() { c.call(call) })
+		c.calls.Go(func() { c.call(call) })
 	}
 }
 
-// plannedCall is a call as it was drawn.
+// plannedCall holds the randomly drawn properties of a call.
 type plannedCall struct {
-	class     int
-	model     uint64
-	timeout   time.Duration
-	leave     time.Duration // after its last byte; 0: the client stays
-	leaveMode int           // of leaving
-	dawdle    int           // 0: not; 1: in pieces; 2: never complete
-	retry     bool
-	fresh     bool // on a new connection
+	class      int
+	model      uint64
+	timeout    time.Duration
+	leaveAfter time.Duration // after its last byte; 0: the client waits for the answer
+	leaveMode  int           // see leave
+	slowSend   int           // 0: no; 1: sent slowly in pieces; 2: the last piece is never sent
+	retry      bool
+	newConn    bool // on a new connection
 }
 
 // drawCall draws the next call; the caller holds mu.
 func (c *Clients) drawCall() plannedCall {
 	planned := plannedCall{
 		class: len(c.figures.Classes) - 1, model: 0x7f00 + uint64(c.rng.IntN(c.models)),
-		fresh: c.rng.IntN(4) == 0,
+		newConn: c.rng.IntN(4) == 0,
 	}
 	u := c.rng.Float64()
 	for i, k := range c.figures.Classes {
@@ -166,29 +166,31 @@
 		}
 	}
 	planned.timeout = c.figures.Classes[planned.class].ClientTimeout
-	if c.rng.Float64() < c.how.Brief {
-		planned.timeout = time.Millisecond + time.Duration(c.rng.Int64N(int64(briefTime)))
+	if c.rng.Float64() < c.behaviour.ShortTimeout {
+		planned.timeout = time.Millisecond + time.Duration(c.rng.Int64N(int64(maxShortTimeout)))
 	}
-	if c.rng.Float64() < c.how.Leave {
-		planned.leave, planned.leaveMode = time.Duration(1+c.rng.Int64N(int64(250*time.Millisecond))), c.rng.IntN(3)
+	if c.rng.Float64() < c.behaviour.Leave {
+		planned.leaveAfter, planned.leaveMode = time.Duration(1+c.rng.Int64N(int64(250*time.Millisecond))),
+			c.rng.IntN(3)
 	}
-	if c.rng.Float64() < c.how.Dawdle {
-		planned.dawdle = 1 + c.rng.IntN(2)
+	if c.rng.Float64() < c.behaviour.SlowSend {
+		planned.slowSend = 1 + c.rng.IntN(2)
 	}
-	planned.retry = c.rng.Float64() < c.how.Retry
+	planned.retry = c.rng.Float64() < c.behaviour.Retry
 	return planned
 }
 
-// call makes a call and what follows from it: one that crossed the close of an idle connection is
-// sent again, once, and a refused one by clients that come again at once.
+// call sends a call. If the dispatcher closed an idle connection at the moment of the request, the
+// call is sent again, once, on a new connection. With planned.retry a refused call is sent again at
+// once, up to three times.
 func (c *Clients) call(planned plannedCall) {
 	request := c.send(planned)
-	if request.End == Closed && request.Reused && request.Ended.Sub(request.SentAt) < crossed {
-		planned.fresh = true
+	if request.End == Closed && request.Reused && request.Ended.Sub(request.SendEnd) < closeRaceWindow {
+		planned.newConn = true
 		request = c.send(planned)
 	}
 	for runs := 0; planned.retry && runs < 3 && request.End == Answered && refused(request.Status); runs++ {
-		planned.fresh = true
+		planned.newConn = true
 		request = c.send(planned)
 	}
 }
@@ -197,13 +199,13 @@
 	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 }
 
-// connection is an idle one, or a new one.
-func (c *Clients) connection(fresh bool) (*clientConn, bool, error) {
+// acquireConn returns an idle connection or a new one, and whether it was used before.
+func (c *Clients) acquireConn(fresh bool) (*clientConn, bool, error) {
 	c.mu.Lock()
 	for n := len(c.idle); n > 0 && !fresh; n = len(c.idle) {
 		k := c.idle[n-1]
 		c.idle = c.idle[:n-1]
-		if time.Since(k.used) < keepFor {
+		if time.Since(k.used) < maxIdleTime {
 			c.mu.Unlock()
 			return k, true, nil
 		}
@@ -217,8 +219,8 @@
 	return &clientConn{Conn: conn, in: bufio.NewReader(conn)}, false, nil
 }
 
-// giveBack returns a connection to the pool; a full pool closes the one that is idle for longest.
-func (c *Clients) giveBack(conn *clientConn) {
+// releaseConn returns a connection to the pool; a full pool closes its longest idle connection.
+func (c *Clients) releaseConn(conn *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	conn.used = time.Now()
@@ -229,7 +231,7 @@
 	c.idle = append(c.idle, conn)
 }
 
-// send makes one request and records it.
+// send sends one request, reads the answer and records the request.
 func (c *Clients) send(planned plannedCall) *Request {
 	request := &Request{
 		ID: fmt.Sprintf("%03x%013x", c.node, c.seq.Add(1)), Node: c.node, Class: planned.class,
@@ -241,13 +243,13 @@
 		c.records = append(c.records, request)
 		c.mu.Unlock()
 	}()
-	request.Sent = time.Now()
-	conn, reused, err := c.connection(planned.fresh)
+	request.SendStart = time.Now()
+	conn, reused, err := c.acquireConn(planned.newConn)
 	if err != nil {
 		request.Err = err.Error()
 		return request
 	}
-	request.Reused, request.Sent = reused, time.Now()
+	request.Reused, request.SendStart = reused, time.Now()
 	body := "slot " + request.ID
 	head := fmt.Sprintf("POST /call/%016x/trigger HTTP/1.1\r\nHost: origin.svc\r\nX-Class: %s\r\nX-Call-Id: "+
 		"%s\r\nX-Patience-Ms: %d\r\n"+
@@ -258,17 +260,17 @@
 		_ = conn.Close()
 		return request
 	}
-	request.SentAt = time.Now()
-	if planned.leave > 0 {
-		time.AfterFunc(planned.leave, func() { leave(conn.Conn, planned.leaveMode) })
+	request.SendEnd = time.Now()
+	if planned.leaveAfter > 0 {
+		time.AfterFunc(planned.leaveAfter, func() { leave(conn.Conn, planned.leaveMode) })
 	}
 	c.read(conn, request, planned, body)
 	return request
 }
 
-// write writes a request, in pieces where the client dawdles; false: not all of it was written.
+// write writes a request, in pieces for a slow sender, and reports whether all of it was written.
 func (c *Clients) write(conn *clientConn, request *Request, planned plannedCall, text string) bool {
-	if planned.dawdle == 0 {
+	if planned.slowSend == 0 {
 		if _, err := io.WriteString(conn, text); err != nil {
 			request.Err = err.Error()
 			return false
@@ -277,10 +279,10 @@
 	}
 	const pieces = 4
 	for i := range pieces {
-		if planned.dawdle == 2 && i == pieces-1 {
+		if planned.slowSend == 2 && i == pieces-1 {
 			request.End = Incomplete
 			_ = conn.SetReadDeadline(time.Now().Add(incompleteRequestTime))
-			_, _ = io.Copy(io.Discard, conn) // until the dispatcher ends it
+			_, _ = io.Copy(io.Discard, conn) // until the dispatcher closes the connection
 			return false
 		}
 		if _, err := io.WriteString(conn, text[len(text)*i/pieces:len(text)*(i+1)/pieces]); err != nil {
@@ -294,7 +296,7 @@
 	return true
 }
 
-// leave ends a client's side: closed, reset, or only for sending.
+// leave closes a connection, resets it (mode 1) or shuts down only its sending side (mode 2).
 func leave(conn net.Conn, mode int) {
 	t, ok := conn.(*net.TCPConn)
 	switch {
@@ -308,9 +310,9 @@
 	}
 }
 
-// read reads the answer.
+// read reads the answer and records how the request ended.
 func (c *Clients) read(conn *clientConn, request *Request, planned plannedCall, body string) {
-	_ = conn.SetReadDeadline(request.SentAt.Add(planned.timeout + late + readSlack))
+	_ = conn.SetReadDeadline(request.SendEnd.Add(planned.timeout + lateAnswerSlack + readSlack))
 	//nolint:bodyclose // read up to its end below; the connection is its caller's
 	resp, err := http.ReadResponse(conn.in, nil)
 	var got []byte
@@ -318,8 +320,8 @@
 		request.Status = resp.StatusCode
 		got, err = io.ReadAll(resp.Body)
 	}
-	if planned.leave > 0 && time.Since(request.SentAt) >= planned.leave {
-		request.End, request.LeftAt = Left, request.SentAt.Add(planned.leave)
+	if planned.leaveAfter > 0 && time.Since(request.SendEnd) >= planned.leaveAfter {
+		request.End, request.LeftAt = Left, request.SendEnd.Add(planned.leaveAfter)
 		_ = conn.Close()
 		return
 	}
@@ -329,7 +331,7 @@
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		request.End = Overdue
 	case request.Status != 0 || conn.in.Buffered() > 0:
-		request.End = Cut
+		request.End = Truncated
 	default:
 		request.End = Closed
 	}
@@ -338,17 +340,17 @@
 		_ = conn.Close()
 		return
 	}
-	request.Wrong = request.Status == http.StatusOK && string(got) != request.ID+body
-	request.Second = conn.in.Buffered() > 0
-	if resp.Close || planned.leave > 0 || request.Second {
+	request.WrongBody = request.Status == http.StatusOK && string(got) != request.ID+body
+	request.SecondAnswer = conn.in.Buffered() > 0
+	if resp.Close || planned.leaveAfter > 0 || request.SecondAnswer {
 		_ = conn.Close()
 		return
 	}
 	_ = conn.SetReadDeadline(time.Time{})
-	c.giveBack(conn)
+	c.releaseConn(conn)
 }
 
-// burst has so many clients ask one call after the other until ctx ends, each on a new connection.
+// burst runs clients that send call after call until ctx ends, each call on a new connection.
 func (c *Clients) burst(ctx context.Context, clients int) {
 	var wait sync.WaitGroup
 	for range clients {
@@ -357,7 +359,7 @@
 				c.mu.Lock()
 				planned := c.drawCall()
 				c.mu.Unlock()
-				planned.fresh = true
+				planned.newConn = true
 				c.send(planned)
 			}
 		})
@@ -365,8 +367,8 @@
 	wait.Wait()
 }
 
-// crowd has further clients ask one call after the other until ctx ends, on connections that they keep,
-// also while the dispatcher ends.
+// crowd runs further clients that send call after call until ctx ends, on connections that they
+// keep, even while the dispatcher shuts down.
 func (c *Clients) crowd(ctx context.Context, clients int) {
 	var wait sync.WaitGroup
 	for range clients {
@@ -376,7 +378,7 @@
 				planned := c.drawCall()
 				pause := time.Duration(c.rng.Int64N(int64(2 * crowdPause)))
 				c.mu.Unlock()
-				planned.fresh = false
+				planned.newConn = false
 				c.send(planned)
 				time.Sleep(pause)
 			}
@@ -385,7 +387,7 @@
 	wait.Wait()
 }
 
-// flood opens connections that say nothing and closes them when ctx ends.
+// flood opens n connections, sends nothing on them and closes them when ctx ends.
 func (c *Clients) flood(ctx context.Context, n int) {
 	var conns []net.Conn
 	for range n {
--- a/internal/soak/executor.go
+++ b/internal/soak/executor.go
@@ -1,7 +1,7 @@
 package soak
 
-// The wrapper of an executor: a record of every request that came to it, and the faults of its
-// answers.
+// The wrapper of an executor: it records every request that reaches the executor and injects faults
+// into its answers.
 
 import (
 	"math/rand/v2"
@@ -14,30 +14,30 @@
 	"time"
 )
 
-// Arrival is a call that came to an executor.
+// Arrival is the record of a call that reached an executor.
 type Arrival struct {
 	Executor int           `json:"executor"`
 	ID       string        `json:"id"`
-	At       time.Time     `json:"at"` // when its head was complete
+	At       time.Time     `json:"at"` // when its head had been read
 	Budget   time.Duration `json:"budget"`
-	Ran      bool          `json:"ran"` // it was taken on
+	Ran      bool          `json:"ran"` // it was executed: answered with 200 or 500
 	Status   int           `json:"status"`
 }
 
-// executor watches the requests of one executor and spoils its answers.
+// executor records the requests to one executor and corrupts its answers.
 type executor struct {
 	n int
 
-	mu       sync.Mutex
-	rng      *rand.Rand
-	spoil    map[Kind]float64 // shares
-	arrivals []*Arrival
-	orders   []LoadOrder
+	mu         sync.Mutex
+	rng        *rand.Rand
+	faultRates map[Kind]float64 // shares of answers
+	arrivals   []*Arrival
+	loadOrders []LoadOrder
 
-	nodeOf func(host string) int // whose link ends at an address
+	nodeOf func(host string) int // the dispatcher whose links use an address; -1: none
 }
 
-// LoadOrder is an order to load that came to an executor.
+// LoadOrder is the record of a load order that reached an executor.
 type LoadOrder struct {
 	Node     int
 	Executor int
@@ -45,39 +45,42 @@
 }
 
 func newExecutor(n int, seed uint64, nodeOf func(host string) int) *executor {
-	return &executor{n: n, nodeOf: nodeOf, rng: rand.New(rand.NewPCG(seed, uint64(n)+1<<32)), spoil: map[Kind]float64{}}
+	return &executor{
+		n: n, nodeOf: nodeOf, rng: rand.New(rand.NewPCG(seed, uint64(n)+1<<32)),
+		faultRates: map[Kind]float64{},
+	}
 }
 
-// set makes a share of the answers fail by a kind of fault; 0: none.
-func (e *executor) set(kind Kind, share float64) {
+// setFaultRate sets the share of the answers that get a kind of fault, from 0 to 1.
+func (e *executor) setFaultRate(kind Kind, share float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.spoil[kind] = share
+	e.faultRates[kind] = share
 }
 
-func (e *executor) draws(kind Kind) bool {
+func (e *executor) drawFault(kind Kind) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.rng.Float64() < e.spoil[kind]
+	return e.rng.Float64() < e.faultRates[kind]
 }
 
-func (e *executor) received() []*Arrival {
+func (e *executor) receivedCalls() []*Arrival {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]*Arrival(nil), e.arrivals...)
 }
 
-// secondMost is how long after the first a second answer may come. With what the links add on a
-// busy machine it stays below the 10 ms for which a dispatcher watches a connection: a second
-// answer after that cannot be distinguished from the next one.
-const secondMost = 5 * time.Millisecond
+// maxSecondAnswerDelay limits the delay of a duplicate answer after the first. With the delay that
+// the links add on a busy machine it stays below the 10 ms for which a dispatcher watches a
+// connection: after that, a duplicate cannot be distinguished from the answer to the next request.
+const maxSecondAnswerDelay = 5 * time.Millisecond
 
-// wrap is the executor's handler with the record and the spoiling.
+// wrap returns the executor's handler with recording and fault injection around it.
 func (e *executor) wrap(own http.Handler) http.Handler {
 	return http.HandlerFunc(func(response http.ResponseWriter, request *http.Request) {
 		id := request.Header.Get("X-Hop-Id")
-		if id == "" { // a probe or an order
-			e.order(request)
+		if id == "" { // a probe or a load order
+			e.recordLoadOrder(request)
 			own.ServeHTTP(response, request)
 			return
 		}
@@ -92,12 +95,12 @@
 		arrival.Status = rec.Code
 		arrival.Ran = rec.Code == http.StatusOK || rec.Code == http.StatusInternalServerError
 		e.mu.Unlock()
-		e.answer(response, rec)
+		e.writeAnswer(response, rec)
 	})
 }
 
-// order records an order to load; one for no copies only asks.
-func (e *executor) order(request *http.Request) {
+// recordLoadOrder records a load order. A request for 0 copies only queries and is not recorded.
+func (e *executor) recordLoadOrder(request *http.Request) {
 	if request.Method != http.MethodPut || strings.HasSuffix(request.URL.Path, "/0") {
 		return
 	}
@@ -107,19 +110,20 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.orders = append(e.orders, LoadOrder{e.nodeOf(host), e.n, time.Now()})
+	e.loadOrders = append(e.loadOrders, LoadOrder{e.nodeOf(host), e.n, time.Now()})
 }
 
-func (e *executor) ordered() []LoadOrder {
+func (e *executor) receivedLoadOrders() []LoadOrder {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]LoadOrder(nil), e.orders...)
+	return append([]LoadOrder(nil), e.loadOrders...)
 }
 
-// answer writes what the executor answered, spoilt where that is drawn.
-func (e *executor) answer(response http.ResponseWriter, rec *httptest.ResponseRecorder) {
-	twice, pieces, cut, closes := e.draws(AnswerTwice), e.draws(AnswerPieces), e.draws(AnswerCut), e.draws(IdleClosed)
-	if !twice && !pieces && !cut {
+// writeAnswer writes the executor's answer, corrupted by the faults that are drawn for it.
+func (e *executor) writeAnswer(response http.ResponseWriter, rec *httptest.ResponseRecorder) {
+	duplicate, fragmented, truncated, closes := e.drawFault(AnswerDuplicate), e.drawFault(AnswerFragmented),
+		e.drawFault(AnswerTruncated), e.drawFault(IdleClosed)
+	if !duplicate && !fragmented && !truncated {
 		for name, values := range rec.Header() {
 			response.Header()[name] = values
 		}
@@ -137,9 +141,9 @@
 	defer conn.Close()
 	text := rawAnswer(rec)
 	switch {
-	case cut:
+	case truncated:
 		_, _ = conn.Write(text[:len(text)/2])
-	case pieces:
+	case fragmented:
 		for at := 0; at < len(text); at += len(text)/5 + 1 {
 			_, _ = conn.Write(text[at:min(len(text), at+len(text)/5+1)])
 			time.Sleep(time.Millisecond)
@@ -150,22 +154,22 @@
 		e.mu.Lock()
 		wait := time.Duration(e.rng.Int64N(int64(4 * time.Millisecond)))
 		e.mu.Unlock()
-		begun := time.Now()
+		started := time.Now()
 		time.Sleep(wait)
-		if time.Since(begun) <= secondMost { // later it would be another fault
+		if time.Since(started) <= maxSecondAnswerDelay { // later, it would be taken for the next answer
 			_, _ = conn.Write(text)
 		}
 		lingerOpen(conn)
 	}
 }
 
-// lingerOpen leaves a connection open for a while, as an idle one is.
+// lingerOpen keeps a connection open for up to 200 ms, like an idle one.
 func lingerOpen(conn net.Conn) {
 	_ = conn.SetReadDeadline(time.Now().Add(200 * time.Millisecond))
 	_, _ = conn.Read(make([]byte, 1))
 }
 
-// rawAnswer returns a recorded answer as it goes over the wire.
+// rawAnswer returns a recorded answer as HTTP/1.1 bytes.
 func rawAnswer(rec *httptest.ResponseRecorder) []byte {
 	out := []byte("HTTP/1.1 " + strconv.Itoa(rec.Code) + " " + http.StatusText(rec.Code) + "\r\n")
 	rec.Header().Set("Content-Length", strconv.Itoa(rec.Body.Len()))
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -1,6 +1,6 @@
 package soak
 
-// How each fault is injected and ended.
+// Injection and removal of each kind of fault.
 
 import (
 	"context"
@@ -13,52 +13,52 @@
 	"oakthread/internal/lab"
 )
 
-// inject injects a fault for its time.
+// inject injects a fault at its time, and removes it when its duration is over.
 func (w *world) inject(ctx context.Context, fault Fault) {
-	if !wait(ctx, time.Until(w.begin.Add(fault.At))) {
+	if !sleep(ctx, time.Until(w.begin.Add(fault.At))) {
 		return
 	}
-	lasts, cancel := context.WithTimeout(ctx, fault.For)
+	faultCtx, cancel := context.WithTimeout(ctx, fault.For)
 	defer cancel()
 	var err error
 	switch fault.Kind {
 	case Terminate, Crash, Signals, Pause, Reload, ReloadInvalid, DiskFails:
-		err = w.disturbProcesses(lasts, ctx, fault)
+		err = w.disturbProcesses(faultCtx, ctx, fault)
 	case ExecutorHang, ExecutorVanish, ExecutorReset, ExecutorSlow:
-		err = w.disturbLinks(lasts, fault)
+		err = w.disturbLinks(faultCtx, fault)
 	case ExecutorDrain, ExecutorRenew:
-		err = w.replaceExecutors(lasts, fault)
-	case IdleClosed, AnswerTwice, AnswerPieces, AnswerCut, ExecutorErrors:
-		w.corruptAnswers(lasts, fault)
-	case DiscoverySilent, DiscoveryReset, DiscoverySlow, DiscoveryOver, DiscoveryCutOff:
-		err = w.disturbDiscovery(lasts, fault)
-	case ClientsLeave, ClientsDawdle, ClientsFlood, ClientsRetry, ClientsBrief, ClientsBurst, ClientsCrowd:
-		w.changeClients(lasts, fault)
-	case PeersDeaf, PeersTwice:
-		w.disturbPeers(lasts, fault)
-	case ClockStep, AcceptFails, ConnectFails, ConnectLate, TransferFails: // the processes do it to themselves
-		<-lasts.Done()
+		err = w.replaceExecutors(faultCtx, fault)
+	case IdleClosed, AnswerDuplicate, AnswerFragmented, AnswerTruncated, ExecutorErrors:
+		w.corruptAnswers(faultCtx, fault)
+	case DiscoverySilent, DiscoveryReset, DiscoverySlow, DiscoveryResync, DiscoveryCutOff:
+		err = w.disturbDiscovery(faultCtx, fault)
+	case ClientsLeave, ClientsSlowSend, ClientsFlood, ClientsRetry, ClientsShortTimeout, ClientsBurst, ClientsCrowd:
+		w.changeClients(faultCtx, fault)
+	case PeersLost, PeersDuplicate:
+		w.disturbPeers(faultCtx, fault)
+	case ClockStep, AcceptFails, ConnectFails, ConnectLate, TransferFails: // injected by the processes themselves
+		<-faultCtx.Done()
 	}
 	if err != nil {
 		w.mu.Lock()
-		w.failed = append(w.failed, fmt.Errorf("%s: %w", fault, err))
+		w.errs = append(w.errs, fmt.Errorf("%s: %w", fault, err))
 		w.mu.Unlock()
 	}
 }
 
-// wait waits; false: ctx has ended before.
-func wait(ctx context.Context, long time.Duration) bool {
+// sleep waits for d and reports true, or false if ctx ends first.
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(long):
+	case <-time.After(d):
 		return true
 	}
 }
 
-// disturbProcesses ends, stops or reloads processes, or makes their file writes fail.
-func (w *world) disturbProcesses(lasts, ctx context.Context, fault Fault) error {
-	return each(len(fault.Targets), func(i int) error {
+// disturbProcesses restarts, stops or reloads processes, or makes their file writes fail.
+func (w *world) disturbProcesses(faultCtx, ctx context.Context, fault Fault) error {
+	return runParallel(len(fault.Targets), func(i int) error {
 		node := w.nodes[fault.Targets[i]]
 		switch fault.Kind {
 		case Terminate, Crash, Signals:
@@ -70,75 +70,76 @@
 				signals = signalSeries
 			default:
 			}
-			soon, cancel := context.WithTimeout(ctx, readyTime)
+			startCtx, cancel := context.WithTimeout(ctx, readyTime)
 			defer cancel()
 			known := func() map[string]any { return w.rig.Disc.Known(node.N) }
-			return node.restart(soon, signals, w.earliestKill(), known)
+			return node.restart(startCtx, signals, w.earliestKill(), known)
 		case Pause:
-			node.pause(lasts, fault.For)
+			node.pause(faultCtx, fault.For)
 		case DiskFails:
-			return w.failDisk(lasts, node, fault)
+			return w.failDisk(faultCtx, node, fault)
 		default:
-			return w.reloads(lasts, node, fault)
+			return w.reloadRepeatedly(faultCtx, node, fault)
 		}
 		return nil
 	})
 }
 
-// signalSeries is what a node gets at a hurried end: configurations in a row, and SIGTERM more than once.
+// signalSeries holds the signals of the fault Signals: repeated reloads and repeated SIGTERM.
 var signalSeries = []syscall.Signal{
 	syscall.SIGHUP, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM,
 }
 
-// earliestKill returns how soon after SIGTERM the platform may send SIGKILL.
+// earliestKill returns the time after SIGTERM from which the platform may send SIGKILL.
 func (w *world) earliestKill() time.Duration {
 	var longest time.Duration
 	for _, class := range w.figures.Classes {
 		longest = max(longest, class.ClientTimeout)
 	}
-	return min(longest, maxKillDeadline) + takenAtEnd
+	return min(longest, maxKillDeadline) + drainLinger
 }
 
-// failDisk has writes of the process fail beyond a place in the file, so that one may end in the middle.
-func (w *world) failDisk(lasts context.Context, n *node, fault Fault) error {
-	n.action.Lock()
-	defer n.action.Unlock()
-	if err := n.limitFiles(int64(fault.Amount * diskRoom)); err != nil {
+// failDisk makes file writes fail beyond a file size, so that a write may end in the middle.
+func (w *world) failDisk(faultCtx context.Context, n *node, fault Fault) error {
+	n.actionMu.Lock()
+	defer n.actionMu.Unlock()
+	if err := n.limitFileSize(int64(fault.Amount * maxFileBytes)); err != nil {
 		return err
 	}
-	<-lasts.Done()
-	return n.limitFiles(-1)
+	<-faultCtx.Done()
+	return n.limitFileSize(-1)
 }
 
-// reloads has a node read one file after another.
-func (w *world) reloads(lasts context.Context, n *node, fault Fault) error {
-	for i := 0; lasts.Err() == nil; i++ {
-		raw, err := w.file(n, fault, i)
+// reloadRepeatedly makes a node reload a changed configuration again and again until faultCtx ends.
+func (w *world) reloadRepeatedly(faultCtx context.Context, n *node, fault Fault) error {
+	for i := 0; faultCtx.Err() == nil; i++ {
+		raw, err := w.reloadConfig(n, fault, i)
 		if err != nil {
 			return err
 		}
-		n.action.Lock()
+		n.actionMu.Lock()
 		err = n.reload(raw)
 		if err == nil {
-			wait(lasts, reloadStands)
-			err = os.WriteFile(n.Config, n.good, 0o600)
+			sleep(faultCtx, reloadHold)
+			err = os.WriteFile(n.Config, n.validConfig, 0o600)
 		}
-		n.action.Unlock()
+		n.actionMu.Unlock()
 		if err != nil {
 			return err
 		}
-		wait(lasts, reloadEvery)
+		sleep(faultCtx, reloadInterval)
 	}
 	return nil
 }
 
-// file is a configuration for a reload: good, without its settings, or cut off.
-func (w *world) file(n *node, fault Fault, i int) ([]byte, error) {
+// reloadConfig returns the configuration of the i-th reload: a valid one with another send_cap, or
+// for ReloadInvalid one that is truncated or lacks its settings.
+func (w *world) reloadConfig(n *node, fault Fault, i int) ([]byte, error) {
 	if fault.Kind == ReloadInvalid && i%2 == 0 {
-		return n.good[:int(fault.Amount*float64(len(n.good)))], nil
+		return n.validConfig[:int(fault.Amount*float64(len(n.validConfig)))], nil
 	}
 	var config map[string]any
-	if err := json.Unmarshal(n.good, &config); err != nil {
+	if err := json.Unmarshal(n.validConfig, &config); err != nil {
 		return nil, err
 	}
 	if fault.Kind == ReloadInvalid {
@@ -150,29 +151,29 @@
 }
 
 // disturbLinks changes the links between all dispatchers and some executors.
-func (w *world) disturbLinks(lasts context.Context, fault Fault) error {
-	what, delay := map[Kind]lab.Fault{
+func (w *world) disturbLinks(faultCtx context.Context, fault Fault) error {
+	linkFault, delay := map[Kind]lab.Fault{
 		ExecutorHang: lab.Freeze, ExecutorVanish: lab.Cut, ExecutorReset: lab.Reset,
 		ExecutorSlow: lab.Open,
 	}[fault.Kind], time.Duration(0)
 	if fault.Kind == ExecutorSlow {
 		delay = time.Duration(fault.Amount * float64(150*time.Millisecond))
 	}
-	if fault.Kind == ExecutorReset { // for a moment, so that open connections are reset and new ones come up
+	if fault.Kind == ExecutorReset { // briefly, so that open connections are reset and new ones can be opened
 		var cancel context.CancelFunc
-		lasts, cancel = context.WithTimeout(lasts, 30*time.Millisecond)
+		faultCtx, cancel = context.WithTimeout(faultCtx, 30*time.Millisecond)
 		defer cancel()
 	}
-	pick := func(_, executor int) bool { return contains(fault.Targets, executor) }
+	selected := func(_, executor int) bool { return contains(fault.Targets, executor) }
 	marks := make([]int, len(fault.Targets))
 	for i, e := range fault.Targets {
 		marks[i] = w.beginSpan(&w.disturbed[e])
 	}
-	if err := w.rig.Links.Between(what, delay, pick); err != nil {
+	if err := w.rig.Links.Between(linkFault, delay, selected); err != nil {
 		return err
 	}
-	<-lasts.Done()
-	err := w.rig.Links.Between(lab.Open, 0, pick)
+	<-faultCtx.Done()
+	err := w.rig.Links.Between(lab.Open, 0, selected)
 	for i, e := range fault.Targets {
 		w.endSpan(&w.disturbed[e], marks[i])
 	}
@@ -188,7 +189,7 @@
 	return false
 }
 
-// beginSpan notes that something begins to be not as it should; calm ends it.
+// beginSpan records the start of a disturbance and returns its index; endSpan records its end.
 func (w *world) beginSpan(list *[]span) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -202,55 +203,55 @@
 	(*list)[at].until = time.Now().Add(linkTail)
 }
 
-// linkTail allows for what was in transit when a link was opened again.
+// linkTail extends a disturbance, for data in transit when the link was opened again.
 const linkTail = 100 * time.Millisecond
 
-// replaceExecutors drains executors and starts others, not warmed up, in their place.
-func (w *world) replaceExecutors(lasts context.Context, fault Fault) error {
-	var mine []int
+// replaceExecutors replaces executors by cold ones, for ExecutorDrain after draining them.
+func (w *world) replaceExecutors(faultCtx context.Context, fault Fault) error {
+	var replaced []int
 	w.mu.Lock()
 	for _, e := range fault.Targets {
-		if !w.busy[e] {
-			w.busy[e] = true
-			mine = append(mine, e)
+		if !w.replacing[e] {
+			w.replacing[e] = true
+			replaced = append(replaced, e)
 		}
 	}
-	pick := func(worker int) bool { return contains(mine, worker) }
+	selected := func(worker int) bool { return contains(replaced, worker) }
 	if fault.Kind == ExecutorDrain {
-		w.rig.Drain(pick)
-		for _, e := range mine {
+		w.rig.Drain(selected)
+		for _, e := range replaced {
 			w.drains = append(w.drains, Drain{e, span{from: time.Now()}})
 		}
 	}
 	w.mu.Unlock()
 	if fault.Kind == ExecutorDrain {
-		<-lasts.Done()
+		<-faultCtx.Done()
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for i := range w.drains {
-		if pick(w.drains[i].Executor) && w.drains[i].until.IsZero() {
+		if selected(w.drains[i].Executor) && w.drains[i].until.IsZero() {
 			w.drains[i].until = time.Now()
 		}
 	}
-	for _, e := range mine {
-		delete(w.busy, e)
+	for _, e := range replaced {
+		delete(w.replacing, e)
 		if err := w.rig.Replace(e); err != nil {
 			return err
 		}
 		w.rig.Listed[e].Phase = lab.Ready
 		w.rig.Workers[e].Wrap(w.executors[e].wrap)
 	}
-	w.rig.Announce(pick)
+	w.rig.Announce(selected)
 	return nil
 }
 
-// corruptAnswers has executors spoil a share of their answers.
-func (w *world) corruptAnswers(lasts context.Context, fault Fault) {
+// corruptAnswers makes executors corrupt or fail a share of their answers.
+func (w *world) corruptAnswers(faultCtx context.Context, fault Fault) {
 	set := func(share float64) {
 		for _, e := range fault.Targets {
 			if fault.Kind != ExecutorErrors {
-				w.executors[e].set(fault.Kind, share)
+				w.executors[e].setFaultRate(fault.Kind, share)
 				continue
 			}
 			w.mu.Lock()
@@ -259,22 +260,22 @@
 		}
 	}
 	set(0.1 + 0.5*fault.Amount)
-	<-lasts.Done()
+	<-faultCtx.Done()
 	set(0)
 }
 
-// disturbDiscovery changes the links of command channels, or publishes the full list again.
-func (w *world) disturbDiscovery(lasts context.Context, fault Fault) error {
+// disturbDiscovery disturbs command channels, withholds events or publishes the full list again.
+func (w *world) disturbDiscovery(faultCtx context.Context, fault Fault) error {
 	if fault.Kind == DiscoveryCutOff {
-		return w.cutOffDiscovery(lasts)
+		return w.cutOffDiscovery(faultCtx)
 	}
-	if fault.Kind == DiscoveryOver {
+	if fault.Kind == DiscoveryResync {
 		w.mu.Lock()
 		w.rig.Announce(func(int) bool { return true })
 		w.mu.Unlock()
 		return nil
 	}
-	what, delay := map[Kind]lab.Fault{
+	linkFault, delay := map[Kind]lab.Fault{
 		DiscoverySilent: lab.Freeze, DiscoveryReset: lab.Reset,
 		DiscoverySlow: lab.Open,
 	}[fault.Kind], time.Duration(0)
@@ -284,11 +285,11 @@
 	marks := make([]int, len(fault.Targets))
 	for i, n := range fault.Targets {
 		marks[i] = w.beginSpan(&w.uninformed[n])
-		if err := w.rig.Links.Channels[n].Set(what, delay); err != nil {
+		if err := w.rig.Links.Channels[n].Set(linkFault, delay); err != nil {
 			return err
 		}
 	}
-	<-lasts.Done()
+	<-faultCtx.Done()
 	for i, n := range fault.Targets {
 		if err := w.rig.Links.Channels[n].Set(lab.Open, 0); err != nil {
 			return err
@@ -298,14 +299,14 @@
 	return nil
 }
 
-// cutOffDiscovery has discovery tell nobody anything new, while its heartbeats go on.
-func (w *world) cutOffDiscovery(lasts context.Context) error {
+// cutOffDiscovery makes discovery withhold all events, while its heartbeats go on.
+func (w *world) cutOffDiscovery(faultCtx context.Context) error {
 	marks := make([]int, len(w.uninformed))
 	for n := range marks {
 		marks[n] = w.beginSpan(&w.uninformed[n])
 	}
 	w.rig.Disc.Hold(true)
-	<-lasts.Done()
+	<-faultCtx.Done()
 	w.rig.Disc.Hold(false)
 	for n, mark := range marks {
 		w.endSpan(&w.uninformed[n], mark)
@@ -313,56 +314,56 @@
 	return nil
 }
 
-// changeClients changes what the clients do, or adds connections to theirs.
-func (w *world) changeClients(lasts context.Context, fault Fault) {
+// changeClients changes the behaviour of clients, or adds clients or connections.
+func (w *world) changeClients(faultCtx context.Context, fault Fault) {
 	share := 0.2 + 0.6*fault.Amount
 	set := func(x float64) {
 		for _, n := range fault.Targets {
-			w.clients[n].behave(func(b *behaviour) {
+			w.clients[n].changeBehaviour(func(b *behaviour) {
 				switch fault.Kind {
 				case ClientsLeave:
 					b.Leave = x
-				case ClientsDawdle:
-					b.Dawdle = x
+				case ClientsSlowSend:
+					b.SlowSend = x
 				case ClientsRetry:
 					b.Retry = x
-				case ClientsBrief:
-					b.Brief = x
+				case ClientsShortTimeout:
+					b.ShortTimeout = x
 				}
 			})
 		}
 	}
 	if fault.Kind == ClientsFlood {
-		_ = each(len(fault.Targets),
-			func(i int) error { w.clients[fault.Targets[i]].flood(lasts, floodConns); return nil })
+		_ = runParallel(len(fault.Targets),
+			func(i int) error { w.clients[fault.Targets[i]].flood(faultCtx, floodConns); return nil })
 		return
 	}
 	if fault.Kind == ClientsCrowd {
-		_ = each(len(fault.Targets),
-			func(i int) error { w.clients[fault.Targets[i]].crowd(lasts, crowdClients); return nil })
+		_ = runParallel(len(fault.Targets),
+			func(i int) error { w.clients[fault.Targets[i]].crowd(faultCtx, crowdClients); return nil })
 		return
 	}
 	if fault.Kind == ClientsBurst {
-		_ = each(min(len(fault.Targets), 2),
-			func(i int) error { w.clients[fault.Targets[i]].burst(lasts, burstClients); return nil })
+		_ = runParallel(min(len(fault.Targets), 2),
+			func(i int) error { w.clients[fault.Targets[i]].burst(faultCtx, burstClients); return nil })
 		return
 	}
 	set(share)
-	<-lasts.Done()
+	<-faultCtx.Done()
 	set(0)
 }
 
-// disturbPeers loses, duplicates or delays the datagrams to some dispatchers.
-func (w *world) disturbPeers(lasts context.Context, fault Fault) {
-	wire := lab.Lost
-	if fault.Kind == PeersTwice {
-		wire = lab.PeerLink{
+// disturbPeers drops the datagrams to some dispatchers, or duplicates and delays them.
+func (w *world) disturbPeers(faultCtx context.Context, fault Fault) {
+	link := lab.Lost
+	if fault.Kind == PeersDuplicate {
+		link = lab.PeerLink{
 			Twice: 0.5, Delay: time.Duration(fault.Amount * float64(400*time.Millisecond)),
 			Jitter: 200 * time.Millisecond,
 		}
 	}
-	pick := func(_, to int) bool { return contains(fault.Targets, to) }
-	w.rig.PeerNetwork.Set(wire, pick)
-	<-lasts.Done()
-	w.rig.PeerNetwork.Set(lab.PeerLink{}, pick)
+	selected := func(_, to int) bool { return contains(fault.Targets, to) }
+	w.rig.PeerNetwork.Set(link, selected)
+	<-faultCtx.Done()
+	w.rig.PeerNetwork.Set(lab.PeerLink{}, selected)
 }
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -1,7 +1,7 @@
 package soak
 
-// The processes: how each is started, signalled and ended, and the record of its incarnations. Only
-// processes started here are ended.
+// The dispatcher processes: starting, signalling and ending them, and the record of each
+// incarnation. Only processes started here are signalled.
 
 import (
 	"context"
@@ -20,36 +20,36 @@
 	"oakthread/internal/lab"
 )
 
-// Life is one process of a node, from its start to its end.
-type Life struct {
-	Node    int       `json:"node"`
-	Begun   time.Time `json:"begun"`
-	Ready   time.Time `json:"ready"`   // zero: never
-	Ending  time.Time `json:"ending"`  // SIGTERM was sent; zero: not
-	Killed  time.Time `json:"killed"`  // SIGKILL was sent; zero: not
-	Ended   time.Time `json:"ended"`   // zero: it runs
-	Failure string    `json:"failure"` // how it exited, where that was not well
+// Incarnation is one process of a node, from its start to its end.
+type Incarnation struct {
+	Node     int       `json:"node"`
+	Started  time.Time `json:"begun"`
+	Ready    time.Time `json:"ready"`   // zero: never
+	TermSent time.Time `json:"ending"`  // when SIGTERM was sent first; zero: not sent
+	Killed   time.Time `json:"killed"`  // when SIGKILL was sent; zero: not sent
+	Ended    time.Time `json:"ended"`   // zero: it is running
+	Failure  string    `json:"failure"` // the exit error, unless SIGKILL was sent and a signal ended it
 }
 
-// span is a time in which something held.
+// span is a period of time; a zero until means that it has not ended.
 type span struct{ from, until time.Time }
 
 func (s span) overlaps(from, until time.Time) bool {
 	return s.from.Before(until) && (s.until.IsZero() || from.Before(s.until))
 }
 
-// node is a dispatcher of a run: one process at a time, on the same addresses.
+// node is a dispatcher of a run: one process at a time, always on the same addresses.
 type node struct {
 	*lab.Dispatcher
-	program lab.Program
-	good    []byte // its configuration as it is right
-
-	mu     sync.Mutex
-	cmd    *exec.Cmd
-	exited chan struct{}
-	lives  []*Life
-	paused []span
-	action sync.Mutex // one start or end at a time
+	program     lab.Program
+	validConfig []byte // its valid configuration
+
+	mu           sync.Mutex
+	cmd          *exec.Cmd
+	exited       chan struct{}
+	incarnations []*Incarnation
+	paused       []span
+	actionMu     sync.Mutex // held during a restart, pause, reload or file size limit
 }
 
 // start starts the node's process.
@@ -70,19 +70,19 @@
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("node %d: %w", n.N, err)
 	}
-	life, exited := &Life{Node: n.N, Begun: time.Now()}, make(chan struct{})
+	proc, exited := &Incarnation{Node: n.N, Started: time.Now()}, make(chan struct{})
 	n.mu.Lock()
 	n.cmd, n.exited = cmd, exited
-	n.lives = append(n.lives, life)
+	n.incarnations = append(n.incarnations, proc)
 	n.mu.Unlock()
 	go func() {
 		err := cmd.Wait()
 		n.mu.Lock()
-		life.Ended = time.Now()
+		proc.Ended = time.Now()
 		var exit *exec.ExitError
-		killed := errors.As(err, &exit) && !exit.Exited() && !life.Killed.IsZero()
+		killed := errors.As(err, &exit) && !exit.Exited() && !proc.Killed.IsZero()
 		if err != nil && !killed {
-			life.Failure = err.Error()
+			proc.Failure = err.Error()
 		}
 		n.mu.Unlock()
 		close(exited)
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// awaitReady asks until the process says that it is ready.
+// awaitReady polls the process until it reports that it is ready.
 func (n *node) awaitReady(ctx context.Context) error {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
@@ -99,7 +99,7 @@
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
 				n.mu.Lock()
-				n.lives[len(n.lives)-1].Ready = time.Now()
+				n.incarnations[len(n.incarnations)-1].Ready = time.Now()
 				n.mu.Unlock()
 				return nil
 			}
@@ -115,11 +115,11 @@
 // signalPause is the time between the signals of a series.
 const signalPause = 40 * time.Millisecond
 
-// end sends signals in a row, SIGTERM or SIGKILL among them, and waits for the exit. After SIGTERM the
-// process is killed once killAfter is over.
+// end sends a series of signals, which must include SIGTERM or SIGKILL, and waits for the exit. If
+// the process is still running killAfter after SIGTERM, it is killed.
 func (n *node) end(signals []syscall.Signal, killAfter time.Duration) {
 	n.mu.Lock()
-	cmd, exited, life := n.cmd, n.exited, n.lives[len(n.lives)-1]
+	cmd, exited, proc := n.cmd, n.exited, n.incarnations[len(n.incarnations)-1]
 	n.mu.Unlock()
 	var kill <-chan time.Time
 	for i, signal := range signals {
@@ -129,9 +129,9 @@
 		n.mu.Lock()
 		switch {
 		case signal == syscall.SIGKILL:
-			life.Killed = time.Now()
-		case signal == syscall.SIGTERM && life.Ending.IsZero():
-			life.Ending, kill = time.Now(), time.After(killAfter)
+			proc.Killed = time.Now()
+		case signal == syscall.SIGTERM && proc.TermSent.IsZero():
+			proc.TermSent, kill = time.Now(), time.After(killAfter)
 		}
 		n.mu.Unlock()
 		_ = cmd.Process.Signal(signal)
@@ -142,20 +142,20 @@
 	case <-kill:
 	}
 	n.mu.Lock()
-	if life.Ended.IsZero() {
-		life.Killed = time.Now()
+	if proc.Ended.IsZero() {
+		proc.Killed = time.Now()
 	}
 	n.mu.Unlock()
 	_ = cmd.Process.Signal(syscall.SIGKILL)
 	<-exited
 }
 
-// restart ends the process by signals and starts another.
+// restart ends the process, starts another with the known workers and waits until it is ready.
 func (n *node) restart(
 	ctx context.Context, signals []syscall.Signal, killAfter time.Duration, known func() map[string]any,
 ) error {
-	n.action.Lock()
-	defer n.action.Unlock()
+	n.actionMu.Lock()
+	defer n.actionMu.Unlock()
 	n.end(signals, killAfter)
 	if err := n.Know(known()); err != nil {
 		return err
@@ -166,10 +166,10 @@
 	return n.awaitReady(ctx)
 }
 
-// pause stops the process for a time.
-func (n *node) pause(ctx context.Context, long time.Duration) {
-	n.action.Lock()
-	defer n.action.Unlock()
+// pause stops the process for d, or until ctx ends.
+func (n *node) pause(ctx context.Context, d time.Duration) {
+	n.actionMu.Lock()
+	defer n.actionMu.Unlock()
 	n.mu.Lock()
 	cmd, at := n.cmd, len(n.paused)
 	n.paused = append(n.paused, span{from: time.Now()})
@@ -177,7 +177,7 @@
 	_ = cmd.Process.Signal(syscall.SIGSTOP)
 	select {
 	case <-ctx.Done():
-	case <-time.After(long):
+	case <-time.After(d):
 	}
 	_ = cmd.Process.Signal(syscall.SIGCONT)
 	n.mu.Lock()
@@ -185,7 +185,7 @@
 	n.mu.Unlock()
 }
 
-// reload has the process read a configuration; then the good one stands there again.
+// reload writes a configuration and sends SIGHUP; the caller restores the valid configuration.
 func (n *node) reload(raw []byte) error {
 	if err := os.WriteFile(n.Config, raw, 0o600); err != nil {
 		return err
@@ -196,8 +196,8 @@
 	return cmd.Process.Signal(syscall.SIGHUP)
 }
 
-// limitFiles has writes of the process beyond so many bytes of a file fail; below 0: none.
-func (n *node) limitFiles(bytes int64) error {
+// limitFileSize makes writes beyond a file size fail; a negative size removes the limit.
+func (n *node) limitFileSize(bytes int64) error {
 	limit := unix.Rlimit{Cur: unix.RLIM_INFINITY, Max: unix.RLIM_INFINITY}
 	if bytes >= 0 {
 		limit.Cur = uint64(bytes)
@@ -208,18 +208,18 @@
 	return unix.Prlimit(pid, unix.RLIMIT_FSIZE, &limit, nil)
 }
 
-// history is a copy of the node's lives and of when it was stopped.
-func (n *node) history() (lives []Life, paused []span) {
+// history returns copies of the node's incarnations and of the spans in which it was stopped.
+func (n *node) history() (procs []Incarnation, paused []span) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, l := range n.lives {
-		lives = append(lives, *l)
+	for _, proc := range n.incarnations {
+		procs = append(procs, *proc)
 	}
-	return lives, append([]span(nil), n.paused...)
+	return procs, append([]span(nil), n.paused...)
 }
 
-// set changes keys of the node's configuration.
-func (n *node) set(change func(map[string]any)) error {
+// editConfig changes the node's configuration and keeps the result as the valid one.
+func (n *node) editConfig(change func(map[string]any)) error {
 	raw, err := os.ReadFile(n.Config)
 	if err != nil {
 		return err
@@ -229,8 +229,8 @@
 		return err
 	}
 	change(config)
-	if n.good, err = json.MarshalIndent(config, "", " "); err != nil {
+	if n.validConfig, err = json.MarshalIndent(config, "", " "); err != nil {
 		return err
 	}
-	return os.WriteFile(n.Config, n.good, 0o600)
+	return os.WriteFile(n.Config, n.validConfig, 0o600)
 }
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -1,7 +1,7 @@
 package soak
 
-// The oracle: from the records of clients, executors and processes it finds the violations of the
-// rules. It is pure.
+// The oracle: it finds violations of the rules in the records of clients, executors and processes.
+// It has no side effects.
 
 import (
 	"fmt"
@@ -12,29 +12,29 @@
 	"oakthread/internal/lab"
 )
 
-// Rule names what a violation broke. docs/design/invariants.md has them with their sources.
+// Rule names a rule of the platform. docs/design/invariants.md lists the rules with their sources.
 type Rule string
 
-// Rules that a run is checked for.
+// Rules that each run is checked for.
 const (
-	RuleAnswered  Rule = "answered"     // a request that was taken gets its final answer in time
-	RuleOneAnswer Rule = "one answer"   // and only one
-	RuleTrue      Rule = "true answer"  // served with what an executor made for it
-	RuleOnce      Rule = "once"         // a call that must not run twice does not
-	RuleRefusal   Rule = "refusal"      // a refused call had no effect
-	RuleLeft      Rule = "client left"  // nothing begins over 0.1 s after the client left
-	RuleBudget    Rule = "time told"    // an executor is given at most the time that the client has left
-	RuleDrain     Rule = "drain"        // nothing is sent to what drains
-	RuleRation    Rule = "load orders"  // orders to load are rationed by the calls taken
-	RuleSlowStart Rule = "cold start"   // an executor in slow start does not collapse
-	RuleProcess   Rule = "process"      // no process ends by itself, and each ends well
-	RuleReady     Rule = "ready"        // ready within 10 s of a start
-	RuleRecovers  Rule = "recovers"     // calls are served once the faults are over
-	RuleDatagrams Rule = "datagram"     // 256 bytes at most
-	RuleHarness   Rule = "inconclusive" // the laboratory itself stood still: nothing is said
+	RuleAnswered      Rule = "answered"     // an accepted request gets its final answer in time
+	RuleOneAnswer     Rule = "one answer"   // a request gets only one answer
+	RuleCorrectAnswer Rule = "true answer"  // the body of status 200 was produced by an executor for this request
+	RuleAtMostOnce    Rule = "once"         // a call that is not idempotent runs at most once
+	RuleRefusal       Rule = "refusal"      // a refused call had no effect
+	RuleLeft          Rule = "client left"  // no attempt starts more than 0.1 s after the client left
+	RuleBudget        Rule = "time told"    // an executor is told at most the remaining time of the client
+	RuleDrain         Rule = "drain"        // nothing is sent to a draining executor
+	RuleLoadQuota     Rule = "load orders"  // load orders are limited by the number of calls
+	RuleSlowStart     Rule = "cold start"   // an executor in slow start does not collapse
+	RuleProcess       Rule = "process"      // no process exits by itself, or with an error
+	RuleReady         Rule = "ready"        // a process is ready within 10 s of its start
+	RuleRecovers      Rule = "recovers"     // calls are served once the faults are over
+	RuleDatagrams     Rule = "datagram"     // a datagram has at most 256 bytes
+	RuleInconclusive  Rule = "inconclusive" // the testbed process itself stalled: the run shows nothing
 )
 
-// Violation is one breach.
+// Violation is one violation of a rule.
 type Violation struct {
 	Rule   Rule   `json:"rule"`
 	Node   int    `json:"node"`
@@ -46,284 +46,292 @@
 	return fmt.Sprintf("%s: node %d %s: %s", v.Rule, v.Node, v.ID, v.Detail)
 }
 
-// Slack of the rules.
+// Tolerances of the rules.
 const (
-	// a close that a request crossed comes by then; the page says 50 ms, and this machine is busy
-	crossed        = 250 * time.Millisecond
-	leftSlack      = 100*time.Millisecond + 80*time.Millisecond
-	budgetSlack    = 150*time.Millisecond + 40*time.Millisecond
-	newAtEnd       = 400 * time.Millisecond // for so long after SIGTERM new connections keep coming
-	takenAtEnd     = 700 * time.Millisecond // after SIGTERM a request that comes later is owed nothing
-	endSlack       = 900 * time.Millisecond // beyond the longest deadline and the 0.7 s
-	readyIn        = 10 * time.Second
-	minServedShare = 0.5  // of the calls that come in the calm end
-	rationSlack    = 0.15 // the page's; it adds one order
-	pauseTail      = 400 * time.Millisecond
-	// the settings' grace, the page's slack and this machine's
+	// a close of an idle connection that races with a request is seen by then; the rules say 50 ms,
+	// the rest is for a busy machine
+	closeRaceWindow = 250 * time.Millisecond
+	leftSlack       = 100*time.Millisecond + 80*time.Millisecond
+	budgetSlack     = 150*time.Millisecond + 40*time.Millisecond
+	acceptAfterTerm = 400 * time.Millisecond // new connections are accepted for this long after SIGTERM
+	drainLinger     = 700 * time.Millisecond // after SIGTERM; later requests on new connections are owed no answer
+	exitSlack       = 900 * time.Millisecond // beyond the longest deadline and drainLinger
+	readyIn         = 10 * time.Second
+	minServedShare  = 0.5  // of the calls sent in the calm phase, from CalmFrom to CalmTo
+	loadQuotaSlack  = 0.15 // as in the rules; lab.OverRation also allows one more order
+	pauseTail       = 400 * time.Millisecond
+	// the grace of the settings, the tolerance of the rules, and that for a busy machine
 	drainSlack = drainGrace + 50*time.Millisecond + 100*time.Millisecond
-	// a change counts as told after this, whether its event arrived or not
-	toldAfter = 7 * time.Second
-	// the longest deadline counts for so much at most when SIGKILL comes
+	// a node must respect a drain after this time, whether or not it has received the event
+	drainNoticeTimeout = 7 * time.Second
+	// upper limit of the longest deadline when the time of SIGKILL is computed
 	maxKillDeadline = 3 * time.Second
-	// a lost channel is found and opened again by then
-	uninformedTail = 2500 * time.Millisecond
+	// a lost command channel is detected and opened again by then
+	reconnectTail = 2500 * time.Millisecond
 )
 
-// Records are what a run left.
+// Records holds what was recorded in a run.
 type Records struct {
-	Requests   []*Request
-	Arrivals   []*Arrival
-	Lives      [][]Life // by node
-	Paused     [][]span
-	Disturbed  [][]span // by executor: its links were not open, or slow
-	Drains     []Drain
-	Orders     []LoadOrder
-	Ration     Ration
-	Uninformed [][]span // by node: discovery's link to it was not open
-	Once       func(class int) bool
-	Longest    time.Duration // that any client waits
-	CalmFrom   time.Time     // the faults have been over for a while
-	CalmTo     time.Time
+	Requests     []*Request
+	Arrivals     []*Arrival
+	Incarnations [][]Incarnation // by node
+	Paused       [][]span
+	Disturbed    [][]span // by executor: its links were frozen, cut, reset or slow
+	Drains       []Drain
+	Orders       []LoadOrder
+	LoadQuota    LoadQuota
+	Uninformed   [][]span // by node: its discovery link was frozen, reset or slow, or events were withheld
+	AtMostOnce   func(class int) bool
+	Longest      time.Duration // longest client timeout of any class
+	CalmFrom     time.Time     // recoveryTime after the end of the faults
+	CalmTo       time.Time
 }
 
-// Ration is what the settings allow of orders to load.
-type Ration struct {
+// LoadQuota is the limit of load orders in the settings: Free and Share of the calls, per Window.
+type LoadQuota struct {
 	Window      time.Duration
 	Free, Share float64
 }
 
-// Drain is a time in which an executor drained, from when discovery had announced it.
+// Drain is the time in which an executor drains, from its announcement by discovery on.
 type Drain struct {
 	Executor int
 	span
 }
 
-// FindViolations finds the violations of a run.
+// FindViolations returns the violations that the records of a run show.
 func FindViolations(r Records) []Violation {
-	j := oracle{Records: r, arrived: map[string][]*Arrival{}}
+	o := oracle{Records: r, arrivalsByID: map[string][]*Arrival{}}
 	for _, arrival := range r.Arrivals {
-		j.arrived[arrival.ID] = append(j.arrived[arrival.ID], arrival)
+		o.arrivalsByID[arrival.ID] = append(o.arrivalsByID[arrival.ID], arrival)
 	}
 	for _, request := range r.Requests {
-		j.answered(request)
-		j.effects(request)
-		j.arrivals(request)
+		o.checkAnswer(request)
+		o.checkExecutions(request)
+		o.checkArrivals(request)
 	}
-	j.processes()
-	j.orderedAfterDrain()
-	j.rationed()
-	j.recovers()
-	return j.found
+	o.checkProcesses()
+	o.checkLoadOrdersAfterDrain()
+	o.checkLoadQuota()
+	o.checkRecovery()
+	return o.found
 }
 
-// oracle collects the violations of a run; arrived holds the arrivals by request.
+// oracle collects the violations of a run.
 type oracle struct {
 	Records
-	arrived map[string][]*Arrival
-	found   []Violation
+	arrivalsByID map[string][]*Arrival
+	found        []Violation
 }
 
-func (j *oracle) broken(rule Rule, node int, id, format string, args ...any) {
-	j.found = append(j.found, Violation{rule, node, id, fmt.Sprintf(format, args...)})
+func (o *oracle) addViolation(rule Rule, node int, id, format string, args ...any) {
+	o.found = append(o.found, Violation{rule, node, id, fmt.Sprintf(format, args...)})
 }
 
-// answered looks whether a request got its one answer.
-func (j *oracle) answered(request *Request) {
-	if request.Second {
-		j.broken(RuleOneAnswer, request.Node, request.ID, "bytes came behind the answer")
+// checkAnswer checks that a request got exactly one answer, with the right body.
+func (o *oracle) checkAnswer(request *Request) {
+	if request.SecondAnswer {
+		o.addViolation(RuleOneAnswer, request.Node, request.ID, "bytes came behind the answer")
 	}
-	if request.Wrong {
-		j.broken(RuleTrue, request.Node, request.ID, "served with another body")
+	if request.WrongBody {
+		o.addViolation(RuleCorrectAnswer, request.Node, request.ID, "served with another body")
 	}
 	switch request.End {
 	case NotSent:
-		// a pooled connection may have been closed, or its process may have died
-		if request.Err != "" && !request.Reused && j.listening(request) {
-			j.broken(RuleAnswered, request.Node, request.ID, "no connection: %s", request.Err)
+		// a pooled connection may have been closed, or its process may have exited
+		if request.Err != "" && !request.Reused && o.listening(request) {
+			o.addViolation(RuleAnswered, request.Node, request.ID, "no connection: %s", request.Err)
 		}
 		return
 	case Closed:
-		if request.Reused && request.Ended.Sub(request.SentAt) < crossed && len(j.arrived[request.ID]) == 0 {
-			return // it crossed the close of an idle connection, and was not taken
+		if request.Reused && request.Ended.Sub(request.SendEnd) < closeRaceWindow &&
+			len(o.arrivalsByID[request.ID]) == 0 {
+			return // it raced with the close of an idle connection, and was not accepted
 		}
-	case Overdue, Cut:
+	case Overdue, Truncated:
 	default:
 		return
 	}
-	if j.owed(request) {
-		j.broken(RuleAnswered, request.Node, request.ID, "%s after %v of %v, reused %v, arrivals %d (%s)", request.End,
-			request.Ended.Sub(request.SentAt).Round(time.Millisecond),
-			request.Timeout, request.Reused, len(j.arrived[request.ID]), request.Err)
+	if o.isAnswerOwed(request) {
+		o.addViolation(RuleAnswered, request.Node, request.ID, "%s after %v of %v, reused %v, arrivals %d (%s)",
+			request.End, request.Ended.Sub(request.SendEnd).Round(time.Millisecond),
+			request.Timeout, request.Reused, len(o.arrivalsByID[request.ID]), request.Err)
 	}
 }
 
-// listening reports whether a process was there that takes new connections: not killed, and
-// signalled to end a moment ago at most.
-func (j *oracle) listening(request *Request) bool {
-	for _, life := range j.Lives[request.Node] {
-		if life.Ready.IsZero() || request.Sent.Before(life.Ready) || !life.Killed.IsZero() &&
-			life.Killed.Before(request.Ended) {
+// listening reports whether the node had a process that had to accept the request's new connection:
+// ready, not killed, and sent SIGTERM less than acceptAfterTerm ago, if at all.
+func (o *oracle) listening(request *Request) bool {
+	for _, proc := range o.Incarnations[request.Node] {
+		if proc.Ready.IsZero() || request.SendStart.Before(proc.Ready) || !proc.Killed.IsZero() &&
+			proc.Killed.Before(request.Ended) {
 			continue
 		}
-		if life.Ending.IsZero() && (life.Ended.IsZero() || request.Ended.Before(life.Ended)) ||
-			!life.Ending.IsZero() && request.Ended.Sub(life.Ending) < newAtEnd {
+		if proc.TermSent.IsZero() && (proc.Ended.IsZero() || request.Ended.Before(proc.Ended)) ||
+			!proc.TermSent.IsZero() && request.Ended.Sub(proc.TermSent) < acceptAfterTerm {
 			return true
 		}
 	}
 	return false
 }
 
-// owed reports whether an answer was owed: a process was there that took the request and was not
-// killed. One that was stopped meanwhile may answer late, but may not close the connection either.
-func (j *oracle) owed(request *Request) bool {
-	for _, p := range j.Paused[request.Node] {
+// isAnswerOwed reports whether a process had to answer the request. No answer is owed to a request
+// that was sent long after SIGTERM on a new connection. A killed process owes no answer, except to
+// late requests on kept connections. A process that was stopped meanwhile may answer late, but must
+// not close the connection either.
+func (o *oracle) isAnswerOwed(request *Request) bool {
+	for _, p := range o.Paused[request.Node] {
 		p.until = p.until.Add(pauseTail)
-		if request.End == Overdue && p.overlaps(request.Sent, request.Ended) {
+		if request.End == Overdue && p.overlaps(request.SendStart, request.Ended) {
 			return false
 		}
 	}
-	for _, life := range j.Lives[request.Node] {
-		if request.SentAt.Before(life.Begun) || !life.Ended.IsZero() && life.Ended.Before(request.Sent) {
+	for _, proc := range o.Incarnations[request.Node] {
+		if request.SendEnd.Before(proc.Started) || !proc.Ended.IsZero() && proc.Ended.Before(request.SendStart) {
 			continue
 		}
-		// On a connection that it keeps, a client may ask until the kill, and is owed an answer by then.
-		late := !life.Ending.IsZero() && request.SentAt.Sub(life.Ending) > takenAtEnd
-		if !life.Killed.IsZero() && life.Killed.Before(request.Ended) {
-			return late && request.Reused && request.SentAt.Before(life.Killed)
+		// On a kept connection, a client may send requests until SIGKILL, and is owed an answer
+		// before it.
+		late := !proc.TermSent.IsZero() && request.SendEnd.Sub(proc.TermSent) > drainLinger
+		if !proc.Killed.IsZero() && proc.Killed.Before(request.Ended) {
+			return late && request.Reused && request.SendEnd.Before(proc.Killed)
 		}
 		return !late || request.Reused
 	}
 	return false
 }
 
-// effects looks at what a call did.
-func (j *oracle) effects(request *Request) {
-	if !j.Once(request.Class) {
+// checkExecutions checks that a non-idempotent call ran at most once, and not at all if it was
+// refused.
+func (o *oracle) checkExecutions(request *Request) {
+	if !o.AtMostOnce(request.Class) {
 		return
 	}
 	ran := 0
-	for _, arrival := range j.arrived[request.ID] {
+	for _, arrival := range o.arrivalsByID[request.ID] {
 		if arrival.Ran {
 			ran++
 		}
 	}
 	if ran > 1 {
-		j.broken(RuleOnce, request.Node, request.ID, "it ran %d times", ran)
+		o.addViolation(RuleAtMostOnce, request.Node, request.ID, "it ran %d times", ran)
 	}
 	if ran > 0 && request.End == Answered && refused(request.Status) {
-		j.broken(RuleRefusal, request.Node, request.ID, "refused with %d, and it ran", request.Status)
+		o.addViolation(RuleRefusal, request.Node, request.ID, "refused with %d, and it ran", request.Status)
 	}
 }
 
-// arrivals checks when a call came to executors and what time it was given there.
-func (j *oracle) arrivals(request *Request) {
-	for _, arrival := range j.arrived[request.ID] {
+// checkArrivals checks when a call reached executors and the budget that they were told.
+func (o *oracle) checkArrivals(request *Request) {
+	for _, arrival := range o.arrivalsByID[request.ID] {
 		if request.End == Overdue {
 			request.LeftAt = request.Ended // its client closed the connection then
 		}
 		if late := arrival.At.Sub(request.LeftAt); !request.LeftAt.IsZero() && late > leftSlack &&
-			!j.disturbed(request.Node, arrival.Executor,
+			!o.disturbed(request.Node, arrival.Executor,
 				request.LeftAt, arrival.At) {
-			j.broken(RuleLeft, request.Node, request.ID, "came to executor %d %v after its client had left",
+			o.addViolation(RuleLeft, request.Node, request.ID, "came to executor %d %v after its client had left",
 				arrival.Executor,
 				late.Round(time.Millisecond))
 		}
-		j.drained(request, arrival)
-		if request.SentAt.IsZero() || j.disturbed(request.Node, arrival.Executor, request.SentAt, arrival.At) {
+		o.checkCallAfterDrain(request, arrival)
+		if request.SendEnd.IsZero() || o.disturbed(request.Node, arrival.Executor, request.SendEnd, arrival.At) {
 			continue
 		}
-		left := request.Timeout - arrival.At.Sub(request.SentAt)
+		left := request.Timeout - arrival.At.Sub(request.SendEnd)
 		if arrival.Budget > max(left, time.Millisecond)+budgetSlack {
-			j.broken(RuleBudget, request.Node, request.ID, "executor %d was told %v where %v were left",
+			o.addViolation(RuleBudget, request.Node, request.ID, "executor %d was told %v where %v were left",
 				arrival.Executor, arrival.Budget,
 				left.Round(time.Millisecond))
 		}
 	}
 }
 
-// drained checks whether a call came to an executor long after its dispatcher was notified that it
-// drains.
-func (j *oracle) drained(request *Request, arrival *Arrival) {
-	if late, is := j.afterDrain(request.Node, arrival.Executor, arrival.At); is {
-		j.broken(RuleDrain, request.Node, request.ID, "came to executor %d %v after it was told that it drains",
+// checkCallAfterDrain checks that a call did not reach a draining executor long after the
+// dispatcher was notified of the drain.
+func (o *oracle) checkCallAfterDrain(request *Request, arrival *Arrival) {
+	if late, violated := o.afterDrain(request.Node, arrival.Executor, arrival.At); violated {
+		o.addViolation(RuleDrain, request.Node, request.ID, "came to executor %d %v after it was told that it drains",
 			arrival.Executor, late.Round(time.Millisecond))
 	}
 }
 
-// orderedAfterDrain checks the same of load orders.
-func (j *oracle) orderedAfterDrain() {
-	for _, order := range j.Orders {
+// checkLoadOrdersAfterDrain checks the same for load orders.
+func (o *oracle) checkLoadOrdersAfterDrain() {
+	for _, order := range o.Orders {
 		if order.Node < 0 {
 			continue
 		}
-		if late, is := j.afterDrain(order.Node, order.Executor, order.At); is {
-			j.broken(RuleDrain, order.Node, "", "load order to executor %d %v after it was told that it drains",
+		if late, violated := o.afterDrain(order.Node, order.Executor, order.At); violated {
+			o.addViolation(RuleDrain, order.Node, "", "load order to executor %d %v after it was told that it drains",
 				order.Executor, late.Round(time.Millisecond))
 		}
 	}
 }
 
-// afterDrain reports whether a node may send an executor nothing new at a time, since it drains and that
-// counts as told, and how long it has. Discovery tells at once, or 7 s later at the latest.
-func (j *oracle) afterDrain(node, executor int, at time.Time) (late time.Duration, is bool) {
-	for _, drain := range j.Drains {
+// afterDrain reports whether a request or load order that reached an executor at a time came too
+// late after the node had to know of the executor's drain, and how late. A node has to know at
+// once, or after drainNoticeTimeout if it was cut off from discovery.
+func (o *oracle) afterDrain(node, executor int, at time.Time) (late time.Duration, violated bool) {
+	for _, drain := range o.Drains {
 		if drain.Executor != executor || !drain.overlaps(at, at) {
 			continue
 		}
-		told := drain.from
-		untold := slices.ContainsFunc(j.Uninformed[node], func(s span) bool {
-			s.until = s.until.Add(uninformedTail)
+		notified := drain.from
+		uninformed := slices.ContainsFunc(o.Uninformed[node], func(s span) bool {
+			s.until = s.until.Add(reconnectTail)
 			return s.overlaps(drain.from, at)
 		})
-		if untold {
-			told = told.Add(toldAfter)
+		if uninformed {
+			notified = notified.Add(drainNoticeTimeout)
 		}
-		if at.Sub(told) >= drainSlack && !j.disturbed(node, executor, told, at) {
-			return at.Sub(told), true
+		if at.Sub(notified) >= drainSlack && !o.disturbed(node, executor, notified, at) {
+			return at.Sub(notified), true
 		}
 	}
 	return 0, false
 }
 
-// disturbed reports whether something between the process and the executor, or the process itself,
-// was stopped meanwhile.
-func (j *oracle) disturbed(node, executor int, from, until time.Time) bool {
+// disturbed reports whether the node's process was stopped, or the executor's links were disturbed,
+// during the given time.
+func (o *oracle) disturbed(node, executor int, from, until time.Time) bool {
 	overlaps := func(s span) bool { return s.overlaps(from, until) }
-	return slices.ContainsFunc(j.Paused[node], overlaps) || slices.ContainsFunc(j.Disturbed[executor], overlaps)
+	return slices.ContainsFunc(o.Paused[node], overlaps) || slices.ContainsFunc(o.Disturbed[executor], overlaps)
 }
 
-// rationed checks whether each process gave no more load orders than the calls that it took allow.
-func (j *oracle) rationed() {
-	for n, lives := range j.Lives {
-		for i, l := range lives {
-			life := span{from: l.Begun, until: l.Ended}
-			if i+1 < len(lives) {
-				life.until = lives[i+1].Begun
+// checkLoadQuota checks that each process sent no more load orders than its calls allow.
+func (o *oracle) checkLoadQuota() {
+	for n, procs := range o.Incarnations {
+		for i, proc := range procs {
+			period := span{from: proc.Started, until: proc.Ended}
+			if i+1 < len(procs) {
+				period.until = procs[i+1].Started
 			}
-			calls, orders := j.takenIn(n, life)
-			over := lab.OverRation(orders, calls, j.Ration.Window, j.Ration.Free, j.Ration.Share, rationSlack)
+			calls, orders := o.callsAndOrders(n, period)
+			over := lab.OverRation(orders, calls, o.LoadQuota.Window, o.LoadQuota.Free, o.LoadQuota.Share,
+				loadQuotaSlack)
 			if over > 0 {
-				j.broken(RuleRation, n, "", "%d of %d orders beyond the ration, %d calls", over, len(orders),
+				o.addViolation(RuleLoadQuota, n, "", "%d of %d orders beyond the ration, %d calls", over, len(orders),
 					len(calls))
 			}
 		}
 	}
 }
 
-// takenIn returns, in order of time, when a node took calls and gave load orders in a span; a span
-// without an end goes on.
-func (j *oracle) takenIn(node int, life span) (calls, orders []time.Time) {
+// callsAndOrders returns the times, in ascending order, of the calls to a node and of the load
+// orders from it in a period, which has no end if its until is zero.
+func (o *oracle) callsAndOrders(node int, period span) (calls, orders []time.Time) {
 	within := func(at time.Time) bool {
-		return !at.Before(life.from) && (life.until.IsZero() || at.Before(life.until))
+		return !at.Before(period.from) && (period.until.IsZero() || at.Before(period.until))
 	}
-	for _, request := range j.Requests {
-		if request.Node == node && !request.SentAt.IsZero() && within(request.SentAt) {
-			calls = append(calls, request.SentAt)
+	for _, request := range o.Requests {
+		if request.Node == node && !request.SendEnd.IsZero() && within(request.SendEnd) {
+			calls = append(calls, request.SendEnd)
 		}
 	}
-	for _, o := range j.Orders {
-		if o.Node == node && within(o.At) {
-			orders = append(orders, o.At)
+	for _, order := range o.Orders {
+		if order.Node == node && within(order.At) {
+			orders = append(orders, order.At)
 		}
 	}
 	slices.SortFunc(calls, time.Time.Compare)
@@ -331,38 +339,39 @@
 	return calls, orders
 }
 
-// processes looks at how processes ended and how soon they were ready.
-func (j *oracle) processes() {
-	for n, lives := range j.Lives {
-		for _, life := range lives {
+// checkProcesses checks how processes exited and how soon they were ready.
+func (o *oracle) checkProcesses() {
+	for n, procs := range o.Incarnations {
+		for _, proc := range procs {
 			switch {
-			case life.Failure != "":
-				j.broken(RuleProcess, n, "", "it ended badly: %s", life.Failure)
-			case !life.Ended.IsZero() && life.Ending.IsZero() && life.Killed.IsZero():
-				j.broken(RuleProcess, n, "", "it ended by itself")
-			case !life.Ending.IsZero() && life.Killed.IsZero() &&
-				life.Ended.Sub(life.Ending) > j.Longest+takenAtEnd+endSlack+j.pausedFor(n):
-				j.broken(RuleProcess, n, "", "it took %v to end", life.Ended.Sub(life.Ending).Round(time.Millisecond))
+			case proc.Failure != "":
+				o.addViolation(RuleProcess, n, "", "it ended badly: %s", proc.Failure)
+			case !proc.Ended.IsZero() && proc.TermSent.IsZero() && proc.Killed.IsZero():
+				o.addViolation(RuleProcess, n, "", "it ended by itself")
+			case !proc.TermSent.IsZero() && proc.Killed.IsZero() &&
+				proc.Ended.Sub(proc.TermSent) > o.Longest+drainLinger+exitSlack+o.pausedFor(n):
+				o.addViolation(RuleProcess, n, "", "it took %v to end",
+					proc.Ended.Sub(proc.TermSent).Round(time.Millisecond))
 			}
-			if life.Ready.IsZero() && life.Killed.IsZero() || life.Ready.Sub(life.Begun) > readyIn {
-				j.broken(RuleReady, n, "", "not ready within %v", readyIn)
+			if proc.Ready.IsZero() && proc.Killed.IsZero() || proc.Ready.Sub(proc.Started) > readyIn {
+				o.addViolation(RuleReady, n, "", "not ready within %v", readyIn)
 			}
 		}
 	}
 }
 
-func (j *oracle) pausedFor(node int) (sum time.Duration) {
-	for _, p := range j.Paused[node] {
+func (o *oracle) pausedFor(node int) (sum time.Duration) {
+	for _, p := range o.Paused[node] {
 		sum += p.until.Sub(p.from)
 	}
 	return sum
 }
 
-// recovers checks whether each node serves once the faults have been over for a while.
-func (j *oracle) recovers() {
-	asked, served := make([]int, len(j.Lives)), make([]int, len(j.Lives))
-	for _, request := range j.Requests {
-		if request.Sent.Before(j.CalmFrom) || !request.Sent.Before(j.CalmTo) || request.End == NotSent {
+// checkRecovery checks that each node serves calls in the calm phase.
+func (o *oracle) checkRecovery() {
+	asked, served := make([]int, len(o.Incarnations)), make([]int, len(o.Incarnations))
+	for _, request := range o.Requests {
+		if request.SendStart.Before(o.CalmFrom) || !request.SendStart.Before(o.CalmTo) || request.End == NotSent {
 			continue
 		}
 		asked[request.Node]++
@@ -372,7 +381,7 @@
 	}
 	for n := range asked {
 		if asked[n] >= 4 && float64(served[n]) < minServedShare*float64(asked[n]) {
-			j.broken(RuleRecovers, n, "", "%d of %d calls served once troubles were over", served[n], asked[n])
+			o.addViolation(RuleRecovers, n, "", "%d of %d calls served once troubles were over", served[n], asked[n])
 		}
 	}
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -1,6 +1,6 @@
 package soak
 
-// One run: it starts a world, injects the faults, and checks what it recorded.
+// One run: it starts a fleet, injects the faults and checks the records.
 
 import (
 	"context"
@@ -15,33 +15,34 @@
 	"oakthread/internal/lab"
 )
 
-// Result is what came of a run.
+// Result is the result of a run.
 type Result struct {
 	Schedule   Schedule      `json:"schedule"`
 	Violations []Violation   `json:"violations"`
 	Requests   int           `json:"requests"`
 	Served     int           `json:"served"`
 	Unsent     int           `json:"unsent"`
-	Stalled    time.Duration `json:"stalled"` // the longest that the laboratory itself stood still
+	Stalled    time.Duration `json:"stalled"` // longest stall of the testbed process itself
 	Dir        string        `json:"dir,omitempty"`
 }
 
-// Inconclusive reports whether the laboratory itself stalled for so long that the run shows
+// Inconclusive reports whether the testbed process itself stalled for so long that the run shows
 // nothing.
-func (r Result) Inconclusive() bool { return r.Stalled > stallMost }
+func (r Result) Inconclusive() bool { return r.Stalled > maxStall }
 
-// stallMost is how long the laboratory may stall before its times mean nothing.
-const stallMost = 150 * time.Millisecond
+// maxStall is the longest stall of the testbed process after which its recorded times are still valid.
+const maxStall = 150 * time.Millisecond
 
-// ErrUsed says that a folder holds an earlier run.
-var ErrUsed = errors.New("soak: the folder of a run exists already")
+// ErrUsed states that the directory of a run already exists.
+var ErrUsed = errors.New("soak: run directory already exists")
 
-// Run plays a schedule in a folder of its own. program is what a node runs; it takes the arguments
-// --config and --faults.
+// Run runs a schedule in dir, which must not exist yet. program is the dispatcher program; it must
+// accept the arguments --config and --faults. The error is ErrUsed if dir exists, or reports that
+// the run could not be carried out; violations are in the result.
 func Run(ctx context.Context, schedule Schedule, dir string, program lab.Program) (Result, error) {
 	res := Result{Schedule: schedule, Dir: dir}
 	if _, err := os.Stat(dir); err == nil {
-		return res, fmt.Errorf("%s: %w", dir, ErrUsed) // cached lists in it would lead to another run's executors
+		return res, fmt.Errorf("%s: %w", dir, ErrUsed) // its cached lists would name the executors of another run
 	}
 	network, err := lab.ClaimNet()
 	if err != nil {
@@ -62,7 +63,7 @@
 	if err := w.start(ctx); err != nil {
 		return res, err
 	}
-	wait(ctx, time.Until(w.begin))
+	sleep(ctx, time.Until(w.begin))
 	stalls := watchStalls(ctx)
 	calmFrom, calmTo, err := w.play(ctx)
 	if err != nil {
@@ -85,13 +86,13 @@
 	if ctx.Err() != nil {
 		return res, ctx.Err()
 	}
-	return res, errors.Join(w.failed...)
+	return res, errors.Join(w.errs...)
 }
 
-// play lets the clients send while the faults come, and then for the calm end.
+// play runs the clients while the faults are injected, and then for the calm phase.
 func (w *world) play(ctx context.Context) (calmFrom, calmTo time.Time, err error) {
-	sending, enough := context.WithCancel(ctx)
-	defer enough()
+	sending, stopSending := context.WithCancel(ctx)
+	defer stopSending()
 	var clients, faults sync.WaitGroup
 	for _, c := range w.clients {
 		clients.Go(func() { c.run(sending) })
@@ -100,22 +101,22 @@
 		faults.Go(func() { w.inject(ctx, fault) })
 	}
 	faults.Wait()
-	wait(ctx, time.Until(w.begin.Add(w.FaultTime)))
-	calmFrom = time.Now().Add(calmLead)
-	wait(ctx, w.Calm)
+	sleep(ctx, time.Until(w.begin.Add(w.FaultTime)))
+	calmFrom = time.Now().Add(recoveryTime)
+	sleep(ctx, w.Calm)
 	calmTo = time.Now()
-	enough()
+	stopSending()
 	clients.Wait()
 	return calmFrom, calmTo, ctx.Err()
 }
 
-// findViolations gathers the records of the run and checks them.
+// findViolations collects the records of the run and checks them.
 func (w *world) findViolations(calmFrom, calmTo time.Time) []Violation {
 	r := Records{
 		Disturbed: w.disturbed, Uninformed: w.uninformed, Drains: w.drains, CalmFrom: calmFrom, CalmTo: calmTo,
-		Once: func(class int) bool { return w.figures.Classes[class].NotIdempotent },
+		AtMostOnce: func(class int) bool { return w.figures.Classes[class].NotIdempotent },
 	}
-	r.Ration = rationOf(w.Deployment)
+	r.LoadQuota = loadQuotaOf(w.Deployment)
 	for _, k := range w.figures.Classes {
 		r.Longest = max(r.Longest, k.ClientTimeout)
 	}
@@ -123,12 +124,12 @@
 		r.Requests = append(r.Requests, clients.Records()...)
 	}
 	for _, executor := range w.executors {
-		r.Arrivals = append(r.Arrivals, executor.received()...)
-		r.Orders = append(r.Orders, executor.ordered()...)
+		r.Arrivals = append(r.Arrivals, executor.receivedCalls()...)
+		r.Orders = append(r.Orders, executor.receivedLoadOrders()...)
 	}
 	for _, node := range w.nodes {
-		lives, paused := node.history()
-		r.Lives, r.Paused = append(r.Lives, lives), append(r.Paused, paused)
+		procs, paused := node.history()
+		r.Incarnations, r.Paused = append(r.Incarnations, procs), append(r.Paused, paused)
 	}
 	found := FindViolations(r)
 	for i, b := range append(append([]*lab.StubWorker(nil), w.rig.Workers...), w.rig.Replaced...) {
@@ -142,8 +143,8 @@
 	return found
 }
 
-// watchStalls watches for stalls of this process; the returned function ends that and returns the
-// longest.
+// watchStalls measures stalls of this process. The returned function stops that and returns the
+// longest stall.
 func watchStalls(ctx context.Context) func() time.Duration {
 	const every = 10 * time.Millisecond
 	watching, stop := context.WithCancel(ctx)
@@ -152,7 +153,7 @@
 	go func() {
 		defer close(done)
 		last := time.Now()
-		for wait(watching, every) {
+		for sleep(watching, every) {
 			now := time.Now()
 			longest.Store(max(longest.Load(), int64(now.Sub(last)-every)))
 			last = now
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -1,6 +1,6 @@
-// Package soak runs real dispatcher processes on loopback under overlapping faults, drawn from a
-// seed, and checks what clients and executors saw against the platform's rules. What a dispatcher
-// reports of itself is not used.
+// Package soak runs real dispatcher processes on loopback under overlapping random faults, drawn
+// from a seed, and checks the records of clients and executors against the platform's rules. It
+// uses nothing that a dispatcher reports about itself.
 package soak
 
 import (
@@ -19,118 +19,118 @@
 
 // Kinds of fault.
 const (
-	Terminate     Kind = "terminate" // SIGTERM, then a start on the same address
-	Crash         Kind = "crash"     // SIGKILL, then a start on the same address
-	Signals       Kind = "signals"   // SIGHUP and SIGTERM in series, then a start on the same address
+	Terminate     Kind = "terminate" // SIGTERM, then a restart on the same address
+	Crash         Kind = "crash"     // SIGKILL, then a restart on the same address
+	Signals       Kind = "signals"   // a series of SIGHUP and SIGTERM, then a restart on the same address
 	Pause         Kind = "pause"     // SIGSTOP and SIGCONT
-	Reload        Kind = "reload"    // SIGHUP with a good file
-	ReloadInvalid Kind = "reloadbad" // SIGHUP with a file that lacks keys, or is cut off in the middle
+	Reload        Kind = "reload"    // SIGHUP with a valid file
+	ReloadInvalid Kind = "reloadbad" // SIGHUP with a file that lacks its settings or is truncated
 
-	ExecutorHang   Kind = "hang"      // connections come up, and nothing passes on them
-	ExecutorVanish Kind = "vanish"    // connections stay open and silent, new ones never come up
-	ExecutorReset  Kind = "reset"     // connections are reset
-	ExecutorSlow   Kind = "slow"      // all that passes is late
-	ExecutorDrain  Kind = "drain"     // it drains, and is listed as that
-	ExecutorRenew  Kind = "renew"     // another one, not warmed up, takes its address
-	IdleClosed     Kind = "idleclose" // connections are closed after their answers
-	AnswerTwice    Kind = "twice"     // a second answer comes behind the first, at once or some milliseconds later
-	AnswerPieces   Kind = "pieces"    // an answer comes in pieces
-	AnswerCut      Kind = "cut"       // an answer ends in the middle
-	ExecutorErrors Kind = "errors"    // calls run and fail at once
+	ExecutorHang     Kind = "hang"      // connections are accepted, but transfer no data
+	ExecutorVanish   Kind = "vanish"    // connections stay open without data, and new ones cannot be opened
+	ExecutorReset    Kind = "reset"     // connections are reset
+	ExecutorSlow     Kind = "slow"      // all data is delayed
+	ExecutorDrain    Kind = "drain"     // it drains and is listed as draining; then a cold one replaces it
+	ExecutorRenew    Kind = "renew"     // a cold one takes its address
+	IdleClosed       Kind = "idleclose" // connections are closed after an answer
+	AnswerDuplicate  Kind = "twice"     // an answer is sent twice, at once or some milliseconds later
+	AnswerFragmented Kind = "pieces"    // an answer is sent in pieces
+	AnswerTruncated  Kind = "cut"       // an answer is cut off in the middle
+	ExecutorErrors   Kind = "errors"    // calls run and fail at once
 
-	DiscoverySilent Kind = "disco-silent" // its connections stay open, and nothing comes
-	DiscoveryReset  Kind = "disco-reset"  // its connections are reset, also within a line
-	DiscoverySlow   Kind = "disco-slow"   // all that it sends is late
-	DiscoveryCutOff Kind = "disco-cut"    // its heartbeats go on, and no event comes to anyone
-	DiscoveryOver   Kind = "disco-over"   // the full list comes again
+	DiscoverySilent Kind = "disco-silent" // its connections stay open, but transfer no data
+	DiscoveryReset  Kind = "disco-reset"  // its connections are reset, possibly within a line
+	DiscoverySlow   Kind = "disco-slow"   // all its data is delayed
+	DiscoveryCutOff Kind = "disco-cut"    // its heartbeats go on, but no dispatcher receives events
+	DiscoveryResync Kind = "disco-over"   // the full list is published again
 
-	ClientsLeave  Kind = "leave"  // clients close, reset or half-close while their calls are in hand
-	ClientsDawdle Kind = "dawdle" // requests come in pieces, some never complete
-	ClientsFlood  Kind = "flood"  // connections that say nothing, more than there are places
-	ClientsRetry  Kind = "retry"  // refused calls come again at once, on new connections
-	ClientsBrief  Kind = "brief"  // clients have very little time
-	ClientsCrowd  Kind = "crowd"  // further clients ask all the time, each on a connection that it keeps
-	ClientsBurst  Kind = "burst"  // more clients ask at once than there are places, each on a new connection
+	ClientsLeave        Kind = "leave"  // clients close, reset or half-close during their calls
+	ClientsSlowSend     Kind = "dawdle" // requests are sent slowly in pieces, some never complete
+	ClientsFlood        Kind = "flood"  // connections without data, more than the dispatcher can hold
+	ClientsRetry        Kind = "retry"  // refused calls are sent again at once, on new connections
+	ClientsShortTimeout Kind = "brief"  // clients have very short timeouts
+	ClientsCrowd        Kind = "crowd"  // further clients send calls all the time, on connections that they keep
+	ClientsBurst        Kind = "burst"  // more clients than the dispatcher can hold send calls, on new connections
 
-	PeersDeaf  Kind = "deaf"  // no datagrams come
-	PeersTwice Kind = "twins" // datagrams come twice and late
+	PeersLost      Kind = "deaf"  // all datagrams are lost
+	PeersDuplicate Kind = "twins" // datagrams are duplicated and delayed
 
 	ClockStep     Kind = "clock"   // the wall clock of some processes steps
 	AcceptFails   Kind = "accept"  // accepts fail
-	ConnectFails  Kind = "connect" // connects fail for want of this machine's
-	ConnectLate   Kind = "late"    // connections to executors come up late
+	ConnectFails  Kind = "connect" // connects fail for lack of local resources
+	ConnectLate   Kind = "late"    // connects to executors are delayed
 	TransferFails Kind = "io"      // reads and writes are short or interrupted
-	DiskFails     Kind = "disk"    // writes of files fail, or end in the middle
+	DiskFails     Kind = "disk"    // file writes fail or end in the middle
 )
 
-// Kinds lists them all.
+// Kinds returns all kinds of fault.
 func Kinds() []Kind {
 	return []Kind{
 		Terminate, Crash, Signals, Pause, Reload, ReloadInvalid,
 		ExecutorHang, ExecutorVanish, ExecutorReset, ExecutorSlow,
 		ExecutorDrain,
-		ExecutorRenew, IdleClosed, AnswerTwice, AnswerPieces, AnswerCut, ExecutorErrors, DiscoverySilent,
+		ExecutorRenew, IdleClosed, AnswerDuplicate, AnswerFragmented, AnswerTruncated, ExecutorErrors, DiscoverySilent,
 		DiscoveryReset, DiscoverySlow, DiscoveryCutOff,
-		DiscoveryOver, ClientsLeave, ClientsDawdle, ClientsFlood, ClientsRetry, ClientsBrief, ClientsBurst,
-		ClientsCrowd, PeersDeaf,
-		PeersTwice, ClockStep,
+		DiscoveryResync, ClientsLeave, ClientsSlowSend, ClientsFlood, ClientsRetry, ClientsShortTimeout, ClientsBurst,
+		ClientsCrowd, PeersLost,
+		PeersDuplicate, ClockStep,
 		AcceptFails, ConnectFails, ConnectLate, TransferFails, DiskFails,
 	}
 }
 
-// Fault is one fault of a schedule. Times count from when the clients begin.
+// Fault is one fault of a schedule. Times are relative to the start of the clients.
 type Fault struct {
 	Kind    Kind          `json:"kind"`
 	At      time.Duration `json:"at"`
 	For     time.Duration `json:"for"`
-	Targets []int         `json:"targets"` // dispatchers or executors, by the kind
-	Amount  float64       `json:"amount"`  // by the kind: 0 to 1
+	Targets []int         `json:"targets"` // dispatchers or executors, depending on the kind
+	Amount  float64       `json:"amount"`  // strength, from 0 to 1; its meaning depends on the kind
 }
 
-func (t Fault) String() string {
-	return fmt.Sprintf("%s at %v for %v on %v (%.2f)", t.Kind, t.At, t.For, t.Targets, t.Amount)
+func (f Fault) String() string {
+	return fmt.Sprintf("%s at %v for %v on %v (%.2f)", f.Kind, f.At, f.For, f.Targets, f.Amount)
 }
 
-// Schedule is a complete run: its faults are drawn from a seed, stored as JSON and shortened. It is
-// pure data.
+// Schedule describes a complete run. It is pure data, which is drawn from a seed, stored as JSON
+// and shortened.
 type Schedule struct {
 	Seed       uint64        `json:"seed"`
 	Processes  int           `json:"processes"`
 	Executors  int           `json:"executors"`
 	Deployment string        `json:"deployment"` // planning or render
-	CachedList bool          `json:"kept"`       // dispatchers keep the list on disk
-	FaultTime  time.Duration `json:"trouble"`    // for so long faults go on
-	Calm       time.Duration `json:"calm"`       // and then none
+	CachedList bool          `json:"kept"`       // dispatchers cache the endpoint list on disk
+	FaultTime  time.Duration `json:"trouble"`    // duration of the phase with faults
+	Calm       time.Duration `json:"calm"`       // duration of the phase without faults after it
 	Faults     []Fault       `json:"troubles"`
 }
 
-// Figures of a run.
+// Times and sizes of a drawn schedule.
 const (
-	firstFault    = 400 * time.Millisecond
-	faultTime     = 3200 * time.Millisecond
-	calmTime      = 2500 * time.Millisecond
-	shortest      = 300 * time.Millisecond
-	longest       = 1800 * time.Millisecond
-	maxBurst      = 500 * time.Millisecond
-	executorsPart = 1.2 // executors for each process
+	firstFault          = 400 * time.Millisecond
+	faultTime           = 3200 * time.Millisecond
+	calmTime            = 2500 * time.Millisecond
+	minFaultTime        = 300 * time.Millisecond
+	maxFaultTime        = 1800 * time.Millisecond
+	maxBurstTime        = 500 * time.Millisecond
+	executorsPerProcess = 1.2 // executors per process
 
-	outageEvery = 6                // of so many seeds one has a long outage of discovery
-	outageTime  = 13 * time.Second // how long that lasts: longer than a drain takes to be told
-	outageDrain = 1500 * time.Millisecond
+	outageSeedInterval  = 6                // one of this many seeds has a long outage of discovery
+	outageTime          = 13 * time.Second // of the outage; longer than drainNoticeTimeout
+	outageDrainInterval = 1500 * time.Millisecond
 )
 
-// Deployments that runs are drawn for.
+// Deployments of a schedule.
 const (
 	Planning = "planning"
 	Render   = "render"
 )
 
-// Draw makes the schedule of a seed: waves of two or three overlapping faults. only restricts the
-// kinds; empty: all.
+// Draw returns the schedule of a seed, which has waves of two or three overlapping faults. only
+// restricts the kinds of fault; if it is empty, all are used.
 func Draw(seed uint64, processes int, only []Kind) Schedule {
 	rng := rand.New(rand.NewPCG(seed, 0x736f616b))
 	schedule := Schedule{
-		Seed: seed, Processes: processes, Executors: max(6, int(executorsPart*float64(processes))),
+		Seed: seed, Processes: processes, Executors: max(6, int(executorsPerProcess*float64(processes))),
 		Deployment: Planning,
 		CachedList: rng.IntN(2) == 0, FaultTime: faultTime, Calm: calmTime,
 	}
@@ -141,59 +141,60 @@
 	if len(kinds) == 0 {
 		kinds = Kinds()
 	}
-	for at := firstFault; at < faultTime-shortest; at += shortest + longest/2 {
-		for _, kind := range wave(rng, kinds) {
-			schedule.Faults = append(schedule.Faults, draw(rng, schedule, kind, at))
-			// else there is no file whose writes could fail
+	for at := firstFault; at < faultTime-minFaultTime; at += minFaultTime + maxFaultTime/2 {
+		for _, kind := range drawWave(rng, kinds) {
+			schedule.Faults = append(schedule.Faults, drawFault(rng, schedule, kind, at))
+			// without it, there is no file whose writes could fail
 			schedule.CachedList = schedule.CachedList || kind == DiskFails
 		}
 	}
-	if len(only) == 0 && seed%outageEvery == 0 {
+	if len(only) == 0 && seed%outageSeedInterval == 0 {
 		schedule.addOutage(rng)
 	}
 	return schedule
 }
 
-// addOutage makes a schedule longer, with discovery out of reach of every dispatcher nearly all the time
-// and executors that drain meanwhile, one after the other, for longer than a drain takes to be told.
+// addOutage extends a schedule by an outage of discovery for all dispatchers over nearly all of its
+// time. Two executors start to drain during it, one after the other, for longer than
+// drainNoticeTimeout.
 func (s *Schedule) addOutage(rng *rand.Rand) {
 	kind := DiscoverySilent
 	if rng.IntN(2) == 0 {
 		kind = DiscoveryCutOff
 	}
-	everybody := make([]int, s.Processes)
-	for i := range everybody {
-		everybody[i] = i
+	allNodes := make([]int, s.Processes)
+	for i := range allNodes {
+		allNodes[i] = i
 	}
 	s.FaultTime = outageTime + 2*firstFault
-	s.Faults = append(s.Faults, Fault{Kind: kind, At: firstFault, For: outageTime, Targets: everybody})
+	s.Faults = append(s.Faults, Fault{Kind: kind, At: firstFault, For: outageTime, Targets: allNodes})
 	for i, executor := range rng.Perm(s.Executors)[:2] {
-		at := firstFault + time.Duration(1+i)*outageDrain
+		at := firstFault + time.Duration(1+i)*outageDrainInterval
 		s.Faults = append(s.Faults, Fault{
 			Kind: ExecutorDrain, At: at, For: s.FaultTime - at - firstFault, Targets: []int{executor},
 		})
 	}
 }
 
-// knownInteractions are faults of which it is known that they can meet at a request; half of the
-// waves begin with one of these.
+// knownInteractions are pairs of faults that are known to be able to affect the same request. Half
+// of the waves start with the pair drawn for them, if its kinds are allowed.
 var knownInteractions = [][]Kind{
 	{ClientsLeave, ConnectLate},
 	{ExecutorDrain, ConnectLate},
 	{ClientsBurst, ClientsFlood},
-	{ClientsBurst, AnswerTwice},
+	{ClientsBurst, AnswerDuplicate},
 	{AcceptFails, Terminate},
 	{ClockStep, ExecutorErrors},
 	{Pause, ClientsLeave},
-	{Terminate, ClientsDawdle},
-	{ClientsBrief, ConnectLate},
+	{Terminate, ClientsSlowSend},
+	{ClientsShortTimeout, ConnectLate},
 	{ExecutorRenew, ClientsBurst},
 	{Reload, Terminate},
 	{ExecutorHang, Terminate},
 }
 
-// wave draws two or three kinds that come together.
-func wave(rng *rand.Rand, kinds []Kind) []Kind {
+// drawWave draws two or three kinds of fault that occur together.
+func drawWave(rng *rand.Rand, kinds []Kind) []Kind {
 	rest := slices.Clone(kinds)
 	rng.Shuffle(len(rest), func(i, j int) { rest[i], rest[j] = rest[j], rest[i] })
 	pair := knownInteractions[rng.IntN(len(knownInteractions))]
@@ -204,15 +205,15 @@
 	return rest[:min(len(rest), 2+rng.IntN(2))]
 }
 
-// draw makes one fault that begins about a time.
-func draw(rng *rand.Rand, schedule Schedule, kind Kind, at time.Duration) Fault {
-	begin := at + time.Duration(rng.Int64N(int64(shortest)))
+// drawFault draws one fault that starts up to minFaultTime after at.
+func drawFault(rng *rand.Rand, schedule Schedule, kind Kind, at time.Duration) Fault {
+	begin := at + time.Duration(rng.Int64N(int64(minFaultTime)))
 	fault := Fault{
-		Kind: kind, At: begin, For: shortest + time.Duration(rng.Int64N(int64(longest-shortest))),
+		Kind: kind, At: begin, For: minFaultTime + time.Duration(rng.Int64N(int64(maxFaultTime-minFaultTime))),
 		Amount: rng.Float64(),
 	}
 	if kind == ClientsBurst {
-		fault.For = min(fault.For, maxBurst)
+		fault.For = min(fault.For, maxBurstTime)
 	}
 	if kind == ClientsCrowd {
 		fault.For = schedule.FaultTime
@@ -223,10 +224,11 @@
 		all, most = schedule.Executors, 4
 	}
 	switch kind {
-	case ClientsLeave, ClientsDawdle, ClientsRetry, ClientsBrief, ClientsCrowd, DiscoveryOver, DiscoveryCutOff:
-		most = all // all dispatchers have such clients
+	case ClientsLeave, ClientsSlowSend, ClientsRetry, ClientsShortTimeout, ClientsCrowd, DiscoveryResync,
+		DiscoveryCutOff:
+		most = all // the clients or channels of all dispatchers
 		fault.Targets = rng.Perm(all)
-	case Reload, ReloadInvalid, DiscoverySilent, DiscoveryReset, DiscoverySlow, PeersDeaf, PeersTwice, IdleClosed:
+	case Reload, ReloadInvalid, DiscoverySilent, DiscoveryReset, DiscoverySlow, PeersLost, PeersDuplicate, IdleClosed:
 		most = all
 	}
 	if fault.Targets == nil {
@@ -240,14 +242,15 @@
 func (k Kind) ofExecutors() bool {
 	switch k {
 	case ExecutorHang, ExecutorVanish, ExecutorReset, ExecutorSlow, ExecutorDrain, ExecutorRenew, IdleClosed,
-		AnswerTwice, AnswerPieces,
-		AnswerCut, ExecutorErrors:
+		AnswerDuplicate, AnswerFragmented,
+		AnswerTruncated, ExecutorErrors:
 		return true
 	}
 	return false
 }
 
-// ParseKinds reads kinds parted by commas; an unknown one is answered with those known.
+// ParseKinds parses a comma-separated list of kinds. The error names an unknown kind and lists all
+// kinds.
 func ParseKinds(text string) ([]Kind, error) {
 	var out []Kind
 	for _, name := range strings.Split(text, ",") {
@@ -256,14 +259,14 @@
 			continue
 		}
 		if !slices.Contains(Kinds(), Kind(name)) {
-			return nil, fmt.Errorf("trouble %q is not known; known are %v", name, Kinds())
+			return nil, fmt.Errorf("fault kind %q is not known; known are %v", name, Kinds())
 		}
 		out = append(out, Kind(name))
 	}
 	return out, nil
 }
 
-// Pairs are the pairs of kinds that overlap in time, each named once, in order.
+// Pairs returns the sorted names of the pairs of different kinds that overlap in time.
 func (s Schedule) Pairs() []string {
 	var out []string
 	for i, a := range s.Faults {
@@ -284,29 +287,30 @@
 	return out
 }
 
-// Shorten leaves out faults, and then halves how long they last, as long as the run still fails.
+// Shorten returns a schedule from which each fault is removed, and then the duration of each
+// remaining one halved, wherever fails reports that the run still fails.
 func (s Schedule) Shorten(fails func(Schedule) bool) Schedule {
 	for i := 0; i < len(s.Faults); {
-		less := s
-		less.Faults = slices.Delete(slices.Clone(s.Faults), i, i+1)
-		if fails(less) {
-			s = less
+		candidate := s
+		candidate.Faults = slices.Delete(slices.Clone(s.Faults), i, i+1)
+		if fails(candidate) {
+			s = candidate
 		} else {
 			i++
 		}
 	}
 	for i := range s.Faults {
-		less := s
-		less.Faults = slices.Clone(s.Faults)
-		less.Faults[i].For /= 2
-		if less.Faults[i].For >= shortest/4 && fails(less) {
-			s = less
+		candidate := s
+		candidate.Faults = slices.Clone(s.Faults)
+		candidate.Faults[i].For /= 2
+		if candidate.Faults[i].For >= minFaultTime/4 && fails(candidate) {
+			s = candidate
 		}
 	}
 	return s
 }
 
-// Write keeps a schedule in a file; ReadSchedule reads one.
+// Write writes the schedule as JSON to a file, which is replaced.
 func (s Schedule) Write(path string) error {
 	raw, err := json.MarshalIndent(s, "", " ")
 	if err != nil {
@@ -315,7 +319,7 @@
 	return os.WriteFile(path, raw, 0o600)
 }
 
-// ReadSchedule reads a schedule from a file.
+// ReadSchedule reads a schedule from a JSON file. The error also reports an invalid schedule.
 func ReadSchedule(path string) (schedule Schedule, err error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -329,7 +333,7 @@
 	}
 	for _, fault := range schedule.Faults {
 		if !slices.Contains(Kinds(), fault.Kind) {
-			return schedule, fmt.Errorf("schedule %s: trouble %q is not known", path, fault.Kind)
+			return schedule, fmt.Errorf("schedule %s: fault kind %q is not known", path, fault.Kind)
 		}
 		all := schedule.Processes
 		if fault.Kind.ofExecutors() {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -10,13 +10,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestScheduleFollowsFromItsSeed(t *testing.T) {
+func TestScheduleIsDeterminedBySeed(t *testing.T) {
 	drawn := map[Kind]bool{}
 	for seed := range uint64(200) {
 		schedule := Draw(seed, 10, nil)
 		assert.Equal(t, schedule, Draw(seed, 10, nil))
 		assert.GreaterOrEqual(t, len(schedule.Faults), 2)
-		assert.NotEmpty(t, schedule.Pairs(), "no two troubles overlap, seed %d", seed)
+		assert.NotEmpty(t, schedule.Pairs(), "no two faults overlap, seed %d", seed)
 		for _, fault := range schedule.Faults {
 			drawn[fault.Kind] = true
 			assert.LessOrEqual(t, fault.At+fault.For, schedule.FaultTime)
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestShortenLeavesWhatFails(t *testing.T) {
+func TestShortenKeepsFailingFaults(t *testing.T) {
 	schedule := Draw(3, 10, nil)
 	schedule.Faults = append(schedule.Faults, Fault{Kind: Crash, For: time.Second},
 		Fault{Kind: Pause, For: time.Second})
@@ -73,31 +73,31 @@
 	assert.Len(t, short.Faults, 2)
 }
 
-// The oracle finds each breach in records that hold it, and none in those that do not.
-func TestOracleFindsBreaches(t *testing.T) {
+// The oracle finds each violation in records that contain it, and none in records that do not.
+func TestOracleFindsViolations(t *testing.T) {
 	start := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	clean := func() (Records, *Request, *Arrival) {
 		request := &Request{
-			ID: "a", Sent: at(100), SentAt: at(100), Timeout: time.Second, Ended: at(300), End: Answered,
+			ID: "a", SendStart: at(100), SendEnd: at(100), Timeout: time.Second, Ended: at(300), End: Answered,
 			Status: http.StatusOK,
 		}
 		arrival := &Arrival{ID: "a", At: at(120), Budget: 900 * time.Millisecond, Ran: true}
 		r := Records{
 			Requests: []*Request{request}, Arrivals: []*Arrival{arrival}, Disturbed: make([][]span, 1),
-			Uninformed: make([][]span, 1),
-			Lives:      [][]Life{{{Begun: at(-500), Ready: at(-400), Ending: at(5000), Ended: at(6000)}}},
-			Paused:     make([][]span, 1), Once: func(int) bool { return true }, Longest: 2 * time.Second,
+			Uninformed:   make([][]span, 1),
+			Incarnations: [][]Incarnation{{{Started: at(-500), Ready: at(-400), TermSent: at(5000), Ended: at(6000)}}},
+			Paused:       make([][]span, 1), AtMostOnce: func(int) bool { return true }, Longest: 2 * time.Second,
 			CalmFrom: at(4000), CalmTo: at(5000),
-			Ration: Ration{Window: 5 * time.Second, Free: 1, Share: 0.1},
+			LoadQuota: LoadQuota{Window: 5 * time.Second, Free: 1, Share: 0.1},
 		}
 		return r, request, arrival
 	}
 	r, _, _ := clean()
 	require.Empty(t, FindViolations(r))
 	for name, c := range map[string]struct {
-		rule  Rule
-		spoil func(r *Records, request *Request, arrival *Arrival)
+		rule    Rule
+		corrupt func(r *Records, request *Request, arrival *Arrival)
 	}{
 		"closed on a new connection": {
 			RuleAnswered,
@@ -106,7 +106,7 @@
 		"closed long after it was sent": {RuleAnswered, func(r *Records, request *Request, _ *Arrival) {
 			request.End, request.Reused, request.Ended, r.Arrivals = Closed, true, at(800), nil
 		}},
-		"taken, then closed": {RuleAnswered, func(_ *Records, request *Request, _ *Arrival) {
+		"accepted, then closed": {RuleAnswered, func(_ *Records, request *Request, _ *Arrival) {
 			request.End, request.Reused = Closed,
 				true
 		}},
@@ -119,9 +119,13 @@
 			request.End,
 				r.Paused[0] = Closed, []span{{at(0), at(400)}}
 		}},
-		"two answers":      {RuleOneAnswer, func(_ *Records, request *Request, _ *Arrival) { request.Second = true }},
-		"another's answer": {RuleTrue, func(_ *Records, request *Request, _ *Arrival) { request.Wrong = true }},
-		"ran twice": {RuleOnce, func(r *Records, _ *Request,
+		"two answers": {RuleOneAnswer, func(_ *Records, request *Request, _ *Arrival) {
+			request.SecondAnswer = true
+		}},
+		"answer of another request": {RuleCorrectAnswer, func(_ *Records, request *Request, _ *Arrival) {
+			request.WrongBody = true
+		}},
+		"ran twice": {RuleAtMostOnce, func(r *Records, _ *Request,
 			arrival *Arrival,
 		) {
 			r.Arrivals = append(r.Arrivals, arrival)
@@ -131,78 +135,83 @@
 		) {
 			request.Status = http.StatusServiceUnavailable
 		}},
-		"begun for one that left": {RuleLeft, func(_ *Records, request *Request, arrival *Arrival) {
+		"attempt started after the client left": {RuleLeft, func(_ *Records, request *Request, arrival *Arrival) {
 			request.End, request.LeftAt, arrival.At = Left,
 				at(110), at(400)
 		}},
-		"told too much": {RuleBudget, func(_ *Records, _ *Request,
+		"budget above the time left": {RuleBudget, func(_ *Records, _ *Request,
 			arrival *Arrival,
 		) {
 			arrival.Budget = 1200 * time.Millisecond
 		}},
-		"sent to one that drains": {RuleDrain, func(r *Records, _ *Request, arrival *Arrival) {
+		"call sent to a draining executor": {RuleDrain, func(r *Records, _ *Request, arrival *Arrival) {
 			arrival.At, r.Drains = at(900), []Drain{{0, span{at(0), at(2000)}}}
 		}},
-		"load order to one that drains": {RuleDrain, func(r *Records, _ *Request, _ *Arrival) {
+		"load order to a draining executor": {RuleDrain, func(r *Records, _ *Request, _ *Arrival) {
 			r.Orders, r.Drains = []LoadOrder{{At: at(900)}}, []Drain{{0, span{at(0), at(2000)}}}
 		}},
-		"sent to one that drains, told by the clock": {RuleDrain, func(r *Records, _ *Request, _ *Arrival) {
+		"call sent to a draining executor, notice overdue": {RuleDrain, func(r *Records, _ *Request, _ *Arrival) {
 			r.Uninformed[0], r.Drains = []span{{at(-9000), at(900)}}, []Drain{{0, span{at(-8000), at(2000)}}}
 		}},
-		"asked late on a kept connection, and killed": {RuleAnswered, func(r *Records, request *Request, _ *Arrival) {
+		"late request on a kept connection, killed": {RuleAnswered, func(r *Records, request *Request, _ *Arrival) {
 			request.End, request.Reused, request.Ended = Closed, true, at(900)
-			r.Lives[0][0].Ending, r.Lives[0][0].Killed, r.Lives[0][0].Ended = at(-800), at(850), at(860)
+			r.Incarnations[0][0].TermSent, r.Incarnations[0][0].Killed,
+				r.Incarnations[0][0].Ended = at(-800), at(850), at(860)
 		}},
-		"too many orders": {RuleRation, func(r *Records, _ *Request,
+		"too many load orders": {RuleLoadQuota, func(r *Records, _ *Request,
 			_ *Arrival,
 		) {
 			r.Orders = make([]LoadOrder, 4)
-			spread(r.Orders, at(200))
+			spaceOut(r.Orders, at(200))
 		}},
-		"ended by itself": {RuleProcess, func(r *Records, _ *Request,
+		"exited by itself": {RuleProcess, func(r *Records, _ *Request,
 			_ *Arrival,
 		) {
-			r.Lives[0][0].Ending = time.Time{}
+			r.Incarnations[0][0].TermSent = time.Time{}
 		}},
-		"ended badly": {RuleProcess, func(r *Records, _ *Request,
+		"exited with an error": {RuleProcess, func(r *Records, _ *Request,
 			_ *Arrival,
 		) {
-			r.Lives[0][0].Failure = "exit status 2"
+			r.Incarnations[0][0].Failure = "exit status 2"
+		}},
+		"ended too late": {RuleProcess, func(r *Records, _ *Request, _ *Arrival) {
+			r.Incarnations[0][0].Ended = at(9000)
+		}},
+		"ready too late": {RuleReady, func(r *Records, _ *Request, _ *Arrival) {
+			r.Incarnations[0][0].Ready = at(20_000)
 		}},
-		"never ended": {RuleProcess, func(r *Records, _ *Request, _ *Arrival) { r.Lives[0][0].Ended = at(9000) }},
-		"never ready": {RuleReady, func(r *Records, _ *Request, _ *Arrival) { r.Lives[0][0].Ready = at(20_000) }},
-		"does not serve any more": {RuleRecovers, func(r *Records, _ *Request, _ *Arrival) {
+		"no recovery after the faults": {RuleRecovers, func(r *Records, _ *Request, _ *Arrival) {
 			for range 4 {
 				r.Requests = append(r.Requests, &Request{
-					ID: "b", Sent: at(4100), SentAt: at(4100), Ended: at(4200),
+					ID: "b", SendStart: at(4100), SendEnd: at(4100), Ended: at(4200),
 					End: Answered, Status: 503,
 				})
 			}
 		}},
 	} {
 		r, request, arrival := clean()
-		c.spoil(&r, request, arrival)
+		c.corrupt(&r, request, arrival)
 		found := FindViolations(r)
 		require.NotEmpty(t, found, name)
 		assert.Equal(t, c.rule, found[0].Rule, "%s: %v", name, found)
 	}
-	for name, excuse := range map[string]func(r *Records, request *Request){
-		"it crossed the close of an idle connection": func(r *Records, request *Request) {
+	for name, allow := range map[string]func(r *Records, request *Request){
+		"it raced with the close of an idle connection": func(r *Records, request *Request) {
 			request.End, request.Reused, r.Arrivals,
 				request.Ended = Closed, true, nil, at(110)
 		},
 		"its process was killed": func(r *Records, request *Request) {
 			request.End,
-				r.Lives[0][0].Killed = Closed, at(200)
+				r.Incarnations[0][0].Killed = Closed, at(200)
 		},
-		"it came long after SIGTERM, on a new connection": func(r *Records, request *Request) {
-			request.End, r.Lives[0][0].Ending, r.Lives[0][0].Ended = Closed, at(-800), at(1000)
+		"it was sent long after SIGTERM, on a new connection": func(r *Records, request *Request) {
+			request.End, r.Incarnations[0][0].TermSent, r.Incarnations[0][0].Ended = Closed, at(-800), at(1000)
 		},
-		"it came in time, and SIGKILL found it unanswered": func(r *Records, request *Request) {
-			request.End, request.Reused, r.Lives[0][0].Ending = Closed, true, at(-100)
-			r.Lives[0][0].Killed, r.Lives[0][0].Ended = at(200), at(210)
+		"it was sent in time, but unanswered at SIGKILL": func(r *Records, request *Request) {
+			request.End, request.Reused, r.Incarnations[0][0].TermSent = Closed, true, at(-100)
+			r.Incarnations[0][0].Killed, r.Incarnations[0][0].Ended = at(200), at(210)
 		},
-		"discovery had not told": func(r *Records, _ *Request) {
+		"discovery had not announced the drain": func(r *Records, _ *Request) {
 			r.Uninformed[0], r.Drains = []span{{at(-9000), at(900)}}, []Drain{{0, span{at(-6000), at(2000)}}}
 		},
 		"its process was stopped": func(r *Records, request *Request) {
@@ -211,13 +220,13 @@
 		},
 	} {
 		r, request, _ := clean()
-		excuse(&r, request)
+		allow(&r, request)
 		assert.Empty(t, FindViolations(r), name)
 	}
 }
 
-// spread has orders of node 0 come one millisecond after the other.
-func spread(orders []LoadOrder, from time.Time) {
+// spaceOut sets the times of load orders one millisecond apart.
+func spaceOut(orders []LoadOrder, from time.Time) {
 	for i := range orders {
 		orders[i].At = from.Add(time.Duration(i) * time.Millisecond)
 	}
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -1,6 +1,6 @@
 package soak
 
-// The world of one run: processes, executors, discovery, clients and the links between them.
+// The fleet of one run: processes, executors, discovery, clients and the links between them.
 
 import (
 	"context"
@@ -15,26 +15,26 @@
 	"oakthread/internal/lab"
 )
 
-// Figures of the world.
+// Sizes and times of a run.
 const (
-	callRate     = 14.0 // calls a second at each dispatcher
-	nodeSockets  = 256
-	burstClients = 130
-	crowdClients = 8
-	drainGrace   = 200 * time.Millisecond
-	lateConnect  = 1200 * time.Millisecond // time to connect where connections may come up late
-	floodConns   = 160                     // more than a dispatcher with so many sockets holds of clients
-	startTime    = 900 * time.Millisecond
-	startEach    = 35 * time.Millisecond // and for each process
-	readyTime    = 20 * time.Second
-	calmLead     = 1500 * time.Millisecond // of the calm end, until calls must be served
-	reloadEvery  = 350 * time.Millisecond
-	reloadStands = 60 * time.Millisecond
-	diskRoom     = 24 << 10 // bytes of a file, up to which writes may go through while the disk fails
+	callRate            = 14.0 // calls per second at each dispatcher
+	nodeSockets         = 256
+	burstClients        = 130
+	crowdClients        = 8
+	drainGrace          = 200 * time.Millisecond
+	connectTimeout      = 1200 * time.Millisecond // for connects delayed by up to sockets.MaxConnectDelay
+	floodConns          = 160                     // more than a dispatcher with nodeSockets accepts from clients
+	startTime           = 900 * time.Millisecond
+	startTimePerProcess = 35 * time.Millisecond // in addition, for each process
+	readyTime           = 20 * time.Second
+	recoveryTime        = 1500 * time.Millisecond // from the end of the faults until calls must be served
+	reloadInterval      = 350 * time.Millisecond
+	reloadHold          = 60 * time.Millisecond
+	maxFileBytes        = 24 << 10 // file size in bytes up to which writes may succeed while the disk fails
 )
 
-// figures are the classes and executors of a deployment.
-func figures(deployment string) *lab.Figures {
+// deploymentFigures returns the classes and the worker model of a deployment.
+func deploymentFigures(deployment string) *lab.Figures {
 	f := lab.PlannerFigures()
 	for i := range f.Classes {
 		f.Classes[i].ClientTimeout = 2 * time.Second
@@ -57,30 +57,30 @@
 	return f
 }
 
-// permissions are what a deployment allows.
-func permissions(deployment string, settings map[string]any) {
+// applySettings sets the permissions, the drain grace and the load quota of a deployment.
+func applySettings(deployment string, settings map[string]any) {
 	p := settings["permissions"].(map[string]any)
-	p["connect_timeout_ns"] = lateConnect
+	p["connect_timeout_ns"] = connectTimeout
 	settings["rules"].(map[string]any)["drain_grace_ns"] = drainGrace
-	ration := rationOf(deployment)
+	quota := loadQuotaOf(deployment)
 	specifics := settings["specifics"].(map[string]any)
-	specifics["free_loads"], specifics["load_part"], specifics["load_span_ns"] = ration.Free, ration.Share,
-		ration.Window
+	specifics["free_loads"], specifics["load_part"], specifics["load_span_ns"] = quota.Free, quota.Share,
+		quota.Window
 	if deployment != Render {
 		return
 	}
 	p["second_copies"], p["cancel"], p["send_cap"], p["retry_after"] = false, false, 3, false
 }
 
-// rationOf is what a deployment allows of orders to load.
-func rationOf(deployment string) Ration {
+// loadQuotaOf returns the limit of load orders in a deployment.
+func loadQuotaOf(deployment string) LoadQuota {
 	if deployment == Render {
-		return Ration{Window: 5 * time.Second, Free: 1, Share: 0.04}
+		return LoadQuota{Window: 5 * time.Second, Free: 1, Share: 0.04}
 	}
-	return Ration{Window: 5 * time.Second, Free: 6, Share: 0.3}
+	return LoadQuota{Window: 5 * time.Second, Free: 6, Share: 0.3}
 }
 
-// world is a running fleet with its clients.
+// world is the fleet of a run with its clients.
 type world struct {
 	Schedule
 	dir       string
@@ -95,22 +95,22 @@
 	disturbed  [][]span // by executor
 	uninformed [][]span
 	drains     []Drain
-	busy       map[int]bool // executors that drain or are renewed: one at a time
-	failed     []error
+	replacing  map[int]bool // executors that a fault drains or replaces at the moment
+	errs       []error
 }
 
-// newWorld lays out the fleet of a schedule and writes the fault plans of its processes; nothing is
-// started yet.
+// newWorld sets up the fleet of a schedule and writes the fault plans of its processes; no process
+// is started yet.
 func newWorld(schedule Schedule, dir string, network *lab.Net, program lab.Program) (*world, error) {
 	w := &world{
-		Schedule: schedule, dir: dir, figures: figures(schedule.Deployment),
+		Schedule: schedule, dir: dir, figures: deploymentFigures(schedule.Deployment),
 		uninformed: make([][]span, schedule.Processes),
-		disturbed:  make([][]span, schedule.Executors), busy: map[int]bool{},
+		disturbed:  make([][]span, schedule.Executors), replacing: map[int]bool{},
 	}
 	size := lab.RigSize{
 		Dispatchers: schedule.Processes, Workers: schedule.Executors, Figures: w.figures, Seed: schedule.Seed,
 		Load:     lab.Load{Rate: 1, Models: 1},
-		Settings: func(_ int, settings map[string]any) { permissions(schedule.Deployment, settings) },
+		Settings: func(_ int, settings map[string]any) { applySettings(schedule.Deployment, settings) },
 	}
 	if schedule.CachedList {
 		size.Operators = "[list]\npath = \"list.db\"\n"
@@ -124,14 +124,16 @@
 		b.Wrap(executor.wrap)
 		w.executors = append(w.executors, executor)
 	}
-	w.begin = time.Now().Add(startTime + time.Duration(schedule.Processes)*startEach)
+	w.begin = time.Now().Add(startTime + time.Duration(schedule.Processes)*startTimePerProcess)
 	for i, d := range w.rig.Nodes {
 		n := &node{Dispatcher: d, program: program}
-		if err := n.set(func(c map[string]any) { c["limits"].(map[string]any)["sockets"] = nodeSockets }); err != nil {
+		if err := n.editConfig(func(c map[string]any) {
+			c["limits"].(map[string]any)["sockets"] = nodeSockets
+		}); err != nil {
 			return nil, err
 		}
 		plan := filepath.Join(d.Dir, "faults.json")
-		if err := w.plan(i).Write(plan); err != nil {
+		if err := w.faultPlan(i).Write(plan); err != nil {
 			return nil, err
 		}
 		n.Args = append(n.Args, "--faults", plan)
@@ -141,7 +143,7 @@
 	return w, nil
 }
 
-// nodeOf returns the dispatcher whose links stand at an address; -1: none.
+// nodeOf returns the dispatcher whose links have an address; -1: none.
 func (w *world) nodeOf(host string) int {
 	for n, links := range w.rig.Links.Workers {
 		if own, _, err := net.SplitHostPort(links[0].Addr); err == nil && own == host {
@@ -151,8 +153,8 @@
 	return -1
 }
 
-// plan is what a node does to itself.
-func (w *world) plan(node int) *fault.Plan {
+// faultPlan returns the faults that a node injects into its own process.
+func (w *world) faultPlan(node int) *fault.Plan {
 	p := &fault.Plan{Seed: w.Seed + uint64(node)}
 	for _, t := range w.Faults {
 		for _, target := range t.Targets {
@@ -162,7 +164,7 @@
 			from, until := w.begin.Add(t.At), w.begin.Add(t.At+t.For)
 			switch t.Kind {
 			case ClockStep:
-				p.Steps = append(p.Steps, fault.Step{At: from, Offset: stepOf(t.Amount)}, fault.Step{At: until})
+				p.Steps = append(p.Steps, fault.Step{At: from, Offset: clockStep(t.Amount)}, fault.Step{At: until})
 			case AcceptFails:
 				p.Sockets = append(p.Sockets, sockets.Window{
 					From: from, Until: until,
@@ -189,26 +191,26 @@
 	return p
 }
 
-// stepOf is by how much the clock steps.
-func stepOf(amount float64) time.Duration {
+// clockStep returns the step of the wall clock for an amount from 0 to 1.
+func clockStep(amount float64) time.Duration {
 	steps := [...]time.Duration{-time.Hour, time.Hour, -5 * time.Second, 5 * time.Second}
 	return steps[min(int(amount*float64(len(steps))), len(steps)-1)]
 }
 
 // start starts all processes and waits until they are ready.
 func (w *world) start(ctx context.Context) error {
-	soon, cancel := context.WithTimeout(ctx, readyTime)
+	startCtx, cancel := context.WithTimeout(ctx, readyTime)
 	defer cancel()
-	return each(len(w.nodes), func(i int) error {
+	return runParallel(len(w.nodes), func(i int) error {
 		if err := w.nodes[i].start(); err != nil {
 			return err
 		}
-		return w.nodes[i].awaitReady(soon)
+		return w.nodes[i].awaitReady(startCtx)
 	})
 }
 
-// each does something for each of n at once and returns the first error.
-func each(n int, do func(i int) error) error {
+// runParallel calls do for 0 to n-1 concurrently, waits for all and returns the first error.
+func runParallel(n int, do func(i int) error) error {
 	errs := make(chan error, n)
 	for i := range n {
 		go func() { errs <- do(i) }()
@@ -222,12 +224,12 @@
 	return first
 }
 
-// end sends all processes SIGTERM and waits for them; what does not end is killed.
+// end sends SIGTERM to all processes and waits for them; those that do not exit in time are killed.
 func (w *world) end() {
-	_ = each(len(w.nodes), func(i int) error {
+	_ = runParallel(len(w.nodes), func(i int) error {
 		node := w.nodes[i]
 		node.mu.Lock()
-		running := node.cmd != nil && node.lives[len(node.lives)-1].Ended.IsZero()
+		running := node.cmd != nil && node.incarnations[len(node.incarnations)-1].Ended.IsZero()
 		node.mu.Unlock()
 		if !running {
 			return nil
@@ -243,12 +245,12 @@
 	})
 }
 
-// close ends everything at once.
+// close kills all processes, waits for them and closes the rig.
 func (w *world) close() {
 	for _, node := range w.nodes {
 		node.mu.Lock()
-		if node.cmd != nil && node.lives[len(node.lives)-1].Ended.IsZero() {
-			node.lives[len(node.lives)-1].Killed = time.Now()
+		if node.cmd != nil && node.incarnations[len(node.incarnations)-1].Ended.IsZero() {
+			node.incarnations[len(node.incarnations)-1].Killed = time.Now()
 			_ = node.cmd.Process.Signal(syscall.SIGKILL)
 		}
 		exited := node.exited
