--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -199,7 +199,8 @@
 	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 }
 
-// acquireConn returns an idle connection or a new one, and whether it was used before.
+// acquireConn returns an idle connection, or a new one if fresh is set or none is usable, and
+// whether it was used before.
 func (c *Clients) acquireConn(fresh bool) (*clientConn, bool, error) {
 	c.mu.Lock()
 	for n := len(c.idle); n > 0 && !fresh; n = len(c.idle) {
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -42,7 +42,7 @@
 type node struct {
 	*lab.Dispatcher
 	program     lab.Program
-	validConfig []byte // its valid configuration
+	validConfig []byte // restored after each reload of a changed one
 
 	mu           sync.Mutex
 	cmd          *exec.Cmd
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -1,7 +1,7 @@
 package soak
 
 // The oracle: it finds violations of the rules in the records of clients, executors and processes.
-// It has no side effects.
+// It performs no I/O; in the records it sets only LeftAt of overdue requests.
 
 import (
 	"fmt"
@@ -128,7 +128,8 @@
 	o.found = append(o.found, Violation{rule, node, id, fmt.Sprintf(format, args...)})
 }
 
-// checkAnswer checks that a request got exactly one answer, with the right body.
+// checkAnswer checks that a request got an answer if one was owed, at most one, and one with the
+// right body.
 func (o *oracle) checkAnswer(request *Request) {
 	if request.SecondAnswer {
 		o.addViolation(RuleOneAnswer, request.Node, request.ID, "bytes came behind the answer")
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -30,7 +30,7 @@
 // nothing.
 func (r Result) Inconclusive() bool { return r.Stalled > maxStall }
 
-// maxStall is the longest stall of the testbed process after which its recorded times are still valid.
+// maxStall is the longest stall of the testbed process that leaves its recorded times valid.
 const maxStall = 150 * time.Millisecond
 
 // ErrUsed states that the directory of a run already exists.
