--- a/internal/lab/discovery.go
+++ b/internal/lab/discovery.go
@@ -1,8 +1,8 @@
 package lab
 
-// The stand-in discovery: the command channel of the platform's protocol, with outages, late and
-// duplicate events, and numberings that start over. Every dispatcher gets every event that it has
-// not had.
+// A stub of the discovery service: the command channel of the platform's protocol, with outages,
+// delayed and duplicate events, and changes of epoch that restart the event numbers. Every
+// dispatcher gets every event after the number that it resumes from.
 
 import (
 	"bufio"
@@ -18,7 +18,7 @@
 	"time"
 )
 
-// Listed is the entry of one worker in discovery's list.
+// Listed is the entry of one worker in discovery's list. UpSince is in Unix milliseconds.
 type Listed struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"host_port"`
@@ -30,47 +30,48 @@
 	UpSince int64   `json:"up_since_ms"`
 }
 
-// Phases of a listed worker.
+// The phases of a listed worker. A worker that is published as Removed leaves the list.
 const (
 	Ready       = "Ready"
 	Terminating = "Terminating"
 	Removed     = "Gone"
 )
 
-// Discovery stands in for the service that knows the workers. Every dispatcher has a listener of
-// its own, so that it is known which dispatcher was notified of what.
+// Discovery is a stub of the service that lists the workers. Every dispatcher has its own listener,
+// so that Discovery can record which events each dispatcher was sent.
 type Discovery struct {
-	// Double has every event sent twice. Heart is the pace of lines with the last number; 0: 1 s.
-	Double bool
-	Heart  time.Duration
-	// Route returns where dispatcher n reaches a worker, for runs with relays between; nil: the
-	// worker's own address. It is set before use.
-	Route func(n int, box Listed) string
+	// DuplicateEvents makes Discovery send every event twice. Heart is the interval of heartbeats,
+	// which carry the last event number; 0 means 1 s.
+	DuplicateEvents bool
+	Heart           time.Duration
+	// Route returns the address at which dispatcher n reaches a worker, for runs with relays in
+	// between; nil means the worker's own address. It must be set before use.
+	Route func(n int, worker Listed) string
 
-	mu        sync.Mutex
-	epoch     string
-	lines     [][]Listed     // from number 1
-	announced map[string]int // id: number of the event that announced its present phase
-	state     map[string]Listed
-	down      bool
-	held      bool // it is cut off from what it knows: events wait, heartbeats go on
-	told      int  // number of the last event that it passes on while held
-	toldState map[string]Listed
-	ports     []*port
-	changed   chan struct{} // closed at each change
-	wait      sync.WaitGroup
+	mu         sync.Mutex
+	epoch      string
+	events     [][]Listed     // the first has number 1
+	announced  map[string]int // by worker ID, the number of the event that announced its current phase
+	state      map[string]Listed
+	down       bool
+	held       bool // new events are withheld, heartbeats continue
+	heldCursor int  // number of the last event that it sends while held
+	heldState  map[string]Listed
+	ports      []*discoveryListener
+	changed    chan struct{} // closed at each change
+	wait       sync.WaitGroup
 }
 
-// port is the listener of one dispatcher.
-type port struct {
-	n        int // of the dispatcher
+// discoveryListener is the listener that serves one dispatcher.
+type discoveryListener struct {
+	n        int // number of the dispatcher
 	addr     string
 	ln       net.Listener
 	conns    map[net.Conn]struct{}
-	notified map[int]time.Time // event: when it was written here first
+	notified map[int]time.Time // by event number, when the event was first sent to this dispatcher
 }
 
-// NewDiscovery returns a discovery that knows no workers.
+// NewDiscovery returns a Discovery without workers and listeners, in the given epoch.
 func NewDiscovery(epoch string) *Discovery {
 	return &Discovery{
 		epoch: epoch, announced: map[string]int{}, state: map[string]Listed{},
@@ -78,15 +79,16 @@
 	}
 }
 
-// Listen opens the listener of dispatcher number n at addr.
+// Listen opens a listener at addr for the next dispatcher and returns that dispatcher's number,
+// counted from 0.
 func (d *Discovery) Listen(addr string) (n int, err error) {
-	listener, err := listenAgain(addr)
+	listener, err := listenWithRetry(addr)
 	if err != nil {
 		return 0, fmt.Errorf("discovery: %w", err)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	p := &port{
+	p := &discoveryListener{
 		n: len(d.ports), addr: listener.Addr().String(), ln: listener, conns: map[net.Conn]struct{}{},
 		notified: map[int]time.Time{},
 	}
@@ -95,11 +97,11 @@
 	return len(d.ports) - 1, nil
 }
 
-// Addr is where dispatcher n listens to it.
+// Addr returns the address at which dispatcher n connects to Discovery.
 func (d *Discovery) Addr(n int) string { d.mu.Lock(); defer d.mu.Unlock(); return d.ports[n].addr }
 
-// serve accepts connections on a port until its listener is closed.
-func (d *Discovery) serve(p *port, listener net.Listener) {
+// serve accepts connections until the listener is closed.
+func (d *Discovery) serve(p *discoveryListener, listener net.Listener) {
 	d.wait.Add(1)
 	go func() {
 		defer d.wait.Done()
@@ -108,7 +110,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			if err != nil { // such as no descriptor left for the moment
+			if err != nil { // for example, no file descriptor is free at the moment
 				time.Sleep(10 * time.Millisecond)
 				continue
 			}
@@ -123,7 +125,7 @@
 			d.wait.Add(1)
 			go func() {
 				defer d.wait.Done()
-				d.speak(p, conn)
+				d.serveConn(p, conn)
 				_ = conn.Close()
 				d.mu.Lock()
 				delete(p.conns, conn)
@@ -133,16 +135,17 @@
 	}()
 }
 
-// Publish makes one event of changed workers; the first event holds the full list.
+// Publish adds one event with the changed workers. The first event of an epoch must hold the full
+// list: it is sent as complete.
 func (d *Discovery) Publish(workers ...Listed) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.publish(workers)
 }
 
-// publish makes an event of workers. The caller holds d.mu.
+// publish adds an event with the given workers. The caller holds d.mu.
 func (d *Discovery) publish(workers []Listed) {
-	n := len(d.lines) + 1
+	n := len(d.events) + 1
 	for _, entry := range workers {
 		d.announced[entry.ID] = n
 		if entry.Phase == Removed {
@@ -151,22 +154,22 @@
 			d.state[entry.ID] = entry
 		}
 	}
-	d.lines = append(d.lines, slices.Clone(workers))
+	d.events = append(d.events, slices.Clone(workers))
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// line is event i+1 as dispatcher n reads it.
+// line returns event i+1 as it is sent to dispatcher n.
 func (d *Discovery) line(n, i int) string {
-	raw, err := json.Marshal(d.event(n, i+1, i == 0, slices.Clone(d.lines[i])))
+	raw, err := json.Marshal(d.event(n, i+1, i == 0, slices.Clone(d.events[i])))
 	if err != nil {
-		panic(err) // strings and numbers always encode
+		panic(err) // strings and finite numbers can always be encoded
 	}
 	return string(raw) + "\n"
 }
 
-// event returns what dispatcher n reads of workers, whose addresses it replaces by those of the
-// links.
+// event returns the event with the given workers as it is sent to dispatcher n. Where Route is set,
+// it replaces the addresses in workers by those that Route returns.
 func (d *Discovery) event(n, cursor int, complete bool, workers []Listed) map[string]any {
 	if d.Route != nil {
 		for k := range workers {
@@ -179,16 +182,16 @@
 	}
 }
 
-// Known returns all that is known as one event for the configuration of dispatcher n, which counts
-// as notified of it from now on.
+// Known returns the current list as a single event, for the configuration of dispatcher n. It
+// records all events up to that list as sent to the dispatcher now.
 func (d *Discovery) Known(n int) map[string]any {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	state := d.state
 	if d.held {
-		state = d.toldState
+		state = d.heldState
 	}
-	all := slices.SortedFunc(maps.Values(state), func(a, entry Listed) int { return strings.Compare(a.ID, entry.ID) })
+	all := slices.SortedFunc(maps.Values(state), func(a, b Listed) int { return strings.Compare(a.ID, b.ID) })
 	for i := range d.last() {
 		if _, was := d.ports[n].notified[i+1]; !was {
 			d.ports[n].notified[i+1] = time.Now()
@@ -197,7 +200,8 @@
 	return map[string]any{"cursor": d.last(), "cmds": []any{d.event(n, d.last(), true, all)}}
 }
 
-// StartOver begins a new numbering under another epoch, with the full list as its first event.
+// StartOver begins a new epoch, whose first event has number 1 and holds the full list. It closes
+// all connections.
 func (d *Discovery) StartOver(epoch string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -205,7 +209,7 @@
 	for _, entry := range d.state {
 		all = append(all, entry)
 	}
-	d.epoch, d.lines, d.announced = epoch, nil, map[string]int{}
+	d.epoch, d.events, d.announced = epoch, nil, map[string]int{}
 	for _, port := range d.ports {
 		port.notified = map[int]time.Time{}
 		for conn := range port.conns {
@@ -215,25 +219,26 @@
 	d.publish(all)
 }
 
-// Hold cuts discovery off from what it knows, or ends that: while held it passes on no further event,
-// and its heartbeats go on with the number of the last one that it passed on.
+// Hold withholds new events, or ends that. While held, Discovery sends no event published after the
+// call, and its heartbeats repeat the number of the last event before it.
 func (d *Discovery) Hold(held bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.held, d.told, d.toldState = held, len(d.lines), maps.Clone(d.state)
+	d.held, d.heldCursor, d.heldState = held, len(d.events), maps.Clone(d.state)
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// last returns the number of the last event that it passes on. The caller holds d.mu.
+// last returns the number of the last event that may be sent. The caller holds d.mu.
 func (d *Discovery) last() int {
 	if d.held {
-		return min(d.told, len(d.lines))
+		return min(d.heldCursor, len(d.events))
 	}
-	return len(d.lines)
+	return len(d.events)
 }
 
-// Down takes it off all its addresses; Up brings it back with all that it knows.
+// Down closes all listeners and connections and waits until their goroutines have ended. Up ends
+// the outage; the events are kept.
 func (d *Discovery) Down() {
 	d.mu.Lock()
 	d.down = true
@@ -249,7 +254,7 @@
 	d.wait.Wait()
 }
 
-// Up opens all its listeners again.
+// Up reopens all listeners at their addresses.
 func (d *Discovery) Up() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -257,7 +262,7 @@
 	for _, port := range d.ports {
 		listener, err := net.Listen("tcp", port.addr)
 		if err != nil {
-			return fmt.Errorf("discovery comes back: %w", err)
+			return fmt.Errorf("discovery: reopen listener: %w", err)
 		}
 		port.ln = listener
 		d.serve(port, listener)
@@ -265,20 +270,20 @@
 	return nil
 }
 
-// speak serves one connection: it answers the resume line with the epoch, and then writes events as
-// they come and the last number at the pace of Heart.
-func (d *Discovery) speak(p *port, conn net.Conn) {
+// serveConn serves one connection: it answers the resume line with the epoch, then sends events as
+// they are published and, at intervals of Heart, the last event number.
+func (d *Discovery) serveConn(p *discoveryListener, conn net.Conn) {
 	line, err := bufio.NewReader(conn).ReadString('\n')
 	text, ok := strings.CutPrefix(strings.TrimSpace(line), "resume ")
 	from, parseErr := strconv.Atoi(text)
 	if err != nil || !ok || parseErr != nil {
 		return
 	}
-	heart := d.Heart
-	if heart == 0 {
-		heart = time.Second
+	interval := d.Heart
+	if interval == 0 {
+		interval = time.Second
 	}
-	ticker := time.NewTicker(heart)
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	d.mu.Lock()
 	hello := fmt.Sprintf("{\"cursor\":%d,\"epoch\":%q}\n", min(from, d.last()), d.epoch)
@@ -308,10 +313,10 @@
 	}
 }
 
-// eventsFrom returns the lines of the events after number from, and notes that the dispatcher of
-// the port is notified of them. last is the number of the last event, changed is closed at the next
-// change; up is false while discovery is down.
-func (d *Discovery) eventsFrom(p *port, from int) (events string, last int, changed <-chan struct{}, up bool) {
+// eventsFrom returns the lines of the events after number from, and records them as sent to the
+// dispatcher of p. last is the number of the last event that may be sent; changed is closed at the
+// next change; up is false while Discovery is down.
+func (d *Discovery) eventsFrom(p *discoveryListener, from int) (events string, last int, changed <-chan struct{}, up bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.down {
@@ -321,7 +326,7 @@
 	for ; from < d.last(); from++ {
 		line := d.line(p.n, from)
 		out.WriteString(line)
-		if d.Double {
+		if d.DuplicateEvents {
 			out.WriteString(line)
 		}
 		if _, was := p.notified[from+1]; !was {
@@ -331,7 +336,7 @@
 	return out.String(), d.last(), d.changed, true
 }
 
-// NotifiedAt returns when dispatcher n was notified of the present phase of a worker; the zero time
+// NotifiedAt returns when dispatcher n was first sent the current phase of a worker, or the zero time
 // if it was not.
 func (d *Discovery) NotifiedAt(n int, id string) time.Time {
 	d.mu.Lock()
@@ -339,8 +344,8 @@
 	return d.ports[n].notified[d.announced[id]]
 }
 
-// notifiedTimes returns when each dispatcher was notified of the present phase of a worker; those
-// that were not are absent.
+// notifiedTimes returns when each dispatcher was first sent the current phase of a worker.
+// Dispatchers that were not sent it are absent.
 func notifiedTimes(d *Discovery, dispatchers int, id string) map[int]time.Time {
 	notified := map[int]time.Time{}
 	for i := range dispatchers {
--- a/internal/lab/dispatchers.go
+++ b/internal/lab/dispatchers.go
@@ -1,7 +1,7 @@
 package lab
 
-// The dispatchers of an experiment: real processes of the daemon on loopback addresses. Only
-// processes started here are ended.
+// The dispatchers of an experiment: real processes of the daemon on loopback addresses. This code
+// signals only processes that it started.
 
 import (
 	"context"
@@ -17,25 +17,27 @@
 	"time"
 )
 
-// Net is a part of the loopback range that one run has to itself: 127.B.*.*.
+// Net is a part of the loopback range, 127.B.*.*, that is reserved for one run.
 type Net struct {
 	b    int
 	lock net.Listener
 }
 
-// ClaimNet takes a part of the loopback range that no other run uses.
+// ClaimNet reserves a part of the loopback range that no other run uses, or returns an error if all
+// are in use. The listener that it opens there is the lock.
 func ClaimNet() (*Net, error) {
 	for b := 64; b < 250; b++ {
 		if listener, err := net.Listen("tcp", fmt.Sprintf("127.%d.255.254:9000", b)); err == nil {
 			return &Net{b, listener}, nil
 		}
 	}
-	return nil, errors.New("no part of the loopback range is free")
+	return nil, errors.New("no free part of the loopback range in 127.64.0.0 to 127.249.255.255")
 }
 
-// listenAgain listens on an address that another socket of ours may hold for a moment yet: a process that is just being
-// started has copies of all until it runs its own program.
-func listenAgain(addr string) (net.Listener, error) {
+// listenWithRetry listens on a TCP address that may still be in use for a moment after its socket was
+// closed: a child process that is being started has copies of all descriptors until its exec. It
+// retries for 2 s while the address is in use.
+func listenWithRetry(addr string) (net.Listener, error) {
 	const attempts, pause = 100, 20 * time.Millisecond
 	for attempt := 0; ; attempt++ {
 		listener, err := net.Listen("tcp", addr)
@@ -46,29 +48,31 @@
 	}
 }
 
-// Addr is address number i of a group; ports lie below those that the system gives out.
+// Addr returns address number i of a group, with the given port. Ports should lie below the range of
+// ephemeral ports.
 func (n *Net) Addr(group, i, port int) string {
 	return fmt.Sprintf("127.%d.%d.%d:%d", n.b, group*8+i/250, 1+i%250, port)
 }
 
-// Close gives the range back.
+// Close releases the range.
 func (n *Net) Close() { _ = n.lock.Close() }
 
-// Settings is the platform's settings object for a world of these figures, as a dispatcher's configuration holds it.
+// Settings returns the platform's settings object for these figures, as it stands in the
+// configuration of dispatcher number of a fleet of the given size.
 func (f *Figures) Settings(number, dispatchers int) map[string]any {
-	var cats []map[string]any
+	var categories []map[string]any
 	for _, class := range f.Classes {
 		kind := "read_like"
 		if class.NotIdempotent {
 			kind = "non_idempotent"
 		}
-		cats = append(cats, map[string]any{
+		categories = append(categories, map[string]any{
 			"name": class.Name, "aim_ns": class.LatencyObjective,
 			"give_up_ns": class.ClientTimeout, "credit": class.PriorityWeight, "late_worth": 0.2, "idempotency": kind,
 		})
 	}
 	return map[string]any{
-		"categories": cats, "customers": []any{},
+		"categories": categories, "customers": []any{},
 		"feedback": map[string]any{"fields": []string{"waiting", "cpu"}, "how": "inline"},
 		"kinds":    []string{"std-2core"},
 		"zones":    []string{"north-room", "south-room"}, "my_number": number, "siblings": dispatchers,
@@ -93,41 +97,42 @@
 	}
 }
 
-// Dispatcher is one process of the daemon.
+// Dispatcher is one dispatcher of a run: its files and the daemon processes started from them, one
+// at a time.
 type Dispatcher struct {
 	N      int
 	Addr   string
 	Dir    string
-	Config string // the platform's configuration
-	File   string // the operator's file; empty: none
+	Config string // path of the platform's configuration
+	File   string // path of the operator's configuration; empty: none
 	Args   []string
-	Run    Program // that is started; zero: this program's own dispatch command
+	Run    Program // zero: the dispatch command of this executable
 	cmd    *exec.Cmd
 	Killed []time.Time
 	Began  []time.Time
 	Ready  []time.Time
-	CPU    time.Duration // of the processes that ended
+	CPU    time.Duration // of the processes that have ended
 }
 
-// Program is what a dispatcher's process runs.
+// Program is the executable that a dispatcher's process runs.
 type Program struct {
 	Path string
-	Args []string // before the dispatcher's own
-	Env  []string // beside this process's
+	Args []string // precede the dispatcher's own
+	Env  []string // added to this process's environment
 }
 
-// DispatcherFiles is what the files of one dispatcher are written from.
+// DispatcherFiles holds the contents of one dispatcher's files and where they are written.
 type DispatcherFiles struct {
-	Dir       string // that the dispatcher's own folder is made in
-	N         int    // its number
-	Addr      string // it listens there
+	Dir       string // parent of the dispatcher's own directory
+	N         int    // number of the dispatcher
+	Addr      string // where the dispatcher listens for clients
 	Settings  map[string]any
 	Peers     []string // addresses of all dispatchers, by number
-	Channel   string   // address of discovery
-	Operators string   // the operator's file; empty: none
+	Channel   string   // address of Discovery's listener or of the relay to it
+	Operators string   // contents of the operator's configuration; empty: none
 }
 
-// Lay writes a dispatcher's files.
+// Lay writes a dispatcher's files and returns the dispatcher, which is not started.
 func Lay(files DispatcherFiles) (*Dispatcher, error) {
 	n, peers := files.N, files.Peers
 	dispatcher := &Dispatcher{N: n, Addr: files.Addr, Dir: filepath.Join(files.Dir, fmt.Sprintf("d%02d", n))}
@@ -155,25 +160,25 @@
 	return dispatcher, nil
 }
 
-// Know puts what is known of the workers into the configuration: an object with a cursor and
-// events.
+// Know puts the known workers into the platform's configuration. known is an object with a cursor
+// and events, as Discovery.Known returns it.
 func (d *Dispatcher) Know(known map[string]any) error {
 	raw, err := os.ReadFile(d.Config)
 	if err != nil {
-		return fmt.Errorf("dispatcher %d: its configuration: %w", d.N, err)
+		return fmt.Errorf("dispatcher %d: platform configuration: %w", d.N, err)
 	}
 	var config map[string]any
 	if err := json.Unmarshal(raw, &config); err != nil {
-		return fmt.Errorf("dispatcher %d: its configuration: %w", d.N, err)
+		return fmt.Errorf("dispatcher %d: platform configuration: %w", d.N, err)
 	}
 	config["known"] = known
 	if raw, err = json.MarshalIndent(config, "", " "); err != nil {
-		return fmt.Errorf("dispatcher %d: its configuration: %w", d.N, err)
+		return fmt.Errorf("dispatcher %d: platform configuration: %w", d.N, err)
 	}
 	return os.WriteFile(d.Config, raw, 0o600)
 }
 
-// Start starts the process. It ends with this one, however that ends.
+// Start starts the process. The kernel kills it when this process ends for any reason.
 func (d *Dispatcher) Start() error {
 	run := d.Run
 	if run.Path == "" {
@@ -204,15 +209,16 @@
 	return nil
 }
 
-// WaitReady asks /ping until it says 200, and remembers when that was.
+// WaitReady polls /ping every 4 ms until it answers 200, and records that time. It returns an error
+// when ctx ends before.
 func (d *Dispatcher) WaitReady(ctx context.Context) error {
-	c := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.Addr+"/ping", nil)
 		if err != nil {
 			return err
 		}
-		if resp, err := c.Do(req); err == nil {
+		if resp, err := client.Do(req); err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
 				d.Ready = append(d.Ready, time.Now())
@@ -227,13 +233,15 @@
 	}
 }
 
-// Kill ends the process at once, as a crash does.
+// Kill ends the process with SIGKILL, as in a crash.
 func (d *Dispatcher) Kill() error { return d.end(syscall.SIGKILL) }
 
-// Stop ends it as a planned restart does, and says how it went.
+// Stop ends the process with SIGTERM, as in a planned restart, and returns an error if its exit code
+// is not 0.
 func (d *Dispatcher) Stop() error { return d.end(syscall.SIGTERM) }
 
-// Signal sends a running process any signal, such as SIGSTOP and SIGCONT.
+// Signal sends the running process a signal, such as SIGSTOP or SIGCONT. Without a running process it
+// does nothing.
 func (d *Dispatcher) Signal(sig syscall.Signal) error {
 	if d.cmd == nil {
 		return nil
@@ -244,13 +252,14 @@
 	return nil
 }
 
-// Running reports whether the process was started and not ended by the run.
+// Running reports whether the process was started and neither Kill nor Stop has ended it.
 func (d *Dispatcher) Running() bool { return d.cmd != nil }
 
-// Log is the file that its processes log to.
+// Log returns the path of the file that the dispatcher's processes log to.
 func (d *Dispatcher) Log() string { return filepath.Join(d.Dir, "log") }
 
-// end sends the process a signal and waits for its end.
+// end sends the process a signal and waits until it exits. After SIGKILL, death by a signal is no
+// error.
 func (d *Dispatcher) end(sig syscall.Signal) error {
 	if d.cmd == nil {
 		return nil
--- a/internal/lab/links.go
+++ b/internal/lab/links.go
@@ -6,52 +6,53 @@
 	"time"
 )
 
-// Links holds every link of a run: a relay for each pair of a dispatcher and a worker, and one for
+// Links holds the TCP relays of a run, one for each pair of a dispatcher and a worker and one for
 // each command channel.
 type Links struct {
 	Workers  [][]*Relay // by dispatcher, by worker
 	Channels []*Relay
-	did      []Deed
+	events   []LinkEvent
 	mu       sync.Mutex
 }
 
-// Deed is what was done when, for the report.
-type Deed struct {
+// LinkEvent is a change or fault that a run injected, with its time.
+type LinkEvent struct {
 	At   time.Time
 	What string
 }
 
-// Did notes what is done now.
-func (f *Links) Did(format string, args ...any) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.did = append(f.did, Deed{time.Now(), fmt.Sprintf(format, args...)})
+// Did records an event that happens now. Its arguments are those of fmt.Sprintf.
+func (l *Links) Did(format string, args ...any) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.events = append(l.events, LinkEvent{time.Now(), fmt.Sprintf(format, args...)})
 }
 
-// Deeds lists what was done.
-func (f *Links) Deeds() []Deed {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return append([]Deed(nil), f.did...)
+// Events returns the recorded events in the order in which they were recorded.
+func (l *Links) Events() []LinkEvent {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return append([]LinkEvent(nil), l.events...)
 }
 
-// Between sets the links of all pairs that pick names, at once.
-func (f *Links) Between(what Fault, delay time.Duration, pick func(dispatcher, worker int) bool) error {
+// Between sets the fault and delay of the links of all pairs of a dispatcher and a worker for which
+// pick returns true, all at the same time. It returns the first error.
+func (l *Links) Between(fault Fault, delay time.Duration, pick func(dispatcher, worker int) bool) error {
 	var wait sync.WaitGroup
 	errs := make(chan error, 1)
 	n := 0
-	for d, row := range f.Workers {
-		for b, relay := range row {
-			if !pick(d, b) {
+	for dispatcher, row := range l.Workers {
+		for worker, relay := range row {
+			if !pick(dispatcher, worker) {
 				continue
 			}
 			n++
 			wait.Add(1)
 			go func() {
 				defer wait.Done()
-				if err := relay.Set(what, delay); err != nil {
+				if err := relay.Set(fault, delay); err != nil {
 					select {
-					case errs <- fmt.Errorf("link of dispatcher %d to worker %d: %w", d, b, err):
+					case errs <- fmt.Errorf("link of dispatcher %d to worker %d: %w", dispatcher, worker, err):
 					default:
 					}
 				}
@@ -59,7 +60,7 @@
 		}
 	}
 	wait.Wait()
-	f.Did("%d ways to boxes: %s, delay %s", n, what, delay)
+	l.Did("%d links to workers: %s, delay %s", n, fault, delay)
 	select {
 	case err := <-errs:
 		return err
@@ -68,11 +69,11 @@
 	}
 }
 
-// Close closes all links.
-func (f *Links) Close() {
+// Close closes all links and waits until their goroutines have ended.
+func (l *Links) Close() {
 	var wait sync.WaitGroup
-	all := append([]*Relay(nil), f.Channels...)
-	for _, row := range f.Workers {
+	all := append([]*Relay(nil), l.Channels...)
+	for _, row := range l.Workers {
 		all = append(all, row...)
 	}
 	for _, relay := range all {
--- a/internal/lab/links_test.go
+++ b/internal/lab/links_test.go
@@ -78,7 +78,7 @@
 	t0 := time.Now()
 	require.NoError(t, ask())
 	assert.GreaterOrEqual(t, time.Since(t0), 120*time.Millisecond, "there and back")
-	assert.NotEmpty(t, relay.Came())
+	assert.NotEmpty(t, relay.Accepted())
 	relay.Close()
 	_, err = net.DialTimeout("tcp", relay.Addr, time.Second)
 	require.Error(t, err)
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -1,8 +1,8 @@
 package lab
 
-// The clients: open-loop arrivals on an absolute schedule, retries after the advised wait, and the
-// result of each call. Latency counts from the intended moment, and no call waits for the one
-// before.
+// The clients: open-loop arrivals on an absolute schedule, retries after the delay that the
+// dispatcher advises, and a record of each call. Latency counts from the scheduled time of a call,
+// and no call waits for the previous one.
 
 import (
 	"bytes"
@@ -22,35 +22,36 @@
 	"time"
 )
 
-// Load is what clients of one dispatcher send.
+// Load describes the calls that the clients of one dispatcher send.
 type Load struct {
-	Rate    float64 // calls per second, retries not counted, Poisson
-	Models  int
-	Zipf    float64
-	Turn    time.Duration // after so long another model stands at a rank, at other moments for each; 0: never
-	Retries int
+	Rate    float64       // calls per second without retries, as a Poisson process
+	Models  int           // number of models that are called
+	Zipf    float64       // exponent of the models' popularity
+	Turn    time.Duration // interval after which a popularity rank gets another model, at 16 offsets by rank; 0: never
+	Retries int           // per call, beside those of crossed closes
 	Seed    uint64
-	// From NewAt on, four models in ten stand there in a new version, under a name of its own; zero: never.
+	// NewAt is the time from which four in ten models are called in a new version, which has its own
+	// ID; zero: never.
 	NewAt time.Time
 }
 
-// Attempt is one request and its end.
+// Attempt is one request of a call and its result.
 type Attempt struct {
 	ID     string
 	Sent   time.Time
 	Ended  time.Time
-	Status int  // 0: no complete answer
-	Lost   bool // it was taken by a running dispatcher, and no complete answer came
-	Wrong  bool // served with what no worker made for it
+	Status int  // HTTP status; 0: no complete response
+	Lost   bool // no complete response, for another reason than a refused connection or a crossed close
+	Wrong  bool // status 200, but not with the body that a worker returns for it
 	Err    string
-	// Crossed reports that at a planned end of the dispatcher the connection was closed as the
-	// request was written, and nothing came back. By the protocol a dispatcher may close a
-	// connection on which no request is open, and a request that crosses the close is sent again,
-	// once, on a new connection; Unanswered checks with the workers whether it was taken after all.
+	// Crossed reports that, during a planned stop of the dispatcher, the connection was closed as the
+	// request was written, and no byte of a response came. By the protocol a dispatcher may close a
+	// connection without an open request, and the client resends a request that crossed the close
+	// once, on a new connection. Unanswered checks whether a worker saw the request nevertheless.
 	Crossed bool
 }
 
-// Call is a call with all its attempts.
+// Call is a finished call with all its attempts.
 type Call struct {
 	Class    int
 	Intended time.Time
@@ -60,8 +61,8 @@
 	Tenant   string
 }
 
-// WeightedValue returns the value that the call earned: all of its priority weight within the
-// latency objective, 0.2 of it later, nothing unserved.
+// WeightedValue returns the value of the call: its priority weight if it was served within the
+// latency objective, 0.2 of the weight if it was served later, and 0 if it was not served.
 func (c *Call) WeightedValue(figures *Figures) float64 {
 	class := figures.Classes[c.Class]
 	switch {
@@ -75,40 +76,42 @@
 
 // Clients are the clients of one dispatcher.
 type Clients struct {
-	f    *Figures
-	n    int
-	addr string
-	load Load
-	http *http.Client
-	anew *http.Client // each request on a new connection
-	// Tenant names the tenant of a call by its number; nil: none. Set before Run.
+	f           *Figures
+	n           int
+	addr        string
+	load        Load
+	http        *http.Client
+	noKeepAlive *http.Client // opens a new connection for each request
+	// Tenant returns the tenant of a call by the call's number; nil: none. It must be set before Run.
 	Tenant func(seq int) string
 
-	mu    sync.Mutex
-	calls []*Call
-	ends  atomic.Bool   // the dispatcher is at a planned end
-	late  time.Duration // the most that a call was sent after its moment
-	wait  sync.WaitGroup
+	mu       sync.Mutex
+	calls    []*Call
+	stopping atomic.Bool   // a planned stop of the dispatcher is under way
+	maxLag   time.Duration // highest delay of a call behind its scheduled time
+	wait     sync.WaitGroup
 }
 
-// NewClients makes the clients of dispatcher number n.
+// NewClients returns the clients of dispatcher number n, which listens at addr.
 func NewClients(figures *Figures, n int, addr string, l Load) *Clients {
-	client := func(keeps bool) *http.Client {
+	client := func(keepAlive bool) *http.Client {
 		return &http.Client{Transport: &http.Transport{
-			MaxIdleConnsPerHost: 128, IdleConnTimeout: 3 * time.Second, DisableKeepAlives: !keeps,
+			MaxIdleConnsPerHost: 128, IdleConnTimeout: 3 * time.Second, DisableKeepAlives: !keepAlive,
 			DisableCompression: true, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext,
 		}}
 	}
-	return &Clients{f: figures, n: n, addr: addr, load: l, http: client(true), anew: client(false)}
+	return &Clients{f: figures, n: n, addr: addr, load: l, http: client(true), noKeepAlive: client(false)}
 }
 
-// Renew has new versions come at a moment, as Load.NewAt says. It must be called before Run.
+// Renew sets Load.NewAt, the time from which new versions of models are called. It must be called
+// before Run.
 func (c *Clients) Renew(at time.Time) { c.load.NewAt = at }
 
-// Ending says whether the dispatcher is at a planned end, so that its closes may be crossed.
-func (c *Clients) Ending(is bool) { c.ends.Store(is) }
+// Ending sets whether a planned stop of the dispatcher is under way, in which requests may cross the
+// close of their connection.
+func (c *Clients) Ending(stopping bool) { c.stopping.Store(stopping) }
 
-// Run sends until ctx ends, then waits for the last answers.
+// Run sends calls until ctx ends, then waits until all calls have ended.
 func (c *Clients) Run(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(c.load.Seed, uint64(c.n)))
 	popular := newZipf(c.load.Models, c.load.Zipf)
@@ -129,7 +132,7 @@
 		model := c.load.model(popular.draw(rng.Float64()), next)
 		jitter := 0.75 + rng.Float64()/2
 		c.mu.Lock()
-		c.late = max(c.late, time.Since(at))
+		c.maxLag = max(c.maxLag, time.Since(at))
 		c.mu.Unlock()
 		c.wait.Add(1)
 		go func() {
@@ -149,13 +152,13 @@
 }
 
 const (
-	clientWait = 200 * time.Millisecond
-	// A close that comes longer after a request was sent did not cross it. The protocol says 50 ms;
-	// a busy machine is later.
-	clientCross = 200 * time.Millisecond
+	defaultRetryDelay = 200 * time.Millisecond
+	// A close longer than this after the request was sent does not count as crossed. The protocol
+	// says 50 ms; the rest allows for delays on a busy machine.
+	maxCrossedClose = 200 * time.Millisecond
 )
 
-// call sends one call with its retries and records it.
+// call sends one call with its retries and records the result.
 func (c *Clients) call(seq, class int, model uint64, at time.Time, jitter float64) {
 	k := c.f.Classes[class]
 	call := &Call{Class: class, Intended: at}
@@ -169,7 +172,7 @@
 		attempt, wait := c.attempt(client, id, k.Name, call.Tenant, model, time.Until(end))
 		call.Attempts = append(call.Attempts, attempt)
 		if client = c.http; attempt.Crossed {
-			client = c.anew
+			client = c.noKeepAlive
 			continue
 		}
 		left--
@@ -179,10 +182,10 @@
 		refused := attempt.Status == http.StatusServiceUnavailable || attempt.Status == http.StatusTooManyRequests ||
 			attempt.Status == 0 && !attempt.Lost
 		if k.NotIdempotent && !refused {
-			break // it may have run
+			break // a worker may have run it
 		}
 		if wait == 0 {
-			wait = time.Duration(float64(clientWait) * jitter)
+			wait = time.Duration(float64(defaultRetryDelay) * jitter)
 		}
 		if time.Until(end) < wait+k.Work {
 			break
@@ -195,7 +198,8 @@
 	c.mu.Unlock()
 }
 
-// attempt sends one request. Status 0 and neither Lost nor Crossed: nothing was sent, or the dispatcher died.
+// attempt sends one request and returns its result and the advised delay before a retry, 0 if none.
+// Status 0 with neither Lost nor Crossed means that the connection was refused.
 func (c *Clients) attempt(
 	client *http.Client, id, class, tenant string, model uint64, timeout time.Duration,
 ) (t Attempt, wait time.Duration) {
@@ -211,7 +215,7 @@
 	if err != nil {
 		return t, 0
 	}
-	req.GetBody = nil // no second sending behind our back
+	req.GetBody = nil // keeps the transport from resending the request by itself
 	req.Header = http.Header{
 		"X-Class": {class}, "X-Call-Id": {id}, "X-Patience-Ms": {strconv.FormatInt(max(1, timeout.Milliseconds()), 10)},
 		"X-Extras": {fmt.Sprintf("memory_mb:4000;lanes:%d;load_ms:%d", c.f.Concurrency, c.f.Load.Milliseconds())},
@@ -230,8 +234,8 @@
 			return t, 0
 		}
 		t.Err = err.Error()
-		t.Crossed = c.ends.Load() && client != c.anew && !answered.Load() && ctx.Err() == nil &&
-			time.Since(t.Sent) < clientCross
+		t.Crossed = c.stopping.Load() && client != c.noKeepAlive && !answered.Load() && ctx.Err() == nil &&
+			time.Since(t.Sent) < maxCrossedClose
 		t.Lost = !t.Crossed
 		return t, 0
 	}
@@ -245,24 +249,24 @@
 	return t, wait
 }
 
-// Calls returns all calls that have ended so far.
+// Calls returns the calls that have ended so far.
 func (c *Clients) Calls() []*Call {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]*Call(nil), c.calls...)
 }
 
-// MaxLag returns the most by which the generator sent a call later than intended.
+// MaxLag returns the highest delay between a call's scheduled time and when it was started.
 func (c *Clients) MaxLag() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.late
+	return c.maxLag
 }
 
-// zipf draws models by rank: weight 1/(rank+1)^s.
+// zipf draws ranks with weight 1/(rank+1)^s.
 type zipf struct{ sums []float64 }
 
-// newZipf returns the distribution over n ranks with exponent s.
+// newZipf returns the distribution over ranks 0 to n-1 with exponent s.
 func newZipf(n int, s float64) zipf {
 	z := zipf{make([]float64, n)}
 	sum := 0.0
@@ -273,7 +277,7 @@
 	return z
 }
 
-// draw returns the rank of a uniform draw u from [0, 1).
+// draw returns the rank for a uniform random number u in [0, 1).
 func (z zipf) draw(u float64) int {
 	u *= z.sums[len(z.sums)-1]
 	low, high := 0, len(z.sums)-1
@@ -287,23 +291,24 @@
 	return low
 }
 
-// model is the one that stands at a rank at a moment, the same for all clients.
+// model returns the ID of the model at a popularity rank at the given time. It is the same for all
+// clients.
 func (l *Load) model(rank int, at time.Time) uint64 {
 	turn := int64(0)
 	if l.Turn > 0 {
 		turn = (at.UnixNano() + int64(l.Turn)*int64(rank*7%16)/16) / int64(l.Turn)
 	}
 	model := mix64(uint64(rank)<<40 ^ uint64(turn))
-	if l.Renewed(rank) && !l.NewAt.IsZero() && !at.Before(l.NewAt) {
+	if l.HasNewVersion(rank) && !l.NewAt.IsZero() && !at.Before(l.NewAt) {
 		return mix64(model)
 	}
 	return model
 }
 
-// Renewed reports whether a rank's model comes in a new version.
-func (l *Load) Renewed(rank int) bool { return mix64(uint64(rank))%10 < 4 }
+// HasNewVersion reports whether the model at a rank gets a new version at NewAt.
+func (l *Load) HasNewVersion(rank int) bool { return mix64(uint64(rank))%10 < 4 }
 
-// Version is the model at a rank, and the one that stands there from NewAt on.
+// Version returns the IDs of the model at a rank right before NewAt and at NewAt.
 func (l *Load) Version(rank int) (before, after uint64) {
 	return l.model(rank, l.NewAt.Add(-1)), l.model(rank, l.NewAt)
 }
--- a/internal/lab/peernetwork.go
+++ b/internal/lab/peernetwork.go
@@ -1,8 +1,9 @@
 package lab
 
-// The datagrams between dispatchers: for each ordered pair a socket of its own, by which the
-// receiver knows the sender. What dispatcher i sends to its address of j comes to j from j's
-// address of i, late, duplicated or never, but unaltered.
+// The datagrams between dispatchers. Each ordered pair of dispatchers has its own socket, so that the
+// receiver can identify the sender by its address. A datagram that dispatcher i sends to the address
+// it has for j arrives at j from the address that j has for i. It may be delayed, duplicated or lost,
+// but is never altered.
 
 import (
 	"errors"
@@ -14,54 +15,56 @@
 	"time"
 )
 
-// PeerLink is what happens to datagrams on one link. The zero value delivers all of them at once.
+// PeerLink describes how one link treats datagrams. The zero value delivers all without delay.
 type PeerLink struct {
-	Lost   float64 // share that never comes
-	Twice  float64 // share that comes twice
+	Lost   float64 // share of datagrams that is lost, 0 to 1
+	Twice  float64 // share of the others that is delivered twice, 0 to 1
 	Delay  time.Duration
-	Jitter time.Duration // up to so much more: what is sent later may come first
+	Jitter time.Duration // highest random addition to Delay, which may reorder datagrams
 }
 
-// Lost loses everything.
+// Lost is a link that loses every datagram.
 var Lost = PeerLink{Lost: 1}
 
-// PeerNetwork carries the datagrams of a run.
+// PeerNetwork carries the datagrams between the dispatchers of a run.
 type PeerNetwork struct {
 	n     int
-	peers []*net.UDPAddr // where each dispatcher listens
-	socks [][]*net.UDPConn
+	peers []*net.UDPAddr   // the addresses at which the dispatchers listen
+	conns [][]*net.UDPConn // [i][j] receives from i what is for j, and sends to i what is from j
 	wait  sync.WaitGroup
 
 	mu        sync.Mutex
 	links     [][]PeerLink
 	rng       *rand.Rand
 	datagrams []Datagram
-	timer     map[*time.Timer]struct{}
-	done      bool
+	timers    map[*time.Timer]struct{}
+	closed    bool
 }
 
-// Datagram is one that a dispatcher sent.
+// Datagram records a datagram that dispatcher From sent to dispatcher To. At is when the peer network
+// received it.
 type Datagram struct {
 	At       time.Time
 	From, To int
 	Bytes    int
 }
 
-// StartPeerNetwork opens the links among n dispatchers. addr returns the socket to which i sends
-// what is for j, listens holds where each dispatcher listens.
+// StartPeerNetwork opens the links between n dispatchers. addr returns the address of the socket to
+// which dispatcher i sends datagrams for j; it must be a loopback address. listens holds the address
+// at which each dispatcher listens. seed determines losses, duplicates and jitter.
 func StartPeerNetwork(n int, addr func(i, j int) string, listens []string, seed uint64) (*PeerNetwork, error) {
-	w := &PeerNetwork{n: n, rng: rand.New(rand.NewPCG(seed, 0x776f7264)), timer: map[*time.Timer]struct{}{}}
+	w := &PeerNetwork{n: n, rng: rand.New(rand.NewPCG(seed, 0x776f7264)), timers: map[*time.Timer]struct{}{}}
 	for i := range n {
 		a, err := net.ResolveUDPAddr("udp", listens[i])
 		if err != nil {
 			return nil, fmt.Errorf("peer network: %w", err)
 		}
 		w.peers = append(w.peers, a)
-		w.socks = append(w.socks, make([]*net.UDPConn, n))
+		w.conns = append(w.conns, make([]*net.UDPConn, n))
 		w.links = append(w.links, make([]PeerLink, n))
 	}
 	err := w.eachPair(func(i, j int) (err error) {
-		w.socks[i][j], err = listenLoopback(addr(i, j))
+		w.conns[i][j], err = listenLoopback(addr(i, j))
 		return err
 	})
 	if err != nil {
@@ -69,13 +72,13 @@
 		return nil, err
 	}
 	_ = w.eachPair(func(i, j int) error {
-		w.wait.Go(func() { w.carry(i, j) })
+		w.wait.Go(func() { w.forward(i, j) })
 		return nil
 	})
 	return w, nil
 }
 
-// eachPair calls do for each ordered pair of dispatchers until one fails.
+// eachPair calls do for each ordered pair of dispatchers until a call returns an error.
 func (w *PeerNetwork) eachPair(do func(from, to int) error) error {
 	for i := range w.n {
 		for j := range w.n {
@@ -90,7 +93,7 @@
 	return nil
 }
 
-// listenLoopback opens a datagram socket at a loopback address.
+// listenLoopback opens a UDP socket at addr, which must be a loopback address.
 func listenLoopback(addr string) (*net.UDPConn, error) {
 	a, err := net.ResolveUDPAddr("udp", addr)
 	if err != nil {
@@ -106,103 +109,105 @@
 	return sock, nil
 }
 
-// Peers is the list of peers as the configuration of dispatcher i names them.
+// Peers returns the addresses of all dispatchers, by number, for the configuration of dispatcher i.
 func (w *PeerNetwork) Peers(i int) []string {
 	out := make([]string, w.n)
 	for j := range w.n {
 		if j == i {
 			out[j] = w.peers[i].String()
 		} else {
-			out[j] = w.socks[i][j].LocalAddr().String()
+			out[j] = w.conns[i][j].LocalAddr().String()
 		}
 	}
 	return out
 }
 
-// Set changes the links of all ordered pairs that pick names.
-func (w *PeerNetwork) Set(to PeerLink, pick func(from, to int) bool) {
+// Set sets the links of all ordered pairs of dispatchers for which pick returns true.
+func (w *PeerNetwork) Set(link PeerLink, pick func(from, to int) bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	_ = w.eachPair(func(i, j int) error {
 		if pick(i, j) {
-			w.links[i][j] = to
+			w.links[i][j] = link
 		}
 		return nil
 	})
 }
 
-// carry passes on what dispatcher i sends to its address of j, until the socket is closed.
-func (w *PeerNetwork) carry(i, j int) {
+// forward delivers the datagrams that dispatcher i sends to its address for j, until the socket is
+// closed. It ignores datagrams from any other sender.
+func (w *PeerNetwork) forward(i, j int) {
 	buf := make([]byte, 2048)
-	me := w.peers[i].AddrPort()
-	me = netip.AddrPortFrom(me.Addr().Unmap(), me.Port())
+	sender := w.peers[i].AddrPort()
+	sender = netip.AddrPortFrom(sender.Addr().Unmap(), sender.Port())
 	for {
-		n, from, err := w.socks[i][j].ReadFromUDPAddrPort(buf)
+		n, from, err := w.conns[i][j].ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil || netip.AddrPortFrom(from.Addr().Unmap(), from.Port()) != me {
+		if err != nil || netip.AddrPortFrom(from.Addr().Unmap(), from.Port()) != sender {
 			continue
 		}
-		w.pass(i, j, append([]byte(nil), buf[:n]...))
+		w.deliver(i, j, append([]byte(nil), buf[:n]...))
 	}
 }
 
-// pass delivers a datagram as its link says.
-func (w *PeerNetwork) pass(i, j int, data []byte) {
+// deliver records a datagram from i to j and delivers it as the link between them requires.
+func (w *PeerNetwork) deliver(i, j int, data []byte) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.done {
+	if w.closed {
 		return
 	}
 	w.datagrams = append(w.datagrams, Datagram{time.Now(), i, j, len(data)})
-	x := w.links[i][j]
-	times := 1
-	if w.rng.Float64() < x.Lost {
-		times = 0
-	} else if w.rng.Float64() < x.Twice {
-		times = 2
+	link := w.links[i][j]
+	copies := 1
+	if w.rng.Float64() < link.Lost {
+		copies = 0
+	} else if w.rng.Float64() < link.Twice {
+		copies = 2
 	}
-	for range times {
-		wait := x.Delay
-		if x.Jitter > 0 {
-			wait += time.Duration(w.rng.Int64N(int64(x.Jitter)))
+	for range copies {
+		wait := link.Delay
+		if link.Jitter > 0 {
+			wait += time.Duration(w.rng.Int64N(int64(link.Jitter)))
 		}
-		deliver := func() { _, _ = w.socks[j][i].WriteToUDP(data, w.peers[j]) }
+		send := func() { _, _ = w.conns[j][i].WriteToUDP(data, w.peers[j]) }
 		if wait <= 0 {
-			deliver()
+			send()
 			continue
 		}
 		var timer *time.Timer
 		timer = time.AfterFunc(wait, func() {
 			w.mu.Lock()
-			delete(w.timer, timer)
-			closed := w.done
+			delete(w.timers, timer)
+			closed := w.closed
 			w.mu.Unlock()
 			if !closed {
-				deliver()
+				send()
 			}
 		})
-		w.timer[timer] = struct{}{}
+		w.timers[timer] = struct{}{}
 	}
 }
 
-// Datagrams lists what was sent, in order of coming here, also what was lost after.
+// Datagrams returns the datagrams that the dispatchers sent, in the order in which they were received
+// here, including those that were then lost.
 func (w *PeerNetwork) Datagrams() []Datagram {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]Datagram(nil), w.datagrams...)
 }
 
-// Close closes all links.
+// Close closes all links. It drops the datagrams that are still delayed.
 func (w *PeerNetwork) Close() {
 	w.mu.Lock()
-	w.done = true
-	for timer := range w.timer {
+	w.closed = true
+	for timer := range w.timers {
 		timer.Stop()
 	}
 	w.mu.Unlock()
-	for _, row := range w.socks {
+	for _, row := range w.conns {
 		for _, s := range row {
 			if s != nil {
 				_ = s.Close()
--- a/internal/lab/relay.go
+++ b/internal/lab/relay.go
@@ -1,9 +1,8 @@
 package lab
 
-// The links between processes: stream relays, one for each pair of a dispatcher and what it
-// connects to, that can be cut, denied, frozen, reset or slowed for a span. Each records the
-// connections that came through it. A relay connects to loopback addresses only and ends with its
-// run.
+// The links between processes: TCP relays, one for each pair of a dispatcher and a process it
+// connects to. A relay can be cut, denied, frozen, reset or delayed for some time, and records the
+// connections that it accepted. It connects to loopback addresses only and ends with its run.
 
 import (
 	"errors"
@@ -18,43 +17,43 @@
 	"time"
 )
 
-// Fault is what a link does to those who use it.
+// Fault is the way in which a link treats connections.
 type Fault int
 
-// Faults of a link.
+// The faults of a link.
 const (
-	Open Fault = iota // all passes
-	// handshakes are swallowed; open connections stay open and silent, as behind a network that is
-	// cut
+	Open Fault = iota // no fault: everything passes
+	// Cut drops handshakes; open connections stay open but nothing passes on them, as in a network
+	// partition.
 	Cut
-	Deny   // connections are refused and open ones reset, as after a death
-	Freeze // connections come up and nothing passes on them
-	Reset  // open connections are reset, and new ones as soon as they are up
+	Deny   // connections are refused and open ones reset, as after a process has ended
+	Freeze // connections are accepted but nothing passes on them
+	Reset  // open connections are reset, and new ones as soon as they are accepted
 )
 
 func (f Fault) String() string { return [...]string{"open", "cut", "deny", "freeze", "reset"}[f] }
 
-const relayDial = 2 * time.Second
+const relayDialTimeout = 2 * time.Second
 
-// Relay is one link: a listener of its own, and a connection onward for each that comes.
+// Relay is one link: a listener, and a connection to the target for each accepted connection.
 type Relay struct {
-	Addr string
-	to   string
-	own  *net.TCPAddr // it connects from there
+	Addr      string
+	target    string
+	localAddr *net.TCPAddr // local address of connections to the target
 
-	mu      sync.Mutex
-	fault   Fault
-	delay   time.Duration // of each piece that passes, in either direction
-	changed chan struct{} // closed at each change
-	ln      *net.TCPListener
-	fill    []net.Conn // connections that keep a cut listener's queue full
-	conns   map[net.Conn]struct{}
-	came    []time.Time // connections that came up
-	closed  bool
-	wait    sync.WaitGroup
+	mu           sync.Mutex
+	fault        Fault
+	delay        time.Duration // of each block of data, in either direction
+	changed      chan struct{} // closed at each change
+	ln           *net.TCPListener
+	backlogConns []net.Conn // fill the accept queue of a cut listener
+	conns        map[net.Conn]struct{}
+	accepted     []time.Time // when connections were accepted
+	closed       bool
+	wait         sync.WaitGroup
 }
 
-// StartRelay opens a link at addr that leads to another loopback address.
+// StartRelay opens a link at addr whose target is to, which must be a loopback address.
 func StartRelay(addr, to string) (*Relay, error) {
 	host, _, err := net.SplitHostPort(to)
 	if err != nil {
@@ -67,7 +66,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("relay at %s: %w", addr, err)
 	}
-	relay := &Relay{to: to, own: &net.TCPAddr{IP: own.IP}, changed: make(chan struct{}), conns: map[net.Conn]struct{}{}}
+	relay := &Relay{target: to, localAddr: &net.TCPAddr{IP: own.IP}, changed: make(chan struct{}), conns: map[net.Conn]struct{}{}}
 	if err := relay.listen(addr); err != nil {
 		return nil, err
 	}
@@ -75,9 +74,9 @@
 	return relay, nil
 }
 
-// listen opens the listener and begins to accept.
+// listen opens the listener and begins to accept connections.
 func (r *Relay) listen(addr string) error {
-	listener, err := listenAgain(addr)
+	listener, err := listenWithRetry(addr)
 	if err != nil {
 		return fmt.Errorf("relay: %w", err)
 	}
@@ -96,83 +95,85 @@
 			if errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded) {
 				return
 			}
-			if err != nil { // such as no descriptor left for the moment
+			if err != nil { // for example, no file descriptor is free at the moment
 				time.Sleep(time.Millisecond)
 				continue
 			}
 			r.wait.Add(1)
-			go func() { defer r.wait.Done(); r.carry(conn) }()
+			go func() { defer r.wait.Done(); r.forward(conn) }()
 		}
 	}()
 }
 
-// Set changes what the link does from now on; delay holds each piece that passes.
-func (r *Relay) Set(f Fault, delay time.Duration) error {
+// Set sets the fault of the link and the delay of each block of data that passes. On a closed relay
+// it does nothing.
+func (r *Relay) Set(fault Fault, delay time.Duration) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed {
 		return nil
 	}
-	was := r.fault
-	r.fault, r.delay = f, delay
+	before := r.fault
+	r.fault, r.delay = fault, delay
 	close(r.changed)
 	r.changed = make(chan struct{})
-	if f == Deny || f == Reset {
+	if fault == Deny || fault == Reset {
 		for conn := range r.conns {
-			reset(conn)
+			resetConn(conn)
 		}
 	}
-	if f == was {
+	if fault == before {
 		return nil
 	}
-	if was == Cut {
-		r.uncut()
+	if before == Cut {
+		r.resumeAccepting()
 	}
-	if was == Deny {
+	if before == Deny {
 		if err := r.listen(r.Addr); err != nil {
 			return err
 		}
 	}
-	switch f {
+	switch fault {
 	case Cut:
-		return r.cut()
+		return r.dropHandshakes()
 	case Deny:
 		return r.ln.Close()
 	}
 	return nil
 }
 
-// cut fills the listener's queue, so that the kernel drops every further handshake.
-func (r *Relay) cut() error {
-	if err := r.ln.SetDeadline(time.Unix(1, 0)); err != nil { // ends the accepting
+// dropHandshakes stops accepting and fills the listener's accept queue, so that the kernel drops every
+// further handshake.
+func (r *Relay) dropHandshakes() error {
+	if err := r.ln.SetDeadline(time.Unix(1, 0)); err != nil { // stops the accept loop
 		return err
 	}
-	if err := r.backlog(0); err != nil {
+	if err := r.setBacklog(0); err != nil {
 		return err
 	}
 	for range 4 {
 		conn, err := net.DialTimeout("tcp", r.Addr, 20*time.Millisecond)
 		if err != nil {
-			break // full
+			break // the queue is full
 		}
-		r.fill = append(r.fill, conn)
+		r.backlogConns = append(r.backlogConns, conn)
 	}
 	return nil
 }
 
-// uncut empties the queue of a cut listener and begins to accept again.
-func (r *Relay) uncut() {
-	for _, conn := range r.fill {
-		reset(conn)
+// resumeAccepting empties the accept queue of a cut listener and begins to accept again.
+func (r *Relay) resumeAccepting() {
+	for _, conn := range r.backlogConns {
+		resetConn(conn)
 	}
-	r.fill = nil
-	_ = r.backlog(128)
+	r.backlogConns = nil
+	_ = r.setBacklog(128)
 	_ = r.ln.SetDeadline(time.Time{})
 	r.serve(r.ln)
 }
 
-// backlog sets the length of the queue of the listener.
-func (r *Relay) backlog(n int) error {
+// setBacklog sets the length of the listener's accept queue.
+func (r *Relay) setBacklog(n int) error {
 	raw, err := r.ln.SyscallConn()
 	if err != nil {
 		return err
@@ -184,88 +185,90 @@
 	return listenErr
 }
 
-func reset(conn net.Conn) {
+func resetConn(conn net.Conn) {
 	if t, ok := conn.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
 	}
 	_ = conn.Close()
 }
 
-// keep registers a connection; it resets it and returns false where the link lets none stand.
-func (r *Relay) keep(conn net.Conn) bool {
+// track registers a connection. If the relay is closed or its fault allows no connection, it resets
+// the connection and returns false.
+func (r *Relay) track(conn net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed || r.fault == Reset || r.fault == Deny {
-		reset(conn)
+		resetConn(conn)
 		return false
 	}
 	r.conns[conn] = struct{}{}
 	return true
 }
 
-func (r *Relay) drop(conn net.Conn) {
+func (r *Relay) untrack(conn net.Conn) {
 	_ = conn.Close()
 	r.mu.Lock()
 	delete(r.conns, conn)
 	r.mu.Unlock()
 }
 
-// passes waits until the link lets something pass, and returns the delay; false: the link is closed
-// or the connection reset.
-func (r *Relay) passes() (time.Duration, bool) {
+// waitPassable waits until data may pass the link, and returns the delay. It returns false if the
+// relay is closed or its fault resets connections.
+func (r *Relay) waitPassable() (time.Duration, bool) {
 	for {
 		r.mu.Lock()
-		f, d, changed, closed := r.fault, r.delay, r.changed, r.closed
+		fault, delay, changed, closed := r.fault, r.delay, r.changed, r.closed
 		r.mu.Unlock()
 		switch {
-		case closed || f == Deny || f == Reset:
+		case closed || fault == Deny || fault == Reset:
 			return 0, false
-		case f == Open:
-			return d, true
+		case fault == Open:
+			return delay, true
 		}
 		<-changed
 	}
 }
 
-// carry connects onward for a connection and passes on both directions.
-func (r *Relay) carry(conn net.Conn) {
-	if !r.keep(conn) {
+// forward connects to the target for an accepted connection and copies data in both directions until
+// one of them ends.
+func (r *Relay) forward(conn net.Conn) {
+	if !r.track(conn) {
 		return
 	}
-	defer r.drop(conn)
+	defer r.untrack(conn)
 	r.mu.Lock()
-	r.came = append(r.came, time.Now())
+	r.accepted = append(r.accepted, time.Now())
 	r.mu.Unlock()
-	if _, ok := r.passes(); !ok {
+	if _, ok := r.waitPassable(); !ok {
 		return
 	}
-	// From its own address, so that the other side knows whose link it is.
-	on, err := (&net.Dialer{Timeout: relayDial, LocalAddr: r.own}).Dial("tcp", r.to)
+	// The relay's own local address lets the target identify the link.
+	onward, err := (&net.Dialer{Timeout: relayDialTimeout, LocalAddr: r.localAddr}).Dial("tcp", r.target)
 	if err != nil {
-		reset(conn)
+		resetConn(conn)
 		return
 	}
-	if !r.keep(on) {
+	if !r.track(onward) {
 		return
 	}
-	defer r.drop(on)
+	defer r.untrack(onward)
 	done := make(chan struct{}, 2)
-	for _, direction := range [][2]net.Conn{{conn, on}, {on, conn}} {
-		go func() { r.pump(direction[0], direction[1]); done <- struct{}{} }()
+	for _, direction := range [][2]net.Conn{{conn, onward}, {onward, conn}} {
+		go func() { r.copyDirection(direction[0], direction[1]); done <- struct{}{} }()
 	}
 	<-done
 	_ = conn.Close()
-	_ = on.Close()
+	_ = onward.Close()
 	<-done
 }
 
-// pump carries pieces in one direction. An end or reset of one side reaches the other only where
-// the link lets it pass.
-func (r *Relay) pump(from, to net.Conn) {
+// copyDirection copies data in one direction, delayed block by block. The end or reset of one side
+// reaches the other side only when data may pass the link.
+func (r *Relay) copyDirection(from, to net.Conn) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
-		delay, ok := r.passes()
+		delay, ok := r.waitPassable()
 		if !ok {
 			return
 		}
@@ -281,20 +284,20 @@
 			continue
 		}
 		if !errors.Is(err, io.EOF) {
-			reset(to)
+			resetConn(to)
 		}
 		return
 	}
 }
 
-// Came lists when connections came up.
-func (r *Relay) Came() []time.Time {
+// Accepted returns when each connection was accepted.
+func (r *Relay) Accepted() []time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]time.Time(nil), r.came...)
+	return append([]time.Time(nil), r.accepted...)
 }
 
-// Close closes the link and every connection on it.
+// Close closes the link and resets every connection on it.
 func (r *Relay) Close() {
 	r.mu.Lock()
 	if r.closed {
@@ -303,11 +306,11 @@
 	}
 	r.closed = true
 	_ = r.ln.Close()
-	for _, conn := range r.fill {
+	for _, conn := range r.backlogConns {
 		_ = conn.Close()
 	}
 	for conn := range r.conns {
-		reset(conn)
+		resetConn(conn)
 	}
 	close(r.changed)
 	r.changed = make(chan struct{})
@@ -315,9 +318,9 @@
 	r.wait.Wait()
 }
 
-// Swallowed returns how many handshakes the kernel has dropped at full queues since it started:
-// those at links that are cut, of this run and of any other on the machine (a listener has no such
-// count of its own). ok reports whether the kernel has the count.
+// Swallowed returns how many handshakes the kernel has dropped at full accept queues since it
+// started: those at cut links of this run and all others on the machine, as there is no count for a
+// single listener. ok reports whether the kernel provides the count.
 func Swallowed() (n int64, ok bool) {
 	raw, err := os.ReadFile("/proc/net/netstat")
 	if err != nil {
--- a/internal/lab/rig.go
+++ b/internal/lab/rig.go
@@ -45,10 +45,10 @@
 	Nodes       []*Dispatcher
 	Called      []*Clients
 
-	dir     string
-	sending context.CancelFunc
-	clients sync.WaitGroup
-	end     sync.Once
+	dir         string
+	stopSending context.CancelFunc
+	clients     sync.WaitGroup
+	closeOnce   sync.Once
 }
 
 // NewRig lays out a fleet and opens its workers and links; no dispatcher is started yet. Close ends
@@ -96,8 +96,8 @@
 // Send has the clients of the dispatchers that pick names (nil: all) send from now on, until Quiet.
 func (r *Rig) Send(ctx context.Context, pick func(n int) bool) {
 	sending, enough := context.WithCancel(ctx)
-	before := r.sending
-	r.sending = func() {
+	before := r.stopSending
+	r.stopSending = func() {
 		enough()
 		if before != nil {
 			before()
@@ -113,8 +113,8 @@
 
 // Quiet ends the sending and waits for the last answers.
 func (r *Rig) Quiet() {
-	if r.sending != nil {
-		r.sending()
+	if r.stopSending != nil {
+		r.stopSending()
 	}
 	r.clients.Wait()
 }
@@ -143,9 +143,9 @@
 
 // Close ends everything at once.
 func (r *Rig) Close() {
-	r.end.Do(func() {
-		if r.sending != nil {
-			r.sending()
+	r.closeOnce.Do(func() {
+		if r.stopSending != nil {
+			r.stopSending()
 		}
 		_ = r.each(nil, func(dispatcher *Dispatcher) error {
 			_ = dispatcher.Signal(syscall.SIGCONT)
@@ -203,7 +203,7 @@
 	if all := r.RigSize.Workers + r.Later; from+n > all {
 		return fmt.Errorf("%d workers cannot join %d: there are links to %d", n, from, all)
 	}
-	if err := r.open(n, time.Now()); err != nil {
+	if err := r.startWorkers(n, time.Now()); err != nil {
 		return err
 	}
 	r.Announce(func(worker int) bool { return worker >= from })
--- a/internal/lab/rigbuild.go
+++ b/internal/lab/rigbuild.go
@@ -28,7 +28,7 @@
 
 // build opens the workers and all links and writes the files of the dispatchers.
 func (r *Rig) build() error {
-	if err := r.open(r.RigSize.Workers, time.Now().Add(-time.Hour)); err != nil {
+	if err := r.startWorkers(r.RigSize.Workers, time.Now().Add(-time.Hour)); err != nil {
 		return err
 	}
 	if err := r.buildWorkerLinks(); err != nil {
@@ -142,8 +142,8 @@
 	return clients
 }
 
-// open starts n more workers, with start as their start time. Discovery does not announce them.
-func (r *Rig) open(n int, start time.Time) error {
+// startWorkers starts n more workers, with start as their start time. Discovery does not announce them.
+func (r *Rig) startWorkers(n int, start time.Time) error {
 	for range n {
 		i := len(r.Workers)
 		worker, err := StartStubWorker(workerName(i), r.addr(groupWorkers, i, portWorker), r.Figures, start)
--- a/internal/lab/stubworker.go
+++ b/internal/lab/stubworker.go
@@ -35,31 +35,31 @@
 	Addr string
 	f    *Figures
 
-	mu       sync.Mutex
-	model    *WorkerModel
-	observed []ObservedCall
-	orders   []time.Time // orders to load that came
-	drained  time.Time   // when it began to drain
-	failing  float64     // share of calls that run and fail at once; probes and orders do not
+	mu          sync.Mutex
+	model       *WorkerModel
+	observed    []ObservedCall
+	orders      []time.Time // orders to load that came
+	drained     time.Time   // when it began to drain
+	failureRate float64     // share of calls that run and fail at once; probes and orders do not
 
 	wrapper atomic.Pointer[func(http.Handler) http.Handler]
 
-	kick chan struct{}
-	stop context.CancelFunc
-	srv  *http.Server
-	ln   net.Listener
+	wakeup chan struct{}
+	stop   context.CancelFunc
+	srv    *http.Server
+	ln     net.Listener
 }
 
 // StartStubWorker starts a worker that listens at addr.
 func StartStubWorker(id, addr string, figures *Figures, started time.Time) (*StubWorker, error) {
-	listener, err := listenAgain(addr)
+	listener, err := listenWithRetry(addr)
 	if err != nil {
 		return nil, fmt.Errorf("worker %s: %w", id, err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	s := &StubWorker{
 		ID: id, Addr: listener.Addr().String(), f: figures, model: NewWorkerModel(figures.Worker, started),
-		kick: make(chan struct{}, 1), stop: stop, ln: listener,
+		wakeup: make(chan struct{}, 1), stop: stop, ln: listener,
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /busy", s.probe)
@@ -109,7 +109,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.kick:
+		case <-s.wakeup:
 		case <-timer.C:
 		}
 	}
@@ -117,7 +117,7 @@
 
 func (s *StubWorker) wake() {
 	select {
-	case s.kick <- struct{}{}:
+	case s.wakeup <- struct{}{}:
 	default:
 	}
 }
@@ -136,17 +136,17 @@
 // Fail has a share of all calls end with an error at once, from now on.
 func (s *StubWorker) Fail(share float64) {
 	s.mu.Lock()
-	s.failing = share
+	s.failureRate = share
 	s.mu.Unlock()
 }
 
-// fails reports whether a call is to fail: by its id and how many came before.
-func (s *StubWorker) fails(id string, class int) bool {
+// failCall reports whether a call is to fail: by its id and how many came before.
+func (s *StubWorker) failCall(id string, class int) bool {
 	h := fnv.New32a()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	fmt.Fprint(h, s.ID, id, len(s.observed))
-	if s.failing == 0 || s.model.Draining() || s.model.Fallen() || float64(h.Sum32()%1000) >= 1000*s.failing {
+	if s.failureRate == 0 || s.model.Draining() || s.model.Fallen() || float64(h.Sum32()%1000) >= 1000*s.failureRate {
 		return false
 	}
 	s.observed = append(s.observed, ObservedCall{At: time.Now(), ID: id, Class: class, Took: true, Failed: true})
@@ -171,7 +171,7 @@
 	return func() { _ = listener.Close() }, nil
 }
 
-var errWorkerStopped = errors.New("worker has stopped")
+var errRequestCancelled = errors.New("worker has stopped")
 
 // Observations returns the calls and load orders that the worker saw.
 func (s *StubWorker) Observations() (calls []ObservedCall, orders []time.Time) {
@@ -208,12 +208,12 @@
 	}
 }
 
-func never(w http.ResponseWriter) {
+func rejectWithoutEffect(w http.ResponseWriter) {
 	w.Header().Set("X-No-Effect", "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-var noteNames = [...]string{"hit", "spawn", "pending"}
+var warmthNames = [...]string{"hit", "spawn", "pending"}
 
 // submit gives the model a job and waits for its end; the error says why it was rejected, or that
 // the worker has stopped.
@@ -240,7 +240,7 @@
 	case <-done:
 		return Admitted, nil
 	case <-r.Context().Done(): // work that runs goes on all the same
-		return Admitted, errWorkerStopped
+		return Admitted, errRequestCancelled
 	}
 }
 
@@ -254,7 +254,7 @@
 		return
 	}
 	id := r.Header.Get("X-Hop-Id")
-	if s.fails(id, class) {
+	if s.failCall(id, class) {
 		http.Error(w, "failed", http.StatusInternalServerError)
 		return
 	}
@@ -271,11 +271,11 @@
 	s.mu.Unlock()
 	switch admission {
 	case RejectedFull, RejectedDraining:
-		never(w)
+		rejectWithoutEffect(w)
 	case WorkerDown:
 		panic(http.ErrAbortHandler)
 	default:
-		w.Header().Set("X-Tell", noteNames[job.Warmth])
+		w.Header().Set("X-Tell", warmthNames[job.Warmth])
 		if job.ConcurrentRequests > 0 {
 			w.Header().Set("X-Same", strconv.Itoa(job.ConcurrentRequests))
 		}
@@ -316,7 +316,7 @@
 	w.Header().Set("X-N", strconv.Itoa(s.model.Loaded(time.Now(), model)))
 	s.mu.Unlock()
 	if admission != Admitted {
-		never(w)
+		rejectWithoutEffect(w)
 	}
 }
 
--- a/internal/lab/worker.go
+++ b/internal/lab/worker.go
@@ -61,7 +61,7 @@
 	ready       time.Time // when its load ends
 	used        time.Time
 	concurrency int
-	busy        int
+	running     int
 	held        int // jobs running or waiting for it
 }
 
@@ -69,28 +69,28 @@
 // draining and collapse. It has no clock, goroutine or I/O, so that it runs on sockets and in
 // virtual time alike. Its methods are called in order of time.
 type WorkerModel struct {
-	cfg      WorkerConfig
-	start    time.Time
-	waiting  []*Job
-	running  []*Job
-	copies   map[uint64]*modelCopy
-	loads    map[uint64]int // begun here, by model
-	draining bool
-	fallen   bool
-	frozen   time.Time // it stands still until then
-	slow     float64
-	sent     []sentWork // while warming up
-	busyTime float64    // decaying mean of cores at work
-	busyAt   time.Time
-	unloads  unloads
+	cfg          WorkerConfig
+	start        time.Time
+	waiting      []*Job
+	running      []*Job
+	copies       map[uint64]*modelCopy
+	loads        map[uint64]int // begun here, by model
+	draining     bool
+	collapsed    bool
+	stalledUntil time.Time // it stands still until then
+	slowdown     float64
+	recentWork   []arrivedWork // while warming up
+	usage        float64       // decaying mean of cores at work
+	usageAt      time.Time
+	unloads      unloads
 }
 
 // unloads counts copies that went: idle ones pushed out by a load, idle ones that dispatchers had
 // unloaded, and those idle for long.
 type unloads struct{ pushed, dropped, expired int }
 
-// sentWork is work that was sent to a warming worker.
-type sentWork struct {
+// arrivedWork is work that was sent to a warming worker.
+type arrivedWork struct {
 	at   time.Time
 	work time.Duration
 }
@@ -98,8 +98,8 @@
 // NewWorkerModel returns a worker without copies that started at start.
 func NewWorkerModel(cfg WorkerConfig, start time.Time) *WorkerModel {
 	return &WorkerModel{
-		cfg: cfg, start: start, copies: map[uint64]*modelCopy{}, loads: map[uint64]int{}, slow: 1,
-		busyAt: start,
+		cfg: cfg, start: start, copies: map[uint64]*modelCopy{}, loads: map[uint64]int{}, slowdown: 1,
+		usageAt: start,
 	}
 }
 
@@ -119,37 +119,37 @@
 func (b *WorkerModel) Draining() bool { return b.draining }
 
 // Fallen reports whether the worker collapsed under load.
-func (b *WorkerModel) Fallen() bool { return b.fallen }
+func (b *WorkerModel) Fallen() bool { return b.collapsed }
 
 // Slow makes every job take factor times as long.
-func (b *WorkerModel) Slow(factor float64) { b.slow = factor }
+func (b *WorkerModel) Slow(factor float64) { b.slowdown = factor }
 
 // Started returns when the worker's process started.
 func (b *WorkerModel) Started() time.Time { return b.start }
 
 // Stall makes no job progress until the given time.
-func (b *WorkerModel) Stall(until time.Time) { b.frozen = until }
+func (b *WorkerModel) Stall(until time.Time) { b.stalledUntil = until }
 
 // Arrive takes a job or says why not. A taken one comes back from Advance.
 func (b *WorkerModel) Arrive(now time.Time, job *Job) Admission {
 	switch {
-	case b.fallen:
+	case b.collapsed:
 		return WorkerDown
 	case b.draining:
 		return RejectedDraining
 	}
-	if b.overrun(now, job) {
-		b.fallen = true
+	if b.overloaded(now, job) {
+		b.collapsed = true
 		return WorkerDown
 	}
 	if !job.Order && len(b.waiting) >= b.cfg.Queue {
 		return RejectedFull
 	}
-	b.expire(now)
+	b.unloadExpired(now)
 	loaded := b.copies[job.Model]
 	switch {
 	case loaded == nil:
-		if !b.makeRoom() {
+		if !b.evictForLoad() {
 			return RejectedFull
 		}
 		loading := 0
@@ -173,26 +173,26 @@
 	return Admitted
 }
 
-// overrun records what is sent to a warming worker and applies the overload rule: work within Fall
+// overloaded records what is sent to a warming worker and applies the overload rule: work within Fall
 // against Factor times the present capacity, with room for two calls of chance.
-func (b *WorkerModel) overrun(now time.Time, job *Job) bool {
+func (b *WorkerModel) overloaded(now time.Time, job *Job) bool {
 	if b.cfg.Fall <= 0 || b.Capacity(now) >= 1 || job.Order {
 		return false
 	}
-	b.sent = append(b.sent, sentWork{now, job.Work})
-	for len(b.sent) > 0 && now.Sub(b.sent[0].at) > b.cfg.Fall {
-		b.sent = b.sent[1:]
+	b.recentWork = append(b.recentWork, arrivedWork{now, job.Work})
+	for len(b.recentWork) > 0 && now.Sub(b.recentWork[0].at) > b.cfg.Fall {
+		b.recentWork = b.recentWork[1:]
 	}
 	sum := time.Duration(0)
-	for _, s := range b.sent {
+	for _, s := range b.recentWork {
 		sum += s.work
 	}
 	room := b.cfg.Factor * b.Capacity(now) * float64(b.cfg.Cores) * float64(b.cfg.Fall)
 	return float64(sum) > room+float64(2*job.Work)
 }
 
-// expire unloads copies that have lain idle for long enough.
-func (b *WorkerModel) expire(now time.Time) {
+// unloadExpired unloads copies that have lain idle for long enough.
+func (b *WorkerModel) unloadExpired(now time.Time) {
 	for m, loaded := range b.copies {
 		if loaded.held == 0 && now.Sub(loaded.used) > b.cfg.Keep {
 			delete(b.copies, m)
@@ -201,8 +201,8 @@
 	}
 }
 
-// makeRoom unloads the copy idle for longest where memory is full; false: all are at work.
-func (b *WorkerModel) makeRoom() bool {
+// evictForLoad unloads the copy idle for longest where memory is full; false: all are at work.
+func (b *WorkerModel) evictForLoad() bool {
 	if len(b.copies) < b.cfg.Copies {
 		return true
 	}
@@ -236,15 +236,15 @@
 			soon(loaded.ready)
 		}
 	}
-	if !at.IsZero() && at.Before(b.frozen) {
-		at = b.frozen
+	if !at.IsZero() && at.Before(b.stalledUntil) {
+		at = b.stalledUntil
 	}
 	return at
 }
 
 // Advance lets time pass until now and returns the jobs that have ended, in order.
 func (b *WorkerModel) Advance(now time.Time) (ended []*Job) {
-	if now.Before(b.frozen) {
+	if now.Before(b.stalledUntil) {
 		return nil
 	}
 	for {
@@ -256,27 +256,27 @@
 			}
 		}
 		n := len(ended)
-		b.use(at)
+		b.updateUsage(at)
 		b.running = slices.DeleteFunc(b.running, func(job *Job) bool {
 			if job.done.After(at) {
 				return false
 			}
 			loaded := b.copies[job.Model]
-			loaded.busy--
+			loaded.running--
 			loaded.held--
 			loaded.used = at
 			ended = append(ended, job)
 			return true
 		})
-		ended = append(ended, b.begin(at)...)
+		ended = append(ended, b.startJobs(at)...)
 		if len(ended) == n && at.Equal(now) {
 			return ended
 		}
 	}
 }
 
-// begin starts what can run; orders end as soon as the copy stands.
-func (b *WorkerModel) begin(now time.Time) (ended []*Job) {
+// startJobs starts what can run; orders end as soon as the copy stands.
+func (b *WorkerModel) startJobs(now time.Time) (ended []*Job) {
 	b.waiting = slices.DeleteFunc(b.waiting, func(job *Job) bool {
 		loaded := b.copies[job.Model]
 		if loaded.ready.After(now) {
@@ -287,34 +287,34 @@
 			ended = append(ended, job)
 			return true
 		}
-		if len(b.running) >= b.cfg.Cores || loaded.busy >= loaded.concurrency {
+		if len(b.running) >= b.cfg.Cores || loaded.running >= loaded.concurrency {
 			return false
 		}
-		loaded.busy++
-		job.done = now.Add(time.Duration(float64(job.Work) * b.slow / b.Capacity(now)))
+		loaded.running++
+		job.done = now.Add(time.Duration(float64(job.Work) * b.slowdown / b.Capacity(now)))
 		b.running = append(b.running, job)
 		return true
 	})
 	return ended
 }
 
-const useSpan = 300 * time.Millisecond
+const usageTimeConstant = 300 * time.Millisecond
 
-func (b *WorkerModel) use(now time.Time) {
-	f := math.Exp(-float64(now.Sub(b.busyAt)) / float64(useSpan))
-	b.busyTime = b.busyTime*f + (1-f)*float64(len(b.running))/float64(max(1, b.cfg.Cores))
-	b.busyAt = now
+func (b *WorkerModel) updateUsage(now time.Time) {
+	f := math.Exp(-float64(now.Sub(b.usageAt)) / float64(usageTimeConstant))
+	b.usage = b.usage*f + (1-f)*float64(len(b.running))/float64(max(1, b.cfg.Cores))
+	b.usageAt = now
 }
 
 // Report returns the load that the worker reports: calls waiting, and the use of its cores.
 func (b *WorkerModel) Report(now time.Time) (queue int, util float64) {
-	b.use(now)
+	b.updateUsage(now)
 	for _, job := range b.waiting {
 		if !job.Order {
 			queue++
 		}
 	}
-	return queue, b.busyTime
+	return queue, b.usage
 }
 
 // Loaded counts the copies of a model that stand.
@@ -330,7 +330,7 @@
 
 // Holds reports whether a copy of the model is loaded or being loaded.
 func (b *WorkerModel) Holds(now time.Time, model uint64) bool {
-	b.expire(now)
+	b.unloadExpired(now)
 	return b.copies[model] != nil
 }
 
