--- a/internal/regression/choose.go
+++ b/internal/regression/choose.go
@@ -4,20 +4,21 @@
 
 // Constants of the selection. They decide which shape is selected and are part of the results.
 const (
-	simplerFactor  = 1.5  // a simpler shape may have so many times the residual of the best
-	goodResidual   = 0.02 // shapes with a residual up to this are all good
-	minSizesBelow  = 4    // sizes below a held-out one, so that the three parameters of Saturating can be fitted
-	bendSteps      = 96   // values of C that are tried, evenly on a logarithmic scale
-	firstBendRatio = 8    // the smallest size over the smallest C
-	lastBendRatio  = 2    // the largest C over the largest size
+	simplerFactor = 1.5  // a simpler shape may have this many times the smallest residual
+	goodResidual  = 0.02 // a shape with a residual up to this fits well enough
+	minSizesBelow = 4    // sizes below a held-out one: Saturating has three parameters to fit
+	scaleSteps    = 96   // intervals of the grid on which C is searched, evenly spaced on a logarithmic scale
+	minScaleRatio = 8    // smallest size divided by the smallest C
+	maxScaleRatio = 2    // largest C divided by the largest size
 )
 
-// Select fits every shape to the means of the sizes and selects one. The error is ErrPoints: fewer
-// than three sizes, a size below 1, a value below 0 or not a number.
+// Select fits every shape to the means of the sizes and selects one. The error is ErrInvalidPoints if
+// there are fewer than three sizes, a size is below 1 or not finite, or a value is negative or not
+// finite.
 //
 // It selects the simplest shape whose residual is at most 1.5 times that of the best, or 1.5 times
-// the standard error of the means, or 0.02. Saturating, which has a parameter more, is selected
-// only if it predicts held-out sizes better: see saturates.
+// the standard error of the means, or 0.02. Saturating has one more parameter and is selected only
+// if it predicts held-out sizes better: see saturates.
 func Select(points []Point) (Fit, error) {
 	s, err := newSample(points)
 	if err != nil {
@@ -51,20 +52,21 @@
 			return f
 		}
 	}
-	return fits[Constant] // not reached: the best one is within its own factor
+	return fits[Constant] // not reached: the best shape is always acceptable
 }
 
-// acceptable returns the largest residual that a simpler shape may have where another has residual.
+// acceptable returns the largest residual at which a simpler shape is selected over one with the
+// given residual.
 func (s *sample) acceptable(residual float64) float64 {
 	return max(simplerFactor*max(residual, s.standardError), goodResidual)
 }
 
 // saturates reports whether the sample supports f, its saturating fit. Each of the larger sizes is
-// predicted from those below it, by the simplest shape and by a saturating one. f must bend within
-// the sizes, the saturating predictions must be off by less than the tolerance of any prediction,
-// and the others by more than the selection accepts.
+// predicted from those below it, by the simplest shape and by a saturating one. The
+// characteristic size C of f must lie within the sizes, the error of the saturating predictions must
+// be at most the smallest tolerance, and the error of the others above what the selection accepts.
 func (s *sample) saturates(f Fit) bool {
-	var simplest, saturating, heldOut float64 // sums of squared errors, and their number
+	var simplest, saturating, heldOut float64 // sums of squared errors, and the number of predictions
 	for n := minSizesBelow; n < len(s.means); n++ {
 		simplest += square(s.simplest(s.means[:n]).relativeError(s.means[n]))
 		saturating += square(fitSaturating(s.means[:n]).relativeError(s.means[n]))
@@ -81,10 +83,10 @@
 // fitSaturating returns the saturating fit with the smallest residual. C is searched on a grid from
 // well below the smallest size to twice the largest.
 func fitSaturating(means []mean) (best Fit) {
-	low, high := means[0].x/firstBendRatio, lastBendRatio*means[len(means)-1].x
+	low, high := means[0].x/minScaleRatio, maxScaleRatio*means[len(means)-1].x
 	smallest := math.Inf(1)
-	for i := range bendSteps + 1 {
-		f := Saturating.fit(means, low*math.Pow(high/low, float64(i)/bendSteps))
+	for i := range scaleSteps + 1 {
+		f := Saturating.fit(means, low*math.Pow(high/low, float64(i)/scaleSteps))
 		if residual := f.residual(means); residual < smallest {
 			best, smallest = f, residual
 		}
--- a/internal/regression/fit.go
+++ b/internal/regression/fit.go
@@ -8,10 +8,10 @@
 
 // Bounds of the tolerance of a prediction, as a fraction of it.
 const (
-	minTolerance        = 0.1 // however closely the points lie
-	maxTolerance        = 0.3 // points that need more have no shape
-	toleranceOverSpread = 2   // in between, in multiples of the spread
-	crossingBisections  = 64  // steps to solve for n log n: more than a float64 has bits
+	minTolerance        = 0.1 // even if the points lie closer to the fit
+	maxTolerance        = 0.3 // points that need more follow none of the shapes
+	toleranceOverSpread = 2   // between the bounds, the tolerance as a multiple of the spread
+	crossingBisections  = 64  // bisection steps to invert n log n: more than a float64 has bits in its mantissa
 )
 
 // Fit is a shape with its parameters.
@@ -19,7 +19,7 @@
 	Shape  Shape   `json:"shape"`
 	A      float64 `json:"a"`
 	B      float64 `json:"b"`
-	C      float64 `json:"c,omitempty"` // size at which a saturating value has 0.63 of its rise
+	C      float64 `json:"c,omitempty"` // size at which a saturating value has reached 63% of its rise
 	Spread float64 `json:"spread"`      // largest relative difference of a mean from the fit or a value from its mean
 	From   float64 `json:"from"`        // smallest size
 	To     float64 `json:"to"`          // largest size
@@ -31,7 +31,7 @@
 //
 // The minimum lies either inside, where the normal equations hold, or on an edge where A or B is 0.
 func (s Shape) fit(means []mean, c float64) Fit {
-	var w, wg, wgg, wy, wgy float64 // sums of weights, times the term g and the value y
+	var w, wg, wgg, wy, wgy float64 // weighted sums of 1, g, g*g, y and g*y
 	for _, m := range means {
 		g, v := s.term(m.x, c), 1/(m.scale*m.scale)
 		w, wg, wgg, wy, wgy = w+v, wg+v*g, wgg+v*g*g, wy+v*m.y, wgy+v*g*m.y
@@ -73,7 +73,7 @@
 // relativeError returns the difference of the fit from a mean, relative to its scale.
 func (f Fit) relativeError(m mean) float64 { return (f.At(m.x) - m.y) / m.scale }
 
-// At returns the value that the fit predicts at a size of 1 or more.
+// At returns the value that the fit predicts at size x, which must be at least 1.
 func (f Fit) At(x float64) float64 {
 	if f.B == 0 {
 		return f.A
@@ -94,13 +94,13 @@
 	return math.Abs(y-predicted) <= f.Tolerance()*predicted // false if y is not a number
 }
 
-// SizeAt returns the size at which the value reaches budget: 0 if it does at any size. ok is false
-// if no size reaches it.
+// SizeAt returns the size at which the value reaches budget, or 0 if it does so at every size. ok is
+// false if the value reaches it at no finite size.
 func (f Fit) SizeAt(budget float64) (x float64, ok bool) {
 	if f.A >= budget {
 		return 0, true
 	}
-	term := (budget - f.A) / f.B // that the shape must reach
+	term := (budget - f.A) / f.B // the value that the shape's term must reach
 	if f.Shape == Constant || f.B <= 0 || math.IsNaN(term) {
 		return math.Inf(1), false
 	}
--- a/internal/regression/fit_test.go
+++ b/internal/regression/fit_test.go
@@ -12,7 +12,7 @@
 
 var sizes = []float64{120, 300, 600, 1200, 2400}
 
-// points returns points of a law with relative noise, three seeds for each size.
+// points returns points of a law with uniform relative noise of amplitude noise, three for each size.
 func points(law func(float64) float64, noise float64, seed uint64, sizes ...float64) (ps []Point) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	for _, x := range sizes {
@@ -34,7 +34,7 @@
 	}
 }
 
-// Points of a law with little noise are fitted by its shape and predict a larger size.
+// Points of a law with little noise are fitted by its shape, and the fit predicts a larger size.
 func TestEachShapeIsSelectedForItsLaw(t *testing.T) {
 	for want, law := range laws() {
 		for seed := range uint64(20) {
@@ -63,15 +63,15 @@
 	s, err := newSample(points(square, 0.02, 1, sizes...))
 	require.NoError(t, err)
 	line := Linear.fit(s.means, 0)
-	line.Spread = 5 // the tolerance is bounded all the same
+	line.Spread = 5 // the tolerance is bounded even for a large spread
 	assert.False(t, line.Agrees(4800, square(4800)))
 
 	// The tolerance for points that are mostly noise stays at 0.3.
-	wild, err := Select(points(laws()[Linear], 0.9, 3, sizes...))
+	noisy, err := Select(points(laws()[Linear], 0.9, 3, sizes...))
 	require.NoError(t, err)
-	assert.Equal(t, maxTolerance, wild.Tolerance())
-	assert.False(t, wild.Agrees(4800, 1.4*wild.At(4800)))
-	assert.False(t, wild.Agrees(4800, math.NaN()))
+	assert.Equal(t, maxTolerance, noisy.Tolerance())
+	assert.False(t, noisy.Agrees(4800, 1.4*noisy.At(4800)))
+	assert.False(t, noisy.Agrees(4800, math.NaN()))
 
 	// Sizes that show no growth predict none.
 	none, err := Select([]Point{{X: 3}, {X: 30}, {X: 300}})
@@ -79,7 +79,7 @@
 	assert.Equal(t, []bool{true, false}, []bool{none.Agrees(1900, 0), none.Agrees(1900, 1)})
 }
 
-// A constant with noise that shows between the seeds is rarely fitted by a growing shape.
+// Points of a constant with noise between the seeds are rarely fitted by a growing shape.
 func TestNoiseIsNotFittedAsGrowth(t *testing.T) {
 	grown := 0
 	for seed := range uint64(50) {
@@ -108,8 +108,8 @@
 	}
 }
 
-// The saturating shape is not selected because it has a parameter more: rarely for laws that do not
-// saturate, with and without noise, and never if too few sizes can be held out.
+// The additional parameter alone does not get the saturating shape selected: it is selected rarely
+// for laws that do not saturate, with and without noise, and never if no size can be held out.
 func TestSaturatingIsSelectedOnlyIfItPredictsHeldOutSizes(t *testing.T) {
 	selected := 0
 	for _, law := range laws() {
@@ -130,7 +130,7 @@
 	law := func(x float64) float64 { return 26000 * (1 - math.Exp(-x/40)) }
 	f, err := Select(points(law, 0, 1, 5, 20, 50, 100))
 	require.NoError(t, err)
-	assert.NotEqual(t, Saturating, f.Shape, "no size of four can be held out")
+	assert.NotEqual(t, Saturating, f.Shape, "with four sizes none can be held out")
 	// A law that bends beyond the measured sizes is fitted as linear, and the prediction fails.
 	late := func(x float64) float64 { return 400 + 9*min(x, 110) }
 	f, err = Select(points(late, 0.01, 1, saturatingSizes...))
@@ -158,7 +158,7 @@
 	assert.Greater(t, f.Spread, 0.3)
 }
 
-// Points that cannot be fitted are ErrPoints with the reason.
+// Points that cannot be fitted give ErrInvalidPoints with the reason.
 func TestInvalidPointsAreRejected(t *testing.T) {
 	for _, c := range []struct {
 		name, want string
@@ -170,7 +170,7 @@
 		{"no number", "point 2 (3, NaN) is not a number", []Point{{1, 1, 1}, {2, 2, 1}, {3, math.NaN(), 1}}},
 		{"infinite", "point 0 (+Inf, 1) is not a number", []Point{{math.Inf(1), 1, 1}, {2, 2, 1}, {3, 1, 1}}},
 		{"size 0", "point 1 has size 0, below 1", []Point{{1, 1, 1}, {0, 2, 1}, {3, 1, 1}}},
-		{"below 0", "point 0 has figure -1, below 0", []Point{{1, -1, 1}, {2, 2, 1}, {3, 1, 1}}},
+		{"below 0", "point 0 has value -1, below 0", []Point{{1, -1, 1}, {2, 2, 1}, {3, 1, 1}}},
 	} {
 		_, err := Select(c.ps)
 		require.ErrorIs(t, err, ErrInvalidPoints, c.name)
@@ -182,8 +182,8 @@
 	}
 }
 
-// Crosses is the inverse of At, and not ok if the value never reaches the budget.
-func TestCrossesInvertsAt(t *testing.T) {
+// SizeAt is the inverse of At, and ok is false if the value never reaches the budget.
+func TestSizeAtInvertsAt(t *testing.T) {
 	for _, f := range []Fit{
 		{Shape: Log, A: 10, B: 90},
 		{Shape: Linear, A: 2000, B: 46},
@@ -238,7 +238,7 @@
 }
 
 // The points of the largest size are separated from the others.
-func TestSplitSeparatesTheLargestSize(t *testing.T) {
+func TestHoldOutLargestSeparatesTheLargestSize(t *testing.T) {
 	s := Series{Points: []Point{{30, 1, 1}, {300, 3, 1}, {60, 2, 1}, {300, 4, 2}}}
 	fit, last := s.HoldOutLargest()
 	assert.Equal(t, []Point{{30, 1, 1}, {60, 2, 1}}, fit)
--- a/internal/regression/points.go
+++ b/internal/regression/points.go
@@ -8,28 +8,30 @@
 	"slices"
 )
 
-// minSizes is the number of different sizes that a fit needs: one more than a model has parameters.
+// minSizes is the number of different sizes that a fit needs: one more than a two-parameter shape
+// has parameters.
 const minSizes = 3
 
 // ErrInvalidPoints is returned for points that cannot be fitted.
 var ErrInvalidPoints = errors.New("regression: invalid points")
 
-// Point is a value Y measured at a size X, in a run with a seed.
+// Point is a value Y measured at a size X in the run with random seed Seed.
 type Point struct {
 	X    float64 `json:"x"`
 	Y    float64 `json:"y"`
 	Seed uint64  `json:"seed"`
 }
 
-// Series is a value measured over a size.
+// Series is a quantity measured at several sizes.
 type Series struct {
 	Name   string  `json:"name"`
 	Unit   string  `json:"unit"`
-	Size   string  `json:"of"` // the size
+	Size   string  `json:"of"` // name of the dimension that X measures
 	Points []Point `json:"points"`
 }
 
-// HoldOutLargest separates the points of the largest size, which are held out to test the fit of the others.
+// HoldOutLargest separates the points of the largest size, which test the fit, from those to be
+// fitted.
 func (s Series) HoldOutLargest() (fit, last []Point) {
 	largest := math.Inf(-1)
 	for _, p := range s.Points {
@@ -48,7 +50,7 @@
 // mean is the mean over the seeds of the values at one size.
 type mean struct {
 	x, y  float64
-	scale float64 // what differences from y are relative to: y, or if it is 0 the smallest mean that is not
+	scale float64 // divisor of differences from y: y, or the smallest mean above 0 if y is 0
 }
 
 // sample holds the means of all sizes, in ascending order of size.
@@ -58,7 +60,7 @@
 	standardError float64 // relative standard error of a mean, pooled over the sizes; 0 if no size has two values
 }
 
-// newSample validates points and averages them by size. The error is ErrPoints.
+// newSample validates points and averages them by size. The error is ErrInvalidPoints.
 func newSample(points []Point) (sample, error) {
 	bySize := map[float64][]float64{}
 	for i, p := range points {
@@ -73,7 +75,7 @@
 	}
 	var s sample
 	var variance pooledVariance
-	smallest := math.Inf(1) // of the means above 0
+	smallest := math.Inf(1) // smallest mean above 0
 	for _, x := range slices.Sorted(maps.Keys(bySize)) {
 		values := slices.Sorted(slices.Values(bySize[x])) // so that sums do not depend on the order of the points
 		m := mean{x: x, y: average(values)}
@@ -97,7 +99,7 @@
 	case p.X < 1:
 		return fmt.Errorf("%w: point %d has size %g, below 1", ErrInvalidPoints, i, p.X)
 	case p.Y < 0:
-		return fmt.Errorf("%w: point %d has figure %g, below 0", ErrInvalidPoints, i, p.Y)
+		return fmt.Errorf("%w: point %d has value %g, below 0", ErrInvalidPoints, i, p.Y)
 	}
 	return nil
 }
@@ -109,8 +111,8 @@
 	return mean
 }
 
-// setScales sets the scale of each mean. smallest is that of the means above 0; infinite if all are
-// 0.
+// setScales sets the scale of each mean. smallest is the smallest mean above 0, or +Inf if all means
+// are 0.
 func setScales(means []mean, smallest float64) {
 	if math.IsInf(smallest, 1) {
 		smallest = 1
@@ -136,8 +138,8 @@
 	v.degreesOfFreedom += float64(len(values) - 1)
 }
 
-// standardError returns the relative standard error of the mean of some values, or 0 if it cannot
-// be estimated. sizes and points are the numbers of sizes and of points.
+// standardError returns the relative standard error of the mean at one size, or 0 if it cannot be
+// estimated. sizes and points are the numbers of sizes and of points.
 func (v *pooledVariance) standardError(sizes, points int) float64 {
 	if v.degreesOfFreedom == 0 {
 		return 0
--- a/internal/regression/shape.go
+++ b/internal/regression/shape.go
@@ -2,7 +2,8 @@
 
 import "math"
 
-// Shape is a model of how a value grows with a size n. The order is from the simplest.
+// Shape is a model of how a value grows with a size n. Shapes are ordered by complexity, the
+// simplest first.
 type Shape int
 
 // Shapes. A, B and C are parameters of a Fit; A and B are not negative.
@@ -13,8 +14,8 @@
 	NLogN                  // A + B n log n
 	Quadratic              // A + B n^2
 
-	// Saturating is A + B (1 - exp(-n/C)), the growth of a quantity with an upper limit. It has a
-	// parameter more than the others.
+	// Saturating is A + B (1 - exp(-n/C)), the growth of a quantity with an upper limit. It has one
+	// more parameter than the other shapes.
 	Saturating
 
 	twoParameterShapes = Saturating // the number of shapes without C
