--- a/internal/knownfailures/list.go
+++ b/internal/knownfailures/list.go
@@ -13,17 +13,17 @@
 
 const (
 	listName         = "KNOWN-RED.txt"
-	maxKnownFailures = 3 // more than these are to be fixed before anything else
+	maxKnownFailures = 3 // a longer list is rejected: failures beyond it have to be fixed first
 )
 
-// knownFailure is a test, or one case of a test, that is known to fail.
+// knownFailure is a test or subtest that is known to fail.
 type knownFailure struct {
-	folder  string // of the package, below the module's root; empty for the root itself
+	folder  string // package directory relative to the module's root; empty for the root itself
 	test    string
-	subtest string // the case, as go test prints its name; empty for the whole test
-	command string // with the seed, that shows the failure
-	seen    string
-	issue   int
+	subtest string // as go test prints its name; empty for the whole test
+	command string // reproduces the failure, including the seed
+	symptom string // failure that was observed
+	issue   int    // number in the issue tracker
 }
 
 // name returns the name of the test as go test prints it.
@@ -34,7 +34,8 @@
 	return f.test + "/" + f.subtest
 }
 
-// pattern returns the pattern of go test that matches the test, or the case, alone.
+// pattern returns a pattern for the -run and -skip flags of go test that matches only this test or
+// subtest.
 func (f *knownFailure) pattern() string {
 	elements := strings.Split(f.name(), "/")
 	for i, element := range elements {
@@ -43,8 +44,8 @@
 	return strings.Join(elements, "/")
 }
 
-// testName matches a test, or a case of it, with the folder of its package, such as
-// internal/platform.TestX/case.
+// testName matches a test or subtest with the directory of its package, such as
+// internal/platform.TestX/subtest.
 var testName = regexp.MustCompile(`^(?:([^/.]+(?:/[^/.]+)*)\.)?(Test\w*)(?:/(\S+))?$`)
 
 // readList reads the list at path. A list that does not exist is empty.
@@ -67,7 +68,7 @@
 		}
 		if slices.ContainsFunc(failures, isSame) {
 			name, _, _ := strings.Cut(line, "|")
-			return nil, fmt.Errorf("%s:%d: %s stands there twice", listName, i+1, strings.TrimSpace(name))
+			return nil, fmt.Errorf("%s:%d: %s is listed twice", listName, i+1, strings.TrimSpace(name))
 		}
 		failures = append(failures, failure)
 		if len(failures) > maxKnownFailures {
@@ -92,11 +93,11 @@
 		return failure, false
 	}
 	return knownFailure{
-		folder: name[1], test: name[2], subtest: name[3], command: fields[1], seen: fields[2], issue: issue,
+		folder: name[1], test: name[2], subtest: name[3], command: fields[1], symptom: fields[2], issue: issue,
 	}, true
 }
 
-// inFolder returns the failures of the package in a folder, relative to the module's root.
+// inFolder returns the failures of the package in a directory given relative to the module's root.
 func inFolder(failures []knownFailure, folder string) []knownFailure {
 	return slices.DeleteFunc(slices.Clone(failures), func(failure knownFailure) bool {
 		return filepath.Join(".", failure.folder) != folder
--- a/internal/knownfailures/main.go
+++ b/internal/knownfailures/main.go
@@ -1,13 +1,13 @@
-// Command knownfailures runs the tests of the module. Tests and cases of tests that KNOWN-RED.txt
-// lists, at most three that fail for a fault which is not yet fixed, are run apart and their result is
-// printed; they do not fail the run. The other cases of the same test run with all others. A list that
-// cannot be parsed, or that names a test or case which does not exist, does fail the run.
+// Command knownfailures runs the tests of the module. The tests and subtests that KNOWN-RED.txt lists,
+// at most three whose fault is not yet fixed, are run separately; their results are printed and do not
+// fail the run. The other subtests of the same test run with the rest of the module. A list that cannot
+// be parsed, or that names a test or subtest which does not exist, fails the run.
 //
 // A line of the list is TEST | COMMAND AND SEED | SEEN | ISSUE, such as
 //
 //	internal/platform.TestX/reset | go test -run TestX -seed 3 | the watcher forgets a drain | 31
 //
-// Arguments are passed on to go test.
+// Arguments are passed to go test.
 package main
 
 import (
@@ -29,7 +29,7 @@
 	}
 }
 
-// run tests the module at root. flags are passed on to go test.
+// run tests the module at root and writes the results to out. flags are passed to go test.
 func run(ctx context.Context, root string, flags []string, out io.Writer) error {
 	known, err := readList(filepath.Join(root, listName))
 	if err != nil {
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// checkTestsExist returns an error if one of the known failures, whose number is count, is not a
-// test of its package, or its package does not exist.
+// checkTestsExist returns an error if the test of a known failure or its package does not exist. count
+// is the number of known failures in the list. Subtests are checked when they run.
 func (m *module) checkTestsExist(ctx context.Context, count int) error {
 	for importPath, failures := range m.known {
 		list, err := m.goCommand(ctx, io.Discard, "test", "-list", ".", importPath)
@@ -94,13 +94,13 @@
 		tests := strings.Split(list, "\n")
 		for _, failure := range failures {
 			if !slices.Contains(tests, failure.test) {
-				return fmt.Errorf("%s: no test bears the name %s in %q", listName, failure.test, failure.folder)
+				return fmt.Errorf("%s: no test named %s in %q", listName, failure.test, failure.folder)
 			}
 		}
 		count -= len(failures)
 	}
 	if count > 0 {
-		return fmt.Errorf("%s: a package that it names does not exist", listName)
+		return fmt.Errorf("%s: a listed package does not exist", listName)
 	}
 	return nil
 }
@@ -123,8 +123,8 @@
 	return errors.Join(errs...)
 }
 
-// runKnownFailures runs each known failure and prints its result. It returns an error if a case that the
-// list names does not exist: none has run under its name.
+// runKnownFailures runs each known failure and prints its result. It returns an error if a listed
+// subtest does not exist, that is if go test reports no run under its name.
 func (m *module) runKnownFailures(ctx context.Context, flags []string) error {
 	var errs []error
 	for importPath, failures := range m.known {
@@ -132,27 +132,27 @@
 			result := "fails, as known"
 			output, err := m.goTest(ctx, io.Discard, flags, "-v", "-run", failure.pattern(), importPath)
 			if err == nil {
-				result = "passes now: take its line out"
+				result = "passes now: remove its line"
 			}
 			if !strings.Contains(output, "=== RUN   "+failure.name()+"\n") {
-				err := fmt.Errorf("%s: no case bears the name %s in %q", listName, failure.name(), failure.folder)
+				err := fmt.Errorf("%s: no subtest named %s in %q", listName, failure.name(), failure.folder)
 				errs = append(errs, err)
 				continue
 			}
 			fmt.Fprintf(m.out, "known red: %s.%s %s (issue %d: %s)\n",
-				failure.folder, failure.name(), result, failure.issue, failure.seen)
+				failure.folder, failure.name(), result, failure.issue, failure.symptom)
 		}
 	}
 	return errors.Join(errs...)
 }
 
-// goTest runs go test with flags and further arguments.
+// goTest runs go test with flags followed by args.
 func (m *module) goTest(ctx context.Context, out io.Writer, flags []string, args ...string) (string, error) {
 	return m.goCommand(ctx, out, slices.Concat([]string{"test"}, flags, args)...)
 }
 
-// goCommand runs the go command at the module's root. It returns its output, which is also copied
-// to out while it runs.
+// goCommand runs the go command at the module's root. It returns the standard output of the command,
+// which is also copied to out while it runs.
 func (m *module) goCommand(ctx context.Context, out io.Writer, args ...string) (string, error) {
 	var text strings.Builder
 	command := exec.CommandContext(ctx, "go", args...)
--- a/internal/knownfailures/main_test.go
+++ b/internal/knownfailures/main_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newModule writes a small module with tests that pass and fail, and a list of known failures. ran
-// returns the names of the tests that have run since it was last called, one a line.
+// newModule writes a small module with passing and failing tests and a list of known failures. ran
+// returns the names of the tests that have run since its last call, one per line.
 func newModule(t *testing.T, list string) (root string, ran func() string) {
 	t.Helper()
 	root = t.TempDir()
@@ -38,7 +38,7 @@
 	}
 }
 
-// testCases is the body of a test of which one case fails if the environment says so.
+// testCases is the body of a test with subtests, of which one fails if SMALL_CASE_FAILS is set.
 const testCases = `
 	for _, name := range []string{"good", "bad one", "bad"} {
 		t.Run(name, func(t *testing.T) {
@@ -70,27 +70,27 @@
 ` + testFunc(name, body)
 }
 
-// testFunc returns the text of a further test of such a file.
+// testFunc returns the text of a further test for such a file.
 func testFunc(name, body string) string {
 	return "\nfunc " + name + "(t *testing.T) { ran(t); " + body + " }\n"
 }
 
-// listed returns the line of the list for a test.
+// listed returns the list's line for a test.
 func listed(test string) string { return test + " | go test -run it | it is bad | 31\n" }
 
 const (
 	wantForm = "want TEST | COMMAND AND SEED | SEEN | ISSUE"
-	allTests = 9 // tests and cases of the small module
+	allTests = 9 // tests and subtests of the small module
 )
 
-// Exactly the tests and cases that the list names are skipped, in their package alone, and are run apart
-// and printed. A list that is too long, malformed or names no test or case is an error; without a list no
-// test is skipped.
+// Exactly the listed tests and subtests are skipped, only in their own package, and are run separately
+// with their results printed. A list that is too long, malformed or names a test or subtest that does
+// not exist is an error; without a list no test is skipped.
 func TestOnlyListedFailuresAreRunApart(t *testing.T) {
 	for name, c := range map[string]struct {
 		list, wantErr, prints string
 		caseFails             bool
-		badRuns, runs         int // of tests called TestBad; of all tests and cases, once more what runs apart
+		badRuns, runs         int // runs of tests named TestBad; runs of all tests and subtests, including the separate ones
 	}{
 		"no file": {"", "go test", "", false, 2, allTests},
 		"named": {
@@ -99,12 +99,12 @@
 		},
 		"fixed": {
 			listed("a.TestBad") + "a.TestGood | go test -run it | was bad | #7\n", "",
-			"known red: a.TestGood passes now: take its line out", false, 2, allTests,
+			"known red: a.TestGood passes now: remove its line", false, 2, allTests,
 		},
 		"root":            {listed("TestRoot"), "go test", "known red: .TestRoot passes now", false, 2, allTests},
 		"other package":   {listed("b.TestBad"), "go test", "known red: b.TestBad passes now", false, 2, allTests},
-		"no such test":    {listed("a.TestNone"), "no test bears the name TestNone", "", false, 0, 0},
-		"part of a name":  {listed("a.TestGoo"), "no test bears the name", "", false, 0, 0},
+		"no such test":    {listed("a.TestNone"), "no test named TestNone", "", false, 0, 0},
+		"part of a name":  {listed("a.TestGoo"), "no test named", "", false, 0, 0},
 		"no such package": {listed("c.TestBad"), "does not exist", "", false, 0, 0},
 		"a pattern":       {listed("a.Test.*"), wantForm, "", false, 0, 0},
 		"no command":      {"a.TestBad | | it is bad | 31\n", wantForm, "", false, 0, 0},
@@ -113,27 +113,27 @@
 		"three fields":    {"a.TestBad | it is bad | 31\n", wantForm, "", false, 0, 0},
 		"blank line":      {listed("a.TestBad") + "\n", "", "fails, as known", false, 2, allTests},
 		"line between":    {listed("a.TestBad") + "\n" + listed("a.TestGood"), wantForm, "", false, 0, 0},
-		"twice":           {listed("a.TestBad") + listed("a.TestBad"), "stands there twice", "", false, 0, 0},
+		"twice":           {listed("a.TestBad") + listed("a.TestBad"), "is listed twice", "", false, 0, 0},
 		"four": {
 			listed("a.TestBad") + listed("a.TestGood") + listed("a.TestBadly") + listed("b.TestBad"),
 			"more than 3 lines", "", false, 0, 0,
 		},
-		// The test itself runs twice, each of its cases once.
-		"a case": {
+		// The parent test runs twice, each of its subtests once.
+		"a subtest": {
 			listed("a.TestBad") + listed("a.TestCases/bad_one"), "",
 			"known red: a.TestCases/bad_one fails, as known", true, 2, allTests + 1,
 		},
-		"a case and its test": {
+		"a passing subtest beside a failing one": {
 			listed("a.TestBad") + listed("a.TestCases/good"), "go test",
 			"known red: a.TestCases/good passes now", true, 2, allTests + 1,
 		},
-		"a case that holds": {
+		"a subtest whose name is part of another": {
 			listed("a.TestBad") + listed("a.TestCases/bad"), "",
 			"known red: a.TestCases/bad passes now", false, 2, allTests + 1,
 		},
-		"no such case": {
+		"no such subtest": {
 			listed("a.TestBad") + listed("a.TestCases/ba"),
-			"no case bears the name TestCases/ba", "", false, 2, allTests + 1,
+			"no subtest named TestCases/ba", "", false, 2, allTests + 1,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
