--- a/internal/knownfailures/main_test.go
+++ b/internal/knownfailures/main_test.go
@@ -90,7 +90,7 @@
 	for name, c := range map[string]struct {
 		list, wantErr, prints string
 		caseFails             bool
-		badRuns, runs         int // runs of tests named TestBad; runs of all tests and subtests, including the separate ones
+		badRuns, runs         int // runs of tests named TestBad; of all tests and subtests, with the separate runs
 	}{
 		"no file": {"", "go test", "", false, 2, allTests},
 		"named": {
