--- a/internal/capacity/arithmetic.go
+++ b/internal/capacity/arithmetic.go
@@ -4,47 +4,55 @@
 	"math"
 )
 
-// sizes are constants of other packages; TestSizesAreThoseOfTheSources reads them again.
-type sizes struct {
-	// aggregate/encode.go, internal/platform/watch.go, core.go
-	textMax, marksMax, datagram, waiting, line, eventsWait float64
+// programConstants holds the constants of other packages on which the rows depend, under their
+// names there. TestConstantsMatchTheSources compares them with the sources.
+type programConstants struct {
+	// aggregate/encode.go, internal/platform/peertransport.go and watch.go, config.go
+	maxTextBytes, maxMarks, maxDatagramBytes, sendQueueLength, maxEventBytes, eventQueueSize float64
 	// package balancer
-	messageShare, messagePriceFloor, budgetMax, leaderTerm, maintenanceRounds, hello, pairPart float64
-	// s: internal/platform/watch.go
-	quiet, dial, most float64
-	// internal/platform/executorpool.go, internal/daemon/daemon.go
-	idleShare, reserved, clientSpare, memoryPart, datagramsInAReceive float64
-	// per cent: internal/daemon/daemon.go
-	collectAt float64
-	// shortest latency objectives, of package outlier
-	longest float64
-}
-
-// ofProgram returns the values of the constants as they stand in the sources.
-func ofProgram() sizes {
-	return sizes{
-		textMax: 190, marksMax: 12, datagram: 256, waiting: 256, line: 4 << 20, eventsWait: 1024,
-		messageShare: 0.005, messagePriceFloor: 0.002, budgetMax: 10, leaderTerm: 2, maintenanceRounds: 8, hello: 3,
-		pairPart: 8,
-		quiet:    2, dial: 1, most: 0.4, idleShare: 0.6, reserved: 20, clientSpare: 16, memoryPart: 0.7, longest: 8,
-		collectAt:           150,
-		datagramsInAReceive: 277,
-	} // of 768 bytes each, as the kernel counts a small one, in its usual 212,992: not measured
-}
-
-// Packed is how long a message of dispatchers is, in characters of base64 as they are sent.
-type Packed struct{ First, All, Texts int }
-
-// Digest is the shape of a collector's message, as aggregate.Message.Texts writes it.
+	gossipCostShare, minMessagePrice, maxGossipBudget, leaderTermObjectives,
+	maintenanceRounds, syncPeers, countsPerHolder float64
+	// seconds: internal/platform/watch.go
+	watchReadTimeout, watchDialTimeout, maxWatchRetryDelay float64
+	// internal/platform/executorpool.go, internal/daemon/sockets.go and runtimelimits.go; the last one is
+	// no constant of the program but the number of datagrams that the kernel's receive buffer holds
+	idleTimeoutRatio, reservedSockets, spareClientDivisor, memoryLimitRatio, receiveBufferDatagrams float64
+	// percent: internal/daemon/runtimelimits.go
+	gcPercent float64
+	// in shortest latency objectives: outlier/detector.go
+	maxEjectionFactor float64
+}
+
+// newProgramConstants returns the constants with the values that they have in the sources.
+func newProgramConstants() programConstants {
+	return programConstants{
+		maxTextBytes: 190, maxMarks: 12, maxDatagramBytes: 256, sendQueueLength: 256, maxEventBytes: 4 << 20,
+		eventQueueSize:  1024,
+		gossipCostShare: 0.005, minMessagePrice: 0.002, maxGossipBudget: 10, leaderTermObjectives: 2,
+		maintenanceRounds: 8, syncPeers: 3, countsPerHolder: 8,
+		watchReadTimeout: 2, watchDialTimeout: 1, maxWatchRetryDelay: 0.4, idleTimeoutRatio: 0.6, reservedSockets: 20,
+		spareClientDivisor: 16, memoryLimitRatio: 0.7, maxEjectionFactor: 8,
+		gcPercent: 150,
+		// The kernel's default buffer of 212,992 bytes holds 277 small datagrams if it accounts 768
+		// bytes for each. This was not measured.
+		receiveBufferDatagrams: 277,
+	}
+}
+
+// EncodedSize is the size of an encoded message between dispatchers: the lengths of its first text
+// and of all its texts, in base64 characters, and the number of texts.
+type EncodedSize struct{ FirstText, Total, Texts int }
+
+// Digest is the shape of the leader's message as aggregate.Message.Encode writes it.
 type Digest struct {
-	Dispatchers, Figures int
-	Partial              bool // some dispatcher's row is not in the sums: a bit for each dispatcher follows
-	Missing              bool // one is remembered: two more sums, and again a bit for each
-	Marks, Counts, Pairs int
+	Dispatchers, Figures   int
+	Partial                bool // some dispatcher is not covered by the sums: a set with one bit per dispatcher follows
+	Missing                bool // values of an uncovered one are kept: two more lists of sums and another set follow
+	Marks, Counts, Holders int
 }
 
-// Length is how long a digest is.
-func (d Digest) Length() Packed {
+// Length returns the encoded size of the digest.
+func (d Digest) Length() EncodedSize {
 	head, set := 3+2+2*d.Figures, (d.Dispatchers+7)/8
 	if d.Partial {
 		head += set
@@ -52,157 +60,168 @@
 	if d.Missing {
 		head += 4*d.Figures + set
 	}
-	return packed(head, d.Marks, d.Counts, d.Pairs)
+	return encodedSize(head, d.Marks, d.Counts, d.Holders)
 }
 
-// Report is the shape of a dispatcher's message to the collector. Quoted is the number of figures
-// repeated from the last digest; below 0: none, and no list of them.
-type Report struct{ Figures, Quoted, Marks, Counts, Pairs int }
+// Report is the shape of a dispatcher's message to the leader. LastCounted is the number of figures
+// repeated from the last digest; if it is negative, the list of them is absent.
+type Report struct{ Figures, LastCounted, Marks, Counts, Holders int }
 
-// Length is how long a report is.
-func (r Report) Length() Packed {
+// Length returns the encoded size of the report.
+func (r Report) Length() EncodedSize {
 	head := 3 + 3 + 2*r.Figures
-	if r.Quoted >= 0 {
-		head += (r.Figures+7)/8 + 2*r.Quoted
+	if r.LastCounted >= 0 {
+		head += (r.Figures+7)/8 + 2*r.LastCounted
 	}
-	return packed(head, r.Marks, r.Counts, r.Pairs)
+	return encodedSize(head, r.Marks, r.Counts, r.Holders)
 }
 
-// packed follows aggregate.Message.Texts: a part has textMax bytes at the most, save that the head is never cut.
-func packed(head, marks, counts, pairs int) (p Packed) {
-	of := ofProgram()
-	most := int(of.textMax)
-	for raw := head; p.Texts == 0 || counts+pairs > 0; raw = 3 {
-		if p.Texts == 0 {
-			if k := max(0, min(marks, int(of.marksMax), (most-raw-1)/4)); k > 0 {
+// encodedSize follows aggregate.Message.Encode: a text has at most maxTextBytes before base64,
+// except that the head of the first one, in bytes, is never cut.
+func encodedSize(head, marks, counts, holders int) (size EncodedSize) {
+	consts := newProgramConstants()
+	limit := int(consts.maxTextBytes)
+	for raw := head; size.Texts == 0 || counts+holders > 0; raw = 3 {
+		if size.Texts == 0 {
+			if k := max(0, min(marks, int(consts.maxMarks), (limit-raw-1)/4)); k > 0 {
 				raw += 1 + 4*k
 			}
 		}
-		room := max(0, most-raw)
+		room := max(0, limit-raw)
 		n := min(counts, room/3, 255)
-		k := min(pairs, (room-3*n)/6)
+		k := min(holders, (room-3*n)/6)
 		raw += 3*n + 6*k
-		counts, pairs = counts-n, pairs-k
+		counts, holders = counts-n, holders-k
 		chars := (8*raw + 5) / 6
-		if p.Texts == 0 {
-			p.First = chars
+		if size.Texts == 0 {
+			size.FirstText = chars
 		}
-		p.Texts++
-		p.All += chars
+		size.Texts++
+		size.Total += chars
 	}
-	return p
+	return size
 }
 
-// Stops returns the greatest number of dispatchers up to which a collector with a full message
-// budget can pay for a digest to all. length returns its characters at a number of dispatchers. The
-// result is at most most.
-func Stops(price float64, most int, length func(dispatchers int) int) int {
-	for n := 2; n <= most; n++ {
-		if digestPrice(price, float64(n), float64(length(n))) > ofProgram().budgetMax {
+// MaxAffordableDispatchers returns the largest number of dispatchers up to which a leader with a
+// full message budget can pay for a digest to all others, at most limit. price is the price of 256
+// bytes to one receiver, in calls. length returns the digest's characters for a number of
+// dispatchers.
+func MaxAffordableDispatchers(price float64, limit int, length func(dispatchers int) int) int {
+	for n := 2; n <= limit; n++ {
+		if digestPrice(price, float64(n), float64(length(n))) > newProgramConstants().maxGossipBudget {
 			return n - 1
 		}
 	}
-	return most
+	return limit
 }
 
-// digestPrice returns the price of characters sent to all other dispatchers, relative to the result
-// of one call.
+// digestPrice returns the price of a digest of chars characters sent to all other dispatchers, in
+// units of the priority weight of one call.
 func digestPrice(price, dispatchers, chars float64) float64 {
-	return max(price, ofProgram().messagePriceFloor) * (dispatchers - 1) / 256 * chars
+	return max(price, newProgramConstants().minMessagePrice) * (dispatchers - 1) / 256 * chars
 }
 
-// Fits returns the greatest number of dispatchers at which the first text of such a digest is
-// within the datagram's limit.
-func Fits(d Digest, most int) int {
-	for n := 1; n <= most; n++ {
-		if d.Dispatchers = n; d.Length().First > int(ofProgram().datagram) {
+// MaxFittingDispatchers returns the largest number of dispatchers, at most limit, up to which the
+// first text of the digest fits into a datagram.
+func MaxFittingDispatchers(d Digest, limit int) int {
+	for n := 1; n <= limit; n++ {
+		if d.Dispatchers = n; d.Length().FirstText > int(newProgramConstants().maxDatagramBytes) {
 			return n - 1
 		}
 	}
-	return most
+	return limit
 }
 
-// Collisions is how many pairs of n names share a tag of so many bits, expected.
-func Collisions(n float64, bits int) float64 { return n * (n - 1) / 2 / math.Exp2(float64(bits)) }
+// ExpectedCollisions returns the expected number of pairs among n names that share a tag of the
+// given number of bits.
+func ExpectedCollisions(n float64, bits int) float64 {
+	return n * (n - 1) / 2 / math.Exp2(float64(bits))
+}
 
-// Distinct is how many of so many are met by draws that fall evenly, expected.
-func Distinct(draws, of float64) float64 { return of * -math.Expm1(-draws/of) }
+// ExpectedDistinct returns the expected number of distinct items among items that are hit by draws
+// with uniform distribution.
+func ExpectedDistinct(draws, items float64) float64 { return items * -math.Expm1(-draws/items) }
 
-// RareLoads is what calls of a function that is called rate times a second at random cost where all
-// dispatchers agree on its place: the part of them that finds no copy, and the copies that stand or
-// load on the mean. Times in s.
+// RareLoads returns what the calls of one function cost that arrive at random, rate per second, if
+// all dispatchers send them to the same worker: the fraction of calls that find no copy, and the
+// mean number of copies that are idle or loading. keep and load are the keep-alive and the time of
+// a load in seconds.
 func RareLoads(rate, keep, load float64) (missing, copies float64) {
 	missing = math.Exp(-rate * keep)
 	return missing, rate*missing*load - math.Expm1(-rate*keep)
 }
 
-// Waits is the chance that a load waits at an executor with so many slots of which busy are taken
-// on the mean (Erlang's C formula; slots may be a fraction, and are rounded down); 1 where busy is
-// as much as the slots.
-func Waits(busy, slots float64) float64 {
+// WaitProbability returns the probability that a load has to wait at an executor with the given
+// number of slots, of which busy are in use on average (Erlang C formula). A fractional number of
+// slots is rounded down. The result is 1 if busy reaches the number of slots.
+func WaitProbability(busy, slots float64) float64 {
 	n := math.Floor(slots)
 	if busy >= n {
 		return 1
 	}
-	b := 1.0 // Erlang B by its recursion
+	b := 1.0 // Erlang B, computed by its recursion
 	for k := 1.0; k <= n; k++ {
 		b = busy * b / (k + busy*b)
 	}
 	return b / (1 - busy/n*(1-b))
 }
 
-// reportShape returns the mean report of a dispatcher with so many calls per second: it has the
-// executors where one of its calls was answered within the shortest latency objective, and new
-// holders up to the module's limit.
+// reportShape returns the mean report of a dispatcher with the given calls per second. It has
+// counts of the executors that the calls of one shortest latency objective reach, and new holders
+// up to the limit of package balancer.
 func (c Case) reportShape(calls float64) Report {
-	of := ofProgram()
-	counts := math.Round(Distinct(calls*c.LatencyObjective, c.Listed()))
-	pairs := min(of.hello+math.Floor(counts/of.pairPart), math.Round(calls*c.LatencyObjective/of.maintenanceRounds))
-	return Report{Figures: int(c.Figures), Quoted: -1, Counts: int(counts), Pairs: int(pairs)}
-}
-
-// reports returns how many reports per second a dispatcher sends, and their characters: one in each
-// maintenance round and one with each call to a holder not believed before (functions drawn
-// evenly), as far as its calls pay for them.
-func (c Case) reports(calls float64) (rate float64, p Packed) {
-	of := ofProgram()
+	consts := newProgramConstants()
+	counts := math.Round(ExpectedDistinct(calls*c.LatencyObjective, c.Listed()))
+	holders := min(consts.syncPeers+math.Floor(counts/consts.countsPerHolder),
+		math.Round(calls*c.LatencyObjective/consts.maintenanceRounds))
+	return Report{Figures: int(c.Figures), LastCounted: -1, Counts: int(counts), Holders: int(holders)}
+}
+
+// reportRate returns the reports per second that a dispatcher sends and the encoded size of one:
+// one report in each maintenance round and one with each call to a holder that was not known before
+// (functions drawn with uniform distribution), as far as its calls pay for them.
+func (c Case) reportRate(calls float64) (rate float64, p EncodedSize) {
+	consts := newProgramConstants()
 	p = c.reportShape(calls).Length()
-	unbelieved := math.Exp(-calls * c.KeepAlive / c.Functions)
-	return min(of.maintenanceRounds/c.LatencyObjective+calls*unbelieved,
-		of.messageShare*calls/(max(c.PeerPrice, of.messagePriceFloor)/256*float64(p.All))), p
+	unknown := math.Exp(-calls * c.KeepAlive / c.Functions)
+	return min(consts.maintenanceRounds/c.LatencyObjective+calls*unknown,
+		consts.gossipCostShare*calls/(max(c.PeerPrice, consts.minMessagePrice)/256*float64(p.Total))), p
 }
 
-// fullDigest has the calls in flight or answers of every listed executor that some dispatcher met
-// within the shortest latency objective.
+// fullDigest returns a digest with a count for every listed executor that the calls of all
+// dispatchers reach within the shortest latency objective. With missing set, one dispatcher has no
+// current report and its earlier values are kept.
 func (c Case) fullDigest(missing bool) Digest {
-	counts := Distinct(c.Calls*c.ListPart*c.LatencyObjective, c.Listed())
+	counts := ExpectedDistinct(c.Calls*c.ListPart*c.LatencyObjective, c.Listed())
 	return Digest{
 		Dispatchers: int(c.Dispatchers), Figures: int(c.Figures), Partial: missing, Missing: missing,
 		Counts: int(math.Round(counts)),
 	}
 }
 
-// sums is a digest without counts, as a short one is.
-func (c Case) sums(missing bool) Digest {
+// shortDigest returns a digest without counts. missing is as in fullDigest.
+func (c Case) shortDigest(missing bool) Digest {
 	return Digest{Dispatchers: int(c.Dispatchers), Figures: int(c.Figures), Partial: missing, Missing: missing}
 }
 
-// silent is a digest without counts that lacks the row of one who was in none before: it had no
-// calls, so it reported nothing.
-func (c Case) silent() Digest {
-	d := c.sums(false)
+// shortDigestOneSilent returns a digest without counts that does not cover one dispatcher, which no
+// earlier digest covered either: it had no calls and sent no report.
+func (c Case) shortDigestOneSilent() Digest {
+	d := c.shortDigest(false)
 	d.Partial = true
 	return d
 }
 
-// term is for how long one dispatcher collects, s.
-func (c Case) term() float64 { return ofProgram().leaderTerm * c.LatencyObjective }
+// leaderTerm returns the length of a leader's term in seconds.
+func (c Case) leaderTerm() float64 {
+	return newProgramConstants().leaderTermObjectives * c.LatencyObjective
+}
 
-// connections is how many of so many peers a side has a connection to, whose calls fall on them
-// evenly, rate a second in all.
+// connections returns the expected number of peers to which a side has an open connection if its
+// calls, rate per second in total, are spread evenly over them.
 func (c Case) connections(rate, peers float64) float64 {
-	return Distinct(rate*ofProgram().idleShare*c.ConnIdle, peers)
+	return ExpectedDistinct(rate*newProgramConstants().idleTimeoutRatio*c.ConnIdle, peers)
 }
 
-// rare is how many functions are called less than once a minute.
-func (c Case) rare() float64 { return c.Rare * c.Functions }
+// rareFunctions returns the number of functions that are called less than once a minute.
+func (c Case) rareFunctions() float64 { return c.Rare * c.Functions }
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -1,11 +1,11 @@
-// Package capacity works out what the operators' plan asks of every role, from the plan,
-// assumptions for what it leaves open, and slopes that were measured elsewhere, and compares that
-// with the budgets. It has no I/O, clock or goroutine and measures nothing: where a slope is
-// missing, the row says "not measured".
+// Package capacity computes the load on each role of the system at the size that the operators plan
+// for, and compares it with the budgets. Its inputs are the operators' requirements (the letter),
+// assumptions for what they leave open, and slopes measured by other packages. It has no I/O, clock
+// or goroutine and measures nothing: a row whose slope is missing reads "not measured".
 //
-// A formula stands beside each row and rests on lines of the program or of the platform's pages,
-// which it names. The constants of other packages that it uses are in sizes, and a test reads them
-// again from the sources.
+// Each row has its formula and names the mechanism of the program or of the platform behind it. The
+// constants of other packages that rows use are in programConstants; a test compares them with the
+// sources.
 package capacity
 
 import (
@@ -13,29 +13,30 @@
 	"slices"
 )
 
-// Plan is the operators' size in two years, and what their settings of today say beside it.
+// Plan is the system that the operators plan for in two years, with the values of today's settings
+// and of the platform where the requirements give none.
 type Plan struct {
 	Dispatchers      float64 `json:"dispatchers"`
 	Instances        float64 `json:"instances"` // loaded copies of functions
 	Functions        float64 `json:"functions"` // most of them called less than once a minute
-	Calls            float64 `json:"calls"`     // a second, of all dispatchers
+	Calls            float64 `json:"calls"`     // per second, of all dispatchers
 	Regions          float64 `json:"regions"`
-	Zones            float64 `json:"zones"`       // see the assumption of that name
-	Changes          float64 `json:"changes"`     // of configuration, a day
+	Zones            float64 `json:"zones"`       // overridden by the assumption of that name
+	Changes          float64 `json:"changes"`     // of the configuration, per day
 	Machines         float64 `json:"machines"`    // set aside for control
-	Failing          float64 `json:"failing"`     // machines, on an ordinary day
-	Restarted        float64 `json:"restarted"`   // machines restarted or replaced, a day
-	LatencyObjective float64 `json:"aim_s"`       // the shortest wanted time, s: settings, path-check
-	ConnIdle         float64 `json:"conn_idle_s"` // settings, permissions.conn_idle_ns, s
-	Descriptors      float64 `json:"descriptors"` // DEPLOY-oakthread, Limits
-	LoadSlots        float64 `json:"load_slots"`  // loads at a time at an executor, 3 to 6: BRIEF-oakthread
-	FetchPart        float64 `json:"fetch_part"`  // of a load, 0.44 to 0.71: BRIEF-oakthread
-	// health checks per second at one executor from all, at a start: endpoints.Config
+	Failing          float64 `json:"failing"`     // machines that fail on an ordinary day
+	Restarted        float64 `json:"restarted"`   // machines restarted or replaced per day
+	LatencyObjective float64 `json:"aim_s"`       // shortest latency objective, s: settings, path-check
+	ConnIdle         float64 `json:"conn_idle_s"` // executors' idle timeout, s: settings, permissions.conn_idle_ns
+	Descriptors      float64 `json:"descriptors"` // limit of open files: DEPLOY-oakthread, Limits
+	LoadSlots        float64 `json:"load_slots"`  // concurrent loads of an executor, 3 to 6: BRIEF-oakthread
+	FetchPart        float64 `json:"fetch_part"`  // fetching, fraction of a load's time, 0.44 to 0.71: BRIEF-oakthread
+	// health checks per second of one executor by all dispatchers together: endpoints.Config
 	ProbeRate float64 `json:"probe_rate"`
-	ProbeWork float64 `json:"probe_work_s"` // of an executor's core for a probe, 0.19 to 0.6 ms: BRIEF-oakthread
+	ProbeWork float64 `json:"probe_work_s"` // core seconds of an executor per check, 0.19 to 0.6 ms: BRIEF-oakthread
 }
 
-// Letter is the plan of the operators' letter.
+// Letter returns the plan stated in the operators' requirements.
 func Letter() Plan {
 	return Plan{
 		Dispatchers: 1900, Instances: 230_000, Functions: 48_000, Calls: 380_000, Regions: 4, Zones: 10,
@@ -46,40 +47,40 @@
 	}
 }
 
-// Budgets are what the letter allows.
+// Budgets are the limits that the operators' requirements set.
 type Budgets struct {
-	Core     float64 `json:"core"`       // part of a core that a dispatcher spends for control
-	Memory   float64 `json:"memory"`     // bytes, of a dispatcher for control
-	Bytes    float64 `json:"bytes"`      // a second, of a dispatcher for control, in and out
-	InForce  float64 `json:"in_force_s"` // until a change of configuration is in force everywhere
-	LoadWait float64 `json:"cold_start_s"`
+	Core     float64 `json:"core"`         // fraction of a core that a dispatcher may use for control
+	Memory   float64 `json:"memory"`       // bytes that a dispatcher may use for control
+	Bytes    float64 `json:"bytes"`        // bytes per second of a dispatcher for control, in both directions
+	InForce  float64 `json:"in_force_s"`   // seconds until a configuration change is in force everywhere
+	LoadWait float64 `json:"cold_start_s"` // seconds that a call may wait for a load, p99
 }
 
-// LetterBudgets are those of the letter.
+// LetterBudgets returns the budgets stated in the operators' requirements.
 func LetterBudgets() Budgets {
 	return Budgets{Core: 0.045, Memory: 256e6, Bytes: 2000, InForce: 12, LoadWait: 1}
 }
 
-// Case is one reading of the plan: every assumption has a value.
+// Case is the plan with a value for every assumption.
 type Case struct {
 	Plan
-	Executors       float64 // behind the instances
-	ListPart        float64 // of the executors, in one dispatcher's list
-	ChoiceIsControl float64 // 1: the choice of each call counts as control, 0: it does not
-	Busiest         float64 // calls of the busiest dispatcher, in those of the mean
-	EventBytes      float64 // of a list event on the command channel
-	ListEvents      float64 // a second, beside the changes of configuration
-	PeerPrice       float64 // of 256 bytes to one receiver, in the priority weight of a call
-	Figures         float64 // in a row: tenants, and two more
-	Rare            float64 // part of the functions called less than once a minute
-	RareCalls       float64 // a second, of such a function
-	KeepAlive       float64 // s for which an idle copy stands
-	Load            float64 // s that a load takes on the mean
-	LoadTail        float64 // p99 of a load's time, in its mean
-	DiscoveryDelay  float64 // s until discovery has announced a change
+	Executors       float64 // that run the instances
+	ListPart        float64 // fraction of the executors in one dispatcher's list
+	ChoiceIsControl float64 // 1 if choosing the worker of a call counts as control, otherwise 0
+	Busiest         float64 // calls of the busiest dispatcher relative to the mean
+	EventBytes      float64 // size of an endpoint list event on the command channel
+	ListEvents      float64 // per second, not counting configuration changes
+	PeerPrice       float64 // of 256 bytes to one receiver, relative to the priority weight of a call
+	Figures         float64 // values per dispatcher in a report: one per tenant and two more
+	Rare            float64 // fraction of the functions that are called less than once a minute
+	RareCalls       float64 // calls per second of such a function
+	KeepAlive       float64 // seconds for which an idle copy stays loaded
+	Load            float64 // mean time of a load in seconds
+	LoadTail        float64 // p99 of the time of a load relative to its mean
+	DiscoveryDelay  float64 // seconds until discovery has announced a change
 }
 
-// Assumption is what the letter leaves open, with the range over which it is varied.
+// Assumption is a value that the requirements leave open, with the range over which it is varied.
 type Assumption struct {
 	Name  string  `json:"name"`
 	Unit  string  `json:"unit"`
@@ -91,12 +92,12 @@
 	set func(*Case, float64)
 }
 
-// Assumptions are those that the page states.
+// Assumptions returns all assumptions, in the order in which they are printed.
 func Assumptions() []Assumption {
 	return slices.Concat(fleetAssumptions(), functionAssumptions())
 }
 
-// fleetAssumptions are those of executors, dispatchers, zones and messages.
+// fleetAssumptions are the assumptions about executors, dispatchers, zones and messages.
 func fleetAssumptions() []Assumption {
 	return []Assumption{
 		{
@@ -141,7 +142,7 @@
 	}
 }
 
-// functionAssumptions are those of functions, their loads and discovery.
+// functionAssumptions are the assumptions about functions, their loads and discovery.
 func functionAssumptions() []Assumption {
 	return []Assumption{
 		{
@@ -173,7 +174,7 @@
 	}
 }
 
-// Base is the plan with every assumption at its value.
+// Base returns the plan with every assumption at its default value.
 func Base(p Plan) Case {
 	c := Case{Plan: p}
 	for _, a := range Assumptions() {
@@ -182,10 +183,11 @@
 	return c
 }
 
-// Dimension is along what a row grows towards the letter's size.
+// Dimension is the quantity that is scaled to find the size at which a row uses up its budget.
 type Dimension string
 
-// Dimensions. Fleet: dispatchers, executors, functions and calls alike, so that each dispatcher has the same calls.
+// Dimensions. Fleet scales dispatchers, executors, functions, calls and configuration changes
+// together, so that the calls of each dispatcher stay the same.
 const (
 	Fleet       Dimension = "fleet"
 	Dispatchers Dimension = "dispatchers"
@@ -195,7 +197,8 @@
 	Changes     Dimension = "changes"
 )
 
-// Scaled is the case at a part of its size along one dimension. Along Dispatchers each keeps its calls.
+// Scaled returns the case with its size along one dimension multiplied by part. Along Dispatchers
+// the calls of each dispatcher stay the same.
 func (c Case) Scaled(d Dimension, part float64) Case {
 	if d == Fleet || d == Dispatchers {
 		c.Dispatchers, c.Calls = max(1, c.Dispatchers*part), c.Calls*part
@@ -215,10 +218,10 @@
 	return c
 }
 
-// CallsEach is the calls a second of the mean dispatcher.
+// CallsEach returns the mean calls per second of a dispatcher.
 func (c Case) CallsEach() float64 { return c.Calls / c.Dispatchers }
 
-// Listed is the executors in a dispatcher's list.
+// Listed returns the number of executors in a dispatcher's list, at least 1.
 func (c Case) Listed() float64 { return max(1, c.Executors*c.ListPart) }
 
 // Roles.
@@ -233,10 +236,11 @@
 
 const noneYet = "none yet"
 
-// specs are all rows. Beside each stands the line of the program or the page that its formula rests on.
+// specs returns all rows. The mechanism of each names the part of the program that its formula
+// describes.
 func specs(base Case, b Budgets) []spec {
-	of, none := ofProgram(), math.NaN()
-	return slices.Concat(cpuSpecs(b), memorySpecs(base, b, of), byteSpecs(b, of), collectorSpecs(of),
-		executorSpecs(of, none),
-		discoverySpecs(b, of, none), tierSpecs(none), letterSpecs(b, none))
+	consts, none := newProgramConstants(), math.NaN()
+	return slices.Concat(cpuSpecs(b), memorySpecs(base, b, consts), byteSpecs(b, consts), collectorSpecs(consts),
+		executorSpecs(consts, none),
+		discoverySpecs(b, consts, none), tierSpecs(none), letterSpecs(b, none))
 }
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -28,13 +28,13 @@
 	return Slope{Curve: line{a, b}, Base: base, Spread: 0.1, Command: "testbed run capacity"}
 }
 
-// all is a slope for every name that a row asks for.
-func all() Slopes {
+// allSlopes returns a slope for every name that a row needs.
+func allSlopes() Slopes {
 	s := Slopes{}
 	for {
 		n := len(s)
 		for _, r := range Rows(Letter(), LetterBudgets(), s) {
-			for _, name := range append(r.Missing, r.Slopes...) {
+			for _, name := range append(r.MissingSlopes, r.Slopes...) {
 				s[name] = slope(10, 0.5, 100)
 			}
 		}
@@ -55,8 +55,8 @@
 	return Row{}
 }
 
-// constants returns the constants of a package's program files by name, each as its source writes
-// the value. A name that stands in two files fails the test.
+// constants returns the constants of a package's non-test files by name, each with the source text
+// of its value. A name declared in two files fails the test.
 func constants(t *testing.T, folder string) map[string]string {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(folder, "*.go"))
@@ -99,45 +99,46 @@
 	return values
 }
 
-// A constant that changes in the program must change here: figures of the page rest on it.
-func TestSizesAreThoseOfTheSources(t *testing.T) {
-	of := ofProgram()
+// Guards against a constant of another package that changes without the copy in this package, which
+// the figures of the page are computed from.
+func TestConstantsMatchTheSources(t *testing.T) {
+	consts := newProgramConstants()
 	for _, c := range []struct {
-		folder, name, written string
-		value, want           float64
+		folder, name, source string
+		value, want          float64
 	}{
-		{"../../aggregate", "maxTextBytes", "190", of.textMax, 190},
-		{"../../aggregate", "maxMarks", "12", of.marksMax, 12},
-		{"../../aggregate", "maxValues", "15", figuresMost, 15},
-		{"../platform", "maxDatagramBytes", "256", of.datagram, 256},
-		{"../platform", "sendQueueLength", "256", of.waiting, 256},
-		{"../platform", "maxEventBytes", "4 << 20", of.line, 4 << 20},
-		{"../platform", "watchReadTimeout", "2 * time.Second", of.quiet, 2},
-		{"../platform", "watchDialTimeout", "time.Second", of.dial, 1},
-		{"../platform", "maxWatchRetryDelay", "400 * time.Millisecond", of.most, 0.4},
-		{"../platform", "idleTimeoutRatio", "0.6", of.idleShare, 0.6},
-		{"../daemon", "reservedSockets", "20", of.reserved, 20},
-		{"../daemon", "spareClientDivisor", "16", of.clientSpare, 16},
-		{"../daemon", "memoryLimitRatio", "0.7", of.memoryPart, 0.7},
-		{"../daemon", "gcPercent", "150", of.collectAt, 150},
-		{"../..", "eventQueueSize", "1024", of.eventsWait, 1024},
-		{"../../balancer", "gossipCostShare", "0.005", of.messageShare, 0.005},
-		{"../../balancer", "minMessagePrice", "0.002", of.messagePriceFloor, 0.002},
-		{"../../balancer", "maxGossipBudget", "10.0", of.budgetMax, 10},
-		{"../../balancer", "leaderTermObjectives", "2", of.leaderTerm, 2},
-		{"../../balancer", "maintenanceRounds", "8", of.maintenanceRounds, 8},
-		{"../../balancer", "syncPeers", "3", of.hello, 3},
-		{"../../balancer", "countsPerHolder", "8", of.pairPart, 8},
-		{"../../outlier", "maxEjectionFactor", "8", of.longest, 8},
+		{"../../aggregate", "maxTextBytes", "190", consts.maxTextBytes, 190},
+		{"../../aggregate", "maxMarks", "12", consts.maxMarks, 12},
+		{"../../aggregate", "maxValues", "15", maxFigures, 15},
+		{"../platform", "maxDatagramBytes", "256", consts.maxDatagramBytes, 256},
+		{"../platform", "sendQueueLength", "256", consts.sendQueueLength, 256},
+		{"../platform", "maxEventBytes", "4 << 20", consts.maxEventBytes, 4 << 20},
+		{"../platform", "watchReadTimeout", "2 * time.Second", consts.watchReadTimeout, 2},
+		{"../platform", "watchDialTimeout", "time.Second", consts.watchDialTimeout, 1},
+		{"../platform", "maxWatchRetryDelay", "400 * time.Millisecond", consts.maxWatchRetryDelay, 0.4},
+		{"../platform", "idleTimeoutRatio", "0.6", consts.idleTimeoutRatio, 0.6},
+		{"../daemon", "reservedSockets", "20", consts.reservedSockets, 20},
+		{"../daemon", "spareClientDivisor", "16", consts.spareClientDivisor, 16},
+		{"../daemon", "memoryLimitRatio", "0.7", consts.memoryLimitRatio, 0.7},
+		{"../daemon", "gcPercent", "150", consts.gcPercent, 150},
+		{"../..", "eventQueueSize", "1024", consts.eventQueueSize, 1024},
+		{"../../balancer", "gossipCostShare", "0.005", consts.gossipCostShare, 0.005},
+		{"../../balancer", "minMessagePrice", "0.002", consts.minMessagePrice, 0.002},
+		{"../../balancer", "maxGossipBudget", "10.0", consts.maxGossipBudget, 10},
+		{"../../balancer", "leaderTermObjectives", "2", consts.leaderTermObjectives, 2},
+		{"../../balancer", "maintenanceRounds", "8", consts.maintenanceRounds, 8},
+		{"../../balancer", "syncPeers", "3", consts.syncPeers, 3},
+		{"../../balancer", "countsPerHolder", "8", consts.countsPerHolder, 8},
+		{"../../outlier", "maxEjectionFactor", "8", consts.maxEjectionFactor, 8},
 		{"../../endpoints", "defaultHealthCheckRate", "300", Letter().ProbeRate, 300},
 	} {
-		assert.Equal(t, c.written, constants(t, c.folder)[c.name], "%s in %s", c.name, c.folder)
+		assert.Equal(t, c.source, constants(t, c.folder)[c.name], "%s in %s", c.name, c.folder)
 		assert.InDelta(t, c.want, c.value, 1e-12, c.name)
 	}
 }
 
-// The bytes assumed of a list event and of an executor in a full list are those of the platform's
-// form.
+// The sizes assumed for a list event and for an executor in a full list match the platform's
+// format.
 func TestBytesOfAListEvent(t *testing.T) {
 	member := func(addr, zone string, start int64) string {
 		return fmt.Sprintf(`{"id":"s-00c41f7a","host_port":%q,"locality":%q,"flavor":"std","cell":2,`+
@@ -153,7 +154,7 @@
 			assert.InDelta(t, event(member("10.1.200.19:9090", "north-room", 1764650000000)), a.Value, 8)
 		}
 	}
-	assert.InDelta(t, len(member("10.1.200.19:9090", "north-room", 1764650000000)+","), memberBytes, 2)
+	assert.InDelta(t, len(member("10.1.200.19:9090", "north-room", 1764650000000)+","), executorBytes, 2)
 }
 
 func TestAssumptionsSpanTheirValue(t *testing.T) {
@@ -167,19 +168,21 @@
 	assert.InDelta(t, 200, c.CallsEach(), 1e-9)
 	assert.InDelta(t, 9600, c.Listed(), 1e-9)
 	for _, d := range []Dimension{Fleet, Dispatchers} {
-		assert.InDelta(t, 200, c.Scaled(d, 0.25).CallsEach(), 1e-9, "each dispatcher keeps its calls")
+		assert.InDelta(t, 200, c.Scaled(d, 0.25).CallsEach(), 1e-9, "the calls of each dispatcher stay the same")
 	}
 	assert.InDelta(t, 50, c.Scaled(Calls, 0.25).CallsEach(), 1e-9)
 }
 
-// Rows by hand.
-func TestRowsByHand(t *testing.T) {
-	s := all()
+// The values of selected rows and the sizes at which they use up their budgets match a calculation
+// by hand.
+func TestRowsMatchHandCalculation(t *testing.T) {
+	s := allSlopes()
 	s["cpu.choice/choice"] = slope(5000, 10, 600) // 101 us at 9,600
 	for _, dim := range dimensions() {
 		s["cpu.list/"+dim], s["heap/"+dim] = slope(100, 0, 1), slope(1e6, 0, 1)
 	}
-	// Over executors 1,000 at the base of 100 and 96,000 at 9,600; over functions 2 more for each beyond 4,000.
+	// Over executors 1,000 at the base of 100 and 96,000 at 9,600; over functions 2 bytes more for each
+	// beyond 4,000.
 	s["cpu.list/executors"] = Slope{
 		Curve: line{0, 10}, Base: 100, Spread: 0.2,
 		Command: "testbed run capacity --only executors",
@@ -187,10 +190,10 @@
 	s["heap/executors"], s["heap/functions"] = slope(0, 1e4, 100), slope(992_000, 2, 4000)
 	rows := Rows(Letter(), LetterBudgets(), s)
 	for _, c := range []struct {
-		role, what    string
-		want, breaks  float64
-		within        float64
-		breaksMissing bool
+		role, what        string
+		want, usedUpAt    float64
+		within            float64
+		usedUpAtUnchecked bool
 	}{
 		{dispatcher, "processor time: choices", 400 * 101e-6, (0.045/400*1e9 - 5000) / 10 / 9600, 1e-9, true},
 		{
@@ -221,15 +224,15 @@
 	} {
 		r := find(t, rows, c.role, c.what)
 		assert.InDelta(t, c.want, float64(r.Value), c.within, c.what)
-		if !c.breaksMissing {
-			assert.InEpsilon(t, c.breaks, float64(r.Breaks), 0.004, c.what)
+		if !c.usedUpAtUnchecked {
+			assert.InEpsilon(t, c.usedUpAt, float64(r.UsedUpAt), 0.004, c.what)
 		}
 		if !math.IsNaN(float64(r.Budget)) {
 			assert.InDelta(t, float64(r.Budget)/float64(r.Value), float64(r.Headroom), 1e-9, c.what)
 		}
 	}
 	choice := find(t, rows, dispatcher, "processor time: choices")
-	assert.InEpsilon(t, (0.045/400*1e9-5000)/10/9600, float64(choice.Breaks), 0.002)
+	assert.InEpsilon(t, (0.045/400*1e9-5000)/10/9600, float64(choice.UsedUpAt), 0.002)
 	assert.Equal(t, []string{"cpu.choice/choice"}, choice.Slopes)
 	list := find(t, rows, dispatcher, "processor time: list events")
 	assert.Len(t, list.Slopes, 5)
@@ -241,32 +244,34 @@
 	sum := 0.0
 	for _, r := range rows {
 		if r.Role == dispatcher && strings.HasPrefix(r.What,
-			"processor time: ") && r.What != all.What && !r.Was && r.Formula != "cpu.busiest" {
+			"processor time: ") && r.What != all.What && !r.Obsolete && r.Formula != "cpu.busiest" {
 			sum += float64(r.Value)
 		}
 	}
 	assert.InEpsilon(t, sum, float64(all.Value), 1e-9)
 }
 
-// Reports at the letter's calls: as many as calls pay for, since nearly each goes to a holder not
-// believed before; where all are believed, one each 50 ms.
-func TestReportsAreBoundByPriceAndByRounds(t *testing.T) {
+// At the planned rate of calls, nearly every call goes to a holder not known before, so the message
+// budget limits the rate of reports. If all holders are known, maintenance rounds limit it to one
+// every 50 ms.
+func TestReportRateIsLimitedByPriceAndRounds(t *testing.T) {
 	c := Base(Letter())
 	for _, calls := range []float64{20, 200} {
-		rate, p := c.reports(calls)
-		assert.InDelta(t, 0.005*calls/(0.021/256*float64(p.All)), rate, 1e-9)
-		assert.InDelta(t, 0.005*calls*256/0.021, rate*float64(p.All), 1e-6)
+		rate, p := c.reportRate(calls)
+		assert.InDelta(t, 0.005*calls/(0.021/256*float64(p.Total)), rate, 1e-9)
+		assert.InDelta(t, 0.005*calls*256/0.021, rate*float64(p.Total), 1e-6)
 	}
 	c.Functions = 100
-	rate, p := c.reports(200)
+	rate, p := c.reportRate(200)
 	assert.InDelta(t, 20, rate, 1e-6)
 	assert.Equal(t, 2, p.Texts)
 }
 
-// Those over budget come first and the furthest over before the others; then by headroom; then what
-// is not measured, then what has no budget, and at the end what the program no longer does.
+// Rows over budget come first, then those within it, both by ascending headroom; then rows not
+// measured, rows without a budget, and rows of mechanisms that the program no longer has. Exceeded
+// orders its rows by the size at which they use up the budget, those over it at any size last.
 func TestOrderOfRows(t *testing.T) {
-	s := all()
+	s := allSlopes()
 	delete(s, "heap/executors")
 	rows := Rows(Letter(), LetterBudgets(), s)
 	rank, head := -1, 0.0
@@ -287,29 +292,30 @@
 	for i := range 5 {
 		assert.NotZero(t, found[i], "rank %d", i)
 	}
-	missing := Missing(rows)
+	exceeded := Exceeded(rows)
 	at, ended := 0.0, false
-	for _, r := range missing {
+	for _, r := range exceeded {
 		require.True(t, r.Measured())
-		require.LessOrEqual(t, float64(r.Breaks), 1.0)
-		if r.Breaks == 0 {
+		require.LessOrEqual(t, float64(r.UsedUpAt), 1.0)
+		if r.UsedUpAt == 0 {
 			ended = true
 			continue
 		}
-		require.False(t, ended, "what breaks at any size comes last")
-		require.GreaterOrEqual(t, float64(r.Breaks), at, r.What)
-		at = float64(r.Breaks)
+		require.False(t, ended, "rows over budget at any size come last")
+		require.GreaterOrEqual(t, float64(r.UsedUpAt), at, r.What)
+		at = float64(r.UsedUpAt)
 	}
-	assert.NotEmpty(t, missing)
+	assert.NotEmpty(t, exceeded)
 }
 
-// A slope that is not there gives "not measured" and never a number, also where the row needs others that are.
+// A row with a missing slope is "not measured" and never has a number, even if its other slopes are
+// available.
 func TestMissingSlopeIsNotMeasured(t *testing.T) {
-	full := all()
+	full := allSlopes()
 	names := 0
 	for _, none := range []Slopes{nil, {"cpu.choice/choice": {Base: 600, Command: "x"}}} {
 		for _, r := range Rows(Letter(), LetterBudgets(), none) {
-			if len(r.Missing) == 0 {
+			if len(r.MissingSlopes) == 0 {
 				assert.True(t, r.Measured(), r.What)
 				assert.Equal(t, arithmetic, r.Command, r.What)
 				continue
@@ -317,7 +323,7 @@
 			names++
 			assert.False(t, r.Measured(), r.What)
 			assert.Empty(t, r.Command, r.What)
-			for _, f := range []Figure{r.Value, r.Low, r.High, r.Headroom, r.Breaks} {
+			for _, f := range []Figure{r.Value, r.Low, r.High, r.Headroom, r.UsedUpAt} {
 				assert.True(t, math.IsNaN(float64(f)), r.What)
 			}
 			assert.Contains(t, r.value(), "not measured: ")
@@ -335,7 +341,7 @@
 			}
 		}
 		for _, r := range Rows(Letter(), LetterBudgets(), less) {
-			if len(r.Missing) > 0 {
+			if len(r.MissingSlopes) > 0 {
 				assert.False(t, r.Measured(), "%s without %s", r.What, name)
 			}
 			assert.NotContains(t, r.Slopes, name)
@@ -344,12 +350,12 @@
 	few := Rows(Letter(), LetterBudgets(), Slopes{"cpu.choice/choice": slope(1, 1, 1)})
 	r := find(t, few, dispatcher, "processor time: all control together")
 	assert.False(t, r.Measured())
-	assert.Contains(t, r.Missing, "cpu.upkeep/executors")
+	assert.Contains(t, r.MissingSlopes, "cpu.upkeep/executors")
 }
 
 func TestAssumptionsVariedSpanTheValue(t *testing.T) {
 	varied := 0
-	for _, r := range Rows(Letter(), LetterBudgets(), all()) {
+	for _, r := range Rows(Letter(), LetterBudgets(), allSlopes()) {
 		require.True(t, r.Measured(), "%s: %s", r.Role, r.What)
 		assert.LessOrEqual(t, float64(r.Low), float64(r.Value), r.What)
 		assert.LessOrEqual(t, float64(r.Value), float64(r.High), r.What)
@@ -360,33 +366,33 @@
 	assert.Greater(t, varied, 20)
 }
 
-// What a row uses up at a part of the size, it does not use up a little below.
-func TestBreaksIsTheFirstCrossing(t *testing.T) {
-	s, base, b := all(), Base(Letter()), LetterBudgets()
+// At the size that UsedUpAt gives a row is over its budget, and slightly below it is not.
+func TestUsedUpAtIsTheFirstCrossing(t *testing.T) {
+	s, base, b := allSlopes(), Base(Letter()), LetterBudgets()
 	n := 0
 	for _, x := range specs(base, b) {
 		r := x.row(base, b, s)
-		if math.IsNaN(x.budget) || r.Breaks == 0 || math.IsInf(float64(r.Breaks), 0) {
+		if math.IsNaN(x.budget) || r.UsedUpAt == 0 || math.IsInf(float64(r.UsedUpAt), 0) {
 			continue
 		}
 		n++
 		at := func(part float64) float64 {
-			return x.of(&reading{Case: base.Scaled(x.along, part), budgets: b, slopes: s})
+			return x.value(&evaluation{Case: base.Scaled(x.along, part), budgets: b, slopes: s})
 		}
-		assert.Greater(t, at(float64(r.Breaks)), x.budget, r.What)
-		assert.LessOrEqual(t, at(float64(r.Breaks)/1.002), x.budget, r.What)
+		assert.Greater(t, at(float64(r.UsedUpAt)), x.budget, r.What)
+		assert.LessOrEqual(t, at(float64(r.UsedUpAt)/1.002), x.budget, r.What)
 	}
 	assert.Greater(t, n, 10)
 }
 
-func TestWaits(t *testing.T) {
-	assert.InDelta(t, 0.3, Waits(0.3, 1), 1e-12) // M/M/1: the load itself
-	assert.InDelta(t, 1.0/3, Waits(1, 2), 1e-12) // M/M/2 at half
-	assert.InDelta(t, 1, Waits(4, 4.5), 1e-12)   // four slots, all busy
-	assert.Less(t, Waits(0.05, 4.5), 1e-6)
+func TestWaitProbability(t *testing.T) {
+	assert.InDelta(t, 0.3, WaitProbability(0.3, 1), 1e-12) // M/M/1: equal to the utilization
+	assert.InDelta(t, 1.0/3, WaitProbability(1, 2), 1e-12) // M/M/2 at a utilization of one half
+	assert.InDelta(t, 1, WaitProbability(4, 4.5), 1e-12)   // four whole slots, all busy
+	assert.Less(t, WaitProbability(0.05, 4.5), 1e-6)
 }
 
-// Calls at random that find a copy or load one, against the formula.
+// The formula matches a simulation of calls at random that find a copy or load one.
 func TestRareLoads(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 7))
 	for _, rate := range []float64{1.0 / 600, 1.0 / 60, 1.0 / 10} {
@@ -408,7 +414,7 @@
 }
 
 func TestMarkdown(t *testing.T) {
-	rows := Rows(Letter(), LetterBudgets(), all())
+	rows := Rows(Letter(), LetterBudgets(), allSlopes())
 	table := Markdown(rows)
 	assert.Equal(t, len(rows)+2, strings.Count(table, "\n"))
 	for _, l := range strings.Split(strings.TrimSpace(table), "\n") {
@@ -417,10 +423,11 @@
 	assert.NotContains(t, table, "NaN")
 	assert.Contains(t, table, "| `testbed run capacity`: heap/*; spread 0.1 |")
 	assert.Contains(t, table, "| `testbed run capacity`: cpu.read/*, messages.in/*; spread 0.1 |")
-	assert.Equal(t, []string{"a/calls", "b/choice"}, gathered([]string{"b/choice", "a/calls"}))
-	assert.Equal(t, len(all())+2, strings.Count(MarkdownSlopes(all()), "\n"))
-	assert.Equal(t, 2, strings.Count(MarkdownSlopes(Slopes{"x/calls": {}}), "\n"), "a slope without a curve is missing")
-	assert.Equal(t, len(Missing(rows))+2, strings.Count(MarkdownMissing(rows), "\n"))
+	assert.Equal(t, []string{"a/calls", "b/choice"}, groupSlopes([]string{"b/choice", "a/calls"}))
+	assert.Equal(t, len(allSlopes())+2, strings.Count(MarkdownSlopes(allSlopes()), "\n"))
+	assert.Equal(t, 2, strings.Count(MarkdownSlopes(Slopes{"x/calls": {}}), "\n"),
+		"a slope without a curve is not listed")
+	assert.Equal(t, len(Exceeded(rows))+2, strings.Count(MarkdownMissing(rows), "\n"))
 	assert.Equal(t, len(Assumptions())+2, strings.Count(MarkdownAssumptions(), "\n"))
 	for _, c := range []struct {
 		f    Figure
@@ -439,8 +446,8 @@
 	}
 }
 
-// The page says what the package works out: every row that needs no run, and the assumptions. Print them anew with
-// bin/testbed run capacity.
+// docs/CAPACITY.md has the assumptions and every row that needs no run as the package computes
+// them. bin/testbed run capacity prints them for the page.
 func TestPageHasTheRowsThatNeedNoRun(t *testing.T) {
 	raw, err := os.ReadFile("../../docs/CAPACITY.md")
 	require.NoError(t, err)
@@ -456,7 +463,7 @@
 		}
 	}
 	assert.Greater(t, checked, 40)
-	for _, r := range Missing(rows) {
+	for _, r := range Exceeded(rows) {
 		line := regexp.QuoteMeta(fmt.Sprintf("| %s | %s: %s |", r.usedUp(), r.Role, r.What))
 		assert.Regexp(t, `(?m)^\| \d+ `+line, page)
 	}
--- a/internal/capacity/cpurows.go
+++ b/internal/capacity/cpurows.go
@@ -1,40 +1,42 @@
 package capacity
 
-// cpuSpecs: processor time of a dispatcher for control, in parts of a core. Figures in ns (of a
-// call, a message, an event), or ns a second for upkeep and writing.
+// cpuSpecs are the rows of the processor time that a dispatcher uses for control, as a fraction of
+// a core. The slopes are in nanoseconds per call, message or event, and in nanoseconds per second
+// for upkeep and writing.
 func cpuSpecs(b Budgets) []spec {
-	choice := func(r *reading) float64 {
-		return 1e-9 * r.ChoiceIsControl * r.Busiest * r.CallsEach() * r.over("cpu.choice", overChoice)
+	choice := func(r *evaluation) float64 {
+		return 1e-9 * r.ChoiceIsControl * r.Busiest * r.CallsEach() * r.atSlope("cpu.choice", choiceSection)
 	}
-	was := func(r *reading) float64 {
-		return 1e-9 * r.ChoiceIsControl * r.Busiest * r.CallsEach() * r.over("cpu.choice.before", overChoice)
+	fullScan := func(r *evaluation) float64 {
+		return 1e-9 * r.ChoiceIsControl * r.Busiest * r.CallsEach() * r.atSlope("cpu.choice.before", choiceSection)
 	}
-	upkeep := func(r *reading) float64 {
-		return 1e-9 * r.step("cpu.upkeep")
+	upkeep := func(r *evaluation) float64 {
+		return 1e-9 * r.product("cpu.upkeep")
 	}
-	write := func(r *reading) float64 {
-		return 1e-9 * r.step("cpu.write")
+	write := func(r *evaluation) float64 {
+		return 1e-9 * r.product("cpu.write")
 	}
-	read := func(r *reading) float64 {
-		return 1e-9 * r.state("messages.in") * r.step("cpu.read")
+	read := func(r *evaluation) float64 {
+		return 1e-9 * r.sum("messages.in") * r.product("cpu.read")
 	}
-	list := func(r *reading) float64 {
-		return 1e-9 * r.listRate() * r.step("cpu.list")
+	list := func(r *evaluation) float64 {
+		return 1e-9 * r.listRate() * r.product("cpu.list")
 	}
-	config := func(r *reading) float64 {
-		return 1e-9 * r.Changes / 86400 * r.step("cpu.config")
+	config := func(r *evaluation) float64 {
+		return 1e-9 * r.Changes / 86400 * r.product("cpu.config")
 	}
-	row := func(what, formula string, along Dimension, mechanism string, of func(*reading) float64) spec {
+	row := func(what, formula string, along Dimension, mechanism string, value func(*evaluation) float64) spec {
 		return spec{
 			role: dispatcher, what: "processor time: " + what, unit: "of a core", formula: formula, along: along,
-			mechanism: mechanism, budget: b.Core, budgetOf: ofLetter, of: of,
+			mechanism: mechanism, budget: b.Core, budgetOf: ofLetter, value: value,
 		}
 	}
-	before := row("choices, the whole list walked and sorted", "calls/s of the busiest x cpu.choice.before", Executors,
-		"replaced by candidates", was)
-	before.was = true
+	fullScanRow := row("choices, the whole list walked and sorted", "calls/s of the busiest x cpu.choice.before",
+		Executors,
+		"replaced by candidates", fullScan)
+	fullScanRow.obsolete = true
 	return []spec{
-		before,
+		fullScanRow,
 		row("choices", "calls/s of the busiest x cpu.choice", Executors,
 			"candidates: believed holders, places by hash, a few drawn (`docs/design/choice.md`)", choice),
 		row("upkeep", "cpu.upkeep", Fleet,
@@ -47,11 +49,11 @@
 		{
 			role: dispatcher, what: "processor time: its busiest second", unit: "of a core", formula: "cpu.busiest",
 			along:     Fleet,
-			mechanism: "-", budget: 1, budgetOf: ofTheProgram, of: func(r *reading) float64 {
-				return r.largest("cpu.busiest")
+			mechanism: "-", budget: 1, budgetOf: ofProgram, value: func(r *evaluation) float64 {
+				return r.largestRun("cpu.busiest")
 			},
 		},
-		row("all control together", "the six above", Fleet, "-", func(r *reading) float64 {
+		row("all control together", "the six above", Fleet, "-", func(r *evaluation) float64 {
 			return choice(r) + upkeep(r) + write(r) + read(r) + list(r) + config(r)
 		}),
 	}
--- a/internal/capacity/letterrows.go
+++ b/internal/capacity/letterrows.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// letterSpecs are the rows of the letter's lines that belong to no single role, and of what the
-// rest of the fleet bears when something fails.
+// letterSpecs are the rows of requirements that concern no single role, and of the load on the rest
+// of the fleet when something fails.
 func letterSpecs(b Budgets, none float64) []spec {
 	return slices.Concat(rareFunctionSpecs(none), loadWaitSpecs(b), failureSpecs(none), virtualTimeSpecs(none))
 }
 
-// rareLoads returns the loads per second and the copies of all functions that are called less than
-// once a minute.
+// rareLoads returns the loads per second and the mean number of copies of all functions that are
+// called less than once a minute.
 func rareLoads(c Case) (loads, copies float64) {
 	missing, each := RareLoads(c.RareCalls, c.KeepAlive, c.Load)
-	return c.rare() * c.RareCalls * missing, c.rare() * each
+	return c.rareFunctions() * c.RareCalls * missing, c.rareFunctions() * each
 }
 
 // rareFunctionSpecs are the rows of the functions that are called less than once a minute.
@@ -26,21 +26,21 @@
 			along: Functions, budget: none,
 			mechanism: "their place by hash, the same at every dispatcher (`balancer.chooseWorker`)",
 			formula:   "rare functions x calls/s / calls/s of all",
-			of:        func(r *reading) float64 { return r.rare() * r.RareCalls / r.Calls },
+			value:     func(r *evaluation) float64 { return r.rareFunctions() * r.RareCalls / r.Calls },
 		},
 		{
 			role: letter, what: "48,000 functions: one dispatcher meets such a function every", unit: "s",
 			along: Dispatchers, budget: none,
 			mechanism: "no belief outlives it, no word about it is of use: the hash alone knows where",
 			formula:   "dispatchers / calls/s of it",
-			of:        func(r *reading) float64 { return r.Dispatchers / r.RareCalls },
+			value:     func(r *evaluation) float64 { return r.Dispatchers / r.RareCalls },
 		},
 		{
 			role: letter, what: "48,000 functions: calls of these that find no copy", unit: "of theirs",
 			along: Functions, budget: none,
 			mechanism: noneYet + ": the keep-alive is the platform's",
 			formula:   "exp(-calls/s x keep-alive), all at one place",
-			of: func(r *reading) float64 {
+			value: func(r *evaluation) float64 {
 				missing,
 					_ := RareLoads(r.RareCalls, r.KeepAlive, r.Load)
 				return missing
@@ -50,20 +50,20 @@
 			role: letter, what: "48,000 functions: loads of these", unit: "1/s", along: Functions, budget: none,
 			mechanism: "the store's; rationed (`balancer.orderLoad`)",
 			formula:   "rare functions x calls/s x part without a copy",
-			of:        func(r *reading) float64 { loads, _ := rareLoads(r.Case); return loads },
+			value:     func(r *evaluation) float64 { loads, _ := rareLoads(r.Case); return loads },
 		},
 		{
 			role: letter, what: "48,000 functions: copies that these hold", unit: "of the instances",
 			along: Functions, budget: none,
 			mechanism: "`balancer.unloadIdleCopies`, the executors' keep-alive",
 			formula:   "rare functions x (1 - exp(-calls/s x keep-alive) + loading) / instances",
-			of:        func(r *reading) float64 { _, copies := rareLoads(r.Case); return copies / r.Instances },
+			value:     func(r *evaluation) float64 { _, copies := rareLoads(r.Case); return copies / r.Instances },
 		},
 		{
 			role: letter, what: "380,000 calls/s: of the mean dispatcher", unit: "1/s", along: Calls, budget: none,
 			mechanism: "-",
 			formula:   "calls/s over dispatchers",
-			of:        func(r *reading) float64 { return r.CallsEach() },
+			value:     func(r *evaluation) float64 { return r.CallsEach() },
 		},
 	}
 }
@@ -75,22 +75,23 @@
 			role: letter, what: "cold start, p99 of the load alone", unit: "s", along: Fleet, budget: b.LoadWait,
 			budgetOf:  ofLetter,
 			mechanism: noneYet + ": the store's and the start's",
-			formula:   "mean load x tail", of: func(r *reading) float64 { return r.Load * r.LoadTail },
+			formula:   "mean load x tail", value: func(r *evaluation) float64 { return r.Load * r.LoadTail },
 		},
 		{
 			role: letter, what: "cold start, p99 with the image on the executor's disk", unit: "s", along: Fleet,
 			budget: b.LoadWait, budgetOf: ofLetter,
 			mechanism: noneYet + ": nothing sends a function where its image is",
 			formula:   "the same without the fetch, 0.44 to 0.71 of it",
-			of:        func(r *reading) float64 { return r.Load * r.LoadTail * (1 - r.FetchPart) },
+			value:     func(r *evaluation) float64 { return r.Load * r.LoadTail * (1 - r.FetchPart) },
 		},
 		{
 			role: letter, what: "cold start, chance that a load waits at its executor", along: Fleet, budget: 0.01,
-			budgetOf:  ofOurs,
+			budgetOf:  ofYardstick,
 			mechanism: "executors load 3 to 6 at a time; places by hash spread them",
-			formula:   "Erlang C, rare loads/s x mean load over executors, 4 slots", of: func(r *reading) float64 {
+			formula:   "Erlang C, rare loads/s x mean load over executors, 4 slots",
+			value: func(r *evaluation) float64 {
 				loads, _ := rareLoads(r.Case)
-				return Waits(loads*r.Load/r.Executors, r.LoadSlots)
+				return WaitProbability(loads*r.Load/r.Executors, r.LoadSlots)
 			},
 		},
 		{
@@ -98,8 +99,8 @@
 			budgetOf:  ofLetter,
 			mechanism: "an order to load, the call held meanwhile (`balancer.holdForLoad`)",
 			formula:   "p99.cold",
-			of: func(r *reading) float64 {
-				return r.largest("p99.cold")
+			value: func(r *evaluation) float64 {
+				return r.largestRun("p99.cold")
 			},
 		},
 	}
@@ -112,34 +113,35 @@
 			role: letter, what: "two machines a day: dispatchers missing at a time, an hour each", along: Fleet,
 			budget:    none,
 			mechanism: "remembered, not taken for idle (`aggregate`)",
-			formula:   "2 / 24, were all of them dispatchers'", of: func(r *reading) float64 { return r.Failing / 24 },
+			formula:   "2 / 24, were all of them dispatchers'",
+			value:     func(r *evaluation) float64 { return r.Failing / 24 },
 		},
 		{
 			role: letter, what: "100 restarted a day: part of the day with one missing, 5 minutes each", along: Fleet,
 			budget:    none,
 			mechanism: "the same; the first text is too long then",
 			formula:   "1 - exp(-100 x 300 s / 86,400 s)",
-			of:        func(r *reading) float64 { return -math.Expm1(-r.Restarted * 300 / 86400) },
+			value:     func(r *evaluation) float64 { return -math.Expm1(-r.Restarted * 300 / 86400) },
 		},
 		{
 			role: letter, what: "a rack of 40 executors gone: the rest bears more", unit: "of its calls",
 			along: Executors, budget: none,
 			mechanism: "silence told by two observers (`outlier`); each by itself where no digest comes",
 			formula:   "executors / (executors - 40)",
-			of:        func(r *reading) float64 { return r.Executors / max(1, r.Executors-40) },
+			value:     func(r *evaluation) float64 { return r.Executors / max(1, r.Executors-40) },
 		},
 		{
 			role: letter, what: "a zone gone: the rest bears more", unit: "of its calls", along: Executors,
 			budget:    none,
 			mechanism: "zones judged as one (`outlier`)",
-			formula:   "1 / (zones - 1)", of: func(r *reading) float64 { return 1 / (r.Zones - 1) },
+			formula:   "1 / (zones - 1)", value: func(r *evaluation) float64 { return 1 / (r.Zones - 1) },
 		},
 		{
 			role: letter, what: "a zone gone: its copies are loaded elsewhere within", unit: "s", along: Executors,
 			budget:    none,
 			mechanism: "rationed (`balancer.orderLoad`); the store's limit is not told in fetches a second",
 			formula:   "instances / zones x mean load / (executors left x 4.5 slots), evenly spread",
-			of: func(r *reading) float64 {
+			value: func(r *evaluation) float64 {
 				return r.Instances / r.Zones * r.Load / (r.Executors * (1 - 1/r.Zones) * r.LoadSlots)
 			},
 		},
@@ -149,18 +151,19 @@
 			budget:    none,
 			mechanism: "totals with bounds, each side collects for itself (`aggregate`, `leader`)",
 			formula:   "dispatchers x (1 - 1/regions)",
-			of:        func(r *reading) float64 { return r.Dispatchers * (1 - 1/r.Regions) },
+			value:     func(r *evaluation) float64 { return r.Dispatchers * (1 - 1/r.Regions) },
 		},
 		{
 			role: letter, what: "all dispatchers restarted without discovery: until the ramp is over", unit: "s",
 			along: Dispatchers, budget: none,
 			mechanism: "kept list (`endpoints`): four proofs of an executor, each after dispatchers / 300 s",
-			formula:   "4 x dispatchers / 300", of: func(r *reading) float64 { return 4 * r.Dispatchers / r.ProbeRate },
+			formula:   "4 x dispatchers / 300",
+			value:     func(r *evaluation) float64 { return 4 * r.Dispatchers / r.ProbeRate },
 		},
 	}
 }
 
-// virtualTimeSpecs are the rows of what the largest run in virtual time showed.
+// virtualTimeSpecs are the rows measured in the largest run in virtual time.
 func virtualTimeSpecs(none float64) []spec {
 	return []spec{
 		{
@@ -168,32 +171,32 @@
 			budget:    none,
 			mechanism: "-",
 			formula:   "worth",
-			of:        func(r *reading) float64 { return r.largest("worth") },
+			value:     func(r *evaluation) float64 { return r.largestRun("worth") },
 		},
 		{
 			role: letter, what: "calls never served, in virtual time", unit: "of all", along: Dispatchers,
 			budget: none, mechanism: "-", formula: "unserved",
-			of: func(r *reading) float64 {
-				return r.largest("unserved")
+			value: func(r *evaluation) float64 {
+				return r.largestRun("unserved")
 			},
 		},
 		{
 			role: letter, what: "loads, in virtual time", unit: "a call", along: Functions,
 			budget: none, mechanism: "`balancer.holdForLoad`, `balancer.orderLoad`", formula: "loads",
-			of: func(r *reading) float64 { return r.largest("loads") },
+			value: func(r *evaluation) float64 { return r.largestRun("loads") },
 		},
 		{
 			role: letter, what: "part of the fleet that a dispatcher's view covers, in virtual time",
 			along: Dispatchers, budget: none,
 			mechanism: "`aggregate.View`", formula: "covered",
-			of: func(r *reading) float64 { return r.largest("covered") },
+			value: func(r *evaluation) float64 { return r.largestRun("covered") },
 		},
 		{
 			role: letter, what: "terms in which half of the dispatchers were told", unit: "of all",
 			along: Dispatchers, budget: none,
 			mechanism: "`balancer.sendGossip`",
 			formula:   "digests",
-			of:        func(r *reading) float64 { return r.largest("digests") },
+			value:     func(r *evaluation) float64 { return r.largestRun("digests") },
 		},
 	}
 }
--- a/internal/capacity/markdown.go
+++ b/internal/capacity/markdown.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Markdown is the table of rows as the page has it.
+// Markdown returns rows as a Markdown table.
 func Markdown(rows []Row) string {
 	var b strings.Builder
 	b.WriteString("| role | what | formula | value (low to high) | budget | headroom | used up at | mechanism | " +
@@ -16,17 +16,17 @@
 	b.WriteString("| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	for _, r := range rows {
 		what := r.What
-		if r.Was {
+		if r.Obsolete {
 			what += " (as it was)"
 		}
 		fmt.Fprintf(&b, "| %s | %s | %s | %s | %s | %s | %s | %s | %s |\n", r.Role, what, r.Formula, r.value(),
-			r.budget(), dash(r.Headroom),
-			r.usedUp(), r.Mechanism, r.from())
+			r.budget(), figureOrDash(r.Headroom),
+			r.usedUp(), r.Mechanism, r.source())
 	}
 	return b.String()
 }
 
-// Page is all rows in sections, as docs/CAPACITY.md has them between its marks.
+// Page returns all rows in sections, as docs/CAPACITY.md has them between its markers.
 func Page(rows []Row) string {
 	var b strings.Builder
 	for rank, title := range []string{"Over budget", "Within budget", "Not measured", "Without a budget", "As it was"} {
@@ -43,22 +43,22 @@
 	return b.String()
 }
 
-// MarkdownMissing is the order of what is missing as the page has it.
+// MarkdownMissing returns the rows of Exceeded, in its order, as a Markdown table.
 func MarkdownMissing(rows []Row) string {
 	var b strings.Builder
 	b.WriteString("| | used up at | what | headroom | mechanism |\n| --- | --- | --- | --- | --- |\n")
-	for i, r := range Missing(rows) {
+	for i, r := range Exceeded(rows) {
 		what := r.What
-		if r.Was {
+		if r.Obsolete {
 			what += " (as it was)"
 		}
-		fmt.Fprintf(&b, "| %d | %s | %s: %s | %s | %s |\n", i+1, r.usedUp(), r.Role, what, dash(r.Headroom),
+		fmt.Fprintf(&b, "| %d | %s | %s: %s | %s | %s |\n", i+1, r.usedUp(), r.Role, what, figureOrDash(r.Headroom),
 			r.Mechanism)
 	}
 	return b.String()
 }
 
-// MarkdownAssumptions is the table of assumptions.
+// MarkdownAssumptions returns the assumptions as a Markdown table.
 func MarkdownAssumptions() string {
 	var b strings.Builder
 	b.WriteString("| assumption | value | low | high | why |\n| --- | --- | --- | --- | --- |\n")
@@ -76,7 +76,7 @@
 // value returns the cell with the value and its range over the assumptions.
 func (r Row) value() string {
 	if !r.Measured() {
-		return "not measured: " + strings.Join(gathered(r.Missing), ", ")
+		return "not measured: " + strings.Join(groupSlopes(r.MissingSlopes), ", ")
 	}
 	text := r.Value.String()
 	if r.Low.String() != text || r.High.String() != text {
@@ -87,33 +87,34 @@
 
 func (r Row) budget() string {
 	if r.BudgetOf == "" || r.BudgetOf == ofLetter {
-		return dash(r.Budget)
+		return figureOrDash(r.Budget)
 	}
 	return fmt.Sprintf("%v, %s", r.Budget, r.BudgetOf)
 }
 
 // usedUp returns the cell with the size at which the budget is used up.
 func (r Row) usedUp() string {
-	switch x := float64(r.Breaks); {
+	switch x := float64(r.UsedUpAt); {
 	case math.IsNaN(x):
 		return "-"
 	case x == 0:
 		return "any size"
 	case math.IsInf(x, 0):
-		return fmt.Sprintf("over %v of the %s", mostPart, r.Along)
+		return fmt.Sprintf("over %v of the %s", maxScale, r.Along)
 	}
-	return fmt.Sprintf("%.2g of the %s", float64(r.Breaks), r.Along)
+	return fmt.Sprintf("%.2g of the %s", float64(r.UsedUpAt), r.Along)
 }
 
-func (r Row) from() string {
+func (r Row) source() string {
 	if len(r.Slopes) == 0 {
 		return r.Command
 	}
-	return fmt.Sprintf("`%s`: %s; spread %.2g", r.Command, strings.Join(gathered(r.Slopes), ", "), float64(r.Spread))
+	return fmt.Sprintf("`%s`: %s; spread %.2g", r.Command, strings.Join(groupSlopes(r.Slopes), ", "), float64(r.Spread))
 }
 
-// gathered shortens the names of slopes: one figure over all dimensions is figure/*.
-func gathered(names []string) (out []string) {
+// groupSlopes shortens a list of slope names: a figure that is listed over all dimensions becomes
+// figure/*.
+func groupSlopes(names []string) (out []string) {
 	over := map[string]int{}
 	for _, name := range names {
 		if figure, dim, _ := strings.Cut(name, "/"); slices.Contains(dimensions(), dim) {
@@ -130,7 +131,7 @@
 	return unique(out)
 }
 
-// MarkdownSlopes is the table of slopes as the page has it.
+// MarkdownSlopes returns the measured slopes as a Markdown table, sorted by name.
 func MarkdownSlopes(slopes Slopes) string {
 	var b strings.Builder
 	b.WriteString("| slope | curve | base | spread | command |\n| --- | --- | --- | --- | --- |\n")
@@ -142,7 +143,7 @@
 	return b.String()
 }
 
-func dash(f Figure) string {
+func figureOrDash(f Figure) string {
 	if math.IsNaN(float64(f)) {
 		return "-"
 	}
--- a/internal/capacity/module_test.go
+++ b/internal/capacity/module_test.go
@@ -15,30 +15,30 @@
 	"oakthread/leader"
 )
 
-// asked is a dispatcher of the real module before executors that answer each call at once if
-// loaded, else 60 ms later; it counts the messages.
-type asked struct {
-	d     *balancer.Balancer
-	now   int64
-	queue []due
-	tell  func(to int, text string)
-	sends map[string]int
+// testHost runs the balancer of a dispatcher in virtual time, with executors that answer every call
+// after 60 ms from a loaded copy. It passes the messages to other dispatchers to onPeerMessage.
+type testHost struct {
+	d             *balancer.Balancer
+	now           int64
+	queue         []timedEvent
+	onPeerMessage func(to int, text string)
+	attempts      map[string]int
 }
 
-type due struct {
+type timedEvent struct {
 	at int64
 	do func()
 }
 
-func (h *asked) after(delay int64, do func()) {
+func (h *testHost) after(delay int64, do func()) {
 	at := h.now + max(delay, 1)
-	i, _ := slices.BinarySearchFunc(h.queue, at, func(x due, at int64) int { return cmp.Compare(x.at, at+1) })
-	h.queue = slices.Insert(h.queue, i, due{at, do})
+	i, _ := slices.BinarySearchFunc(h.queue, at, func(x timedEvent, at int64) int { return cmp.Compare(x.at, at+1) })
+	h.queue = slices.Insert(h.queue, i, timedEvent{at, do})
 }
 
-func (h *asked) SendAttempt(id string, w balancer.WorkerID, _ int64) {
-	n := h.sends[id]
-	h.sends[id]++
+func (h *testHost) SendAttempt(id string, w balancer.WorkerID, _ int64) {
+	n := h.attempts[id]
+	h.attempts[id]++
 	h.after(60e6, func() {
 		h.d.HandleAttemptResult(h.now, balancer.AttemptResult{
 			ID: id, Attempt: n, Worker: w, Result: balancer.OK,
@@ -47,32 +47,32 @@
 	})
 }
 
-func (h *asked) OrderLoad(w balancer.WorkerID, f balancer.FuncID, n int) {
+func (h *testHost) OrderLoad(w balancer.WorkerID, f balancer.FuncID, n int) {
 	h.after(100e6, func() { h.d.HandleLoadResult(h.now, w, f, n, balancer.OK) })
 }
 
-func (h *asked) CountTowardLoadQuota(int64) {}
+func (h *testHost) CountTowardLoadQuota(int64) {}
 
-func (h *asked) SetTimer(delay, ref int64) { h.after(delay, func() { h.d.HandleTimer(h.now, ref) }) }
+func (h *testHost) SetTimer(delay, ref int64) { h.after(delay, func() { h.d.HandleTimer(h.now, ref) }) }
 
-func (h *asked) SendPeerMessage(to int, text string) { h.tell(to, text) }
+func (h *testHost) SendPeerMessage(to int, text string) { h.onPeerMessage(to, text) }
 
-func (*asked) CancelAttempt(string, int) {}
+func (*testHost) CancelAttempt(string, int) {}
 
-func (*asked) Reject(string, int64) {}
+func (*testHost) Reject(string, int64) {}
 
-func (*asked) Fail(string) {}
+func (*testHost) Fail(string) {}
 
-func (*asked) OrderUnload(balancer.WorkerID, balancer.FuncID) {}
+func (*testHost) OrderUnload(balancer.WorkerID, balancer.FuncID) {}
 
-func (*asked) HealthCheck(balancer.WorkerID) {}
+func (*testHost) HealthCheck(balancer.WorkerID) {}
 
-func (*asked) SubscribeEndpoints() {}
+func (*testHost) SubscribeEndpoints() {}
 
-func (*asked) Log(string) {}
+func (*testHost) Log(string) {}
 
-// run plays events up to a time.
-func run(h *asked, until int64) {
+// run processes the events up to a time.
+func run(h *testHost, until int64) {
 	for len(h.queue) > 0 && h.queue[0].at <= until {
 		x := h.queue[0]
 		h.queue = h.queue[1:]
@@ -81,14 +81,14 @@
 	}
 }
 
-// The arithmetic of reports against the module: so many per second and so many characters as it
-// really sends, where calls pay for each round and where they do not.
-func TestReportsAgainstTheModule(t *testing.T) {
+// The computed rate and size of reports match those that the balancer sends within 25%, at 20 and
+// at 200 calls per second.
+func TestReportRateMatchesTheBalancer(t *testing.T) {
 	const executors, dispatchers, tenants = 600, 1900, 5
 	for _, calls := range []int{20, 200} {
-		h := &asked{now: 1e18, sends: map[string]int{}}
+		h := &testHost{now: 1e18, attempts: map[string]int{}}
 		reports, chars := 0, 0
-		h.tell = func(to int, text string) {
+		h.onPeerMessage = func(to int, text string) {
 			if to >= 0 {
 				chars += len(text)
 				if m, ok := aggregate.Decode(text, dispatchers); ok && !m.Continued {
@@ -131,25 +131,24 @@
 		run(h, h.now+seconds*1e9)
 		c := Base(Letter())
 		c.Executors, c.Dispatchers, c.Figures = executors, dispatchers, tenants+2
-		rate, p := c.reports(float64(calls))
-		t.Logf("%d calls/s: %.3g reports/s of %.3g characters; by arithmetic %.3g of %d", calls,
+		rate, p := c.reportRate(float64(calls))
+		t.Logf("%d calls/s: %.3g reports/s of %.3g characters; computed %.3g of %d", calls,
 			float64(reports)/seconds,
-			float64(chars)/max(1, float64(reports)), rate, p.All)
-		assert.InEpsilon(t, rate*float64(p.All), float64(chars)/seconds, 0.25, "%d calls/s", calls)
+			float64(chars)/max(1, float64(reports)), rate, p.Total)
+		assert.InEpsilon(t, rate*float64(p.Total), float64(chars)/seconds, 0.25, "%d calls/s", calls)
 		assert.InEpsilon(t, rate, float64(reports)/seconds, 0.25, "%d calls/s", calls)
 	}
 }
 
-// The price against the module: a collector that has received from all others of its term, or from
-// all but one that never sent, sends a digest up to the number of dispatchers that the arithmetic
-// gives, and beyond it none.
-func TestPriceAgainstTheModule(t *testing.T) {
+// A leader that has received the reports of all other dispatchers, or of all but one that never
+// sent any, sends a digest up to the computed number of dispatchers and none above it.
+func TestDigestPriceMatchesTheBalancer(t *testing.T) {
 	const tenants, price = 5, 0.021
 	objective := int64(400e6)
 	for _, c := range []struct {
-		siblings int
-		silent   bool
-		told     bool
+		dispatchers int
+		silent      bool
+		sent        bool
 	}{
 		{700, false, true},
 		{1900, false, true},
@@ -158,25 +157,25 @@
 		{783, true, false},
 		{1900, true, false},
 	} {
-		t.Run(fmt.Sprintf("%d siblings, one silent %v", c.siblings, c.silent), func(t *testing.T) {
-			h, texts := &asked{now: 1e18, sends: map[string]int{}}, 0
-			h.tell = func(to int, text string) {
-				if m, ok := aggregate.Decode(text, c.siblings); to < 0 && ok && m.FromLeader {
+		t.Run(fmt.Sprintf("%d dispatchers, one silent %v", c.dispatchers, c.silent), func(t *testing.T) {
+			h, texts := &testHost{now: 1e18, attempts: map[string]int{}}, 0
+			h.onPeerMessage = func(to int, text string) {
+				if m, ok := aggregate.Decode(text, c.dispatchers); to < 0 && ok && m.FromLeader {
 					texts++
 				}
 			}
 			term := 2 * objective
 			h.now -= h.now % term
-			for leader.New(0, c.siblings, term).Leader(h.now) != 0 {
+			for leader.New(0, c.dispatchers, term).Leader(h.now) != 0 {
 				h.now += term
 			}
-			h.now -= term // it has lived for a while when its term comes
+			h.now -= term // it has been running for a term when it becomes the leader
 			begin := h.now + term
 			s := balancer.Settings{
 				Classes: []balancer.Class{{
 					LatencyObjective: objective, ClientTimeout: 5e9, PriorityWeight: 1,
 					Idempotency: balancer.Idempotent,
-				}}, Dispatchers: c.siblings,
+				}}, Dispatchers: c.dispatchers,
 				TenantQuota: make([]float64, tenants), ClockResolution: 4e6, MaxAttempts: 5, Gossip: true,
 				PeerPrice: price, KeepAlive: 10e9,
 			}
@@ -202,16 +201,16 @@
 			report := aggregate.Message{
 				Calls:  255,
 				Report: aggregate.Report{Seq: 1, Values: make([]float64, tenants+2), Fresh: true},
-			}.Encode(c.siblings)[0]
+			}.Encode(c.dispatchers)[0]
 			h.after(begin+20e6-h.now, func() {
-				for from := 1; from < c.siblings; from++ {
+				for from := 1; from < c.dispatchers; from++ {
 					if !c.silent || from != 1 {
 						require.True(t, h.d.HandlePeerMessage(h.now, from, report))
 					}
 				}
 			})
 			run(h, begin+term-1)
-			assert.Equal(t, c.told, texts > 0, "%d texts", texts)
+			assert.Equal(t, c.sent, texts > 0, "%d texts", texts)
 		})
 	}
 }
--- a/internal/capacity/rows.go
+++ b/internal/capacity/rows.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// Figure is a number that may be missing: NaN.
+// Figure is a number, or NaN if it is not available.
 type Figure float64
 
 // MarshalJSON writes a missing or infinite figure as null.
@@ -20,7 +20,8 @@
 	return json.Marshal(float64(f))
 }
 
-// String is three digits, in a form that reads well in a table.
+// String returns the figure with three significant digits and a unit prefix, or in full from 1000
+// to 9999.
 func (f Figure) String() string {
 	x := float64(f)
 	switch a := math.Abs(x); {
@@ -40,29 +41,30 @@
 	return fmt.Sprintf("%.3g", x)
 }
 
-// Row is one figure of one role at the plan's size.
+// Row is one figure of one role at the planned size.
 type Row struct {
 	Role    string `json:"role"`
 	What    string `json:"what"`
 	Unit    string `json:"unit"`
 	Formula string `json:"formula"`
-	Value   Figure `json:"value"` // NaN: not measured
-	Low     Figure `json:"low"`   // over the assumptions, each at both ends
+	Value   Figure `json:"value"` // NaN if not measured
+	Low     Figure `json:"low"`   // Low and High: range over all combinations of the assumptions' bounds
 	High    Figure `json:"high"`
-	Budget  Figure `json:"budget"` // NaN: none
-	// who sets it: the letter, the program by a constant of its own, or we, as a yardstick
+	Budget  Figure `json:"budget"` // NaN if there is none
+	// source of the budget: the operators' requirements, a constant of the program, or a reference
+	// value that this package chooses
 	BudgetOf string    `json:"budget_of,omitempty"`
-	Headroom Figure    `json:"headroom"` // budget over value
+	Headroom Figure    `json:"headroom"` // budget divided by value
 	Along    Dimension `json:"along"`
-	// part of that dimension at which the budget is used up; 0: at any size; +Inf: not up to 8
-	// times
-	Breaks    Figure   `json:"breaks"`
-	Mechanism string   `json:"mechanism"`
-	Slopes    []string `json:"slopes,omitempty"`
-	Missing   []string `json:"missing,omitempty"` // slopes that were asked for and not there
-	Command   string   `json:"command,omitempty"`
-	Spread    Figure   `json:"spread"`
-	Was       bool     `json:"was,omitempty"` // of a mechanism that the program no longer has: listed for the order
+	// fraction of the planned size along that dimension at which the budget is used up; 0 if at any
+	// size, +Inf if not at up to 8 times the planned size
+	UsedUpAt      Figure   `json:"breaks"`
+	Mechanism     string   `json:"mechanism"`
+	Slopes        []string `json:"slopes,omitempty"`
+	MissingSlopes []string `json:"missing,omitempty"` // needed slopes that are not available
+	Command       string   `json:"command,omitempty"`
+	Spread        Figure   `json:"spread"`
+	Obsolete      bool     `json:"was,omitempty"` // of a mechanism that the program no longer has; kept for comparison
 }
 
 // Over reports whether a measured or computed value is over its budget.
@@ -71,7 +73,7 @@
 // Measured reports whether the value is a number.
 func (r Row) Measured() bool { return !math.IsNaN(float64(r.Value)) }
 
-// spec is how a row is worked out. budget NaN: none.
+// spec describes how a row is computed. A budget of NaN means none.
 type spec struct {
 	role, what, unit string
 	formula          string
@@ -79,21 +81,22 @@
 	mechanism        string
 	budget           float64
 	budgetOf         string
-	was              bool
-	of               func(*reading) float64
+	obsolete         bool
+	value            func(*evaluation) float64
 }
 
-// Who sets a budget.
+// Sources of a budget.
 const (
-	ofLetter     = "the letter"
-	ofTheProgram = "the program"
-	ofOurs       = "a yardstick"
+	ofLetter    = "the letter"
+	ofProgram   = "the program"
+	ofYardstick = "a yardstick"
 )
 
 const arithmetic = "arithmetic"
 
-// Rows works out all rows at the plan's size: those over budget first, the furthest over before the
-// others, then by headroom, then those not measured, then those without a budget.
+// Rows computes all rows at the planned size, ordered by the sections of the page: over budget,
+// within it, not measured, without a budget, obsolete. Rows with a headroom are sorted by it within
+// a section, the smallest first.
 func Rows(p Plan, b Budgets, slopes Slopes) []Row {
 	base := Base(p)
 	var out []Row
@@ -109,11 +112,11 @@
 	return out
 }
 
-// rank returns the group of a row in the order of the page: over budget, within it, not measured,
-// without a budget, and rows of mechanisms that are no more.
+// rank returns the index of a row's section on the page: over budget, within it, not measured,
+// without a budget, obsolete.
 func (r Row) rank() int {
 	switch {
-	case r.Was:
+	case r.Obsolete:
 		return 4
 	case math.IsNaN(float64(r.Budget)):
 		return 3
@@ -127,15 +130,16 @@
 
 // row evaluates the row for the base case, over the assumptions and along its dimension.
 func (s spec) row(base Case, b Budgets, slopes Slopes) Row {
-	at := func(c Case) *reading { return &reading{Case: c, budgets: b, slopes: slopes} }
+	at := func(c Case) *evaluation { return &evaluation{Case: c, budgets: b, slopes: slopes} }
 	r := at(base)
 	out := Row{
 		Role: s.role, What: s.what, Unit: s.unit, Formula: s.formula, Along: s.along, Mechanism: s.mechanism,
 		Budget: Figure(s.budget), BudgetOf: s.budgetOf,
-		Value: Figure(s.of(r)), Slopes: unique(r.used), Missing: unique(r.missing), Command: arithmetic, Was: s.was,
+		Value: Figure(s.value(r)), Slopes: unique(r.used), MissingSlopes: unique(r.missing), Command: arithmetic,
+		Obsolete: s.obsolete,
 	}
 	none := Figure(math.NaN())
-	out.Low, out.High, out.Headroom, out.Breaks = none, none, none, none
+	out.Low, out.High, out.Headroom, out.UsedUpAt = none, none, none, none
 	var commands []string
 	for _, name := range out.Slopes {
 		commands = append(commands, slopes[name].Command)
@@ -144,59 +148,62 @@
 	if len(commands) > 0 {
 		out.Command = strings.Join(unique(commands), ", ")
 	}
-	if len(out.Missing) > 0 {
+	if len(out.MissingSlopes) > 0 {
 		out.Value, out.Command = none, ""
 		return out
 	}
-	out.Low, out.High = s.vary(base, out.Value, func(c Case) float64 { return s.of(at(c)) })
+	out.Low, out.High = s.vary(base, out.Value, func(c Case) float64 { return s.value(at(c)) })
 	if !math.IsNaN(s.budget) {
 		out.Headroom = out.Budget / out.Value
-		out.Breaks = s.breaks(func(part float64) float64 { return s.of(at(base.Scaled(s.along, part))) })
+		out.UsedUpAt = s.usedUpAt(func(part float64) float64 { return s.value(at(base.Scaled(s.along, part))) })
 	}
 	return out
 }
 
-// vary is the least and the greatest value over the assumptions that move the row, in every combination of their ends.
-func (s spec) vary(base Case, value Figure, of func(Case) float64) (low, high Figure) {
+// vary returns the smallest and the largest value over all combinations of the bounds of those
+// assumptions that change the row by themselves.
+func (s spec) vary(base Case, value Figure, evaluate func(Case) float64) (low, high Figure) {
 	low, high = value, value
-	var act []Assumption
+	var relevant []Assumption
 	for _, a := range Assumptions() {
 		for _, x := range []float64{a.Low, a.High} {
 			c := base
-			if a.set(&c, x); of(c) != float64(value) {
-				act = append(act, a)
+			if a.set(&c, x); evaluate(c) != float64(value) {
+				relevant = append(relevant, a)
 				break
 			}
 		}
 	}
-	for bits := range 1 << len(act) {
+	for bits := range 1 << len(relevant) {
 		c := base
-		for i, a := range act {
+		for i, a := range relevant {
 			if bits>>i&1 == 0 {
 				a.set(&c, a.Low)
 			} else {
 				a.set(&c, a.High)
 			}
 		}
-		x := Figure(of(c))
+		x := Figure(evaluate(c))
 		low, high = min(low, x), max(high, x)
 	}
 	return low, high
 }
 
 const (
-	leastPart, mostPart = 1.0 / 4096, 8.0
-	partSteps           = 8 // to an octave, before the crossing is halved in
+	minScale, maxScale = 1.0 / 4096, 8.0
+	stepsPerOctave     = 8 // search steps per factor of 2, before the crossing is bisected
 )
 
-// breaks is the least part of the size at which the budget is used up, within a thousandth.
-func (s spec) breaks(of func(part float64) float64) Figure {
-	over := func(part float64) bool { return of(part) > s.budget }
-	if over(leastPart) {
+// usedUpAt returns the smallest fraction of the size at which the value exceeds the budget,
+// accurate to a thousandth: 0 if it does at minScale, +Inf if it does not up to maxScale. A
+// crossing and its return within one search step are not found.
+func (s spec) usedUpAt(evaluate func(part float64) float64) Figure {
+	over := func(part float64) bool { return evaluate(part) > s.budget }
+	if over(minScale) {
 		return 0
 	}
-	step := math.Exp2(1.0 / partSteps)
-	for lo := leastPart; lo < mostPart; lo *= step {
+	step := math.Exp2(1.0 / stepsPerOctave)
+	for lo := minScale; lo < maxScale; lo *= step {
 		hi := lo * step
 		if !over(hi) {
 			continue
@@ -218,20 +225,21 @@
 	return slices.Compact(xs)
 }
 
-// Missing orders what breaks within the plan's size by where it breaks: the smallest part first.
-// What is over its budget at any size, so that no size explains it, comes last.
-func Missing(rows []Row) []Row {
+// Exceeded returns the rows that use up their budget within the planned size, those that do so at
+// the smallest fraction of it first. Rows that are over budget at any size come last, since no
+// growth explains them.
+func Exceeded(rows []Row) []Row {
 	var out []Row
 	for _, r := range rows {
-		if r.Measured() && !math.IsNaN(float64(r.Breaks)) && r.Breaks <= 1 {
+		if r.Measured() && !math.IsNaN(float64(r.UsedUpAt)) && r.UsedUpAt <= 1 {
 			out = append(out, r)
 		}
 	}
 	key := func(r Row) float64 {
-		if r.Breaks == 0 {
+		if r.UsedUpAt == 0 {
 			return math.Inf(1)
 		}
-		return float64(r.Breaks)
+		return float64(r.UsedUpAt)
 	}
 	slices.SortStableFunc(out, func(x, y Row) int { return cmp.Compare(key(x), key(y)) })
 	return out
--- a/internal/capacity/slopes.go
+++ b/internal/capacity/slopes.go
@@ -4,49 +4,50 @@
 	"math"
 )
 
-// Curve foretells a figure from a size; slope.Fit is one.
+// Curve predicts a figure from a size. regression.Fit implements it.
 type Curve interface{ At(x float64) float64 }
 
-// Constant is a Curve of a figure that was measured once.
+// Constant is the Curve of a figure that was measured at one size only.
 type Constant float64
 
-// At is the figure.
+// At returns the figure for any size.
 func (c Constant) At(float64) float64 { return float64(c) }
 
-// Slope is a measured curve, named figure/dimension such as "cpu.choice/executors". Base is where
-// the dimension stood while others moved.
+// Slope is a measured curve, named figure/dimension such as "cpu.choice/choice" or
+// "heap/executors". Base is the size along its dimension while others were varied.
 type Slope struct {
 	Curve   Curve
 	Base    float64
-	Spread  float64 // greatest relative difference, of fit and seeds
-	Command string  // that gave it
-	Text    string  // the curve, to be read
+	Spread  float64 // largest relative difference between measurements and curve, or between seeds
+	Command string  // command that measured it
+	Text    string  // the curve as a formula
 }
 
-// Slopes are the measured ones by name. A Slope without a Curve is missing.
+// Slopes maps names to measured slopes. A Slope without a Curve counts as missing.
 type Slopes map[string]Slope
 
-// The names of slopes' dimensions in testbed run capacity. dimensions are varied alone; each slope
-// of a figure over one of them is needed. choice is the section that compares the full scan of the
-// list with the program, over executors. largest is not a dimension: it is a figure as the largest
-// run had it.
+// Names of sections of testbed run capacity that are not dimensions but take their place in the
+// names of slopes. choiceSection compares the full scan of the list with the program, over
+// executors. largestSection has the figures of the largest run.
 const (
-	overChoice  = "choice"
-	overLargest = "largest"
+	choiceSection  = "choice"
+	largestSection = "largest"
 )
 
+// dimensions returns the dimensions that testbed run capacity varies one at a time. A figure
+// computed with product or sum needs a slope over each of them.
 func dimensions() []string { return []string{"dispatchers", "executors", "functions", "list", "calls"} }
 
-// listRate is list events a second.
+// listRate returns the list events per second, with configuration changes.
 func (c Case) listRate() float64 { return c.ListEvents + c.Changes/86400 }
 
-// sizeOf returns where a case stands along a dimension of the runs; list is given there in events
-// per minute. A dispatcher's own list and calls count.
+// sizeOf returns the size of a case along a dimension of the runs, where list events are counted
+// per minute. Executors are those in a dispatcher's list, calls those of one dispatcher per second.
 func (c Case) sizeOf(dimension string) float64 {
 	switch dimension {
 	case "dispatchers":
 		return c.Dispatchers
-	case "executors", overChoice:
+	case "executors", choiceSection:
 		return c.Listed()
 	case "functions":
 		return c.Functions
@@ -58,8 +59,8 @@
 	return 1
 }
 
-// reading evaluates one row of one case, and keeps which slopes it asked for.
-type reading struct {
+// evaluation evaluates a row for a case and records which slopes it needed.
+type evaluation struct {
 	Case
 	budgets Budgets
 	slopes  Slopes
@@ -67,8 +68,8 @@
 	missing []string
 }
 
-// over is a figure at the case by one slope; NaN: not measured.
-func (r *reading) over(figure, dimension string) float64 {
+// atSlope returns a figure for the case from one slope, or NaN if that is not measured.
+func (r *evaluation) atSlope(figure, dimension string) float64 {
 	key := figure + "/" + dimension
 	s := r.slopes[key]
 	if s.Curve == nil {
@@ -79,22 +80,24 @@
 	return s.Curve.At(r.sizeOf(dimension))
 }
 
-// largest is a figure as the largest run had it, whatever the case: it is a service, which no shape foretells.
-func (r *reading) largest(figure string) float64 { return r.over(figure, overLargest) }
+// largestRun returns a figure of the largest run, the same for every case: quality of service is
+// not extrapolated from a curve.
+func (r *evaluation) largestRun(figure string) float64 { return r.atSlope(figure, largestSection) }
 
-// step is the time of one step at the case: from the base on, the factors by which the dimensions
-// raise it are multiplied. state is one of what adds up, as memory and bytes: what each dimension
-// adds is added. So dimensions are taken to act apart, as the prediction of the largest run does,
-// which tests it. NaN: a slope over some dimension is not measured.
-func (r *reading) step(figure string) float64  { return r.combined(figure, true) }
-func (r *reading) state(figure string) float64 { return r.combined(figure, false) }
+// product returns the time of one step for the case: the base value multiplied by the factor that
+// each dimension contributes. sum is for figures that add up, such as memory and bytes: the
+// increments of the dimensions are added to the base value. Both assume that the dimensions act
+// independently; the prediction of the largest run makes the same assumption and tests it. The
+// result is NaN if the slope over some dimension is not measured.
+func (r *evaluation) product(figure string) float64 { return r.combined(figure, true) }
+func (r *evaluation) sum(figure string) float64     { return r.combined(figure, false) }
 
-// combined returns a figure from its slopes over all dimensions: the base value with the
-// differences added, or with the ratios multiplied where product is set.
-func (r *reading) combined(figure string, product bool) float64 {
+// combined returns a figure from its slopes over all dimensions: the base value, which is the mean
+// over the dimensions, plus the differences or, if product is set, times the ratios.
+func (r *evaluation) combined(figure string, product bool) float64 {
 	base, sum, factor := 0.0, 0.0, 1.0
 	for _, dim := range dimensions() {
-		to := r.over(figure, dim)
+		to := r.atSlope(figure, dim)
 		s := r.slopes[figure+"/"+dim]
 		if s.Curve == nil {
 			base = math.NaN()
