--- a/internal/lab/calibrate.go
+++ b/internal/lab/calibrate.go
@@ -1,9 +1,9 @@
 package lab
 
-// The calibration: the same load is played to real processes of the program and to hollow
-// dispatchers, and the costs of both are set side by side, so that figures of hollow runs can be
-// read as those of real ones. Processor time and memory come from the kernel, messages are counted
-// in the peer network. Times are reported without bounds.
+// Calibration: real processes of the program and hollow dispatchers (simulated in this process) get
+// the same load, and their costs are reported side by side, so that figures of hollow runs can be
+// related to real processes. CPU time and memory come from the kernel, messages are counted in the
+// peer network. Times are reported without bounds.
 
 import (
 	"context"
@@ -17,17 +17,17 @@
 )
 
 const (
-	calibrateIdle           = time.Second // before the clients start
+	calibrateIdle           = time.Second // without calls, before the clients start
 	calibrateReady          = 20 * time.Second
-	calibrateApart          = 1.3  // bytes of messages per call, real against hollow, at most, in either direction
-	calibrateValueTolerance = 0.05 // weighted value in time, of that offered, likewise
-	calibrateZones          = 10   // as hollow executors have
-	// calibrateCopies is how many real dispatchers alone there are of each kind: what they have in
-	// common is taken off, and they differ by some hundredths.
+	calibrateApart          = 1.3  // largest ratio of message bytes per call, real to hollow or hollow to real
+	calibrateValueTolerance = 0.05 // largest difference of the value in time, as a part of that offered
+	calibrateZones          = 10   // as many as the workers of a hollow run have
+	// calibrateCopies is the number of real dispatchers without peers per kind. Their mean is subtracted
+	// from the fleet's cost, and single ones differ by some hundredths.
 	calibrateCopies = 3
 )
 
-// calibration is what both arms are made of.
+// calibration holds the parameters that both arms share.
 type calibration struct {
 	sizes      []int // dispatchers
 	calls      float64
@@ -37,37 +37,37 @@
 	log        func(string, ...any) // Options.Log
 }
 
-// costs are what one arm's dispatchers took, on the mean of them; NaN: not measured.
+// costs are the costs of one arm, as the mean over its dispatchers; NaN: not measured.
 type costs struct {
-	calls           int     // taken in the span, at all
-	cpu             float64 // s of processor time a call
-	apart           float64 // the same, between the greatest and the least of runs alike
-	system          float64 // part of it that the kernel took
-	idle            float64 // part of a core without calls
+	calls           int     // intended in the span, by all dispatchers
+	cpu             float64 // s of CPU time per call
+	apart           float64 // difference between the largest and smallest cpu of equal runs
+	system          float64 // part of the CPU time that was spent in the kernel
+	idle            float64 // part of a core in use without calls
 	resident, heap  float64 // bytes
-	bytes, messages float64 // of messages out, a second
-	busiest         float64 // bytes out in the busiest second of any one
-	value, unserved float64 // in time, of that asked; of the calls
+	bytes, messages float64 // of sent messages, per second
+	busiest         float64 // bytes sent in the busiest second of any dispatcher
+	value, unserved float64 // value in time, as a part of that offered; part of the calls not served
 	breaches        int
-	// s that a client fell behind its schedule, at the most: a sign that the machine is too busy
+	// largest delay of a client behind its schedule in s; a large one shows that the machine is overloaded
 	late float64
 }
 
-// bytesACall are the bytes of messages that a call costs.
+// bytesACall returns the bytes of messages sent per call.
 func (c *costs) bytesACall(dispatchers int, span time.Duration) float64 {
 	return c.bytes * float64(dispatchers) * span.Seconds() / float64(max(1, c.calls))
 }
 
-// Calibrate plays the same load to real dispatchers, as processes, and to hollow ones. Real
-// processes carry HTTP, sockets and the core's goroutines, and collect garbage; hollow ones do not.
-// Pairs of one real process and one hollow dispatcher with calls but without peers show how much of
-// a call's time each of these takes: with a list of one executor the difference is what carries a
-// call; with the full list the remaining difference is connections to more executors (below zero
-// where those cost less than many to one); the rest of a fleet's difference is messages over
-// sockets. A fleet and the pairs run at the same time, so that a busy machine slows all of them;
-// the hollow dispatchers run afterwards. Times have no bounds; bytes of messages and weighted value
-// have. A run takes about 30 s, or 70 s where options.Quick is false, and needs the program beside this
-// executable.
+// Calibrate applies the same load to real dispatcher processes and to hollow dispatchers. Real
+// processes have the costs of HTTP, sockets, the core's goroutines and garbage collection; hollow
+// dispatchers do not. One real process and one hollow dispatcher without peers are compared to split
+// the difference: with a list of one worker it is the cost of HTTP, sockets, goroutines and garbage
+// per call; with the full list the remainder is the cost of connections to more workers (negative
+// where many connections to one worker cost more); the rest of the fleet's difference is the cost of
+// messages over sockets. The fleet and the single processes run at the same time, so that load on
+// the machine slows all of them; the hollow dispatchers run afterwards. Times have no bounds;
+// message bytes and weighted value have. A run takes about 30 s, or 70 s if options.Quick is false.
+// It returns an error if the program is not found beside this executable or a run fails.
 func Calibrate(ctx context.Context, options Options) (*Report, error) {
 	program, err := Ours()
 	if err != nil {
@@ -83,10 +83,10 @@
 	return c.run(ctx, options)
 }
 
-// fleetOf is so many dispatchers before so many executors.
+// fleetOf is the number of dispatchers and of workers of a fleet.
 type fleetOf struct{ dispatchers, executors int }
 
-// run plays all sizes with real processes and with hollow dispatchers and reports them.
+// run measures all sizes with real processes and with hollow dispatchers and reports them.
 func (c *calibration) run(ctx context.Context, options Options) (*Report, error) {
 	if _, err := exec.LookPath(c.program.Path); err != nil {
 		return nil, fmt.Errorf("calibration: the program to run: %w", err)
@@ -124,14 +124,14 @@
 	return rep, nil
 }
 
-// pair are the same fleet's costs, real and hollow.
+// pair holds the costs of the same fleet, real and hollow.
 type pair struct{ real, hollow *costs }
 
-// extra is what a call takes of a real dispatcher beyond a hollow one.
+// extra returns the CPU time per call that a real dispatcher uses beyond a hollow one, in s.
 func (p pair) extra() float64 { return p.real.cpu - p.hollow.cpu }
 
-// reals are runs of real processes at the same time, each with addresses of its own; the costs of
-// equal fleets are their mean. One that fails ends the others.
+// reals runs fleets of real processes at the same time, each with its own addresses, and returns the
+// mean costs of equal fleets. A fleet that fails cancels the others.
 func (c *calibration) reals(
 	ctx context.Context, net *Net, options Options, fleets []fleetOf,
 ) (map[fleetOf]*costs, error) {
@@ -164,7 +164,7 @@
 	return out, nil
 }
 
-// meanCosts is the mean of runs alike, with the spread of their processor time.
+// meanCosts returns the mean costs of equal runs, with the spread of their CPU time.
 func meanCosts(xs []*costs) *costs {
 	m := *xs[0]
 	low, high := m.cpu, m.cpu
@@ -227,7 +227,7 @@
 		float64(r.breaches+pairs[1].real.breaches+pairs[2].real.breaches), 0)
 }
 
-// size is what a hollow run has of it.
+// size returns the size of the hollow run for f.
 func (c *calibration) size(f fleetOf) HollowSize {
 	return HollowSize{
 		Dispatchers: f.dispatchers, Executors: f.executors, Functions: c.functions, Calls: c.calls, Warm: c.warm,
@@ -236,7 +236,7 @@
 	}
 }
 
-// hollow is a run of hollow dispatchers.
+// hollow runs hollow dispatchers and returns their costs.
 func (c *calibration) hollow(ctx context.Context, fleet fleetOf, seed uint64) (*costs, error) {
 	result, err := HollowRun(ctx, c.size(fleet), seed)
 	if err != nil {
--- a/internal/lab/calibratereal.go
+++ b/internal/lab/calibratereal.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// real is a run of processes: one second without calls, then the warm-up and the span.
+// real runs real processes: one second without calls, then the warm-up and the span.
 func (c *calibration) real(
 	ctx context.Context, net *Net, dir string, group int, fleet fleetOf, seed uint64,
 ) (*costs, error) {
@@ -47,13 +47,13 @@
 			fleet.dispatchers, fleet.executors, x.late, b)
 	}
 	if err := rig.Stop(); err != nil {
-		return nil, fmt.Errorf("a dispatcher did not end well: %w", err)
+		return nil, fmt.Errorf("a dispatcher exited with an error: %w", err)
 	}
 	return x, nil
 }
 
-// play lets the rig idle, warm up and serve the span. It returns what the processes have taken once
-// they are ready, before the clients start, and at the begin and the end of the span.
+// play lets the rig idle, warm up and serve the span. It returns the resource usage of the processes
+// once they are ready, before the clients start, and at the start and the end of the span.
 func (c *calibration) play(ctx context.Context, rig *Rig) (looks [4]taken, err error) {
 	at := time.Now()
 	for i, wait := range []time.Duration{0, calibrateIdle, c.warm, c.span} {
@@ -71,7 +71,7 @@
 	return looks, nil
 }
 
-// processCosts returns what the processes of a rig took, by the four looks of play.
+// processCosts returns the costs of a rig's processes from the four samples of play.
 func processCosts(rig *Rig, looks [4]taken) (*costs, error) {
 	ready, idle, begin, end := looks[0], looks[1], looks[2], looks[3]
 	n := float64(rig.Dispatchers)
@@ -96,7 +96,7 @@
 		x.late = max(x.late, k.MaxLag().Seconds())
 	}
 	if x.calls == 0 {
-		return nil, fmt.Errorf("no call came in the span; clients fell %.1f s behind their schedule at the most",
+		return nil, fmt.Errorf("no call was intended in the span; clients were up to %.1f s behind their schedule",
 			x.late)
 	}
 	x.cpu = (end.cpu - begin.cpu).Seconds() / float64(x.calls)
@@ -105,10 +105,10 @@
 	return x, nil
 }
 
-// countMessages takes the messages of n dispatchers in a span.
+// countMessages adds the messages that n dispatchers sent between from and until.
 func (c *costs) countMessages(datagrams []Datagram, n float64, from, until time.Time) {
 	span := until.Sub(from).Seconds()
-	seconds := map[[2]int]int{} // bytes by dispatcher and second
+	seconds := map[[2]int]int{} // bytes per dispatcher and second
 	for _, datagram := range datagrams {
 		if !datagram.At.Before(from) && datagram.At.Before(until) {
 			c.bytes += float64(datagram.Bytes) / n / span
@@ -121,15 +121,15 @@
 	}
 }
 
-// taken is what a rig's processes have taken so far, together.
+// taken is the resource usage of processes since their start.
 type taken struct {
 	at            time.Time
 	cpu           time.Duration
-	system, ticks int64 // of the kernel's accounting, which is coarser: in the kernel, and in all
+	system, ticks int64 // CPU time in clock ticks, coarser than cpu: in the kernel, and in total
 	resident      int64 // bytes
 }
 
-// taken returns what the processes of the rig have taken so far.
+// taken returns the summed resource usage of the rig's dispatchers.
 func (r *Rig) taken() (sum taken, err error) {
 	sum.at = time.Now()
 	for _, dispatcher := range r.Nodes {
@@ -146,13 +146,13 @@
 	return sum, nil
 }
 
-// takenBy is what a process has taken: its processor time by its own clock (clock_getcpuclockid(3):
-// the id is made of the process's), and how that parts and what memory it has by /proc
-// (proc_pid_stat(5), proc_pid_statm(5)).
+// takenBy returns the resource usage of a process: its CPU time by its CPU clock, whose id is derived
+// from the process id (clock_getcpuclockid(3)), and the user and kernel ticks and the resident memory
+// from /proc (proc_pid_stat(5), proc_pid_statm(5)).
 func takenBy(pid int) (t taken, err error) {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(^int32(pid)<<3|2, &ts); err != nil {
-		return t, fmt.Errorf("processor clock of process %d: %w", pid, err)
+		return t, fmt.Errorf("CPU clock of process %d: %w", pid, err)
 	}
 	t.cpu = time.Duration(ts.Nano())
 	fields := func(file string) ([]int64, error) {
@@ -161,7 +161,7 @@
 			return nil, err
 		}
 		if i := bytes.LastIndexByte(raw, ')'); i >= 0 {
-			raw = raw[i+1:] // the command's name may hold anything
+			raw = raw[i+1:] // the command name may contain spaces and parentheses
 		}
 		var out []int64
 		for _, x := range bytes.Fields(raw) {
@@ -178,9 +178,9 @@
 	if err != nil {
 		return t, err
 	}
-	const user, system, pages = 11, 12, 1 // stat's from behind the name on
+	const user, system, pages = 11, 12, 1 // indexes into stat after the command name, and into statm
 	if len(stat) <= system || len(statm) <= pages {
-		return t, fmt.Errorf("what /proc tells of process %d cannot be read", pid)
+		return t, fmt.Errorf("/proc/%d: too few fields in stat or statm", pid)
 	}
 	t.system, t.ticks, t.resident = stat[system], stat[user]+stat[system], statm[pages]*int64(os.Getpagesize())
 	return t, nil
--- a/internal/lab/capacity.go
+++ b/internal/lab/capacity.go
@@ -1,7 +1,7 @@
 package lab
 
-// The experiment capacity: which hollow runs are made, the slopes of their figures over each size,
-// and the predictions, which are logged before the run that they are compared with. No figure is
+// The experiment capacity: the hollow runs, the fitted slopes of their figures over each size, and
+// the predictions, which are logged before the run that they are compared with. No figure is
 // fitted to the run that it predicts, and failed predictions are reported.
 
 import (
@@ -16,35 +16,35 @@
 	"oakthread/internal/regression"
 )
 
-// The budgets of one dispatcher for control, as the operators' letter gives them, and what follows from them.
+// Budgets of one dispatcher for control work, from the operators' requirements, and limits derived from them.
 const (
 	budgetCore  = 0.045 // part of a core
 	budgetHeap  = 256e6 // bytes
 	budgetBytes = 2000  // a second, in and out together
-	// ns a call, if choices alone had all of it: 380,000 calls/s at 1,900 dispatchers
+	// ns per call if choosing a worker may use all of budgetCore: 380,000 calls/s at 1,900 dispatchers
 	budgetChoice         = 0.045 / 200 * 1e9
-	maxChoiceNanoseconds = 25e3           // ns a call that is wanted at the most executors
-	valueTolerance       = 0.01           // by which weighted value may fall below that of the full scan
-	farthest             = 1000           // times the largest size of a fit: beyond that it says nothing of a budget
-	largestRoom          = 0.5            // of a prediction from several slopes, at the most
-	capacityCSV          = "capacity.csv" // beside the plots: a line for each figure of each run
-	choiceAt             = "choice"       // the section that compares the full scan of the list with the program
-	largestAt            = "largest"      // and that of the largest fleet
-	letterAt             = "letter"       // that of the letter's dispatchers and calls
-	zipfAt               = "zipf"         // that of functions drawn by a Zipf law
-	messagesAt           = "words"        // the dimension that has no runs of its own
-	serviceAt            = "service"      // the section of busy fleets, with the full scan of the list and without
-	faultsAt             = "faults"       // that of faults at size
-	calibrateAt          = "calibration"  // that of real processes beside hollow ones
-	noWalk               = -1             // of balancer.Settings.FullScanLimit: every list is long
+	maxChoiceNanoseconds = 25e3           // ns per call, the target with the most workers
+	valueTolerance       = 0.01           // by how much the weighted value may fall below that of the full scan
+	farthest             = 1000           // times the largest fitted size: no budget limit is extrapolated further
+	largestRoom          = 0.5            // largest tolerance of a prediction combined from several slopes
+	capacityCSV          = "capacity.csv" // in the directory of the plots: a line per figure of each run
+	choiceAt             = "choice"       // section: the full scan of the list against the program's choice
+	largestAt            = "largest"      // section: the largest fleet
+	letterAt             = "letter"       // section: the dispatchers and calls that the operators require
+	zipfAt               = "zipf"         // section: functions drawn by a Zipf law
+	messagesAt           = "words"        // dimension without runs of its own: messages received
+	serviceAt            = "service"      // section: busy fleets, with the full scan of the list and without
+	faultsAt             = "faults"       // section: faults in a large fleet
+	calibrateAt          = "calibration"  // section: real processes against hollow dispatchers
+	noWalk               = -1             // for balancer.Settings.FullScanLimit: no list is scanned completely
 )
 
-// ErrDimension is of a name that no dimension of the experiment capacity has: a command line that cannot be read.
+// ErrDimension reports a name that is no dimension or section of the experiment capacity: invalid command line.
 var ErrDimension = errors.New("no dimension")
 
-// CapacityRun is one hollow run, as the report keeps it.
+// CapacityRun is one hollow run in the report.
 type CapacityRun struct {
-	Section string             `json:"section"` // the dimension it was first made for, choice or largest
+	Section string             `json:"section"` // dimension or section that the run was first made for
 	Size    HollowSize         `json:"size"`
 	Seed    uint64             `json:"seed"`
 	Took    float64            `json:"took"` // s
@@ -52,37 +52,37 @@
 	Partial string             `json:"partial,omitempty"`
 }
 
-// Foretold is a prediction, as it was written down before the run, and what then came.
+// Foretold is a prediction recorded before the run, and the figure that the run measured.
 type Foretold struct {
-	At       time.Time `json:"at"` // when it was written down
+	At       time.Time `json:"at"` // when it was made
 	X        Figure    `json:"x"`
 	Y        Figure    `json:"y"`
-	Room     float64   `json:"room"`     // by which part of it the measured figure may be off
-	Measured Figure    `json:"measured"` // null: not yet
+	Room     float64   `json:"room"`     // largest relative error for Holds
+	Measured Figure    `json:"measured"` // null: not measured
 	Holds    bool      `json:"holds"`
 }
 
-// CapacitySlope is a figure over a size.
+// CapacitySlope is the fitted slope of a figure over a size.
 type CapacitySlope struct {
 	regression.Series
 	Fit      *regression.Fit `json:"fit,omitempty"`
 	Fault    string          `json:"fault,omitempty"` // why there is no fit
 	Budget   float64         `json:"budget,omitempty"`
-	UsedUp   Figure          `json:"used_up"` // size at which the budget is; null: at none
+	UsedUp   Figure          `json:"used_up"` // size at which the budget is reached; null: none
 	Foretold *Foretold       `json:"foretold,omitempty"`
 	timed    bool
 }
 
-// Capacity is the experiment's detail.
+// Capacity holds the detailed results of the experiment.
 type Capacity struct {
 	Base   HollowSize       `json:"base"`
 	Runs   []CapacityRun    `json:"runs"`
 	Slopes []*CapacitySlope `json:"slopes"`
-	// predictions of large fleets from all slopes together; no points of their own
+	// predictions of large fleets combined from all slopes; they have no points of their own
 	Largest []*CapacitySlope `json:"largest"`
 }
 
-// hollowRunner is HollowRun, or a test's.
+// hollowRunner is HollowRun or a test's replacement.
 type hollowRunner func(context.Context, HollowSize, uint64) (*HollowResult, error)
 
 // capacityKey identifies a run: equal runs are made once.
@@ -103,8 +103,8 @@
 	table  *csv.Writer
 }
 
-// RunCapacity runs the experiment. What there is when it is broken off or a run fails comes with
-// the error, marked partial.
+// RunCapacity runs the experiment. If it is cancelled or a run fails, it returns the results so far,
+// marked partial, with the error.
 func RunCapacity(ctx context.Context, options Options) (*Report, error) {
 	return runCapacity(ctx, options, planCapacity(options), HollowRun)
 }
@@ -178,7 +178,7 @@
 	return nil
 }
 
-// run makes a hollow run, once for each size and seed.
+// run makes a hollow run and returns its figures; a size and seed that were already run return the same figures.
 func (c *capacity) run(ctx context.Context, section string, size HollowSize, seed uint64) (map[string]float64, error) {
 	key := capacityKey{size, seed}
 	if f, ok := c.done[key]; ok {
@@ -215,7 +215,7 @@
 	return result.Figures, nil
 }
 
-// at are the figures of all seeds with a dimension at x.
+// at returns the figures of all seeds with dimension d set to x.
 func (c *capacity) at(ctx context.Context, d capacityDim, x float64) (out []map[string]float64, err error) {
 	for _, seed := range c.plan.seeds {
 		size := c.plan.base
@@ -229,8 +229,8 @@
 	return out, nil
 }
 
-// dimension varies one size alone: the smaller sizes, what they predict for the largest, and the
-// largest. messages: the slopes over messages are compared with the same run.
+// dimension varies one size alone: it runs the smaller sizes, logs what they predict for the largest,
+// and runs the largest. If messages is set, the slopes over messages are compared with the same run.
 func (c *capacity) dimension(ctx context.Context, d capacityDim, messages bool) error {
 	all, err := c.fits(ctx, d)
 	if err != nil {
@@ -269,10 +269,10 @@
 	return nil
 }
 
-// messageSlopes are the times of reading and of writing over the messages that came, in the runs so
-// far of dispatchers and of calls: they have no knob of their own. The run that they are held
-// against is that of the most calls; how many messages come in it is known only then, so what is
-// written down before is the fit.
+// messageSlopes fits the times of reading and writing over the number of received messages, from the
+// runs so far that vary dispatchers and calls, as this number cannot be set directly. The fits are
+// compared with the run of the most calls; its number of messages is known only after it, so only the
+// fit is logged before.
 func (c *capacity) messageSlopes(ctx context.Context) (all []*CapacitySlope, err error) {
 	for _, name := range []string{"cpu.reading", "cpu.write"} {
 		all = append(all, &CapacitySlope{
@@ -313,8 +313,8 @@
 	return all, nil
 }
 
-// arm returns a size of the choice section: with a full scan of the list, or as the program does,
-// with every list taken as long.
+// arm returns the run of the choice section with n workers: with a full scan of the list, or with the
+// program's choice, which is made to treat every list as a long one.
 func (p *capacityPlan) arm(n int, before bool) HollowSize {
 	size := p.choice
 	size.Executors, size.Before = n, before
--- a/internal/lab/capacityfleet.go
+++ b/internal/lab/capacityfleet.go
@@ -11,8 +11,8 @@
 	"oakthread/internal/regression"
 )
 
-// zipf draws functions by Zipf laws of other exponents; 0: evenly, as all other sections do. What
-// falls with it is no slope, and none is foretold.
+// zipf runs with functions drawn by Zipf laws of several exponents; 0 draws them uniformly, as all
+// other sections do. Figures over the exponent are reported without slopes or predictions.
 func (c *capacity) zipf(ctx context.Context) error {
 	for _, x := range c.plan.exponents {
 		size := c.plan.zipf
@@ -37,17 +37,17 @@
 	return nil
 }
 
-// zipfFigures are what popularity bears on.
+// zipfFigures are the figures that the popularity of functions affects.
 func zipfFigures() []string {
 	return []string{"bytes", "messages.in", "cpu.choice", "cpu.read", "loads", "heap", "worth", "unserved", "p99.cold"}
 }
 
-// largest is the largest fleet, at the base's calls; letter that with the letter's calls.
+// largest runs the largest fleet at the call rate of the base size; letter at the required call rate.
 func (c *capacity) largest(ctx context.Context) error { return c.fleet(ctx, largestAt, c.plan.largest) }
 func (c *capacity) letter(ctx context.Context) error  { return c.fleet(ctx, letterAt, c.plan.letter) }
 
-// fleet foretells a large fleet from all slopes together, and runs it, with the first seed. It is
-// made smaller until it fits the memory.
+// fleet predicts the figures of a large fleet from all slopes together and runs it with the first
+// seed. The number of dispatchers is reduced until the run fits into memory.
 func (c *capacity) fleet(ctx context.Context, section string, want HollowSize) error {
 	size := want
 	for tried := size; ; tried.Dispatchers -= max(1, tried.Dispatchers/20) {
@@ -57,7 +57,7 @@
 		}
 	}
 	if size.Dispatchers < want.Dispatchers {
-		c.o.Log("%s: %d dispatchers, not %d: more do not fit the memory", section, size.Dispatchers, want.Dispatchers)
+		c.o.Log("%s: %d dispatchers, not %d: more do not fit into memory", section, size.Dispatchers, want.Dispatchers)
 	}
 	for _, d := range c.plan.dims {
 		if _, err := c.fits(ctx, d); err != nil {
@@ -104,9 +104,10 @@
 	return nil
 }
 
-// combine foretells figure i of a size from the slopes over each dimension: from the base on, what
-// each adds is added, or the factors by which each raises it are multiplied. The rooms over the
-// sizes that are moved add up as independent errors do, in squares, to largestRoom at most.
+// combine predicts figure i of a size from the slopes over each dimension, starting from the base
+// size: their increments are added or, for a product, their growth factors are multiplied. The
+// tolerances of the dimensions that differ from the base add up as independent errors do (root of the
+// sum of squares), up to largestRoom.
 func (c *capacity) combine(i int, product bool, size HollowSize) (*Foretold, string) {
 	p := &Foretold{At: time.Now(), X: Figure(math.NaN()), Measured: Figure(math.NaN())}
 	base, sum, factor, squares := 0.0, 0.0, 1.0, 0.0
@@ -132,7 +133,7 @@
 	return p, ""
 }
 
-// bounds are one for each dimension, of what repeats and of processor time.
+// bounds adds two bounds per dimension: on figures that repeat exactly, and on CPU time.
 func (c *capacity) bounds() {
 	for _, name := range c.plan.names() {
 		for _, kind := range []struct {
--- a/internal/lab/capacityoutput.go
+++ b/internal/lab/capacityoutput.go
@@ -17,7 +17,7 @@
 	"oakthread/internal/regression"
 )
 
-// measured are the slopes as the page takes them, and what the largest fleet showed.
+// measured returns the fitted slopes and the figures of the largest fleet for the capacity page.
 func (c *Capacity) measured() figures.Slopes {
 	out := figures.Slopes{}
 	for _, slope := range c.Slopes {
@@ -47,7 +47,7 @@
 	return out
 }
 
-// Print writes the slopes with what they foretold, and the tables of docs/CAPACITY.md that follow from them.
+// Print writes the slopes with their predictions, and the tables of docs/CAPACITY.md derived from them.
 func (c *Capacity) Print(w io.Writer) {
 	c.print(w)
 	slopes := c.measured()
@@ -88,7 +88,7 @@
 	_ = t.Flush()
 }
 
-// open starts the CSV file; each run is written to it as it ends.
+// open creates the CSV file; each run is appended to it when it ends.
 func (c *capacity) open() (io.Closer, error) {
 	if err := os.MkdirAll(c.o.Plots, 0o755); err != nil {
 		return nil, fmt.Errorf("capacity: %w", err)
@@ -130,13 +130,13 @@
 }
 
 func (c *capacity) lines(lines ...[]string) error {
-	if err := c.table.WriteAll(lines); err != nil { // it flushes
+	if err := c.table.WriteAll(lines); err != nil { // WriteAll flushes
 		return fmt.Errorf("capacity: %s: %w", capacityCSV, err)
 	}
 	return nil
 }
 
-// plots draws what was measured, each with the line of its budget; a section that was not run is left out.
+// plots draws the measured figures, each with a line for its budget; sections that were not run are left out.
 func (c *capacity) plots() error {
 	if err := c.plotChoice(); err != nil {
 		return err
@@ -158,7 +158,7 @@
 	return nil
 }
 
-// flatLine returns a horizontal line over the points of another one.
+// flatLine returns a horizontal line at y over the points of another line.
 func flatLine(of plotter.XYs, y float64) (line plotter.XYs) {
 	for _, p := range of {
 		line = append(line, plotter.XY{X: p.X, Y: y})
@@ -166,7 +166,7 @@
 	return line
 }
 
-// plotChoice draws the processor time of a call over the executors, with a full scan and without.
+// plotChoice draws the CPU time per call over the number of workers, with a full scan and without.
 func (c *capacity) plotChoice() error {
 	scanned, ours := c.choiceTimes(true), c.choiceTimes(false)
 	if len(ours) < 2 {
@@ -180,7 +180,7 @@
 	return chart.draw(c.o.Plots)
 }
 
-// choiceTimes returns the microseconds of a call over the executors in one arm.
+// choiceTimes returns the CPU time per call in microseconds over the number of workers, for one arm.
 func (c *capacity) choiceTimes(before bool) (line plotter.XYs) {
 	for _, n := range c.plan.walks {
 		var runs []map[string]float64
@@ -202,7 +202,7 @@
 	scale, budget               float64
 }
 
-// plotFigure draws a plot where the figure was measured at two sizes or more.
+// plotFigure draws the plot if the figure was measured at two sizes or more.
 func (c *capacity) plotFigure(p capacityPlot) error {
 	line := c.measuredLine(p)
 	if len(line) < 2 {
@@ -235,7 +235,7 @@
 	return line
 }
 
-// meanAt is the mean of the points at a size; NaN: there are none.
+// meanAt returns the mean of the points at a size; NaN if there are none.
 func meanAt(ps []regression.Point, x float64) float64 {
 	sum, n := 0.0, 0
 	for _, p := range ps {
--- a/internal/lab/capacityplan.go
+++ b/internal/lab/capacityplan.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// capacityFigure is a figure that slopes are made of.
+// capacityFigure is a figure that slopes are fitted to.
 type capacityFigure struct {
 	name, unit string
-	product    bool    // slopes over several sizes are multiplied: else what each adds is added
-	timed      bool    // processor time: it does not repeat
+	product    bool    // growth over several sizes is multiplied; otherwise increments are added
+	timed      bool    // CPU time: differs between equal runs
 	budget     float64 // of one dispatcher; 0: none
 }
 
-// capacityFigures lists them. State and bytes have parts, one for each size: they add up. The time
-// of one step grows with all sizes at once, as a scan of the list for each notified dispatcher
-// does.
+// capacityFigures lists the figures of slopes. State and bytes consist of parts that each depend on
+// one size, so they are added. The time of one step grows with all sizes at once, like a scan of the
+// list per notified dispatcher, so it is a product.
 func capacityFigures() []capacityFigure {
 	return []capacityFigure{
 		{name: "heap", unit: "bytes", budget: budgetHeap},
@@ -30,7 +30,7 @@
 		{name: "cpu.config", unit: "ns a change", product: true, timed: true},
 		{name: "cpu.control", unit: "of a core", product: true, timed: true, budget: budgetCore},
 		{name: "cpu.all", unit: "of a core", product: true, timed: true, budget: budgetCore},
-		{name: "cpu.busiest", unit: "of a core", product: true, timed: true}, // a second, and mostly a collector's
+		{name: "cpu.busiest", unit: "of a core", product: true, timed: true}, // one second, mostly of a leader
 		{name: "bytes", unit: "a second", budget: budgetBytes},               // in and out
 		{name: "bytes.in", unit: "a second"},
 		{name: "bytes.out", unit: "a second"},
@@ -44,12 +44,12 @@
 	}
 }
 
-// serviceFigures are shown of the largest fleet and not foretold: they are no cost, and no shape falls.
+// serviceFigures are reported for the largest fleet without a prediction: they are not costs, and no slope is fitted.
 func serviceFigures() []string {
 	return []string{"resident", "loads", "digests", "covered", "worth", "unserved", "p99.cold", "acts.last"}
 }
 
-// capacityDim is a size that is moved alone. Its last value is not part of the fit.
+// capacityDim is a size that is varied alone. Its last value is predicted and not part of the fit.
 type capacityDim struct {
 	name  string
 	sizes []float64 // rising
@@ -83,7 +83,7 @@
 	}
 }
 
-// capacityUnits say what the number of each dimension counts.
+// capacityUnits returns what the number of a dimension counts; dimensions without an entry count their name.
 func capacityUnits() map[string]string {
 	return map[string]string{
 		"list": "list events a minute", "calls": "calls/s at each dispatcher",
@@ -96,30 +96,30 @@
 	base    HollowSize
 	dims    []capacityDim
 	seeds   []uint64
-	choice  HollowSize // but for its executors, which are these
+	choice  HollowSize // its number of workers is taken from walks
 	walks   []int
 	largest HollowSize
 
-	letter    HollowSize // without dispatchers: no such section
-	zipf      HollowSize // the same; but for its exponent, which is one of these
+	letter    HollowSize // section omitted if it has no dispatchers
+	zipf      HollowSize // likewise; its exponent is taken from exponents
 	exponents []float64
-	service   []serviceFleet // busy fleets, none: no such section
-	faults    HollowSize     // without dispatchers: no such section
+	service   []serviceFleet // busy fleets; section omitted if empty
+	faults    HollowSize     // section omitted if it has no dispatchers
 	calibrate bool
 }
 
-// serviceFleet is a busy fleet of the experiment fleet, on a calm day; walk is the scan limit of
-// the program's arm beside the full scan.
+// serviceFleet is a busy fleet of the experiment fleet, without faults; walk is the full-scan limit of
+// the arm with the program's choice, which is compared with the full scan.
 type serviceFleet struct{ dispatchers, executors, walk int }
 
-// dim is a dimension with its sizes.
+// dim adds a dimension with its sizes.
 func (p *capacityPlan) dim(name string, sizes ...float64) {
 	d := capacityDims()[name]
 	d.name, d.sizes = name, sizes
 	p.dims = append(p.dims, d)
 }
 
-// names are those that a run can be held to.
+// names returns the dimensions and sections that a run can be restricted to.
 func (p *capacityPlan) names() (out []string) {
 	for _, d := range p.dims {
 		out = append(out, d.name)
@@ -143,12 +143,12 @@
 	return out
 }
 
-// planCapacity returns the experiment's plan. Calls per second at each dispatcher are fewer than
-// the 200 of the letter, so that many dispatchers fit into one process; calls are a dimension of
-// their own, up to those 200. The largest fleet has the base's calls and list events, so that its
-// prediction extends over three sizes alone; the fleet with the letter's calls varies these too,
-// for as long as about two minutes of one core permit. Messages are at their lowest price: at a
-// higher one the message budget, not the size, limits what is sent.
+// planCapacity returns the experiment's plan. Each dispatcher gets fewer calls per second than the
+// required 200, so that many dispatchers fit into one process; calls are a dimension of their own, up
+// to 200. The largest fleet has the calls and list events of the base size, so that its prediction
+// extrapolates over three sizes alone; the fleet with the required calls varies calls too, over a span
+// limited to about two minutes on one core. Messages have their lowest price: at a higher one the
+// message budget, not the size, limits what is sent.
 func planCapacity(options Options) capacityPlan {
 	p := capacityPlan{
 		seeds:     []uint64{options.Seed, options.Seed + 1, options.Seed + 2},
@@ -190,13 +190,13 @@
 	}
 	p.calibrate = true
 	p.dim("dispatchers", 30, 60, 120, 240, 480, 960)
-	p.dim("executors", 260, 300, 480, 960, 1_920, 3_840) // all are too long to be walked, as the letter's are
+	p.dim("executors", 260, 300, 480, 960, 1_920, 3_840) // all above the full-scan limit, as the required lists are
 	p.dim("functions", 1_200, 2_400, 4_800, 12_000, 24_000, 48_000)
 	p.dim("list", 15, 30, 60, 120, 240, 480)
 	p.dim("calls", 5, 10, 20, 50, 100, 200)
 }
 
-// quick replaces the sizes by those of the short form.
+// quick sets the sizes of the short experiment.
 func (p *capacityPlan) quick() {
 	p.seeds = p.seeds[:1]
 	p.base = HollowSize{
@@ -224,7 +224,7 @@
 	p.dim("calls", 2, 5, 10, 20, 40)
 }
 
-// pick reads the names of dimensions, parted by commas; empty: all.
+// pick parses comma-separated names of dimensions and sections; an empty string selects all.
 func (p *capacityPlan) pick(only string) ([]string, error) {
 	names := p.names()
 	if only == "" {
--- a/internal/lab/capacityservice.go
+++ b/internal/lab/capacityservice.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// service compares busy fleets with the full scan of the list and with the program's choice, and
-// with two references: one dispatcher of this program that all calls go through, and an omniscient
-// router. The fleets' executors are small, short of memory and empty at the start, so that the loss
-// of a choice is visible.
+// service compares, for busy fleets, the full scan of the list, the program's choice and two
+// references: a single dispatcher of this program that gets all calls, and an omniscient router. The
+// fleets' workers are small, short of memory and empty at the start, so that the cost of a bad choice
+// is visible.
 func (c *capacity) service(ctx context.Context) error {
 	for _, s := range c.plan.service {
 		name := fmt.Sprintf("service, %d dispatchers, %d executors: ", s.dispatchers, s.executors)
@@ -77,10 +77,10 @@
 	c.rep.AtLeast(name+"worth less that of one dispatcher with all calls", value(1)-value(2), -oneRoom)
 }
 
-// allBreaches names the bound of the rules' breaches together.
+// allBreaches is the name of the bound on the sum of all rule violations.
 const allBreaches = "path-books twice, late sends, boxes pushed over, calls without an end"
 
-// The arms of a busy fleet; the last two are yardsticks.
+// The arms of a busy fleet; the last two are references.
 const (
 	fullScan      = "whole walk"
 	oursArm       = "ours"
@@ -91,12 +91,12 @@
 func serviceArms() []string { return []string{fullScan, oursArm, oneDispatcher, omniscient} }
 
 const (
-	fewSeeds    = 1_000 // from how many dispatchers on a busy fleet is run with the first seed alone
-	oneRoom     = 0.1   // by which weighted value may fall below that of one dispatcher
+	fewSeeds    = 1_000 // dispatchers from which a busy fleet is run with the first seed only
+	oneRoom     = 0.1   // by how much weighted value may fall below that of one dispatcher
 	valueInTime = "worth in time"
 )
 
-// faults plays each fault at size.
+// faults runs each fault in a large fleet, and one run without a fault.
 func (c *capacity) faults(ctx context.Context) error {
 	for _, fault := range append([]string{""}, HollowFaults()...) {
 		size := c.plan.faults
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// calibration sets real processes beside hollow ones.
+// calibration adds the rows and bounds of Calibrate to the report.
 func (c *capacity) calibration(ctx context.Context) error {
 	r, err := Calibrate(ctx, c.o)
 	if err != nil {
--- a/internal/lab/capacityslopes.go
+++ b/internal/lab/capacityslopes.go
@@ -8,7 +8,7 @@
 	"oakthread/internal/regression"
 )
 
-// fits makes the runs of a dimension but for the largest size, once, and the slopes of their figures.
+// fits makes the runs of a dimension except the largest size and fits slopes to their figures; results are cached.
 func (c *capacity) fits(ctx context.Context, d capacityDim) ([]*CapacitySlope, error) {
 	if s, ok := c.slopes[d.name]; ok {
 		return s, nil
@@ -46,7 +46,7 @@
 	}
 }
 
-// fit fits the points so far.
+// fit fits the points so far and derives the size at which the budget is reached.
 func (s *CapacitySlope) fit() {
 	fit, err := regression.Select(s.Points)
 	if err != nil {
@@ -61,7 +61,7 @@
 	}
 }
 
-// foretell writes down what the fit says of x.
+// foretell records the fit's prediction for x.
 func (s *CapacitySlope) foretell(x float64) {
 	if s.Fit != nil {
 		s.Foretold = &Foretold{
@@ -71,7 +71,7 @@
 	}
 }
 
-// evaluate sets what was measured beside it.
+// evaluate records the measured figure and whether the prediction holds.
 func (s *CapacitySlope) evaluate(y float64) {
 	if p := s.Foretold; p != nil {
 		p.Measured, p.Holds = Figure(y), math.Abs(y-float64(p.Y)) <= p.Room*float64(p.Y)
@@ -85,7 +85,7 @@
 	return s.Fit.String()
 }
 
-// meanOf is a figure's mean over runs; NaN where none has it.
+// meanOf returns a figure's mean over runs; NaN if no run has it.
 func meanOf(runs []map[string]float64, name string) float64 {
 	sum, n := 0.0, 0
 	for _, f := range runs {
@@ -97,7 +97,8 @@
 	return sum / float64(n)
 }
 
-// addMessageRuns adds runs of one size; fewer than a message a second have no size.
+// addMessageRuns adds runs of one size and returns their mean number of messages per second. Runs with
+// fewer than one message per second are not added.
 func addMessageRuns(all []*CapacitySlope, runs []map[string]float64, seeds []uint64) (in float64) {
 	if in = meanOf(runs, "messages.in"); !(in >= 1) {
 		return in
--- a/internal/lab/hollow.go
+++ b/internal/lab/hollow.go
@@ -1,10 +1,10 @@
 package lab
 
-// Hollow dispatchers: many of them in one process and in virtual time, each with the real endpoint
-// list and balancer as virtualtime.go hosts them, with a meter of what each costs, faults at size
-// and a limit of memory. The decisions are not simplified; the core's goroutines, the front ends
-// and the sockets are not there. Neither a measured time nor the garbage collector changes what a
-// run does: counts and bytes repeat exactly.
+// Hollow dispatchers: many dispatchers simulated in one process and in virtual time, each with the
+// real endpoint list and balancer (hosted by virtualtime.go), with cost measurement, faults in large
+// fleets and a memory limit. Decisions are not simplified; the core's goroutines, the front ends and
+// the sockets are left out. Neither measured times nor the garbage collector influence a run, so
+// counts and bytes repeat exactly for a seed.
 
 import (
 	"context"
@@ -19,82 +19,82 @@
 	"oakthread/endpoints"
 )
 
-// HollowSize is one run of hollow dispatchers in virtual time. At large sizes Calls may be far
-// fewer than the 200 per second that each bears in the plan: the cost of a call is reported per
-// call, and the rest follows from the clock.
+// HollowSize describes one run of hollow dispatchers in virtual time. In large fleets Calls may be far
+// fewer than the planned 200 per second at each dispatcher: the cost of calls is reported per call,
+// and the other costs depend on time.
 type HollowSize struct {
 	Dispatchers, Executors, Functions int
-	Calls                             float64 // a second at each dispatcher, on the mean
-	// changes of the list per second, published to all: an executor drains and comes back, or a
+	Calls                             float64 // mean per second at each dispatcher
+	// changes of the list per second, sent to all dispatchers: a worker drains or comes back, or a
 	// weight changes
 	ListEvents float64
-	Zipf       float64       // exponent of the functions' popularity; 0: drawn evenly
-	Span       time.Duration // virtual time that is measured, after a warm-up
+	Zipf       float64       // exponent of the functions' popularity; 0: uniform
+	Span       time.Duration // measured virtual time, after the warm-up
 	Warm       time.Duration // the warm-up; 0: 6 s
-	// calls a second at each in the warm-up, but for its last second; 0: Calls
+	// calls per second at each dispatcher in the warm-up except its last second; 0: Calls
 	WarmCalls float64
-	Before    bool    // the full list is scanned for every choice
-	Walk      int     // else balancer.Settings.FullScanLimit; 0: the program's own
+	Before    bool    // scan the full list for every choice
+	Walk      int     // otherwise balancer.Settings.FullScanLimit; 0: the program's default
 	Fault     string  // "" or one of HollowFaults()
-	Memory    uint64  // bytes that the process may take; 0: half of the machine's
-	Lost      float64 // part of the messages that never come
-	// PeerPrice is balancer.Settings.PeerPrice: the price of a message, in the weighted value of a
-	// call; 0: the lowest that the balancer uses. At the 0.021 of the experiment fleet no message
-	// budget pays for a digest for 1,000, and none is written.
+	Memory    uint64  // limit of the process's memory in bytes; 0: half of the machine's
+	Lost      float64 // part of the messages that are lost
+	// PeerPrice is balancer.Settings.PeerPrice: the price of a message as a part of the weighted value
+	// of a call; 0: the lowest that the balancer uses. At 0.021, the price of the experiment fleet, no
+	// message budget covers a digest for 1,000 dispatchers, and none is written.
 	PeerPrice float64
 }
 
-// HollowResult is what a run came to. Figures are a dispatcher's unless said; one that was not measured is not there.
+// HollowResult holds the figures of a run, per dispatcher unless stated. Figures that were not measured are missing.
 //
-//	heap               bytes live after a collection with all dispatchers, less those live once they
-//	                   are released; over the dispatchers
-//	resident           bytes of the process after that collection, the emulated world included; over
-//	                   the dispatchers
-//	cpu.choice         ns a call in HandleRequest, HandleAttemptResult and HandleLoadResult, with the
-//	                   messages that these write
-//	cpu.upkeep         ns in a second of virtual time in HandleTimer events that wrote no message;
-//	                   calls sent again are among them
-//	cpu.write          the same in those that wrote one
-//	cpu.read           ns a message read
-//	cpu.list           ns a change of the list; cpu.list.whole: a full list, the first one or that of the fault
-//	cpu.config         ns a new configuration: AddClasses and SetMaxAttempts
+//	heap               live heap bytes with all dispatchers, less those live after the dispatchers are
+//	                   released; divided by the number of dispatchers
+//	resident           resident bytes of the process after that collection, including the simulated
+//	                   world; divided by the number of dispatchers
+//	cpu.choice         ns per call in HandleRequest, HandleAttemptResult and HandleLoadResult, including
+//	                   the messages that these write
+//	cpu.upkeep         ns per second of virtual time in HandleTimer events that wrote no message,
+//	                   including retries of calls
+//	cpu.write          the same for HandleTimer events that wrote a message
+//	cpu.read           ns per received message
+//	cpu.list           ns per change of the list; cpu.list.whole: per full list, the first one or the fault's
+//	cpu.config         ns per configuration change: AddClasses and SetMaxAttempts
 //	cpu.control        upkeep, write, read, list and config as a part of a core; config at 5,100 a day
-//	cpu.all            the same with choices
-//	cpu.busiest        greatest second of any one dispatcher, choices with it, as a part of a core
-//	bytes.in, .out, messages.in, .out   a second; texts alone, without headers
-//	*.busiest          greatest second of any one dispatcher, or of one that collected in it
-//	texts.oversize     longer than the channel carries, dropped
+//	cpu.all            cpu.control and choices, as a part of a core
+//	cpu.busiest        busiest second of any dispatcher, including choices, as a part of a core
+//	bytes.in, .out, messages.in, .out   per second; message texts without headers
+//	*.busiest          busiest second of any dispatcher; collector.*: of one that was leader in it
+//	texts.oversize     messages dropped because they exceed the channel's size limit
 //	digests            part of the terms in which at least half of the dispatchers received a digest
-//	covered            mean part of the fleet that views cover at the end
-//	worth, unserved    weighted value in time, of that offered; part of the calls
-//	p99.cold           s, of served calls that found no copy or waited for one
-//	loads              a call
-//	acts.last          s until the last dispatcher was notified of a change, the slowest of the
-//	                   changes; of a burst, from its first
-//	calls, twice, late, fallen, open    counts: calls; path-books run twice; sends over 1 s after a
-//	                   drain was announced; executors collapsed under load; calls without an end
+//	covered            mean part of the fleet that the dispatchers' views cover at the end
+//	worth, unserved    value in time as a part of that offered; part of the calls not served
+//	p99.cold           s, 99th percentile of served calls that found no copy or waited for one
+//	loads              loads begun per call
+//	acts.last          s until the last dispatcher was notified of a change, for the slowest change;
+//	                   for a burst, from its first change
+//	calls, twice, late, fallen, open    counts: calls; path-book calls run twice; sends over 1 s after a
+//	                   drain was announced; workers collapsed under load; calls that did not end
 type HollowResult struct {
 	Figures map[string]float64
-	Partial string // why the run ended early; empty: it did not
+	Partial string // why the run ended early; empty: complete
 }
 
-// Faults of hollow runs.
+// Faults of hollow runs, for HollowSize.Fault.
 const (
-	FaultOneDown  = "one down" // one dispatcher dies before the span and stays away
-	FaultRestarts = "restarts" // one in nineteen is restarted, one after the other: a day's 100 of 1,900
-	FaultZone     = "zone"     // a tenth of dispatchers and executors lost at once, and restarted later
-	// two halves do not receive each other's messages for the middle of the span; executors are
-	// reached
+	FaultOneDown  = "one down" // one dispatcher is killed before the span and not restarted
+	FaultRestarts = "restarts" // one dispatcher in 19 is restarted, one at a time: a day's 100 of 1,900
+	FaultZone     = "zone"     // a tenth of dispatchers and workers is lost at once and restarted later
+	// two halves of the dispatchers do not receive each other's messages in the middle third of the
+	// span; workers stay reachable
 	FaultRegions  = "regions"
-	FaultFullList = "whole list" // the full list again to all at once
-	FaultChanges  = "changes"    // 5,100 a day at their mean pace, each of the list and of the configuration
-	FaultBurst    = "burst"      // 20 such in a second
-	// a third of the executors drains in ten steps, as many new ones start, half of the dispatchers
-	// restart
+	FaultFullList = "whole list" // the full list is sent to all dispatchers at once
+	FaultChanges  = "changes"    // list and configuration changes at the mean rate of 5,100 a day
+	FaultBurst    = "burst"      // 20 such changes within a second
+	// a third of the workers drains in ten steps while as many new ones start, and half of the
+	// dispatchers restart
 	FaultRelease = "release"
 )
 
-// HollowFaults lists them.
+// HollowFaults returns the names of all faults.
 func HollowFaults() []string {
 	return []string{
 		FaultOneDown, FaultRestarts, FaultZone, FaultRegions, FaultFullList, FaultChanges, FaultBurst,
@@ -102,28 +102,28 @@
 	}
 }
 
-// ErrHollowMemory is a run that takes, or would take, more memory than it may.
+// ErrHollowMemory reports a run that uses, or is estimated to use, more memory than its limit.
 var ErrHollowMemory = errors.New("too little memory")
 
 const (
-	hollowRise = time.Second     // before the span, at the end of the warm-up, calls come at the span's pace
-	hollowEnd  = 8 * time.Second // after it, at the most: until every call has ended
-	hollowUse  = 0.4             // of its cores, what an executor's share of the calls takes
-	// instances a function, 230,000 of 48,000 as planned: an executor's memory is sized by it
+	hollowRise = time.Second     // end of the warm-up in which calls already arrive at the span's rate
+	hollowEnd  = 8 * time.Second // longest time after the span for open calls to end
+	hollowUse  = 0.4             // part of a worker's cores that its share of the calls uses
+	// instances per function as planned (230,000 of 48,000 functions); workers' memory is sized for them
 	hollowCopies   = 4.8
-	hollowDay      = 5100 // changes of configuration a day
+	hollowDay      = 5100 // configuration changes per day
 	hollowBurst    = 20
-	hollowOutage   = 5 * time.Second // of a zone, and half of the span at the most
-	hollowDown     = time.Second     // of a restart
-	hollowAway     = 3 * time.Second // of a drained executor until it is back
-	hollowLook     = 512             // events between looks at the heap and the context
-	hollowCollects = 64 << 20        // bytes allocated at the least between collections
+	hollowOutage   = 5 * time.Second // duration of a zone's outage; at most half of the span
+	hollowDown     = time.Second     // downtime of a restarted dispatcher; at most a quarter of the span
+	hollowAway     = 3 * time.Second // time until a drained worker comes back
+	hollowLook     = 512             // events between checks of the heap and the context
+	hollowCollects = 64 << 20        // fewest bytes allocated between collections
 )
 
-// HollowRun runs hollow dispatchers in virtual time; one run at a time in a process, for it holds
-// off the collector. Before it starts it refuses what will not fit into the memory that it may
-// take. A run that is broken off, by ctx or by memory, returns its figures so far, marked Partial,
-// with the error.
+// HollowRun runs hollow dispatchers in virtual time. Only one run at a time is possible in a process,
+// because it disables the automatic garbage collector. It returns ErrHollowMemory without running if
+// the estimated memory exceeds the limit. A run that ends early, because ctx is done or memory runs
+// out, returns its figures so far, marked Partial, with the error.
 func HollowRun(ctx context.Context, size HollowSize, seed uint64) (*HollowResult, error) {
 	if err := size.check(); err != nil {
 		return nil, err
@@ -139,7 +139,7 @@
 	return h.run(ctx)
 }
 
-// run plays warm-up, span and end, and takes the figures.
+// run simulates the warm-up, the span and the end of open calls, and records the figures.
 func (h *hollowWorld) run(ctx context.Context) (*HollowResult, error) {
 	for _, until := range []time.Time{h.from, h.until} {
 		if until.Equal(h.until) {
@@ -166,7 +166,7 @@
 	return result, nil
 }
 
-// check refuses what cannot run, and what would take too much memory.
+// check sets defaults and returns an error for invalid sizes and for those that need too much memory.
 func (s *HollowSize) check() error {
 	switch {
 	case s.Dispatchers < 1 || s.Executors < 1 || s.Functions < 1:
@@ -175,9 +175,9 @@
 	case s.Span <= 0 || !(s.Calls >= 0) || !(s.ListEvents >= 0) || !(s.Zipf >= 0) || !(s.Lost >= 0) ||
 		!(s.WarmCalls >= 0):
 		return fmt.Errorf("hollow run: span (%v) must be above 0, and calls (%v, %v in the warm-up), list events "+
-			"(%v), Zipf (%v) and lost (%v) not below", s.Span, s.Calls, s.WarmCalls, s.ListEvents, s.Zipf, s.Lost)
+			"(%v), Zipf (%v) and lost (%v) must not be negative", s.Span, s.Calls, s.WarmCalls, s.ListEvents, s.Zipf, s.Lost)
 	case s.Fault != "" && !slices.Contains(HollowFaults(), s.Fault):
-		return fmt.Errorf("hollow run: no fault %q; there are %q", s.Fault, HollowFaults())
+		return fmt.Errorf("hollow run: unknown fault %q; valid are %q", s.Fault, HollowFaults())
 	}
 	if s.Warm <= 0 {
 		s.Warm = fleetWarm
@@ -201,7 +201,8 @@
 		s.Functions, s.Calls)
 }
 
-// play lets time pass, collects garbage between events, and breaks off where ctx ends or memory does.
+// play processes events until a time. It collects garbage between events and stops if ctx is done or
+// the memory limit is exceeded.
 func (h *hollowWorld) play(ctx context.Context, until time.Time) {
 	for i := 0; h.err == nil; i++ {
 		if i%hollowLook == 0 {
@@ -232,7 +233,7 @@
 	return true
 }
 
-// guard ends the run where the process has more memory than it may take.
+// guard ends the run if the process exceeds its memory limit.
 func (h *hollowWorld) guard() {
 	if n := resident(); n > h.size.Memory && h.err == nil {
 		h.err = fmt.Errorf("hollow run: %w: %s took %s after %v of virtual time, and may take %s", ErrHollowMemory,
@@ -241,13 +242,13 @@
 	}
 }
 
-// begin starts the span.
+// begin starts the measurement of the span.
 func (h *hollowWorld) begin() {
 	h.meter.on = true
 	h.oversize, h.fullListTime = h.simWorld.oversize, h.meter.times[partFullList]
 }
 
-// start makes dispatcher n and gives it the full list.
+// start creates dispatcher n and sends it the full list.
 func (h *hollowWorld) start(n int) error {
 	node, err := h.node(n, h.seed+h.lives, false)
 	if err != nil {
@@ -258,7 +259,7 @@
 	return nil
 }
 
-// notify gives a dispatcher an update of the list.
+// notify sends a dispatcher an update of the list and measures its processing.
 func (h *hollowWorld) notify(node *simNode, u endpoints.Update) {
 	h.meter.fullList = u.Full
 	h.meter.begin(node.n, partList)
--- a/internal/lab/hollowclients.go
+++ b/internal/lab/hollowclients.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// home returns the dispatcher that clients of the nth go to: itself, or another one while it is
+// home returns the dispatcher that the clients of dispatcher n use: n itself, or another one while n is
 // down.
 func (h *hollowWorld) home(n int) *simNode {
 	d := len(h.nodes)
@@ -18,7 +18,7 @@
 	return h.nodes[n]
 }
 
-// gap is the time until a dispatcher's next call, where x is that time in mean gaps.
+// gap returns the time until a dispatcher's next call; x is that time as a multiple of the mean gap.
 func (h *hollowWorld) gap(x float64) time.Duration {
 	first, left := h.size.WarmCalls, h.from.Add(-hollowRise).Sub(h.now)
 	if first <= 0 || left <= 0 {
@@ -30,7 +30,7 @@
 	return left + time.Duration((x-first*left.Seconds())/h.size.Calls*float64(time.Second))
 }
 
-// clients of a dispatcher send until the end of the span.
+// clients schedules the calls of a dispatcher's clients until the end of the span.
 func (h *hollowWorld) clients(n int, rng *rand.Rand, seq int) {
 	h.after(h.gap(rng.ExpFloat64()), func() {
 		if !h.now.Before(h.until) {
@@ -51,7 +51,7 @@
 	})
 }
 
-// over counts a call that has ended.
+// over records a call that has ended; only calls intended in the span enter the figures.
 func (h *hollowWorld) over(call *simCall) {
 	if h == nil {
 		return
@@ -77,7 +77,7 @@
 	}
 }
 
-// loaded counts a job that began a load.
+// loaded counts a job that began a load within the span.
 func (h *hollowWorld) loaded(job *Job) {
 	if h != nil && h.meter.on && job.Warmth == BeganLoad {
 		h.loads++
--- a/internal/lab/hollowevents.go
+++ b/internal/lab/hollowevents.go
@@ -9,9 +9,9 @@
 	"oakthread/endpoints"
 )
 
-// change notifies all dispatchers of changed executors, each after its own delay of up to
-// notifyDelay, which stands for the platform's channel. since is the time of the first change that
-// the measured time counts from.
+// change notifies all dispatchers of changed workers, each after its own delay of up to notifyDelay,
+// which simulates the platform's watch. The notification time is measured from since, the time of the
+// first change.
 func (h *hollowWorld) change(since time.Time, workers ...int) {
 	h.cursor++
 	u := endpoints.Update{Cursor: h.cursor}
@@ -28,8 +28,8 @@
 	}
 }
 
-// list is one change: an executor drained for long enough comes back, another drains, or a weight
-// changes. since: nil: now.
+// list makes one change: a worker that was drained for hollowAway comes back, another one drains, or a
+// weight changes. since is the start of the measured time; nil means now.
 func (h *hollowWorld) list(since *time.Time) {
 	from := h.now
 	if since != nil {
@@ -44,7 +44,7 @@
 		h.change(from, i)
 		return
 	}
-	for range 8 { // one that has not changed just now
+	for range 8 { // find an active worker that did not change within 2*notifyDelay
 		i := h.rng.IntN(len(h.workers))
 		if h.listed[i].State != balancer.Active || h.now.Sub(h.changed[i]) < 2*notifyDelay ||
 			h.workers[i].fate != stays {
@@ -64,7 +64,7 @@
 	}
 }
 
-// configure gives all a new configuration.
+// configure applies a new configuration at all running dispatchers.
 func (h *hollowWorld) configure() {
 	for _, node := range h.nodes {
 		if node.dead {
@@ -79,7 +79,7 @@
 		node.d.SetMaxAttempts(h.now.UnixNano(), 5)
 		h.meter.end()
 		if err != nil && h.err == nil {
-			h.err = fmt.Errorf("hollow run: a new configuration: %w", err)
+			h.err = fmt.Errorf("hollow run: apply a new configuration: %w", err)
 		}
 	}
 }
@@ -116,7 +116,7 @@
 	}
 }
 
-// scheduleRestarts restarts one dispatcher in nineteen, one after the other.
+// scheduleRestarts schedules the restart of one dispatcher in 19, spread over the span.
 func (h *hollowWorld) scheduleRestarts() {
 	dispatchers := h.size.Dispatchers
 	count := max(1, dispatchers/19)
@@ -129,7 +129,7 @@
 	}
 }
 
-// loseZone kills a tenth of the dispatchers and cuts off the executors of zone 0.
+// loseZone kills a tenth of the dispatchers and cuts off the workers of zone 0.
 func (h *hollowWorld) loseZone() {
 	for n := range max(1, h.size.Dispatchers/10) {
 		h.kill(n)
@@ -141,7 +141,7 @@
 	}
 }
 
-// restoreZone starts what loseZone ended.
+// restoreZone restarts the dispatchers and workers that loseZone took down.
 func (h *hollowWorld) restoreZone() {
 	var back []int
 	for i, worker := range h.workers {
@@ -157,7 +157,7 @@
 	h.change(h.now, back...)
 }
 
-// publishFullList gives all dispatchers the full list at once, and measures it alone.
+// publishFullList sends all dispatchers the full list at once; cpu.list.whole then counts only this list.
 func (h *hollowWorld) publishFullList() {
 	h.meter.times[partFullList], h.meter.counts[partFullList], h.fullListTime = 0, 0, 0
 	h.cursor++
@@ -166,9 +166,9 @@
 	}
 }
 
-// release replaces every third executor from a moment on, in ten steps over a span: as many new
-// ones start, the old ones drain and stay listed, and every other dispatcher is restarted, one
-// after the other.
+// release replaces every third worker in ten steps over span, beginning at from: as many new workers
+// start, and the old ones drain and stay listed. Every other dispatcher is restarted, one after the
+// other.
 func (h *hollowWorld) release(from time.Time, span time.Duration) {
 	old, d := h.size.Executors, h.size.Dispatchers
 	for step := range 10 {
@@ -201,7 +201,8 @@
 	}
 }
 
-// kill ends a dispatcher: its calls are cut off at their clients, and what was sent for them goes on.
+// kill stops a dispatcher: its clients' calls break off and are sent again, while attempts already sent to
+// workers continue.
 func (h *hollowWorld) kill(n int) {
 	node := h.nodes[n]
 	node.dead = true
@@ -218,7 +219,7 @@
 	h.lives++
 }
 
-// revive starts a dispatcher anew.
+// revive restarts a killed dispatcher.
 func (h *hollowWorld) revive(n int) {
 	if err := h.start(n); err != nil && h.err == nil {
 		h.err = err
--- a/internal/lab/hollowmemory.go
+++ b/internal/lab/hollowmemory.go
@@ -10,17 +10,17 @@
 
 func gigabytes(n uint64) string { return fmt.Sprintf("%.2f GB", float64(n)/1e9) }
 
-// needs estimates the bytes that a run takes, garbage included, by slopes measured on small runs:
-// for each dispatcher its list, its rows of the others and what it believes of functions, from its
-// own calls and from messages; what collectors hold of all; calls under way; the emulated world. It
-// is an estimate: guard watches the run itself.
+// needs estimates the bytes that a run uses, including garbage, from slopes measured on small runs:
+// per dispatcher its list, its rows of the other dispatchers and its state of functions from its own
+// calls and from messages; the leaders' state of all dispatchers; open calls; and the simulated world.
+// It is only an estimate: guard checks the run itself.
 func (s *HollowSize) needs() uint64 {
 	d, e, long := float64(s.Dispatchers), float64(s.Executors), (s.Warm + s.Span).Seconds()
-	slow, first := 0.0, s.Calls // the part of the warm-up at its own pace
+	slow, first := 0.0, s.Calls // s of the warm-up at WarmCalls, and its call rate
 	if s.WarmCalls > 0 {
 		slow, first = max(0, s.Warm-hollowRise).Seconds(), s.WarmCalls
 	}
-	known := 0.0 // its own calls' functions, and pairs from messages, which are paid for by calls
+	known := 0.0 // functions of its own calls, and pairs from messages, which calls pay for
 	for _, x := range [][2]float64{{slow, first}, {long - slow, s.Calls}} {
 		known += x[0] * (x[1] + min(10*(3+e/8), 30*x[1]))
 	}
@@ -29,7 +29,7 @@
 	return uint64(1.5*(d*each+long*e*d*10) + 100e6)
 }
 
-// machineMemory is the machine's, in bytes.
+// machineMemory returns the machine's memory in bytes.
 func machineMemory() (uint64, error) {
 	raw, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
@@ -44,7 +44,7 @@
 	return 0, errors.New("no MemTotal in /proc/meminfo")
 }
 
-// resident is the process's memory, in bytes; 0: not known.
+// resident returns the resident memory of this process in bytes; 0 if unknown.
 func resident() uint64 {
 	raw, _ := os.ReadFile("/proc/self/statm")
 	if f := bytes.Fields(raw); len(f) > 1 {
--- a/internal/lab/hollowmessages.go
+++ b/internal/lab/hollowmessages.go
@@ -4,13 +4,13 @@
 	"oakthread/aggregate"
 )
 
-// parted reports whether one dispatcher does not receive the other's messages.
+// parted reports whether the partition of FaultRegions drops messages between two dispatchers.
 func (h *hollowWorld) parted(from, to int) bool {
 	return h != nil && h.halves && (2*from < len(h.nodes)) != (2*to < len(h.nodes))
 }
 
-// countSent counts a text as it is sent and classifies it; countReceived counts it as it arrives.
-// The collector of a term is recognised by this: it writes digests, and reports come to it alone.
+// countSent counts a message when it is sent and returns its kind; countReceived counts it when it
+// arrives. This identifies a term's leader: only it writes digests, and reports are sent only to it.
 func (h *hollowWorld) countSent(node *simNode, to int, data string) (n note) {
 	if h == nil {
 		return n
@@ -34,7 +34,7 @@
 	return n
 }
 
-// countReceived counts a text that arrives at dispatcher n.
+// countReceived counts a message that arrives at dispatcher n.
 func (h *hollowWorld) countReceived(n int, data string, what note) {
 	if h == nil {
 		return
@@ -50,6 +50,7 @@
 	}
 }
 
+// countDigest counts dispatcher n once per term as a holder of the digest.
 func (h *hollowWorld) countDigest(n int) {
 	if t := h.now.UnixNano() / h.term; t != h.terms[n] {
 		h.terms[n] = t
--- a/internal/lab/hollowmeter.go
+++ b/internal/lab/hollowmeter.go
@@ -6,13 +6,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// part is a part of a dispatcher's work that the meter counts separately.
+// part is a kind of work of a dispatcher that the meter counts separately.
 type part int
 
 const (
 	partChoice part = iota
 	partUpkeep
-	partWrite // upkeep that wrote
+	partWrite // upkeep that wrote a message
 	partRead
 	partList
 	partFullList
@@ -20,38 +20,38 @@
 	parts
 )
 
-// meter counts what dispatchers cost. Its nil value measures nothing. Time is the thread's own
-// processor time, read before and after each event and around each call of the host, whose work is
-// not the dispatcher's; a read takes some 0.6 us, which is taken off again. No collection falls
-// into it: collections are held off, and made between events alone.
+// meter measures the costs of dispatchers. A nil meter measures nothing. Time is the thread's CPU time,
+// read before and after each event and around each call of the host, whose work does not belong to the
+// dispatcher; reading the clock takes about 0.6 us, which is subtracted. Garbage collections do not
+// count: they run only between events.
 type meter struct {
-	on       bool // within the span
-	fullList bool // the list at hand is a full one
+	on       bool // measuring, within the span
+	fullList bool // the update being processed is a full list
 	in       bool
 	node     int
 	part     part
 	wrote    bool
 	from     int64
 	spent    int64
-	read     int64 // what reading the clock takes
+	read     int64 // ns that reading the clock takes
 	times    [parts]int64
 	counts   [parts]int
 
-	second                int64 // that the counts below are of
+	second                int64 // of the span, that the counts below belong to
 	cpu, inBytes, outByte []int64
 	collects              []bool
-	most                  [5]int64 // of any second: cpu, bytes in and out, and in and out of collectors
+	most                  [5]int64 // busiest second of any dispatcher: ns, bytes in and out, bytes in and out of leaders
 	sums                  [4]int   // bytes and messages in, bytes and messages out
 }
 
-// clock is the processor time that this thread has taken, in nanoseconds.
+// clock returns the CPU time of this thread in nanoseconds.
 func clock() int64 {
 	var ts unix.Timespec
 	_ = unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &ts)
 	return ts.Nano()
 }
 
-// newMeter returns a meter of n dispatchers that knows what reading the clock takes.
+// newMeter returns a meter for n dispatchers, calibrated with the time that reading the clock takes.
 func newMeter(n int) meter {
 	m := meter{
 		cpu: make([]int64, n), inBytes: make([]int64, n), outByte: make([]int64, n), collects: make([]bool, n),
@@ -88,7 +88,7 @@
 	}
 }
 
-// end books the step under its part.
+// end adds the step's time to its kind of work.
 func (m *meter) end() {
 	if m == nil {
 		return
@@ -99,7 +99,7 @@
 	}
 	if m.on || m.part == partFullList || m.part == partConfig {
 		m.times[m.part] += max(0, m.spent)
-		if m.part != partList && m.part != partFullList { // one change takes two steps: notify counts it
+		if m.part != partList && m.part != partFullList { // one change takes two steps, so notify counts it
 			m.counts[m.part]++
 		}
 	}
@@ -108,7 +108,7 @@
 	}
 }
 
-// roll ends a second: what it had is compared with the busiest.
+// roll ends a second when another begins: its counts update the busiest second and are cleared.
 func (m *meter) roll(second int64) {
 	if !m.on || second == m.second {
 		return
--- a/internal/lab/hollowresult.go
+++ b/internal/lab/hollowresult.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// views records which part of the fleet the dispatchers' views cover at the end of the span, and the
-// part of the terms whose digest at least half of them received.
+// views records the part of the fleet that the dispatchers' views cover at the end of the span, and the
+// part of the terms whose digest at least half of the dispatchers received.
 func (h *hollowWorld) views(result *HollowResult) {
 	covered, alive := 0, 0
 	for _, node := range h.nodes {
@@ -29,7 +29,7 @@
 	}
 }
 
-// figures records service, processor time, messages and bytes of the span.
+// figures records the service, CPU time, messages and bytes of the span.
 func (h *hollowWorld) figures(result *HollowResult) {
 	f, m := result.Figures, &h.meter
 	span := min(h.size.Span, max(0, h.now.Sub(h.from))).Seconds()
@@ -79,8 +79,8 @@
 	}
 }
 
-// weigh measures the dispatchers' memory. First everything of the world is released, then the
-// dispatchers.
+// weigh measures the dispatchers' memory: it releases the world's queues and calls, then the
+// dispatchers, and takes the difference of the live heap.
 func (h *hollowWorld) weigh(result *HollowResult) {
 	n := float64(h.size.Dispatchers)
 	clear(h.queue)
--- a/internal/lab/hollowworld.go
+++ b/internal/lab/hollowworld.go
@@ -12,7 +12,7 @@
 	"oakthread/endpoints"
 )
 
-// hollowWorld is what a run has beside the emulated world.
+// hollowWorld is the state of a hollow run in addition to the simulated world.
 type hollowWorld struct {
 	*simWorld
 	hollowCalls
@@ -26,45 +26,45 @@
 	rng         *rand.Rand
 	from, until time.Time // the span
 	lives       uint64    // restarts so far
-	halves      bool      // whether the two halves receive no messages from each other
-	oversize    int       // before the span
+	halves      bool      // whether the two halves of the dispatchers drop each other's messages
+	oversize    int       // oversize messages before the span
 }
 
-// hollowCalls are the calls of the span.
+// hollowCalls counts the calls of the span; begun counts open calls, also those of the warm-up.
 type hollowCalls struct {
 	asked, earned                 float64
 	calls, unserved, loads, begun int
 	loadWaits                     []float64 // s
 }
 
-// hollowDigests are the digests that dispatchers received.
+// hollowDigests counts the digests that dispatchers received.
 type hollowDigests struct {
-	term          int64
-	terms         []int64       // in which each last received a digest
-	digestReaders map[int64]int // by term
+	term          int64         // length in ns
+	terms         []int64       // last term in which each dispatcher received or wrote a digest
+	digestReaders map[int64]int // dispatchers with a digest, by term
 }
 
-// hollowChanges are the changes of the list.
+// hollowChanges is the state of list changes.
 type hollowChanges struct {
-	delay        []time.Duration // until each dispatcher is notified of a change
-	changed      []time.Time     // of each executor
-	away         []int           // drained executors, in order
+	delay        []time.Duration // notification delay of each dispatcher
+	changed      []time.Time     // last change of each worker
+	away         []int           // drained workers, oldest first, and when they drained
 	awayAt       []time.Time
-	acts         time.Duration // until the last dispatcher was notified of a change
+	acts         time.Duration // slowest notification of a dispatcher
 	fullListTime int64         // ns that full lists took before the span
 }
 
-// hollowHeap is the state of the garbage collector.
+// hollowHeap is the state for explicit garbage collections.
 type hollowHeap struct {
-	live    uint64 // heap after the last collection
+	live    uint64 // heap bytes after the last collection
 	samples []metrics.Sample
 }
 
-// note classifies a text.
+// note is the kind of a message.
 type note struct{ digest, report bool }
 
-// hollowFigures are executors that have four tenths of their cores at work whatever the size, with
-// memory for the copies that the plan has.
+// hollowFigures sizes the workers: cores for a utilization of hollowUse, and memory for hollowCopies
+// instances per function.
 func hollowFigures(size HollowSize) *Figures {
 	figures := PlannerFigures()
 	work := 0.0
@@ -79,7 +79,7 @@
 	return figures
 }
 
-// newHollow lays out the world of a run; ctx ends that early.
+// newHollow builds the world of a run; if ctx is done, it stops and returns its error.
 func newHollow(ctx context.Context, size HollowSize, seed uint64) (*hollowWorld, error) {
 	w := &simWorld{
 		f: hollowFigures(size), byID: map[balancer.WorkerID]*simWorker{}, popular: newZipf(size.Functions, size.Zipf),
@@ -139,7 +139,7 @@
 	return h, nil
 }
 
-// ticks are the times of so many events a second, evenly.
+// ticks yields evenly spaced times between from and until, rate per second.
 func ticks(from, until time.Time, rate float64) func(func(time.Time) bool) {
 	return func(yield func(time.Time) bool) {
 		for i := 0; ; i++ {
