--- a/internal/lab/calibrate.go
+++ b/internal/lab/calibrate.go
@@ -19,11 +19,11 @@
 const (
 	calibrateIdle           = time.Second // without calls, before the clients start
 	calibrateReady          = 20 * time.Second
-	calibrateApart          = 1.3  // largest ratio of message bytes per call, real to hollow or hollow to real
+	maxMessageByteRatio     = 1.3  // largest ratio of message bytes per call, real to hollow or hollow to real
 	calibrateValueTolerance = 0.05 // largest difference of the value in time, as a part of that offered
 	calibrateZones          = 10   // as many as the workers of a hollow run have
-	// calibrateCopies is the number of real dispatchers without peers per kind. Their mean is subtracted
-	// from the fleet's cost, and single ones differ by some hundredths.
+	// calibrateCopies is the number of real dispatchers without peers per kind. Their mean is
+	// subtracted from the fleet's cost, and single ones differ by some hundredths.
 	calibrateCopies = 3
 )
 
@@ -41,7 +41,7 @@
 type costs struct {
 	calls           int     // intended in the span, by all dispatchers
 	cpu             float64 // s of CPU time per call
-	apart           float64 // difference between the largest and smallest cpu of equal runs
+	cpuSpread       float64 // difference between the largest and smallest cpu of equal runs
 	system          float64 // part of the CPU time that was spent in the kernel
 	idle            float64 // part of a core in use without calls
 	resident, heap  float64 // bytes
@@ -49,8 +49,9 @@
 	busiest         float64 // bytes sent in the busiest second of any dispatcher
 	value, unserved float64 // value in time, as a part of that offered; part of the calls not served
 	breaches        int
-	// largest delay of a client behind its schedule in s; a large one shows that the machine is overloaded
-	late float64
+	// largest delay of a client behind its schedule in s; a large one shows that the machine is
+	// overloaded
+	clientLag float64
 }
 
 // bytesACall returns the bytes of messages sent per call.
@@ -60,14 +61,14 @@
 
 // Calibrate applies the same load to real dispatcher processes and to hollow dispatchers. Real
 // processes have the costs of HTTP, sockets, the core's goroutines and garbage collection; hollow
-// dispatchers do not. One real process and one hollow dispatcher without peers are compared to split
-// the difference: with a list of one worker it is the cost of HTTP, sockets, goroutines and garbage
-// per call; with the full list the remainder is the cost of connections to more workers (negative
-// where many connections to one worker cost more); the rest of the fleet's difference is the cost of
-// messages over sockets. The fleet and the single processes run at the same time, so that load on
-// the machine slows all of them; the hollow dispatchers run afterwards. Times have no bounds;
-// message bytes and weighted value have. A run takes about 30 s, or 70 s if options.Quick is false.
-// It returns an error if the program is not found beside this executable or a run fails.
+// dispatchers do not. One real process and one hollow dispatcher without peers are compared to
+// split the difference: with a list of one worker it is the cost of HTTP, sockets, goroutines and
+// garbage per call; with the full list the remainder is the cost of connections to more workers
+// (negative where many connections to one worker cost more); the rest of the fleet's difference is
+// the cost of messages over sockets. The fleet and the single processes run at the same time, so
+// that load on the machine slows all of them; the hollow dispatchers run afterwards. Times have no
+// bounds; message bytes and weighted value have. A run takes about 30 s, or 70 s if options.Quick
+// is false. It returns an error if the program is not found beside this executable or a run fails.
 func Calibrate(ctx context.Context, options Options) (*Report, error) {
 	program, err := Ours()
 	if err != nil {
@@ -83,8 +84,8 @@
 	return c.run(ctx, options)
 }
 
-// fleetOf is the number of dispatchers and of workers of a fleet.
-type fleetOf struct{ dispatchers, executors int }
+// fleetShape is the number of dispatchers and of workers of a fleet.
+type fleetShape struct{ dispatchers, executors int }
 
 // run measures all sizes with real processes and with hollow dispatchers and reports them.
 func (c *calibration) run(ctx context.Context, options Options) (*Report, error) {
@@ -106,14 +107,14 @@
 	defer net.Close()
 	for _, n := range c.sizes {
 		options.Log("calibration: %d dispatchers, real ones and hollow ones", n)
-		fullFleet, list, alone := fleetOf{n, 2 * n}, fleetOf{1, 2 * n}, fleetOf{1, 1}
-		got, err := c.reals(ctx, net, options, slices.Concat([]fleetOf{fullFleet},
-			slices.Repeat([]fleetOf{list, alone}, calibrateCopies)))
+		fullFleet, list, alone := fleetShape{n, 2 * n}, fleetShape{1, 2 * n}, fleetShape{1, 1}
+		got, err := c.reals(ctx, net, options, slices.Concat([]fleetShape{fullFleet},
+			slices.Repeat([]fleetShape{list, alone}, calibrateCopies)))
 		if err != nil {
 			return nil, fmt.Errorf("calibration: %w", err)
 		}
-		var pairs [3]pair
-		for i, f := range []fleetOf{fullFleet, list, alone} {
+		var pairs [3]costPair
+		for i, f := range []fleetShape{fullFleet, list, alone} {
 			pairs[i].real = got[f]
 			if pairs[i].hollow, err = c.hollow(ctx, f, options.Seed); err != nil {
 				return nil, fmt.Errorf("calibration: %w", err)
@@ -124,17 +125,17 @@
 	return rep, nil
 }
 
-// pair holds the costs of the same fleet, real and hollow.
-type pair struct{ real, hollow *costs }
+// costPair holds the costs of the same fleet, real and hollow.
+type costPair struct{ real, hollow *costs }
 
 // extra returns the CPU time per call that a real dispatcher uses beyond a hollow one, in s.
-func (p pair) extra() float64 { return p.real.cpu - p.hollow.cpu }
+func (p costPair) extra() float64 { return p.real.cpu - p.hollow.cpu }
 
-// reals runs fleets of real processes at the same time, each with its own addresses, and returns the
-// mean costs of equal fleets. A fleet that fails cancels the others.
+// reals runs fleets of real processes at the same time, each with its own addresses, and returns
+// the mean costs of equal fleets. A fleet that fails cancels the others.
 func (c *calibration) reals(
-	ctx context.Context, net *Net, options Options, fleets []fleetOf,
-) (map[fleetOf]*costs, error) {
+	ctx context.Context, net *Net, options Options, fleets []fleetShape,
+) (map[fleetShape]*costs, error) {
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
 	got := make([]*costs, len(fleets))
@@ -153,11 +154,11 @@
 	if ctx.Err() != nil {
 		return nil, context.Cause(ctx)
 	}
-	alike := map[fleetOf][]*costs{}
+	alike := map[fleetShape][]*costs{}
 	for i, f := range fleets {
 		alike[f] = append(alike[f], got[i])
 	}
-	out := map[fleetOf]*costs{}
+	out := map[fleetShape]*costs{}
 	for f, xs := range alike {
 		out[f] = meanCosts(xs)
 	}
@@ -171,20 +172,20 @@
 	for _, x := range xs[1:] {
 		low, high = min(low, x.cpu), max(high, x.cpu)
 		m.cpu, m.system, m.idle, m.resident = m.cpu+x.cpu, m.system+x.system, m.idle+x.idle, m.resident+x.resident
-		m.late = max(m.late, x.late)
+		m.clientLag = max(m.clientLag, x.clientLag)
 		m.value, m.unserved, m.calls, m.breaches = m.value+x.value, m.unserved+x.unserved, m.calls+x.calls,
 			m.breaches+x.breaches
 	}
 	n := float64(len(xs))
 	m.cpu, m.system, m.idle, m.resident, m.value, m.unserved = m.cpu/n, m.system/n, m.idle/n, m.resident/n, m.value/n,
 		m.unserved/n
-	m.apart = high - low
+	m.cpuSpread = high - low
 	return &m
 }
 
 // report adds the rows and bounds of one size: the complete fleet, one dispatcher with the fleet's
 // list, and one with a single executor.
-func (c *calibration) report(rep *Report, n int, pairs [3]pair) {
+func (c *calibration) report(rep *Report, n int, pairs [3]costPair) {
 	name := fmt.Sprintf("%d dispatchers: ", n)
 	for i, who := range []string{name, fmt.Sprintf("one alone, %d executors: ", 2*n), "one alone, one executor: "} {
 		r, h := pairs[i].real, pairs[i].hollow
@@ -194,7 +195,7 @@
 		}
 		row("processor time", "us a call", 1e6, func(x *costs) float64 { return x.cpu })
 		if i > 0 {
-			rep.Row(fmt.Sprintf("%sbetween %d alike", who, calibrateCopies), "us a call", 1e6*r.apart, math.NaN(),
+			rep.Row(fmt.Sprintf("%sbetween %d alike", who, calibrateCopies), "us a call", 1e6*r.cpuSpread, math.NaN(),
 				math.NaN())
 		}
 		row("of it in the kernel", "part", 1, func(x *costs) float64 { return x.system })
@@ -212,7 +213,7 @@
 	r, h := pairs[0].real, pairs[0].hollow
 	only := func(what, unit string, x float64) { rep.Row(name+what, unit, x, math.NaN(), math.NaN()) }
 	fullFleet, list, alone := pairs[0].extra(), pairs[1].extra(), pairs[2].extra()
-	rep.Row(name+"clients behind their schedule, at most", "s", max(r.late, pairs[1].real.late, pairs[2].real.late),
+	rep.Row(name+"clients behind their schedule, at most", "s", max(r.clientLag, pairs[1].real.clientLag, pairs[2].real.clientLag),
 		math.NaN(), math.NaN())
 	only("processor time that hollow ones leave out", "us a call", 1e6*fullFleet)
 	only("of it HTTP, sockets, goroutines and garbage of a call", "us a call", 1e6*alone)
@@ -220,15 +221,15 @@
 	only("of it messages over sockets", "us a call", 1e6*(fullFleet-list))
 	only("that is, for one out and one in", "us a message", 1e6*(fullFleet-list)*c.calls/r.messages)
 	ratio := r.bytesACall(n, c.span) / h.bytesACall(n, c.span)
-	rep.AtMost(name+"bytes of messages a call, real of hollow", ratio, calibrateApart)
-	rep.AtLeast(name+"bytes of messages a call, real of hollow", ratio, 1/calibrateApart)
+	rep.AtMost(name+"bytes of messages a call, real of hollow", ratio, maxMessageByteRatio)
+	rep.AtLeast(name+"bytes of messages a call, real of hollow", ratio, 1/maxMessageByteRatio)
 	rep.AtMost(name+"worth apart", math.Abs(r.value-h.value), calibrateValueTolerance)
 	rep.AtMost(name+"breaches by the real ones, alone or not",
 		float64(r.breaches+pairs[1].real.breaches+pairs[2].real.breaches), 0)
 }
 
 // size returns the size of the hollow run for f.
-func (c *calibration) size(f fleetOf) HollowSize {
+func (c *calibration) size(f fleetShape) HollowSize {
 	return HollowSize{
 		Dispatchers: f.dispatchers, Executors: f.executors, Functions: c.functions, Calls: c.calls, Warm: c.warm,
 		Span:      c.span,
@@ -237,7 +238,7 @@
 }
 
 // hollow runs hollow dispatchers and returns their costs.
-func (c *calibration) hollow(ctx context.Context, fleet fleetOf, seed uint64) (*costs, error) {
+func (c *calibration) hollow(ctx context.Context, fleet fleetShape, seed uint64) (*costs, error) {
 	result, err := HollowRun(ctx, c.size(fleet), seed)
 	if err != nil {
 		return nil, err
--- a/internal/lab/calibrate_test.go
+++ b/internal/lab/calibrate_test.go
@@ -18,7 +18,7 @@
 
 // Guards against figures of something else: what a process took is what it was made to take.
 func TestTakenByAProcess(t *testing.T) {
-	before, err := takenBy(os.Getpid())
+	before, err := usageOf(os.Getpid())
 	require.NoError(t, err)
 	ballast := make([]byte, 32<<20)
 	for began := time.Now(); time.Since(began) < 50*time.Millisecond; {
@@ -28,14 +28,14 @@
 	}
 	var use unix.Rusage
 	require.NoError(t, unix.Getrusage(unix.RUSAGE_SELF, &use))
-	after, err := takenBy(os.Getpid())
+	after, err := usageOf(os.Getpid())
 	require.NoError(t, err)
 	runtime.KeepAlive(ballast)
 	assert.InDelta(t, float64(use.Utime.Nano()+use.Stime.Nano()), float64(after.cpu), float64(30*time.Millisecond),
 		"against getrusage")
 	assert.Greater(t, after.cpu, before.cpu)
 	assert.Greater(t, after.resident, int64(32<<20))
-	_, err = takenBy(1 << 22) // above every process's number
+	_, err = usageOf(1 << 22) // above every process's number
 	require.Error(t, err)
 }
 
--- a/internal/lab/calibratereal.go
+++ b/internal/lab/calibratereal.go
@@ -15,7 +15,7 @@
 
 // real runs real processes: one second without calls, then the warm-up and the span.
 func (c *calibration) real(
-	ctx context.Context, net *Net, dir string, group int, fleet fleetOf, seed uint64,
+	ctx context.Context, net *Net, dir string, group int, fleet fleetShape, seed uint64,
 ) (*costs, error) {
 	figures := hollowFigures(c.size(fleet))
 	rig, err := NewRig(net, dir, RigSize{
@@ -32,19 +32,19 @@
 	if err := rig.Start(ready, nil); err != nil {
 		return nil, err
 	}
-	looks, err := c.play(ctx, rig)
+	samples, err := c.play(ctx, rig)
 	if err != nil {
 		return nil, err
 	}
 	rig.Quiet()
-	x, err := processCosts(rig, looks)
+	x, err := processCosts(rig, samples)
 	if err != nil {
 		return nil, err
 	}
 	b := rig.Check(nil)
 	if x.breaches = b.Sum(); x.breaches > 0 {
 		c.log("calibration: %d dispatchers, %d executors, clients up to %.1f s behind: %+v",
-			fleet.dispatchers, fleet.executors, x.late, b)
+			fleet.dispatchers, fleet.executors, x.clientLag, b)
 	}
 	if err := rig.Stop(); err != nil {
 		return nil, fmt.Errorf("a dispatcher exited with an error: %w", err)
@@ -52,28 +52,29 @@
 	return x, nil
 }
 
-// play lets the rig idle, warm up and serve the span. It returns the resource usage of the processes
-// once they are ready, before the clients start, and at the start and the end of the span.
-func (c *calibration) play(ctx context.Context, rig *Rig) (looks [4]taken, err error) {
+// play lets the rig idle, warm up and serve the span. It returns the resource usage of the
+// processes once they are ready, before the clients start, and at the start and the end of the
+// span.
+func (c *calibration) play(ctx context.Context, rig *Rig) (samples [4]processUsage, err error) {
 	at := time.Now()
 	for i, wait := range []time.Duration{0, calibrateIdle, c.warm, c.span} {
 		at = at.Add(wait)
 		if err := sleepUntil(ctx, at); err != nil {
-			return looks, err
+			return samples, err
 		}
-		if looks[i], err = rig.taken(); err != nil {
-			return looks, err
+		if samples[i], err = rig.processUsage(); err != nil {
+			return samples, err
 		}
 		if i == 1 {
 			rig.Send(ctx, nil)
 		}
 	}
-	return looks, nil
+	return samples, nil
 }
 
 // processCosts returns the costs of a rig's processes from the four samples of play.
-func processCosts(rig *Rig, looks [4]taken) (*costs, error) {
-	ready, idle, begin, end := looks[0], looks[1], looks[2], looks[3]
+func processCosts(rig *Rig, samples [4]processUsage) (*costs, error) {
+	ready, idle, begin, end := samples[0], samples[1], samples[2], samples[3]
 	n := float64(rig.Dispatchers)
 	x := &costs{
 		heap: math.NaN(), resident: float64(end.resident) / n,
@@ -93,11 +94,11 @@
 		}
 	}
 	for _, k := range rig.Called {
-		x.late = max(x.late, k.MaxLag().Seconds())
+		x.clientLag = max(x.clientLag, k.MaxLag().Seconds())
 	}
 	if x.calls == 0 {
 		return nil, fmt.Errorf("no call was intended in the span; clients were up to %.1f s behind their schedule",
-			x.late)
+			x.clientLag)
 	}
 	x.cpu = (end.cpu - begin.cpu).Seconds() / float64(x.calls)
 	x.value, x.unserved = earned/asked, float64(unserved)/float64(x.calls)
@@ -121,22 +122,22 @@
 	}
 }
 
-// taken is the resource usage of processes since their start.
-type taken struct {
+// processUsage is the resource usage of processes since their start.
+type processUsage struct {
 	at            time.Time
 	cpu           time.Duration
 	system, ticks int64 // CPU time in clock ticks, coarser than cpu: in the kernel, and in total
 	resident      int64 // bytes
 }
 
-// taken returns the summed resource usage of the rig's dispatchers.
-func (r *Rig) taken() (sum taken, err error) {
+// processUsage returns the summed resource usage of the rig's dispatchers.
+func (r *Rig) processUsage() (sum processUsage, err error) {
 	sum.at = time.Now()
 	for _, dispatcher := range r.Nodes {
 		if !dispatcher.Running() {
 			return sum, fmt.Errorf("dispatcher %d is not running", dispatcher.N)
 		}
-		t, err := takenBy(dispatcher.cmd.Process.Pid)
+		t, err := usageOf(dispatcher.cmd.Process.Pid)
 		if err != nil {
 			return sum, fmt.Errorf("dispatcher %d: %w", dispatcher.N, err)
 		}
@@ -146,10 +147,10 @@
 	return sum, nil
 }
 
-// takenBy returns the resource usage of a process: its CPU time by its CPU clock, whose id is derived
-// from the process id (clock_getcpuclockid(3)), and the user and kernel ticks and the resident memory
-// from /proc (proc_pid_stat(5), proc_pid_statm(5)).
-func takenBy(pid int) (t taken, err error) {
+// usageOf returns the resource usage of a process: its CPU time by its CPU clock, whose id is
+// derived from the process id (clock_getcpuclockid(3)), and the user and kernel ticks and the
+// resident memory from /proc (proc_pid_stat(5), proc_pid_statm(5)).
+func usageOf(pid int) (t processUsage, err error) {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(^int32(pid)<<3|2, &ts); err != nil {
 		return t, fmt.Errorf("CPU clock of process %d: %w", pid, err)
--- a/internal/lab/capacity.go
+++ b/internal/lab/capacity.go
@@ -16,30 +16,33 @@
 	"oakthread/internal/regression"
 )
 
-// Budgets of one dispatcher for control work, from the operators' requirements, and limits derived from them.
+// Budgets of one dispatcher for control work, from the operators' requirements, and limits derived
+// from them.
 const (
 	budgetCore  = 0.045 // part of a core
 	budgetHeap  = 256e6 // bytes
 	budgetBytes = 2000  // a second, in and out together
-	// ns per call if choosing a worker may use all of budgetCore: 380,000 calls/s at 1,900 dispatchers
+	// ns per call if choosing a worker may use all of budgetCore: 380,000 calls/s at 1,900
+	// dispatchers
 	budgetChoice         = 0.045 / 200 * 1e9
 	maxChoiceNanoseconds = 25e3           // ns per call, the target with the most workers
 	valueTolerance       = 0.01           // by how much the weighted value may fall below that of the full scan
-	farthest             = 1000           // times the largest fitted size: no budget limit is extrapolated further
-	largestRoom          = 0.5            // largest tolerance of a prediction combined from several slopes
+	maxExtrapolation     = 1000           // times the largest fitted size: no budget limit is extrapolated further
+	maxCombinedTolerance = 0.5            // largest tolerance of a prediction combined from several slopes
 	capacityCSV          = "capacity.csv" // in the directory of the plots: a line per figure of each run
-	choiceAt             = "choice"       // section: the full scan of the list against the program's choice
-	largestAt            = "largest"      // section: the largest fleet
-	letterAt             = "letter"       // section: the dispatchers and calls that the operators require
-	zipfAt               = "zipf"         // section: functions drawn by a Zipf law
-	messagesAt           = "words"        // dimension without runs of its own: messages received
+	choiceSection        = "choice"       // section: the full scan of the list against the program's choice
+	largestSection       = "largest"      // section: the largest fleet
+	letterSection        = "letter"       // section: the dispatchers and calls that the operators require
+	zipfSection          = "zipf"         // section: functions drawn by a Zipf law
+	messagesDimension    = "words"        // dimension without runs of its own: messages received
 	serviceAt            = "service"      // section: busy fleets, with the full scan of the list and without
-	faultsAt             = "faults"       // section: faults in a large fleet
-	calibrateAt          = "calibration"  // section: real processes against hollow dispatchers
+	faultsSection        = "faults"       // section: faults in a large fleet
+	calibrationSection   = "calibration"  // section: real processes against hollow dispatchers
 	noWalk               = -1             // for balancer.Settings.FullScanLimit: no list is scanned completely
 )
 
-// ErrDimension reports a name that is no dimension or section of the experiment capacity: invalid command line.
+// ErrDimension reports a name that is no dimension or section of the experiment capacity: invalid
+// command line.
 var ErrDimension = errors.New("no dimension")
 
 // CapacityRun is one hollow run in the report.
@@ -52,25 +55,25 @@
 	Partial string             `json:"partial,omitempty"`
 }
 
-// Foretold is a prediction recorded before the run, and the figure that the run measured.
-type Foretold struct {
-	At       time.Time `json:"at"` // when it was made
-	X        Figure    `json:"x"`
-	Y        Figure    `json:"y"`
-	Room     float64   `json:"room"`     // largest relative error for Holds
-	Measured Figure    `json:"measured"` // null: not measured
-	Holds    bool      `json:"holds"`
+// Prediction is a prediction recorded before the run, and the figure that the run measured.
+type Prediction struct {
+	At        time.Time `json:"at"` // when it was made
+	X         Figure    `json:"x"`
+	Y         Figure    `json:"y"`
+	Tolerance float64   `json:"room"`     // largest relative error for Holds
+	Measured  Figure    `json:"measured"` // null: not measured
+	Holds     bool      `json:"holds"`
 }
 
 // CapacitySlope is the fitted slope of a figure over a size.
 type CapacitySlope struct {
 	regression.Series
-	Fit      *regression.Fit `json:"fit,omitempty"`
-	Fault    string          `json:"fault,omitempty"` // why there is no fit
-	Budget   float64         `json:"budget,omitempty"`
-	UsedUp   Figure          `json:"used_up"` // size at which the budget is reached; null: none
-	Foretold *Foretold       `json:"foretold,omitempty"`
-	timed    bool
+	Fit        *regression.Fit `json:"fit,omitempty"`
+	Fault      string          `json:"fault,omitempty"` // why there is no fit
+	Budget     float64         `json:"budget,omitempty"`
+	BudgetSize Figure          `json:"used_up"` // size at which the budget is reached; null: none
+	Prediction *Prediction     `json:"foretold,omitempty"`
+	timed      bool
 }
 
 // Capacity holds the detailed results of the experiment.
@@ -103,8 +106,8 @@
 	table  *csv.Writer
 }
 
-// RunCapacity runs the experiment. If it is cancelled or a run fails, it returns the results so far,
-// marked partial, with the error.
+// RunCapacity runs the experiment. If it is cancelled or a run fails, it returns the results so
+// far, marked partial, with the error.
 func RunCapacity(ctx context.Context, options Options) (*Report, error) {
 	return runCapacity(ctx, options, planCapacity(options), HollowRun)
 }
@@ -148,7 +151,7 @@
 // all runs the wanted dimensions and sections in the order of the plan.
 func (c *capacity) all(ctx context.Context, want []string) error {
 	for _, d := range c.plan.dims {
-		messages := d.name == "calls" && slices.Contains(want, messagesAt)
+		messages := d.name == "calls" && slices.Contains(want, messagesDimension)
 		if !messages && !slices.Contains(want, d.name) {
 			continue
 		}
@@ -160,13 +163,13 @@
 		name string
 		run  func(context.Context) error
 	}{
-		{choiceAt, c.walks},
+		{choiceSection, c.choice},
 		{serviceAt, c.service},
-		{zipfAt, c.zipf},
-		{faultsAt, c.faults},
-		{largestAt, c.largest},
-		{letterAt, c.letter},
-		{calibrateAt, c.calibration},
+		{zipfSection, c.zipf},
+		{faultsSection, c.faults},
+		{largestSection, c.largest},
+		{letterSection, c.letter},
+		{calibrationSection, c.calibration},
 	} {
 		if !slices.Contains(want, section.name) {
 			continue
@@ -178,7 +181,8 @@
 	return nil
 }
 
-// run makes a hollow run and returns its figures; a size and seed that were already run return the same figures.
+// run makes a hollow run and returns its figures; a size and seed that were already run return the
+// same figures.
 func (c *capacity) run(ctx context.Context, section string, size HollowSize, seed uint64) (map[string]float64, error) {
 	key := capacityKey{size, seed}
 	if f, ok := c.done[key]; ok {
@@ -229,8 +233,9 @@
 	return out, nil
 }
 
-// dimension varies one size alone: it runs the smaller sizes, logs what they predict for the largest,
-// and runs the largest. If messages is set, the slopes over messages are compared with the same run.
+// dimension varies one size alone: it runs the smaller sizes, logs what they predict for the
+// largest, and runs the largest. If messages is set, the slopes over messages are compared with the
+// same run.
 func (c *capacity) dimension(ctx context.Context, d capacityDim, messages bool) error {
 	all, err := c.fits(ctx, d)
 	if err != nil {
@@ -238,8 +243,8 @@
 	}
 	x := d.sizes[len(d.sizes)-1]
 	for _, slope := range all {
-		if slope.foretell(x); slope.Foretold != nil {
-			c.o.Log("foretold at %g %s: %s %.4g %s by %s", x, d.name, slope.Name, slope.Foretold.Y, slope.Unit,
+		if slope.predict(x); slope.Prediction != nil {
+			c.o.Log("foretold at %g %s: %s %.4g %s by %s", x, d.name, slope.Name, slope.Prediction.Y, slope.Unit,
 				slope.Fit)
 		}
 	}
@@ -260,7 +265,7 @@
 	if messages {
 		in := addMessageRuns(predicted, runs, c.plan.seeds)
 		for _, slope := range predicted {
-			if p := slope.Foretold; p != nil {
+			if p := slope.Prediction; p != nil {
 				p.X, p.Y = Figure(in), Figure(slope.Fit.At(in))
 				slope.evaluate(meanAt(slope.Points, in))
 			}
@@ -269,15 +274,15 @@
 	return nil
 }
 
-// messageSlopes fits the times of reading and writing over the number of received messages, from the
-// runs so far that vary dispatchers and calls, as this number cannot be set directly. The fits are
-// compared with the run of the most calls; its number of messages is known only after it, so only the
-// fit is logged before.
+// messageSlopes fits the times of reading and writing over the number of received messages, from
+// the runs so far that vary dispatchers and calls, as this number cannot be set directly. The fits
+// are compared with the run of the most calls; its number of messages is known only after it, so
+// only the fit is logged before.
 func (c *capacity) messageSlopes(ctx context.Context) (all []*CapacitySlope, err error) {
 	for _, name := range []string{"cpu.reading", "cpu.write"} {
 		all = append(all, &CapacitySlope{
-			Series: regression.Series{Name: name, Unit: "ns a second", Size: messagesAt},
-			Budget: budgetCore * 1e9, UsedUp: Figure(math.NaN()), timed: true,
+			Series: regression.Series{Name: name, Unit: "ns a second", Size: messagesDimension},
+			Budget: budgetCore * 1e9, BudgetSize: Figure(math.NaN()), timed: true,
 		})
 	}
 	for _, d := range c.plan.dims {
@@ -301,10 +306,10 @@
 	}
 	for _, slope := range all {
 		slope.fit()
-		c.o.Log("foretold at the most %s: %s by %s", messagesAt, slope.Name, slope)
+		c.o.Log("foretold at the most %s: %s by %s", messagesDimension, slope.Name, slope)
 		if slope.Fit != nil {
-			slope.Foretold = &Foretold{
-				At: time.Now(), X: Figure(math.NaN()), Y: Figure(math.NaN()), Room: slope.Fit.Tolerance(),
+			slope.Prediction = &Prediction{
+				At: time.Now(), X: Figure(math.NaN()), Y: Figure(math.NaN()), Tolerance: slope.Fit.Tolerance(),
 				Measured: Figure(math.NaN()),
 			}
 		}
@@ -313,9 +318,9 @@
 	return all, nil
 }
 
-// arm returns the run of the choice section with n workers: with a full scan of the list, or with the
-// program's choice, which is made to treat every list as a long one.
-func (p *capacityPlan) arm(n int, before bool) HollowSize {
+// choiceRun returns the run of the choice section with n workers: with a full scan of the list, or
+// with the program's choice, which is made to treat every list as a long one.
+func (p *capacityPlan) choiceRun(n int, before bool) HollowSize {
 	size := p.choice
 	size.Executors, size.Before = n, before
 	if !before && n <= shortList {
@@ -327,24 +332,24 @@
 // shortList is the number of executors up to which the program itself scans a list completely.
 const shortList = 256
 
-// walks compares the full scan of the list with the program's choice: the slopes of both and what
+// choice compares the full scan of the list with the program's choice: the slopes of both and what
 // they predict for the last size.
-func (c *capacity) walks(ctx context.Context) error {
+func (c *capacity) choice(ctx context.Context) error {
 	var both []*CapacitySlope
 	for _, name := range []string{"cpu.choice.before", "cpu.choice"} {
 		both = append(both, &CapacitySlope{
-			Series: regression.Series{Name: name, Unit: "ns a call", Size: choiceAt}, Budget: budgetChoice,
-			UsedUp: Figure(math.NaN()), timed: true,
+			Series: regression.Series{Name: name, Unit: "ns a call", Size: choiceSection}, Budget: budgetChoice,
+			BudgetSize: Figure(math.NaN()), timed: true,
 		})
 	}
-	for i, n := range c.plan.walks {
-		if i == len(c.plan.walks)-1 && i > 2 {
-			c.predictWalks(both, n)
+	for i, n := range c.plan.choiceSizes {
+		if i == len(c.plan.choiceSizes)-1 && i > 2 {
+			c.predictChoice(both, n)
 		}
 		var arms [2][]map[string]float64
 		for arm, before := range []bool{true, false} {
 			for _, seed := range c.plan.seeds {
-				f, err := c.run(ctx, choiceAt, c.plan.arm(n, before), seed)
+				f, err := c.run(ctx, choiceSection, c.plan.choiceRun(n, before), seed)
 				if err != nil {
 					return err
 				}
@@ -354,24 +359,24 @@
 			}
 			both[arm].evaluate(meanOf(arms[arm], "cpu.choice"))
 		}
-		c.reportWalks(n, arms)
+		c.reportChoice(n, arms)
 	}
 	return nil
 }
 
-// predictWalks fits the slopes of both arms and logs what they predict for n executors.
-func (c *capacity) predictWalks(both []*CapacitySlope, n int) {
+// predictChoice fits the slopes of both arms and logs what they predict for n executors.
+func (c *capacity) predictChoice(both []*CapacitySlope, n int) {
 	for _, slope := range both {
 		slope.fit()
-		if slope.foretell(float64(n)); slope.Foretold != nil {
-			c.o.Log("foretold at %d executors: %s %.4g ns by %s", n, slope.Name, slope.Foretold.Y, slope.Fit)
+		if slope.predict(float64(n)); slope.Prediction != nil {
+			c.o.Log("foretold at %d executors: %s %.4g ns by %s", n, slope.Name, slope.Prediction.Y, slope.Fit)
 		}
 	}
 	c.detail.Slopes = append(c.detail.Slopes, both...)
 }
 
-// reportWalks adds the rows and bounds of both arms with n executors.
-func (c *capacity) reportWalks(n int, arms [2][]map[string]float64) {
+// reportChoice adds the rows and bounds of both arms with n executors.
+func (c *capacity) reportChoice(n int, arms [2][]map[string]float64) {
 	name := fmt.Sprintf("choice, %d executors: ", n)
 	mean := func(arm int, figure string) float64 { return meanOf(arms[arm], figure) }
 	for _, f := range []struct{ name, unit string }{
--- a/internal/lab/capacity_test.go
+++ b/internal/lab/capacity_test.go
@@ -20,7 +20,7 @@
 // tinyPlan is the complete experiment at sizes for tests.
 func tinyPlan() capacityPlan {
 	p := capacityPlan{
-		seeds: []uint64{1}, walks: []int{20, 60},
+		seeds: []uint64{1}, choiceSizes: []int{20, 60},
 		base: HollowSize{
 			Dispatchers: 6, Executors: 20, Functions: 200, Calls: 5, ListEvents: 1,
 			Span: 2 * time.Second,
@@ -71,12 +71,12 @@
 	slopes := map[string]*CapacitySlope{}
 	for _, slope := range append(c.Slopes, c.Largest...) {
 		slopes[slope.Size+" "+slope.Name] = slope
-		if slope.Foretold == nil {
+		if slope.Prediction == nil {
 			assert.NotEmpty(t, slope.Fault, "%s over %s", slope.Name, slope.Size)
 			continue
 		}
-		assert.False(t, slope.Foretold.At.Before(began))
-		assert.False(t, math.IsNaN(float64(slope.Foretold.Measured)), "%s over %s was not held against a run",
+		assert.False(t, slope.Prediction.At.Before(began))
+		assert.False(t, math.IsNaN(float64(slope.Prediction.Measured)), "%s over %s was not held against a run",
 			slope.Name, slope.Size)
 	}
 	assert.Len(t, slopes, 5*len(capacityFigures())+2+len(capacityFigures()))
@@ -194,13 +194,13 @@
 	c := rep.Detail.(*Capacity)
 	for _, slope := range c.Slopes {
 		if slope.Size == "executors" && slope.Name == "heap" {
-			assert.InEpsilon(t, (budgetHeap-1e5-200*6-3*200)/5000, float64(slope.UsedUp), 0.05,
+			assert.InEpsilon(t, (budgetHeap-1e5-200*6-3*200)/5000, float64(slope.BudgetSize), 0.05,
 				"the budget is used up there")
 		}
 	}
 	for _, slope := range c.Largest {
 		if slope.Name == "cpu.choice" {
-			assert.InEpsilon(t, (100+20*60.0)*1.5, float64(slope.Foretold.Y), 0.05, "a product of two slopes")
+			assert.InEpsilon(t, (100+20*60.0)*1.5, float64(slope.Prediction.Y), 0.05, "a product of two slopes")
 		}
 	}
 }
@@ -262,12 +262,12 @@
 			bounds[b.Name] = b
 		}
 		for _, slope := range rep.Detail.(*Capacity).Largest {
-			require.Equal(t, letterAt, slope.Size)
+			require.Equal(t, letterSection, slope.Size)
 			if slope.Name == "messages.in" {
-				assert.InEpsilon(t, 2+40.0, float64(slope.Foretold.Y), 0.05, "calls are part of it")
+				assert.InEpsilon(t, 2+40.0, float64(slope.Prediction.Y), 0.05, "calls are part of it")
 			}
 			if slope.Name == "heap" {
-				assert.Equal(t, extra == 0, slope.Foretold.Holds, "%s: %+v", name, slope.Foretold)
+				assert.Equal(t, extra == 0, slope.Prediction.Holds, "%s: %+v", name, slope.Prediction)
 			}
 		}
 		zero, one := bounds["zipf, exponent 0, seed 2: path-books twice, late sends, boxes pushed over, calls "+
@@ -284,7 +284,7 @@
 	assert.Equal(t, []uint64{7, 8, 9}, full.seeds)
 	assert.Equal(t, []any{1_900, 200.0}, []any{full.letter.Dispatchers, full.letter.Calls})
 	assert.GreaterOrEqual(t, full.faults.Dispatchers, 1_000)
-	for _, name := range []string{letterAt, zipfAt, faultsAt} {
+	for _, name := range []string{letterSection, zipfSection, faultsSection} {
 		assert.Contains(t, full.names(), name)
 	}
 }
--- a/internal/lab/capacityfleet.go
+++ b/internal/lab/capacityfleet.go
@@ -19,7 +19,7 @@
 		size.Zipf = x
 		var runs []map[string]float64
 		for _, seed := range c.plan.seeds {
-			f, err := c.run(ctx, zipfAt, size, seed)
+			f, err := c.run(ctx, zipfSection, size, seed)
 			if err != nil {
 				return err
 			}
@@ -42,9 +42,14 @@
 	return []string{"bytes", "messages.in", "cpu.choice", "cpu.read", "loads", "heap", "worth", "unserved", "p99.cold"}
 }
 
-// largest runs the largest fleet at the call rate of the base size; letter at the required call rate.
-func (c *capacity) largest(ctx context.Context) error { return c.fleet(ctx, largestAt, c.plan.largest) }
-func (c *capacity) letter(ctx context.Context) error  { return c.fleet(ctx, letterAt, c.plan.letter) }
+// largest runs the largest fleet at the call rate of the base size; letter at the required call
+// rate.
+func (c *capacity) largest(ctx context.Context) error {
+	return c.fleet(ctx, largestSection, c.plan.largest)
+}
+func (c *capacity) letter(ctx context.Context) error {
+	return c.fleet(ctx, letterSection, c.plan.letter)
+}
 
 // fleet predicts the figures of a large fleet from all slopes together and runs it with the first
 // seed. The number of dispatchers is reduced until the run fits into memory.
@@ -68,10 +73,10 @@
 	for i, f := range capacityFigures() {
 		slope := &CapacitySlope{
 			Series: regression.Series{Name: f.name, Unit: f.unit, Size: section}, Budget: f.budget,
-			UsedUp: Figure(math.NaN()), timed: f.timed,
+			BudgetSize: Figure(math.NaN()), timed: f.timed,
 		}
-		if slope.Foretold, slope.Fault = c.combine(i, f.product, size); slope.Foretold != nil {
-			c.o.Log("foretold at %s: %s %.4g %s", &size, slope.Name, slope.Foretold.Y, slope.Unit)
+		if slope.Prediction, slope.Fault = c.combine(i, f.product, size); slope.Prediction != nil {
+			c.o.Log("foretold at %s: %s %.4g %s", &size, slope.Name, slope.Prediction.Y, slope.Unit)
 		}
 		predicted = append(predicted, slope)
 	}
@@ -89,8 +94,8 @@
 			y = math.NaN()
 		}
 		at := math.NaN()
-		if slope.evaluate(y); slope.Foretold != nil {
-			at = float64(slope.Foretold.Y)
+		if slope.evaluate(y); slope.Prediction != nil {
+			at = float64(slope.Prediction.Y)
 		}
 		c.rep.Row(name(slope.Name), slope.Unit, at, y)
 	}
@@ -106,10 +111,10 @@
 
 // combine predicts figure i of a size from the slopes over each dimension, starting from the base
 // size: their increments are added or, for a product, their growth factors are multiplied. The
-// tolerances of the dimensions that differ from the base add up as independent errors do (root of the
-// sum of squares), up to largestRoom.
-func (c *capacity) combine(i int, product bool, size HollowSize) (*Foretold, string) {
-	p := &Foretold{At: time.Now(), X: Figure(math.NaN()), Measured: Figure(math.NaN())}
+// tolerances of the dimensions that differ from the base add up as independent errors do (root of
+// the sum of squares), up to maxCombinedTolerance.
+func (c *capacity) combine(i int, product bool, size HollowSize) (*Prediction, string) {
+	p := &Prediction{At: time.Now(), X: Figure(math.NaN()), Measured: Figure(math.NaN())}
 	base, sum, factor, squares := 0.0, 0.0, 1.0, 0.0
 	for _, d := range c.plan.dims {
 		slope := c.slopes[d.name][i]
@@ -126,7 +131,7 @@
 			squares += slope.Fit.Tolerance() * slope.Fit.Tolerance()
 		}
 	}
-	p.Room = min(math.Sqrt(squares), largestRoom)
+	p.Tolerance = min(math.Sqrt(squares), maxCombinedTolerance)
 	if p.Y = Figure(max(0, base+sum)); product {
 		p.Y = Figure(base * factor)
 	}
@@ -142,11 +147,11 @@
 		}{{"counts and bytes", false}, {"processor time", true}} {
 			all, off := 0, 0
 			for _, slope := range append(slices.Clone(c.detail.Slopes), c.detail.Largest...) {
-				if slope.Size != name || slope.timed != kind.timed || slope.Foretold == nil ||
-					math.IsNaN(float64(slope.Foretold.Measured)) {
+				if slope.Size != name || slope.timed != kind.timed || slope.Prediction == nil ||
+					math.IsNaN(float64(slope.Prediction.Measured)) {
 					continue
 				}
-				if all++; !slope.Foretold.Holds {
+				if all++; !slope.Prediction.Holds {
 					off++
 				}
 			}
--- a/internal/lab/capacityoutput.go
+++ b/internal/lab/capacityoutput.go
@@ -34,11 +34,11 @@
 		}
 	}
 	for _, run := range c.Runs {
-		if run.Section != largestAt || run.Partial != "" {
+		if run.Section != largestSection || run.Partial != "" {
 			continue
 		}
 		for name, y := range run.Figures {
-			out[name+"/"+largestAt] = figures.Slope{
+			out[name+"/"+largestSection] = figures.Slope{
 				Curve: figures.Constant(y), Command: "testbed run capacity",
 				Text: fmt.Sprintf("%.4g, one run", y),
 			}
@@ -47,7 +47,8 @@
 	return out
 }
 
-// Print writes the slopes with their predictions, and the tables of docs/CAPACITY.md derived from them.
+// Print writes the slopes with their predictions, and the tables of docs/CAPACITY.md derived from
+// them.
 func (c *Capacity) Print(w io.Writer) {
 	c.print(w)
 	slopes := c.measured()
@@ -70,18 +71,18 @@
 			fmt.Fprintf(t, "over %s\tslope\tbudget used up at\tforetold at\t\troom\tmeasured\t\n", unit)
 		}
 		fit := slope.String()
-		if slope.Size == largestAt || slope.Size == letterAt {
+		if slope.Size == largestSection || slope.Size == letterSection {
 			fit = "all slopes together"
 		}
-		fmt.Fprintf(t, "  %s, %s\t%s\t%s\t", slope.Name, slope.Unit, fit, slope.UsedUp)
-		if p := slope.Foretold; p != nil {
+		fmt.Fprintf(t, "  %s, %s\t%s\t%s\t", slope.Name, slope.Unit, fit, slope.BudgetSize)
+		if p := slope.Prediction; p != nil {
 			outcome := "as foretold"
 			if math.IsNaN(float64(p.Measured)) {
 				outcome = "not run"
 			} else if !p.Holds {
 				outcome = "NOT as foretold"
 			}
-			fmt.Fprintf(t, "%s\t%s\t%.2g\t%s\t%s", p.X, p.Y, p.Room, p.Measured, outcome)
+			fmt.Fprintf(t, "%s\t%s\t%.2g\t%s\t%s", p.X, p.Y, p.Tolerance, p.Measured, outcome)
 		}
 		fmt.Fprintln(t)
 	}
@@ -136,7 +137,8 @@
 	return nil
 }
 
-// plots draws the measured figures, each with a line for its budget; sections that were not run are left out.
+// plots draws the measured figures, each with a line for its budget; sections that were not run are
+// left out.
 func (c *capacity) plots() error {
 	if err := c.plotChoice(); err != nil {
 		return err
@@ -180,12 +182,13 @@
 	return chart.draw(c.o.Plots)
 }
 
-// choiceTimes returns the CPU time per call in microseconds over the number of workers, for one arm.
+// choiceTimes returns the CPU time per call in microseconds over the number of workers, for one
+// arm.
 func (c *capacity) choiceTimes(before bool) (line plotter.XYs) {
-	for _, n := range c.plan.walks {
+	for _, n := range c.plan.choiceSizes {
 		var runs []map[string]float64
 		for _, seed := range c.plan.seeds {
-			if f, ok := c.done[capacityKey{c.plan.arm(n, before), seed}]; ok {
+			if f, ok := c.done[capacityKey{c.plan.choiceRun(n, before), seed}]; ok {
 				runs = append(runs, f)
 			}
 		}
--- a/internal/lab/capacityplan.go
+++ b/internal/lab/capacityplan.go
@@ -16,8 +16,8 @@
 }
 
 // capacityFigures lists the figures of slopes. State and bytes consist of parts that each depend on
-// one size, so they are added. The time of one step grows with all sizes at once, like a scan of the
-// list per notified dispatcher, so it is a product.
+// one size, so they are added. The time of one step grows with all sizes at once, like a scan of
+// the list per notified dispatcher, so it is a product.
 func capacityFigures() []capacityFigure {
 	return []capacityFigure{
 		{name: "heap", unit: "bytes", budget: budgetHeap},
@@ -44,7 +44,8 @@
 	}
 }
 
-// serviceFigures are reported for the largest fleet without a prediction: they are not costs, and no slope is fitted.
+// serviceFigures are reported for the largest fleet without a prediction: they are not costs, and
+// no slope is fitted.
 func serviceFigures() []string {
 	return []string{"resident", "loads", "digests", "covered", "worth", "unserved", "p99.cold", "acts.last"}
 }
@@ -83,22 +84,23 @@
 	}
 }
 
-// capacityUnits returns what the number of a dimension counts; dimensions without an entry count their name.
+// capacityUnits returns what the number of a dimension counts; dimensions without an entry count
+// their name.
 func capacityUnits() map[string]string {
 	return map[string]string{
 		"list": "list events a minute", "calls": "calls/s at each dispatcher",
-		messagesAt: "words/s that come to each dispatcher",
+		messagesDimension: "words/s that come to each dispatcher",
 	}
 }
 
 // capacityPlan is what an experiment runs.
 type capacityPlan struct {
-	base    HollowSize
-	dims    []capacityDim
-	seeds   []uint64
-	choice  HollowSize // its number of workers is taken from walks
-	walks   []int
-	largest HollowSize
+	base        HollowSize
+	dims        []capacityDim
+	seeds       []uint64
+	choice      HollowSize // its number of workers is taken from choiceSizes
+	choiceSizes []int
+	largest     HollowSize
 
 	letter    HollowSize // section omitted if it has no dispatchers
 	zipf      HollowSize // likewise; its exponent is taken from exponents
@@ -108,9 +110,9 @@
 	calibrate bool
 }
 
-// serviceFleet is a busy fleet of the experiment fleet, without faults; walk is the full-scan limit of
-// the arm with the program's choice, which is compared with the full scan.
-type serviceFleet struct{ dispatchers, executors, walk int }
+// serviceFleet is a busy fleet of the experiment fleet, without faults; walk is the full-scan limit
+// of the arm with the program's choice, which is compared with the full scan.
+type serviceFleet struct{ dispatchers, executors, scanLimit int }
 
 // dim adds a dimension with its sizes.
 func (p *capacityPlan) dim(name string, sizes ...float64) {
@@ -124,36 +126,36 @@
 	for _, d := range p.dims {
 		out = append(out, d.name)
 	}
-	out = append(out, messagesAt, choiceAt, largestAt)
+	out = append(out, messagesDimension, choiceSection, largestSection)
 	if p.letter.Dispatchers > 0 {
-		out = append(out, letterAt)
+		out = append(out, letterSection)
 	}
 	if p.zipf.Dispatchers > 0 {
-		out = append(out, zipfAt)
+		out = append(out, zipfSection)
 	}
 	if len(p.service) > 0 {
 		out = append(out, serviceAt)
 	}
 	if p.faults.Dispatchers > 0 {
-		out = append(out, faultsAt)
+		out = append(out, faultsSection)
 	}
 	if p.calibrate {
-		out = append(out, calibrateAt)
+		out = append(out, calibrationSection)
 	}
 	return out
 }
 
 // planCapacity returns the experiment's plan. Each dispatcher gets fewer calls per second than the
-// required 200, so that many dispatchers fit into one process; calls are a dimension of their own, up
-// to 200. The largest fleet has the calls and list events of the base size, so that its prediction
-// extrapolates over three sizes alone; the fleet with the required calls varies calls too, over a span
-// limited to about two minutes on one core. Messages have their lowest price: at a higher one the
-// message budget, not the size, limits what is sent.
+// required 200, so that many dispatchers fit into one process; calls are a dimension of their own,
+// up to 200. The largest fleet has the calls and list events of the base size, so that its
+// prediction extrapolates over three sizes alone; the fleet with the required calls varies calls
+// too, over a span limited to about two minutes on one core. Messages have their lowest price: at a
+// higher one the message budget, not the size, limits what is sent.
 func planCapacity(options Options) capacityPlan {
 	p := capacityPlan{
-		seeds:     []uint64{options.Seed, options.Seed + 1, options.Seed + 2},
-		walks:     []int{120, 300, 600, 1_200, 2_400, 9_600},
-		exponents: []float64{0, 0.4, 0.8, 1, 1.2},
+		seeds:       []uint64{options.Seed, options.Seed + 1, options.Seed + 2},
+		choiceSizes: []int{120, 300, 600, 1_200, 2_400, 9_600},
+		exponents:   []float64{0, 0.4, 0.8, 1, 1.2},
 		base: HollowSize{
 			Dispatchers: 60, Executors: 300, Functions: 4_800, Calls: 10, ListEvents: 1,
 			Span: 6 * time.Second, PeerPrice: peerPrice,
--- a/internal/lab/capacityservice.go
+++ b/internal/lab/capacityservice.go
@@ -8,9 +8,9 @@
 )
 
 // service compares, for busy fleets, the full scan of the list, the program's choice and two
-// references: a single dispatcher of this program that gets all calls, and an omniscient router. The
-// fleets' workers are small, short of memory and empty at the start, so that the cost of a bad choice
-// is visible.
+// references: a single dispatcher of this program that gets all calls, and an omniscient router.
+// The fleets' workers are small, short of memory and empty at the start, so that the cost of a bad
+// choice is visible.
 func (c *capacity) service(ctx context.Context) error {
 	for _, s := range c.plan.service {
 		name := fmt.Sprintf("service, %d dispatchers, %d executors: ", s.dispatchers, s.executors)
@@ -29,7 +29,7 @@
 
 // serviceArm runs one arm of a busy fleet with each seed and returns the means of its figures.
 func (c *capacity) serviceArm(ctx context.Context, s serviceFleet, name, of string) (map[string]float64, error) {
-	dispatchers, walk := s.dispatchers, s.walk
+	dispatchers, walk := s.dispatchers, s.scanLimit
 	switch of {
 	case fullScan:
 		walk = math.MaxInt
@@ -51,7 +51,7 @@
 			bound := fmt.Sprintf("%s%s, seed %d: %s", name, of, seed, allBreaches)
 			c.rep.AtMost(bound, float64(result.twice+result.late+result.fallen+result.open), 0)
 		}
-		if s.dispatchers >= fewSeeds {
+		if s.dispatchers >= singleSeedDispatchers {
 			break
 		}
 	}
@@ -91,9 +91,9 @@
 func serviceArms() []string { return []string{fullScan, oursArm, oneDispatcher, omniscient} }
 
 const (
-	fewSeeds    = 1_000 // dispatchers from which a busy fleet is run with the first seed only
-	oneRoom     = 0.1   // by how much weighted value may fall below that of one dispatcher
-	valueInTime = "worth in time"
+	singleSeedDispatchers = 1_000 // dispatchers from which a busy fleet is run with the first seed only
+	oneRoom               = 0.1   // by how much weighted value may fall below that of one dispatcher
+	valueInTime           = "worth in time"
 )
 
 // faults runs each fault in a large fleet, and one run without a fault.
@@ -101,7 +101,7 @@
 	for _, fault := range append([]string{""}, HollowFaults()...) {
 		size := c.plan.faults
 		size.Fault = fault
-		f, err := c.run(ctx, faultsAt, size, c.plan.seeds[0])
+		f, err := c.run(ctx, faultsSection, size, c.plan.seeds[0])
 		if err != nil {
 			return err
 		}
--- a/internal/lab/capacityslopes.go
+++ b/internal/lab/capacityslopes.go
@@ -8,7 +8,8 @@
 	"oakthread/internal/regression"
 )
 
-// fits makes the runs of a dimension except the largest size and fits slopes to their figures; results are cached.
+// fits makes the runs of a dimension except the largest size and fits slopes to their figures;
+// results are cached.
 func (c *capacity) fits(ctx context.Context, d capacityDim) ([]*CapacitySlope, error) {
 	if s, ok := c.slopes[d.name]; ok {
 		return s, nil
@@ -17,7 +18,7 @@
 	for _, f := range capacityFigures() {
 		all = append(all, &CapacitySlope{
 			Series: regression.Series{Name: f.name, Unit: f.unit, Size: d.name},
-			Budget: f.budget, UsedUp: Figure(math.NaN()), timed: f.timed,
+			Budget: f.budget, BudgetSize: Figure(math.NaN()), timed: f.timed,
 		})
 	}
 	for _, x := range d.sizes[:len(d.sizes)-1] {
@@ -55,17 +56,17 @@
 	}
 	s.Fit = &fit
 	if s.Budget > 0 {
-		if x, ok := fit.SizeAt(s.Budget); ok && x <= farthest*fit.To {
-			s.UsedUp = Figure(x)
+		if x, ok := fit.SizeAt(s.Budget); ok && x <= maxExtrapolation*fit.To {
+			s.BudgetSize = Figure(x)
 		}
 	}
 }
 
-// foretell records the fit's prediction for x.
-func (s *CapacitySlope) foretell(x float64) {
+// predict records the fit's prediction for x.
+func (s *CapacitySlope) predict(x float64) {
 	if s.Fit != nil {
-		s.Foretold = &Foretold{
-			At: time.Now(), X: Figure(x), Y: Figure(s.Fit.At(x)), Room: s.Fit.Tolerance(),
+		s.Prediction = &Prediction{
+			At: time.Now(), X: Figure(x), Y: Figure(s.Fit.At(x)), Tolerance: s.Fit.Tolerance(),
 			Measured: Figure(math.NaN()),
 		}
 	}
@@ -73,8 +74,8 @@
 
 // evaluate records the measured figure and whether the prediction holds.
 func (s *CapacitySlope) evaluate(y float64) {
-	if p := s.Foretold; p != nil {
-		p.Measured, p.Holds = Figure(y), math.Abs(y-float64(p.Y)) <= p.Room*float64(p.Y)
+	if p := s.Prediction; p != nil {
+		p.Measured, p.Holds = Figure(y), math.Abs(y-float64(p.Y)) <= p.Tolerance*float64(p.Y)
 	}
 }
 
@@ -97,8 +98,8 @@
 	return sum / float64(n)
 }
 
-// addMessageRuns adds runs of one size and returns their mean number of messages per second. Runs with
-// fewer than one message per second are not added.
+// addMessageRuns adds runs of one size and returns their mean number of messages per second. Runs
+// with fewer than one message per second are not added.
 func addMessageRuns(all []*CapacitySlope, runs []map[string]float64, seeds []uint64) (in float64) {
 	if in = meanOf(runs, "messages.in"); !(in >= 1) {
 		return in
--- a/internal/lab/hollow.go
+++ b/internal/lab/hollow.go
@@ -1,10 +1,10 @@
 package lab
 
 // Hollow dispatchers: many dispatchers simulated in one process and in virtual time, each with the
-// real endpoint list and balancer (hosted by virtualtime.go), with cost measurement, faults in large
-// fleets and a memory limit. Decisions are not simplified; the core's goroutines, the front ends and
-// the sockets are left out. Neither measured times nor the garbage collector influence a run, so
-// counts and bytes repeat exactly for a seed.
+// real endpoint list and balancer (hosted by virtualtime.go), with cost measurement, faults in
+// large fleets and a memory limit. Decisions are not simplified; the core's goroutines, the front
+// ends and the sockets are left out. Neither measured times nor the garbage collector influence a
+// run, so counts and bytes repeat exactly for a seed.
 
 import (
 	"context"
@@ -19,9 +19,9 @@
 	"oakthread/endpoints"
 )
 
-// HollowSize describes one run of hollow dispatchers in virtual time. In large fleets Calls may be far
-// fewer than the planned 200 per second at each dispatcher: the cost of calls is reported per call,
-// and the other costs depend on time.
+// HollowSize describes one run of hollow dispatchers in virtual time. In large fleets Calls may be
+// far fewer than the planned 200 per second at each dispatcher: the cost of calls is reported per
+// call, and the other costs depend on time.
 type HollowSize struct {
 	Dispatchers, Executors, Functions int
 	Calls                             float64 // mean per second at each dispatcher
@@ -38,13 +38,14 @@
 	Fault     string  // "" or one of HollowFaults()
 	Memory    uint64  // limit of the process's memory in bytes; 0: half of the machine's
 	Lost      float64 // part of the messages that are lost
-	// PeerPrice is balancer.Settings.PeerPrice: the price of a message as a part of the weighted value
-	// of a call; 0: the lowest that the balancer uses. At 0.021, the price of the experiment fleet, no
-	// message budget covers a digest for 1,000 dispatchers, and none is written.
+	// PeerPrice is balancer.Settings.PeerPrice: the price of a message in units of the weighted
+	// value of calls; 0: the lowest that the balancer uses. At 0.021, the price of the experiment
+	// fleet, no message budget covers a digest for 1,000 dispatchers, and none is written.
 	PeerPrice float64
 }
 
-// HollowResult holds the figures of a run, per dispatcher unless stated. Figures that were not measured are missing.
+// HollowResult holds the figures of a run, per dispatcher unless stated. Figures that were not
+// measured are missing.
 //
 //	heap               live heap bytes with all dispatchers, less those live after the dispatchers are
 //	                   released; divided by the number of dispatchers
@@ -106,24 +107,25 @@
 var ErrHollowMemory = errors.New("too little memory")
 
 const (
-	hollowRise = time.Second     // end of the warm-up in which calls already arrive at the span's rate
-	hollowEnd  = 8 * time.Second // longest time after the span for open calls to end
-	hollowUse  = 0.4             // part of a worker's cores that its share of the calls uses
-	// instances per function as planned (230,000 of 48,000 functions); workers' memory is sized for them
-	hollowCopies   = 4.8
-	hollowDay      = 5100 // configuration changes per day
-	hollowBurst    = 20
-	hollowOutage   = 5 * time.Second // duration of a zone's outage; at most half of the span
-	hollowDown     = time.Second     // downtime of a restarted dispatcher; at most a quarter of the span
-	hollowAway     = 3 * time.Second // time until a drained worker comes back
-	hollowLook     = 512             // events between checks of the heap and the context
-	hollowCollects = 64 << 20        // fewest bytes allocated between collections
+	hollowRampUp      = time.Second     // end of the warm-up in which calls already arrive at the span's rate
+	hollowDrainTime   = 8 * time.Second // longest time after the span for open calls to end
+	hollowUtilization = 0.4             // part of a worker's cores that its share of the calls uses
+	// instances per function as planned (230,000 of 48,000 functions); workers' memory is sized for
+	// them
+	hollowCopies        = 4.8
+	hollowDailyChanges  = 5100 // configuration changes per day
+	hollowBurst         = 20
+	hollowOutage        = 5 * time.Second // duration of a zone's outage; at most half of the span
+	hollowDowntime      = time.Second     // downtime of a restarted dispatcher; at most a quarter of the span
+	hollowDrainedTime   = 3 * time.Second // time until a drained worker comes back
+	hollowCheckInterval = 512             // events between checks of the heap and the context
+	hollowMinGarbage    = 64 << 20        // fewest bytes allocated between collections
 )
 
-// HollowRun runs hollow dispatchers in virtual time. Only one run at a time is possible in a process,
-// because it disables the automatic garbage collector. It returns ErrHollowMemory without running if
-// the estimated memory exceeds the limit. A run that ends early, because ctx is done or memory runs
-// out, returns its figures so far, marked Partial, with the error.
+// HollowRun runs hollow dispatchers in virtual time. Only one run at a time is possible in a
+// process, because it disables the automatic garbage collector. It returns ErrHollowMemory without
+// running if the estimated memory exceeds the limit. A run that ends early, because ctx is done or
+// memory runs out, returns its figures so far, marked Partial, with the error.
 func HollowRun(ctx context.Context, size HollowSize, seed uint64) (*HollowResult, error) {
 	if err := size.check(); err != nil {
 		return nil, err
@@ -154,7 +156,7 @@
 		h.views(result)
 		h.configure()
 	}
-	for end := h.until.Add(hollowEnd); h.err == nil && h.begun > 0 && h.now.Before(end); {
+	for end := h.until.Add(hollowDrainTime); h.err == nil && h.openCalls > 0 && h.now.Before(end); {
 		h.play(ctx, h.now.Add(100*time.Millisecond))
 	}
 	h.figures(result)
@@ -162,11 +164,12 @@
 		result.Partial = h.err.Error()
 		return result, h.err
 	}
-	h.weigh(result)
+	h.measureMemory(result)
 	return result, nil
 }
 
-// check sets defaults and returns an error for invalid sizes and for those that need too much memory.
+// check sets defaults and returns an error for invalid sizes and for those that need too much
+// memory.
 func (s *HollowSize) check() error {
 	switch {
 	case s.Dispatchers < 1 || s.Executors < 1 || s.Functions < 1:
@@ -189,7 +192,7 @@
 		}
 		s.Memory = all / 2
 	}
-	if need := s.needs(); need > s.Memory {
+	if need := s.estimateMemory(); need > s.Memory {
 		return fmt.Errorf("hollow run: %w: %s will take about %s, and may take %s", ErrHollowMemory, s,
 			gigabytes(need), gigabytes(s.Memory))
 	}
@@ -201,13 +204,13 @@
 		s.Functions, s.Calls)
 }
 
-// play processes events until a time. It collects garbage between events and stops if ctx is done or
-// the memory limit is exceeded.
+// play processes events until a time. It collects garbage between events and stops if ctx is done
+// or the memory limit is exceeded.
 func (h *hollowWorld) play(ctx context.Context, until time.Time) {
 	for i := 0; h.err == nil; i++ {
-		if i%hollowLook == 0 {
-			if h.err = ctx.Err(); h.collect() || i%(16*hollowLook) == 0 {
-				h.guard()
+		if i%hollowCheckInterval == 0 {
+			if h.err = ctx.Err(); h.collect() || i%(16*hollowCheckInterval) == 0 {
+				h.checkMemory()
 			}
 			if h.err != nil {
 				return
@@ -224,7 +227,7 @@
 // did.
 func (h *hollowWorld) collect() bool {
 	metrics.Read(h.samples)
-	if h.samples[0].Value.Uint64() < h.live+max(hollowCollects, h.live/2) {
+	if h.samples[0].Value.Uint64() < h.live+max(hollowMinGarbage, h.live/2) {
 		return false
 	}
 	runtime.GC()
@@ -233,8 +236,8 @@
 	return true
 }
 
-// guard ends the run if the process exceeds its memory limit.
-func (h *hollowWorld) guard() {
+// checkMemory ends the run if the process exceeds its memory limit.
+func (h *hollowWorld) checkMemory() {
 	if n := resident(); n > h.size.Memory && h.err == nil {
 		h.err = fmt.Errorf("hollow run: %w: %s took %s after %v of virtual time, and may take %s", ErrHollowMemory,
 			&h.size, gigabytes(n),
@@ -250,7 +253,7 @@
 
 // start creates dispatcher n and sends it the full list.
 func (h *hollowWorld) start(n int) error {
-	node, err := h.node(n, h.seed+h.lives, false)
+	node, err := h.node(n, h.seed+h.restarts, false)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/hollow_test.go
+++ b/internal/lab/hollow_test.go
@@ -106,13 +106,13 @@
 	h.begin()
 	h.play(t.Context(), h.until.Add(6*time.Second))
 	m := &h.meter
-	out := m.sums[2]
+	out := m.totals[2]
 	h.mute = true // what is in transit arrives
 	h.play(t.Context(), h.now.Add(2*peerDelay))
 	require.NoError(t, h.err)
-	assert.Equal(t, h.delivered, m.sums[0])
-	assert.Equal(t, out, m.sums[0])
-	assert.Equal(t, m.counts[partRead], m.sums[1])
+	assert.Equal(t, h.delivered, m.totals[0])
+	assert.Equal(t, out, m.totals[0])
+	assert.Equal(t, m.counts[partRead], m.totals[1])
 	loads, served, sent := 0, 0, 0
 	for _, worker := range h.workers {
 		for _, n := range worker.model.loads {
@@ -126,7 +126,7 @@
 		sent += n
 	}
 	assert.Equal(t, h.calls-h.unserved, served)
-	assert.Zero(t, h.begun)
+	assert.Zero(t, h.openCalls)
 	assert.GreaterOrEqual(t, m.counts[partChoice], h.calls+sent, "a request and an outcome for each, and loads")
 	assert.Equal(t, loads, h.loads)
 	assert.Greater(t, loads, 0)
@@ -143,7 +143,7 @@
 	require.NoError(t, size.check())
 	h, err := newHollow(t.Context(), size, 1)
 	require.NoError(t, err)
-	rise := h.from.Add(-hollowRise)
+	rise := h.from.Add(-hollowRampUp)
 	for _, c := range []struct {
 		now  time.Time
 		x    float64 // mean gaps
@@ -168,7 +168,7 @@
 		return n
 	}
 	slow, fast := sent(rise), sent(h.from)
-	assert.InEpsilon(t, 5*12*(size.Warm-hollowRise).Seconds(), slow, 0.2)
+	assert.InEpsilon(t, 5*12*(size.Warm-hollowRampUp).Seconds(), slow, 0.2)
 	assert.InEpsilon(t, 50*12, fast, 0.2)
 	size.WarmCalls = -1
 	_, err = HollowRun(t.Context(), size, 1)
@@ -198,13 +198,13 @@
 		Dispatchers: 1900, Executors: 960, Functions: 48000, Calls: 5, Warm: 6 * time.Second,
 		Span: 10 * time.Second,
 	}
-	assert.Less(t, plan.needs(), uint64(8e9), "the largest run that is wanted has to fit")
+	assert.Less(t, plan.estimateMemory(), uint64(8e9), "the largest run that is wanted has to fit")
 	letter := planCapacity(Options{Seed: 1}).letter
 	letter.Warm = 6 * time.Second
-	assert.Less(t, letter.needs(), uint64(12e9), "and so has that of the letter's calls, in half of 24 GB")
+	assert.Less(t, letter.estimateMemory(), uint64(12e9), "and so has that of the letter's calls, in half of 24 GB")
 	slow := letter
 	slow.WarmCalls = 0
-	assert.Greater(t, slow.needs(), letter.needs())
+	assert.Greater(t, slow.estimateMemory(), letter.estimateMemory())
 	for _, invalid := range []HollowSize{
 		{},
 		{Dispatchers: 1, Executors: 1, Functions: 1},
--- a/internal/lab/hollowclients.go
+++ b/internal/lab/hollowclients.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// home returns the dispatcher that the clients of dispatcher n use: n itself, or another one while n is
-// down.
+// home returns the dispatcher that the clients of dispatcher n use: n itself, or another one while
+// n is down.
 func (h *hollowWorld) home(n int) *simNode {
 	d := len(h.nodes)
 	for k := range d {
@@ -18,9 +18,10 @@
 	return h.nodes[n]
 }
 
-// gap returns the time until a dispatcher's next call; x is that time as a multiple of the mean gap.
+// gap returns the time until a dispatcher's next call; x is that time as a multiple of the mean
+// gap.
 func (h *hollowWorld) gap(x float64) time.Duration {
-	first, left := h.size.WarmCalls, h.from.Add(-hollowRise).Sub(h.now)
+	first, left := h.size.WarmCalls, h.from.Add(-hollowRampUp).Sub(h.now)
 	if first <= 0 || left <= 0 {
 		return time.Duration(x / h.size.Calls * float64(time.Second))
 	}
@@ -45,7 +46,7 @@
 			class: class, model: h.load.model(h.popular.draw(rng.Float64()), h.now), intended: h.now,
 			name: strconv.Itoa(n) + "." + strconv.Itoa(seq),
 		}
-		h.begun++
+		h.openCalls++
 		h.simWorld.home(n).arrive(call)
 		h.clients(n, rng, seq+1)
 	})
@@ -56,21 +57,21 @@
 	if h == nil {
 		return
 	}
-	h.begun--
+	h.openCalls--
 	if call.intended.Before(h.from) {
 		return
 	}
 	class := h.f.Classes[call.class]
 	h.calls++
-	h.asked += class.PriorityWeight
+	h.offeredValue += class.PriorityWeight
 	took := call.ended.Sub(call.intended)
 	switch {
 	case !call.served:
 		h.unserved++
 	case took <= class.LatencyObjective:
-		h.earned += class.PriorityWeight
+		h.earnedValue += class.PriorityWeight
 	default:
-		h.earned += 0.2 * class.PriorityWeight
+		h.earnedValue += 0.2 * class.PriorityWeight
 	}
 	if call.served && call.awaitedLoad {
 		h.loadWaits = append(h.loadWaits, took.Seconds())
--- a/internal/lab/hollowevents.go
+++ b/internal/lab/hollowevents.go
@@ -9,10 +9,10 @@
 	"oakthread/endpoints"
 )
 
-// change notifies all dispatchers of changed workers, each after its own delay of up to notifyDelay,
-// which simulates the platform's watch. The notification time is measured from since, the time of the
-// first change.
-func (h *hollowWorld) change(since time.Time, workers ...int) {
+// notifyChange notifies all dispatchers of changed workers, each after its own delay of up to
+// notifyDelay, which simulates the platform's watch. The notification time is measured from since,
+// the time of the first change.
+func (h *hollowWorld) notifyChange(since time.Time, workers ...int) {
 	h.cursor++
 	u := endpoints.Update{Cursor: h.cursor}
 	for _, i := range workers {
@@ -22,26 +22,26 @@
 		h.after(d, func() {
 			if node := h.nodes[n]; !node.dead {
 				h.notify(node, u)
-				h.acts = max(h.acts, h.now.Sub(since))
+				h.slowestNotification = max(h.slowestNotification, h.now.Sub(since))
 			}
 		})
 	}
 }
 
-// list makes one change: a worker that was drained for hollowAway comes back, another one drains, or a
-// weight changes. since is the start of the measured time; nil means now.
-func (h *hollowWorld) list(since *time.Time) {
+// changeList makes one change: a worker that was drained for hollowDrainedTime comes back, another
+// one drains, or a weight changes. since is the start of the measured time; nil means now.
+func (h *hollowWorld) changeList(since *time.Time) {
 	from := h.now
 	if since != nil {
 		from = *since
 	}
-	if len(h.away) > 0 && h.now.Sub(h.awayAt[0]) >= hollowAway {
-		i := h.away[0]
-		h.away, h.awayAt = h.away[1:], h.awayAt[1:]
+	if len(h.drainedWorkers) > 0 && h.now.Sub(h.drainedAt[0]) >= hollowDrainedTime {
+		i := h.drainedWorkers[0]
+		h.drainedWorkers, h.drainedAt = h.drainedWorkers[1:], h.drainedAt[1:]
 		worker := h.workers[i]
 		worker.model, worker.drained = NewWorkerModel(h.f.Worker, h.now), time.Time{}
 		h.listed[i].State, h.listed[i].Start, h.changed[i] = balancer.Active, h.now, h.now
-		h.change(from, i)
+		h.notifyChange(from, i)
 		return
 	}
 	for range 8 { // find an active worker that did not change within 2*notifyDelay
@@ -51,15 +51,15 @@
 			continue
 		}
 		h.changed[i] = h.now
-		if 20*len(h.away) < len(h.workers) && h.rng.IntN(2) == 0 {
+		if 20*len(h.drainedWorkers) < len(h.workers) && h.rng.IntN(2) == 0 {
 			h.workers[i].model.Drain()
 			h.workers[i].drained = h.now.Add(notifyDelay)
 			h.listed[i].State = balancer.Draining
-			h.away, h.awayAt = append(h.away, i), append(h.awayAt, h.now)
+			h.drainedWorkers, h.drainedAt = append(h.drainedWorkers, i), append(h.drainedAt, h.now)
 		} else {
 			h.listed[i].Weight = 3.5 - h.listed[i].Weight // 2 or 1.5
 		}
-		h.change(from, i)
+		h.notifyChange(from, i)
 		return
 	}
 }
@@ -97,19 +97,19 @@
 		h.at(h.from.Add(span/8), h.loseZone)
 		h.at(h.from.Add(span/8+min(hollowOutage, span/2)), h.restoreZone)
 	case FaultRegions:
-		h.at(h.from.Add(span/3), func() { h.halves = true })
-		h.at(h.from.Add(span*2/3), func() { h.halves = false })
+		h.at(h.from.Add(span/3), func() { h.split = true })
+		h.at(h.from.Add(span*2/3), func() { h.split = false })
 	case FaultFullList:
 		h.at(middle, h.publishFullList)
 	case FaultChanges:
-		rate := max(hollowDay/(24*time.Hour).Seconds(), 1/span.Seconds())
+		rate := max(hollowDailyChanges/(24*time.Hour).Seconds(), 1/span.Seconds())
 		for at := range ticks(h.from, h.until, rate) {
-			h.at(at, func() { h.list(nil); h.configure() })
+			h.at(at, func() { h.changeList(nil); h.configure() })
 		}
 	case FaultBurst:
 		for i := range hollowBurst {
 			at := middle.Add(time.Duration(i) * time.Second / hollowBurst)
-			h.at(at, func() { h.list(&middle); h.configure() })
+			h.at(at, func() { h.changeList(&middle); h.configure() })
 		}
 	case FaultRelease:
 		h.release(h.from, span*2/3)
@@ -122,9 +122,9 @@
 	count := max(1, dispatchers/19)
 	for at := range ticks(h.from, h.until, float64(count)/h.size.Span.Seconds()) {
 		h.at(at, func() {
-			n := int(h.lives) * 19 % dispatchers
+			n := int(h.restarts) * 19 % dispatchers
 			h.kill(n)
-			h.after(min(hollowDown, h.size.Span/4), func() { h.revive(n) })
+			h.after(min(hollowDowntime, h.size.Span/4), func() { h.restart(n) })
 		})
 	}
 }
@@ -152,12 +152,13 @@
 		}
 	}
 	for n := range max(1, h.size.Dispatchers/10) {
-		h.revive(n)
+		h.restart(n)
 	}
-	h.change(h.now, back...)
+	h.notifyChange(h.now, back...)
 }
 
-// publishFullList sends all dispatchers the full list at once; cpu.list.whole then counts only this list.
+// publishFullList sends all dispatchers the full list at once; cpu.list.whole then counts only this
+// list.
 func (h *hollowWorld) publishFullList() {
 	h.meter.times[partFullList], h.meter.counts[partFullList], h.fullListTime = 0, 0, 0
 	h.cursor++
@@ -166,9 +167,9 @@
 	}
 }
 
-// release replaces every third worker in ten steps over span, beginning at from: as many new workers
-// start, and the old ones drain and stay listed. Every other dispatcher is restarted, one after the
-// other.
+// release replaces every third worker in ten steps over span, beginning at from: as many new
+// workers start, and the old ones drain and stay listed. Every other dispatcher is restarted, one
+// after the other.
 func (h *hollowWorld) release(from time.Time, span time.Duration) {
 	old, d := h.size.Executors, h.size.Dispatchers
 	for step := range 10 {
@@ -190,19 +191,19 @@
 				h.workers[i].drained = h.now.Add(notifyDelay)
 				h.listed[i].State = balancer.Draining
 			}
-			h.change(h.now, changed...)
+			h.notifyChange(h.now, changed...)
 		})
 	}
 	for n := 1; n < d; n += 2 {
 		h.at(from.Add(span*time.Duration(n)/time.Duration(d)), func() {
 			h.kill(n)
-			h.after(min(hollowDown, span/4), func() { h.revive(n) })
+			h.after(min(hollowDowntime, span/4), func() { h.restart(n) })
 		})
 	}
 }
 
-// kill stops a dispatcher: its clients' calls break off and are sent again, while attempts already sent to
-// workers continue.
+// kill stops a dispatcher: its clients' calls break off and are sent again, while attempts already
+// sent to workers continue.
 func (h *hollowWorld) kill(n int) {
 	node := h.nodes[n]
 	node.dead = true
@@ -216,11 +217,11 @@
 		delete(node.open, id)
 		h.after(0, func() { node.again(sent.call, 200*time.Millisecond, sent.attempts == 0) })
 	}
-	h.lives++
+	h.restarts++
 }
 
-// revive restarts a killed dispatcher.
-func (h *hollowWorld) revive(n int) {
+// restart restarts a killed dispatcher.
+func (h *hollowWorld) restart(n int) {
 	if err := h.start(n); err != nil && h.err == nil {
 		h.err = err
 	}
--- a/internal/lab/hollowmemory.go
+++ b/internal/lab/hollowmemory.go
@@ -10,15 +10,15 @@
 
 func gigabytes(n uint64) string { return fmt.Sprintf("%.2f GB", float64(n)/1e9) }
 
-// needs estimates the bytes that a run uses, including garbage, from slopes measured on small runs:
-// per dispatcher its list, its rows of the other dispatchers and its state of functions from its own
-// calls and from messages; the leaders' state of all dispatchers; open calls; and the simulated world.
-// It is only an estimate: guard checks the run itself.
-func (s *HollowSize) needs() uint64 {
+// estimateMemory estimates the bytes that a run uses, including garbage, from slopes measured on
+// small runs: per dispatcher its list, its rows of the other dispatchers and its state of functions
+// from its own calls and from messages; the leaders' state of all dispatchers; open calls; and the
+// simulated world. It is only an estimate: checkMemory checks the run itself.
+func (s *HollowSize) estimateMemory() uint64 {
 	d, e, long := float64(s.Dispatchers), float64(s.Executors), (s.Warm + s.Span).Seconds()
 	slow, first := 0.0, s.Calls // s of the warm-up at WarmCalls, and its call rate
 	if s.WarmCalls > 0 {
-		slow, first = max(0, s.Warm-hollowRise).Seconds(), s.WarmCalls
+		slow, first = max(0, s.Warm-hollowRampUp).Seconds(), s.WarmCalls
 	}
 	known := 0.0 // functions of its own calls, and pairs from messages, which calls pay for
 	for _, x := range [][2]float64{{slow, first}, {long - slow, s.Calls}} {
--- a/internal/lab/hollowmessages.go
+++ b/internal/lab/hollowmessages.go
@@ -6,11 +6,12 @@
 
 // parted reports whether the partition of FaultRegions drops messages between two dispatchers.
 func (h *hollowWorld) parted(from, to int) bool {
-	return h != nil && h.halves && (2*from < len(h.nodes)) != (2*to < len(h.nodes))
+	return h != nil && h.split && (2*from < len(h.nodes)) != (2*to < len(h.nodes))
 }
 
 // countSent counts a message when it is sent and returns its kind; countReceived counts it when it
-// arrives. This identifies a term's leader: only it writes digests, and reports are sent only to it.
+// arrives. This identifies a term's leader: only it writes digests, and reports are sent only to
+// it.
 func (h *hollowWorld) countSent(node *simNode, to int, data string) (n note) {
 	if h == nil {
 		return n
@@ -26,10 +27,10 @@
 	}
 	h.meter.wrote = true
 	if h.meter.on {
-		h.meter.outByte[node.n] += int64(copies * len(data))
-		h.meter.sums[2] += copies * len(data)
-		h.meter.sums[3] += copies
-		h.meter.collects[node.n] = h.meter.collects[node.n] || m.FromLeader
+		h.meter.outBytes[node.n] += int64(copies * len(data))
+		h.meter.totals[2] += copies * len(data)
+		h.meter.totals[3] += copies
+		h.meter.leads[node.n] = h.meter.leads[node.n] || m.FromLeader
 	}
 	return n
 }
@@ -44,16 +45,16 @@
 	}
 	if h.meter.on {
 		h.meter.inBytes[n] += int64(len(data))
-		h.meter.sums[0] += len(data)
-		h.meter.sums[1]++
-		h.meter.collects[n] = h.meter.collects[n] || what.report
+		h.meter.totals[0] += len(data)
+		h.meter.totals[1]++
+		h.meter.leads[n] = h.meter.leads[n] || what.report
 	}
 }
 
 // countDigest counts dispatcher n once per term as a holder of the digest.
 func (h *hollowWorld) countDigest(n int) {
-	if t := h.now.UnixNano() / h.term; t != h.terms[n] {
-		h.terms[n] = t
-		h.digestReaders[t]++
+	if t := h.now.UnixNano() / h.term; t != h.lastDigestTerm[n] {
+		h.lastDigestTerm[n] = t
+		h.digestHolders[t]++
 	}
 }
--- a/internal/lab/hollowmeter.go
+++ b/internal/lab/hollowmeter.go
@@ -6,85 +6,86 @@
 	"golang.org/x/sys/unix"
 )
 
-// part is a kind of work of a dispatcher that the meter counts separately.
-type part int
+// workKind is a kind of work of a dispatcher that the meter counts separately.
+type workKind int
 
 const (
-	partChoice part = iota
+	partChoice workKind = iota
 	partUpkeep
 	partWrite // upkeep that wrote a message
 	partRead
 	partList
 	partFullList
 	partConfig
-	parts
+	workKinds
 )
 
-// meter measures the costs of dispatchers. A nil meter measures nothing. Time is the thread's CPU time,
-// read before and after each event and around each call of the host, whose work does not belong to the
-// dispatcher; reading the clock takes about 0.6 us, which is subtracted. Garbage collections do not
-// count: they run only between events.
+// meter measures the costs of dispatchers. A nil meter measures nothing. Time is the thread's CPU
+// time, read before and after each event and around each call of the host, whose work does not
+// belong to the dispatcher; reading the clock takes about 0.6 us, which is subtracted. Garbage
+// collections do not count: they run only between events.
 type meter struct {
-	on       bool // measuring, within the span
-	fullList bool // the update being processed is a full list
-	in       bool
-	node     int
-	part     part
-	wrote    bool
-	from     int64
-	spent    int64
-	read     int64 // ns that reading the clock takes
-	times    [parts]int64
-	counts   [parts]int
+	on        bool // measuring, within the span
+	fullList  bool // the update being processed is a full list
+	running   bool
+	node      int
+	kind      workKind
+	wrote     bool
+	startedAt int64
+	spent     int64
+	clockCost int64 // ns that reading the clock takes
+	times     [workKinds]int64
+	counts    [workKinds]int
 
-	second                int64 // of the span, that the counts below belong to
-	cpu, inBytes, outByte []int64
-	collects              []bool
-	most                  [5]int64 // busiest second of any dispatcher: ns, bytes in and out, bytes in and out of leaders
-	sums                  [4]int   // bytes and messages in, bytes and messages out
+	second                 int64 // of the span, that the counts below belong to
+	cpu, inBytes, outBytes []int64
+	leads                  []bool
+	busiest                [5]int64 // busiest second of any dispatcher: ns, bytes in and out, bytes in and out of leaders
+	totals                 [4]int   // bytes and messages in, bytes and messages out
 }
 
-// clock returns the CPU time of this thread in nanoseconds.
-func clock() int64 {
+// threadCPUTime returns the CPU time of this thread in nanoseconds.
+func threadCPUTime() int64 {
 	var ts unix.Timespec
 	_ = unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &ts)
 	return ts.Nano()
 }
 
-// newMeter returns a meter for n dispatchers, calibrated with the time that reading the clock takes.
+// newMeter returns a meter for n dispatchers, calibrated with the time that reading the clock
+// takes.
 func newMeter(n int) meter {
 	m := meter{
-		cpu: make([]int64, n), inBytes: make([]int64, n), outByte: make([]int64, n), collects: make([]bool, n),
-		read: math.MaxInt64,
+		cpu: make([]int64, n), inBytes: make([]int64, n), outBytes: make([]int64, n), leads: make([]bool, n),
+		clockCost: math.MaxInt64,
 	}
 	for range 1000 {
-		a := clock()
-		m.read = min(m.read, clock()-a)
+		a := threadCPUTime()
+		m.clockCost = min(m.clockCost, threadCPUTime()-a)
 	}
 	return m
 }
 
 // begin starts the measurement of one step of a dispatcher.
-func (m *meter) begin(node int, p part) {
+func (m *meter) begin(node int, p workKind) {
 	if m == nil {
 		return
 	}
 	if p == partList && m.fullList {
 		p = partFullList
 	}
-	m.in, m.node, m.part, m.wrote, m.spent = true, node, p, false, 0
-	m.from = clock()
+	m.running, m.node, m.kind, m.wrote, m.spent = true, node, p, false, 0
+	m.startedAt = threadCPUTime()
 }
 
 func (m *meter) pause() {
-	if m != nil && m.in {
-		m.spent += clock() - m.from - m.read
+	if m != nil && m.running {
+		m.spent += threadCPUTime() - m.startedAt - m.clockCost
 	}
 }
 
 func (m *meter) resume() {
-	if m != nil && m.in {
-		m.from = clock()
+	if m != nil && m.running {
+		m.startedAt = threadCPUTime()
 	}
 }
 
@@ -94,13 +95,13 @@
 		return
 	}
 	m.pause()
-	if m.in = false; m.part == partUpkeep && m.wrote {
-		m.part = partWrite
+	if m.running = false; m.kind == partUpkeep && m.wrote {
+		m.kind = partWrite
 	}
-	if m.on || m.part == partFullList || m.part == partConfig {
-		m.times[m.part] += max(0, m.spent)
-		if m.part != partList && m.part != partFullList { // one change takes two steps, so notify counts it
-			m.counts[m.part]++
+	if m.on || m.kind == partFullList || m.kind == partConfig {
+		m.times[m.kind] += max(0, m.spent)
+		if m.kind != partList && m.kind != partFullList { // one change takes two steps, so notify counts it
+			m.counts[m.kind]++
 		}
 	}
 	if m.on {
@@ -115,14 +116,14 @@
 	}
 	m.second = second
 	for n := range m.cpu {
-		for i, x := range []int64{m.cpu[n], m.inBytes[n], m.outByte[n]} {
-			if m.most[i] = max(m.most[i], x); i > 0 && m.collects[n] {
-				m.most[i+2] = max(m.most[i+2], x)
+		for i, x := range []int64{m.cpu[n], m.inBytes[n], m.outBytes[n]} {
+			if m.busiest[i] = max(m.busiest[i], x); i > 0 && m.leads[n] {
+				m.busiest[i+2] = max(m.busiest[i+2], x)
 			}
 		}
 	}
 	clear(m.cpu)
 	clear(m.inBytes)
-	clear(m.outByte)
-	clear(m.collects)
+	clear(m.outBytes)
+	clear(m.leads)
 }
--- a/internal/lab/hollowresult.go
+++ b/internal/lab/hollowresult.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// views records the part of the fleet that the dispatchers' views cover at the end of the span, and the
-// part of the terms whose digest at least half of the dispatchers received.
+// views records the part of the fleet that the dispatchers' views cover at the end of the span, and
+// the part of the terms whose digest at least half of the dispatchers received.
 func (h *hollowWorld) views(result *HollowResult) {
 	covered, alive := 0, 0
 	for _, node := range h.nodes {
@@ -20,7 +20,7 @@
 	result.Figures["covered"] = float64(covered) / float64(max(1, alive*len(h.nodes)))
 	terms, received := 0, 0
 	for t := h.from.UnixNano()/h.term + 1; (t+1)*h.term <= h.until.UnixNano(); t++ {
-		if terms++; 2*h.digestReaders[t] >= len(h.nodes) {
+		if terms++; 2*h.digestHolders[t] >= len(h.nodes) {
 			received++
 		}
 	}
@@ -33,7 +33,7 @@
 func (h *hollowWorld) figures(result *HollowResult) {
 	f, m := result.Figures, &h.meter
 	span := min(h.size.Span, max(0, h.now.Sub(h.from))).Seconds()
-	f["calls"], f["twice"], f["late"], f["open"] = float64(h.calls), float64(h.twice), float64(h.late), float64(h.begun)
+	f["calls"], f["twice"], f["late"], f["open"] = float64(h.calls), float64(h.twice), float64(h.late), float64(h.openCalls)
 	fallen := 0
 	for _, worker := range h.workers {
 		if worker.model.Fallen() {
@@ -43,17 +43,17 @@
 	f["fallen"] = float64(fallen)
 	f["texts.oversize"] = float64(h.simWorld.oversize - h.oversize)
 	if h.calls > 0 {
-		f["worth"], f["unserved"], f["loads"] = h.earned/h.asked, float64(h.unserved)/float64(h.calls),
+		f["worth"], f["unserved"], f["loads"] = h.earnedValue/h.offeredValue, float64(h.unserved)/float64(h.calls),
 			float64(h.loads)/float64(h.calls)
 		f["cpu.choice"] = float64(m.times[partChoice]) / float64(h.calls)
 	}
 	if slices.Sort(h.loadWaits); len(h.loadWaits) > 0 {
 		f["p99.cold"] = h.loadWaits[(len(h.loadWaits)*99-1)/100]
 	}
-	if h.acts > 0 {
-		f["acts.last"] = h.acts.Seconds()
+	if h.slowestNotification > 0 {
+		f["acts.last"] = h.slowestNotification.Seconds()
 	}
-	for name, p := range map[string]part{
+	for name, p := range map[string]workKind{
 		"cpu.read": partRead, "cpu.list": partList, "cpu.list.whole": partFullList,
 		"cpu.config": partConfig,
 	} {
@@ -68,20 +68,20 @@
 	f["cpu.upkeep"], f["cpu.write"] = float64(m.times[partUpkeep])/each, float64(m.times[partWrite])/each
 	work := m.times[partUpkeep] + m.times[partWrite] + m.times[partRead] + m.times[partList]
 	work += m.times[partFullList] - h.fullListTime
-	control := float64(work)/each + f["cpu.config"]*hollowDay/(24*time.Hour).Seconds()
+	control := float64(work)/each + f["cpu.config"]*hollowDailyChanges/(24*time.Hour).Seconds()
 	f["cpu.control"], f["cpu.all"] = control/1e9, (control+float64(m.times[partChoice])/each)/1e9
 	for i, name := range []string{"bytes.in", "messages.in", "bytes.out", "messages.out"} {
-		f[name] = float64(m.sums[i]) / each
+		f[name] = float64(m.totals[i]) / each
 	}
-	f["cpu.busiest"] = float64(m.most[0]) / 1e9
+	f["cpu.busiest"] = float64(m.busiest[0]) / 1e9
 	for i, name := range []string{"bytes.in", "bytes.out", "collector.in", "collector.out"} {
-		f[name+".busiest"] = float64(m.most[1+i])
+		f[name+".busiest"] = float64(m.busiest[1+i])
 	}
 }
 
-// weigh measures the dispatchers' memory: it releases the world's queues and calls, then the
-// dispatchers, and takes the difference of the live heap.
-func (h *hollowWorld) weigh(result *HollowResult) {
+// measureMemory measures the dispatchers' memory: it releases the world's queues and calls, then
+// the dispatchers, and takes the difference of the live heap.
+func (h *hollowWorld) measureMemory(result *HollowResult) {
 	n := float64(h.size.Dispatchers)
 	clear(h.queue)
 	h.queue = nil
--- a/internal/lab/hollowworld.go
+++ b/internal/lab/hollowworld.go
@@ -25,33 +25,33 @@
 	err         error
 	rng         *rand.Rand
 	from, until time.Time // the span
-	lives       uint64    // restarts so far
-	halves      bool      // whether the two halves of the dispatchers drop each other's messages
+	restarts    uint64    // restarts so far
+	split       bool      // whether the two halves of the dispatchers drop each other's messages
 	oversize    int       // oversize messages before the span
 }
 
-// hollowCalls counts the calls of the span; begun counts open calls, also those of the warm-up.
+// hollowCalls counts the calls of the span; openCalls also includes calls of the warm-up.
 type hollowCalls struct {
-	asked, earned                 float64
-	calls, unserved, loads, begun int
-	loadWaits                     []float64 // s
+	offeredValue, earnedValue         float64
+	calls, unserved, loads, openCalls int
+	loadWaits                         []float64 // s
 }
 
 // hollowDigests counts the digests that dispatchers received.
 type hollowDigests struct {
-	term          int64         // length in ns
-	terms         []int64       // last term in which each dispatcher received or wrote a digest
-	digestReaders map[int64]int // dispatchers with a digest, by term
+	term           int64         // length in ns
+	lastDigestTerm []int64       // last term in which each dispatcher received or wrote a digest
+	digestHolders  map[int64]int // dispatchers with a digest, by term
 }
 
 // hollowChanges is the state of list changes.
 type hollowChanges struct {
-	delay        []time.Duration // notification delay of each dispatcher
-	changed      []time.Time     // last change of each worker
-	away         []int           // drained workers, oldest first, and when they drained
-	awayAt       []time.Time
-	acts         time.Duration // slowest notification of a dispatcher
-	fullListTime int64         // ns that full lists took before the span
+	delay               []time.Duration // notification delay of each dispatcher
+	changed             []time.Time     // last change of each worker
+	drainedWorkers      []int           // drained workers, oldest first, and when they drained
+	drainedAt           []time.Time
+	slowestNotification time.Duration // slowest notification of a dispatcher
+	fullListTime        int64         // ns that full lists took before the span
 }
 
 // hollowHeap is the state for explicit garbage collections.
@@ -63,8 +63,8 @@
 // note is the kind of a message.
 type note struct{ digest, report bool }
 
-// hollowFigures sizes the workers: cores for a utilization of hollowUse, and memory for hollowCopies
-// instances per function.
+// hollowFigures sizes the workers: cores for a utilization of hollowUtilization, and memory for
+// hollowCopies instances per function.
 func hollowFigures(size HollowSize) *Figures {
 	figures := PlannerFigures()
 	work := 0.0
@@ -72,7 +72,7 @@
 		work += class.Share * class.Work.Seconds()
 	}
 	figures.Worker.Cores = max(1,
-		int(math.Ceil(size.Calls*float64(size.Dispatchers)/float64(size.Executors)*work/hollowUse)))
+		int(math.Ceil(size.Calls*float64(size.Dispatchers)/float64(size.Executors)*work/hollowUtilization)))
 	figures.Worker.Queue = 16 * figures.Worker.Cores
 	figures.Worker.Copies = max(figures.Worker.Copies,
 		int(math.Ceil(hollowCopies*float64(size.Functions)/float64(size.Executors))))
@@ -92,8 +92,8 @@
 		simWorld: w, size: size, seed: seed, rng: rand.New(rand.NewPCG(seed, 4)), from: w.now.Add(size.Warm),
 		meter: newMeter(size.Dispatchers),
 		hollowDigests: hollowDigests{
-			term: leaderTerm * int64(w.f.Classes[0].LatencyObjective), terms: make([]int64, size.Dispatchers),
-			digestReaders: map[int64]int{},
+			term: leaderTerm * int64(w.f.Classes[0].LatencyObjective), lastDigestTerm: make([]int64, size.Dispatchers),
+			digestHolders: map[int64]int{},
 		},
 		hollowHeap: hollowHeap{samples: []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}},
 	}
@@ -119,7 +119,7 @@
 			return nil, err
 		}
 		if h.collect() {
-			h.guard()
+			h.checkMemory()
 		}
 		if h.err != nil {
 			return nil, h.err
@@ -132,7 +132,7 @@
 	}
 	if size.ListEvents > 0 {
 		for at := range ticks(h.from, h.until, size.ListEvents) {
-			w.at(at, func() { h.list(nil) })
+			w.at(at, func() { h.changeList(nil) })
 		}
 	}
 	h.fault()
