--- a/internal/lab/calibrate_test.go
+++ b/internal/lab/calibrate_test.go
@@ -16,7 +16,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Guards against figures of something else: what a process took is what it was made to take.
+// Guards against wrong resource figures: the measured CPU time and memory of this process match
+// getrusage and the memory that the test allocates.
 func TestTakenByAProcess(t *testing.T) {
 	before, err := usageOf(os.Getpid())
 	require.NoError(t, err)
@@ -35,12 +36,12 @@
 		"against getrusage")
 	assert.Greater(t, after.cpu, before.cpu)
 	assert.Greater(t, after.resident, int64(32<<20))
-	_, err = usageOf(1 << 22) // above every process's number
+	_, err = usageOf(1 << 22) // above the largest process id
 	require.Error(t, err)
 }
 
-// Three processes and three hollow dispatchers under the same load: all figures are there, and
-// messages and weighted value are near.
+// Three processes and three hollow dispatchers get the same load: all figures are present, and the
+// bounds on message bytes and violations hold.
 func TestCalibrateSmall(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "oakthread")
 	text, err := exec.Command("go", "build", "-o", program, "oakthread/cmd/dispatcher").CombinedOutput()
@@ -59,7 +60,7 @@
 		assert.False(t, math.IsNaN(float64(row.Values[0])), row.Name)
 	}
 	for _, b := range rep.Bounds {
-		// the weighted value depends on the machine's pace
+		// the weighted value depends on the machine's speed
 		if strings.Contains(b.Name, "bytes") || strings.Contains(b.Name, "breaches") {
 			assert.True(t, b.Holds, "%+v", b)
 		}
--- a/internal/lab/capacity_test.go
+++ b/internal/lab/capacity_test.go
@@ -17,7 +17,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// tinyPlan is the complete experiment at sizes for tests.
+// tinyPlan returns the plan of the complete experiment with small sizes.
 func tinyPlan() capacityPlan {
 	p := capacityPlan{
 		seeds: []uint64{1}, choiceSizes: []int{20, 60},
@@ -39,12 +39,12 @@
 	return p
 }
 
-// lines are what a run logs.
+// lines collects the log lines of a run.
 type lines []string
 
 func (l *lines) log(f string, args ...any) { *l = append(*l, fmt.Sprintf(f, args...)) }
 
-// index is the place of the first line that holds all of these; -1: none.
+// index returns the index of the first line that contains all parts; -1 if there is none.
 func (l lines) index(parts ...string) int {
 next:
 	for i, line := range l {
@@ -58,7 +58,7 @@
 	return -1
 }
 
-// The complete experiment with real hollow dispatchers. Its bounds here are of counts and bytes:
+// Runs the complete experiment with hollow dispatchers. Only counts and bytes are asserted, since
 // times depend on the machine.
 func TestCapacity(t *testing.T) {
 	dir, log, plan := t.TempDir(), lines{}, tinyPlan()
@@ -76,7 +76,7 @@
 			continue
 		}
 		assert.False(t, slope.Prediction.At.Before(began))
-		assert.False(t, math.IsNaN(float64(slope.Prediction.Measured)), "%s over %s was not held against a run",
+		assert.False(t, math.IsNaN(float64(slope.Prediction.Measured)), "%s over %s was not compared with a run",
 			slope.Name, slope.Size)
 	}
 	assert.Len(t, slopes, 5*len(capacityFigures())+2+len(capacityFigures()))
@@ -133,7 +133,7 @@
 	_, err = json.Marshal(rep)
 	assert.NoError(t, err)
 
-	// What repeats with the seed: all but times and memory.
+	// All figures except times and memory repeat with the seed.
 	again, err := HollowRun(t.Context(), plan.base, 1)
 	require.NoError(t, err)
 	for _, run := range c.Runs {
@@ -149,7 +149,8 @@
 	}
 }
 
-// fakeWorld answers by formulas; extra is added to the heap, a part by the square of the executors.
+// fakeWorld computes figures by formulas; extra times the square of the workers is added to the
+// heap.
 func fakeWorld(extra float64, observed func(HollowSize)) hollowRunner {
 	return func(_ context.Context, s HollowSize, seed uint64) (*HollowResult, error) {
 		if observed != nil {
@@ -164,11 +165,11 @@
 	}
 }
 
-// Each prediction is written down before the first run of the size that it is for, and holds where
-// the world is as the fits have it.
+// Each prediction is logged before the first run of the size that it predicts, and holds if the
+// figures follow the fits.
 func TestCapacityForetellsBeforeItRuns(t *testing.T) {
 	log, plan := lines{}, tinyPlan()
-	first := map[HollowSize]int{} // place in the log at the first run of a size
+	first := map[HollowSize]int{} // number of log lines at the first run of a size
 	rep, err := runCapacity(t.Context(), Options{Seed: 1, Log: log.log}, plan, fakeWorld(0, func(s HollowSize) {
 		if _, ok := first[s]; !ok {
 			first[s] = len(log)
@@ -205,7 +206,7 @@
 	}
 }
 
-// A world that turns out otherwise than the small sizes say breaks its bounds.
+// Figures that differ from the predictions of the small sizes break their bounds.
 func TestCapacityPredictionsCanFail(t *testing.T) {
 	log, plan := lines{}, tinyPlan()
 	rep, err := runCapacity(t.Context(), Options{Seed: 1, Log: log.log, Only: "executors,largest"}, plan,
@@ -229,8 +230,8 @@
 	assert.Equal(t, -1, log.index("choice:"), "only what was asked for, and the slopes that it needs")
 }
 
-// The letter's calls are foretold before they are run, from all slopes with calls among them, and
-// can fail; of Zipf laws each exponent is run with each seed, and shown.
+// The fleet with the required calls is predicted before it is run, from all slopes including calls,
+// and its prediction can fail. Each Zipf exponent is run with each seed and reported.
 func TestCapacityLetterAndZipf(t *testing.T) {
 	plan := tinyPlan()
 	plan.seeds = []uint64{1, 2}
@@ -289,7 +290,8 @@
 	}
 }
 
-// A run that fails or is broken off leaves what there was, marked.
+// A run that fails or is cancelled ends the experiment and keeps the results so far, marked
+// partial.
 func TestCapacityBrokenOff(t *testing.T) {
 	dir, runs, fault := t.TempDir(), 0, errors.New("hollow run: too little memory: 6 dispatchers took 9 GB")
 	rep, err := runCapacity(t.Context(), Options{Seed: 1, Plots: dir, Log: func(string, ...any) {}}, tinyPlan(),
--- a/internal/lab/hollow.go
+++ b/internal/lab/hollow.go
@@ -67,7 +67,7 @@
 //	texts.oversize     messages dropped because they exceed the channel's size limit
 //	digests            part of the terms in which at least half of the dispatchers received a digest
 //	covered            mean part of the fleet that the dispatchers' views cover at the end
-//	worth, unserved    value in time as a part of that offered; part of the calls not served
+//	worth, unserved    weighted value in time as a part of that offered; part of the calls not served
 //	p99.cold           s, 99th percentile of served calls that found no copy or waited for one
 //	loads              loads begun per call
 //	acts.last          s until the last dispatcher was notified of a change, for the slowest change;
--- a/internal/lab/hollow_test.go
+++ b/internal/lab/hollow_test.go
@@ -15,7 +15,7 @@
 	return HollowSize{Dispatchers: 12, Executors: 20, Functions: 100, Calls: 20, ListEvents: 2, Span: 4 * time.Second}
 }
 
-// exact are the figures that no clock or collector has a part in.
+// exact returns the figures that depend on neither a clock nor the garbage collector.
 func exact(result *HollowResult) map[string]float64 {
 	out := map[string]float64{}
 	for name, x := range result.Figures {
@@ -26,7 +26,8 @@
 	return out
 }
 
-// The same seed repeats exactly, also where dispatchers are restarted and executors drained; another does not.
+// Runs with the same seed repeat exactly, also with restarted dispatchers and drained workers;
+// another seed gives other figures.
 func TestHollowRepeats(t *testing.T) {
 	run := func(seed uint64, fault string) map[string]float64 {
 		size := smallHollow()
@@ -41,7 +42,8 @@
 	assert.Equal(t, run(1, FaultZone), run(1, FaultZone))
 }
 
-// Each fault runs to its end: no path-book runs twice, every call ends, and what the meter shows comes out.
+// A run with each fault completes: no path-book call runs twice, every call ends, and the measured
+// figures are present.
 func TestHollowFaults(t *testing.T) {
 	for _, fault := range append(HollowFaults(), "") {
 		size := smallHollow()
@@ -61,9 +63,9 @@
 	}
 }
 
-// A release in lists too long for a full scan, as TestReleaseInALongList plays it with real
-// processes: no rule is breached, hardly a call goes unserved, each third executor drains, and new
-// ones are given work though they are warming up.
+// A release with lists too long for a full scan, as TestReleaseInALongList runs it with real
+// processes: no rule is violated, under 2% of the calls go unserved, every third worker drains, and
+// new workers get work although they are cold.
 func TestHollowReleaseInALongList(t *testing.T) {
 	for _, n := range []int{300, 1200} {
 		size := HollowSize{
@@ -94,20 +96,20 @@
 	}
 }
 
-// The meter's counts are those of the world: messages and bytes as they were delivered, calls as
-// clients sent them, loads as the executors began them.
+// The meter's counts match the simulated world: messages and bytes delivered, calls sent by
+// clients, and loads begun by workers.
 func TestHollowMeterAddsUp(t *testing.T) {
 	size := smallHollow()
-	size.ListEvents = 0 // an executor that comes back is a new one, and has forgotten what it loaded
+	size.ListEvents = 0 // a worker that comes back has a new model without the count of its loads
 	require.NoError(t, size.check())
 	h, err := newHollow(t.Context(), size, 4)
 	require.NoError(t, err)
-	h.from = h.began // all is counted
+	h.from = h.began // count the warm-up too
 	h.begin()
 	h.play(t.Context(), h.until.Add(6*time.Second))
 	m := &h.meter
 	out := m.totals[2]
-	h.mute = true // what is in transit arrives
+	h.mute = true // no new messages; those in transit arrive
 	h.play(t.Context(), h.now.Add(2*peerDelay))
 	require.NoError(t, h.err)
 	assert.Equal(t, h.delivered, m.totals[0])
@@ -136,7 +138,7 @@
 	assert.GreaterOrEqual(t, result.Figures["bytes.in.busiest"], result.Figures["collector.in.busiest"])
 }
 
-// The warm-up has its own pace but for its last second, the span the one that is asked for.
+// The warm-up has its own call rate except in its last second, which has the rate of the span.
 func TestHollowWarmsUpAtItsOwnPace(t *testing.T) {
 	size := smallHollow()
 	size.ListEvents, size.Calls, size.WarmCalls = 0, 50, 5
@@ -146,12 +148,12 @@
 	rise := h.from.Add(-hollowRampUp)
 	for _, c := range []struct {
 		now  time.Time
-		x    float64 // mean gaps
+		x    float64 // multiple of the mean gap
 		want time.Duration
 	}{
 		{h.began, 1, 200 * time.Millisecond},
 		{rise.Add(-100 * time.Millisecond), 0.25, 50 * time.Millisecond},
-		{rise.Add(-100 * time.Millisecond), 1, 110 * time.Millisecond}, // half a gap of the one pace, half of the other
+		{rise.Add(-100 * time.Millisecond), 1, 110 * time.Millisecond}, // half a gap at each rate
 		{rise, 1, 20 * time.Millisecond},
 		{h.from, 3, 60 * time.Millisecond},
 	} {
@@ -175,7 +177,8 @@
 	assert.Error(t, err)
 }
 
-// Popular functions stand: drawn by a Zipf law calls find more copies than drawn evenly, so that fewer are loaded.
+// Functions drawn by a Zipf law need fewer loads than functions drawn uniformly, as calls of
+// popular functions find loaded copies.
 func TestHollowZipfLoadsLess(t *testing.T) {
 	size := smallHollow()
 	size.Functions, size.ListEvents = 2000, 0
@@ -215,7 +218,8 @@
 	}
 }
 
-// A run that is broken off keeps what it has, marked; one that takes too much memory says so in one line.
+// A run that ends early keeps its figures, marked partial; one that uses too much memory reports it
+// in one line.
 func TestHollowPartial(t *testing.T) {
 	size := smallHollow()
 	require.NoError(t, size.check())
@@ -239,9 +243,9 @@
 	assert.Contains(t, result.Figures, "calls")
 }
 
-// States a present fault: with one dispatcher of 1,000 missing a digest is too long for the
-// channel, and none is sent. At 300 all fit.
-func TestHollowDigestsOutgrowTheChannel(t *testing.T) {
+// Documents a known fault: with one of 1,000 dispatchers missing, a digest exceeds the channel's
+// size limit and is dropped. With 300 dispatchers all digests fit.
+func TestHollowDigestsExceedChannelLimit(t *testing.T) {
 	size := HollowSize{
 		Dispatchers: 300, Executors: 10, Functions: 20, Calls: 2, Warm: 2400 * time.Millisecond,
 		Span: 1600 * time.Millisecond, Fault: FaultOneDown,
--- a/internal/lab/hollowhost_test.go
+++ b/internal/lab/hollowhost_test.go
@@ -11,12 +11,14 @@
 	"oakthread/endpoints"
 )
 
-// hollowHost is the dispatcher in virtual time, with an ear at what the module orders.
+// hollowHost is the dispatcher in virtual time; it records the actions that the decision module
+// orders.
 type hollowHost struct {
 	*simNode
 	s *stage
 }
 
+// playHollow runs a scenario with the hollow host.
 func playHollow(t *testing.T, p play) *stage {
 	t.Helper()
 	s := newStage(t, p, bubbleStart.Add(p.offset))
@@ -56,7 +58,7 @@
 	h.simNode.SendAttempt(id, worker, until)
 }
 
-// CancelAttempt is reported, as at the core, where there is still something to cancel.
+// CancelAttempt records the cancellation only of an attempt that has not ended, as the core does.
 func (h *hollowHost) CancelAttempt(id string, attempt int) {
 	if fl := h.attempts[simKey{id, attempt}]; fl != nil && !fl.over {
 		h.s.did("cancel %s #%d", id, attempt)
--- a/internal/lab/hosts_test.go
+++ b/internal/lab/hosts_test.go
@@ -1,11 +1,11 @@
 package lab
 
-// The comparison of the two hosts of the decision module: the core of the real program, on the fake
-// clock of a synctest bubble, and the dispatcher in virtual time. Both run before the same world,
-// engine and workers, and both arms have to give the same orders at the same nanosecond.
-// Differences by design are forced by tests of their own and asserted, not skipped. Not covered,
-// since the hollow host has none of it: clients that leave, the limit of open calls, tenants, and
-// the recovery ramp after a start from a cached list.
+// Comparison of the two hosts of the decision module: the core of the real program, on the fake
+// clock of a synctest bubble, and the dispatcher in virtual time. Both run in the same simulated
+// world with the same event engine and workers, and must carry out the same actions at the same
+// nanosecond. Intended differences are provoked and asserted by separate tests. Not covered,
+// because the hollow host does not implement them: clients that disconnect, the limit of open
+// calls, tenants, and the recovery ramp after a start from a cached list.
 
 import (
 	"cmp"
@@ -22,8 +22,8 @@
 	"oakthread/endpoints"
 )
 
-// sorted puts what was done at one moment in an order of its own: the core carries out each action
-// on a goroutine of its own.
+// sorted orders actions of the same time by text, because the core carries out each action on its
+// own goroutine.
 func sorted(as []action) []action {
 	out := slices.Clone(as)
 	slices.SortStableFunc(out, func(a,
@@ -34,7 +34,7 @@
 	return out
 }
 
-// firstApart is the first place where two runs differ; "": nowhere.
+// firstApart describes the first action that differs between two runs; "" if none does.
 func firstApart(actual, hollow []action) string {
 	actual, hollow = sorted(actual), sorted(hollow)
 	for i := range max(len(actual), len(hollow)) {
@@ -52,7 +52,7 @@
 	return ""
 }
 
-// callsApart is the first call whose end differs.
+// callsApart describes the first call whose end differs; "" if none does.
 func callsApart(actual, hollow *stage) string {
 	for i, call := range actual.calls0 {
 		x := hollow.calls0[i]
@@ -64,6 +64,7 @@
 	return ""
 }
 
+// kinds counts actions by kind.
 func kinds(as []action) map[string]int {
 	n := map[string]int{}
 	for _, a := range as {
@@ -72,15 +73,15 @@
 	return n
 }
 
-// playBoth plays one script before both hosts.
+// playBoth runs one scenario with both hosts.
 func playBoth(t *testing.T, p play, look func(*realHost)) (actual, hollow *stage) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) { actual = playReal(t, p, look) })
 	return actual, playHollow(t, p)
 }
 
-// Guards against a hollow dispatcher that stands for nothing: whatever the module orders, both
-// hosts do at the same time.
+// Guards against a hollow dispatcher that does not represent the real one: both hosts carry out the
+// module's orders at the same time.
 func TestHostsActAlike(t *testing.T) {
 	total := map[string]int{}
 	var ends [balancer.NumResults]int64
@@ -88,7 +89,7 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			actual, hollow := playBoth(t, play{seed: seed}, func(h *realHost) {
 				n := h.core.Counters()
-				assert.Zero(t, n.LoadOrdersWithheld, "the core's second look struck")
+				assert.Zero(t, n.LoadOrdersWithheld, "the core's own load quota check withheld a load order")
 				assert.Zero(t, n.RejectedByLimit+n.RejectedByAdmission+n.Abandoned+n.InvalidPeerMessages)
 			})
 			assert.Empty(t, firstApart(actual.actions, hollow.actions))
@@ -116,7 +117,7 @@
 	assert.Zero(t, total["answer"]+total["probe"], "the core ended a call by itself, or the list probed")
 }
 
-// The comparison must be able to fail: one thing is altered, and it shows.
+// Guards against a comparison that cannot fail: it must detect each single alteration.
 func TestComparisonFindsWhatDiffers(t *testing.T) {
 	p := play{seed: 1}
 	actual, hollow := playBoth(t, p, nil)
@@ -152,7 +153,7 @@
 	})
 }
 
-// apartBy plays a script that forces a difference, and logs the first one.
+// apartBy runs a scenario that forces a difference, and logs the first one.
 func apartBy(t *testing.T, p play, look func(*realHost)) (actual, hollow *stage) {
 	t.Helper()
 	actual, hollow = playBoth(t, p, look)
@@ -162,7 +163,7 @@
 	return actual, hollow
 }
 
-// only are the actions of one run that the other has not.
+// only returns the actions of one run that the other run lacks.
 func only(of, but []action) (out []action) {
 	observed := map[action]int{}
 	for _, a := range but {
@@ -186,18 +187,18 @@
 		assert.Positive(t, h.core.Counters().LoadOrdersWithheld)
 	})
 	a, b := sorted(only(actual.actions, hollow.actions)), sorted(only(hollow.actions, actual.actions))
-	assert.Equal(t, "load", b[0].kind(), "what the hollow host did first of all that the real one did not")
+	assert.Equal(t, "load", b[0].kind(), "first action of the hollow host that the real one lacks")
 	assert.GreaterOrEqual(t, a[0].at, b[0].at)
 }
 
-// By design: a call whose connection is still coming up when its worker drains is not written, and
-// goes elsewhere; the hollow host has no connections.
+// By design: a call whose connection is not yet established when its worker drains is not written
+// and goes to another worker; the hollow host has no connections.
 func TestCoreRevokesUnsentAttempts(t *testing.T) {
 	drain := func(s *stage) {
 		sent := s.began.Add(3 * time.Second)
 		call := &simCall{class: 0, model: 77, intended: sent, name: "0.999"}
 		s.at(sent, func() { s.host.arrive(call) })
-		s.at(sent.Add(simLinkDelay/2), func() { // wherever it went
+		s.at(sent.Add(simLinkDelay/2), func() { // the worker that the attempt was sent to drains
 			for i := range s.listed {
 				if slices.ContainsFunc(s.actions,
 					func(a action) bool { return a.text == fmt.Sprintf("send 0.999.0 #0 to %d", s.listed[i].ID) }) {
@@ -229,7 +230,8 @@
 	assert.Equal(t, action{b[0].at + still, b[0].text}, a[0])
 }
 
-// By design: before the first list the module holds calls; the hollow host's clients are sent away at once.
+// By design: before the first list the core holds calls, while the hollow host rejects them at
+// once.
 func TestCoreTakesCallsBeforeTheList(t *testing.T) {
 	actual, hollow := playBoth(t, play{seed: 1, steady: true, listAt: 500 * time.Millisecond}, nil)
 	call, x := actual.calls0[0], hollow.calls0[0]
@@ -239,8 +241,8 @@
 	assert.Zero(t, x.ended.Sub(x.intended))
 }
 
-// What is called off ends at once at both hosts, and alike: as cancelled where it was written, as
-// never written where its connection had not come up. The work at the executor goes on.
+// A cancelled attempt ends at once and with the same result at both hosts: as cancelled if it was
+// written, as not sent if its connection was not established. The work at the worker continues.
 func TestHostsEndWhatIsCalledOff(t *testing.T) {
 	t.Run("written", func(t *testing.T) {
 		for seed := range uint64(2) {
@@ -261,11 +263,11 @@
 			assert.Zero(t, left.ends[balancer.Cancelled])
 		}
 	})
-	// No connection comes up, and one call is under way when something ends it. One alone: the core
-	// revokes several of one moment in no order.
+	// No connection is established, and one open call is ended by each cause. Only one call is
+	// used, because the core revokes several attempts of the same time in no defined order.
 	const sent = 3 * time.Second
 	for name, c := range map[string]struct {
-		left time.Duration // until the call's deadline; 0: its class's
+		left time.Duration // remaining time until the call's deadline; 0: that of its class
 		then func(*stage, *endpoints.Endpoint)
 	}{
 		"its executor drains":     {then: func(_ *stage, b *endpoints.Endpoint) { b.State = balancer.Draining }},
@@ -308,8 +310,8 @@
 	}
 }
 
-// What an order shows of an executor is reported to the list at both hosts. The call that had it
-// loaded is over before it ends, so that nothing else is.
+// Both hosts report the answer to a load order to the list as evidence that the worker is alive.
+// The call that caused the load ends before it, so that no attempt verifies the worker instead.
 func TestHostsShowOrdersToTheList(t *testing.T) {
 	p := play{seed: 1, asked: 1, span: 8 * time.Second, steady: true, script: func(s *stage) {
 		s.at(s.began.Add(5900*time.Millisecond), func() { s.f.Load = 8 * time.Second })
@@ -331,9 +333,9 @@
 	assert.Equal(t, 14*time.Second+2*simLinkDelay, hollow.proved[on])
 }
 
-// No script has the module call off, before its connection fails, what was not written; the
-// platform's client proves that it never ran (platform.failure), and so does the hollow host, when
-// time or the module ends it.
+// An attempt that was not written ends as not sent when it times out or is cancelled before its
+// connection fails, as the platform's client reports it (platform.failure). No other scenario makes
+// the module cancel such an attempt.
 func TestHollowProvesWhatWasNotWritten(t *testing.T) {
 	for name, end := range map[string]func(*simNode){
 		"called off":  func(h *simNode) { h.CancelAttempt("0.999.0", 0) },
@@ -354,7 +356,8 @@
 	}
 }
 
-// An order whose answer is lost is given up by both hosts at the same time, after its limit, and its call goes on.
+// Both hosts give up a load order whose answer is lost at the same time, after its timeout, and its
+// call continues.
 func TestHostsGiveUpOrders(t *testing.T) {
 	const limit = time.Second
 	for name, c := range map[string]struct {
@@ -371,7 +374,7 @@
 			p := play{
 				seed: 1, asked: 1, span: 8 * time.Second, steady: true,
 				settings: func(s *balancer.Settings) { s.LoadOrderTimeout = int64(limit) },
-				// a function is served, forgotten and asked for again; its worker loses the load
+				// a function is served, evicted and requested again; its worker loses the load
 				script: func(s *stage) {
 					for i, at := range []time.Duration{time.Second, 6 * time.Second} {
 						call := &simCall{class: 0, model: 77, intended: s.began.Add(at), name: fmt.Sprintf("0.90%d", i)}
--- a/internal/lab/realhost_test.go
+++ b/internal/lab/realhost_test.go
@@ -21,13 +21,13 @@
 	"oakthread/internal/endpointcache"
 )
 
-// realHost is oakthread.Core, with the list that package endpointcache keeps, before carriers that
-// lead into the world.
+// realHost is oakthread.Core with the endpoint list of package endpointcache; its worker and peer
+// transports lead into the simulated world.
 type realHost struct {
 	s      *stage
 	core   *oakthread.Core
 	keeper *endpointcache.Syncer
-	stub   *simNode // dispatcher 0's place in the world: it only remembers of which drains it was notified
+	stub   *simNode // dispatcher 0's node in the world; it only records the drains that it was notified of
 	wait   sync.WaitGroup
 
 	mu    sync.Mutex
@@ -37,15 +37,15 @@
 	kick  chan struct{}
 }
 
-// order is something that the core wants done, to be taken in by the world's goroutine. Of what the
-// core begins at one moment, each on a goroutine of its own, the world takes calls' attempts by the
-// calls' numbers, then the rest as they came.
+// order is an action of the core that the world's goroutine carries out. The core starts each
+// action on its own goroutine; of actions of the same time, attempts are processed first, by their
+// calls' numbers, then the others in order of arrival.
 type order struct {
 	rank, seq int
 	do        func()
 }
 
-// playReal runs the same before the real host. It must be called in a bubble.
+// playReal runs a scenario with the real host. It must be called in a synctest bubble.
 func playReal(t *testing.T, p play, look func(h *realHost)) *stage {
 	t.Helper()
 	s := newStage(t, p, time.Now())
@@ -91,8 +91,8 @@
 	return out
 }
 
-// run is the engine's, on the bubble's clock: after each event all goroutines come to rest, and
-// what the core wants is taken in.
+// run is the event loop on the bubble's clock: after each event it waits until all goroutines
+// block, and processes the core's orders.
 func (h *realHost) run(until time.Time) {
 	for {
 		synctest.Wait()
@@ -119,8 +119,7 @@
 		if !h.s.now.Before(until) {
 			return
 		}
-		// The core's own timers fire meanwhile: the world looks whenever something may have been
-		// reported to it.
+		// The core's own timers fire meanwhile: the loop also wakes up when the core puts an order.
 		next := until
 		if len(h.s.queue) > 0 && h.s.queue[0].at < until.UnixNano() {
 			next = time.Unix(0, h.s.queue[0].at)
@@ -136,7 +135,7 @@
 
 const rankRest = 1 << 30
 
-// put hands the world's goroutine an order of the core's, with the time as it is.
+// put queues an order of the core for the world's goroutine and wakes it up.
 func (h *realHost) put(rank int, do func()) {
 	h.mu.Lock()
 	h.seq++
@@ -194,7 +193,7 @@
 	})
 }
 
-// settled reports the completions that the module ordered.
+// settled records the rejections and failures that the module ordered.
 func (h *realHost) settled(x oakthread.Completion) {
 	switch x.Answer.Outcome {
 	case oakthread.Rejected:
@@ -226,7 +225,7 @@
 	return overBy(&written)
 }
 
-// overBy is what the platform's client makes of an attempt or order that our side ended.
+// overBy returns the platform client's reply for an attempt or order that was ended on this side.
 func overBy(written *atomic.Bool) oakthread.Reply {
 	if written.Load() {
 		return oakthread.Reply{Result: balancer.Timeout}
@@ -234,8 +233,8 @@
 	return oakthread.Reply{Result: balancer.NotSent}
 }
 
-// depart is what an attempt meets on its link, as simNode.Send has it: the connection is checked
-// right before the first byte.
+// depart sends an attempt over its simulated link, as simNode.SendAttempt does: the core is asked
+// right before the first byte whether it may still be written.
 func (h *realHost) depart(call *simCall, a oakthread.Attempt, written *atomic.Bool, got chan<- oakthread.Reply) {
 	w, worker := h.s.simWorld, h.s.byID[a.Worker.ID]
 	land := func(r balancer.Result, warm balancer.Warmth, crowd int, rep []float64) {
@@ -314,7 +313,7 @@
 
 func (h *realHost) Listen(ctx context.Context, _ func(int, string)) error { <-ctx.Done(); return nil }
 
-// ear hears what the core logs: the module's own lines, which carry no figures, and errors.
+// ear is a log handler that records messages of level info and above without their attributes.
 type ear struct{ h *realHost }
 
 func (e *ear) Enabled(_ context.Context, l slog.Level) bool { return l >= slog.LevelInfo }
--- a/internal/lab/stage_test.go
+++ b/internal/lab/stage_test.go
@@ -15,7 +15,7 @@
 	"oakthread/endpoints"
 )
 
-// bubbleStart is where the clock of every bubble begins, as package synctest has it.
+// bubbleStart is the start time of the fake clock in every synctest bubble.
 var bubbleStart = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // action is one order of the module, or the end of a call, as the host carried it out.
@@ -26,34 +26,34 @@
 
 func (a action) String() string { return fmt.Sprintf("%v %s", a.at, a.text) }
 
-// kind is the first word.
+// kind returns the first word of the text.
 func (a action) kind() string { k, _, _ := strings.Cut(a.text, " "); return k }
 
-// play is one scripted run before a host: dispatcher 0 of the world. The zero values of its
-// switches are the main comparison.
+// play describes one scripted run of a host as dispatcher 0 of the world. The zero values of its
+// fields give the main comparison.
 type play struct {
 	seed     uint64
 	settings func(*balancer.Settings)
 	asked    int           // calls at dispatcher 0; 0: 240
-	span     time.Duration // of their arrivals; 0: 12 s
+	span     time.Duration // in which they arrive; 0: 12 s
 	steady   bool          // no faults
-	script   func(*stage)  // more events; nil: none
+	script   func(*stage)  // schedules more events; nil: none
 
-	// What forces a difference that is by design.
+	// These force an intended difference.
 	listAt time.Duration // when the list is first published
-	// the real host's connections come up within the link delay, and only then may a call be
-	// written
+	// the real host's connections are established within the link delay, and calls are written only
+	// after that
 	handshake bool
-	stall     time.Duration // the core's loop stands still for so long, at its 100th call
+	stall     time.Duration // how long the core's loop stalls at call 100
 
-	// What a comparison must find.
+	// The comparison must detect each of these.
 	offset time.Duration // of the hollow host's clock
-	lose   string        // an event that does not come: "call", "list" or "message", and at the real host "answer"
-	keeps  bool          // the hollow host lets what is called off go on
-	waits  bool          // it waits for orders for ever
+	lose   string        // kind of event that is lost: "call", "list", "message" or, at the real host, "answer"
+	keeps  bool          // the hollow host ignores cancellations
+	waits  bool          // the hollow host has no effective timeout of load orders
 }
 
-// stage is a world with the host in dispatcher 0's place.
+// stage is a simulated world with the tested host as dispatcher 0.
 type stage struct {
 	*simWorld
 	play
@@ -62,7 +62,7 @@
 	actions []action
 	calls0  []*simCall // of dispatcher 0
 	ends    [balancer.NumResults]int64
-	// when each executor last answered, as dispatcher 0's list has it, since the start of the run
+	// time since the start of the run at which each worker was last verified in dispatcher 0's list
 	proved map[balancer.WorkerID]time.Duration
 	lost   bool
 }
@@ -79,9 +79,8 @@
 	stageNodes, stageWorkers = 4, 6
 	stageRate                = 20 // calls a second at each
 	stageEnd                 = 8 * time.Second
-	// stageApart is by how much later each next dispatcher is notified of the list, so that no two
-	// dispatchers' rounds fall on one moment: what the world does then would depend on the order of
-	// goroutines.
+	// stageApart delays the notification of each next dispatcher, so that no two dispatchers'
+	// rounds fall on the same time: the result would depend on the order of goroutines.
 	stageApart = 1234567 * time.Nanosecond
 )
 
@@ -96,8 +95,8 @@
 	}
 }
 
-// loses reports whether this event is the one that is lost: the first of its kind in the second
-// half of the calls' span; of messages, each of which alone may change nothing, all of one second.
+// loses reports whether this event is lost: the first of its kind in the second half of the span
+// or, for messages, all of one second, as the loss of a single message may have no effect.
 func (s *stage) loses(kind string) bool {
 	at := s.now.Sub(s.began)
 	if s.lose != kind || at < s.span/2 {
@@ -120,7 +119,8 @@
 
 func (p peerNode) SendPeerMessage(to int, data string) { p.s.carry(p.n, to, data) }
 
-// carry takes a message to one or all; about three in a hundred are lost, which ones follows from what they say.
+// carry delivers a message to one or all dispatchers; about 3% are lost, selected by a hash of
+// sender, receiver and content.
 func (s *stage) carry(from, to int, data string) {
 	for n := range s.nodes {
 		h := fnv.New32a()
@@ -138,8 +138,7 @@
 	}
 }
 
-// newStage lays out the world: six small workers, dispatcher 0 and three others, calls at all of
-// them, and the faults.
+// newStage builds the world: six small workers, dispatcher 0 and three other dispatchers.
 func newStage(t *testing.T, p play, start time.Time) *stage {
 	t.Helper()
 	if p.asked == 0 {
@@ -180,7 +179,7 @@
 func (s *stage) settingsOf(n int) balancer.Settings {
 	set := s.f.settings(n, stageNodes)
 	set.Gossip, set.PeerPrice = true, peerPrice
-	set.LoadQuotaBase = 1e6 // the core's second look at orders must not strike: it has a test of its own
+	set.LoadQuotaBase = 1e6 // the core's own load quota check must not withhold orders here; TestCoreWithholdsLoadOrders covers it
 	if s.settings != nil {
 		s.settings(&set)
 	}
@@ -209,7 +208,8 @@
 	}
 }
 
-// lay puts the events in the queue: those of a host that stands.
+// lay schedules the events of the run: the first list, calls at all dispatchers, the script and the
+// faults.
 func (s *stage) lay() {
 	if s.listAt == 0 {
 		s.notifyList()
@@ -247,7 +247,7 @@
 	if s.steady {
 		return
 	}
-	odd := func(part float64) time.Time { // no two events of a run at one moment
+	odd := func(part float64) time.Time { // random offset, so that no two events have the same time
 		return s.began.Add(time.Duration(part*float64(s.span)) + time.Duration(rng.IntN(1e6)))
 	}
 	s.at(odd(0.15), func() { s.workers[1].failing = true })
@@ -267,14 +267,14 @@
 		s.listed[4].State = balancer.Draining
 		s.notifyList(4)
 	})
-	s.at(odd(0.70), func() { // it stands anew
+	s.at(odd(0.70), func() { // the worker is restarted
 		s.workers[4].model, s.workers[4].drained = NewWorkerModel(s.f.Worker, s.now), time.Time{}
 		s.listed[4].State, s.listed[4].Start = balancer.Active, s.now
 		s.notifyList(4)
 	})
 	s.at(odd(0.75), func() { s.listed[0].Weight = 1; s.notifyList(0) })
 	s.at(odd(0.80), func() { s.listed[5].State = balancer.Removed; s.notifyList(5) })
-	s.at(odd(0.82), func() { // a latency objective shorter than any: all rounds grow shorter
+	s.at(odd(0.82), func() { // a latency objective shorter than all others shortens all rounds
 		s.host.configure(balancer.Class{
 			LatencyObjective: int64(300 * time.Millisecond),
 			ClientTimeout:    int64(5 * time.Second), PriorityWeight: 1, Idempotency: balancer.Idempotent,
