--- a/internal/lab/calibrate.go
+++ b/internal/lab/calibrate.go
@@ -51,7 +51,7 @@
 	breaches        int
 	// largest delay of a client behind its schedule in s; a large one shows that the machine is
 	// overloaded
-	clientLag float64
+	lag float64
 }
 
 // bytesACall returns the bytes of messages sent per call.
@@ -172,7 +172,7 @@
 	for _, x := range xs[1:] {
 		low, high = min(low, x.cpu), max(high, x.cpu)
 		m.cpu, m.system, m.idle, m.resident = m.cpu+x.cpu, m.system+x.system, m.idle+x.idle, m.resident+x.resident
-		m.clientLag = max(m.clientLag, x.clientLag)
+		m.lag = max(m.lag, x.lag)
 		m.value, m.unserved, m.calls, m.breaches = m.value+x.value, m.unserved+x.unserved, m.calls+x.calls,
 			m.breaches+x.breaches
 	}
@@ -213,7 +213,7 @@
 	r, h := pairs[0].real, pairs[0].hollow
 	only := func(what, unit string, x float64) { rep.Row(name+what, unit, x, math.NaN(), math.NaN()) }
 	fullFleet, list, alone := pairs[0].extra(), pairs[1].extra(), pairs[2].extra()
-	rep.Row(name+"clients behind their schedule, at most", "s", max(r.clientLag, pairs[1].real.clientLag, pairs[2].real.clientLag),
+	rep.Row(name+"clients behind their schedule, at most", "s", max(r.lag, pairs[1].real.lag, pairs[2].real.lag),
 		math.NaN(), math.NaN())
 	only("processor time that hollow ones leave out", "us a call", 1e6*fullFleet)
 	only("of it HTTP, sockets, goroutines and garbage of a call", "us a call", 1e6*alone)
--- a/internal/lab/calibrate_test.go
+++ b/internal/lab/calibrate_test.go
@@ -18,7 +18,7 @@
 
 // Guards against wrong resource figures: the measured CPU time and memory of this process match
 // getrusage and the memory that the test allocates.
-func TestTakenByAProcess(t *testing.T) {
+func TestProcessUsage(t *testing.T) {
 	before, err := usageOf(os.Getpid())
 	require.NoError(t, err)
 	ballast := make([]byte, 32<<20)
--- a/internal/lab/calibratereal.go
+++ b/internal/lab/calibratereal.go
@@ -44,7 +44,7 @@
 	b := rig.Check(nil)
 	if x.breaches = b.Sum(); x.breaches > 0 {
 		c.log("calibration: %d dispatchers, %d executors, clients up to %.1f s behind: %+v",
-			fleet.dispatchers, fleet.executors, x.clientLag, b)
+			fleet.dispatchers, fleet.executors, x.lag, b)
 	}
 	if err := rig.Stop(); err != nil {
 		return nil, fmt.Errorf("a dispatcher exited with an error: %w", err)
@@ -94,11 +94,11 @@
 		}
 	}
 	for _, k := range rig.Called {
-		x.clientLag = max(x.clientLag, k.MaxLag().Seconds())
+		x.lag = max(x.lag, k.MaxLag().Seconds())
 	}
 	if x.calls == 0 {
 		return nil, fmt.Errorf("no call was intended in the span; clients were up to %.1f s behind their schedule",
-			x.clientLag)
+			x.lag)
 	}
 	x.cpu = (end.cpu - begin.cpu).Seconds() / float64(x.calls)
 	x.value, x.unserved = earned/asked, float64(unserved)/float64(x.calls)
--- a/internal/lab/capacity_test.go
+++ b/internal/lab/capacity_test.go
@@ -167,7 +167,7 @@
 
 // Each prediction is logged before the first run of the size that it predicts, and holds if the
 // figures follow the fits.
-func TestCapacityForetellsBeforeItRuns(t *testing.T) {
+func TestCapacityPredictsBeforeRuns(t *testing.T) {
 	log, plan := lines{}, tinyPlan()
 	first := map[HollowSize]int{} // number of log lines at the first run of a size
 	rep, err := runCapacity(t.Context(), Options{Seed: 1, Log: log.log}, plan, fakeWorld(0, func(s HollowSize) {
--- a/internal/lab/hollow.go
+++ b/internal/lab/hollow.go
@@ -156,7 +156,7 @@
 		h.views(result)
 		h.configure()
 	}
-	for end := h.until.Add(hollowDrainTime); h.err == nil && h.openCalls > 0 && h.now.Before(end); {
+	for end := h.until.Add(hollowDrainTime); h.err == nil && h.open > 0 && h.now.Before(end); {
 		h.play(ctx, h.now.Add(100*time.Millisecond))
 	}
 	h.figures(result)
@@ -178,7 +178,7 @@
 	case s.Span <= 0 || !(s.Calls >= 0) || !(s.ListEvents >= 0) || !(s.Zipf >= 0) || !(s.Lost >= 0) ||
 		!(s.WarmCalls >= 0):
 		return fmt.Errorf("hollow run: span (%v) must be above 0, and calls (%v, %v in the warm-up), list events "+
-			"(%v), Zipf (%v) and lost (%v) must not be negative", s.Span, s.Calls, s.WarmCalls, s.ListEvents, s.Zipf, s.Lost)
+			"(%v), Zipf (%v) and lost (%v) at least 0", s.Span, s.Calls, s.WarmCalls, s.ListEvents, s.Zipf, s.Lost)
 	case s.Fault != "" && !slices.Contains(HollowFaults(), s.Fault):
 		return fmt.Errorf("hollow run: unknown fault %q; valid are %q", s.Fault, HollowFaults())
 	}
--- a/internal/lab/hollow_test.go
+++ b/internal/lab/hollow_test.go
@@ -98,7 +98,7 @@
 
 // The meter's counts match the simulated world: messages and bytes delivered, calls sent by
 // clients, and loads begun by workers.
-func TestHollowMeterAddsUp(t *testing.T) {
+func TestHollowMeterMatchesWorld(t *testing.T) {
 	size := smallHollow()
 	size.ListEvents = 0 // a worker that comes back has a new model without the count of its loads
 	require.NoError(t, size.check())
@@ -128,7 +128,7 @@
 		sent += n
 	}
 	assert.Equal(t, h.calls-h.unserved, served)
-	assert.Zero(t, h.openCalls)
+	assert.Zero(t, h.open)
 	assert.GreaterOrEqual(t, m.counts[partChoice], h.calls+sent, "a request and an outcome for each, and loads")
 	assert.Equal(t, loads, h.loads)
 	assert.Greater(t, loads, 0)
@@ -139,7 +139,7 @@
 }
 
 // The warm-up has its own call rate except in its last second, which has the rate of the span.
-func TestHollowWarmsUpAtItsOwnPace(t *testing.T) {
+func TestHollowWarmUpCallRate(t *testing.T) {
 	size := smallHollow()
 	size.ListEvents, size.Calls, size.WarmCalls = 0, 50, 5
 	require.NoError(t, size.check())
@@ -190,7 +190,7 @@
 	assert.Less(t, popular.Figures["loads"], 0.7*even.Figures["loads"])
 }
 
-func TestHollowRefuses(t *testing.T) {
+func TestHollowRejectsInvalidSizes(t *testing.T) {
 	size := smallHollow()
 	size.Memory = 10 << 20
 	_, err := HollowRun(t.Context(), size, 1)
--- a/internal/lab/hollowclients.go
+++ b/internal/lab/hollowclients.go
@@ -46,7 +46,7 @@
 			class: class, model: h.load.model(h.popular.draw(rng.Float64()), h.now), intended: h.now,
 			name: strconv.Itoa(n) + "." + strconv.Itoa(seq),
 		}
-		h.openCalls++
+		h.open++
 		h.simWorld.home(n).arrive(call)
 		h.clients(n, rng, seq+1)
 	})
@@ -57,7 +57,7 @@
 	if h == nil {
 		return
 	}
-	h.openCalls--
+	h.open--
 	if call.intended.Before(h.from) {
 		return
 	}
--- a/internal/lab/hollowmeter.go
+++ b/internal/lab/hollowmeter.go
@@ -40,7 +40,7 @@
 	second                 int64 // of the span, that the counts below belong to
 	cpu, inBytes, outBytes []int64
 	leads                  []bool
-	busiest                [5]int64 // busiest second of any dispatcher: ns, bytes in and out, bytes in and out of leaders
+	busiest                [5]int64 // of any dispatcher: ns, bytes in and out, bytes in and out of leaders
 	totals                 [4]int   // bytes and messages in, bytes and messages out
 }
 
--- a/internal/lab/hollowresult.go
+++ b/internal/lab/hollowresult.go
@@ -33,7 +33,7 @@
 func (h *hollowWorld) figures(result *HollowResult) {
 	f, m := result.Figures, &h.meter
 	span := min(h.size.Span, max(0, h.now.Sub(h.from))).Seconds()
-	f["calls"], f["twice"], f["late"], f["open"] = float64(h.calls), float64(h.twice), float64(h.late), float64(h.openCalls)
+	f["calls"], f["twice"], f["late"], f["open"] = float64(h.calls), float64(h.twice), float64(h.late), float64(h.open)
 	fallen := 0
 	for _, worker := range h.workers {
 		if worker.model.Fallen() {
--- a/internal/lab/hollowworld.go
+++ b/internal/lab/hollowworld.go
@@ -32,9 +32,9 @@
 
 // hollowCalls counts the calls of the span; openCalls also includes calls of the warm-up.
 type hollowCalls struct {
-	offeredValue, earnedValue         float64
-	calls, unserved, loads, openCalls int
-	loadWaits                         []float64 // s
+	offeredValue, earnedValue    float64
+	calls, unserved, loads, open int
+	loadWaits                    []float64 // s
 }
 
 // hollowDigests counts the digests that dispatchers received.
--- a/internal/lab/hosts_test.go
+++ b/internal/lab/hosts_test.go
@@ -34,8 +34,8 @@
 	return out
 }
 
-// firstApart describes the first action that differs between two runs; "" if none does.
-func firstApart(actual, hollow []action) string {
+// firstDifference describes the first action that differs between two runs; "" if none does.
+func firstDifference(actual, hollow []action) string {
 	actual, hollow = sorted(actual), sorted(hollow)
 	for i := range max(len(actual), len(hollow)) {
 		a, b := action{text: "nothing"}, action{text: "nothing"}
@@ -52,8 +52,8 @@
 	return ""
 }
 
-// callsApart describes the first call whose end differs; "" if none does.
-func callsApart(actual, hollow *stage) string {
+// firstCallDifference describes the first call whose end differs; "" if none does.
+func firstCallDifference(actual, hollow *hostWorld) string {
 	for i, call := range actual.calls0 {
 		x := hollow.calls0[i]
 		if call.served != x.served || call.ended.Sub(actual.began) != x.ended.Sub(hollow.began) {
@@ -73,11 +73,11 @@
 	return n
 }
 
-// playBoth runs one scenario with both hosts.
-func playBoth(t *testing.T, p play, look func(*realHost)) (actual, hollow *stage) {
+// runBoth runs one scenario with both hosts.
+func runBoth(t *testing.T, p scenario, look func(*realHost)) (actual, hollow *hostWorld) {
 	t.Helper()
-	synctest.Test(t, func(t *testing.T) { actual = playReal(t, p, look) })
-	return actual, playHollow(t, p)
+	synctest.Test(t, func(t *testing.T) { actual = runReal(t, p, look) })
+	return actual, runHollow(t, p)
 }
 
 // Guards against a hollow dispatcher that does not represent the real one: both hosts carry out the
@@ -87,15 +87,15 @@
 	var ends [balancer.NumResults]int64
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			actual, hollow := playBoth(t, play{seed: seed}, func(h *realHost) {
+			actual, hollow := runBoth(t, scenario{seed: seed}, func(h *realHost) {
 				n := h.core.Counters()
 				assert.Zero(t, n.LoadOrdersWithheld, "the core's own load quota check withheld a load order")
 				assert.Zero(t, n.RejectedByLimit+n.RejectedByAdmission+n.Abandoned+n.InvalidPeerMessages)
 			})
-			assert.Empty(t, firstApart(actual.actions, hollow.actions))
-			assert.Empty(t, callsApart(actual, hollow))
+			assert.Empty(t, firstDifference(actual.actions, hollow.actions))
+			assert.Empty(t, firstCallDifference(actual, hollow))
 			assert.Equal(t, actual.ends, hollow.ends, "ends of attempts, by their result")
-			assert.Equal(t, actual.proved, hollow.proved)
+			assert.Equal(t, actual.verified, hollow.verified)
 			for r, n := range actual.ends {
 				ends[r] += n
 			}
@@ -119,16 +119,16 @@
 
 // Guards against a comparison that cannot fail: it must detect each single alteration.
 func TestComparisonFindsWhatDiffers(t *testing.T) {
-	p := play{seed: 1}
-	actual, hollow := playBoth(t, p, nil)
-	require.Empty(t, firstApart(actual.actions, hollow.actions))
-	for name, alter := range map[string]func(*play){
-		"a clock that is off by a tick": func(p *play) { p.offset = 4 * time.Millisecond },
-		"a lost call":                   func(p *play) { p.lose = "call" },
-		"a lost change of the list":     func(p *play) { p.lose = "list" },
-		"a second's messages lost":      func(p *play) { p.lose = "message" },
-		"what is called off goes on":    func(p *play) { p.keeps = true },
-		"other settings": func(p *play) {
+	p := scenario{seed: 1}
+	actual, hollow := runBoth(t, p, nil)
+	require.Empty(t, firstDifference(actual.actions, hollow.actions))
+	for name, alter := range map[string]func(*scenario){
+		"a clock that is off by a tick": func(p *scenario) { p.offset = 4 * time.Millisecond },
+		"a lost call":                   func(p *scenario) { p.lostEvent = "call" },
+		"a lost change of the list":     func(p *scenario) { p.lostEvent = "list" },
+		"a second's messages lost":      func(p *scenario) { p.lostEvent = "message" },
+		"what is called off goes on":    func(p *scenario) { p.ignoreCancel = true },
+		"other settings": func(p *scenario) {
 			p.settings = func(s *balancer.Settings) {
 				s.WastePrice,
 					s.MaxAttempts = 0.3, 2
@@ -138,33 +138,33 @@
 		t.Run(name, func(t *testing.T) {
 			x := p
 			alter(&x)
-			found := firstApart(actual.actions, playHollow(t, x).actions)
+			found := firstDifference(actual.actions, runHollow(t, x).actions)
 			assert.NotEmpty(t, found)
 			t.Log(found)
 		})
 	}
 	t.Run("a lost answer", func(t *testing.T) {
 		x := p
-		x.lose = "answer"
-		synctest.Test(t, func(t *testing.T) { actual = playReal(t, x, nil) })
-		found := firstApart(actual.actions, hollow.actions)
+		x.lostEvent = "answer"
+		synctest.Test(t, func(t *testing.T) { actual = runReal(t, x, nil) })
+		found := firstDifference(actual.actions, hollow.actions)
 		assert.NotEmpty(t, found)
 		t.Log(found)
 	})
 }
 
-// apartBy runs a scenario that forces a difference, and logs the first one.
-func apartBy(t *testing.T, p play, look func(*realHost)) (actual, hollow *stage) {
+// runDifferent runs a scenario that forces a difference, and logs the first one.
+func runDifferent(t *testing.T, p scenario, look func(*realHost)) (actual, hollow *hostWorld) {
 	t.Helper()
-	actual, hollow = playBoth(t, p, look)
-	first := firstApart(actual.actions, hollow.actions)
+	actual, hollow = runBoth(t, p, look)
+	first := firstDifference(actual.actions, hollow.actions)
 	t.Log(first)
 	require.NotEmpty(t, first, "nothing differs")
 	return actual, hollow
 }
 
-// only returns the actions of one run that the other run lacks.
-func only(of, but []action) (out []action) {
+// onlyIn returns the actions of one run that the other run lacks.
+func onlyIn(of, but []action) (out []action) {
 	observed := map[action]int{}
 	for _, a := range but {
 		observed[a]++
@@ -179,14 +179,14 @@
 
 // By design: the core checks the load quota a second time, with a margin for the link delay; the
 // module's own check is the hollow host's only one.
-func TestCoreHoldsOrders(t *testing.T) {
-	actual, hollow := apartBy(t, play{
-		seed: 2, steady: true,
+func TestCoreWithholdsLoadOrders(t *testing.T) {
+	actual, hollow := runDifferent(t, scenario{
+		seed: 2, noFaults: true,
 		settings: func(s *balancer.Settings) { s.LoadQuotaBase, s.LoadQuotaRatio = 2, 0.05 },
 	}, func(h *realHost) {
 		assert.Positive(t, h.core.Counters().LoadOrdersWithheld)
 	})
-	a, b := sorted(only(actual.actions, hollow.actions)), sorted(only(hollow.actions, actual.actions))
+	a, b := sorted(onlyIn(actual.actions, hollow.actions)), sorted(onlyIn(hollow.actions, actual.actions))
 	assert.Equal(t, "load", b[0].kind(), "first action of the hollow host that the real one lacks")
 	assert.GreaterOrEqual(t, a[0].at, b[0].at)
 }
@@ -194,7 +194,7 @@
 // By design: a call whose connection is not yet established when its worker drains is not written
 // and goes to another worker; the hollow host has no connections.
 func TestCoreRevokesUnsentAttempts(t *testing.T) {
-	drain := func(s *stage) {
+	drain := func(s *hostWorld) {
 		sent := s.began.Add(3 * time.Second)
 		call := &simCall{class: 0, model: 77, intended: sent, name: "0.999"}
 		s.at(sent, func() { s.host.arrive(call) })
@@ -209,12 +209,12 @@
 		})
 	}
 	var ends [balancer.NumResults]int64
-	actual, hollow := apartBy(t, play{
-		seed: 1, asked: 1, span: 4 * time.Second, steady: true, handshake: true,
+	actual, hollow := runDifferent(t, scenario{
+		seed: 1, callCount: 1, span: 4 * time.Second, noFaults: true, handshake: true,
 		script: drain,
 	}, func(h *realHost) { ends = h.core.Counters().AttemptResults })
 	assert.Equal(t, int64(1), ends[balancer.NotSent])
-	a, b := sorted(only(actual.actions, hollow.actions)), only(hollow.actions, actual.actions)
+	a, b := sorted(onlyIn(actual.actions, hollow.actions)), onlyIn(hollow.actions, actual.actions)
 	require.NotEmpty(t, a)
 	assert.Regexp(t, `^send 0\.999\.0 #1 to `, a[0].text)
 	assert.NotContains(t, fmt.Sprint(b), "send 0.999.0 #1")
@@ -222,18 +222,18 @@
 
 // By design: the core reads the clock when its loop takes an event, not when the event arrived. A
 // loop that stalls for 3 ms delivers all events of that time to the module at most 3 ms late.
-func TestCoreReadsItsClockInTheLoop(t *testing.T) {
+func TestCoreReadsClockInEventLoop(t *testing.T) {
 	const still = 3 * time.Millisecond
-	actual, hollow := apartBy(t, play{seed: 1, steady: true, stall: still}, nil)
-	a, b := sorted(only(actual.actions, hollow.actions)), sorted(only(hollow.actions, actual.actions))
+	actual, hollow := runDifferent(t, scenario{seed: 1, noFaults: true, stall: still}, nil)
+	a, b := sorted(onlyIn(actual.actions, hollow.actions)), sorted(onlyIn(hollow.actions, actual.actions))
 	assert.Contains(t, b[0].text, " 0.100.0 ")
 	assert.Equal(t, action{b[0].at + still, b[0].text}, a[0])
 }
 
-// By design: before the first list the core holds calls, while the hollow host rejects them at
-// once.
+// By design: before the first list the core accepts calls, which the module holds, while the hollow
+// host sends them away at once.
 func TestCoreTakesCallsBeforeTheList(t *testing.T) {
-	actual, hollow := playBoth(t, play{seed: 1, steady: true, listAt: 500 * time.Millisecond}, nil)
+	actual, hollow := runBoth(t, scenario{seed: 1, noFaults: true, listAt: 500 * time.Millisecond}, nil)
 	call, x := actual.calls0[0], hollow.calls0[0]
 	require.Less(t, call.intended.Sub(actual.began), 400*time.Millisecond)
 	assert.True(t, call.served)
@@ -243,12 +243,12 @@
 
 // A cancelled attempt ends at once and with the same result at both hosts: as cancelled if it was
 // written, as not sent if its connection was not established. The work at the worker continues.
-func TestHostsEndWhatIsCalledOff(t *testing.T) {
+func TestHostsEndCancelledAttempts(t *testing.T) {
 	t.Run("written", func(t *testing.T) {
 		for seed := range uint64(2) {
-			p := play{seed: seed}
-			actual, hollow := playBoth(t, p, nil)
-			assert.Empty(t, firstApart(actual.actions, hollow.actions))
+			p := scenario{seed: seed}
+			actual, hollow := runBoth(t, p, nil)
+			assert.Empty(t, firstDifference(actual.actions, hollow.actions))
 			assert.Equal(t, actual.ends, hollow.ends)
 			assert.Positive(t, hollow.ends[balancer.Cancelled])
 			ran := 0
@@ -257,9 +257,9 @@
 				ran = max(ran, c.ran)
 			}
 			assert.Greater(t, ran, 1, "nothing that was called off ran on")
-			p.keeps = true
-			left := playHollow(t, p)
-			assert.NotEmpty(t, firstApart(actual.actions, left.actions), "a host that lets it go on")
+			p.ignoreCancel = true
+			left := runHollow(t, p)
+			assert.NotEmpty(t, firstDifference(actual.actions, left.actions), "a host that lets it go on")
 			assert.Zero(t, left.ends[balancer.Cancelled])
 		}
 	})
@@ -268,15 +268,15 @@
 	const sent = 3 * time.Second
 	for name, c := range map[string]struct {
 		left time.Duration // remaining time until the call's deadline; 0: that of its class
-		then func(*stage, *endpoints.Endpoint)
+		then func(*hostWorld, *endpoints.Endpoint)
 	}{
-		"its executor drains":     {then: func(_ *stage, b *endpoints.Endpoint) { b.State = balancer.Draining }},
-		"its executor has gone":   {then: func(_ *stage, b *endpoints.Endpoint) { b.State = balancer.Removed }},
-		"its executor starts new": {then: func(s *stage, b *endpoints.Endpoint) { b.Start = s.now }},
+		"its executor drains":     {then: func(_ *hostWorld, b *endpoints.Endpoint) { b.State = balancer.Draining }},
+		"its executor has gone":   {then: func(_ *hostWorld, b *endpoints.Endpoint) { b.State = balancer.Removed }},
+		"its executor starts new": {then: func(s *hostWorld, b *endpoints.Endpoint) { b.Start = s.now }},
 		"its time is over":        {left: 100 * time.Millisecond},
 	} {
 		t.Run("not written, "+name, func(t *testing.T) {
-			script := func(s *stage) {
+			script := func(s *hostWorld) {
 				call := &simCall{class: 0, model: 77, intended: s.began.Add(sent), name: "0.999"}
 				if c.left > 0 {
 					call.intended = call.intended.Add(c.left + 200*time.Millisecond - s.f.Classes[0].ClientTimeout)
@@ -298,11 +298,11 @@
 					}
 				})
 			}
-			actual, hollow := playBoth(t, play{
-				seed: 1, asked: 1, span: 4 * time.Second, steady: true,
+			actual, hollow := runBoth(t, scenario{
+				seed: 1, callCount: 1, span: 4 * time.Second, noFaults: true,
 				script: script,
 			}, nil)
-			assert.Empty(t, firstApart(actual.actions, hollow.actions))
+			assert.Empty(t, firstDifference(actual.actions, hollow.actions))
 			assert.Equal(t, actual.ends, hollow.ends)
 			assert.Equal(t, int64(1), hollow.ends[balancer.NotSent])
 			assert.Zero(t, hollow.ends[balancer.Cancelled]+hollow.ends[balancer.Timeout])
@@ -312,17 +312,17 @@
 
 // Both hosts report the answer to a load order to the list as evidence that the worker is alive.
 // The call that caused the load ends before it, so that no attempt verifies the worker instead.
-func TestHostsShowOrdersToTheList(t *testing.T) {
-	p := play{seed: 1, asked: 1, span: 8 * time.Second, steady: true, script: func(s *stage) {
+func TestHostsReportLoadResultsToList(t *testing.T) {
+	p := scenario{seed: 1, callCount: 1, span: 8 * time.Second, noFaults: true, script: func(s *hostWorld) {
 		s.at(s.began.Add(5900*time.Millisecond), func() { s.f.Load = 8 * time.Second })
 		for i, at := range []time.Duration{time.Second, 6 * time.Second} {
 			call := &simCall{class: 0, model: 77, intended: s.began.Add(at), name: fmt.Sprintf("0.90%d", i)}
 			s.at(call.intended, func() { s.host.arrive(call) })
 		}
 	}}
-	actual, hollow := playBoth(t, p, nil)
-	assert.Empty(t, firstApart(actual.actions, hollow.actions))
-	assert.Equal(t, actual.proved, hollow.proved)
+	actual, hollow := runBoth(t, p, nil)
+	assert.Empty(t, firstDifference(actual.actions, hollow.actions))
+	assert.Equal(t, actual.verified, hollow.verified)
 	var on balancer.WorkerID
 	for _, a := range hollow.actions {
 		if a.at == 6*time.Second && a.kind() == "load" {
@@ -330,27 +330,29 @@
 			require.NoError(t, err)
 		}
 	}
-	assert.Equal(t, 14*time.Second+2*simLinkDelay, hollow.proved[on])
+	assert.Equal(t, 14*time.Second+2*simLinkDelay, hollow.verified[on])
 }
 
 // An attempt that was not written ends as not sent when it times out or is cancelled before its
 // connection fails, as the platform's client reports it (platform.failure). No other scenario makes
 // the module cancel such an attempt.
-func TestHollowProvesWhatWasNotWritten(t *testing.T) {
+func TestHollowReportsUnwrittenAttemptsNotSent(t *testing.T) {
 	for name, end := range map[string]func(*simNode){
 		"called off":  func(h *simNode) { h.CancelAttempt("0.999.0", 0) },
 		"out of time": func(h *simNode) { h.attempts[simKey{"0.999.0", 0}].timeout() },
 	} {
-		hollow := playHollow(t, play{seed: 1, asked: 1, span: 4 * time.Second, steady: true, script: func(s *stage) {
-			call := &simCall{class: 0, model: 77, intended: s.began.Add(3 * time.Second), name: "0.999"}
-			s.at(call.intended, func() {
-				for _, worker := range s.workers {
-					worker.fate = cutOff
-				}
-				s.host.arrive(call)
-			})
-			s.at(call.intended.Add(simProbe/2), func() { end(s.nodes[0]) })
-		}})
+		hollow := runHollow(t, scenario{
+			seed: 1, callCount: 1, span: 4 * time.Second, noFaults: true, script: func(s *hostWorld) {
+				call := &simCall{class: 0, model: 77, intended: s.began.Add(3 * time.Second), name: "0.999"}
+				s.at(call.intended, func() {
+					for _, worker := range s.workers {
+						worker.fate = cutOff
+					}
+					s.host.arrive(call)
+				})
+				s.at(call.intended.Add(simProbe/2), func() { end(s.nodes[0]) })
+			},
+		})
 		assert.Equal(t, int64(1), hollow.ends[balancer.NotSent], name)
 		assert.Zero(t, hollow.ends[balancer.Cancelled]+hollow.ends[balancer.Timeout], name)
 	}
@@ -362,20 +364,25 @@
 	const limit = time.Second
 	for name, c := range map[string]struct {
 		at   time.Duration
-		lose func(s *stage, worker *simWorker)
+		lose func(s *hostWorld, worker *simWorker)
 	}{
-		"its box starts anew": {
+		"its worker restarts": {
 			6200 * time.Millisecond,
-			func(s *stage, worker *simWorker) { worker.model = NewWorkerModel(s.f.Worker, s.began.Add(-time.Hour)) },
+			func(s *hostWorld, worker *simWorker) {
+				worker.model = NewWorkerModel(s.f.Worker, s.began.Add(-time.Hour))
+			},
+		},
+		"its worker vanishes": {
+			5900 * time.Millisecond,
+			func(_ *hostWorld, worker *simWorker) { worker.fate = vanishes },
 		},
-		"its box has vanished": {5900 * time.Millisecond, func(_ *stage, worker *simWorker) { worker.fate = vanishes }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := play{
-				seed: 1, asked: 1, span: 8 * time.Second, steady: true,
+			p := scenario{
+				seed: 1, callCount: 1, span: 8 * time.Second, noFaults: true,
 				settings: func(s *balancer.Settings) { s.LoadOrderTimeout = int64(limit) },
 				// a function is served, evicted and requested again; its worker loses the load
-				script: func(s *stage) {
+				script: func(s *hostWorld) {
 					for i, at := range []time.Duration{time.Second, 6 * time.Second} {
 						call := &simCall{class: 0, model: 77, intended: s.began.Add(at), name: fmt.Sprintf("0.90%d", i)}
 						s.at(call.intended, func() { s.host.arrive(call) })
@@ -387,8 +394,8 @@
 					})
 				},
 			}
-			actual, hollow := playBoth(t, p, nil)
-			assert.Empty(t, firstApart(actual.actions, hollow.actions))
+			actual, hollow := runBoth(t, p, nil)
+			assert.Empty(t, firstDifference(actual.actions, hollow.actions))
 			assert.Equal(t, actual.ends, hollow.ends)
 			var loads []time.Duration
 			for _, a := range hollow.actions {
@@ -399,8 +406,8 @@
 			require.GreaterOrEqual(t, len(loads), 2)
 			assert.Equal(t, []time.Duration{6 * time.Second, 6*time.Second + limit}, loads[:2],
 				"given up, and given elsewhere at once")
-			p.waits = true
-			assert.Contains(t, firstApart(actual.actions, playHollow(t, p).actions),
+			p.waitForever = true
+			assert.Contains(t, firstDifference(actual.actions, runHollow(t, p).actions),
 				"real "+(6*time.Second+limit).String()+" ", "a host that waits for ever")
 		})
 	}
--- a/internal/lab/realhost_test.go
+++ b/internal/lab/realhost_test.go
@@ -24,9 +24,9 @@
 // realHost is oakthread.Core with the endpoint list of package endpointcache; its worker and peer
 // transports lead into the simulated world.
 type realHost struct {
-	s      *stage
+	s      *hostWorld
 	core   *oakthread.Core
-	keeper *endpointcache.Syncer
+	syncer *endpointcache.Syncer
 	stub   *simNode // dispatcher 0's node in the world; it only records the drains that it was notified of
 	wait   sync.WaitGroup
 
@@ -34,7 +34,7 @@
 	inbox []order
 	seq   int
 	calls map[string]*simCall
-	kick  chan struct{}
+	wake  chan struct{}
 }
 
 // order is an action of the core that the world's goroutine carries out. The core starts each
@@ -45,15 +45,15 @@
 	do        func()
 }
 
-// playReal runs a scenario with the real host. It must be called in a synctest bubble.
-func playReal(t *testing.T, p play, look func(h *realHost)) *stage {
+// runReal runs a scenario with the real host. It must be called in a synctest bubble.
+func runReal(t *testing.T, p scenario, look func(h *realHost)) *hostWorld {
 	t.Helper()
-	s := newStage(t, p, time.Now())
+	s := newHostWorld(t, p, time.Now())
 	require.Equal(t, bubbleStart, s.began.UTC())
-	h := &realHost{s: s, stub: s.nodes[0], calls: map[string]*simCall{}, kick: make(chan struct{}, 1)}
+	h := &realHost{s: s, stub: s.nodes[0], calls: map[string]*simCall{}, wake: make(chan struct{}, 1)}
 	h.stub.dead = true
 	quiet := slog.New(slog.DiscardHandler)
-	h.keeper = endpointcache.NewSyncer(endpointcache.Options{
+	h.syncer = endpointcache.NewSyncer(endpointcache.Options{
 		List: endpoints.Config{
 			Seed: s.seed, Dispatchers: stageNodes, MaxRetryAfter: 1500 * time.Millisecond,
 		},
@@ -63,20 +63,20 @@
 	var err error
 	h.core, err = oakthread.New(oakthread.Config{
 		Settings: s.settingsOf(0), Seed: s.seedOf(0), Workers: h, Peers: h, Completed: h.settled,
-		Admit: h.admit, Observed: h.keeper.Observe, Log: slog.New(&ear{h}),
+		Admit: h.admit, Observed: h.syncer.Observe, Log: slog.New(&logHandler{h}),
 	})
 	require.NoError(t, err)
 	s.host = h
 	ctx, stop := context.WithCancel(t.Context())
-	h.wait.Go(func() { h.keeper.Run(ctx) })
-	s.lay()
+	h.wait.Go(func() { h.syncer.Run(ctx) })
+	s.schedule()
 	h.run(s.began.Add(s.span + stageEnd))
 	if look != nil {
 		look(h)
 	}
 	n := h.core.Counters()
 	s.ends = n.AttemptResults
-	s.prove(h.keeper.Report())
+	s.recordVerified(h.syncer.Report())
 	assert.Equal(t, n.Accepted, n.Served+n.Rejected+n.Failed+n.TimedOut, "calls without an end")
 	stop()
 	h.core.Close()
@@ -119,7 +119,8 @@
 		if !h.s.now.Before(until) {
 			return
 		}
-		// The core's own timers fire meanwhile: the loop also wakes up when the core puts an order.
+		// The core's own timers fire meanwhile: the loop also wakes up when the core enqueues an
+		// order.
 		next := until
 		if len(h.s.queue) > 0 && h.s.queue[0].at < until.UnixNano() {
 			next = time.Unix(0, h.s.queue[0].at)
@@ -127,7 +128,7 @@
 		timer := time.NewTimer(time.Until(next))
 		select {
 		case <-timer.C:
-		case <-h.kick:
+		case <-h.wake:
 		}
 		timer.Stop()
 	}
@@ -135,20 +136,20 @@
 
 const rankRest = 1 << 30
 
-// put queues an order of the core for the world's goroutine and wakes it up.
-func (h *realHost) put(rank int, do func()) {
+// enqueue queues an order of the core for the world's goroutine and wakes it up.
+func (h *realHost) enqueue(rank int, do func()) {
 	h.mu.Lock()
 	h.seq++
 	h.inbox = append(h.inbox, order{rank, h.seq, do})
 	h.mu.Unlock()
 	select {
-	case h.kick <- struct{}{}:
+	case h.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (h *realHost) did(format string, args ...any) {
-	h.put(rankRest, func() { h.s.did(format, args...) })
+func (h *realHost) record(format string, args ...any) {
+	h.enqueue(rankRest, func() { h.s.record(format, args...) })
 }
 
 func (h *realHost) notify(u endpoints.Update) {
@@ -159,12 +160,12 @@
 	for _, endpoint := range u.Endpoints {
 		r.Endpoints = append(r.Endpoints, endpointcache.ToCoreEndpoint(endpoint))
 	}
-	h.keeper.HandleUpdate(r, "", u.Cursor)
+	h.syncer.HandleUpdate(r, "", u.Cursor)
 }
 
 func (h *realHost) configure(k balancer.Class, attempts int) {
 	_, err := h.core.AddClasses([]balancer.Class{k})
-	h.s.did("configure %v", err)
+	h.s.record("configure %v", err)
 	h.core.SetMaxAttempts(attempts)
 }
 
@@ -172,7 +173,7 @@
 	if h.s.stall > 0 && q.ID == "0.100.0" {
 		time.Sleep(h.s.stall)
 	}
-	return h.keeper.Admit(q)
+	return h.syncer.Admit(q)
 }
 
 func (h *realHost) receive(from int, data string) { h.core.HandlePeerMessage(from, data) }
@@ -197,9 +198,9 @@
 func (h *realHost) settled(x oakthread.Completion) {
 	switch x.Answer.Outcome {
 	case oakthread.Rejected:
-		h.did("refuse %s, come back in %v", x.Request.ID, x.Answer.RetryAfter)
+		h.record("refuse %s, come back in %v", x.Request.ID, x.Answer.RetryAfter)
 	case oakthread.Failed, oakthread.TimedOut:
-		h.did("fail %s", x.Request.ID)
+		h.record("fail %s", x.Request.ID)
 	}
 }
 
@@ -210,9 +211,9 @@
 	number := 0
 	_, _ = fmt.Sscanf(call.name, "0.%d", &number)
 	var written atomic.Bool
-	h.put(8*number+a.Number, func() {
-		h.s.did("send %s #%d to %d", a.Request.ID, a.Number, a.Worker.ID)
-		h.depart(call, a, &written, got)
+	h.enqueue(8*number+a.Number, func() {
+		h.s.record("send %s #%d to %d", a.Request.ID, a.Number, a.Worker.ID)
+		h.sendOnLink(call, a, &written, got)
 	})
 	select {
 	case r := <-got:
@@ -220,25 +221,26 @@
 	case <-ctx.Done():
 	}
 	if context.Cause(ctx).Error() == "called off" {
-		h.did("cancel %s #%d", a.Request.ID, a.Number)
+		h.record("cancel %s #%d", a.Request.ID, a.Number)
 	}
-	return overBy(&written)
+	return endedReply(&written)
 }
 
-// overBy returns the platform client's reply for an attempt or order that was ended on this side.
-func overBy(written *atomic.Bool) oakthread.Reply {
+// endedReply returns the platform client's reply for an attempt or order that was ended on this
+// side.
+func endedReply(written *atomic.Bool) oakthread.Reply {
 	if written.Load() {
 		return oakthread.Reply{Result: balancer.Timeout}
 	}
 	return oakthread.Reply{Result: balancer.NotSent}
 }
 
-// depart sends an attempt over its simulated link, as simNode.SendAttempt does: the core is asked
-// right before the first byte whether it may still be written.
-func (h *realHost) depart(call *simCall, a oakthread.Attempt, written *atomic.Bool, got chan<- oakthread.Reply) {
+// sendOnLink sends an attempt over its simulated link, as simNode.SendAttempt does: the core is
+// asked right before the first byte whether it may still be written.
+func (h *realHost) sendOnLink(call *simCall, a oakthread.Attempt, written *atomic.Bool, got chan<- oakthread.Reply) {
 	w, worker := h.s.simWorld, h.s.byID[a.Worker.ID]
 	land := func(r balancer.Result, warm balancer.Warmth, crowd int, rep []float64) {
-		if h.s.loses("answer") {
+		if h.s.drops("answer") {
 			return
 		}
 		got <- oakthread.Reply{Result: r, Warmth: warm, ConcurrentRequests: crowd, Report: rep}
@@ -267,8 +269,8 @@
 func (h *realHost) Load(ctx context.Context, o oakthread.LoadOrder) oakthread.Reply {
 	got := make(chan oakthread.Reply, 1)
 	var written atomic.Bool
-	h.put(rankRest, func() {
-		h.s.did("load %d of %x at %d", o.Count, o.Func, o.Worker.ID)
+	h.enqueue(rankRest, func() {
+		h.s.record("load %d of %x at %d", o.Count, o.Func, o.Worker.ID)
 		w, worker := h.s.simWorld, h.s.byID[o.Worker.ID]
 		answered := func(n int, r balancer.Result) { got <- oakthread.Reply{Result: r, Copies: n} }
 		up, failed := w.connect(h.stub, worker)
@@ -286,43 +288,44 @@
 	case r := <-got:
 		return r
 	case <-ctx.Done():
-		return overBy(&written)
+		return endedReply(&written)
 	}
 }
 
 func (h *realHost) Unload(_ context.Context, o oakthread.LoadOrder) {
-	h.put(rankRest, func() {
-		h.s.did("drop %x at %d", o.Func, o.Worker.ID)
+	h.enqueue(rankRest, func() {
+		h.s.record("drop %x at %d", o.Func, o.Worker.ID)
 		h.s.drop(h.stub, h.s.byID[o.Worker.ID], o.Func)
 	})
 }
 
 func (h *realHost) HealthCheck(_ context.Context, m oakthread.Endpoint) oakthread.Reply {
-	h.did("probe %d", m.ID)
+	h.record("probe %d", m.ID)
 	return oakthread.Reply{Result: balancer.Timeout}
 }
 
 func (h *realHost) CloseConnections(balancer.WorkerID) {}
 
 func (h *realHost) SendMessage(to int, data string) {
-	h.put(rankRest, func() {
-		h.s.did("tell %d %s", to, data)
-		h.s.carry(0, to, data)
+	h.enqueue(rankRest, func() {
+		h.s.record("tell %d %s", to, data)
+		h.s.deliver(0, to, data)
 	})
 }
 
 func (h *realHost) Listen(ctx context.Context, _ func(int, string)) error { <-ctx.Done(); return nil }
 
-// ear is a log handler that records messages of level info and above without their attributes.
-type ear struct{ h *realHost }
+// logHandler is a log handler that records messages of level info and above without their
+// attributes.
+type logHandler struct{ h *realHost }
 
-func (e *ear) Enabled(_ context.Context, l slog.Level) bool { return l >= slog.LevelInfo }
+func (e *logHandler) Enabled(_ context.Context, l slog.Level) bool { return l >= slog.LevelInfo }
 
-func (e *ear) WithAttrs([]slog.Attr) slog.Handler { return e }
+func (e *logHandler) WithAttrs([]slog.Attr) slog.Handler { return e }
 
-func (e *ear) WithGroup(string) slog.Handler { return e }
+func (e *logHandler) WithGroup(string) slog.Handler { return e }
 
-func (e *ear) Handle(_ context.Context, r slog.Record) error {
-	e.h.did("log %s", r.Message)
+func (e *logHandler) Handle(_ context.Context, r slog.Record) error {
+	e.h.record("log %s", r.Message)
 	return nil
 }
--- a/internal/lab/stage_test.go
+++ b/internal/lab/stage_test.go
@@ -29,15 +29,15 @@
 // kind returns the first word of the text.
 func (a action) kind() string { k, _, _ := strings.Cut(a.text, " "); return k }
 
-// play describes one scripted run of a host as dispatcher 0 of the world. The zero values of its
-// fields give the main comparison.
-type play struct {
-	seed     uint64
-	settings func(*balancer.Settings)
-	asked    int           // calls at dispatcher 0; 0: 240
-	span     time.Duration // in which they arrive; 0: 12 s
-	steady   bool          // no faults
-	script   func(*stage)  // schedules more events; nil: none
+// scenario describes one scripted run of a host as dispatcher 0 of the world. The zero values of
+// its fields give the main comparison.
+type scenario struct {
+	seed      uint64
+	settings  func(*balancer.Settings)
+	callCount int              // calls at dispatcher 0; 0: 240
+	span      time.Duration    // in which they arrive; 0: 12 s
+	noFaults  bool             // no faults
+	script    func(*hostWorld) // schedules more events; nil: none
 
 	// These force an intended difference.
 	listAt time.Duration // when the list is first published
@@ -47,28 +47,28 @@
 	stall     time.Duration // how long the core's loop stalls at call 100
 
 	// The comparison must detect each of these.
-	offset time.Duration // of the hollow host's clock
-	lose   string        // kind of event that is lost: "call", "list", "message" or, at the real host, "answer"
-	keeps  bool          // the hollow host ignores cancellations
-	waits  bool          // the hollow host has no effective timeout of load orders
+	offset       time.Duration // of the hollow host's clock
+	lostEvent    string        // kind of event that is lost: "call", "list", "message" or, at the real host, "answer"
+	ignoreCancel bool          // the hollow host ignores cancellations
+	waitForever  bool          // the hollow host has no effective timeout of load orders
 }
 
-// stage is a simulated world with the tested host as dispatcher 0.
-type stage struct {
+// hostWorld is a simulated world with the tested host as dispatcher 0.
+type hostWorld struct {
 	*simWorld
-	play
+	scenario
 	began   time.Time
-	host    stageHost
+	host    testedHost
 	actions []action
 	calls0  []*simCall // of dispatcher 0
 	ends    [balancer.NumResults]int64
 	// time since the start of the run at which each worker was last verified in dispatcher 0's list
-	proved map[balancer.WorkerID]time.Duration
-	lost   bool
+	verified map[balancer.WorkerID]time.Duration
+	lost     bool
 }
 
-// stageHost is dispatcher 0, real or hollow.
-type stageHost interface {
+// testedHost is dispatcher 0, real or hollow.
+type testedHost interface {
 	notify(u endpoints.Update)
 	receive(from int, data string)
 	arrive(c *simCall)
@@ -79,27 +79,27 @@
 	stageNodes, stageWorkers = 4, 6
 	stageRate                = 20 // calls a second at each
 	stageEnd                 = 8 * time.Second
-	// stageApart delays the notification of each next dispatcher, so that no two dispatchers'
+	// notifyOffset delays the notification of each next dispatcher, so that no two dispatchers'
 	// rounds fall on the same time: the result would depend on the order of goroutines.
-	stageApart = 1234567 * time.Nanosecond
+	notifyOffset = 1234567 * time.Nanosecond
 )
 
-func (s *stage) did(format string, args ...any) {
+func (s *hostWorld) record(format string, args ...any) {
 	s.actions = append(s.actions, action{s.now.Sub(s.began), fmt.Sprintf(format, args...)})
 }
 
-func (s *stage) prove(rows []endpoints.EndpointReport) {
-	s.proved = map[balancer.WorkerID]time.Duration{}
+func (s *hostWorld) recordVerified(rows []endpoints.EndpointReport) {
+	s.verified = map[balancer.WorkerID]time.Duration{}
 	for _, r := range rows {
-		s.proved[r.ID] = r.VerifiedAt.Sub(s.began)
+		s.verified[r.ID] = r.VerifiedAt.Sub(s.began)
 	}
 }
 
-// loses reports whether this event is lost: the first of its kind in the second half of the span
+// drops reports whether this event is lost: the first of its kind in the second half of the span
 // or, for messages, all of one second, as the loss of a single message may have no effect.
-func (s *stage) loses(kind string) bool {
+func (s *hostWorld) drops(kind string) bool {
 	at := s.now.Sub(s.began)
-	if s.lose != kind || at < s.span/2 {
+	if s.lostEvent != kind || at < s.span/2 {
 		return false
 	}
 	if kind == "message" {
@@ -111,17 +111,17 @@
 }
 
 // peerNode is one of the other dispatchers, in virtual time in both arms; its messages pass through
-// the stage.
+// the hostWorld.
 type peerNode struct {
 	*simNode
-	s *stage
+	s *hostWorld
 }
 
-func (p peerNode) SendPeerMessage(to int, data string) { p.s.carry(p.n, to, data) }
+func (p peerNode) SendPeerMessage(to int, data string) { p.s.deliver(p.n, to, data) }
 
-// carry delivers a message to one or all dispatchers; about 3% are lost, selected by a hash of
+// deliver delivers a message to one or all dispatchers; about 3% are lost, selected by a hash of
 // sender, receiver and content.
-func (s *stage) carry(from, to int, data string) {
+func (s *hostWorld) deliver(from, to int, data string) {
 	for n := range s.nodes {
 		h := fnv.New32a()
 		fmt.Fprint(h, from, n, data)
@@ -131,18 +131,18 @@
 		s.after(peerDelay+time.Duration(from*stageNodes+n), func() {
 			if n > 0 {
 				s.nodes[n].d.HandlePeerMessage(s.now.UnixNano(), from, data)
-			} else if !s.loses("message") {
+			} else if !s.drops("message") {
 				s.host.receive(from, data)
 			}
 		})
 	}
 }
 
-// newStage builds the world: six small workers, dispatcher 0 and three other dispatchers.
-func newStage(t *testing.T, p play, start time.Time) *stage {
+// newHostWorld builds the world: six small workers, dispatcher 0 and three other dispatchers.
+func newHostWorld(t *testing.T, p scenario, start time.Time) *hostWorld {
 	t.Helper()
-	if p.asked == 0 {
-		p.asked = 240
+	if p.callCount == 0 {
+		p.callCount = 240
 	}
 	if p.span == 0 {
 		p.span = 12 * time.Second
@@ -155,7 +155,7 @@
 		load:      Load{Rate: stageRate, Models: 40, Zipf: 0.4},
 	}
 	w.now, w.began = start, start
-	s := &stage{simWorld: w, play: p, began: start}
+	s := &hostWorld{simWorld: w, scenario: p, began: start}
 	for i := range stageWorkers {
 		worker := w.add(i, start.Add(-time.Hour))
 		worker.zone = i % 2
@@ -176,20 +176,20 @@
 	return s
 }
 
-func (s *stage) settingsOf(n int) balancer.Settings {
+func (s *hostWorld) settingsOf(n int) balancer.Settings {
 	set := s.f.settings(n, stageNodes)
 	set.Gossip, set.PeerPrice = true, peerPrice
-	set.LoadQuotaBase = 1e6 // the core's own load quota check must not withhold orders here; TestCoreWithholdsLoadOrders covers it
+	set.LoadQuotaBase = 1e6 // the core's own quota check must not withhold orders: it has a test of its own
 	if s.settings != nil {
 		s.settings(&set)
 	}
 	return set
 }
 
-func (s *stage) seedOf(n int) uint64 { return s.seed ^ uint64(n)*0x9e3779b9 }
+func (s *hostWorld) seedOf(n int) uint64 { return s.seed ^ uint64(n)*0x9e3779b9 }
 
 // notifyList publishes the list to all dispatchers: completely, or only the given workers.
-func (s *stage) notifyList(which ...int) {
+func (s *hostWorld) notifyList(which ...int) {
 	s.cursor++
 	u := endpoints.Update{Full: len(which) == 0, Cursor: s.cursor}
 	for i, endpoint := range s.listed {
@@ -198,19 +198,19 @@
 		}
 	}
 	for i, node := range s.nodes[1:] {
-		s.after(time.Duration(i+1)*stageApart, func() {
+		s.after(time.Duration(i+1)*notifyOffset, func() {
 			node.list.HandleUpdate(s.now, u)
 			node.flush()
 		})
 	}
-	if s.cursor == 1 || !s.loses("list") {
+	if s.cursor == 1 || !s.drops("list") {
 		s.host.notify(u)
 	}
 }
 
-// lay schedules the events of the run: the first list, calls at all dispatchers, the script and the
-// faults.
-func (s *stage) lay() {
+// schedule schedules the events of the run: the first list, calls at all dispatchers, the script
+// and the faults.
+func (s *hostWorld) schedule() {
 	if s.listAt == 0 {
 		s.notifyList()
 	} else {
@@ -223,8 +223,8 @@
 		}
 	}
 	at := time.Duration(0)
-	for i := range s.asked {
-		at += time.Duration(rng.ExpFloat64() * float64(s.span) / float64(s.asked))
+	for i := range s.callCount {
+		at += time.Duration(rng.ExpFloat64() * float64(s.span) / float64(s.callCount))
 		u, class := rng.Float64(), 0
 		for u -= s.f.Classes[0].Share; u >= 0 && class < len(s.f.Classes)-1; {
 			class++
@@ -236,7 +236,7 @@
 		}
 		s.calls0 = append(s.calls0, call)
 		s.at(call.intended, func() {
-			if !s.loses("call") {
+			if !s.drops("call") {
 				s.host.arrive(call)
 			}
 		})
@@ -244,7 +244,7 @@
 	if s.script != nil {
 		s.script(s)
 	}
-	if s.steady {
+	if s.noFaults {
 		return
 	}
 	odd := func(part float64) time.Time { // random offset, so that no two events have the same time
