--- a/internal/lab/calibrate.go
+++ b/internal/lab/calibrate.go
@@ -184,7 +184,7 @@
 }
 
 // report adds the rows and bounds of one size: the complete fleet, one dispatcher with the fleet's
-// list, and one with a single executor.
+// list, and one with a single worker.
 func (c *calibration) report(rep *Report, n int, pairs [3]costPair) {
 	name := fmt.Sprintf("%d dispatchers: ", n)
 	for i, who := range []string{name, fmt.Sprintf("one alone, %d executors: ", 2*n), "one alone, one executor: "} {
--- a/internal/lab/capacity.go
+++ b/internal/lab/capacity.go
@@ -329,7 +329,7 @@
 	return size
 }
 
-// shortList is the number of executors up to which the program itself scans a list completely.
+// shortList is the number of workers up to which the program itself scans a list completely.
 const shortList = 256
 
 // choice compares the full scan of the list with the program's choice: the slopes of both and what
@@ -364,7 +364,7 @@
 	return nil
 }
 
-// predictChoice fits the slopes of both arms and logs what they predict for n executors.
+// predictChoice fits the slopes of both arms and logs what they predict for n workers.
 func (c *capacity) predictChoice(both []*CapacitySlope, n int) {
 	for _, slope := range both {
 		slope.fit()
@@ -375,7 +375,7 @@
 	c.detail.Slopes = append(c.detail.Slopes, both...)
 }
 
-// reportChoice adds the rows and bounds of both arms with n executors.
+// reportChoice adds the rows and bounds of both arms with n workers.
 func (c *capacity) reportChoice(n int, arms [2][]map[string]float64) {
 	name := fmt.Sprintf("choice, %d executors: ", n)
 	mean := func(arm int, figure string) float64 { return meanOf(arms[arm], figure) }
--- a/internal/lab/capacityfleet.go
+++ b/internal/lab/capacityfleet.go
@@ -42,11 +42,13 @@
 	return []string{"bytes", "messages.in", "cpu.choice", "cpu.read", "loads", "heap", "worth", "unserved", "p99.cold"}
 }
 
-// largest runs the largest fleet at the call rate of the base size; letter at the required call
-// rate.
+// largest runs the largest fleet at the call rate of the base size.
 func (c *capacity) largest(ctx context.Context) error {
 	return c.fleet(ctx, largestSection, c.plan.largest)
 }
+
+// letter runs the fleet of the section letter. In the full experiment it has the call rate that the
+// operators require.
 func (c *capacity) letter(ctx context.Context) error {
 	return c.fleet(ctx, letterSection, c.plan.letter)
 }
--- a/internal/lab/capacityplan.go
+++ b/internal/lab/capacityplan.go
@@ -110,8 +110,8 @@
 	calibrate bool
 }
 
-// serviceFleet is a busy fleet of the experiment fleet, without faults; walk is the full-scan limit
-// of the arm with the program's choice, which is compared with the full scan.
+// serviceFleet is a busy fleet of the experiment fleet, without faults; scanLimit is the full-scan
+// limit of the arm with the program's choice, which is compared with the full scan.
 type serviceFleet struct{ dispatchers, executors, scanLimit int }
 
 // dim adds a dimension with its sizes.
