--- a/internal/lab/realhost_test.go
+++ b/internal/lab/realhost_test.go
@@ -315,8 +315,8 @@
 
 func (h *realHost) Listen(ctx context.Context, _ func(int, string)) error { <-ctx.Done(); return nil }
 
-// logHandler is a log handler that records messages of level info and above without their
-// attributes.
+// logHandler records the messages that the core logs at level info and above, without attributes:
+// the module's own lines, which carry no figures, and errors.
 type logHandler struct{ h *realHost }
 
 func (e *logHandler) Enabled(_ context.Context, l slog.Level) bool { return l >= slog.LevelInfo }
--- a/internal/lab/stage_test.go
+++ b/internal/lab/stage_test.go
@@ -111,7 +111,7 @@
 }
 
 // peerNode is one of the other dispatchers, in virtual time in both arms; its messages pass through
-// the hostWorld.
+// hostWorld.
 type peerNode struct {
 	*simNode
 	s *hostWorld
