--- a/internal/lab/capacity_test.go
+++ b/internal/lab/capacity_test.go
@@ -17,10 +17,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// tinyPlan is the complete experiment at sizes for tests.
+// tinyPlan returns the plan of the complete experiment with small sizes.
 func tinyPlan() capacityPlan {
 	p := capacityPlan{
-		seeds: []uint64{1}, walks: []int{20, 60},
+		seeds: []uint64{1}, choiceSizes: []int{20, 60},
 		base: HollowSize{
 			Dispatchers: 6, Executors: 20, Functions: 200, Calls: 5, ListEvents: 1,
 			Span: 2 * time.Second,
@@ -39,12 +39,12 @@
 	return p
 }
 
-// lines are what a run logs.
+// lines collects the log lines of a run.
 type lines []string
 
 func (l *lines) log(f string, args ...any) { *l = append(*l, fmt.Sprintf(f, args...)) }
 
-// index is the place of the first line that holds all of these; -1: none.
+// index returns the index of the first line that contains all parts; -1 if there is none.
 func (l lines) index(parts ...string) int {
 next:
 	for i, line := range l {
@@ -58,7 +58,7 @@
 	return -1
 }
 
-// The complete experiment with real hollow dispatchers. Its bounds here are of counts and bytes:
+// Runs the complete experiment with hollow dispatchers. Only counts and bytes are asserted, since
 // times depend on the machine.
 func TestCapacity(t *testing.T) {
 	dir, log, plan := t.TempDir(), lines{}, tinyPlan()
@@ -71,12 +71,12 @@
 	slopes := map[string]*CapacitySlope{}
 	for _, slope := range append(c.Slopes, c.Largest...) {
 		slopes[slope.Size+" "+slope.Name] = slope
-		if slope.Foretold == nil {
+		if slope.Prediction == nil {
 			assert.NotEmpty(t, slope.Fault, "%s over %s", slope.Name, slope.Size)
 			continue
 		}
-		assert.False(t, slope.Foretold.At.Before(began))
-		assert.False(t, math.IsNaN(float64(slope.Foretold.Measured)), "%s over %s was not held against a run",
+		assert.False(t, slope.Prediction.At.Before(began))
+		assert.False(t, math.IsNaN(float64(slope.Prediction.Measured)), "%s over %s was not compared with a run",
 			slope.Name, slope.Size)
 	}
 	assert.Len(t, slopes, 5*len(capacityFigures())+2+len(capacityFigures()))
@@ -133,7 +133,7 @@
 	_, err = json.Marshal(rep)
 	assert.NoError(t, err)
 
-	// What repeats with the seed: all but times and memory.
+	// All figures except times and memory repeat with the seed.
 	again, err := HollowRun(t.Context(), plan.base, 1)
 	require.NoError(t, err)
 	for _, run := range c.Runs {
@@ -149,7 +149,8 @@
 	}
 }
 
-// fakeWorld answers by formulas; extra is added to the heap, a part by the square of the executors.
+// fakeWorld computes figures by formulas; extra times the square of the workers is added to the
+// heap.
 func fakeWorld(extra float64, observed func(HollowSize)) hollowRunner {
 	return func(_ context.Context, s HollowSize, seed uint64) (*HollowResult, error) {
 		if observed != nil {
@@ -164,11 +165,11 @@
 	}
 }
 
-// Each prediction is written down before the first run of the size that it is for, and holds where
-// the world is as the fits have it.
-func TestCapacityForetellsBeforeItRuns(t *testing.T) {
+// Each prediction is logged before the first run of the size that it predicts, and holds if the
+// figures follow the fits.
+func TestCapacityPredictsBeforeRuns(t *testing.T) {
 	log, plan := lines{}, tinyPlan()
-	first := map[HollowSize]int{} // place in the log at the first run of a size
+	first := map[HollowSize]int{} // number of log lines at the first run of a size
 	rep, err := runCapacity(t.Context(), Options{Seed: 1, Log: log.log}, plan, fakeWorld(0, func(s HollowSize) {
 		if _, ok := first[s]; !ok {
 			first[s] = len(log)
@@ -194,18 +195,18 @@
 	c := rep.Detail.(*Capacity)
 	for _, slope := range c.Slopes {
 		if slope.Size == "executors" && slope.Name == "heap" {
-			assert.InEpsilon(t, (budgetHeap-1e5-200*6-3*200)/5000, float64(slope.UsedUp), 0.05,
+			assert.InEpsilon(t, (budgetHeap-1e5-200*6-3*200)/5000, float64(slope.BudgetSize), 0.05,
 				"the budget is used up there")
 		}
 	}
 	for _, slope := range c.Largest {
 		if slope.Name == "cpu.choice" {
-			assert.InEpsilon(t, (100+20*60.0)*1.5, float64(slope.Foretold.Y), 0.05, "a product of two slopes")
+			assert.InEpsilon(t, (100+20*60.0)*1.5, float64(slope.Prediction.Y), 0.05, "a product of two slopes")
 		}
 	}
 }
 
-// A world that turns out otherwise than the small sizes say breaks its bounds.
+// Figures that differ from the predictions of the small sizes break their bounds.
 func TestCapacityPredictionsCanFail(t *testing.T) {
 	log, plan := lines{}, tinyPlan()
 	rep, err := runCapacity(t.Context(), Options{Seed: 1, Log: log.log, Only: "executors,largest"}, plan,
@@ -229,8 +230,8 @@
 	assert.Equal(t, -1, log.index("choice:"), "only what was asked for, and the slopes that it needs")
 }
 
-// The letter's calls are foretold before they are run, from all slopes with calls among them, and
-// can fail; of Zipf laws each exponent is run with each seed, and shown.
+// The fleet with the required calls is predicted before it is run, from all slopes including calls,
+// and its prediction can fail. Each Zipf exponent is run with each seed and reported.
 func TestCapacityLetterAndZipf(t *testing.T) {
 	plan := tinyPlan()
 	plan.seeds = []uint64{1, 2}
@@ -262,12 +263,12 @@
 			bounds[b.Name] = b
 		}
 		for _, slope := range rep.Detail.(*Capacity).Largest {
-			require.Equal(t, letterAt, slope.Size)
+			require.Equal(t, letterSection, slope.Size)
 			if slope.Name == "messages.in" {
-				assert.InEpsilon(t, 2+40.0, float64(slope.Foretold.Y), 0.05, "calls are part of it")
+				assert.InEpsilon(t, 2+40.0, float64(slope.Prediction.Y), 0.05, "calls are part of it")
 			}
 			if slope.Name == "heap" {
-				assert.Equal(t, extra == 0, slope.Foretold.Holds, "%s: %+v", name, slope.Foretold)
+				assert.Equal(t, extra == 0, slope.Prediction.Holds, "%s: %+v", name, slope.Prediction)
 			}
 		}
 		zero, one := bounds["zipf, exponent 0, seed 2: path-books twice, late sends, boxes pushed over, calls "+
@@ -284,12 +285,13 @@
 	assert.Equal(t, []uint64{7, 8, 9}, full.seeds)
 	assert.Equal(t, []any{1_900, 200.0}, []any{full.letter.Dispatchers, full.letter.Calls})
 	assert.GreaterOrEqual(t, full.faults.Dispatchers, 1_000)
-	for _, name := range []string{letterAt, zipfAt, faultsAt} {
+	for _, name := range []string{letterSection, zipfSection, faultsSection} {
 		assert.Contains(t, full.names(), name)
 	}
 }
 
-// A run that fails or is broken off leaves what there was, marked.
+// A run that fails or is cancelled ends the experiment and keeps the results so far, marked
+// partial.
 func TestCapacityBrokenOff(t *testing.T) {
 	dir, runs, fault := t.TempDir(), 0, errors.New("hollow run: too little memory: 6 dispatchers took 9 GB")
 	rep, err := runCapacity(t.Context(), Options{Seed: 1, Plots: dir, Log: func(string, ...any) {}}, tinyPlan(),
--- a/internal/lab/capacityfleet.go
+++ b/internal/lab/capacityfleet.go
@@ -11,15 +11,15 @@
 	"oakthread/internal/regression"
 )
 
-// zipf draws functions by Zipf laws of other exponents; 0: evenly, as all other sections do. What
-// falls with it is no slope, and none is foretold.
+// zipf runs with functions drawn by Zipf laws of several exponents; 0 draws them uniformly, as all
+// other sections do. Figures over the exponent are reported without slopes or predictions.
 func (c *capacity) zipf(ctx context.Context) error {
 	for _, x := range c.plan.exponents {
 		size := c.plan.zipf
 		size.Zipf = x
 		var runs []map[string]float64
 		for _, seed := range c.plan.seeds {
-			f, err := c.run(ctx, zipfAt, size, seed)
+			f, err := c.run(ctx, zipfSection, size, seed)
 			if err != nil {
 				return err
 			}
@@ -37,17 +37,24 @@
 	return nil
 }
 
-// zipfFigures are what popularity bears on.
+// zipfFigures are the figures that the popularity of functions affects.
 func zipfFigures() []string {
 	return []string{"bytes", "messages.in", "cpu.choice", "cpu.read", "loads", "heap", "worth", "unserved", "p99.cold"}
 }
 
-// largest is the largest fleet, at the base's calls; letter that with the letter's calls.
-func (c *capacity) largest(ctx context.Context) error { return c.fleet(ctx, largestAt, c.plan.largest) }
-func (c *capacity) letter(ctx context.Context) error  { return c.fleet(ctx, letterAt, c.plan.letter) }
+// largest runs the largest fleet at the call rate of the base size.
+func (c *capacity) largest(ctx context.Context) error {
+	return c.fleet(ctx, largestSection, c.plan.largest)
+}
+
+// letter runs the fleet of the section letter. In the full experiment it has the call rate that the
+// operators require.
+func (c *capacity) letter(ctx context.Context) error {
+	return c.fleet(ctx, letterSection, c.plan.letter)
+}
 
-// fleet foretells a large fleet from all slopes together, and runs it, with the first seed. It is
-// made smaller until it fits the memory.
+// fleet predicts the figures of a large fleet from all slopes together and runs it with the first
+// seed. The number of dispatchers is reduced until the run fits into memory.
 func (c *capacity) fleet(ctx context.Context, section string, want HollowSize) error {
 	size := want
 	for tried := size; ; tried.Dispatchers -= max(1, tried.Dispatchers/20) {
@@ -57,7 +64,7 @@
 		}
 	}
 	if size.Dispatchers < want.Dispatchers {
-		c.o.Log("%s: %d dispatchers, not %d: more do not fit the memory", section, size.Dispatchers, want.Dispatchers)
+		c.o.Log("%s: %d dispatchers, not %d: more do not fit into memory", section, size.Dispatchers, want.Dispatchers)
 	}
 	for _, d := range c.plan.dims {
 		if _, err := c.fits(ctx, d); err != nil {
@@ -68,10 +75,10 @@
 	for i, f := range capacityFigures() {
 		slope := &CapacitySlope{
 			Series: regression.Series{Name: f.name, Unit: f.unit, Size: section}, Budget: f.budget,
-			UsedUp: Figure(math.NaN()), timed: f.timed,
+			BudgetSize: Figure(math.NaN()), timed: f.timed,
 		}
-		if slope.Foretold, slope.Fault = c.combine(i, f.product, size); slope.Foretold != nil {
-			c.o.Log("foretold at %s: %s %.4g %s", &size, slope.Name, slope.Foretold.Y, slope.Unit)
+		if slope.Prediction, slope.Fault = c.combine(i, f.product, size); slope.Prediction != nil {
+			c.o.Log("foretold at %s: %s %.4g %s", &size, slope.Name, slope.Prediction.Y, slope.Unit)
 		}
 		predicted = append(predicted, slope)
 	}
@@ -89,8 +96,8 @@
 			y = math.NaN()
 		}
 		at := math.NaN()
-		if slope.evaluate(y); slope.Foretold != nil {
-			at = float64(slope.Foretold.Y)
+		if slope.evaluate(y); slope.Prediction != nil {
+			at = float64(slope.Prediction.Y)
 		}
 		c.rep.Row(name(slope.Name), slope.Unit, at, y)
 	}
@@ -104,11 +111,12 @@
 	return nil
 }
 
-// combine foretells figure i of a size from the slopes over each dimension: from the base on, what
-// each adds is added, or the factors by which each raises it are multiplied. The rooms over the
-// sizes that are moved add up as independent errors do, in squares, to largestRoom at most.
-func (c *capacity) combine(i int, product bool, size HollowSize) (*Foretold, string) {
-	p := &Foretold{At: time.Now(), X: Figure(math.NaN()), Measured: Figure(math.NaN())}
+// combine predicts figure i of a size from the slopes over each dimension, starting from the base
+// size: their increments are added or, for a product, their growth factors are multiplied. The
+// tolerances of the dimensions that differ from the base add up as independent errors do (root of
+// the sum of squares), up to maxCombinedTolerance.
+func (c *capacity) combine(i int, product bool, size HollowSize) (*Prediction, string) {
+	p := &Prediction{At: time.Now(), X: Figure(math.NaN()), Measured: Figure(math.NaN())}
 	base, sum, factor, squares := 0.0, 0.0, 1.0, 0.0
 	for _, d := range c.plan.dims {
 		slope := c.slopes[d.name][i]
@@ -125,14 +133,14 @@
 			squares += slope.Fit.Tolerance() * slope.Fit.Tolerance()
 		}
 	}
-	p.Room = min(math.Sqrt(squares), largestRoom)
+	p.Tolerance = min(math.Sqrt(squares), maxCombinedTolerance)
 	if p.Y = Figure(max(0, base+sum)); product {
 		p.Y = Figure(base * factor)
 	}
 	return p, ""
 }
 
-// bounds are one for each dimension, of what repeats and of processor time.
+// bounds adds two bounds per dimension: on figures that repeat exactly, and on CPU time.
 func (c *capacity) bounds() {
 	for _, name := range c.plan.names() {
 		for _, kind := range []struct {
@@ -141,11 +149,11 @@
 		}{{"counts and bytes", false}, {"processor time", true}} {
 			all, off := 0, 0
 			for _, slope := range append(slices.Clone(c.detail.Slopes), c.detail.Largest...) {
-				if slope.Size != name || slope.timed != kind.timed || slope.Foretold == nil ||
-					math.IsNaN(float64(slope.Foretold.Measured)) {
+				if slope.Size != name || slope.timed != kind.timed || slope.Prediction == nil ||
+					math.IsNaN(float64(slope.Prediction.Measured)) {
 					continue
 				}
-				if all++; !slope.Foretold.Holds {
+				if all++; !slope.Prediction.Holds {
 					off++
 				}
 			}
--- a/internal/lab/hollow_test.go
+++ b/internal/lab/hollow_test.go
@@ -15,7 +15,7 @@
 	return HollowSize{Dispatchers: 12, Executors: 20, Functions: 100, Calls: 20, ListEvents: 2, Span: 4 * time.Second}
 }
 
-// exact are the figures that no clock or collector has a part in.
+// exact returns the figures that depend on neither a clock nor the garbage collector.
 func exact(result *HollowResult) map[string]float64 {
 	out := map[string]float64{}
 	for name, x := range result.Figures {
@@ -26,7 +26,8 @@
 	return out
 }
 
-// The same seed repeats exactly, also where dispatchers are restarted and executors drained; another does not.
+// Runs with the same seed repeat exactly, also with restarted dispatchers and drained workers;
+// another seed gives other figures.
 func TestHollowRepeats(t *testing.T) {
 	run := func(seed uint64, fault string) map[string]float64 {
 		size := smallHollow()
@@ -41,7 +42,8 @@
 	assert.Equal(t, run(1, FaultZone), run(1, FaultZone))
 }
 
-// Each fault runs to its end: no path-book runs twice, every call ends, and what the meter shows comes out.
+// A run with each fault completes: no path-book call runs twice, every call ends, and the measured
+// figures are present.
 func TestHollowFaults(t *testing.T) {
 	for _, fault := range append(HollowFaults(), "") {
 		size := smallHollow()
@@ -61,9 +63,9 @@
 	}
 }
 
-// A release in lists too long for a full scan, as TestReleaseInALongList plays it with real
-// processes: no rule is breached, hardly a call goes unserved, each third executor drains, and new
-// ones are given work though they are warming up.
+// A release with lists too long for a full scan, as TestReleaseInALongList runs it with real
+// processes: no rule is violated, under 2% of the calls go unserved, every third worker drains, and
+// new workers get work although they are cold.
 func TestHollowReleaseInALongList(t *testing.T) {
 	for _, n := range []int{300, 1200} {
 		size := HollowSize{
@@ -94,25 +96,25 @@
 	}
 }
 
-// The meter's counts are those of the world: messages and bytes as they were delivered, calls as
-// clients sent them, loads as the executors began them.
-func TestHollowMeterAddsUp(t *testing.T) {
+// The meter's counts match the simulated world: messages and bytes delivered, calls sent by
+// clients, and loads begun by workers.
+func TestHollowMeterMatchesWorld(t *testing.T) {
 	size := smallHollow()
-	size.ListEvents = 0 // an executor that comes back is a new one, and has forgotten what it loaded
+	size.ListEvents = 0 // a worker that comes back has a new model without the count of its loads
 	require.NoError(t, size.check())
 	h, err := newHollow(t.Context(), size, 4)
 	require.NoError(t, err)
-	h.from = h.began // all is counted
+	h.from = h.began // count the warm-up too
 	h.begin()
 	h.play(t.Context(), h.until.Add(6*time.Second))
 	m := &h.meter
-	out := m.sums[2]
-	h.mute = true // what is in transit arrives
+	out := m.totals[2]
+	h.mute = true // no new messages; those in transit arrive
 	h.play(t.Context(), h.now.Add(2*peerDelay))
 	require.NoError(t, h.err)
-	assert.Equal(t, h.delivered, m.sums[0])
-	assert.Equal(t, out, m.sums[0])
-	assert.Equal(t, m.counts[partRead], m.sums[1])
+	assert.Equal(t, h.delivered, m.totals[0])
+	assert.Equal(t, out, m.totals[0])
+	assert.Equal(t, m.counts[partRead], m.totals[1])
 	loads, served, sent := 0, 0, 0
 	for _, worker := range h.workers {
 		for _, n := range worker.model.loads {
@@ -126,7 +128,7 @@
 		sent += n
 	}
 	assert.Equal(t, h.calls-h.unserved, served)
-	assert.Zero(t, h.begun)
+	assert.Zero(t, h.open)
 	assert.GreaterOrEqual(t, m.counts[partChoice], h.calls+sent, "a request and an outcome for each, and loads")
 	assert.Equal(t, loads, h.loads)
 	assert.Greater(t, loads, 0)
@@ -136,22 +138,22 @@
 	assert.GreaterOrEqual(t, result.Figures["bytes.in.busiest"], result.Figures["collector.in.busiest"])
 }
 
-// The warm-up has its own pace but for its last second, the span the one that is asked for.
-func TestHollowWarmsUpAtItsOwnPace(t *testing.T) {
+// The warm-up has its own call rate except in its last second, which has the rate of the span.
+func TestHollowWarmUpCallRate(t *testing.T) {
 	size := smallHollow()
 	size.ListEvents, size.Calls, size.WarmCalls = 0, 50, 5
 	require.NoError(t, size.check())
 	h, err := newHollow(t.Context(), size, 1)
 	require.NoError(t, err)
-	rise := h.from.Add(-hollowRise)
+	rise := h.from.Add(-hollowRampUp)
 	for _, c := range []struct {
 		now  time.Time
-		x    float64 // mean gaps
+		x    float64 // multiple of the mean gap
 		want time.Duration
 	}{
 		{h.began, 1, 200 * time.Millisecond},
 		{rise.Add(-100 * time.Millisecond), 0.25, 50 * time.Millisecond},
-		{rise.Add(-100 * time.Millisecond), 1, 110 * time.Millisecond}, // half a gap of the one pace, half of the other
+		{rise.Add(-100 * time.Millisecond), 1, 110 * time.Millisecond}, // half a gap at each rate
 		{rise, 1, 20 * time.Millisecond},
 		{h.from, 3, 60 * time.Millisecond},
 	} {
@@ -168,14 +170,15 @@
 		return n
 	}
 	slow, fast := sent(rise), sent(h.from)
-	assert.InEpsilon(t, 5*12*(size.Warm-hollowRise).Seconds(), slow, 0.2)
+	assert.InEpsilon(t, 5*12*(size.Warm-hollowRampUp).Seconds(), slow, 0.2)
 	assert.InEpsilon(t, 50*12, fast, 0.2)
 	size.WarmCalls = -1
 	_, err = HollowRun(t.Context(), size, 1)
 	assert.Error(t, err)
 }
 
-// Popular functions stand: drawn by a Zipf law calls find more copies than drawn evenly, so that fewer are loaded.
+// Functions drawn by a Zipf law need fewer loads than functions drawn uniformly, as calls of
+// popular functions find loaded copies.
 func TestHollowZipfLoadsLess(t *testing.T) {
 	size := smallHollow()
 	size.Functions, size.ListEvents = 2000, 0
@@ -187,7 +190,7 @@
 	assert.Less(t, popular.Figures["loads"], 0.7*even.Figures["loads"])
 }
 
-func TestHollowRefuses(t *testing.T) {
+func TestHollowRejectsInvalidSizes(t *testing.T) {
 	size := smallHollow()
 	size.Memory = 10 << 20
 	_, err := HollowRun(t.Context(), size, 1)
@@ -198,13 +201,13 @@
 		Dispatchers: 1900, Executors: 960, Functions: 48000, Calls: 5, Warm: 6 * time.Second,
 		Span: 10 * time.Second,
 	}
-	assert.Less(t, plan.needs(), uint64(8e9), "the largest run that is wanted has to fit")
+	assert.Less(t, plan.estimateMemory(), uint64(8e9), "the largest run that is wanted has to fit")
 	letter := planCapacity(Options{Seed: 1}).letter
 	letter.Warm = 6 * time.Second
-	assert.Less(t, letter.needs(), uint64(12e9), "and so has that of the letter's calls, in half of 24 GB")
+	assert.Less(t, letter.estimateMemory(), uint64(12e9), "and so has that of the letter's calls, in half of 24 GB")
 	slow := letter
 	slow.WarmCalls = 0
-	assert.Greater(t, slow.needs(), letter.needs())
+	assert.Greater(t, slow.estimateMemory(), letter.estimateMemory())
 	for _, invalid := range []HollowSize{
 		{},
 		{Dispatchers: 1, Executors: 1, Functions: 1},
@@ -215,7 +218,8 @@
 	}
 }
 
-// A run that is broken off keeps what it has, marked; one that takes too much memory says so in one line.
+// A run that ends early keeps its figures, marked partial; one that uses too much memory reports it
+// in one line.
 func TestHollowPartial(t *testing.T) {
 	size := smallHollow()
 	require.NoError(t, size.check())
@@ -239,9 +243,9 @@
 	assert.Contains(t, result.Figures, "calls")
 }
 
-// States a present fault: with one dispatcher of 1,000 missing a digest is too long for the
-// channel, and none is sent. At 300 all fit.
-func TestHollowDigestsOutgrowTheChannel(t *testing.T) {
+// Documents a known fault: with one of 1,000 dispatchers missing, a digest exceeds the channel's
+// size limit and is dropped. With 300 dispatchers all digests fit.
+func TestHollowDigestsExceedChannelLimit(t *testing.T) {
 	size := HollowSize{
 		Dispatchers: 300, Executors: 10, Functions: 20, Calls: 2, Warm: 2400 * time.Millisecond,
 		Span: 1600 * time.Millisecond, Fault: FaultOneDown,
--- a/internal/lab/hollowclients.go
+++ b/internal/lab/hollowclients.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// home returns the dispatcher that clients of the nth go to: itself, or another one while it is
-// down.
+// home returns the dispatcher that the clients of dispatcher n use: n itself, or another one while
+// n is down.
 func (h *hollowWorld) home(n int) *simNode {
 	d := len(h.nodes)
 	for k := range d {
@@ -18,9 +18,10 @@
 	return h.nodes[n]
 }
 
-// gap is the time until a dispatcher's next call, where x is that time in mean gaps.
+// gap returns the time until a dispatcher's next call; x is that time as a multiple of the mean
+// gap.
 func (h *hollowWorld) gap(x float64) time.Duration {
-	first, left := h.size.WarmCalls, h.from.Add(-hollowRise).Sub(h.now)
+	first, left := h.size.WarmCalls, h.from.Add(-hollowRampUp).Sub(h.now)
 	if first <= 0 || left <= 0 {
 		return time.Duration(x / h.size.Calls * float64(time.Second))
 	}
@@ -30,7 +31,7 @@
 	return left + time.Duration((x-first*left.Seconds())/h.size.Calls*float64(time.Second))
 }
 
-// clients of a dispatcher send until the end of the span.
+// clients schedules the calls of a dispatcher's clients until the end of the span.
 func (h *hollowWorld) clients(n int, rng *rand.Rand, seq int) {
 	h.after(h.gap(rng.ExpFloat64()), func() {
 		if !h.now.Before(h.until) {
@@ -45,39 +46,39 @@
 			class: class, model: h.load.model(h.popular.draw(rng.Float64()), h.now), intended: h.now,
 			name: strconv.Itoa(n) + "." + strconv.Itoa(seq),
 		}
-		h.begun++
+		h.open++
 		h.simWorld.home(n).arrive(call)
 		h.clients(n, rng, seq+1)
 	})
 }
 
-// over counts a call that has ended.
+// over records a call that has ended; only calls intended in the span enter the figures.
 func (h *hollowWorld) over(call *simCall) {
 	if h == nil {
 		return
 	}
-	h.begun--
+	h.open--
 	if call.intended.Before(h.from) {
 		return
 	}
 	class := h.f.Classes[call.class]
 	h.calls++
-	h.asked += class.PriorityWeight
+	h.offeredValue += class.PriorityWeight
 	took := call.ended.Sub(call.intended)
 	switch {
 	case !call.served:
 		h.unserved++
 	case took <= class.LatencyObjective:
-		h.earned += class.PriorityWeight
+		h.earnedValue += class.PriorityWeight
 	default:
-		h.earned += 0.2 * class.PriorityWeight
+		h.earnedValue += 0.2 * class.PriorityWeight
 	}
 	if call.served && call.awaitedLoad {
 		h.loadWaits = append(h.loadWaits, took.Seconds())
 	}
 }
 
-// loaded counts a job that began a load.
+// loaded counts a job that began a load within the span.
 func (h *hollowWorld) loaded(job *Job) {
 	if h != nil && h.meter.on && job.Warmth == BeganLoad {
 		h.loads++
