--- a/internal/lab/before.go
+++ b/internal/lab/before.go
@@ -1,7 +1,7 @@
 package lab
 
-// The earlier version that an experiment is compared with: the program built from an older commit
-// of this repository, in the run's own folder. The work tree is not changed.
+// The earlier version that an experiment compares the program with: built from an older commit of
+// this repository, in the directory of the run. The work tree is not changed.
 
 import (
 	"archive/tar"
@@ -16,7 +16,7 @@
 	"strings"
 )
 
-// Ours is the program as it stands: oakthread beside this executable.
+// Ours returns the current program: the file dispatcher in the directory of this executable.
 func Ours() (Program, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -29,7 +29,8 @@
 	return Program{Path: path, Args: []string{"serve"}}, nil
 }
 
-// both are the program of an older version, o's or that of the commit given, and the one as it stands.
+// both returns the program of an earlier version (options.Before, or else commit) and the current
+// one.
 func both(ctx context.Context, options Options, commit string) (programs [2]Program, err error) {
 	if options.Before != "" {
 		commit = options.Before
@@ -41,8 +42,8 @@
 	return programs, err
 }
 
-// Before is the program of an older version: what names a program file, or a commit of the repository at root, which is
-// built under dir.
+// Before returns the program of an earlier version. what is the path of a program file, or a commit
+// of the repository at root, which is built under dir.
 func Before(ctx context.Context, root, dir, what string) (Program, error) {
 	if info, err := os.Stat(what); err == nil && !info.IsDir() {
 		path, err := filepath.Abs(what)
@@ -70,7 +71,7 @@
 	path := filepath.Join(dir, "oakthread-before")
 	source := "./cmd/dispatcher"
 	if _, err := os.Stat(filepath.Join(src, "cmd", "dispatcher")); err != nil {
-		source = "./cmd/oakthread" // the folder's name in commits before the package rename
+		source = "./cmd/oakthread" // the directory's name in commits before the package rename
 	}
 	build := exec.CommandContext(ctx, "go", "build", "-o", path, source)
 	build.Dir = src
@@ -80,7 +81,8 @@
 	return Program{Path: path, Args: []string{"serve"}}, nil
 }
 
-// unpack writes the files of an archive that lie below dir, but for the journal.
+// unpack writes the regular files of a tar archive below dir, except those of the journal. Entries
+// whose path would lead out of dir are skipped.
 func unpack(in io.Reader, dir string) error {
 	for r := tar.NewReader(in); ; {
 		h, err := r.Next()
@@ -110,9 +112,9 @@
 	}
 }
 
-// versus is an experiment that sets the program before a change beside the one after it.
-type versus[T any] struct {
-	name, note, before string // note: beside sizes and commit; before: the commit
+// comparison is an experiment that runs the program before and after a change.
+type comparison[T any] struct {
+	name, note, before string // note: besides sizes and commit; before: the commit
 	sizes              []int  // dispatchers
 	seeds              int
 	faults             []string
@@ -120,9 +122,9 @@
 	report             func(rep *Report, name, fault string, pair [2]*T)
 }
 
-// all runs every fault at every size with every seed, both programs at the same time, each fleet
-// with addresses of its own.
-func (v versus[T]) all(ctx context.Context, options Options) (*Report, error) {
+// runAll runs every fault at every size with every seed, with both programs at the same
+// time, each fleet in its own address range.
+func (v comparison[T]) runAll(ctx context.Context, options Options) (*Report, error) {
 	faults, err := options.pick(v.faults)
 	if err != nil {
 		return nil, err
--- a/internal/lab/cachedlist.go
+++ b/internal/lab/cachedlist.go
@@ -13,19 +13,19 @@
 	"time"
 )
 
-// cachedListPlan is how large a run is, and how long its parts are.
+// cachedListPlan is the size of a run and the length of its phases.
 type cachedListPlan struct {
 	dispatchers, workers int
-	rate                 float64       // calls per second, all together
-	warm                 time.Duration // until discovery fails and workers are replaced
-	back                 time.Duration // from the restart until discovery returns
-	end                  time.Duration // from then to the end
+	rate                 float64       // calls per second, in total
+	warmup               time.Duration // until discovery fails and workers are replaced
+	outage               time.Duration // from the restart until discovery returns
+	tail                 time.Duration // from the return of discovery to the end of the run
 }
 
 const (
-	armUp = iota
-	armFresh
-	armNone
+	armDiscoveryUp = iota
+	armNaive
+	armNoList
 	armOurs
 	cachedListArms
 )
@@ -38,12 +38,12 @@
 func CachedList(ctx context.Context, options Options) (*Report, error) {
 	size := cachedListPlan{
 		dispatchers: 30, workers: 60, rate: 3600,
-		warm: 10 * time.Second, back: 8 * time.Second, end: 16 * time.Second,
+		warmup: 10 * time.Second, outage: 8 * time.Second, tail: 16 * time.Second,
 	}
 	if options.Quick {
 		size = cachedListPlan{
 			dispatchers: 6, workers: 10, rate: 450,
-			warm: 5 * time.Second, back: 4 * time.Second, end: 9 * time.Second,
+			warmup: 5 * time.Second, outage: 4 * time.Second, tail: 9 * time.Second,
 		}
 	}
 	rep := &Report{Name: "kept-list", Seed: options.Seed, Arms: cachedListArmNames, Note: fmt.Sprintf(
@@ -59,7 +59,7 @@
 	var wait sync.WaitGroup
 	for arm := range cachedListArms {
 		one := func() { res[arm], errs[arm] = cachedListArm(ctx, options, net, arm, size) }
-		if options.Quick { // the arms are small: they run beside one another
+		if options.Quick { // the arms are small enough to run concurrently
 			wait.Add(1)
 			go func() { defer wait.Done(); one() }()
 			continue
@@ -79,22 +79,22 @@
 
 // cachedListResult is the result of one arm.
 type cachedListResult struct {
-	calls              int
-	twice, unanswered  int
-	wrong, lateDrains  int
-	fallen             int
-	readyMost          time.Duration
-	service            float64 // weighted value earned over that offered in the first 10 s
-	errors, errorsLate float64 // share of calls never served: from the restart, and from 3 s after it
-	peak               float64 // most calls at a remaining worker in any second, over its mean
-	calm               float64 // the same over 4 s before the crash, at all listed workers
-	fresh              float64 // calls at new workers at the end, over the mean of the others
-	cpu                float64 // microseconds of the dispatchers' CPU for each call, before the crash
-	late               time.Duration
-	p99                time.Duration
+	calls                  int
+	twice, unanswered      int
+	wrong, lateSends       int
+	collapsed              int
+	maxReadyTime           time.Duration
+	service                float64 // weighted value earned over that offered in the first 10 s
+	unserved, unservedLate float64 // share of calls never served: from the restart, and from 3 s after it
+	peak                   float64 // most calls at a remaining worker in any second, over its mean
+	peakBefore             float64 // the same over 4 s before the crash, at all listed workers
+	newWorkerLoad          float64 // mean calls per new worker at the end, over the mean of the remaining ones
+	cpu                    float64 // dispatchers' CPU time per call before the crash, in microseconds
+	maxLag                 time.Duration
+	p99                    time.Duration
 }
 
-// cachedListArm plays one arm of the experiment.
+// cachedListArm runs one arm of the experiment.
 func cachedListArm(
 	ctx context.Context, options Options, net *Net, arm int, size cachedListPlan,
 ) (*cachedListResult, error) {
@@ -117,32 +117,32 @@
 	}
 	pause := func(until time.Time) { _ = sleepUntil(ctx, until) }
 
-	pause(began.Add(size.warm))
-	if arm != armUp {
+	pause(began.Add(size.warmup))
+	if arm != armDiscoveryUp {
 		w.disc.Down()
 	}
 	if err := w.replace(net, arm); err != nil {
 		return nil, err
 	}
-	pause(began.Add(size.warm + 700*time.Millisecond))
+	pause(began.Add(size.warmup + 700*time.Millisecond))
 	killed := time.Now()
 	cpu, err := w.crash(arm)
 	if err != nil {
 		return nil, err
 	}
-	readyCtx, giveUp := context.WithDeadline(ctx, killed.Add(size.back+size.end))
+	readyCtx, giveUp := context.WithDeadline(ctx, killed.Add(size.outage+size.tail))
 	defer giveUp()
 	ready := make(chan error, 1)
 	go func() { ready <- w.startAll(readyCtx, options.Seed+1, time.Second) }()
 	restarted := killed.Add(time.Second)
-	pause(restarted.Add(size.back))
+	pause(restarted.Add(size.outage))
 	returned := time.Now()
-	if arm != armUp {
+	if arm != armDiscoveryUp {
 		if err := w.disc.Up(); err != nil {
 			return nil, err
 		}
 	}
-	pause(returned.Add(size.end))
+	pause(returned.Add(size.tail))
 	enough()
 	clients.Wait()
 	if err := <-ready; err != nil {
@@ -150,8 +150,8 @@
 	}
 	result := w.count(killed, restarted, returned, size)
 	result.cpu = cpu
-	if err := w.all((*Dispatcher).Stop); err != nil {
-		return nil, fmt.Errorf("a dispatcher did not end well: %w", err)
+	if err := w.each((*Dispatcher).Stop); err != nil {
+		return nil, fmt.Errorf("stopping the dispatchers: %w", err)
 	}
 	return result, nil
 }
--- a/internal/lab/cachedlistcount.go
+++ b/internal/lab/cachedlistcount.go
@@ -7,22 +7,23 @@
 	"time"
 )
 
-// cachedListWindow is for how long after the restart errors, service and peaks are counted.
+// cachedListWindow is the time after the restart in which errors, earned value and peaks are
+// counted.
 const cachedListWindow = 10 * time.Second
 
-// callCounts are the calls of all clients around a crash.
+// callCounts counts the calls of all clients around a crash.
 type callCounts struct {
-	asked, earned         float64 // from the crash to the end of the window
+	offered, earned       float64 // from the crash to the end of the window
 	all, unserved         int     // from the restart to the end of the window
 	allLate, unservedLate int     // the same, from 3 s after the restart
-	times                 []time.Duration
+	latencies             []time.Duration
 }
 
-// add counts a call; window is counted from the restart.
+// add counts a call; window starts at the restart.
 func (k *callCounts) add(figures *Figures, call *Call, killed, restarted time.Time, window time.Duration) {
 	after := call.Intended.Sub(restarted)
 	if call.Intended.After(killed) && after < window {
-		k.asked += figures.Classes[call.Class].PriorityWeight
+		k.offered += figures.Classes[call.Class].PriorityWeight
 		k.earned += call.WeightedValue(figures)
 	}
 	if after < 0 || after >= window {
@@ -30,7 +31,7 @@
 	}
 	k.all++
 	if call.Served {
-		k.times = append(k.times, call.Ended.Sub(call.Intended))
+		k.latencies = append(k.latencies, call.Ended.Sub(call.Intended))
 	} else {
 		k.unserved++
 	}
@@ -46,10 +47,10 @@
 // count returns the result of an arm by what clients and workers observed.
 func (w *cachedListWorld) count(killed, restarted, returned time.Time, size cachedListPlan) *cachedListResult {
 	result := &cachedListResult{}
-	window := min(cachedListWindow, size.back+size.end)
+	window := min(cachedListWindow, size.outage+size.tail)
 	var k callCounts
 	for n, clients := range w.clients {
-		result.late = max(result.late, clients.MaxLag())
+		result.maxLag = max(result.maxLag, clients.MaxLag())
 		calls := clients.Calls()
 		result.calls += len(calls)
 		for _, call := range calls {
@@ -57,20 +58,20 @@
 		}
 		w.countDispatcher(result, w.dispatcher[n], calls)
 	}
-	result.service = k.earned / math.Max(k.asked, 1)
-	result.errors = float64(k.unserved) / float64(max(1, k.all))
-	result.errorsLate = float64(k.unservedLate) / float64(max(1, k.allLate))
-	if len(k.times) > 0 {
-		slices.Sort(k.times)
-		result.p99 = k.times[len(k.times)*99/100]
+	result.service = k.earned / math.Max(k.offered, 1)
+	result.unserved = float64(k.unserved) / float64(max(1, k.all))
+	result.unservedLate = float64(k.unservedLate) / float64(max(1, k.allLate))
+	if len(k.latencies) > 0 {
+		slices.Sort(k.latencies)
+		result.p99 = k.latencies[len(k.latencies)*99/100]
 	}
-	result.calm = w.calmPeak(killed.Add(-4700*time.Millisecond), killed.Add(-700*time.Millisecond))
-	w.countWorkers(result, restarted, returned, min(window, size.back), size)
+	result.peakBefore = w.calmPeak(killed.Add(-4700*time.Millisecond), killed.Add(-700*time.Millisecond))
+	w.countWorkers(result, restarted, returned, min(window, size.outage), size)
 	return result
 }
 
-// countDispatcher counts the attempts at a dispatcher that got no complete answer, other than those
-// that crossed its crash, and the time of its restart until it was ready.
+// countDispatcher counts the attempts sent to a dispatcher that got no complete answer, except
+// those in flight at its crash, and records how long it took from its restart until it was ready.
 func (w *cachedListWorld) countDispatcher(result *cachedListResult, dispatcher *Dispatcher, calls []*Call) {
 	lost, wrong := Unanswered(calls, func(attempt Attempt) bool {
 		return attempt.Sent.Before(dispatcher.Killed[0].Add(50*time.Millisecond)) &&
@@ -79,12 +80,13 @@
 	result.unanswered, result.wrong = result.unanswered+lost, result.wrong+wrong
 	for i := range dispatcher.Ready {
 		if i > 0 {
-			result.readyMost = max(result.readyMost, dispatcher.Ready[i].Sub(dispatcher.Began[i]))
+			result.maxReadyTime = max(result.maxReadyTime, dispatcher.Ready[i].Sub(dispatcher.Began[i]))
 		}
 	}
 }
 
-// calmPeak returns the busiest second of any listed worker over the mean of all.
+// calmPeak returns the calls of the busiest second of any listed worker, relative to the mean of
+// all.
 func (w *cachedListWorld) calmPeak(from, until time.Time) float64 {
 	most, total := 0, 0
 	for _, worker := range w.workers {
@@ -100,21 +102,21 @@
 	return float64(most) / math.Max(float64(total)/float64(len(w.workers))/until.Sub(from).Seconds(), 1e-9)
 }
 
-// countWorkers takes from the workers what they observed: calls run twice, late sends, overload,
-// and how the load was spread.
+// countWorkers evaluates the workers' observations: calls run twice, late sends, collapsed workers,
+// and the distribution of the load.
 func (w *cachedListWorld) countWorkers(
 	result *cachedListResult, restarted, returned time.Time, window time.Duration, size cachedListPlan,
 ) {
 	var all [][]ObservedCall
 	var staying [][]time.Time
 	total := 0
-	final := returned.Add(size.end - 3*time.Second)
+	final := returned.Add(size.tail - 3*time.Second)
 	oldEnd, freshEnd, olds := 0, 0, 0
-	for i, worker := range append(append([]*StubWorker(nil), w.workers...), w.fresh...) {
+	for i, worker := range append(append([]*StubWorker(nil), w.workers...), w.replacements...) {
 		calls, _ := worker.Observations()
 		all = append(all, calls)
 		if worker.Fallen() {
-			result.fallen++
+			result.collapsed++
 		}
 		var times []time.Time
 		ends := 0
@@ -129,13 +131,13 @@
 		switch {
 		case i >= len(w.workers):
 			freshEnd += ends
-		case w.fate[i] == stays:
+		case w.faults[i] == stays:
 			staying = append(staying, times)
 			total += len(times)
 			oldEnd += ends
 			olds++
-		case w.fate[i] == drains:
-			result.lateDrains += w.late(worker, calls)
+		case w.faults[i] == faultDrains:
+			result.lateSends += w.late(worker, calls)
 		}
 	}
 	result.twice = RunTwice(w.f, all...)
@@ -143,11 +145,11 @@
 	for _, times := range staying {
 		result.peak = max(result.peak, float64(mostInOneSecond(times))/math.Max(share, 1e-9))
 	}
-	result.fresh = float64(freshEnd) / float64(max(1, len(w.fresh))) / math.Max(float64(oldEnd)/float64(max(1, olds)),
-		1e-9)
+	result.newWorkerLoad = float64(freshEnd) / float64(max(1, len(w.replacements))) /
+		math.Max(float64(oldEnd)/float64(max(1, olds)), 1e-9)
 }
 
-// late counts the calls sent too late to a draining worker.
+// late counts the calls sent to a draining worker after the permitted delay.
 func (w *cachedListWorld) late(worker *StubWorker, calls []ObservedCall) int {
 	return LateSends(notifiedTimes(w.disc, len(w.dispatcher), worker.ID), calls)
 }
@@ -166,41 +168,44 @@
 	row("tries without a whole answer", "",
 		func(result *cachedListResult) float64 { return float64(result.unanswered) })
 	row("answers that no box made", "", func(result *cachedListResult) float64 { return float64(result.wrong) })
-	row("sent late to draining boxes", "", func(result *cachedListResult) float64 { return float64(result.lateDrains) })
-	row("boxes pushed over", "", func(result *cachedListResult) float64 { return float64(result.fallen) })
+	row("sent late to draining boxes", "", func(result *cachedListResult) float64 { return float64(result.lateSends) })
+	row("boxes pushed over", "", func(result *cachedListResult) float64 { return float64(result.collapsed) })
 	row("ready after, most", "ms",
-		func(result *cachedListResult) float64 { return float64(result.readyMost.Milliseconds()) })
+		func(result *cachedListResult) float64 { return float64(result.maxReadyTime.Milliseconds()) })
 	row("worth in time, first 10 s", "of that asked", func(result *cachedListResult) float64 { return result.service })
-	row("calls never served, first 10 s", "%", func(result *cachedListResult) float64 { return 100 * result.errors })
-	row("the same from 3 s on", "%", func(result *cachedListResult) float64 { return 100 * result.errorsLate })
+	row("calls never served, first 10 s", "%", func(result *cachedListResult) float64 { return 100 * result.unserved })
+	row("the same from 3 s on", "%", func(result *cachedListResult) float64 { return 100 * result.unservedLate })
 	row("p99 of served, first 10 s", "ms",
 		func(result *cachedListResult) float64 { return float64(result.p99.Milliseconds()) })
 	row("peak second of a box", "times its share", func(result *cachedListResult) float64 { return result.peak })
-	row("the same before the crash", "times its share", func(result *cachedListResult) float64 { return result.calm })
+	row("the same before the crash", "times its share",
+		func(result *cachedListResult) float64 { return result.peakBefore })
 	row("fresh boxes at the end", "of the others' calls",
-		func(result *cachedListResult) float64 { return result.fresh })
+		func(result *cachedListResult) float64 { return result.newWorkerLoad })
 	row("dispatchers' CPU before the crash", "us a call", func(result *cachedListResult) float64 { return result.cpu })
 	row("generator late, most", "ms",
-		func(result *cachedListResult) float64 { return float64(result.late.Milliseconds()) })
-	ours, up, naive := res[armOurs], res[armUp], res[armFresh]
+		func(result *cachedListResult) float64 { return float64(result.maxLag.Milliseconds()) })
+	ours, up, naive := res[armOurs], res[armDiscoveryUp], res[armNaive]
 	rep.AtMost("path-book run twice", float64(ours.twice), 0)
 	rep.AtMost("tries without a whole answer", float64(ours.unanswered+ours.wrong), 0)
-	rep.AtMost("sends more than 1 s after a drain was told", float64(ours.lateDrains), 0)
-	rep.AtMost("boxes pushed over", float64(ours.fallen), 0)
-	rep.AtMost("ready, ms", float64(ours.readyMost.Milliseconds()), 500)
-	// One call in a thousand is taken for the least that naive can lose: fewer are single calls.
-	rep.AtMost("calls never served, over naive's", ours.errors/math.Max(naive.errors, 0.001), 0.25)
-	rep.AtMost("calls never served from 3 s on, %", 100*ours.errorsLate, 1)
+	rep.AtMost("sends more than 1 s after a drain was told", float64(ours.lateSends), 0)
+	rep.AtMost("boxes pushed over", float64(ours.collapsed), 0)
+	rep.AtMost("ready, ms", float64(ours.maxReadyTime.Milliseconds()), 500)
+	// The share lost by naive is taken as at least one call in a thousand: below that it consists
+	// of single calls.
+	rep.AtMost("calls never served, over naive's", ours.unserved/math.Max(naive.unserved, 0.001), 0.25)
+	rep.AtMost("calls never served from 3 s on, %", 100*ours.unservedLate, 1)
 	rep.AtLeast("worth in time, over that with discovery up", ours.service/math.Max(up.service, 1e-9), 0.9)
 	share := 0.5
-	if size.end < 15*time.Second { // new workers get what new models bring, and a short run has few
+	if size.tail < 15*time.Second { // new workers get the calls of new models, of which a short run has few
 		share = 0.3
 	}
-	rep.AtLeast("fresh boxes at the end, of the others' calls", ours.fresh, share)
+	rep.AtLeast("fresh boxes at the end, of the others' calls", ours.newWorkerLoad, share)
 	rep.AtMost("peak second of a box, over that with discovery up", ours.peak/math.Max(up.peak, 1e-9), 1.35)
 }
 
-// Scratch makes a folder for a run and returns how to remove it.
+// Scratch creates a temporary directory for a run, sets o.Dir to it, and returns a function that
+// removes it.
 func Scratch(o *Options) (func(), error) {
 	dir, err := os.MkdirTemp("", "testbed-*")
 	if err != nil {
--- a/internal/lab/cachedlistsim.go
+++ b/internal/lab/cachedlistsim.go
@@ -9,7 +9,7 @@
 	"oakthread/endpoints"
 )
 
-// KeptSimResult is what a restart in virtual time came to.
+// cachedListSimResult is the result of a restart in virtual time.
 type cachedListSimResult struct {
 	peak, unserved, service float64
 	twice, late, fallen     int
@@ -36,7 +36,7 @@
 		w.after(time.Duration(restart.Float64()*float64(time.Second)), func() {
 			node, err := w.node(n, seed+1, fresh)
 			if err != nil {
-				panic(err) // the same settings were good before
+				panic(err) // New accepted the same settings for the first start
 			}
 			w.nodes[n] = node
 			node.list.Restore(w.now, lists[n])
@@ -49,8 +49,8 @@
 	return w.cachedListResult(crashed, back, watch), nil
 }
 
-// cachedListSimWorld lays out a fleet in virtual time without messages, whose dispatchers have the
-// list.
+// cachedListSimWorld sets up a fleet in virtual time without peer messages, whose dispatchers have
+// received the full list.
 func cachedListSimWorld(figures *Figures, dispatchers, workers int, rate float64, seed uint64) (*simWorld, error) {
 	w := &simWorld{
 		f: figures, byID: map[balancer.WorkerID]*simWorker{}, popular: newZipf(8*workers, 0.4),
@@ -82,7 +82,8 @@
 	return w, nil
 }
 
-// crashAll ends all dispatchers at once and returns their cached lists, made older.
+// crashAll kills all dispatchers at once and returns their cached lists, with ConfirmedAt and
+// SavedAt moved back by cachedListAges and VerifiedAt cleared.
 func (w *simWorld) crashAll() []endpoints.Snapshot {
 	lists := make([]endpoints.Snapshot, len(w.nodes))
 	for n, node := range w.nodes {
@@ -97,17 +98,17 @@
 	return lists
 }
 
-// replaceFourInTen gives four workers of each complete ten their fates.
+// replaceFourInTen applies a fault to four workers of each complete ten.
 func (w *simWorld) replaceFourInTen() {
 	for i, worker := range w.workers[:len(w.workers)/10*10] {
-		if worker.fate = fateOf(i); worker.fate == drains {
+		if worker.fate = faultOf(i); worker.fate == faultDrains {
 			worker.model.Drain()
 		}
 	}
 }
 
-// cachedListResult returns the result of a restart that crashed at one time and was complete at
-// another; peaks are counted for watch after that.
+// cachedListResult returns the result of a restart: crashed is the time of the crash, back the end
+// of the restart, watch the time after it in which peaks are counted.
 func (w *simWorld) cachedListResult(crashed, back time.Time, watch time.Duration) *cachedListSimResult {
 	result := &cachedListSimResult{twice: w.twice, late: w.late, peak: w.peakAtRemaining(back, watch)}
 	for _, worker := range w.workers {
@@ -133,7 +134,8 @@
 	return result
 }
 
-// peakAtRemaining returns the busiest second of any remaining worker in a span, over their mean.
+// peakAtRemaining returns the calls of the busiest second of any remaining worker in a span,
+// relative to the mean of all remaining workers.
 func (w *simWorld) peakAtRemaining(from time.Time, span time.Duration) float64 {
 	total, staying, most := 0, 0, 0
 	for _, worker := range w.workers {
@@ -141,7 +143,7 @@
 			continue
 		}
 		var in []time.Time
-		for _, t := range worker.took {
+		for _, t := range worker.admittedAt {
 			if t.After(from) && t.Before(from.Add(span)) {
 				in = append(in, t)
 			}
--- a/internal/lab/cachedlistsizes.go
+++ b/internal/lab/cachedlistsizes.go
@@ -1,6 +1,6 @@
 package lab
 
-// The experiment kept-size: the restart of kept-list in virtual time, over the size of the fleet.
+// The experiment kept-size: the restart of kept-list in virtual time, for several fleet sizes.
 
 import (
 	"context"
@@ -13,13 +13,13 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// callsABox is the load of a worker in calls per second. It is high enough that chance alone leaves
-// the busiest second of a worker near its mean.
-const callsABox = 60
+// callsPerWorker is the load of a worker in calls per second. It is high enough that, with random
+// variation alone, the busiest second of a worker stays near its mean.
+const callsPerWorker = 60
 
 // CachedListSizes runs the experiment.
 func CachedListSizes(ctx context.Context, options Options) (*Report, error) {
-	sizes := []int{50, 100, 200, 400} // dispatchers; six workers to ten of them. 1,000 take over five minutes
+	sizes := []int{50, 100, 200, 400} // dispatchers, with six workers for every ten; 1,000 take over five minutes
 	if options.Quick {
 		sizes = []int{50, 100}
 	}
@@ -27,7 +27,7 @@
 		Name: "kept-size", Seed: options.Seed, Arms: []string{"naive", "ours"},
 		Note: fmt.Sprintf("virtual time, %d to %d dispatchers, 6 boxes to 10 of them, %d calls/s a box; roster and "+
 			"decide are the real code, core and sockets are not",
-			sizes[0], sizes[len(sizes)-1], callsABox),
+			sizes[0], sizes[len(sizes)-1], callsPerWorker),
 	}
 	var points [2][]cachedListSimResult
 	for _, n := range sizes {
@@ -38,7 +38,8 @@
 		workers := n * 6 / 10
 		var both [2]*cachedListSimResult
 		for arm, fresh := range []bool{true, false} {
-			result, err := cachedListSim(PlannerFigures(), n, workers, callsABox*float64(workers), fresh, options.Seed)
+			result, err := cachedListSim(PlannerFigures(), n, workers, callsPerWorker*float64(workers), fresh,
+				options.Seed)
 			if err != nil {
 				return nil, err
 			}
@@ -68,7 +69,8 @@
 	return rep, nil
 }
 
-// plotCachedListSizes draws the peak and the unserved calls over the number of dispatchers.
+// plotCachedListSizes plots the peak and the share of unserved calls against the number of
+// dispatchers.
 func plotCachedListSizes(dir string, sizes []int, points [2][]cachedListSimResult) error {
 	for _, p := range []struct {
 		file, title, y string
@@ -100,13 +102,13 @@
 	return nil
 }
 
-// lineChart is a plot of some lines, the first one dashed.
+// lineChart is a line plot; its first line is dashed.
 type lineChart struct {
 	file, title    string
 	xLabel, yLabel string
 	names          []string // of the lines
 	lines          []plotter.XYs
-	logX           bool // a logarithmic scale for x
+	logX           bool // x has a logarithmic scale
 }
 
 // draw writes the chart to its file in dir.
--- a/internal/lab/cachedlistworld.go
+++ b/internal/lab/cachedlistworld.go
@@ -13,38 +13,38 @@
 
 // cachedListWorld is the running fleet of one arm.
 type cachedListWorld struct {
-	f          *Figures
-	disc       *Discovery
-	workers    []*StubWorker // the listed ones
-	fate       []int
-	fresh      []*StubWorker
-	listed     []Listed
-	dispatcher []*Dispatcher
-	clients    []*Clients
-	closers    []func()
+	f            *Figures
+	disc         *Discovery
+	workers      []*StubWorker // the listed ones
+	faults       []int
+	replacements []*StubWorker
+	listed       []Listed
+	dispatcher   []*Dispatcher
+	clients      []*Clients
+	closers      []func()
 }
 
-// Fates of a worker in a cached list.
+// Faults of a worker that a cached list contains.
 const (
 	stays = iota
 	refuses
 	vanishes
-	reused
-	drains
-	cutOff // connections never come up
+	faultAddressReused
+	faultDrains
+	cutOff // connections are never established
 )
 
-func fateOf(i int) int {
+func faultOf(i int) int {
 	if i%10 < 4 {
 		return refuses + i%10
 	}
 	return stays
 }
 
-// crash kills all dispatchers and, in the arms that read it again, ages their cached lists. It
-// returns the microseconds of processor time that the dispatchers took for each call.
+// crash kills all dispatchers and, in the arms that read them again, moves the times of their
+// cached lists back. It returns the dispatchers' CPU time per call in microseconds.
 func (w *cachedListWorld) crash(arm int) (cpu float64, err error) {
-	if err := w.all((*Dispatcher).Kill); err != nil {
+	if err := w.each((*Dispatcher).Kill); err != nil {
 		return 0, err
 	}
 	sum, calls := time.Duration(0), 0
@@ -53,7 +53,7 @@
 		calls += len(w.clients[i].Calls())
 	}
 	cpu = float64(sum.Microseconds()) / float64(max(1, calls))
-	if arm != armFresh && arm != armOurs {
+	if arm != armNaive && arm != armOurs {
 		return cpu, nil
 	}
 	for i, dispatcher := range w.dispatcher {
@@ -66,12 +66,12 @@
 	return cpu, nil
 }
 
-// close ends all processes, workers and discovery.
+// close stops all dispatchers, workers and discovery.
 func (w *cachedListWorld) close() {
 	for _, dispatcher := range w.dispatcher {
 		_ = dispatcher.Kill()
 	}
-	for _, worker := range append(w.workers, w.fresh...) {
+	for _, worker := range append(w.workers, w.replacements...) {
 		worker.Die()
 	}
 	for _, c := range w.closers {
@@ -100,7 +100,7 @@
 		if err != nil {
 			return err
 		}
-		w.workers, w.fate = append(w.workers, worker), append(w.fate, fateOf(i))
+		w.workers, w.faults = append(w.workers, worker), append(w.faults, faultOf(i))
 		w.listed = append(w.listed, listing(worker, i, old))
 	}
 	w.disc.Publish(w.listed...)
@@ -113,7 +113,7 @@
 			return err
 		}
 		operators := ""
-		if arm == armFresh || arm == armOurs {
+		if arm == armNaive || arm == armOurs {
 			operators = "[list]\npath = \"list.db\"\n"
 		}
 		dispatcher, err := Lay(DispatcherFiles{
@@ -130,7 +130,7 @@
 		}))
 	}
 	for _, dispatcher := range w.dispatcher {
-		if arm == armFresh {
+		if arm == armNaive {
 			dispatcher.Args = []string{"--fresh"}
 		}
 	}
@@ -164,8 +164,8 @@
 	return err
 }
 
-// all does something to every dispatcher at once.
-func (w *cachedListWorld) all(do func(*Dispatcher) error) error {
+// each calls do for every dispatcher concurrently and joins the errors.
+func (w *cachedListWorld) each(do func(*Dispatcher) error) error {
 	errs := make(chan error, len(w.dispatcher))
 	for _, dispatcher := range w.dispatcher {
 		go func() { errs <- do(dispatcher) }()
@@ -177,19 +177,19 @@
 	return err
 }
 
-// replace makes four workers in ten leave in four different manners and starts as many new ones
-// that no cached list contains.
+// replace removes four workers in ten, in four different ways, and starts as many new ones that no
+// cached list contains.
 func (w *cachedListWorld) replace(net *Net, arm int) error {
 	var changed []Listed
 	now := time.Now()
 	for i, worker := range w.workers {
-		if w.fate[i] == stays {
+		if w.faults[i] == stays {
 			continue
 		}
 		addr := net.Addr(arm*3+2, i, 9100)
 		departed := w.listed[i]
 		departed.Phase = Removed
-		switch w.fate[i] {
+		switch w.faults[i] {
 		case refuses:
 			worker.Die()
 		case vanishes:
@@ -198,10 +198,10 @@
 				return err
 			}
 			w.closers = append(w.closers, end)
-		case reused:
+		case faultAddressReused:
 			worker.Die()
 			addr = worker.Addr
-		case drains:
+		case faultDrains:
 			worker.Change(func(m *WorkerModel) { m.Drain() })
 			departed.Phase = Terminating
 		}
@@ -209,7 +209,7 @@
 		if err != nil {
 			return err
 		}
-		w.fresh = append(w.fresh, f)
+		w.replacements = append(w.replacements, f)
 		changed = append(changed, departed, listing(f, i, now))
 	}
 	w.disc.Publish(changed...)
@@ -224,7 +224,7 @@
 	}
 	if found.IsEmpty || len(found.Snapshot.Endpoints) == 0 {
 		_ = s.Close()
-		return fmt.Errorf("list file %s holds no workers", path)
+		return fmt.Errorf("list file %s contains no workers", path)
 	}
 	k := found.Snapshot
 	k.ConfirmedAt, k.SavedAt = k.ConfirmedAt.Add(-by), k.SavedAt.Add(-by)
--- a/internal/lab/check.go
+++ b/internal/lab/check.go
@@ -1,7 +1,7 @@
 package lab
 
-// The checkers: each finds breaches of one rule in what workers, clients and relays observed. What
-// a dispatcher reports of itself is not used.
+// The checkers: each finds violations of one rule in the observations of workers, clients and
+// relays. What a dispatcher reports about itself is not used.
 
 import (
 	"fmt"
@@ -12,16 +12,18 @@
 
 const (
 	drainAllowance = time.Second + 50*time.Millisecond
-	callKey        = 13 // characters of an id that all attempts of a call share
+	callKeyLength  = 13 // leading characters of an id that all attempts of a call share
 )
 
-// RunTwice counts non-idempotent calls that workers admitted more than once, by whichever attempt.
+// RunTwice counts non-idempotent calls that workers admitted more than once, in any of
+// their attempts.
 func RunTwice(figures *Figures, workers ...[]ObservedCall) (n int) {
 	took := map[string]int{}
 	for _, observed := range workers {
 		for _, observation := range observed {
-			if observation.Took && figures.Classes[observation.Class].NotIdempotent && len(observation.ID) >= callKey {
-				if took[observation.ID[:callKey]]++; took[observation.ID[:callKey]] == 2 {
+			if observation.Took && figures.Classes[observation.Class].NotIdempotent && 
+				len(observation.ID) >= callKeyLength {
+				if took[observation.ID[:callKeyLength]]++; took[observation.ID[:callKeyLength]] == 2 {
 					n++
 				}
 			}
@@ -30,10 +32,10 @@
 	return n
 }
 
-// Unanswered counts attempts that were admitted and got no complete answer, and answers that no
-// worker made. An attempt that crossed the close of its connection counts unless all workers are
-// given and none of them saw it. excused reports attempts that are owed nothing, such as one that
-// crossed the death of its dispatcher; nil excuses none.
+// Unanswered counts attempts that were admitted and got no complete answer (lost), and answers that
+// no worker gave (wrong). An attempt that crossed the close of its connection counts as lost unless
+// workers are given and none of them received it. excused reports attempts that need no answer,
+// such as one in flight when its dispatcher was killed; nil excuses none.
 func Unanswered(calls []*Call, excused func(Attempt) bool, workers ...[]ObservedCall) (lost, wrong int) {
 	came := map[string]bool{}
 	for _, observed := range workers {
@@ -55,7 +57,7 @@
 	return lost, wrong
 }
 
-// LateSends counts calls that came to a draining worker more than the allowance after their
+// LateSends counts calls that arrived at a draining worker more than the allowance after their
 // dispatcher was notified, by discovery or by the worker's own rejection. notified holds when
 // discovery notified each dispatcher; a dispatcher that it did not notify is absent.
 func LateSends(notified map[int]time.Time, observed []ObservedCall) (n int) {
@@ -78,7 +80,7 @@
 	return n
 }
 
-// senderOf is the dispatcher that a call's id names; -1: none.
+// senderOf returns the dispatcher that the id of a call names, or -1 if it names none.
 func senderOf(id string) int {
 	n := -1
 	if len(id) >= 3 {
@@ -90,8 +92,8 @@
 }
 
 // OverRation counts load orders of one dispatcher beyond its quota: in any window at most free
-// orders and the share of the calls taken in it, with slack for what is in transit. Both lists are
-// in order of time.
+// orders plus share times the calls received in it, with a relative slack for those in
+// transit. Both lists are sorted by time.
 func OverRation(orders, calls []time.Time, window time.Duration, free, share, slack float64) (n int) {
 	for i, t := range orders {
 		from := t.Add(-window)
@@ -106,9 +108,9 @@
 }
 
 // WarmingLoad returns the highest load that a worker started at start was sent while it warmed up,
-// as a part of the permitted load: in any window of the configured length, N calls of mean work
-// plus twice the root of N plus two for chance, N being what the settings permit at the window's
-// end. observed is in order of time.
+// relative to the permitted load: in any window of the configured length, N calls of mean work plus
+// twice the root of N plus two for random variation, N being what the settings permit at the
+// window's end. observed is sorted by time.
 func WarmingLoad(figures *Figures, start time.Time, observed []ObservedCall) (most float64) {
 	mean := 0.0
 	for _, class := range figures.Classes {
@@ -131,7 +133,7 @@
 	return most
 }
 
-// Oversize counts datagrams over the wire's limit.
+// Oversize counts datagrams longer than a peer message may be.
 func Oversize(datagrams []Datagram) (n int) {
 	for _, datagram := range datagrams {
 		if datagram.Bytes > peerBytes {
@@ -141,7 +143,8 @@
 	return n
 }
 
-// BytesACall is what the messages of a span cost, for each call taken in it.
+// BytesACall returns the bytes of the datagrams in a span, divided by calls, the number of calls in
+// it.
 func BytesACall(datagrams []Datagram, calls int, from, until time.Time) float64 {
 	sum := 0
 	for _, datagram := range datagrams {
@@ -166,8 +169,8 @@
 	return float64(good) / float64(max(1, all))
 }
 
-// Earned returns the weighted value that calls intended in a span earned, of that offered.
-func Earned(figures *Figures, calls []*Call, from, until time.Time) float64 {
+// ValueEarned returns the weighted value that calls intended in a span earned, of that offered.
+func ValueEarned(figures *Figures, calls []*Call, from, until time.Time) float64 {
 	asked, got := 0.0, 0.0
 	for _, call := range calls {
 		if !call.Intended.Before(from) && call.Intended.Before(until) {
@@ -178,7 +181,7 @@
 	return got / max(asked, 1e-9)
 }
 
-// mostInOneSecond returns the most times that lie within any second; the times are in order.
+// mostInOneSecond returns the largest number of times within any one second. times is sorted.
 func mostInOneSecond(times []time.Time) (most int) {
 	from := 0
 	for i, t := range times {
--- a/internal/lab/comeback.go
+++ b/internal/lab/comeback.go
@@ -1,6 +1,6 @@
 package lab
 
-// The experiment comeback: some of the links are cut for some seconds and restored, under real
+// The experiment comeback: some of the links are cut for some seconds and restored, with real
 // processes of the program before and after a change. Results are counted at workers, clients and
 // the kernel.
 
@@ -16,26 +16,26 @@
 // comebackBefore is the commit before faults of zones and of reachability were detected.
 const comebackBefore = "cc3ec03"
 
-// comebackSize is how large a run is, and how long its parts are.
+// comebackSize is the size of a run and the length of its phases.
 type comebackSize struct {
-	dispatchers, workers   int
-	warm, cut, after, tail time.Duration // tail: after the end, from when on all is to be as before
+	dispatchers, workers     int
+	warmup, cut, after, tail time.Duration // tail: from the restoration until results must be as before
 }
 
-// comebackKinds returns what is cut: the links between two zones, those between dispatchers among
-// them, or a third of the workers from all dispatchers.
+// comebackKinds returns what is cut: all links between two zones, including those between
+// dispatchers, or the links from all dispatchers to a third of the workers.
 func comebackKinds() []string { return []string{"zones", "third"} }
 
-// comebackResult is what one run came to.
+// comebackResult is the result of one run.
 type comebackResult struct {
 	Breaches
-	calls                      int
-	calm, during, late         float64 // weighted value in time, of that offered
-	calmAttempts, lateAttempts float64 // attempts that came to workers, per served call
-	calmFull, lateFull         float64 // of these
-	failedEarly, failedLate    float64 // handshakes swallowed in the halves of the cut
-	least                      float64 // handshakes lost before anyone can know, and by the trials of a zone
-	behind                     time.Duration
+	calls                         int
+	before, during, after         float64 // weighted value in time, of that offered
+	attemptsBefore, attemptsAfter float64 // attempts that arrived at workers, per served call
+	rejectedBefore, rejectedAfter float64 // share of these that workers rejected
+	swallowedEarly, swallowedLate float64 // handshakes dropped in the first and second half of the cut
+	minSwallowed                  float64 // handshakes lost before detection, and by the probes of a zone
+	maxLag                        time.Duration
 }
 
 // Comeback runs the experiment.
@@ -69,7 +69,7 @@
 				run := comebackRun{
 					dir: dir, kind: kind, size: size, program: program, group: arm, seed: options.Seed + uint64(s),
 				}
-				if pair[arm], err = run.play(ctx, net); err != nil {
+				if pair[arm], err = run.execute(ctx, net); err != nil {
 					return nil, fmt.Errorf("%s, %s: %w", kind, rep.Arms[arm], err)
 				}
 			}
@@ -79,15 +79,15 @@
 	return rep, nil
 }
 
-// comebackFigures returns small workers, four tenths busy, whose memory holds three copies of each
-// model.
+// comebackFigures returns small workers, at four tenths of their capacity, each
+// with memory for 24 models: four copies of each of the experiments' six models per worker.
 func comebackFigures() *Figures {
 	figures := fleetFigures()
 	figures.Load = 400 * time.Millisecond
 	return figures
 }
 
-// comebackRun is one play of the experiment.
+// comebackRun is one run of the experiment.
 type comebackRun struct {
 	dir, kind string
 	size      comebackSize
@@ -97,10 +97,10 @@
 }
 
 // comebackTimes are the moments of a run.
-type comebackTimes struct{ cut, healed time.Time }
+type comebackTimes struct{ cut, restored time.Time }
 
-// play plays the run: warm-up, cut, and the time after it.
-func (run comebackRun) play(ctx context.Context, net *Net) (*comebackResult, error) {
+// execute performs the run: warm-up, cut, and the time after it.
+func (run comebackRun) execute(ctx context.Context, net *Net) (*comebackResult, error) {
 	size := run.size
 	rig, err := NewRig(net, run.dir, RigSize{
 		Dispatchers: size.dispatchers, Workers: size.workers, Figures: comebackFigures(), Program: run.program,
@@ -119,7 +119,7 @@
 		return nil, err
 	}
 	rig.Send(ctx, nil)
-	if err := sleepUntil(ctx, time.Now().Add(size.warm)); err != nil {
+	if err := sleepUntil(ctx, time.Now().Add(size.warmup)); err != nil {
 		return nil, err
 	}
 	result := &comebackResult{}
@@ -127,18 +127,19 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := sleepUntil(ctx, times.healed.Add(size.after)); err != nil {
+	if err := sleepUntil(ctx, times.restored.Add(size.after)); err != nil {
 		return nil, err
 	}
 	rig.Quiet()
 	run.count(rig, result, times)
 	if err := rig.Stop(); err != nil {
-		return nil, fmt.Errorf("a dispatcher did not end well: %w", err)
+		return nil, fmt.Errorf("stopping the dispatchers: %w", err)
 	}
 	return result, nil
 }
 
-// cut cuts the links for the run's time and restores them; it counts the handshakes swallowed.
+// cut cuts the links for the run's time and restores them; it counts the handshakes dropped
+// meanwhile.
 func (run comebackRun) cut(ctx context.Context, rig *Rig, result *comebackResult) (times comebackTimes, err error) {
 	cross := func(n, worker int) bool { return n%2 != worker%2 }
 	severed := func(from, to int) bool { return from%2 != to%2 }
@@ -160,37 +161,39 @@
 		return times, err
 	}
 	last, _ := Swallowed()
-	result.failedEarly, result.failedLate = float64(half-first), float64(last-half)
+	result.swallowedEarly, result.swallowedLate = float64(half-first), float64(last-half)
 	rig.PeerNetwork.Set(PeerLink{}, severed)
 	if err := rig.Links.Between(Open, 0, cross); err != nil {
 		return times, err
 	}
-	times.healed = time.Now()
+	times.restored = time.Now()
 	return times, nil
 }
 
-// count takes the result from what workers and clients observed.
+// count computes the result from the observations of workers and clients.
 func (run comebackRun) count(rig *Rig, result *comebackResult, times comebackTimes) {
 	size := run.size
 	calls := rig.Calls(nil)
 	result.Breaches, result.calls = rig.Check(nil), len(calls)
-	from, late := times.cut.Add(-size.warm/2), times.healed.Add(size.tail)
-	end := times.healed.Add(size.after - 300*time.Millisecond)
-	result.calm = Earned(rig.Figures, calls, from, times.cut)
-	result.during = Earned(rig.Figures, calls, times.cut, times.healed)
-	result.late = Earned(rig.Figures, calls, late, end)
-	result.calmAttempts, result.calmFull = attemptsPerCall(rig, calls, from, times.cut)
-	result.lateAttempts, result.lateFull = attemptsPerCall(rig, calls, late, end)
-	// Three in a row, and health checks after 1, 3, 7 and 15 shortest latency objectives.
+	from, late := times.cut.Add(-size.warmup/2), times.restored.Add(size.tail)
+	end := times.restored.Add(size.after - 300*time.Millisecond)
+	result.before = ValueEarned(rig.Figures, calls, from, times.cut)
+	result.during = ValueEarned(rig.Figures, calls, times.cut, times.restored)
+	result.after = ValueEarned(rig.Figures, calls, late, end)
+	result.attemptsBefore, result.rejectedBefore = attemptsPerCall(rig, calls, from, times.cut)
+	result.attemptsAfter, result.rejectedAfter = attemptsPerCall(rig, calls, late, end)
+	// Three failures in a row, then health checks after 1, 3, 7 and 15 times the shortest latency
+	// objective.
 	objective := rig.Figures.Classes[0].LatencyObjective
-	result.least = float64(size.dispatchers) * (3 + math.Floor(math.Log2(1+float64(size.cut)/float64(objective))))
+	result.minSwallowed = float64(size.dispatchers) * (3 +
+		math.Floor(math.Log2(1+float64(size.cut)/float64(objective))))
 	for _, clients := range rig.Called {
-		result.behind = max(result.behind, clients.MaxLag())
+		result.maxLag = max(result.maxLag, clients.MaxLag())
 	}
 }
 
-// attemptsPerCall returns the attempts that came to workers in a span for each call served in it,
-// and the part of them that was rejected.
+// attemptsPerCall returns the attempts that arrived at workers in a span for each call served in
+// it, and the share of them that was rejected.
 func attemptsPerCall(rig *Rig, calls []*Call, from, until time.Time) (attempts, rejected float64) {
 	came, full := rig.Between(from, until)
 	served := 0
@@ -208,27 +211,29 @@
 		rep.Row(name+what, unit, of(both[0]), of(both[1]))
 	}
 	row("calls", "", func(r *comebackResult) float64 { return float64(r.calls) })
-	row("worth in time before the cut", "of that asked", func(r *comebackResult) float64 { return r.calm })
+	row("worth in time before the cut", "of that asked", func(r *comebackResult) float64 { return r.before })
 	row("the same in the cut", "", func(r *comebackResult) float64 { return r.during })
-	row("the same from 2 s after its end", "", func(r *comebackResult) float64 { return r.late })
-	row("attempts a served call before", "", func(r *comebackResult) float64 { return r.calmAttempts })
-	row("the same from 2 s after", "", func(r *comebackResult) float64 { return r.lateAttempts })
-	row("turned away before", "% of attempts", func(r *comebackResult) float64 { return 100 * r.calmFull })
-	row("the same from 2 s after", "%", func(r *comebackResult) float64 { return 100 * r.lateFull })
-	row("handshakes swallowed, first half", "", func(r *comebackResult) float64 { return r.failedEarly })
-	row("the same, second half", "", func(r *comebackResult) float64 { return r.failedLate })
-	row("the least possible, where the zone is learnt as one", "", func(r *comebackResult) float64 { return r.least })
-	row("generator late, most", "ms", func(r *comebackResult) float64 { return float64(r.behind.Milliseconds()) })
+	row("the same from 2 s after its end", "", func(r *comebackResult) float64 { return r.after })
+	row("attempts a served call before", "", func(r *comebackResult) float64 { return r.attemptsBefore })
+	row("the same from 2 s after", "", func(r *comebackResult) float64 { return r.attemptsAfter })
+	row("turned away before", "% of attempts", func(r *comebackResult) float64 { return 100 * r.rejectedBefore })
+	row("the same from 2 s after", "%", func(r *comebackResult) float64 { return 100 * r.rejectedAfter })
+	row("handshakes swallowed, first half", "", func(r *comebackResult) float64 { return r.swallowedEarly })
+	row("the same, second half", "", func(r *comebackResult) float64 { return r.swallowedLate })
+	row("the least possible, where the zone is learnt as one", "",
+		func(r *comebackResult) float64 { return r.minSwallowed })
+	row("generator late, most", "ms", func(r *comebackResult) float64 { return float64(r.maxLag.Milliseconds()) })
 	was, is := both[0], both[1]
 	rep.AtMost(name+"path-book run twice", float64(is.Twice), 0)
 	rep.AtMost(name+"tries without a whole answer, or a wrong one", float64(is.Lost+is.Wrong), 0)
 	rep.AtMost(name+"late sends to draining boxes", float64(is.LateSends), 0)
 	rep.AtMost(name+"boxes pushed over", float64(is.Fallen), 0)
-	rep.AtLeast(name+"worth from 2 s after, of that before", is.late/math.Max(is.calm, 1e-9), 0.97)
+	rep.AtLeast(name+"worth from 2 s after, of that before", is.after/math.Max(is.before, 1e-9), 0.97)
 	rep.AtMost(name+"attempts a served call from 2 s after, of those before",
-		is.lateAttempts/math.Max(is.calmAttempts, 1), 1.1)
+		is.attemptsAfter/math.Max(is.attemptsBefore, 1), 1.1)
 	if _, ok := Swallowed(); ok {
-		rep.AtMost(name+"handshakes swallowed: a third of before, or 1.5 times the least", is.failedEarly+is.failedLate,
-			math.Max((was.failedEarly+was.failedLate)/3, 1.5*is.least))
+		rep.AtMost(name+"handshakes swallowed: a third of before, or 1.5 times the least",
+			is.swallowedEarly+is.swallowedLate,
+			math.Max((was.swallowedEarly+was.swallowedLate)/3, 1.5*is.minSwallowed))
 	}
 }
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -1,6 +1,6 @@
 package lab
 
-// The demonstration: a small world on loopback for newcomers.
+// The demonstration: a small fleet on loopback for newcomers.
 
 import (
 	"context"
@@ -65,7 +65,7 @@
 	})
 	demoCalls(ctx, out, clients)
 	if err := dispatcher.Stop(); err != nil {
-		return fmt.Errorf("the dispatcher did not end well: %w", err)
+		return fmt.Errorf("stopping the dispatcher: %w", err)
 	}
 	list := filepath.Join(dispatcher.Dir, "list.db")
 	fmt.Fprintf(out, "configuration  %s\noperator's file  %s\nkept list  %s\nlog  %s\n"+
@@ -74,7 +74,8 @@
 	return nil
 }
 
-// demoFleet starts the workers and lists them; those started are returned also with an error.
+// demoFleet starts the workers and publishes them in discovery. On error it returns the workers
+// started so far.
 func demoFleet(net *Net, disc *Discovery, figures *Figures) (workers []*StubWorker, err error) {
 	var listed []Listed
 	for i := range demoWorkers {
@@ -91,7 +92,7 @@
 	return workers, err
 }
 
-// demoCalls sends calls for demoTime and prints their results as they come.
+// demoCalls sends calls for demoTime and prints running totals of their results.
 func demoCalls(ctx context.Context, out io.Writer, clients *Clients) {
 	sending, stop := context.WithTimeout(ctx, demoTime)
 	defer stop()
--- a/internal/lab/engine.go
+++ b/internal/lab/engine.go
@@ -4,15 +4,15 @@
 	"time"
 )
 
-// engine runs events in order of time, then of their making. Its queue is a binary heap of its own:
-// container/heap would allocate for every event.
+// engine runs events in order of time, and those of the same time in the order in which they were
+// scheduled. It has its own binary heap because container/heap would allocate for every event.
 type engine struct {
 	now   time.Time
 	seq   int
 	queue []event
 }
 
-// event is a function to be called at a time; events of one time keep their order.
+// event is a function to be called at a given time.
 type event struct {
 	at  int64 // Unix time in nanoseconds
 	seq int
@@ -21,7 +21,7 @@
 
 func (e event) before(x event) bool { return e.at < x.at || e.at == x.at && e.seq < x.seq }
 
-// at schedules a call of do.
+// at schedules a call of do at t.
 func (e *engine) at(t time.Time, do func()) {
 	e.seq++
 	x := event{t.UnixNano(), e.seq, do}
@@ -35,7 +35,7 @@
 
 func (e *engine) after(d time.Duration, do func()) { e.at(e.now.Add(d), do) }
 
-// pop takes the next event; the queue is not empty.
+// pop removes and returns the next event; the queue must not be empty.
 func (e *engine) pop() event {
 	q, n := e.queue, len(e.queue)-1
 	next, x := q[0], q[n]
@@ -58,7 +58,8 @@
 	return next
 }
 
-// step runs the next event that is due until a time; false: there is none, and it is that time.
+// step runs the next event due up to until. If there is none, it sets the clock to until and
+// returns false.
 func (e *engine) step(until time.Time) bool {
 	if len(e.queue) == 0 || e.queue[0].at > until.UnixNano() {
 		e.now = until
--- a/internal/lab/experiments.go
+++ b/internal/lab/experiments.go
@@ -2,13 +2,13 @@
 
 import "context"
 
-// Experiment is one of the laboratory's.
+// Experiment is an experiment of this package.
 type Experiment struct {
 	Name, Short string
 	Run         func(context.Context, Options) (*Report, error)
 }
 
-// Experiments lists them all.
+// Experiments returns all experiments.
 func Experiments() []Experiment {
 	return []Experiment{
 		{"kept-list", "All dispatchers restart from lists of several ages while discovery is down", CachedList},
--- a/internal/lab/figures.go
+++ b/internal/lab/figures.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// PlannerFigures returns the emulated planning site: the classes of the platform's brief at a fifth
-// of their work, so that one machine runs many workers.
+// PlannerFigures returns the figures of the emulated planning site: the call classes of the
+// platform with a fifth of their work, so that one machine can run many workers.
 func PlannerFigures() *Figures {
 	return &Figures{
 		Classes: []ClassFigures{
@@ -34,31 +34,31 @@
 	}
 }
 
-// Figures are the sizes of the emulated world that workers and clients share.
+// Figures are the parameters of the emulated site that workers and clients share.
 type Figures struct {
 	Classes     []ClassFigures
-	Load        time.Duration // of a model, on the mean
+	Load        time.Duration // mean time to load a model
 	Concurrency int
 	Worker      WorkerConfig
 }
 
-// ClassFigures are what is known of one class of calls.
+// ClassFigures are the parameters of one class of calls.
 type ClassFigures struct {
 	Name                            string
 	Share                           float64 // of all calls
 	LatencyObjective, ClientTimeout time.Duration
 	PriorityWeight                  float64
-	Work                            time.Duration // on the mean
+	Work                            time.Duration // mean work of a call
 	NotIdempotent                   bool          // it may not run twice
 }
 
-// Work returns how long a call takes a core, drawn from its id: the same at every worker and in
-// every arm of an experiment.
+// Work returns the core time of a call, derived from its id, so that it is the same at every worker
+// and in every arm of an experiment.
 func (f *Figures) Work(class int, id string) time.Duration {
 	h := fnv.New64a()
 	_, _ = io.WriteString(h, id)
 	x := h.Sum64()
 	u := (float64(x>>11) + 0.5) / (1 << 53)
-	// Between half and twice the mean, evenly on a log scale, which has 1.082 times the mean for its mean.
+	// Between half and twice the mean, uniformly on a log scale; the mean of that factor is 1.082.
 	return time.Duration(float64(f.Classes[class].Work) / 1.082 * math.Exp2(2*u-1))
 }
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -1,8 +1,8 @@
 package lab
 
-// The experiment fleet: many dispatchers in virtual time, with their messages, while workers are
-// replaced or a zone is lost and returns. The endpoint list and the balancer are the real code; the
-// core, the front ends and the sockets are not there.
+// The experiment fleet: many dispatchers in virtual time, with their peer messages, while workers
+// are replaced or a zone is lost and returns. The endpoint list and the balancer are the real code;
+// the core, the front ends and the sockets are not simulated.
 
 import (
 	"context"
@@ -18,31 +18,32 @@
 )
 
 const (
-	fleetCalls  = 22 // calls per second of a worker, four tenths of its capacity
-	fleetWarm   = 6 * time.Second
-	fleetFault  = 7 * time.Second
-	fleetWatch  = 12 * time.Second
-	fleetEnd    = 5 * time.Second // after the last arrival all is answered
-	notifyDelay = 1500 * time.Millisecond
-	peerDelay   = time.Millisecond
-	peerLost    = 0.01
-	peerBytes   = 256
-	peerPrice   = 0.021
+	fleetCalls   = 22 // calls per second of a worker, four tenths of its capacity
+	fleetWarm    = 6 * time.Second
+	fleetFault   = 7 * time.Second
+	fleetWatch   = 12 * time.Second
+	fleetEnd     = 5 * time.Second // after the last arrival, until all calls have ended
+	notifyDelay  = 1500 * time.Millisecond
+	peerDelay    = time.Millisecond
+	peerLossRate = 0.01
+	peerBytes    = 256
+	peerPrice    = 0.021
 )
 
 // fleetKinds returns the faults.
 func fleetKinds() []string { return []string{"calm", "join", "zone", "split", "parted", "fails"} }
 
 const (
-	splitFor   = 6 * time.Second
-	splitLost  = 0.01                    // of answers, while the workers are silent
-	backWithin = 1.1                     // attempts a served call, of those before: as it was
-	failLook   = 50 * time.Millisecond   // how often dispatchers are asked whom they avoid
-	backLook   = time.Second             // over which these are taken
-	notBack    = fleetFault + fleetWatch // counted for a run that does not come back
+	splitFor          = 6 * time.Second
+	splitLost         = 0.01                    // share of answers lost while the links are cut
+	recoveryFactor    = 1.1                     // recovered: attempts per served call over those before the split
+	failCheckInterval = 50 * time.Millisecond   // between queries which workers the dispatchers avoid
+	recoveryWindow    = time.Second             // in which attempts per served call are measured
+	neverRecovered    = fleetFault + fleetWatch // reported for a run that does not recover
 )
 
-// Fleet runs the experiment: the faults over the number of dispatchers, with and without messages.
+// Fleet runs the experiment: each fault at several numbers of dispatchers, with and without
+// peer messages.
 func Fleet(ctx context.Context, options Options) (*Report, error) {
 	sizes := []int{1, 3, 80, 300}
 	if options.Quick {
@@ -91,18 +92,18 @@
 		row("attempts in these", "a served call", func(result *fleetResult) float64 { return result.attempts })
 		row("attempts that reached nobody", "a call", func(result *fleetResult) float64 { return result.unreached })
 	case "fails":
-		row("calls spoilt", "", func(result *fleetResult) float64 { return float64(result.spoilt) })
-		row("until nine in ten avoid the box", "s", func(result *fleetResult) float64 { return result.avoided })
+		row("calls spoilt", "", func(result *fleetResult) float64 { return float64(result.failedCalls) })
+		row("until nine in ten avoid the box", "s", func(result *fleetResult) float64 { return result.detectionTime })
 	case "join", "zone":
 		row("calls at boxes that came cold", "of the others'",
 			func(result *fleetResult) float64 { return result.warmingShare })
 		row("pushed over before anyone was told", "boxes",
-			func(result *fleetResult) float64 { return float64(result.unwarned) })
+			func(result *fleetResult) float64 { return float64(result.collapsedUnnotified) })
 		row("attempts that reached nobody", "a call", func(result *fleetResult) float64 { return result.unreached })
 	}
 	row("messages", "bytes a call", func(result *fleetResult) float64 { return result.bytes })
 	if kind == "fails" {
-		ratio := float64(both[1].spoilt) / float64(max(1, both[0].spoilt))
+		ratio := float64(both[1].failedCalls) / float64(max(1, both[0].failedCalls))
 		rep.AtMost(name+"calls spoilt, of those without messages", ratio, 1.2)
 	}
 	for arm, result := range both {
@@ -116,8 +117,8 @@
 	}
 }
 
-// plotFleet draws what no table shows well: the error of the totals over the part of the fleet that
-// receives nothing, and the detection of a failing worker over the number of dispatchers.
+// plotFleet plots the error of the totals against the part of the fleet that receives no messages,
+// and the calls that a failing worker spoils against the number of dispatchers.
 func plotFleet(ctx context.Context, figures *Figures, options Options) error {
 	parts := []float64{0, 0.1, 0.25, 0.5, 0.75, 0.9, 1}
 	var off [2]plotter.XYs // of those that receive messages, and of those that do not
@@ -126,7 +127,7 @@
 			return err
 		}
 		options.Log("80 dispatchers, %.0f %% deaf", 100*part)
-		hearing, deaf, err := deafSim(figures, 80, 32, part, options.Seed)
+		hearing, deaf, err := gossipLossSim(figures, 80, 32, part, options.Seed)
 		if err != nil {
 			return err
 		}
@@ -157,7 +158,7 @@
 			if err != nil {
 				return err
 			}
-			spoilt[arm] = append(spoilt[arm], plotter.XY{X: float64(n), Y: float64(result.spoilt)})
+			spoilt[arm] = append(spoilt[arm], plotter.XY{X: float64(n), Y: float64(result.failedCalls)})
 		}
 	}
 	chart = lineChart{
@@ -168,15 +169,17 @@
 	return chart.draw(options.Plots)
 }
 
-// deafSim returns by how much, on the mean, dispatchers' totals of answers per second are off after
-// a part of them has received no message for 6 s.
-func deafSim(figures *Figures, dispatchers, workers int, part float64, seed uint64) (hearing, deaf float64, err error) {
+// gossipLossSim returns by how much, on the mean, dispatchers' totals of answers per second are off
+// after a part of them has received no message for 6 s.
+func gossipLossSim(
+	figures *Figures, dispatchers, workers int, part float64, seed uint64,
+) (hearing, deaf float64, err error) {
 	w, err := fleetWorld(figures, dispatchers, workers, true, 0, seed)
 	if err != nil {
 		return 0, 0, err
 	}
 	w.run(w.began.Add(fleetWarm))
-	w.deaf = part
+	w.unreachedPart = part
 	w.run(w.began.Add(fleetWarm + 5*time.Second))
 	before := len(w.goods)
 	w.run(w.began.Add(fleetWarm + 6*time.Second))
@@ -207,13 +210,13 @@
 	return figures
 }
 
-// fleetWorld lays out a fleet in virtual time whose clients send until the fault has been observed
-// to its end.
+// fleetWorld sets up a fleet in virtual time whose clients send until the end of the observation
+// after the fault.
 func fleetWorld(figures *Figures, dispatchers, workers int, messages bool, walk int, seed uint64) (*simWorld, error) {
 	rate := float64(fleetCalls * workers)
 	w := &simWorld{
 		f: figures, byID: map[balancer.WorkerID]*simWorker{}, popular: newZipf(8*workers, 0.4), walk: walk,
-		simGossip: simGossip{messages: messages, lost: peerLost, price: peerPrice},
+		simGossip: simGossip{messages: messages, lost: peerLossRate, price: peerPrice},
 		load: Load{
 			Rate: rate / float64(dispatchers), Models: 8 * workers, Zipf: 0.4, Turn: 12 * time.Second,
 			Retries: 2,
@@ -246,7 +249,7 @@
 	return w, nil
 }
 
-// add adds a worker that starts at the given time.
+// add adds worker i, started at start.
 func (w *simWorld) add(i int, start time.Time) *simWorker {
 	worker := &simWorker{id: balancer.WorkerID(0x100 + i*7919), model: NewWorkerModel(w.f.Worker, start)}
 	w.workers = append(w.workers, worker)
--- a/internal/lab/fleetfaults.go
+++ b/internal/lab/fleetfaults.go
@@ -8,8 +8,8 @@
 	"oakthread/endpoints"
 )
 
-// notifyAll publishes the list to all dispatchers at the same moment, which is the most dangerous
-// case.
+// notifyAll publishes the list to all dispatchers at the same moment: the worst case, as all of
+// them react at once.
 func (w *simWorld) notifyAll() {
 	w.cursor++
 	u := endpoints.Update{Full: true, Cursor: w.cursor, Endpoints: slices.Clone(w.listed)}
@@ -20,9 +20,9 @@
 }
 
 // fleetGroups are the workers that a run compares: those that started during it, and the others.
-type fleetGroups struct{ fresh, stayed []*simWorker }
+type fleetGroups struct{ started, stayed []*simWorker }
 
-// fleetSim plays one fault. The same seed gives the same run.
+// fleetSim simulates one fault. The same seed gives the same run.
 func fleetSim(
 	figures *Figures, kind string, dispatchers, workers int, messages bool, seed uint64,
 ) (*fleetResult, error) {
@@ -42,7 +42,7 @@
 		w.scheduleZone(groups)
 	}
 	w.run(w.began.Add(fleetWarm + fleetFault + fleetWatch + fleetEnd))
-	return w.fleetResult(groups.fresh, groups.stayed, w.began), nil
+	return w.fleetResult(groups.started, groups.stayed, w.began), nil
 }
 
 // scheduleJoin replaces six workers in ten one after the other within the time of the fault.
@@ -53,7 +53,7 @@
 	for i, old := range w.workers[:replaced] {
 		w.at(w.began.Add(fleetWarm+fleetFault*time.Duration(i)/time.Duration(replaced)), func() {
 			worker := w.add(workers+i, w.now)
-			groups.fresh = append(groups.fresh, worker)
+			groups.started = append(groups.started, worker)
 			w.listed = append(w.listed, endpoints.Endpoint{
 				ID: worker.id, Zone: i % 2, State: balancer.Active, Weight: 2, Start: w.now,
 			})
@@ -70,11 +70,11 @@
 func (w *simWorld) scheduleFailure() {
 	w.at(w.began.Add(fleetWarm), func() { w.workers[0].failing = true })
 	w.at(w.began.Add(fleetWarm+fleetFault), func() { w.workers[0].failing = false })
-	w.avoided = fleetFault.Seconds()
-	for at := failLook; at < fleetFault; at += failLook {
+	w.detectionTime = fleetFault.Seconds()
+	for at := failCheckInterval; at < fleetFault; at += failCheckInterval {
 		w.at(w.began.Add(fleetWarm+at), func() {
-			if w.avoided > at.Seconds() && 10*w.avoiding(w.workers[0].id) >= 9*len(w.nodes) {
-				w.avoided = at.Seconds()
+			if w.detectionTime > at.Seconds() && 10*w.countAvoiding(w.workers[0].id) >= 9*len(w.nodes) {
+				w.detectionTime = at.Seconds()
 			}
 		})
 	}
@@ -84,7 +84,7 @@
 // ("split") or to the workers of the other zone ("parted").
 func (w *simWorld) scheduleSplit(kind string) {
 	w.at(w.began.Add(fleetWarm), func() {
-		w.mute, w.unheard, w.parted = true, splitLost, kind == "parted"
+		w.mute, w.unheard, w.zonesSplit = true, splitLost, kind == "parted"
 		for i, worker := range w.workers {
 			if kind == "split" && i%5 == 0 {
 				worker.fate = cutOff
@@ -92,7 +92,7 @@
 		}
 	})
 	w.at(w.began.Add(fleetWarm+splitFor), func() {
-		w.mute, w.unheard, w.parted = false, 0, false
+		w.mute, w.unheard, w.zonesSplit = false, 0, false
 		for _, worker := range w.workers {
 			worker.fate = stays
 		}
@@ -108,7 +108,7 @@
 			groups.stayed = append(groups.stayed, worker)
 			continue
 		}
-		groups.fresh = append(groups.fresh, worker)
+		groups.started = append(groups.started, worker)
 		w.at(w.began.Add(fleetWarm), func() { worker.fate = cutOff })
 		w.at(w.began.Add(fleetWarm+zoneOutage), func() {
 			worker.fate, worker.model = stays, NewWorkerModel(w.f.Worker, w.now)
@@ -116,8 +116,8 @@
 		})
 	}
 	w.at(w.began.Add(fleetWarm+zoneOutage+notifyDelay), func() {
-		for _, worker := range groups.fresh { // nobody was notified that it was warming up: harm, but no rule broken
-			worker.unwarned = worker.model.Fallen()
+		for _, worker := range groups.started { // no dispatcher knew that it was warming up, so this breaks no rule
+			worker.unnotified = worker.model.Fallen()
 		}
 		w.notifyAll()
 	})
--- a/internal/lab/fleetresult.go
+++ b/internal/lab/fleetresult.go
@@ -7,26 +7,26 @@
 	"oakthread/outlier"
 )
 
-// fleetResult is what one run came to.
+// fleetResult is the result of one run.
 type fleetResult struct {
 	twice, late, fallen, open int
-	unwarned                  int // workers that collapsed before anyone was notified that they were warming up
+	collapsedUnnotified       int // workers that collapsed before anyone was notified that they were warming up
 	unserved, service         float64
-	later                     float64 // the same as service, of calls meant for the last twelve seconds
-	warmingShare              float64 // calls per second that new workers served, as part of the others'
-	bytes                     float64 // of messages delivered, a call
+	later                     float64 // the same as service, of calls intended in the last twelve seconds
+	warmingShare              float64 // mean calls per new worker after the fault, over the mean of the others
+	bytes                     float64 // of messages delivered, per call
 	oversize                  int
 	unreached                 float64 // attempts at workers that could not be reached, per call
-	spoilt                    int     // calls that the failing worker spoilt
-	// seconds until nine in ten dispatchers avoid it; the complete fault where they never do
-	avoided     float64
-	back        float64 // seconds from the end of a split until attempts a served call were as before
-	attempts    float64 // attempts a served call in the four seconds after the end of a split
-	servedRatio float64 // calls served a second in these, of those in the three seconds before the split
+	failedCalls               int     // calls that the failing worker spoilt
+	// seconds until nine in ten dispatchers avoid it; the length of the fault if they never do
+	detectionTime float64
+	back          float64 // seconds from the end of a split until attempts per served call are as before
+	attempts      float64 // attempts per served call in the four seconds after the end of a split
+	servedRatio   float64 // calls served per second in these, over those in the three seconds before the split
 }
 
-// avoiding counts the dispatchers that avoid a worker.
-func (w *simWorld) avoiding(id balancer.WorkerID) (n int) {
+// countAvoiding counts the dispatchers that avoid a worker.
+func (w *simWorld) countAvoiding(id balancer.WorkerID) (n int) {
 	for _, node := range w.nodes {
 		for _, v := range node.d.WorkerHealth(w.now.UnixNano()) {
 			if v.Worker == id && v.Status != outlier.StatusHealthy && v.Status != outlier.StatusSuspect {
@@ -50,7 +50,7 @@
 	from := began.Add(fleetWarm + fleetFault)
 	share := func(xs []*simWorker) (n float64) {
 		for _, worker := range xs {
-			for _, t := range worker.took {
+			for _, t := range worker.admittedAt {
 				if t.After(from) {
 					n++
 				}
@@ -59,16 +59,16 @@
 		return n / float64(max(1, len(xs)))
 	}
 	for _, worker := range w.workers {
-		if worker.unwarned {
-			result.unwarned++
+		if worker.unnotified {
+			result.collapsedUnnotified++
 		} else if worker.model.Fallen() {
 			result.fallen++
 		}
 	}
-	result.spoilt, result.avoided = w.workers[0].spoilt, w.avoided
-	result.back = w.backAfter(fleetWarm+splitFor, fleetWarm)
-	sends, goods := w.tallied(fleetWarm+splitFor, fleetWarm+splitFor+4*time.Second)
-	_, before := w.tallied(fleetWarm-3*time.Second, fleetWarm)
+	result.failedCalls, result.detectionTime = w.workers[0].failedCalls, w.detectionTime
+	result.back = w.recoveryTime(fleetWarm+splitFor, fleetWarm)
+	sends, goods := w.sumTallies(fleetWarm+splitFor, fleetWarm+splitFor+4*time.Second)
+	_, before := w.sumTallies(fleetWarm-3*time.Second, fleetWarm)
 	result.attempts, result.servedRatio = float64(sends)/float64(max(1,
 		goods)), float64(goods)/4/(float64(max(1, before))/3)
 	result.warmingShare = share(fresh) / max(1, share(stayed))
@@ -96,8 +96,8 @@
 	return earned / max(1, asked)
 }
 
-// callValue returns the value of a call: its priority weight within the latency objective, a fifth of
-// it later, nothing unserved.
+// callValue returns the value of a call: its priority weight within the latency objective, a fifth
+// of it later, nothing unserved.
 func (w *simWorld) callValue(call *simCall) float64 {
 	class := w.f.Classes[call.class]
 	switch {
@@ -109,8 +109,8 @@
 	return 0.2 * class.PriorityWeight
 }
 
-// tallied counts the attempts begun and the calls served from one moment of the run to another.
-func (w *simWorld) tallied(from, until time.Duration) (sends, goods int) {
+// sumTallies counts the attempts begun and the calls served from one moment of the run to another.
+func (w *simWorld) sumTallies(from, until time.Duration) (sends, goods int) {
 	for i := int(from / (100 * time.Millisecond)); i < int(until/(100*time.Millisecond)) && i < min(len(w.sends),
 		len(w.goods)); i++ {
 		sends, goods = sends+w.sends[i], goods+w.goods[i]
@@ -118,17 +118,18 @@
 	return sends, goods
 }
 
-// backAfter is how long after a moment attempts a served call are as they were in the three seconds before another one.
-func (w *simWorld) backAfter(end, calm time.Duration) float64 {
+// recoveryTime returns the seconds from end until attempts per served call are back within
+// recoveryFactor of those in the three seconds before calm.
+func (w *simWorld) recoveryTime(end, calm time.Duration) float64 {
 	ratio := func(from, until time.Duration) float64 {
-		a, b := w.tallied(from, until)
+		a, b := w.sumTallies(from, until)
 		return float64(a) / float64(max(1, b))
 	}
 	before := ratio(calm-3*time.Second, calm)
-	for at := end; at+backLook <= fleetWarm+fleetFault+fleetWatch; at += 100 * time.Millisecond {
-		if ratio(at, at+backLook) <= backWithin*before {
+	for at := end; at+recoveryWindow <= fleetWarm+fleetFault+fleetWatch; at += 100 * time.Millisecond {
+		if ratio(at, at+recoveryWindow) <= recoveryFactor*before {
 			return (at - end).Seconds()
 		}
 	}
-	return notBack.Seconds()
+	return neverRecovered.Seconds()
 }
--- a/internal/lab/mesh.go
+++ b/internal/lab/mesh.go
@@ -1,8 +1,8 @@
 package lab
 
-// The experiment mesh: tenants' quotas over a fleet whose dispatchers partly do not receive each
-// other's messages, under the program before and after a change. What tenants got is counted at
-// their clients.
+// The experiment mesh: tenants' quotas in a fleet whose dispatchers receive only a part of each
+// other's messages, with the program before and after a change. Served calls are counted at the
+// tenants' clients.
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// meshBefore is the commit before rows and digests that say whom they cover.
+// meshBefore is the commit before rows and digests name the dispatchers that they cover.
 const meshBefore = "73babd5"
 
 // Faults between the dispatchers of a mesh.
@@ -27,7 +27,7 @@
 	MeshStarted = "nobody has heard anybody since the start"
 )
 
-// MeshFaults lists those of the experiment.
+// MeshFaults returns the faults of the experiment.
 func MeshFaults() []string {
 	return []string{
 		MeshHalves, MeshDeaf, MeshUnheard, MeshNobody, MeshStopped, MeshKilled, MeshFlap, MeshMangled,
@@ -35,24 +35,25 @@
 	}
 }
 
-// MeshTenant is a tenant: what it may ask for, and asks for, a second over all dispatchers.
+// MeshTenant is a tenant with its allowance and its demand, in calls per second over all
+// dispatchers.
 type MeshTenant struct {
-	Name             string
-	Allowance, Asked float64
+	Name              string
+	Allowance, Demand float64
 }
 
-// Mesh is a fleet with three tenants: a floods at the even dispatchers, b and c keep to their
-// shares at the odd ones. A third of the dispatchers see 5.5 times the calls of the others.
+// Mesh is a fleet with three tenants: a exceeds its allowance at the even dispatchers, b and c stay
+// within theirs at the odd ones. A third of the dispatchers get 5.5 times the calls of the others.
 type Mesh struct {
 	*Rig
 	Tenants []MeshTenant
 	more    []*Clients
-	stop    context.CancelFunc // of the clients of those that will be killed
+	stop    context.CancelFunc // stops the clients of the dispatchers that MeshKilled kills
 }
 
-// MeshSize is how large a mesh is. Slow is the factor by which work takes longer than at a planner
-// worker, so that few calls fill it. LatencyObjective is the shortest objective configured at the
-// dispatchers; 0: that of the figures.
+// MeshSize is the size of a mesh. Slow is the factor by which work takes longer than at a planner
+// worker, so that few calls use its capacity. LatencyObjective is the shortest objective configured
+// at the dispatchers; 0: that of the figures.
 type MeshSize struct {
 	Dispatchers, Workers int
 	Slow                 float64
@@ -64,11 +65,11 @@
 }
 
 const (
-	meshBusy   = 5.5
-	leaderTerm = 2 // shortest latency objectives for which one dispatcher collects
+	meshBusyFactor = 5.5
+	leaderTerm     = 2 // shortest latency objectives for which one dispatcher collects
 )
 
-// NewMesh lays out a mesh.
+// NewMesh sets up a mesh without starting its processes.
 func NewMesh(net *Net, dir string, size MeshSize) (*Mesh, error) {
 	figures := PlannerFigures()
 	work := 0.0
@@ -84,7 +85,7 @@
 	}}
 	weight := func(n int) float64 {
 		if n%3 == 0 {
-			return meshBusy
+			return meshBusyFactor
 		}
 		return 1
 	}
@@ -92,7 +93,7 @@
 	for n := range size.Dispatchers {
 		sums[n%2] += weight(n)
 	}
-	asked := [2]float64{m.Tenants[0].Asked, m.Tenants[1].Asked + m.Tenants[2].Asked}
+	asked := [2]float64{m.Tenants[0].Demand, m.Tenants[1].Demand + m.Tenants[2].Demand}
 	var err error
 	m.Rig, err = NewRig(net, dir, RigSize{
 		Dispatchers: size.Dispatchers, Workers: size.Workers, Figures: figures, Program: size.Program,
@@ -119,12 +120,13 @@
 	return m, err
 }
 
-// lost are those that a fault hits, a third; half parts them so that each side has some of every kind.
+// meshThird reports whether a fault affects dispatcher n. meshHalf splits the fleet so that each
+// side has dispatchers of every kind.
 func meshThird(n int) bool { return n%3 == 1 }
 
 func meshHalf(n int) bool { return n/2%2 == 0 }
 
-// Prepare sets what must stand before the processes start.
+// Prepare applies what a fault needs before the processes start.
 func (m *Mesh) Prepare(fault string) {
 	if fault == MeshStarted {
 		m.PeerNetwork.Set(Lost, func(_, _ int) bool { return true })
@@ -139,7 +141,7 @@
 	m.Send(ctx, func(n int) bool { return n%3 == 0 })
 }
 
-// Begin has a fault begin; it goes on until Heal, or ctx ends.
+// Begin starts a fault. Repeated ones go on until ctx ends, the others until Heal.
 func (m *Mesh) Begin(ctx context.Context, fault string) error {
 	m.Links.Did("begin: %s", fault)
 	halves := func(from, to int) bool { return meshHalf(from) != meshHalf(to) }
@@ -158,7 +160,7 @@
 			Jitter: 150 * time.Millisecond,
 		}, func(_, _ int) bool { return true })
 	case MeshKilled:
-		m.stop() // their clients go to the rest at once
+		m.stop() // their clients switch to the remaining dispatchers at once
 		var rest []int
 		for n := range m.Dispatchers {
 			if n%3 == 0 {
@@ -186,7 +188,7 @@
 	return nil
 }
 
-// flap begins and ends the fault in turn until ctx ends.
+// flap starts and ends the fault alternately until ctx ends.
 func (m *Mesh) flap(ctx context.Context, fault string, halves func(int, int) bool) {
 	for ctx.Err() == nil {
 		if fault == MeshFlap {
@@ -203,15 +205,15 @@
 	}
 }
 
-// Heal ends what Begin began, but for deaths.
+// Heal ends what Begin started, but does not restart killed dispatchers.
 func (m *Mesh) Heal() {
 	m.Links.Did("heal")
 	m.PeerNetwork.Set(PeerLink{}, func(_, _ int) bool { return true })
 	_ = m.Signal(syscall.SIGCONT, func(n int) bool { return m.Nodes[n].Running() })
 }
 
-// All are the calls of all clients.
-func (m *Mesh) All() []*Call {
+// AllCalls returns the calls of all clients.
+func (m *Mesh) AllCalls() []*Call {
 	calls := m.Calls(nil)
 	for _, clients := range m.more {
 		calls = append(calls, clients.Calls()...)
@@ -219,10 +221,11 @@
 	return calls
 }
 
-// Share is the part of a tenant's calls intended in a span that were served; rate how many a second.
+// Share returns the share of a tenant's calls intended in a span that were served, and the served
+// calls per second.
 func (m *Mesh) Share(tenant string, from, until time.Time) (share, rate float64) {
 	all, good := 0, 0
-	for _, call := range m.All() {
+	for _, call := range m.AllCalls() {
 		if call.Tenant == tenant && !call.Intended.Before(from) && call.Intended.Before(until) {
 			if all++; call.Served {
 				good++
@@ -232,7 +235,7 @@
 	return float64(good) / float64(max(1, all)), float64(good) / until.Sub(from).Seconds()
 }
 
-// Honest is the lesser of b's and c's shares.
+// Honest returns the lesser of the served shares of b and c.
 func (m *Mesh) Honest(from, until time.Time) float64 {
 	b, _ := m.Share("b", from, until)
 	c, _ := m.Share("c", from, until)
--- a/internal/lab/meshexperiment.go
+++ b/internal/lab/meshexperiment.go
@@ -10,17 +10,18 @@
 	"time"
 )
 
-// meshResult is what one run came to, before the fault, in its first two seconds, and after these.
+// meshResult is the result of one run: before the fault, in its first two seconds, and after these.
 type meshResult struct {
 	Breaches
-	calm, first, later, floodCalm, flood float64 // the lesser of b's and c's shares; calls a second of a
-	bytes                                float64 // of messages a call, before the fault
+	before, first, later, floodBefore, flood float64 // the lesser share of b and c; calls per second of a
+	bytes                                    float64 // of messages per call, before the fault
 	// by how much dispatchers' totals differ two terms after the end; NaN: not logged
-	apart float64
+	totalsSpread float64
 }
 
-// meshSpans are how long the parts of a run are; heal: after the fault, where it can end.
-type meshSpans struct{ warm, calm, first, later, heal time.Duration }
+// meshSpans are the lengths of the phases of a run; the last one follows the fault, where it can
+// end.
+type meshSpans struct{ warmup, calm, first, later, recovery time.Duration }
 
 // RunMesh runs the experiment.
 func RunMesh(ctx context.Context, options Options) (*Report, error) {
@@ -30,7 +31,7 @@
 		sizes, workers, seeds, faults = []int{6}, 2, 1, []string{MeshHalves, MeshUnheard}
 		spans = meshSpans{4 * time.Second, 2 * time.Second, 2 * time.Second, 5 * time.Second, 3 * time.Second}
 	}
-	return versus[meshResult]{
+	return comparison[meshResult]{
 		name: "mesh", before: meshBefore, sizes: sizes, seeds: seeds, faults: faults,
 		note: fmt.Sprintf("%d boxes; a floods with 3 times its allowance, b and c ask for 0.9 of theirs at other "+
 			"dispatchers", workers),
@@ -40,10 +41,10 @@
 				Group: size.Group, Program: size.Program,
 			}, spans)
 		}, report: meshReport,
-	}.all(ctx, options)
+	}.runAll(ctx, options)
 }
 
-// meshArm plays one fault under one program.
+// meshArm runs one fault with one program.
 func meshArm(ctx context.Context, net *Net, dir, fault string, size MeshSize, spans meshSpans) (*meshResult, error) {
 	m, err := NewMesh(net, dir, size)
 	if err != nil {
@@ -59,7 +60,7 @@
 	going, enough := context.WithCancel(ctx)
 	defer enough()
 	m.Run(going)
-	at := time.Now().Add(spans.warm)
+	at := time.Now().Add(spans.warmup)
 	if err := sleepUntil(ctx, at.Add(spans.calm)); err != nil {
 		return nil, err
 	}
@@ -73,15 +74,15 @@
 	if err := sleepUntil(ctx, end); err != nil {
 		return nil, err
 	}
-	result := &meshResult{apart: math.NaN()}
+	result := &meshResult{totalsSpread: math.NaN()}
 	if over(); fault != MeshKilled {
 		m.Heal()
 		healed := time.Now()
-		if err := sleepUntil(ctx, healed.Add(spans.heal)); err != nil {
+		if err := sleepUntil(ctx, healed.Add(spans.recovery)); err != nil {
 			return nil, err
 		}
-		result.apart = m.Apart(healed.Add(2*leaderTerm*m.Figures.Classes[0].LatencyObjective), healed.Add(spans.heal),
-			nil)
+		result.totalsSpread = m.Apart(healed.Add(2*leaderTerm*m.Figures.Classes[0].LatencyObjective),
+			healed.Add(spans.recovery), nil)
 	}
 	enough()
 	m.Heal()
@@ -91,41 +92,41 @@
 		return result, nil
 	}
 	if err := m.Stop(); err != nil {
-		return nil, errors.Join(errors.New("a dispatcher did not end well"), err)
+		return nil, errors.Join(errors.New("stopping the dispatchers failed"), err)
 	}
 	return result, nil
 }
 
-// meshMoments are the moments that bound the spans of a run.
+// meshMoments are the times that bound the phases of a run.
 type meshMoments struct {
 	calm    time.Time // the workers are warm, and no fault has begun
 	began   time.Time // of the fault
-	settled time.Time // the first span of the fault is over
+	settled time.Time // end of the first phase of the fault
 	end     time.Time // of the fault
 }
 
-// measure fills in what clients, workers and links saw.
+// measure fills in the result from the observations of clients, workers and links.
 func (r *meshResult) measure(m *Mesh, fault string, at meshMoments) {
-	r.calm = m.Honest(at.calm, at.began)
+	r.before = m.Honest(at.calm, at.began)
 	r.first = m.Honest(at.began, at.settled)
 	r.later = m.Honest(at.settled, at.end)
-	_, r.floodCalm = m.Share("a", at.calm, at.began)
+	_, r.floodBefore = m.Share("a", at.calm, at.began)
 	_, r.flood = m.Share("a", at.settled, at.end)
 	calls := 0
-	for _, call := range m.All() {
+	for _, call := range m.AllCalls() {
 		if call.Intended.After(at.calm) && call.Intended.Before(at.began) {
 			calls++
 		}
 	}
 	r.bytes = BytesACall(m.PeerNetwork.Datagrams(), calls, at.calm, at.began)
-	r.Breaches = m.Check(func(attempt Attempt) bool { // what crossed a death is owed nothing
+	r.Breaches = m.Check(func(attempt Attempt) bool { // attempts in flight when a dispatcher was killed need no answer
 		return fault == MeshKilled && attempt.Sent.Before(at.began.Add(time.Second)) && attempt.Ended.After(at.began)
 	})
 }
 
 // Apart returns by how much the totals of tenant a differ, relative to the lowest, as each of the
-// dispatchers that pick names (nil: all) first logs them in a span; NaN where one logs none. This
-// figure alone rests on what dispatchers report of themselves.
+// dispatchers that pick selects (nil: all) first logs them in a span; NaN if one logs none. This is
+// the only figure taken from what dispatchers report about themselves.
 func (m *Mesh) Apart(from, until time.Time, pick func(n int) bool) float64 {
 	low, high := math.Inf(1), 0.0
 	for n, path := range m.Logs() {
@@ -160,30 +161,31 @@
 	return high/max(low, 1e-9) - 1
 }
 
-// meshReport adds the rows and bounds of one fault under both programs.
+// meshReport adds the rows and bounds of one fault with both programs.
 func meshReport(rep *Report, name, fault string, both [2]*meshResult) {
 	row := func(what, unit string, of func(*meshResult) float64) {
 		rep.Row(name+what, unit, of(both[0]), of(both[1]))
 	}
-	row("b or c served, all hearing", "of their calls", func(result *meshResult) float64 { return result.calm })
+	row("b or c served, all hearing", "of their calls", func(result *meshResult) float64 { return result.before })
 	row("in the first 2 s", "", func(result *meshResult) float64 { return result.first })
 	row("after", "", func(result *meshResult) float64 { return result.later })
-	row("a served, all hearing", "calls/s", func(result *meshResult) float64 { return result.floodCalm })
+	row("a served, all hearing", "calls/s", func(result *meshResult) float64 { return result.floodBefore })
 	row("after", "calls/s", func(result *meshResult) float64 { return result.flood })
 	row("messages", "bytes a call", func(result *meshResult) float64 { return result.bytes })
 	row("totals apart, two terms after the end", "of the least",
-		func(result *meshResult) float64 { return result.apart })
+		func(result *meshResult) float64 { return result.totalsSpread })
 	is := both[1]
 	rep.AtMost(name+"breaches of the rules", float64(is.Sum()), 0)
 	if fault == MeshStarted {
 		rep.AtLeast(name+"b and c after 2 s, of their calls", is.later, 0.85)
 	} else {
-		rep.AtLeast(name+"b and c after 2 s, of what they get with all hearing", is.later/math.Max(is.calm, 1e-9), 0.95)
-		rep.AtLeast(name+"within these", is.first/math.Max(is.calm, 1e-9), 0.9)
-		rep.AtMost(name+"a, of what it gets with all hearing", is.flood/math.Max(is.floodCalm, 1e-9), 1.1)
+		rep.AtLeast(name+"b and c after 2 s, of what they get with all hearing",
+			is.later/math.Max(is.before, 1e-9), 0.95)
+		rep.AtLeast(name+"within these", is.first/math.Max(is.before, 1e-9), 0.9)
+		rep.AtMost(name+"a, of what it gets with all hearing", is.flood/math.Max(is.floodBefore, 1e-9), 1.1)
 		rep.AtMost(name+"bytes a call, of those before", is.bytes/math.Max(both[0].bytes, 1e-9), 1.1)
 	}
 	if fault != MeshKilled {
-		rep.AtMost(name+"totals apart, two terms after the end", is.apart, 0.05)
+		rep.AtMost(name+"totals apart, two terms after the end", is.totalsSpread, 0.05)
 	}
 }
--- a/internal/lab/options.go
+++ b/internal/lab/options.go
@@ -5,19 +5,20 @@
 	"strings"
 )
 
-// Options are those of any experiment.
+// Options are the options of any experiment.
 type Options struct {
 	Quick bool
 	Seed  uint64
 	Dir   string // for files of the run
-	Plots string // folder for plots; empty: none
-	// the older version set beside this one, a commit or a program; empty: the experiment's own
+	Plots string // directory for plots; empty: none
+	// the earlier version to compare with, a commit or a program file; empty: the experiment's
+	// default
 	Before string
-	Only   string               // of an experiment's faults, those whose name holds this; empty: all
-	Log    func(string, ...any) // progress
+	Only   string               // selects the faults whose name contains this; empty: all
+	Log    func(string, ...any) // reports progress
 }
 
-// pick are the faults that a run is to have.
+// pick returns the faults that Only selects, or an error if there are none.
 func (o *Options) pick(faults []string) ([]string, error) {
 	var out []string
 	for _, f := range faults {
@@ -26,7 +27,7 @@
 		}
 	}
 	if len(out) == 0 {
-		return nil, fmt.Errorf("no fault holds %q: there are %q", o.Only, faults)
+		return nil, fmt.Errorf("no fault contains %q: there are %q", o.Only, faults)
 	}
 	return out, nil
 }
--- a/internal/lab/outliers.go
+++ b/internal/lab/outliers.go
@@ -1,7 +1,7 @@
 package lab
 
-// The experiment verdicts: workers that fail, are slow, die, or are out of reach for a part of the
-// fleet, under real processes of the program before and after a change. Results are counted at
+// The experiment verdicts: workers that fail, are slow, die, or are unreachable for a part of the
+// fleet, with real processes of the program before and after a change. Results are counted at
 // workers and clients.
 
 import (
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// outliersBefore is the commit before evidence on executors was shared.
+// outliersBefore is the commit before dispatchers shared evidence on workers.
 const outliersBefore = "4d68d5e"
 
 // Faults of workers, and of the links to them.
@@ -26,7 +26,7 @@
 	OutlierStopped  = "a box dies, a third of the dispatchers stand still for 3 s"
 	OutlierErrors   = "1 % of all calls fail"
 
-	// Further ones, for tests.
+	// Further faults, for tests only.
 	OutlierOneDispatcher = "one dispatcher is cut off from half of the boxes"
 	OutlierFrozen        = "answers of a third of the ways to a zone do not come"
 	OutlierRecovers      = "a box fails for 6 s, and serves again"
@@ -34,7 +34,7 @@
 	OutlierFlaps         = "a box fails every other half second"
 )
 
-// OutlierFaults lists them.
+// OutlierFaults returns the faults of the experiment.
 func OutlierFaults() []string {
 	return []string{
 		OutlierFails, OutlierNoGossip, OutlierSlow, OutlierPartial, OutlierZone, OutlierStopped,
@@ -42,12 +42,12 @@
 	}
 }
 
-// OutlierWorker is the one that fails, is slow or dies.
+// OutlierWorker is the index of the worker that fails, is slow or dies.
 const OutlierWorker = 2
 
 const lateNotification = 1500 * time.Millisecond
 
-// NewOutlierRig lays out a fleet of small workers that are four tenths busy.
+// NewOutlierRig sets up a fleet of small workers at four tenths of their capacity.
 func NewOutlierRig(net *Net, dir string, size RigSize) (*Rig, error) {
 	size.Figures = comebackFigures()
 	size.Load = Load{
@@ -58,12 +58,12 @@
 	return NewRig(net, dir, size)
 }
 
-// third and half are what a fault hits.
+// thirdOf selects the dispatchers, halfOf the workers that a fault affects.
 func thirdOf(n int) bool { return n%3 == 1 }
 func halfOf(b int) bool  { return b%2 == 0 }
 
-// InjectFault begins a fault and plays its further steps, as far as it has any. The fault stays in
-// force when the function returns, unless its last step ends it.
+// InjectFault starts a fault and performs its further steps, if it has any. The fault is still
+// active when the function returns, unless its last step ends it.
 func (r *Rig) InjectFault(ctx context.Context, fault string) error {
 	r.Links.Did("begin: %s", fault)
 	switch fault {
@@ -194,14 +194,15 @@
 	return float64(is) / until.Sub(from).Seconds() / math.Max(float64(was)/began.Sub(before).Seconds(), 1)
 }
 
-// Excused returns which attempts are owed nothing under a fault: those at dispatchers that were
-// stopped, whose clients wait in vain.
+// Excused returns which attempts need no answer under a fault: those at dispatchers that were
+// stopped, whose clients time out.
 func Excused(fault string) func(Attempt) bool {
 	return func(attempt Attempt) bool { return fault == OutlierStopped && thirdOf(senderOf(attempt.ID)) }
 }
 
-// At counts the calls in a span that came to the workers that worker names, and to those at the
-// same addresses before, from the dispatchers that of names; spoilt are those of them that failed.
+// At counts the calls in a span, from the dispatchers that of selects, that arrived at the workers
+// that worker selects or at their predecessors at the same addresses; spoilt counts those that
+// failed.
 func (r *Rig) At(from, until time.Time, worker, of func(int) bool) (came, spoilt int) {
 	place := map[string]int{}
 	for i, b := range r.Workers {
@@ -224,8 +225,8 @@
 	return came, spoilt
 }
 
-// Idle counts the worker-seconds of a span in which no call came, and all of them.
-func (r *Rig) Idle(from, until time.Time) (idle, all int) {
+// IdleWorkerSeconds counts the worker-seconds of a span without a call, and all of them.
+func (r *Rig) IdleWorkerSeconds(from, until time.Time) (idle, all int) {
 	for _, worker := range r.Workers {
 		calls, _ := worker.Observations()
 		seconds := make([]bool, int(until.Sub(from)/time.Second))
@@ -243,16 +244,16 @@
 	return idle, all
 }
 
-// outliersResult is what one run came to.
+// outliersResult is the result of one run.
 type outliersResult struct {
 	Breaches
-	// calls served, of those asked, before, while it lasts (of dispatchers that it does not hit)
-	// and at its end
-	calm, during, late float64
-	affected           float64 // calls that came to the outlier, or were spoilt there
-	affectedLate       float64 // the same in the second half
-	others             float64 // calls per second of the others at the workers in question, of those before
-	idle               float64 // worker-seconds without a call
+	// share of calls served at the dispatchers that the fault does not affect: before it, during
+	// it, and in its second half
+	before, during, late float64
+	affected             float64 // calls that failed at the affected workers; with OutlierSlow, that arrived there
+	affectedLate         float64 // the same in the second half
+	others               float64 // see RetainedTraffic
+	idle                 float64 // share of worker-seconds without a call
 }
 
 // RunOutliers runs the experiment.
@@ -261,17 +262,17 @@
 	if options.Quick {
 		sizes, workers, seeds, faults = []int{6}, 12, 1, []string{OutlierFails, OutlierPartial}
 	}
-	return versus[outliersResult]{
+	return comparison[outliersResult]{
 		name: "verdicts", before: outliersBefore, sizes: sizes, seeds: seeds, faults: faults,
 		note: fmt.Sprintf("%d boxes, %d calls/s a box", workers, fleetCalls),
 		run: func(net *Net, dir, fault string, size RigSize) (*outliersResult, error) {
 			size.Workers = workers
 			return outliersArm(ctx, net, dir, fault, size)
 		}, report: outliersReport,
-	}.all(ctx, options)
+	}.runAll(ctx, options)
 }
 
-// outliersArm plays one fault under one program.
+// outliersArm runs one fault with one program.
 func outliersArm(ctx context.Context, net *Net, dir, fault string, size RigSize) (*outliersResult, error) {
 	rig, err := NewOutlierRig(net, dir, size)
 	if err != nil {
@@ -302,7 +303,7 @@
 	result := &outliersResult{Breaches: rig.Check(Excused(fault))}
 	in, unaffected := AffectedBy(fault)
 	calls := rig.Calls(unaffected)
-	result.calm, result.during, result.late = Served(calls, from, began, nil), Served(calls, began, end, nil),
+	result.before, result.during, result.late = Served(calls, from, began, nil), Served(calls, began, end, nil),
 		Served(calls, half,
 			end, nil)
 	came, spoilt := rig.At(began, end, in, unaffected)
@@ -312,21 +313,21 @@
 		result.affected, result.affectedLate = float64(came), float64(lateCame)
 	}
 	result.others = rig.RetainedTraffic(fault, from, began, half, end)
-	idle, all := rig.Idle(began, end)
+	idle, all := rig.IdleWorkerSeconds(began, end)
 	result.idle = float64(idle) / math.Max(float64(all), 1)
 	if err := rig.Stop(); err != nil {
-		return nil, fmt.Errorf("a dispatcher did not end well: %w", err)
+		return nil, fmt.Errorf("stopping the dispatchers: %w", err)
 	}
 	return result, nil
 }
 
-// outliersReport adds the rows and bounds of one fault under both programs.
+// outliersReport adds the rows and bounds of one fault with both programs.
 func outliersReport(rep *Report, name, fault string, both [2]*outliersResult) {
 	row := func(what, unit string, of func(*outliersResult) float64) {
 		rep.Row(name+what, unit, of(both[0]), of(both[1]))
 	}
 	was, is := both[0], both[1]
-	row("served before", "of calls", func(r *outliersResult) float64 { return r.calm })
+	row("served before", "of calls", func(r *outliersResult) float64 { return r.before })
 	row("served while it lasts, where it does not hit", "", func(r *outliersResult) float64 { return r.during })
 	rep.AtMost(name+"breaches of the rules", float64(is.Sum()), 0)
 	switch fault {
@@ -346,7 +347,7 @@
 		row("calls of the others at the boxes in question, second half", "of those before",
 			func(r *outliersResult) float64 { return r.others })
 		rep.AtLeast(name+"calls of the others there, of those before", is.others, 0.95)
-		rep.AtLeast(name+"service of the others, of that before", is.during/math.Max(is.calm, 1e-9), 0.98)
+		rep.AtLeast(name+"service of the others, of that before", is.during/math.Max(is.before, 1e-9), 0.98)
 	case OutlierZone:
 		row("calls at the boxes back, second half", "of those before",
 			func(r *outliersResult) float64 { return r.others })
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -1,7 +1,7 @@
 package lab
 
-// The report of an experiment: a table with the program's figures beside the baselines', and bounds
-// that hold or do not. Bounds are checked on unrounded figures.
+// The report of an experiment: a table of the figures of the program and the baselines, and bounds
+// on figures. Bounds are checked on unrounded figures.
 
 import (
 	"encoding/json"
@@ -22,21 +22,21 @@
 	Bounds []Bound           `json:"bounds"`
 	Files  map[string]string `json:"files,omitempty"`
 
-	Partial string `json:"partial,omitempty"` // why the run ended early; what is here is what there was until then
-	Detail  Detail `json:"detail,omitempty"`  // what the table has no room for
+	Partial string `json:"partial,omitempty"` // why the run ended early; the report has the results until then
+	Detail  Detail `json:"detail,omitempty"`  // results that do not fit the table
 }
 
-// Detail is what an experiment reports beside its table; it is printed after it.
+// Detail is what an experiment reports besides its table; it is printed after the table.
 type Detail interface{ Print(io.Writer) }
 
-// Row is one figure in every arm; NaN where it was not measured.
+// Row is one figure in every arm; NaN if it was not measured.
 type Row struct {
 	Name   string   `json:"name"`
 	Unit   string   `json:"unit"`
 	Values []Figure `json:"values"`
 }
 
-// Figure is a number that may be missing.
+// Figure is a number; NaN means that it is missing.
 type Figure float64
 
 // MarshalJSON writes a missing figure as null.
@@ -47,7 +47,8 @@
 	return json.Marshal(float64(f))
 }
 
-// Bound is a claim with its figure. AtLeast: the figure must not be below the limit, else not above.
+// Bound is a limit on a figure: a lower one if AtLeast is set, an upper one otherwise. Both include
+// the limit itself.
 type Bound struct {
 	Name    string  `json:"name"`
 	Figure  Figure  `json:"figure"`
@@ -75,7 +76,7 @@
 	r.Rows = append(r.Rows, row)
 }
 
-// Broken counts the bounds that do not hold.
+// Broken returns the number of bounds that do not hold.
 func (r *Report) Broken() (n int) {
 	for _, b := range r.Bounds {
 		if !b.Holds {
@@ -133,7 +134,7 @@
 	return fmt.Sprintf("%.4g", float64(f))
 }
 
-// Write keeps the report as JSON.
+// Write writes the report to a file as JSON.
 func (r *Report) Write(path string) error {
 	raw, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
--- a/internal/lab/service.go
+++ b/internal/lab/service.go
@@ -1,8 +1,8 @@
 package lab
 
-// The counts of busy fleets on calm days (calls, loads, copies), and the omniscient router that is
-// their reference. The router sees the true state of all workers, which no dispatcher can; it is
-// not part of what it is compared with.
+// Counts of calls, loads and copies in busy fleets without faults, and the omniscient router that
+// is their reference. The router sees the true state of all workers, which no dispatcher can; no
+// dispatcher takes part in its arm.
 
 import (
 	"fmt"
@@ -16,47 +16,48 @@
 type callEnd int
 
 const (
-	unended    callEnd = iota // served, or no attempt of it came to an end
-	refused                   // by the module, before anything was sent
-	turnedAway                // by the module, after full workers had rejected it
-	givenUp                   // out of time, or after a failure
+	endNone     callEnd = iota // served, or no attempt of it has ended
+	refused                    // by the module, before anything was sent
+	endRejected                // by the module, after full workers had rejected it
+	endGivenUp                 // at its deadline, or after a failure
 	callEnds
 )
 
-func (o *sentCall) refused() callEnd {
-	if o.full > 0 {
-		return turnedAway
+func (o *sentCall) unservedEnd() callEnd {
+	if o.rejections > 0 {
+		return endRejected
 	} else if o.attempts > 0 {
-		return givenUp
+		return endGivenUp
 	}
 	return refused
 }
 
-// serviceCounts is what became of a run's calls, loads and copies. Its nil value counts nothing.
+// serviceCounts counts the results of a run's calls, its loads and its copies. Of a nil value only
+// the method that counts arrivals may be called; it then counts nothing.
 type serviceCounts struct {
-	ends         [callEnds]int // of calls never served
-	calls        int
-	inTime, late int
-	attempts     [3]int // calls that came to a worker and found a copy, began a load, waited for one
-	full         int    // calls rejected by a worker
-	standing     int    // orders for what stood or was loading
-	fullOrders   int    // orders turned away
-	byCalls      int    // loads begun by calls
-	byOrders     int    // and by orders
-	needless     int    // of both: a copy stood elsewhere, with free concurrency and fewer calls in flight than that
+	ends            [callEnds]int // of calls never served
+	calls           int
+	inTime, late    int
+	attempts        [3]int // admitted calls by Warmth: found a copy, began a load, waited for a load
+	full            int    // calls rejected by a worker
+	redundantOrders int    // orders for a copy that was loaded or loading
+	rejectedOrders  int    // orders that workers rejected
+	byCalls         int    // loads started by calls
+	byOrders        int    // loads started by orders
+	needless        int    // of both: another worker could have served the call from a loaded copy
 	unloads
-	wait    time.Duration // that the loads take, including their queueing at the worker, in all
-	copies  []int         // standing in the complete fleet, each second
-	loading []int         // and loading
+	wait    time.Duration // total time of the loads, including their queueing at the worker
+	copies  []int         // loaded in the complete fleet, sampled each second
+	loading []int         // being loaded, at the same times
 }
 
-// arrived counts a job that came to a worker.
+// arrived counts a job that arrived at a worker.
 func (k *serviceCounts) arrived(w *simWorld, worker *simWorker, job *Job, admission Admission) {
 	switch {
 	case k == nil:
 		return
 	case admission != Admitted && job.Order:
-		k.fullOrders++
+		k.rejectedOrders++
 		return
 	case admission != Admitted:
 		k.full++
@@ -64,7 +65,7 @@
 	case !job.Order:
 		k.attempts[job.Warmth]++
 	case job.Warmth != BeganLoad:
-		k.standing++
+		k.redundantOrders++
 	}
 	if job.Warmth != BeganLoad {
 		return
@@ -75,15 +76,16 @@
 		k.byCalls++
 	}
 	for _, other := range w.workers {
-		if other != worker && other.model.light(w.now, job.Model) {
+		if other != worker && other.model.hasSpareCopy(w.now, job.Model) {
 			k.needless++
 			break
 		}
 	}
 }
 
-// light reports whether a copy of a model stands here that would run one more call soon.
-func (b *WorkerModel) light(now time.Time, model uint64) bool {
+// hasSpareCopy reports whether a loaded copy of a model has free concurrency and the worker has
+// fewer calls running and queued than that copy's concurrency.
+func (b *WorkerModel) hasSpareCopy(now time.Time, model uint64) bool {
 	loaded := b.copies[model]
 	if loaded == nil || loaded.ready.After(now) || loaded.held >= loaded.concurrency {
 		return false
@@ -92,7 +94,7 @@
 	return len(b.running)+queue < loaded.concurrency
 }
 
-// sample counts the fleet's copies.
+// sample records the current number of the fleet's copies.
 func (k *serviceCounts) sample(w *simWorld) {
 	standing, loading := 0, 0
 	for _, worker := range w.workers {
@@ -107,7 +109,7 @@
 	k.copies, k.loading = append(k.copies, standing), append(k.loading, loading)
 }
 
-// close counts the calls.
+// close counts the calls and the workers' unloads at the end of a run.
 func (k *serviceCounts) close(w *simWorld) {
 	for _, call := range w.calls {
 		switch k.calls++; {
@@ -155,8 +157,8 @@
 	of := func(n int) float64 { return float64(n) / float64(max(1, k.calls)) }
 	loads := k.byCalls + k.byOrders
 	values := []float64{
-		result.service, result.later, result.unserved, of(k.late), of(k.ends[refused]), of(k.ends[turnedAway]),
-		of(k.ends[givenUp]),
+		result.service, result.later, result.unserved, of(k.late), of(k.ends[refused]), of(k.ends[endRejected]),
+		of(k.ends[endGivenUp]),
 		of(k.full), of(loads),
 		of(k.byOrders), of(k.needless), of(k.pushed), k.wait.Seconds() / float64(max(1, loads)),
 		float64(k.copies[len(k.copies)-1]),
@@ -175,46 +177,47 @@
 		"copy, %d began a load, %d waited for one, %d full; "+
 		"%d loads ordered, %d orders for what was there, %d refused; %d loads needless; unloaded %d pushed out, %d "+
 		"by order, %d idle",
-		k.calls, k.inTime, k.late, k.ends[refused], k.ends[turnedAway], k.ends[givenUp], k.attempts[WarmHit],
+		k.calls, k.inTime, k.late, k.ends[refused], k.ends[endRejected], k.ends[endGivenUp], k.attempts[WarmHit],
 		k.attempts[BeganLoad], k.attempts[AwaitedLoad], k.full,
-		k.byOrders, k.standing, k.fullOrders, k.needless, k.pushed, k.dropped, k.expired)
+		k.byOrders, k.redundantOrders, k.rejectedOrders, k.needless, k.pushed, k.dropped, k.expired)
 }
 
-// foresee routes a call by the true state of all workers: to the loaded copy that answers first;
-// where none does within half of the latency objective and none is being loaded, one is ordered
-// where it will be ready soonest. A call for which no copy is loaded is held.
-func (s *simNode) foresee(call *simCall) {
+// routeByOracle routes a call by the true state of all workers: to the loaded copy that answers
+// first. If none answers within half of the latency objective and none is being loaded, it orders a
+// load where the copy will be ready soonest. A call without a copy that answers before its deadline
+// is held.
+func (s *simNode) routeByOracle(call *simCall) {
 	w, class := s.w, s.w.f.Classes[call.class]
 	deadline := call.intended.Add(class.ClientTimeout - 200*time.Millisecond)
 	route := w.bestRoute(call)
 	slow := route.worker == nil || route.answer.After(call.intended.Add(class.LatencyObjective/2))
-	if slow && route.loaded.IsZero() && route.place != nil {
-		route.loaded = w.orderForeseen(call, route.place)
+	if slow && route.loaded.IsZero() && route.loadWorker != nil {
+		route.loaded = w.orderOracleLoad(call, route.loadWorker)
 	}
 	switch {
 	case route.worker != nil && !route.answer.After(deadline):
-		s.sendForeseen(call, route.worker, deadline)
+		s.sendByOracle(call, route.worker, deadline)
 	case !route.loaded.IsZero() && route.loaded.Before(deadline):
-		w.at(route.loaded, func() { s.foresee(call) })
+		w.at(route.loaded, func() { s.routeByOracle(call) })
 	case w.now.Add(10 * time.Millisecond).Before(deadline):
-		w.after(10*time.Millisecond, func() { s.foresee(call) })
+		w.after(10*time.Millisecond, func() { s.routeByOracle(call) })
 	default:
-		call.end, call.ended = givenUp, w.now
+		call.end, call.ended = endGivenUp, w.now
 	}
 }
 
-// foreseenRoute is what the omniscient router knows for one call. Times are zero and workers nil
-// where there is none.
-type foreseenRoute struct {
-	worker *simWorker // whose copy answers first, at answer
-	answer time.Time
-	loaded time.Time  // when the first copy that is being loaded is ready
-	place  *simWorker // where a copy ordered now would be ready soonest, at ready
-	ready  time.Time
+// oracleRoute is the omniscient router's view for one call. Fields that do not apply are zero or
+// nil.
+type oracleRoute struct {
+	worker     *simWorker // with the loaded copy that answers first, at answer
+	answer     time.Time
+	loaded     time.Time  // when the first of the copies being loaded is ready
+	loadWorker *simWorker // where a copy ordered now would be ready soonest
+	loadReady  time.Time
 }
 
-// bestRoute looks for a call's route over all workers.
-func (w *simWorld) bestRoute(call *simCall) (route foreseenRoute) {
+// bestRoute returns the route of a call over all workers.
+func (w *simWorld) bestRoute(call *simCall) (route oracleRoute) {
 	work := w.f.Work(call.class, call.name)
 	for _, worker := range w.workers {
 		if model := worker.model; !model.Draining() && !model.Fallen() && worker.fate == stays {
@@ -224,14 +227,14 @@
 	return route
 }
 
-// consider takes a worker into the route where it is better than those before.
-func (r *foreseenRoute) consider(w *simWorld, worker *simWorker, model uint64, work time.Duration) {
+// consider updates the route with a worker that is better than those considered before.
+func (r *oracleRoute) consider(w *simWorld, worker *simWorker, model uint64, work time.Duration) {
 	b := worker.model
 	cp := b.copies[model]
 	if cp == nil {
 		ready := w.now.Add(b.loadWait(w.now, w.f.Load) + b.backlog(w.now)/2)
-		if b.roomy(w.now) && (r.place == nil || ready.Before(r.ready)) {
-			r.place, r.ready = worker, ready
+		if b.hasRoom(w.now) && (r.loadWorker == nil || ready.Before(r.loadReady)) {
+			r.loadWorker, r.loadReady = worker, ready
 		}
 		return
 	}
@@ -247,9 +250,9 @@
 	}
 }
 
-// orderForeseen orders a load of a call's model and returns when its copy is ready; the zero time
-// where the order was rejected.
-func (w *simWorld) orderForeseen(call *simCall, place *simWorker) (ready time.Time) {
+// orderOracleLoad orders a load of a call's model and returns when its copy is ready; the zero time
+// if the order was rejected.
+func (w *simWorld) orderOracleLoad(call *simCall, place *simWorker) (ready time.Time) {
 	job := &Job{Model: call.model, Load: w.f.Load, Concurrency: w.f.Concurrency, Order: true, Data: func() {}}
 	admission := place.model.Arrive(w.now, job)
 	w.counts.arrived(w, place, job, admission)
@@ -261,12 +264,12 @@
 	return ready
 }
 
-// sendForeseen sends a call to the worker that the omniscient router chose.
-func (s *simNode) sendForeseen(call *simCall, worker *simWorker, deadline time.Time) {
+// sendByOracle sends a call to the worker that the omniscient router chose.
+func (s *simNode) sendByOracle(call *simCall, worker *simWorker, deadline time.Time) {
 	w, over := s.w, false
 	w.at(deadline, func() {
 		if !over {
-			over, call.end, call.ended = true, givenUp, w.now
+			over, call.end, call.ended = true, endGivenUp, w.now
 		}
 	})
 	w.reach(s, worker, call.name+"."+strconv.Itoa(call.attempts), call,
@@ -279,12 +282,13 @@
 				call.served, call.ended = true, w.now
 				return
 			}
-			call.end = turnedAway
+			call.end = endRejected
 			s.again(call, 10*time.Millisecond, r == balancer.QueueFull)
 		})
 }
 
-// backlog is the time that the calls here whose copies stand will take its cores.
+// backlog returns the remaining work of the running jobs plus that of the waiting calls, divided by
+// the number of cores.
 func (b *WorkerModel) backlog(now time.Time) (sum time.Duration) {
 	for _, job := range b.running {
 		sum += max(0, job.done.Sub(now))
@@ -297,7 +301,7 @@
 	return sum / time.Duration(max(1, b.cfg.Cores))
 }
 
-// loadWait is how long a load that begins now would take.
+// loadWait estimates how long a load that starts now would take.
 func (b *WorkerModel) loadWait(now time.Time, load time.Duration) time.Duration {
 	loading := 0
 	for _, loaded := range b.copies {
@@ -308,9 +312,9 @@
 	return load * time.Duration(1+loading/max(1, b.cfg.Loads))
 }
 
-// roomy reports whether one more copy would evict none that was called within half of the
-// keep-alive.
-func (b *WorkerModel) roomy(now time.Time) bool {
+// hasRoom reports whether one more copy fits without evicting one that was used within half of the
+// keep-alive time.
+func (b *WorkerModel) hasRoom(now time.Time) bool {
 	if len(b.copies) < b.cfg.Copies {
 		return true
 	}
@@ -322,7 +326,8 @@
 	return false
 }
 
-// serviceSim runs a calm day of a busy fleet and counts. oracle: by the omniscient router.
+// serviceSim runs a busy fleet without faults and counts. oracle: the omniscient router routes the
+// calls.
 func serviceSim(
 	figures *Figures, dispatchers, workers, walk int, oracle bool, seed uint64,
 ) (*fleetResult, *serviceCounts, error) {
--- a/internal/lab/simattempt.go
+++ b/internal/lab/simattempt.go
@@ -10,7 +10,7 @@
 	"oakthread/internal/endpointcache"
 )
 
-// unsentAttempts returns the attempts of which nothing was written, in a fixed order.
+// unsentAttempts returns the attempts of which nothing has been written, in a fixed order.
 func (s *simNode) unsentAttempts() (out []*simAttempt) {
 	for _, fl := range s.attempts {
 		if !fl.begun && !fl.over {
@@ -23,8 +23,8 @@
 	return out
 }
 
-// revoke ends the attempts under way to an executor that is to get nothing new, as far as nothing
-// of them was written.
+// revoke ends the attempts to a worker that must get no new calls, as far as nothing of them has
+// been written.
 func (s *simNode) revoke(worker balancer.WorkerID) {
 	for _, fl := range s.unsentAttempts() {
 		if fl.worker == worker {
@@ -33,7 +33,8 @@
 	}
 }
 
-// abort ends an attempt from this side, at once but not within the event at hand.
+// abort ends an attempt on the dispatcher's side. The result is reported at the same simulated
+// time, but not within the current event.
 func (fl *simAttempt) abort(r balancer.Result) {
 	if fl.over {
 		return
@@ -44,7 +45,7 @@
 	fl.s.w.after(0, func() { fl.finish(r, 0, 0, 0, nil) })
 }
 
-// complete is an answer of the executor's, or the proof that there will be none; timeout the end of the time for it.
+// complete ends an attempt with the worker's answer, or because it is known that none will come.
 func (fl *simAttempt) complete(r balancer.Result, warm balancer.Warmth, crowd, copies int, rep []float64) {
 	if !fl.over {
 		fl.over = true
@@ -68,13 +69,13 @@
 	}
 	delete(node.attempts, fl.key)
 	if fl.open != nil && r == balancer.QueueFull {
-		fl.open.full++
+		fl.open.rejections++
 	}
 	if sent := fl.open; sent != nil && r == balancer.OK && node.open[fl.key.id] == sent {
 		node.end(fl.key.id, sent, true)
-		node.w.tally(&node.w.goods)
+		node.w.addTally(&node.w.goods)
 	}
-	// a load may take longer than we wait
+	// a load may outlast its time limit, so its timeout says nothing about the worker
 	sign, informative := endpointcache.ObservationOf(r, false)
 	if informative && (fl.open != nil || r != balancer.Timeout) {
 		if fl.open != nil && sign == endpoints.Answered && warm == balancer.WarmHit &&
@@ -97,12 +98,12 @@
 	node.meter.end()
 }
 
-// connect returns what a request to an executor meets: whether anything of it is written, and if
-// not, after what time that is known. Where a connection stood, what is written to a worker that
-// has vanished is never answered.
+// connect returns whether anything of a request to a worker is written and, if not, after what time
+// the connection is known to have failed. A request to a worker that vanished is written, as its
+// connection is still open, but never answered.
 func (w *simWorld) connect(node *simNode, worker *simWorker) (written bool, failed time.Duration) {
 	switch {
-	case worker.fate == refuses || worker.fate == reused:
+	case worker.fate == refuses || worker.fate == faultAddressReused:
 		return false, 2 * simLinkDelay
 	case worker.fate != vanishes && !w.reaches(node, worker):
 		return false, simProbe
@@ -110,7 +111,7 @@
 	return true, 0
 }
 
-// send puts an attempt on its link.
+// send starts an attempt; arrive is called when it reaches the worker.
 func (fl *simAttempt) send(arrive func(worker *simWorker)) {
 	node, worker := fl.s, fl.s.w.byID[fl.worker]
 	node.attempts[fl.key] = fl
@@ -129,19 +130,19 @@
 
 // simKey identifies an attempt or a load order of a dispatcher.
 type simKey struct {
-	id string // "": an order
+	id string // empty: a load order
 	n  int
 }
 
-// simAttempt is an attempt or a load order under way. Whichever comes first, answer, timeout or
-// module, ends it alone; what the executor has of it goes on there. Of an attempt that is not begun
-// nothing was written, so that its end proves that it never ran.
+// simAttempt is an attempt or a load order in flight. The first of answer, timeout and cancellation
+// ends it; work that the worker has started goes on there. If nothing was written, the end proves
+// that the attempt never ran.
 type simAttempt struct {
 	s           *simNode
 	key         simKey
 	worker      balancer.WorkerID
 	sent        time.Time
 	begun, over bool
-	open        *sentCall       // nil: an order
-	fn          balancer.FuncID // of an order
+	open        *sentCall       // nil: a load order
+	fn          balancer.FuncID // of a load order
 }
--- a/internal/lab/simhost.go
+++ b/internal/lab/simhost.go
@@ -6,7 +6,7 @@
 	"oakthread/balancer"
 )
 
-// SendAttempt and the other methods are balancer.Host.
+// SendAttempt and the other exported methods implement balancer.Host.
 func (s *simNode) SendAttempt(id string, w balancer.WorkerID, until int64) {
 	s.meter.pause()
 	defer s.meter.resume()
@@ -17,8 +17,8 @@
 	o.call.awaitedLoad = o.call.awaitedLoad || o.attempts == 0 && s.w.now.After(o.began)
 	n := o.attempts
 	o.attempts++
-	s.w.tally(&s.w.sends)
-	if !s.members[w].on { // it is not made
+	s.w.addTally(&s.w.sends)
+	if !s.members[w].active { // not active: fails without a connection
 		s.w.after(0, func() {
 			if s.dead {
 				return
@@ -47,7 +47,7 @@
 	})
 }
 
-// CancelAttempt ends a wait; the work at the executor goes on.
+// CancelAttempt stops waiting for an attempt; the work at the worker goes on.
 func (s *simNode) CancelAttempt(id string, attempt int) {
 	s.meter.pause()
 	defer s.meter.resume()
@@ -56,11 +56,11 @@
 	}
 }
 
-// Reject ends a call; its client comes back after the wait.
+// Reject ends a call; its client retries after wait, in nanoseconds.
 func (s *simNode) Reject(id string, wait int64) {
 	if sent := s.open[id]; sent != nil {
 		s.end(id, sent, false)
-		sent.call.end = sent.refused()
+		sent.call.end = sent.unservedEnd()
 		if wait <= 0 {
 			wait = int64(200 * time.Millisecond)
 		}
@@ -71,16 +71,16 @@
 func (s *simNode) Fail(id string) {
 	if sent := s.open[id]; sent != nil {
 		s.end(id, sent, false)
-		sent.call.end = givenUp
+		sent.call.end = endGivenUp
 		s.w.after(0, func() { s.again(sent.call, 200*time.Millisecond, false) })
 	}
 }
 
-// OrderLoad puts a load order on its link to a worker.
+// OrderLoad sends a load order to a worker.
 func (s *simNode) OrderLoad(id balancer.WorkerID, function balancer.FuncID, count int) {
 	s.meter.pause()
 	defer s.meter.resume()
-	if m, known := s.members[id]; !known || count > 0 && !m.on {
+	if m, known := s.members[id]; !known || count > 0 && !m.active {
 		s.w.after(0, func() {
 			if !s.dead {
 				s.meter.begin(s.n, partChoice)
@@ -90,22 +90,22 @@
 		})
 		return
 	}
-	s.given++
-	fl := &simAttempt{s: s, key: simKey{n: s.given}, worker: id, sent: s.w.now, fn: function}
+	s.ordersSent++
+	fl := &simAttempt{s: s, key: simKey{n: s.ordersSent}, worker: id, sent: s.w.now, fn: function}
 	if s.orders = append(s.orders, fl); len(s.orders) == 1 {
-		s.w.after(s.limit, s.giveUp)
+		s.w.after(s.limit, s.expireOrders)
 	}
 	fl.send(func(x *simWorker) {
 		s.w.order(x, function, func(copies int, r balancer.Result) { fl.complete(r, 0, 0, copies, nil) })
 	})
 }
 
-// giveUp ends the orders that have had their time.
-func (s *simNode) giveUp() {
+// expireOrders times out the load orders whose time limit has passed.
+func (s *simNode) expireOrders() {
 	for ; len(s.orders) > 0; s.orders = s.orders[1:] {
 		fl := s.orders[0]
 		if due := fl.sent.Add(s.limit); !fl.over && due.After(s.w.now) {
-			s.w.at(due, s.giveUp)
+			s.w.at(due, s.expireOrders)
 			return
 		}
 		fl.timeout()
@@ -113,7 +113,7 @@
 	s.orders = nil
 }
 
-// order carries a load order to a worker, and its answer back.
+// order delivers a load order to a worker, and its answer to answered.
 func (w *simWorld) order(worker *simWorker, function balancer.FuncID, answered func(copies int, r balancer.Result)) {
 	job := &Job{Model: uint64(function), Load: w.f.Load, Concurrency: w.f.Concurrency, Order: true}
 	job.Data = func() { w.after(simLinkDelay, func() { answered(1, balancer.OK) }) }
@@ -134,7 +134,7 @@
 	}
 }
 
-// drop carries an unload order to a worker, where its link delivers it.
+// drop delivers an unload order to a worker if the link to it works.
 func (w *simWorld) drop(node *simNode, worker *simWorker, function balancer.FuncID) {
 	if written, _ := w.connect(node, worker); written && worker.fate != vanishes {
 		w.after(simLinkDelay, func() { worker.model.Unload(uint64(function)) })
@@ -148,7 +148,8 @@
 func (s *simNode) SubscribeEndpoints() {}
 func (s *simNode) Log(string)          {}
 
-// SendPeerMessage carries a message to one dispatcher, or to all others; some are lost. What goes to all is one event.
+// SendPeerMessage sends a message to one dispatcher, or to all others if to is negative; some are
+// lost. A message to all is one event.
 func (s *simNode) SendPeerMessage(to int, data string) {
 	s.meter.pause()
 	defer s.meter.resume()
@@ -163,8 +164,8 @@
 	note := s.w.hollow.countSent(s, to, data)
 	var receivers []*simNode
 	for n := first; n <= last; n++ {
-		if n == s.n || s.w.lossy.Float64() < s.w.lost || s.w.mute || float64(n) < s.w.deaf*float64(len(s.w.nodes)) ||
-			s.w.hollow.parted(s.n, n) {
+		if n == s.n || s.w.lossy.Float64() < s.w.lost || s.w.mute ||
+			float64(n) < s.w.unreachedPart*float64(len(s.w.nodes)) || s.w.hollow.parted(s.n, n) {
 			continue
 		}
 		s.w.delivered += len(data)
--- a/internal/lab/simnode.go
+++ b/internal/lab/simnode.go
@@ -8,8 +8,8 @@
 	"oakthread/endpoints"
 )
 
-// simNode is one dispatcher: the real list and the real module, before a host that does with what
-// the module orders as the core does, and the platform's client under it (core.go,
+// simNode is one dispatcher: the real endpoint list and the real balancer, with a host that carries
+// out the balancer's orders as the core and the platform's client do (core.go,
 // internal/platform/executorpool.go).
 type simNode struct {
 	w             *simWorld
@@ -19,31 +19,32 @@
 	dead          bool
 	open          map[string]*sentCall
 	attempts      map[simKey]*simAttempt
-	orders        []*simAttempt // to load, as they were given; the first alone has a timer
-	given         int           // orders so far
-	limit         time.Duration // of an order
+	orders        []*simAttempt // load orders in the order of sending; only the first has a timer
+	ordersSent    int           // number of load orders so far
+	limit         time.Duration // of a load order
 	members       map[balancer.WorkerID]simMember
 	drainNotified map[balancer.WorkerID]time.Time // first rejection by a draining worker
 	ends          [balancer.NumResults]int64      // of attempts, as oakthread.Counters has them
 	meter         *meter                          // nil: nothing is measured
 }
 
-// simMember is what the host knows of an executor in the list.
+// simMember is the host's record of a worker in the list.
 type simMember struct {
-	on    bool
-	start int64
+	active bool
+	start  int64
 }
 
-// sentCall is a call that a dispatcher has taken and not ended.
+// sentCall is a call that a dispatcher has accepted and not ended.
 type sentCall struct {
-	call     *simCall
-	began    time.Time
-	attempts int
-	full     int // of them, rejected by a full worker
-	deadline time.Time
+	call       *simCall
+	began      time.Time
+	attempts   int
+	rejections int // attempts that a full worker rejected
+	deadline   time.Time
 }
 
-// settings are those of a dispatcher on the sockets, without peers.
+// settings returns the settings of a dispatcher in the experiments with real processes, but without
+// gossip.
 func (f *Figures) settings(n, dispatchers int) balancer.Settings {
 	s := balancer.Settings{
 		DispatcherIndex: n, Dispatchers: dispatchers, ClockResolution: int64(4 * time.Millisecond), MaxAttempts: 5,
@@ -69,7 +70,7 @@
 	return s
 }
 
-// node makes dispatcher n. fresh takes a cached list as if it were new.
+// node creates dispatcher n. fresh: it treats a cached list as if it were new.
 func (w *simWorld) node(n int, seed uint64, fresh bool) (*simNode, error) {
 	s := &simNode{
 		w: w, n: n, open: map[string]*sentCall{}, attempts: map[simKey]*simAttempt{},
@@ -87,7 +88,7 @@
 	return s, s.module(set, seed^uint64(n)*0x9e3779b9, s)
 }
 
-// module makes the decision module; host is s, or a test's around it.
+// module creates the balancer; host is s, or a test's wrapper of it.
 func (s *simNode) module(set balancer.Settings, seed uint64, host balancer.Host) (err error) {
 	if s.limit = time.Duration(set.LoadOrderTimeout); s.limit <= 0 {
 		s.limit = 10 * time.Second
@@ -96,7 +97,7 @@
 	return err
 }
 
-// flush carries out what the list ordered.
+// flush carries out the actions of the endpoint list.
 func (s *simNode) flush() {
 	a := s.list.TakeActions()
 	for _, p := range a.Publications {
@@ -107,7 +108,7 @@
 		}
 		for _, endpoint := range p.Endpoints {
 			m := simMember{endpoint.State == balancer.Active, endpoint.Start.UnixNano()}
-			if was, known := old[endpoint.ID]; !m.on || known && was.start != m.start {
+			if was, known := old[endpoint.ID]; !m.active || known && was.start != m.start {
 				s.revoke(endpoint.ID)
 			}
 			if s.members[endpoint.ID] = m; endpoint.State == balancer.Removed {
@@ -138,7 +139,7 @@
 	worker := s.w.byID[id]
 	sign, after := endpoints.Answered, 2*simLinkDelay
 	switch worker.fate {
-	case refuses, reused:
+	case refuses, faultAddressReused:
 		sign = endpoints.ConnectionRefused
 	case vanishes, cutOff:
 		sign, after = endpoints.TimedOut, simProbe
@@ -169,7 +170,7 @@
 	s.flush()
 	gap := simTick
 	if s.w.now.Sub(from) > 3*time.Second {
-		gap = simBreather
+		gap = simIdleTick
 	}
 	s.w.after(gap, func() { s.tick(from) })
 }
@@ -177,7 +178,7 @@
 // arrive handles an attempt of a client.
 func (s *simNode) arrive(c *simCall) {
 	if s.w.oracle {
-		s.foresee(c)
+		s.routeByOracle(c)
 		return
 	}
 	if s.dead || len(s.members) == 0 {
@@ -199,7 +200,8 @@
 	s.meter.end()
 }
 
-// again has the client come back, where that is harmless and there is time.
+// again lets the client retry after wait, if that is harmless or the class is idempotent, and if
+// retries and time are left.
 func (s *simNode) again(call *simCall, wait time.Duration, harmless bool) {
 	class := s.w.f.Classes[call.class]
 	call.attempts++
@@ -212,7 +214,7 @@
 	s.w.after(wait, func() { s.w.home(s.n).arrive(call) })
 }
 
-// end gives a call its one end. Of its attempts those that nothing was written of are revoked.
+// end ends a call and aborts those of its attempts of which nothing has been written.
 func (s *simNode) end(id string, sent *sentCall, served bool) {
 	delete(s.open, id)
 	for n := range sent.attempts {
--- a/internal/lab/turns.go
+++ b/internal/lab/turns.go
@@ -1,7 +1,7 @@
 package lab
 
 // The experiment turns: the duties of a single dispatcher while others die, are stopped, are cut
-// off or start later, under real processes of the program before and after a change. Results are
+// off or start later, with real processes of the program before and after a change. Results are
 // counted from the datagrams in the peer network.
 
 import (
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// turnsBefore is the commit before the terms of dispatchers that are down passed to others.
+// turnsBefore is the commit before other dispatchers took over the terms of those that are down.
 const turnsBefore = "1ee320a"
 
 // Faults of a fleet whose dispatchers take turns.
@@ -24,24 +24,25 @@
 	TurnsGrown   = "half of the fleet starts later"
 )
 
-// TurnsFaults lists them.
+// TurnsFaults returns the faults of the experiment.
 func TurnsFaults() []string { return []string{TurnsKilled, TurnsStopped, TurnsHalves, TurnsGrown} }
 
 const (
-	turnsSettle = 3  // terms after a fault began, before turns are counted
-	turnsCount  = 8  // terms in which they are
-	burst       = 20 // milliseconds in which one message to all goes out
+	turnsSettle = 3  // terms from the start of a fault until counting starts
+	turnsCount  = 8  // terms that are counted
+	burst       = 20 // milliseconds in which a message to all is sent
 )
 
-// turnsResult is what one run came to.
+// turnsResult is the result of one run.
 type turnsResult struct {
 	Breaches
-	silence    float64 // longest time, in terms, in which nobody who stays said a word to another
-	idle       float64 // part of the terms without a broadcast
-	calm, late float64 // calls served at those who stay
+	silence      float64 // longest time, in terms, without a message among the running dispatchers
+	idle         float64 // share of the terms without a broadcast
+	before, late float64 // share of calls served at the running dispatchers
 }
 
-// Broadcasts returns the datagrams with which a dispatcher began to send to most others at once.
+// Broadcasts returns the first datagram of each broadcast: a series from one dispatcher, within
+// burst milliseconds, to more than half of the dispatchers.
 func Broadcasts(datagrams []Datagram, dispatchers int) (digests []Datagram) {
 	byFrom := make([][]Datagram, dispatchers)
 	for _, datagram := range datagrams {
@@ -65,7 +66,8 @@
 	return digests
 }
 
-// Silence is the longest time in a span without a word among the dispatchers that stay names.
+// Silence returns the longest time in a span without a datagram among the dispatchers that stay
+// selects.
 func Silence(datagrams []Datagram, stay func(int) bool, from, until time.Time) (most time.Duration) {
 	last := from
 	for _, datagram := range datagrams {
@@ -82,7 +84,7 @@
 	if options.Quick {
 		sizes, workers, seeds = []int{6}, 12, 1
 	}
-	return versus[turnsResult]{
+	return comparison[turnsResult]{
 		name: "turns", before: turnsBefore, sizes: sizes, seeds: seeds, faults: TurnsFaults(),
 		note: fmt.Sprintf("%d boxes, %d calls/s a box; counted from %d to %d terms after the fault", workers,
 			fleetCalls, turnsSettle, turnsSettle+turnsCount),
@@ -90,10 +92,10 @@
 			size.Workers = workers
 			return turnsArm(ctx, net, dir, fault, size)
 		}, report: turnsReport,
-	}.all(ctx, options)
+	}.runAll(ctx, options)
 }
 
-// turnsRun is one play of the experiment.
+// turnsRun is one run of the experiment.
 type turnsRun struct {
 	rig   *Rig
 	fault string
@@ -110,11 +112,11 @@
 	return true
 }
 
-// first reports whether dispatcher n starts before the fault.
-func (t turnsRun) first(n int) bool { return t.fault != TurnsGrown || n%2 == 0 }
+// startsFirst reports whether dispatcher n starts before the fault.
+func (t turnsRun) startsFirst(n int) bool { return t.fault != TurnsGrown || n%2 == 0 }
 
-// inject begins the fault. ready limits the start of further dispatchers, sending the calls of
-// their clients.
+// inject starts the fault. ready bounds the start of further dispatchers, sending the time in which
+// their clients send.
 func (t turnsRun) inject(ready, sending context.Context) error {
 	rig := t.rig
 	switch t.fault {
@@ -127,7 +129,7 @@
 	case TurnsHalves:
 		rig.PeerNetwork.Set(Lost, func(from, to int) bool { return meshHalf(from) != meshHalf(to) })
 	case TurnsGrown:
-		later := func(n int) bool { return !t.first(n) }
+		later := func(n int) bool { return !t.startsFirst(n) }
 		if err := rig.Start(ready, later); err != nil {
 			return err
 		}
@@ -136,7 +138,7 @@
 	return nil
 }
 
-// turnsArm plays one fault under one program.
+// turnsArm runs one fault with one program.
 func turnsArm(ctx context.Context, net *Net, dir, fault string, size RigSize) (*turnsResult, error) {
 	rig, err := NewOutlierRig(net, dir, size)
 	if err != nil {
@@ -146,12 +148,12 @@
 	t := turnsRun{rig, fault}
 	ready, done := context.WithTimeout(ctx, 20*time.Second)
 	defer done()
-	if err := rig.Start(ready, t.first); err != nil {
+	if err := rig.Start(ready, t.startsFirst); err != nil {
 		return nil, err
 	}
 	sending, enough := context.WithCancel(ctx)
 	defer enough()
-	rig.Send(sending, func(n int) bool { return t.stays(n) && t.first(n) })
+	rig.Send(sending, func(n int) bool { return t.stays(n) && t.startsFirst(n) })
 	if err := sleepUntil(ctx, time.Now().Add(4*time.Second)); err != nil {
 		return nil, err
 	}
@@ -168,17 +170,18 @@
 	rig.Quiet()
 	result := t.count(from, end, term)
 	calls := rig.Calls(t.stays)
-	result.calm, result.late = Served(calls, began.Add(-2*time.Second), began, nil), Served(calls, from, end, nil)
+	result.before, result.late = Served(calls, began.Add(-2*time.Second), began, nil), Served(calls, from, end, nil)
 	if fault == TurnsKilled {
 		return result, nil
 	}
 	if err := rig.Stop(); err != nil {
-		return nil, fmt.Errorf("a dispatcher did not end well: %w", err)
+		return nil, fmt.Errorf("stopping the dispatchers: %w", err)
 	}
 	return result, nil
 }
 
-// count takes the breaches of the run, and the silence and the terms without a broadcast in a span.
+// count returns the rule violations of the run, and the longest silence and the terms without a
+// broadcast in a span.
 func (t turnsRun) count(from, end time.Time, term time.Duration) *turnsResult {
 	result := &turnsResult{Breaches: t.rig.Check(func(a Attempt) bool { return !t.stays(senderOf(a.ID)) })}
 	datagrams := t.rig.PeerNetwork.Datagrams()
@@ -198,18 +201,18 @@
 	return result
 }
 
-// turnsReport adds the rows and bounds of one fault under both programs.
+// turnsReport adds the rows and bounds of one fault with both programs.
 func turnsReport(rep *Report, name, _ string, both [2]*turnsResult) {
 	row := func(what, unit string, of func(*turnsResult) float64) {
 		rep.Row(name+what, unit, of(both[0]), of(both[1]))
 	}
 	row("longest time without a word among those who stay", "terms", func(r *turnsResult) float64 { return r.silence })
 	row("terms in which nobody told all", "of all", func(r *turnsResult) float64 { return r.idle })
-	row("calls served before", "", func(r *turnsResult) float64 { return r.calm })
+	row("calls served before", "", func(r *turnsResult) float64 { return r.before })
 	row("calls served after", "", func(r *turnsResult) float64 { return r.late })
 	is := both[1]
 	rep.AtMost(name+"breaches of the rules", float64(is.Sum()), 0)
 	rep.AtMost(name+"longest time without a word, terms", is.silence, 1.5)
 	rep.AtMost(name+"terms in which nobody told all", is.idle, 1.0/turnsCount)
-	rep.AtLeast(name+"calls served, of those before", is.late/math.Max(is.calm, 1e-9), 0.97)
+	rep.AtLeast(name+"calls served, of those before", is.late/math.Max(is.before, 1e-9), 0.97)
 }
--- a/internal/lab/virtualtime.go
+++ b/internal/lab/virtualtime.go
@@ -1,7 +1,7 @@
 package lab
 
 // Virtual time: an event queue, and dispatchers made of the real pure packages (endpoints,
-// balancer) before emulated workers. The core, the front ends and the sockets are not there. No
+// balancer) with emulated workers. The core, the front ends and the sockets are not simulated. No
 // clock is read, and the same seed gives the same run.
 
 import (
@@ -17,22 +17,22 @@
 	simLinkDelay = 500 * time.Microsecond // one-way delay between a dispatcher and a worker
 	simProbe     = 250 * time.Millisecond
 	simTick      = 10 * time.Millisecond
-	simBreather  = 250 * time.Millisecond // between ticks later on
+	simIdleTick  = 250 * time.Millisecond // between ticks from 3 s after the start of a dispatcher on
 )
 
-// simWorker is a worker in virtual time, with its fate.
+// simWorker is a worker in virtual time, with its fault.
 type simWorker struct {
-	id      balancer.WorkerID
-	zone    int
-	model   *WorkerModel
-	fate    int
-	wake    time.Time
-	took    []time.Time
-	drained time.Time // when its drain is announced; zero: never, and the first rejection shows it
-
-	unwarned bool // it collapsed before anyone was notified that it was warming up
-	failing  bool // calls run and fail at once
-	spoilt   int
+	id         balancer.WorkerID
+	zone       int
+	model      *WorkerModel
+	fate       int
+	nextWake   time.Time
+	admittedAt []time.Time
+	drained    time.Time // when its drain is announced; zero: never; the first rejection reveals it
+
+	unnotified  bool // it collapsed before anyone was notified that it was warming up
+	failing     bool // calls run and fail at once
+	failedCalls int
 }
 
 // simWorld is a fleet in virtual time: workers, dispatchers, clients and the links between them.
@@ -53,42 +53,43 @@
 	cursor  int64
 	oracle  bool // calls are routed by the true state of all workers, and no dispatcher is asked
 
-	hollow *hollowWorld // what a run of hollow dispatchers has beside; nil: another experiment
+	hollow *hollowWorld // state of a run of hollow dispatchers; nil in other experiments
 }
 
-// simGossip are the messages between dispatchers.
+// simGossip is the state of the messages between dispatchers.
 type simGossip struct {
-	messages  bool // dispatchers send them; some are lost
-	lossy     *rand.Rand
-	lost      float64 // part of the messages that never come
-	price     float64 // of a message
-	delivered int     // bytes of messages
-	oversize  int     // messages that are too long
-	mute      bool    // no message comes
-	deaf      float64 // part of the dispatchers, from the first on, that receive no message
+	messages      bool // dispatchers send them; some are lost
+	lossy         *rand.Rand
+	lost          float64 // share of the messages that are lost
+	price         float64 // price of a message
+	delivered     int     // bytes of messages delivered
+	oversize      int     // messages that are too long
+	mute          bool    // all messages are lost
+	unreachedPart float64 // part of the dispatchers, from the first on, to which messages are lost
 }
 
 // simFaults are the faults of the links between dispatchers and workers.
 type simFaults struct {
-	parted  bool    // a dispatcher reaches the workers of its own zone alone
-	unheard float64 // share of answers lost in transit
+	zonesSplit bool    // a dispatcher reaches only the workers of its own zone
+	unheard    float64 // share of answers lost in transit
 }
 
-// simCounts are what is counted in a run.
+// simCounts are the counts of a run.
 type simCounts struct {
 	calls []*simCall
-	twice int // calls that must not run twice and did
-	// sends that came to a draining worker more than the allowance after its dispatcher was notified
-	late      int
-	unreached int            // attempts whose connection never came up
-	avoided   float64        // see fleetResult
-	sends     []int          // attempts begun, by tenths of a second since began
-	goods     []int          // calls served, the same
-	counts    *serviceCounts // of a busy fleet; nil: nothing is counted
+	twice int // non-idempotent calls that ran twice
+	// calls that arrived at a draining worker more than the allowance after its dispatcher was
+	// notified
+	late          int
+	unreached     int            // attempts whose connection was not established
+	detectionTime float64        // see fleetResult
+	sends         []int          // attempts started, per tenth of a second since began
+	goods         []int          // calls served, likewise
+	counts        *serviceCounts // of a busy fleet; nil: nothing is counted
 }
 
-// tally counts one more in the tenth of a second that is now.
-func (w *simWorld) tally(in *[]int) {
+// addTally increments the count of the current tenth of a second.
+func (w *simWorld) addTally(in *[]int) {
 	i := int(w.now.Sub(w.began) / (100 * time.Millisecond))
 	for len(*in) <= i {
 		*in = append(*in, 0)
@@ -96,9 +97,9 @@
 	(*in)[i]++
 }
 
-// reaches reports whether a dispatcher's connections to a worker come up.
+// reaches reports whether a dispatcher can connect to a worker.
 func (w *simWorld) reaches(node *simNode, worker *simWorker) bool {
-	return worker.fate != cutOff && (!w.parted || node.n%2 == worker.zone)
+	return worker.fate != cutOff && (!w.zonesSplit || node.n%2 == worker.zone)
 }
 
 // simCall is a call of a client with all its attempts.
@@ -109,9 +110,9 @@
 	ended       time.Time
 	served      bool
 	attempts    int
-	ran         int // at a worker
+	ran         int // times that a worker ran it
 	name        string
-	awaitedLoad bool // it found no copy, or was held for one
+	awaitedLoad bool // no copy was ready, or it was held for one
 	end         callEnd
 }
 
@@ -124,15 +125,15 @@
 	return w.hollow.home(n)
 }
 
-// reach delivers a call to a worker.
+// reach delivers a call to a worker; land gets the result.
 func (w *simWorld) reach(
 	node *simNode, worker *simWorker, id string, call *simCall,
 	land func(balancer.Result, balancer.Warmth, int, []float64),
 ) {
 	if worker.failing {
-		worker.spoilt++
-		w.take(worker)
-		w.book(call)
+		worker.failedCalls++
+		w.recordAdmission(worker)
+		w.countRun(call)
 		w.after(simLinkDelay, func() { land(balancer.Error, 0, 0, nil) })
 		return
 	}
@@ -146,7 +147,7 @@
 	}
 	job.Data = func() {
 		if w.unheard > 0 && w.lossy.Float64() < w.unheard {
-			return // the deadline ends it
+			return // the answer is lost; the deadline ends the attempt
 		}
 		call.awaitedLoad = call.awaitedLoad || job.Warmth != WarmHit
 		rep, warm := report(), [...]balancer.Warmth{
@@ -177,43 +178,45 @@
 		return
 	}
 	w.hollow.loaded(job)
-	w.take(worker)
-	w.book(call)
+	w.recordAdmission(worker)
+	w.countRun(call)
 	w.advance(worker)
 }
 
-// take records when a worker took a call; a hollow run, which has many, does not.
-func (w *simWorld) take(worker *simWorker) {
+// recordAdmission records when a worker admitted a call, except in hollow runs, which have too many
+// calls.
+func (w *simWorld) recordAdmission(worker *simWorker) {
 	if w.hollow == nil {
-		worker.took = append(worker.took, w.now)
+		worker.admittedAt = append(worker.admittedAt, w.now)
 	}
 }
 
-// book counts a call of a class that must not run twice.
-func (w *simWorld) book(call *simCall) {
+// countRun counts a run of a call, and the call in twice if it is not idempotent and runs a second
+// time.
+func (w *simWorld) countRun(call *simCall) {
 	if call.ran++; call.ran == 2 && w.f.Classes[call.class].NotIdempotent {
 		w.twice++
 	}
 }
 
-// advance ends the jobs of a worker that are done, and schedules the next time to look.
+// advance ends the completed jobs of a worker and schedules the next advance.
 func (w *simWorld) advance(worker *simWorker) {
 	for _, job := range worker.model.Advance(w.now) {
 		job.Data.(func())()
 	}
 	next := worker.model.Next(w.now)
-	if next.IsZero() || !worker.wake.IsZero() && worker.wake.After(w.now) && !next.Before(worker.wake) {
+	if next.IsZero() || !worker.nextWake.IsZero() && worker.nextWake.After(w.now) && !next.Before(worker.nextWake) {
 		return
 	}
-	worker.wake = next
+	worker.nextWake = next
 	w.at(next, func() {
-		if worker.wake.Equal(w.now) {
+		if worker.nextWake.Equal(w.now) {
 			w.advance(worker)
 		}
 	})
 }
 
-// arrivals has clients of a dispatcher send until a time.
+// arrivals schedules the calls of a dispatcher's clients until a time.
 func (w *simWorld) arrivals(n int, rng *rand.Rand, seq int, until time.Time) {
 	w.after(time.Duration(rng.ExpFloat64()/w.load.Rate*float64(time.Second)), func() {
 		if w.now.After(until) {
