--- a/internal/lab/check.go
+++ b/internal/lab/check.go
@@ -15,13 +15,13 @@
 	callKeyLength  = 13 // leading characters of an id that all attempts of a call share
 )
 
-// RunTwice counts non-idempotent calls that workers admitted more than once, in any of
-// their attempts.
+// RunTwice counts non-idempotent calls that workers admitted more than once, in any of their
+// attempts.
 func RunTwice(figures *Figures, workers ...[]ObservedCall) (n int) {
 	took := map[string]int{}
 	for _, observed := range workers {
 		for _, observation := range observed {
-			if observation.Took && figures.Classes[observation.Class].NotIdempotent && 
+			if observation.Took && figures.Classes[observation.Class].NotIdempotent &&
 				len(observation.ID) >= callKeyLength {
 				if took[observation.ID[:callKeyLength]]++; took[observation.ID[:callKeyLength]] == 2 {
 					n++
--- a/internal/lab/comeback.go
+++ b/internal/lab/comeback.go
@@ -79,8 +79,8 @@
 	return rep, nil
 }
 
-// comebackFigures returns small workers, at four tenths of their capacity, each
-// with memory for 24 models: four copies of each of the experiments' six models per worker.
+// comebackFigures returns small workers, at four tenths of their capacity, each with memory
+// for 24 models: four copies of each of the experiments' six models per worker.
 func comebackFigures() *Figures {
 	figures := fleetFigures()
 	figures.Load = 400 * time.Millisecond
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -118,7 +118,7 @@
 }
 
 // plotFleet plots the error of the totals against the part of the fleet that receives no messages,
-// and the calls that a failing worker spoils against the number of dispatchers.
+// and the calls that fail at a failing worker against the number of dispatchers.
 func plotFleet(ctx context.Context, figures *Figures, options Options) error {
 	parts := []float64{0, 0.1, 0.25, 0.5, 0.75, 0.9, 1}
 	var off [2]plotter.XYs // of those that receive messages, and of those that do not
@@ -127,15 +127,15 @@
 			return err
 		}
 		options.Log("80 dispatchers, %.0f %% deaf", 100*part)
-		hearing, deaf, err := gossipLossSim(figures, 80, 32, part, options.Seed)
+		receiving, isolated, err := gossipLossSim(figures, 80, 32, part, options.Seed)
 		if err != nil {
 			return err
 		}
 		if part < 1 {
-			off[0] = append(off[0], plotter.XY{X: 100 * part, Y: 100 * hearing})
+			off[0] = append(off[0], plotter.XY{X: 100 * part, Y: 100 * receiving})
 		}
 		if part > 0 {
-			off[1] = append(off[1], plotter.XY{X: 100 * part, Y: 100 * deaf})
+			off[1] = append(off[1], plotter.XY{X: 100 * part, Y: 100 * isolated})
 		}
 	}
 	chart := lineChart{
@@ -173,7 +173,7 @@
 // after a part of them has received no message for 6 s.
 func gossipLossSim(
 	figures *Figures, dispatchers, workers int, part float64, seed uint64,
-) (hearing, deaf float64, err error) {
+) (receiving, isolated float64, err error) {
 	w, err := fleetWorld(figures, dispatchers, workers, true, 0, seed)
 	if err != nil {
 		return 0, 0, err
--- a/internal/lab/fleetresult.go
+++ b/internal/lab/fleetresult.go
@@ -17,7 +17,7 @@
 	bytes                     float64 // of messages delivered, per call
 	oversize                  int
 	unreached                 float64 // attempts at workers that could not be reached, per call
-	failedCalls               int     // calls that the failing worker spoilt
+	failedCalls               int     // calls that failed at the failing worker
 	// seconds until nine in ten dispatchers avoid it; the length of the fault if they never do
 	detectionTime float64
 	back          float64 // seconds from the end of a split until attempts per served call are as before
--- a/internal/lab/service.go
+++ b/internal/lab/service.go
@@ -17,8 +17,8 @@
 
 const (
 	endNone     callEnd = iota // served, or no attempt of it has ended
-	refused                    // by the module, before anything was sent
-	endRejected                // by the module, after full workers had rejected it
+	refused                    // by the balancer, before anything was sent
+	endRejected                // by the balancer, after full workers had rejected it
 	endGivenUp                 // at its deadline, or after a failure
 	callEnds
 )
@@ -44,7 +44,7 @@
 	rejectedOrders  int    // orders that workers rejected
 	byCalls         int    // loads started by calls
 	byOrders        int    // loads started by orders
-	needless        int    // of both: another worker could have served the call from a loaded copy
+	needless        int    // of both: another worker had a spare loaded copy, see hasSpareCopy
 	unloads
 	wait    time.Duration // total time of the loads, including their queueing at the worker
 	copies  []int         // loaded in the complete fleet, sampled each second
--- a/internal/lab/service_test.go
+++ b/internal/lab/service_test.go
@@ -43,9 +43,9 @@
 
 // A fleet that starts without loaded copies recovers from its first loads with many dispatchers,
 // too. Guards against calls that find queues full and start loads on many workers, which would keep
-// the queues full. One dispatcher with all calls earns 0.93 of the value, and 0.99 in the last 12
-// s.
-func TestManyDispatchersComeOutOfTheFirstLoads(t *testing.T) {
+// the queues full. One dispatcher with all calls earns 0.93 of the weighted value, and 0.99 of that
+// of the last 12 s.
+func TestManyDispatchersRecoverFromFirstLoads(t *testing.T) {
 	for _, size := range [][2]int{{24, 120}, {80, 40}} {
 		result, k, err := serviceSim(fleetFigures(), size[0], size[1], 0, false, 1)
 		require.NoError(t, err)
