--- a/cmd/dispatcher/discoveryoutage_test.go
+++ b/cmd/dispatcher/discoveryoutage_test.go
@@ -38,16 +38,16 @@
 // get a new version, which has to be loaded; 0: never.
 func newOutageRig(t *testing.T, dispatchers, workers int, newVersionsAfter time.Duration) *outageRig {
 	t.Helper()
-	rig := startFleet(t, lab.RigSize{
+	rig := startFleet(t, lab.RigConfig{
 		Dispatchers: dispatchers, Workers: workers, Seed: 46,
 		Load: lab.Load{Models: 40, Zipf: 0.8}, Rate: func(int) float64 { return 240 / float64(dispatchers) },
 	})
 	if newVersionsAfter > 0 {
-		for _, clients := range rig.Called {
-			clients.Renew(time.Now().Add(newVersionsAfter))
+		for _, clients := range rig.Clients {
+			clients.SetNewVersionsAt(time.Now().Add(newVersionsAfter))
 		}
 	}
-	rig.Send(t.Context(), nil)
+	rig.StartClients(t.Context(), nil)
 	sleep(t, 2*time.Second)
 	return &outageRig{Rig: rig, before: time.Now()}
 }
@@ -70,7 +70,7 @@
 func (o outage) set(t *testing.T, r *outageRig, down bool) {
 	t.Helper()
 	if o == withheld {
-		r.Disc.Hold(down)
+		r.Discovery.Hold(down)
 		return
 	}
 	state := lab.Open
@@ -119,7 +119,7 @@
 func (r *outageRig) assertServed(t *testing.T) {
 	t.Helper()
 	all := r.Calls(nil)
-	served := func(from, until time.Time) float64 { return lab.Served(all, from, until, nil) }
+	served := func(from, until time.Time) float64 { return lab.ServedShare(all, from, until, nil) }
 	before, during, after := served(r.before, r.lostAt), served(r.lostAt, r.backAt), served(r.backAt, r.end)
 	latencyBefore := percentile99(all, r.before, r.lostAt)
 	latencyDuring, latencyAfter := percentile99(all, r.lostAt, r.backAt), percentile99(all, r.backAt, r.end)
@@ -175,7 +175,7 @@
 			rig := newOutageRig(t, test.dispatchers, test.workers, 0)
 			rig.lostAt = sleep(t, 3*time.Second)
 			restarted := rig.Nodes[0]
-			require.NoError(t, restarted.Know(rig.Disc.Known(0)))
+			require.NoError(t, restarted.SetKnownWorkers(rig.Discovery.Snapshot(0)))
 			test.outage.begin(t, rig)
 			sleep(t, 500*time.Millisecond)
 			drains := func(worker int) bool { return worker < 2 }
@@ -189,7 +189,7 @@
 			rig.backAt = sleep(t, 3*time.Second)
 			test.outage.end(t, rig)
 			rig.end = sleep(t, 4*time.Second)
-			rig.Quiet()
+			rig.StopClients()
 			const graceAndSlack = time.Second + 50*time.Millisecond
 			for _, worker := range rig.Workers[:2] {
 				calls, orders := countObservedAfter(worker, worker.Drained().Add(test.known+graceAndSlack))
@@ -226,7 +226,7 @@
 	}
 	kind.end(t, rig)
 	rig.end = sleep(t, 3*time.Second)
-	rig.Quiet()
+	rig.StopClients()
 	for _, worker := range rig.Workers[:2] {
 		seen, orders := worker.Observations()
 		early := func(at time.Time) bool { return at.Before(restarted.Add(7 * time.Second)) }
--- a/cmd/dispatcher/fleet_test.go
+++ b/cmd/dispatcher/fleet_test.go
@@ -25,9 +25,9 @@
 
 // startFleet starts dispatchers as processes of the tested program, with a relay on each connection
 // between processes, and waits until they are ready.
-func startFleet(t *testing.T, size lab.RigSize) *lab.Rig {
+func startFleet(t *testing.T, size lab.RigConfig) *lab.Rig {
 	t.Helper()
-	net, err := lab.ClaimNet()
+	net, err := lab.ClaimLoopbackRange()
 	require.NoError(t, err)
 	t.Cleanup(net.Close)
 	size.Program = testedProgram()
@@ -59,7 +59,7 @@
 // must not go, and that every process shut down without an error.
 func assertInvariants(t *testing.T, rig *lab.Rig) {
 	t.Helper()
-	rig.Quiet()
+	rig.StopClients()
 	assert.Zero(t, rig.Check(nil).Sum(), "%+v", rig.Check(nil))
 	assert.NoError(t, rig.Stop())
 }
@@ -71,41 +71,41 @@
 // of that time, since the zone is recognized as unreachable, and from 2 s after the partition calls
 // are served as before.
 func TestFleetRecoversFromPartition(t *testing.T) {
-	rig := startFleet(t, lab.RigSize{
+	rig := startFleet(t, lab.RigConfig{
 		Dispatchers: 6, Workers: 48, Zones: 3, Seed: 3,
 		Load: lab.Load{Rate: 60, Models: 200, Zipf: 0.4, Retries: 1},
 	})
-	rig.Send(t.Context(), nil)
+	rig.StartClients(t.Context(), nil)
 	began := sleep(t, 1500*time.Millisecond)
 	cutAt := sleep(t, 1500*time.Millisecond)
 	isCut := func(_, worker int) bool { return worker%3 == 0 }
-	rig.PeerNetwork.Set(lab.Lost, allPairs)
-	require.NoError(t, rig.Links.Between(lab.Cut, 0, isCut))
-	atStart, counted := lab.Swallowed()
+	rig.PeerNetwork.Set(lab.DropAll, allPairs)
+	require.NoError(t, rig.Links.SetWorkerLinks(lab.Cut, 0, isCut))
+	atStart, counted := lab.DroppedHandshakes()
 	sleep(t, 1500*time.Millisecond)
-	atHalf, _ := lab.Swallowed()
+	atHalf, _ := lab.DroppedHandshakes()
 	sleep(t, 1500*time.Millisecond)
-	atEnd, _ := lab.Swallowed()
+	atEnd, _ := lab.DroppedHandshakes()
 	rig.PeerNetwork.Set(lab.PeerLink{}, allPairs)
-	require.NoError(t, rig.Links.Between(lab.Open, 0, isCut))
+	require.NoError(t, rig.Links.SetWorkerLinks(lab.Open, 0, isCut))
 	after := sleep(t, 2*time.Second)
 	end := sleep(t, 1500*time.Millisecond)
-	rig.Quiet()
+	rig.StopClients()
 	t.Logf("handshakes lost: %d, then %d", atHalf-atStart, atEnd-atHalf)
 	if counted { // the count is of the whole machine: tests of other packages lose a few as well
 		limit := float64(atHalf-atStart)/3 + 20
 		assert.Less(t, float64(atEnd-atHalf), limit, "handshakes lost in the second half of the partition")
 	}
-	servedBefore := lab.Served(rig.Calls(nil), began, cutAt, nil)
-	servedAfter := lab.Served(rig.Calls(nil), after, end, nil)
+	servedBefore := lab.ServedShare(rig.Calls(nil), began, cutAt, nil)
+	servedAfter := lab.ServedShare(rig.Calls(nil), after, end, nil)
 	assert.Greater(t, servedAfter, 0.95*servedBefore, "share of calls served, compared with before")
-	_, full := rig.Between(after, end)
+	_, full := rig.CountRequests(after, end)
 	assert.Less(t, full, 30, "calls rejected from 2 s after the partition")
 	atCutWorkers := 0
 	for i, worker := range rig.Workers {
 		calls, _ := worker.Observations()
 		for _, call := range calls {
-			if isCut(0, i) && call.At.After(after) && call.Took {
+			if isCut(0, i) && call.At.After(after) && call.Admitted {
 				atCutWorkers++
 			}
 		}
@@ -128,11 +128,11 @@
 			rate := func(dispatcher int) float64 {
 				return 230 / float64(dispatchers) * []float64{0.25, 0.25, 0.5, 3}[dispatcher%4]
 			}
-			rig := startFleet(t, lab.RigSize{
+			rig := startFleet(t, lab.RigConfig{
 				Dispatchers: dispatchers, Workers: 12, Zones: 2, Seed: uint64(dispatchers), Figures: figures,
 				Load: lab.Load{Models: 60, Zipf: 0.8, Retries: 1}, Rate: rate,
 			})
-			rig.Send(t.Context(), nil)
+			rig.StartClients(t.Context(), nil)
 			sleep(t, 3*time.Second)
 			restarted := func(dispatcher int) bool { return dispatcher%5 == 0 }
 			for i, dispatcher := range rig.Nodes {
@@ -140,15 +140,15 @@
 					require.NoError(t, dispatcher.Kill())
 				}
 			}
-			rig.PeerNetwork.Set(lab.Lost, func(from, to int) bool { return from%5 == 1 || to%5 == 2 })
+			rig.PeerNetwork.Set(lab.DropAll, func(from, to int) bool { return from%5 == 1 || to%5 == 2 })
 			replaced := []int{0, 3, 6, 9}
 			for _, worker := range replaced {
 				require.NoError(t, rig.Replace(worker))
 			}
 			rig.Announce(func(worker int) bool { return worker%3 == 0 })
 			require.NoError(t, rig.Start(t.Context(), restarted))
-			sleep(t, figures.Worker.Warm)
-			rig.Quiet()
+			sleep(t, figures.Worker.SlowStart)
+			rig.StopClients()
 			calls := 0
 			for _, worker := range replaced {
 				seen, _ := rig.Workers[worker].Observations()
@@ -169,25 +169,25 @@
 func TestSimultaneousNewVersions(t *testing.T) {
 	const dispatchers, workers, models = 6, 8, 40
 	figures := lab.PlannerFigures()
-	figures.Worker.Keep = 3 * time.Second
+	figures.Worker.IdleTimeout = 3 * time.Second
 	load := lab.Load{Rate: 20, Models: models, Zipf: 0.6, Retries: 1}
 	rig := startFleet(t,
-		lab.RigSize{Dispatchers: dispatchers, Workers: workers, Seed: 14, Figures: figures, Load: load})
-	load.NewAt = time.Now().Add(4 * time.Second)
-	for _, client := range rig.Called {
-		client.Renew(load.NewAt)
+		lab.RigConfig{Dispatchers: dispatchers, Workers: workers, Seed: 14, Figures: figures, Load: load})
+	load.NewVersionsAt = time.Now().Add(4 * time.Second)
+	for _, client := range rig.Clients {
+		client.SetNewVersionsAt(load.NewVersionsAt)
 	}
-	rig.Send(t.Context(), nil)
-	sleep(t, time.Until(load.NewAt))
-	sleep(t, 2*figures.Worker.Keep)
-	rig.Quiet()
+	rig.StartClients(t.Context(), nil)
+	sleep(t, time.Until(load.NewVersionsAt))
+	sleep(t, 2*figures.Worker.IdleTimeout)
+	rig.StopClients()
 	renewed, loads := countLoads(t, rig, load, models)
 	t.Logf("%d loads of %d new versions", loads, renewed)
 	assert.Greater(t, renewed, models/4)
 	assert.Less(t, loads, 3*renewed, "loads of new versions")
 	assertLoadQuota(t, rig, dispatchers)
-	before := lab.Served(rig.Calls(nil), load.NewAt.Add(-2*time.Second), load.NewAt, nil)
-	after := lab.Served(rig.Calls(nil), load.NewAt, load.NewAt.Add(2*figures.Worker.Keep), nil)
+	before := lab.ServedShare(rig.Calls(nil), load.NewVersionsAt.Add(-2*time.Second), load.NewVersionsAt, nil)
+	after := lab.ServedShare(rig.Calls(nil), load.NewVersionsAt, load.NewVersionsAt.Add(2*figures.Worker.IdleTimeout), nil)
 	t.Logf("served %.3f before, %.3f after", before, after)
 	assert.Greater(t, after, before-0.05)
 	assertInvariants(t, rig)
@@ -199,7 +199,7 @@
 	t.Helper()
 	end := time.Now()
 	for rank := range models {
-		before, after := load.Version(rank)
+		before, after := load.Versions(rank)
 		if before == after {
 			continue
 		}
@@ -230,6 +230,6 @@
 	}
 	slices.SortFunc(orders, time.Time.Compare)
 	slices.SortFunc(calls, time.Time.Compare)
-	beyond := lab.OverRation(orders, calls, 5*time.Second, 6*dispatchers, 0.3, 0.15)
+	beyond := lab.LoadQuotaExcess(orders, calls, 5*time.Second, 6*dispatchers, 0.3, 0.15)
 	assert.Zero(t, beyond, "load orders beyond the quota of all dispatchers")
 }
--- a/cmd/dispatcher/fleetdrains_test.go
+++ b/cmd/dispatcher/fleetdrains_test.go
@@ -37,7 +37,7 @@
 			t.Parallel()
 			running <- struct{}{}
 			defer func() { <-running }()
-			rig := &outageRig{Rig: startFleet(t, lab.RigSize{
+			rig := &outageRig{Rig: startFleet(t, lab.RigConfig{
 				Dispatchers: test.dispatchers, Workers: test.workers, Seed: test.seed,
 				Load: lab.Load{Models: 40, Zipf: 0.8},
 				Rate: func(int) float64 { return test.callsPerSecond / float64(test.dispatchers) },
@@ -46,11 +46,11 @@
 			if test.checksHang {
 				hangChecksInDrain(rig.Workers[:4])
 			}
-			rig.Send(t.Context(), nil)
+			rig.StartClients(t.Context(), nil)
 			sleep(t, 2*time.Second)
 			rig.before = time.Now()
 			rig.lostAt = sleep(t, 3*time.Second)
-			known := rig.Disc.Known(0)
+			known := rig.Discovery.Snapshot(0)
 			withheld.begin(t, rig)
 			sleep(t, 500*time.Millisecond)
 			rig.Drain(func(worker int) bool { return worker < 2 })
@@ -64,7 +64,7 @@
 			rig.backAt = sleep(t, 3*time.Second)
 			withheld.end(t, rig)
 			rig.end = sleep(t, 3*time.Second)
-			rig.Quiet()
+			rig.StopClients()
 			const graceAndSlack = time.Second + 50*time.Millisecond
 			for _, worker := range rig.Workers[:4] {
 				calls, orders := countObservedAfter(worker, worker.Drained().Add(7*time.Second+graceAndSlack))
@@ -109,7 +109,7 @@
 func restartWith(t *testing.T, rig *lab.Rig, n int, known map[string]any) (r restart) {
 	t.Helper()
 	dispatcher := rig.Nodes[n]
-	require.NoError(t, dispatcher.Know(known))
+	require.NoError(t, dispatcher.SetKnownWorkers(known))
 	r.killed = time.Now()
 	require.NoError(t, dispatcher.Kill())
 	require.NoError(t, dispatcher.Start())
--- a/cmd/dispatcher/partition_test.go
+++ b/cmd/dispatcher/partition_test.go
@@ -18,7 +18,7 @@
 // newMesh creates a mesh of six dispatchers and two workers.
 func newMesh(t *testing.T, size lab.MeshSize) *lab.Mesh {
 	t.Helper()
-	net, err := lab.ClaimNet()
+	net, err := lab.ClaimLoopbackRange()
 	require.NoError(t, err)
 	t.Cleanup(net.Close)
 	size.Dispatchers, size.Workers, size.Slow, size.Program = 6, 2, 2, testedProgram()
@@ -36,8 +36,8 @@
 func TestTenantQuotasDuringPartitions(t *testing.T) {
 	running := make(chan struct{}, maxParallelRigs)
 	for i, fault := range []string{
-		lab.MeshHalves, lab.MeshDeaf, lab.MeshUnheard, lab.MeshNobody, lab.MeshStopped, lab.MeshKilled, lab.MeshFlap,
-		lab.MeshMangled, lab.MeshStarted,
+		lab.MeshHalves, lab.MeshInboundLost, lab.MeshOutboundLost, lab.MeshAllLost, lab.MeshStopped, lab.MeshKilled, lab.MeshFlap,
+		lab.MeshDisordered, lab.MeshLostFromStart,
 	} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
@@ -76,17 +76,17 @@
 	mesh.Run(ctx)
 	measuredFrom := sleep(t, 2500*time.Millisecond)
 	began := sleep(t, 1500*time.Millisecond)
-	require.NoError(t, mesh.Begin(ctx, fault))
+	require.NoError(t, mesh.BeginFault(ctx, fault))
 	settled := sleep(t, time.Second)
 	end := sleep(t, 2500*time.Millisecond)
 	stopCalls()
-	mesh.Heal()
-	mesh.Quiet()
+	mesh.EndFault()
+	mesh.StopClients()
 	_, before := mesh.Share("a", measuredFrom, began)
 	_, after := mesh.Share("a", settled, end)
 	return mesh, tenantOutcome{
-		servedAtFirst: mesh.Honest(began, settled),
-		served:        mesh.Honest(settled, end),
+		servedAtFirst: mesh.CompliantShare(began, settled),
+		served:        mesh.CompliantShare(settled, end),
 		floodRatio:    after / max(before, 1),
 	}
 }
@@ -148,17 +148,17 @@
 // runFault runs a fleet under a fault.
 func runFault(t *testing.T, fault string) (*lab.Rig, faultOutcome) {
 	t.Helper()
-	net, err := lab.ClaimNet()
+	net, err := lab.ClaimLoopbackRange()
 	require.NoError(t, err)
 	t.Cleanup(net.Close)
-	size := lab.RigSize{Dispatchers: 6, Workers: 12, Seed: 5, Program: testedProgram()}
+	size := lab.RigConfig{Dispatchers: 6, Workers: 12, Seed: 5, Program: testedProgram()}
 	rig, err := lab.NewOutlierRig(net, t.TempDir(), size)
 	require.NoError(t, err)
 	t.Cleanup(rig.Close)
 	ready, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
 	require.NoError(t, rig.Start(ready, nil))
-	rig.Send(t.Context(), nil)
+	rig.StartClients(t.Context(), nil)
 	measuredFrom := sleep(t, 2*time.Second)
 	began := sleep(t, 2*time.Second)
 	require.NoError(t, rig.InjectFault(t.Context(), fault))
@@ -167,12 +167,12 @@
 	if fault == lab.OutlierRecovers {
 		end = sleep(t, 3*time.Second)
 	}
-	rig.Quiet()
+	rig.StopClients()
 	workers, others := lab.AffectedBy(fault)
-	_, failed := rig.At(began, end, workers, others)
-	callsAfter, _ := rig.At(over.Add(2*time.Second), end, workers, others)
+	_, failed := rig.CallsAt(began, end, workers, others)
+	callsAfter, _ := rig.CallsAt(over.Add(2*time.Second), end, workers, others)
 	return rig, faultOutcome{
-		served:     lab.Served(rig.Calls(others), began, end, nil),
+		served:     lab.ServedShare(rig.Calls(others), began, end, nil),
 		kept:       rig.RetainedTraffic(fault, measuredFrom, began, began.Add(time.Second), end),
 		failed:     failed,
 		callsAfter: callsAfter,
@@ -184,14 +184,14 @@
 // terms.
 func TestLeadershipPassesToSurvivors(t *testing.T) {
 	t.Parallel()
-	rig := startFleet(t, lab.RigSize{
+	rig := startFleet(t, lab.RigConfig{
 		Dispatchers: 6, Workers: 12, Zones: 3, Seed: 4,
 		Load: lab.Load{Rate: 40, Models: 60, Zipf: 0.4, Retries: 1},
 	})
 	survives := func(dispatcher int) bool { return dispatcher == 1 || dispatcher == 4 }
 	ctx, stopCalls := context.WithCancel(t.Context())
 	defer stopCalls()
-	rig.Send(ctx, survives)
+	rig.StartClients(ctx, survives)
 	sleep(t, 3*time.Second)
 	for i, dispatcher := range rig.Nodes {
 		if !survives(i) {
@@ -202,8 +202,8 @@
 	from := sleep(t, 3*term)
 	end := sleep(t, 8*term)
 	stopCalls()
-	rig.Quiet()
-	gap := lab.Silence(rig.PeerNetwork.Datagrams(), survives, from, end)
+	rig.StopClients()
+	gap := lab.LongestSilence(rig.PeerNetwork.Datagrams(), survives, from, end)
 	t.Logf("longest time without a message between the survivors: %s", gap)
 	assert.Less(t, gap, 3*term/2)
 	assert.Zero(t, rig.Check(nil).Sum(), "%+v", rig.Check(nil))
@@ -224,19 +224,19 @@
 		t.Helper()
 		from := sleep(t, 2500*time.Millisecond)
 		until := sleep(t, 1500*time.Millisecond)
-		difference := mesh.Apart(from, until, pick)
+		difference := mesh.TotalsSpread(from, until, pick)
 		t.Logf("%s: totals differ by %.3f", stage, difference)
 		assert.Less(t, difference, 0.2, stage)
 	}
 	require.NoError(t, mesh.Start(ready, initial))
-	mesh.Send(t.Context(), initial)
+	mesh.StartClients(t.Context(), initial)
 	sleep(t, 4*time.Second)
 	assertAgree("three", initial)
 
 	require.NoError(t, mesh.Start(ready, added))
 	ctx, stopAdded := context.WithCancel(t.Context())
 	defer stopAdded()
-	mesh.Send(ctx, added)
+	mesh.StartClients(ctx, added)
 	assertAgree("six", nil)
 
 	const restarted = 4 // a dispatcher with few calls
@@ -254,7 +254,7 @@
 		require.NoError(t, mesh.Nodes[i].Stop())
 	}
 	assertAgree("three again", initial)
-	mesh.Quiet()
+	mesh.StopClients()
 	toRestarted := func(attempt lab.Attempt) bool { return attempt.ID[:3] == "004" }
 	assert.Zero(t, mesh.Check(toRestarted).Sum(), "%+v", mesh.Check(toRestarted))
 	assert.NoError(t, mesh.Stop())
--- a/cmd/dispatcher/scale_test.go
+++ b/cmd/dispatcher/scale_test.go
@@ -17,26 +17,26 @@
 // their calls, and all serve as before once it is reachable again. No invariant is violated.
 func TestLongListDuringPartition(t *testing.T) {
 	const models, workers = 40, 272
-	rig := startFleet(t, lab.RigSize{
+	rig := startFleet(t, lab.RigConfig{
 		Dispatchers: 4, Workers: workers, Zones: 4, Seed: 6,
 		Load: lab.Load{Rate: 50, Models: models, Retries: 1},
 	})
-	rig.PeerNetwork.Set(lab.Lost, allPairs)
-	rig.Send(t.Context(), nil)
+	rig.PeerNetwork.Set(lab.DropAll, allPairs)
+	rig.StartClients(t.Context(), nil)
 	from := sleep(t, 3*time.Second)
 	cutAt := sleep(t, 2*time.Second)
 	isCut := func(dispatcher, worker int) bool { return dispatcher < 2 && worker%4 == 0 }
-	require.NoError(t, rig.Links.Between(lab.Cut, 0, isCut))
+	require.NoError(t, rig.Links.SetWorkerLinks(lab.Cut, 0, isCut))
 	sleep(t, 2*time.Second)
-	require.NoError(t, rig.Links.Between(lab.Open, 0, isCut))
+	require.NoError(t, rig.Links.SetWorkerLinks(lab.Open, 0, isCut))
 	healed := time.Now()
 	after := sleep(t, 1500*time.Millisecond)
 	end := sleep(t, 2*time.Second)
-	rig.Quiet()
+	rig.StopClients()
 	notCut := func(dispatcher int) bool { return dispatcher >= 2 }
-	before := lab.Served(rig.Calls(nil), from, cutAt, nil)
-	during := lab.Served(rig.Calls(notCut), cutAt, healed, nil)
-	recovered := lab.Served(rig.Calls(nil), after, end, nil)
+	before := lab.ServedShare(rig.Calls(nil), from, cutAt, nil)
+	during := lab.ServedShare(rig.Calls(notCut), cutAt, healed, nil)
+	recovered := lab.ServedShare(rig.Calls(nil), after, end, nil)
 	placements, used := modelPlacements(rig, from, cutAt)
 	t.Logf("served %.3f before, %.3f at unaffected dispatchers during the partition, %.3f after; "+
 		"%d models in %d placements at %d of %d workers",
@@ -59,7 +59,7 @@
 	for i, worker := range rig.Workers {
 		calls, _ := worker.Observations()
 		for _, call := range calls {
-			if call.Took && !call.At.Before(from) && call.At.Before(until) {
+			if call.Admitted && !call.At.Before(from) && call.At.Before(until) {
 				served[placement{call.Model, i}] = true
 				used[i] = true
 			}
@@ -104,26 +104,26 @@
 	for i := range figures.Classes { // so that a new worker takes about ten calls before it is overloaded
 		figures.Classes[i].Work *= 10
 	}
-	figures.Worker.Cores, figures.Worker.Queue, figures.Worker.Warm = 1, 16, 3*time.Second
-	rig := startFleet(t, lab.RigSize{
-		Dispatchers: releaseDispatchers, Workers: releaseWorkers, Later: releaseSteps * releaseStepSize,
+	figures.Worker.Cores, figures.Worker.Queue, figures.Worker.SlowStart = 1, 16, 3*time.Second
+	rig := startFleet(t, lab.RigConfig{
+		Dispatchers: releaseDispatchers, Workers: releaseWorkers, LaterWorkers: releaseSteps * releaseStepSize,
 		Zones: 4, Seed: 9, Figures: figures,
-		Load: lab.Load{Rate: 50, Models: 150, Zipf: 0.4, Turn: 3 * time.Second, Retries: 2},
+		Load: lab.Load{Rate: 50, Models: 150, Zipf: 0.4, PopularityPeriod: 3 * time.Second, Retries: 2},
 	})
 	r := &release{Rig: rig, figures: figures}
-	r.Send(t.Context(), nil)
+	r.StartClients(t.Context(), nil)
 	from := sleep(t, time.Second)
 	r.began = sleep(t, 2*time.Second)
 	r.run(t)
 	r.over = time.Now()
 	r.after = sleep(t, 1500*time.Millisecond)
 	r.end = sleep(t, 2*time.Second)
-	r.Quiet()
+	r.StopClients()
 
 	calls := r.callsToRunning()
-	before := lab.Served(calls, from, r.began, nil)
-	during := lab.Served(calls, r.began, r.over, nil)
-	after := lab.Served(calls, r.after, r.end, nil)
+	before := lab.ServedShare(calls, from, r.began, nil)
+	during := lab.ServedShare(calls, r.began, r.over, nil)
+	after := lab.ServedShare(calls, r.after, r.end, nil)
 	seen := r.seenByWorkers()
 	t.Logf("served %.3f before, %.3f during a release of %s, %.3f after; %d non-idempotent calls ran during it; "+
 		"then %d of %d calls came to new workers, %d to drained ones; "+
@@ -186,7 +186,7 @@
 	crossed := 0
 	for _, call := range r.Calls(nil) {
 		for _, attempt := range call.Attempts {
-			if attempt.Crossed {
+			if attempt.CrossedClose {
 				crossed++
 			}
 		}
@@ -215,7 +215,7 @@
 		for _, call := range seen {
 			during := !call.At.Before(r.began) && call.At.Before(r.over)
 			switch {
-			case during && call.Took && r.figures.Classes[call.Class].NotIdempotent:
+			case during && call.Admitted && r.figures.Classes[call.Class].NotIdempotent:
 				result.nonIdempotent++
 			case !call.At.Before(r.after) && call.At.Before(r.end):
 				result.afterwards++
--- a/cmd/dispatcher/startup_test.go
+++ b/cmd/dispatcher/startup_test.go
@@ -84,12 +84,12 @@
 }
 
 // startLabWorker starts a stub worker and returns it with its entry in the endpoint list.
-func startLabWorker(t *testing.T, id string) (*lab.StubWorker, lab.Listed) {
+func startLabWorker(t *testing.T, id string) (*lab.StubWorker, lab.ListEntry) {
 	t.Helper()
 	started := time.Now().Add(-time.Hour)
 	worker, err := lab.StartStubWorker(id, unusedAddr(t), lab.PlannerFigures(), started)
 	require.NoError(t, err)
-	entry := lab.Listed{ID: id, Addr: worker.Addr, Phase: lab.Ready, Size: 2, UpSince: started.UnixMilli()}
+	entry := lab.ListEntry{ID: id, Addr: worker.Addr, Phase: lab.Ready, Size: 2, UpSince: started.UnixMilli()}
 	return worker, entry
 }
 
@@ -106,12 +106,12 @@
 func TestStartsWithoutDiscovery(t *testing.T) {
 	t.Parallel()
 	discovery := lab.NewDiscovery("e1")
-	discovery.Heart = 50 * time.Millisecond
+	discovery.HeartbeatInterval = 50 * time.Millisecond
 	defer discovery.Down()
 	n, err := discovery.Listen("127.0.0.1:0")
 	require.NoError(t, err)
 	stays, stayingEntry := startLabWorker(t, "s-00000001")
-	defer stays.Die()
+	defer stays.Kill()
 	dies, dyingEntry := startLabWorker(t, "s-00000002")
 	discovery.Publish(stayingEntry, dyingEntry)
 	folder, addr := t.TempDir(), unusedAddr(t)
@@ -127,7 +127,7 @@
 	program.stop()
 
 	discovery.Down()
-	dies.Die()
+	dies.Kill()
 	program = startDaemon(t, config, "serve", "--config", options)
 	program.log.await(`msg="starting from cached endpoint list" name=n0 endpoints=2`)
 	awaitReady(t, http.DefaultClient, addr)
@@ -136,9 +136,9 @@
 		assert.Contains(t, []int{200, 503}, status)
 	}
 	added, addedEntry := startLabWorker(t, "s-00000003")
-	defer added.Die()
+	defer added.Kill()
 	require.NoError(t, discovery.Up())
-	discovery.StartOver("e2")
+	discovery.StartEpoch("e2")
 	dyingEntry.Phase = lab.Removed
 	discovery.Publish(dyingEntry, addedEntry)
 	program.log.await("endpoint watch restored")
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -77,7 +77,7 @@
 			"parted by commas")
 	keep := c.Flags().Bool("keep", false, "leave the run's files, with the dispatchers' logs, and say where they are")
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		clean, err := lab.Scratch(&o)
+		clean, err := lab.MakeTempDir(&o)
 		if err != nil {
 			return err
 		}
@@ -98,7 +98,7 @@
 		if err != nil {
 			return err
 		}
-		if n := rep.Broken(); n > 0 {
+		if n := rep.BrokenBounds(); n > 0 {
 			return fmt.Errorf("%w: %d of %d bounds do not hold", errChecksFailed, n, len(rep.Bounds))
 		}
 		return nil
--- a/cmd/testbed/soak.go
+++ b/cmd/testbed/soak.go
@@ -30,7 +30,7 @@
 	c.Flags().StringVar(&replay, "replay", "", "play the schedule in this file")
 	c.Flags().StringVar(&o.Dir, "dir", "", "folder for the runs' files, left there; empty: one of its own")
 	c.RunE = func(c *cobra.Command, _ []string) (err error) {
-		if o.Only, err = soak.ParseKinds(kinds); err != nil {
+		if o.Kinds, err = soak.ParseKinds(kinds); err != nil {
 			return err
 		}
 		if *quick {
@@ -63,7 +63,7 @@
 	}
 	o.Program = lab.Program{Path: self, Args: []string{"dispatch"}}
 	o.Progress = func(f string, args ...any) { fmt.Fprintf(c.ErrOrStderr(), f+"\n", args...) }
-	campaign, err := soak.Play(c.Context(), o)
+	campaign, err := soak.RunCampaign(c.Context(), o)
 	if campaign != nil {
 		campaign.Print(c.OutOrStdout())
 	}
--- a/cmd/testbed/soak_test.go
+++ b/cmd/testbed/soak_test.go
@@ -41,7 +41,7 @@
 	assert.Empty(t, r.Violations)
 	assert.Greater(t, r.Served, 100, "of %d requests", r.Requests)
 	_, err = soak.Run(t.Context(), s, dir, program)
-	assert.ErrorIs(t, err, soak.ErrUsed)
+	assert.ErrorIs(t, err, soak.ErrRunDirExists)
 }
 
 // Short runs drawn from seeds have no violations: series of signals, with SIGKILL as early as the
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -36,8 +36,8 @@
 	ProbeWork float64 `json:"probe_work_s"` // core seconds of an executor per check, 0.19 to 0.6 ms: BRIEF-oakthread
 }
 
-// Letter returns the plan stated in the operators' requirements.
-func Letter() Plan {
+// OperatorPlan returns the plan stated in the operators' requirements.
+func OperatorPlan() Plan {
 	return Plan{
 		Dispatchers: 1900, Instances: 230_000, Functions: 48_000, Calls: 380_000, Regions: 4, Zones: 10,
 		Changes: 5100, Machines: 17,
@@ -56,8 +56,8 @@
 	LoadWait float64 `json:"cold_start_s"` // seconds that a call may wait for a load, p99
 }
 
-// LetterBudgets returns the budgets stated in the operators' requirements.
-func LetterBudgets() Budgets {
+// OperatorBudgets returns the budgets stated in the operators' requirements.
+func OperatorBudgets() Budgets {
 	return Budgets{Core: 0.045, Memory: 256e6, Bytes: 2000, InForce: 12, LoadWait: 1}
 }
 
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -33,7 +33,7 @@
 	s := Slopes{}
 	for {
 		n := len(s)
-		for _, r := range Rows(Letter(), LetterBudgets(), s) {
+		for _, r := range Rows(OperatorPlan(), OperatorBudgets(), s) {
 			for _, name := range append(r.MissingSlopes, r.Slopes...) {
 				s[name] = slope(10, 0.5, 100)
 			}
@@ -130,7 +130,7 @@
 		{"../../balancer", "syncPeers", "3", consts.syncPeers, 3},
 		{"../../balancer", "countsPerHolder", "8", consts.countsPerHolder, 8},
 		{"../../outlier", "maxEjectionFactor", "8", consts.maxEjectionFactor, 8},
-		{"../../endpoints", "defaultHealthCheckRate", "300", Letter().ProbeRate, 300},
+		{"../../endpoints", "defaultHealthCheckRate", "300", OperatorPlan().ProbeRate, 300},
 	} {
 		assert.Equal(t, c.source, constants(t, c.folder)[c.name], "%s in %s", c.name, c.folder)
 		assert.InDelta(t, c.want, c.value, 1e-12, c.name)
@@ -164,7 +164,7 @@
 		assert.Less(t, a.Low, a.High, a.Name)
 		assert.NotEmpty(t, a.Why, a.Name)
 	}
-	c := Base(Letter())
+	c := Base(OperatorPlan())
 	assert.InDelta(t, 200, c.CallsEach(), 1e-9)
 	assert.InDelta(t, 9600, c.Listed(), 1e-9)
 	for _, d := range []Dimension{Fleet, Dispatchers} {
@@ -188,7 +188,7 @@
 		Command: "testbed run capacity --only executors",
 	}
 	s["heap/executors"], s["heap/functions"] = slope(0, 1e4, 100), slope(992_000, 2, 4000)
-	rows := Rows(Letter(), LetterBudgets(), s)
+	rows := Rows(OperatorPlan(), OperatorBudgets(), s)
 	for _, c := range []struct {
 		role, what        string
 		want, usedUpAt    float64
@@ -255,7 +255,7 @@
 // budget limits the rate of reports. If all holders are known, maintenance rounds limit it to one
 // every 50 ms.
 func TestReportRateIsLimitedByPriceAndRounds(t *testing.T) {
-	c := Base(Letter())
+	c := Base(OperatorPlan())
 	for _, calls := range []float64{20, 200} {
 		rate, p := c.reportRate(calls)
 		assert.InDelta(t, 0.005*calls/(0.021/256*float64(p.Total)), rate, 1e-9)
@@ -273,7 +273,7 @@
 func TestOrderOfRows(t *testing.T) {
 	s := allSlopes()
 	delete(s, "heap/executors")
-	rows := Rows(Letter(), LetterBudgets(), s)
+	rows := Rows(OperatorPlan(), OperatorBudgets(), s)
 	rank, head := -1, 0.0
 	found := map[int]int{}
 	for _, r := range rows {
@@ -314,7 +314,7 @@
 	full := allSlopes()
 	names := 0
 	for _, none := range []Slopes{nil, {"cpu.choice/choice": {Base: 600, Command: "x"}}} {
-		for _, r := range Rows(Letter(), LetterBudgets(), none) {
+		for _, r := range Rows(OperatorPlan(), OperatorBudgets(), none) {
 			if len(r.MissingSlopes) == 0 {
 				assert.True(t, r.Measured(), r.What)
 				assert.Equal(t, arithmetic, r.Command, r.What)
@@ -340,14 +340,14 @@
 				less[k] = v
 			}
 		}
-		for _, r := range Rows(Letter(), LetterBudgets(), less) {
+		for _, r := range Rows(OperatorPlan(), OperatorBudgets(), less) {
 			if len(r.MissingSlopes) > 0 {
 				assert.False(t, r.Measured(), "%s without %s", r.What, name)
 			}
 			assert.NotContains(t, r.Slopes, name)
 		}
 	}
-	few := Rows(Letter(), LetterBudgets(), Slopes{"cpu.choice/choice": slope(1, 1, 1)})
+	few := Rows(OperatorPlan(), OperatorBudgets(), Slopes{"cpu.choice/choice": slope(1, 1, 1)})
 	r := find(t, few, dispatcher, "processor time: all control together")
 	assert.False(t, r.Measured())
 	assert.Contains(t, r.MissingSlopes, "cpu.upkeep/executors")
@@ -355,7 +355,7 @@
 
 func TestAssumptionsVariedSpanTheValue(t *testing.T) {
 	varied := 0
-	for _, r := range Rows(Letter(), LetterBudgets(), allSlopes()) {
+	for _, r := range Rows(OperatorPlan(), OperatorBudgets(), allSlopes()) {
 		require.True(t, r.Measured(), "%s: %s", r.Role, r.What)
 		assert.LessOrEqual(t, float64(r.Low), float64(r.Value), r.What)
 		assert.LessOrEqual(t, float64(r.Value), float64(r.High), r.What)
@@ -368,7 +368,7 @@
 
 // At the size that UsedUpAt gives a row is over its budget, and slightly below it is not.
 func TestUsedUpAtIsTheFirstCrossing(t *testing.T) {
-	s, base, b := allSlopes(), Base(Letter()), LetterBudgets()
+	s, base, b := allSlopes(), Base(OperatorPlan()), OperatorBudgets()
 	n := 0
 	for _, x := range specs(base, b) {
 		r := x.row(base, b, s)
@@ -414,7 +414,7 @@
 }
 
 func TestMarkdown(t *testing.T) {
-	rows := Rows(Letter(), LetterBudgets(), allSlopes())
+	rows := Rows(OperatorPlan(), OperatorBudgets(), allSlopes())
 	table := Markdown(rows)
 	assert.Equal(t, len(rows)+2, strings.Count(table, "\n"))
 	for _, l := range strings.Split(strings.TrimSpace(table), "\n") {
@@ -427,7 +427,7 @@
 	assert.Equal(t, len(allSlopes())+2, strings.Count(MarkdownSlopes(allSlopes()), "\n"))
 	assert.Equal(t, 2, strings.Count(MarkdownSlopes(Slopes{"x/calls": {}}), "\n"),
 		"a slope without a curve is not listed")
-	assert.Equal(t, len(Exceeded(rows))+2, strings.Count(MarkdownMissing(rows), "\n"))
+	assert.Equal(t, len(Exceeded(rows))+2, strings.Count(MarkdownExceeded(rows), "\n"))
 	assert.Equal(t, len(Assumptions())+2, strings.Count(MarkdownAssumptions(), "\n"))
 	for _, c := range []struct {
 		f    Figure
@@ -454,7 +454,7 @@
 	page := string(raw)
 	assert.Contains(t, page, MarkdownAssumptions())
 	checked := 0
-	rows := Rows(Letter(), LetterBudgets(), nil)
+	rows := Rows(OperatorPlan(), OperatorBudgets(), nil)
 	for _, r := range rows {
 		if r.Measured() {
 			checked++
--- a/internal/capacity/markdown.go
+++ b/internal/capacity/markdown.go
@@ -43,8 +43,8 @@
 	return b.String()
 }
 
-// MarkdownMissing returns the rows of Exceeded, in its order, as a Markdown table.
-func MarkdownMissing(rows []Row) string {
+// MarkdownExceeded returns the rows of Exceeded, in its order, as a Markdown table.
+func MarkdownExceeded(rows []Row) string {
 	var b strings.Builder
 	b.WriteString("| | used up at | what | headroom | mechanism |\n| --- | --- | --- | --- | --- |\n")
 	for i, r := range Exceeded(rows) {
--- a/internal/capacity/module_test.go
+++ b/internal/capacity/module_test.go
@@ -103,7 +103,7 @@
 			}},
 			TenantQuota: make([]float64, tenants), DispatcherIndex: 3, Dispatchers: dispatchers, ClockResolution: 4e6,
 			MaxAttempts: 5,
-			Gossip:      true, PeerPrice: Base(Letter()).PeerPrice, KeepAlive: 10e9, LoadsOnMiss: true,
+			Gossip:      true, PeerPrice: Base(OperatorPlan()).PeerPrice, KeepAlive: 10e9, LoadsOnMiss: true,
 		}
 		var err error
 		h.d, err = balancer.New(h.now, s, 1, h)
@@ -129,7 +129,7 @@
 		reports, chars = 0, 0
 		const seconds = 4
 		run(h, h.now+seconds*1e9)
-		c := Base(Letter())
+		c := Base(OperatorPlan())
 		c.Executors, c.Dispatchers, c.Figures = executors, dispatchers, tenants+2
 		rate, p := c.reportRate(float64(calls))
 		t.Logf("%d calls/s: %.3g reports/s of %.3g characters; computed %.3g of %d", calls,
--- a/internal/lab/before.go
+++ b/internal/lab/before.go
@@ -16,8 +16,8 @@
 	"strings"
 )
 
-// Ours returns the current program: the file dispatcher in the directory of this executable.
-func Ours() (Program, error) {
+// CurrentProgram returns the current program: the file dispatcher in the directory of this executable.
+func CurrentProgram() (Program, error) {
 	self, err := os.Executable()
 	if err != nil {
 		return Program{}, err
@@ -29,22 +29,22 @@
 	return Program{Path: path, Args: []string{"serve"}}, nil
 }
 
-// both returns the program of an earlier version (options.Before, or else commit) and the current
+// programPair returns the program of an earlier version (options.Before, or else commit) and the current
 // one.
-func both(ctx context.Context, options Options, commit string) (programs [2]Program, err error) {
+func programPair(ctx context.Context, options Options, commit string) (programs [2]Program, err error) {
 	if options.Before != "" {
 		commit = options.Before
 	}
-	if programs[0], err = Before(ctx, ".", options.Dir, commit); err != nil {
+	if programs[0], err = EarlierProgram(ctx, ".", options.Dir, commit); err != nil {
 		return programs, err
 	}
-	programs[1], err = Ours()
+	programs[1], err = CurrentProgram()
 	return programs, err
 }
 
-// Before returns the program of an earlier version. what is the path of a program file, or a commit
+// EarlierProgram returns the program of an earlier version. what is the path of a program file, or a commit
 // of the repository at root, which is built under dir.
-func Before(ctx context.Context, root, dir, what string) (Program, error) {
+func EarlierProgram(ctx context.Context, root, dir, what string) (Program, error) {
 	if info, err := os.Stat(what); err == nil && !info.IsDir() {
 		path, err := filepath.Abs(what)
 		return Program{Path: path, Args: []string{"serve"}}, err
@@ -118,7 +118,7 @@
 	sizes              []int  // dispatchers
 	seeds              int
 	faults             []string
-	run                func(net *Net, dir, fault string, size RigSize) (*T, error) // one arm
+	run                func(net *LoopbackRange, dir, fault string, size RigConfig) (*T, error) // one arm
 	report             func(rep *Report, name, fault string, pair [2]*T)
 }
 
@@ -129,11 +129,11 @@
 	if err != nil {
 		return nil, err
 	}
-	programs, err := both(ctx, options, v.before)
+	programs, err := programPair(ctx, options, v.before)
 	if err != nil {
 		return nil, err
 	}
-	net, err := ClaimNet()
+	net, err := ClaimLoopbackRange()
 	if err != nil {
 		return nil, err
 	}
@@ -147,9 +147,9 @@
 				seed := options.Seed + uint64(s)
 				name := fmt.Sprintf("%d, seed %d, %s: ", n, seed, fault)
 				options.Log("%s", name)
-				pair, err := beside(func(arm int) (*T, error) {
+				pair, err := runBothArms(func(arm int) (*T, error) {
 					return v.run(net, filepath.Join(options.Dir, fmt.Sprintf("%d-%d-%d-%d", n, i, s, arm)), fault,
-						RigSize{Dispatchers: n, Program: programs[arm], Group: arm, Seed: seed})
+						RigConfig{Dispatchers: n, Program: programs[arm], AddrGroup: arm, Seed: seed})
 				})
 				if err != nil {
 					return nil, fmt.Errorf("%s%w", name, err)
@@ -161,8 +161,8 @@
 	return rep, nil
 }
 
-// beside runs both arms of an experiment at the same time.
-func beside[T any](run func(arm int) (*T, error)) (pair [2]*T, err error) {
+// runBothArms runs both arms of an experiment at the same time.
+func runBothArms[T any](run func(arm int) (*T, error)) (pair [2]*T, err error) {
 	errs := make(chan error, len(pair))
 	for arm := range pair {
 		go func() {
--- a/internal/lab/cachedlist.go
+++ b/internal/lab/cachedlist.go
@@ -49,7 +49,7 @@
 	rep := &Report{Name: "kept-list", Seed: options.Seed, Arms: cachedListArmNames, Note: fmt.Sprintf(
 		"%d dispatchers (processes), %d boxes (sockets in one process), %.0f calls/s, lists 0 s to 6 h old",
 		size.dispatchers, size.workers, size.rate)}
-	net, err := ClaimNet()
+	net, err := ClaimLoopbackRange()
 	if err != nil {
 		return nil, err
 	}
@@ -96,7 +96,7 @@
 
 // cachedListArm runs one arm of the experiment.
 func cachedListArm(
-	ctx context.Context, options Options, net *Net, arm int, size cachedListPlan,
+	ctx context.Context, options Options, net *LoopbackRange, arm int, size cachedListPlan,
 ) (*cachedListResult, error) {
 	w := &cachedListWorld{f: PlannerFigures()}
 	defer w.close()
--- a/internal/lab/cachedlistcount.go
+++ b/internal/lab/cachedlistcount.go
@@ -74,13 +74,13 @@
 // those in flight at its crash, and records how long it took from its restart until it was ready.
 func (w *cachedListWorld) countDispatcher(result *cachedListResult, dispatcher *Dispatcher, calls []*Call) {
 	lost, wrong := Unanswered(calls, func(attempt Attempt) bool {
-		return attempt.Sent.Before(dispatcher.Killed[0].Add(50*time.Millisecond)) &&
-			attempt.Ended.After(dispatcher.Killed[0])
+		return attempt.Sent.Before(dispatcher.KillTimes[0].Add(50*time.Millisecond)) &&
+			attempt.Ended.After(dispatcher.KillTimes[0])
 	})
 	result.unanswered, result.wrong = result.unanswered+lost, result.wrong+wrong
-	for i := range dispatcher.Ready {
+	for i := range dispatcher.ReadyTimes {
 		if i > 0 {
-			result.maxReadyTime = max(result.maxReadyTime, dispatcher.Ready[i].Sub(dispatcher.Began[i]))
+			result.maxReadyTime = max(result.maxReadyTime, dispatcher.ReadyTimes[i].Sub(dispatcher.StartTimes[i]))
 		}
 	}
 }
@@ -93,7 +93,7 @@
 		calls, _ := worker.Observations()
 		var in []time.Time
 		for _, observation := range calls {
-			if observation.Took && observation.At.After(from) && observation.At.Before(until) {
+			if observation.Admitted && observation.At.After(from) && observation.At.Before(until) {
 				in = append(in, observation.At)
 			}
 		}
@@ -115,29 +115,29 @@
 	for i, worker := range append(append([]*StubWorker(nil), w.workers...), w.replacements...) {
 		calls, _ := worker.Observations()
 		all = append(all, calls)
-		if worker.Fallen() {
+		if worker.Collapsed() {
 			result.collapsed++
 		}
 		var times []time.Time
 		ends := 0
 		for _, observation := range calls {
-			if observation.Took && observation.At.After(restarted) && observation.At.Before(restarted.Add(window)) {
+			if observation.Admitted && observation.At.After(restarted) && observation.At.Before(restarted.Add(window)) {
 				times = append(times, observation.At)
 			}
-			if observation.Took && observation.At.After(final) {
+			if observation.Admitted && observation.At.After(final) {
 				ends++
 			}
 		}
 		switch {
 		case i >= len(w.workers):
 			freshEnd += ends
-		case w.faults[i] == stays:
+		case w.faults[i] == faultNone:
 			staying = append(staying, times)
 			total += len(times)
 			oldEnd += ends
 			olds++
 		case w.faults[i] == faultDrains:
-			result.lateSends += w.late(worker, calls)
+			result.lateSends += w.lateSends(worker, calls)
 		}
 	}
 	result.twice = RunTwice(w.f, all...)
@@ -149,8 +149,8 @@
 		math.Max(float64(oldEnd)/float64(max(1, olds)), 1e-9)
 }
 
-// late counts the calls sent to a draining worker after the permitted delay.
-func (w *cachedListWorld) late(worker *StubWorker, calls []ObservedCall) int {
+// lateSends counts the calls sent to a draining worker after the permitted delay.
+func (w *cachedListWorld) lateSends(worker *StubWorker, calls []ObservedCall) int {
 	return LateSends(notifiedTimes(w.disc, len(w.dispatcher), worker.ID), calls)
 }
 
@@ -204,9 +204,9 @@
 	rep.AtMost("peak second of a box, over that with discovery up", ours.peak/math.Max(up.peak, 1e-9), 1.35)
 }
 
-// Scratch creates a temporary directory for a run, sets o.Dir to it, and returns a function that
+// MakeTempDir creates a temporary directory for a run, sets o.Dir to it, and returns a function that
 // removes it.
-func Scratch(o *Options) (func(), error) {
+func MakeTempDir(o *Options) (func(), error) {
 	dir, err := os.MkdirTemp("", "testbed-*")
 	if err != nil {
 		return nil, err
--- a/internal/lab/cachedlistsim.go
+++ b/internal/lab/cachedlistsim.go
@@ -56,7 +56,7 @@
 		f: figures, byID: map[balancer.WorkerID]*simWorker{}, popular: newZipf(8*workers, 0.4),
 		simGossip: simGossip{price: peerPrice},
 		load: Load{
-			Rate: rate / float64(dispatchers), Models: 8 * workers, Zipf: 0.4, Turn: 12 * time.Second, Retries: 2,
+			Rate: rate / float64(dispatchers), Models: 8 * workers, Zipf: 0.4, PopularityPeriod: 12 * time.Second, Retries: 2,
 		},
 	}
 	w.now = time.Unix(1_800_000_000, 0)
@@ -101,7 +101,7 @@
 // replaceFourInTen applies a fault to four workers of each complete ten.
 func (w *simWorld) replaceFourInTen() {
 	for i, worker := range w.workers[:len(w.workers)/10*10] {
-		if worker.fate = faultOf(i); worker.fate == faultDrains {
+		if worker.fault = faultOf(i); worker.fault == faultDrains {
 			worker.model.Drain()
 		}
 	}
@@ -112,7 +112,7 @@
 func (w *simWorld) cachedListResult(crashed, back time.Time, watch time.Duration) *cachedListSimResult {
 	result := &cachedListSimResult{twice: w.twice, late: w.late, peak: w.peakAtRemaining(back, watch)}
 	for _, worker := range w.workers {
-		if worker.model.Fallen() {
+		if worker.model.Collapsed() {
 			result.fallen++
 		}
 	}
@@ -139,7 +139,7 @@
 func (w *simWorld) peakAtRemaining(from time.Time, span time.Duration) float64 {
 	total, staying, most := 0, 0, 0
 	for _, worker := range w.workers {
-		if worker.fate != stays {
+		if worker.fault != faultNone {
 			continue
 		}
 		var in []time.Time
--- a/internal/lab/cachedlistworld.go
+++ b/internal/lab/cachedlistworld.go
@@ -18,7 +18,7 @@
 	workers      []*StubWorker // the listed ones
 	faults       []int
 	replacements []*StubWorker
-	listed       []Listed
+	listed       []ListEntry
 	dispatcher   []*Dispatcher
 	clients      []*Clients
 	closers      []func()
@@ -26,19 +26,19 @@
 
 // Faults of a worker that a cached list contains.
 const (
-	stays = iota
-	refuses
-	vanishes
+	faultNone = iota
+	faultRefuses
+	faultVanishes
 	faultAddressReused
 	faultDrains
-	cutOff // connections are never established
+	faultCutOff // connections are never established
 )
 
 func faultOf(i int) int {
 	if i%10 < 4 {
-		return refuses + i%10
+		return faultRefuses + i%10
 	}
-	return stays
+	return faultNone
 }
 
 // crash kills all dispatchers and, in the arms that read them again, moves the times of their
@@ -72,7 +72,7 @@
 		_ = dispatcher.Kill()
 	}
 	for _, worker := range append(w.workers, w.replacements...) {
-		worker.Die()
+		worker.Kill()
 	}
 	for _, c := range w.closers {
 		c()
@@ -82,9 +82,9 @@
 	}
 }
 
-func listing(worker *StubWorker, room int, up time.Time) Listed {
-	return Listed{
-		ID: worker.ID, Addr: worker.Addr, Room: []string{"north-room", "south-room"}[room%2], Flavor: "std-2core",
+func listing(worker *StubWorker, room int, up time.Time) ListEntry {
+	return ListEntry{
+		ID: worker.ID, Addr: worker.Addr, Zone: []string{"north-room", "south-room"}[room%2], Flavor: "std-2core",
 		Phase:   Ready,
 		Size:    2,
 		UpSince: up.UnixMilli(),
@@ -92,7 +92,7 @@
 }
 
 // build starts the workers and discovery, and writes the files of the dispatchers.
-func (w *cachedListWorld) build(net *Net, arm int, dir string, size cachedListPlan, seed uint64) error {
+func (w *cachedListWorld) build(net *LoopbackRange, arm int, dir string, size cachedListPlan, seed uint64) error {
 	w.disc = NewDiscovery("e1")
 	old := time.Now().Add(-time.Hour)
 	for i := range size.workers {
@@ -116,9 +116,9 @@
 		if arm == armNaive || arm == armOurs {
 			operators = "[list]\npath = \"list.db\"\n"
 		}
-		dispatcher, err := Lay(DispatcherFiles{
+		dispatcher, err := WriteDispatcherFiles(DispatcherFiles{
 			Dir: dir, N: n, Addr: net.Addr(arm*3+1, n, 9200), Settings: w.f.Settings(n, len(peers)), Peers: peers,
-			Channel: w.disc.Addr(n), Operators: operators,
+			Channel: w.disc.Addr(n), OperatorConfig: operators,
 		})
 		if err != nil {
 			return err
@@ -126,7 +126,7 @@
 		w.dispatcher = append(w.dispatcher, dispatcher)
 		w.clients = append(w.clients, NewClients(w.f, n, dispatcher.Addr, Load{
 			Rate: size.rate / float64(size.dispatchers), Models: 8 * size.workers, Zipf: 0.4,
-			Turn: 12 * time.Second, Retries: 2, Seed: seed,
+			PopularityPeriod: 12 * time.Second, Retries: 2, Seed: seed,
 		}))
 	}
 	for _, dispatcher := range w.dispatcher {
@@ -179,27 +179,27 @@
 
 // replace removes four workers in ten, in four different ways, and starts as many new ones that no
 // cached list contains.
-func (w *cachedListWorld) replace(net *Net, arm int) error {
-	var changed []Listed
+func (w *cachedListWorld) replace(net *LoopbackRange, arm int) error {
+	var changed []ListEntry
 	now := time.Now()
 	for i, worker := range w.workers {
-		if w.faults[i] == stays {
+		if w.faults[i] == faultNone {
 			continue
 		}
 		addr := net.Addr(arm*3+2, i, 9100)
 		departed := w.listed[i]
 		departed.Phase = Removed
 		switch w.faults[i] {
-		case refuses:
-			worker.Die()
-		case vanishes:
-			end, err := worker.Vanish()
+		case faultRefuses:
+			worker.Kill()
+		case faultVanishes:
+			end, err := worker.GoSilent()
 			if err != nil {
 				return err
 			}
 			w.closers = append(w.closers, end)
 		case faultAddressReused:
-			worker.Die()
+			worker.Kill()
 			addr = worker.Addr
 		case faultDrains:
 			worker.Change(func(m *WorkerModel) { m.Drain() })
--- a/internal/lab/calibrate.go
+++ b/internal/lab/calibrate.go
@@ -70,7 +70,7 @@
 // bounds; message bytes and weighted value have. A run takes about 30 s, or 70 s if options.Quick
 // is false. It returns an error if the program is not found beside this executable or a run fails.
 func Calibrate(ctx context.Context, options Options) (*Report, error) {
-	program, err := Ours()
+	program, err := CurrentProgram()
 	if err != nil {
 		return nil, fmt.Errorf("calibration: %w", err)
 	}
@@ -100,7 +100,7 @@
 				"each, %d functions, a list that stands still, %v",
 			c.calls, c.functions, c.span),
 	}
-	net, err := ClaimNet()
+	net, err := ClaimLoopbackRange()
 	if err != nil {
 		return nil, fmt.Errorf("calibration: %w", err)
 	}
@@ -134,7 +134,7 @@
 // reals runs fleets of real processes at the same time, each with its own addresses, and returns
 // the mean costs of equal fleets. A fleet that fails cancels the others.
 func (c *calibration) reals(
-	ctx context.Context, net *Net, options Options, fleets []fleetShape,
+	ctx context.Context, net *LoopbackRange, options Options, fleets []fleetShape,
 ) (map[fleetShape]*costs, error) {
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
--- a/internal/lab/calibratereal.go
+++ b/internal/lab/calibratereal.go
@@ -15,11 +15,11 @@
 
 // real runs real processes: one second without calls, then the warm-up and the span.
 func (c *calibration) real(
-	ctx context.Context, net *Net, dir string, group int, fleet fleetShape, seed uint64,
+	ctx context.Context, net *LoopbackRange, dir string, group int, fleet fleetShape, seed uint64,
 ) (*costs, error) {
 	figures := hollowFigures(c.size(fleet))
-	rig, err := NewRig(net, dir, RigSize{
-		Dispatchers: fleet.dispatchers, Workers: fleet.executors, Figures: figures, Program: c.program, Group: group,
+	rig, err := NewRig(net, dir, RigConfig{
+		Dispatchers: fleet.dispatchers, Workers: fleet.executors, Figures: figures, Program: c.program, AddrGroup: group,
 		Zones: calibrateZones, Seed: seed, Load: Load{Rate: c.calls, Models: c.functions, Retries: 2},
 		Settings: func(_ int, s map[string]any) { s["prices"].(map[string]any)["peer"] = peerPrice },
 	})
@@ -36,7 +36,7 @@
 	if err != nil {
 		return nil, err
 	}
-	rig.Quiet()
+	rig.StopClients()
 	x, err := processCosts(rig, samples)
 	if err != nil {
 		return nil, err
@@ -66,7 +66,7 @@
 			return samples, err
 		}
 		if i == 1 {
-			rig.Send(ctx, nil)
+			rig.StartClients(ctx, nil)
 		}
 	}
 	return samples, nil
@@ -93,7 +93,7 @@
 			unserved++
 		}
 	}
-	for _, k := range rig.Called {
+	for _, k := range rig.Clients {
 		x.lag = max(x.lag, k.MaxLag().Seconds())
 	}
 	if x.calls == 0 {
--- a/internal/lab/capacity.go
+++ b/internal/lab/capacity.go
@@ -35,10 +35,10 @@
 	letterSection        = "letter"       // section: the dispatchers and calls that the operators require
 	zipfSection          = "zipf"         // section: functions drawn by a Zipf law
 	messagesDimension    = "words"        // dimension without runs of its own: messages received
-	serviceAt            = "service"      // section: busy fleets, with the full scan of the list and without
+	serviceSection       = "service"      // section: busy fleets, with the full scan of the list and without
 	faultsSection        = "faults"       // section: faults in a large fleet
 	calibrationSection   = "calibration"  // section: real processes against hollow dispatchers
-	noWalk               = -1             // for balancer.Settings.FullScanLimit: no list is scanned completely
+	neverFullScan        = -1             // for balancer.Settings.FullScanLimit: no list is scanned completely
 )
 
 // ErrDimension reports a name that is no dimension or section of the experiment capacity: invalid
@@ -164,7 +164,7 @@
 		run  func(context.Context) error
 	}{
 		{choiceSection, c.choice},
-		{serviceAt, c.service},
+		{serviceSection, c.service},
 		{zipfSection, c.zipf},
 		{faultsSection, c.faults},
 		{largestSection, c.largest},
@@ -324,7 +324,7 @@
 	size := p.choice
 	size.Executors, size.Before = n, before
 	if !before && n <= shortList {
-		size.Walk = noWalk
+		size.Walk = neverFullScan
 	}
 	return size
 }
--- a/internal/lab/capacity_test.go
+++ b/internal/lab/capacity_test.go
@@ -191,7 +191,7 @@
 	predicted := log.index("foretold at 50 dispatchers, 60 executors", "heap")
 	require.GreaterOrEqual(t, predicted, 0)
 	assert.Less(t, predicted, first[plan.largest])
-	assert.Zero(t, rep.Broken(), "%+v", rep.Bounds)
+	assert.Zero(t, rep.BrokenBounds(), "%+v", rep.Bounds)
 	c := rep.Detail.(*Capacity)
 	for _, slope := range c.Slopes {
 		if slope.Size == "executors" && slope.Name == "heap" {
--- a/internal/lab/capacityoutput.go
+++ b/internal/lab/capacityoutput.go
@@ -52,9 +52,9 @@
 func (c *Capacity) Print(w io.Writer) {
 	c.print(w)
 	slopes := c.measured()
-	rows := figures.Rows(figures.Letter(), figures.LetterBudgets(), slopes)
+	rows := figures.Rows(figures.OperatorPlan(), figures.OperatorBudgets(), slopes)
 	fmt.Fprintf(w, "\n%s\n### Missing first\n\n%s\n### Slopes\n\n%s", figures.Page(rows),
-		figures.MarkdownMissing(rows), figures.MarkdownSlopes(slopes))
+		figures.MarkdownExceeded(rows), figures.MarkdownSlopes(slopes))
 }
 
 // print writes the slopes with their predictions as a table.
--- a/internal/lab/capacityservice.go
+++ b/internal/lab/capacityservice.go
@@ -49,7 +49,7 @@
 		c.o.Log("%s%s, seed %d: worth %.4f, unserved %.4f; %s", name, of, seed, result.service, result.unserved, k)
 		if of != omniscient {
 			bound := fmt.Sprintf("%s%s, seed %d: %s", name, of, seed, allBreaches)
-			c.rep.AtMost(bound, float64(result.twice+result.late+result.fallen+result.open), 0)
+			c.rep.AtMost(bound, float64(result.twice+result.late+result.collapsed+result.openCalls), 0)
 		}
 		if s.dispatchers >= singleSeedDispatchers {
 			break
@@ -74,7 +74,7 @@
 		}
 	}
 	c.rep.AtLeast(name+"worth less that of the whole walk", value(1)-value(0), -valueTolerance)
-	c.rep.AtLeast(name+"worth less that of one dispatcher with all calls", value(1)-value(2), -oneRoom)
+	c.rep.AtLeast(name+"worth less that of one dispatcher with all calls", value(1)-value(2), -oneDispatcherTolerance)
 }
 
 // allBreaches is the name of the bound on the sum of all rule violations.
@@ -91,9 +91,9 @@
 func serviceArms() []string { return []string{fullScan, oursArm, oneDispatcher, omniscient} }
 
 const (
-	singleSeedDispatchers = 1_000 // dispatchers from which a busy fleet is run with the first seed only
-	oneRoom               = 0.1   // by how much weighted value may fall below that of one dispatcher
-	valueInTime           = "worth in time"
+	singleSeedDispatchers  = 1_000 // dispatchers from which a busy fleet is run with the first seed only
+	oneDispatcherTolerance = 0.1   // by how much weighted value may fall below that of one dispatcher
+	valueInTime            = "worth in time"
 )
 
 // faults runs each fault in a large fleet, and one run without a fault.
--- a/internal/lab/check.go
+++ b/internal/lab/check.go
@@ -21,7 +21,7 @@
 	took := map[string]int{}
 	for _, observed := range workers {
 		for _, observation := range observed {
-			if observation.Took && figures.Classes[observation.Class].NotIdempotent &&
+			if observation.Admitted && figures.Classes[observation.Class].NotIdempotent &&
 				len(observation.ID) >= callKeyLength {
 				if took[observation.ID[:callKeyLength]]++; took[observation.ID[:callKeyLength]] == 2 {
 					n++
@@ -48,7 +48,7 @@
 			if attempt.Wrong {
 				wrong++
 			}
-			if (attempt.Lost || attempt.Crossed && (len(workers) == 0 || came[attempt.ID])) &&
+			if (attempt.Lost || attempt.CrossedClose && (len(workers) == 0 || came[attempt.ID])) &&
 				(excused == nil || !excused(attempt)) {
 				lost++
 			}
@@ -91,10 +91,10 @@
 	return n
 }
 
-// OverRation counts load orders of one dispatcher beyond its quota: in any window at most free
+// LoadQuotaExcess counts load orders of one dispatcher beyond its quota: in any window at most free
 // orders plus share times the calls received in it, with a relative slack for those in
 // transit. Both lists are sorted by time.
-func OverRation(orders, calls []time.Time, window time.Duration, free, share, slack float64) (n int) {
+func LoadQuotaExcess(orders, calls []time.Time, window time.Duration, free, share, slack float64) (n int) {
 	for i, t := range orders {
 		from := t.Add(-window)
 		at, _ := slices.BinarySearchFunc(orders, from, time.Time.Compare)
@@ -121,12 +121,12 @@
 	weight := func(observation ObservedCall) float64 { return float64(figures.Classes[observation.Class].Work) / mean }
 	for _, observation := range observed {
 		sum += weight(observation)
-		for ; observation.At.Sub(observed[from].At) > figures.Worker.Fall; from++ {
+		for ; observation.At.Sub(observed[from].At) > figures.Worker.CollapseWindow; from++ {
 			sum -= weight(observed[from])
 		}
-		if observation.At.Sub(start) < figures.Worker.Warm {
+		if observation.At.Sub(start) < figures.Worker.SlowStart {
 			cores := model.Capacity(observation.At) * float64(figures.Worker.Cores)
-			n := figures.Worker.Factor * cores * float64(figures.Worker.Fall) / mean
+			n := figures.Worker.OverloadFactor * cores * float64(figures.Worker.CollapseWindow) / mean
 			most = max(most, sum/(n+2*math.Sqrt(n)+2))
 		}
 	}
@@ -143,9 +143,9 @@
 	return n
 }
 
-// BytesACall returns the bytes of the datagrams in a span, divided by calls, the number of calls in
+// BytesPerCall returns the bytes of the datagrams in a span, divided by calls, the number of calls in
 // it.
-func BytesACall(datagrams []Datagram, calls int, from, until time.Time) float64 {
+func BytesPerCall(datagrams []Datagram, calls int, from, until time.Time) float64 {
 	sum := 0
 	for _, datagram := range datagrams {
 		if datagram.At.After(from) && datagram.At.Before(until) {
@@ -155,8 +155,8 @@
 	return float64(sum) / float64(max(1, calls))
 }
 
-// Served returns the share of calls intended in a span that were served.
-func Served(calls []*Call, from, until time.Time, pick func(*Call) bool) float64 {
+// ServedShare returns the share of calls intended in a span that were served.
+func ServedShare(calls []*Call, from, until time.Time, pick func(*Call) bool) float64 {
 	all, good := 0, 0
 	for _, call := range calls {
 		if call.Intended.Before(from) || !call.Intended.Before(until) || pick != nil && !pick(call) {
--- a/internal/lab/comeback.go
+++ b/internal/lab/comeback.go
@@ -28,7 +28,7 @@
 
 // comebackResult is the result of one run.
 type comebackResult struct {
-	Breaches
+	RuleViolations
 	calls                         int
 	before, during, after         float64 // weighted value in time, of that offered
 	attemptsBefore, attemptsAfter float64 // attempts that arrived at workers, per served call
@@ -51,11 +51,11 @@
 	rep := &Report{Name: "comeback", Seed: options.Seed, Arms: []string{"before", "after"}, Note: fmt.Sprintf(
 		"%d dispatchers (processes), %d boxes, %d calls/s a box; ways cut for %s; before: commit %s, seeds from %d on",
 		size.dispatchers, size.workers, fleetCalls, size.cut, cmp.Or(options.Before, comebackBefore), options.Seed)}
-	programs, err := both(ctx, options, comebackBefore)
+	programs, err := programPair(ctx, options, comebackBefore)
 	if err != nil {
 		return nil, err
 	}
-	net, err := ClaimNet()
+	net, err := ClaimLoopbackRange()
 	if err != nil {
 		return nil, err
 	}
@@ -100,13 +100,13 @@
 type comebackTimes struct{ cut, restored time.Time }
 
 // execute performs the run: warm-up, cut, and the time after it.
-func (run comebackRun) execute(ctx context.Context, net *Net) (*comebackResult, error) {
+func (run comebackRun) execute(ctx context.Context, net *LoopbackRange) (*comebackResult, error) {
 	size := run.size
-	rig, err := NewRig(net, run.dir, RigSize{
+	rig, err := NewRig(net, run.dir, RigConfig{
 		Dispatchers: size.dispatchers, Workers: size.workers, Figures: comebackFigures(), Program: run.program,
-		Group: run.group, Seed: run.seed, Load: Load{
+		AddrGroup: run.group, Seed: run.seed, Load: Load{
 			Rate: float64(fleetCalls*size.workers) / float64(size.dispatchers), Models: 6 * size.workers,
-			Zipf: 0.4, Turn: 12 * time.Second, Retries: 2,
+			Zipf: 0.4, PopularityPeriod: 12 * time.Second, Retries: 2,
 		},
 	})
 	if err != nil {
@@ -118,7 +118,7 @@
 	if err := rig.Start(ready, nil); err != nil {
 		return nil, err
 	}
-	rig.Send(ctx, nil)
+	rig.StartClients(ctx, nil)
 	if err := sleepUntil(ctx, time.Now().Add(size.warmup)); err != nil {
 		return nil, err
 	}
@@ -130,7 +130,7 @@
 	if err := sleepUntil(ctx, times.restored.Add(size.after)); err != nil {
 		return nil, err
 	}
-	rig.Quiet()
+	rig.StopClients()
 	run.count(rig, result, times)
 	if err := rig.Stop(); err != nil {
 		return nil, fmt.Errorf("stopping the dispatchers: %w", err)
@@ -148,22 +148,22 @@
 		severed = func(_, _ int) bool { return false }
 	}
 	times.cut = time.Now()
-	rig.PeerNetwork.Set(Lost, severed)
-	if err := rig.Links.Between(Cut, 0, cross); err != nil {
+	rig.PeerNetwork.Set(DropAll, severed)
+	if err := rig.Links.SetWorkerLinks(Cut, 0, cross); err != nil {
 		return times, err
 	}
-	first, _ := Swallowed()
+	first, _ := DroppedHandshakes()
 	if err := sleepUntil(ctx, times.cut.Add(run.size.cut/2)); err != nil {
 		return times, err
 	}
-	half, _ := Swallowed()
+	half, _ := DroppedHandshakes()
 	if err := sleepUntil(ctx, times.cut.Add(run.size.cut)); err != nil {
 		return times, err
 	}
-	last, _ := Swallowed()
+	last, _ := DroppedHandshakes()
 	result.swallowedEarly, result.swallowedLate = float64(half-first), float64(last-half)
 	rig.PeerNetwork.Set(PeerLink{}, severed)
-	if err := rig.Links.Between(Open, 0, cross); err != nil {
+	if err := rig.Links.SetWorkerLinks(Open, 0, cross); err != nil {
 		return times, err
 	}
 	times.restored = time.Now()
@@ -174,7 +174,7 @@
 func (run comebackRun) count(rig *Rig, result *comebackResult, times comebackTimes) {
 	size := run.size
 	calls := rig.Calls(nil)
-	result.Breaches, result.calls = rig.Check(nil), len(calls)
+	result.RuleViolations, result.calls = rig.Check(nil), len(calls)
 	from, late := times.cut.Add(-size.warmup/2), times.restored.Add(size.tail)
 	end := times.restored.Add(size.after - 300*time.Millisecond)
 	result.before = ValueEarned(rig.Figures, calls, from, times.cut)
@@ -187,7 +187,7 @@
 	objective := rig.Figures.Classes[0].LatencyObjective
 	result.minSwallowed = float64(size.dispatchers) * (3 +
 		math.Floor(math.Log2(1+float64(size.cut)/float64(objective))))
-	for _, clients := range rig.Called {
+	for _, clients := range rig.Clients {
 		result.maxLag = max(result.maxLag, clients.MaxLag())
 	}
 }
@@ -195,7 +195,7 @@
 // attemptsPerCall returns the attempts that arrived at workers in a span for each call served in
 // it, and the share of them that was rejected.
 func attemptsPerCall(rig *Rig, calls []*Call, from, until time.Time) (attempts, rejected float64) {
-	came, full := rig.Between(from, until)
+	came, full := rig.CountRequests(from, until)
 	served := 0
 	for _, call := range calls {
 		if call.Served && !call.Ended.Before(from) && call.Ended.Before(until) {
@@ -227,11 +227,11 @@
 	rep.AtMost(name+"path-book run twice", float64(is.Twice), 0)
 	rep.AtMost(name+"tries without a whole answer, or a wrong one", float64(is.Lost+is.Wrong), 0)
 	rep.AtMost(name+"late sends to draining boxes", float64(is.LateSends), 0)
-	rep.AtMost(name+"boxes pushed over", float64(is.Fallen), 0)
+	rep.AtMost(name+"boxes pushed over", float64(is.Collapsed), 0)
 	rep.AtLeast(name+"worth from 2 s after, of that before", is.after/math.Max(is.before, 1e-9), 0.97)
 	rep.AtMost(name+"attempts a served call from 2 s after, of those before",
 		is.attemptsAfter/math.Max(is.attemptsBefore, 1), 1.1)
-	if _, ok := Swallowed(); ok {
+	if _, ok := DroppedHandshakes(); ok {
 		rep.AtMost(name+"handshakes swallowed: a third of before, or 1.5 times the least",
 			is.swallowedEarly+is.swallowedLate,
 			math.Max((was.swallowedEarly+was.swallowedLate)/3, 1.5*is.minSwallowed))
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -22,7 +22,7 @@
 // and prints their results.
 func Demo(ctx context.Context, out io.Writer) error {
 	figures := PlannerFigures()
-	net, err := ClaimNet()
+	net, err := ClaimLoopbackRange()
 	if err != nil {
 		return err
 	}
@@ -36,15 +36,15 @@
 	workers, err := demoFleet(net, disc, figures)
 	defer func() {
 		for _, worker := range workers {
-			worker.Die()
+			worker.Kill()
 		}
 	}()
 	if err != nil {
 		return err
 	}
-	dispatcher, err := Lay(DispatcherFiles{
+	dispatcher, err := WriteDispatcherFiles(DispatcherFiles{
 		Dir: dir, Addr: net.Addr(1, 0, 9200), Settings: figures.Settings(0, 1), Peers: []string{net.Addr(1, 0, 9300)},
-		Channel: disc.Addr(0), Operators: "[list]\npath = \"list.db\"\n\n[log]\nformat = \"text\"\n",
+		Channel: disc.Addr(0), OperatorConfig: "[list]\npath = \"list.db\"\n\n[log]\nformat = \"text\"\n",
 	})
 	if err != nil {
 		return err
@@ -69,15 +69,15 @@
 	}
 	list := filepath.Join(dispatcher.Dir, "list.db")
 	fmt.Fprintf(out, "configuration  %s\noperator's file  %s\nkept list  %s\nlog  %s\n"+
-		"look at the list: bin/dispatcher list show %s\n", dispatcher.Config, dispatcher.File, list,
+		"look at the list: bin/dispatcher list show %s\n", dispatcher.Config, dispatcher.OperatorFile, list,
 		filepath.Join(dispatcher.Dir, "log"), list)
 	return nil
 }
 
 // demoFleet starts the workers and publishes them in discovery. On error it returns the workers
 // started so far.
-func demoFleet(net *Net, disc *Discovery, figures *Figures) (workers []*StubWorker, err error) {
-	var listed []Listed
+func demoFleet(net *LoopbackRange, disc *Discovery, figures *Figures) (workers []*StubWorker, err error) {
+	var listed []ListEntry
 	for i := range demoWorkers {
 		started := time.Now().Add(-time.Hour)
 		worker, err := StartStubWorker(fmt.Sprintf("s-%08x", i+1), net.Addr(0, i, 9100), figures, started)
--- a/internal/lab/discovery.go
+++ b/internal/lab/discovery.go
@@ -18,11 +18,11 @@
 	"time"
 )
 
-// Listed is the entry of one worker in discovery's list. UpSince is in Unix milliseconds.
-type Listed struct {
+// ListEntry is the entry of one worker in discovery's list. UpSince is in Unix milliseconds.
+type ListEntry struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"host_port"`
-	Room    string  `json:"locality"`
+	Zone    string  `json:"locality"`
 	Flavor  string  `json:"flavor"`
 	Cell    int     `json:"cell"`
 	Phase   string  `json:"phase"`
@@ -42,21 +42,21 @@
 type Discovery struct {
 	// DuplicateEvents makes Discovery send every event twice.
 	DuplicateEvents bool
-	// Heart is the interval of heartbeats, which carry the last event number; 0 means 1 s.
-	Heart time.Duration
+	// HeartbeatInterval is the interval of heartbeats, which carry the last event number; 0 means 1 s.
+	HeartbeatInterval time.Duration
 	// Route returns the address at which dispatcher n reaches a worker, for runs with relays in
 	// between; nil means the worker's own address. It must be set before use.
-	Route func(n int, worker Listed) string
+	Route func(n int, worker ListEntry) string
 
 	mu         sync.Mutex
 	epoch      string
-	events     [][]Listed     // the first has number 1
+	events     [][]ListEntry  // the first has number 1
 	announced  map[string]int // by worker ID, the number of the event that announced its current phase
-	state      map[string]Listed
+	state      map[string]ListEntry
 	down       bool
 	held       bool // new events are withheld, heartbeats continue
 	heldCursor int  // number of the last event that it sends while held
-	heldState  map[string]Listed
+	heldState  map[string]ListEntry
 	ports      []*discoveryListener
 	changed    chan struct{} // closed at each change
 	wait       sync.WaitGroup
@@ -74,7 +74,7 @@
 // NewDiscovery returns a Discovery without workers and listeners, in the given epoch.
 func NewDiscovery(epoch string) *Discovery {
 	return &Discovery{
-		epoch: epoch, announced: map[string]int{}, state: map[string]Listed{},
+		epoch: epoch, announced: map[string]int{}, state: map[string]ListEntry{},
 		changed: make(chan struct{}),
 	}
 }
@@ -137,14 +137,14 @@
 
 // Publish adds one event with the changed workers. The first event of an epoch must hold the full
 // list: it is sent as complete.
-func (d *Discovery) Publish(workers ...Listed) {
+func (d *Discovery) Publish(workers ...ListEntry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.publish(workers)
 }
 
 // publish adds an event with the given workers. The caller holds d.mu.
-func (d *Discovery) publish(workers []Listed) {
+func (d *Discovery) publish(workers []ListEntry) {
 	n := len(d.events) + 1
 	for _, entry := range workers {
 		d.announced[entry.ID] = n
@@ -170,7 +170,7 @@
 
 // event returns the event with the given workers as it is sent to dispatcher n. Where Route is set,
 // it replaces the addresses in workers by those that Route returns.
-func (d *Discovery) event(n, cursor int, complete bool, workers []Listed) map[string]any {
+func (d *Discovery) event(n, cursor int, complete bool, workers []ListEntry) map[string]any {
 	if d.Route != nil {
 		for k := range workers {
 			workers[k].Addr = d.Route(n, workers[k])
@@ -182,16 +182,16 @@
 	}
 }
 
-// Known returns the current list as a single event, for the configuration of dispatcher n. It
+// Snapshot returns the current list as a single event, for the configuration of dispatcher n. It
 // records all events up to that list as sent to the dispatcher now.
-func (d *Discovery) Known(n int) map[string]any {
+func (d *Discovery) Snapshot(n int) map[string]any {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	state := d.state
 	if d.held {
 		state = d.heldState
 	}
-	all := slices.SortedFunc(maps.Values(state), func(a, b Listed) int { return strings.Compare(a.ID, b.ID) })
+	all := slices.SortedFunc(maps.Values(state), func(a, b ListEntry) int { return strings.Compare(a.ID, b.ID) })
 	for i := range d.last() {
 		if _, was := d.ports[n].notified[i+1]; !was {
 			d.ports[n].notified[i+1] = time.Now()
@@ -200,12 +200,12 @@
 	return map[string]any{"cursor": d.last(), "cmds": []any{d.event(n, d.last(), true, all)}}
 }
 
-// StartOver begins a new epoch, whose first event has number 1 and holds the full list. It closes
+// StartEpoch begins a new epoch, whose first event has number 1 and holds the full list. It closes
 // all connections.
-func (d *Discovery) StartOver(epoch string) {
+func (d *Discovery) StartEpoch(epoch string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var all []Listed
+	var all []ListEntry
 	for _, entry := range d.state {
 		all = append(all, entry)
 	}
@@ -279,7 +279,7 @@
 	if err != nil || !ok || parseErr != nil {
 		return
 	}
-	interval := d.Heart
+	interval := d.HeartbeatInterval
 	if interval == 0 {
 		interval = time.Second
 	}
--- a/internal/lab/dispatchers.go
+++ b/internal/lab/dispatchers.go
@@ -17,18 +17,18 @@
 	"time"
 )
 
-// Net is a part of the loopback range, 127.B.*.*, that is reserved for one run.
-type Net struct {
+// LoopbackRange is a part of the loopback range, 127.B.*.*, that is reserved for one run.
+type LoopbackRange struct {
 	b    int
 	lock net.Listener
 }
 
-// ClaimNet reserves a part of the loopback range that no other run uses, or returns an error if all
+// ClaimLoopbackRange reserves a part of the loopback range that no other run uses, or returns an error if all
 // are in use. The listener that it opens there is the lock.
-func ClaimNet() (*Net, error) {
+func ClaimLoopbackRange() (*LoopbackRange, error) {
 	for b := 64; b < 250; b++ {
 		if listener, err := net.Listen("tcp", fmt.Sprintf("127.%d.255.254:9000", b)); err == nil {
-			return &Net{b, listener}, nil
+			return &LoopbackRange{b, listener}, nil
 		}
 	}
 	return nil, errors.New("no free part of the loopback range in 127.64.0.0 to 127.249.255.255")
@@ -50,12 +50,12 @@
 
 // Addr returns address number i of a group, with the given port. Ports should lie below the range
 // of ephemeral ports.
-func (n *Net) Addr(group, i, port int) string {
+func (n *LoopbackRange) Addr(group, i, port int) string {
 	return fmt.Sprintf("127.%d.%d.%d:%d", n.b, group*8+i/250, 1+i%250, port)
 }
 
 // Close releases the range.
-func (n *Net) Close() { _ = n.lock.Close() }
+func (n *LoopbackRange) Close() { _ = n.lock.Close() }
 
 // Settings returns the platform's settings object for these figures, as it stands in the
 // configuration of dispatcher number of a fleet of the given size.
@@ -83,12 +83,12 @@
 			"max_retry_after_ns": 1500 * time.Millisecond,
 		},
 		"rules": map[string]any{
-			"cold_ns": f.Worker.Warm, "fall_ns": f.Worker.Fall, "overload_factor": f.Worker.Factor,
-			"start_capacity": f.Worker.StartCap,
+			"cold_ns": f.Worker.SlowStart, "fall_ns": f.Worker.CollapseWindow, "overload_factor": f.Worker.OverloadFactor,
+			"start_capacity": f.Worker.StartCapacity,
 			"drain_grace_ns": time.Second,
 		},
 		"specifics": map[string]any{
-			"linger_idle_ns": f.Worker.Keep, "on_miss": "load", "load_control": true, "warm_notes": true,
+			"linger_idle_ns": f.Worker.IdleTimeout, "on_miss": "load", "load_control": true, "warm_notes": true,
 			"notes_peers_in_hand": true, "free_loads": 6, "load_part": 0.3, "load_span_ns": 5 * time.Second,
 			"order_limit_ns":   10 * time.Second,
 			"idle_memory_cost": 0.05,
@@ -100,18 +100,18 @@
 // Dispatcher is one dispatcher of a run: its files and the daemon processes started from them, one
 // at a time.
 type Dispatcher struct {
-	N      int
-	Addr   string
-	Dir    string
-	Config string // path of the platform's configuration
-	File   string // path of the operator's configuration; empty: none
-	Args   []string
-	Run    Program // zero: the dispatch command of this executable
-	cmd    *exec.Cmd
-	Killed []time.Time
-	Began  []time.Time
-	Ready  []time.Time
-	CPU    time.Duration // of the processes that have ended
+	N            int
+	Addr         string
+	Dir          string
+	Config       string // path of the platform's configuration
+	OperatorFile string // path of the operator's configuration; empty: none
+	Args         []string
+	Program      Program // zero: the dispatch command of this executable
+	cmd          *exec.Cmd
+	KillTimes    []time.Time
+	StartTimes   []time.Time
+	ReadyTimes   []time.Time
+	CPU          time.Duration // of the processes that have ended
 }
 
 // Program is the executable that a dispatcher's process runs.
@@ -123,17 +123,17 @@
 
 // DispatcherFiles holds the contents of one dispatcher's files and where they are written.
 type DispatcherFiles struct {
-	Dir       string // parent of the dispatcher's own directory
-	N         int    // number of the dispatcher
-	Addr      string // where the dispatcher listens for clients
-	Settings  map[string]any
-	Peers     []string // addresses of all dispatchers, by number
-	Channel   string   // address of Discovery's listener or of the relay to it
-	Operators string   // contents of the operator's configuration; empty: none
+	Dir            string // parent of the dispatcher's own directory
+	N              int    // number of the dispatcher
+	Addr           string // where the dispatcher listens for clients
+	Settings       map[string]any
+	Peers          []string // addresses of all dispatchers, by number
+	Channel        string   // address of Discovery's listener or of the relay to it
+	OperatorConfig string   // contents of the operator's configuration; empty: none
 }
 
-// Lay writes a dispatcher's files and returns the dispatcher, which is not started.
-func Lay(files DispatcherFiles) (*Dispatcher, error) {
+// WriteDispatcherFiles writes a dispatcher's files and returns the dispatcher, which is not started.
+func WriteDispatcherFiles(files DispatcherFiles) (*Dispatcher, error) {
 	n, peers := files.N, files.Peers
 	dispatcher := &Dispatcher{N: n, Addr: files.Addr, Dir: filepath.Join(files.Dir, fmt.Sprintf("d%02d", n))}
 	if err := os.MkdirAll(dispatcher.Dir, 0o700); err != nil {
@@ -153,16 +153,16 @@
 	if err := os.WriteFile(dispatcher.Config, raw, 0o600); err != nil {
 		return nil, err
 	}
-	if files.Operators != "" {
-		dispatcher.File = filepath.Join(dispatcher.Dir, "oakthread.toml")
-		return dispatcher, os.WriteFile(dispatcher.File, []byte(files.Operators), 0o600)
+	if files.OperatorConfig != "" {
+		dispatcher.OperatorFile = filepath.Join(dispatcher.Dir, "oakthread.toml")
+		return dispatcher, os.WriteFile(dispatcher.OperatorFile, []byte(files.OperatorConfig), 0o600)
 	}
 	return dispatcher, nil
 }
 
-// Know puts the known workers into the platform's configuration. known is an object with a cursor
+// SetKnownWorkers puts the known workers into the platform's configuration. known is an object with a cursor
 // and events, as Discovery returns it.
-func (d *Dispatcher) Know(known map[string]any) error {
+func (d *Dispatcher) SetKnownWorkers(known map[string]any) error {
 	raw, err := os.ReadFile(d.Config)
 	if err != nil {
 		return fmt.Errorf("dispatcher %d: platform configuration: %w", d.N, err)
@@ -180,7 +180,7 @@
 
 // Start starts the process. The kernel kills it when this process ends for any reason.
 func (d *Dispatcher) Start() error {
-	run := d.Run
+	run := d.Program
 	if run.Path == "" {
 		self, err := os.Executable()
 		if err != nil {
@@ -194,8 +194,8 @@
 	}
 	defer out.Close()
 	args := append(append([]string(nil), run.Args...), d.Args...)
-	if d.File != "" {
-		args = append(args, "--config", d.File)
+	if d.OperatorFile != "" {
+		args = append(args, "--config", d.OperatorFile)
 	}
 	d.cmd = exec.Command(run.Path, args...)
 	d.cmd.Env = append(append(os.Environ(), run.Env...), "ROUTER_CONFIG="+d.Config)
@@ -205,7 +205,7 @@
 		d.cmd = nil
 		return fmt.Errorf("dispatcher %d: %w", d.N, err)
 	}
-	d.Began = append(d.Began, time.Now())
+	d.StartTimes = append(d.StartTimes, time.Now())
 	return nil
 }
 
@@ -221,7 +221,7 @@
 		if resp, err := client.Do(req); err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
-				d.Ready = append(d.Ready, time.Now())
+				d.ReadyTimes = append(d.ReadyTimes, time.Now())
 				return nil
 			}
 		}
@@ -265,7 +265,7 @@
 		return nil
 	}
 	if sig == syscall.SIGKILL {
-		d.Killed = append(d.Killed, time.Now())
+		d.KillTimes = append(d.KillTimes, time.Now())
 	}
 	_ = d.cmd.Process.Signal(sig)
 	err := d.cmd.Wait()
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -86,7 +86,7 @@
 	row("calls never served", "%", func(result *fleetResult) float64 { return 100 * result.unserved })
 	switch kind {
 	case "split", "parted":
-		row("until attempts a served call are as before", "s", func(result *fleetResult) float64 { return result.back })
+		row("until attempts a served call are as before", "s", func(result *fleetResult) float64 { return result.recoveryTime })
 		row("served in the four seconds after, a second", "of before",
 			func(result *fleetResult) float64 { return result.servedRatio })
 		row("attempts in these", "a served call", func(result *fleetResult) float64 { return result.attempts })
@@ -109,9 +109,9 @@
 	for arm, result := range both {
 		of := func(s string) string { return name + s + " (" + rep.Arms[arm] + ")" }
 		rep.AtMost(of("path-book run twice"), float64(result.twice), 0)
-		rep.AtMost(of("boxes pushed over, told to be cold"), float64(result.fallen), 0)
+		rep.AtMost(of("boxes pushed over, told to be cold"), float64(result.collapsed), 0)
 		rep.AtMost(of("sent more than 1 s after a drain was told"), float64(result.late), 0)
-		rep.AtMost(of("calls without a final answer"), float64(result.open), 0)
+		rep.AtMost(of("calls without a final answer"), float64(result.openCalls), 0)
 		rep.AtMost(of("messages over 256 bytes"), float64(result.oversize), 0)
 		rep.AtMost(of("price of messages, of the result"), peerPrice*result.bytes/peerBytes, 0.02)
 	}
@@ -181,10 +181,10 @@
 	w.run(w.began.Add(fleetWarm))
 	w.unreachedPart = part
 	w.run(w.began.Add(fleetWarm + 5*time.Second))
-	before := len(w.goods)
+	before := len(w.servedTally)
 	w.run(w.began.Add(fleetWarm + 6*time.Second))
 	truth := 0
-	for _, n := range w.goods[min(before, len(w.goods)):] {
+	for _, n := range w.servedTally[min(before, len(w.servedTally)):] {
 		truth += n
 	}
 	var sums, counts [2]float64
@@ -205,7 +205,7 @@
 // use four tenths of one.
 func fleetFigures() *Figures {
 	figures := PlannerFigures()
-	figures.Worker.Cores, figures.Worker.Queue, figures.Worker.Copies, figures.Worker.Loads = 1, 16, 24, 2
+	figures.Worker.Cores, figures.Worker.Queue, figures.Worker.MaxCopies, figures.Worker.MaxLoads = 1, 16, 24, 2
 	figures.Load = 600 * time.Millisecond
 	return figures
 }
@@ -215,15 +215,15 @@
 func fleetWorld(figures *Figures, dispatchers, workers int, messages bool, walk int, seed uint64) (*simWorld, error) {
 	rate := float64(fleetCalls * workers)
 	w := &simWorld{
-		f: figures, byID: map[balancer.WorkerID]*simWorker{}, popular: newZipf(8*workers, 0.4), walk: walk,
-		simGossip: simGossip{messages: messages, lost: peerLossRate, price: peerPrice},
+		f: figures, byID: map[balancer.WorkerID]*simWorker{}, popular: newZipf(8*workers, 0.4), fullScanLimit: walk,
+		simGossip: simGossip{messages: messages, lossRate: peerLossRate, price: peerPrice},
 		load: Load{
-			Rate: rate / float64(dispatchers), Models: 8 * workers, Zipf: 0.4, Turn: 12 * time.Second,
+			Rate: rate / float64(dispatchers), Models: 8 * workers, Zipf: 0.4, PopularityPeriod: 12 * time.Second,
 			Retries: 2,
 		},
 	}
 	w.now = time.Unix(1_800_000_000, 0)
-	w.lossy = rand.New(rand.NewPCG(seed, 3))
+	w.lossRNG = rand.New(rand.NewPCG(seed, 3))
 	began := w.now
 	w.began = began
 	for i := range workers {
--- a/internal/lab/fleetfaults.go
+++ b/internal/lab/fleetfaults.go
@@ -84,17 +84,17 @@
 // ("split") or to the workers of the other zone ("parted").
 func (w *simWorld) scheduleSplit(kind string) {
 	w.at(w.began.Add(fleetWarm), func() {
-		w.mute, w.unheard, w.zonesSplit = true, splitLost, kind == "parted"
+		w.allLost, w.answerLoss, w.zonesSplit = true, splitLost, kind == "parted"
 		for i, worker := range w.workers {
 			if kind == "split" && i%5 == 0 {
-				worker.fate = cutOff
+				worker.fault = faultCutOff
 			}
 		}
 	})
 	w.at(w.began.Add(fleetWarm+splitFor), func() {
-		w.mute, w.unheard, w.zonesSplit = false, 0, false
+		w.allLost, w.answerLoss, w.zonesSplit = false, 0, false
 		for _, worker := range w.workers {
-			worker.fate = stays
+			worker.fault = faultNone
 		}
 	})
 }
@@ -109,15 +109,15 @@
 			continue
 		}
 		groups.started = append(groups.started, worker)
-		w.at(w.began.Add(fleetWarm), func() { worker.fate = cutOff })
+		w.at(w.began.Add(fleetWarm), func() { worker.fault = faultCutOff })
 		w.at(w.began.Add(fleetWarm+zoneOutage), func() {
-			worker.fate, worker.model = stays, NewWorkerModel(w.f.Worker, w.now)
+			worker.fault, worker.model = faultNone, NewWorkerModel(w.f.Worker, w.now)
 			w.listed[i].Start = w.now
 		})
 	}
 	w.at(w.began.Add(fleetWarm+zoneOutage+notifyDelay), func() {
 		for _, worker := range groups.started { // no dispatcher knew that it was warming up, so this breaks no rule
-			worker.unnotified = worker.model.Fallen()
+			worker.unnotified = worker.model.Collapsed()
 		}
 		w.notifyAll()
 	})
--- a/internal/lab/fleetresult.go
+++ b/internal/lab/fleetresult.go
@@ -9,18 +9,18 @@
 
 // fleetResult is the result of one run.
 type fleetResult struct {
-	twice, late, fallen, open int
-	collapsedUnnotified       int // workers that collapsed before anyone was notified that they were warming up
-	unserved, service         float64
-	later                     float64 // the same as service, of calls intended in the last twelve seconds
-	warmingShare              float64 // mean calls per new worker after the fault, over the mean of the others
-	bytes                     float64 // of messages delivered, per call
-	oversize                  int
-	unreached                 float64 // attempts at workers that could not be reached, per call
-	failedCalls               int     // calls that failed at the failing worker
+	twice, late, collapsed, openCalls int
+	collapsedUnnotified               int // workers that collapsed before anyone was notified that they were warming up
+	unserved, service                 float64
+	later                             float64 // the same as service, of calls intended in the last twelve seconds
+	warmingShare                      float64 // mean calls per new worker after the fault, over the mean of the others
+	bytes                             float64 // of messages delivered, per call
+	oversize                          int
+	unreached                         float64 // attempts at workers that could not be reached, per call
+	failedCalls                       int     // calls that failed at the failing worker
 	// seconds until nine in ten dispatchers avoid it; the length of the fault if they never do
 	detectionTime float64
-	back          float64 // seconds from the end of a split until attempts per served call are as before
+	recoveryTime  float64 // seconds from the end of a split until attempts per served call are as before
 	attempts      float64 // attempts per served call in the four seconds after the end of a split
 	servedRatio   float64 // calls served per second in these, over those in the three seconds before the split
 }
@@ -41,11 +41,11 @@
 func (w *simWorld) fleetResult(fresh, stayed []*simWorker, began time.Time) *fleetResult {
 	calls := float64(max(1, len(w.calls)))
 	result := &fleetResult{
-		twice: w.twice, late: w.late, oversize: w.oversize, bytes: float64(w.delivered) / calls,
+		twice: w.twice, late: w.late, oversize: w.oversize, bytes: float64(w.deliveredBytes) / calls,
 		unreached: float64(w.unreached) / calls,
 	}
 	for _, node := range w.nodes {
-		result.open += len(node.open)
+		result.openCalls += len(node.open)
 	}
 	from := began.Add(fleetWarm + fleetFault)
 	share := func(xs []*simWorker) (n float64) {
@@ -61,12 +61,12 @@
 	for _, worker := range w.workers {
 		if worker.unnotified {
 			result.collapsedUnnotified++
-		} else if worker.model.Fallen() {
-			result.fallen++
+		} else if worker.model.Collapsed() {
+			result.collapsed++
 		}
 	}
 	result.failedCalls, result.detectionTime = w.workers[0].failedCalls, w.detectionTime
-	result.back = w.recoveryTime(fleetWarm+splitFor, fleetWarm)
+	result.recoveryTime = w.recoveryTime(fleetWarm+splitFor, fleetWarm)
 	sends, goods := w.sumTallies(fleetWarm+splitFor, fleetWarm+splitFor+4*time.Second)
 	_, before := w.sumTallies(fleetWarm-3*time.Second, fleetWarm)
 	result.attempts, result.servedRatio = float64(sends)/float64(max(1,
@@ -111,9 +111,9 @@
 
 // sumTallies counts the attempts begun and the calls served from one moment of the run to another.
 func (w *simWorld) sumTallies(from, until time.Duration) (sends, goods int) {
-	for i := int(from / (100 * time.Millisecond)); i < int(until/(100*time.Millisecond)) && i < min(len(w.sends),
-		len(w.goods)); i++ {
-		sends, goods = sends+w.sends[i], goods+w.goods[i]
+	for i := int(from / (100 * time.Millisecond)); i < int(until/(100*time.Millisecond)) && i < min(len(w.sentTally),
+		len(w.servedTally)); i++ {
+		sends, goods = sends+w.sentTally[i], goods+w.servedTally[i]
 	}
 	return sends, goods
 }
--- a/internal/lab/hollow_test.go
+++ b/internal/lab/hollow_test.go
@@ -109,10 +109,10 @@
 	h.play(t.Context(), h.until.Add(6*time.Second))
 	m := &h.meter
 	out := m.totals[2]
-	h.mute = true // no new messages; those in transit arrive
+	h.allLost = true // no new messages; those in transit arrive
 	h.play(t.Context(), h.now.Add(2*peerDelay))
 	require.NoError(t, h.err)
-	assert.Equal(t, h.delivered, m.totals[0])
+	assert.Equal(t, h.deliveredBytes, m.totals[0])
 	assert.Equal(t, out, m.totals[0])
 	assert.Equal(t, m.counts[partRead], m.totals[1])
 	loads, served, sent := 0, 0, 0
@@ -121,10 +121,10 @@
 			loads += n
 		}
 	}
-	for _, n := range h.goods {
+	for _, n := range h.servedTally {
 		served += n
 	}
-	for _, n := range h.sends {
+	for _, n := range h.sentTally {
 		sent += n
 	}
 	assert.Equal(t, h.calls-h.unserved, served)
@@ -162,9 +162,9 @@
 	}
 	h.now = h.began
 	sent := func(until time.Time) (n int) {
-		before := len(h.sends)
+		before := len(h.sentTally)
 		h.play(t.Context(), until)
-		for _, x := range h.sends[min(before, len(h.sends)):] {
+		for _, x := range h.sentTally[min(before, len(h.sentTally)):] {
 			n += x
 		}
 		return n
--- a/internal/lab/hollowclients.go
+++ b/internal/lab/hollowclients.go
@@ -47,13 +47,13 @@
 			name: strconv.Itoa(n) + "." + strconv.Itoa(seq),
 		}
 		h.open++
-		h.simWorld.home(n).arrive(call)
+		h.simWorld.dispatcherFor(n).arrive(call)
 		h.clients(n, rng, seq+1)
 	})
 }
 
-// over records a call that has ended; only calls intended in the span enter the figures.
-func (h *hollowWorld) over(call *simCall) {
+// callEnded records a call that has ended; only calls intended in the span enter the figures.
+func (h *hollowWorld) callEnded(call *simCall) {
 	if h == nil {
 		return
 	}
@@ -78,8 +78,8 @@
 	}
 }
 
-// loaded counts a job that began a load within the span.
-func (h *hollowWorld) loaded(job *Job) {
+// countLoad counts a job that began a load within the span.
+func (h *hollowWorld) countLoad(job *Job) {
 	if h != nil && h.meter.on && job.Warmth == BeganLoad {
 		h.loads++
 	}
--- a/internal/lab/hollowevents.go
+++ b/internal/lab/hollowevents.go
@@ -47,7 +47,7 @@
 	for range 8 { // find an active worker that did not change within 2*notifyDelay
 		i := h.rng.IntN(len(h.workers))
 		if h.listed[i].State != balancer.Active || h.now.Sub(h.changed[i]) < 2*notifyDelay ||
-			h.workers[i].fate != stays {
+			h.workers[i].fault != faultNone {
 			continue
 		}
 		h.changed[i] = h.now
@@ -136,7 +136,7 @@
 	}
 	for _, worker := range h.workers {
 		if worker.zone == 0 {
-			worker.fate = cutOff
+			worker.fault = faultCutOff
 		}
 	}
 }
@@ -146,7 +146,7 @@
 	var back []int
 	for i, worker := range h.workers {
 		if worker.zone == 0 {
-			worker.fate, worker.model = stays, NewWorkerModel(h.f.Worker, h.now)
+			worker.fault, worker.model = faultNone, NewWorkerModel(h.f.Worker, h.now)
 			h.listed[i].Start = h.now
 			back = append(back, i)
 		}
@@ -215,7 +215,7 @@
 	for _, id := range ids {
 		sent := node.open[id]
 		delete(node.open, id)
-		h.after(0, func() { node.again(sent.call, 200*time.Millisecond, sent.attempts == 0) })
+		h.after(0, func() { node.retry(sent.call, 200*time.Millisecond, sent.attempts == 0) })
 	}
 	h.restarts++
 }
--- a/internal/lab/hollowhost_test.go
+++ b/internal/lab/hollowhost_test.go
@@ -23,7 +23,7 @@
 	t.Helper()
 	s := newHostWorld(t, p, bubbleStart.Add(p.offset))
 	h := &hollowHost{simNode: s.nodes[0], s: s}
-	require.NoError(t, h.module(s.settingsOf(0), s.seedOf(0), h))
+	require.NoError(t, h.initBalancer(s.settingsOf(0), s.seedOf(0), h))
 	if p.waitForever {
 		h.limit = time.Hour
 	}
@@ -60,7 +60,7 @@
 
 // CancelAttempt records the cancellation only of an attempt that has not ended, as the core does.
 func (h *hollowHost) CancelAttempt(id string, attempt int) {
-	if fl := h.attempts[simKey{id, attempt}]; fl != nil && !fl.over {
+	if fl := h.attempts[simKey{id, attempt}]; fl != nil && !fl.ended {
 		h.s.record("cancel %s #%d", id, attempt)
 	}
 	if !h.s.ignoreCancel {
--- a/internal/lab/hollowmessages.go
+++ b/internal/lab/hollowmessages.go
@@ -4,20 +4,20 @@
 	"oakthread/aggregate"
 )
 
-// parted reports whether the partition of FaultRegions drops messages between two dispatchers.
-func (h *hollowWorld) parted(from, to int) bool {
+// partitioned reports whether the partition of FaultRegions drops messages between two dispatchers.
+func (h *hollowWorld) partitioned(from, to int) bool {
 	return h != nil && h.split && (2*from < len(h.nodes)) != (2*to < len(h.nodes))
 }
 
 // countSent counts a message when it is sent and returns its kind; countReceived counts it when it
 // arrives. This identifies a term's leader: only it writes digests, and reports are sent only to
 // it.
-func (h *hollowWorld) countSent(node *simNode, to int, data string) (n note) {
+func (h *hollowWorld) countSent(node *simNode, to int, data string) (n messageKind) {
 	if h == nil {
 		return n
 	}
 	m, ok := aggregate.Decode(data, len(h.nodes))
-	n = note{ok && m.FromLeader && !m.Continued, ok && !m.FromLeader && !m.Continued && !m.SyncRequest}
+	n = messageKind{ok && m.FromLeader && !m.Continued, ok && !m.FromLeader && !m.Continued && !m.SyncRequest}
 	if n.digest {
 		h.countDigest(node.n)
 	}
@@ -36,7 +36,7 @@
 }
 
 // countReceived counts a message that arrives at dispatcher n.
-func (h *hollowWorld) countReceived(n int, data string, what note) {
+func (h *hollowWorld) countReceived(n int, data string, what messageKind) {
 	if h == nil {
 		return
 	}
--- a/internal/lab/hollowresult.go
+++ b/internal/lab/hollowresult.go
@@ -36,7 +36,7 @@
 	f["calls"], f["twice"], f["late"], f["open"] = float64(h.calls), float64(h.twice), float64(h.late), float64(h.open)
 	fallen := 0
 	for _, worker := range h.workers {
-		if worker.model.Fallen() {
+		if worker.model.Collapsed() {
 			fallen++
 		}
 	}
--- a/internal/lab/hollowworld.go
+++ b/internal/lab/hollowworld.go
@@ -60,8 +60,8 @@
 	samples []metrics.Sample
 }
 
-// note is the kind of a message.
-type note struct{ digest, report bool }
+// messageKind is the kind of a message.
+type messageKind struct{ digest, report bool }
 
 // hollowFigures sizes the workers: cores for a utilization of hollowUtilization, and memory for
 // hollowCopies instances per function.
@@ -74,7 +74,7 @@
 	figures.Worker.Cores = max(1,
 		int(math.Ceil(size.Calls*float64(size.Dispatchers)/float64(size.Executors)*work/hollowUtilization)))
 	figures.Worker.Queue = 16 * figures.Worker.Cores
-	figures.Worker.Copies = max(figures.Worker.Copies,
+	figures.Worker.MaxCopies = max(figures.Worker.MaxCopies,
 		int(math.Ceil(hollowCopies*float64(size.Functions)/float64(size.Executors))))
 	return figures
 }
@@ -83,7 +83,7 @@
 func newHollow(ctx context.Context, size HollowSize, seed uint64) (*hollowWorld, error) {
 	w := &simWorld{
 		f: hollowFigures(size), byID: map[balancer.WorkerID]*simWorker{}, popular: newZipf(size.Functions, size.Zipf),
-		simGossip: simGossip{messages: true, lost: size.Lost, lossy: rand.New(rand.NewPCG(seed, 3))},
+		simGossip: simGossip{messages: true, lossRate: size.Lost, lossRNG: rand.New(rand.NewPCG(seed, 3))},
 		load:      Load{Rate: size.Calls, Models: size.Functions, Zipf: size.Zipf, Retries: 2},
 	}
 	w.now = time.Unix(1_800_000_000, 0)
@@ -99,9 +99,9 @@
 	}
 	h.until = h.from.Add(size.Span)
 	w.hollow = h
-	w.price, w.walk = size.PeerPrice, size.Walk
+	w.price, w.fullScanLimit = size.PeerPrice, size.Walk
 	if size.Before {
-		w.walk = math.MaxInt
+		w.fullScanLimit = math.MaxInt
 	}
 	for i := range size.Executors {
 		worker := w.add(i, w.began.Add(-time.Hour))
--- a/internal/lab/hosts_test.go
+++ b/internal/lab/hosts_test.go
@@ -283,7 +283,7 @@
 				}
 				s.at(s.began.Add(sent), func() {
 					for _, worker := range s.workers {
-						worker.fate = cutOff
+						worker.fault = faultCutOff
 					}
 					s.host.arrive(call)
 				})
@@ -346,11 +346,11 @@
 				call := &simCall{class: 0, model: 77, intended: s.began.Add(3 * time.Second), name: "0.999"}
 				s.at(call.intended, func() {
 					for _, worker := range s.workers {
-						worker.fate = cutOff
+						worker.fault = faultCutOff
 					}
 					s.host.arrive(call)
 				})
-				s.at(call.intended.Add(simProbe/2), func() { end(s.nodes[0]) })
+				s.at(call.intended.Add(simConnectTimeout/2), func() { end(s.nodes[0]) })
 			},
 		})
 		assert.Equal(t, int64(1), hollow.ends[balancer.NotSent], name)
@@ -374,7 +374,7 @@
 		},
 		"its worker vanishes": {
 			5900 * time.Millisecond,
-			func(_ *hostWorld, worker *simWorker) { worker.fate = vanishes },
+			func(_ *hostWorld, worker *simWorker) { worker.fault = faultVanishes },
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -22,8 +22,8 @@
 
 func testWorkerConfig() WorkerConfig {
 	return WorkerConfig{
-		Cores: 2, Queue: 3, Copies: 2, Loads: 2, Keep: 10 * time.Second, Warm: 10 * time.Second,
-		StartCap: 0.2, Fall: 3 * time.Second, Factor: 3,
+		Cores: 2, Queue: 3, MaxCopies: 2, MaxLoads: 2, IdleTimeout: 10 * time.Second, SlowStart: 10 * time.Second,
+		StartCapacity: 0.2, CollapseWindow: 3 * time.Second, OverloadFactor: 3,
 	}
 }
 
@@ -78,7 +78,7 @@
 	assert.InDelta(t, 0.6, model.Capacity(t0.Add(5*time.Second)), 1e-9)
 	assert.InDelta(t, 1, model.Capacity(t0.Add(time.Minute)), 1e-9)
 	sent := time.Duration(0) // limit: 3 x 0.2 x 2 cores x 3 s = 3.6 s of work, plus two calls
-	for i := 0; !model.Fallen(); i++ {
+	for i := 0; !model.Collapsed(); i++ {
 		model.Arrive(t0, job(fmt.Sprint(i), 1, 100))
 		sent += ms(100)
 	}
@@ -114,7 +114,7 @@
 	z := newZipf(100, 1)
 	assert.Equal(t, 0, z.draw(0))
 	assert.Equal(t, 99, z.draw(0.999999))
-	load := Load{Turn: time.Second}
+	load := Load{PopularityPeriod: time.Second}
 	assert.Equal(t, load.model(3, t0), load.model(3, t0.Add(time.Nanosecond)))
 	assert.NotEqual(t, load.model(3, t0), load.model(3, t0.Add(time.Second)))
 }
@@ -126,7 +126,7 @@
 	figures.Load = time.Millisecond
 	s, err := StartStubWorker("s-00000001", "127.0.0.1:0", figures, time.Now().Add(-time.Hour))
 	require.NoError(t, err)
-	defer s.Die()
+	defer s.Kill()
 	type answer struct {
 		status int
 		header http.Header
@@ -166,7 +166,7 @@
 	calls, orders := s.Observations()
 	assert.Len(t, calls, 3)
 	assert.Len(t, orders, 1)
-	assert.True(t, calls[2].Draining && !calls[2].Took)
+	assert.True(t, calls[2].Draining && !calls[2].Admitted)
 }
 
 // The discovery stub sends each event once and in order, also after an outage and in a new epoch,
@@ -175,8 +175,8 @@
 	d := NewDiscovery("e1")
 	n, err := d.Listen("127.0.0.1:0")
 	require.NoError(t, err)
-	d.Publish(Listed{ID: "s-1", Addr: "127.0.0.1:1", Phase: Ready})
-	d.Publish(Listed{ID: "s-1", Phase: Terminating})
+	d.Publish(ListEntry{ID: "s-1", Addr: "127.0.0.1:1", Phase: Ready})
+	d.Publish(ListEntry{ID: "s-1", Phase: Terminating})
 	read := func(from, lines int) (out []string) {
 		conn, err := net.Dial("tcp", d.Addr(n))
 		require.NoError(t, err)
@@ -198,10 +198,10 @@
 	d.Down()
 	_, err = net.Dial("tcp", d.Addr(n))
 	require.Error(t, err)
-	d.Publish(Listed{ID: "s-2", Addr: "127.0.0.1:2", Phase: Ready})
+	d.Publish(ListEntry{ID: "s-2", Addr: "127.0.0.1:2", Phase: Ready})
 	require.NoError(t, d.Up())
 	assert.True(t, d.NotifiedAt(n, "s-2").IsZero())
-	known, err := json.Marshal(d.Known(n))
+	known, err := json.Marshal(d.Snapshot(n))
 	require.NoError(t, err)
 	assert.Contains(t, string(known), `"cursor":3,`)
 	assert.Contains(t, string(known), `"complete":true`)
@@ -211,7 +211,7 @@
 	got = read(2, 3)
 	assert.Contains(t, got[1], "s-2")
 	assert.Equal(t, "3", got[2])
-	d.StartOver("e2")
+	d.StartEpoch("e2")
 	got = read(3, 2)
 	assert.Equal(t, []string{`{"cursor":1,"epoch":"e2"}`, "1"}, got, "a lower number in a new epoch")
 	d.Down()
@@ -231,9 +231,9 @@
 		return ObservedCall{At: t0.Add(ms(after)), ID: fmt.Sprintf("%03x0000000000000", n), Draining: true}
 	}
 	worker := &StubWorker{ID: "s-1"}
-	assert.Zero(t, w.late(worker, []ObservedCall{observed(0, 0), observed(0, 900), observed(1, 1500)}),
+	assert.Zero(t, w.lateSends(worker, []ObservedCall{observed(0, 0), observed(0, 900), observed(1, 1500)}),
 		"each dispatcher is counted separately")
-	assert.Equal(t, 2, w.late(worker, []ObservedCall{observed(0, 0), observed(0, 1200), observed(0, 1300)}))
+	assert.Equal(t, 2, w.lateSends(worker, []ObservedCall{observed(0, 0), observed(0, 1200), observed(0, 1300)}))
 	assert.Equal(t, 3, mostInOneSecond([]time.Time{t0, t0.Add(ms(500)), t0.Add(ms(999)), t0.Add(ms(1600))}))
 }
 
@@ -243,7 +243,7 @@
 	r.AtMost("low", 1, 2)
 	r.AtLeast("high", 1, 2)
 	r.AtMost("unmeasured", math.NaN(), 2)
-	assert.Equal(t, 2, r.Broken())
+	assert.Equal(t, 2, r.BrokenBounds())
 	var b bytes.Buffer
 	r.Print(&b)
 	assert.Contains(t, b.String(), "BROKEN  high: 1, at least 2")
@@ -287,7 +287,7 @@
 			result, err := fleetSim(fleetFigures(), kind, n, 20, true, 5)
 			require.NoError(t, err)
 			name := fmt.Sprintf("%s, %d dispatchers", kind, n)
-			require.Zero(t, result.twice+result.fallen+result.late+result.open+result.oversize, name)
+			require.Zero(t, result.twice+result.collapsed+result.late+result.openCalls+result.oversize, name)
 			switch kind {
 			case "join", "zone":
 				require.Greater(t, result.warmingShare, 0.2, name)
@@ -300,7 +300,7 @@
 				if n == 80 {
 					require.Less(t, result.attempts, 3.3, name)
 					require.Greater(t, result.servedRatio, 0.5, name)
-					require.Less(t, result.back, 13.0, name) // 10.7 now; the run ends 19 s after the split
+					require.Less(t, result.recoveryTime, 13.0, name) // 10.7 now; the run ends 19 s after the split
 				}
 			}
 		}
--- a/internal/lab/links.go
+++ b/internal/lab/links.go
@@ -21,8 +21,8 @@
 	What string
 }
 
-// Did records an event that happens now. Its arguments are those of fmt.Sprintf.
-func (l *Links) Did(format string, args ...any) {
+// RecordEvent records an event that happens now. Its arguments are those of fmt.Sprintf.
+func (l *Links) RecordEvent(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.events = append(l.events, LinkEvent{time.Now(), fmt.Sprintf(format, args...)})
@@ -35,9 +35,9 @@
 	return append([]LinkEvent(nil), l.events...)
 }
 
-// Between sets the fault and delay of the links of all pairs of a dispatcher and a worker for which
+// SetWorkerLinks sets the fault and delay of the links of all pairs of a dispatcher and a worker for which
 // pick returns true, all at the same time. It returns the first error.
-func (l *Links) Between(fault Fault, delay time.Duration, pick func(dispatcher, worker int) bool) error {
+func (l *Links) SetWorkerLinks(fault Fault, delay time.Duration, pick func(dispatcher, worker int) bool) error {
 	var wait sync.WaitGroup
 	errs := make(chan error, 1)
 	n := 0
@@ -60,7 +60,7 @@
 		}
 	}
 	wait.Wait()
-	l.Did("%d links to workers: %s, delay %s", n, fault, delay)
+	l.RecordEvent("%d links to workers: %s, delay %s", n, fault, delay)
 	select {
 	case err := <-errs:
 		return err
--- a/internal/lab/links_test.go
+++ b/internal/lab/links_test.go
@@ -47,7 +47,7 @@
 		return err
 	}
 	require.NoError(t, request())
-	before, _ := Swallowed()
+	before, _ := DroppedHandshakes()
 	for _, test := range []struct {
 		fault           Fault
 		existing, fresh string // errors on the open connection and on a new one, by alternatives
@@ -72,7 +72,7 @@
 		require.NoError(t, relay.Set(Open, 0))
 		require.NoError(t, request(), "after %s", test.fault)
 	}
-	if now, ok := Swallowed(); ok {
+	if now, ok := DroppedHandshakes(); ok {
 		assert.GreaterOrEqual(t, now-before, int64(2), "a dropped handshake in each of the two cuts")
 	}
 	require.NoError(t, relay.Set(Open, 60*time.Millisecond))
@@ -119,7 +119,7 @@
 	}
 	send(0, 1, "a")
 	assert.Equal(t, "0 a", read(1))
-	w.Set(Lost, func(from, to int) bool { return from == 0 && to == 1 })
+	w.Set(DropAll, func(from, to int) bool { return from == 0 && to == 1 })
 	send(0, 1, "lost")
 	send(1, 0, "back")
 	assert.Equal(t, "1 back", read(0), "the opposite link is open")
@@ -138,7 +138,7 @@
 func TestCheckersDetectViolations(t *testing.T) {
 	figures := PlannerFigures()
 	observed := func(id string, class, after int, took, drains bool) ObservedCall {
-		return ObservedCall{At: t0.Add(ms(after)), ID: id, Class: class, Took: took, Draining: drains}
+		return ObservedCall{At: t0.Add(ms(after)), ID: id, Class: class, Admitted: took, Draining: drains}
 	}
 	id := func(n, call, attempt int) string { return fmt.Sprintf("%03x%010x%03x", n, call, attempt) }
 	book := 2
@@ -163,14 +163,14 @@
 	assert.Equal(t, []int{1, 1}, []int{lost, wrong})
 	lost, _ = Unanswered(calls, func(x Attempt) bool { return x.Sent.Equal(t0) })
 	assert.Zero(t, lost)
-	crossed := []*Call{{Attempts: []Attempt{{ID: id(0, 4, 0), Crossed: true}, {Status: 200}}}}
+	crossed := []*Call{{Attempts: []Attempt{{ID: id(0, 4, 0), CrossedClose: true}, {Status: 200}}}}
 	for want, workers := range [][][]ObservedCall{{once}, {once, {observed(id(0, 4, 0), 0, 9, true, false)}}} {
 		lost, _ = Unanswered(crossed, nil, workers...)
 		assert.Equal(t, want, lost, "an attempt that crossed a close counts only if a worker saw it")
 	}
 	lost, _ = Unanswered(crossed, nil)
 	assert.Equal(t, 1, lost, "without observations of workers it counts")
-	assert.InDelta(t, 1.0/3, Served(calls, t0, t0.Add(time.Second), nil), 1e-9)
+	assert.InDelta(t, 1.0/3, ServedShare(calls, t0, t0.Add(time.Second), nil), 1e-9)
 
 	late := []ObservedCall{
 		observed(id(1, 1, 0), 0, 900, false, true), observed(id(1, 2, 0), 0, 1200, false, true),
@@ -184,11 +184,11 @@
 		}
 		return out
 	}
-	assert.Zero(t, OverRation(at(0, 100, 200), at(0, 50, 150), time.Second, 2, 0.5, 0))
-	assert.Equal(t, 1, OverRation(at(0, 100, 200, 300, 2000), at(0), time.Second, 2, 0.5, 0),
+	assert.Zero(t, LoadQuotaExcess(at(0, 100, 200), at(0, 50, 150), time.Second, 2, 0.5, 0))
+	assert.Equal(t, 1, LoadQuotaExcess(at(0, 100, 200, 300, 2000), at(0), time.Second, 2, 0.5, 0),
 		"a fourth order in the window")
 	assert.Equal(t, 1, Oversize([]Datagram{{Bytes: 256}, {Bytes: 257}}))
-	assert.InDelta(t, 20, BytesACall([]Datagram{{At: t0, Bytes: 90}, {At: t0.Add(ms(5)), Bytes: 40}}, 2, t0,
+	assert.InDelta(t, 20, BytesPerCall([]Datagram{{At: t0, Bytes: 90}, {At: t0.Add(ms(5)), Bytes: 40}}, 2, t0,
 		t0.Add(time.Second)), 1e-9)
 }
 
@@ -210,16 +210,16 @@
 	assert.Equal(t, []Datagram{{ms(0), 0, 1, 9}}, Broadcasts(datagrams, 4),
 		"the messages of 1 are spread over time: reports")
 	all := func(int) bool { return true }
-	assert.Equal(t, 390*time.Millisecond, Silence(datagrams, all, ms(-10), ms(800)))
-	assert.Equal(t, 2240*time.Millisecond, Silence(datagrams, all, ms(-10), ms(3000)))
-	assert.Equal(t, time.Second, Silence(datagrams, func(n int) bool { return n == 0 }, ms(0), ms(1000)))
+	assert.Equal(t, 390*time.Millisecond, LongestSilence(datagrams, all, ms(-10), ms(800)))
+	assert.Equal(t, 2240*time.Millisecond, LongestSilence(datagrams, all, ms(-10), ms(3000)))
+	assert.Equal(t, time.Second, LongestSilence(datagrams, func(n int) bool { return n == 0 }, ms(0), ms(1000)))
 }
 
 // A program that cannot be started must not leave a command without a process: Kill panicked on it
 // when the rig was closed. The calibration experiment found this.
 func TestProgramThatCannotStart(t *testing.T) {
 	dir := t.TempDir()
-	dispatcher := &Dispatcher{Dir: dir, Run: Program{Path: filepath.Join(dir, "none")}}
+	dispatcher := &Dispatcher{Dir: dir, Program: Program{Path: filepath.Join(dir, "none")}}
 	require.Error(t, dispatcher.Start())
 	assert.False(t, dispatcher.Running())
 	assert.NoError(t, dispatcher.Kill())
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -24,15 +24,15 @@
 
 // Load describes the calls that the clients of one dispatcher send.
 type Load struct {
-	Rate    float64       // calls per second without retries, as a Poisson process
-	Models  int           // number of models that are called
-	Zipf    float64       // exponent of the models' popularity
-	Turn    time.Duration // after this time a rank gets another model, at one of 16 offsets; 0: never
-	Retries int           // per call, beside those of crossed closes
-	Seed    uint64
-	// NewAt is the time from which four in ten models are called in a new version, which has its
+	Rate             float64       // calls per second without retries, as a Poisson process
+	Models           int           // number of models that are called
+	Zipf             float64       // exponent of the models' popularity
+	PopularityPeriod time.Duration // after this time a rank gets another model, at one of 16 offsets; 0: never
+	Retries          int           // per call, beside those of crossed closes
+	Seed             uint64
+	// NewVersionsAt is the time from which four in ten models are called in a new version, which has its
 	// own ID; zero: never.
-	NewAt time.Time
+	NewVersionsAt time.Time
 }
 
 // Attempt is one request of a call and its result.
@@ -44,12 +44,12 @@
 	Lost   bool // no complete response, for another reason than a refused connection or a crossed close
 	Wrong  bool // status 200, but not with the body that a worker returns for it
 	Err    string
-	// Crossed reports that, during a planned stop of the dispatcher, the connection was closed as
+	// CrossedClose reports that, during a planned stop of the dispatcher, the connection was closed as
 	// the request was written, and no byte of a response came. By the protocol a dispatcher may
 	// close a connection without an open request, and the client resends a request that crossed the
 	// close once, on a new connection. Unanswered checks whether a worker saw the request
 	// nevertheless.
-	Crossed bool
+	CrossedClose bool
 }
 
 // Call is a finished call with all its attempts.
@@ -105,12 +105,12 @@
 	return &Clients{f: figures, n: n, addr: addr, load: l, http: client(true), noKeepAlive: client(false)}
 }
 
-// Renew sets the time from which new versions of models are called. It must be called before Run.
-func (c *Clients) Renew(at time.Time) { c.load.NewAt = at }
+// SetNewVersionsAt sets the time from which new versions of models are called. It must be called before Run.
+func (c *Clients) SetNewVersionsAt(at time.Time) { c.load.NewVersionsAt = at }
 
-// Ending sets whether a planned stop of the dispatcher is under way, in which requests may cross
+// SetStopping sets whether a planned stop of the dispatcher is under way, in which requests may cross
 // the close of their connection.
-func (c *Clients) Ending(stopping bool) { c.stopping.Store(stopping) }
+func (c *Clients) SetStopping(stopping bool) { c.stopping.Store(stopping) }
 
 // Run sends calls until ctx ends, then waits until all calls have ended.
 func (c *Clients) Run(ctx context.Context) {
@@ -172,7 +172,7 @@
 		id := fmt.Sprintf("%03x%010x%03x", c.n, seq, n)
 		attempt, wait := c.attempt(client, id, k.Name, call.Tenant, model, time.Until(end))
 		call.Attempts = append(call.Attempts, attempt)
-		if client = c.http; attempt.Crossed {
+		if client = c.http; attempt.CrossedClose {
 			client = c.noKeepAlive
 			continue
 		}
@@ -235,9 +235,9 @@
 			return t, 0
 		}
 		t.Err = err.Error()
-		t.Crossed = c.stopping.Load() && client != c.noKeepAlive && !answered.Load() && ctx.Err() == nil &&
+		t.CrossedClose = c.stopping.Load() && client != c.noKeepAlive && !answered.Load() && ctx.Err() == nil &&
 			time.Since(t.Sent) < maxCrossedClose
-		t.Lost = !t.Crossed
+		t.Lost = !t.CrossedClose
 		return t, 0
 	}
 	t.Status = resp.StatusCode
@@ -296,11 +296,11 @@
 // clients.
 func (l *Load) model(rank int, at time.Time) uint64 {
 	turn := int64(0)
-	if l.Turn > 0 {
-		turn = (at.UnixNano() + int64(l.Turn)*int64(rank*7%16)/16) / int64(l.Turn)
+	if l.PopularityPeriod > 0 {
+		turn = (at.UnixNano() + int64(l.PopularityPeriod)*int64(rank*7%16)/16) / int64(l.PopularityPeriod)
 	}
 	model := mix64(uint64(rank)<<40 ^ uint64(turn))
-	if l.HasNewVersion(rank) && !l.NewAt.IsZero() && !at.Before(l.NewAt) {
+	if l.HasNewVersion(rank) && !l.NewVersionsAt.IsZero() && !at.Before(l.NewVersionsAt) {
 		return mix64(model)
 	}
 	return model
@@ -309,9 +309,9 @@
 // HasNewVersion reports whether the model at a rank is one of those that get a new version.
 func (l *Load) HasNewVersion(rank int) bool { return mix64(uint64(rank))%10 < 4 }
 
-// Version returns the IDs of the model at a rank right before NewAt and at NewAt.
-func (l *Load) Version(rank int) (before, after uint64) {
-	return l.model(rank, l.NewAt.Add(-1)), l.model(rank, l.NewAt)
+// Versions returns the IDs of the model at a rank right before NewAt and at NewAt.
+func (l *Load) Versions(rank int) (before, after uint64) {
+	return l.model(rank, l.NewVersionsAt.Add(-1)), l.model(rank, l.NewVersionsAt)
 }
 
 // mix64 is the finalizer of SplitMix64.
--- a/internal/lab/mesh.go
+++ b/internal/lab/mesh.go
@@ -16,22 +16,22 @@
 
 // Faults between the dispatchers of a mesh.
 const (
-	MeshHalves  = "two halves that don't hear each other"
-	MeshDeaf    = "a third hears nothing"
-	MeshUnheard = "a third is heard by nobody"
-	MeshNobody  = "nobody hears anybody"
-	MeshStopped = "a third stands still for half of the time"
-	MeshKilled  = "two thirds are killed, their clients at the rest"
-	MeshFlap    = "halves that hear each other every other second"
-	MeshMangled = "messages doubled, late and out of order"
-	MeshStarted = "nobody has heard anybody since the start"
+	MeshHalves        = "two halves that don't hear each other"
+	MeshInboundLost   = "a third hears nothing"
+	MeshOutboundLost  = "a third is heard by nobody"
+	MeshAllLost       = "nobody hears anybody"
+	MeshStopped       = "a third stands still for half of the time"
+	MeshKilled        = "two thirds are killed, their clients at the rest"
+	MeshFlap          = "halves that hear each other every other second"
+	MeshDisordered    = "messages doubled, late and out of order"
+	MeshLostFromStart = "nobody has heard anybody since the start"
 )
 
 // MeshFaults returns the faults of the experiment.
 func MeshFaults() []string {
 	return []string{
-		MeshHalves, MeshDeaf, MeshUnheard, MeshNobody, MeshStopped, MeshKilled, MeshFlap, MeshMangled,
-		MeshStarted,
+		MeshHalves, MeshInboundLost, MeshOutboundLost, MeshAllLost, MeshStopped, MeshKilled, MeshFlap, MeshDisordered,
+		MeshLostFromStart,
 	}
 }
 
@@ -46,9 +46,9 @@
 // within theirs at the odd ones. A third of the dispatchers get 5.5 times the calls of the others.
 type Mesh struct {
 	*Rig
-	Tenants []MeshTenant
-	more    []*Clients
-	stop    context.CancelFunc // stops the clients of the dispatchers that MeshKilled kills
+	Tenants      []MeshTenant
+	movedClients []*Clients
+	stop         context.CancelFunc // stops the clients of the dispatchers that MeshKilled kills
 }
 
 // MeshSize is the size of a mesh. Slow is the factor by which work takes longer than at a planner
@@ -70,7 +70,7 @@
 )
 
 // NewMesh sets up a mesh without starting its processes.
-func NewMesh(net *Net, dir string, size MeshSize) (*Mesh, error) {
+func NewMesh(net *LoopbackRange, dir string, size MeshSize) (*Mesh, error) {
 	figures := PlannerFigures()
 	work := 0.0
 	for i := range figures.Classes {
@@ -95,10 +95,10 @@
 	}
 	asked := [2]float64{m.Tenants[0].Demand, m.Tenants[1].Demand + m.Tenants[2].Demand}
 	var err error
-	m.Rig, err = NewRig(net, dir, RigSize{
+	m.Rig, err = NewRig(net, dir, RigConfig{
 		Dispatchers: size.Dispatchers, Workers: size.Workers, Figures: figures, Program: size.Program,
-		Group: size.Group,
-		Seed:  size.Seed, Debug: size.Debug, Load: Load{Models: 6 * size.Workers, Zipf: 0.4},
+		AddrGroup: size.Group,
+		Seed:      size.Seed, Debug: size.Debug, Load: Load{Models: 6 * size.Workers, Zipf: 0.4},
 		Rate: func(n int) float64 { return asked[n%2] * weight(n) / sums[n%2] },
 		Tenant: func(n, seq int) string {
 			if n%2 == 0 {
@@ -128,8 +128,8 @@
 
 // Prepare applies what a fault needs before the processes start.
 func (m *Mesh) Prepare(fault string) {
-	if fault == MeshStarted {
-		m.PeerNetwork.Set(Lost, func(_, _ int) bool { return true })
+	if fault == MeshLostFromStart {
+		m.PeerNetwork.Set(DropAll, func(_, _ int) bool { return true })
 	}
 }
 
@@ -137,24 +137,24 @@
 func (m *Mesh) Run(ctx context.Context) {
 	dying, stop := context.WithCancel(ctx)
 	m.stop = stop
-	m.Send(dying, func(n int) bool { return n%3 != 0 })
-	m.Send(ctx, func(n int) bool { return n%3 == 0 })
+	m.StartClients(dying, func(n int) bool { return n%3 != 0 })
+	m.StartClients(ctx, func(n int) bool { return n%3 == 0 })
 }
 
-// Begin starts a fault. Repeated ones go on until ctx ends, the others until Heal.
-func (m *Mesh) Begin(ctx context.Context, fault string) error {
-	m.Links.Did("begin: %s", fault)
+// BeginFault starts a fault. Repeated ones go on until ctx ends, the others until Heal.
+func (m *Mesh) BeginFault(ctx context.Context, fault string) error {
+	m.Links.RecordEvent("begin: %s", fault)
 	halves := func(from, to int) bool { return meshHalf(from) != meshHalf(to) }
 	switch fault {
 	case MeshHalves:
-		m.PeerNetwork.Set(Lost, halves)
-	case MeshDeaf:
-		m.PeerNetwork.Set(Lost, func(_, to int) bool { return meshThird(to) })
-	case MeshUnheard:
-		m.PeerNetwork.Set(Lost, func(from, _ int) bool { return meshThird(from) })
-	case MeshNobody, MeshStarted:
-		m.PeerNetwork.Set(Lost, func(_, _ int) bool { return true })
-	case MeshMangled:
+		m.PeerNetwork.Set(DropAll, halves)
+	case MeshInboundLost:
+		m.PeerNetwork.Set(DropAll, func(_, to int) bool { return meshThird(to) })
+	case MeshOutboundLost:
+		m.PeerNetwork.Set(DropAll, func(from, _ int) bool { return meshThird(from) })
+	case MeshAllLost, MeshLostFromStart:
+		m.PeerNetwork.Set(DropAll, func(_, _ int) bool { return true })
+	case MeshDisordered:
 		m.PeerNetwork.Set(PeerLink{
 			Lost: 0.1, Twice: 0.5, Delay: 20 * time.Millisecond,
 			Jitter: 150 * time.Millisecond,
@@ -175,7 +175,7 @@
 			load.Seed, load.Rate = m.Seed+1, m.Rate(n)
 			clients := NewClients(m.Figures, m.Dispatchers+n, m.Nodes[rest[n%len(rest)]].Addr, load)
 			clients.Tenant = func(seq int) string { return m.Tenant(n, seq) }
-			m.more = append(m.more, clients)
+			m.movedClients = append(m.movedClients, clients)
 			m.clients.Add(1)
 			go func() { defer m.clients.Done(); clients.Run(ctx) }()
 		}
@@ -192,7 +192,7 @@
 func (m *Mesh) flap(ctx context.Context, fault string, halves func(int, int) bool) {
 	for ctx.Err() == nil {
 		if fault == MeshFlap {
-			m.PeerNetwork.Set(Lost, halves)
+			m.PeerNetwork.Set(DropAll, halves)
 			_ = sleepUntil(ctx, time.Now().Add(time.Second))
 			m.PeerNetwork.Set(PeerLink{}, halves)
 			_ = sleepUntil(ctx, time.Now().Add(time.Second))
@@ -205,9 +205,9 @@
 	}
 }
 
-// Heal ends what Begin started, but does not restart killed dispatchers.
-func (m *Mesh) Heal() {
-	m.Links.Did("heal")
+// EndFault ends what Begin started, but does not restart killed dispatchers.
+func (m *Mesh) EndFault() {
+	m.Links.RecordEvent("heal")
 	m.PeerNetwork.Set(PeerLink{}, func(_, _ int) bool { return true })
 	_ = m.Signal(syscall.SIGCONT, func(n int) bool { return m.Nodes[n].Running() })
 }
@@ -215,7 +215,7 @@
 // AllCalls returns the calls of all clients.
 func (m *Mesh) AllCalls() []*Call {
 	calls := m.Calls(nil)
-	for _, clients := range m.more {
+	for _, clients := range m.movedClients {
 		calls = append(calls, clients.Calls()...)
 	}
 	return calls
@@ -235,8 +235,8 @@
 	return float64(good) / float64(max(1, all)), float64(good) / until.Sub(from).Seconds()
 }
 
-// Honest returns the lesser of the served shares of b and c.
-func (m *Mesh) Honest(from, until time.Time) float64 {
+// CompliantShare returns the lesser of the served shares of b and c.
+func (m *Mesh) CompliantShare(from, until time.Time) float64 {
 	b, _ := m.Share("b", from, until)
 	c, _ := m.Share("c", from, until)
 	return min(b, c)
--- a/internal/lab/meshexperiment.go
+++ b/internal/lab/meshexperiment.go
@@ -12,7 +12,7 @@
 
 // meshResult is the result of one run: before the fault, in its first two seconds, and after these.
 type meshResult struct {
-	Breaches
+	RuleViolations
 	before, first, later, floodBefore, flood float64 // the lesser share of b and c; calls per second of a
 	bytes                                    float64 // of messages per call, before the fault
 	// by how much dispatchers' totals differ two terms after the end; NaN: not logged
@@ -28,24 +28,24 @@
 	sizes, workers, seeds, faults := []int{12, 24}, 4, 3, MeshFaults()
 	spans := meshSpans{4 * time.Second, 3 * time.Second, 2 * time.Second, 6 * time.Second, 3 * time.Second}
 	if options.Quick {
-		sizes, workers, seeds, faults = []int{6}, 2, 1, []string{MeshHalves, MeshUnheard}
+		sizes, workers, seeds, faults = []int{6}, 2, 1, []string{MeshHalves, MeshOutboundLost}
 		spans = meshSpans{4 * time.Second, 2 * time.Second, 2 * time.Second, 5 * time.Second, 3 * time.Second}
 	}
 	return comparison[meshResult]{
 		name: "mesh", before: meshBefore, sizes: sizes, seeds: seeds, faults: faults,
 		note: fmt.Sprintf("%d boxes; a floods with 3 times its allowance, b and c ask for 0.9 of theirs at other "+
 			"dispatchers", workers),
-		run: func(net *Net, dir, fault string, size RigSize) (*meshResult, error) {
+		run: func(net *LoopbackRange, dir, fault string, size RigConfig) (*meshResult, error) {
 			return meshArm(ctx, net, dir, fault, MeshSize{
 				Dispatchers: size.Dispatchers, Workers: workers, Slow: 1, Seed: size.Seed, Debug: true,
-				Group: size.Group, Program: size.Program,
+				Group: size.AddrGroup, Program: size.Program,
 			}, spans)
 		}, report: meshReport,
 	}.runAll(ctx, options)
 }
 
 // meshArm runs one fault with one program.
-func meshArm(ctx context.Context, net *Net, dir, fault string, size MeshSize, spans meshSpans) (*meshResult, error) {
+func meshArm(ctx context.Context, net *LoopbackRange, dir, fault string, size MeshSize, spans meshSpans) (*meshResult, error) {
 	m, err := NewMesh(net, dir, size)
 	if err != nil {
 		return nil, err
@@ -67,7 +67,7 @@
 	began := time.Now()
 	failing, over := context.WithCancel(going)
 	defer over()
-	if err := m.Begin(failing, fault); err != nil {
+	if err := m.BeginFault(failing, fault); err != nil {
 		return nil, err
 	}
 	settled, end := began.Add(spans.first), began.Add(spans.first+spans.later)
@@ -76,17 +76,17 @@
 	}
 	result := &meshResult{totalsSpread: math.NaN()}
 	if over(); fault != MeshKilled {
-		m.Heal()
+		m.EndFault()
 		healed := time.Now()
 		if err := sleepUntil(ctx, healed.Add(spans.recovery)); err != nil {
 			return nil, err
 		}
-		result.totalsSpread = m.Apart(healed.Add(2*leaderTerm*m.Figures.Classes[0].LatencyObjective),
+		result.totalsSpread = m.TotalsSpread(healed.Add(2*leaderTerm*m.Figures.Classes[0].LatencyObjective),
 			healed.Add(spans.recovery), nil)
 	}
 	enough()
-	m.Heal()
-	m.Quiet()
+	m.EndFault()
+	m.StopClients()
 	result.measure(m, fault, meshMoments{calm: at, began: began, settled: settled, end: end})
 	if fault == MeshKilled {
 		return result, nil
@@ -107,9 +107,9 @@
 
 // measure fills in the result from the observations of clients, workers and links.
 func (r *meshResult) measure(m *Mesh, fault string, at meshMoments) {
-	r.before = m.Honest(at.calm, at.began)
-	r.first = m.Honest(at.began, at.settled)
-	r.later = m.Honest(at.settled, at.end)
+	r.before = m.CompliantShare(at.calm, at.began)
+	r.first = m.CompliantShare(at.began, at.settled)
+	r.later = m.CompliantShare(at.settled, at.end)
 	_, r.floodBefore = m.Share("a", at.calm, at.began)
 	_, r.flood = m.Share("a", at.settled, at.end)
 	calls := 0
@@ -118,16 +118,16 @@
 			calls++
 		}
 	}
-	r.bytes = BytesACall(m.PeerNetwork.Datagrams(), calls, at.calm, at.began)
-	r.Breaches = m.Check(func(attempt Attempt) bool { // attempts in flight when a dispatcher was killed need no answer
+	r.bytes = BytesPerCall(m.PeerNetwork.Datagrams(), calls, at.calm, at.began)
+	r.RuleViolations = m.Check(func(attempt Attempt) bool { // attempts in flight when a dispatcher was killed need no answer
 		return fault == MeshKilled && attempt.Sent.Before(at.began.Add(time.Second)) && attempt.Ended.After(at.began)
 	})
 }
 
-// Apart returns by how much the totals of tenant a differ, relative to the lowest, as each of the
+// TotalsSpread returns by how much the totals of tenant a differ, relative to the lowest, as each of the
 // dispatchers that pick selects (nil: all) first logs them in a span; NaN if one logs none. This is
 // the only figure taken from what dispatchers report about themselves.
-func (m *Mesh) Apart(from, until time.Time, pick func(n int) bool) float64 {
+func (m *Mesh) TotalsSpread(from, until time.Time, pick func(n int) bool) float64 {
 	low, high := math.Inf(1), 0.0
 	for n, path := range m.Logs() {
 		if pick != nil && !pick(n) {
@@ -176,7 +176,7 @@
 		func(result *meshResult) float64 { return result.totalsSpread })
 	is := both[1]
 	rep.AtMost(name+"breaches of the rules", float64(is.Sum()), 0)
-	if fault == MeshStarted {
+	if fault == MeshLostFromStart {
 		rep.AtLeast(name+"b and c after 2 s, of their calls", is.later, 0.85)
 	} else {
 		rep.AtLeast(name+"b and c after 2 s, of what they get with all hearing",
--- a/internal/lab/outliers.go
+++ b/internal/lab/outliers.go
@@ -48,7 +48,7 @@
 const lateNotification = 1500 * time.Millisecond
 
 // NewOutlierRig sets up a fleet of small workers at four tenths of their capacity.
-func NewOutlierRig(net *Net, dir string, size RigSize) (*Rig, error) {
+func NewOutlierRig(net *LoopbackRange, dir string, size RigConfig) (*Rig, error) {
 	size.Figures = comebackFigures()
 	size.Load = Load{
 		Rate: float64(fleetCalls*size.Workers) / float64(size.Dispatchers), Models: 6 * size.Workers,
@@ -65,34 +65,34 @@
 // InjectFault starts a fault and performs its further steps, if it has any. The fault is still
 // active when the function returns, unless its last step ends it.
 func (r *Rig) InjectFault(ctx context.Context, fault string) error {
-	r.Links.Did("begin: %s", fault)
+	r.Links.RecordEvent("begin: %s", fault)
 	switch fault {
 	case OutlierFails:
-		r.Workers[OutlierWorker].Fail(1)
+		r.Workers[OutlierWorker].SetFailureRate(1)
 	case OutlierNoGossip:
-		r.PeerNetwork.Set(Lost, allPairs)
-		r.Workers[OutlierWorker].Fail(1)
+		r.PeerNetwork.Set(DropAll, allPairs)
+		r.Workers[OutlierWorker].SetFailureRate(1)
 	case OutlierSlow:
 		r.Workers[OutlierWorker].Change(func(model *WorkerModel) { model.Slow(8) })
 	case OutlierErrors:
 		for _, worker := range r.Workers {
-			worker.Fail(0.01)
+			worker.SetFailureRate(0.01)
 		}
 	case OutlierPartial:
-		return r.Links.Between(Cut, 0, func(n, b int) bool { return thirdOf(n) && halfOf(b) })
+		return r.Links.SetWorkerLinks(Cut, 0, func(n, b int) bool { return thirdOf(n) && halfOf(b) })
 	case OutlierZone:
 		return r.replaceZone(ctx)
 	case OutlierStopped:
 		return r.stopDispatchers(ctx)
 	case OutlierOneDispatcher:
-		return r.Links.Between(Cut, 0, func(n, b int) bool { return n == 1 && halfOf(b) })
+		return r.Links.SetWorkerLinks(Cut, 0, func(n, b int) bool { return n == 1 && halfOf(b) })
 	case OutlierFrozen:
-		return r.Links.Between(Freeze, 0, func(n, b int) bool { return thirdOf(n) && b%3 == 0 })
+		return r.Links.SetWorkerLinks(Freeze, 0, func(n, b int) bool { return thirdOf(n) && b%3 == 0 })
 	case OutlierRecovers:
 		return r.failFor(ctx, 6*time.Second)
 	case OutlierZoneLost:
-		r.PeerNetwork.Set(Lost, allPairs)
-		return r.Links.Between(Cut, 0, toFirstZone)
+		r.PeerNetwork.Set(DropAll, allPairs)
+		return r.Links.SetWorkerLinks(Cut, 0, toFirstZone)
 	case OutlierFlaps:
 		return r.flapOutlier(ctx)
 	default:
@@ -110,7 +110,7 @@
 // replaceZone denies the links to a third of the workers for 3 s and replaces these; discovery
 // announces the new ones late.
 func (r *Rig) replaceZone(ctx context.Context) error {
-	if err := r.Links.Between(Deny, 0, toFirstZone); err != nil {
+	if err := r.Links.SetWorkerLinks(Deny, 0, toFirstZone); err != nil {
 		return err
 	}
 	if err := sleepUntil(ctx, time.Now().Add(3*time.Second)); err != nil {
@@ -121,7 +121,7 @@
 			return err
 		}
 	}
-	if err := r.Links.Between(Open, 0, toFirstZone); err != nil {
+	if err := r.Links.SetWorkerLinks(Open, 0, toFirstZone); err != nil {
 		return err
 	}
 	if err := sleepUntil(ctx, time.Now().Add(lateNotification)); err != nil {
@@ -133,7 +133,7 @@
 
 // stopDispatchers denies the links to the outlier and stops a third of the dispatchers for 3 s.
 func (r *Rig) stopDispatchers(ctx context.Context) error {
-	denied := r.Links.Between(Deny, 0, func(_, b int) bool { return b == OutlierWorker })
+	denied := r.Links.SetWorkerLinks(Deny, 0, func(_, b int) bool { return b == OutlierWorker })
 	if err := errors.Join(denied, r.Signal(syscall.SIGSTOP, thirdOf)); err != nil {
 		return err
 	}
@@ -145,16 +145,16 @@
 
 // failFor makes the outlier fail for a time.
 func (r *Rig) failFor(ctx context.Context, span time.Duration) error {
-	r.Workers[OutlierWorker].Fail(1)
+	r.Workers[OutlierWorker].SetFailureRate(1)
 	err := sleepUntil(ctx, time.Now().Add(span))
-	r.Workers[OutlierWorker].Fail(0)
+	r.Workers[OutlierWorker].SetFailureRate(0)
 	return err
 }
 
 // flapOutlier makes the outlier fail in every other half second, for 7 s.
 func (r *Rig) flapOutlier(ctx context.Context) error {
 	for i := range 14 {
-		r.Workers[OutlierWorker].Fail(float64((i + 1) % 2))
+		r.Workers[OutlierWorker].SetFailureRate(float64((i + 1) % 2))
 		if err := sleepUntil(ctx, time.Now().Add(500*time.Millisecond)); err != nil {
 			return err
 		}
@@ -189,8 +189,8 @@
 // question, relative to what they sent before.
 func (r *Rig) RetainedTraffic(fault string, before, began, from, until time.Time) float64 {
 	workers, others := AffectedBy(fault)
-	was, _ := r.At(before, began, workers, others)
-	is, _ := r.At(from, until, workers, others)
+	was, _ := r.CallsAt(before, began, workers, others)
+	is, _ := r.CallsAt(from, until, workers, others)
 	return float64(is) / until.Sub(from).Seconds() / math.Max(float64(was)/began.Sub(before).Seconds(), 1)
 }
 
@@ -200,10 +200,10 @@
 	return func(attempt Attempt) bool { return fault == OutlierStopped && thirdOf(senderOf(attempt.ID)) }
 }
 
-// At counts the calls in a span, from the dispatchers that of selects, that arrived at the workers
+// CallsAt counts the calls in a span, from the dispatchers that of selects, that arrived at the workers
 // that worker selects or at their predecessors at the same addresses; spoilt counts those that
 // failed.
-func (r *Rig) At(from, until time.Time, worker, of func(int) bool) (came, spoilt int) {
+func (r *Rig) CallsAt(from, until time.Time, worker, of func(int) bool) (came, spoilt int) {
 	place := map[string]int{}
 	for i, b := range r.Workers {
 		place[b.Addr] = i
@@ -246,7 +246,7 @@
 
 // outliersResult is the result of one run.
 type outliersResult struct {
-	Breaches
+	RuleViolations
 	// share of calls served at the dispatchers that the fault does not affect: before it, during
 	// it, and in its second half
 	before, during, late float64
@@ -265,7 +265,7 @@
 	return comparison[outliersResult]{
 		name: "verdicts", before: outliersBefore, sizes: sizes, seeds: seeds, faults: faults,
 		note: fmt.Sprintf("%d boxes, %d calls/s a box", workers, fleetCalls),
-		run: func(net *Net, dir, fault string, size RigSize) (*outliersResult, error) {
+		run: func(net *LoopbackRange, dir, fault string, size RigConfig) (*outliersResult, error) {
 			size.Workers = workers
 			return outliersArm(ctx, net, dir, fault, size)
 		}, report: outliersReport,
@@ -273,7 +273,7 @@
 }
 
 // outliersArm runs one fault with one program.
-func outliersArm(ctx context.Context, net *Net, dir, fault string, size RigSize) (*outliersResult, error) {
+func outliersArm(ctx context.Context, net *LoopbackRange, dir, fault string, size RigConfig) (*outliersResult, error) {
 	rig, err := NewOutlierRig(net, dir, size)
 	if err != nil {
 		return nil, err
@@ -284,7 +284,7 @@
 	if err := rig.Start(ready, nil); err != nil {
 		return nil, err
 	}
-	rig.Send(ctx, nil)
+	rig.StartClients(ctx, nil)
 	if err := sleepUntil(ctx, time.Now().Add(5*time.Second)); err != nil {
 		return nil, err
 	}
@@ -299,15 +299,15 @@
 	if err := errors.Join(sleepUntil(ctx, end), <-failing); err != nil {
 		return nil, err
 	}
-	rig.Quiet()
-	result := &outliersResult{Breaches: rig.Check(Excused(fault))}
+	rig.StopClients()
+	result := &outliersResult{RuleViolations: rig.Check(Excused(fault))}
 	in, unaffected := AffectedBy(fault)
 	calls := rig.Calls(unaffected)
-	result.before, result.during, result.late = Served(calls, from, began, nil), Served(calls, began, end, nil),
-		Served(calls, half,
+	result.before, result.during, result.late = ServedShare(calls, from, began, nil), ServedShare(calls, began, end, nil),
+		ServedShare(calls, half,
 			end, nil)
-	came, spoilt := rig.At(began, end, in, unaffected)
-	lateCame, lateSpoilt := rig.At(half, end, in, unaffected)
+	came, spoilt := rig.CallsAt(began, end, in, unaffected)
+	lateCame, lateSpoilt := rig.CallsAt(half, end, in, unaffected)
 	result.affected, result.affectedLate = float64(spoilt), float64(lateSpoilt)
 	if fault == OutlierSlow {
 		result.affected, result.affectedLate = float64(came), float64(lateCame)
--- a/internal/lab/peernetwork.go
+++ b/internal/lab/peernetwork.go
@@ -23,8 +23,8 @@
 	Jitter time.Duration // highest random addition to Delay, which may reorder datagrams
 }
 
-// Lost is a link that loses every datagram.
-var Lost = PeerLink{Lost: 1}
+// DropAll is a link that loses every datagram.
+var DropAll = PeerLink{Lost: 1}
 
 // PeerNetwork carries the datagrams between the dispatchers of a run.
 type PeerNetwork struct {
--- a/internal/lab/realhost_test.go
+++ b/internal/lab/realhost_test.go
@@ -257,7 +257,7 @@
 	case !up:
 		w.after(failed, func() { land(balancer.ConnectFailed, 0, 0, nil) })
 	case !h.s.handshake && !begin():
-	case worker.fate != vanishes:
+	case worker.fault != faultVanishes:
 		w.after(simLinkDelay, func() {
 			if !h.s.handshake || begin() {
 				w.reach(h.stub, worker, a.Request.ID, call, land)
@@ -280,7 +280,7 @@
 		}
 		if written.Store(o.BeforeWrite()); !written.Load() {
 			answered(0, balancer.NotSent)
-		} else if worker.fate != vanishes {
+		} else if worker.fault != faultVanishes {
 			w.after(simLinkDelay, func() { w.order(worker, o.Func, answered) })
 		}
 	})
@@ -295,7 +295,7 @@
 func (h *realHost) Unload(_ context.Context, o oakthread.LoadOrder) {
 	h.enqueue(rankRest, func() {
 		h.s.record("drop %x at %d", o.Func, o.Worker.ID)
-		h.s.drop(h.stub, h.s.byID[o.Worker.ID], o.Func)
+		h.s.unload(h.stub, h.s.byID[o.Worker.ID], o.Func)
 	})
 }
 
--- a/internal/lab/relay.go
+++ b/internal/lab/relay.go
@@ -320,10 +320,10 @@
 	r.wait.Wait()
 }
 
-// Swallowed returns how many handshakes the kernel has dropped at full accept queues since it
+// DroppedHandshakes returns how many handshakes the kernel has dropped at full accept queues since it
 // started: those at cut links of this run and all others on the machine, as there is no count for a
 // single listener. ok reports whether the kernel provides the count.
-func Swallowed() (n int64, ok bool) {
+func DroppedHandshakes() (n int64, ok bool) {
 	raw, err := os.ReadFile("/proc/net/netstat")
 	if err != nil {
 		return 0, false
--- a/internal/lab/report.go
+++ b/internal/lab/report.go
@@ -76,8 +76,8 @@
 	r.Rows = append(r.Rows, row)
 }
 
-// Broken returns the number of bounds that do not hold.
-func (r *Report) Broken() (n int) {
+// BrokenBounds returns the number of bounds that do not hold.
+func (r *Report) BrokenBounds() (n int) {
 	for _, b := range r.Bounds {
 		if !b.Holds {
 			n++
--- a/internal/lab/rig.go
+++ b/internal/lab/rig.go
@@ -15,36 +15,36 @@
 	"time"
 )
 
-// RigSize holds the sizes and settings of a rig.
-type RigSize struct {
+// RigConfig holds the sizes and settings of a rig.
+type RigConfig struct {
 	Dispatchers, Workers int
 	// workers that are not started with the rig but by Join
-	Later     int
-	Load      Load                                   // of each dispatcher's clients; Seed is the rig's
-	Rate      func(dispatcher int) float64           // calls per second at a dispatcher; nil: Load.Rate
-	Tenant    func(dispatcher, seq int) string       // tenant of a call; nil: none
-	Settings  func(dispatcher int, s map[string]any) // changes to the platform's settings; nil: none
-	Figures   *Figures
-	Program   Program
-	Debug     bool   // dispatchers log at level debug
-	Operators string // further text of the operator's configuration
-	Zones     int    // number of zones; workers and dispatchers are assigned to them in turn; 0: 2
-	Group     int    // index of its three address groups in Net; each rig of a run needs its own
-	Seed      uint64
+	LaterWorkers   int
+	Load           Load                                   // of each dispatcher's clients; Seed is the rig's
+	Rate           func(dispatcher int) float64           // calls per second at a dispatcher; nil: Load.Rate
+	Tenant         func(dispatcher, seq int) string       // tenant of a call; nil: none
+	Settings       func(dispatcher int, s map[string]any) // changes to the platform's settings; nil: none
+	Figures        *Figures
+	Program        Program
+	Debug          bool   // dispatchers log at level debug
+	OperatorConfig string // further text of the operator's configuration
+	Zones          int    // number of zones; workers and dispatchers are assigned to them in turn; 0: 2
+	AddrGroup      int    // index of its three address groups in Net; each rig of a run needs its own
+	Seed           uint64
 }
 
 // Rig is a running fleet.
 type Rig struct {
-	RigSize
-	Net         *Net
-	Disc        *Discovery
+	RigConfig
+	Net         *LoopbackRange
+	Discovery   *Discovery
 	Workers     []*StubWorker
 	Replaced    []*StubWorker // workers that Replace has stopped
-	Listed      []Listed
+	Listed      []ListEntry
 	Links       *Links
 	PeerNetwork *PeerNetwork
 	Nodes       []*Dispatcher
-	Called      []*Clients
+	Clients     []*Clients
 
 	dir         string
 	stopSending context.CancelFunc
@@ -55,12 +55,12 @@
 // NewRig starts the workers, Discovery and the links of a fleet and writes the dispatchers' files
 // to dir; it starts no dispatcher. Close ends the fleet. The kernel kills the dispatchers when this
 // process ends.
-func NewRig(net *Net, dir string, size RigSize) (*Rig, error) {
+func NewRig(net *LoopbackRange, dir string, size RigConfig) (*Rig, error) {
 	if size.Zones == 0 {
 		size.Zones = 2
 	}
-	rig := &Rig{RigSize: size, Net: net, Disc: NewDiscovery("e1"), Links: &Links{}, dir: dir}
-	rig.Disc.Heart = 500 * time.Millisecond
+	rig := &Rig{RigConfig: size, Net: net, Discovery: NewDiscovery("e1"), Links: &Links{}, dir: dir}
+	rig.Discovery.HeartbeatInterval = 500 * time.Millisecond
 	if err := rig.build(); err != nil {
 		rig.Close()
 		return nil, err
@@ -97,9 +97,9 @@
 	return err
 }
 
-// Send starts the clients of the dispatchers for which pick returns true (nil: all). They send
+// StartClients starts the clients of the dispatchers for which pick returns true (nil: all). They send
 // until ctx ends or they are stopped.
-func (r *Rig) Send(ctx context.Context, pick func(n int) bool) {
+func (r *Rig) StartClients(ctx context.Context, pick func(n int) bool) {
 	sending, cancel := context.WithCancel(ctx)
 	previous := r.stopSending
 	r.stopSending = func() {
@@ -108,7 +108,7 @@
 			previous()
 		}
 	}
-	for n, clients := range r.Called {
+	for n, clients := range r.Clients {
 		if pick == nil || pick(n) {
 			r.clients.Add(1)
 			go func() { defer r.clients.Done(); clients.Run(sending) }()
@@ -116,8 +116,8 @@
 	}
 }
 
-// Quiet stops the clients and waits until their calls have ended.
-func (r *Rig) Quiet() {
+// StopClients stops the clients and waits until their calls have ended.
+func (r *Rig) StopClients() {
 	if r.stopSending != nil {
 		r.stopSending()
 	}
@@ -126,7 +126,7 @@
 
 // Signal sends a signal to the running dispatchers for which pick returns true (nil: all).
 func (r *Rig) Signal(sig syscall.Signal, pick func(n int) bool) error {
-	r.Links.Did("%s", sig)
+	r.Links.RecordEvent("%s", sig)
 	return r.each(pick, func(dispatcher *Dispatcher) error { return dispatcher.Signal(sig) })
 }
 
@@ -134,13 +134,13 @@
 // configuration, as the platform does. It waits until the new process is ready.
 func (r *Rig) Restart(ctx context.Context, n int) error {
 	dispatcher := r.Nodes[n]
-	r.Links.Did("dispatcher %d restarts", n)
-	r.Called[n].Ending(true)
-	defer r.Called[n].Ending(false)
+	r.Links.RecordEvent("dispatcher %d restarts", n)
+	r.Clients[n].SetStopping(true)
+	defer r.Clients[n].SetStopping(false)
 	if err := dispatcher.Stop(); err != nil {
 		return fmt.Errorf("dispatcher %d: planned stop: %w", n, err)
 	}
-	return errors.Join(dispatcher.Know(r.Disc.Known(n)), dispatcher.Start(), dispatcher.WaitReady(ctx))
+	return errors.Join(dispatcher.SetKnownWorkers(r.Discovery.Snapshot(n)), dispatcher.Start(), dispatcher.WaitReady(ctx))
 }
 
 // Stop ends all dispatchers with SIGTERM, as in a planned restart. The error joins those of the
@@ -162,9 +162,9 @@
 			r.PeerNetwork.Close()
 		}
 		for _, worker := range r.Workers {
-			worker.Die()
+			worker.Kill()
 		}
-		r.Disc.Down()
+		r.Discovery.Down()
 	})
 }
 
@@ -179,7 +179,7 @@
 // Calls returns the calls that have ended so far at the dispatchers for which pick returns true
 // (nil: all).
 func (r *Rig) Calls(pick func(n int) bool) (all []*Call) {
-	for n, clients := range r.Called {
+	for n, clients := range r.Clients {
 		if pick == nil || pick(n) {
 			all = append(all, clients.Calls()...)
 		}
@@ -191,7 +191,7 @@
 // loaded models and in slow start. Discovery publishes the change only when Announce is called.
 func (r *Rig) Replace(i int) error {
 	old := r.Workers[i]
-	old.Die()
+	old.Kill()
 	r.Replaced = append(r.Replaced, old)
 	now := time.Now()
 	worker, err := StartStubWorker(old.ID, old.Addr, r.Figures, now)
@@ -207,14 +207,14 @@
 // start, and publishes them at once.
 func (r *Rig) Join(n int) error {
 	from := len(r.Workers)
-	if all := r.RigSize.Workers + r.Later; from+n > all {
+	if all := r.RigConfig.Workers + r.LaterWorkers; from+n > all {
 		return fmt.Errorf("cannot add %d workers to %d: the rig has links to %d", n, from, all)
 	}
 	if err := r.startWorkers(n, time.Now()); err != nil {
 		return err
 	}
 	r.Announce(func(worker int) bool { return worker >= from })
-	r.Links.Did("%d workers join", n)
+	r.Links.RecordEvent("%d workers join", n)
 	return nil
 }
 
@@ -228,16 +228,16 @@
 		}
 	}
 	r.Announce(pick)
-	r.Links.Did("workers drain")
+	r.Links.RecordEvent("workers drain")
 }
 
 // Announce makes Discovery publish the current entries of the workers for which pick returns true.
 func (r *Rig) Announce(pick func(worker int) bool) {
-	var changed []Listed
+	var changed []ListEntry
 	for i, entry := range r.Listed {
 		if pick(i) {
 			changed = append(changed, entry)
 		}
 	}
-	r.Disc.Publish(changed...)
+	r.Discovery.Publish(changed...)
 }
--- a/internal/lab/rigbuild.go
+++ b/internal/lab/rigbuild.go
@@ -24,17 +24,19 @@
 )
 
 // addr returns address i of a group of this rig, with the given port.
-func (r *Rig) addr(group, i, port int) string { return r.Net.Addr(r.Group*rigGroups+group, i, port) }
+func (r *Rig) addr(group, i, port int) string {
+	return r.Net.Addr(r.AddrGroup*rigGroups+group, i, port)
+}
 
 // build starts the workers, opens all links and writes the files of the dispatchers.
 func (r *Rig) build() error {
-	if err := r.startWorkers(r.RigSize.Workers, time.Now().Add(-time.Hour)); err != nil {
+	if err := r.startWorkers(r.RigConfig.Workers, time.Now().Add(-time.Hour)); err != nil {
 		return err
 	}
 	if err := r.buildWorkerLinks(); err != nil {
 		return err
 	}
-	r.Disc.Publish(r.Listed...)
+	r.Discovery.Publish(r.Listed...)
 	if err := r.buildPeerNetwork(); err != nil {
 		return err
 	}
@@ -49,7 +51,7 @@
 // buildWorkerLinks opens a link from each dispatcher to each worker, including those that join
 // later. All links of one dispatcher have the same IP address.
 func (r *Rig) buildWorkerLinks() error {
-	all := r.RigSize.Workers + r.Later
+	all := r.RigConfig.Workers + r.LaterWorkers
 	number := map[string]int{}
 	for i := range all {
 		number[workerName(i)] = i
@@ -65,7 +67,7 @@
 			r.Links.Workers[n] = append(r.Links.Workers[n], link)
 		}
 	}
-	r.Disc.Route = func(n int, entry Listed) string {
+	r.Discovery.Route = func(n int, entry ListEntry) string {
 		if i, ok := number[entry.ID]; ok {
 			return r.Links.Workers[n][i].Addr
 		}
@@ -88,10 +90,10 @@
 // buildDispatcher opens the command channel of dispatcher n, writes its files and creates its
 // clients.
 func (r *Rig) buildDispatcher(n int) error {
-	if _, err := r.Disc.Listen(r.addr(groupNodes, n, portChannel)); err != nil {
+	if _, err := r.Discovery.Listen(r.addr(groupNodes, n, portChannel)); err != nil {
 		return err
 	}
-	link, err := StartRelay(r.addr(groupLinks, n, portChannel), r.Disc.Addr(n))
+	link, err := StartRelay(r.addr(groupLinks, n, portChannel), r.Discovery.Addr(n))
 	if err != nil {
 		return err
 	}
@@ -100,17 +102,17 @@
 	if r.Debug {
 		level = "debug"
 	}
-	dispatcher, err := Lay(DispatcherFiles{
+	dispatcher, err := WriteDispatcherFiles(DispatcherFiles{
 		Dir: r.dir, N: n, Addr: r.addr(groupNodes, n, portClients), Settings: r.settings(n),
 		Peers:   r.PeerNetwork.Peers(n),
-		Channel: link.Addr, Operators: fmt.Sprintf("[log]\nlevel = %q\n%s", level, r.Operators),
+		Channel: link.Addr, OperatorConfig: fmt.Sprintf("[log]\nlevel = %q\n%s", level, r.OperatorConfig),
 	})
 	if err != nil {
 		return err
 	}
-	dispatcher.Run = r.Program
+	dispatcher.Program = r.Program
 	r.Nodes = append(r.Nodes, dispatcher)
-	r.Called = append(r.Called, r.newClients(n, dispatcher.Addr))
+	r.Clients = append(r.Clients, r.newClients(n, dispatcher.Addr))
 	return nil
 }
 
@@ -152,7 +154,7 @@
 		}
 		r.Workers = append(r.Workers, worker)
 		entry := listing(worker, i, start)
-		entry.Room = zoneName(i % r.Zones)
+		entry.Zone = zoneName(i % r.Zones)
 		r.Listed = append(r.Listed, entry)
 	}
 	return nil
--- a/internal/lab/rigcheck.go
+++ b/internal/lab/rigcheck.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Breaches counts the rule violations of a complete run, by the observations of workers, clients
+// RuleViolations counts the rule violations of a complete run, by the observations of workers, clients
 // and links: calls run twice, attempts without a complete response, wrong responses, late sends to
 // draining workers, collapsed workers and oversized datagrams.
-type Breaches struct {
-	Twice, Lost, Wrong, LateSends, Fallen, Oversize int
+type RuleViolations struct {
+	Twice, Lost, Wrong, LateSends, Collapsed, Oversize int
 
 	Unanswered []string // descriptions of the first attempts without a complete response
 }
@@ -18,19 +18,21 @@
 const maxUnanswered = 6
 
 // Sum returns the total number of violations.
-func (b Breaches) Sum() int { return b.Twice + b.Lost + b.Wrong + b.LateSends + b.Fallen + b.Oversize }
+func (b RuleViolations) Sum() int {
+	return b.Twice + b.Lost + b.Wrong + b.LateSends + b.Collapsed + b.Oversize
+}
 
 // Check counts the rule violations so far. excused reports attempts that need no complete response;
 // nil excuses none.
-func (r *Rig) Check(excused func(Attempt) bool) (b Breaches) {
+func (r *Rig) Check(excused func(Attempt) bool) (b RuleViolations) {
 	var observed [][]ObservedCall
 	for _, worker := range append(append([]*StubWorker(nil), r.Workers...), r.Replaced...) {
 		calls, _ := worker.Observations()
 		observed = append(observed, calls)
-		if worker.Fallen() {
-			b.Fallen++
+		if worker.Collapsed() {
+			b.Collapsed++
 		}
-		b.LateSends += LateSends(notifiedTimes(r.Disc, r.Dispatchers, worker.ID), calls)
+		b.LateSends += LateSends(notifiedTimes(r.Discovery, r.Dispatchers, worker.ID), calls)
 	}
 	b.Twice = RunTwice(r.Figures, observed...)
 	b.Lost, b.Wrong = Unanswered(r.Calls(nil), excused, observed...)
@@ -53,16 +55,16 @@
 	return lost
 }
 
-// Between counts the calls that arrived at all workers from one time until another, and those of
+// CountRequests counts the calls that arrived at all workers from one time until another, and those of
 // them that were rejected.
-func (r *Rig) Between(from, until time.Time) (arrived, rejected int) {
+func (r *Rig) CountRequests(from, until time.Time) (arrived, rejected int) {
 	for _, worker := range r.Workers {
 		calls, _ := worker.Observations()
 		for _, observation := range calls {
 			if observation.At.Before(from) || !observation.At.Before(until) {
 				continue
 			}
-			if arrived++; !observation.Took {
+			if arrived++; !observation.Admitted {
 				rejected++
 			}
 		}
--- a/internal/lab/service.go
+++ b/internal/lab/service.go
@@ -17,7 +17,7 @@
 
 const (
 	endNone     callEnd = iota // served, or no attempt of it has ended
-	refused                    // by the balancer, before anything was sent
+	endRefused                 // by the balancer, before anything was sent
 	endRejected                // by the balancer, after full workers had rejected it
 	endGivenUp                 // at its deadline, or after a failure
 	callEnds
@@ -29,7 +29,7 @@
 	} else if o.attempts > 0 {
 		return endGivenUp
 	}
-	return refused
+	return endRefused
 }
 
 // serviceCounts counts the results of a run's calls, its loads and its copies. Of a nil value only
@@ -39,20 +39,20 @@
 	calls           int
 	inTime, late    int
 	attempts        [3]int // admitted calls by Warmth: found a copy, began a load, waited for a load
-	full            int    // calls rejected by a worker
+	rejected        int    // calls rejected by a worker
 	redundantOrders int    // orders for a copy that was loaded or loading
 	rejectedOrders  int    // orders that workers rejected
 	byCalls         int    // loads started by calls
 	byOrders        int    // loads started by orders
 	needless        int    // of both: another worker had a spare loaded copy, see hasSpareCopy
 	unloads
-	wait    time.Duration // total time of the loads, including their queueing at the worker
-	copies  []int         // loaded in the complete fleet, sampled each second
-	loading []int         // being loaded, at the same times
+	loadTime time.Duration // total time of the loads, including their queueing at the worker
+	copies   []int         // loaded in the complete fleet, sampled each second
+	loading  []int         // being loaded, at the same times
 }
 
-// arrived counts a job that arrived at a worker.
-func (k *serviceCounts) arrived(w *simWorld, worker *simWorker, job *Job, admission Admission) {
+// countArrival counts a job that arrived at a worker.
+func (k *serviceCounts) countArrival(w *simWorld, worker *simWorker, job *Job, admission Admission) {
 	switch {
 	case k == nil:
 		return
@@ -60,7 +60,7 @@
 		k.rejectedOrders++
 		return
 	case admission != Admitted:
-		k.full++
+		k.rejected++
 		return
 	case !job.Order:
 		k.attempts[job.Warmth]++
@@ -70,7 +70,7 @@
 	if job.Warmth != BeganLoad {
 		return
 	}
-	if k.wait += worker.model.copies[job.Model].ready.Sub(w.now); job.Order {
+	if k.loadTime += worker.model.copies[job.Model].ready.Sub(w.now); job.Order {
 		k.byOrders++
 	} else {
 		k.byCalls++
@@ -87,7 +87,7 @@
 // fewer calls running and queued than that copy's concurrency.
 func (b *WorkerModel) hasSpareCopy(now time.Time, model uint64) bool {
 	loaded := b.copies[model]
-	if loaded == nil || loaded.ready.After(now) || loaded.held >= loaded.concurrency {
+	if loaded == nil || loaded.ready.After(now) || loaded.jobs >= loaded.concurrency {
 		return false
 	}
 	queue, _ := b.Report(now)
@@ -122,8 +122,8 @@
 		}
 	}
 	for _, worker := range w.workers {
-		k.pushed += worker.model.unloads.pushed
-		k.dropped += worker.model.unloads.dropped
+		k.evicted += worker.model.unloads.evicted
+		k.requested += worker.model.unloads.requested
 		k.expired += worker.model.unloads.expired
 	}
 }
@@ -157,10 +157,10 @@
 	of := func(n int) float64 { return float64(n) / float64(max(1, k.calls)) }
 	loads := k.byCalls + k.byOrders
 	values := []float64{
-		result.service, result.later, result.unserved, of(k.late), of(k.ends[refused]), of(k.ends[endRejected]),
+		result.service, result.later, result.unserved, of(k.late), of(k.ends[endRefused]), of(k.ends[endRejected]),
 		of(k.ends[endGivenUp]),
-		of(k.full), of(loads),
-		of(k.byOrders), of(k.needless), of(k.pushed), k.wait.Seconds() / float64(max(1, loads)),
+		of(k.rejected), of(loads),
+		of(k.byOrders), of(k.needless), of(k.evicted), k.loadTime.Seconds() / float64(max(1, loads)),
 		float64(k.copies[len(k.copies)-1]),
 		float64(k.loading[len(k.loading)-1]),
 	}
@@ -177,9 +177,9 @@
 		"copy, %d began a load, %d waited for one, %d full; "+
 		"%d loads ordered, %d orders for what was there, %d refused; %d loads needless; unloaded %d pushed out, %d "+
 		"by order, %d idle",
-		k.calls, k.inTime, k.late, k.ends[refused], k.ends[endRejected], k.ends[endGivenUp], k.attempts[WarmHit],
-		k.attempts[BeganLoad], k.attempts[AwaitedLoad], k.full,
-		k.byOrders, k.redundantOrders, k.rejectedOrders, k.needless, k.pushed, k.dropped, k.expired)
+		k.calls, k.inTime, k.late, k.ends[endRefused], k.ends[endRejected], k.ends[endGivenUp], k.attempts[WarmHit],
+		k.attempts[BeganLoad], k.attempts[AwaitedLoad], k.rejected,
+		k.byOrders, k.redundantOrders, k.rejectedOrders, k.needless, k.evicted, k.requested, k.expired)
 }
 
 // routeByOracle routes a call by the true state of all workers: to the loaded copy that answers
@@ -220,7 +220,7 @@
 func (w *simWorld) bestRoute(call *simCall) (route oracleRoute) {
 	work := w.f.Work(call.class, call.name)
 	for _, worker := range w.workers {
-		if model := worker.model; !model.Draining() && !model.Fallen() && worker.fate == stays {
+		if model := worker.model; !model.Draining() && !model.Collapsed() && worker.fault == faultNone {
 			route.consider(w, worker, call.model, work)
 		}
 	}
@@ -255,7 +255,7 @@
 func (w *simWorld) orderOracleLoad(call *simCall, place *simWorker) (ready time.Time) {
 	job := &Job{Model: call.model, Load: w.f.Load, Concurrency: w.f.Concurrency, Order: true, Data: func() {}}
 	admission := place.model.Arrive(w.now, job)
-	w.counts.arrived(w, place, job, admission)
+	w.counts.countArrival(w, place, job, admission)
 	if admission != Admitted {
 		return ready
 	}
@@ -283,7 +283,7 @@
 				return
 			}
 			call.end = endRejected
-			s.again(call, 10*time.Millisecond, r == balancer.QueueFull)
+			s.retry(call, 10*time.Millisecond, r == balancer.QueueFull)
 		})
 }
 
@@ -309,17 +309,17 @@
 			loading++
 		}
 	}
-	return load * time.Duration(1+loading/max(1, b.cfg.Loads))
+	return load * time.Duration(1+loading/max(1, b.cfg.MaxLoads))
 }
 
 // hasRoom reports whether one more copy fits without evicting one that was used within half of the
 // keep-alive time.
 func (b *WorkerModel) hasRoom(now time.Time) bool {
-	if len(b.copies) < b.cfg.Copies {
+	if len(b.copies) < b.cfg.MaxCopies {
 		return true
 	}
 	for _, loaded := range b.copies {
-		if loaded.held == 0 && now.Sub(loaded.used) > b.cfg.Keep/2 {
+		if loaded.jobs == 0 && now.Sub(loaded.lastUsed) > b.cfg.IdleTimeout/2 {
 			return true
 		}
 	}
--- a/internal/lab/service_test.go
+++ b/internal/lab/service_test.go
@@ -20,22 +20,22 @@
 		result, k, err := serviceSim(fleetFigures(), arm.dispatchers, 12, 0, arm.oracle, 5)
 		require.NoError(t, err)
 		calls[k.calls] = true
-		assert.Equal(t, k.calls, k.inTime+k.late+k.ends[refused]+k.ends[endRejected]+k.ends[endGivenUp],
+		assert.Equal(t, k.calls, k.inTime+k.late+k.ends[endRefused]+k.ends[endRejected]+k.ends[endGivenUp],
 			"%+v: every call has one end", arm)
 		assert.Zero(t, k.ends[endNone])
 		assert.InDelta(t, result.unserved*float64(k.calls),
-			float64(k.ends[refused]+k.ends[endRejected]+k.ends[endGivenUp]), 0.5)
+			float64(k.ends[endRefused]+k.ends[endRejected]+k.ends[endGivenUp]), 0.5)
 		assert.GreaterOrEqual(t, k.attempts[WarmHit]+k.attempts[BeganLoad]+k.attempts[AwaitedLoad], k.inTime+k.late,
 			"%+v: every served call arrived at a worker", arm)
 		assert.Equal(t, k.attempts[BeganLoad], k.byCalls)
 		loads := k.byCalls + k.byOrders
 		assert.LessOrEqual(t, k.needless, loads)
-		unloaded := k.pushed + k.dropped + k.expired
+		unloaded := k.evicted + k.requested + k.expired
 		at := k.copies[len(k.copies)-1] + k.loading[len(k.loading)-1]
 		assert.GreaterOrEqual(t, loads-unloaded, 0)
 		assert.LessOrEqual(t, loads-unloaded, at,
 			"%+v: the copies not unloaded were there at the last sample, or expired after it", arm)
-		assert.GreaterOrEqual(t, k.wait, time.Duration(loads)*fleetFigures().Load, "a load takes its time or more")
+		assert.GreaterOrEqual(t, k.loadTime, time.Duration(loads)*fleetFigures().Load, "a load takes its time or more")
 		assert.Len(t, k.figures(result), len(serviceRows()))
 	}
 	assert.Len(t, calls, 2, "24 dispatchers have the same calls in both arms; one dispatcher draws others")
@@ -57,8 +57,8 @@
 // The service section reports both arms and both references, and bounds the weighted value against
 // that of the full scan and that of one dispatcher.
 func TestServiceSection(t *testing.T) {
-	plan := capacityPlan{seeds: []uint64{1, 2}, service: []serviceFleet{{6, 12, noWalk}}}
-	rep, err := runCapacity(t.Context(), Options{Seed: 1, Only: serviceAt, Log: func(string, ...any) {}}, plan,
+	plan := capacityPlan{seeds: []uint64{1, 2}, service: []serviceFleet{{6, 12, neverFullScan}}}
+	rep, err := runCapacity(t.Context(), Options{Seed: 1, Only: serviceSection, Log: func(string, ...any) {}}, plan,
 		HollowRun)
 	require.NoError(t, err)
 	rows := map[string][]Figure{}
@@ -73,9 +73,9 @@
 		require.Len(t, rows[name+valueInTime+", "+of], 2, of)
 		assert.Greater(t, float64(rows[name+valueInTime+", "+of][1]), 0.5, of)
 	}
-	result, k, err := serviceSim(fleetFigures(), 6, 12, noWalk, false, 1)
+	result, k, err := serviceSim(fleetFigures(), 6, 12, neverFullScan, false, 1)
 	require.NoError(t, err)
-	again, _, err := serviceSim(fleetFigures(), 6, 12, noWalk, false, 2)
+	again, _, err := serviceSim(fleetFigures(), 6, 12, neverFullScan, false, 2)
 	require.NoError(t, err)
 	assert.InDelta(t, (result.service+again.service)/2, float64(rows[name+valueInTime][1]), 1e-9,
 		"the program's figure is the mean of the seeds; %s", k)
@@ -85,7 +85,7 @@
 	}
 	assert.Len(t, rep.Bounds, 3*2+2, "rules in the program's three arms with two seeds, and two on the value")
 	assert.InDelta(t, -valueTolerance, bounds[name+"worth less that of the whole walk"].Limit, 1e-9)
-	assert.InDelta(t, -oneRoom, bounds[name+"worth less that of one dispatcher with all calls"].Limit, 1e-9)
-	_, err = runCapacity(canceled(t), Options{Seed: 1, Only: serviceAt, Log: func(string, ...any) {}}, plan, HollowRun)
+	assert.InDelta(t, -oneDispatcherTolerance, bounds[name+"worth less that of one dispatcher with all calls"].Limit, 1e-9)
+	_, err = runCapacity(canceled(t), Options{Seed: 1, Only: serviceSection, Log: func(string, ...any) {}}, plan, HollowRun)
 	require.ErrorIs(t, err, context.Canceled)
 }
--- a/internal/lab/simattempt.go
+++ b/internal/lab/simattempt.go
@@ -13,7 +13,7 @@
 // unsentAttempts returns the attempts of which nothing has been written, in a fixed order.
 func (s *simNode) unsentAttempts() (out []*simAttempt) {
 	for _, fl := range s.attempts {
-		if !fl.begun && !fl.over {
+		if !fl.written && !fl.ended {
 			out = append(out, fl)
 		}
 	}
@@ -36,10 +36,10 @@
 // abort ends an attempt on the dispatcher's side. The result is reported at the same simulated
 // time, but not within the current event.
 func (fl *simAttempt) abort(r balancer.Result) {
-	if fl.over {
+	if fl.ended {
 		return
 	}
-	if fl.over = true; !fl.begun {
+	if fl.ended = true; !fl.written {
 		r = balancer.NotSent
 	}
 	fl.s.w.after(0, func() { fl.finish(r, 0, 0, 0, nil) })
@@ -47,15 +47,15 @@
 
 // complete ends an attempt with the worker's answer, or because it is known that none will come.
 func (fl *simAttempt) complete(r balancer.Result, warm balancer.Warmth, crowd, copies int, rep []float64) {
-	if !fl.over {
-		fl.over = true
+	if !fl.ended {
+		fl.ended = true
 		fl.finish(r, warm, crowd, copies, rep)
 	}
 }
 
 func (fl *simAttempt) timeout() {
 	r := balancer.Timeout
-	if !fl.begun {
+	if !fl.written {
 		r = balancer.NotSent
 	}
 	fl.complete(r, 0, 0, 0, nil)
@@ -73,7 +73,7 @@
 	}
 	if sent := fl.open; sent != nil && r == balancer.OK && node.open[fl.key.id] == sent {
 		node.end(fl.key.id, sent, true)
-		node.w.addTally(&node.w.goods)
+		node.w.addTally(&node.w.servedTally)
 	}
 	// a load may outlast its time limit, so its timeout says nothing about the worker
 	sign, informative := endpointcache.ObservationOf(r, false)
@@ -103,10 +103,10 @@
 // connection is still open, but never answered.
 func (w *simWorld) connect(node *simNode, worker *simWorker) (written bool, failed time.Duration) {
 	switch {
-	case worker.fate == refuses || worker.fate == faultAddressReused:
+	case worker.fault == faultRefuses || worker.fault == faultAddressReused:
 		return false, 2 * simLinkDelay
-	case worker.fate != vanishes && !w.reaches(node, worker):
-		return false, simProbe
+	case worker.fault != faultVanishes && !w.reaches(node, worker):
+		return false, simConnectTimeout
 	}
 	return true, 0
 }
@@ -116,14 +116,14 @@
 	node, worker := fl.s, fl.s.w.byID[fl.worker]
 	node.attempts[fl.key] = fl
 	written, failed := node.w.connect(node, worker)
-	fl.begun = written
+	fl.written = written
 	switch {
 	case !written:
-		if fl.open != nil && failed == simProbe {
+		if fl.open != nil && failed == simConnectTimeout {
 			node.w.unreached++
 		}
 		node.w.after(failed, func() { fl.complete(balancer.ConnectFailed, 0, 0, 0, nil) })
-	case worker.fate != vanishes:
+	case worker.fault != faultVanishes:
 		node.w.after(simLinkDelay, func() { arrive(worker) })
 	}
 }
@@ -138,11 +138,11 @@
 // ends it; work that the worker has started goes on there. If nothing was written, the end proves
 // that the attempt never ran.
 type simAttempt struct {
-	s           *simNode
-	key         simKey
-	worker      balancer.WorkerID
-	sent        time.Time
-	begun, over bool
-	open        *sentCall       // nil: a load order
-	fn          balancer.FuncID // of a load order
+	s              *simNode
+	key            simKey
+	worker         balancer.WorkerID
+	sent           time.Time
+	written, ended bool
+	open           *sentCall       // nil: a load order
+	fn             balancer.FuncID // of a load order
 }
--- a/internal/lab/simhost.go
+++ b/internal/lab/simhost.go
@@ -17,7 +17,7 @@
 	o.call.awaitedLoad = o.call.awaitedLoad || o.attempts == 0 && s.w.now.After(o.began)
 	n := o.attempts
 	o.attempts++
-	s.w.addTally(&s.w.sends)
+	s.w.addTally(&s.w.sentTally)
 	if !s.members[w].active { // not active: fails without a connection
 		s.w.after(0, func() {
 			if s.dead {
@@ -64,7 +64,7 @@
 		if wait <= 0 {
 			wait = int64(200 * time.Millisecond)
 		}
-		s.w.after(0, func() { s.again(sent.call, time.Duration(wait), true) })
+		s.w.after(0, func() { s.retry(sent.call, time.Duration(wait), true) })
 	}
 }
 
@@ -72,7 +72,7 @@
 	if sent := s.open[id]; sent != nil {
 		s.end(id, sent, false)
 		sent.call.end = endGivenUp
-		s.w.after(0, func() { s.again(sent.call, 200*time.Millisecond, false) })
+		s.w.after(0, func() { s.retry(sent.call, 200*time.Millisecond, false) })
 	}
 }
 
@@ -104,7 +104,7 @@
 func (s *simNode) expireOrders() {
 	for ; len(s.orders) > 0; s.orders = s.orders[1:] {
 		fl := s.orders[0]
-		if due := fl.sent.Add(s.limit); !fl.over && due.After(s.w.now) {
+		if due := fl.sent.Add(s.limit); !fl.ended && due.After(s.w.now) {
 			s.w.at(due, s.expireOrders)
 			return
 		}
@@ -118,11 +118,11 @@
 	job := &Job{Model: uint64(function), Load: w.f.Load, Concurrency: w.f.Concurrency, Order: true}
 	job.Data = func() { w.after(simLinkDelay, func() { answered(1, balancer.OK) }) }
 	admission := worker.model.Arrive(w.now, job)
-	if w.counts.arrived(w, worker, job, admission); admission != Admitted {
+	if w.counts.countArrival(w, worker, job, admission); admission != Admitted {
 		w.after(simLinkDelay, func() { answered(0, balancer.QueueFull) })
 		return
 	}
-	w.hollow.loaded(job)
+	w.hollow.countLoad(job)
 	w.advance(worker)
 }
 
@@ -130,13 +130,13 @@
 	s.meter.pause()
 	defer s.meter.resume()
 	if _, known := s.members[id]; known {
-		s.w.drop(s, s.w.byID[id], function)
+		s.w.unload(s, s.w.byID[id], function)
 	}
 }
 
-// drop delivers an unload order to a worker if the link to it works.
-func (w *simWorld) drop(node *simNode, worker *simWorker, function balancer.FuncID) {
-	if written, _ := w.connect(node, worker); written && worker.fate != vanishes {
+// unload delivers an unload order to a worker if the link to it works.
+func (w *simWorld) unload(node *simNode, worker *simWorker, function balancer.FuncID) {
+	if written, _ := w.connect(node, worker); written && worker.fault != faultVanishes {
 		w.after(simLinkDelay, func() { worker.model.Unload(uint64(function)) })
 	}
 }
@@ -164,11 +164,11 @@
 	note := s.w.hollow.countSent(s, to, data)
 	var receivers []*simNode
 	for n := first; n <= last; n++ {
-		if n == s.n || s.w.lossy.Float64() < s.w.lost || s.w.mute ||
-			float64(n) < s.w.unreachedPart*float64(len(s.w.nodes)) || s.w.hollow.parted(s.n, n) {
+		if n == s.n || s.w.lossRNG.Float64() < s.w.lossRate || s.w.allLost ||
+			float64(n) < s.w.unreachedPart*float64(len(s.w.nodes)) || s.w.hollow.partitioned(s.n, n) {
 			continue
 		}
-		s.w.delivered += len(data)
+		s.w.deliveredBytes += len(data)
 		receivers = append(receivers, s.w.nodes[n])
 	}
 	if len(receivers) == 0 {
--- a/internal/lab/simnode.go
+++ b/internal/lab/simnode.go
@@ -50,10 +50,10 @@
 		DispatcherIndex: n, Dispatchers: dispatchers, ClockResolution: int64(4 * time.Millisecond), MaxAttempts: 5,
 		Hedging: true, Cancellation: true,
 		SendsRetryAfter: true, MaxRetryAfter: int64(1500 * time.Millisecond), DrainGrace: int64(time.Second),
-		SlowStartWindow: int64(f.Worker.Warm), OverloadWindow: int64(f.Worker.Fall),
-		OverloadFactor: f.Worker.Factor, SlowStartCapacity: f.Worker.StartCap, LoadOrders: true, LoadsOnMiss: true,
+		SlowStartWindow: int64(f.Worker.SlowStart), OverloadWindow: int64(f.Worker.CollapseWindow),
+		OverloadFactor: f.Worker.OverloadFactor, SlowStartCapacity: f.Worker.StartCapacity, LoadOrders: true, LoadsOnMiss: true,
 		ReportsWarmth: true, ReportsConcurrency: true,
-		KeepAlive: int64(f.Worker.Keep), LoadQuotaWindow: int64(5 * time.Second),
+		KeepAlive: int64(f.Worker.IdleTimeout), LoadQuotaWindow: int64(5 * time.Second),
 		LoadOrderTimeout: int64(10 * time.Second), LoadQuotaBase: 6, LoadQuotaRatio: 0.3,
 		QueueField: 1, WastePrice: 0.2, OriginPrice: 0.03, MemoryPrice: 0.05,
 	}
@@ -84,12 +84,12 @@
 		MaxRetryAfter: 1500 * time.Millisecond, TrustCached: fresh,
 	})
 	set := w.f.settings(n, len(w.nodes))
-	set.Gossip, set.PeerPrice, set.FullScanLimit = w.messages, w.price, w.walk
-	return s, s.module(set, seed^uint64(n)*0x9e3779b9, s)
+	set.Gossip, set.PeerPrice, set.FullScanLimit = w.messages, w.price, w.fullScanLimit
+	return s, s.initBalancer(set, seed^uint64(n)*0x9e3779b9, s)
 }
 
-// module creates the balancer; host is s, or a test's wrapper of it.
-func (s *simNode) module(set balancer.Settings, seed uint64, host balancer.Host) (err error) {
+// initBalancer creates the balancer; host is s, or a test's wrapper of it.
+func (s *simNode) initBalancer(set balancer.Settings, seed uint64, host balancer.Host) (err error) {
 	if s.limit = time.Duration(set.LoadOrderTimeout); s.limit <= 0 {
 		s.limit = 10 * time.Second
 	}
@@ -138,14 +138,14 @@
 func (s *simNode) probe(id balancer.WorkerID) {
 	worker := s.w.byID[id]
 	sign, after := endpoints.Answered, 2*simLinkDelay
-	switch worker.fate {
-	case refuses, faultAddressReused:
+	switch worker.fault {
+	case faultRefuses, faultAddressReused:
 		sign = endpoints.ConnectionRefused
-	case vanishes, cutOff:
-		sign, after = endpoints.TimedOut, simProbe
+	case faultVanishes, faultCutOff:
+		sign, after = endpoints.TimedOut, simConnectTimeout
 	}
 	if !s.w.reaches(s, worker) {
-		sign, after = endpoints.TimedOut, simProbe
+		sign, after = endpoints.TimedOut, simConnectTimeout
 	}
 	s.w.after(after, func() {
 		if s.dead {
@@ -182,11 +182,11 @@
 		return
 	}
 	if s.dead || len(s.members) == 0 {
-		s.again(c, 200*time.Millisecond, true)
+		s.retry(c, 200*time.Millisecond, true)
 		return
 	}
 	if wait, ok := s.list.Admit(s.w.now); !ok {
-		s.again(c, wait, true)
+		s.retry(c, wait, true)
 		return
 	}
 	id := c.name + "." + strconv.Itoa(c.attempts)
@@ -200,30 +200,30 @@
 	s.meter.end()
 }
 
-// again lets the client retry after wait, if that is harmless or the class is idempotent, and if
+// retry lets the client retry after wait, if that is harmless or the class is idempotent, and if
 // retries and time are left.
-func (s *simNode) again(call *simCall, wait time.Duration, harmless bool) {
+func (s *simNode) retry(call *simCall, wait time.Duration, harmless bool) {
 	class := s.w.f.Classes[call.class]
 	call.attempts++
 	if call.attempts > s.w.load.Retries || class.NotIdempotent && !harmless ||
 		s.w.now.Add(wait+class.Work).After(call.intended.Add(class.ClientTimeout)) {
 		call.ended = s.w.now
-		s.w.hollow.over(call)
+		s.w.hollow.callEnded(call)
 		return
 	}
-	s.w.after(wait, func() { s.w.home(s.n).arrive(call) })
+	s.w.after(wait, func() { s.w.dispatcherFor(s.n).arrive(call) })
 }
 
 // end ends a call and aborts those of its attempts of which nothing has been written.
 func (s *simNode) end(id string, sent *sentCall, served bool) {
 	delete(s.open, id)
 	for n := range sent.attempts {
-		if fl := s.attempts[simKey{id, n}]; fl != nil && !fl.begun {
+		if fl := s.attempts[simKey{id, n}]; fl != nil && !fl.written {
 			fl.abort(balancer.NotSent)
 		}
 	}
 	if served {
 		sent.call.served, sent.call.ended = true, s.w.now
-		s.w.hollow.over(sent.call)
+		s.w.hollow.callEnded(sent.call)
 	}
 }
--- a/internal/lab/stage_test.go
+++ b/internal/lab/stage_test.go
@@ -148,10 +148,10 @@
 		p.span = 12 * time.Second
 	}
 	figures := fleetFigures()
-	figures.Worker.Warm, figures.Worker.Keep = 4*time.Second, 3*time.Second
+	figures.Worker.SlowStart, figures.Worker.IdleTimeout = 4*time.Second, 3*time.Second
 	w := &simWorld{
 		f: figures, byID: map[balancer.WorkerID]*simWorker{}, popular: newZipf(40, 0.4),
-		simGossip: simGossip{messages: true, lossy: rand.New(rand.NewPCG(p.seed, 3))},
+		simGossip: simGossip{messages: true, lossRNG: rand.New(rand.NewPCG(p.seed, 3))},
 		load:      Load{Rate: stageRate, Models: 40, Zipf: 0.4},
 	}
 	w.now, w.began = start, start
@@ -170,7 +170,7 @@
 		w.nodes[n], err = w.node(n, p.seed, false)
 		require.NoError(t, err)
 		if n > 0 {
-			require.NoError(t, w.nodes[n].module(s.settingsOf(n), s.seedOf(n), peerNode{w.nodes[n], s}))
+			require.NoError(t, w.nodes[n].initBalancer(s.settingsOf(n), s.seedOf(n), peerNode{w.nodes[n], s}))
 		}
 	}
 	return s
@@ -252,13 +252,13 @@
 	}
 	s.at(odd(0.15), func() { s.workers[1].failing = true })
 	s.at(odd(0.25), func() { s.workers[1].failing = false })
-	s.at(odd(0.30), func() { s.unheard = 0.05 })
-	s.at(odd(0.40), func() { s.unheard = 0 })
-	s.at(odd(0.42), func() { s.workers[2].fate = vanishes })
-	s.at(odd(0.48), func() { s.workers[2].fate = stays })
-	s.at(odd(0.50), func() { s.workers[3].fate = refuses })
-	s.at(odd(0.55), func() { s.workers[3].fate = cutOff })
-	s.at(odd(0.60), func() { s.workers[3].fate = stays })
+	s.at(odd(0.30), func() { s.answerLoss = 0.05 })
+	s.at(odd(0.40), func() { s.answerLoss = 0 })
+	s.at(odd(0.42), func() { s.workers[2].fault = faultVanishes })
+	s.at(odd(0.48), func() { s.workers[2].fault = faultNone })
+	s.at(odd(0.50), func() { s.workers[3].fault = faultRefuses })
+	s.at(odd(0.55), func() { s.workers[3].fault = faultCutOff })
+	s.at(odd(0.60), func() { s.workers[3].fault = faultNone })
 	s.at(odd(0.62), func() { // the worker drains first, and dispatchers are notified late
 		s.workers[4].model.Drain()
 	})
--- a/internal/lab/stubworker.go
+++ b/internal/lab/stubworker.go
@@ -25,7 +25,7 @@
 	ID       string
 	Class    int
 	Model    uint64 // the model that is called; 0 if Failed
-	Took     bool   // admitted: the worker runs it
+	Admitted bool   // admitted: the worker runs it
 	Draining bool   // the worker was draining when the call arrived
 	Failed   bool   // it counts as run and was answered with an error at once
 }
@@ -136,8 +136,8 @@
 	s.wake()
 }
 
-// Fail makes a share of all calls, 0 to 1, fail at once with status 500 from now on.
-func (s *StubWorker) Fail(share float64) {
+// SetFailureRate makes a share of all calls, 0 to 1, fail at once with status 500 from now on.
+func (s *StubWorker) SetFailureRate(share float64) {
 	s.mu.Lock()
 	s.failureRate = share
 	s.mu.Unlock()
@@ -151,24 +151,24 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	fmt.Fprint(h, s.ID, id, len(s.observed))
-	if s.failureRate == 0 || s.model.Draining() || s.model.Fallen() || float64(h.Sum32()%1000) >= 1000*s.failureRate {
+	if s.failureRate == 0 || s.model.Draining() || s.model.Collapsed() || float64(h.Sum32()%1000) >= 1000*s.failureRate {
 		return false
 	}
-	s.observed = append(s.observed, ObservedCall{At: time.Now(), ID: id, Class: class, Took: true, Failed: true})
+	s.observed = append(s.observed, ObservedCall{At: time.Now(), ID: id, Class: class, Admitted: true, Failed: true})
 	return true
 }
 
-// Die ends the worker: its connections are closed and its address refuses new ones.
-func (s *StubWorker) Die() {
+// Kill ends the worker: its connections are closed and its address refuses new ones.
+func (s *StubWorker) Kill() {
 	_ = s.srv.Close()
 	s.stop()
 }
 
-// Vanish ends the worker and listens at its address without accepting: new connections are
+// GoSilent ends the worker and listens at its address without accepting: new connections are
 // established by the kernel but never answered. (A loopback address cannot be made to drop the
 // handshakes without privileges.) release closes the listener.
-func (s *StubWorker) Vanish() (release func(), err error) {
-	s.Die()
+func (s *StubWorker) GoSilent() (release func(), err error) {
+	s.Kill()
 	listener, err := net.Listen("tcp", s.Addr)
 	if err != nil {
 		return nil, fmt.Errorf("worker %s: listen without accepting: %w", s.ID, err)
@@ -193,11 +193,11 @@
 	return s.drained
 }
 
-// Fallen reports whether the worker has collapsed under load.
-func (s *StubWorker) Fallen() bool {
+// Collapsed reports whether the worker has collapsed under load.
+func (s *StubWorker) Collapsed() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.model.Fallen()
+	return s.model.Collapsed()
 }
 
 func (s *StubWorker) report(h http.Header, now time.Time) {
@@ -209,7 +209,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.report(w.Header(), time.Now())
-	if s.model.Draining() || s.model.Fallen() {
+	if s.model.Draining() || s.model.Collapsed() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
@@ -234,7 +234,7 @@
 	} else {
 		s.observed = append(s.observed, ObservedCall{
 			At: now, ID: job.ID, Class: job.Class, Model: job.Model,
-			Took: admission == Admitted, Draining: s.model.Draining(),
+			Admitted: admission == Admitted, Draining: s.model.Draining(),
 		})
 	}
 	s.mu.Unlock()
--- a/internal/lab/turns.go
+++ b/internal/lab/turns.go
@@ -35,7 +35,7 @@
 
 // turnsResult is the result of one run.
 type turnsResult struct {
-	Breaches
+	RuleViolations
 	silence      float64 // longest time, in terms, without a message among the running dispatchers
 	idle         float64 // share of the terms without a broadcast
 	before, late float64 // share of calls served at the running dispatchers
@@ -66,9 +66,9 @@
 	return digests
 }
 
-// Silence returns the longest time in a span without a datagram among the dispatchers that stay
+// LongestSilence returns the longest time in a span without a datagram among the dispatchers that stay
 // selects.
-func Silence(datagrams []Datagram, stay func(int) bool, from, until time.Time) (most time.Duration) {
+func LongestSilence(datagrams []Datagram, stay func(int) bool, from, until time.Time) (most time.Duration) {
 	last := from
 	for _, datagram := range datagrams {
 		if stay(datagram.From) && stay(datagram.To) && datagram.At.After(from) && datagram.At.Before(until) {
@@ -88,7 +88,7 @@
 		name: "turns", before: turnsBefore, sizes: sizes, seeds: seeds, faults: TurnsFaults(),
 		note: fmt.Sprintf("%d boxes, %d calls/s a box; counted from %d to %d terms after the fault", workers,
 			fleetCalls, turnsSettle, turnsSettle+turnsCount),
-		run: func(net *Net, dir, fault string, size RigSize) (*turnsResult, error) {
+		run: func(net *LoopbackRange, dir, fault string, size RigConfig) (*turnsResult, error) {
 			size.Workers = workers
 			return turnsArm(ctx, net, dir, fault, size)
 		}, report: turnsReport,
@@ -127,19 +127,19 @@
 		time.AfterFunc(3*time.Second, func() { _ = rig.Signal(syscall.SIGCONT, thirdOf) })
 		return err
 	case TurnsHalves:
-		rig.PeerNetwork.Set(Lost, func(from, to int) bool { return meshHalf(from) != meshHalf(to) })
+		rig.PeerNetwork.Set(DropAll, func(from, to int) bool { return meshHalf(from) != meshHalf(to) })
 	case TurnsGrown:
 		later := func(n int) bool { return !t.startsFirst(n) }
 		if err := rig.Start(ready, later); err != nil {
 			return err
 		}
-		rig.Send(sending, later)
+		rig.StartClients(sending, later)
 	}
 	return nil
 }
 
 // turnsArm runs one fault with one program.
-func turnsArm(ctx context.Context, net *Net, dir, fault string, size RigSize) (*turnsResult, error) {
+func turnsArm(ctx context.Context, net *LoopbackRange, dir, fault string, size RigConfig) (*turnsResult, error) {
 	rig, err := NewOutlierRig(net, dir, size)
 	if err != nil {
 		return nil, err
@@ -153,7 +153,7 @@
 	}
 	sending, enough := context.WithCancel(ctx)
 	defer enough()
-	rig.Send(sending, func(n int) bool { return t.stays(n) && t.startsFirst(n) })
+	rig.StartClients(sending, func(n int) bool { return t.stays(n) && t.startsFirst(n) })
 	if err := sleepUntil(ctx, time.Now().Add(4*time.Second)); err != nil {
 		return nil, err
 	}
@@ -167,10 +167,10 @@
 		return nil, err
 	}
 	enough()
-	rig.Quiet()
+	rig.StopClients()
 	result := t.count(from, end, term)
 	calls := rig.Calls(t.stays)
-	result.before, result.late = Served(calls, began.Add(-2*time.Second), began, nil), Served(calls, from, end, nil)
+	result.before, result.late = ServedShare(calls, began.Add(-2*time.Second), began, nil), ServedShare(calls, from, end, nil)
 	if fault == TurnsKilled {
 		return result, nil
 	}
@@ -183,9 +183,9 @@
 // count returns the rule violations of the run, and the longest silence and the terms without a
 // broadcast in a span.
 func (t turnsRun) count(from, end time.Time, term time.Duration) *turnsResult {
-	result := &turnsResult{Breaches: t.rig.Check(func(a Attempt) bool { return !t.stays(senderOf(a.ID)) })}
+	result := &turnsResult{RuleViolations: t.rig.Check(func(a Attempt) bool { return !t.stays(senderOf(a.ID)) })}
 	datagrams := t.rig.PeerNetwork.Datagrams()
-	result.silence = Silence(datagrams, t.stays, from, end).Seconds() / term.Seconds()
+	result.silence = LongestSilence(datagrams, t.stays, from, end).Seconds() / term.Seconds()
 	broadcast := make([]bool, turnsCount)
 	for _, datagram := range Broadcasts(datagrams, t.rig.Dispatchers) {
 		if i := int(datagram.At.Sub(from) / term); t.stays(datagram.From) && datagram.At.After(from) &&
--- a/internal/lab/virtualtime.go
+++ b/internal/lab/virtualtime.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	simLinkDelay = 500 * time.Microsecond // one-way delay between a dispatcher and a worker
-	simProbe     = 250 * time.Millisecond
-	simTick      = 10 * time.Millisecond
-	simIdleTick  = 250 * time.Millisecond // between ticks from 3 s after the start of a dispatcher on
+	simLinkDelay      = 500 * time.Microsecond // one-way delay between a dispatcher and a worker
+	simConnectTimeout = 250 * time.Millisecond
+	simTick           = 10 * time.Millisecond
+	simIdleTick       = 250 * time.Millisecond // between ticks from 3 s after the start of a dispatcher on
 )
 
 // simWorker is a worker in virtual time, with its fault.
@@ -25,7 +25,7 @@
 	id         balancer.WorkerID
 	zone       int
 	model      *WorkerModel
-	fate       int
+	fault      int
 	nextWake   time.Time
 	admittedAt []time.Time
 	drained    time.Time // when its drain is announced; zero: never; the first rejection reveals it
@@ -41,37 +41,37 @@
 	simGossip
 	simFaults
 	simCounts
-	f       *Figures
-	workers []*simWorker
-	byID    map[balancer.WorkerID]*simWorker
-	nodes   []*simNode
-	load    Load
-	popular zipf
-	walk    int // balancer.Settings.FullScanLimit
-	began   time.Time
-	listed  []endpoints.Endpoint
-	cursor  int64
-	oracle  bool // calls are routed by the true state of all workers, and no dispatcher is asked
+	f             *Figures
+	workers       []*simWorker
+	byID          map[balancer.WorkerID]*simWorker
+	nodes         []*simNode
+	load          Load
+	popular       zipf
+	fullScanLimit int // balancer.Settings.FullScanLimit
+	began         time.Time
+	listed        []endpoints.Endpoint
+	cursor        int64
+	oracle        bool // calls are routed by the true state of all workers, and no dispatcher is asked
 
 	hollow *hollowWorld // state of a run of hollow dispatchers; nil in other experiments
 }
 
 // simGossip is the state of the messages between dispatchers.
 type simGossip struct {
-	messages      bool // dispatchers send them; some are lost
-	lossy         *rand.Rand
-	lost          float64 // share of the messages that are lost
-	price         float64 // price of a message
-	delivered     int     // bytes of messages delivered
-	oversize      int     // messages that are too long
-	mute          bool    // all messages are lost
-	unreachedPart float64 // part of the dispatchers, from the first on, to which messages are lost
+	messages       bool // dispatchers send them; some are lost
+	lossRNG        *rand.Rand
+	lossRate       float64 // share of the messages that are lost
+	price          float64 // price of a message
+	deliveredBytes int     // bytes of messages delivered
+	oversize       int     // messages that are too long
+	allLost        bool    // all messages are lost
+	unreachedPart  float64 // part of the dispatchers, from the first on, to which messages are lost
 }
 
 // simFaults are the faults of the links between dispatchers and workers.
 type simFaults struct {
 	zonesSplit bool    // a dispatcher reaches only the workers of its own zone
-	unheard    float64 // share of answers lost in transit
+	answerLoss float64 // share of answers lost in transit
 }
 
 // simCounts are the counts of a run.
@@ -83,8 +83,8 @@
 	late          int
 	unreached     int            // attempts whose connection was not established
 	detectionTime float64        // see fleetResult
-	sends         []int          // attempts started, per tenth of a second since began
-	goods         []int          // calls served, likewise
+	sentTally     []int          // attempts started, per tenth of a second since began
+	servedTally   []int          // calls served, likewise
 	counts        *serviceCounts // of a busy fleet; nil: nothing is counted
 }
 
@@ -99,7 +99,7 @@
 
 // reaches reports whether a dispatcher can connect to a worker.
 func (w *simWorld) reaches(node *simNode, worker *simWorker) bool {
-	return worker.fate != cutOff && (!w.zonesSplit || node.n%2 == worker.zone)
+	return worker.fault != faultCutOff && (!w.zonesSplit || node.n%2 == worker.zone)
 }
 
 // simCall is a call of a client with all its attempts.
@@ -116,9 +116,9 @@
 	end         callEnd
 }
 
-// home returns the dispatcher that clients of the nth go to: for a hollow one that is down, another
+// dispatcherFor returns the dispatcher that clients of the nth go to: for a hollow one that is down, another
 // one.
-func (w *simWorld) home(n int) *simNode {
+func (w *simWorld) dispatcherFor(n int) *simNode {
 	if w.hollow == nil {
 		return w.nodes[n]
 	}
@@ -146,7 +146,7 @@
 		return []float64{float64(queue), util}
 	}
 	job.Data = func() {
-		if w.unheard > 0 && w.lossy.Float64() < w.unheard {
+		if w.answerLoss > 0 && w.lossRNG.Float64() < w.answerLoss {
 			return // the answer is lost; the deadline ends the attempt
 		}
 		call.awaitedLoad = call.awaitedLoad || job.Warmth != WarmHit
@@ -157,7 +157,7 @@
 		w.after(simLinkDelay, func() { land(balancer.OK, warm, job.ConcurrentRequests, rep) })
 	}
 	admission := worker.model.Arrive(w.now, job)
-	w.counts.arrived(w, worker, job, admission)
+	w.counts.countArrival(w, worker, job, admission)
 	if worker.model.Draining() {
 		first, known := node.drainNotified[worker.id]
 		if !worker.drained.IsZero() {
@@ -177,7 +177,7 @@
 		w.after(simLinkDelay, func() { land(res, 0, 0, rep) })
 		return
 	}
-	w.hollow.loaded(job)
+	w.hollow.countLoad(job)
 	w.recordAdmission(worker)
 	w.countRun(call)
 	w.advance(worker)
--- a/internal/lab/worker.go
+++ b/internal/lab/worker.go
@@ -8,15 +8,15 @@
 
 // WorkerConfig holds the capacity and limits of an emulated worker.
 type WorkerConfig struct {
-	Cores    int
-	Queue    int           // waiting jobs at which further calls are rejected
-	Copies   int           // copies of models that fit into memory
-	Loads    int           // loads that run in parallel at full speed
-	Keep     time.Duration // idle time after which a copy is unloaded
-	Warm     time.Duration // duration of the slow start; 0: none
-	StartCap float64       // share of full capacity at the start, 0 to 1
-	Fall     time.Duration // window of the overload rule: too much work in it in slow start means collapse
-	Factor   float64       // work permitted in the window, as a multiple of the current capacity
+	Cores          int
+	Queue          int           // waiting jobs at which further calls are rejected
+	MaxCopies      int           // copies of models that fit into memory
+	MaxLoads       int           // loads that run in parallel at full speed
+	IdleTimeout    time.Duration // idle time after which a copy is unloaded
+	SlowStart      time.Duration // duration of the slow start; 0: none
+	StartCapacity  float64       // share of full capacity at the start, 0 to 1
+	CollapseWindow time.Duration // window of the overload rule: too much work in it in slow start means collapse
+	OverloadFactor float64       // work permitted in the window, as a multiple of the current capacity
 }
 
 // Admission is a worker's decision on a job when it arrives.
@@ -60,10 +60,10 @@
 // modelCopy is a copy of a model in a worker's memory.
 type modelCopy struct {
 	ready       time.Time // when its load ends
-	used        time.Time
+	lastUsed    time.Time
 	concurrency int
 	running     int
-	held        int // jobs that run on it or wait for it
+	jobs        int // jobs that run on it or wait for it
 }
 
 // WorkerModel emulates a worker: concurrency, copies, loads, queue, slow start, draining and
@@ -88,7 +88,7 @@
 
 // unloads counts unloaded copies: idle ones evicted for a load, idle ones unloaded at a
 // dispatcher's request, and those that expired because they were idle for too long.
-type unloads struct{ pushed, dropped, expired int }
+type unloads struct{ evicted, requested, expired int }
 
 // arrivedWork is the work of a call that arrived in slow start.
 type arrivedWork struct {
@@ -107,10 +107,10 @@
 // Capacity returns the worker's capacity at now, as a share of its full capacity.
 func (b *WorkerModel) Capacity(now time.Time) float64 {
 	age := now.Sub(b.start)
-	if b.cfg.Warm <= 0 || age >= b.cfg.Warm {
+	if b.cfg.SlowStart <= 0 || age >= b.cfg.SlowStart {
 		return 1
 	}
-	return b.cfg.StartCap + (1-b.cfg.StartCap)*float64(max(0, age))/float64(b.cfg.Warm)
+	return b.cfg.StartCapacity + (1-b.cfg.StartCapacity)*float64(max(0, age))/float64(b.cfg.SlowStart)
 }
 
 // Drain makes the worker reject new jobs; admitted jobs continue.
@@ -119,8 +119,8 @@
 // Draining reports whether Drain was called.
 func (b *WorkerModel) Draining() bool { return b.draining }
 
-// Fallen reports whether the worker has collapsed under load.
-func (b *WorkerModel) Fallen() bool { return b.collapsed }
+// Collapsed reports whether the worker has collapsed under load.
+func (b *WorkerModel) Collapsed() bool { return b.collapsed }
 
 // Slow makes jobs that start from now on take factor times as long.
 func (b *WorkerModel) Slow(factor float64) { b.slowdown = factor }
@@ -159,7 +159,7 @@
 				loading++
 			}
 		}
-		wait := job.Load * time.Duration(1+loading/max(1, b.cfg.Loads))
+		wait := job.Load * time.Duration(1+loading/max(1, b.cfg.MaxLoads))
 		loaded = &modelCopy{ready: now.Add(wait), concurrency: max(1, job.Concurrency)}
 		b.copies[job.Model] = loaded
 		b.loads[job.Model]++
@@ -167,9 +167,9 @@
 	case loaded.ready.After(now):
 		job.Warmth = AwaitedLoad
 	}
-	job.ConcurrentRequests = min(loaded.held, 30)
-	loaded.held++
-	loaded.used = now
+	job.ConcurrentRequests = min(loaded.jobs, 30)
+	loaded.jobs++
+	loaded.lastUsed = now
 	b.waiting = append(b.waiting, job)
 	return Admitted
 }
@@ -178,25 +178,25 @@
 // the overload rule: within the window, at most the overload factor times the work that the current
 // capacity completes, plus two calls' work for random variation. Load orders don't count.
 func (b *WorkerModel) overloaded(now time.Time, job *Job) bool {
-	if b.cfg.Fall <= 0 || b.Capacity(now) >= 1 || job.Order {
+	if b.cfg.CollapseWindow <= 0 || b.Capacity(now) >= 1 || job.Order {
 		return false
 	}
 	b.recentWork = append(b.recentWork, arrivedWork{now, job.Work})
-	for len(b.recentWork) > 0 && now.Sub(b.recentWork[0].at) > b.cfg.Fall {
+	for len(b.recentWork) > 0 && now.Sub(b.recentWork[0].at) > b.cfg.CollapseWindow {
 		b.recentWork = b.recentWork[1:]
 	}
 	sum := time.Duration(0)
 	for _, s := range b.recentWork {
 		sum += s.work
 	}
-	limit := b.cfg.Factor * b.Capacity(now) * float64(b.cfg.Cores) * float64(b.cfg.Fall)
+	limit := b.cfg.OverloadFactor * b.Capacity(now) * float64(b.cfg.Cores) * float64(b.cfg.CollapseWindow)
 	return float64(sum) > limit+float64(2*job.Work)
 }
 
 // unloadExpired unloads copies that have been idle for too long.
 func (b *WorkerModel) unloadExpired(now time.Time) {
 	for m, loaded := range b.copies {
-		if loaded.held == 0 && now.Sub(loaded.used) > b.cfg.Keep {
+		if loaded.jobs == 0 && now.Sub(loaded.lastUsed) > b.cfg.IdleTimeout {
 			delete(b.copies, m)
 			b.unloads.expired++
 		}
@@ -206,14 +206,14 @@
 // evictForLoad unloads the copy that has been idle for longest if memory is full. It returns false
 // if memory is full and no copy is idle.
 func (b *WorkerModel) evictForLoad() bool {
-	if len(b.copies) < b.cfg.Copies {
+	if len(b.copies) < b.cfg.MaxCopies {
 		return true
 	}
 	var oldest uint64
 	var oldestCopy *modelCopy
 	for m, loaded := range b.copies {
-		if loaded.held == 0 && (oldestCopy == nil || loaded.used.Before(oldestCopy.used) ||
-			loaded.used.Equal(oldestCopy.used) && m < oldest) {
+		if loaded.jobs == 0 && (oldestCopy == nil || loaded.lastUsed.Before(oldestCopy.lastUsed) ||
+			loaded.lastUsed.Equal(oldestCopy.lastUsed) && m < oldest) {
 			oldest, oldestCopy = m, loaded
 		}
 	}
@@ -221,7 +221,7 @@
 		return false
 	}
 	delete(b.copies, oldest)
-	b.unloads.pushed++
+	b.unloads.evicted++
 	return true
 }
 
@@ -268,8 +268,8 @@
 			}
 			loaded := b.copies[job.Model]
 			loaded.running--
-			loaded.held--
-			loaded.used = at
+			loaded.jobs--
+			loaded.lastUsed = at
 			ended = append(ended, job)
 			return true
 		})
@@ -289,7 +289,7 @@
 			return false
 		}
 		if job.Order {
-			loaded.held--
+			loaded.jobs--
 			ended = append(ended, job)
 			return true
 		}
@@ -343,8 +343,8 @@
 
 // Unload unloads a model's copy if it is idle.
 func (b *WorkerModel) Unload(model uint64) {
-	if loaded := b.copies[model]; loaded != nil && loaded.held == 0 {
+	if loaded := b.copies[model]; loaded != nil && loaded.jobs == 0 {
 		delete(b.copies, model)
-		b.unloads.dropped++
+		b.unloads.requested++
 	}
 }
--- a/internal/soak/campaign.go
+++ b/internal/soak/campaign.go
@@ -26,7 +26,7 @@
 	Seeds     int
 	Processes int
 	Jobs      int    // concurrent runs; 0: half the CPUs, at least 1
-	Only      []Kind // empty: all kinds
+	Kinds     []Kind // empty: all kinds
 	Replay    *Schedule
 	Shorten   bool // shorten failing schedules by running them again with fewer and shorter faults
 	Dir       string
@@ -97,9 +97,9 @@
 	return nil
 }
 
-// Play runs a campaign. The error reports invalid options, runs that could not be carried out and a
+// RunCampaign runs a campaign. The error reports invalid options, runs that could not be carried out and a
 // report that could not be written; violations are in the campaign.
-func Play(ctx context.Context, options Options) (*Campaign, error) {
+func RunCampaign(ctx context.Context, options Options) (*Campaign, error) {
 	if options.Jobs == 0 {
 		options.Jobs = max(1, runtime.NumCPU()/2)
 	}
@@ -112,7 +112,7 @@
 	}
 	for i := range uint64(options.Seeds) {
 		if options.Replay == nil {
-			schedules = append(schedules, Draw(options.Seed+i, options.Processes, options.Only))
+			schedules = append(schedules, Draw(options.Seed+i, options.Processes, options.Kinds))
 		}
 	}
 	c := &Campaign{Pairs: map[string]*Pair{}, Short: map[uint64]Schedule{}}
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -72,7 +72,7 @@
 			}
 			startCtx, cancel := context.WithTimeout(ctx, readyTime)
 			defer cancel()
-			known := func() map[string]any { return w.rig.Disc.Known(node.N) }
+			known := func() map[string]any { return w.rig.Discovery.Snapshot(node.N) }
 			return node.restart(startCtx, signals, w.earliestKill(), known)
 		case Pause:
 			node.pause(faultCtx, fault.For)
@@ -169,11 +169,11 @@
 	for i, e := range fault.Targets {
 		marks[i] = w.beginSpan(&w.disturbed[e])
 	}
-	if err := w.rig.Links.Between(linkFault, delay, selected); err != nil {
+	if err := w.rig.Links.SetWorkerLinks(linkFault, delay, selected); err != nil {
 		return err
 	}
 	<-faultCtx.Done()
-	err := w.rig.Links.Between(lab.Open, 0, selected)
+	err := w.rig.Links.SetWorkerLinks(lab.Open, 0, selected)
 	for i, e := range fault.Targets {
 		w.endSpan(&w.disturbed[e], marks[i])
 	}
@@ -255,7 +255,7 @@
 				continue
 			}
 			w.mu.Lock()
-			w.rig.Workers[e].Fail(share)
+			w.rig.Workers[e].SetFailureRate(share)
 			w.mu.Unlock()
 		}
 	}
@@ -305,9 +305,9 @@
 	for n := range marks {
 		marks[n] = w.beginSpan(&w.uninformed[n])
 	}
-	w.rig.Disc.Hold(true)
+	w.rig.Discovery.Hold(true)
 	<-faultCtx.Done()
-	w.rig.Disc.Hold(false)
+	w.rig.Discovery.Hold(false)
 	for n, mark := range marks {
 		w.endSpan(&w.uninformed[n], mark)
 	}
@@ -355,7 +355,7 @@
 
 // disturbPeers drops the datagrams to some dispatchers, or duplicates and delays them.
 func (w *world) disturbPeers(faultCtx context.Context, fault Fault) {
-	link := lab.Lost
+	link := lab.DropAll
 	if fault.Kind == PeersDuplicate {
 		link = lab.PeerLink{
 			Twice: 0.5, Delay: time.Duration(fault.Amount * float64(400*time.Millisecond)),
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -60,8 +60,8 @@
 	}
 	defer out.Close()
 	args := append(append([]string(nil), n.program.Args...), n.Args...)
-	if n.File != "" {
-		args = append(args, "--config", n.File)
+	if n.OperatorFile != "" {
+		args = append(args, "--config", n.OperatorFile)
 	}
 	cmd := exec.Command(n.program.Path, args...)
 	cmd.Env = append(append(os.Environ(), n.program.Env...), "ROUTER_CONFIG="+n.Config)
@@ -157,7 +157,7 @@
 	n.actionMu.Lock()
 	defer n.actionMu.Unlock()
 	n.end(signals, killAfter)
-	if err := n.Know(known()); err != nil {
+	if err := n.SetKnownWorkers(known()); err != nil {
 		return err
 	}
 	if err := n.start(); err != nil {
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -309,7 +309,7 @@
 				period.until = procs[i+1].Started
 			}
 			calls, orders := o.callsAndOrders(n, period)
-			over := lab.OverRation(orders, calls, o.LoadQuota.Window, o.LoadQuota.Free, o.LoadQuota.Share,
+			over := lab.LoadQuotaExcess(orders, calls, o.LoadQuota.Window, o.LoadQuota.Free, o.LoadQuota.Share,
 				loadQuotaSlack)
 			if over > 0 {
 				o.addViolation(RuleLoadQuota, n, "", "%d of %d orders beyond the ration, %d calls", over, len(orders),
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -33,8 +33,8 @@
 // maxStall is the longest stall of the testbed process that leaves its recorded times valid.
 const maxStall = 150 * time.Millisecond
 
-// ErrUsed states that the directory of a run already exists.
-var ErrUsed = errors.New("soak: run directory already exists")
+// ErrRunDirExists states that the directory of a run already exists.
+var ErrRunDirExists = errors.New("soak: run directory already exists")
 
 // Run runs a schedule in dir, which must not exist yet. program is the dispatcher program; it must
 // accept the arguments --config and --faults. The error is ErrUsed if dir exists, or reports that
@@ -42,9 +42,9 @@
 func Run(ctx context.Context, schedule Schedule, dir string, program lab.Program) (Result, error) {
 	res := Result{Schedule: schedule, Dir: dir}
 	if _, err := os.Stat(dir); err == nil {
-		return res, fmt.Errorf("%s: %w", dir, ErrUsed) // its cached lists would name the executors of another run
+		return res, fmt.Errorf("%s: %w", dir, ErrRunDirExists) // its cached lists would name the executors of another run
 	}
-	network, err := lab.ClaimNet()
+	network, err := lab.ClaimLoopbackRange()
 	if err != nil {
 		return res, err
 	}
@@ -133,7 +133,7 @@
 	}
 	found := FindViolations(r)
 	for i, b := range append(append([]*lab.StubWorker(nil), w.rig.Workers...), w.rig.Replaced...) {
-		if b.Fallen() {
+		if b.Collapsed() {
 			found = append(found, Violation{RuleSlowStart, -1, b.ID, fmt.Sprintf("executor %d fell", i)})
 		}
 	}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -53,7 +53,7 @@
 		{Seeds: 1, Processes: 40, Jobs: 7},
 		{Seeds: 0, Processes: 1, Jobs: 1},
 	} {
-		_, err := Play(t.Context(), options)
+		_, err := RunCampaign(t.Context(), options)
 		assert.ErrorIs(t, err, ErrTooLarge)
 	}
 }
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -52,7 +52,7 @@
 				NotIdempotent: true,
 			},
 		}
-		f.Load, f.Worker.Keep = 110*time.Millisecond, 1500*time.Millisecond
+		f.Load, f.Worker.IdleTimeout = 110*time.Millisecond, 1500*time.Millisecond
 	}
 	return f
 }
@@ -101,19 +101,19 @@
 
 // newWorld sets up the fleet of a schedule and writes the fault plans of its processes; no process
 // is started yet.
-func newWorld(schedule Schedule, dir string, network *lab.Net, program lab.Program) (*world, error) {
+func newWorld(schedule Schedule, dir string, network *lab.LoopbackRange, program lab.Program) (*world, error) {
 	w := &world{
 		Schedule: schedule, dir: dir, figures: deploymentFigures(schedule.Deployment),
 		uninformed: make([][]span, schedule.Processes),
 		disturbed:  make([][]span, schedule.Executors), replacing: map[int]bool{},
 	}
-	size := lab.RigSize{
+	size := lab.RigConfig{
 		Dispatchers: schedule.Processes, Workers: schedule.Executors, Figures: w.figures, Seed: schedule.Seed,
 		Load:     lab.Load{Rate: 1, Models: 1},
 		Settings: func(_ int, settings map[string]any) { applySettings(schedule.Deployment, settings) },
 	}
 	if schedule.CachedList {
-		size.Operators = "[list]\npath = \"list.db\"\n"
+		size.OperatorConfig = "[list]\npath = \"list.db\"\n"
 	}
 	var err error
 	if w.rig, err = lab.NewRig(network, dir, size); err != nil {
