--- a/cmd/dispatcher/fleet_test.go
+++ b/cmd/dispatcher/fleet_test.go
@@ -187,7 +187,8 @@
 	assert.Less(t, loads, 3*renewed, "loads of new versions")
 	assertLoadQuota(t, rig, dispatchers)
 	before := lab.ServedShare(rig.Calls(nil), load.NewVersionsAt.Add(-2*time.Second), load.NewVersionsAt, nil)
-	after := lab.ServedShare(rig.Calls(nil), load.NewVersionsAt, load.NewVersionsAt.Add(2*figures.Worker.IdleTimeout), nil)
+	after := lab.ServedShare(rig.Calls(nil), load.NewVersionsAt,
+		load.NewVersionsAt.Add(2*figures.Worker.IdleTimeout), nil)
 	t.Logf("served %.3f before, %.3f after", before, after)
 	assert.Greater(t, after, before-0.05)
 	assertInvariants(t, rig)
--- a/cmd/dispatcher/partition_test.go
+++ b/cmd/dispatcher/partition_test.go
@@ -36,8 +36,8 @@
 func TestTenantQuotasDuringPartitions(t *testing.T) {
 	running := make(chan struct{}, maxParallelRigs)
 	for i, fault := range []string{
-		lab.MeshHalves, lab.MeshInboundLost, lab.MeshOutboundLost, lab.MeshAllLost, lab.MeshStopped, lab.MeshKilled, lab.MeshFlap,
-		lab.MeshDisordered, lab.MeshLostFromStart,
+		lab.MeshHalves, lab.MeshInboundLost, lab.MeshOutboundLost, lab.MeshAllLost, lab.MeshStopped,
+		lab.MeshKilled, lab.MeshFlap, lab.MeshDisordered, lab.MeshLostFromStart,
 	} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
--- a/internal/lab/before.go
+++ b/internal/lab/before.go
@@ -16,7 +16,8 @@
 	"strings"
 )
 
-// CurrentProgram returns the current program: the file dispatcher in the directory of this executable.
+// CurrentProgram returns the current program: the file dispatcher in the directory of this
+// executable.
 func CurrentProgram() (Program, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -29,8 +30,8 @@
 	return Program{Path: path, Args: []string{"serve"}}, nil
 }
 
-// programPair returns the program of an earlier version (options.Before, or else commit) and the current
-// one.
+// programPair returns the program of an earlier version (options.Before, or else commit) and the
+// current one.
 func programPair(ctx context.Context, options Options, commit string) (programs [2]Program, err error) {
 	if options.Before != "" {
 		commit = options.Before
@@ -42,8 +43,8 @@
 	return programs, err
 }
 
-// EarlierProgram returns the program of an earlier version. what is the path of a program file, or a commit
-// of the repository at root, which is built under dir.
+// EarlierProgram returns the program of an earlier version. what is the path of a program file, or
+// a commit of the repository at root, which is built under dir.
 func EarlierProgram(ctx context.Context, root, dir, what string) (Program, error) {
 	if info, err := os.Stat(what); err == nil && !info.IsDir() {
 		path, err := filepath.Abs(what)
--- a/internal/lab/cachedlistcount.go
+++ b/internal/lab/cachedlistcount.go
@@ -204,8 +204,8 @@
 	rep.AtMost("peak second of a box, over that with discovery up", ours.peak/math.Max(up.peak, 1e-9), 1.35)
 }
 
-// MakeTempDir creates a temporary directory for a run, sets o.Dir to it, and returns a function that
-// removes it.
+// MakeTempDir creates a temporary directory for a run, sets o.Dir to it, and returns a function
+// that removes it.
 func MakeTempDir(o *Options) (func(), error) {
 	dir, err := os.MkdirTemp("", "testbed-*")
 	if err != nil {
--- a/internal/lab/cachedlistsim.go
+++ b/internal/lab/cachedlistsim.go
@@ -56,7 +56,8 @@
 		f: figures, byID: map[balancer.WorkerID]*simWorker{}, popular: newZipf(8*workers, 0.4),
 		simGossip: simGossip{price: peerPrice},
 		load: Load{
-			Rate: rate / float64(dispatchers), Models: 8 * workers, Zipf: 0.4, PopularityPeriod: 12 * time.Second, Retries: 2,
+			Rate: rate / float64(dispatchers), Models: 8 * workers, Zipf: 0.4,
+			PopularityPeriod: 12 * time.Second, Retries: 2,
 		},
 	}
 	w.now = time.Unix(1_800_000_000, 0)
--- a/internal/lab/calibratereal.go
+++ b/internal/lab/calibratereal.go
@@ -19,8 +19,8 @@
 ) (*costs, error) {
 	figures := hollowFigures(c.size(fleet))
 	rig, err := NewRig(net, dir, RigConfig{
-		Dispatchers: fleet.dispatchers, Workers: fleet.executors, Figures: figures, Program: c.program, AddrGroup: group,
-		Zones: calibrateZones, Seed: seed, Load: Load{Rate: c.calls, Models: c.functions, Retries: 2},
+		Dispatchers: fleet.dispatchers, Workers: fleet.executors, Figures: figures, Program: c.program,
+		AddrGroup: group, Zones: calibrateZones, Seed: seed, Load: Load{Rate: c.calls, Models: c.functions, Retries: 2},
 		Settings: func(_ int, s map[string]any) { s["prices"].(map[string]any)["peer"] = peerPrice },
 	})
 	if err != nil {
--- a/internal/lab/capacityplan.go
+++ b/internal/lab/capacityplan.go
@@ -185,7 +185,9 @@
 		Dispatchers: 60, Executors: 960, Functions: 48_000, Calls: 50, Span: 6 * time.Second,
 		PeerPrice: peerPrice,
 	}
-	p.service = []serviceFleet{{24, 120, neverFullScan}, {80, 120, neverFullScan}, {300, 120, neverFullScan}, {1_000, 400, 0}}
+	p.service = []serviceFleet{
+		{24, 120, neverFullScan}, {80, 120, neverFullScan}, {300, 120, neverFullScan}, {1_000, 400, 0},
+	}
 	p.faults = HollowSize{
 		Dispatchers: 1_000, Executors: 300, Functions: 12_000, Calls: 10, Span: 8 * time.Second,
 		PeerPrice: peerPrice,
--- a/internal/lab/check.go
+++ b/internal/lab/check.go
@@ -143,8 +143,8 @@
 	return n
 }
 
-// BytesPerCall returns the bytes of the datagrams in a span, divided by calls, the number of calls in
-// it.
+// BytesPerCall returns the bytes of the datagrams in a span, divided by calls, the number of calls
+// in it.
 func BytesPerCall(datagrams []Datagram, calls int, from, until time.Time) float64 {
 	sum := 0
 	for _, datagram := range datagrams {
--- a/internal/lab/discovery.go
+++ b/internal/lab/discovery.go
@@ -42,7 +42,8 @@
 type Discovery struct {
 	// DuplicateEvents makes Discovery send every event twice.
 	DuplicateEvents bool
-	// HeartbeatInterval is the interval of heartbeats, which carry the last event number; 0 means 1 s.
+	// HeartbeatInterval is the interval of heartbeats, which carry the last event number;
+	// 0 means 1 s.
 	HeartbeatInterval time.Duration
 	// Route returns the address at which dispatcher n reaches a worker, for runs with relays in
 	// between; nil means the worker's own address. It must be set before use.
--- a/internal/lab/dispatchers.go
+++ b/internal/lab/dispatchers.go
@@ -23,8 +23,8 @@
 	lock net.Listener
 }
 
-// ClaimLoopbackRange reserves a part of the loopback range that no other run uses, or returns an error if all
-// are in use. The listener that it opens there is the lock.
+// ClaimLoopbackRange reserves a part of the loopback range that no other run uses, or returns an
+// error if all are in use. The listener that it opens there is the lock.
 func ClaimLoopbackRange() (*LoopbackRange, error) {
 	for b := 64; b < 250; b++ {
 		if listener, err := net.Listen("tcp", fmt.Sprintf("127.%d.255.254:9000", b)); err == nil {
@@ -83,8 +83,8 @@
 			"max_retry_after_ns": 1500 * time.Millisecond,
 		},
 		"rules": map[string]any{
-			"cold_ns": f.Worker.SlowStart, "fall_ns": f.Worker.CollapseWindow, "overload_factor": f.Worker.OverloadFactor,
-			"start_capacity": f.Worker.StartCapacity,
+			"cold_ns": f.Worker.SlowStart, "fall_ns": f.Worker.CollapseWindow,
+			"overload_factor": f.Worker.OverloadFactor, "start_capacity": f.Worker.StartCapacity,
 			"drain_grace_ns": time.Second,
 		},
 		"specifics": map[string]any{
@@ -132,7 +132,8 @@
 	OperatorConfig string   // contents of the operator's configuration; empty: none
 }
 
-// WriteDispatcherFiles writes a dispatcher's files and returns the dispatcher, which is not started.
+// WriteDispatcherFiles writes a dispatcher's files and returns the dispatcher, which is not
+// started.
 func WriteDispatcherFiles(files DispatcherFiles) (*Dispatcher, error) {
 	n, peers := files.N, files.Peers
 	dispatcher := &Dispatcher{N: n, Addr: files.Addr, Dir: filepath.Join(files.Dir, fmt.Sprintf("d%02d", n))}
@@ -160,8 +161,8 @@
 	return dispatcher, nil
 }
 
-// SetKnownWorkers puts the known workers into the platform's configuration. known is an object with a cursor
-// and events, as Discovery returns it.
+// SetKnownWorkers puts the known workers into the platform's configuration. known is an object with
+// a cursor and events, as Discovery returns it.
 func (d *Dispatcher) SetKnownWorkers(known map[string]any) error {
 	raw, err := os.ReadFile(d.Config)
 	if err != nil {
--- a/internal/lab/figures.go
+++ b/internal/lab/figures.go
@@ -28,8 +28,8 @@
 		},
 		Load: 120 * time.Millisecond, Concurrency: 4,
 		Worker: WorkerConfig{
-			Cores: 4, Queue: 64, MaxCopies: 64, MaxLoads: 4, IdleTimeout: 10 * time.Second, SlowStart: 8 * time.Second, StartCapacity: 0.2,
-			CollapseWindow: 3 * time.Second, OverloadFactor: 3,
+			Cores: 4, Queue: 64, MaxCopies: 64, MaxLoads: 4, IdleTimeout: 10 * time.Second,
+			SlowStart: 8 * time.Second, StartCapacity: 0.2, CollapseWindow: 3 * time.Second, OverloadFactor: 3,
 		},
 	}
 }
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -86,7 +86,8 @@
 	row("calls never served", "%", func(result *fleetResult) float64 { return 100 * result.unserved })
 	switch kind {
 	case "split", "parted":
-		row("until attempts a served call are as before", "s", func(result *fleetResult) float64 { return result.recoveryTime })
+		row("until attempts a served call are as before", "s",
+			func(result *fleetResult) float64 { return result.recoveryTime })
 		row("served in the four seconds after, a second", "of before",
 			func(result *fleetResult) float64 { return result.servedRatio })
 		row("attempts in these", "a served call", func(result *fleetResult) float64 { return result.attempts })
--- a/internal/lab/links.go
+++ b/internal/lab/links.go
@@ -35,8 +35,8 @@
 	return append([]LinkEvent(nil), l.events...)
 }
 
-// SetWorkerLinks sets the fault and delay of the links of all pairs of a dispatcher and a worker for which
-// pick returns true, all at the same time. It returns the first error.
+// SetWorkerLinks sets the fault and delay of the links of all pairs of a dispatcher and a worker
+// for which pick returns true, all at the same time. It returns the first error.
 func (l *Links) SetWorkerLinks(fault Fault, delay time.Duration, pick func(dispatcher, worker int) bool) error {
 	var wait sync.WaitGroup
 	errs := make(chan error, 1)
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -30,8 +30,8 @@
 	PopularityPeriod time.Duration // after this time a rank gets another model, at one of 16 offsets; 0: never
 	Retries          int           // per call, beside those of crossed closes
 	Seed             uint64
-	// NewVersionsAt is the time from which four in ten models are called in a new version, which has its
-	// own ID; zero: never.
+	// NewVersionsAt is the time from which four in ten models are called in a new version, which
+	// has its own ID; zero: never.
 	NewVersionsAt time.Time
 }
 
@@ -44,8 +44,8 @@
 	Lost   bool // no complete response, for another reason than a refused connection or a crossed close
 	Wrong  bool // status 200, but not with the body that a worker returns for it
 	Err    string
-	// CrossedClose reports that, during a planned stop of the dispatcher, the connection was closed as
-	// the request was written, and no byte of a response came. By the protocol a dispatcher may
+	// CrossedClose reports that, during a planned stop of the dispatcher, the connection was closed
+	// as the request was written, and no byte of a response came. By the protocol a dispatcher may
 	// close a connection without an open request, and the client resends a request that crossed the
 	// close once, on a new connection. Unanswered checks whether a worker saw the request
 	// nevertheless.
@@ -105,11 +105,12 @@
 	return &Clients{f: figures, n: n, addr: addr, load: l, http: client(true), noKeepAlive: client(false)}
 }
 
-// SetNewVersionsAt sets the time from which new versions of models are called. It must be called before Run.
+// SetNewVersionsAt sets the time from which new versions of models are called. It must be called
+// before Run.
 func (c *Clients) SetNewVersionsAt(at time.Time) { c.load.NewVersionsAt = at }
 
-// SetStopping sets whether a planned stop of the dispatcher is under way, in which requests may cross
-// the close of their connection.
+// SetStopping sets whether a planned stop of the dispatcher is under way, in which requests may
+// cross the close of their connection.
 func (c *Clients) SetStopping(stopping bool) { c.stopping.Store(stopping) }
 
 // Run sends calls until ctx ends, then waits until all calls have ended.
@@ -309,7 +310,7 @@
 // HasNewVersion reports whether the model at a rank is one of those that get a new version.
 func (l *Load) HasNewVersion(rank int) bool { return mix64(uint64(rank))%10 < 4 }
 
-// Versions returns the IDs of the model at a rank right before NewAt and at NewAt.
+// Versions returns the IDs of the model at a rank right before NewVersionsAt and at NewVersionsAt.
 func (l *Load) Versions(rank int) (before, after uint64) {
 	return l.model(rank, l.NewVersionsAt.Add(-1)), l.model(rank, l.NewVersionsAt)
 }
--- a/internal/lab/mesh.go
+++ b/internal/lab/mesh.go
@@ -141,7 +141,7 @@
 	m.StartClients(ctx, func(n int) bool { return n%3 == 0 })
 }
 
-// BeginFault starts a fault. Repeated ones go on until ctx ends, the others until Heal.
+// BeginFault starts a fault. Repeated ones go on until ctx ends, the others until EndFault.
 func (m *Mesh) BeginFault(ctx context.Context, fault string) error {
 	m.Links.RecordEvent("begin: %s", fault)
 	halves := func(from, to int) bool { return meshHalf(from) != meshHalf(to) }
@@ -205,7 +205,7 @@
 	}
 }
 
-// EndFault ends what Begin started, but does not restart killed dispatchers.
+// EndFault ends what BeginFault started, but does not restart killed dispatchers.
 func (m *Mesh) EndFault() {
 	m.Links.RecordEvent("heal")
 	m.PeerNetwork.Set(PeerLink{}, func(_, _ int) bool { return true })
--- a/internal/lab/meshexperiment.go
+++ b/internal/lab/meshexperiment.go
@@ -45,7 +45,9 @@
 }
 
 // meshArm runs one fault with one program.
-func meshArm(ctx context.Context, net *LoopbackRange, dir, fault string, size MeshSize, spans meshSpans) (*meshResult, error) {
+func meshArm(
+	ctx context.Context, net *LoopbackRange, dir, fault string, size MeshSize, spans meshSpans,
+) (*meshResult, error) {
 	m, err := NewMesh(net, dir, size)
 	if err != nil {
 		return nil, err
@@ -119,14 +121,15 @@
 		}
 	}
 	r.bytes = BytesPerCall(m.PeerNetwork.Datagrams(), calls, at.calm, at.began)
-	r.RuleViolations = m.Check(func(attempt Attempt) bool { // attempts in flight when a dispatcher was killed need no answer
+	// attempts in flight when a dispatcher was killed need no answer
+	r.RuleViolations = m.Check(func(attempt Attempt) bool {
 		return fault == MeshKilled && attempt.Sent.Before(at.began.Add(time.Second)) && attempt.Ended.After(at.began)
 	})
 }
 
-// TotalsSpread returns by how much the totals of tenant a differ, relative to the lowest, as each of the
-// dispatchers that pick selects (nil: all) first logs them in a span; NaN if one logs none. This is
-// the only figure taken from what dispatchers report about themselves.
+// TotalsSpread returns by how much the totals of tenant a differ, relative to the lowest, as each
+// of the dispatchers that pick selects (nil: all) first logs them in a span; NaN if one logs none.
+// This is the only figure taken from what dispatchers report about themselves.
 func (m *Mesh) TotalsSpread(from, until time.Time, pick func(n int) bool) float64 {
 	low, high := math.Inf(1), 0.0
 	for n, path := range m.Logs() {
--- a/internal/lab/outliers.go
+++ b/internal/lab/outliers.go
@@ -200,9 +200,9 @@
 	return func(attempt Attempt) bool { return fault == OutlierStopped && thirdOf(senderOf(attempt.ID)) }
 }
 
-// CallsAt counts the calls in a span, from the dispatchers that of selects, that arrived at the workers
-// that worker selects or at their predecessors at the same addresses; spoilt counts those that
-// failed.
+// CallsAt counts the calls in a span, from the dispatchers that of selects, that arrived at the
+// workers that worker selects or at their predecessors at the same addresses; spoilt counts those
+// that failed.
 func (r *Rig) CallsAt(from, until time.Time, worker, of func(int) bool) (came, spoilt int) {
 	place := map[string]int{}
 	for i, b := range r.Workers {
@@ -303,9 +303,8 @@
 	result := &outliersResult{RuleViolations: rig.Check(Excused(fault))}
 	in, unaffected := AffectedBy(fault)
 	calls := rig.Calls(unaffected)
-	result.before, result.during, result.late = ServedShare(calls, from, began, nil), ServedShare(calls, began, end, nil),
-		ServedShare(calls, half,
-			end, nil)
+	result.before, result.during, result.late = ServedShare(calls, from, began, nil),
+		ServedShare(calls, began, end, nil), ServedShare(calls, half, end, nil)
 	came, spoilt := rig.CallsAt(began, end, in, unaffected)
 	lateCame, lateSpoilt := rig.CallsAt(half, end, in, unaffected)
 	result.affected, result.affectedLate = float64(spoilt), float64(lateSpoilt)
--- a/internal/lab/peernetwork.go
+++ b/internal/lab/peernetwork.go
@@ -23,7 +23,7 @@
 	Jitter time.Duration // highest random addition to Delay, which may reorder datagrams
 }
 
-// DropAll is a link that loses every datagram.
+// DropAll is a link that drops every datagram.
 var DropAll = PeerLink{Lost: 1}
 
 // PeerNetwork carries the datagrams between the dispatchers of a run.
--- a/internal/lab/relay.go
+++ b/internal/lab/relay.go
@@ -320,9 +320,9 @@
 	r.wait.Wait()
 }
 
-// DroppedHandshakes returns how many handshakes the kernel has dropped at full accept queues since it
-// started: those at cut links of this run and all others on the machine, as there is no count for a
-// single listener. ok reports whether the kernel provides the count.
+// DroppedHandshakes returns how many handshakes the kernel has dropped at full accept queues since
+// it started: those at cut links of this run and all others on the machine, as there is no count
+// for a single listener. ok reports whether the kernel provides the count.
 func DroppedHandshakes() (n int64, ok bool) {
 	raw, err := os.ReadFile("/proc/net/netstat")
 	if err != nil {
--- a/internal/lab/rig.go
+++ b/internal/lab/rig.go
@@ -29,7 +29,7 @@
 	Debug          bool   // dispatchers log at level debug
 	OperatorConfig string // further text of the operator's configuration
 	Zones          int    // number of zones; workers and dispatchers are assigned to them in turn; 0: 2
-	AddrGroup      int    // index of its three address groups in Net; each rig of a run needs its own
+	AddrGroup      int    // index of its three address groups in LoopbackRange; each rig of a run needs its own
 	Seed           uint64
 }
 
@@ -97,8 +97,8 @@
 	return err
 }
 
-// StartClients starts the clients of the dispatchers for which pick returns true (nil: all). They send
-// until ctx ends or they are stopped.
+// StartClients starts the clients of the dispatchers for which pick returns true (nil: all). They
+// send until ctx ends or they are stopped.
 func (r *Rig) StartClients(ctx context.Context, pick func(n int) bool) {
 	sending, cancel := context.WithCancel(ctx)
 	previous := r.stopSending
@@ -140,7 +140,8 @@
 	if err := dispatcher.Stop(); err != nil {
 		return fmt.Errorf("dispatcher %d: planned stop: %w", n, err)
 	}
-	return errors.Join(dispatcher.SetKnownWorkers(r.Discovery.Snapshot(n)), dispatcher.Start(), dispatcher.WaitReady(ctx))
+	return errors.Join(
+		dispatcher.SetKnownWorkers(r.Discovery.Snapshot(n)), dispatcher.Start(), dispatcher.WaitReady(ctx))
 }
 
 // Stop ends all dispatchers with SIGTERM, as in a planned restart. The error joins those of the
--- a/internal/lab/rigcheck.go
+++ b/internal/lab/rigcheck.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// RuleViolations counts the rule violations of a complete run, by the observations of workers, clients
-// and links: calls run twice, attempts without a complete response, wrong responses, late sends to
-// draining workers, collapsed workers and oversized datagrams.
+// RuleViolations counts the rule violations of a complete run, by the observations of workers,
+// clients and links: calls run twice, attempts without a complete response, wrong responses, late
+// sends to draining workers, collapsed workers and oversized datagrams.
 type RuleViolations struct {
 	Twice, Lost, Wrong, LateSends, Collapsed, Oversize int
 
@@ -55,8 +55,8 @@
 	return lost
 }
 
-// CountRequests counts the calls that arrived at all workers from one time until another, and those of
-// them that were rejected.
+// CountRequests counts the calls that arrived at all workers from one time until another, and those
+// of them that were rejected.
 func (r *Rig) CountRequests(from, until time.Time) (arrived, rejected int) {
 	for _, worker := range r.Workers {
 		calls, _ := worker.Observations()
--- a/internal/lab/service_test.go
+++ b/internal/lab/service_test.go
@@ -85,7 +85,9 @@
 	}
 	assert.Len(t, rep.Bounds, 3*2+2, "rules in the program's three arms with two seeds, and two on the value")
 	assert.InDelta(t, -valueTolerance, bounds[name+"worth less that of the whole walk"].Limit, 1e-9)
-	assert.InDelta(t, -oneDispatcherTolerance, bounds[name+"worth less that of one dispatcher with all calls"].Limit, 1e-9)
-	_, err = runCapacity(canceled(t), Options{Seed: 1, Only: serviceSection, Log: func(string, ...any) {}}, plan, HollowRun)
+	assert.InDelta(t, -oneDispatcherTolerance,
+		bounds[name+"worth less that of one dispatcher with all calls"].Limit, 1e-9)
+	_, err = runCapacity(canceled(t),
+		Options{Seed: 1, Only: serviceSection, Log: func(string, ...any) {}}, plan, HollowRun)
 	require.ErrorIs(t, err, context.Canceled)
 }
--- a/internal/lab/stubworker.go
+++ b/internal/lab/stubworker.go
@@ -151,7 +151,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	fmt.Fprint(h, s.ID, id, len(s.observed))
-	if s.failureRate == 0 || s.model.Draining() || s.model.Collapsed() || float64(h.Sum32()%1000) >= 1000*s.failureRate {
+	if s.failureRate == 0 || s.model.Draining() || s.model.Collapsed() ||
+		float64(h.Sum32()%1000) >= 1000*s.failureRate {
 		return false
 	}
 	s.observed = append(s.observed, ObservedCall{At: time.Now(), ID: id, Class: class, Admitted: true, Failed: true})
--- a/internal/lab/turns.go
+++ b/internal/lab/turns.go
@@ -66,8 +66,8 @@
 	return digests
 }
 
-// LongestSilence returns the longest time in a span without a datagram among the dispatchers that stay
-// selects.
+// LongestSilence returns the longest time in a span without a datagram among the dispatchers that
+// stay selects.
 func LongestSilence(datagrams []Datagram, stay func(int) bool, from, until time.Time) (most time.Duration) {
 	last := from
 	for _, datagram := range datagrams {
@@ -170,7 +170,8 @@
 	rig.StopClients()
 	result := t.count(from, end, term)
 	calls := rig.Calls(t.stays)
-	result.before, result.late = ServedShare(calls, began.Add(-2*time.Second), began, nil), ServedShare(calls, from, end, nil)
+	result.before, result.late = ServedShare(calls, began.Add(-2*time.Second), began, nil),
+		ServedShare(calls, from, end, nil)
 	if fault == TurnsKilled {
 		return result, nil
 	}
--- a/internal/lab/virtualtime.go
+++ b/internal/lab/virtualtime.go
@@ -116,8 +116,8 @@
 	end         callEnd
 }
 
-// dispatcherFor returns the dispatcher that clients of the nth go to: for a hollow one that is down, another
-// one.
+// dispatcherFor returns the dispatcher that clients of the nth go to: for a hollow one that is
+// down, another one.
 func (w *simWorld) dispatcherFor(n int) *simNode {
 	if w.hollow == nil {
 		return w.nodes[n]
--- a/internal/soak/campaign.go
+++ b/internal/soak/campaign.go
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// RunCampaign runs a campaign. The error reports invalid options, runs that could not be carried out and a
-// report that could not be written; violations are in the campaign.
+// RunCampaign runs a campaign. The error reports invalid options, runs that could not be carried
+// out and a report that could not be written; violations are in the campaign.
 func RunCampaign(ctx context.Context, options Options) (*Campaign, error) {
 	if options.Jobs == 0 {
 		options.Jobs = max(1, runtime.NumCPU()/2)
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -58,7 +58,7 @@
 	exitSlack       = 900 * time.Millisecond // beyond the longest deadline and drainLinger
 	readyIn         = 10 * time.Second
 	minServedShare  = 0.5  // of the calls sent in the calm phase, from CalmFrom to CalmTo
-	loadQuotaSlack  = 0.15 // as in the rules; lab.OverRation also allows one more order
+	loadQuotaSlack  = 0.15 // as in the rules; lab.LoadQuotaExcess also allows one more order
 	pauseTail       = 400 * time.Millisecond
 	// the grace of the settings, the tolerance of the rules, and that for a busy machine
 	drainSlack = drainGrace + 50*time.Millisecond + 100*time.Millisecond
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -37,12 +37,13 @@
 var ErrRunDirExists = errors.New("soak: run directory already exists")
 
 // Run runs a schedule in dir, which must not exist yet. program is the dispatcher program; it must
-// accept the arguments --config and --faults. The error is ErrUsed if dir exists, or reports that
-// the run could not be carried out; violations are in the result.
+// accept the arguments --config and --faults. The error is ErrRunDirExists if dir exists, or
+// reports that the run could not be carried out; violations are in the result.
 func Run(ctx context.Context, schedule Schedule, dir string, program lab.Program) (Result, error) {
 	res := Result{Schedule: schedule, Dir: dir}
 	if _, err := os.Stat(dir); err == nil {
-		return res, fmt.Errorf("%s: %w", dir, ErrRunDirExists) // its cached lists would name the executors of another run
+		// its cached lists would name the executors of another run
+		return res, fmt.Errorf("%s: %w", dir, ErrRunDirExists)
 	}
 	network, err := lab.ClaimLoopbackRange()
 	if err != nil {
