--- a/admin/state_test.go
+++ b/admin/state_test.go
@@ -36,7 +36,7 @@
 	listed, unavailable := s.CountWorkers(nil)
 	assert.Equal(t, 2, listed)
 	assert.Equal(t, 1, unavailable)
-	_, unavailable = s.CountWorkers([]balancer.WorkerID{1, 2}) // worker 1 is ejected twice but counted once
+	_, unavailable = s.CountWorkers([]balancer.WorkerID{1, 2}) // worker 1, also ejected manually, counts once
 	assert.Equal(t, 2, unavailable)
 }
 
--- a/balancer/environment.go
+++ b/balancer/environment.go
@@ -49,7 +49,8 @@
 // termElapsed returns the time since the start of the current leader's term, in nanoseconds.
 func (e *environment) termElapsed(now int64) int64 { return now % e.leaderTerm() }
 
-// answerBy returns the latest time to answer a request, two clock steps before its deadline.
+// answerBy returns the latest time to answer a request: its deadline less two clock resolutions
+// (Settings.ClockResolution).
 func (e *environment) answerBy(request *requestState) int64 {
 	return request.Deadline - 2*e.settings.ClockResolution
 }
--- a/balancer/fleetwatch_test.go
+++ b/balancer/fleetwatch_test.go
@@ -217,9 +217,9 @@
 	m.balancer.HandleRequest(f.now, request)
 }
 
-// Guards against calls to a draining worker after its drain counts as known, while discovery
-// sends heartbeats but reports no change. Dispatchers that contact workers rarely, restart, or
-// lose datagrams for a while must not send such calls either.
+// Guards against late calls to a draining worker, as defined at recordRejected, while discovery
+// sends heartbeats but reports no change. Dispatchers that contact workers rarely, restart, or lose
+// datagrams for a while must not send such calls either.
 func TestFleetDetectsDrainsNotReportedByDiscovery(t *testing.T) {
 	for _, spec := range []fleetSpec{
 		{dispatchers: 6, workers: 12, callsPerSecond: 5},
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -26,9 +26,9 @@
 }
 
 // peerDatagrams runs dispatcher 0 of three for 12 seconds of simulated time, which are six terms.
-// It returns the datagrams that the dispatcher sent, one line of destination and text each, and
-// their times. Calls fail at worker 2, some are never answered, and the other two dispatchers send
-// reports, digests and a request for its holders.
+// It returns the datagrams that the dispatcher sent, each as a line with its destination and text,
+// and their times. Calls fail at worker 2, some are never answered, and the other two dispatchers
+// send reports, digests and a request for its holders.
 func peerDatagrams(t *testing.T) (lines []string, times []int64) {
 	t.Helper()
 	settings := peerSettings(0)
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -13,21 +13,21 @@
 	forgetDispatcherDecays = 20
 )
 
-// The columns of a dispatcher's figures: the calls per second of each shared tenant, followed by
-// these.
+// The columns of a dispatcher's figures that follow the calls per second of each shared tenant,
+// counted from the first column after these.
 const (
 	completionsColumn = 0 // answers per second
 	queuedColumn      = 1 // calls waiting in a queue
-	fleetColumns      = 2
+	fleetColumns      = 2 // number of these columns
 	// maxSharedTenants is how many tenants' figures are shared, limited by the size of a report.
 	maxSharedTenants = 13
 )
 
 // gossipState holds what this dispatcher sends to other dispatchers and what it received from them.
-// In each term another dispatcher is the leader: all others send their reports only to it, and it
-// sends the sums to all as a digest. The number of messages thus grows with the number of
-// dispatchers and not with its square. Messages carry hints only: correctness does not depend on
-// their delivery.
+// Each term has its own leader, elected among the dispatchers: all others send their reports only
+// to it, and it sends the sums to all as a digest. The number of messages thus grows with the
+// number of dispatchers and not with its square. Messages carry hints only: correctness does not
+// depend on their delivery.
 type gossipState struct {
 	elector    *leader.Elector
 	aggregator *aggregate.Aggregator // of the figures of all dispatchers
@@ -42,7 +42,7 @@
 	lastCounts       int            // number of counts in the last message, used to size the next
 
 	digestAt     int64 // when the last full digest arrived
-	fullDigestAt int64 // the same, where the list is long
+	fullDigestAt int64 // the same, set only while the list is long
 }
 
 // creditCall adds what one call may cost in messages to the budgets.
--- a/balancer/loadtime.go
+++ b/balancer/loadtime.go
@@ -6,8 +6,8 @@
 	loadTimeWeight      = 0.1  // smoothing of the mean load time: about the last ten count
 	loadShareWeight     = 0.02 // smoothing of the share of loads: loads are rare, so about fifty count
 	storeSlowdownWeight = 0.2  // smoothing of the store's slowdown: few loads must show a sudden change
-	// maxStoreSlowdown bounds the slowdown: a store that is slower than this is as good as
-	// unavailable.
+	// maxStoreSlowdown limits the ratio of observed to stated load time: a store of functions that is
+	// slower than this is as good as unavailable.
 	maxStoreSlowdown = 8.0
 	// initialLoadTimeShare is the load time assumed before any load is observed, as a share of the
 	// shortest latency objective; the assumed deviation is half of it.
--- a/cmd/dispatcher/discoveryoutage_test.go
+++ b/cmd/dispatcher/discoveryoutage_test.go
@@ -21,9 +21,9 @@
 	killed, ready time.Time // when the first dispatcher was killed, and was ready again; zero: not killed
 }
 
-// assertInvariants does as the function of the same name, after Quiet. Attempts that overlap the
-// time from the kill of the dispatcher until it is ready again need no answer: the platform's front
-// end sends a dispatcher no calls before it is ready.
+// assertInvariants checks the same as the function of that name, but expects that StopClients was
+// called before. Attempts that overlap the time from the kill of the dispatcher until it is ready
+// again need no answer: the platform's front end sends a dispatcher no calls before it is ready.
 func (r *outageRig) assertInvariants(t *testing.T) {
 	t.Helper()
 	excused := func(attempt lab.Attempt) bool {
@@ -135,19 +135,20 @@
 
 // Guards against calls and load orders to draining workers during a discovery outage. When
 // discovery was unreachable for tens of seconds, dispatchers kept sending to workers long after
-// their drain counted as known, and every request was rejected. The balancer took an endpoint list
-// without updates for an unchanged one, and a rejection by a draining worker for a full queue, so
-// that it chose one worker five times for one request. The cursor of the watch never moved, and
-// health checks of draining workers answered 503.
+// they should have known of their drain, and every request was rejected. The balancer assumed that
+// a list without updates was unchanged, and that a draining worker that rejected a call had a full
+// queue, so that it chose one worker five times for one request. The cursor of the watch never
+// moved, and health checks of draining workers answered 503.
 //
 // In the drain cases watches are silent or refused, or heartbeats go on without events. Two workers
 // begin to drain and stay up. They must get nothing after the grace period, which begins with the
-// drain, or 7 s later where heartbeats go on. A dispatcher that is restarted meanwhile with the
-// list from before the outage must send them nothing either, and calls must be served as before.
+// drain or, where heartbeats go on, 7 s after the start of the drain. A dispatcher that is
+// restarted meanwhile with the list from before the outage must send them nothing either, and calls
+// must be served as before.
 //
 // In the restart cases two workers drain, end and start again under the same names and addresses.
-// Their start counts as known 7 s later: until then they must get nothing although they respond,
-// and after that they must serve again before discovery is back.
+// Dispatchers may rely on a start only 7 s after it: until then the workers must get nothing
+// although they respond, and after that they must serve again before discovery is back.
 func TestDiscoveryOutage(t *testing.T) {
 	running := make(chan struct{}, maxParallelRigs)
 	for _, kind := range []outage{silent, withheld} {
@@ -161,7 +162,7 @@
 	for _, test := range []struct {
 		outage               outage
 		dispatchers, workers int
-		known                time.Duration // from the start of a drain until it counts as known
+		known                time.Duration // from the start of a drain until dispatchers must know of it
 	}{
 		{silent, 3, 11, 0},
 		{refused, 20, 22, 0},
@@ -231,7 +232,7 @@
 		seen, orders := worker.Observations()
 		early := func(at time.Time) bool { return at.Before(restarted.Add(7 * time.Second)) }
 		assert.False(t, slices.ContainsFunc(seen, func(call lab.ObservedCall) bool { return early(call.At) }),
-			"calls to %s before its start counts as known", worker.ID)
+			"calls to %s less than 7 s after its start", worker.ID)
 		assert.False(t, slices.ContainsFunc(orders, early), "early load orders to %s", worker.ID)
 	}
 	assert.Greater(t, callsAfterRestart, 10, "calls to the restarted workers before discovery is back")
--- a/cmd/dispatcher/scale_test.go
+++ b/cmd/dispatcher/scale_test.go
@@ -97,8 +97,8 @@
 // of 300 workers drains in steps while as many new ones are added, and two of the processes restart
 // while their clients keep sending. No invariant is violated, calls are served as before, and the
 // new workers take their share. The set of called functions changes, so that workers are chosen all
-// the time. That no choice considers draining workers or scans the list does not show here, since
-// calls are served either way; TestLongListSamplesNoDrainingWorker in package balancer tests it.
+// the time. Calls would also be served if choices considered draining workers or scanned the list;
+// TestLongListSamplesNoDrainingWorker in package balancer tests that they do neither.
 func TestReleaseInALongList(t *testing.T) {
 	figures := lab.PlannerFigures()
 	for i := range figures.Classes { // so that a new worker takes about ten calls before it is overloaded
--- a/internal/capacity/arithmetic.go
+++ b/internal/capacity/arithmetic.go
@@ -179,7 +179,7 @@
 
 // reportRate returns the reports per second that a dispatcher sends and the encoded size of one:
 // one report in each maintenance round and one with each call to a holder that was not known before
-// (functions drawn with uniform distribution), as far as its calls pay for them.
+// (functions drawn with uniform distribution), limited by the message budget that its calls add to.
 func (c Case) reportRate(calls float64) (rate float64, p EncodedSize) {
 	consts := newProgramConstants()
 	p = c.reportShape(calls).Length()
--- a/internal/capacity/cpurows.go
+++ b/internal/capacity/cpurows.go
@@ -1,8 +1,9 @@
 package capacity
 
-// cpuSpecs are the rows of the processor time that a dispatcher uses for control, as a fraction of
-// a core. The slopes are in nanoseconds per call, message or event, and in nanoseconds per second
-// for upkeep and writing.
+// cpuSpecs returns the rows for the CPU time that a dispatcher spends on control work, as a
+// fraction of a core. The measured slopes from which they are computed are in nanoseconds per call,
+// message, list event or configuration change, and in nanoseconds per second for upkeep and
+// writing.
 func cpuSpecs(b Budgets) []spec {
 	choice := func(r *evaluation) float64 {
 		return 1e-9 * r.ChoiceIsControl * r.Busiest * r.CallsEach() * r.atSlope("cpu.choice", choiceSection)
--- a/internal/capacity/rows.go
+++ b/internal/capacity/rows.go
@@ -94,9 +94,9 @@
 
 const arithmetic = "arithmetic"
 
-// Rows computes all rows at the planned size, ordered by the sections of the page: over budget,
-// within it, not measured, without a budget, obsolete. Rows with a headroom are sorted by it within
-// a section, the smallest first.
+// Rows computes all rows at the planned size, grouped into sections in this order: over budget,
+// within budget, not measured, without a budget, obsolete. Within a section, rows that have a
+// headroom are sorted by headroom, the smallest first.
 func Rows(p Plan, b Budgets, slopes Slopes) []Row {
 	base := Base(p)
 	var out []Row
@@ -112,8 +112,7 @@
 	return out
 }
 
-// rank returns the index of a row's section on the page: over budget, within it, not measured,
-// without a budget, obsolete.
+// rank returns the index of a row's section in the order that Rows describes.
 func (r Row) rank() int {
 	switch {
 	case r.Obsolete:
--- a/internal/lab/calibrate.go
+++ b/internal/lab/calibrate.go
@@ -20,8 +20,8 @@
 	calibrateIdle           = time.Second // without calls, before the clients start
 	calibrateReady          = 20 * time.Second
 	maxMessageByteRatio     = 1.3  // largest ratio of message bytes per call, real to hollow or hollow to real
-	calibrateValueTolerance = 0.05 // largest difference of the value in time, as a part of that offered
-	calibrateZones          = 10   // as many as the workers of a hollow run have
+	calibrateValueTolerance = 0.05 // largest difference of the value in time, as a fraction of that offered
+	calibrateZones          = 10   // zones of the real workers, as many as in a hollow run
 	// calibrateCopies is the number of real dispatchers without peers per kind. Their mean is
 	// subtracted from the fleet's cost, and single ones differ by some hundredths.
 	calibrateCopies = 3
@@ -42,12 +42,12 @@
 	calls           int     // intended in the span, by all dispatchers
 	cpu             float64 // s of CPU time per call
 	cpuSpread       float64 // difference between the largest and smallest cpu of equal runs
-	system          float64 // part of the CPU time that was spent in the kernel
-	idle            float64 // part of a core in use without calls
+	system          float64 // fraction of the CPU time that was spent in the kernel
+	idle            float64 // fraction of a core in use without calls
 	resident, heap  float64 // bytes
 	bytes, messages float64 // of sent messages, per second
 	busiest         float64 // bytes sent in the busiest second of any dispatcher
-	value, unserved float64 // value in time, as a part of that offered; part of the calls not served
+	value, unserved float64 // value in time, as a fraction of that offered; fraction of the calls not served
 	breaches        int
 	// largest delay of a client behind its schedule in s; a large one shows that the machine is
 	// overloaded
--- a/internal/lab/capacity.go
+++ b/internal/lab/capacity.go
@@ -43,7 +43,7 @@
 
 // ErrDimension reports a name that is no dimension or section of the experiment capacity: invalid
 // command line.
-var ErrDimension = errors.New("no dimension")
+var ErrDimension = errors.New("unknown dimension or section")
 
 // CapacityRun is one hollow run in the report.
 type CapacityRun struct {
--- a/internal/lab/capacity_test.go
+++ b/internal/lab/capacity_test.go
@@ -328,8 +328,8 @@
 	plan := tinyPlan()
 	_, err := runCapacity(t.Context(), Options{Only: "executors,boxes"}, plan, nil)
 	assert.EqualError(t, err,
-		`capacity: no dimension "boxes"; there are dispatchers, executors, functions, list, calls, words, `+
-			`choice, largest`)
+		`capacity: unknown dimension or section "boxes"; there are dispatchers, executors, functions, list, calls, `+
+			`words, choice, largest`)
 	for _, quick := range []bool{false, true} {
 		p := planCapacity(Options{Quick: quick, Seed: 1})
 		for _, d := range p.dims {
--- a/internal/lab/comeback.go
+++ b/internal/lab/comeback.go
@@ -34,8 +34,10 @@
 	attemptsBefore, attemptsAfter float64 // attempts that arrived at workers, per served call
 	rejectedBefore, rejectedAfter float64 // share of these that workers rejected
 	swallowedEarly, swallowedLate float64 // handshakes dropped in the first and second half of the cut
-	minSwallowed                  float64 // handshakes lost before detection, and by the probes of a zone
-	maxLag                        time.Duration
+	// fewest handshakes that can be lost if each dispatcher detects the cut zone as a whole: those
+	// before the detection and those of the health checks after it
+	minSwallowed float64
+	maxLag       time.Duration
 }
 
 // Comeback runs the experiment.
--- a/internal/lab/fleetresult.go
+++ b/internal/lab/fleetresult.go
@@ -37,7 +37,8 @@
 	return n
 }
 
-// fleetResult returns the result of a run; fresh workers are compared with those that stayed.
+// fleetResult returns the result of a run that began at began. For warmingShare, it compares the
+// workers in fresh with those in stayed.
 func (w *simWorld) fleetResult(fresh, stayed []*simWorker, began time.Time) *fleetResult {
 	calls := float64(max(1, len(w.calls)))
 	result := &fleetResult{
--- a/internal/lab/hollow.go
+++ b/internal/lab/hollow.go
@@ -34,10 +34,10 @@
 	// calls per second at each dispatcher in the warm-up except its last second; 0: Calls
 	WarmCalls float64
 	Before    bool    // scan the full list for every choice
-	Walk      int     // otherwise balancer.Settings.FullScanLimit; 0: the program's default
+	Walk      int     // without Before: balancer.Settings.FullScanLimit; 0: the program's default
 	Fault     string  // "" or one of HollowFaults()
 	Memory    uint64  // limit of the process's memory in bytes; 0: half of the machine's
-	Lost      float64 // part of the messages that are lost
+	Lost      float64 // fraction of the messages that are lost
 	// PeerPrice is balancer.Settings.PeerPrice: the price of a message in units of the weighted
 	// value of calls; 0: the lowest that the balancer uses. At 0.021, the price of the experiment
 	// fleet, no message budget covers a digest for 1,000 dispatchers, and none is written.
@@ -57,17 +57,23 @@
 //	                   including retries of calls
 //	cpu.write          the same for HandleTimer events that wrote a message
 //	cpu.read           ns per received message
-//	cpu.list           ns per change of the list; cpu.list.whole: per full list, the first one or the fault's
+//	cpu.list           ns per change of the list
+//	cpu.list.whole     ns per full list, of those sent to dispatchers when they start or, with
+//	                   FaultFullList, of those that the fault sends
 //	cpu.config         ns per configuration change: AddClasses and SetMaxAttempts
-//	cpu.control        upkeep, write, read, list and config as a part of a core; config at 5,100 a day
-//	cpu.all            cpu.control and choices, as a part of a core
-//	cpu.busiest        busiest second of any dispatcher, including choices, as a part of a core
+//	cpu.control        CPU time for upkeep, messages written and read, list updates and configuration
+//	                   changes, as a fraction of a core; 5,100 configuration changes a day are assumed
+//	cpu.all            cpu.control and the CPU time for choices, as a fraction of a core
+//	cpu.busiest        CPU time in the busiest second of any dispatcher, including choices, as a fraction
+//	                   of a core
 //	bytes.in, .out, messages.in, .out   per second; message texts without headers
-//	*.busiest          busiest second of any dispatcher; collector.*: of one that was leader in it
+//	*.busiest          bytes in the busiest second of any dispatcher; collector.*: of any dispatcher in
+//	                   a second in which it was leader
 //	texts.oversize     messages dropped because they exceed the channel's size limit
-//	digests            part of the terms in which at least half of the dispatchers received a digest
-//	covered            mean part of the fleet that the dispatchers' views cover at the end
-//	worth, unserved    weighted value in time as a part of that offered; part of the calls not served
+//	digests            fraction of the terms in which at least half of the dispatchers received a digest
+//	covered            mean fraction of the fleet that the dispatchers' views cover at the end
+//	worth, unserved    weighted value in time as a fraction of that offered; fraction of the calls
+//	                   not served
 //	p99.cold           s, 99th percentile of served calls that found no copy or waited for one
 //	loads              loads begun per call
 //	acts.last          s until the last dispatcher was notified of a change, for the slowest change;
@@ -109,7 +115,7 @@
 const (
 	hollowRampUp      = time.Second     // end of the warm-up in which calls already arrive at the span's rate
 	hollowDrainTime   = 8 * time.Second // longest time after the span for open calls to end
-	hollowUtilization = 0.4             // part of a worker's cores that its share of the calls uses
+	hollowUtilization = 0.4             // fraction of a worker's cores that its share of the calls uses
 	// instances per function as planned (230,000 of 48,000 functions); workers' memory is sized for
 	// them
 	hollowCopies        = 4.8
--- a/internal/lab/hollowclients.go
+++ b/internal/lab/hollowclients.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// countLoad counts a job that began a load within the span.
+// countLoad counts a job that began a load, within the measured span of the run only.
 func (h *hollowWorld) countLoad(job *Job) {
 	if h != nil && h.meter.on && job.Warmth == BeganLoad {
 		h.loads++
--- a/internal/lab/hosts_test.go
+++ b/internal/lab/hosts_test.go
@@ -1,10 +1,10 @@
 package lab
 
-// Comparison of the two hosts of the decision module: the core of the real program, on the fake
-// clock of a synctest bubble, and the dispatcher in virtual time. Both run in the same simulated
-// world with the same event engine and workers, and must carry out the same actions at the same
-// nanosecond. Intended differences are provoked and asserted by separate tests. Not covered,
-// because the hollow host does not implement them: clients that disconnect, the limit of open
+// Comparison of the two hosts of package balancer: the core of the real program, on the fake clock
+// of a synctest bubble, and the hollow dispatcher, simulated in virtual time. Both run in the same
+// simulated world with the same event engine and workers, and must carry out the same actions at
+// the same nanosecond. Separate tests produce and assert the intended differences. Not covered,
+// because the hollow dispatcher does not implement them: clients that disconnect, the limit of open
 // calls, tenants, and the recovery ramp after a start from a cached list.
 
 import (
@@ -80,8 +80,8 @@
 	return actual, runHollow(t, p)
 }
 
-// Guards against a hollow dispatcher that does not represent the real one: both hosts carry out the
-// module's orders at the same time.
+// Guards against differences in behavior between hollow and real dispatchers: both hosts must carry
+// out the balancer's orders at the same time.
 func TestHostsActAlike(t *testing.T) {
 	total := map[string]int{}
 	var ends [balancer.NumResults]int64
--- a/internal/lab/rigcheck.go
+++ b/internal/lab/rigcheck.go
@@ -14,7 +14,7 @@
 	Unanswered []string // descriptions of the first attempts without a complete response
 }
 
-// maxUnanswered is the number of attempts that Breaches.Unanswered describes at most.
+// maxUnanswered is the largest number of attempts that RuleViolations.Unanswered describes.
 const maxUnanswered = 6
 
 // Sum returns the total number of violations.
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -172,8 +172,8 @@
 	return nil
 }
 
-// parseInitialEvents decodes the events in the file. Unlike on the command channel, an invalid
-// member is an error.
+// parseInitialEvents decodes the events in the file. Unlike on the command channel, an event with
+// an invalid member (executor) is an error.
 func (c *Config) parseInitialEvents(file *configFile) error {
 	for i, raw := range file.Known.Cmds {
 		event, err := parseEvent(raw, c.Settings)
--- a/internal/platform/disconnect_test.go
+++ b/internal/platform/disconnect_test.go
@@ -98,7 +98,9 @@
 	client := s.dial()
 	s.write(client, callText(firstID, "path-book", "x"))
 	require.NoError(t, client.Close())
-	for ended := int64(0); ended == 0; { // the handler may end before the call is admitted
+	// The handler may end before the core has admitted the call, so Counters below waits for the
+	// core's event loop.
+	for ended := int64(0); ended == 0; {
 		s.server.ForEachClass(func(_ string, outcomes *Outcomes) { ended += outcomes.Failed.Load() })
 		runtime.Gosched()
 	}
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -61,7 +61,7 @@
 	event := newEvent(name)
 	if event == nil {
 		if !json.Valid(line) {
-			return nil, fmt.Errorf("event %q is malformed", name)
+			return nil, fmt.Errorf("unknown event %q: invalid JSON", name)
 		}
 		return &Unknown{name}, nil
 	}
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -130,8 +130,8 @@
 	probationSince int64 // since when it accepts work again after an interruption; 0: there was none
 	hasDrained     bool  // the interruption was a drain; otherwise it went unverified for too long
 
-	checkSentAt    int64 // of the latest check
-	nextCheckAt    int64 // not before
+	checkSentAt    int64 // when the latest check was sent
+	nextCheckAt    int64 // earliest time of the next check
 	checking       bool  // a check is in flight
 	checkRequested bool  // a rejected call calls for a check
 	rejections     int   // checks in a row that were rejected
--- a/outlier/gossip_test.go
+++ b/outlier/gossip_test.go
@@ -32,8 +32,9 @@
 	}
 }
 
-// TestGossipEjectionIsBounded checks the limits of gossip: own served calls override it, it ejects
-// at most a quarter of the capacity, it expires, and a restart of the worker ends it.
+// TestGossipEjectionIsBounded checks the limits of ejections by gossip: they cover at most a
+// quarter of the capacity, do not apply to a worker that serves this dispatcher, expire, and end
+// when the worker restarts.
 func TestGossipEjectionIsBounded(t *testing.T) {
 	d := New(objective, true)
 	workers := make([]Stats, 12)
